--- /dev/null
+++ b/protocol/golden_test.go
@@ -0,0 +1,219 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package protocol
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/matryer/is"
+)
+
+// This file pins the bytes of every message in testdata/golden: boxes of
+// neighbouring versions talk to each other. Run with -update to write the
+// files anew, which only a deliberate change of the wire format justifies.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+const big = 1<<64 - 2 // a number that needs all its bits
+
+// goldenMessages holds one message of each kind. In every list, the first
+// element has all its fields set.
+var goldenMessages = []Message{
+	Hello{
+		Router: "router-1", Hall: "hall-a", Boot: big, Revision: 300, Epoch: 70000,
+		Held: []Held{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
+	},
+	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", Known: true, Reports: 99, Void: true},
+	Redirect{Leader: "control-2", Follows: true, Group: big, Revision: 301, Pending: true},
+	Renew{Seq: 17, Revision: 302},
+	Renewed{Seq: 18},
+	Report{
+		ViewSeq: 21,
+		Pools: []PoolReport{
+			{Pool: "llm", Idle: 2, Accounts: []AccountReport{
+				{Account: "b", Waiting: 3, Running: 4, Started: 5, Service: 6.125},
+				{Account: "c", Waiting: 1000, Running: 24, Started: 70000, Service: 1234567.8901},
+			}},
+			{Pool: "web"},
+		},
+		Returned: []Held{{Server: "a1", Slots: 1}, {Server: "a3", Slots: 2}}, Suspects: []string{"a4", "a5"}, Goodbye: true,
+	},
+	View{Seq: 22, Granted: []Held{{Server: "a1", Slots: 7}, {Server: "a2", Slots: 8}}, Pools: goldenPools, ReportSeq: 23},
+	Configure{Delta: []byte{1, 2, 3}, Snapshot: []byte{4, 5, 6, 7}},
+	Claim{Call: 31, Account: "hotel-a", Key: "booking-1", Digest: big, Attempt: big - 1, Wait: true},
+	Settle{
+		Call: 32, Account: "hotel-a", Key: "booking-2", Attempt: 33, State: ClaimRan,
+		Answer: &Answer{Status: 200, ContentType: "text/plain", Body: []byte("booked")},
+	},
+	Claimed{Call: 34, State: ClaimUnknown, Answer: &Answer{Status: 503, ContentType: "application/json", Body: []byte("{}")}},
+	Consensus{
+		Name: "config", Group: big, Kind: MsgAppend,
+		From: Peer{Name: "control-1", Incarnation: big - 2}, To: Peer{Name: "control-2", Incarnation: 52},
+		Term: 53, Index: 54, LogTerm: 55, Commit: 56,
+		Entries: []Entry{
+			{Term: 57, Index: 58, Kind: EntryMembership, Data: []byte{7, 8}},
+			{Term: 59, Index: 60, Data: []byte("command")},
+			{Term: 61, Index: 62},
+		},
+		Reject: true, Hint: 63, Sent: -64, Force: true,
+		Snapshot: &Snapshot{
+			Group: 65, Index: 66, Term: 67,
+			Members: Membership{
+				Voters:   []Peer{{Name: "control-1", Incarnation: 68}, {Name: "control-2", Incarnation: 69}},
+				Learners: []Peer{{Name: "control-3", Incarnation: 70}},
+			},
+			Data: []byte("piece"),
+		},
+		Offset: 71, Total: 72,
+	},
+	Watch{Gateway: "gateway-1", Boot: big, Number: 82, Term: 83},
+	Elsewhere{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
+	Document{Number: 84, Data: []byte{0xa1, 1, 2}},
+	Backends{
+		Term: 85, Whole: true, Complete: true,
+		Set: []Backend{
+			{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Zone: "hall-a", Slots: 16, Handle: 1<<32 - 1},
+			{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80", Handle: 2},
+		},
+		Gone: []string{"engine-3#c", "engine-4#d"},
+	},
+	Usage{
+		Running: []Running{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
+		Demands: []Demand{{Tenant: "t1", Tokens: big}, {Tenant: "t2", Tokens: 12}},
+		Number:  86, Begun: 87, Missed: 88,
+	},
+	Fleet{
+		Gateways: 3, Running: []Running{{Handle: 9, Requests: 10, Tokens: 11}, {Handle: 12, Requests: 13, Tokens: 14}},
+		Entitlements: []Entitlement{{Tenant: "t1", Part: 0.25, Extra: 0.7}, {Tenant: "t2", Part: 0.1, Extra: 1}},
+		Members:      []string{"10.0.0.1:7000", "10.0.0.2:7000"}, Short: true,
+	},
+}
+
+var goldenPools = []PoolView{
+	{
+		Pool: "llm", Short: true, Floor: 1.5, Lift: 1.25, Slack: 100, Recall: 6, Rate: 600.1,
+		Accounts: []AccountView{{Account: "b", Ahead: 0.5}, {Account: "c", Ahead: float64(float32(17.3))}},
+	},
+	{Pool: "web"},
+}
+
+func TestGoldenMessages(t *testing.T) {
+	seen := map[Kind]bool{}
+	for _, m := range goldenMessages {
+		seen[KindOf(m)] = true
+		t.Run(KindOf(m).String(), func(t *testing.T) {
+			is := is.New(t)
+			checkAllSet(t, KindOf(m).String(), reflect.ValueOf(m))
+			b, err := Encode(m)
+			is.NoErr(err)
+			want := golden(t, KindOf(m).String(), b)
+			got, err := Decode(want)
+			is.NoErr(err)
+			is.True(reflect.DeepEqual(got, m)) // the pinned bytes give the same value
+		})
+	}
+	is.New(t).Equal(len(seen), len(kindNames)) // a message of every kind
+}
+
+// TestGoldenKinds pins the number of each kind, which the envelope carries,
+// and its name, which metrics carry.
+func TestGoldenKinds(t *testing.T) {
+	is := is.New(t)
+	names := []string{
+		1: "hello", 2: "welcome", 3: "redirect", 4: "renew", 5: "renewed", 6: "report", 7: "view", 8: "configure",
+		9: "claim", 10: "settle", 11: "claimed", 12: "consensus", 13: "watch", 14: "elsewhere", 15: "document",
+		16: "backends", 17: "usage", 18: "fleet",
+	}
+	for number := 1; number < len(names); number++ {
+		is.Equal(Kind(number).String(), names[number])
+	}
+	is.Equal(Kind(0).String(), "unknown")
+	is.Equal(Kind(len(names)).String(), "unknown") // a kind without a golden message
+	for i, m := range goldenMessages {
+		is.Equal(int(KindOf(m)), i+1) // the messages are ordered by kind
+	}
+}
+
+// golden compares b with a golden file and returns the file's bytes.
+func golden(t *testing.T, name string, b []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".hex")
+	if *update {
+		if err := os.WriteFile(path, []byte(hex.EncodeToString(b)+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(b, want) {
+		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s", name, b, want, diagnosed(b), diagnosed(want))
+	}
+	return want
+}
+
+// diagnosed returns CBOR in its readable notation.
+func diagnosed(b []byte) string {
+	s, err := cbor.Diagnose(b)
+	if err != nil {
+		return err.Error()
+	}
+	return s
+}
+
+// checkAllSet finds fields that a golden value leaves out. Of a list it looks
+// at the first element.
+func checkAllSet(t *testing.T, where string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set", where)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		checkAllSet(t, where, v.Elem())
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", where)
+		} else if v.Index(0).Kind() == reflect.Struct {
+			checkAllSet(t, where+"[0]", v.Index(0))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.Name != "_" {
+				checkAllSet(t, where+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
+
+// TestGoldenNumbers pins the numbers that travel inside messages.
+func TestGoldenNumbers(t *testing.T) {
+	is := is.New(t)
+	for i, s := range []ClaimState{
+		ClaimGranted, ClaimRunning, ClaimRan, ClaimUnknown, ClaimMismatch, ClaimRetry, ClaimReleased,
+	} {
+		is.Equal(int(s), i+1)
+	}
+	for i, k := range []ConsensusKind{
+		MsgPreVote, MsgPreVoteReply, MsgVote, MsgVoteReply, MsgAppend, MsgAppendReply, MsgSnapshot, MsgSnapshotReply,
+		MsgCampaignNow, MsgJoin, MsgBlankQuery, MsgBlankReply, MsgFound,
+	} {
+		is.Equal(int(k), i+1)
+	}
+	is.Equal(int(EntryCommand), 0)
+	is.Equal(int(EntryMembership), 1)
+}
