--- /dev/null
+++ b/state/document/golden_test.go
@@ -0,0 +1,153 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package document
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/matryer/is"
+)
+
+// This file pins the bytes of documents and of the store in testdata/golden: they
+// lie on disks and in the logs of running fleets. Run with -update to write the
+// files anew, which only a deliberate change of the stored format justifies.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+var goldenDocument = Document{
+	Number: 1<<64 - 2,
+	Routes: []Route{
+		{
+			Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: Stream, Hold: 3 * time.Second,
+			Objective: 400 * time.Millisecond, Priority: 2, Targets: []Target{{Pool: "llm", Weight: 9}, {Pool: "web", Weight: 1}},
+			Attempts: 3, Public: true, Sticky: true, Resumable: true, Pause: 250 * time.Millisecond,
+		},
+		{Name: "pay", Host: "pay.example", Prefix: "/", Kind: Once, Hold: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
+		{Name: "read", Host: "read.example", Prefix: "/", Kind: Repeatable, Hold: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
+	},
+	Pools:   []Pool{{Name: "llm", Connections: 64, Engine: true, Memory: 120000}, {Name: "web"}},
+	Tenants: []Tenant{{Name: "t1", Keys: []string{"k1", "k2"}, Priority: 4}, {Name: "t2"}},
+	Limits: Limits{
+		HeaderBytes: 8192, BodyBytes: 1 << 33, HeaderTime: 5 * time.Second, IdleTime: time.Minute, TokensPerSecond: 1234.5678,
+	},
+}
+
+var goldenHeld = Held{Document: goldenDocument, Source: []byte("as its author sent it")}
+
+func TestGoldenDocument(t *testing.T) {
+	is := is.New(t)
+	is.NoErr(goldenDocument.Check())
+	checkAllSet(t, "document", reflect.ValueOf(goldenDocument))
+	b, err := cbor.Marshal(goldenDocument)
+	is.NoErr(err)
+	var got Document
+	is.NoErr(cbor.Unmarshal(golden(t, "document", b), &got))
+	is.True(reflect.DeepEqual(got, goldenDocument)) // the pinned bytes give the same value
+	is.Equal([]Kind{Once, Repeatable, Stream}, []Kind{0, 1, 2})
+}
+
+func TestGoldenStoredDocument(t *testing.T) {
+	is := is.New(t)
+	b, err := cbor.Marshal(goldenHeld)
+	is.NoErr(err)
+	var got Held
+	is.NoErr(cbor.Unmarshal(golden(t, "held", b), &got))
+	is.True(reflect.DeepEqual(got, goldenHeld))
+}
+
+func TestGoldenStore(t *testing.T) {
+	is := is.New(t)
+	joined := []Backend{
+		{ID: "a#1", Pool: "llm", Address: "10.0.0.1:80", Zone: "hall-a", Slots: 16},
+		{ID: "b#2", Pool: "web", Address: "10.0.0.2:80"},
+		{ID: "c#3", Pool: "web", Address: "10.0.0.3:80"},
+	}
+	var s Store
+	is.True(s.Put(goldenHeld))
+	for _, i := range []int{2, 0, 1} {
+		s.Join(joined[i])
+	}
+	is.True(s.Depart("z#9"))
+	is.True(s.Depart("y#8"))
+	s.total = 70000 // more than are remembered
+	b, err := s.MarshalBinary()
+	is.NoErr(err)
+	var got Store
+	is.NoErr(got.UnmarshalBinary(golden(t, "store", b)))
+	held, ok := got.Held()
+	is.True(ok)
+	is.True(reflect.DeepEqual(held, goldenHeld))
+	is.Equal(got.Joined(), joined)
+	is.True(got.Departed("y#8"))
+	ids, total := got.DeparturesSince(0)
+	is.Equal(ids, []string{"z#9", "y#8"}) // oldest first
+	is.Equal(total, uint64(70000))
+	is.True(reflect.DeepEqual(got, s))
+}
+
+// golden compares b with a golden file and returns the file's bytes.
+func golden(t *testing.T, name string, b []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name+".hex")
+	if *update {
+		if err := os.WriteFile(path, []byte(hex.EncodeToString(b)+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(b, want) {
+		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s", name, b, want, diagnosed(b), diagnosed(want))
+	}
+	return want
+}
+
+// diagnosed returns CBOR in its readable notation.
+func diagnosed(b []byte) string {
+	s, err := cbor.Diagnose(b)
+	if err != nil {
+		return err.Error()
+	}
+	return s
+}
+
+// checkAllSet finds fields that a golden value leaves out. Of a list it looks
+// at the first element.
+func checkAllSet(t *testing.T, where string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set", where)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		checkAllSet(t, where, v.Elem())
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", where)
+		} else if v.Index(0).Kind() == reflect.Struct {
+			checkAllSet(t, where+"[0]", v.Index(0))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.Name != "_" {
+				checkAllSet(t, where+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
