--- /dev/null
+++ b/state/wal/golden_test.go
@@ -0,0 +1,111 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package wal_test
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/state/wal"
+)
+
+// This file pins the files of a log in testdata/golden: they lie on the disks
+// of running boxes. The format has no random and no time-dependent part. Run
+// with -update to write the files anew, which only a deliberate change of the
+// stored format justifies.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+var goldenRecords = [][]byte{[]byte("one"), {}, []byte("three\x00\xff"), []byte("four")}
+
+// writeFirst writes generation 0, in two frames.
+func writeFirst(t *testing.T, folder string) {
+	is := is.New(t)
+	l, _, err := wal.Open(wal.OSDir(folder))
+	is.NoErr(err)
+	is.NoErr(l.Append(goldenRecords[:3]...))
+	is.NoErr(l.Append(goldenRecords[3]))
+	is.NoErr(l.Close())
+}
+
+// writeRotated writes generation 1: a snapshot, a tail and one more frame.
+func writeRotated(t *testing.T, folder string) {
+	is := is.New(t)
+	l, _, err := wal.Open(wal.OSDir(folder))
+	is.NoErr(err)
+	is.NoErr(l.Append([]byte("covered by the snapshot")))
+	is.NoErr(l.Rotate([]byte("the snapshot"), goldenRecords[:3]...))
+	is.NoErr(l.Append(goldenRecords[3]))
+	is.NoErr(l.Close())
+}
+
+func TestGoldenFiles(t *testing.T) {
+	for _, tt := range []struct {
+		name     string
+		write    func(*testing.T, string)
+		snapshot string
+	}{
+		{"first", writeFirst, ""},
+		{"rotated", writeRotated, "the snapshot"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			folder := goldenFolder(t, tt.name, tt.write)
+			l, rec, err := wal.Open(wal.OSDir(folder))
+			is.NoErr(err)
+			defer l.Close()
+			is.Equal(string(rec.Snapshot), tt.snapshot)
+			is.Equal(len(rec.Records), len(goldenRecords))
+			for i, r := range rec.Records {
+				is.Equal(string(r), string(goldenRecords[i]))
+			}
+			is.Equal(rec.Dropped, 0)
+		})
+	}
+}
+
+// goldenFolder compares what write writes with the golden folder of that name,
+// and returns a copy of the golden folder.
+func goldenFolder(t *testing.T, name string, write func(*testing.T, string)) string {
+	t.Helper()
+	is := is.New(t)
+	path := filepath.Join("testdata", "golden", name)
+	fresh := t.TempDir()
+	write(t, fresh)
+	if *update {
+		is.NoErr(os.RemoveAll(path))
+		is.NoErr(os.CopyFS(path, os.DirFS(fresh)))
+	}
+	got, want := contents(t, fresh), contents(t, path)
+	for file, b := range want {
+		if got[file] != b {
+			t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x", file, got[file], b)
+		}
+	}
+	is.Equal(len(got), len(want)) // no other files
+	folder := t.TempDir()
+	is.NoErr(os.CopyFS(folder, os.DirFS(path)))
+	return folder
+}
+
+// contents returns the files of a folder by name.
+func contents(t *testing.T, folder string) map[string]string {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string]string{}
+	for _, e := range entries {
+		b, err := os.ReadFile(filepath.Join(folder, e.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[e.Name()] = string(b)
+	}
+	return files
+}
