--- /dev/null
+++ b/cli/golden_test.go
@@ -0,0 +1,63 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package cli
+
+import (
+	"bytes"
+	"context"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// This file writes the commands, their flags, variables and exit codes down
+// and compares them with testdata/golden, which pins outward names. Run with
+// -update to write them anew.
+
+var (
+	changeID = regexp.MustCompile(`cli-[0-9a-z]+`)
+	flagLine = regexp.MustCompile(`^  -[a-z]`)
+	standard = regexp.MustCompile(`\(default .*\)$`)
+)
+
+func TestGoldenFlags(t *testing.T) {
+	is := is.New(t)
+	var got strings.Builder
+	asked := map[string]string{"BADGERSPOKE_SERVER": "from SERVER", "BADGERSPOKE_TOKEN": "from TOKEN", "BADGERSPOKE_TLS_CA_FILE": "from CA"}
+	for _, c := range commands {
+		for _, env := range []map[string]string{nil, asked} {
+			var help bytes.Buffer
+			code := Run(context.Background(), append(strings.Fields(c.name), "-h"), func(k string) string { return env[k] }, &help, &help)
+			is.Equal(code, 0)
+			if env != nil {
+				got.WriteString("with variables:\n")
+			} else {
+				got.WriteString(strings.TrimSpace(c.name+" "+strings.Join(c.args, " ")) + "\n")
+			}
+			// Names, kinds and defaults; the explanations may be reworded.
+			for line := range strings.Lines(changeID.ReplaceAllString(help.String(), "cli-ID")) {
+				line = strings.TrimRight(line, "\n")
+				switch {
+				case flagLine.MatchString(line):
+					got.WriteString(line + "\n")
+				case strings.HasPrefix(line, "    \t"):
+					if d := standard.FindString(line); d != "" {
+						got.WriteString("    " + d + "\n")
+					}
+				}
+			}
+		}
+	}
+	path := filepath.Join("testdata", "golden", "flags.txt")
+	if *update {
+		is.NoErr(os.MkdirAll(filepath.Dir(path), 0o755))
+		is.NoErr(os.WriteFile(path, []byte(got.String()), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	is.NoErr(err)
+	is.Equal(got.String(), string(want))
+}
--- /dev/null
+++ b/names_test.go
@@ -0,0 +1,137 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package badgerspoke_test
+
+import (
+	"bytes"
+	"go/ast"
+	"go/parser"
+	"go/printer"
+	gotoken "go/token"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"github.com/matryer/is"
+)
+
+// This file writes down names that others rely on, as they stand in the
+// source, and compares them with testdata/golden: names of metrics, of
+// environment variables, and the flags and exit codes of the commands. The
+// files pin outward names: a change of one is a change for users. Run with
+// -update to write them anew.
+
+// golden compares a text with testdata/golden/name, or writes it with -update.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	is := is.New(t)
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		is.NoErr(os.MkdirAll(filepath.Dir(path), 0o755))
+		is.NoErr(os.WriteFile(path, []byte(got), 0o644))
+		return
+	}
+	want, err := os.ReadFile(path)
+	is.NoErr(err)
+	is.Equal(got, string(want))
+}
+
+// eachSource calls f for every Go file of a folder that is no test.
+func eachSource(t *testing.T, root string, f func(set *gotoken.FileSet, path string, file *ast.File)) {
+	t.Helper()
+	is.New(t).NoErr(filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		set := gotoken.NewFileSet()
+		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		if err == nil {
+			f(set, path, file)
+		}
+		return err
+	}))
+}
+
+// literals returns the sorted string literals that match a pattern.
+func literals(t *testing.T, pattern string) string {
+	t.Helper()
+	want, found := regexp.MustCompile(pattern), map[string]bool{}
+	eachSource(t, ".", func(_ *gotoken.FileSet, _ string, file *ast.File) {
+		ast.Inspect(file, func(n ast.Node) bool {
+			if l, ok := n.(*ast.BasicLit); ok && l.Kind == gotoken.STRING {
+				if text, err := strconv.Unquote(l.Value); err == nil && want.MatchString(text) {
+					found[text] = true
+				}
+			}
+			return true
+		})
+	})
+	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
+}
+
+func TestGoldenMetricNames(t *testing.T) {
+	golden(t, "metric-names.txt", literals(t, `^badgerspoke_`))
+}
+
+func TestGoldenEnvironment(t *testing.T) {
+	golden(t, "environment.txt", literals(t, `^BADGERSPOKE_`))
+}
+
+// TestGoldenFlags lists the flags that the commands define by themselves and
+// their exit codes. Packages with a flag set of their own have their own test.
+func TestGoldenFlags(t *testing.T) {
+	var lines []string
+	eachSource(t, "cmd", func(set *gotoken.FileSet, path string, file *ast.File) {
+		text := func(n ast.Node) string {
+			var b bytes.Buffer
+			is.New(t).NoErr(printer.Fprint(&b, set, n))
+			return b.String()
+		}
+		command := filepath.Base(filepath.Dir(path))
+		ast.Inspect(file, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.CallExpr:
+				kind, isFlag := strings.CutPrefix(text(n.Fun), "flag.")
+				if isFlag && len(n.Args) >= 2 {
+					lines = append(lines, command+" -"+strings.Trim(text(n.Args[0]), `"`)+" "+kind+" "+text(n.Args[1]))
+				}
+			case *ast.ValueSpec:
+				if strings.HasPrefix(n.Names[0].Name, "exit") && len(n.Values) == 1 {
+					lines = append(lines, command+" exit code "+text(n.Values[0]))
+				}
+			}
+			return true
+		})
+	})
+	slices.Sort(lines)
+	golden(t, "command-flags.txt", strings.Join(lines, "\n")+"\n")
+}
+
+// TestGoldenMetricLabels lists the names and labels that the boxes of a fleet
+// tell after answers of several kinds.
+func TestGoldenMetricLabels(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		f := wholeFleet(t, 1)
+		var rs []request
+		for range 20 { // more than the slots
+			rs = append(rs, completion("r1", "hotel", 20, true))
+		}
+		rs = append(rs, order("r1", "hotel", "30 sheets", ""), order("r1", "stranger", "30 sheets", ""))
+		f.startAll(rs...)()
+		found := map[string]bool{}
+		own := regexp.MustCompile(`(?m)^(badgerspoke_[a-z_]+)(?:\{(.*)\})? `)
+		value := regexp.MustCompile(`="[^"]*"`)
+		for name := range f.boxes {
+			for _, m := range own.FindAllStringSubmatch(f.scrape(name), -1) {
+				found[m[1]+"{"+value.ReplaceAllString(m[2], "")+"}"] = true
+			}
+		}
+		golden(t, "metric-labels.txt", strings.Join(slices.Sorted(maps.Keys(found)), "\n")+"\n")
+	})
+}
