--- /dev/null
+++ b/directory/golden_test.go
@@ -0,0 +1,206 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package directory_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
+	"github.com/badgerspoke/badgerspoke/decision"
+	"github.com/badgerspoke/badgerspoke/directory"
+	"github.com/badgerspoke/badgerspoke/gateway"
+	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
+	"github.com/badgerspoke/badgerspoke/internal/fakenet"
+	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/link"
+)
+
+// This file writes down what a gateway and a directory replica tell of a run
+// with requests that are answered, refused and failed: the names and labels of
+// metrics, and the attributes of log lines by event. It compares them with
+// testdata/golden, which pins outward names. Run with -update to write them
+// anew.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	is := is.New(t)
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		is.NoErr(os.MkdirAll(filepath.Dir(path), 0o755))
+		is.NoErr(os.WriteFile(path, []byte(got), 0o644))
+	}
+	want, err := os.ReadFile(path)
+	is.NoErr(err)
+	is.Equal(got, string(want))
+}
+
+// idDialect reads a request's identifier.
+type idDialect struct{}
+
+func (idDialect) Read(r *http.Request) gateway.Ask {
+	return gateway.Ask{ID: r.Header.Get("Id"), Patience: 300 * time.Millisecond}
+}
+func (idDialect) Forward(from http.Header, _ gateway.Forwarding) http.Header { return from.Clone() }
+func (idDialect) Return(from http.Header) http.Header                        { return from.Clone() }
+func (idDialect) Judge(_ int, h http.Header) gateway.Verdict {
+	return gateway.Verdict{ID: h.Get("Id"), Sealed: true}
+}
+
+// scripted does what the identifier of a request says.
+type scripted struct{}
+
+func (scripted) Send(ctx context.Context, address string, call backend.Call) (*backend.Answer, error) {
+	answer := &backend.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
+	switch call.Header.Get("Id") {
+	case "hangs":
+		<-ctx.Done()
+		return nil, backend.Unknown{Server: address, Err: ctx.Err()}
+	case "lost":
+		return nil, backend.Unknown{Server: address, Err: io.ErrUnexpectedEOF}
+	case "refused":
+		return nil, backend.NotRun{Server: address, Refused: true, Status: 503, Header: answer.Header, Err: io.EOF}
+	case "unreachable":
+		return nil, backend.NotRun{Server: address, Err: io.ErrClosedPipe}
+	case "broken":
+		answer.Length = 9
+	}
+	return answer, nil
+}
+
+// told is what both processes told.
+type told struct{ gatewayLog, directoryLog, gatewayMetrics, directoryMetrics string }
+
+// record runs one directory replica and one gateway, with a backend that comes
+// and is marked as leaving.
+func record(t *testing.T) (out told) {
+	synctest.Test(t, func(t *testing.T) {
+		x := &fleet{t: t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, beats: map[string]uint64{}}
+		start := func() (*decision.Log, *metrics.Set, *bytes.Buffer) {
+			var to bytes.Buffer
+			set := metrics.NewSet()
+			return decision.New(&to, slog.LevelInfo, decision.DefaultBudget, set), set, &to
+		}
+		seeds := []string{"10.0.1.1:7400"}
+		ctx, cancel := context.WithCancel(context.Background())
+		directoryLog, directorySet, directoryText := start()
+		disk := fakedisk.New(1)
+		d, err := directory.Start(ctx, directory.Settings{
+			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.Box("10.0.1.1").DialContext},
+			Seeds:    seeds, First: true, Voters: 1, Dir: disk, Interval: interval, Random: x.random, Log: directoryLog, Metrics: directorySet,
+		})
+		is.New(t).NoErr(err)
+		stop := x.serve(seeds[0], d)
+		x.nodes["10.0.1.1"], x.order = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
+		x.mustLead()
+		gatewayLog, gatewaySet, gatewayText := start()
+		running, end := context.WithCancel(context.Background())
+		g := gateway.Start(running, gateway.Settings{
+			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
+			Seeds:    seeds, Dialect: idDialect{}, Backend: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Grace: time.Second, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
+		})
+		x.request(g, "early")
+		x.put(7)
+		for range 3 {
+			is.New(t).NoErr(x.announce("b1", false))
+			time.Sleep(interval)
+		}
+		for _, id := range []string{"done", "broken", "lost", "refused", "hangs", "unreachable"} {
+			x.request(g, id)
+			time.Sleep(interval / 2)
+			synctest.Wait()
+		}
+		is.New(t).NoErr(x.announce("b1", true))
+		time.Sleep(5 * interval)
+		x.request(g, "late")
+		stop()
+		x.net.Kill("10.0.1.1")
+		time.Sleep(5 * time.Second)
+		end()
+		cancel()
+		<-d.Done()
+		synctest.Wait()
+		gatewayLog.Close()
+		directoryLog.Close()
+		text := func(set *metrics.Set) string {
+			var b bytes.Buffer
+			set.WritePrometheus(&b)
+			return b.String()
+		}
+		out = told{gatewayText.String(), directoryText.String(), text(gatewaySet), text(directorySet)}
+	})
+	return out
+}
+
+// request sends a request with an identifier.
+func (x *fleet) request(g *gateway.Gateway, id string) {
+	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/", strings.NewReader("a body"))
+	r.Host = "h"
+	r.Header.Set("Id", id)
+	defer func() {
+		if p := recover(); p != nil && p != http.ErrAbortHandler {
+			panic(p)
+		}
+	}()
+	g.ServeHTTP(httptest.NewRecorder(), r)
+}
+
+func TestGoldenMetricsAndLogKeys(t *testing.T) {
+	out := record(t)
+	golden(t, "gateway-metrics.txt", metricNames(out.gatewayMetrics))
+	golden(t, "directory-metrics.txt", metricNames(out.directoryMetrics))
+	golden(t, "gateway-log-keys.txt", logKeys(t, out.gatewayLog))
+	golden(t, "directory-log-keys.txt", logKeys(t, out.directoryLog))
+}
+
+var (
+	own    = regexp.MustCompile(`(?m)^(badgerspoke_[^ ]+) `)
+	bucket = regexp.MustCompile(`vmrange="[^"]*"`)
+)
+
+// metricNames lists names with labels, without figures.
+func metricNames(text string) string {
+	found := map[string]bool{}
+	for _, m := range own.FindAllStringSubmatch(text, -1) {
+		found[bucket.ReplaceAllString(m[1], "vmrange")] = true
+	}
+	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
+}
+
+// logKeys lists the attributes of each event.
+func logKeys(t *testing.T, log string) string {
+	found := map[string]bool{}
+	for line := range strings.Lines(log) {
+		var fields map[string]any
+		is.New(t).NoErr(json.Unmarshal([]byte(line), &fields))
+		cause := ""
+		if c, ok := fields["cause"]; ok {
+			cause = fmt.Sprintf(" (%v)", c)
+		}
+		found[fmt.Sprintf("%v%s: %s", fields["msg"], cause, strings.Join(slices.Sorted(maps.Keys(fields)), " "))] = true
+	}
+	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
+}
--- a/names_test.go
+++ b/names_test.go
@@ -113,8 +113,8 @@
 	golden(t, "command-flags.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// TestGoldenMetricLabels lists the names and labels that the boxes of a fleet
-// tell after answers of several kinds.
+// TestGoldenMetricLabels lists the names and labels that the control boxes of a
+// fleet tell after answers of several kinds.
 func TestGoldenMetricLabels(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := wholeFleet(t, 1)
@@ -127,7 +127,7 @@
 		found := map[string]bool{}
 		own := regexp.MustCompile(`(?m)^(badgerspoke_[a-z_]+)(?:\{(.*)\})? `)
 		value := regexp.MustCompile(`="[^"]*"`)
-		for name := range f.boxes {
+		for name := range f.replicas {
 			for _, m := range own.FindAllStringSubmatch(f.scrape(name), -1) {
 				found[m[1]+"{"+value.ReplaceAllString(m[2], "")+"}"] = true
 			}
