--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -6,7 +6,6 @@
 	"bytes"
 	"context"
 	"errors"
-	"flag"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -17,14 +16,13 @@
 	"connectrpc.com/connect"
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 )
 
 // This file runs commands against a fake of the operators' interface.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // fake answers a few calls with what a test sets.
 type fake struct {
 	operatorv1connect.UnimplementedOperatorServiceHandler
@@ -123,7 +121,7 @@
 	code, got, _ := run(t, &fake{}, "status")
 	is.Equal(code, ExitOK)
 	path := filepath.Join("testdata", "status.txt")
-	if *update {
+	if golden.Update() {
 		is.NoErr(os.MkdirAll("testdata", 0o755))
 		is.NoErr(os.WriteFile(path, []byte(got), 0o644))
 	}
--- /dev/null
+++ b/decision/golden_test.go
@@ -0,0 +1,36 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package decision_test
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/decision"
+	"github.com/badgerspoke/badgerspoke/internal/golden"
+)
+
+// This file explains requests of a recorded log, recorded.log, and compares the
+// text with testdata/golden, which pins outward names. The log was written by
+// a gateway, g1, and a directory replica, d1, in virtual time. It is not
+// written anew: operators keep such logs, and they stay readable when lines
+// get other words. Run with -update to write the explanation anew.
+
+func TestGoldenExplain(t *testing.T) {
+	is := is.New(t)
+	folder := filepath.Join("testdata", "golden")
+	log, err := os.ReadFile(filepath.Join(folder, "recorded.log"))
+	is.NoErr(err)
+	lines, err := decision.ReadLines(bytes.NewReader(log))
+	is.NoErr(err)
+	var got bytes.Buffer
+	for _, id := range []string{"early", "done", "broken", "lost", "refused", "hangs", "unreachable", "late"} {
+		got.WriteString("request " + id + "\n")
+		is.True(decision.Explain(&got, lines, id)) // found
+	}
+	golden.Text(t, "explained.txt", got.String())
+}
--- /dev/null
+++ b/gateway/golden_test.go
@@ -0,0 +1,35 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package gateway
+
+import (
+	"fmt"
+	"maps"
+	"net/http/httptest"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/badgerspoke/badgerspoke/internal/golden"
+)
+
+// This file writes the gateway's own answers down, as callers see them, and
+// compares them with testdata/golden, which pins outward names. Run with
+// -update to write them anew.
+
+func TestGoldenRefusals(t *testing.T) {
+	var got strings.Builder
+	for _, cause := range slices.Sorted(maps.Keys(statuses)) {
+		for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
+			w := httptest.NewRecorder()
+			Refusal{cause, after}.write(w)
+			fmt.Fprintf(&got, "%s, come back after %v: %d\n", cause, after, w.Code)
+			for _, name := range slices.Sorted(maps.Keys(w.Header())) {
+				fmt.Fprintf(&got, "  %s: %q\n", name, w.Header()[name])
+			}
+			fmt.Fprintf(&got, "  %q\n", w.Body)
+		}
+	}
+	golden.Text(t, "refusals.txt", got.String())
+}
--- a/golden_test.go
+++ b/golden_test.go
@@ -3,7 +3,6 @@
 package badgerspoke_test
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,6 +12,7 @@
 	"testing"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/standin"
 )
@@ -22,8 +22,6 @@
 // is left out or waited for, so that a transcript is the same every time. Run
 // with -update to write them anew.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 // transcript is a fleet whose visible events are written down.
 type transcript struct {
 	*testFleet
@@ -284,7 +282,7 @@
 	s.t.Helper()
 	got := strings.Join(s.lines, "\n") + "\n"
 	path := filepath.Join("testdata", "sessions", name+".txt")
-	if *update {
+	if golden.Update() {
 		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
 			s.t.Fatal(err)
 		}
--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,116 @@
+// SPDX-License-Identifier: Apache-2.0
+
+// Package golden compares what tests produce with files in the folder
+// testdata/golden of the tested package.
+//
+// The files pin what other processes, disks and people rely on: bytes on the
+// wire and on disk, and the names of metrics, flags and log attributes. A
+// difference is a failed test. The flag -update writes the files anew, which
+// only a deliberate change of a format justifies.
+//
+// It is imported by tests only.
+package golden
+
+import (
+	"bytes"
+	"encoding/hex"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// This file defines the comparisons and the check that a pinned value leaves
+// no field out.
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// Update reports whether the golden files are to be written anew.
+func Update() bool { return *update }
+
+// Text compares text with a file.
+func Text(t *testing.T, name, got string) {
+	t.Helper()
+	if want := string(file(t, name, []byte(got))); got != want {
+		t.Errorf("%s differs from the pinned text\n got:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// Bytes compares bytes with a file that holds them in hexadecimal and returns
+// the pinned bytes, for decoding.
+func Bytes(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	text := file(t, name+".hex", []byte(hex.EncodeToString(got)+"\n"))
+	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s",
+			name, got, want, diagnose(got), diagnose(want))
+	}
+	return want
+}
+
+// file returns a file's content, written anew if asked for.
+func file(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return want
+}
+
+// diagnose returns CBOR in its readable notation.
+func diagnose(b []byte) string {
+	s, err := cbor.Diagnose(b)
+	if err != nil {
+		return err.Error()
+	}
+	return s
+}
+
+// AllSet fails the test for every field that a value leaves at zero. Of a list
+// it looks at the first element.
+func AllSet(t *testing.T, where string, v any) {
+	t.Helper()
+	allSet(t, where, reflect.ValueOf(v))
+}
+
+func allSet(t *testing.T, where string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is not set", where)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		allSet(t, where, v.Elem())
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", where)
+		} else if v.Index(0).Kind() == reflect.Struct {
+			allSet(t, where+"[0]", v.Index(0))
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.Name != "_" {
+				allSet(t, where+"."+f.Name, v.Field(i))
+			}
+		}
+	}
+}
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -3,25 +3,18 @@
 package protocol
 
 import (
-	"bytes"
-	"encoding/hex"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 
-	"github.com/fxamacker/cbor/v2"
 	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
 // This file pins the bytes of every message in testdata/golden: boxes of
 // neighbouring versions talk to each other. Run with -update to write the
 // files anew, which only a deliberate change of the wire format justifies.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 const big = 1<<64 - 2 // a number that needs all its bits
 
 // goldenMessages holds one message of each kind. In every list, the first
@@ -111,10 +104,10 @@
 		seen[KindOf(m)] = true
 		t.Run(KindOf(m).String(), func(t *testing.T) {
 			is := is.New(t)
-			checkAllSet(t, KindOf(m).String(), reflect.ValueOf(m))
+			golden.AllSet(t, KindOf(m).String(), m)
 			b, err := Encode(m)
 			is.NoErr(err)
-			want := golden(t, KindOf(m).String(), b)
+			want := golden.Bytes(t, KindOf(m).String(), b)
 			got, err := Decode(want)
 			is.NoErr(err)
 			is.True(reflect.DeepEqual(got, m)) // the pinned bytes give the same value
@@ -142,64 +135,6 @@
 	}
 }
 
-// golden compares b with a golden file and returns the file's bytes.
-func golden(t *testing.T, name string, b []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".hex")
-	if *update {
-		if err := os.WriteFile(path, []byte(hex.EncodeToString(b)+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(b, want) {
-		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s", name, b, want, diagnosed(b), diagnosed(want))
-	}
-	return want
-}
-
-// diagnosed returns CBOR in its readable notation.
-func diagnosed(b []byte) string {
-	s, err := cbor.Diagnose(b)
-	if err != nil {
-		return err.Error()
-	}
-	return s
-}
-
-// checkAllSet finds fields that a golden value leaves out. Of a list it looks
-// at the first element.
-func checkAllSet(t *testing.T, where string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Errorf("%s is not set", where)
-		return
-	}
-	switch v.Kind() {
-	case reflect.Pointer:
-		checkAllSet(t, where, v.Elem())
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty", where)
-		} else if v.Index(0).Kind() == reflect.Struct {
-			checkAllSet(t, where+"[0]", v.Index(0))
-		}
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.Name != "_" {
-				checkAllSet(t, where+"."+f.Name, v.Field(i))
-			}
-		}
-	}
-}
-
 // TestGoldenNumbers pins the numbers that travel inside messages.
 func TestGoldenNumbers(t *testing.T) {
 	is := is.New(t)
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -3,26 +3,20 @@
 package config
 
 import (
-	"bytes"
 	"encoding/binary"
-	"encoding/hex"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
 // This file pins the bytes of changes, deltas, snapshots and the store in testdata/golden: they
 // lie on disks and in the logs of running fleets. Run with -update to write the
 // files anew, which only a deliberate change of the stored format justifies.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 var (
 	goldenAccount = Account{
 		Name: "hotel-a", Share: 2.5, Keys: []KeyHash{HashKey("k1"), HashKey("k2")},
@@ -54,12 +48,12 @@
 
 func TestGoldenChanges(t *testing.T) {
 	is := is.New(t)
-	checkAllSet(t, "account", reflect.ValueOf(goldenAccount))
-	checkAllSet(t, "server", reflect.ValueOf(goldenServer))
+	golden.AllSet(t, "account", goldenAccount)
+	golden.AllSet(t, "server", goldenServer)
 	b, err := cbor.Marshal(goldenChanges)
 	is.NoErr(err)
 	var got []Change
-	is.NoErr(cbor.Unmarshal(golden(t, "changes", b), &got))
+	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "changes", b), &got))
 	is.True(reflect.DeepEqual(got, goldenChanges)) // the pinned bytes give the same value
 	is.Equal([]Kind{Engine, Service}, []Kind{1, 2})
 	is.Equal([]Mark{Joining, Serving, Leaving}, []Mark{1, 2, 3})
@@ -73,7 +67,7 @@
 	for _, ch := range goldenChanges {
 		digests = binary.BigEndian.AppendUint64(digests, ch.digest())
 	}
-	golden(t, "digests", digests)
+	golden.Bytes(t, "digests", digests)
 	is.Equal(goldenChanges[0].digest(), goldenChanges[0].Request)
 }
 
@@ -84,7 +78,7 @@
 	b, err := cbor.Marshal(d)
 	is.NoErr(err)
 	var got Delta
-	is.NoErr(cbor.Unmarshal(golden(t, "delta", b), &got))
+	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "delta", b), &got))
 	is.True(reflect.DeepEqual(got, d))
 }
 
@@ -94,7 +88,7 @@
 	b, err := cbor.Marshal(c.Snapshot())
 	is.NoErr(err)
 	var got Snapshot
-	is.NoErr(cbor.Unmarshal(golden(t, "snapshot", b), &got))
+	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "snapshot", b), &got))
 	is.True(reflect.DeepEqual(FromSnapshot(got), c))
 	is.Equal(got, Snapshot{Revision: 3, Accounts: []Account{goldenAccount}, Servers: []Server{goldenServer}, NextID: 4})
 }
@@ -105,65 +99,7 @@
 	b, err := s.MarshalBinary()
 	is.NoErr(err)
 	var got Store
-	is.NoErr(got.UnmarshalBinary(golden(t, "store", b)))
+	is.NoErr(got.UnmarshalBinary(golden.Bytes(t, "store", b)))
 	is.True(reflect.DeepEqual(got, *s))
 	is.True(reflect.DeepEqual(got.history, goldenChanges))
 }
-
-// golden compares b with a golden file and returns the file's bytes.
-func golden(t *testing.T, name string, b []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".hex")
-	if *update {
-		if err := os.WriteFile(path, []byte(hex.EncodeToString(b)+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(b, want) {
-		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s", name, b, want, diagnosed(b), diagnosed(want))
-	}
-	return want
-}
-
-// diagnosed returns CBOR in its readable notation.
-func diagnosed(b []byte) string {
-	s, err := cbor.Diagnose(b)
-	if err != nil {
-		return err.Error()
-	}
-	return s
-}
-
-// checkAllSet finds fields that a golden value leaves out. Of a list it looks
-// at the first element.
-func checkAllSet(t *testing.T, where string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Errorf("%s is not set", where)
-		return
-	}
-	switch v.Kind() {
-	case reflect.Pointer:
-		checkAllSet(t, where, v.Elem())
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty", where)
-		} else if v.Index(0).Kind() == reflect.Struct {
-			checkAllSet(t, where+"[0]", v.Index(0))
-		}
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.Name != "_" {
-				checkAllSet(t, where+"."+f.Name, v.Field(i))
-			}
-		}
-	}
-}
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -3,26 +3,20 @@
 package document
 
 import (
-	"bytes"
-	"encoding/hex"
-	"flag"
-	"os"
-	"path/filepath"
 	"reflect"
-	"strings"
 	"testing"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
 // This file pins the bytes of documents and of the store in testdata/golden: they
 // lie on disks and in the logs of running fleets. Run with -update to write the
 // files anew, which only a deliberate change of the stored format justifies.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 var goldenDocument = Document{
 	Number: 1<<64 - 2,
 	Routes: []Route{
@@ -46,11 +40,11 @@
 func TestGoldenDocument(t *testing.T) {
 	is := is.New(t)
 	is.NoErr(goldenDocument.Check())
-	checkAllSet(t, "document", reflect.ValueOf(goldenDocument))
+	golden.AllSet(t, "document", goldenDocument)
 	b, err := cbor.Marshal(goldenDocument)
 	is.NoErr(err)
 	var got Document
-	is.NoErr(cbor.Unmarshal(golden(t, "document", b), &got))
+	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "document", b), &got))
 	is.True(reflect.DeepEqual(got, goldenDocument)) // the pinned bytes give the same value
 	is.Equal([]Kind{Once, Repeatable, Stream}, []Kind{0, 1, 2})
 }
@@ -60,7 +54,7 @@
 	b, err := cbor.Marshal(goldenHeld)
 	is.NoErr(err)
 	var got Held
-	is.NoErr(cbor.Unmarshal(golden(t, "held", b), &got))
+	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "held", b), &got))
 	is.True(reflect.DeepEqual(got, goldenHeld))
 }
 
@@ -82,7 +76,7 @@
 	b, err := s.MarshalBinary()
 	is.NoErr(err)
 	var got Store
-	is.NoErr(got.UnmarshalBinary(golden(t, "store", b)))
+	is.NoErr(got.UnmarshalBinary(golden.Bytes(t, "store", b)))
 	held, ok := got.Held()
 	is.True(ok)
 	is.True(reflect.DeepEqual(held, goldenHeld))
@@ -93,61 +87,3 @@
 	is.Equal(total, uint64(70000))
 	is.True(reflect.DeepEqual(got, s))
 }
-
-// golden compares b with a golden file and returns the file's bytes.
-func golden(t *testing.T, name string, b []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", "golden", name+".hex")
-	if *update {
-		if err := os.WriteFile(path, []byte(hex.EncodeToString(b)+"\n"), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(b, want) {
-		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s", name, b, want, diagnosed(b), diagnosed(want))
-	}
-	return want
-}
-
-// diagnosed returns CBOR in its readable notation.
-func diagnosed(b []byte) string {
-	s, err := cbor.Diagnose(b)
-	if err != nil {
-		return err.Error()
-	}
-	return s
-}
-
-// checkAllSet finds fields that a golden value leaves out. Of a list it looks
-// at the first element.
-func checkAllSet(t *testing.T, where string, v reflect.Value) {
-	t.Helper()
-	if v.IsZero() {
-		t.Errorf("%s is not set", where)
-		return
-	}
-	switch v.Kind() {
-	case reflect.Pointer:
-		checkAllSet(t, where, v.Elem())
-	case reflect.Slice:
-		if v.Len() == 0 {
-			t.Errorf("%s is empty", where)
-		} else if v.Index(0).Kind() == reflect.Struct {
-			checkAllSet(t, where+"[0]", v.Index(0))
-		}
-	case reflect.Struct:
-		for i := range v.NumField() {
-			if f := v.Type().Field(i); f.Name != "_" {
-				checkAllSet(t, where+"."+f.Name, v.Field(i))
-			}
-		}
-	}
-}
--- a/state/wal/golden_test.go
+++ b/state/wal/golden_test.go
@@ -3,13 +3,13 @@
 package wal_test
 
 import (
-	"flag"
 	"os"
 	"path/filepath"
 	"testing"
 
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/internal/golden"
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
@@ -18,8 +18,6 @@
 // with -update to write the files anew, which only a deliberate change of the
 // stored format justifies.
 
-var update = flag.Bool("update", false, "write the golden files anew")
-
 var goldenRecords = [][]byte{[]byte("one"), {}, []byte("three\x00\xff"), []byte("four")}
 
 // writeFirst writes generation 0, in two frames.
@@ -76,7 +74,7 @@
 	path := filepath.Join("testdata", "golden", name)
 	fresh := t.TempDir()
 	write(t, fresh)
-	if *update {
+	if golden.Update() {
 		is.NoErr(os.RemoveAll(path))
 		is.NoErr(os.CopyFS(path, os.DirFS(fresh)))
 	}
