--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -66,7 +66,7 @@
 	if role == platform.ControlRole {
 		return node.Directory(ctx, set, reloads, platform.NewDoor(set.Door), log, figures)
 	}
-	return node.Gateway(ctx, set, reloads, platform.Dialect{}, platform.Refused, log, figures)
+	return node.Gateway(ctx, set, reloads, platform.HeaderCodec{}, platform.Refused, log, figures)
 }
 
 // reloadPeriod is how often the settings are looked at without a signal.
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -191,7 +191,7 @@
 			x.put(number)
 			time.Sleep(50 * time.Millisecond)
 			for _, g := range x.gateways {
-				is.Equal(g.g.Number(), number)
+				is.Equal(g.g.DocumentNumber(), number)
 			}
 			l := x.mustLead()
 			l.kill()
@@ -210,7 +210,7 @@
 
 func allAt(x *fleet, number uint64) bool {
 	for _, g := range x.gateways {
-		if g.g.Number() != number {
+		if g.g.DocumentNumber() != number {
 			return false
 		}
 	}
@@ -250,7 +250,7 @@
 		}
 		g := x.gateway("10.0.2.1")
 		time.Sleep(3 * time.Second)
-		is.Equal(g.Number(), uint64(1))
+		is.Equal(g.DocumentNumber(), uint64(1))
 		is.Equal(g.Backends(), []string{"b2"})
 	})
 }
@@ -263,13 +263,13 @@
 		g := x.gateway("10.0.2.1")
 		x.put(1)
 		time.Sleep(time.Second)
-		is.Equal(g.Number(), uint64(1))
+		is.Equal(g.DocumentNumber(), uint64(1))
 		old := x.mustLead()
 		x.net.Cut(old.ip)
 		time.Sleep(2 * time.Second)
 		x.put(2)
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(g.Number(), uint64(2))
+		is.Equal(g.DocumentNumber(), uint64(2))
 	})
 }
 
@@ -284,7 +284,7 @@
 		x.mustLead()
 		g := x.gateway("10.0.2.1")
 		time.Sleep(5 * time.Second)
-		is.Equal(g.Number(), uint64(1))
+		is.Equal(g.DocumentNumber(), uint64(1))
 	})
 }
 
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -227,8 +227,8 @@
 // address of a backend, by its identifier b1, b2, ….
 func address(id string) string { return "10.0.3." + id[1:] + ":80" }
 
-// noDialect is for gateways that get no requests.
-type noDialect struct{ gateway.Dialect }
+// noHeaders is for gateways that get no requests.
+type noHeaders struct{ gateway.HeaderCodec }
 
 func (x *fleet) gateway(ip string) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -236,7 +236,7 @@
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Dialect: noDialect{}, Backend: backend.New(backend.Settings{Dialer: x.net.Box(ip)}),
+		Seeds:    x.seeds, Headers: noHeaders{}, Backend: backend.New(backend.Settings{Dialer: x.net.Box(ip)}),
 		Retries: retry.Limits{Window: time.Second}, Random: x.random, Log: log, Metrics: set,
 	})
 	x.gateways[ip] = &gatewayNode{ip: ip, g: g, kill: func() { cancel(); synctest.Wait(); log.Close() }}
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -40,16 +40,18 @@
 // testdata/golden, which pins outward names. Run with -update to write them
 // anew.
 
-// idDialect reads a request's identifier.
-type idDialect struct{}
+// idHeaders reads a request's identifier.
+type idHeaders struct{}
 
-func (idDialect) Read(r *http.Request) gateway.Ask {
-	return gateway.Ask{ID: r.Header.Get("Id"), Patience: 300 * time.Millisecond}
+func (idHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
+	return gateway.RequestHead{ID: r.Header.Get("Id"), Timeout: 300 * time.Millisecond}
 }
-func (idDialect) Forward(from http.Header, _ gateway.Forwarding) http.Header { return from.Clone() }
-func (idDialect) Return(from http.Header) http.Header                        { return from.Clone() }
-func (idDialect) Judge(_ int, h http.Header) gateway.Verdict {
-	return gateway.Verdict{ID: h.Get("Id"), Sealed: true}
+func (idHeaders) ForwardHeader(from http.Header, _ gateway.Forwarding) http.Header {
+	return from.Clone()
+}
+func (idHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
+func (idHeaders) DecodeAnswer(_ int, h http.Header) gateway.AnswerHead {
+	return gateway.AnswerHead{ID: h.Get("Id"), Signed: true}
 }
 
 // scripted does what the identifier of a request says.
@@ -100,7 +102,7 @@
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
-			Seeds:    seeds, Dialect: idDialect{}, Backend: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Seeds:    seeds, Headers: idHeaders{}, Backend: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.request(g, "early")
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -97,11 +97,11 @@
 func benchGatewayOf(b *testing.B, backendAddress string) (address string, g *Gateway) {
 	set := metrics.NewSet()
 	g = Start(b.Context(), Settings{
-		Identity: link.Identity{Name: "g"}, Dialect: testDialect{}, Backend: backend.New(backend.Settings{IdlePerServer: benchStream}),
+		Identity: link.Identity{Name: "g"}, Headers: testHeaders{}, Backend: backend.New(backend.Settings{IdlePerServer: benchStream}),
 		Retries: retry.Limits{Window: time.Second}, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 		Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 	})
-	g.peers.Store(1)
+	g.gateways.Store(1)
 	d := testDocument()
 	d.Pools[0].Connections = 10 * benchStream
 	g.apply(d)
@@ -132,7 +132,7 @@
 // on a connection of its own or all on one.
 func BenchmarkRefusal(b *testing.B) {
 	address, g := benchGatewayOf(b, benchBackend(b))
-	g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.0001, Extra: 0.0002}}, true)
+	g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.0001, Extra: 0.0002}}, true)
 	b.Run("new", func(b *testing.B) { benchRefusals(b, address, &http.Transport{DisableKeepAlives: true}) })
 	b.Run("kept", func(b *testing.B) { benchRefusals(b, address, &http.Transport{}) })
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -15,32 +15,32 @@
 // This file defines call, one request from its arrival to its end.
 
 type call struct {
-	g       *Gateway
-	w       http.ResponseWriter
-	r       *http.Request
-	arrived time.Duration
-	gaveUp  time.Duration // when the caller gives up or the route's time is over
+	g        *Gateway
+	w        http.ResponseWriter
+	r        *http.Request
+	arrived  time.Duration
+	deadline time.Duration // when the caller gives up or the route's time is over
 
 	// What the request is.
-	ask      Ask
-	rs       *routes
-	route    document.Route
-	tenant   document.Tenant
-	pool     document.Pool
-	body     []byte
-	cost     float64  // tokens
-	standing standing // of requests to engines
+	head   RequestHead
+	rs     *routes
+	route  document.Route
+	tenant document.Tenant
+	pool   document.Pool
+	body   []byte
+	cost   float64 // tokens
+	class  class   // of requests to engines
 
 	// What has become of it.
-	tries    int // attempts begun
-	attempts int // backends that may have run it
-	sends    int // arrivals at backends
-	avoid    map[string]bool
-	spent    bool        // one more attempt was allowed but for the fleet's budget
-	assigned *assignment // of the last attempt
-	short    shortage    // why there was no backend in the end
-	relay    *relay      // nil before the first backend is asked for
-	silence  *silence    // of the present attempt
+	tries       int // attempts begun
+	attempts    int // backends that may have run it
+	sends       int // arrivals at backends
+	avoid       map[string]bool
+	budgetSpent bool        // one more attempt was allowed but for the fleet's budget
+	assigned    *assignment // of the last attempt
+	short       shortage    // why there was no backend in the end
+	relay       *relay      // nil before the first backend is asked for
+	stall       *stallTimer // of the present attempt
 }
 
 // defaultBody bounds a body when the document does not.
@@ -50,7 +50,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.calls.Add(1)
 	defer g.calls.Add(-1)
-	c := &call{g: g, w: w, r: r, arrived: g.now(), ask: g.set.Dialect.Read(r)}
+	c := &call{g: g, w: w, r: r, arrived: g.now(), head: g.cfg.Headers.DecodeRequest(r)}
 	if g.stopping() > 0 {
 		w.Header().Set("Connection", "close")
 	}
@@ -70,15 +70,15 @@
 		return err
 	}
 	patience := c.route.Hold
-	if c.ask.Patience > 0 {
-		patience = min(patience, c.ask.Patience)
+	if c.head.Timeout > 0 {
+		patience = min(patience, c.head.Timeout)
 	}
-	c.gaveUp = c.arrived + patience
+	c.deadline = c.arrived + patience
 	if err := c.rank(); err != nil {
 		return err
 	}
 	if !c.g.endsBeforeStop(patience) {
-		return Refusal{Cause: Stopping, After: shortReturn}
+		return Refusal{Cause: Stopping, RetryAfter: shortRetryAfter}
 	}
 	if err := c.readBody(); err != nil {
 		return err
@@ -90,45 +90,45 @@
 // match finds the request's route, tenant and pool in the document in force.
 func (c *call) match() error {
 	if c.rs = c.g.routes.Load(); c.rs == nil {
-		return Refusal{Cause: NoDocument, After: longReturn}
+		return Refusal{Cause: NoDocument, RetryAfter: longRetryAfter}
 	}
 	var known bool
 	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
 		return Refusal{Cause: NoRoute}
 	}
-	if c.tenant, known = c.rs.tenant(c.route, c.ask.Key); !known {
+	if c.tenant, known = c.rs.tenant(c.route, c.head.Key); !known {
 		return Refusal{Cause: UnknownKey}
 	}
-	c.pool = c.rs.pools[draw(c.route)]
+	c.pool = c.rs.pools[pickPool(c.route)]
 	return nil
 }
 
 // rank finds how the request stands against its tenant's share, and refuses
 // what may not be served now.
 func (c *call) rank() error {
-	c.cost = float64(c.ask.Prompt.Tokens() + outputCost*c.ask.Prompt.Output)
-	c.standing = entitled
+	c.cost = float64(c.head.Prompt.Tokens() + outputCost*c.head.Prompt.Output)
+	c.class = entitled
 	if c.pool.Engine {
-		c.standing = c.g.tenants.asks(c.tenant.Name, c.cost)
+		c.class = c.g.tenants.classify(c.tenant.Name, c.cost)
 	}
-	if !c.g.pressure.admits(c.standing) {
-		c.g.tenants.misses(c.standing, c.cost)
-		return Refusal{Cause: Pressed, After: c.returnUnderPressure()}
+	if !c.g.overload.admits(c.class) {
+		c.g.tenants.countMissed(c.class, c.cost)
+		return Refusal{Cause: ProcessorOverload, RetryAfter: c.retryAfterOverload()}
 	}
-	if !c.g.tenants.lets(c.standing) {
-		return Refusal{Cause: BeyondShare, After: c.comeBack()}
+	if !c.g.tenants.admits(c.class) {
+		return Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
 	}
 	return nil
 }
 
-// returnUnderPressure is when a caller that the processor cannot serve should
+// retryAfterOverload is when a caller that the processor cannot serve should
 // try again. Within its tenant's share it may at once: most other gateways
 // have room.
-func (c *call) returnUnderPressure() time.Duration {
-	if c.standing <= entitled {
-		return shortReturn
+func (c *call) retryAfterOverload() time.Duration {
+	if c.class <= entitled {
+		return shortRetryAfter
 	}
-	return c.comeBack()
+	return c.retryAfter()
 }
 
 // outputCost is what a token made costs against a token read.
@@ -136,8 +136,8 @@
 
 // Times after which a refused caller may come back.
 const (
-	shortReturn = 50 * time.Millisecond
-	longReturn  = time.Second
+	shortRetryAfter = 50 * time.Millisecond
+	longRetryAfter  = time.Second
 )
 
 func (c *call) readBody() error {
@@ -151,10 +151,10 @@
 	if c.r.ContentLength > limit {
 		return Refusal{Cause: BodyTooLarge}
 	}
-	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.set.Bodies {
-		return Refusal{Cause: Overloaded, After: shortReturn}
+	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.Bodies {
+		return Refusal{Cause: Overloaded, RetryAfter: shortRetryAfter}
 	}
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.gaveUp - c.g.now()))
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.deadline - c.g.now()))
 	body, err := readAll(io.LimitReader(c.r.Body, limit+1), c.r.ContentLength)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{})
 	c.body = body
@@ -182,24 +182,24 @@
 // more may be tried. The error is a [Refusal], a [broken] or the caller's
 // leaving.
 func (c *call) serve() error {
-	ctx, cancel := context.WithTimeout(c.r.Context(), c.gaveUp-c.g.now())
+	ctx, cancel := context.WithTimeout(c.r.Context(), c.deadline-c.g.now())
 	defer cancel()
 	c.avoid = map[string]bool{}
 	c.relay = newRelay(c)
 	for {
-		l, err := c.backend(ctx)
-		if err != nil && c.relay.begun {
-			return broken{err: err} // the head is gone: nothing else can be said
+		a, err := c.backend(ctx)
+		if err != nil && c.relay.headWritten {
+			return brokenAnswer{err: err} // the head is gone: nothing else can be said
 		}
 		if err != nil {
 			return err
 		}
-		c.assigned = l
-		out := c.attempt(ctx, l)
+		c.assigned = a
+		out := c.attempt(ctx, a)
 		if out.done {
 			return nil
 		}
-		if again, err := c.next(ctx, l, out); !again {
+		if again, err := c.next(ctx, a, out); !again {
 			return err
 		}
 	}
@@ -207,55 +207,55 @@
 
 // backend waits for a backend. The error is a [Refusal].
 func (c *call) backend(ctx context.Context) (*assignment, error) {
-	w := criteria{
-		pool: c.pool, route: c.route, prompt: c.ask.Prompt, tenant: c.tenant.Name,
-		priority: c.tenant.Priority*priorityScale + c.route.Priority, standing: c.standing,
-		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.peers.Load()),
+	req := requirements{
+		pool: c.pool, route: c.route, prompt: c.head.Prompt, tenant: c.tenant.Name,
+		priority: c.tenant.Priority*priorityScale + c.route.Priority, class: c.class,
+		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
-	l, short := c.g.obtain(ctx, w, c.patience())
+	a, short := c.g.awaitServer(ctx, req, c.queueTimeout())
 	c.short = short
-	if l != nil {
+	if a != nil {
 		if c.sends == 0 {
-			c.g.tenants.starts(c.tenant.Name, c.cost)
+			c.g.tenants.countStarted(c.tenant.Name, c.cost)
 		}
-		return l, nil
+		return a, nil
 	}
 	if ctx.Err() != nil {
 		return nil, c.overdue(ctx)
 	}
 	if c.pool.Engine && c.sends == 0 {
-		c.g.tenants.misses(c.standing, c.cost)
+		c.g.tenants.countMissed(c.class, c.cost)
 	}
 	switch {
 	case c.attempts > 0:
 		return nil, Refusal{Cause: MayHaveRun}
 	case c.g.table.poolSize(c.pool.Name) <= len(c.avoid):
-		return nil, Refusal{Cause: NoBackend, After: c.comeBack()}
-	case c.standing > entitled:
-		return nil, Refusal{Cause: BeyondShare, After: c.comeBack()}
+		return nil, Refusal{Cause: NoBackend, RetryAfter: c.retryAfter()}
+	case c.class > entitled:
+		return nil, Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
 	}
-	return nil, Refusal{Cause: Overloaded, After: c.comeBack()}
+	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
 }
 
 // priorityScale puts a tenant's priority before a route's.
 const priorityScale = 1000
 
-// patience is how long the request may wait for a backend: a refusal is worth
+// queueTimeout is how long the request may wait for a backend: a refusal is worth
 // more to its caller while there is time to come back.
-func (c *call) patience() time.Duration {
+func (c *call) queueTimeout() time.Duration {
 	const objectivePart = 0.22
 	p := part(c.route.Objective, objectivePart)
 	if c.attempts > 0 || c.route.Objective == 0 {
 		p = time.Second // nothing better can be said any more
 	}
-	return min(p-(c.g.now()-c.arrived), c.gaveUp-c.g.now())
+	return min(p-(c.g.now()-c.arrived), c.deadline-c.g.now())
 }
 
-// comeBack is when a refused caller should try again.
-func (c *call) comeBack() time.Duration {
+// retryAfter is when a refused caller should try again.
+func (c *call) retryAfter() time.Duration {
 	const holdPart = 0.1
-	left := c.gaveUp - c.g.now()
-	return max(min(part(left, holdPart), longReturn), shortReturn)
+	left := c.deadline - c.g.now()
+	return max(min(part(left, holdPart), longRetryAfter), shortRetryAfter)
 }
 
 // overdue is the refusal of a request whose time is over.
@@ -266,7 +266,7 @@
 	case c.sends > 0:
 		return Refusal{Cause: TimedOut}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return Refusal{Cause: Overloaded, After: shortReturn}
+		return Refusal{Cause: Overloaded, RetryAfter: shortRetryAfter}
 	}
 	return Refusal{Cause: TimedOut}
 }
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -16,7 +16,7 @@
 // goes on with the newest document and the backends that it knows; before its
 // first document it refuses everything as not run and is not ready.
 //
-// What a deployment calls its headers is the business of a [Dialect].
+// What a deployment calls its headers is the business of a [HeaderCodec].
 //
 // Lock order: table.mu, then nothing. Sessions and requests hold no lock
 // across I/O or a channel send that can block.
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -15,27 +15,27 @@
 
 // The causes.
 const (
-	NoDocument   Cause = "no-document"
-	NoRoute      Cause = "no-route"
-	UnknownKey   Cause = "unknown-key"
-	BodyTooLarge Cause = "body-too-large"
-	BodyBroken   Cause = "body-broken"
-	Stopping     Cause = "stopping"
-	Pressed      Cause = "processor-pressure"
-	Overloaded   Cause = "overloaded"
-	BeyondShare  Cause = "beyond-share"
-	NoBackend    Cause = "no-backend"
-	NoBudget     Cause = "no-retry-budget"
-	NotRunThere  Cause = "refused-by-backend"
-	MayHaveRun   Cause = "may-have-run"
-	TimedOut     Cause = "timed-out"
+	NoDocument        Cause = "no-document"
+	NoRoute           Cause = "no-route"
+	UnknownKey        Cause = "unknown-key"
+	BodyTooLarge      Cause = "body-too-large"
+	BodyBroken        Cause = "body-broken"
+	Stopping          Cause = "stopping"
+	ProcessorOverload Cause = "processor-pressure"
+	Overloaded        Cause = "overloaded"
+	BeyondShare       Cause = "beyond-share"
+	NoBackend         Cause = "no-backend"
+	NoBudget          Cause = "no-retry-budget"
+	NotRunThere       Cause = "refused-by-backend"
+	MayHaveRun        Cause = "may-have-run"
+	TimedOut          Cause = "timed-out"
 )
 
 // statuses of the causes. 429 and 503 promise that the request has not run
 // and never will; 502 and 504 promise nothing.
 var statuses = map[Cause]int{
 	NoDocument: http.StatusServiceUnavailable, NoRoute: http.StatusNotFound, UnknownKey: http.StatusUnauthorized,
-	Pressed: http.StatusServiceUnavailable, BodyTooLarge: http.StatusRequestEntityTooLarge, BodyBroken: http.StatusBadRequest,
+	ProcessorOverload: http.StatusServiceUnavailable, BodyTooLarge: http.StatusRequestEntityTooLarge, BodyBroken: http.StatusBadRequest,
 	Stopping: http.StatusServiceUnavailable, Overloaded: http.StatusServiceUnavailable,
 	BeyondShare: http.StatusTooManyRequests, NoBackend: http.StatusServiceUnavailable,
 	NoBudget: http.StatusServiceUnavailable, NotRunThere: http.StatusServiceUnavailable,
@@ -44,8 +44,8 @@
 
 // Refusal is an answer that the gateway gives by itself.
 type Refusal struct {
-	Cause Cause
-	After time.Duration // when to come back; 0 is not said
+	Cause      Cause
+	RetryAfter time.Duration // when to come back; 0 is not said
 }
 
 // Error names the cause.
@@ -65,8 +65,8 @@
 	h := w.Header()
 	h["Date"] = nil
 	h.Set("Content-Type", "application/json")
-	if r.After > 0 {
-		h.Set("Retry-After", fmt.Sprintf("%.3f", r.After.Seconds()))
+	if r.RetryAfter > 0 {
+		h.Set("Retry-After", fmt.Sprintf("%.3f", r.RetryAfter.Seconds()))
 	}
 	if r.closes() {
 		h.Set("Connection", "close")
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -18,51 +18,51 @@
 // Error says so.
 func (callerLeft) Error() string { return "the caller has left" }
 
-// broken ends a request whose answer has begun and cannot be finished: only
+// brokenAnswer ends a request whose answer has begun and cannot be finished: only
 // the connection's end can say so.
-type broken struct{ err error }
+type brokenAnswer struct{ err error }
 
 // Error names the cause.
-func (b broken) Error() string { return "answer broken off: " + b.err.Error() }
+func (b brokenAnswer) Error() string { return "answer broken off: " + b.err.Error() }
 
 // finish writes the gateway's own answer, if it gives one, and accounts for
 // the request.
 func (c *call) finish(err error) {
 	took := c.g.now() - c.arrived
 	var refusal Refusal
-	var cut broken
+	var cut brokenAnswer
 	switch {
 	case err == nil:
 		c.g.stats.count("answered", "route", c.route.Name)
 		c.g.stats.wholeAnswer(c.tenant.Name, c.route.Name, took)
-		c.g.set.Log.RoutineOf("answered", func() []slog.Attr { return c.facts(took) })
+		c.g.cfg.Log.RoutineOf("answered", func() []slog.Attr { return c.logAttrs(took) })
 	case errors.As(err, &refusal):
 		c.g.stats.count("refused", "cause", string(refusal.Cause))
-		c.g.set.Log.FailureOf("refused", func() []slog.Attr {
-			return append(c.facts(took), slog.String("cause", string(refusal.Cause)),
-				slog.Int("status", refusal.Status()), slog.Int("after_ms", int(refusal.After.Milliseconds())))
+		c.g.cfg.Log.FailureOf("refused", func() []slog.Attr {
+			return append(c.logAttrs(took), slog.String("cause", string(refusal.Cause)),
+				slog.Int("status", refusal.Status()), slog.Int("after_ms", int(refusal.RetryAfter.Milliseconds())))
 		})
 		refusal.write(c.w)
 	case errors.As(err, &cut):
 		c.g.stats.count("broken", "route", c.route.Name)
-		c.g.set.Log.Failure("broken off", append(c.facts(took), slog.String("error", cut.err.Error()))...)
+		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", cut.err.Error()))...)
 		panic(http.ErrAbortHandler)
 	default:
 		c.g.stats.count("left", "route", c.route.Name)
-		c.g.set.Log.Failure("caller left", c.facts(took)...)
+		c.g.cfg.Log.Failure("caller left", c.logAttrs(took)...)
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// facts are the attributes of the request's last log line.
-func (c *call) facts(took time.Duration) []slog.Attr {
+// logAttrs are the attributes of the request's last log line.
+func (c *call) logAttrs(took time.Duration) []slog.Attr {
 	facts := []slog.Attr{
-		slog.String("request", c.ask.ID), slog.String("route", c.route.Name), slog.String("tenant", c.tenant.Name),
-		slog.Uint64("document", c.g.Number()), slog.String("standing", c.standing.String()), slog.Int("attempts", c.attempts),
+		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.tenant.Name),
+		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.attempts),
 		slog.Int("sends", c.sends), slog.Int("took_ms", int(took.Milliseconds())),
 	}
-	if c.standing > entitled {
-		told, age := c.g.tenants.told(c.tenant.Name)
+	if c.class > entitled {
+		told, age := c.g.tenants.entitlement(c.tenant.Name)
 		facts = append(facts, slog.Float64("part", float64(told.Part)), slog.Float64("extra_part", float64(told.Extra)),
 			slog.Int("told_ms_ago", int(age.Milliseconds())))
 	}
@@ -70,13 +70,13 @@
 		facts = append(facts, slog.String("full", short.backend), slog.Int("full_requests", short.requests),
 			slog.Int("full_tokens", short.tokens), slog.Int("seen_ms_ago", int(short.age.Milliseconds())))
 	}
-	if l := c.assigned; l != nil {
-		facts = append(facts, slog.String("backend", l.backend), slog.Int("tokens_ahead", l.ahead),
-			slog.Int("tokens_read", l.tokens), slog.Int("tokens_shared", c.ask.Prompt.SharedTokens()), slog.Int("queued_ms", int((l.began-c.arrived).Milliseconds())),
-			slog.Int("first_ms", int(l.waiting.Milliseconds())))
+	if a := c.assigned; a != nil {
+		facts = append(facts, slog.String("backend", a.backend), slog.Int("tokens_ahead", a.tokensAhead),
+			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()), slog.Int("queued_ms", int((a.began-c.arrived).Milliseconds())),
+			slog.Int("first_ms", int(a.waiting.Milliseconds())))
 	}
 	if c.relay != nil && c.relay.passed > 0 {
-		facts = append(facts, slog.Int("pieces", c.relay.passed), slog.String("last_event", c.relay.last),
+		facts = append(facts, slog.Int("pieces", c.relay.passed), slog.String("last_event", c.relay.lastEventID),
 			slog.Int("quiet_ms", int((c.g.now()-c.relay.passedAt).Milliseconds())))
 	}
 	return facts
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -28,46 +28,46 @@
 )
 
 // This file defines fixture, one gateway in a bubble of virtual time before
-// backends that are functions, with a dialect of its own.
+// backends that are functions, with a header codec of its own.
 
 // sharedTokens are the tokens of the part that the header Shared names.
 const sharedTokens = 3000
 
-// testDialect uses headers that no deployment has.
-type testDialect struct{}
+// testHeaders uses headers that no deployment has.
+type testHeaders struct{}
 
-func (testDialect) Read(r *http.Request) Ask {
+func (testHeaders) DecodeRequest(r *http.Request) RequestHead {
 	ms, _ := strconv.Atoi(r.Header.Get("Patience"))
 	own, _ := strconv.Atoi(r.Header.Get("Tokens"))
 	prompt := place.Prompt{Own: own}
 	if name := r.Header.Get("Shared"); name != "" {
 		prompt.Shared = []place.Part{{Name: name, Tokens: sharedTokens}}
 	}
-	return Ask{
-		ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), Patience: time.Duration(ms) * time.Millisecond,
-		Prompt: prompt, After: r.Header.Get("After"),
+	return RequestHead{
+		ID: r.Header.Get("Id"), Key: r.Header.Get("Key"), Timeout: time.Duration(ms) * time.Millisecond,
+		Prompt: prompt, LastEventID: r.Header.Get("After"),
 	}
 }
 
-func (testDialect) Forward(from http.Header, f Forwarding) http.Header {
+func (testHeaders) ForwardHeader(from http.Header, f Forwarding) http.Header {
 	h := from.Clone()
 	h.Del("Key")
-	h.Set("Left", strconv.FormatInt(f.Left.Milliseconds(), 10))
+	h.Set("Left", strconv.FormatInt(f.Timeout.Milliseconds(), 10))
 	h.Set("Backend", f.Backend)
 	h.Set("Tenant", f.Tenant)
-	if f.After != "" {
-		h.Set("After", f.After)
+	if f.LastEventID != "" {
+		h.Set("After", f.LastEventID)
 	}
 	return h
 }
 
-func (testDialect) Judge(status int, h http.Header) Verdict {
-	return Verdict{
-		ID: h.Get("Id"), Misplaced: status == http.StatusMisdirectedRequest, Sealed: h.Get("Sealed") != "",
+func (testHeaders) DecodeAnswer(status int, h http.Header) AnswerHead {
+	return AnswerHead{
+		ID: h.Get("Id"), Misdirected: status == http.StatusMisdirectedRequest, Signed: h.Get("Sealed") != "",
 	}
 }
 
-func (testDialect) Return(from http.Header) http.Header { return from.Clone() }
+func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
 
 // behaviour is what a backend does with one call.
 type behaviour func(ctx context.Context, call backend.Call) (*backend.Answer, error)
@@ -212,17 +212,17 @@
 		set := metrics.NewSet()
 		x := &fixture{t: t, backends: &fakeBackends{does: map[string]behaviour{}}}
 		x.g = Start(t.Context(), Settings{
-			Identity: link.Identity{Name: "g"}, Zone: "z", Dialect: testDialect{}, Backend: x.backends,
+			Identity: link.Identity{Name: "g"}, Zone: "z", Headers: testHeaders{}, Backend: x.backends,
 			Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, Grace: 8 * time.Second,
 			Bodies: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 			Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 		})
 		defer func() {
 			x.g.stop()
-			x.g.set.Log.Close()
+			x.g.cfg.Log.Close()
 			synctest.Wait()
 		}()
-		x.g.peers.Store(1)
+		x.g.gateways.Store(1)
 		x.g.apply(testDocument())
 		x.backendsOf("plain", does...)
 		f(x)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Identity link.Identity
 	Zone     string
 	Seeds    []string // fleet addresses of directory replicas
-	Dialect  Dialect
+	Headers  HeaderCodec
 	Backend  Backend
 	Retries  retry.Limits
 	// Grace is how long a stopping process has.
@@ -47,23 +47,23 @@
 
 // Gateway is a running gateway. It is the handler of callers' requests.
 type Gateway struct {
-	set     Settings
-	start   time.Time
-	ctx     context.Context
-	stop    context.CancelFunc
-	routes  atomic.Pointer[routes] // nil before the first document
-	seeds   atomic.Pointer[[]string]
-	table   *table
-	tenants *tenants
-	stats   *stats
-	meter   *link.Meter
-	seq     atomic.Uint64
-	peers   atomic.Int64 // gateways in the fleet, as last heard
-	calls   atomic.Int64 // requests being served
-	bodies  atomic.Int64 // bytes of their bodies
-	stopped atomic.Int64 // when the stop began, by now; 0 before
-
-	pressure pressure
+	cfg      Settings
+	start    time.Time
+	ctx      context.Context
+	stop     context.CancelFunc
+	routes   atomic.Pointer[routes] // nil before the first document
+	seeds    atomic.Pointer[[]string]
+	table    *table
+	tenants  *tenants
+	stats    *stats
+	meter    *link.Meter
+	seq      atomic.Uint64
+	gateways atomic.Int64 // gateways in the fleet, as last heard
+	calls    atomic.Int64 // requests being served
+	bodies   atomic.Int64 // bytes of their bodies
+	stopped  atomic.Int64 // when the stop began, by now; 0 before
+
+	overload overload
 
 	retriesMu sync.Mutex // a leaf; guards retries
 	retries   map[string]*retry.Window
@@ -73,22 +73,22 @@
 const assumedGateways = 16
 
 // Start runs a gateway until Stop.
-func Start(ctx context.Context, set Settings) *Gateway {
+func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
 	g := &Gateway{
-		set: set, start: time.Now(), ctx: ctx, stop: stop, table: newTable(set.Zone),
-		stats: newStats(set.Metrics), meter: link.NewMeter(set.Metrics), retries: map[string]*retry.Window{},
+		cfg: cfg, start: time.Now(), ctx: ctx, stop: stop, table: newTable(cfg.Zone),
+		stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retries: map[string]*retry.Window{},
 	}
 	g.tenants = newTenants(g.now)
-	g.Reseed(set.Seeds)
-	g.peers.Store(assumedGateways)
+	g.SetSeeds(cfg.Seeds)
+	g.gateways.Store(assumedGateways)
 	go newWatcher(g).run()
 	go g.tick()
 	return g
 }
 
-// Reseed tells where else the directory may be found from now on.
-func (g *Gateway) Reseed(seeds []string) { g.seeds.Store(&seeds) }
+// SetSeeds tells where else the directory may be found from now on.
+func (g *Gateway) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
 // now is the gateway's monotonic clock. It is never 0.
 func (g *Gateway) now() time.Duration { return time.Since(g.start) + 1 }
@@ -97,7 +97,7 @@
 
 // Ready reports whether new callers should come here.
 func (g *Gateway) Ready() bool {
-	return g.stopped.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.pressure.away(g.now())
+	return g.stopped.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.unready(g.now())
 }
 
 // IdleTime is how long callers may leave a connection unused, by the document
@@ -109,8 +109,8 @@
 	return 0
 }
 
-// Number returns the document in force here, 0 before the first.
-func (g *Gateway) Number() uint64 {
+// DocumentNumber returns the document in force here, 0 before the first.
+func (g *Gateway) DocumentNumber() uint64 {
 	if rs := g.routes.Load(); rs != nil {
 		return rs.document.Number
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	g.routes.Store(newRoutes(d))
-	g.set.Log.Belief("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
+	g.cfg.Log.Belief("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
 		slog.Int("tenants", len(d.Tenants)))
 }
 
@@ -131,7 +131,7 @@
 func (g *Gateway) mayRepeat(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.window(pool).Repeat(g.now(), int(g.peers.Load()))
+	return g.window(pool).Repeat(g.now(), int(g.gateways.Load()))
 }
 
 func (g *Gateway) countRequest(pool string) {
@@ -143,7 +143,7 @@
 func (g *Gateway) window(pool string) *retry.Window {
 	w := g.retries[pool]
 	if w == nil {
-		w = retry.New(g.set.Retries)
+		w = retry.New(g.cfg.Retries)
 		g.retries[pool] = w
 	}
 	return w
@@ -173,11 +173,11 @@
 		case <-t.C:
 		}
 		since := g.stopping()
-		if since > part(g.set.Grace, finishPart) {
-			g.set.Log.Belief("stop cuts off", slog.Int64("requests", g.calls.Load()))
+		if since > part(g.cfg.Grace, finishPart) {
+			g.cfg.Log.Belief("stop cuts off", slog.Int64("requests", g.calls.Load()))
 			return
 		}
-		if since > part(g.set.Grace, acceptPart) && g.calls.Load() == 0 {
+		if since > part(g.cfg.Grace, acceptPart) && g.calls.Load() == 0 {
 			return
 		}
 	}
@@ -187,7 +187,7 @@
 // begun.
 func (g *Gateway) endsBeforeStop(patience time.Duration) bool {
 	since := g.stopping()
-	return since <= part(g.set.Grace, acceptPart) || since+patience <= part(g.set.Grace, finishPart)
+	return since <= part(g.cfg.Grace, acceptPart) || since+patience <= part(g.cfg.Grace, finishPart)
 }
 
 // stopping returns for how long the gateway has been stopping, or 0.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -157,7 +157,7 @@
 		older := testDocument()
 		older.Number, older.Routes = 2, nil
 		x.g.apply(older)
-		is.Equal(x.g.Number(), uint64(3))
+		is.Equal(x.g.DocumentNumber(), uint64(3))
 		is.Equal(x.ask("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
@@ -269,7 +269,7 @@
 func TestRetryBudget(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.set.Retries.Extra = 10
+		x.g.cfg.Retries.Extra = 10
 		x.inOrder([]behaviour{answers(500, "broken", 0), answers(500, "broken", 0)})
 		for range 100 {
 			x.ask("/again/x")
@@ -284,7 +284,7 @@
 func TestSpentBudgetIsSaid(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.set.Retries.Extra = 0
+		x.g.cfg.Retries.Extra = 0
 		x.inOrder([]behaviour{refuses(503), refuses(503)})
 		got := x.ask("/once/x")
 		is.Equal(got.status, 503)
@@ -368,9 +368,9 @@
 		for _, s := range statuses {
 			is.Equal(s, 200)
 		}
-		for _, m := range x.g.table.members {
-			is.Equal(m.requests, 0) // every assignment came back
-			is.Equal(m.tokens, 0)
+		for _, s := range x.g.table.members {
+			is.Equal(s.requests, 0) // every assignment came back
+			is.Equal(s.tokens, 0)
 		}
 	}, answers(200, "a", 20*time.Millisecond), answers(200, "b", 20*time.Millisecond))
 }
--- a/gateway/pressure.go
+++ b/gateway/overload.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// This file defines pressure: how a gateway notices that its processor cannot
+// This file defines overload: how a gateway notices that its processor cannot
 // keep up, and what it does then.
 //
 // A timer that fires late says how long everything else waits as well. The
@@ -45,72 +45,72 @@
 
 // How long a stream waits after a piece under pressure.
 const (
-	gatherTime   = 40 * time.Millisecond
-	gatherMost   = 100 * time.Millisecond
-	gatherPauses = 0.3 // of the pause that callers notice
+	coalesceMin  = 40 * time.Millisecond
+	coalesceMax  = 100 * time.Millisecond
+	coalesceGaps = 0.3 // of the pause that callers notice
 )
 
-type pressure struct {
-	delay float64      // averaged, in seconds; owned by the ticking goroutine
-	level atomic.Int64 // the same, for everybody
-	high  atomic.Bool
-	until atomic.Int64 // when the gateway may be ready again, by its clock
-	fires atomic.Int64 // when the timer last fired, by the gateway's clock
+type overload struct {
+	delay        float64      // averaged, in seconds; owned by the ticking goroutine
+	published    atomic.Int64 // the same, for everybody
+	shedding     atomic.Bool
+	unreadyUntil atomic.Int64 // when the gateway may be ready again, by its clock
+	lastTick     atomic.Int64 // when the timer last fired, by the gateway's clock
 }
 
 // late reports whether this gateway cannot keep up now, or has just stood
 // still, so that it may not have read what has come.
-func (p *pressure) late(now time.Duration) bool {
-	overdue := now-time.Duration(p.fires.Load()) > tickPeriod+delayNoticed
-	return overdue || time.Duration(p.level.Load()) > delayNoticed
+func (p *overload) late(now time.Duration) bool {
+	overdue := now-time.Duration(p.lastTick.Load()) > tickPeriod+delayNoticed
+	return overdue || time.Duration(p.published.Load()) > delayNoticed
 }
 
-// keepsAway is how long a gateway under pressure is not ready: the balancer
+// unreadyFor is how long a gateway under pressure is not ready: the balancer
 // must see it twice before it sends callers elsewhere.
-const keepsAway = 2500 * time.Millisecond
+const unreadyFor = 2500 * time.Millisecond
 
-// away reports whether new callers should go to other gateways.
-func (p *pressure) away(now time.Duration) bool { return int64(now) < p.until.Load() }
+// unready reports whether new callers should go to other gateways.
+func (p *overload) unready(now time.Duration) bool { return int64(now) < p.unreadyUntil.Load() }
 
 // admits reports whether a request of that standing may begin.
-func (p *pressure) admits(s standing) bool {
-	delay := time.Duration(p.level.Load())
-	switch s {
+func (p *overload) admits(c class) bool {
+	delay := time.Duration(p.published.Load())
+	switch c {
 	case beyond:
 		return delay < delayBeyond
 	case extra:
 		return delay < delayExtra
 	}
-	return !p.high.Load()
+	return !p.shedding.Load()
 }
 
-// gather returns how long a stream should wait after a piece, if callers
+// coalesce returns how long a stream should wait after a piece, if callers
 // notice a pause of that length; 0 without pressure.
-func (p *pressure) gather(pause time.Duration) time.Duration {
-	delay := time.Duration(p.level.Load())
+func (p *overload) coalesce(pause time.Duration) time.Duration {
+	delay := time.Duration(p.published.Load())
 	switch {
 	case delay <= delayNoticed:
 		return 0
 	case delay <= delayBeyond || pause == 0:
-		return gatherTime
+		return coalesceMin
 	}
-	return max(min(part(pause, gatherPauses), gatherMost), gatherTime)
+	return max(min(part(pause, coalesceGaps), coalesceMax), coalesceMin)
 }
 
-// fired takes how late the timer was and reports whether the pressure has
+// observe takes how late the timer was and reports whether the pressure has
 // become high or low by it.
-func (p *pressure) fired(late time.Duration) (changed bool) {
+func (p *overload) observe(late time.Duration) (changed bool) {
 	weight := 1 - math.Exp(-float64(tickPeriod+late)/float64(delayMemory))
 	late = min(max(late, 0), delayMost)
 	p.delay += weight * (late.Seconds() - p.delay)
-	p.level.Store(int64(p.delay * float64(time.Second)))
-	high := p.high.Load()
+	p.published.Store(int64(p.delay * float64(time.Second)))
+	high := p.shedding.Load()
 	switch {
 	case !high && p.delay > delayTooLong.Seconds():
-		p.high.Store(true)
+		p.shedding.Store(true)
 		return true
 	case high && p.delay < delayShort.Seconds():
-		p.high.Store(false)
+		p.shedding.Store(false)
 		return true
 	}
 	return false
@@ -129,15 +129,15 @@
 		case <-t.C:
 		}
 		now := g.now()
-		if time.Duration(g.pressure.level.Load()) >= delayBeyond {
-			g.pressure.until.Store(int64(now + keepsAway))
+		if time.Duration(g.overload.published.Load()) >= delayBeyond {
+			g.overload.unreadyUntil.Store(int64(now + unreadyFor))
 		}
-		if g.pressure.fired(now - last - tickPeriod) {
-			g.set.Log.Belief("processor pressure", slog.Bool("high", g.pressure.high.Load()),
-				slog.Int("delay_ms", int(math.Round(1000*g.pressure.delay))), slog.Int64("requests", g.calls.Load()))
+		if g.overload.observe(now - last - tickPeriod) {
+			g.cfg.Log.Belief("processor pressure", slog.Bool("high", g.overload.shedding.Load()),
+				slog.Int("delay_ms", int(math.Round(1000*g.overload.delay))), slog.Int64("requests", g.calls.Load()))
 		}
 		last = now
-		g.pressure.fires.Store(int64(now))
+		g.overload.lastTick.Store(int64(now))
 		g.grantAll()
 	}
 }
--- a/gateway/pressure_test.go
+++ b/gateway/overload_test.go
@@ -17,22 +17,22 @@
 
 func TestPressureRisesAndFalls(t *testing.T) {
 	is := is.New(t)
-	var p pressure
+	var p overload
 	for range 1000 {
-		is.True(!p.fired(2 * time.Millisecond))
+		is.True(!p.observe(2 * time.Millisecond))
 	}
 	rise := 0
-	for !p.fired(80 * time.Millisecond) {
+	for !p.observe(80 * time.Millisecond) {
 		rise++
 	}
-	is.True(p.high.Load())
-	is.True(p.gather(0) > 0)
+	is.True(p.shedding.Load())
+	is.True(p.coalesce(0) > 0)
 	is.True(rise < 5)
 	fall := 0
-	for !p.fired(0) {
+	for !p.observe(0) {
 		fall++
 	}
-	is.True(!p.high.Load())
+	is.True(!p.shedding.Load())
 	is.True(fall < 40)
 }
 
@@ -40,11 +40,11 @@
 // time; and half a second later nothing is left of it.
 func TestStarvedTimerFiresRarely(t *testing.T) {
 	is := is.New(t)
-	var p pressure
-	is.True(p.fired(2 * time.Second))
-	is.True(p.high.Load())
+	var p overload
+	is.True(p.observe(2 * time.Second))
+	is.True(p.shedding.Load())
 	fall := 0
-	for !p.fired(0) {
+	for !p.observe(0) {
 		fall++
 	}
 	is.True(fall*int(tickPeriod) < int(700*time.Millisecond))
@@ -63,16 +63,16 @@
 		{15 * time.Millisecond, true, true, false, 90 * time.Millisecond},
 		{25 * time.Millisecond, true, false, false, 90 * time.Millisecond},
 	} {
-		var p pressure
-		p.level.Store(int64(tt.delay))
+		var p overload
+		p.published.Store(int64(tt.delay))
 		is.True(p.admits(covered))
 		is.Equal(p.admits(entitled), tt.entitled)
 		is.Equal(p.admits(extra), tt.extra)
 		is.Equal(p.admits(beyond), tt.beyond)
-		is.Equal(p.gather(300*time.Millisecond), tt.gather)
+		is.Equal(p.coalesce(300*time.Millisecond), tt.gather)
 	}
-	var p pressure
-	p.high.Store(true)
+	var p overload
+	p.shedding.Store(true)
 	is.True(!p.admits(covered))
 	is.True(!p.admits(entitled))
 }
@@ -80,13 +80,13 @@
 func TestUnderPressureRequestsAreRefusedAtOnce(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.pressure.high.Store(true)
+		x.g.overload.shedding.Store(true)
 		got := x.ask("/once/x")
 		is.Equal(got.status, 503)
 		is.Equal(got.header.Get("Connection"), "close")
 		is.Equal(got.took, time.Duration(0))
 		is.Equal(x.backends.count(), 0)
-		x.g.pressure.high.Store(false)
+		x.g.overload.shedding.Store(false)
 		is.Equal(x.ask("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
@@ -97,7 +97,7 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.True(x.g.Ready())
-		x.g.pressure.level.Store(int64(delayBeyond))
+		x.g.overload.published.Store(int64(delayBeyond))
 		time.Sleep(tickPeriod + time.Millisecond) // the tick sees it, and then no delay any more
 		for range 2 {
 			is.True(!x.g.Ready())
@@ -113,9 +113,9 @@
 func TestRefusalsUnderPressureAreMissed(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.pressure.high.Store(true)
+		x.g.overload.shedding.Store(true)
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
-		_, begun, missed := x.g.tenants.report()
+		_, begun, missed := x.g.tenants.takeReport()
 		is.Equal(begun, uint64(0))
 		is.Equal(missed, uint64(700))
 	})
@@ -134,7 +134,7 @@
 func TestFloodIsRefusedWithoutItsBody(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.001, Extra: 0.002}}, true)
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.001, Extra: 0.002}}, true)
 		r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/engine/x", untouchedBody{x.t})
 		r.Host, r.ContentLength = "host", 12000
 		r.Header.Set("Id", "request-1")
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -13,38 +13,38 @@
 
 // waiter is a request that waits for room.
 type waiter struct {
-	criteria
-	seq     uint64
-	granted chan *assignment // buffered
-	short   shortage         // why it got nothing when it was last looked at
+	requirements
+	seq      uint64
+	granted  chan *assignment // buffered
+	shortage shortage         // why it got nothing when it was last looked at
 }
 
-// obtain returns a backend for the request, waiting for room until ctx ends or
+// awaitServer returns a backend for the request, waiting for room until ctx ends or
 // patience is over; then it returns nil and why.
-func (g *Gateway) obtain(ctx context.Context, w criteria, patience time.Duration) (*assignment, shortage) {
+func (g *Gateway) awaitServer(ctx context.Context, req requirements, patience time.Duration) (*assignment, shortage) {
 	t := g.table
 	t.mu.Lock()
-	p := t.pool(w.pool.Name)
+	p := t.pool(req.pool.Name)
 	var short shortage
-	if !g.outranked(p, w) {
-		var l *assignment
-		if l, short = t.acquire(g.now(), w); l != nil {
+	if !g.outranked(p, req) {
+		var a *assignment
+		if a, short = t.acquire(g.now(), req); a != nil {
 			t.mu.Unlock()
-			return l, short
+			return a, short
 		}
 	}
 	if patience <= 0 {
 		t.mu.Unlock()
 		return nil, short
 	}
-	waiting := &waiter{criteria: w, seq: g.seq.Add(1), granted: make(chan *assignment, 1), short: short}
+	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: short}
 	p.waiting = append(p.waiting, waiting)
 	t.mu.Unlock()
 	timer := time.NewTimer(patience)
 	defer timer.Stop()
 	select {
-	case l := <-waiting.granted:
-		return l, shortage{}
+	case a := <-waiting.granted:
+		return a, shortage{}
 	case <-ctx.Done():
 	case <-timer.C:
 	}
@@ -54,63 +54,63 @@
 // leave takes a request out of the queue; it may just have got a backend. One
 // that its tenant's share covers takes any backend that has room before it is
 // refused.
-func (g *Gateway) leave(ctx context.Context, p *pool, w *waiter) (*assignment, shortage) {
+func (g *Gateway) leave(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
-	p.waiting = slices.DeleteFunc(p.waiting, func(o *waiter) bool { return o == w })
+	p.waiting = slices.DeleteFunc(p.waiting, func(o *waiter) bool { return o == wt })
 	select {
-	case l := <-w.granted:
-		return l, shortage{}
+	case a := <-wt.granted:
+		return a, shortage{}
 	default:
 	}
-	if w.pool.Engine && w.standing == covered && ctx.Err() == nil {
-		if l := g.table.acquireAnywhere(g.now(), w.criteria); l != nil {
-			return l, shortage{}
+	if wt.pool.Engine && wt.class == covered && ctx.Err() == nil {
+		if a := g.table.acquireAnywhere(g.now(), wt.requirements); a != nil {
+			return a, shortage{}
 		}
 	}
-	return nil, w.short
+	return nil, wt.shortage
 }
 
 // outranked reports whether somebody waits who goes before the request. The
 // caller holds table.mu.
-func (g *Gateway) outranked(p *pool, w criteria) bool {
+func (g *Gateway) outranked(p *pool, req requirements) bool {
 	for _, o := range p.waiting {
-		if g.before(&o.criteria, &w) <= 0 {
+		if g.compareWaiting(&o.requirements, &req) <= 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// before orders waiting requests: within the share first, then by priority,
+// compareWaiting orders waiting requests: within the share first, then by priority,
 // then the tenant that was served least lately.
-func (g *Gateway) before(a, b *criteria) int {
-	if a.standing != b.standing {
-		return cmp.Compare(a.standing, b.standing)
+func (g *Gateway) compareWaiting(a, b *requirements) int {
+	if a.class != b.class {
+		return cmp.Compare(a.class, b.class)
 	}
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
-	return cmp.Compare(g.tenants.served(a.tenant), g.tenants.served(b.tenant))
+	return cmp.Compare(g.tenants.recentService(a.tenant), g.tenants.recentService(b.tenant))
 }
 
-// grant gives backends to those who wait, in order, as far as there is room.
+// grantWaiting gives backends to those who wait, in order, as far as there is room.
 // The caller holds table.mu.
-func (g *Gateway) grant(p *pool) {
+func (g *Gateway) grantWaiting(p *pool) {
 	if len(p.waiting) == 0 {
 		return
 	}
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
-		return cmp.Or(g.before(&a.criteria, &b.criteria), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(g.compareWaiting(&a.requirements, &b.requirements), cmp.Compare(a.seq, b.seq))
 	})
 	now := g.now()
-	p.waiting = slices.DeleteFunc(p.waiting, func(w *waiter) bool {
-		l, short := g.table.acquire(now, w.criteria)
-		if l == nil {
-			w.short = short
+	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
+		a, short := g.table.acquire(now, wt.requirements)
+		if a == nil {
+			wt.shortage = short
 			return false
 		}
-		w.granted <- l
+		wt.granted <- a
 		return true
 	})
 }
@@ -120,6 +120,6 @@
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
 	for _, p := range g.table.pools {
-		g.grant(p)
+		g.grantWaiting(p)
 	}
 }
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -20,18 +20,18 @@
 func TestOrderOfWaiting(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.tenants.starts("busy", 1000)
+		x.g.tenants.countStarted("busy", 1000)
 		for _, tt := range []struct {
 			name          string
-			first, second criteria
+			first, second requirements
 		}{
-			{"within the share before beyond the named one", criteria{standing: entitled, priority: 9}, criteria{standing: extra}},
-			{"beyond the named share before beyond every one", criteria{standing: extra, priority: 9}, criteria{standing: beyond}},
-			{"priority", criteria{priority: 1, tenant: "busy"}, criteria{priority: 2, tenant: "idle"}},
-			{"the tenant that was served least", criteria{tenant: "idle"}, criteria{tenant: "busy"}},
+			{"within the share before beyond the named one", requirements{class: entitled, priority: 9}, requirements{class: extra}},
+			{"beyond the named share before beyond every one", requirements{class: extra, priority: 9}, requirements{class: beyond}},
+			{"priority", requirements{priority: 1, tenant: "busy"}, requirements{priority: 2, tenant: "idle"}},
+			{"the tenant that was served least", requirements{tenant: "idle"}, requirements{tenant: "busy"}},
 		} {
-			is.True(x.g.before(&tt.first, &tt.second) < 0) // tt.name
-			is.True(x.g.before(&tt.second, &tt.first) > 0)
+			is.True(x.g.compareWaiting(&tt.first, &tt.second) < 0) // tt.name
+			is.True(x.g.compareWaiting(&tt.second, &tt.first) > 0)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 				x.ask("/once/x", header...)
 			})
 		}
-		x.g.tenants.starts("t", 1000)
+		x.g.tenants.countStarted("t", 1000)
 		group.Wait()
 		// Two connections are the least that a gateway takes.
 		is.Equal(strings.Join(order, ""), "abdc")
@@ -75,12 +75,12 @@
 	for _, tt := range []struct{ accepts, gateways, own int }{
 		{300, 7, 38}, {300, 1, 270}, {100, 59, 2}, {100, 0, 90},
 	} {
-		w := criteria{pool: document.Pool{Connections: tt.accepts}, gateways: tt.gateways}
-		is.Equal(ownConnections(w), tt.own)
+		req := requirements{pool: document.Pool{Connections: tt.accepts}, gateways: tt.gateways}
+		is.Equal(ownConnections(req), tt.own)
 	}
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.peers.Store(45) // of 100 connections, two are this gateway's
+		x.g.gateways.Store(45) // of 100 connections, two are this gateway's
 		var group sync.WaitGroup
 		for range 2 {
 			group.Go(func() { x.ask("/once/x") })
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -26,17 +26,17 @@
 const readSize = 8 << 10
 
 type relay struct {
-	c     *call
-	begun bool   // the head has been written
-	last  string // identifier of the last event passed on
-	rest  []byte // an event that is not whole yet
+	c           *call
+	headWritten bool   // the head has been written
+	lastEventID string // identifier of the last event passed on
+	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
 	passed   int // writes to the caller
 	passedAt time.Duration
 	extended time.Duration // when the write deadline was last moved
 }
 
-func newRelay(c *call) *relay { return &relay{c: c, last: ""} }
+func newRelay(c *call) *relay { return &relay{c: c, lastEventID: ""} }
 
 // heldAnswer is a whole plain answer.
 type heldAnswer struct {
@@ -47,18 +47,18 @@
 
 // plain takes a plain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend does better.
-func (r *relay) plain(l *assignment, answer *backend.Answer, success bool) outcome {
+func (r *relay) plain(a *assignment, answer *backend.Answer, success bool) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
-		return outcome{ran: unknown, cause: "cut off", blame: lost, err: err}
+		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
 	}
-	r.c.g.begun(l, r.c.pool.Engine)
+	r.c.g.answerStarted(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == maxPlain {
 		return r.large(answer, held)
 	}
 	if answer.Status >= 500 {
-		return outcome{ran: answered, cause: "server error", blame: faulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
+		return outcome{execution: hasRun, cause: "server error", blame: blameFaulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
 	}
 	r.give(held)
 	return outcome{done: true}
@@ -68,10 +68,10 @@
 func (r *relay) large(answer *backend.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	if _, err := r.c.w.Write(head.body); err != nil {
-		return outcome{ran: unknown, blame: noSign, err: err}
+		return outcome{execution: mayHaveRun, blame: noBlame, err: err}
 	}
 	if _, err := io.Copy(r.c.w, answer.Body); err != nil {
-		return outcome{ran: unknown, cause: "cut off", blame: lost, err: err}
+		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
 	}
 	return outcome{done: true}
 }
@@ -83,9 +83,9 @@
 }
 
 func (r *relay) writeHead(status int, from http.Header, length int64) {
-	r.begun = true
+	r.headWritten = true
 	h := r.c.w.Header()
-	for name, values := range r.c.g.set.Dialect.Return(from) {
+	for name, values := range r.c.g.cfg.Headers.AnswerHeader(from) {
 		h[name] = values
 	}
 	for _, own := range []string{"Date", "Content-Type"} { // the library would add them
@@ -100,41 +100,41 @@
 }
 
 // stream passes events on as they come, each once it is whole.
-func (r *relay) stream(ctx context.Context, l *assignment, answer *backend.Answer) outcome {
-	r.rest = r.rest[:0]
+func (r *relay) stream(ctx context.Context, a *assignment, answer *backend.Answer) outcome {
+	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			r.c.silence.heard()
-			if !l.first {
-				r.c.g.begun(l, r.c.pool.Engine)
+			r.c.stall.progressed()
+			if !a.started {
+				r.c.g.answerStarted(a, r.c.pool.Engine)
 			}
-			if !r.begun {
+			if !r.headWritten {
 				r.c.g.stats.firstPart(r.c.tenant.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
 				r.writeHead(answer.Status, answer.Header, -1)
 			}
 			if werr := r.events(buffer[:n], flusher); werr != nil {
-				return outcome{ran: unknown, cause: "caller gone", blame: noSign, err: werr}
+				return outcome{execution: mayHaveRun, cause: "caller gone", blame: noBlame, err: werr}
 			}
 		}
 		if err == io.EOF {
 			return r.streamEnd(answer, flusher)
 		}
 		if err == nil {
-			r.gather(ctx)
+			r.coalesce(ctx)
 		}
 		if err != nil || ctx.Err() != nil {
-			return outcome{ran: unknown, cause: "stream broken", blame: lost, err: errorOr(err, ctx.Err())}
+			return outcome{execution: mayHaveRun, cause: "stream broken", blame: blameLost, err: errorOr(err, ctx.Err())}
 		}
 	}
 }
 
-// gather waits a little under pressure, so that several events come with one
+// coalesce waits a little under pressure, so that several events come with one
 // read.
-func (r *relay) gather(ctx context.Context) {
-	wait := r.c.g.pressure.gather(r.c.route.Pause)
+func (r *relay) coalesce(ctx context.Context) {
+	wait := r.c.g.overload.coalesce(r.c.route.Pause)
 	if wait == 0 {
 		return
 	}
@@ -155,16 +155,16 @@
 
 // streamEnd ends a stream whose body is whole.
 func (r *relay) streamEnd(answer *backend.Answer, flusher *http.ResponseController) outcome {
-	if len(r.rest) > 0 && !r.c.route.Resumable {
-		if _, err := r.c.w.Write(r.rest); err != nil {
-			return outcome{ran: unknown, blame: noSign, err: err}
+	if len(r.partial) > 0 && !r.c.route.Resumable {
+		if _, err := r.c.w.Write(r.partial); err != nil {
+			return outcome{execution: mayHaveRun, blame: noBlame, err: err}
 		}
-		r.rest = r.rest[:0]
+		r.partial = r.partial[:0]
 	}
-	if len(r.rest) > 0 {
-		return outcome{ran: unknown, cause: "stream cut off", blame: lost, err: errShort}
+	if len(r.partial) > 0 {
+		return outcome{execution: mayHaveRun, cause: "stream cut off", blame: blameLost, err: errShort}
 	}
-	if !r.begun {
+	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
 	}
 	_ = flusher.Flush()
@@ -176,17 +176,17 @@
 
 // events passes on the whole events of what has come, with one write.
 func (r *relay) events(piece []byte, flusher *http.ResponseController) error {
-	r.rest = append(r.rest, piece...)
-	end := bytes.LastIndex(r.rest, eventEnd)
+	r.partial = append(r.partial, piece...)
+	end := bytes.LastIndex(r.partial, eventEnd)
 	if end < 0 {
-		if len(r.rest) > maxEvent {
+		if len(r.partial) > maxEvent {
 			return faultyAnswer("an event is too large")
 		}
 		return nil
 	}
-	whole := r.rest[:end+len(eventEnd)]
+	whole := r.partial[:end+len(eventEnd)]
 	if id, ok := lastID(whole); ok {
-		r.last = id
+		r.lastEventID = id
 	}
 	r.extendWriteDeadline(flusher)
 	if _, err := r.c.w.Write(whole); err != nil {
@@ -195,7 +195,7 @@
 	if err := flusher.Flush(); err != nil {
 		return err
 	}
-	r.rest = append(r.rest[:0], r.rest[end+len(eventEnd):]...)
+	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
 	r.passed++
 	r.passedAt = r.c.g.now()
 	return nil
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -28,19 +28,19 @@
 )
 
 // roomFor reports whether one more request may go to a backend now.
-func (p *pool) roomFor(w criteria, m *member, e place.Engine) bool {
-	if w.pool.Connections > 0 && m.requests >= ownConnections(w) {
+func (p *pool) roomFor(req requirements, s *serverState, e place.Engine) bool {
+	if req.pool.Connections > 0 && s.requests >= ownConnections(req) {
 		return false
 	}
-	if !w.pool.Engine {
+	if !req.pool.Engine {
 		return e.Slots <= 0 || float64(e.Requests) < plainRoom*float64(e.Slots)
 	}
 	if e.Slots > 0 && float64(e.Requests) >= p.slotsRoom()*float64(e.Slots) {
 		return false
 	}
-	room := [...]float64{covered: coveredRoom, entitled: entitledRoom, extra: extraRoom, beyond: beyondRoom}[w.standing]
+	room := [...]float64{covered: coveredRoom, entitled: entitledRoom, extra: extraRoom, beyond: beyondRoom}[req.class]
 	wait := float64(e.Tokens) * e.Slowness / p.readRate() // ms
-	return wait <= room*float64(w.route.Objective)/float64(time.Millisecond)
+	return wait <= room*float64(req.route.Objective)/float64(time.Millisecond)
 }
 
 // slotsRoom is how many requests an engine of the pool is given, in slots. How
@@ -81,27 +81,27 @@
 
 // ownConnections is this gateway's part of the connections that a backend
 // accepts.
-func ownConnections(w criteria) int {
+func ownConnections(req requirements) int {
 	const spare = 0.9
-	return max(int(spare*float64(w.pool.Connections)/float64(max(w.gateways, 1))), 2)
+	return max(int(spare*float64(req.pool.Connections)/float64(max(req.gateways, 1))), 2)
 }
 
 // slowness compares a backend's pace with the pool's. Small differences are
 // left alone.
-func slowness(m *member, typical float64) float64 {
+func slowness(s *serverState, typical float64) float64 {
 	const noticed = 1.6
-	if m.health.paceCount < minSamples || typical <= 0 || m.health.pace < noticed*typical {
+	if s.health.paceCount < minSamples || typical <= 0 || s.health.pace < noticed*typical {
 		return 1
 	}
-	return math.Min(m.health.pace/typical, 16)
+	return math.Min(s.health.pace/typical, 16)
 }
 
 // typicalPace is the median pace of the pool.
 func typicalPace(p *pool) float64 {
 	paces := make([]float64, 0, len(p.members))
-	for _, m := range p.members {
-		if m.health.paceCount >= minSamples {
-			paces = append(paces, m.health.pace)
+	for _, s := range p.members {
+		if s.health.paceCount >= minSamples {
+			paces = append(paces, s.health.pace)
 		}
 	}
 	if len(paces) < 2 {
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -71,8 +71,8 @@
 	return t, known
 }
 
-// draw returns one of a route's pools by weight.
-func draw(r document.Route) string {
+// pickPool returns one of a route's pools by weight.
+func pickPool(r document.Route) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -41,7 +41,7 @@
 func TestOthersLoadCounts(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.table.heardFleet(x.g.now(), []protocol.Running{{Handle: 50, Requests: 8}})
+		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 50, Requests: 8}})
 		is.Equal(x.ask("/once/x").status, 503)
 		time.Sleep(4 * othersHalfLife) // nobody says so any more
 		is.Equal(x.ask("/once/x").status, 200)
@@ -55,8 +55,8 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
-		x.g.table.heardFleet(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 500}})
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
+		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 500}})
 		served, refused := 0, 0
 		for range 50 {
 			switch x.ask("/engine/x", "Tokens", "1000").status {
@@ -78,7 +78,7 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
 		for range 20 {
 			got := x.ask("/engine/x", "Tokens", "1000")
 			is.Equal(got.status, 200)
@@ -111,12 +111,12 @@
 		is := is.New(x.t)
 		served := streams(piece{text: event(1)})
 		x.backendsOf("engines", served, served, served)
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
 		before := x.ask("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(before.status, 200)
 		is.Equal(before.took, time.Duration(0))
 		keeps := x.g.table.members[x.backends.arrivals[0].Header.Get("Backend")]
-		x.g.table.heardFleet(x.g.now(), []protocol.Running{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
+		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
 
 		refused := x.ask("/engine/x", "Tokens", "100", "Shared", "a")
 		is.Equal(refused.status, 503)
@@ -135,8 +135,8 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
-		x.g.table.heardFleet(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 14_000}})
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
+		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 14_000}})
 		is.Equal(x.ask("/engine/x", "Tokens", "100").status, 503)
 		got := x.ask("/engine/x", "Tokens", "100", "Key", "other")
 		is.Equal(got.status, 200)
@@ -150,7 +150,7 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.hear([]protocol.Entitlement{{Tenant: "t", Part: 0.2, Extra: 0.5}}, true)
+		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.2, Extra: 0.5}}, true)
 		served := 0
 		for range 40 {
 			if x.ask("/engine/x", "Tokens", "1000").status == 200 {
@@ -158,7 +158,7 @@
 			}
 		}
 		is.True(served >= 19 && served <= 21) // the extra share, and no more
-		_, begun, missed := x.g.tenants.report()
+		_, begun, missed := x.g.tenants.takeReport()
 		is.Equal(begun, uint64(served*1000))
 		is.Equal(missed, uint64(0)) // what is beyond every share is not missed
 	})
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -22,7 +22,7 @@
 
 // resuming streams events up to last, beginning after the one that the call
 // names, and breaks once after it has sent breakAfter.
-func resuming(last, breakAfter int, broken error) behaviour {
+func resuming(last, breakAfter int, brokenAnswer error) behaviour {
 	return func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
 		from, _ := strconv.Atoi(call.Header.Get("After"))
 		var pieces []piece
@@ -30,7 +30,7 @@
 			pieces = append(pieces, piece{text: event(id), after: pause})
 			if id == breakAfter {
 				half := event(id + 1)[:10] // in the middle of an event
-				pieces = append(pieces, piece{text: half}, piece{after: pause, err: broken})
+				pieces = append(pieces, piece{text: half}, piece{after: pause, err: brokenAnswer})
 				break
 			}
 		}
@@ -228,7 +228,7 @@
 	go func() {
 		defer close(stopped)
 		for {
-			x.g.pressure.level.Store(int64(level))
+			x.g.overload.published.Store(int64(level))
 			select {
 			case <-stop:
 				return
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -14,26 +14,26 @@
 // This file defines table, the backends that the gateway knows, what runs on
 // them, and the choice of one for a request.
 
-// member is one backend as this gateway sees it.
-type member struct {
+// serverState is one backend as this gateway sees it.
+type serverState struct {
 	protocol.Backend
 	health   health
 	requests int // own, running there
 	tokens   int // of own prompts whose first event has not come
 	others   protocol.Running
 	reported time.Duration // when others was heard
-	doubtful bool          // the directory did not list it when complete
+	unlisted bool          // the directory did not list it when complete
 }
 
 // othersHalfLife is the age at which others' load counts half.
 const othersHalfLife = time.Second
 
 // load returns what runs there from all gateways, as far as known.
-func (m *member) load(now time.Duration) (requests, tokens int) {
-	requests, tokens = m.requests, m.tokens
-	if now-m.reported < 4*othersHalfLife {
-		requests += int(m.others.Requests)
-		tokens += int(m.others.Tokens)
+func (s *serverState) load(now time.Duration) (requests, tokens int) {
+	requests, tokens = s.requests, s.tokens
+	if now-s.reported < 4*othersHalfLife {
+		requests += int(s.others.Requests)
+		tokens += int(s.others.Tokens)
 	}
 	return requests, tokens
 }
@@ -42,15 +42,15 @@
 	zone string
 
 	mu       sync.Mutex
-	members  map[string]*member
-	byHandle map[uint32]*member
+	members  map[string]*serverState
+	byHandle map[uint32]*serverState
 	pools    map[string]*pool
 	term     uint64
 }
 
 // pool is the backends of one name with what waits for them.
 type pool struct {
-	members  []*member // ordered by identifier
+	members  []*serverState // ordered by identifier
 	waiting  []*waiter
 	failing  float64 // averaged part of failures over all members
 	rate     float64 // tokens that an engine reads in a millisecond; 0 is not known
@@ -58,7 +58,7 @@
 }
 
 func newTable(zone string) *table {
-	return &table{zone: zone, members: map[string]*member{}, byHandle: map[uint32]*member{}, pools: map[string]*pool{}}
+	return &table{zone: zone, members: map[string]*serverState{}, byHandle: map[uint32]*serverState{}, pools: map[string]*pool{}}
 }
 
 // pool returns a pool, new if need be. The caller holds mu.
@@ -71,14 +71,14 @@
 	return p
 }
 
-// listed is what an update of the list changed.
-type listed struct{ joined, left []string }
+// tableChange is what an update of the list changed.
+type tableChange struct{ joined, left []string }
 
 // update takes a message of the directory.
-func (t *table) update(m protocol.Backends) listed {
+func (t *table) update(m protocol.Backends) tableChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var changed listed
+	var changed tableChange
 	if m.Term != t.term { // handles are the leader's own
 		t.term = m.Term
 		clear(t.byHandle)
@@ -97,7 +97,7 @@
 		}
 	}
 	if m.Whole && m.Complete {
-		t.doubtUnlisted(m.Set)
+		t.markUnlisted(m.Set)
 	}
 	return changed
 }
@@ -106,7 +106,7 @@
 func (t *table) set(b protocol.Backend) bool {
 	known := t.members[b.ID]
 	if known != nil && known.Pool == b.Pool {
-		known.Backend, known.doubtful = b, false
+		known.Backend, known.unlisted = b, false
 		t.byHandle[b.Handle] = known
 		return false
 	}
@@ -119,12 +119,12 @@
 			break
 		}
 	}
-	known = &member{Backend: b}
+	known = &serverState{Backend: b}
 	t.members[b.ID] = known
 	t.byHandle[b.Handle] = known
 	p := t.pool(b.Pool)
 	p.members = append(p.members, known)
-	slices.SortFunc(p.members, func(a, b *member) int {
+	slices.SortFunc(p.members, func(a, b *serverState) int {
 		if a.ID < b.ID {
 			return -1
 		}
@@ -141,39 +141,39 @@
 	delete(t.members, id)
 	delete(t.byHandle, known.Handle)
 	p := t.pool(known.Pool)
-	p.members = slices.DeleteFunc(p.members, func(m *member) bool { return m.ID == id })
+	p.members = slices.DeleteFunc(p.members, func(s *serverState) bool { return s.ID == id })
 	return true
 }
 
-// doubtUnlisted marks backends that a complete list lacks: they are used only
+// markUnlisted marks backends that a complete list lacks: they are used only
 // as long as they answer.
-func (t *table) doubtUnlisted(list []protocol.Backend) {
+func (t *table) markUnlisted(list []protocol.Backend) {
 	in := map[string]bool{}
 	for _, b := range list {
 		in[b.ID] = true
 	}
-	for id, m := range t.members {
-		m.doubtful = !in[id]
+	for id, s := range t.members {
+		s.unlisted = !in[id]
 	}
 }
 
-// misplaced drops a backend whose address belongs to another one now.
-func (t *table) misplaced(id string) {
+// removeMisdirected drops a backend whose address belongs to another one now.
+func (t *table) removeMisdirected(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remove(id)
 }
 
-// heardFleet takes what runs on all other gateways.
-func (t *table) heardFleet(now time.Duration, running []protocol.Running) {
+// updateLoads takes what runs on all other gateways.
+func (t *table) updateLoads(now time.Duration, running []protocol.Running) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range t.members {
-		m.others, m.reported = protocol.Running{}, now
+	for _, s := range t.members {
+		s.others, s.reported = protocol.Running{}, now
 	}
 	for _, r := range running {
-		if m := t.byHandle[r.Handle]; m != nil {
-			m.others = r
+		if s := t.byHandle[r.Handle]; s != nil {
+			s.others = r
 		}
 	}
 }
@@ -184,9 +184,9 @@
 	defer t.mu.Unlock()
 	var out []protocol.Running
 	for _, p := range t.pools {
-		for _, m := range p.members {
-			if m.Handle != 0 && m.requests > 0 {
-				out = append(out, protocol.Running{Handle: m.Handle, Requests: uint32(m.requests), Tokens: uint32(max(m.tokens, 0))})
+		for _, s := range p.members {
+			if s.Handle != 0 && s.requests > 0 {
+				out = append(out, protocol.Running{Handle: s.Handle, Requests: uint32(s.requests), Tokens: uint32(max(s.tokens, 0))})
 			}
 		}
 	}
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -23,31 +23,31 @@
 // staleAfter is the age at which the fleet's word is not used any more.
 const staleAfter = 10 * time.Second
 
-// standing says how a request stands against its tenant's fair share.
-type standing uint8
+// class says how a request stands against its tenant's fair share.
+type class uint8
 
 const (
-	covered  standing = iota // its tenant asks for no more than its share, so nothing of it need wait
-	entitled                 // within the share of the rate that the operator names
-	extra                    // within the share of what the engines make beyond it
-	beyond                   // neither: served where nothing else waits
+	covered  class = iota // its tenant asks for no more than its share, so nothing of it need wait
+	entitled              // within the share of the rate that the operator names
+	extra                 // within the share of what the engines make beyond it
+	beyond                // neither: served where nothing else waits
 )
 
 // String returns the standing's name.
-func (s standing) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[s] }
+func (c class) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[c] }
 
 type tenants struct {
 	now func() time.Duration
 
-	mu      sync.Mutex // a leaf
-	parts   map[string]protocol.Entitlement
-	heard   time.Duration
-	markers map[string]*markers
-	asked   map[string]uint64
-	service map[string]*service
-	begun   uint64
-	missed  uint64
-	short   bool // the fleet's word: nobody may go beyond the shares
+	mu       sync.Mutex // a leaf
+	parts    map[string]protocol.Entitlement
+	updated  time.Duration
+	markers  map[string]*markers
+	demanded map[string]uint64
+	service  map[string]*service
+	started  uint64
+	missed   uint64
+	short    bool // the fleet's word: nobody may go beyond the shares
 }
 
 // markers of one tenant, for both levels.
@@ -62,16 +62,16 @@
 func newTenants(now func() time.Duration) *tenants {
 	return &tenants{
 		now: now, parts: map[string]protocol.Entitlement{}, markers: map[string]*markers{},
-		asked: map[string]uint64{}, service: map[string]*service{},
+		demanded: map[string]uint64{}, service: map[string]*service{},
 	}
 }
 
-// asks counts a request of that cost and returns how it stands.
-func (t *tenants) asks(tenant string, cost float64) standing {
+// classify counts a request of that cost and returns how it stands.
+func (t *tenants) classify(tenant string, cost float64) class {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked[tenant] += uint64(cost)
-	if t.heard == 0 || t.now()-t.heard > staleAfter {
+	t.demanded[tenant] += uint64(cost)
+	if t.updated == 0 || t.now()-t.updated > staleAfter {
 		return entitled // nobody knows
 	}
 	e, limited := t.parts[tenant]
@@ -93,8 +93,8 @@
 	return beyond
 }
 
-// starts counts the service that a request begins to get.
-func (t *tenants) starts(tenant string, cost float64) {
+// countStarted counts the service that a request begins to get.
+func (t *tenants) countStarted(tenant string, cost float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.service[tenant]
@@ -104,17 +104,17 @@
 	}
 	s.tokens = s.decayed(t.now()) + cost
 	s.at = t.now()
-	t.begun += uint64(cost)
+	t.started += uint64(cost)
 }
 
 func (s *service) decayed(now time.Duration) float64 {
 	return s.tokens * math.Exp(-float64(now-s.at)/float64(servedMemory))
 }
 
-// misses counts a request that found no room, on engines or on this gateway's
+// countMissed counts a request that found no room, on engines or on this gateway's
 // processor.
-func (t *tenants) misses(s standing, cost float64) {
-	if s == beyond {
+func (t *tenants) countMissed(c class, cost float64) {
+	if c == beyond {
 		return
 	}
 	t.mu.Lock()
@@ -122,18 +122,18 @@
 	t.missed += uint64(cost)
 }
 
-// lets reports whether a request of that standing may be served now.
-func (t *tenants) lets(s standing) bool {
-	if s != beyond {
+// admits reports whether a request of that standing may be served now.
+func (t *tenants) admits(c class) bool {
+	if c != beyond {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.short || t.now()-t.heard > staleAfter
+	return !t.short || t.now()-t.updated > staleAfter
 }
 
-// served returns the tokens that a tenant was served lately.
-func (t *tenants) served(tenant string) float64 {
+// recentService returns the tokens that a tenant was served lately.
+func (t *tenants) recentService(tenant string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.service[tenant]; s != nil {
@@ -142,11 +142,11 @@
 	return 0
 }
 
-// hear takes the fleet's word.
-func (t *tenants) hear(list []protocol.Entitlement, short bool) {
+// update takes the fleet's word.
+func (t *tenants) update(list []protocol.Entitlement, short bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard = t.now()
+	t.updated = t.now()
 	t.short = short
 	clear(t.parts)
 	for _, e := range list {
@@ -154,30 +154,30 @@
 	}
 }
 
-// report returns and clears what was asked for, begun and
+// takeReport returns and clears what was asked for, begun and
 // missed since the last call.
-func (t *tenants) report() (demands []protocol.Demand, begun, missed uint64) {
+func (t *tenants) takeReport() (demands []protocol.Demand, begun, missed uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	demands = make([]protocol.Demand, 0, len(t.asked))
-	for tenant, tokens := range t.asked {
+	demands = make([]protocol.Demand, 0, len(t.demanded))
+	for tenant, tokens := range t.demanded {
 		demands = append(demands, protocol.Demand{Tenant: tenant, Tokens: tokens})
 	}
-	clear(t.asked)
+	clear(t.demanded)
 	slices.SortFunc(demands, func(a, b protocol.Demand) int { return cmp.Compare(a.Tenant, b.Tenant) })
-	begun, missed = t.begun, t.missed
-	t.begun, t.missed = 0, 0
+	begun, missed = t.started, t.missed
+	t.started, t.missed = 0, 0
 	return demands, begun, missed
 }
 
-// told returns what the fleet last said of a tenant, and how long ago, for the
+// entitlement returns what the fleet last said of a tenant, and how long ago, for the
 // log.
-func (t *tenants) told(tenant string) (e protocol.Entitlement, age time.Duration) {
+func (t *tenants) entitlement(tenant string) (e protocol.Entitlement, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e, limited := t.parts[tenant]
 	if !limited {
 		e = protocol.Entitlement{Tenant: tenant, Part: 1, Extra: 1}
 	}
-	return e, t.now() - t.heard
+	return e, t.now() - t.updated
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -37,7 +37,7 @@
 	linked  bool
 }
 
-func newWatcher(g *Gateway) *watcher { return &watcher{g: g, boot: g.set.Random() | 1} }
+func newWatcher(g *Gateway) *watcher { return &watcher{g: g, boot: g.cfg.Random() | 1} }
 
 // run keeps a session with whoever leads, until the gateway stops.
 func (w *watcher) run() {
@@ -85,7 +85,7 @@
 // session runs one session and reports whether the replica led.
 func (w *watcher) session(address string) bool {
 	dialing, cancelDial := context.WithTimeout(w.g.ctx, dialTimeout)
-	l, err := link.Dial(dialing, address, w.g.set.Identity, w.g.meter)
+	l, err := link.Dial(dialing, address, w.g.cfg.Identity, w.g.meter)
 	cancelDial()
 	if err != nil {
 		return false
@@ -93,7 +93,7 @@
 	defer l.Close()
 	ctx, cancel := context.WithCancel(w.g.ctx)
 	defer cancel()
-	hello := protocol.Watch{Gateway: w.g.set.Identity.Name, Boot: w.boot, Number: w.g.Number(), Term: w.term}
+	hello := protocol.Watch{Gateway: w.g.cfg.Identity.Name, Boot: w.boot, Number: w.g.DocumentNumber(), Term: w.term}
 	if _, err := l.Send(ctx, hello); err != nil {
 		return false
 	}
@@ -135,7 +135,7 @@
 
 func (w *watcher) found(address string) {
 	w.linked = true
-	w.g.set.Log.Belief("directory found", slog.String("leader", address))
+	w.g.cfg.Log.Belief("directory found", slog.String("leader", address))
 }
 
 func (w *watcher) lost(address string, err error) {
@@ -143,8 +143,8 @@
 		return
 	}
 	w.linked = false
-	w.g.set.Log.Belief("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
-		slog.Uint64("document", w.g.Number()), slog.Int("backends", w.g.table.size()))
+	w.g.cfg.Log.Belief("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
+		slog.Uint64("document", w.g.DocumentNumber()), slog.Int("backends", w.g.table.size()))
 }
 
 func (w *watcher) take(m protocol.Message) {
@@ -152,22 +152,22 @@
 	case protocol.Document:
 		var d document.Document
 		if err := cbor.Unmarshal(m.Data, &d); err != nil {
-			w.g.set.Log.Belief("document unreadable", slog.Uint64("number", m.Number), slog.String("error", err.Error()))
+			w.g.cfg.Log.Belief("document unreadable", slog.Uint64("number", m.Number), slog.String("error", err.Error()))
 			return
 		}
 		w.g.apply(d)
 	case protocol.Backends:
 		w.term = max(w.term, m.Term)
 		if changed := w.g.table.update(m); len(changed.joined)+len(changed.left) > 0 {
-			w.g.set.Log.Belief("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
+			w.g.cfg.Log.Belief("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
 				slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 		}
 		w.g.grantAll()
 	case protocol.Fleet:
-		w.g.peers.Store(int64(max(m.Gateways, 1)))
+		w.g.gateways.Store(int64(max(m.Gateways, 1)))
 		w.members = m.Members
-		w.g.tenants.hear(m.Entitlements, m.Short)
-		w.g.table.heardFleet(w.g.now(), m.Running)
+		w.g.tenants.update(m.Entitlements, m.Short)
+		w.g.table.updateLoads(w.g.now(), m.Running)
 		w.g.grantAll()
 	}
 }
@@ -182,8 +182,8 @@
 			return
 		case <-t.C:
 		}
-		u := protocol.Usage{Running: w.g.table.running(), Number: w.g.Number()}
-		u.Demands, u.Begun, u.Missed = w.g.tenants.report()
+		u := protocol.Usage{Running: w.g.table.running(), Number: w.g.DocumentNumber()}
+		u.Demands, u.Begun, u.Missed = w.g.tenants.takeReport()
 		if _, err := l.Send(ctx, u); err != nil {
 			return
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -5,7 +5,7 @@
 // stop.
 //
 // What a deployment calls things is given from outside: a gateway gets a
-// [gateway.Dialect], a directory replica a handler that speaks to operators
+// [gateway.HeaderCodec], a directory replica a handler that speaks to operators
 // and backends ([Door]). So one process serves any deployment, and this
 // package knows none.
 package node
@@ -160,7 +160,7 @@
 // Gateway runs a gateway until ctx ends, and then stops it without cutting
 // off a request as far as the grace allows. Of reloaded settings it takes the
 // seeds.
-func Gateway(ctx context.Context, set Settings, reloads <-chan Settings, dialect gateway.Dialect,
+func Gateway(ctx context.Context, set Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
 	refused func(int, http.Header) bool, log *decision.Log, figures *metrics.Set) error {
 	n, err := start(set, log, figures)
 	if err != nil {
@@ -176,7 +176,7 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
-		Identity: n.identity(), Zone: set.Zone, Seeds: set.Seeds, Dialect: dialect, Backend: client,
+		Identity: n.identity(), Zone: set.Zone, Seeds: set.Seeds, Headers: headers, Backend: client,
 		Retries: set.Retries, Grace: set.Grace, Bodies: int64(bodiesPart * float64(set.Memory)),
 		Random: rand.Uint64, Log: log, Metrics: figures,
 	})
@@ -192,7 +192,7 @@
 			g.Stop(running)
 			return nil
 		case next := <-reloads:
-			g.Reseed(next.Seeds)
+			g.SetSeeds(next.Seeds)
 		}
 	}
 }
