--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -18,8 +18,8 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"github.com/badgerspoke/badgerspoke/decision"
-	"github.com/badgerspoke/badgerspoke/node"
 	"github.com/badgerspoke/badgerspoke/platform"
+	"github.com/badgerspoke/badgerspoke/process"
 )
 
 // Exit codes.
@@ -34,7 +34,7 @@
 func run() int {
 	check := flag.Bool("check", false, "check the settings and exit")
 	flag.Parse()
-	set, role, err := platform.LoadSettings(os.Getenv)
+	cfg, role, err := platform.LoadSettings(os.Getenv)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
@@ -43,30 +43,30 @@
 		fmt.Println("settings are valid")
 		return exitOK
 	}
-	figures := metrics.NewSet()
-	log := decision.New(os.Stdout, set.LogLevel, decision.DefaultBudget, figures)
+	metricSet := metrics.NewSet()
+	log := decision.New(os.Stdout, cfg.LogLevel, decision.DefaultBudget, metricSet)
 	defer log.Close()
-	log.Belief("started", slog.String("node", set.Name), slog.String("role", string(role)), slog.Any("seeds", set.Seeds),
-		slog.Bool("first", set.First), slog.Int64("memory", set.Memory))
-	if err := serve(set, role, log, figures); err != nil {
-		log.Belief("stopped", slog.String("error", err.Error()))
+	log.StateChange("started", slog.String("node", cfg.Name), slog.String("role", string(role)), slog.Any("seeds", cfg.Seeds),
+		slog.Bool("first", cfg.Bootstrap), slog.Int64("memory", cfg.Memory))
+	if err := serve(cfg, role, log, metricSet); err != nil {
+		log.StateChange("stopped", slog.String("error", err.Error()))
 		return exitFailed
 	}
-	log.Belief("stopped")
+	log.StateChange("stopped")
 	return exitOK
 }
 
 // serve runs the node until SIGTERM or SIGINT.
-func serve(set node.Settings, role platform.Role, log *decision.Log, figures *metrics.Set) error {
+func serve(cfg process.Settings, role platform.Role, log *decision.Log, metricSet *metrics.Set) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	reloads := make(chan node.Settings, 1)
+	reloads := make(chan process.Settings, 1)
 	go reload(ctx, reloads, log)
-	context.AfterFunc(ctx, func() { log.Belief("stopping") })
+	context.AfterFunc(ctx, func() { log.StateChange("stopping") })
 	if role == platform.ControlRole {
-		return node.Directory(ctx, set, reloads, platform.NewDoor(set.Door), log, figures)
+		return process.Directory(ctx, cfg, reloads, platform.NewAPI(cfg.API), log, metricSet)
 	}
-	return node.Gateway(ctx, set, reloads, platform.HeaderCodec{}, platform.Refused, log, figures)
+	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{}, platform.Refused, log, metricSet)
 }
 
 // reloadPeriod is how often the settings are looked at without a signal.
@@ -74,7 +74,7 @@
 
 // reload reads the settings again on SIGHUP and from time to time, and passes
 // on what has changed. What is invalid changes nothing.
-func reload(ctx context.Context, reloads chan<- node.Settings, log *decision.Log) {
+func reload(ctx context.Context, reloads chan<- process.Settings, log *decision.Log) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	tick := time.NewTicker(reloadPeriod)
@@ -87,20 +87,20 @@
 		case <-hangups:
 		case <-tick.C:
 		}
-		set, _, err := platform.LoadSettings(os.Getenv)
+		cfg, _, err := platform.LoadSettings(os.Getenv)
 		if err != nil {
 			log.Failure("reload refused", slog.String("error", err.Error()))
 			continue
 		}
-		if slices.Equal(set.Seeds, last) {
+		if slices.Equal(cfg.Seeds, last) {
 			continue
 		}
 		if last != nil {
-			log.Belief("reloaded", slog.Any("seeds", set.Seeds), slog.Any("before", last))
+			log.StateChange("reloaded", slog.Any("seeds", cfg.Seeds), slog.Any("before", last))
 		}
-		last = set.Seeds
+		last = cfg.Seeds
 		select {
-		case reloads <- set:
+		case reloads <- cfg:
 		case <-ctx.Done():
 			return
 		}
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -69,7 +69,7 @@
 	Requests int     // running or waiting there, from all routers
 	Tokens   int     // still to be read there, from all routers
 	Slowness float64 // how many times slower than others; 1 is as fast
-	Near     bool    // in the router's zone
+	SameHall bool    // in the router's zone
 }
 
 // Prices of the parts of a choice, in tokens.
@@ -120,7 +120,7 @@
 	if over := e.Requests + 1 - e.Slots; e.Slots > 0 && over > 0 {
 		price += fullPrice * float64(over)
 	}
-	if !e.Near {
+	if !e.SameHall {
 		price += farPrice
 	}
 	return (price + requestPrice) * max(e.Slowness, 1)
--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -13,7 +13,7 @@
 func idleEngines(n int) []Engine {
 	engines := make([]Engine, n)
 	for i := range engines {
-		engines[i] = Engine{ID: fmt.Sprintf("e%d", i), Slots: 48, Slowness: 1, Near: true}
+		engines[i] = Engine{ID: fmt.Sprintf("e%d", i), Slots: 48, Slowness: 1, SameHall: true}
 	}
 	return engines
 }
@@ -39,7 +39,7 @@
 		is.Equal(first.Read, 1000)
 		far := append([]Engine(nil), engines...)
 		for i := range far {
-			far[i].Near = i%3 == 0 // another router's zone
+			far[i].SameHall = i%3 == 0 // another router's zone
 		}
 		second, _ := ChooseEngine(p, far)
 		is.Equal(first.Index, second.Index)
@@ -122,7 +122,7 @@
 		is.True(!slices.Contains(taken, c.Index))
 		other := slices.Clone(engines)
 		for i := range other {
-			other[i].Near = i%3 == 0
+			other[i].SameHall = i%3 == 0
 			other[i].Tokens += 100 * (len(other) - i) // and other loads, the least at the end
 		}
 		same, _ := ChooseEngine(p, other)
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -32,22 +32,22 @@
 	Seq     uint64 // rises with each announcement of one ID
 }
 
-// Senseless refuses an announcement that cannot be meant.
-type Senseless struct{ What string }
+// Invalid refuses an announcement that cannot be meant.
+type Invalid struct{ What string }
 
 // Error says what is wrong.
-func (e Senseless) Error() string { return "senseless announcement: " + e.What }
+func (e Invalid) Error() string { return "senseless announcement: " + e.What }
 
 // Check returns [Senseless], or nil.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
-		return Senseless{What: "no identifier or no pool"}
+		return Invalid{What: "no identifier or no pool"}
 	}
 	if _, err := netip.ParseAddrPort(a.Address); err != nil {
-		return Senseless{What: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
+		return Invalid{What: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
 	}
 	if a.Slots < 0 {
-		return Senseless{What: fmt.Sprintf("%d slots", a.Slots)}
+		return Invalid{What: fmt.Sprintf("%d slots", a.Slots)}
 	}
 	return nil
 }
@@ -55,8 +55,8 @@
 // Backend is a backend that may be used.
 type Backend struct {
 	Announcement
-	Handle uint32        // short name within this registry
-	Heard  time.Duration // when it last announced itself
+	Handle   uint32        // short name within this registry
+	LastSeen time.Duration // when it last announced itself
 }
 
 // Change is what an announcement changed.
@@ -70,11 +70,11 @@
 
 // Registry is the table of announced backends.
 type Registry struct {
-	began     time.Duration
-	interval  time.Duration // between announcements
-	backends  map[string]*Backend
-	byAddress map[string]string // identifier by address
-	next      uint32
+	leaderSince time.Duration
+	interval    time.Duration // between announcements
+	backends    map[string]*Backend
+	byAddress   map[string]string // identifier by address
+	next        uint32
 }
 
 // completeAfter is the number of announcement intervals after which every
@@ -88,14 +88,14 @@
 // New returns an empty registry of a leader that begins to lead now.
 func New(now, interval time.Duration) *Registry {
 	return &Registry{
-		began: now, interval: interval,
+		leaderSince: now, interval: interval,
 		backends: map[string]*Backend{}, byAddress: map[string]string{}, next: 1,
 	}
 }
 
-// Remember adds a backend of which another leader heard, before anybody has
+// Restore adds a backend of which another leader heard, before anybody has
 // spoken here. Any announcement goes before it.
-func (r *Registry) Remember(now time.Duration, a Announcement) {
+func (r *Registry) Restore(now time.Duration, a Announcement) {
 	a.Seq = 0
 	if r.backends[a.ID] == nil && r.byAddress[a.Address] == "" {
 		r.add(now, a)
@@ -113,7 +113,7 @@
 		return Change{}
 	}
 	same := b.Pool == a.Pool && b.Address == a.Address && b.Zone == a.Zone && b.Slots == a.Slots
-	b.Announcement, b.Heard = a, now
+	b.Announcement, b.LastSeen = a, now
 	if same {
 		return Change{}
 	}
@@ -126,7 +126,7 @@
 		delete(r.backends, old)
 		gone = append(gone, old)
 	}
-	b := &Backend{Announcement: a, Handle: r.next, Heard: now}
+	b := &Backend{Announcement: a, Handle: r.next, LastSeen: now}
 	r.next++
 	r.backends[a.ID] = b
 	r.byAddress[a.Address] = a.ID
@@ -145,11 +145,11 @@
 	return Change{Gone: []string{id}}
 }
 
-// Forget takes out backends that have been silent for very long.
-func (r *Registry) Forget(now time.Duration) Change {
+// ExpireSilent takes out backends that have been silent for very long.
+func (r *Registry) ExpireSilent(now time.Duration) Change {
 	var change Change
 	for _, b := range r.List() {
-		if now-b.Heard > forgetAfter*r.interval {
+		if now-b.LastSeen > forgetAfter*r.interval {
 			change.Gone = append(change.Gone, r.Remove(b.ID).Gone...)
 		}
 	}
@@ -159,7 +159,7 @@
 // Complete reports whether every living backend has had the time to announce
 // itself here.
 func (r *Registry) Complete(now time.Duration) bool {
-	return now-r.began >= completeAfter*r.interval
+	return now-r.leaderSince >= completeAfter*r.interval
 }
 
 // List returns all backends, ordered by identifier.
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -33,7 +33,7 @@
 		"negative slots": {ID: "a", Pool: "p", Address: "10.0.0.1:80", Slots: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).True(errors.As(a.Check(), new(Senseless)))
+			is.New(t).True(errors.As(a.Check(), new(Invalid)))
 		})
 	}
 	is.New(t).NoErr(announcement("a", "10.0.0.1:80", 1).Check())
@@ -87,9 +87,9 @@
 	r := New(0, interval)
 	r.Announce(0, announcement("a", "10.0.0.1:80", 1))
 	r.Announce(0, announcement("b", "10.0.0.2:80", 1))
-	is.True(r.Forget(10 * interval).Empty()) // callers may still reach it
+	is.True(r.ExpireSilent(10 * interval).Empty()) // callers may still reach it
 	r.Announce(10*interval, announcement("b", "10.0.0.2:80", 2))
-	is.Equal(r.Forget((forgetAfter+1)*interval).Gone, []string{"a"})
+	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"a"})
 }
 
 func TestCompleteOnceEverybodyCouldSpeak(t *testing.T) {
@@ -103,9 +103,9 @@
 	is := is.New(t)
 	r := New(0, interval)
 	r.Announce(0, announcement("new", "10.0.0.1:80", 1))
-	r.Remember(0, announcement("old", "10.0.0.1:80", 9)) // its address is taken
-	r.Remember(0, announcement("a", "10.0.0.2:80", 9))
+	r.Restore(0, announcement("old", "10.0.0.1:80", 9)) // its address is taken
+	r.Restore(0, announcement("a", "10.0.0.2:80", 9))
 	is.Equal(ids(r.List()), []string{"a", "new"})
 	is.True(r.Announce(interval, announcement("a", "10.0.0.2:80", 1)).Empty()) // speaks, whatever its number was
-	is.Equal(r.Forget((forgetAfter+1)*interval).Gone, []string{"new"})
+	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"new"})
 }
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -68,9 +68,9 @@
 	return l
 }
 
-// Belief logs a change of what the process believes, its start, its stop, or a
+// StateChange logs a change of what the process believes, its start, its stop, or a
 // dependency lost or regained.
-func (l *Log) Belief(event string, attrs ...slog.Attr) {
+func (l *Log) StateChange(event string, attrs ...slog.Attr) {
 	l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs...)
 }
 
@@ -83,7 +83,7 @@
 // FailureOf is Failure with attributes that are made only if the line is
 // written: under a flood of refusals most lines are not.
 func (l *Log) FailureOf(event string, attrs func() []slog.Attr) {
-	if l.takes(&l.failure, l.budget.Failure) {
+	if l.allow(&l.failure, l.budget.Failure) {
 		l.slog.LogAttrs(context.Background(), slog.LevelWarn, event, attrs()...)
 	}
 }
@@ -96,7 +96,7 @@
 // RoutineOf is Routine with attributes that are made only if the line is
 // written.
 func (l *Log) RoutineOf(event string, attrs func() []slog.Attr) {
-	if l.takes(&l.routine, l.budget.Routine) {
+	if l.allow(&l.routine, l.budget.Routine) {
 		l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs()...)
 	}
 }
@@ -112,25 +112,25 @@
 }
 
 func (l *Log) within(count *atomic.Int64, budget int, level slog.Level, event string, attrs []slog.Attr) {
-	if l.takes(count, budget) {
+	if l.allow(count, budget) {
 		l.slog.LogAttrs(context.Background(), level, event, attrs...)
 	}
 }
 
-// takes reports whether the second's budget has room for one more line, and
+// allow reports whether the second's budget has room for one more line, and
 // counts it.
-func (l *Log) takes(count *atomic.Int64, budget int) bool {
-	l.turn()
+func (l *Log) allow(count *atomic.Int64, budget int) bool {
+	l.startSecond()
 	if count.Add(1) > int64(budget) {
-		l.miss()
+		l.countDropped()
 		return false
 	}
 	return true
 }
 
-// turn begins a new second's budget. A few lines may be counted to the wrong
+// startSecond begins a new second's budget. A few lines may be counted to the wrong
 // second.
-func (l *Log) turn() {
+func (l *Log) startSecond() {
 	now := time.Now().Unix()
 	before := l.second.Load()
 	if before == now || !l.second.CompareAndSwap(before, now) {
@@ -143,7 +143,7 @@
 	}
 }
 
-func (l *Log) miss() {
+func (l *Log) countDropped() {
 	l.missed.Add(1)
 	l.dropped.Inc()
 }
@@ -155,14 +155,14 @@
 func (q *queueWriter) Write(line []byte) (int, error) {
 	l := (*Log)(q)
 	if len(line) > maxLine {
-		l.miss()
+		l.countDropped()
 		return len(line), nil
 	}
 	select {
 	case l.queue <- bytes.Clone(line):
 		l.lines.Inc()
 	default:
-		l.miss()
+		l.countDropped()
 	}
 	return len(line), nil
 }
@@ -173,18 +173,18 @@
 	for {
 		select {
 		case line := <-l.queue:
-			_, _ = w.Write(l.more(line))
+			_, _ = w.Write(l.gather(line))
 		case <-l.end:
 			for len(l.queue) > 0 {
-				_, _ = w.Write(l.more(<-l.queue))
+				_, _ = w.Write(l.gather(<-l.queue))
 			}
 			return
 		}
 	}
 }
 
-// more appends the lines that wait already.
-func (l *Log) more(lines []byte) []byte {
+// gather appends the lines that wait already.
+func (l *Log) gather(lines []byte) []byte {
 	for len(lines) < 4*maxLine {
 		select {
 		case next := <-l.queue:
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	var s sink
 	l := New(&s, slog.LevelInfo, DefaultBudget, metrics.NewSet())
-	l.Belief("started", slog.String("node", "n"))
+	l.StateChange("started", slog.String("node", "n"))
 	l.Routine("answered", slog.String("request", "r1"), slog.Int("sends", 2))
 	l.Close()
 	is.Equal(len(s.lines()), 2)
@@ -70,7 +70,7 @@
 				l.Routine("answered")
 				l.Failure("refused")
 			}
-			l.Belief("leading")
+			l.StateChange("leading")
 			time.Sleep(time.Second)
 		}
 		l.Failure("refused") // begins a new second
@@ -98,7 +98,7 @@
 		l := New(w, slog.LevelInfo, DefaultBudget, set)
 		before := time.Now()
 		for range 3 * queueDepth {
-			l.Belief("leading")
+			l.StateChange("leading")
 		}
 		is.Equal(time.Since(before), time.Duration(0)) // nothing waited
 		is.True(set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total").Get() > queueDepth)
@@ -112,8 +112,8 @@
 	var s sink
 	set := metrics.NewSet()
 	l := New(&s, slog.LevelInfo, DefaultBudget, set)
-	l.Belief("long", slog.String("what", strings.Repeat("x", maxLine)))
-	l.Belief("short")
+	l.StateChange("long", slog.String("what", strings.Repeat("x", maxLine)))
+	l.StateChange("short")
 	l.Close()
 	is.Equal(len(s.lines()), 1)
 	is.Equal(set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total").Get(), uint64(1))
--- a/decision/explain.go
+++ b/decision/explain.go
@@ -20,7 +20,7 @@
 // Line is one line of a decision log.
 type Line struct {
 	Time   time.Time
-	Node   string // from what stands before the line, if anything does
+	Box    string // from what stands before the line, if anything does
 	Event  string
 	Fields map[string]any
 }
@@ -79,7 +79,7 @@
 	}
 	l := Line{Time: parsed, Event: event, Fields: fields}
 	if before := strings.Fields(string(text[:at])); len(before) > 0 {
-		l.Node = before[len(before)-1]
+		l.Box = before[len(before)-1]
 	}
 	return l, true
 }
@@ -88,14 +88,14 @@
 // to believe around it, and what its end means. It reports whether the request
 // was found.
 func Explain(w io.Writer, lines []Line, request string) bool {
-	own, nodes, backends := life(lines, request)
+	own, boxes, backends := life(lines, request)
 	if len(own) == 0 {
 		return false
 	}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for _, l := range lines {
 		near := !l.Time.Before(first.Add(-around)) && !l.Time.After(last)
-		if near && nodes[l.Node] && l.Fields["request"] == nil && l.concerns(backends) {
+		if near && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(backends) {
 			own = append(own, l)
 		}
 	}
@@ -114,20 +114,20 @@
 
 // life returns a request's own lines in order, and which nodes and backends
 // they name.
-func life(lines []Line, request string) (own []Line, nodes, backends map[string]bool) {
-	nodes, backends = map[string]bool{}, map[string]bool{}
+func life(lines []Line, request string) (own []Line, boxes, backends map[string]bool) {
+	boxes, backends = map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["request"] != request {
 			continue
 		}
 		own = append(own, l)
-		nodes[l.Node] = true
+		boxes[l.Box] = true
 		if b, ok := l.Fields["backend"].(string); ok {
 			backends[b] = true
 		}
 	}
 	sortByTime(own)
-	return own, nodes, backends
+	return own, boxes, backends
 }
 
 // concerns reports whether a change of belief may explain a request: one about
@@ -158,7 +158,7 @@
 // the order of their names.
 func (l Line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s", l.Time.Format("15:04:05.000"), l.Node, l.Event)
+	fmt.Fprintf(&b, "%s %s %s", l.Time.Format("15:04:05.000"), l.Box, l.Event)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
 	}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -28,7 +28,7 @@
 				sessions[i] = &session{}
 				m := protocol.Usage{}
 				for j := range each {
-					m.Running = append(m.Running, protocol.Running{Handle: uint32((i*each+j)%size.backends + 1), Requests: 3, Tokens: 2000})
+					m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*each+j)%size.backends + 1), Requests: 3, Tokens: 2000})
 				}
 				u.report(sessions[i], m)
 			}
@@ -38,7 +38,7 @@
 			bytes := 0
 			u.sum()
 			for b.Loop() {
-				m, err := protocol.Encode(protocol.Fleet{Gateways: size.gateways, Running: u.others(sessions[0]), Entitlements: u.entitlements})
+				m, err := protocol.Encode(protocol.Fleet{Gateways: size.gateways, Loads: u.others(sessions[0]), Entitlements: u.entitlements})
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -56,7 +56,7 @@
 	for i := range 1600 {
 		m := protocol.Usage{}
 		for j := range 100 {
-			m.Running = append(m.Running, protocol.Running{Handle: uint32((i*100+j)%10000 + 1), Requests: 3, Tokens: 2000})
+			m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*100+j)%10000 + 1), Requests: 3, Tokens: 2000})
 		}
 		u.report(&session{gateway: fmt.Sprint(i)}, m)
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -32,11 +32,11 @@
 type Settings struct {
 	// Identity's name is this replica's fleet address, IP:PORT: replicas of
 	// an open group go by their addresses.
-	Identity link.Identity
-	Seeds    []string // fleet addresses
-	First    bool     // the first start of the whole group
-	Voters   int      // wanted in the group
-	Dir      wal.Dir
+	Identity  link.Identity
+	Seeds     []string // fleet addresses
+	Bootstrap bool     // the first start of the whole group
+	Voters    int      // wanted in the group
+	Dir       wal.Dir
 	// Interval is the time between a backend's announcements.
 	Interval  time.Duration
 	Election  time.Duration
@@ -47,22 +47,22 @@
 	Metrics   *metrics.Set
 }
 
-func (s Settings) withDefaults() Settings {
-	if s.Election == 0 {
-		s.Election = replica.DefaultElection
+func (cfg Settings) withDefaults() Settings {
+	if cfg.Election == 0 {
+		cfg.Election = replica.DefaultElection
 	}
-	if s.Heartbeat == 0 {
-		s.Heartbeat = replica.DefaultHeartbeat
+	if cfg.Heartbeat == 0 {
+		cfg.Heartbeat = replica.DefaultHeartbeat
 	}
-	if s.CompactAt == 0 {
-		s.CompactAt = replica.DefaultCompactAt
+	if cfg.CompactAt == 0 {
+		cfg.CompactAt = replica.DefaultCompactAt
 	}
-	return s
+	return cfg
 }
 
 // Directory is a running directory replica.
 type Directory struct {
-	set     Settings
+	cfg     Settings
 	ctx     context.Context
 	stop    context.CancelFunc
 	state   *Replicated
@@ -75,20 +75,20 @@
 
 // Start opens the data folder and joins or founds the group. It runs until
 // Stop, or until its disk fails (see Done).
-func Start(ctx context.Context, set Settings) (*Directory, error) {
-	set = set.withDefaults()
+func Start(ctx context.Context, cfg Settings) (*Directory, error) {
+	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(ctx)
-	d := &Directory{set: set, ctx: ctx, stop: stop, meter: link.NewMeter(set.Metrics)}
+	d := &Directory{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics)}
 	d.hub = newHub(d)
 	d.state = &Replicated{notify: d.hub.stateChanged}
-	d.mesh = mesh.New(ctx, set.Identity, func(name string) string { return name }, d.meter)
+	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, d.meter)
 	var err error
 	d.replica, err = replica.Start(ctx, replica.Settings{
-		Group: group, Name: set.Identity.Name, Names: set.Seeds,
-		Open: &replica.OpenGroup{First: set.First, Voters: set.Voters},
-		Dir:  set.Dir, Machine: d.state, Send: d.mesh.Send,
-		Election: set.Election, Heartbeat: set.Heartbeat, CompactAt: set.CompactAt,
-		Random: set.Random, Log: set.Log.Slog(), Observe: d.hub.observe,
+		Group: group, Name: cfg.Identity.Name, Names: cfg.Seeds,
+		Open: &replica.OpenGroup{Bootstrap: cfg.Bootstrap, Voters: cfg.Voters},
+		Dir:  cfg.Dir, Machine: d.state, Send: d.mesh.Send,
+		Election: cfg.Election, Heartbeat: cfg.Heartbeat, CompactAt: cfg.CompactAt,
+		Random: cfg.Random, Log: cfg.Log.Slog(), Observe: d.hub.observe,
 	})
 	if err != nil {
 		stop()
@@ -101,9 +101,9 @@
 // ServeHTTP accepts links of other nodes at [link.Path]: the first message
 // tells a gateway from a replica.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l, err := link.Accept(w, r, d.set.Identity, d.meter)
+	l, err := link.Accept(w, r, d.cfg.Identity, d.meter)
 	if err != nil {
-		d.set.Metrics.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
+		d.cfg.Metrics.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
 		return
 	}
 	defer l.Close()
@@ -169,11 +169,11 @@
 	})
 	switch {
 	case err != nil:
-		return held, Unsure{Err: err}
+		return held, Unavailable{Err: err}
 	case !leads:
-		return held, d.elsewhere(leader)
+		return held, d.notLeader(leader)
 	case d.replica.Now() >= until: // stood still since
-		return held, Unsure{}
+		return held, Unavailable{}
 	case !any:
 		return held, NoDocument{}
 	}
@@ -211,49 +211,49 @@
 	if _, err := d.propose(ctx, command{Depart: id}); err != nil {
 		return err
 	}
-	d.set.Log.Belief("backend departs", slog.String("backend", id))
+	d.cfg.Log.StateChange("backend departs", slog.String("backend", id))
 	return nil
 }
 
 // Leader returns the leader's fleet address, or "" when none is known.
-func (d *Directory) Leader() string { return d.hub.leader.Load().leader }
+func (d *Directory) Leader() string { return d.hub.leadership.Load().leader }
 
 // Formed reports whether this replica belongs to a group; before that it only
 // knows its seeds.
-func (d *Directory) Formed() bool { return d.hub.leader.Load().formed }
+func (d *Directory) Formed() bool { return d.hub.leadership.Load().formed }
 
 // Leads reports whether this replica leads now.
 func (d *Directory) Leads() bool { return d.leading() == nil }
 
 // leading returns nil at the leader, [Elsewhere] or [Unsure].
 func (d *Directory) leading() error {
-	lead := d.hub.leader.Load()
-	if lead.leads && d.replica.Now() < lead.until {
+	leadership := d.hub.leadership.Load()
+	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
 		return nil
 	}
-	return d.elsewhere(lead.leader)
+	return d.notLeader(leadership.leader)
 }
 
-func (d *Directory) elsewhere(leader string) error {
-	if leader == "" || leader == d.set.Identity.Name {
-		return Unsure{}
+func (d *Directory) notLeader(leader string) error {
+	if leader == "" || leader == d.cfg.Identity.Name {
+		return Unavailable{}
 	}
-	return Elsewhere{Leader: leader}
+	return NotLeader{Leader: leader}
 }
 
 // propose puts a command into the log and waits until it is applied here.
 func (d *Directory) propose(ctx context.Context, c command) (any, error) {
 	data, err := cbor.Marshal(c)
 	if err != nil {
-		return nil, Unsure{Err: err}
+		return nil, Unavailable{Err: err}
 	}
 	result, err := d.replica.Propose(ctx, data)
 	var notLeader consensus.NotLeader
 	switch {
 	case errors.As(err, &notLeader):
-		return nil, d.elsewhere(notLeader.Leader.Name)
+		return nil, d.notLeader(notLeader.Leader.Name)
 	case err != nil:
-		return nil, Unsure{Err: err}
+		return nil, Unavailable{Err: err}
 	}
 	return result, nil
 }
@@ -270,7 +270,7 @@
 
 // Stop hands the lead over, if another replica can take it, and stops.
 func (d *Directory) Stop(ctx context.Context) {
-	handover, cancel := context.WithTimeout(ctx, handoverElections*d.set.Election)
+	handover, cancel := context.WithTimeout(ctx, handoverElections*d.cfg.Election)
 	_ = d.replica.Transfer(handover)
 	cancel()
 	d.stop()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -39,10 +39,10 @@
 		l := x.mustLead().d
 		is.NoErr(l.Put(x.t.Context(), held(7)))
 		bad := held(8)
-		bad.Document.Routes[0].Hold = 0
+		bad.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), bad), new(document.Invalid)))
 		old := held(6)
-		old.Document.Routes[0].Hold = 0
+		old.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), old), new(document.Invalid))) // refused even when it changes nothing
 		h, _ := l.Read(x.t.Context())
 		is.Equal(h.Document.Number, uint64(7))
@@ -58,9 +58,9 @@
 				continue
 			}
 			_, err := n.d.Read(x.t.Context())
-			is.Equal(err, error(directory.Elsewhere{Leader: l.ip + ":7400"}))
-			is.Equal(n.d.Put(x.t.Context(), held(1)), error(directory.Elsewhere{Leader: l.ip + ":7400"}))
-			is.Equal(n.d.Withdraw(x.t.Context(), "b1"), error(directory.Elsewhere{Leader: l.ip + ":7400"}))
+			is.Equal(err, error(directory.NotLeader{Leader: l.ip + ":7400"}))
+			is.Equal(n.d.Put(x.t.Context(), held(1)), error(directory.NotLeader{Leader: l.ip + ":7400"}))
+			is.Equal(n.d.Withdraw(x.t.Context(), "b1"), error(directory.NotLeader{Leader: l.ip + ":7400"}))
 			_ = ip
 		}
 	})
@@ -174,7 +174,7 @@
 func TestSenselessAnnouncementIsRefused(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		err := x.mustLead().d.Announce(x.t.Context(), registry.Announcement{ID: "b1", Pool: "p", Address: "nowhere"})
-		is.New(x.t).True(errors.As(err, new(registry.Senseless)))
+		is.New(x.t).True(errors.As(err, new(registry.Invalid)))
 	})
 }
 
--- a/directory/errors.go
+++ b/directory/errors.go
@@ -4,19 +4,19 @@
 
 // This file defines why an operation is refused.
 
-// Elsewhere refuses an operation at a replica that does not lead.
-type Elsewhere struct{ Leader string } // fleet address
+// NotLeader refuses an operation at a replica that does not lead.
+type NotLeader struct{ Leader string } // fleet address
 
 // Error names the leader.
-func (e Elsewhere) Error() string { return "the directory's leader is " + e.Leader }
+func (e NotLeader) Error() string { return "the directory's leader is " + e.Leader }
 
-// Unsure refuses an operation because nobody leads as far as this replica
+// Unavailable refuses an operation because nobody leads as far as this replica
 // knows, or because it cannot know whether the operation was carried out. It
 // may be sent again.
-type Unsure struct{ Err error }
+type Unavailable struct{ Err error }
 
 // Error names the cause.
-func (e Unsure) Error() string {
+func (e Unavailable) Error() string {
 	if e.Err == nil {
 		return "the directory has no leader"
 	}
@@ -24,4 +24,4 @@
 }
 
 // Unwrap returns the cause.
-func (e Unsure) Unwrap() error { return e.Err }
+func (e Unavailable) Unwrap() error { return e.Err }
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -111,7 +111,7 @@
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, First: first, Voters: voters, Dir: n.disk, Interval: interval,
+		Seeds:    x.seeds, Bootstrap: first, Voters: voters, Dir: n.disk, Interval: interval,
 		Random: x.random, Log: log, Metrics: set,
 	})
 	if err != nil {
@@ -185,7 +185,7 @@
 	d := document.Document{
 		Number: number, Pools: []document.Pool{{Name: "p"}},
 		Routes: []document.Route{{
-			Name: "r", Host: "h", Prefix: "/", Hold: time.Second, Targets: []document.Target{{Pool: "p", Weight: 1}},
+			Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Targets: []document.Target{{Pool: "p", Weight: 1}},
 		}},
 	}
 	return document.Held{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -41,22 +41,22 @@
 func TestGoldenApply(t *testing.T) {
 	is := is.New(t)
 	told := 0
-	m := &Replicated{notify: func() { told++ }}
+	r := &Replicated{notify: func() { told++ }}
 	results := []any{true, true, false}
 	for i, c := range goldenCommands {
 		b, err := cbor.Marshal(c)
 		is.NoErr(err)
-		is.Equal(m.Apply(b), results[i])
+		is.Equal(r.Apply(b), results[i])
 	}
 	is.Equal(told, 3)
-	held, ok := m.Held()
+	held, ok := r.Held()
 	is.True(ok)
 	is.True(reflect.DeepEqual(held, *goldenCommands[0].Put))
-	is.True(m.Departed("engine-1#a"))
-	is.Equal(m.Joined(), goldenCommands[2].Join)
-	b, err := m.Snapshot()
+	is.True(r.Departed("engine-1#a"))
+	is.Equal(r.Joined(), goldenCommands[2].Join)
+	b, err := r.Snapshot()
 	is.NoErr(err)
 	again := &Replicated{notify: func() {}}
 	is.NoErr(again.Restore(golden.Bytes(t, "snapshot", b)))
-	is.True(reflect.DeepEqual(again.store, m.store))
+	is.True(reflect.DeepEqual(again.store, r.store))
 }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -29,21 +29,21 @@
 	joinTimeout  = 2 * time.Second        // for joins to be logged
 )
 
-// lead is what the replica's goroutine last said.
-type lead struct {
-	leads   bool
-	term    uint64
-	leader  string // fleet address
-	until   time.Duration
-	members []string
-	formed  bool // the replica has a log
+// leadership is what the replica's goroutine last said.
+type leadership struct {
+	leads    bool
+	term     uint64
+	leader   string // fleet address
+	leaseEnd time.Duration
+	members  []string
+	formed   bool // the replica has a log
 }
 
 type hub struct {
-	d      *Directory
-	events chan func()
-	wake   chan struct{} // the applied state or the lead changed
-	leader atomic.Pointer[lead]
+	d          *Directory
+	events     chan func()
+	wake       chan struct{} // the applied state or the lead changed
+	leadership atomic.Pointer[leadership]
 
 	// Owned by run.
 	term     uint64 // 0 unless this replica leads
@@ -53,7 +53,7 @@
 	unlogged []document.Backend // announced, not yet put into the log
 	sessions map[*session]bool
 	usage    *usage
-	image    protocol.Document // newest document, encoded once
+	encoded  protocol.Document // newest document, encoded once
 }
 
 func newHub(d *Directory) *hub {
@@ -61,7 +61,7 @@
 		d: d, events: make(chan func(), eventDepth), wake: make(chan struct{}, 1),
 		sessions: map[*session]bool{}, usage: newUsage(),
 	}
-	h.leader.Store(&lead{})
+	h.leadership.Store(&leadership{})
 	return h
 }
 
@@ -75,15 +75,15 @@
 
 // observe is called by the replica's goroutine after every batch.
 func (h *hub) observe(_ time.Duration, s consensus.Status, leads bool) {
-	old := h.leader.Load()
-	next := &lead{leads: leads, term: s.Term, leader: s.Leader.Name, until: s.LeaseEnd, members: old.members, formed: true}
+	old := h.leadership.Load()
+	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, members: old.members, formed: true}
 	if !sameMembers(old.members, s.Members) {
 		next.members = nil
 		for _, p := range s.Members.Voters {
 			next.members = append(next.members, p.Name)
 		}
 	}
-	h.leader.Store(next)
+	h.leadership.Store(next)
 	if old.leads != leads || old.term != s.Term || old.leader != next.leader {
 		h.stateChanged()
 	}
@@ -108,9 +108,9 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return Unsure{Err: ctx.Err()}
+		return Unavailable{Err: ctx.Err()}
 	case <-h.d.ctx.Done():
-		return Unsure{Err: h.d.ctx.Err()}
+		return Unavailable{Err: h.d.ctx.Err()}
 	}
 }
 
@@ -123,7 +123,7 @@
 		case <-h.d.ctx.Done():
 			return
 		case <-h.wake:
-			h.follow()
+			h.syncLeadership()
 		case f := <-h.events:
 			f()
 		case <-tick.C:
@@ -132,9 +132,9 @@
 	}
 }
 
-// follow brings the hub to the present lead and state.
-func (h *hub) follow() {
-	l := h.leader.Load()
+// syncLeadership brings the hub to the present lead and state.
+func (h *hub) syncLeadership() {
+	l := h.leadership.Load()
 	switch {
 	case l.leads && h.term != l.term:
 		h.endTerm()
@@ -150,24 +150,24 @@
 
 func (h *hub) beginTerm(term uint64) {
 	h.term = term
-	h.registry = registry.New(h.d.replica.Now(), h.d.set.Interval)
+	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval)
 	h.departed = 0
 	h.complete = false
 	h.unlogged = nil
 	for _, b := range h.d.state.Joined() {
-		h.registry.Remember(h.d.replica.Now(), registry.Announcement{
+		h.registry.Restore(h.d.replica.Now(), registry.Announcement{
 			ID: b.ID, Pool: b.Pool, Address: b.Address, Zone: b.Zone, Slots: b.Slots,
 		})
 	}
 	h.usage = newUsage()
-	h.d.set.Log.Belief("leading", slog.Uint64("term", term), slog.Any("members", h.leader.Load().members))
+	h.d.cfg.Log.StateChange("leading", slog.Uint64("term", term), slog.Any("members", h.leadership.Load().members))
 }
 
 func (h *hub) endTerm() {
 	if h.term == 0 {
 		return
 	}
-	h.d.set.Log.Belief("leading no more", slog.Uint64("term", h.term), slog.String("leader", h.leader.Load().leader))
+	h.d.cfg.Log.StateChange("leading no more", slog.Uint64("term", h.term), slog.String("leader", h.leadership.Load().leader))
 	h.term = 0
 	for s := range h.sessions {
 		s.out.Close()
@@ -176,14 +176,14 @@
 }
 
 func (h *hub) tick() {
-	h.follow()
+	h.syncLeadership()
 	if h.term == 0 {
 		return
 	}
-	h.broadcast(h.registry.Forget(h.d.replica.Now()))
+	h.broadcast(h.registry.ExpireSilent(h.d.replica.Now()))
 	if !h.complete && h.registry.Complete(h.d.replica.Now()) {
 		h.complete = true
-		h.d.set.Log.Belief("registry complete", slog.Int("backends", h.registry.Size()))
+		h.d.cfg.Log.StateChange("registry complete", slog.Int("backends", h.registry.Size()))
 		for s := range h.sessions {
 			s.out.Send(h.wholeList())
 		}
@@ -225,19 +225,19 @@
 	if !ok {
 		return
 	}
-	if h.image.Number != held.Document.Number || h.image.Data == nil {
+	if h.encoded.Number != held.Document.Number || h.encoded.Data == nil {
 		data, err := cbor.Marshal(held.Document)
 		if err != nil {
-			h.d.set.Log.Belief("document cannot be encoded", slog.String("error", err.Error()))
+			h.d.cfg.Log.StateChange("document cannot be encoded", slog.String("error", err.Error()))
 			return
 		}
-		h.image = protocol.Document{Number: held.Document.Number, Data: data}
-		h.d.set.Log.Belief("document in force", slog.Uint64("number", h.image.Number), slog.Int("bytes", len(data)))
+		h.encoded = protocol.Document{Number: held.Document.Number, Data: data}
+		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encoded.Number), slog.Int("bytes", len(data)))
 	}
 	for s := range h.sessions {
-		if s.sent < h.image.Number {
-			s.out.Send(h.image)
-			s.sent = h.image.Number
+		if s.sent < h.encoded.Number {
+			s.out.Send(h.encoded)
+			s.sent = h.encoded.Number
 		}
 	}
 }
@@ -251,7 +251,7 @@
 		known = true
 		change := h.registry.Announce(h.d.replica.Now(), a)
 		for _, b := range change.Set {
-			h.d.set.Log.Belief("backend announced", slog.String("backend", b.ID), slog.String("pool", b.Pool),
+			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", b.ID), slog.String("pool", b.Pool),
 				slog.String("address", b.Address), slog.Any("replaces", change.Gone))
 			h.unlogged = append(h.unlogged, document.Backend{
 				ID: b.ID, Pool: b.Pool, Address: b.Address, Zone: b.Zone, Slots: b.Slots,
@@ -260,7 +260,7 @@
 		h.broadcast(change)
 	})
 	if err == nil && !known && !h.d.state.Departed(a.ID) {
-		return Unsure{}
+		return Unavailable{}
 	}
 	return err
 }
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -32,70 +32,70 @@
 var _ replica.Machine = (*Replicated)(nil)
 
 // Held returns the document applied here.
-func (m *Replicated) Held() (document.Held, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.Held()
+func (r *Replicated) Held() (document.Held, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.Held()
 }
 
 // Departed reports whether a backend is leaving or gone.
-func (m *Replicated) Departed(id string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.Departed(id)
+func (r *Replicated) Departed(id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.Departed(id)
 }
 
 // DeparturesSince returns the departures after the first n, and how many there
 // were in all.
-func (m *Replicated) DeparturesSince(n uint64) (ids []string, total uint64) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.DeparturesSince(n)
+func (r *Replicated) DeparturesSince(n uint64) (ids []string, total uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.DeparturesSince(n)
 }
 
 // Joined returns the backends that were announced and have not departed.
-func (m *Replicated) Joined() []document.Backend {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.Joined()
+func (r *Replicated) Joined() []document.Backend {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.Joined()
 }
 
 // Apply implements [replica.Machine].
-func (m *Replicated) Apply(data []byte) any {
+func (r *Replicated) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		return err
 	}
-	m.mu.Lock()
-	defer m.notify()
-	defer m.mu.Unlock()
+	r.mu.Lock()
+	defer r.notify()
+	defer r.mu.Unlock()
 	switch {
 	case c.Put != nil:
-		return m.store.Put(*c.Put)
+		return r.store.Put(*c.Put)
 	case c.Depart != "":
-		return m.store.Depart(c.Depart)
+		return r.store.Depart(c.Depart)
 	}
 	for _, b := range c.Join {
-		m.store.Join(b)
+		r.store.Join(b)
 	}
 	return false
 }
 
 // Snapshot implements [replica.Machine].
-func (m *Replicated) Snapshot() ([]byte, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.MarshalBinary()
+func (r *Replicated) Snapshot() ([]byte, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.MarshalBinary()
 }
 
 // Restore implements [replica.Machine].
-func (m *Replicated) Restore(image []byte) error {
+func (r *Replicated) Restore(image []byte) error {
 	if len(image) == 0 {
 		return nil
 	}
-	m.mu.Lock()
-	err := m.store.UnmarshalBinary(image)
-	m.mu.Unlock()
-	m.notify()
+	r.mu.Lock()
+	err := r.store.UnmarshalBinary(image)
+	r.mu.Unlock()
+	r.notify()
 	return err
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -27,7 +27,7 @@
 	if c.Empty() {
 		return
 	}
-	m := protocol.Backends{Term: h.term, Set: wire(c.Set), Gone: c.Gone}
+	m := protocol.Backends{Term: h.term, Set: protocolServers(c.Set), Gone: c.Gone}
 	for s := range h.sessions {
 		s.out.Send(m)
 	}
@@ -36,7 +36,7 @@
 func (h *hub) wholeList() protocol.Backends {
 	return protocol.Backends{
 		Term: h.term, Whole: true, Complete: h.complete,
-		Set: wire(h.registry.List()), Gone: h.recentDepartures(),
+		Set: protocolServers(h.registry.List()), Gone: h.recentDepartures(),
 	}
 }
 
@@ -49,7 +49,7 @@
 	return ids
 }
 
-func wire(backends []registry.Backend) []protocol.Backend {
+func protocolServers(backends []registry.Backend) []protocol.Backend {
 	out := make([]protocol.Backend, 0, len(backends))
 	for _, b := range backends {
 		out = append(out, protocol.Backend{
@@ -64,8 +64,8 @@
 	var s *session
 	err := h.do(ctx, func() { s = h.open(l, w) })
 	if err != nil || s == nil {
-		lead := h.leader.Load()
-		_, _ = l.Send(ctx, protocol.Elsewhere{Leader: lead.leader, Members: lead.members})
+		leadership := h.leadership.Load()
+		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
 		return
 	}
 	defer s.out.Close()
@@ -83,7 +83,7 @@
 
 // open admits a gateway if this replica leads.
 func (h *hub) open(l *link.Link, w protocol.Watch) *session {
-	h.follow()
+	h.syncLeadership()
 	if h.term == 0 || w.Term > h.term || w.Gateway != l.Peer() {
 		return nil
 	}
@@ -97,14 +97,14 @@
 	h.sessions[s] = true
 	s.out.Send(h.wholeList())
 	h.pushDocument()
-	h.d.set.Log.Belief("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.Number))
+	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.Number))
 	return s
 }
 
 func (h *hub) close(s *session) {
 	if h.sessions[s] {
 		delete(h.sessions, s)
-		h.d.set.Log.Belief("gateway lost", slog.String("gateway", s.gateway))
+		h.d.cfg.Log.StateChange("gateway lost", slog.String("gateway", s.gateway))
 	}
 	h.usage.forget(s)
 }
@@ -114,14 +114,14 @@
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
-	h.usage.settle(now, held.Document.Limits.TokensPerSecond)
-	members := h.leader.Load().members
+	h.usage.recompute(now, held.Document.Limits.TokensPerSecond)
+	members := h.leadership.Load().members
 	for s := range h.sessions {
 		if now < s.due {
 			continue
 		}
 		m := protocol.Fleet{
-			Gateways: len(h.sessions), Running: h.usage.others(s),
+			Gateways: len(h.sessions), Loads: h.usage.others(s),
 			Entitlements: h.usage.entitlements, Members: members, Short: h.usage.short(),
 		}
 		s.out.Send(m)
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -24,8 +24,8 @@
 const leastWeight = 0.18
 
 type usage struct {
-	running      map[*session][]protocol.Running
-	total        []protocol.Running     // of all sessions, ordered by handle
+	running      map[*session][]protocol.ServerLoad
+	total        []protocol.ServerLoad  // of all sessions, ordered by handle
 	asked        map[string]float64     // tokens since the last settlement, by tenant
 	rates        map[string]float64     // tokens a second, averaged
 	begun        float64                // tokens given to engines since the last settlement
@@ -33,23 +33,23 @@
 	missed       float64                // tokens within a share that found no room since the last settlement
 	missing      float64                // the same a second, averaged
 	weight       float64                // of what the averages hold, 0 to 1: they begin at nothing
-	settled      time.Duration          // 0 before the first settlement
+	recomputed   time.Duration          // 0 before the first settlement
 	entitlements []protocol.Entitlement // tenants that ask for more than they are entitled to
 }
 
 func newUsage() *usage {
-	return &usage{running: map[*session][]protocol.Running{}, asked: map[string]float64{}, rates: map[string]float64{}}
+	return &usage{running: map[*session][]protocol.ServerLoad{}, asked: map[string]float64{}, rates: map[string]float64{}}
 }
 
 // report takes what a gateway says. Its first report may cover any time, such
 // as the one that it was without a leader, so only what runs there counts.
 func (u *usage) report(s *session, m protocol.Usage) {
 	_, known := u.running[s]
-	u.running[s] = m.Running
+	u.running[s] = m.Loads
 	if !known {
 		return
 	}
-	u.begun += float64(m.Begun)
+	u.begun += float64(m.Started)
 	u.missed += float64(m.Missed)
 	for _, d := range m.Demands {
 		u.asked[d.Tenant] += float64(d.Tokens)
@@ -58,14 +58,14 @@
 
 func (u *usage) forget(s *session) { delete(u.running, s) }
 
-// settle averages the demand and finds what each tenant is entitled to.
-func (u *usage) settle(now time.Duration, capacity float64) {
-	first := u.settled == 0
-	elapsed := now - u.settled
+// recompute averages the demand and finds what each tenant is entitled to.
+func (u *usage) recompute(now time.Duration, capacity float64) {
+	first := u.recomputed == 0
+	elapsed := now - u.recomputed
 	if elapsed <= 0 {
 		return
 	}
-	u.settled = now
+	u.recomputed = now
 	u.sum()
 	if first {
 		return // nobody knows since when
@@ -125,25 +125,25 @@
 
 // sum adds up what runs on all gateways, by handle.
 func (u *usage) sum() {
-	sums := map[uint32]protocol.Running{}
+	sums := map[uint32]protocol.ServerLoad{}
 	for _, running := range u.running {
 		for _, r := range running {
 			sum := sums[r.Handle]
-			sums[r.Handle] = protocol.Running{
+			sums[r.Handle] = protocol.ServerLoad{
 				Handle: r.Handle, Requests: sum.Requests + r.Requests, Tokens: sum.Tokens + r.Tokens,
 			}
 		}
 	}
-	u.total = slices.SortedFunc(maps.Values(sums), func(a, b protocol.Running) int { return cmp.Compare(a.Handle, b.Handle) })
+	u.total = slices.SortedFunc(maps.Values(sums), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
 
 // others returns what runs on all gateways but one, as of the last sum.
-func (u *usage) others(own *session) []protocol.Running {
-	mine := map[uint32]protocol.Running{}
+func (u *usage) others(own *session) []protocol.ServerLoad {
+	mine := map[uint32]protocol.ServerLoad{}
 	for _, r := range u.running[own] {
 		mine[r.Handle] = r
 	}
-	out := make([]protocol.Running, 0, len(u.total))
+	out := make([]protocol.ServerLoad, 0, len(u.total))
 	for _, r := range u.total {
 		o := mine[r.Handle]
 		r.Requests -= min(o.Requests, r.Requests)
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -14,11 +14,11 @@
 
 // settleFor reports the same usage every 100 ms for a while.
 func settleFor(u *usage, d time.Duration, capacity float64, reports map[*session]protocol.Usage) {
-	for end := u.settled + d; u.settled < end; {
+	for end := u.recomputed + d; u.recomputed < end; {
 		for s, m := range reports {
 			u.report(s, m)
 		}
-		u.settle(u.settled+100*time.Millisecond, capacity)
+		u.recompute(u.recomputed+100*time.Millisecond, capacity)
 	}
 }
 
@@ -29,8 +29,8 @@
 	u := newUsage()
 	a, b := &session{}, &session{}
 	reports := map[*session]protocol.Usage{
-		a: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 1000}, {Tenant: "small", Tokens: 50}}, Begun: 750},
-		b: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 500}, {Tenant: "middle", Tokens: 450}}, Begun: 750},
+		a: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 1000}, {Tenant: "small", Tokens: 50}}, Started: 750},
+		b: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 500}, {Tenant: "middle", Tokens: 450}}, Started: 750},
 	}
 	settleFor(u, 10*time.Second, 10000, reports) // a second: big 15000, middle 4500, small 500
 	parts := map[string]protocol.Entitlement{}
@@ -77,9 +77,9 @@
 	is := is.New(t)
 	u := newUsage()
 	s := &session{}
-	settleFor(u, 5*time.Second, 10000, map[*session]protocol.Usage{s: {Begun: 1000, Missed: 10}})
+	settleFor(u, 5*time.Second, 10000, map[*session]protocol.Usage{s: {Started: 1000, Missed: 10}})
 	is.True(!u.short())
-	settleFor(u, 5*time.Second, 10000, map[*session]protocol.Usage{s: {Begun: 1000, Missed: 60}})
+	settleFor(u, 5*time.Second, 10000, map[*session]protocol.Usage{s: {Started: 1000, Missed: 60}})
 	is.True(u.short())
 }
 
@@ -94,7 +94,7 @@
 		u := newUsage()
 		s := &session{}
 		settleFor(u, 10*time.Second, 10000, map[*session]protocol.Usage{s: {
-			Demands: []protocol.Demand{{Tenant: "big", Tokens: 4000}}, Begun: 1500, Missed: tt.missed,
+			Demands: []protocol.Demand{{Tenant: "big", Tokens: 4000}}, Started: 1500, Missed: tt.missed,
 		}})
 		is.True(math.Abs(float64(u.entitlements[0].Extra)-tt.extra) < 0.02)
 		is.True(math.Abs(float64(u.entitlements[0].Part)-0.25) < 0.02)
@@ -105,11 +105,11 @@
 	is := is.New(t)
 	u := newUsage()
 	a, b, c := &session{}, &session{}, &session{}
-	u.report(a, protocol.Usage{Running: []protocol.Running{{Handle: 1, Requests: 2, Tokens: 10}}})
-	u.report(b, protocol.Usage{Running: []protocol.Running{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}}})
+	u.report(a, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 2, Tokens: 10}}})
+	u.report(b, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}}})
 	u.sum()
-	is.Equal(u.others(a), []protocol.Running{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}})
-	is.Equal(u.others(c), []protocol.Running{{Handle: 1, Requests: 5, Tokens: 15}, {Handle: 2, Requests: 1}})
+	is.Equal(u.others(a), []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}})
+	is.Equal(u.others(c), []protocol.ServerLoad{{Handle: 1, Requests: 5, Tokens: 15}, {Handle: 2, Requests: 1}})
 	u.forget(b)
 	u.sum()
 	is.Equal(len(u.others(a)), 0)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,11 +65,11 @@
 	}
 	if c.g.release(a, out.blame) {
 		c.g.stats.count("suspected", "pool", c.pool.Name)
-		c.g.cfg.Log.Belief("backend suspected", slog.String("backend", a.backend), slog.String("cause", out.cause))
+		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.backend), slog.String("cause", out.cause))
 	}
 	if out.misdirected {
 		c.g.table.removeMisdirected(a.backend)
-		c.g.cfg.Log.Belief("backend replaced", slog.String("backend", a.backend), slog.String("address", a.address))
+		c.g.cfg.Log.StateChange("backend replaced", slog.String("backend", a.backend), slog.String("address", a.address))
 	}
 	return out
 }
@@ -164,13 +164,13 @@
 	if c.relay.headWritten && !c.route.Resumable {
 		return false
 	}
-	if c.sends >= max(c.route.Attempts, 1)+1 || c.sends >= maxSends || c.tries >= maxTries {
+	if c.sends >= max(c.route.MaxAttempts, 1)+1 || c.sends >= maxSends || c.tries >= maxTries {
 		return false
 	}
 	if out.execution <= refused {
-		return c.attempts < max(c.route.Attempts, 1)
+		return c.attempts < max(c.route.MaxAttempts, 1)
 	}
-	return c.route.MayRepeat() && c.attempts < c.route.Attempts
+	return c.route.MayRepeat() && c.attempts < c.route.MaxAttempts
 }
 
 // final is the end of a request after its last attempt.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -69,7 +69,7 @@
 	if err := c.match(); err != nil {
 		return err
 	}
-	patience := c.route.Hold
+	patience := c.route.Timeout
 	if c.head.Timeout > 0 {
 		patience = min(patience, c.head.Timeout)
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -125,7 +125,7 @@
 		requests, tokens := s.load(now)
 		engines = append(engines, place.Engine{
 			ID: s.ID, Slots: s.Slots, Requests: requests, Tokens: tokens,
-			Slowness: slowness(s, typical), Near: s.Zone == t.zone,
+			Slowness: slowness(s, typical), SameHall: s.Zone == t.zone,
 		})
 		members = append(members, s)
 	}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -188,8 +188,8 @@
 func testDocument() document.Document {
 	route := func(name string, kind document.Kind, attempts int, resumable bool) document.Route {
 		return document.Route{
-			Name: name, Host: "host", Prefix: "/" + name + "/", Kind: kind, Hold: 3 * time.Second, Objective: 400 * time.Millisecond,
-			Targets: []document.Target{{Pool: "plain", Weight: 1}}, Attempts: attempts, Resumable: resumable, Pause: 100 * time.Millisecond,
+			Name: name, Host: "host", Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second, Objective: 400 * time.Millisecond,
+			Targets: []document.Target{{Pool: "plain", Weight: 1}}, MaxAttempts: attempts, Resumable: resumable, EventGap: 100 * time.Millisecond,
 		}
 	}
 	engine := route("engine", document.Stream, 2, true)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -123,7 +123,7 @@
 		return
 	}
 	g.routes.Store(newRoutes(d))
-	g.cfg.Log.Belief("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
+	g.cfg.Log.StateChange("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
 		slog.Int("tenants", len(d.Tenants)))
 }
 
@@ -174,7 +174,7 @@
 		}
 		since := g.stopping()
 		if since > part(g.cfg.Grace, finishPart) {
-			g.cfg.Log.Belief("stop cuts off", slog.Int64("requests", g.calls.Load()))
+			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
 			return
 		}
 		if since > part(g.cfg.Grace, acceptPart) && g.calls.Load() == 0 {
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -133,7 +133,7 @@
 			g.overload.unreadyUntil.Store(int64(now + unreadyFor))
 		}
 		if g.overload.observe(now - last - tickPeriod) {
-			g.cfg.Log.Belief("processor pressure", slog.Bool("high", g.overload.shedding.Load()),
+			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", g.overload.shedding.Load()),
 				slog.Int("delay_ms", int(math.Round(1000*g.overload.delay))), slog.Int64("requests", g.calls.Load()))
 		}
 		last = now
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -41,7 +41,7 @@
 func TestOthersLoadCounts(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 50, Requests: 8}})
+		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: 50, Requests: 8}})
 		is.Equal(x.ask("/once/x").status, 503)
 		time.Sleep(4 * othersHalfLife) // nobody says so any more
 		is.Equal(x.ask("/once/x").status, 200)
@@ -56,7 +56,7 @@
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
 		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
-		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 500}})
+		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 500}})
 		served, refused := 0, 0
 		for range 50 {
 			switch x.ask("/engine/x", "Tokens", "1000").status {
@@ -116,7 +116,7 @@
 		is.Equal(before.status, 200)
 		is.Equal(before.took, time.Duration(0))
 		keeps := x.g.table.members[x.backends.arrivals[0].Header.Get("Backend")]
-		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
+		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
 
 		refused := x.ask("/engine/x", "Tokens", "100", "Shared", "a")
 		is.Equal(refused.status, 503)
@@ -136,7 +136,7 @@
 		is := is.New(x.t)
 		x.backendsOf("engines", streams(piece{text: event(1)}))
 		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
-		x.g.table.updateLoads(x.g.now(), []protocol.Running{{Handle: 70, Requests: 1, Tokens: 14_000}})
+		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 14_000}})
 		is.Equal(x.ask("/engine/x", "Tokens", "100").status, 503)
 		got := x.ask("/engine/x", "Tokens", "100", "Key", "other")
 		is.Equal(got.status, 200)
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -32,10 +32,10 @@
 // come, so it waits on.
 func (c *call) watchStall(cancel context.CancelFunc) *stallTimer {
 	s := &stallTimer{}
-	if !c.route.MayRepeat() || c.attempts+1 >= c.route.Attempts {
+	if !c.route.MayRepeat() || c.attempts+1 >= c.route.MaxAttempts {
 		return s
 	}
-	s.gap = max(part(c.route.Pause, stallGaps), minStall)
+	s.gap = max(part(c.route.EventGap, stallGaps), minStall)
 	s.timer = time.AfterFunc(forever, func() {
 		if c.g.overload.late(c.g.now()) {
 			s.timer.Reset(minStall)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -20,7 +20,7 @@
 	health   health
 	requests int // own, running there
 	tokens   int // of own prompts whose first event has not come
-	others   protocol.Running
+	others   protocol.ServerLoad
 	reported time.Duration // when others was heard
 	unlisted bool          // the directory did not list it when complete
 }
@@ -165,11 +165,11 @@
 }
 
 // updateLoads takes what runs on all other gateways.
-func (t *table) updateLoads(now time.Duration, running []protocol.Running) {
+func (t *table) updateLoads(now time.Duration, running []protocol.ServerLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.members {
-		s.others, s.reported = protocol.Running{}, now
+		s.others, s.reported = protocol.ServerLoad{}, now
 	}
 	for _, r := range running {
 		if s := t.byHandle[r.Handle]; s != nil {
@@ -179,14 +179,14 @@
 }
 
 // running returns what runs on this gateway, for the report.
-func (t *table) running() []protocol.Running {
+func (t *table) running() []protocol.ServerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []protocol.Running
+	var out []protocol.ServerLoad
 	for _, p := range t.pools {
 		for _, s := range p.members {
 			if s.Handle != 0 && s.requests > 0 {
-				out = append(out, protocol.Running{Handle: s.Handle, Requests: uint32(s.requests), Tokens: uint32(max(s.tokens, 0))})
+				out = append(out, protocol.ServerLoad{Handle: s.Handle, Requests: uint32(s.requests), Tokens: uint32(max(s.tokens, 0))})
 			}
 		}
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -104,7 +104,7 @@
 			w.lost(address, err)
 			return led
 		}
-		if e, ok := m.(protocol.Elsewhere); ok {
+		if e, ok := m.(protocol.WatchRedirect); ok {
 			w.redirected(address, e)
 			return false
 		}
@@ -124,7 +124,7 @@
 	return l.Receive(ctx)
 }
 
-func (w *watcher) redirected(address string, e protocol.Elsewhere) {
+func (w *watcher) redirected(address string, e protocol.WatchRedirect) {
 	if len(e.Members) > 0 {
 		w.members = e.Members
 	}
@@ -135,7 +135,7 @@
 
 func (w *watcher) found(address string) {
 	w.linked = true
-	w.g.cfg.Log.Belief("directory found", slog.String("leader", address))
+	w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
 }
 
 func (w *watcher) lost(address string, err error) {
@@ -143,7 +143,7 @@
 		return
 	}
 	w.linked = false
-	w.g.cfg.Log.Belief("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
+	w.g.cfg.Log.StateChange("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
 		slog.Uint64("document", w.g.DocumentNumber()), slog.Int("backends", w.g.table.size()))
 }
 
@@ -152,14 +152,14 @@
 	case protocol.Document:
 		var d document.Document
 		if err := cbor.Unmarshal(m.Data, &d); err != nil {
-			w.g.cfg.Log.Belief("document unreadable", slog.Uint64("number", m.Number), slog.String("error", err.Error()))
+			w.g.cfg.Log.StateChange("document unreadable", slog.Uint64("number", m.Number), slog.String("error", err.Error()))
 			return
 		}
 		w.g.apply(d)
 	case protocol.Backends:
 		w.term = max(w.term, m.Term)
 		if changed := w.g.table.update(m); len(changed.joined)+len(changed.left) > 0 {
-			w.g.cfg.Log.Belief("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
+			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
 				slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 		}
 		w.g.grantAll()
@@ -167,7 +167,7 @@
 		w.g.gateways.Store(int64(max(m.Gateways, 1)))
 		w.members = m.Members
 		w.g.tenants.update(m.Entitlements, m.Short)
-		w.g.table.updateLoads(w.g.now(), m.Running)
+		w.g.table.updateLoads(w.g.now(), m.Loads)
 		w.g.grantAll()
 	}
 }
@@ -182,8 +182,8 @@
 			return
 		case <-t.C:
 		}
-		u := protocol.Usage{Running: w.g.table.running(), Number: w.g.DocumentNumber()}
-		u.Demands, u.Begun, u.Missed = w.g.tenants.takeReport()
+		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
+		u.Demands, u.Started, u.Missed = w.g.tenants.takeReport()
 		if _, err := l.Send(ctx, u); err != nil {
 			return
 		}
--- a/node/connections.go
+++ b/process/connections.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package node
+package process
 
 import (
 	"cmp"
@@ -19,11 +19,11 @@
 const (
 	sweepPeriod = time.Second
 	fullPart    = 0.8 // of the most connections, from which the idle are ended
-	spare       = 0.1 // of the most connections, ended at once
+	evictPart   = 0.1 // of the most connections, ended at once
 )
 
 type idleConnections struct {
-	most int
+	max int
 
 	mu   sync.Mutex // a leaf
 	open int
@@ -31,7 +31,7 @@
 }
 
 func newIdleConnections(most int) *idleConnections {
-	return &idleConnections{most: most, idle: map[net.Conn]time.Time{}}
+	return &idleConnections{max: most, idle: map[net.Conn]time.Time{}}
 }
 
 // track is called by the server for every change of a connection.
@@ -41,8 +41,8 @@
 	switch state {
 	case http.StateNew:
 		c.open++
-		if float64(c.open) > fullPart*float64(c.most) {
-			c.endOldest(max(int(spare*float64(c.most)), 1))
+		if float64(c.open) > fullPart*float64(c.max) {
+			c.endOldest(max(int(evictPart*float64(c.max)), 1))
 		}
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
--- a/node/directory.go
+++ b/process/directory.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package node
+package process
 
 import (
 	"context"
@@ -26,8 +26,8 @@
 // fails stops for good, because it cannot know what was written; the process
 // goes on and opens the folder again, as a new process would.
 
-// Door speaks to operators and backends in a deployment's own way.
-type Door func(d *directory.Directory, log *decision.Log) http.Handler
+// API speaks to operators and backends in a deployment's own way.
+type API func(d *directory.Directory, log *decision.Log) http.Handler
 
 // reopenPause is the time between two attempts to open the data folder.
 const reopenPause = 500 * time.Millisecond
@@ -39,21 +39,21 @@
 	heartbeat = 80 * time.Millisecond
 )
 
-// replicaNode is a directory replica and its listeners, which outlive it.
-type replicaNode struct {
-	*Node
-	door    Door
-	links   handover
-	callers handover
+// directoryProcess is a directory replica and its listeners, which outlive it.
+type directoryProcess struct {
+	*base
+	api     API
+	links   swapHandler
+	callers swapHandler
 	running *directory.Directory // nil while the folder cannot be opened
 }
 
-// handover is a handler that can be exchanged. Without one it answers that it
+// swapHandler is a handler that can be exchanged. Without one it answers that it
 // cannot tell.
-type handover struct{ to atomic.Pointer[http.Handler] }
+type swapHandler struct{ to atomic.Pointer[http.Handler] }
 
 // ServeHTTP implements [http.Handler].
-func (h *handover) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *swapHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if to := h.to.Load(); to != nil {
 		(*to).ServeHTTP(w, r)
 		return
@@ -61,38 +61,38 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (h *handover) set(to http.Handler) { h.to.Store(&to) }
+func (h *swapHandler) set(to http.Handler) { h.to.Store(&to) }
 
 // Directory runs a directory replica until ctx ends. Of reloaded settings it
 // takes the seeds, if it has not found its group yet.
-func Directory(ctx context.Context, set Settings, reloads <-chan Settings, door Door,
-	log *decision.Log, figures *metrics.Set) error {
-	base, err := start(set, log, figures)
+func Directory(ctx context.Context, cfg Settings, reloads <-chan Settings, api API,
+	log *decision.Log, metricSet *metrics.Set) error {
+	base, err := start(cfg, log, metricSet)
 	if err != nil {
 		return err
 	}
 	defer base.close()
-	n := &replicaNode{Node: base, door: door}
+	n := &directoryProcess{base: base, api: api}
 	if err := n.open(); err != nil {
-		log.Belief("disk fails at the start", slog.String("error", err.Error()))
+		log.StateChange("disk fails at the start", slog.String("error", err.Error()))
 	}
 	mux := http.NewServeMux()
 	mux.Handle(link.Path, &n.links)
-	if err := n.listen(set.Fleet, mux, socket.Listen); err != nil {
+	if err := n.listen(cfg.Fleet, mux, socket.Listen); err != nil {
 		return err
 	}
-	if err := n.listen(set.Door, &n.callers, socket.Listen); err != nil {
+	if err := n.listen(cfg.API, &n.callers, socket.Listen); err != nil {
 		return err
 	}
 	n.serve(ctx, reloads)
 	return nil
 }
 
-func (n *replicaNode) serve(ctx context.Context, reloads <-chan Settings) {
+func (n *directoryProcess) serve(ctx context.Context, reloads <-chan Settings) {
 	for {
 		select {
 		case <-ctx.Done():
-			n.stopReplica(n.set.Grace / 2)
+			n.stopReplica(n.cfg.Grace / 2)
 			return
 		case next := <-reloads:
 			n.reseed(next.Seeds)
@@ -104,7 +104,7 @@
 
 // ended is closed when the replica has stopped by itself, or fires when it is
 // time to open its folder again.
-func (n *replicaNode) ended() <-chan struct{} {
+func (n *directoryProcess) ended() <-chan struct{} {
 	if n.running != nil {
 		return n.running.Done()
 	}
@@ -114,14 +114,14 @@
 }
 
 // open starts the replica from its folder.
-func (n *replicaNode) open() error {
-	dir, err := wal.MakeDir(filepath.Join(n.set.DataDir, "directory"))
+func (n *directoryProcess) open() error {
+	dir, err := wal.MakeDir(filepath.Join(n.cfg.DataDir, "directory"))
 	if err != nil {
 		return errors.Wrap(err, "data folder")
 	}
 	d, err := directory.Start(context.Background(), directory.Settings{
-		Identity: n.identity(), Seeds: n.set.Seeds, First: n.set.First, Voters: n.set.Voters, Dir: dir,
-		Interval: n.set.Interval, Election: election, Heartbeat: heartbeat,
+		Identity: n.identity(), Seeds: n.cfg.Seeds, Bootstrap: n.cfg.Bootstrap, Voters: n.cfg.Voters, Dir: dir,
+		Interval: n.cfg.Interval, Election: election, Heartbeat: heartbeat,
 		Random: rand.Uint64, Log: n.log, Metrics: n.metrics,
 	})
 	if err != nil {
@@ -129,36 +129,36 @@
 	}
 	n.running = d
 	n.links.set(d)
-	n.callers.set(n.door(d, n.log))
+	n.callers.set(n.api(d, n.log))
 	return nil
 }
 
 // reopen opens the folder again after its disk failed.
-func (n *replicaNode) reopen() {
+func (n *directoryProcess) reopen() {
 	if n.running != nil {
-		n.log.Belief("disk failed", slog.String("error", n.running.Err().Error()))
+		n.log.StateChange("disk failed", slog.String("error", n.running.Err().Error()))
 		n.stopReplica(0)
 		return
 	}
 	if err := n.open(); err != nil {
-		n.log.Belief("disk fails still", slog.String("error", err.Error()))
+		n.log.StateChange("disk fails still", slog.String("error", err.Error()))
 		return
 	}
-	n.log.Belief("disk works again")
+	n.log.StateChange("disk works again")
 }
 
 // reseed starts a replica that has found no group again with other seeds.
-func (n *replicaNode) reseed(seeds []string) {
-	if slices.Equal(seeds, n.set.Seeds) {
+func (n *directoryProcess) reseed(seeds []string) {
+	if slices.Equal(seeds, n.cfg.Seeds) {
 		return
 	}
-	n.set.Seeds = seeds
+	n.cfg.Seeds = seeds
 	if n.running != nil && !n.running.Formed() {
 		n.stopReplica(0)
 	}
 }
 
-func (n *replicaNode) stopReplica(grace time.Duration) {
+func (n *directoryProcess) stopReplica(grace time.Duration) {
 	if n.running == nil {
 		return
 	}
--- a/node/node.go
+++ b/process/process.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package node assembles a process of the routed-HTTP fleet: a gateway or a
+// Package process assembles a process of the routed-HTTP fleet: a gateway or a
 // directory replica with its listeners, logs and metrics, its reload and its
 // stop.
 //
 // What a deployment calls things is given from outside: a gateway gets a
 // [gateway.HeaderCodec], a directory replica a handler that speaks to operators
-// and backends ([Door]). So one process serves any deployment, and this
+// and backends ([API]). So one process serves any deployment, and this
 // package knows none.
-package node
+package process
 
 import (
 	"context"
@@ -47,11 +47,11 @@
 	Retries retry.Limits
 
 	// Of a directory replica.
-	Door     string // for operators and backends
-	DataDir  string
-	First    bool          // the first start of the whole system
-	Voters   int           // wanted in the directory's group
-	Interval time.Duration // between a backend's announcements
+	API       string // for operators and backends
+	DataDir   string
+	Bootstrap bool          // the first start of the whole system
+	Voters    int           // wanted in the directory's group
+	Interval  time.Duration // between a backend's announcements
 
 	Grace       time.Duration // a stopping process has
 	Memory      int64         // bytes that the process may use
@@ -79,32 +79,32 @@
 	idlePerBackend    = 64
 )
 
-// Node is a running process.
-type Node struct {
-	set     Settings
+// base is a running process.
+type base struct {
+	cfg     Settings
 	log     *decision.Log
 	metrics *metrics.Set
 	servers []*http.Server
 }
 
-func start(set Settings, log *decision.Log, figures *metrics.Set) (*Node, error) {
-	if set.Memory > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(set.Memory)))
+func start(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
+	if cfg.Memory > 0 {
+		debug.SetMemoryLimit(int64(heapPart * float64(cfg.Memory)))
 	}
-	n := &Node{set: set, log: log, metrics: figures}
-	if set.Metrics == "" {
+	n := &base{cfg: cfg, log: log, metrics: metricSet}
+	if cfg.Metrics == "" {
 		return n, nil
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) {
-		figures.WritePrometheus(w)
+		metricSet.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	return n, n.listen(set.Metrics, mux, socket.Listen)
+	return n, n.listen(cfg.Metrics, mux, socket.Listen)
 }
 
 // listen serves one address.
-func (n *Node) listen(address string, h http.Handler, open func(string) (net.Listener, error)) error {
+func (n *base) listen(address string, h http.Handler, open func(string) (net.Listener, error)) error {
 	l, err := open(address)
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", address)
@@ -119,7 +119,7 @@
 }
 
 // listenToCallers serves callers with a bound on their connections.
-func (n *Node) listenToCallers(ctx context.Context, g *gateway.Gateway) error {
+func (n *base) listenToCallers(ctx context.Context, g *gateway.Gateway) error {
 	most := n.mostConnections()
 	// A caller that has gone in silence is noticed by the bounds on idle
 	// connections and on writes; probes would cost system calls for each caller.
@@ -131,7 +131,7 @@
 		}
 		return socket.Limit(l, most), nil
 	}
-	if err := n.listen(n.set.Callers, g, open); err != nil {
+	if err := n.listen(n.cfg.Callers, g, open); err != nil {
 		return err
 	}
 	idle := newIdleConnections(most)
@@ -141,33 +141,33 @@
 }
 
 // mostConnections is how many callers' connections the machine's limits allow.
-func (n *Node) mostConnections() int {
-	byFiles := n.set.Descriptors - reservedFiles
-	byMemory := int(connectionsPart * float64(n.set.Memory) / connectionBytes)
+func (n *base) mostConnections() int {
+	byFiles := n.cfg.Descriptors - reservedFiles
+	byMemory := int(connectionsPart * float64(n.cfg.Memory) / connectionBytes)
 	return max(min(byFiles, byMemory), fewestConnections)
 }
 
-func (n *Node) close() {
+func (n *base) close() {
 	for _, s := range n.servers {
 		s.Close()
 	}
 }
 
-func (n *Node) identity() link.Identity {
-	return link.Identity{Name: n.set.Fleet, Key: n.set.FleetKey, Dial: socket.Dial}
+func (n *base) identity() link.Identity {
+	return link.Identity{Name: n.cfg.Fleet, Key: n.cfg.FleetKey, Dial: socket.Dial}
 }
 
 // Gateway runs a gateway until ctx ends, and then stops it without cutting
 // off a request as far as the grace allows. Of reloaded settings it takes the
 // seeds.
-func Gateway(ctx context.Context, set Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
-	refused func(int, http.Header) bool, log *decision.Log, figures *metrics.Set) error {
-	n, err := start(set, log, figures)
+func Gateway(ctx context.Context, cfg Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
+	refused func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
+	n, err := start(cfg, log, metricSet)
 	if err != nil {
 		return err
 	}
 	defer n.close()
-	opened := figures.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
+	opened := metricSet.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
 	client := backend.New(backend.Settings{
 		Dialer: &net.Dialer{Timeout: backendDial}, IdlePerServer: idlePerBackend, IdleTime: backendIdle,
 		Refused: refused, Opened: opened.Inc,
@@ -176,11 +176,11 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
-		Identity: n.identity(), Zone: set.Zone, Seeds: set.Seeds, Headers: headers, Backend: client,
-		Retries: set.Retries, Grace: set.Grace, Bodies: int64(bodiesPart * float64(set.Memory)),
-		Random: rand.Uint64, Log: log, Metrics: figures,
+		Identity: n.identity(), Zone: cfg.Zone, Seeds: cfg.Seeds, Headers: headers, Backend: client,
+		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
+		Random: rand.Uint64, Log: log, Metrics: metricSet,
 	})
-	if err := n.listen(set.Ready, readiness(g), socket.Listen); err != nil {
+	if err := n.listen(cfg.Ready, readiness(g), socket.Listen); err != nil {
 		return err
 	}
 	if err := n.listenToCallers(running, g); err != nil {
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -21,31 +21,31 @@
 
 // The kinds of message.
 const (
-	KindHello     Kind = 1
-	KindWelcome   Kind = 2
-	KindRedirect  Kind = 3
-	KindRenew     Kind = 4
-	KindRenewed   Kind = 5
-	KindReport    Kind = 6
-	KindView      Kind = 7
-	KindConfigure Kind = 8
-	KindClaim     Kind = 9
-	KindSettle    Kind = 10
-	KindClaimed   Kind = 11
-	KindConsensus Kind = 12
-	KindWatch     Kind = 13
-	KindElsewhere Kind = 14
-	KindDocument  Kind = 15
-	KindBackends  Kind = 16
-	KindUsage     Kind = 17
-	KindFleet     Kind = 18
+	KindHello         Kind = 1
+	KindWelcome       Kind = 2
+	KindRedirect      Kind = 3
+	KindRenew         Kind = 4
+	KindRenewed       Kind = 5
+	KindReport        Kind = 6
+	KindView          Kind = 7
+	KindConfigure     Kind = 8
+	KindClaim         Kind = 9
+	KindSettle        Kind = 10
+	KindClaimed       Kind = 11
+	KindConsensus     Kind = 12
+	KindWatch         Kind = 13
+	KindWatchRedirect Kind = 14
+	KindDocument      Kind = 15
+	KindBackends      Kind = 16
+	KindUsage         Kind = 17
+	KindFleet         Kind = 18
 )
 
 var kindNames = map[Kind]string{
 	KindHello: "hello", KindWelcome: "welcome", KindRedirect: "redirect", KindRenew: "renew",
 	KindRenewed: "renewed", KindReport: "report", KindView: "view", KindConfigure: "configure",
 	KindClaim: "claim", KindSettle: "settle", KindClaimed: "claimed", KindConsensus: "consensus",
-	KindWatch: "watch", KindElsewhere: "elsewhere", KindDocument: "document", KindBackends: "backends",
+	KindWatch: "watch", KindWatchRedirect: "elsewhere", KindDocument: "document", KindBackends: "backends",
 	KindUsage: "usage", KindFleet: "fleet",
 }
 
@@ -67,24 +67,24 @@
 // Message is any of the message types of this package.
 type Message interface{ kind() Kind }
 
-func (Hello) kind() Kind     { return KindHello }
-func (Welcome) kind() Kind   { return KindWelcome }
-func (Redirect) kind() Kind  { return KindRedirect }
-func (Renew) kind() Kind     { return KindRenew }
-func (Renewed) kind() Kind   { return KindRenewed }
-func (Report) kind() Kind    { return KindReport }
-func (View) kind() Kind      { return KindView }
-func (Configure) kind() Kind { return KindConfigure }
-func (Claim) kind() Kind     { return KindClaim }
-func (Settle) kind() Kind    { return KindSettle }
-func (Claimed) kind() Kind   { return KindClaimed }
-func (Consensus) kind() Kind { return KindConsensus }
-func (Watch) kind() Kind     { return KindWatch }
-func (Elsewhere) kind() Kind { return KindElsewhere }
-func (Document) kind() Kind  { return KindDocument }
-func (Backends) kind() Kind  { return KindBackends }
-func (Usage) kind() Kind     { return KindUsage }
-func (Fleet) kind() Kind     { return KindFleet }
+func (Hello) kind() Kind         { return KindHello }
+func (Welcome) kind() Kind       { return KindWelcome }
+func (Redirect) kind() Kind      { return KindRedirect }
+func (Renew) kind() Kind         { return KindRenew }
+func (Renewed) kind() Kind       { return KindRenewed }
+func (Report) kind() Kind        { return KindReport }
+func (View) kind() Kind          { return KindView }
+func (Configure) kind() Kind     { return KindConfigure }
+func (Claim) kind() Kind         { return KindClaim }
+func (Settle) kind() Kind        { return KindSettle }
+func (Claimed) kind() Kind       { return KindClaimed }
+func (Consensus) kind() Kind     { return KindConsensus }
+func (Watch) kind() Kind         { return KindWatch }
+func (WatchRedirect) kind() Kind { return KindWatchRedirect }
+func (Document) kind() Kind      { return KindDocument }
+func (Backends) kind() Kind      { return KindBackends }
+func (Usage) kind() Kind         { return KindUsage }
+func (Fleet) kind() Kind         { return KindFleet }
 
 // KindOf returns the kind under which m travels.
 func KindOf(m Message) Kind { return m.kind() }
@@ -185,8 +185,8 @@
 		return decodeAs[Consensus](e)
 	case KindWatch:
 		return decodeAs[Watch](e)
-	case KindElsewhere:
-		return decodeAs[Elsewhere](e)
+	case KindWatchRedirect:
+		return decodeAs[WatchRedirect](e)
 	case KindDocument:
 		return decodeAs[Document](e)
 	case KindBackends:
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -68,7 +68,7 @@
 		Offset: 71, Total: 72,
 	},
 	Watch{Gateway: "gateway-1", Boot: big, Number: 82, Term: 83},
-	Elsewhere{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
+	WatchRedirect{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
 	Document{Number: 84, Data: []byte{0xa1, 1, 2}},
 	Backends{
 		Term: 85, Whole: true, Complete: true,
@@ -79,12 +79,12 @@
 		Gone: []string{"engine-3#c", "engine-4#d"},
 	},
 	Usage{
-		Running: []Running{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
+		Loads:   []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
 		Demands: []Demand{{Tenant: "t1", Tokens: big}, {Tenant: "t2", Tokens: 12}},
-		Number:  86, Begun: 87, Missed: 88,
+		Number:  86, Started: 87, Missed: 88,
 	},
 	Fleet{
-		Gateways: 3, Running: []Running{{Handle: 9, Requests: 10, Tokens: 11}, {Handle: 12, Requests: 13, Tokens: 14}},
+		Gateways: 3, Loads: []ServerLoad{{Handle: 9, Requests: 10, Tokens: 11}, {Handle: 12, Requests: 13, Tokens: 14}},
 		Entitlements: []Entitlement{{Tenant: "t1", Part: 0.25, Extra: 0.7}, {Tenant: "t2", Part: 0.1, Extra: 1}},
 		Members:      []string{"10.0.0.1:7000", "10.0.0.2:7000"}, Short: true,
 	},
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -29,13 +29,13 @@
 		Term: 3, Index: 4, LogTerm: 5, Commit: 6, Entries: []Entry{{Term: 1, Index: 2, Kind: EntryMembership, Data: []byte{7}}},
 		Reject: true, Hint: 8, Sent: 9, Force: true, Snapshot: &Snapshot{Group: 1, Index: 2, Term: 3, Data: []byte{4}}, Offset: 10, Total: 11},
 	Watch{Gateway: "g", Boot: 1, Number: 2, Term: 3},
-	Elsewhere{Leader: "c", Members: []string{"c", "d"}},
+	WatchRedirect{Leader: "c", Members: []string{"c", "d"}},
 	Document{Number: 4, Data: []byte{5}},
 	Backends{Term: 1, Whole: true, Complete: true, Gone: []string{"x"},
 		Set: []Backend{{ID: "b", Pool: "p", Address: "10.0.0.1:80", Zone: "z", Slots: 4, Handle: 7}}},
-	Usage{Running: []Running{{Handle: 7, Requests: 2, Tokens: 900}}, Demands: []Demand{{Tenant: "t", Tokens: 12}},
-		Number: 4, Begun: 5, Missed: 6},
-	Fleet{Gateways: 3, Running: []Running{{Handle: 7, Requests: 1, Tokens: 2}},
+	Usage{Loads: []ServerLoad{{Handle: 7, Requests: 2, Tokens: 900}}, Demands: []Demand{{Tenant: "t", Tokens: 12}},
+		Number: 4, Started: 5, Missed: 6},
+	Fleet{Gateways: 3, Loads: []ServerLoad{{Handle: 7, Requests: 1, Tokens: 2}},
 		Entitlements: []Entitlement{{Tenant: "t", Part: 0.25, Extra: 0.5}}, Members: []string{"c"}, Short: true},
 }
 
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -18,8 +18,8 @@
 	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest seen; an older leader must refuse
 }
 
-// Elsewhere refuses a session at a replica that does not lead.
-type Elsewhere struct {
+// WatchRedirect refuses a session at a replica that does not lead.
+type WatchRedirect struct {
 	Leader  string   `cbor:"1,keyasint,omitempty"` // fleet address; empty when unknown
 	Members []string `cbor:"2,keyasint,omitempty"` // fleet addresses of the group
 }
@@ -54,8 +54,8 @@
 	Gone     []string  `cbor:"5,keyasint,omitempty"` // leaving, withdrawn or replaced
 }
 
-// Running is what runs on one backend.
-type Running struct {
+// ServerLoad is what runs on one backend.
+type ServerLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Handle   uint32
 	Requests uint32
@@ -71,11 +71,11 @@
 
 // Usage is a gateway's report, several times a second.
 type Usage struct {
-	Running []Running `cbor:"1,keyasint,omitempty"`
-	Demands []Demand  `cbor:"2,keyasint,omitempty"`
-	Number  uint64    `cbor:"3,keyasint,omitempty"` // of the document in force there
-	Begun   uint64    `cbor:"4,keyasint,omitempty"` // tokens of requests given to engines since the previous report
-	Missed  uint64    `cbor:"5,keyasint,omitempty"` // tokens of requests within a share that found no room since then
+	Loads   []ServerLoad `cbor:"1,keyasint,omitempty"`
+	Demands []Demand     `cbor:"2,keyasint,omitempty"`
+	Number  uint64       `cbor:"3,keyasint,omitempty"` // of the document in force there
+	Started uint64       `cbor:"4,keyasint,omitempty"` // tokens of requests given to engines since the previous report
+	Missed  uint64       `cbor:"5,keyasint,omitempty"` // tokens of requests within a share that found no room since then
 }
 
 // Entitlement is the part of a tenant's demand that its fair share covers: of
@@ -92,7 +92,7 @@
 // Fleet is how all gateways together stand, several times a second.
 type Fleet struct {
 	Gateways     int           `cbor:"1,keyasint,omitempty"`
-	Running      []Running     `cbor:"2,keyasint,omitempty"` // on all gateways but the receiving one
+	Loads        []ServerLoad  `cbor:"2,keyasint,omitempty"` // on all gateways but the receiving one
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
 	// Short says that requests within their tenants' shares find no room
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -40,7 +40,7 @@
 	l.waiting = map[uint64]waiter{}
 	if c.Snapshot.Group == 0 {
 		l.formation = l.newFormation()
-		if o := r.set.Open; o != nil && (!o.First || !slices.Contains(r.set.Names, r.set.Name)) {
+		if o := r.set.Open; o != nil && (!o.Bootstrap || !slices.Contains(r.set.Names, r.set.Name)) {
 			l.formation.JoinOnly()
 		}
 		return nil
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -68,9 +68,9 @@
 
 // OpenGroup is what an open group needs to know besides its seeds.
 type OpenGroup struct {
-	// First says that this is the first start of the whole group: the seeds
+	// Bootstrap says that this is the first start of the whole group: the seeds
 	// may found it.
-	First bool
+	Bootstrap bool
 	// Voters is how many voters the group has; more replicas than that are
 	// learners, ready to take a silent voter's place.
 	Voters int
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -40,23 +40,23 @@
 
 // Route leads requests of one host and path prefix to pools.
 type Route struct {
-	Name   string        `cbor:"1,keyasint"`
-	Host   string        `cbor:"2,keyasint"`
-	Prefix string        `cbor:"3,keyasint"` // of the path
-	Kind   Kind          `cbor:"4,keyasint,omitempty"`
-	Hold   time.Duration `cbor:"5,keyasint"` // longest time that a request may be held
+	Name    string        `cbor:"1,keyasint"`
+	Host    string        `cbor:"2,keyasint"`
+	Prefix  string        `cbor:"3,keyasint"` // of the path
+	Kind    Kind          `cbor:"4,keyasint,omitempty"`
+	Timeout time.Duration `cbor:"5,keyasint"` // longest time that a request may be held
 	// Objective is the time to the answer, or to a stream's first event, that
 	// callers hope for.
-	Objective time.Duration `cbor:"6,keyasint,omitempty"`
-	Priority  int           `cbor:"7,keyasint,omitempty"` // 0 is highest
-	Targets   []Target      `cbor:"8,keyasint"`
-	Attempts  int           `cbor:"9,keyasint,omitempty"` // most backends that one request may run on
-	Public    bool          `cbor:"10,keyasint,omitempty"`
-	Sticky    bool          `cbor:"11,keyasint,omitempty"` // prompts share parts
-	Resumable bool          `cbor:"12,keyasint,omitempty"`
-	// Pause is the longest pause between two events of a stream at which it
+	Objective   time.Duration `cbor:"6,keyasint,omitempty"`
+	Priority    int           `cbor:"7,keyasint,omitempty"` // 0 is highest
+	Targets     []Target      `cbor:"8,keyasint"`
+	MaxAttempts int           `cbor:"9,keyasint,omitempty"` // most backends that one request may run on
+	Public      bool          `cbor:"10,keyasint,omitempty"`
+	Sticky      bool          `cbor:"11,keyasint,omitempty"` // prompts share parts
+	Resumable   bool          `cbor:"12,keyasint,omitempty"`
+	// EventGap is the longest pause between two events of a stream at which it
 	// is still in time.
-	Pause time.Duration `cbor:"13,keyasint,omitempty"`
+	EventGap time.Duration `cbor:"13,keyasint,omitempty"`
 }
 
 // MayRepeat reports whether a request of the route may run more than once.
@@ -149,7 +149,7 @@
 	places := map[[2]string]string{}
 	for _, r := range d.Routes {
 		where := fmt.Sprintf("route %q", r.Name)
-		if r.Hold <= 0 {
+		if r.Timeout <= 0 {
 			found.add(where, "has no time-out")
 		}
 		if !strings.HasPrefix(r.Prefix, "/") {
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -17,8 +17,8 @@
 		Number: 7,
 		Pools:  []Pool{{Name: "p"}, {Name: "q"}},
 		Routes: []Route{
-			{Name: "a", Host: "h", Prefix: "/a/", Hold: time.Second, Targets: []Target{{"p", 9}, {"q", 1}}},
-			{Name: "b", Host: "h", Prefix: "/b/", Hold: time.Second, Targets: []Target{{"q", 1}}},
+			{Name: "a", Host: "h", Prefix: "/a/", Timeout: time.Second, Targets: []Target{{"p", 9}, {"q", 1}}},
+			{Name: "b", Host: "h", Prefix: "/b/", Timeout: time.Second, Targets: []Target{{"q", 1}}},
 		},
 		Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}}, {Name: "u", Keys: []string{"k3"}}},
 	}
@@ -31,7 +31,7 @@
 		want  string // part of the mistake; empty is valid
 	}{
 		{"valid", func(*Document) {}, ""},
-		{"no time-out", func(d *Document) { d.Routes[0].Hold = 0 }, `route "a": has no time-out`},
+		{"no time-out", func(d *Document) { d.Routes[0].Timeout = 0 }, `route "a": has no time-out`},
 		{"unknown pool", func(d *Document) { d.Routes[1].Targets[0].Pool = "x" }, `names the unknown pool "x"`},
 		{"same place", func(d *Document) { d.Routes[1].Prefix = "/a/" }, `shares host and prefix with route "a"`},
 		{"same prefix on another host", func(d *Document) { d.Routes[1].Prefix, d.Routes[1].Host = "/a/", "i" }, ""},
@@ -62,7 +62,7 @@
 func TestCheckListsAllMistakesAtOnce(t *testing.T) {
 	is := is.New(t)
 	d := valid()
-	d.Routes[0].Hold = 0
+	d.Routes[0].Timeout = 0
 	d.Routes[1].Targets[0].Pool = "x"
 	d.Tenants[1].Keys = []string{"k1"}
 	var invalid Invalid
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -21,12 +21,12 @@
 	Number: 1<<64 - 2,
 	Routes: []Route{
 		{
-			Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: Stream, Hold: 3 * time.Second,
+			Name: "chat", Host: "chat.example", Prefix: "/v1/", Kind: Stream, Timeout: 3 * time.Second,
 			Objective: 400 * time.Millisecond, Priority: 2, Targets: []Target{{Pool: "llm", Weight: 9}, {Pool: "web", Weight: 1}},
-			Attempts: 3, Public: true, Sticky: true, Resumable: true, Pause: 250 * time.Millisecond,
+			MaxAttempts: 3, Public: true, Sticky: true, Resumable: true, EventGap: 250 * time.Millisecond,
 		},
-		{Name: "pay", Host: "pay.example", Prefix: "/", Kind: Once, Hold: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
-		{Name: "read", Host: "read.example", Prefix: "/", Kind: Repeatable, Hold: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
+		{Name: "pay", Host: "pay.example", Prefix: "/", Kind: Once, Timeout: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
+		{Name: "read", Host: "read.example", Prefix: "/", Kind: Repeatable, Timeout: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
 	},
 	Pools:   []Pool{{Name: "llm", Connections: 64, Engine: true, Memory: 120000}, {Name: "web"}},
 	Tenants: []Tenant{{Name: "t1", Keys: []string{"k1", "k2"}, Priority: 4}, {Name: "t2"}},
