--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -31,7 +31,7 @@
 	"github.com/badgerspoke/badgerspoke/router"
 	"github.com/badgerspoke/badgerspoke/settings"
 	"github.com/badgerspoke/badgerspoke/state/wal"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
@@ -71,7 +71,7 @@
 	Log   *slog.Logger
 
 	// What tests put in place of the machine. Nil is the machine's own.
-	Dialer backend.Dialer
+	Dialer forward.Dialer
 	Dir    func(group string) (wal.Dir, error)
 	Random func() uint64
 }
@@ -82,7 +82,7 @@
 	metrics *metrics.Set
 	router  *router.Router
 	control *control.Control
-	backend *backend.Client
+	server  *forward.Client
 	servers []*http.Server
 }
 
@@ -156,10 +156,10 @@
 }
 
 func (b *Box) startRouter(ctx context.Context) {
-	b.backend = backend.New(backend.Settings{Dialer: b.set.Dialer})
+	b.server = forward.New(forward.Settings{Dialer: b.set.Dialer})
 	b.router = router.Start(ctx, router.Settings{
 		Identity: b.identity(), Hall: b.set.Hall, Replicas: b.set.Replicas,
-		Backend: b.backend, Limits: b.set.Limits, Pace: b.set.Pace,
+		Server: b.server, Limits: b.set.Limits, Pace: b.set.Pace,
 		StopWithoutLeader: b.set.StopWithoutLeader, Random: b.set.Random, Log: b.set.Log, Metrics: b.metrics,
 	})
 	b.serve(b.set.Callers, b.router, b.tls().Door)
@@ -235,8 +235,8 @@
 	if b.control != nil {
 		b.control.Stop(ctx)
 	}
-	if b.backend != nil {
-		b.backend.Close()
+	if b.server != nil {
+		b.server.Close()
 	}
 	for _, s := range b.servers {
 		if s.Shutdown(ctx) != nil {
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -265,10 +265,10 @@
 
 // allocatorView returns what the allocator needs of a configuration, by
 // identifiers. over is the part of a server's slots that is granted beyond.
-func allocatorView(cfg config.Config, over float64) ([]slots.Backend, []slots.Account) {
-	var backends []slots.Backend
+func allocatorView(cfg config.Config, over float64) ([]slots.Server, []slots.Account) {
+	var servers []slots.Server
 	for _, s := range cfg.Servers() {
-		backends = append(backends, slots.Backend{
+		servers = append(servers, slots.Server{
 			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Extra: extra(s, over), Serving: s.Mark == config.Serving,
 		})
 	}
@@ -276,7 +276,7 @@
 	for _, a := range cfg.Accounts() {
 		accounts = append(accounts, slots.Account{Name: a.ID, Share: a.Share})
 	}
-	return backends, accounts
+	return servers, accounts
 }
 
 // extra returns how many slots of a server are granted beyond what it runs at
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -69,7 +69,7 @@
 	Requests int     // running or waiting there, from all routers
 	Tokens   int     // still to be read there, from all routers
 	Slowness float64 // how many times slower than others; 1 is as fast
-	SameHall bool    // in the router's zone
+	SameHall bool    // in the router's data hall
 }
 
 // Prices of the parts of a choice, in tokens.
@@ -79,7 +79,7 @@
 	rankPart     = 0.1    // of that, more for each later place in the order
 	requestPrice = 60     // each request that shares the engine's steps
 	fullPrice    = 4000   // each request beyond the engine's slots
-	farPrice     = 40     // another zone
+	farPrice     = 40     // another data hall
 )
 
 // orderDepth is how many engines of a prompt's order are told apart.
--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -39,7 +39,7 @@
 		is.Equal(first.Read, 1000)
 		far := append([]Engine(nil), engines...)
 		for i := range far {
-			far[i].SameHall = i%3 == 0 // another router's zone
+			far[i].SameHall = i%3 == 0 // another router's data hall
 		}
 		second, _ := ChooseEngine(p, far)
 		is.Equal(first.Index, second.Index)
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package place chooses the backend of a request among those on which
+// Package place chooses the backend server of a request among those on which
 // the router holds a free slot.
 //
 // The model: every candidate has a price, the lowest wins. The price is the
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -9,14 +9,14 @@
 
 // This file defines Placer, the choice itself, and the load that goes into it.
 
-// Candidate is a backend with a free slot.
+// Candidate is a backend server with a free slot.
 type Candidate struct {
 	Server  string
 	Slots   int
 	Running int // by this router
 }
 
-// Load is what a backend reports of itself.
+// Load is what a backend server reports of itself.
 type Load struct {
 	Running int
 	Waiting int
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package registry keeps which backends have announced themselves.
+// Package registry keeps which backend servers have announced themselves.
 //
-// The model: soft state on the leader. A backend announces itself again and
+// The model: soft state on the leader. A backend server announces itself again and
 // again under an identifier that is new at each of its starts; one that falls
 // silent is not removed (its callers know better whether it answers) but
 // replaced when another announces the same address. Departures are not soft:
 // the caller keeps them in a replicated log and asks [Registry] only about
-// backends that have not departed. A new leader starts empty and is complete
-// once every backend has had the time to announce itself ([Registry.Complete]).
+// backend servers that have not departed. A new leader starts empty and is complete
+// once every backend server has had the time to announce itself ([Registry.Complete]).
 //
 // Nothing here is safe for concurrent use, and nothing reads a clock.
 package registry
@@ -21,12 +21,12 @@
 	"time"
 )
 
-// Announcement is what a backend says of itself.
+// Announcement is what a backend server says of itself.
 type Announcement struct {
 	ID      string
 	Pool    string
 	Address string // IP:PORT
-	Zone    string
+	Hall    string
 	Slots   int
 	Leaving bool
 	Seq     uint64 // rises with each announcement of one ID
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// Backend is a backend that may be used.
-type Backend struct {
+// Server is a backend server that may be used.
+type Server struct {
 	Announcement
 	Handle   uint32        // short name within this registry
 	LastSeen time.Duration // when it last announced itself
@@ -61,83 +61,83 @@
 
 // Change is what an announcement changed.
 type Change struct {
-	Set  []Backend
+	Set  []Server
 	Gone []string
 }
 
 // Empty reports whether nothing changed.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Gone) == 0 }
 
-// Registry is the table of announced backends.
+// Registry is the table of announced backend servers.
 type Registry struct {
 	leaderSince time.Duration
 	interval    time.Duration // between announcements
-	backends    map[string]*Backend
+	servers     map[string]*Server
 	byAddress   map[string]string // identifier by address
 	next        uint32
 }
 
 // completeAfter is the number of announcement intervals after which every
-// backend that is alive has been heard: one may be late or lost.
+// backend server that is alive has been heard: one may be late or lost.
 const completeAfter = 3
 
-// forgetAfter is the number of intervals of silence after which a backend is
-// forgotten. It is long: what a backend's callers see of it counts more.
+// forgetAfter is the number of intervals of silence after which a backend server is
+// forgotten. It is long: what a backend server's callers see of it counts more.
 const forgetAfter = 40
 
 // New returns an empty registry of a leader that begins to lead now.
 func New(now, interval time.Duration) *Registry {
 	return &Registry{
 		leaderSince: now, interval: interval,
-		backends: map[string]*Backend{}, byAddress: map[string]string{}, next: 1,
+		servers: map[string]*Server{}, byAddress: map[string]string{}, next: 1,
 	}
 }
 
-// Restore adds a backend of which another leader heard, before anybody has
+// Restore adds a backend server of which another leader heard, before anybody has
 // spoken here. Any announcement goes before it.
 func (r *Registry) Restore(now time.Duration, a Announcement) {
 	a.Seq = 0
-	if r.backends[a.ID] == nil && r.byAddress[a.Address] == "" {
+	if r.servers[a.ID] == nil && r.byAddress[a.Address] == "" {
 		r.add(now, a)
 	}
 }
 
-// Announce takes an announcement of a backend that has not departed. A late
+// Announce takes an announcement of a backend server that has not departed. A late
 // one, with a number that is not above the last, changes nothing.
 func (r *Registry) Announce(now time.Duration, a Announcement) Change {
-	b := r.backends[a.ID]
+	b := r.servers[a.ID]
 	if b == nil {
 		return r.add(now, a)
 	}
 	if a.Seq <= b.Seq {
 		return Change{}
 	}
-	same := b.Pool == a.Pool && b.Address == a.Address && b.Zone == a.Zone && b.Slots == a.Slots
+	same := b.Pool == a.Pool && b.Address == a.Address && b.Hall == a.Hall && b.Slots == a.Slots
 	b.Announcement, b.LastSeen = a, now
 	if same {
 		return Change{}
 	}
-	return Change{Set: []Backend{*b}}
+	return Change{Set: []Server{*b}}
 }
 
 func (r *Registry) add(now time.Duration, a Announcement) Change {
 	var gone []string
 	if old, taken := r.byAddress[a.Address]; taken {
-		delete(r.backends, old)
+		delete(r.servers, old)
 		gone = append(gone, old)
 	}
-	b := &Backend{Announcement: a, Handle: r.next, LastSeen: now}
+	b := &Server{Announcement: a, Handle: r.next, LastSeen: now}
 	r.next++
-	r.backends[a.ID] = b
+	r.servers[a.ID] = b
 	r.byAddress[a.Address] = a.ID
-	return Change{Set: []Backend{*b}, Gone: gone}
+	return Change{Set: []Server{*b}, Gone: gone}
 }
 
-// Remove takes out a backend that has departed. Gone names it even if it was
+// Remove takes out a backend server that has departed. Gone names it even if it was
 // not known here: a caller may know it.
 func (r *Registry) Remove(id string) Change {
-	if b := r.backends[id]; b != nil {
-		delete(r.backends, id)
+	if b := r.servers[id]; b != nil {
+		delete(r.servers, id)
 		if r.byAddress[b.Address] == id {
 			delete(r.byAddress, b.Address)
 		}
@@ -145,7 +145,7 @@
 	return Change{Gone: []string{id}}
 }
 
-// ExpireSilent takes out backends that have been silent for very long.
+// ExpireSilent takes out backend servers that have been silent for very long.
 func (r *Registry) ExpireSilent(now time.Duration) Change {
 	var change Change
 	for _, b := range r.List() {
@@ -156,21 +156,21 @@
 	return change
 }
 
-// Complete reports whether every living backend has had the time to announce
+// Complete reports whether every living backend server has had the time to announce
 // itself here.
 func (r *Registry) Complete(now time.Duration) bool {
 	return now-r.leaderSince >= completeAfter*r.interval
 }
 
-// List returns all backends, ordered by identifier.
-func (r *Registry) List() []Backend {
-	list := make([]Backend, 0, len(r.backends))
-	for _, b := range r.backends {
+// List returns all backend servers, ordered by identifier.
+func (r *Registry) List() []Server {
+	list := make([]Server, 0, len(r.servers))
+	for _, b := range r.servers {
 		list = append(list, *b)
 	}
-	slices.SortFunc(list, func(a, b Backend) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Size returns the number of backends.
-func (r *Registry) Size() int { return len(r.backends) }
+// Size returns the number of backend servers.
+func (r *Registry) Size() int { return len(r.servers) }
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -13,10 +13,10 @@
 const interval = time.Second
 
 func announcement(id, address string, seq uint64) Announcement {
-	return Announcement{ID: id, Pool: "p", Address: address, Zone: "z", Slots: 4, Seq: seq}
+	return Announcement{ID: id, Pool: "p", Address: address, Hall: "z", Slots: 4, Seq: seq}
 }
 
-func ids(list []Backend) []string {
+func ids(list []Server) []string {
 	var out []string
 	for _, b := range list {
 		out = append(out, b.ID)
--- a/coordination/share/doc.go
+++ b/coordination/share/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package share decides whose waiting work goes next on one router, and keeps
-// the account of what each tenant has received.
+// the account of what each account has received.
 //
 // The model: service is counted in units of cost (see [Weights]) and divided
 // by the account's share; the quotient is the account's virtual time. The
--- a/coordination/share/level.go
+++ b/coordination/share/level.go
@@ -4,10 +4,10 @@
 
 import "slices"
 
-// This file defines max-min fair shares of a rate: what each tenant is
+// This file defines max-min fair shares of a rate: what each account is
 // entitled to when all ask for more than there is.
 
-// Level returns the highest rate that every tenant may ask for in full: the
+// Level returns the highest rate that every account may ask for in full: the
 // sum of min(demand, level) is the capacity. Without a shortage it is the
 // largest demand. It costs O(n log n).
 func Level(demands []float64, capacity float64) float64 {
@@ -34,7 +34,7 @@
 	return level / demand
 }
 
-// Marker marks a given part of a tenant's requests, by cost, as entitled. The
+// Marker marks a given part of an account's requests, by cost, as entitled. The
 // zero value is ready.
 //
 // Each request adds its part to a credit and, if that covers half of its cost,
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -58,7 +58,7 @@
 	changed   map[string]*account
 }
 
-// account is one tenant on this router.
+// account is one account on this router.
 type account struct {
 	name    string
 	share   float64
--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -40,8 +40,8 @@
 // square of the fleet.
 const TurnGap = time.Millisecond
 
-// Backend is what the allocator needs to know of a backend server.
-type Backend struct {
+// Server is what the allocator needs to know of a backend server.
+type Server struct {
 	Name    string
 	Pool    string
 	Slots   int
@@ -106,7 +106,7 @@
 }
 
 type server struct {
-	Backend
+	Server
 	granted int
 	pool    *pool
 	index   int // in pool.free, -1 when not in it
@@ -144,9 +144,9 @@
 }
 
 // Configure takes the backend servers and accounts of a configuration.
-func (a *Allocator) Configure(backends []Backend, accounts []Account) {
+func (a *Allocator) Configure(servers []Server, accounts []Account) {
 	seen := map[string]bool{}
-	for _, b := range backends {
+	for _, b := range servers {
 		seen[b.Name] = true
 		s := a.servers[b.Name]
 		if s == nil {
@@ -156,7 +156,7 @@
 		if s.pool != nil {
 			s.pool.drain(s)
 		}
-		s.Backend, s.pool = b, a.pool(b.Pool)
+		s.Server, s.pool = b, a.pool(b.Pool)
 		s.pool.setFree(s)
 	}
 	for name, s := range a.servers {
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -16,16 +16,16 @@
 func (f *fleet) newAllocator(expected []slots.Process) {
 	f.alloc = slots.NewAllocator(f.epoch, f.now, testLease, f.shape.pace, expected)
 	f.epoch++
-	var backends []slots.Backend
+	var servers []slots.Server
 	for _, name := range sortedKeys(f.servers) {
 		s := f.servers[name]
-		backends = append(backends, slots.Backend{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Extra: f.shape.pools[s.pool].extra(), Serving: true})
+		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Extra: f.shape.pools[s.pool].extra(), Serving: true})
 	}
 	var accounts []slots.Account
 	for _, a := range f.shape.accounts {
 		accounts = append(accounts, slots.Account{Name: a.name, Share: a.share})
 	}
-	f.alloc.Configure(backends, accounts)
+	f.alloc.Configure(servers, accounts)
 }
 
 // wakeAllocator lets the allocator take a turn once everything that arrives
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -26,7 +26,7 @@
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
 				a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
-				a.Configure([]Backend{{Name: "s", Pool: "p", Slots: 2, Serving: true}}, []Account{{Name: "a", Share: 1}})
+				a.Configure([]Server{{Name: "s", Pool: "p", Slots: 2, Serving: true}}, []Account{{Name: "a", Share: 1}})
 				a.Open(0, protocol.Hello{Router: "r", Boot: 1})
 				a.Report(0, "r", protocol.Report{Pools: []protocol.PoolReport{{
 					Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Waiting: 5, Running: 1}},
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -64,7 +64,7 @@
 }
 
 func configure(a *slots.Allocator, serving bool) {
-	a.Configure([]slots.Backend{{Name: "s", Pool: "p", Slots: 2, Serving: serving}},
+	a.Configure([]slots.Server{{Name: "s", Pool: "p", Slots: 2, Serving: serving}},
 		[]slots.Account{{Name: "a", Share: 1}, {Name: "b", Share: 1}})
 }
 
--- a/decision/explain.go
+++ b/decision/explain.go
@@ -88,14 +88,14 @@
 // to believe around it, and what its end means. It reports whether the request
 // was found.
 func Explain(w io.Writer, lines []Line, request string) bool {
-	own, boxes, backends := life(lines, request)
+	own, boxes, servers := life(lines, request)
 	if len(own) == 0 {
 		return false
 	}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for _, l := range lines {
 		near := !l.Time.Before(first.Add(-around)) && !l.Time.After(last)
-		if near && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(backends) {
+		if near && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(servers) {
 			own = append(own, l)
 		}
 	}
@@ -112,10 +112,10 @@
 	return true
 }
 
-// life returns a request's own lines in order, and which nodes and backends
+// life returns a request's own lines in order, and which nodes and backend servers
 // they name.
-func life(lines []Line, request string) (own []Line, boxes, backends map[string]bool) {
-	boxes, backends = map[string]bool{}, map[string]bool{}
+func life(lines []Line, request string) (own []Line, boxes, servers map[string]bool) {
+	boxes, servers = map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["request"] != request {
 			continue
@@ -123,18 +123,18 @@
 		own = append(own, l)
 		boxes[l.Box] = true
 		if b, ok := l.Fields["backend"].(string); ok {
-			backends[b] = true
+			servers[b] = true
 		}
 	}
 	sortByTime(own)
-	return own, boxes, backends
+	return own, boxes, servers
 }
 
 // concerns reports whether a change of belief may explain a request: one about
-// another backend does not.
-func (l Line) concerns(backends map[string]bool) bool {
+// another backend server does not.
+func (l Line) concerns(servers map[string]bool) bool {
 	if b, ok := l.Fields["backend"].(string); ok {
-		return backends[b]
+		return servers[b]
 	}
 	if l.Event != "backends changed" {
 		return l.Event != "log lines dropped"
@@ -142,7 +142,7 @@
 	for _, list := range []string{"joined", "left"} {
 		ids, _ := l.Fields[list].([]any)
 		for _, id := range ids {
-			if name, ok := id.(string); ok && backends[name] {
+			if name, ok := id.(string); ok && servers[name] {
 				return true
 			}
 		}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -11,29 +11,29 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file measures what the leader spends on gateways and backends.
+// This file measures what the leader spends on gateways and backend servers.
 
 // BenchmarkFleet reports the bytes of one Fleet message, and the time to make
-// and encode it for one gateway, with every backend in use and a tenth of the
-// tenants beyond its share.
+// and encode it for one gateway, with every backend server in use and a tenth of the
+// accounts beyond its share.
 func BenchmarkFleet(b *testing.B) {
-	for _, size := range []struct{ gateways, backends, tenants int }{
+	for _, size := range []struct{ gateways, servers, accounts int }{
 		{9, 15, 16}, {60, 95, 30}, {1600, 10000, 5800},
 	} {
-		b.Run(fmt.Sprintf("gateways=%d/backends=%d", size.gateways, size.backends), func(b *testing.B) {
+		b.Run(fmt.Sprintf("gateways=%d/backends=%d", size.gateways, size.servers), func(b *testing.B) {
 			u := newUsage()
 			sessions := make([]*session, size.gateways)
-			each := min(size.backends, 100) // that one gateway uses at a time
+			each := min(size.servers, 100) // that one gateway uses at a time
 			for i := range sessions {
 				sessions[i] = &session{}
 				m := protocol.Usage{}
 				for j := range each {
-					m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*each+j)%size.backends + 1), Requests: 3, Tokens: 2000})
+					m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*each+j)%size.servers + 1), Requests: 3, Tokens: 2000})
 				}
 				u.report(sessions[i], m)
 			}
-			for i := range size.tenants / 10 {
-				u.entitlements = append(u.entitlements, protocol.Entitlement{Tenant: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
+			for i := range size.accounts / 10 {
+				u.entitlements = append(u.entitlements, protocol.Entitlement{Account: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
 			}
 			bytes := 0
 			u.sum()
@@ -69,20 +69,20 @@
 // nothing.
 func BenchmarkAnnounce(b *testing.B) {
 	r := registry.New(0, time.Second)
-	const backends = 10000
+	const servers = 10000
 	announce := func(i int, seq uint64) {
 		r.Announce(0, registry.Announcement{
 			ID: fmt.Sprintf("i-%d", i), Pool: "p", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250), Slots: 48, Seq: seq,
 		})
 	}
-	for i := range backends {
+	for i := range servers {
 		announce(i, 1)
 	}
 	seq := uint64(2)
 	i := 0
 	for b.Loop() {
 		announce(i, seq)
-		if i++; i == backends {
+		if i++; i == servers {
 			i = 0
 			seq++
 		}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -37,7 +37,7 @@
 	Bootstrap bool     // the first start of the whole group
 	Voters    int      // wanted in the group
 	Dir       wal.Dir
-	// Interval is the time between a backend's announcements.
+	// Interval is the time between a backend server's announcements.
 	Interval  time.Duration
 	Election  time.Duration
 	Heartbeat time.Duration
@@ -180,8 +180,8 @@
 	return held, nil
 }
 
-// Announce takes a backend's announcement. When it returns nil, gateways hear
-// of it; a backend that leaves is then on the disks of a majority as leaving.
+// Announce takes a backend server's announcement. When it returns nil, gateways hear
+// of it; a backend server that leaves is then on the disks of a majority as leaving.
 // The error is [registry.Senseless], [Elsewhere] or [Unsure].
 func (d *Directory) Announce(ctx context.Context, a registry.Announcement) error {
 	if err := a.Check(); err != nil {
@@ -199,7 +199,7 @@
 	return d.hub.announce(ctx, a)
 }
 
-// Withdraw takes a backend out for good. The error is [Elsewhere] or
+// Withdraw takes a backend server out for good. The error is [Elsewhere] or
 // [Unsure].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
 	if err := d.leading(); err != nil {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -16,7 +16,7 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what operators, backends and gateways may rely on.
+// This file tests what operators, backend servers and gateways may rely on.
 
 func TestPutAndRead(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
@@ -156,18 +156,18 @@
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(g.Backends(), []string{"b1", "b2"})
+		is.Equal(g.Servers(), []string{"b1", "b2"})
 		is.NoErr(x.announce("b1", true))
 		time.Sleep(20 * time.Millisecond) // one way is 1.5 ms
-		is.Equal(g.Backends(), []string{"b2"})
+		is.Equal(g.Servers(), []string{"b2"})
 		is.NoErr(x.announce("b1", false)) // a late announcement is acknowledged
 		time.Sleep(time.Second)
-		is.Equal(g.Backends(), []string{"b2"})
+		is.Equal(g.Servers(), []string{"b2"})
 		x.mustLead().kill() // and a new leader knows
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(2 * time.Second)
-		is.Equal(g.Backends(), []string{"b2"})
+		is.Equal(g.Servers(), []string{"b2"})
 	})
 }
 
@@ -229,13 +229,13 @@
 		l.kill()
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
-			is.Equal(g.Backends(), []string{"b1"})
+			is.Equal(g.Servers(), []string{"b1"})
 		}
 	})
 }
 
 // TestBackendsOutliveAllPower: after every machine has lost power, gateways
-// know the backends again before these have spoken.
+// know the backend servers again before these have spoken.
 func TestBackendsOutliveAllPower(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -251,7 +251,7 @@
 		g := x.gateway("10.0.2.1")
 		time.Sleep(3 * time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
-		is.Equal(g.Backends(), []string{"b2"})
+		is.Equal(g.Servers(), []string{"b2"})
 	})
 }
 
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package directory is the directory role of a node: it keeps the numbered
-// configuration document, hears backends announce themselves, and tells the
+// configuration document, hears backend servers announce themselves, and tells the
 // gateways both.
 //
 // The model: one open consensus group (package replica) replicates a
-// [document.Store]: the highest document and the departures of backends. The
+// [document.Store]: the highest document and the departures of backend servers. The
 // leader alone hears announcements, into a registry that is lost with its
 // lead and heard again by the next leader; until that one is complete,
 // gateways keep what they had. One goroutine, the hub, owns the registry and
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -25,7 +25,7 @@
 	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
 	"github.com/badgerspoke/badgerspoke/state/document"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
@@ -49,7 +49,7 @@
 	nodes    map[string]*directoryNode // by IP
 	order    []string
 	gateways map[string]*gatewayNode
-	beats    map[string]uint64 // announcements made, by backend
+	beats    map[string]uint64 // announcements made, by backend server
 }
 
 // directoryNode is one replica and what survives its restarts.
@@ -214,7 +214,7 @@
 	x.t.Fatalf("document %d is not acknowledged after 10 s", number)
 }
 
-// announce lets a backend announce itself at the leader.
+// announce lets a backend server announce itself at the leader.
 func (x *fleet) announce(id string, leaving bool) error {
 	x.beats[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
@@ -224,7 +224,7 @@
 	})
 }
 
-// address of a backend, by its identifier b1, b2, ….
+// address of a backend server, by its identifier b1, b2, ….
 func address(id string) string { return "10.0.3." + id[1:] + ":80" }
 
 // noHeaders is for gateways that get no requests.
@@ -236,7 +236,7 @@
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Headers: noHeaders{}, Backend: backend.New(backend.Settings{Dialer: x.net.Box(ip)}),
+		Seeds:    x.seeds, Headers: noHeaders{}, Server: forward.New(forward.Settings{Dialer: x.net.Box(ip)}),
 		Retries: retry.Limits{Window: time.Second}, Random: x.random, Log: log, Metrics: set,
 	})
 	x.gateways[ip] = &gatewayNode{ip: ip, g: g, kill: func() { cancel(); synctest.Wait(); log.Close() }}
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -30,7 +30,7 @@
 	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
 	"github.com/badgerspoke/badgerspoke/internal/golden"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
@@ -57,18 +57,18 @@
 // scripted does what the identifier of a request says.
 type scripted struct{}
 
-func (scripted) Send(ctx context.Context, address string, call backend.Call) (*backend.Answer, error) {
-	answer := &backend.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
+func (scripted) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
+	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	switch call.Header.Get("Id") {
 	case "hangs":
 		<-ctx.Done()
-		return nil, backend.Unknown{Server: address, Err: ctx.Err()}
+		return nil, forward.Unknown{Server: address, Err: ctx.Err()}
 	case "lost":
-		return nil, backend.Unknown{Server: address, Err: io.ErrUnexpectedEOF}
+		return nil, forward.Unknown{Server: address, Err: io.ErrUnexpectedEOF}
 	case "refused":
-		return nil, backend.NotRun{Server: address, Refused: true, Status: 503, Header: answer.Header, Err: io.EOF}
+		return nil, forward.NotRun{Server: address, Refused: true, Status: 503, Header: answer.Header, Err: io.EOF}
 	case "unreachable":
-		return nil, backend.NotRun{Server: address, Err: io.ErrClosedPipe}
+		return nil, forward.NotRun{Server: address, Err: io.ErrClosedPipe}
 	}
 	return answer, nil
 }
@@ -76,7 +76,7 @@
 // told is what both processes told.
 type told struct{ gatewayLog, directoryLog, gatewayMetrics, directoryMetrics string }
 
-// record runs one directory replica and one gateway, with a backend that comes
+// record runs one directory replica and one gateway, with a backend server that comes
 // and is marked as leaving.
 func record(t *testing.T) (out told) {
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +102,7 @@
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
-			Seeds:    seeds, Headers: idHeaders{}, Backend: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Seeds:    seeds, Headers: idHeaders{}, Server: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.request(g, "early")
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -20,8 +20,8 @@
 var goldenCommands = []command{
 	{Put: &document.Held{Document: document.Document{Number: 7, Pools: []document.Pool{{Name: "llm"}}}, Source: []byte("source")}},
 	{Depart: "engine-1#a"},
-	{Join: []document.Backend{
-		{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.1:80", Zone: "hall-a", Slots: 16},
+	{Join: []document.Server{
+		{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.1:80", Hall: "hall-a", Slots: 16},
 		{ID: "engine-3#c", Pool: "llm", Address: "10.0.0.2:80"},
 	}},
 }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -50,7 +50,7 @@
 	registry *registry.Registry
 	departed uint64 // departures applied to the registry
 	complete bool
-	unlogged []document.Backend // announced, not yet put into the log
+	unlogged []document.Server // announced, not yet put into the log
 	sessions map[*session]bool
 	usage    *usage
 	encoded  protocol.Document // newest document, encoded once
@@ -156,7 +156,7 @@
 	h.unlogged = nil
 	for _, b := range h.d.state.Joined() {
 		h.registry.Restore(h.d.replica.Now(), registry.Announcement{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Zone: b.Zone, Slots: b.Slots,
+			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
 		})
 	}
 	h.usage = newUsage()
@@ -207,7 +207,7 @@
 	}()
 }
 
-// pushDepartures takes departed backends out of the registry and tells
+// pushDepartures takes departed backend servers out of the registry and tells
 // everybody.
 func (h *hub) pushDepartures() {
 	departures, total := h.d.state.DeparturesSince(h.departed)
@@ -253,8 +253,8 @@
 		for _, b := range change.Set {
 			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", b.ID), slog.String("pool", b.Pool),
 				slog.String("address", b.Address), slog.Any("replaces", change.Gone))
-			h.unlogged = append(h.unlogged, document.Backend{
-				ID: b.ID, Pool: b.Pool, Address: b.Address, Zone: b.Zone, Slots: b.Slots,
+			h.unlogged = append(h.unlogged, document.Server{
+				ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
 			})
 		}
 		h.broadcast(change)
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -19,7 +19,7 @@
 	Depart string         `cbor:"2,keyasint,omitempty"`
 	// Join is who was announced. Nobody waits for it: it only spares a new
 	// leader the time until everybody has spoken again.
-	Join []document.Backend `cbor:"3,keyasint,omitempty"`
+	Join []document.Server `cbor:"3,keyasint,omitempty"`
 }
 
 // Replicated is the applied state. It is safe for concurrent use.
@@ -38,7 +38,7 @@
 	return r.store.Held()
 }
 
-// Departed reports whether a backend is leaving or gone.
+// Departed reports whether a backend server is leaving or gone.
 func (r *Replicated) Departed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -53,8 +53,8 @@
 	return r.store.DeparturesSince(n)
 }
 
-// Joined returns the backends that were announced and have not departed.
-func (r *Replicated) Joined() []document.Backend {
+// Joined returns the backend servers that were announced and have not departed.
+func (r *Replicated) Joined() []document.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Joined()
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -27,14 +27,14 @@
 	if c.Empty() {
 		return
 	}
-	m := protocol.Backends{Term: h.term, Set: protocolServers(c.Set), Gone: c.Gone}
+	m := protocol.Servers{Term: h.term, Set: protocolServers(c.Set), Gone: c.Gone}
 	for s := range h.sessions {
 		s.out.Send(m)
 	}
 }
 
-func (h *hub) wholeList() protocol.Backends {
-	return protocol.Backends{
+func (h *hub) wholeList() protocol.Servers {
+	return protocol.Servers{
 		Term: h.term, Whole: true, Complete: h.complete,
 		Set: protocolServers(h.registry.List()), Gone: h.recentDepartures(),
 	}
@@ -49,11 +49,11 @@
 	return ids
 }
 
-func protocolServers(backends []registry.Backend) []protocol.Backend {
-	out := make([]protocol.Backend, 0, len(backends))
-	for _, b := range backends {
-		out = append(out, protocol.Backend{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Zone: b.Zone, Slots: b.Slots, Handle: b.Handle,
+func protocolServers(servers []registry.Server) []protocol.Server {
+	out := make([]protocol.Server, 0, len(servers))
+	for _, b := range servers {
+		out = append(out, protocol.Server{
+			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots, Handle: b.Handle,
 		})
 	}
 	return out
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -14,7 +14,7 @@
 )
 
 // This file defines usage, the sums of what the gateways report: what runs on
-// each backend, and what each tenant asks for.
+// each backend server, and what each account asks for.
 
 // demandMemory is the time constant with which demand is averaged.
 const demandMemory = 1500 * time.Millisecond
@@ -26,7 +26,7 @@
 type usage struct {
 	running      map[*session][]protocol.ServerLoad
 	total        []protocol.ServerLoad  // of all sessions, ordered by handle
-	asked        map[string]float64     // tokens since the last settlement, by tenant
+	asked        map[string]float64     // tokens since the last settlement, by account
 	rates        map[string]float64     // tokens a second, averaged
 	begun        float64                // tokens given to engines since the last settlement
 	made         float64                // the same a second, averaged
@@ -34,7 +34,7 @@
 	missing      float64                // the same a second, averaged
 	weight       float64                // of what the averages hold, 0 to 1: they begin at nothing
 	recomputed   time.Duration          // 0 before the first settlement
-	entitlements []protocol.Entitlement // tenants that ask for more than they are entitled to
+	entitlements []protocol.Entitlement // accounts that ask for more than they are entitled to
 }
 
 func newUsage() *usage {
@@ -52,13 +52,13 @@
 	u.begun += float64(m.Started)
 	u.missed += float64(m.Missed)
 	for _, d := range m.Demands {
-		u.asked[d.Tenant] += float64(d.Tokens)
+		u.asked[d.Account] += float64(d.Tokens)
 	}
 }
 
 func (u *usage) forget(s *session) { delete(u.running, s) }
 
-// recompute averages the demand and finds what each tenant is entitled to.
+// recompute averages the demand and finds what each account is entitled to.
 func (u *usage) recompute(now time.Duration, capacity float64) {
 	first := u.recomputed == 0
 	elapsed := now - u.recomputed
@@ -71,14 +71,14 @@
 		return // nobody knows since when
 	}
 	keep := math.Exp(-float64(elapsed) / float64(demandMemory))
-	for tenant := range u.asked {
-		u.rates[tenant] += 0
+	for account := range u.asked {
+		u.rates[account] += 0
 	}
-	for tenant, rate := range u.rates {
-		fresh := u.asked[tenant] / elapsed.Seconds()
-		u.rates[tenant] = keep*rate + (1-keep)*fresh
-		if u.rates[tenant] < 1 {
-			delete(u.rates, tenant)
+	for account, rate := range u.rates {
+		fresh := u.asked[account] / elapsed.Seconds()
+		u.rates[account] = keep*rate + (1-keep)*fresh
+		if u.rates[account] < 1 {
+			delete(u.rates, account)
 		}
 	}
 	clear(u.asked)
@@ -114,10 +114,10 @@
 	rates := slices.Collect(maps.Values(u.rates))
 	level := share.Level(rates, capacity)
 	extra := share.Level(rates, max(capacity, u.made-missedWeight*u.missing))
-	for _, tenant := range slices.Sorted(maps.Keys(u.rates)) {
-		if part := share.Part(u.rates[tenant], level); part < 1 {
+	for _, account := range slices.Sorted(maps.Keys(u.rates)) {
+		if part := share.Part(u.rates[account], level); part < 1 {
 			u.entitlements = append(u.entitlements, protocol.Entitlement{
-				Tenant: tenant, Part: float32(part), Extra: float32(share.Part(u.rates[tenant], extra)),
+				Account: account, Part: float32(part), Extra: float32(share.Part(u.rates[account], extra)),
 			})
 		}
 	}
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -22,20 +22,20 @@
 	}
 }
 
-// TestEntitlements lets three tenants ask at two gateways for twice what is
+// TestEntitlements lets three accounts ask at two gateways for twice what is
 // named, while the engines make half as much again.
 func TestEntitlements(t *testing.T) {
 	is := is.New(t)
 	u := newUsage()
 	a, b := &session{}, &session{}
 	reports := map[*session]protocol.Usage{
-		a: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 1000}, {Tenant: "small", Tokens: 50}}, Started: 750},
-		b: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 500}, {Tenant: "middle", Tokens: 450}}, Started: 750},
+		a: {Demands: []protocol.Demand{{Account: "big", Tokens: 1000}, {Account: "small", Tokens: 50}}, Started: 750},
+		b: {Demands: []protocol.Demand{{Account: "big", Tokens: 500}, {Account: "middle", Tokens: 450}}, Started: 750},
 	}
 	settleFor(u, 10*time.Second, 10000, reports) // a second: big 15000, middle 4500, small 500
 	parts := map[string]protocol.Entitlement{}
 	for _, e := range u.entitlements {
-		parts[e.Tenant] = e
+		parts[e.Account] = e
 	}
 	near := func(got float32, want float64) bool { return math.Abs(float64(got)-want) < 0.02 }
 	is.Equal(len(parts), 1) // the others are covered whole
@@ -44,18 +44,18 @@
 	is.True(!u.short())
 }
 
-// TestFloodIsKnownSoon: a new leader's averages begin at nothing, and a tenant
+// TestFloodIsKnownSoon: a new leader's averages begin at nothing, and an account
 // that asks for three times its share is still known after 400 ms.
 func TestFloodIsKnownSoon(t *testing.T) {
 	is := is.New(t)
 	u := newUsage()
 	s := &session{}
 	reports := map[*session]protocol.Usage{
-		s: {Demands: []protocol.Demand{{Tenant: "big", Tokens: 3000}, {Tenant: "small", Tokens: 50}}},
+		s: {Demands: []protocol.Demand{{Account: "big", Tokens: 3000}, {Account: "small", Tokens: 50}}},
 	}
 	settleFor(u, 500*time.Millisecond, 10000, reports) // the first of the five is not counted
 	is.Equal(len(u.entitlements), 1)
-	is.Equal(u.entitlements[0].Tenant, "big")
+	is.Equal(u.entitlements[0].Account, "big")
 	is.True(math.Abs(float64(u.entitlements[0].Part)-9500.0/30000) < 0.02)
 }
 
@@ -65,10 +65,10 @@
 	is := is.New(t)
 	u := newUsage()
 	old, back := &session{}, &session{}
-	steady := protocol.Usage{Demands: []protocol.Demand{{Tenant: "a", Tokens: 400}}}
+	steady := protocol.Usage{Demands: []protocol.Demand{{Account: "a", Tokens: 400}}}
 	settleFor(u, 2*time.Second, 10000, map[*session]protocol.Usage{old: steady})
 	is.Equal(len(u.entitlements), 0)
-	u.report(back, protocol.Usage{Demands: []protocol.Demand{{Tenant: "a", Tokens: 20_000}}})
+	u.report(back, protocol.Usage{Demands: []protocol.Demand{{Account: "a", Tokens: 20_000}}})
 	settleFor(u, 200*time.Millisecond, 10000, map[*session]protocol.Usage{old: steady, back: steady})
 	is.Equal(len(u.entitlements), 0)
 }
@@ -94,7 +94,7 @@
 		u := newUsage()
 		s := &session{}
 		settleFor(u, 10*time.Second, 10000, map[*session]protocol.Usage{s: {
-			Demands: []protocol.Demand{{Tenant: "big", Tokens: 4000}}, Started: 1500, Missed: tt.missed,
+			Demands: []protocol.Demand{{Account: "big", Tokens: 4000}}, Started: 1500, Missed: tt.missed,
 		}})
 		is.True(math.Abs(float64(u.entitlements[0].Extra)-tt.extra) < 0.02)
 		is.True(math.Abs(float64(u.entitlements[0].Part)-0.25) < 0.02)
--- a/gateway/tenants.go
+++ b/gateway/accounts.go
@@ -13,21 +13,21 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines tenants: what each asks for here, and which part of it the
+// This file defines accounts: what each asks for here, and which part of it the
 // fleet says is within its fair share.
 
-// servedMemory is the time constant with which a tenant's service is
+// servedMemory is the time constant with which an account's service is
 // forgotten.
 const servedMemory = 4 * time.Second
 
 // staleAfter is the age at which the fleet's word is not used any more.
 const staleAfter = 10 * time.Second
 
-// class says how a request stands against its tenant's fair share.
+// class says how a request stands against its account's fair share.
 type class uint8
 
 const (
-	covered  class = iota // its tenant asks for no more than its share, so nothing of it need wait
+	covered  class = iota // its account asks for no more than its share, so nothing of it need wait
 	entitled              // within the share of the rate that the operator names
 	extra                 // within the share of what the engines make beyond it
 	beyond                // neither: served where nothing else waits
@@ -36,7 +36,7 @@
 // String returns the standing's name.
 func (c class) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[c] }
 
-type tenants struct {
+type accounts struct {
 	now func() time.Duration
 
 	mu       sync.Mutex // a leaf
@@ -50,7 +50,7 @@
 	short    bool // the fleet's word: nobody may go beyond the shares
 }
 
-// markers of one tenant, for both levels.
+// markers of one account, for both levels.
 type markers struct{ entitled, extra share.Marker }
 
 // service is a decaying sum of tokens.
@@ -59,29 +59,29 @@
 	at     time.Duration
 }
 
-func newTenants(now func() time.Duration) *tenants {
-	return &tenants{
+func newAccounts(now func() time.Duration) *accounts {
+	return &accounts{
 		now: now, parts: map[string]protocol.Entitlement{}, markers: map[string]*markers{},
 		demanded: map[string]uint64{}, service: map[string]*service{},
 	}
 }
 
 // classify counts a request of that cost and returns how it stands.
-func (t *tenants) classify(tenant string, cost float64) class {
+func (t *accounts) classify(account string, cost float64) class {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.demanded[tenant] += uint64(cost)
+	t.demanded[account] += uint64(cost)
 	if t.updated == 0 || t.now()-t.updated > staleAfter {
 		return entitled // nobody knows
 	}
-	e, limited := t.parts[tenant]
+	e, limited := t.parts[account]
 	if !limited {
 		return covered
 	}
-	m := t.markers[tenant]
+	m := t.markers[account]
 	if m == nil {
 		m = &markers{}
-		t.markers[tenant] = m
+		t.markers[account] = m
 	}
 	part := float64(e.Part)
 	if m.entitled.Entitled(part, cost) {
@@ -94,13 +94,13 @@
 }
 
 // countStarted counts the service that a request begins to get.
-func (t *tenants) countStarted(tenant string, cost float64) {
+func (t *accounts) countStarted(account string, cost float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.service[tenant]
+	s := t.service[account]
 	if s == nil {
 		s = &service{}
-		t.service[tenant] = s
+		t.service[account] = s
 	}
 	s.tokens = s.decayed(t.now()) + cost
 	s.at = t.now()
@@ -113,7 +113,7 @@
 
 // countMissed counts a request that found no room, on engines or on this gateway's
 // processor.
-func (t *tenants) countMissed(c class, cost float64) {
+func (t *accounts) countMissed(c class, cost float64) {
 	if c == beyond {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // admits reports whether a request of that standing may be served now.
-func (t *tenants) admits(c class) bool {
+func (t *accounts) admits(c class) bool {
 	if c != beyond {
 		return true
 	}
@@ -132,52 +132,52 @@
 	return !t.short || t.now()-t.updated > staleAfter
 }
 
-// recentService returns the tokens that a tenant was served lately.
-func (t *tenants) recentService(tenant string) float64 {
+// recentService returns the tokens that an account was served lately.
+func (t *accounts) recentService(account string) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.service[tenant]; s != nil {
+	if s := t.service[account]; s != nil {
 		return s.decayed(t.now())
 	}
 	return 0
 }
 
 // update takes the fleet's word.
-func (t *tenants) update(list []protocol.Entitlement, short bool) {
+func (t *accounts) update(list []protocol.Entitlement, short bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.updated = t.now()
 	t.short = short
 	clear(t.parts)
 	for _, e := range list {
-		t.parts[e.Tenant] = e
+		t.parts[e.Account] = e
 	}
 }
 
 // takeReport returns and clears what was asked for, begun and
 // missed since the last call.
-func (t *tenants) takeReport() (demands []protocol.Demand, begun, missed uint64) {
+func (t *accounts) takeReport() (demands []protocol.Demand, begun, missed uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	demands = make([]protocol.Demand, 0, len(t.demanded))
-	for tenant, tokens := range t.demanded {
-		demands = append(demands, protocol.Demand{Tenant: tenant, Tokens: tokens})
+	for account, tokens := range t.demanded {
+		demands = append(demands, protocol.Demand{Account: account, Tokens: tokens})
 	}
 	clear(t.demanded)
-	slices.SortFunc(demands, func(a, b protocol.Demand) int { return cmp.Compare(a.Tenant, b.Tenant) })
+	slices.SortFunc(demands, func(a, b protocol.Demand) int { return cmp.Compare(a.Account, b.Account) })
 	begun, missed = t.started, t.missed
 	t.started, t.missed = 0, 0
 	return demands, begun, missed
 }
 
-// entitlement returns what the fleet last said of a tenant, and how long ago, for the
+// entitlement returns what the fleet last said of an account, and how long ago, for the
 // log.
-func (t *tenants) entitlement(tenant string) (e protocol.Entitlement, age time.Duration) {
+func (t *accounts) entitlement(account string) (e protocol.Entitlement, age time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e, limited := t.parts[tenant]
+	e, limited := t.parts[account]
 	if !limited {
-		e = protocol.Entitlement{Tenant: tenant, Part: 1, Extra: 1}
+		e = protocol.Entitlement{Account: account, Part: 1, Extra: 1}
 	}
 	return e, t.now() - t.updated
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -8,20 +8,20 @@
 	"log/slog"
 
 	"github.com/badgerspoke/badgerspoke/state/document"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines attempt, one sending of a request to one backend, its
+// This file defines attempt, one sending of a request to one backend server, its
 // outcome, and what follows from it.
 
 // execution says what is known about a request after an attempt.
 type execution uint8
 
 const (
-	notSent    execution = iota // no byte reached the backend
+	notSent    execution = iota // no byte reached the backend server
 	refused                     // it said that the request has not run and will not
 	mayHaveRun                  // it may have run
-	hasRun                      // it ran, and the answer is the backend's own failure
+	hasRun                      // it ran, and the answer is the backend server's own failure
 )
 
 // outcome is how an attempt ended.
@@ -29,11 +29,11 @@
 	done      bool // the caller has the whole answer
 	execution execution
 	cause     string  // for the log
-	blame     float64 // how much of a failure of the backend it was; negative is none of its doing
+	blame     float64 // how much of a failure of the backend server it was; negative is none of its doing
 	// held is a whole answer of a failure that is given to the caller if
 	// nothing better comes.
 	held        *heldAnswer
-	misdirected bool // another backend has the address
+	misdirected bool // another backend server has the address
 	err         error
 }
 
@@ -45,7 +45,7 @@
 	noBlame     = -1.0
 )
 
-// attempt sends the request to one backend and relays what it answers.
+// attempt sends the request to one backend server and relays what it answers.
 func (c *call) attempt(ctx context.Context, a *assignment) outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -65,17 +65,17 @@
 	}
 	if c.g.release(a, out.blame) {
 		c.g.stats.count("suspected", "pool", c.pool.Name)
-		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.backend), slog.String("cause", out.cause))
+		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.server), slog.String("cause", out.cause))
 	}
 	if out.misdirected {
-		c.g.table.removeMisdirected(a.backend)
-		c.g.cfg.Log.StateChange("backend replaced", slog.String("backend", a.backend), slog.String("address", a.address))
+		c.g.table.removeMisdirected(a.server)
+		c.g.cfg.Log.StateChange("backend replaced", slog.String("backend", a.server), slog.String("address", a.address))
 	}
 	return out
 }
 
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
-	answer, err := c.g.cfg.Backend.Send(ctx, a.address, c.outgoing(a))
+	answer, err := c.g.cfg.Server.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
 		return c.sendFailed(err)
 	}
@@ -94,17 +94,17 @@
 	return c.relay.plain(a, answer, success)
 }
 
-// outgoing is the request as a backend gets it.
-func (c *call) outgoing(a *assignment) backend.Call {
-	f := Forwarding{Timeout: c.deadline - c.g.now(), Backend: a.backend, Tenant: c.tenant.Name, LastEventID: c.relay.lastEventID}
-	return backend.Call{
+// outgoing is the request as a backend server gets it.
+func (c *call) outgoing(a *assignment) forward.Call {
+	f := Forwarding{Timeout: c.deadline - c.g.now(), Server: a.server, Account: c.account.Name, LastEventID: c.relay.lastEventID}
+	return forward.Call{
 		Method: c.r.Method, Path: c.r.RequestURI, Host: c.r.Host,
 		Header: c.g.cfg.Headers.ForwardHeader(c.r.Header, f), Body: c.body,
 	}
 }
 
 func (c *call) sendFailed(err error) outcome {
-	var not backend.NotRun
+	var not forward.NotRun
 	if !errors.As(err, &not) {
 		return outcome{execution: mayHaveRun, cause: "lost", blame: blameLost, err: err}
 	}
@@ -121,10 +121,10 @@
 	return outcome{execution: refused, cause: "refused", blame: blameShed, err: err}
 }
 
-// unreachableBlame is what a backend that could not be connected to is blamed
+// unreachableBlame is what a backend server that could not be connected to is blamed
 // for: nothing by a gateway that is late itself, whose own processor may have
 // let the time for it run out. Else a flood at one gateway would cost it one
-// backend after the other.
+// backend server after the other.
 func (c *call) unreachableBlame() float64 {
 	if c.g.overload.late(c.g.now()) {
 		return noBlame
@@ -139,11 +139,11 @@
 	if c.r.Context().Err() != nil {
 		return false, callerLeft{}
 	}
-	c.avoid[a.backend] = true
+	c.avoid[a.server] = true
 	allowed := ctx.Err() == nil && c.mayTryAgain(out)
 	again = allowed && (out.execution == notSent || c.g.mayRepeat(c.pool.Name))
 	c.budgetSpent = allowed && !again
-	c.g.cfg.Log.Failure("attempt failed", slog.String("request", c.head.ID), slog.String("backend", a.backend),
+	c.g.cfg.Log.Failure("attempt failed", slog.String("request", c.head.ID), slog.String("backend", a.server),
 		slog.String("cause", out.cause), slog.String("error", text(out.err)), slog.Int("attempt", c.sends),
 		slog.Int("took_ms", int((c.g.now()-a.began).Milliseconds())), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID))
@@ -156,10 +156,10 @@
 // Bounds of the attempts of one request.
 const (
 	maxSends = 3 // arrivals
-	maxTries = 5 // attempts, whether they arrived or not: the only backend may be gone
+	maxTries = 5 // attempts, whether they arrived or not: the only backend server may be gone
 )
 
-// mayTryAgain reports whether the request may go to another backend.
+// mayTryAgain reports whether the request may go to another backend server.
 func (c *call) mayTryAgain(out outcome) bool {
 	if c.relay.headWritten && !c.route.Resumable {
 		return false
@@ -190,7 +190,7 @@
 	case out.execution == refused:
 		return Refusal{Cause: NotRunThere, RetryAfter: c.retryAfter()}
 	}
-	return Refusal{Cause: NoBackend, RetryAfter: c.retryAfter()}
+	return Refusal{Cause: NoServer, RetryAfter: c.retryAfter()}
 }
 
 func (t *table) poolSize(name string) int {
@@ -213,7 +213,7 @@
 	errShort    = faultyAnswer("the answer is cut off")
 )
 
-// faultyAnswer says what is wrong with a backend's answer.
+// faultyAnswer says what is wrong with a backend server's answer.
 type faultyAnswer string
 
 // Error says it.
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -19,12 +19,12 @@
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
 // This file measures what a gateway costs a request and an event, over
-// loopback, with callers and backends in the same process.
+// loopback, with callers and backend servers in the same process.
 
 const (
 	benchEvents = 30
@@ -35,7 +35,7 @@
 // BenchmarkEvents reports the processor time of the whole process for one
 // event of a stream, and that without a gateway.
 func BenchmarkEvents(b *testing.B) {
-	address := benchBackend(b)
+	address := benchServer(b)
 	b.Run("gateway", func(b *testing.B) { benchEventsAt(b, benchGateway(b, address)) })
 	b.Run("direct", func(b *testing.B) { benchEventsAt(b, address) })
 }
@@ -75,8 +75,8 @@
 	}
 }
 
-// benchBackend serves streams of events.
-func benchBackend(b *testing.B) string {
+// benchServer serves streams of events.
+func benchServer(b *testing.B) string {
 	return benchServe(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
 		w.Header().Set("Sealed", "yes")
@@ -89,15 +89,15 @@
 	}))
 }
 
-func benchGateway(b *testing.B, backendAddress string) string {
-	address, _ := benchGatewayOf(b, backendAddress)
+func benchGateway(b *testing.B, serverAddress string) string {
+	address, _ := benchGatewayOf(b, serverAddress)
 	return address
 }
 
-func benchGatewayOf(b *testing.B, backendAddress string) (address string, g *Gateway) {
+func benchGatewayOf(b *testing.B, serverAddress string) (address string, g *Gateway) {
 	set := metrics.NewSet()
 	g = Start(b.Context(), Settings{
-		Identity: link.Identity{Name: "g"}, Headers: testHeaders{}, Backend: backend.New(backend.Settings{IdlePerServer: benchStream}),
+		Identity: link.Identity{Name: "g"}, Headers: testHeaders{}, Server: forward.New(forward.Settings{IdlePerServer: benchStream}),
 		Retries: retry.Limits{Window: time.Second}, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 		Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 	})
@@ -105,7 +105,7 @@
 	d := testDocument()
 	d.Pools[0].Connections = 10 * benchStream
 	g.apply(d)
-	g.table.update(protocol.Backends{Term: 1, Set: []protocol.Backend{{ID: "b", Pool: "plain", Address: backendAddress, Slots: benchStream}}})
+	g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{{ID: "b", Pool: "plain", Address: serverAddress, Slots: benchStream}}})
 	return benchServe(b, g), g
 }
 
@@ -128,11 +128,11 @@
 }
 
 // BenchmarkRefusal reports the processor time of the whole process, its caller's
-// included, for one request that is refused as beyond its tenant's share, each
+// included, for one request that is refused as beyond its account's share, each
 // on a connection of its own or all on one.
 func BenchmarkRefusal(b *testing.B) {
-	address, g := benchGatewayOf(b, benchBackend(b))
-	g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.0001, Extra: 0.0002}}, true)
+	address, g := benchGatewayOf(b, benchServer(b))
+	g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, true)
 	b.Run("new", func(b *testing.B) { benchRefusals(b, address, &http.Transport{DisableKeepAlives: true}) })
 	b.Run("kept", func(b *testing.B) { benchRefusals(b, address, &http.Transport{}) })
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -22,24 +22,24 @@
 	deadline time.Duration // when the caller gives up or the route's time is over
 
 	// What the request is.
-	head   RequestHead
-	rs     *routes
-	route  document.Route
-	tenant document.Tenant
-	pool   document.Pool
-	body   []byte
-	cost   float64 // tokens
-	class  class   // of requests to engines
+	head    RequestHead
+	rs      *routes
+	route   document.Route
+	account document.Account
+	pool    document.Pool
+	body    []byte
+	cost    float64 // tokens
+	class   class   // of requests to engines
 
 	// What has become of it.
 	tries       int // attempts begun
-	attempts    int // backends that may have run it
-	sends       int // arrivals at backends
+	attempts    int // backend servers that may have run it
+	sends       int // arrivals at backend servers
 	avoid       map[string]bool
 	budgetSpent bool        // one more attempt was allowed but for the fleet's budget
 	assigned    *assignment // of the last attempt
-	short       shortage    // why there was no backend in the end
-	relay       *relay      // nil before the first backend is asked for
+	short       shortage    // why there was no backend server in the end
+	relay       *relay      // nil before the first backend server is asked for
 	stall       *stallTimer // of the present attempt
 }
 
@@ -62,9 +62,9 @@
 	c.finish(err)
 }
 
-// admit matches the request to a route and a tenant, ranks it and reads its
+// admit matches the request to a route and an account, ranks it and reads its
 // body. What is refused for its rank costs little that way, however much a
-// tenant floods: its body is never kept. The error is a [Refusal].
+// account floods: its body is never kept. The error is a [Refusal].
 func (c *call) admit() error {
 	if err := c.match(); err != nil {
 		return err
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// match finds the request's route, tenant and pool in the document in force.
+// match finds the request's route, account and pool in the document in force.
 func (c *call) match() error {
 	if c.rs = c.g.routes.Load(); c.rs == nil {
 		return Refusal{Cause: NoDocument, RetryAfter: longRetryAfter}
@@ -96,33 +96,33 @@
 	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
 		return Refusal{Cause: NoRoute}
 	}
-	if c.tenant, known = c.rs.tenant(c.route, c.head.Key); !known {
+	if c.account, known = c.rs.account(c.route, c.head.Key); !known {
 		return Refusal{Cause: UnknownKey}
 	}
 	c.pool = c.rs.pools[pickPool(c.route)]
 	return nil
 }
 
-// rank finds how the request stands against its tenant's share, and refuses
+// rank finds how the request stands against its account's share, and refuses
 // what may not be served now.
 func (c *call) rank() error {
 	c.cost = float64(c.head.Prompt.Tokens() + outputCost*c.head.Prompt.Output)
 	c.class = entitled
 	if c.pool.Engine {
-		c.class = c.g.tenants.classify(c.tenant.Name, c.cost)
+		c.class = c.g.accounts.classify(c.account.Name, c.cost)
 	}
 	if !c.g.overload.admits(c.class) {
-		c.g.tenants.countMissed(c.class, c.cost)
+		c.g.accounts.countMissed(c.class, c.cost)
 		return Refusal{Cause: ProcessorOverload, RetryAfter: c.retryAfterOverload()}
 	}
-	if !c.g.tenants.admits(c.class) {
+	if !c.g.accounts.admits(c.class) {
 		return Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
 	}
 	return nil
 }
 
 // retryAfterOverload is when a caller that the processor cannot serve should
-// try again. Within its tenant's share it may at once: most other gateways
+// try again. Within its account's share it may at once: most other gateways
 // have room.
 func (c *call) retryAfterOverload() time.Duration {
 	if c.class <= entitled {
@@ -178,7 +178,7 @@
 	return b[:n], err
 }
 
-// serve gives the request to backends until one answers it whole, or nothing
+// serve gives the request to backend servers until one answers it whole, or nothing
 // more may be tried. The error is a [Refusal], a [broken] or the caller's
 // leaving.
 func (c *call) serve() error {
@@ -187,7 +187,7 @@
 	c.avoid = map[string]bool{}
 	c.relay = newRelay(c)
 	for {
-		a, err := c.backend(ctx)
+		a, err := c.server(ctx)
 		if err != nil && c.relay.headWritten {
 			return brokenAnswer{err: err} // the head is gone: nothing else can be said
 		}
@@ -205,18 +205,18 @@
 	}
 }
 
-// backend waits for a backend. The error is a [Refusal].
-func (c *call) backend(ctx context.Context) (*assignment, error) {
+// server waits for a backend server. The error is a [Refusal].
+func (c *call) server(ctx context.Context) (*assignment, error) {
 	req := requirements{
-		pool: c.pool, route: c.route, prompt: c.head.Prompt, tenant: c.tenant.Name,
-		priority: c.tenant.Priority*priorityScale + c.route.Priority, class: c.class,
+		pool: c.pool, route: c.route, prompt: c.head.Prompt, account: c.account.Name,
+		priority: c.account.Priority*priorityScale + c.route.Priority, class: c.class,
 		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
 	a, short := c.g.awaitServer(ctx, req, c.queueTimeout())
 	c.short = short
 	if a != nil {
 		if c.sends == 0 {
-			c.g.tenants.countStarted(c.tenant.Name, c.cost)
+			c.g.accounts.countStarted(c.account.Name, c.cost)
 		}
 		return a, nil
 	}
@@ -224,23 +224,23 @@
 		return nil, c.overdue(ctx)
 	}
 	if c.pool.Engine && c.sends == 0 {
-		c.g.tenants.countMissed(c.class, c.cost)
+		c.g.accounts.countMissed(c.class, c.cost)
 	}
 	switch {
 	case c.attempts > 0:
 		return nil, Refusal{Cause: MayHaveRun}
 	case c.g.table.poolSize(c.pool.Name) <= len(c.avoid):
-		return nil, Refusal{Cause: NoBackend, RetryAfter: c.retryAfter()}
+		return nil, Refusal{Cause: NoServer, RetryAfter: c.retryAfter()}
 	case c.class > entitled:
 		return nil, Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
 	}
 	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
 }
 
-// priorityScale puts a tenant's priority before a route's.
+// priorityScale puts an account's priority before a route's.
 const priorityScale = 1000
 
-// queueTimeout is how long the request may wait for a backend: a refusal is worth
+// queueTimeout is how long the request may wait for a backend server: a refusal is worth
 // more to its caller while there is time to come back.
 func (c *call) queueTimeout() time.Duration {
 	const objectivePart = 0.22
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -9,25 +9,25 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines which backend a request gets, and what becomes of it there.
+// This file defines which backend server a request gets, and what becomes of it there.
 
-// requirements are what a request asks of a backend.
+// requirements are what a request asks of a backend server.
 type requirements struct {
 	pool     document.Pool
 	route    document.Route
 	prompt   place.Prompt
-	tenant   string
+	account  string
 	priority int
 	class    class
-	repeat   bool            // may run more than once: may try a suspected backend
-	avoid    map[string]bool // backends that had the request already
+	repeat   bool            // may run more than once: may try a suspected backend server
+	avoid    map[string]bool // backend servers that had the request already
 	gateways int
 }
 
-// assignment is a backend given to one attempt of a request.
+// assignment is a backend server given to one attempt of a request.
 type assignment struct {
 	member      *serverState
-	backend     string
+	server      string
 	address     string
 	tokens      int // that it has to read
 	began       time.Duration
@@ -38,16 +38,16 @@
 	ended       bool
 }
 
-// shortage says why a request got no backend: the one that suits it best, as
+// shortage says why a request got no backend server: the one that suits it best, as
 // it was seen. It is empty if there was none to ask.
 type shortage struct {
-	backend  string
+	server   string
 	requests int
 	tokens   int
 	age      time.Duration // of what is known of other gateways' requests
 }
 
-// acquire returns the backend that suits the request best if it has room, or
+// acquire returns the backend server that suits the request best if it has room, or
 // nil. Others that have room are not taken instead: reading shared tokens
 // again is dearer than a short wait, and the price of a choice knows when it
 // is not. The caller holds mu.
@@ -60,12 +60,12 @@
 	}
 	s, e := members[choice.Index], engines[choice.Index]
 	if !p.roomFor(req, s, e) {
-		return nil, shortage{backend: s.ID, requests: e.Requests, tokens: e.Tokens, age: now - s.reported}
+		return nil, shortage{server: s.ID, requests: e.Requests, tokens: e.Tokens, age: now - s.reported}
 	}
 	return assign(now, s, e, choice), shortage{}
 }
 
-// acquireAnywhere returns the backend that suits the request best among those
+// acquireAnywhere returns the backend server that suits the request best among those
 // that have room, or nil. It is for requests that would else be refused and
 // should not be: few, because what is read again takes room from others. The
 // caller holds mu.
@@ -87,10 +87,10 @@
 	return assign(now, openMembers[choice.Index], open[choice.Index], choice)
 }
 
-// assign counts a request at its backend.
+// assign counts a request at its backend server.
 func assign(now time.Duration, s *serverState, e place.Engine, choice place.Choice) *assignment {
 	a := &assignment{
-		member: s, backend: s.ID, address: s.Address, tokens: choice.Read, began: now, tokensAhead: e.Tokens,
+		member: s, server: s.ID, address: s.Address, tokens: choice.Read, began: now, tokensAhead: e.Tokens,
 	}
 	if _, trial := s.health.usable(now); trial {
 		a.trial, s.health.trying = true, true
@@ -100,11 +100,11 @@
 	return a
 }
 
-// candidates returns the backends that the request may go to.
+// candidates returns the backend servers that the request may go to.
 func (t *table) candidates(now time.Duration, p *pool, req requirements) ([]place.Engine, []*serverState) {
 	engines, members := t.gather(now, p, req, false)
 	if len(engines) == 0 {
-		// Better a backend that is suspected than none.
+		// Better a backend server that is suspected than none.
 		engines, members = t.gather(now, p, req, true)
 	}
 	return engines, members
@@ -125,7 +125,7 @@
 		requests, tokens := s.load(now)
 		engines = append(engines, place.Engine{
 			ID: s.ID, Slots: s.Slots, Requests: requests, Tokens: tokens,
-			Slowness: slowness(s, typical), SameHall: s.Zone == t.zone,
+			Slowness: slowness(s, typical), SameHall: s.Hall == t.hall,
 		})
 		members = append(members, s)
 	}
@@ -154,8 +154,8 @@
 	a.member.health.paced(took / expected)
 }
 
-// release ends an attempt at its backend. weight is how much of a failure it
-// was: 0 none, 1 a lost request, negative says nothing about the backend.
+// release ends an attempt at its backend server. weight is how much of a failure it
+// was: 0 none, 1 a lost request, negative says nothing about the backend server.
 func (g *Gateway) release(a *assignment, weight float64) (suspected bool) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
@@ -175,7 +175,7 @@
 	return suspected
 }
 
-// recordOutcome counts an attempt for the backend's health.
+// recordOutcome counts an attempt for the backend server's health.
 func (g *Gateway) recordOutcome(p *pool, a *assignment, weight float64) bool {
 	const poolMemory = 0.02
 	s := a.member
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -24,7 +24,7 @@
 	ProcessorOverload Cause = "processor-pressure"
 	Overloaded        Cause = "overloaded"
 	BeyondShare       Cause = "beyond-share"
-	NoBackend         Cause = "no-backend"
+	NoServer          Cause = "no-backend"
 	NoBudget          Cause = "no-retry-budget"
 	NotRunThere       Cause = "refused-by-backend"
 	MayHaveRun        Cause = "may-have-run"
@@ -37,7 +37,7 @@
 	NoDocument: http.StatusServiceUnavailable, NoRoute: http.StatusNotFound, UnknownKey: http.StatusUnauthorized,
 	ProcessorOverload: http.StatusServiceUnavailable, BodyTooLarge: http.StatusRequestEntityTooLarge, BodyBroken: http.StatusBadRequest,
 	Stopping: http.StatusServiceUnavailable, Overloaded: http.StatusServiceUnavailable,
-	BeyondShare: http.StatusTooManyRequests, NoBackend: http.StatusServiceUnavailable,
+	BeyondShare: http.StatusTooManyRequests, NoServer: http.StatusServiceUnavailable,
 	NoBudget: http.StatusServiceUnavailable, NotRunThere: http.StatusServiceUnavailable,
 	MayHaveRun: http.StatusBadGateway, TimedOut: http.StatusGatewayTimeout,
 }
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -34,7 +34,7 @@
 	switch {
 	case err == nil:
 		c.g.stats.count("answered", "route", c.route.Name)
-		c.g.stats.wholeAnswer(c.tenant.Name, c.route.Name, took)
+		c.g.stats.wholeAnswer(c.account.Name, c.route.Name, took)
 		c.g.cfg.Log.RoutineOf("answered", func() []slog.Attr { return c.logAttrs(took) })
 	case errors.As(err, &refusal):
 		c.g.stats.count("refused", "cause", string(refusal.Cause))
@@ -57,21 +57,21 @@
 // logAttrs are the attributes of the request's last log line.
 func (c *call) logAttrs(took time.Duration) []slog.Attr {
 	facts := []slog.Attr{
-		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.tenant.Name),
+		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.account.Name),
 		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.attempts),
 		slog.Int("sends", c.sends), slog.Int("took_ms", int(took.Milliseconds())),
 	}
 	if c.class > entitled {
-		told, age := c.g.tenants.entitlement(c.tenant.Name)
+		told, age := c.g.accounts.entitlement(c.account.Name)
 		facts = append(facts, slog.Float64("part", float64(told.Part)), slog.Float64("extra_part", float64(told.Extra)),
 			slog.Int("told_ms_ago", int(age.Milliseconds())))
 	}
-	if short := c.short; short.backend != "" {
-		facts = append(facts, slog.String("full", short.backend), slog.Int("full_requests", short.requests),
+	if short := c.short; short.server != "" {
+		facts = append(facts, slog.String("full", short.server), slog.Int("full_requests", short.requests),
 			slog.Int("full_tokens", short.tokens), slog.Int("seen_ms_ago", int(short.age.Milliseconds())))
 	}
 	if a := c.assigned; a != nil {
-		facts = append(facts, slog.String("backend", a.backend), slog.Int("tokens_ahead", a.tokensAhead),
+		facts = append(facts, slog.String("backend", a.server), slog.Int("tokens_ahead", a.tokensAhead),
 			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()), slog.Int("queued_ms", int((a.began-c.arrived).Milliseconds())),
 			slog.Int("first_ms", int(a.waiting.Milliseconds())))
 	}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -23,12 +23,12 @@
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
 // This file defines fixture, one gateway in a bubble of virtual time before
-// backends that are functions, with a header codec of its own.
+// backend servers that are functions, with a header codec of its own.
 
 // sharedTokens are the tokens of the part that the header Shared names.
 const sharedTokens = 3000
@@ -53,8 +53,8 @@
 	h := from.Clone()
 	h.Del("Key")
 	h.Set("Left", strconv.FormatInt(f.Timeout.Milliseconds(), 10))
-	h.Set("Backend", f.Backend)
-	h.Set("Tenant", f.Tenant)
+	h.Set("Backend", f.Server)
+	h.Set("Tenant", f.Account)
 	if f.LastEventID != "" {
 		h.Set("After", f.LastEventID)
 	}
@@ -69,45 +69,45 @@
 
 func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
 
-// behaviour is what a backend does with one call.
-type behaviour func(ctx context.Context, call backend.Call) (*backend.Answer, error)
+// behaviour is what a backend server does with one call.
+type behaviour func(ctx context.Context, call forward.Call) (*forward.Answer, error)
 
-// fakeBackends counts what arrives where.
-type fakeBackends struct {
+// fakeServers counts what arrives where.
+type fakeServers struct {
 	mu       sync.Mutex
 	does     map[string]behaviour // by address
-	arrivals []backend.Call
+	arrivals []forward.Call
 }
 
-func (f *fakeBackends) Send(ctx context.Context, address string, call backend.Call) (*backend.Answer, error) {
+func (f *fakeServers) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
 	f.mu.Lock()
 	f.arrivals = append(f.arrivals, call)
 	does := f.does[address]
 	f.mu.Unlock()
 	if does == nil {
-		return nil, backend.NotRun{Server: address, Err: io.ErrClosedPipe}
+		return nil, forward.NotRun{Server: address, Err: io.ErrClosedPipe}
 	}
 	return does(ctx, call)
 }
 
-func (f *fakeBackends) count() int {
+func (f *fakeServers) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.arrivals)
 }
 
 // headOf returns the head of an answer to a call.
-func headOf(call backend.Call) http.Header {
+func headOf(call forward.Call) http.Header {
 	return http.Header{"Id": call.Header["Id"], "Sealed": {"yes"}}
 }
 
 // answers answers with a body after a while.
 func answers(status int, body string, after time.Duration) behaviour {
-	return func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if err := sleep(ctx, after); err != nil {
-			return nil, backend.Unknown{Err: err}
+			return nil, forward.Unknown{Err: err}
 		}
-		return &backend.Answer{
+		return &forward.Answer{
 			Status: status, Header: headOf(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
 		}, nil
 	}
@@ -115,20 +115,20 @@
 
 // fails fails every call alike.
 func fails(err error) behaviour {
-	return func(context.Context, backend.Call) (*backend.Answer, error) { return nil, err }
+	return func(context.Context, forward.Call) (*forward.Answer, error) { return nil, err }
 }
 
 // hangs takes the call and never answers.
-func hangs(ctx context.Context, _ backend.Call) (*backend.Answer, error) {
+func hangs(ctx context.Context, _ forward.Call) (*forward.Answer, error) {
 	<-ctx.Done()
-	return nil, backend.Unknown{Err: ctx.Err()}
+	return nil, forward.Unknown{Err: ctx.Err()}
 }
 
 // refuses says that the call has not run.
 func refuses(status int) behaviour {
-	return func(_ context.Context, call backend.Call) (*backend.Answer, error) {
+	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		h := http.Header{"Id": call.Header["Id"], "Not-Run": {"1"}}
-		return nil, backend.NotRun{Refused: true, Status: status, Header: h, Err: io.EOF}
+		return nil, forward.NotRun{Refused: true, Status: status, Header: h, Err: io.EOF}
 	}
 }
 
@@ -141,8 +141,8 @@
 
 // streams sends pieces; a call that names an event begins after it.
 func streams(pieces ...piece) behaviour {
-	return func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
-		return &backend.Answer{
+	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		return &forward.Answer{
 			Status: http.StatusOK, Header: headOf(call), Length: -1, Body: &pieceReader{ctx: ctx, pieces: pieces},
 		}, nil
 	}
@@ -180,9 +180,9 @@
 
 // fixture is one gateway.
 type fixture struct {
-	t        *testing.T
-	g        *Gateway
-	backends *fakeBackends
+	t       *testing.T
+	g       *Gateway
+	servers *fakeServers
 }
 
 func testDocument() document.Document {
@@ -201,18 +201,18 @@
 			route("once", document.Once, 2, false), route("again", document.Repeatable, 2, false),
 			route("stream", document.Stream, 2, false), route("resume", document.Stream, 2, true), engine,
 		},
-		Tenants: []document.Tenant{{Name: "t", Keys: []string{"key"}}, {Name: "u", Keys: []string{"other"}}},
+		Accounts: []document.Account{{Name: "t", Keys: []string{"key"}}, {Name: "u", Keys: []string{"other"}}},
 	}
 }
 
-// bubble runs f with a gateway that knows backends b0, b1, … of the pool
+// bubble runs f with a gateway that knows backend servers b0, b1, … of the pool
 // "plain", by their behaviours, and none of the directory.
 func bubble(t *testing.T, f func(x *fixture), does ...behaviour) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
-		x := &fixture{t: t, backends: &fakeBackends{does: map[string]behaviour{}}}
+		x := &fixture{t: t, servers: &fakeServers{does: map[string]behaviour{}}}
 		x.g = Start(t.Context(), Settings{
-			Identity: link.Identity{Name: "g"}, Zone: "z", Headers: testHeaders{}, Backend: x.backends,
+			Identity: link.Identity{Name: "g"}, Hall: "z", Headers: testHeaders{}, Server: x.servers,
 			Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, Grace: 8 * time.Second,
 			Bodies: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 			Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
@@ -224,20 +224,20 @@
 		}()
 		x.g.gateways.Store(1)
 		x.g.apply(testDocument())
-		x.backendsOf("plain", does...)
+		x.serversOf("plain", does...)
 		f(x)
 	})
 }
 
-// backendsOf announces backends with behaviours.
-func (x *fixture) backendsOf(pool string, does ...behaviour) {
-	m := protocol.Backends{Term: 1}
+// serversOf announces backend servers with behaviours.
+func (x *fixture) serversOf(pool string, does ...behaviour) {
+	m := protocol.Servers{Term: 1}
 	for i, d := range does {
-		b := protocol.Backend{
-			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Zone: "z",
+		b := protocol.Server{
+			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Hall: "z",
 			Slots: 4, Handle: uint32(len(pool)*10 + i),
 		}
-		x.backends.does[b.Address] = d
+		x.servers.does[b.Address] = d
 		m.Set = append(m.Set, b)
 	}
 	x.g.table.update(m)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -15,26 +15,26 @@
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/state/document"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
 // This file defines Gateway, its settings, its start and its stop.
 
-// Backend sends calls to backends. [backend.Client] is one.
-type Backend interface {
-	Send(ctx context.Context, address string, call backend.Call) (*backend.Answer, error)
+// Server sends calls to backend servers. [backend.Client] is one.
+type Server interface {
+	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
 
-var _ Backend = (*backend.Client)(nil)
+var _ Server = (*forward.Client)(nil)
 
 // Settings of a gateway.
 type Settings struct {
 	Identity link.Identity
-	Zone     string
+	Hall     string
 	Seeds    []string // fleet addresses of directory replicas
 	Headers  HeaderCodec
-	Backend  Backend
+	Server   Server
 	Retries  retry.Limits
 	// Grace is how long a stopping process has.
 	Grace time.Duration
@@ -54,7 +54,7 @@
 	routes   atomic.Pointer[routes] // nil before the first document
 	seeds    atomic.Pointer[[]string]
 	table    *table
-	tenants  *tenants
+	accounts *accounts
 	stats    *stats
 	meter    *link.Meter
 	seq      atomic.Uint64
@@ -76,10 +76,10 @@
 func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
 	g := &Gateway{
-		cfg: cfg, start: time.Now(), ctx: ctx, stop: stop, table: newTable(cfg.Zone),
+		cfg: cfg, start: time.Now(), ctx: ctx, stop: stop, table: newTable(cfg.Hall),
 		stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retries: map[string]*retry.Window{},
 	}
-	g.tenants = newTenants(g.now)
+	g.accounts = newAccounts(g.now)
 	g.SetSeeds(cfg.Seeds)
 	g.gateways.Store(assumedGateways)
 	go newWatcher(g).run()
@@ -124,7 +124,7 @@
 	}
 	g.routes.Store(newRoutes(d))
 	g.cfg.Log.StateChange("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
-		slog.Int("tenants", len(d.Tenants)))
+		slog.Int("tenants", len(d.Accounts)))
 }
 
 // mayRepeat takes one more attempt out of the fleet's budget.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -16,37 +16,37 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what callers get, by what backends do.
+// This file tests what callers get, by what backend servers do.
 
 var errReset = errors.New("connection reset")
 
 // TestOutcomes is the table of failures: what a caller is told, and how often
-// the request arrived at a backend.
+// the request arrived at a backend server.
 func TestOutcomes(t *testing.T) {
-	unreachable := fails(backend.NotRun{Err: errReset})
-	lostAnswer := fails(backend.Unknown{Err: errReset})
+	unreachable := fails(forward.NotRun{Err: errReset})
+	lostAnswer := fails(forward.Unknown{Err: errReset})
 	ok := answers(200, "fine", 0)
-	crossed := func(_ context.Context, call backend.Call) (*backend.Answer, error) {
+	crossed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		h := headOf(call)
 		h.Set("Id", "another")
-		return &backend.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
+		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
-	unsealed := func(_ context.Context, call backend.Call) (*backend.Answer, error) {
+	unsealed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		h := headOf(call)
 		h.Del("Sealed")
-		return &backend.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
+		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
-	cutOff := func(_ context.Context, call backend.Call) (*backend.Answer, error) {
+	cutOff := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		body := &pieceReader{ctx: context.Background(), pieces: []piece{{text: "fi", err: io.ErrUnexpectedEOF}}}
-		return &backend.Answer{Status: 200, Header: headOf(call), Length: 4, Body: body}, nil
+		return &forward.Answer{Status: 200, Header: headOf(call), Length: 4, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		name     string
 		route    string
-		does     []behaviour // of the backends, in the order in which they are asked
+		does     []behaviour // of the backend servers, in the order in which they are asked
 		status   int
 		body     string // part of it
 		arrivals int
@@ -80,7 +80,7 @@
 				got := x.ask("/" + tt.route + "/x")
 				is.Equal(got.status, tt.status)
 				is.True(strings.Contains(got.body, tt.body))
-				is.Equal(x.backends.count(), tt.arrivals)
+				is.Equal(x.servers.count(), tt.arrivals)
 				is.True(!got.cut)
 				if promise := got.status == 503 || got.status == 429; promise {
 					is.True(got.header.Get("Retry-After") != "") // says when to come back
@@ -90,12 +90,12 @@
 	}
 }
 
-// inOrder announces as many backends as there are behaviours; whichever is
+// inOrder announces as many backend servers as there are behaviours; whichever is
 // asked first does the first, and so on.
 func (x *fixture) inOrder(does []behaviour) {
 	var mu sync.Mutex
 	next := 0
-	each := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	each := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		mu.Lock()
 		d := does[min(next, len(does)-1)]
 		next++
@@ -106,7 +106,7 @@
 	for i := range all {
 		all[i] = each
 	}
-	x.backendsOf("plain", all...)
+	x.serversOf("plain", all...)
 }
 
 func TestOwnAnswers(t *testing.T) {
@@ -167,7 +167,7 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.ask("/once/a%2Fb?q=1", "Patience", "1000", "Tenant", "forged", "Other", "kept")
-		call := x.backends.arrivals[0]
+		call := x.servers.arrivals[0]
 		is.Equal(call.Path, "/once/a%2Fb?q=1")
 		is.Equal(call.Host, "host")
 		is.Equal(string(call.Body), "a body")
@@ -179,15 +179,15 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLeftOverTime checks that a second backend is told what is left, and that
+// TestLeftOverTime checks that a second backend server is told what is left, and that
 // the route's time bounds a caller's patience.
 func TestLeftOverTime(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{hangs, answers(200, "fine", 0)})
 		x.ask("/again/x", "Patience", "9000")
-		is.Equal(x.backends.arrivals[0].Header.Get("Left"), "3000") // the route's
-		is.Equal(x.backends.arrivals[1].Header.Get("Left"), "2000") // after 2.5 objectives
+		is.Equal(x.servers.arrivals[0].Header.Get("Left"), "3000") // the route's
+		is.Equal(x.servers.arrivals[1].Header.Get("Left"), "2000") // after 2.5 objectives
 	})
 }
 
@@ -200,7 +200,7 @@
 	}, hangs)
 }
 
-// TestLeavingCallerCancels checks that a backend stops working for a caller
+// TestLeavingCallerCancels checks that a backend server stops working for a caller
 // that has gone.
 func TestLeavingCallerCancels(t *testing.T) {
 	bubble(t, func(x *fixture) {
@@ -208,7 +208,7 @@
 		ctx, cancel := context.WithTimeout(x.t.Context(), 300*time.Millisecond)
 		defer cancel()
 		var stoppedAt time.Time
-		x.backends.does["10.0.5.0:80"] = func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+		x.servers.does["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			defer func() { stoppedAt = time.Now() }()
 			return hangs(ctx, call)
 		}
@@ -216,11 +216,11 @@
 		got := x.askWith(ctx, "POST", "/again/x", "")
 		is.True(got.cut)
 		is.Equal(stoppedAt.Sub(began), 300*time.Millisecond)
-		is.Equal(x.backends.count(), 1) // not asked again for nobody
+		is.Equal(x.servers.count(), 1) // not asked again for nobody
 	}, hangs)
 }
 
-// TestMisplacedBackendIsDropped: another backend has the address; the request
+// TestMisplacedBackendIsDropped: another backend server has the address; the request
 // has not run and goes on, and the list loses the entry.
 func TestMisplacedBackendIsDropped(t *testing.T) {
 	bubble(t, func(x *fixture) {
@@ -234,13 +234,13 @@
 func TestSuspectedBackendIsLeftAlone(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("plain", fails(backend.NotRun{Err: errReset}), answers(200, "fine", 0))
+		x.serversOf("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
 		for range 12 {
 			is.Equal(x.ask("/once/x").status, 200)
 		}
-		wasted := x.backends.count() - 12
+		wasted := x.servers.count() - 12
 		is.True(wasted <= 3) // then it was left alone
-		x.backends.does["10.0.5.0:80"] = answers(200, "fine", 0)
+		x.servers.does["10.0.5.0:80"] = answers(200, "fine", 0)
 		time.Sleep(shortestSuspect)
 		is.Equal(x.ask("/again/x").status, 200) // one that may be repeated tries it
 		ok, trial := x.g.table.members["p0"].health.usable(x.g.now())
@@ -249,23 +249,23 @@
 }
 
 // TestOnceIsNoTrial checks that a request that may not be repeated never tries
-// a suspected backend while another one is there.
+// a suspected backend server while another one is there.
 func TestOnceIsNoTrial(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
+		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
 		x.g.table.members["p0"].health.suspect(x.g.now())
 		time.Sleep(2 * shortestSuspect)
 		for range 5 {
 			x.ask("/once/x")
 		}
-		for _, call := range x.backends.arrivals {
+		for _, call := range x.servers.arrivals {
 			is.Equal(call.Header.Get("Backend"), "p1")
 		}
 	})
 }
 
-// TestRetryBudget lets every backend fail: repeats stop at the budget.
+// TestRetryBudget lets every backend server fail: repeats stop at the budget.
 func TestRetryBudget(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -274,7 +274,7 @@
 		for range 100 {
 			x.ask("/again/x")
 		}
-		repeats := x.backends.count() - 100
+		repeats := x.servers.count() - 100
 		is.True(repeats >= 10 && repeats <= 21) // 0.7 x (0.2 x 100 + 10)
 	})
 }
@@ -289,7 +289,7 @@
 		got := x.ask("/once/x")
 		is.Equal(got.status, 503)
 		is.True(strings.Contains(got.body, "no-retry-budget"))
-		is.Equal(x.backends.count(), 1)
+		is.Equal(x.servers.count(), 1)
 	})
 }
 
@@ -298,19 +298,19 @@
 func TestDoubtfulBackendIsDroppedOnceItFails(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
-		list := []protocol.Backend{x.g.table.members["p1"].Backend}
-		x.g.table.update(protocol.Backends{Term: 1, Whole: true, Complete: true, Set: list})
+		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
+		list := []protocol.Server{x.g.table.members["p1"].Server}
+		x.g.table.update(protocol.Servers{Term: 1, Whole: true, Complete: true, Set: list})
 		for range 4 {
 			is.Equal(x.ask("/again/x").status, 200)
 		}
-		is.Equal(x.g.Backends(), []string{"p0", "p1"})
-		x.backends.does["10.0.5.0:80"] = fails(backend.NotRun{Err: errReset})
+		is.Equal(x.g.Servers(), []string{"p0", "p1"})
+		x.servers.does["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
 		x.g.table.members["p1"].requests = 1 // so that the other is asked
 		for range 4 {
 			is.Equal(x.ask("/again/x").status, 200)
 		}
-		is.Equal(x.g.Backends(), []string{"p1"})
+		is.Equal(x.g.Servers(), []string{"p1"})
 	})
 }
 
@@ -349,7 +349,7 @@
 		is := is.New(x.t)
 		got := x.askBody(&pieceReader{ctx: x.t.Context(), pieces: []piece{{text: "a b", err: errReset}}}, 10)
 		is.Equal(got.status, 400)
-		is.Equal(x.backends.count(), 0)
+		is.Equal(x.servers.count(), 0)
 	}, answers(200, "fine", 0))
 }
 
--- a/gateway/health.go
+++ b/gateway/health.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// This file defines health, what a gateway believes of one backend from its
+// This file defines health, what a gateway believes of one backend server from its
 // answers alone. No probe is sent: a request that may run again tries a
-// suspected backend when its time has come.
+// suspected backend server when its time has come.
 
 // Parameters of the judgement.
 const (
@@ -51,7 +51,7 @@
 }
 
 // failed counts a failure of some weight, 1 for a lost request, and reports
-// whether the backend has become suspected by it. poolFailing is the part of
+// whether the backend server has become suspected by it. poolFailing is the part of
 // failures over the whole pool.
 func (h *health) failed(now time.Duration, weight, poolFailing float64) bool {
 	h.count(weight)
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -20,12 +20,12 @@
 //     is most of what an event costs;
 //   - the gateway is not ready for a while, because the balancer spreads
 //     callers unevenly and other gateways may be idle, and requests beyond
-//     their tenant's share are refused, the further beyond the sooner;
+//     their account's share are refused, the further beyond the sooner;
 //   - every new request is refused, as not run, with its connection closed, so
 //     that its caller reaches another gateway.
 //
 // Requests are ranked before any of that: the cause of pressure is mostly one
-// tenant far beyond its share, and refusing what is beyond it is cheap, so that
+// account far beyond its share, and refusing what is beyond it is cheap, so that
 // the others on this gateway need not be refused with it.
 //
 // A firing counts for as long as it took to come, because a starved timer
@@ -116,7 +116,7 @@
 	return false
 }
 
-// tick watches the pressure, and gives backends to requests that wait for what
+// tick watches the pressure, and gives backend servers to requests that wait for what
 // others' load leaves free.
 func (g *Gateway) tick() {
 	t := time.NewTicker(tickPeriod)
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 func TestPressureRisesAndFalls(t *testing.T) {
@@ -85,7 +85,7 @@
 		is.Equal(got.status, 503)
 		is.Equal(got.header.Get("Connection"), "close")
 		is.Equal(got.took, time.Duration(0))
-		is.Equal(x.backends.count(), 0)
+		is.Equal(x.servers.count(), 0)
 		x.g.overload.shedding.Store(false)
 		is.Equal(x.ask("/once/x").status, 200)
 	}, answers(200, "fine", 0))
@@ -115,7 +115,7 @@
 		is := is.New(x.t)
 		x.g.overload.shedding.Store(true)
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
-		_, begun, missed := x.g.tenants.takeReport()
+		_, begun, missed := x.g.accounts.takeReport()
 		is.Equal(begun, uint64(0))
 		is.Equal(missed, uint64(700))
 	})
@@ -129,12 +129,12 @@
 	return 0, io.EOF
 }
 
-// TestFloodIsRefusedWithoutItsBody: what is beyond its tenant's share is
-// refused by its head alone, while another tenant is served.
+// TestFloodIsRefusedWithoutItsBody: what is beyond its account's share is
+// refused by its head alone, while another account is served.
 func TestFloodIsRefusedWithoutItsBody(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.001, Extra: 0.002}}, true)
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.001, Extra: 0.002}}, true)
 		r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/engine/x", untouchedBody{x.t})
 		r.Host, r.ContentLength = "host", 12000
 		r.Header.Set("Id", "request-1")
@@ -148,8 +148,8 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLateGatewayBlamesNobody cannot connect to its only backend: one that is
-// late itself trusts the backend as before.
+// TestLateGatewayBlamesNobody cannot connect to its only backend server: one that is
+// late itself trusts the backend server as before.
 func TestLateGatewayBlamesNobody(t *testing.T) {
 	for _, tt := range []struct {
 		level   time.Duration
@@ -157,7 +157,7 @@
 	}{{0, false}, {2 * delayNoticed, true}} {
 		bubble(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.backendsOf("plain", fails(backend.NotRun{Err: errReset}))
+			x.serversOf("plain", fails(forward.NotRun{Err: errReset}))
 			release := x.holdPressure(tt.level)
 			time.Sleep(tickPeriod / 3) // between two ticks
 			for range 2 * minSamples {
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -19,7 +19,7 @@
 	shortage shortage         // why it got nothing when it was last looked at
 }
 
-// awaitServer returns a backend for the request, waiting for room until ctx ends or
+// awaitServer returns a backend server for the request, waiting for room until ctx ends or
 // patience is over; then it returns nil and why.
 func (g *Gateway) awaitServer(ctx context.Context, req requirements, patience time.Duration) (*assignment, shortage) {
 	t := g.table
@@ -51,8 +51,8 @@
 	return g.leave(ctx, p, waiting)
 }
 
-// leave takes a request out of the queue; it may just have got a backend. One
-// that its tenant's share covers takes any backend that has room before it is
+// leave takes a request out of the queue; it may just have got a backend server. One
+// that its account's share covers takes any backend server that has room before it is
 // refused.
 func (g *Gateway) leave(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
 	g.table.mu.Lock()
@@ -83,7 +83,7 @@
 }
 
 // compareWaiting orders waiting requests: within the share first, then by priority,
-// then the tenant that was served least lately.
+// then the account that was served least lately.
 func (g *Gateway) compareWaiting(a, b *requirements) int {
 	if a.class != b.class {
 		return cmp.Compare(a.class, b.class)
@@ -91,10 +91,10 @@
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
-	return cmp.Compare(g.tenants.recentService(a.tenant), g.tenants.recentService(b.tenant))
+	return cmp.Compare(g.accounts.recentService(a.account), g.accounts.recentService(b.account))
 }
 
-// grantWaiting gives backends to those who wait, in order, as far as there is room.
+// grantWaiting gives backend servers to those who wait, in order, as far as there is room.
 // The caller holds table.mu.
 func (g *Gateway) grantWaiting(p *pool) {
 	if len(p.waiting) == 0 {
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/state/document"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file tests in which order waiting requests go, and what bounds them.
@@ -20,15 +20,15 @@
 func TestOrderOfWaiting(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.tenants.countStarted("busy", 1000)
+		x.g.accounts.countStarted("busy", 1000)
 		for _, tt := range []struct {
 			name          string
 			first, second requirements
 		}{
 			{"within the share before beyond the named one", requirements{class: entitled, priority: 9}, requirements{class: extra}},
 			{"beyond the named share before beyond every one", requirements{class: extra, priority: 9}, requirements{class: beyond}},
-			{"priority", requirements{priority: 1, tenant: "busy"}, requirements{priority: 2, tenant: "idle"}},
-			{"the tenant that was served least", requirements{tenant: "idle"}, requirements{tenant: "busy"}},
+			{"priority", requirements{priority: 1, account: "busy"}, requirements{priority: 2, account: "idle"}},
+			{"the tenant that was served least", requirements{account: "idle"}, requirements{account: "busy"}},
 		} {
 			is.True(x.g.compareWaiting(&tt.first, &tt.second) < 0) // tt.name
 			is.True(x.g.compareWaiting(&tt.second, &tt.first) > 0)
@@ -36,8 +36,8 @@
 	})
 }
 
-// TestWaitingGoInOrder fills the only backend; of three that wait, the one of
-// the tenant that was served least goes first, whenever it came.
+// TestWaitingGoInOrder fills the only backend server; of three that wait, the one of
+// the account that was served least goes first, whenever it came.
 func TestWaitingGoInOrder(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -48,7 +48,7 @@
 		x.g.apply(d)
 		var mu sync.Mutex
 		var order []string
-		x.backends.does["10.0.5.0:80"] = func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+		x.servers.does["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			mu.Lock()
 			order = append(order, call.Header.Get("Id"))
 			mu.Unlock()
@@ -61,14 +61,14 @@
 				x.ask("/once/x", header...)
 			})
 		}
-		x.g.tenants.countStarted("t", 1000)
+		x.g.accounts.countStarted("t", 1000)
 		group.Wait()
 		// Two connections are the least that a gateway takes.
 		is.Equal(strings.Join(order, ""), "abdc")
 	}, answers(200, "fine", 0))
 }
 
-// TestConnectionsAreShared: a backend's connections are divided by the
+// TestConnectionsAreShared: a backend server's connections are divided by the
 // gateways.
 func TestConnectionsAreShared(t *testing.T) {
 	is := is.New(t)
@@ -88,6 +88,6 @@
 		time.Sleep(time.Millisecond)
 		is.Equal(x.ask("/once/x").status, 503)
 		group.Wait()
-		is.Equal(x.backends.count(), 2)
+		is.Equal(x.servers.count(), 2)
 	}, answers(200, "fine", time.Second))
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file defines relay, how an answer reaches the caller: a plain answer
@@ -46,8 +46,8 @@
 }
 
 // plain takes a plain answer: a success goes to the caller once it is whole, a
-// failure is held in case another backend does better.
-func (r *relay) plain(a *assignment, answer *backend.Answer, success bool) outcome {
+// failure is held in case another backend server does better.
+func (r *relay) plain(a *assignment, answer *forward.Answer, success bool) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
 		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
@@ -65,7 +65,7 @@
 }
 
 // large passes on an answer that is too large to be kept.
-func (r *relay) large(answer *backend.Answer, head *heldAnswer) outcome {
+func (r *relay) large(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	if _, err := r.c.w.Write(head.body); err != nil {
 		return outcome{execution: mayHaveRun, blame: noBlame, err: err}
@@ -100,7 +100,7 @@
 }
 
 // stream passes events on as they come, each once it is whole.
-func (r *relay) stream(ctx context.Context, a *assignment, answer *backend.Answer) outcome {
+func (r *relay) stream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
@@ -112,7 +112,7 @@
 				r.c.g.answerStarted(a, r.c.pool.Engine)
 			}
 			if !r.headWritten {
-				r.c.g.stats.firstPart(r.c.tenant.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
+				r.c.g.stats.firstPart(r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
 				r.writeHead(answer.Status, answer.Header, -1)
 			}
 			if werr := r.events(buffer[:n], flusher); werr != nil {
@@ -154,7 +154,7 @@
 }
 
 // streamEnd ends a stream whose body is whole.
-func (r *relay) streamEnd(answer *backend.Answer, flusher *http.ResponseController) outcome {
+func (r *relay) streamEnd(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
 			return outcome{execution: mayHaveRun, blame: noBlame, err: err}
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -10,14 +10,14 @@
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 )
 
-// This file defines whether a backend has room for one more request, and what is
+// This file defines whether a backend server has room for one more request, and what is
 // learned of its pool for that.
 
-// Room of a backend.
+// Room of a backend server.
 const (
 	coveredRoom  = 0.45 // part of the objective that may pass before an engine begins to read
-	entitledRoom = 0.25 // the same if the request's tenant asks for more than its share
-	extraRoom    = 0.1  // and for a request beyond the named share of its tenant
+	entitledRoom = 0.25 // the same if the request's account asks for more than its share
+	extraRoom    = 0.1  // and for a request beyond the named share of its account
 	beyondRoom   = 0.0  // and beyond every share
 	slotsMost    = 1.25 // requests on an engine, in slots, when it queues them
 	slotsFewest  = 0.7  // and when it refuses them
@@ -27,7 +27,7 @@
 	plainExpect  = 50.0 // ms; what a plain service is expected to need
 )
 
-// roomFor reports whether one more request may go to a backend now.
+// roomFor reports whether one more request may go to a backend server now.
 func (p *pool) roomFor(req requirements, s *serverState, e place.Engine) bool {
 	if req.pool.Connections > 0 && s.requests >= ownConnections(req) {
 		return false
@@ -79,14 +79,14 @@
 	p.rate = min(max(p.rate, firstRate/10), firstRate*10)
 }
 
-// ownConnections is this gateway's part of the connections that a backend
+// ownConnections is this gateway's part of the connections that a backend server
 // accepts.
 func ownConnections(req requirements) int {
 	const spare = 0.9
 	return max(int(spare*float64(req.pool.Connections)/float64(max(req.gateways, 1))), 2)
 }
 
-// slowness compares a backend's pace with the pool's. Small differences are
+// slowness compares a backend server's pace with the pool's. Small differences are
 // left alone.
 func slowness(s *serverState, typical float64) float64 {
 	const noticed = 1.6
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -18,14 +18,14 @@
 type routes struct {
 	document document.Document
 	byHost   map[string][]document.Route // longest prefix first
-	tenants  map[string]document.Tenant  // by key
+	accounts map[string]document.Account // by key
 	pools    map[string]document.Pool
 }
 
 func newRoutes(d document.Document) *routes {
 	rs := &routes{
 		document: d, byHost: map[string][]document.Route{},
-		tenants: map[string]document.Tenant{}, pools: map[string]document.Pool{},
+		accounts: map[string]document.Account{}, pools: map[string]document.Pool{},
 	}
 	for _, r := range d.Routes {
 		host := strings.ToLower(r.Host)
@@ -34,9 +34,9 @@
 	for _, list := range rs.byHost {
 		slices.SortStableFunc(list, func(a, b document.Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
-	for _, t := range d.Tenants {
+	for _, t := range d.Accounts {
 		for _, key := range t.Keys {
-			rs.tenants[key] = t
+			rs.accounts[key] = t
 		}
 	}
 	for _, p := range d.Pools {
@@ -58,15 +58,15 @@
 	return document.Route{}, false
 }
 
-// tenant returns whose key it is. A request on a public route, or without any
-// tenants configured, belongs to nobody.
-func (rs *routes) tenant(r document.Route, key string) (document.Tenant, bool) {
-	if len(rs.document.Tenants) == 0 {
-		return document.Tenant{}, true
+// account returns whose key it is. A request on a public route, or without any
+// accounts configured, belongs to nobody.
+func (rs *routes) account(r document.Route, key string) (document.Account, bool) {
+	if len(rs.document.Accounts) == 0 {
+		return document.Account{}, true
 	}
-	t, known := rs.tenants[key]
+	t, known := rs.accounts[key]
 	if !known && r.Public {
-		return document.Tenant{}, true
+		return document.Account{}, true
 	}
 	return t, known
 }
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests who gets room on backends, and who waits or is refused.
+// This file tests who gets room on backend servers, and who waits or is refused.
 
 // TestRoomIsShared holds every slot; one request too many waits for its part
 // of the objective and is refused, and one that finds room in time is served.
@@ -48,14 +48,14 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestBeyondTheShareWaitsForIdleEngines gives a tenant a tenth of what it asks:
+// TestBeyondTheShareWaitsForIdleEngines gives an account a tenth of what it asks:
 // while the engine has something to read, nine in ten are refused with 429 and
-// the other tenant's requests are served.
+// the other account's requests are served.
 func TestBeyondTheShareWaitsForIdleEngines(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
+		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, false)
 		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 500}})
 		served, refused := 0, 0
 		for range 50 {
@@ -77,8 +77,8 @@
 func TestNobodyWaitsWhileEnginesAreIdle(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.1, Extra: 0.1}}, false)
+		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, false)
 		for range 20 {
 			got := x.ask("/engine/x", "Tokens", "1000")
 			is.Equal(got.status, 200)
@@ -90,16 +90,16 @@
 // TestOnlyBackendIsUnreachable: a request does not go to the same dead address
 // for as long as its caller waits.
 func TestOnlyBackendIsUnreachable(t *testing.T) {
-	refusing := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	refusing := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		time.Sleep(time.Millisecond)
-		return nil, backend.NotRun{Err: errReset}
+		return nil, forward.NotRun{Err: errReset}
 	}
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/again/x")
 		is.Equal(got.status, 503)
 		is.True(got.header.Get("Retry-After") != "")
-		is.Equal(x.backends.count(), maxTries)
+		is.Equal(x.servers.count(), maxTries)
 	}, refusing)
 }
 
@@ -110,12 +110,12 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		served := streams(piece{text: event(1)})
-		x.backendsOf("engines", served, served, served)
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
+		x.serversOf("engines", served, served, served)
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, false)
 		before := x.ask("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(before.status, 200)
 		is.Equal(before.took, time.Duration(0))
-		keeps := x.g.table.members[x.backends.arrivals[0].Header.Get("Backend")]
+		keeps := x.g.table.members[x.servers.arrivals[0].Header.Get("Backend")]
 		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
 
 		refused := x.ask("/engine/x", "Tokens", "100", "Shared", "a")
@@ -124,18 +124,18 @@
 		got := x.ask("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(got.status, 200)
 		is.Equal(got.took, 88*time.Millisecond)
-		is.True(x.backends.arrivals[1].Header.Get("Backend") != keeps.ID)
+		is.True(x.servers.arrivals[1].Header.Get("Backend") != keeps.ID)
 	})
 }
 
 // TestCoveredTenantHasMoreRoom: an engine that begins to read after a third of
-// the objective takes a request of a tenant that its share covers, at once, and
+// the objective takes a request of an account that its share covers, at once, and
 // none of one that asks for more.
 func TestCoveredTenantHasMoreRoom(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.9, Extra: 0.9}}, false)
+		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, false)
 		x.g.table.updateLoads(x.g.now(), []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 14_000}})
 		is.Equal(x.ask("/engine/x", "Tokens", "100").status, 503)
 		got := x.ask("/engine/x", "Tokens", "100", "Key", "other")
@@ -149,8 +149,8 @@
 func TestShortFleetLetsNobodyBeyond(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.backendsOf("engines", streams(piece{text: event(1)}))
-		x.g.tenants.update([]protocol.Entitlement{{Tenant: "t", Part: 0.2, Extra: 0.5}}, true)
+		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.5}}, true)
 		served := 0
 		for range 40 {
 			if x.ask("/engine/x", "Tokens", "1000").status == 200 {
@@ -158,7 +158,7 @@
 			}
 		}
 		is.True(served >= 19 && served <= 21) // the extra share, and no more
-		_, begun, missed := x.g.tenants.takeReport()
+		_, begun, missed := x.g.accounts.takeReport()
 		is.Equal(begun, uint64(served*1000))
 		is.Equal(missed, uint64(0)) // what is beyond every share is not missed
 	})
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// This file defines stallTimer, how long a backend may say nothing before another
+// This file defines stallTimer, how long a backend server may say nothing before another
 // one is asked.
 
-// Silence of a backend after which another one is asked.
+// Silence of a backend server after which another one is asked.
 const (
 	stallObjectives = 2.5 // before the first part of an answer
 	stallGaps       = 4.0 // between two parts
@@ -26,7 +26,7 @@
 	expired atomic.Bool // the attempt was ended for its silence
 }
 
-// watchStall cancels an attempt when the backend is silent for much longer
+// watchStall cancels an attempt when the backend server is silent for much longer
 // than it should be, if another one may take the request up: otherwise silence
 // justifies nothing. A gateway that is late itself may not have read what has
 // come, so it waits on.
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -45,20 +45,20 @@
 	c.Inc()
 }
 
-func (s *stats) firstPart(tenant, route string, took time.Duration) {
-	s.observe(s.first, "first_seconds", tenant, route, took)
+func (s *stats) firstPart(account, route string, took time.Duration) {
+	s.observe(s.first, "first_seconds", account, route, took)
 }
 
-func (s *stats) wholeAnswer(tenant, route string, took time.Duration) {
-	s.observe(s.whole, "answer_seconds", tenant, route, took)
+func (s *stats) wholeAnswer(account, route string, took time.Duration) {
+	s.observe(s.whole, "answer_seconds", account, route, took)
 }
 
-func (s *stats) observe(cache map[[2]string]*metrics.Histogram, name, tenant, route string, took time.Duration) {
-	key := [2]string{tenant, route}
+func (s *stats) observe(cache map[[2]string]*metrics.Histogram, name, account, route string, took time.Duration) {
+	key := [2]string{account, route}
 	s.mu.Lock()
 	h := cache[key]
 	if h == nil {
-		h = s.set.GetOrCreateHistogram(fmt.Sprintf("badgerspoke_gateway_%s{tenant=%q,route=%q}", name, tenant, route))
+		h = s.set.GetOrCreateHistogram(fmt.Sprintf("badgerspoke_gateway_%s{tenant=%q,route=%q}", name, account, route))
 		cache[key] = h
 	}
 	s.mu.Unlock()
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/matryer/is"
 
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file tests streams: whole events, in order, once each.
@@ -23,7 +23,7 @@
 // resuming streams events up to last, beginning after the one that the call
 // names, and breaks once after it has sent breakAfter.
 func resuming(last, breakAfter int, brokenAnswer error) behaviour {
-	return func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		from, _ := strconv.Atoi(call.Header.Get("After"))
 		var pieces []piece
 		for id := from + 1; id <= last; id++ {
@@ -58,7 +58,7 @@
 }
 
 // TestBrokenStreamIsTakenUp breaks a stream in the middle of an event: the
-// second backend goes on after the last whole one.
+// second backend server goes on after the last whole one.
 func TestBrokenStreamIsTakenUp(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -66,7 +66,7 @@
 		got := x.ask("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 		is.True(!got.cut)
-		is.Equal(x.backends.arrivals[1].Header.Get("After"), "3")
+		is.Equal(x.servers.arrivals[1].Header.Get("After"), "3")
 	})
 }
 
@@ -82,7 +82,7 @@
 }
 
 // TestStreamThatMayNotRunAgainIsCut: the caller must see that it is not whole,
-// and no other backend may get it.
+// and no other backend server may get it.
 func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -90,7 +90,7 @@
 		got := x.ask("/stream/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
-		is.Equal(x.backends.count(), 1)
+		is.Equal(x.servers.count(), 1)
 	})
 }
 
@@ -99,7 +99,7 @@
 func TestBrokenStreamWithNobodyLeftIsCut(t *testing.T) {
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(6, 3, errReset), fails(backend.NotRun{Err: errReset})})
+		x.inOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
 		got := x.ask("/resume/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
@@ -112,7 +112,7 @@
 		is := is.New(x.t)
 		got := x.ask("/resume/x")
 		is.Equal(got.body, wholeStream(6))
-		is.Equal(x.backends.count(), 2)
+		is.Equal(x.servers.count(), 2)
 	}, resuming(6, 3, errReset))
 }
 
@@ -122,14 +122,14 @@
 		x.inOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
 		got := x.ask("/resume/x")
 		is.Equal(got.body, wholeStream(4))
-		is.True(got.cut) // two backends are all that the route allows
-		is.Equal(x.backends.count(), 2)
+		is.True(got.cut) // two backend servers are all that the route allows
+		is.Equal(x.servers.count(), 2)
 	})
 }
 
-// TestSilentStreamIsTakenUp: a backend stops in the middle without a word.
+// TestSilentStreamIsTakenUp: a backend server stops in the middle without a word.
 func TestSilentStreamIsTakenUp(t *testing.T) {
-	silent := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	silent := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(1)}, piece{text: event(2), after: time.Hour})(ctx, call)
 	}
 	bubble(t, func(x *fixture) {
@@ -151,7 +151,7 @@
 		is.Equal(got.body, wholeStream(2))
 		is.True(!got.cut)
 	}, pausing)
-	resumed := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	resumed := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(2)}, piece{text: event(3), after: 1500 * time.Millisecond})(ctx, call)
 	}
 	bubble(t, func(x *fixture) {
@@ -165,7 +165,7 @@
 
 // TestRouteTimeEndsAStream cuts a stream that is still going on.
 func TestRouteTimeEndsAStream(t *testing.T) {
-	endless := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	endless := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return resuming(1000, 0, nil)(ctx, call)
 	}
 	bubble(t, func(x *fixture) {
@@ -239,17 +239,17 @@
 	return func() { close(stop); <-stopped }
 }
 
-// TestLateGatewayDoesNotTakeABackendForSilent: a backend that seems silent is
+// TestLateGatewayDoesNotTakeABackendForSilent: a backend server that seems silent is
 // left for another one, but not by a gateway that is late itself and may not
 // have read what has come.
 func TestLateGatewayDoesNotTakeABackendForSilent(t *testing.T) {
 	const begins = 1500 * time.Millisecond // later than silence is borne
-	slow := func(ctx context.Context, call backend.Call) (*backend.Answer, error) {
+	slow := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if err := sleep(ctx, begins); err != nil {
-			return nil, backend.Unknown{Err: err}
+			return nil, forward.Unknown{Err: err}
 		}
 		body := &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 20}
-		return &backend.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
+		return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		level    time.Duration
@@ -263,7 +263,7 @@
 			release()
 			is.Equal(got.status, 200)
 			is.Equal(got.body, wholeStream(20))
-			is.Equal(x.backends.count(), tt.arrivals)
+			is.Equal(x.servers.count(), tt.arrivals)
 		}, slow, slow)
 	}
 }
@@ -273,9 +273,9 @@
 func TestUnderPressureEventsAreGathered(t *testing.T) {
 	for _, pressed := range []bool{false, true} {
 		var body *timedBody
-		does := func(_ context.Context, call backend.Call) (*backend.Answer, error) {
+		does := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			body = &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 40}
-			return &backend.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
+			return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
 		}
 		bubble(t, func(x *fixture) {
 			is := is.New(x.t)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -11,12 +11,12 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines table, the backends that the gateway knows, what runs on
+// This file defines table, the backend servers that the gateway knows, what runs on
 // them, and the choice of one for a request.
 
-// serverState is one backend as this gateway sees it.
+// serverState is one backend server as this gateway sees it.
 type serverState struct {
-	protocol.Backend
+	protocol.Server
 	health   health
 	requests int // own, running there
 	tokens   int // of own prompts whose first event has not come
@@ -39,7 +39,7 @@
 }
 
 type table struct {
-	zone string
+	hall string
 
 	mu       sync.Mutex
 	members  map[string]*serverState
@@ -48,7 +48,7 @@
 	term     uint64
 }
 
-// pool is the backends of one name with what waits for them.
+// pool is the backend servers of one name with what waits for them.
 type pool struct {
 	members  []*serverState // ordered by identifier
 	waiting  []*waiter
@@ -57,8 +57,8 @@
 	refusing float64 // how far engines refuse what is beyond their slots, 0 to 1
 }
 
-func newTable(zone string) *table {
-	return &table{zone: zone, members: map[string]*serverState{}, byHandle: map[uint32]*serverState{}, pools: map[string]*pool{}}
+func newTable(hall string) *table {
+	return &table{hall: hall, members: map[string]*serverState{}, byHandle: map[uint32]*serverState{}, pools: map[string]*pool{}}
 }
 
 // pool returns a pool, new if need be. The caller holds mu.
@@ -75,7 +75,7 @@
 type tableChange struct{ joined, left []string }
 
 // update takes a message of the directory.
-func (t *table) update(m protocol.Backends) tableChange {
+func (t *table) update(m protocol.Servers) tableChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var changed tableChange
@@ -102,11 +102,11 @@
 	return changed
 }
 
-// set adds or changes a backend and reports whether it is new.
-func (t *table) set(b protocol.Backend) bool {
+// set adds or changes a backend server and reports whether it is new.
+func (t *table) set(b protocol.Server) bool {
 	known := t.members[b.ID]
 	if known != nil && known.Pool == b.Pool {
-		known.Backend, known.unlisted = b, false
+		known.Server, known.unlisted = b, false
 		t.byHandle[b.Handle] = known
 		return false
 	}
@@ -119,7 +119,7 @@
 			break
 		}
 	}
-	known = &serverState{Backend: b}
+	known = &serverState{Server: b}
 	t.members[b.ID] = known
 	t.byHandle[b.Handle] = known
 	p := t.pool(b.Pool)
@@ -145,9 +145,9 @@
 	return true
 }
 
-// markUnlisted marks backends that a complete list lacks: they are used only
+// markUnlisted marks backend servers that a complete list lacks: they are used only
 // as long as they answer.
-func (t *table) markUnlisted(list []protocol.Backend) {
+func (t *table) markUnlisted(list []protocol.Server) {
 	in := map[string]bool{}
 	for _, b := range list {
 		in[b.ID] = true
@@ -157,7 +157,7 @@
 	}
 }
 
-// removeMisdirected drops a backend whose address belongs to another one now.
+// removeMisdirected drops a backend server whose address belongs to another one now.
 func (t *table) removeMisdirected(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -193,16 +193,16 @@
 	return out
 }
 
-// size returns how many backends are known.
+// size returns how many backend servers are known.
 func (t *table) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.members)
 }
 
-// Backends returns the identifiers of the backends that the gateway knows, in
+// Servers returns the identifiers of the backend servers that the gateway knows, in
 // order.
-func (g *Gateway) Backends() []string {
+func (g *Gateway) Servers() []string {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
 	return slices.Sorted(maps.Keys(g.table.members))
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -156,7 +156,7 @@
 			return
 		}
 		w.g.apply(d)
-	case protocol.Backends:
+	case protocol.Servers:
 		w.term = max(w.term, m.Term)
 		if changed := w.g.table.update(m); len(changed.joined)+len(changed.left) > 0 {
 			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
@@ -166,7 +166,7 @@
 	case protocol.Fleet:
 		w.g.gateways.Store(int64(max(m.Gateways, 1)))
 		w.members = m.Members
-		w.g.tenants.update(m.Entitlements, m.Short)
+		w.g.accounts.update(m.Entitlements, m.Short)
 		w.g.table.updateLoads(w.g.now(), m.Loads)
 		w.g.grantAll()
 	}
@@ -183,7 +183,7 @@
 		case <-t.C:
 		}
 		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
-		u.Demands, u.Started, u.Missed = w.g.tenants.takeReport()
+		u.Demands, u.Started, u.Missed = w.g.accounts.takeReport()
 		if _, err := l.Send(ctx, u); err != nil {
 			return
 		}
--- a/process/directory.go
+++ b/process/directory.go
@@ -26,7 +26,7 @@
 // fails stops for good, because it cannot know what was written; the process
 // goes on and opens the folder again, as a new process would.
 
-// API speaks to operators and backends in a deployment's own way.
+// API speaks to operators and backend servers in a deployment's own way.
 type API func(d *directory.Directory, log *decision.Log) http.Handler
 
 // reopenPause is the time between two attempts to open the data folder.
--- a/process/process.go
+++ b/process/process.go
@@ -6,7 +6,7 @@
 //
 // What a deployment calls things is given from outside: a gateway gets a
 // [gateway.HeaderCodec], a directory replica a handler that speaks to operators
-// and backends ([API]). So one process serves any deployment, and this
+// and backend servers ([API]). So one process serves any deployment, and this
 // package knows none.
 package process
 
@@ -25,7 +25,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/gateway"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
@@ -47,11 +47,11 @@
 	Retries retry.Limits
 
 	// Of a directory replica.
-	API       string // for operators and backends
+	API       string // for operators and backend servers
 	DataDir   string
 	Bootstrap bool          // the first start of the whole system
 	Voters    int           // wanted in the directory's group
-	Interval  time.Duration // between a backend's announcements
+	Interval  time.Duration // between a backend server's announcements
 
 	Grace       time.Duration // a stopping process has
 	Memory      int64         // bytes that the process may use
@@ -168,7 +168,7 @@
 	}
 	defer n.close()
 	opened := metricSet.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
-	client := backend.New(backend.Settings{
+	client := forward.New(forward.Settings{
 		Dialer: &net.Dialer{Timeout: backendDial}, IdlePerServer: idlePerBackend, IdleTime: backendIdle,
 		Refused: refused, Opened: opened.Inc,
 	})
@@ -176,7 +176,7 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
-		Identity: n.identity(), Zone: cfg.Zone, Seeds: cfg.Seeds, Headers: headers, Backend: client,
+		Identity: n.identity(), Hall: cfg.Zone, Seeds: cfg.Seeds, Headers: headers, Server: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
 		Random: rand.Uint64, Log: log, Metrics: metricSet,
 	})
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -36,7 +36,7 @@
 	KindWatch         Kind = 13
 	KindWatchRedirect Kind = 14
 	KindDocument      Kind = 15
-	KindBackends      Kind = 16
+	KindServers       Kind = 16
 	KindUsage         Kind = 17
 	KindFleet         Kind = 18
 )
@@ -45,7 +45,7 @@
 	KindHello: "hello", KindWelcome: "welcome", KindRedirect: "redirect", KindRenew: "renew",
 	KindRenewed: "renewed", KindReport: "report", KindView: "view", KindConfigure: "configure",
 	KindClaim: "claim", KindSettle: "settle", KindClaimed: "claimed", KindConsensus: "consensus",
-	KindWatch: "watch", KindWatchRedirect: "elsewhere", KindDocument: "document", KindBackends: "backends",
+	KindWatch: "watch", KindWatchRedirect: "elsewhere", KindDocument: "document", KindServers: "backends",
 	KindUsage: "usage", KindFleet: "fleet",
 }
 
@@ -82,7 +82,7 @@
 func (Watch) kind() Kind         { return KindWatch }
 func (WatchRedirect) kind() Kind { return KindWatchRedirect }
 func (Document) kind() Kind      { return KindDocument }
-func (Backends) kind() Kind      { return KindBackends }
+func (Servers) kind() Kind       { return KindServers }
 func (Usage) kind() Kind         { return KindUsage }
 func (Fleet) kind() Kind         { return KindFleet }
 
@@ -189,8 +189,8 @@
 		return decodeAs[WatchRedirect](e)
 	case KindDocument:
 		return decodeAs[Document](e)
-	case KindBackends:
-		return decodeAs[Backends](e)
+	case KindServers:
+		return decodeAs[Servers](e)
 	case KindUsage:
 		return decodeAs[Usage](e)
 	case KindFleet:
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -70,22 +70,22 @@
 	Watch{Gateway: "gateway-1", Boot: big, Number: 82, Term: 83},
 	WatchRedirect{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
 	Document{Number: 84, Data: []byte{0xa1, 1, 2}},
-	Backends{
+	Servers{
 		Term: 85, Whole: true, Complete: true,
-		Set: []Backend{
-			{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Zone: "hall-a", Slots: 16, Handle: 1<<32 - 1},
+		Set: []Server{
+			{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Hall: "hall-a", Slots: 16, Handle: 1<<32 - 1},
 			{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80", Handle: 2},
 		},
 		Gone: []string{"engine-3#c", "engine-4#d"},
 	},
 	Usage{
 		Loads:   []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
-		Demands: []Demand{{Tenant: "t1", Tokens: big}, {Tenant: "t2", Tokens: 12}},
+		Demands: []Demand{{Account: "t1", Tokens: big}, {Account: "t2", Tokens: 12}},
 		Number:  86, Started: 87, Missed: 88,
 	},
 	Fleet{
 		Gateways: 3, Loads: []ServerLoad{{Handle: 9, Requests: 10, Tokens: 11}, {Handle: 12, Requests: 13, Tokens: 14}},
-		Entitlements: []Entitlement{{Tenant: "t1", Part: 0.25, Extra: 0.7}, {Tenant: "t2", Part: 0.1, Extra: 1}},
+		Entitlements: []Entitlement{{Account: "t1", Part: 0.25, Extra: 0.7}, {Account: "t2", Part: 0.1, Extra: 1}},
 		Members:      []string{"10.0.0.1:7000", "10.0.0.2:7000"}, Short: true,
 	},
 }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -31,12 +31,12 @@
 	Watch{Gateway: "g", Boot: 1, Number: 2, Term: 3},
 	WatchRedirect{Leader: "c", Members: []string{"c", "d"}},
 	Document{Number: 4, Data: []byte{5}},
-	Backends{Term: 1, Whole: true, Complete: true, Gone: []string{"x"},
-		Set: []Backend{{ID: "b", Pool: "p", Address: "10.0.0.1:80", Zone: "z", Slots: 4, Handle: 7}}},
-	Usage{Loads: []ServerLoad{{Handle: 7, Requests: 2, Tokens: 900}}, Demands: []Demand{{Tenant: "t", Tokens: 12}},
+	Servers{Term: 1, Whole: true, Complete: true, Gone: []string{"x"},
+		Set: []Server{{ID: "b", Pool: "p", Address: "10.0.0.1:80", Hall: "z", Slots: 4, Handle: 7}}},
+	Usage{Loads: []ServerLoad{{Handle: 7, Requests: 2, Tokens: 900}}, Demands: []Demand{{Account: "t", Tokens: 12}},
 		Number: 4, Started: 5, Missed: 6},
 	Fleet{Gateways: 3, Loads: []ServerLoad{{Handle: 7, Requests: 1, Tokens: 2}},
-		Entitlements: []Entitlement{{Tenant: "t", Part: 0.25, Extra: 0.5}}, Members: []string{"c"}, Short: true},
+		Entitlements: []Entitlement{{Account: "t", Part: 0.25, Extra: 0.5}}, Members: []string{"c"}, Short: true},
 }
 
 func TestRoundTrip(t *testing.T) {
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -6,7 +6,7 @@
 // other over the gateway's one session.
 //
 // A session starts with Watch. The leader answers with the document if the
-// gateway's is older, the whole list of backends, and from then on with what
+// gateway's is older, the whole list of backend servers, and from then on with what
 // changes; any other replica answers with Elsewhere and closes. Numbers that
 // go out several times a second are arrays.
 
@@ -31,30 +31,30 @@
 	Data   []byte `cbor:"2,keyasint"`
 }
 
-// Backend is one announced backend.
-type Backend struct {
+// Server is one announced backend server.
+type Server struct {
 	ID      string `cbor:"1,keyasint"`
 	Pool    string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // IP:PORT
-	Zone    string `cbor:"4,keyasint,omitempty"`
+	Hall    string `cbor:"4,keyasint,omitempty"`
 	Slots   int    `cbor:"5,keyasint,omitempty"`
-	// Handle stands for the backend in Usage and Fleet, within one term.
+	// Handle stands for the backend server in Usage and Fleet, within one term.
 	Handle uint32 `cbor:"6,keyasint"`
 }
 
-// Backends brings a gateway's list up to date.
-type Backends struct {
+// Servers brings a gateway's list up to date.
+type Servers struct {
 	Term uint64 `cbor:"1,keyasint"`
 	// Whole says that Set is the whole list that the leader knows.
 	Whole bool `cbor:"2,keyasint,omitempty"`
-	// Complete says that the leader has led for longer than backends take to
+	// Complete says that the leader has led for longer than backend servers take to
 	// announce themselves: who is not in the list is gone.
-	Complete bool      `cbor:"3,keyasint,omitempty"`
-	Set      []Backend `cbor:"4,keyasint,omitempty"`
-	Gone     []string  `cbor:"5,keyasint,omitempty"` // leaving, withdrawn or replaced
+	Complete bool     `cbor:"3,keyasint,omitempty"`
+	Set      []Server `cbor:"4,keyasint,omitempty"`
+	Gone     []string `cbor:"5,keyasint,omitempty"` // leaving, withdrawn or replaced
 }
 
-// ServerLoad is what runs on one backend.
+// ServerLoad is what runs on one backend server.
 type ServerLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Handle   uint32
@@ -62,11 +62,11 @@
 	Tokens   uint32 // of prompts not yet read there, by what the gateways know
 }
 
-// Demand is what one tenant asked for since the previous report, in tokens.
+// Demand is what one account asked for since the previous report, in tokens.
 type Demand struct {
-	_      struct{} `cbor:",toarray"`
-	Tenant string
-	Tokens uint64
+	_       struct{} `cbor:",toarray"`
+	Account string
+	Tokens  uint64
 }
 
 // Usage is a gateway's report, several times a second.
@@ -78,15 +78,15 @@
 	Missed  uint64       `cbor:"5,keyasint,omitempty"` // tokens of requests within a share that found no room since then
 }
 
-// Entitlement is the part of a tenant's demand that its fair share covers: of
+// Entitlement is the part of an account's demand that its fair share covers: of
 // the rate that the operator names (Part), and of what the engines really make
-// if that is more (Extra, never below Part). Tenants that are not listed are
+// if that is more (Extra, never below Part). Accounts that are not listed are
 // covered whole.
 type Entitlement struct {
-	_      struct{} `cbor:",toarray"`
-	Tenant string
-	Part   float32
-	Extra  float32
+	_       struct{} `cbor:",toarray"`
+	Account string
+	Part    float32
+	Extra   float32
 }
 
 // Fleet is how all gateways together stand, several times a second.
@@ -95,7 +95,7 @@
 	Loads        []ServerLoad  `cbor:"2,keyasint,omitempty"` // on all gateways but the receiving one
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
-	// Short says that requests within their tenants' shares find no room
+	// Short says that requests within their accounts' shares find no room
 	// somewhere: nobody may go beyond them.
 	Short bool `cbor:"5,keyasint,omitempty"`
 }
--- a/router/call.go
+++ b/router/call.go
@@ -13,7 +13,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/config"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file defines call, a request from its admission to its end: waiting
@@ -27,7 +27,7 @@
 	flow     string
 	stream   bool // the caller asked for a stream
 	engine   bool
-	send     backend.Call
+	send     forward.Call
 	body     []byte
 	blocks   []place.Block
 	keyed    *keyed // nil without an idempotency key
@@ -158,7 +158,7 @@
 func (r *Router) attempt(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (again bool, f *Failure) {
 	p := r.pool(c.pool)
 	began := r.now()
-	a, err := r.set.Backend.Send(ctx, server.Address, c.send)
+	a, err := r.set.Server.Send(ctx, server.Address, c.send)
 	if err != nil {
 		return r.sendFailed(ctx, c, p, server, err)
 	}
@@ -183,7 +183,7 @@
 
 // sendFailed decides what follows from a call that got no answer.
 func (r *Router) sendFailed(ctx context.Context, c *call, p *lockedPool, server config.Server, err error) (again bool, f *Failure) {
-	var notRun backend.NotRun
+	var notRun forward.NotRun
 	if ctx.Err() != nil {
 		p.finish(c.work, server.ID, 0, pool.Abandoned)
 		if errors.As(err, &notRun) {
@@ -228,7 +228,7 @@
 }
 
 // settle tells the register how a claimed call ended.
-func (r *Router) settle(c *call, a *backend.Answer, end relayed) {
+func (r *Router) settle(c *call, a *forward.Answer, end relayed) {
 	switch {
 	case !c.claimed:
 	case end.failure != nil:
--- a/router/callers.go
+++ b/router/callers.go
@@ -17,7 +17,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/state/config"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file defines the callers' interface: paths, keys, and how a request
@@ -238,7 +238,7 @@
 		return nil, err
 	}
 	c.body = body
-	c.send = backend.Call{Method: req.Method, Header: http.Header{}, Body: body, Never: repeat == "never"}
+	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body, Never: repeat == "never"}
 	c.send.Header.Set(accountHeader, a.Name)
 	c.send.Header.Set(priorityHeader, classes[c.class])
 	return c, nil
--- a/router/relay.go
+++ b/router/relay.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
 	"github.com/badgerspoke/badgerspoke/coordination/share"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file defines relay, which copies a backend server's answer to the
@@ -34,7 +34,7 @@
 	call   *call
 	pool   *lockedPool
 	work   *pool.Work
-	answer *backend.Answer
+	answer *forward.Answer
 	began  time.Duration
 
 	scan    *streamScan // of a stream of events
@@ -84,7 +84,7 @@
 func (l *relay) writeHead(w http.ResponseWriter) {
 	h := w.Header()
 	for name, values := range l.answer.Header {
-		if !hopByHop[name] && name != backend.ResumeHeader && name != backend.LoadHeader {
+		if !hopByHop[name] && name != forward.ResumeHeader && name != forward.LoadHeader {
 			h[name] = values
 		}
 	}
@@ -134,12 +134,12 @@
 // have, and reports whether it goes on. It is no repeat: the server sends the
 // rest of the same run.
 func (l *relay) resume() bool {
-	path := l.answer.Header.Get(backend.ResumeHeader)
+	path := l.answer.Header.Get(forward.ResumeHeader)
 	if path == "" || l.resumed >= resumes {
 		return false
 	}
 	l.resumed++
-	a, err := l.router.set.Backend.Send(l.ctx, l.server, backend.Call{
+	a, err := l.router.set.Server.Send(l.ctx, l.server, forward.Call{
 		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", l.out)}},
 	})
 	if err != nil {
@@ -161,13 +161,13 @@
 // endAtServer tells a server that would keep the answer for a resumption that
 // its caller is gone.
 func (l *relay) endAtServer() {
-	path := l.answer.Header.Get(backend.ResumeHeader)
+	path := l.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
 		return
 	}
 	ctx, cancel := context.WithTimeout(l.router.ctx, endTimeout)
 	defer cancel()
-	a, err := l.router.set.Backend.Send(ctx, l.server, backend.Call{Method: http.MethodDelete, Path: path})
+	a, err := l.router.set.Server.Send(ctx, l.server, forward.Call{Method: http.MethodDelete, Path: path})
 	if err == nil {
 		a.Body.Close()
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -16,26 +16,26 @@
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 	"github.com/badgerspoke/badgerspoke/state/config"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
 // This file defines Router, its settings, and how a configuration comes into
 // force.
 
-// Backend sends calls to backend servers. [backend.Client] is one.
-type Backend interface {
-	Send(ctx context.Context, address string, call backend.Call) (*backend.Answer, error)
+// Server sends calls to backend servers. [backend.Client] is one.
+type Server interface {
+	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
 
-var _ Backend = (*backend.Client)(nil)
+var _ Server = (*forward.Client)(nil)
 
 // Settings of a router.
 type Settings struct {
 	Identity link.Identity
 	Hall     string
 	Replicas map[string]string // fleet addresses of the control replicas by name
-	Backend  Backend
+	Server   Server
 	Weights  share.Weights
 	Limits   Limits
 	Pace     slots.Pace
--- a/state/document/doc.go
+++ b/state/document/doc.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package document holds whole configurations that an operator numbers: the
-// routes, pools, tenants and limits of routed HTTP.
+// routes, pools, accounts and limits of routed HTTP.
 //
 // The model: a [Document] is an immutable value that replaces the one before
 // as a whole. Documents are ordered by the number that their author gave them;
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -31,11 +31,11 @@
 
 // Document is one whole configuration. Documents are never changed once made.
 type Document struct {
-	Number  uint64   `cbor:"1,keyasint"`
-	Routes  []Route  `cbor:"2,keyasint,omitempty"`
-	Pools   []Pool   `cbor:"3,keyasint,omitempty"`
-	Tenants []Tenant `cbor:"4,keyasint,omitempty"`
-	Limits  Limits   `cbor:"5,keyasint"`
+	Number   uint64    `cbor:"1,keyasint"`
+	Routes   []Route   `cbor:"2,keyasint,omitempty"`
+	Pools    []Pool    `cbor:"3,keyasint,omitempty"`
+	Accounts []Account `cbor:"4,keyasint,omitempty"`
+	Limits   Limits    `cbor:"5,keyasint"`
 }
 
 // Route leads requests of one host and path prefix to pools.
@@ -50,7 +50,7 @@
 	Objective   time.Duration `cbor:"6,keyasint,omitempty"`
 	Priority    int           `cbor:"7,keyasint,omitempty"` // 0 is highest
 	Targets     []Target      `cbor:"8,keyasint"`
-	MaxAttempts int           `cbor:"9,keyasint,omitempty"` // most backends that one request may run on
+	MaxAttempts int           `cbor:"9,keyasint,omitempty"` // most backend servers that one request may run on
 	Public      bool          `cbor:"10,keyasint,omitempty"`
 	Sticky      bool          `cbor:"11,keyasint,omitempty"` // prompts share parts
 	Resumable   bool          `cbor:"12,keyasint,omitempty"`
@@ -70,16 +70,16 @@
 	Weight int    `cbor:"2,keyasint"`
 }
 
-// Pool is a set of backends that announce themselves under one name.
+// Pool is a set of backend servers that announce themselves under one name.
 type Pool struct {
 	Name        string `cbor:"1,keyasint"`
-	Connections int    `cbor:"2,keyasint,omitempty"` // that one backend accepts from all callers together
+	Connections int    `cbor:"2,keyasint,omitempty"` // that one backend server accepts from all callers together
 	Engine      bool   `cbor:"3,keyasint,omitempty"` // a model engine: work is counted in tokens
 	Memory      int    `cbor:"4,keyasint,omitempty"` // tokens that one engine holds
 }
 
-// Tenant shares the pools with others. Its keys name it.
-type Tenant struct {
+// Account shares the pools with others. Its keys name it.
+type Account struct {
 	Name     string   `cbor:"1,keyasint"`
 	Keys     []string `cbor:"2,keyasint,omitempty"`
 	Priority int      `cbor:"3,keyasint,omitempty"`
@@ -123,7 +123,7 @@
 	var found mistakes
 	pools := d.checkPools(&found)
 	d.checkRoutes(&found, pools)
-	d.checkTenants(&found)
+	d.checkAccounts(&found)
 	if len(found) > 0 {
 		return Invalid{Mistakes: found}
 	}
@@ -180,9 +180,9 @@
 	}
 }
 
-func (d Document) checkTenants(found *mistakes) {
+func (d Document) checkAccounts(found *mistakes) {
 	owners := map[string]string{}
-	for _, t := range d.Tenants {
+	for _, t := range d.Accounts {
 		for _, key := range t.Keys {
 			if other, taken := owners[key]; taken && other != t.Name {
 				found.add(fmt.Sprintf("tenant %q", t.Name), "shares a key with tenant %q", other)
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -20,7 +20,7 @@
 			{Name: "a", Host: "h", Prefix: "/a/", Timeout: time.Second, Targets: []Target{{"p", 9}, {"q", 1}}},
 			{Name: "b", Host: "h", Prefix: "/b/", Timeout: time.Second, Targets: []Target{{"q", 1}}},
 		},
-		Tenants: []Tenant{{Name: "t", Keys: []string{"k1", "k2"}}, {Name: "u", Keys: []string{"k3"}}},
+		Accounts: []Account{{Name: "t", Keys: []string{"k1", "k2"}}, {Name: "u", Keys: []string{"k3"}}},
 	}
 }
 
@@ -38,8 +38,8 @@
 		{"no weight", func(d *Document) { d.Routes[1].Targets[0].Weight = 0 }, "weights add up to 0"},
 		{"negative weight", func(d *Document) { d.Routes[0].Targets[1].Weight = -1 }, "negative weight -1"},
 		{"no target", func(d *Document) { d.Routes[1].Targets = nil }, "weights add up to 0"},
-		{"shared key", func(d *Document) { d.Tenants[1].Keys = []string{"k2"} }, `shares a key with tenant "t"`},
-		{"key twice at one tenant", func(d *Document) { d.Tenants[0].Keys = []string{"k1", "k1"} }, ""},
+		{"shared key", func(d *Document) { d.Accounts[1].Keys = []string{"k2"} }, `shares a key with tenant "t"`},
+		{"key twice at one tenant", func(d *Document) { d.Accounts[0].Keys = []string{"k1", "k1"} }, ""},
 		{"pool twice", func(d *Document) { d.Pools[1].Name = "p" }, `pool "p": is there twice`},
 		{"prefix", func(d *Document) { d.Routes[0].Prefix = "a/" }, "does not begin with a slash"},
 	} {
@@ -64,7 +64,7 @@
 	d := valid()
 	d.Routes[0].Timeout = 0
 	d.Routes[1].Targets[0].Pool = "x"
-	d.Tenants[1].Keys = []string{"k1"}
+	d.Accounts[1].Keys = []string{"k1"}
 	var invalid Invalid
 	is.True(errors.As(d.Check(), &invalid))
 	is.Equal(len(invalid.Mistakes), 3)
@@ -109,13 +109,13 @@
 func TestJoinedBackends(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	s.Join(Backend{ID: "b", Address: "10.0.0.2:80"})
-	s.Join(Backend{ID: "a", Address: "10.0.0.1:80"})
+	s.Join(Server{ID: "b", Address: "10.0.0.2:80"})
+	s.Join(Server{ID: "a", Address: "10.0.0.1:80"})
 	is.Equal(len(s.Joined()), 2)
-	s.Join(Backend{ID: "c", Address: "10.0.0.1:80"}) // a's address
+	s.Join(Server{ID: "c", Address: "10.0.0.1:80"}) // a's address
 	is.Equal(s.Joined()[0].ID, "b")
 	s.Depart("b")
-	s.Join(Backend{ID: "b", Address: "10.0.0.2:80"}) // late
+	s.Join(Server{ID: "b", Address: "10.0.0.2:80"}) // late
 	is.Equal(len(s.Joined()), 1)
 	is.Equal(s.Joined()[0].ID, "c")
 }
@@ -126,7 +126,7 @@
 	s.Put(Held{Document: valid(), Source: []byte("as it was sent")})
 	s.Depart("x")
 	s.Depart("y")
-	s.Join(Backend{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
+	s.Join(Server{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
 	image, err := s.MarshalBinary()
 	is.NoErr(err)
 	var restored Store
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -28,8 +28,8 @@
 		{Name: "pay", Host: "pay.example", Prefix: "/", Kind: Once, Timeout: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
 		{Name: "read", Host: "read.example", Prefix: "/", Kind: Repeatable, Timeout: time.Second, Targets: []Target{{Pool: "web", Weight: 1}}},
 	},
-	Pools:   []Pool{{Name: "llm", Connections: 64, Engine: true, Memory: 120000}, {Name: "web"}},
-	Tenants: []Tenant{{Name: "t1", Keys: []string{"k1", "k2"}, Priority: 4}, {Name: "t2"}},
+	Pools:    []Pool{{Name: "llm", Connections: 64, Engine: true, Memory: 120000}, {Name: "web"}},
+	Accounts: []Account{{Name: "t1", Keys: []string{"k1", "k2"}, Priority: 4}, {Name: "t2"}},
 	Limits: Limits{
 		HeaderBytes: 8192, BodyBytes: 1 << 33, HeaderTime: 5 * time.Second, IdleTime: time.Minute, TokensPerSecond: 1234.5678,
 	},
@@ -60,8 +60,8 @@
 
 func TestGoldenStore(t *testing.T) {
 	is := is.New(t)
-	joined := []Backend{
-		{ID: "a#1", Pool: "llm", Address: "10.0.0.1:80", Zone: "hall-a", Slots: 16},
+	joined := []Server{
+		{ID: "a#1", Pool: "llm", Address: "10.0.0.1:80", Hall: "hall-a", Slots: 16},
 		{ID: "b#2", Pool: "web", Address: "10.0.0.2:80"},
 		{ID: "c#3", Pool: "web", Address: "10.0.0.3:80"},
 	}
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -11,7 +11,7 @@
 
 // This file defines Store, the state machine of documents and departures.
 
-// MaxDepartures is the number of departed backends that are remembered. A
+// MaxDepartures is the number of departed backend servers that are remembered. A
 // heartbeat that is later than so many departures is believed.
 const MaxDepartures = 8192
 
@@ -21,16 +21,16 @@
 	Source   []byte   `cbor:"2,keyasint"`
 }
 
-// MaxBackends is the number of backends that are remembered.
-const MaxBackends = 16384
+// MaxServers is the number of backend servers that are remembered.
+const MaxServers = 16384
 
-// Backend is an announced backend, as far as it outlives the leader that heard
+// Server is an announced backend server, as far as it outlives the leader that heard
 // it.
-type Backend struct {
+type Server struct {
 	ID      string `cbor:"1,keyasint"`
 	Pool    string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // IP:PORT
-	Zone    string `cbor:"4,keyasint,omitempty"`
+	Hall    string `cbor:"4,keyasint,omitempty"`
 	Slots   int    `cbor:"5,keyasint,omitempty"`
 }
 
@@ -39,9 +39,9 @@
 // value is empty.
 type Store struct {
 	held    *Held
-	joined  map[string]Backend // by identifier
-	order   []string           // departed backends, oldest first
-	total   uint64             // departures ever
+	joined  map[string]Server // by identifier
+	order   []string          // departed backend servers, oldest first
+	total   uint64            // departures ever
 	departs map[string]bool
 }
 
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Depart records that a backend is leaving or gone, and reports whether that
-// is new. It never comes back: a backend that starts again is another one.
+// Depart records that a backend server is leaving or gone, and reports whether that
+// is new. It never comes back: a backend server that starts again is another one.
 func (s *Store) Depart(id string) bool {
 	if s.departs[id] {
 		return false
@@ -83,14 +83,14 @@
 	return true
 }
 
-// Join remembers an announced backend, in place of any at the same address.
+// Join remembers an announced backend server, in place of any at the same address.
 // One that has departed stays away.
-func (s *Store) Join(b Backend) {
-	if s.departs[b.ID] || len(s.joined) >= MaxBackends {
+func (s *Store) Join(b Server) {
+	if s.departs[b.ID] || len(s.joined) >= MaxServers {
 		return
 	}
 	if s.joined == nil {
-		s.joined = map[string]Backend{}
+		s.joined = map[string]Server{}
 	}
 	for id, other := range s.joined {
 		if other.Address == b.Address {
@@ -100,16 +100,16 @@
 	s.joined[b.ID] = b
 }
 
-// Joined returns the remembered backends, ordered by identifier.
-func (s *Store) Joined() []Backend {
-	out := make([]Backend, 0, len(s.joined))
+// Joined returns the remembered backend servers, ordered by identifier.
+func (s *Store) Joined() []Server {
+	out := make([]Server, 0, len(s.joined))
 	for _, id := range slices.Sorted(maps.Keys(s.joined)) {
 		out = append(out, s.joined[id])
 	}
 	return out
 }
 
-// Departed reports whether a backend is leaving or gone.
+// Departed reports whether a backend server is leaving or gone.
 func (s *Store) Departed(id string) bool { return s.departs[id] }
 
 // DeparturesSince returns the departures after the first n, as far as they are
@@ -121,10 +121,10 @@
 
 // image is the serialized form.
 type image struct {
-	Held    *Held     `cbor:"1,keyasint,omitempty"`
-	Departs []string  `cbor:"2,keyasint,omitempty"`
-	Total   uint64    `cbor:"3,keyasint,omitempty"`
-	Joined  []Backend `cbor:"4,keyasint,omitempty"`
+	Held    *Held    `cbor:"1,keyasint,omitempty"`
+	Departs []string `cbor:"2,keyasint,omitempty"`
+	Total   uint64   `cbor:"3,keyasint,omitempty"`
+	Joined  []Server `cbor:"4,keyasint,omitempty"`
 }
 
 // MarshalBinary implements [encoding.BinaryMarshaler].
--- a/transport/backend/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package backend_test
+package forward_test
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
 	"github.com/badgerspoke/badgerspoke/standin"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file is the contract of a client towards a backend: what it says
+// This file is the contract of a client towards a backend server: what it says
 // of a call is true, whatever the server does.
 
 const address = "10.0.0.1:9000"
@@ -36,18 +36,18 @@
 	t.Cleanup(func() { s.Close(); time.Sleep(time.Minute) })
 }
 
-func client(t *testing.T, n *fakenet.Network) *backend.Client {
-	c := backend.New(backend.Settings{Dialer: n.Box("10.0.0.2"), HeaderTimeout: 10 * time.Second})
+func client(t *testing.T, n *fakenet.Network) *forward.Client {
+	c := forward.New(forward.Settings{Dialer: n.Box("10.0.0.2"), HeaderTimeout: 10 * time.Second})
 	t.Cleanup(c.Close)
 	return c
 }
 
 func TestContract(t *testing.T) {
-	post := backend.Call{Method: "POST", Path: "/orders", Body: []byte("sheets"), Never: true}
+	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets"), Never: true}
 	tests := []struct {
 		name  string
 		how   standin.Failure
-		call  backend.Call
+		call  forward.Call
 		said  string // "", "not-run" or "unknown"
 		runs  int
 		whole bool
@@ -71,8 +71,8 @@
 				}
 				a, err := c.Send(t.Context(), address, tt.call)
 				is.Equal(s.Runs("sheets"), tt.runs)
-				is.Equal(errors.As(err, new(backend.NotRun)), tt.said == "not-run")
-				is.Equal(errors.As(err, new(backend.Unknown)), tt.said == "unknown")
+				is.Equal(errors.As(err, new(forward.NotRun)), tt.said == "not-run")
+				is.Equal(errors.As(err, new(forward.Unknown)), tt.said == "unknown")
 				if err != nil {
 					return
 				}
@@ -89,15 +89,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
-		_, err := client(t, n).Send(t.Context(), address, backend.Call{Method: "GET", Path: "/"})
-		is.True(errors.As(err, new(backend.NotRun)))
+		_, err := client(t, n).Send(t.Context(), address, forward.Call{Method: "GET", Path: "/"})
+		is.True(errors.As(err, new(forward.NotRun)))
 		// Cut off before a connection stands: nothing was sent.
 		serve(t, n, &standin.Service{})
 		n.Cut("10.0.0.1")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		_, err = client(t, n).Send(ctx, address, backend.Call{Method: "GET", Path: "/"})
-		is.True(errors.As(err, new(backend.NotRun)))
+		_, err = client(t, n).Send(ctx, address, forward.Call{Method: "GET", Path: "/"})
+		is.True(errors.As(err, new(forward.NotRun)))
 	})
 }
 
@@ -108,12 +108,12 @@
 func TestLibraryDoesNotRepeat(t *testing.T) {
 	tests := []struct {
 		name string
-		call backend.Call
+		call forward.Call
 		most int32
 	}{
-		{"a GET that may be repeated", backend.Call{Method: "GET", Path: "/"}, 2},
-		{"a GET that may not", backend.Call{Method: "GET", Path: "/", Never: true}, 1},
-		{"a POST with a key that may not", backend.Call{Method: "POST", Path: "/", Body: []byte("x"), Never: true,
+		{"a GET that may be repeated", forward.Call{Method: "GET", Path: "/"}, 2},
+		{"a GET that may not", forward.Call{Method: "GET", Path: "/", Never: true}, 1},
+		{"a POST with a key that may not", forward.Call{Method: "POST", Path: "/", Body: []byte("x"), Never: true,
 			Header: http.Header{"Idempotency-Key": {"k"}}}, 1},
 	}
 	for _, tt := range tests {
@@ -124,7 +124,7 @@
 				var seen atomic.Int32
 				closing(t, n, &seen)
 				c := client(t, n)
-				warm := backend.Call{Method: "GET", Path: "/warm"}
+				warm := forward.Call{Method: "GET", Path: "/warm"}
 				a, err := c.Send(t.Context(), address, warm)
 				is.NoErr(err)
 				_, _ = io.ReadAll(a.Body)
@@ -137,7 +137,7 @@
 				is.True(seen.Load() >= 1)
 				is.True(seen.Load() <= tt.most)
 				if tt.most == 1 {
-					is.True(errors.As(err, new(backend.Unknown))) // it may have run, and did
+					is.True(errors.As(err, new(forward.Unknown))) // it may have run, and did
 				}
 			})
 		})
@@ -190,7 +190,7 @@
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		a := backend.Answer{Header: http.Header{backend.LoadHeader: {tt.header}}}
+		a := forward.Answer{Header: http.Header{forward.LoadHeader: {tt.header}}}
 		running, waiting, ok := a.Load()
 		is.Equal(ok, tt.ok)
 		if ok {
@@ -207,7 +207,7 @@
 		e := standin.NewEngine(standin.EngineSettings{Slots: 1, TokenTime: time.Second})
 		serve(t, n, e)
 		ctx, cancel := context.WithCancel(t.Context())
-		a, err := client(t, n).Send(ctx, address, backend.Call{Method: "POST", Path: "/v1/completions", Body: []byte(`{"stream":true}`)})
+		a, err := client(t, n).Send(ctx, address, forward.Call{Method: "POST", Path: "/v1/completions", Body: []byte(`{"stream":true}`)})
 		is.NoErr(err)
 		cancel()
 		_, err = io.ReadAll(a.Body)
--- a/transport/backend/backend.go
+++ b/transport/forward/forward.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package backend sends calls to backends, model engines and plain
+// Package forward sends calls to backend servers, model engines and plain
 // services alike, over HTTP/1.1, and says truly what became of a call that
 // failed.
 //
@@ -16,7 +16,7 @@
 // does, and so does anything with an Idempotency-Key. A second arrival must be
 // decided by whoever counts arrivals, not by a library: every call goes out
 // with a body, empty or not, that cannot be rewound.
-package backend
+package forward
 
 import (
 	"bytes"
@@ -39,7 +39,7 @@
 // gave before it started the call.
 const RefusedHeader = "Badgerspoke-Refused"
 
-// Call is one call to a backend.
+// Call is one call to a backend server.
 type Call struct {
 	Method string
 	Path   string // with the query, sent as it is
--- a/transport/backend/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package backend_test
+package forward_test
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
-	"github.com/badgerspoke/badgerspoke/transport/backend"
+	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file tests what goes out and what is known of a call that broke.
@@ -63,7 +63,7 @@
 			n := fakenet.New(time.Millisecond)
 			var got, host string
 			serve(t, n, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got, host = r.RequestURI, r.Host }))
-			a, err := client(t, n).Send(t.Context(), address, backend.Call{Method: "POST", Path: target, Host: "tenant.example"})
+			a, err := client(t, n).Send(t.Context(), address, forward.Call{Method: "POST", Path: target, Host: "tenant.example"})
 			is.NoErr(err)
 			a.Body.Close()
 			is.Equal(got, target)
@@ -75,7 +75,7 @@
 // TestNothingArrivesTwice kills a kept connection when the second request has
 // been read: whatever the method and the headers, it must not come again.
 func TestNothingArrivesTwice(t *testing.T) {
-	for name, call := range map[string]backend.Call{
+	for name, call := range map[string]forward.Call{
 		"GET":             {Method: "GET", Path: "/x"},
 		"POST":            {Method: "POST", Path: "/x", Body: []byte("b")},
 		"POST, no body":   {Method: "POST", Path: "/x"},
@@ -101,7 +101,7 @@
 				a.Body.Close()
 				time.Sleep(time.Second)
 				_, err = c.Send(t.Context(), address, call)
-				is.True(errors.As(err, new(backend.Unknown))) // it may have run
+				is.True(errors.As(err, new(forward.Unknown))) // it may have run
 				time.Sleep(time.Second)
 				is.Equal(*requests, 2)
 			})
@@ -120,11 +120,11 @@
 			time.AfterFunc(time.Second, func() { conn.Close() })
 		})
 		c := client(t, n)
-		call := backend.Call{Method: "POST", Path: "/x", Body: []byte("b")}
+		call := forward.Call{Method: "POST", Path: "/x", Body: []byte("b")}
 		for i := range 3 {
 			a, err := c.Send(t.Context(), address, call)
 			if err != nil {
-				is.True(errors.As(err, new(backend.NotRun)))
+				is.True(errors.As(err, new(forward.NotRun)))
 				continue
 			}
 			_, _ = io.Copy(io.Discard, a.Body)
@@ -149,7 +149,7 @@
 		})
 		c := client(t, n)
 		for range 2 {
-			a, err := c.Send(t.Context(), address, backend.Call{Method: "GET", Path: "/x"})
+			a, err := c.Send(t.Context(), address, forward.Call{Method: "GET", Path: "/x"})
 			is.NoErr(err)
 			b, err := io.ReadAll(a.Body)
 			is.NoErr(err)
@@ -170,14 +170,14 @@
 			w.WriteHeader(http.StatusMisdirectedRequest)
 		}))
 		opened := 0
-		c := backend.New(backend.Settings{
+		c := forward.New(forward.Settings{
 			Dialer: n.Box("10.0.0.2"), Opened: func() { opened++ },
 			Refused: func(_ int, h http.Header) bool { return h.Get("Declined") != "" },
 		})
 		defer c.Close()
 		for range 3 {
-			_, err := c.Send(t.Context(), address, backend.Call{Method: "GET", Path: "/x"})
-			var not backend.NotRun
+			_, err := c.Send(t.Context(), address, forward.Call{Method: "GET", Path: "/x"})
+			var not forward.NotRun
 			is.True(errors.As(err, &not))
 			is.True(not.Refused)
 			is.Equal(not.Status, http.StatusMisdirectedRequest)
