--- /dev/null
+++ b/protocol/operator/v1/operatorv1connect/doc.go
@@ -0,0 +1,6 @@
+// SPDX-License-Identifier: Apache-2.0
+
+// Package operatorv1connect holds the client and the handler of the operators'
+// interface, made from operator.proto by tools/generate.sh. This file alone is
+// written by hand.
+package operatorv1connect
