--- a/coordination/share/level_test.go
+++ b/coordination/entitlement/level_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package share
+package entitlement
 
 import (
 	"math"
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/badgerspoke/badgerspoke/coordination/share"
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
@@ -112,12 +112,12 @@
 	weight := max(u.weight, leastWeight)
 	capacity *= weight // instead of dividing every average by it
 	rates := slices.Collect(maps.Values(u.rates))
-	level := share.Level(rates, capacity)
-	extra := share.Level(rates, max(capacity, u.made-missedWeight*u.missing))
+	level := entitlement.Level(rates, capacity)
+	extra := entitlement.Level(rates, max(capacity, u.made-missedWeight*u.missing))
 	for _, account := range slices.Sorted(maps.Keys(u.rates)) {
-		if part := share.Part(u.rates[account], level); part < 1 {
+		if part := entitlement.Part(u.rates[account], level); part < 1 {
 			u.entitlements = append(u.entitlements, protocol.Entitlement{
-				Account: account, Part: float32(part), Extra: float32(share.Part(u.rates[account], extra)),
+				Account: account, Part: float32(part), Extra: float32(entitlement.Part(u.rates[account], extra)),
 			})
 		}
 	}
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/badgerspoke/badgerspoke/coordination/share"
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
@@ -23,19 +23,6 @@
 // staleAfter is the age at which the fleet's word is not used any more.
 const staleAfter = 10 * time.Second
 
-// class says how a request stands against its account's fair share.
-type class uint8
-
-const (
-	covered  class = iota // its account asks for no more than its share, so nothing of it need wait
-	entitled              // within the share of the rate that the operator names
-	extra                 // within the share of what the engines make beyond it
-	beyond                // neither: served where nothing else waits
-)
-
-// String returns the standing's name.
-func (c class) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[c] }
-
 type accounts struct {
 	now func() time.Duration
 
@@ -51,7 +38,7 @@
 }
 
 // markers of one account, for both levels.
-type markers struct{ entitled, extra share.Marker }
+type markers struct{ entitled, extra entitlement.Marker }
 
 // service is a decaying sum of tokens.
 type service struct {
@@ -67,16 +54,16 @@
 }
 
 // classify counts a request of that cost and returns how it stands.
-func (t *accounts) classify(account string, cost float64) class {
+func (t *accounts) classify(account string, cost float64) entitlement.Class {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.demanded[account] += uint64(cost)
 	if t.updated == 0 || t.now()-t.updated > staleAfter {
-		return entitled // nobody knows
+		return entitlement.Entitled // nobody knows
 	}
 	e, limited := t.parts[account]
 	if !limited {
-		return covered
+		return entitlement.Covered
 	}
 	m := t.markers[account]
 	if m == nil {
@@ -85,12 +72,12 @@
 	}
 	part := float64(e.Part)
 	if m.entitled.Entitled(part, cost) {
-		return entitled
+		return entitlement.Entitled
 	}
 	if m.extra.Entitled((float64(e.Extra)-part)/(1-part), cost) {
-		return extra
+		return entitlement.Extra
 	}
-	return beyond
+	return entitlement.Beyond
 }
 
 // countStarted counts the service that a request begins to get.
@@ -113,8 +100,8 @@
 
 // countMissed counts a request that found no room, on engines or on this gateway's
 // processor.
-func (t *accounts) countMissed(c class, cost float64) {
-	if c == beyond {
+func (t *accounts) countMissed(c entitlement.Class, cost float64) {
+	if c == entitlement.Beyond {
 		return
 	}
 	t.mu.Lock()
@@ -123,8 +110,8 @@
 }
 
 // admits reports whether a request of that standing may be served now.
-func (t *accounts) admits(c class) bool {
-	if c != beyond {
+func (t *accounts) admits(c entitlement.Class) bool {
+	if c != entitlement.Beyond {
 		return true
 	}
 	t.mu.Lock()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
@@ -28,8 +29,8 @@
 	account document.Account
 	pool    document.Pool
 	body    []byte
-	cost    float64 // tokens
-	class   class   // of requests to engines
+	cost    float64           // tokens
+	class   entitlement.Class // of requests to engines
 
 	// What has become of it.
 	tries       int // attempts begun
@@ -107,7 +108,7 @@
 // what may not be served now.
 func (c *call) rank() error {
 	c.cost = float64(c.head.Prompt.Tokens() + outputCost*c.head.Prompt.Output)
-	c.class = entitled
+	c.class = entitlement.Entitled
 	if c.pool.Engine {
 		c.class = c.g.accounts.classify(c.account.Name, c.cost)
 	}
@@ -125,7 +126,7 @@
 // try again. Within its account's share it may at once: most other gateways
 // have room.
 func (c *call) retryAfterOverload() time.Duration {
-	if c.class <= entitled {
+	if c.class <= entitlement.Entitled {
 		return shortRetryAfter
 	}
 	return c.retryAfter()
@@ -231,7 +232,7 @@
 		return nil, Refusal{Cause: MayHaveRun}
 	case c.g.table.poolSize(c.pool.Name) <= len(c.avoid):
 		return nil, Refusal{Cause: NoServer, RetryAfter: c.retryAfter()}
-	case c.class > entitled:
+	case c.class > entitlement.Entitled:
 		return nil, Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
 	}
 	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -5,6 +5,7 @@
 import (
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
@@ -18,7 +19,7 @@
 	prompt   place.Prompt
 	account  string
 	priority int
-	class    class
+	class    entitlement.Class
 	repeat   bool            // may run more than once: may try a suspected backend server
 	avoid    map[string]bool // backend servers that had the request already
 	gateways int
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -7,6 +7,8 @@
 	"log/slog"
 	"net/http"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
 // This file defines the end of a call: what its caller is told, and what is
@@ -61,7 +63,7 @@
 		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.attempts),
 		slog.Int("sends", c.sends), slog.Int("took_ms", int(took.Milliseconds())),
 	}
-	if c.class > entitled {
+	if c.class > entitlement.Entitled {
 		told, age := c.g.accounts.entitlement(c.account.Name)
 		facts = append(facts, slog.Float64("part", float64(told.Part)), slog.Float64("extra_part", float64(told.Extra)),
 			slog.Int("told_ms_ago", int(age.Milliseconds())))
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -7,6 +7,8 @@
 	"math"
 	"sync/atomic"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
 // This file defines overload: how a gateway notices that its processor cannot
@@ -73,12 +75,12 @@
 func (p *overload) unready(now time.Duration) bool { return int64(now) < p.unreadyUntil.Load() }
 
 // admits reports whether a request of that standing may begin.
-func (p *overload) admits(c class) bool {
+func (p *overload) admits(c entitlement.Class) bool {
 	delay := time.Duration(p.published.Load())
 	switch c {
-	case beyond:
+	case entitlement.Beyond:
 		return delay < delayBeyond
-	case extra:
+	case entitlement.Extra:
 		return delay < delayExtra
 	}
 	return !p.shedding.Load()
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -65,16 +66,16 @@
 	} {
 		var p overload
 		p.published.Store(int64(tt.delay))
-		is.True(p.admits(covered))
-		is.Equal(p.admits(entitled), tt.entitled)
-		is.Equal(p.admits(extra), tt.extra)
-		is.Equal(p.admits(beyond), tt.beyond)
+		is.True(p.admits(entitlement.Covered))
+		is.Equal(p.admits(entitlement.Entitled), tt.entitled)
+		is.Equal(p.admits(entitlement.Extra), tt.extra)
+		is.Equal(p.admits(entitlement.Beyond), tt.beyond)
 		is.Equal(p.coalesce(300*time.Millisecond), tt.gather)
 	}
 	var p overload
 	p.shedding.Store(true)
-	is.True(!p.admits(covered))
-	is.True(!p.admits(entitled))
+	is.True(!p.admits(entitlement.Covered))
+	is.True(!p.admits(entitlement.Entitled))
 }
 
 func TestUnderPressureRequestsAreRefusedAtOnce(t *testing.T) {
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -7,6 +7,8 @@
 	"context"
 	"slices"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
 // This file defines in which order requests wait for room, and for how long.
@@ -63,7 +65,7 @@
 		return a, shortage{}
 	default:
 	}
-	if wt.pool.Engine && wt.class == covered && ctx.Err() == nil {
+	if wt.pool.Engine && wt.class == entitlement.Covered && ctx.Err() == nil {
 		if a := g.table.acquireAnywhere(g.now(), wt.requirements); a != nil {
 			return a, shortage{}
 		}
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -25,8 +26,8 @@
 			name          string
 			first, second requirements
 		}{
-			{"within the share before beyond the named one", requirements{class: entitled, priority: 9}, requirements{class: extra}},
-			{"beyond the named share before beyond every one", requirements{class: extra, priority: 9}, requirements{class: beyond}},
+			{"within the share before entitlement.Beyond the named one", requirements{class: entitlement.Entitled, priority: 9}, requirements{class: entitlement.Extra}},
+			{"beyond the named share before entitlement.Beyond every one", requirements{class: entitlement.Extra, priority: 9}, requirements{class: entitlement.Beyond}},
 			{"priority", requirements{priority: 1, account: "busy"}, requirements{priority: 2, account: "idle"}},
 			{"the tenant that was served least", requirements{account: "idle"}, requirements{account: "busy"}},
 		} {
