--- a/coordination/slots/doc.go
+++ b/coordination/slots/doc.go
@@ -5,7 +5,7 @@
 // and the client account that is furthest behind in the whole fleet goes
 // next.
 //
-// The model: a slot is the permission to have one request in a backend server
+// The model: a slot is the permission to have one request in a backend
 // server's batch. The [Allocator], one for the fleet, hands slots to routers;
 // a router keeps what it was given in a [Holder] and uses a slot again and
 // again, without a message, as long as its own next account is not further
