--- /dev/null
+++ b/coordination/entitlement/marker_test.go
@@ -0,0 +1,40 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package entitlement
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+	"pgregory.net/rapid"
+)
+
+// TestMarkerMarksThePart checks that what is marked as entitled is the part of
+// the cost, within a few of the largest requests, whatever the sizes.
+func TestMarkerMarksThePart(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		const largest = 50000
+		part := rapid.Float64Range(0.02, 0.98).Draw(t, "part")
+		costs := rapid.SliceOfN(rapid.SampledFrom([]float64{100, 1000, 5000, largest}), 300, 600).Draw(t, "costs")
+		var m Marker
+		entitled, all := 0.0, 0.0
+		for _, c := range costs {
+			all += c
+			if m.Entitled(part, c) {
+				entitled += c
+			}
+		}
+		if entitled > part*all+2*largest || entitled < 0.9*part*all-2*largest {
+			t.Fatalf("%.0f of %.0f entitled, part %.2f", entitled, all, part)
+		}
+	})
+}
+
+func TestMarkerWithoutAShortage(t *testing.T) {
+	is := is.New(t)
+	var m Marker
+	for range 10 {
+		is.True(m.Entitled(1, 5))
+	}
+	is.True(!m.Entitled(0.1, 5)) // no credit was saved up meanwhile
+}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -209,8 +209,10 @@
 // server waits for a backend server. The error is a [Refusal].
 func (c *call) server(ctx context.Context) (*assignment, error) {
 	req := requirements{
-		pool: c.pool, route: c.route, prompt: c.head.Prompt, account: c.account.Name,
-		priority: c.account.Priority*priorityScale + c.route.Priority, class: c.class,
+		Waiting: entitlement.Waiting{
+			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
+		},
+		pool: c.pool, route: c.route, prompt: c.head.Prompt,
 		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
 	a, short := c.g.awaitServer(ctx, req, c.queueTimeout())
@@ -238,9 +240,6 @@
 	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
 }
 
-// priorityScale puts an account's priority before a route's.
-const priorityScale = 1000
-
 // queueTimeout is how long the request may wait for a backend server: a refusal is worth
 // more to its caller while there is time to come back.
 func (c *call) queueTimeout() time.Duration {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -14,12 +14,10 @@
 
 // requirements are what a request asks of a backend server.
 type requirements struct {
+	entitlement.Waiting
 	pool     document.Pool
 	route    document.Route
 	prompt   place.Prompt
-	account  string
-	priority int
-	class    entitlement.Class
 	repeat   bool            // may run more than once: may try a suspected backend server
 	avoid    map[string]bool // backend servers that had the request already
 	gateways int
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -65,7 +65,7 @@
 		return a, shortage{}
 	default:
 	}
-	if wt.pool.Engine && wt.class == entitlement.Covered && ctx.Err() == nil {
+	if wt.pool.Engine && wt.Class == entitlement.Covered && ctx.Err() == nil {
 		if a := g.table.acquireAnywhere(g.now(), wt.requirements); a != nil {
 			return a, shortage{}
 		}
@@ -77,25 +77,13 @@
 // caller holds table.mu.
 func (g *Gateway) outranked(p *pool, req requirements) bool {
 	for _, o := range p.waiting {
-		if g.compareWaiting(&o.requirements, &req) <= 0 {
+		if g.accounts.compareWaiting(o.Waiting, req.Waiting) <= 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// compareWaiting orders waiting requests: within the share first, then by priority,
-// then the account that was served least lately.
-func (g *Gateway) compareWaiting(a, b *requirements) int {
-	if a.class != b.class {
-		return cmp.Compare(a.class, b.class)
-	}
-	if a.priority != b.priority {
-		return cmp.Compare(a.priority, b.priority)
-	}
-	return cmp.Compare(g.accounts.recentService(a.account), g.accounts.recentService(b.account))
-}
-
 // grantWaiting gives backend servers to those who wait, in order, as far as there is room.
 // The caller holds table.mu.
 func (g *Gateway) grantWaiting(p *pool) {
@@ -103,7 +91,7 @@
 		return
 	}
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
-		return cmp.Or(g.compareWaiting(&a.requirements, &b.requirements), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(g.accounts.compareWaiting(a.Waiting, b.Waiting), cmp.Compare(a.seq, b.seq))
 	})
 	now := g.now()
 	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -11,32 +11,12 @@
 
 	"github.com/matryer/is"
 
-	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file tests in which order waiting requests go, and what bounds them.
 
-func TestOrderOfWaiting(t *testing.T) {
-	bubble(t, func(x *fixture) {
-		is := is.New(x.t)
-		x.g.accounts.countStarted("busy", 1000)
-		for _, tt := range []struct {
-			name          string
-			first, second requirements
-		}{
-			{"within the share before entitlement.Beyond the named one", requirements{class: entitlement.Entitled, priority: 9}, requirements{class: entitlement.Extra}},
-			{"beyond the named share before entitlement.Beyond every one", requirements{class: entitlement.Extra, priority: 9}, requirements{class: entitlement.Beyond}},
-			{"priority", requirements{priority: 1, account: "busy"}, requirements{priority: 2, account: "idle"}},
-			{"the tenant that was served least", requirements{account: "idle"}, requirements{account: "busy"}},
-		} {
-			is.True(x.g.compareWaiting(&tt.first, &tt.second) < 0) // tt.name
-			is.True(x.g.compareWaiting(&tt.second, &tt.first) > 0)
-		}
-	})
-}
-
 // TestWaitingGoInOrder fills the only backend server; of three that wait, the one of
 // the account that was served least goes first, whenever it came.
 func TestWaitingGoInOrder(t *testing.T) {
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -39,7 +39,7 @@
 	if e.Slots > 0 && float64(e.Requests) >= p.slotsRoom()*float64(e.Slots) {
 		return false
 	}
-	room := [...]float64{entitlement.Covered: coveredRoom, entitlement.Entitled: entitledRoom, entitlement.Extra: extraRoom, entitlement.Beyond: beyondRoom}[req.class]
+	room := [...]float64{entitlement.Covered: coveredRoom, entitlement.Entitled: entitledRoom, entitlement.Extra: extraRoom, entitlement.Beyond: beyondRoom}[req.Class]
 	wait := float64(e.Tokens) * e.Slowness / p.readRate() // ms
 	return wait <= room*float64(req.route.Objective)/float64(time.Millisecond)
 }
