--- /dev/null
+++ b/coordination/entitlement/demand_test.go
@@ -0,0 +1,85 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package entitlement
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
+)
+
+// settleFor adds the same reports every 100 ms for a while. The time before the
+// first settlement is unknown, so nothing is added then.
+func settleFor(d *Demand, span time.Duration, capacity float64, reports ...protocol.Usage) {
+	for end := d.settled + span; d.settled < end; {
+		if d.settled > 0 {
+			for _, m := range reports {
+				d.Add(m)
+			}
+		}
+		d.Settle(d.settled+100*time.Millisecond, capacity)
+	}
+}
+
+// TestEntitlements lets three accounts ask at two gateways for twice what is
+// named, while the engines make half as much again.
+func TestEntitlements(t *testing.T) {
+	is := is.New(t)
+	d := NewDemand()
+	reports := []protocol.Usage{
+		{Demands: []protocol.Demand{{Account: "big", Tokens: 1000}, {Account: "small", Tokens: 50}}, Started: 750},
+		{Demands: []protocol.Demand{{Account: "big", Tokens: 500}, {Account: "middle", Tokens: 450}}, Started: 750},
+	}
+	settleFor(d, 10*time.Second, 10000, reports...) // a second: big 15000, middle 4500, small 500
+	parts := map[string]protocol.Entitlement{}
+	for _, e := range d.Entitlements() {
+		parts[e.Account] = e
+	}
+	near := func(got float32, want float64) bool { return math.Abs(float64(got)-want) < 0.02 }
+	is.Equal(len(parts), 1) // the others are covered whole
+	is.True(near(parts["big"].Part, 5000.0/15000))
+	is.True(near(parts["big"].Extra, 10000.0/15000)) // of 15000 made
+	is.True(!d.Short())
+}
+
+// TestFloodIsKnownSoon: a new leader's averages begin at nothing, and an account
+// that asks for three times its share is still known after 400 ms.
+func TestFloodIsKnownSoon(t *testing.T) {
+	is := is.New(t)
+	d := NewDemand()
+	report := protocol.Usage{Demands: []protocol.Demand{{Account: "big", Tokens: 3000}, {Account: "small", Tokens: 50}}}
+	settleFor(d, 500*time.Millisecond, 10000, report) // the first of the five is not counted
+	is.Equal(len(d.Entitlements()), 1)
+	is.Equal(d.Entitlements()[0].Account, "big")
+	is.True(math.Abs(float64(d.Entitlements()[0].Part)-9500.0/30000) < 0.02)
+}
+
+func TestShortWhenSharesAreMissed(t *testing.T) {
+	is := is.New(t)
+	d := NewDemand()
+	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 10})
+	is.True(!d.Short())
+	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 60})
+	is.True(d.Short())
+}
+
+// TestExtraFallsWithWhatIsMissed: the more is missed within shares, the less
+// anybody gets beyond the named rate.
+func TestExtraFallsWithWhatIsMissed(t *testing.T) {
+	is := is.New(t)
+	for _, tt := range []struct {
+		missed uint64 // each 100 ms
+		extra  float64
+	}{{0, 15000.0 / 40000}, {100, 12000.0 / 40000}, {400, 10000.0 / 40000}} {
+		d := NewDemand()
+		settleFor(d, 10*time.Second, 10000, protocol.Usage{
+			Demands: []protocol.Demand{{Account: "big", Tokens: 4000}}, Started: 1500, Missed: tt.missed,
+		})
+		is.True(math.Abs(float64(d.Entitlements()[0].Extra)-tt.extra) < 0.02)
+		is.True(math.Abs(float64(d.Entitlements()[0].Part)-0.25) < 0.02)
+	}
+}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -32,13 +32,14 @@
 				}
 				u.report(sessions[i], m)
 			}
+			var entitlements []protocol.Entitlement
 			for i := range size.accounts / 10 {
-				u.entitlements = append(u.entitlements, protocol.Entitlement{Account: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
+				entitlements = append(entitlements, protocol.Entitlement{Account: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
 			}
 			bytes := 0
 			u.sum()
 			for b.Loop() {
-				m, err := protocol.Encode(protocol.Fleet{Gateways: size.gateways, Loads: u.others(sessions[0]), Entitlements: u.entitlements})
+				m, err := protocol.Encode(protocol.Fleet{Gateways: size.gateways, Loads: u.others(sessions[0]), Entitlements: entitlements})
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -114,7 +114,8 @@
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
-	h.usage.recompute(now, held.Document.Limits.TokensPerSecond)
+	h.usage.sum()
+	h.usage.demand.Settle(now, held.Document.Limits.TokensPerSecond)
 	members := h.leadership.Load().members
 	for s := range h.sessions {
 		if now < s.due {
@@ -122,7 +123,7 @@
 		}
 		m := protocol.Fleet{
 			Gateways: len(h.sessions), Loads: h.usage.others(s),
-			Entitlements: h.usage.entitlements, Members: members, Short: h.usage.short(),
+			Entitlements: h.usage.demand.Entitlements(), Members: members, Short: h.usage.demand.Short(),
 		}
 		s.out.Send(m)
 		s.due = now + fleetPause(m)
