--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -9,9 +9,11 @@
 	"sync/atomic"
 )
 
-// This file defines how a Client knows whether anything of a call was sent:
-// it counts the bytes that each connection has taken.
+// This file defines how a Client learns whether anything of a call was sent: it
+// counts the bytes written to each connection. It stands apart because net/http
+// does not report that.
 
+// countingConn counts the bytes that the kernel has accepted.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -24,6 +26,7 @@
 	return n, err
 }
 
+// countingDial returns a dial function whose connections count.
 func countingDial(set Settings) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := set.Dialer.DialContext(ctx, network, address)
@@ -37,12 +40,13 @@
 	}
 }
 
-// sending remembers what a connection had taken before a call got it.
+// sending is one call on its connection. The zero value has none yet.
 type sending struct {
 	conn   atomic.Pointer[countingConn]
-	before int64
+	before int64 // bytes that the connection had taken before the call
 }
 
+// begin is called by net/http when the call gets its connection.
 func (s *sending) begin(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*countingConn)
 	if !ok {
@@ -52,8 +56,8 @@
 	s.conn.Store(c)
 }
 
-// any reports whether a byte of the call may have been sent.
-func (s *sending) any() bool {
+// begun reports whether a byte of the call may have been sent.
+func (s *sending) begun() bool {
 	c := s.conn.Load()
 	return c != nil && c.written.Load() > s.before
 }
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -1,21 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package forward sends calls to backend servers, model engines and plain
-// services alike, over HTTP/1.1, and says truly what became of a call that
-// failed.
+// Package forward is the HTTP/1.1 client of routers and gateways towards
+// backend servers, model engines and plain services alike. It sends a call once
+// and classifies a failure by whether the call may have run.
 //
-// The model: [Client.Send] returns when the server's header has arrived, with
-// the body still to be read, or fails with [NotRun] or [Unknown]. NotRun is
-// said only when the call never left this process (no connection could be
-// opened, or not one byte was written to it) or when the server itself said
-// that it refused before it started ([Settings.Refused]). Everything else is
-// Unknown, however likely it is that nothing ran.
+// [Client.Send] returns when the answer's header has arrived, with the body
+// still to be read, or fails with [NotRun] or [Unknown]. NotRun means that the
+// call never left this process (no connection could be opened, or not one byte
+// was written to it) or that the server refused it before starting
+// ([Settings.Refused]). Everything else is Unknown, however likely it is that
+// nothing ran. Whether to send a call again is the caller's decision.
+//
+// The package owns the pool of kept connections. It relies on the caller's
+// context for every limit of time after the dial, except for
+// [Settings.HeaderTimeout], and on the caller to close [Answer.Body]. A Client
+// has no locks of its own; the count of bytes on a connection is atomic.
 //
 // The standard library's transport repeats a request by itself when a kept
 // connection turns out closed and the request looks repeatable, which a GET
-// does, and so does anything with an Idempotency-Key. A second arrival must be
-// decided by whoever counts arrivals, not by a library: every call goes out
-// with a body, empty or not, that cannot be rewound.
+// does, and so does anything with an Idempotency-Key. Whoever counts arrivals
+// has to decide about a second one, so every call goes out with a body, empty or
+// not, that cannot be rewound.
 package forward
 
 import (
@@ -46,7 +51,7 @@
 	Host   string // empty is the server's address
 	Header http.Header
 	Body   []byte
-	Never  bool // whoever sends the call must not send it again if it may have run
+	Never  bool // must not be sent again if it may have run; read by the router, not here
 }
 
 // ResumeHeader is set by a server that can send the rest of an answer whose
@@ -54,11 +59,11 @@
 // missing (RFC 9110, section 14), and for DELETE when nobody wants the rest.
 const ResumeHeader = "Badgerspoke-Resume"
 
-// LoadHeader is set by a server that tells its load with its answers: the
+// LoadHeader is set by a server that reports its load with its answers: the
 // numbers of running and waiting requests, "RUNNING/WAITING". It may lag.
 const LoadHeader = "Badgerspoke-Load"
 
-// Load returns what LoadHeader says, or false if it says nothing sensible.
+// Load returns the numbers of LoadHeader, or false if it is missing or malformed.
 func (a *Answer) Load() (running, waiting int, ok bool) {
 	r, w, found := strings.Cut(a.Header.Get(LoadHeader), "/")
 	if !found {
@@ -77,10 +82,10 @@
 	Body   io.ReadCloser
 }
 
-// NotRun says that the call truly did not run.
+// NotRun is a call that certainly did not run.
 type NotRun struct {
 	Server  string // address
-	Refused bool   // said by the server; else no byte reached it
+	Refused bool   // by the server; else no byte was sent to it
 	Header  http.Header
 	Status  int // of a refusal
 	Err     error
@@ -97,7 +102,7 @@
 // Unwrap returns the cause.
 func (e NotRun) Unwrap() error { return e.Err }
 
-// Unknown says that the call may have run.
+// Unknown is a call that may have run.
 type Unknown struct {
 	Server string
 	Err    error
@@ -118,17 +123,26 @@
 
 // Settings of a client.
 type Settings struct {
-	Dialer        Dialer
+	Dialer        Dialer        // nil is the operating system's, with defaultDialTimeout
 	HeaderTimeout time.Duration // until the answer's header; 0 is none
-	IdlePerServer int
-	IdleTime      time.Duration // that a connection is kept; 0 is 30 seconds
-	// Refused reports whether an answer says that the server did not start
-	// the call. Nil asks for RefusedHeader on a 429 or 503.
+	IdlePerServer int           // connections kept to one server, at least fewestIdle
+	IdleTime      time.Duration // for which an unused connection is kept; 0 is defaultIdleTime
+	// Refused reports whether an answer means that the server did not start
+	// the call. Nil looks for RefusedHeader on a 429 or 503.
 	Refused func(status int, h http.Header) bool
 	// Opened, if set, is called for every new connection.
 	Opened func()
 }
 
+// Defaults of a client. All are chosen, not measured.
+const (
+	defaultDialTimeout = 2 * time.Second
+	defaultIdleTime    = 30 * time.Second
+	fewestIdle         = 16       // connections to one server
+	maxAnswerHeader    = 64 << 10 // bytes; as many as our own listeners accept of a request
+	maxRefusal         = 4 << 10  // bytes of a refusal's body read so that its connection can be kept
+)
+
 // Client sends calls. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
@@ -138,10 +152,10 @@
 // New returns a client.
 func New(set Settings) *Client {
 	if set.Dialer == nil {
-		set.Dialer = &net.Dialer{Timeout: 2 * time.Second}
+		set.Dialer = &net.Dialer{Timeout: defaultDialTimeout}
 	}
 	if set.IdleTime == 0 {
-		set.IdleTime = 30 * time.Second
+		set.IdleTime = defaultIdleTime
 	}
 	if set.Refused == nil {
 		set.Refused = refused
@@ -149,10 +163,10 @@
 	return &Client{refused: set.Refused, transport: &http.Transport{
 		DialContext:            countingDial(set),
 		ResponseHeaderTimeout:  set.HeaderTimeout,
-		MaxIdleConnsPerHost:    max(set.IdlePerServer, 16),
+		MaxIdleConnsPerHost:    max(set.IdlePerServer, fewestIdle),
 		IdleConnTimeout:        set.IdleTime,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: 64 << 10,
+		MaxResponseHeaderBytes: maxAnswerHeader,
 	}}
 }
 
@@ -171,12 +185,13 @@
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		if sent.any() {
+		if sent.begun() {
 			return nil, Unknown{Server: address, Err: err}
 		}
 		return nil, NotRun{Server: address, Err: err}
 	}
 	if c.refused(resp.StatusCode, resp.Header) {
+		// The status decides; a body that cannot be read only costs its connection.
 		_, _ = io.CopyN(io.Discard, resp.Body, maxRefusal)
 		resp.Body.Close()
 		return nil, NotRun{
@@ -187,10 +202,6 @@
 	return &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body}, nil
 }
 
-// maxRefusal is how much of a refusal's body is read so that its connection
-// can be kept.
-const maxRefusal = 4 << 10
-
 func newRequest(ctx context.Context, address string, call Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+"/", bodyOf(call))
 	if err != nil {
@@ -212,7 +223,7 @@
 // target returns the URL of a call whose path goes out unchanged.
 func target(address, path string) (*url.URL, error) {
 	if strings.HasPrefix(path, "//") {
-		return url.Parse("http://" + address + path) // cannot be said as opaque
+		return url.Parse("http://" + address + path) // an opaque path that begins so would be taken for a host
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: path}, nil
 }
@@ -233,6 +244,7 @@
 // unrewindable hides everything but Read.
 type unrewindable struct{ io.Reader }
 
+// refused is the default of Settings.Refused.
 func refused(status int, h http.Header) bool {
 	early := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	return early && h.Get(RefusedHeader) == "true"
--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -6,7 +6,7 @@
 
 // This file defines how a link fails.
 
-// Unreachable says that no connection could be opened.
+// Unreachable is a connection that could not be opened.
 type Unreachable struct {
 	Address string
 	Err     error
@@ -18,7 +18,7 @@
 // Unwrap returns the cause.
 func (e Unreachable) Unwrap() error { return e.Err }
 
-// Broken says that an open link failed. A message sent before may or may not
+// Broken is an open link that failed. A message sent before may or may not
 // have arrived.
 type Broken struct {
 	Peer string
@@ -31,7 +31,7 @@
 // Unwrap returns the cause.
 func (e Broken) Unwrap() error { return e.Err }
 
-// WrongKey says that the other side does not know the fleet key.
+// WrongKey is a peer that does not know the fleet key.
 type WrongKey struct{ Peer string }
 
 // Error names what the other side called itself, unproven.
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -15,7 +15,9 @@
 // This file defines the handshake that the package comment describes.
 
 const (
-	nonceSize    = 32
+	nonceSize = 32 // bytes, as many as the proof (SHA-256) has
+	// maxHandshake is in bytes. By arithmetic a frame has 137: nonce, proof and a
+	// name of 63 letters, the longest that package settings takes.
 	maxHandshake = 512
 )
 
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package link carries protocol messages between two nodes of the fleet over
+// Package link carries protocol messages between two boxes of the fleet over
 // one WebSocket.
 //
-// The model: a link is opened by one side, proves to both that the other
-// knows the fleet key, and then carries whole messages in order until either
-// side closes it or it fails. Nothing of a message is read before the proof:
-// the handshake is three binary frames of bounded size, each at most
-// maxHandshake bytes,
+// One side opens the link, both prove that they know the fleet key, and then it
+// carries whole messages in order until either side closes it or it fails.
+// No message is read before the proof: the handshake is three binary frames of
+// at most maxHandshake bytes each,
 //
 //	dialer   → nonce, name
 //	acceptor → nonce, name, HMAC-SHA256(key, "acceptor" both nonces both names)
@@ -15,11 +14,14 @@
 //
 // so that a recorded handshake proves nothing later and neither side's proof
 // can be reflected. A key in a header was rejected: whoever accepts the
-// connection would learn it. The link is encrypted only
-// if the node has certificates; the key is proved inside either way.
+// connection would learn it. The link is encrypted only if the box has
+// certificates; the key is proved inside either way.
 //
-// Every read and write has a deadline; bytes are counted by kind and
-// direction.
+// The package owns the connection, its deadlines for the handshake and for
+// writes, and the counters of bytes and messages ([Meter]). It relies on
+// package protocol for the encoding and its size limit. A read has no deadline
+// of its own: whoever expects messages at a known rate passes a context that
+// ends ([Link.Receive]). There are no locks; an [Outbox] has one goroutine.
 package link
 
 import (
@@ -36,26 +38,30 @@
 
 // This file defines Link and the two ways to open one.
 
-// Path is where a node accepts links.
+// Path is where a box accepts links.
 const Path = "/fleet/v1/link"
 
-// Times that bound what a peer may take.
+// Limits on a peer. Both are chosen, not measured.
 const (
+	// HandshakeTimeout is from the dial, or from the accepted request, to the
+	// last frame of the handshake. A dialer's context may end it sooner.
 	HandshakeTimeout = 3 * time.Second
-	WriteTimeout     = 5 * time.Second
+	// WriteTimeout is for one message to be taken by the kernel; a link whose
+	// peer reads nothing for that long is closed.
+	WriteTimeout = 5 * time.Second
 )
 
-// Identity is what a node proves and says of itself.
+// Identity is the name that a box claims and the key that it proves.
 type Identity struct {
 	Name string
-	Key  []byte // the fleet key, equal on all nodes
+	Key  []byte // the fleet key, equal on all boxes
 	// Dial opens connections; nil is the operating system's network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// TLS encrypts links that this node opens; nil leaves them plain.
+	// TLS encrypts links that this box opens; nil leaves them plain.
 	TLS *tls.Config
 }
 
-// scheme returns the WebSocket scheme of links that this node opens.
+// scheme returns the WebSocket scheme of links that this box opens.
 func (id Identity) scheme() string {
 	if id.TLS != nil {
 		return "wss://"
@@ -77,7 +83,8 @@
 	meter *Meter
 }
 
-// Dial opens a link to the node at address (IP:PORT).
+// Dial opens a link to the box at address (IP:PORT). The error is
+// [Unreachable], [WrongKey] or [Broken].
 func Dial(ctx context.Context, address string, id Identity, m *Meter) (*Link, error) {
 	ctx, cancel := context.WithTimeout(ctx, HandshakeTimeout)
 	defer cancel()
@@ -99,7 +106,7 @@
 }
 
 // Accept opens a link from an HTTP request at Path. It writes the response
-// itself.
+// itself. The error is [Unreachable], [WrongKey] or [Broken].
 func Accept(w http.ResponseWriter, r *http.Request, id Identity, m *Meter) (*Link, error) {
 	conn, err := websocket.Accept(w, r, &websocket.AcceptOptions{
 		CompressionMode: websocket.CompressionDisabled,
@@ -122,11 +129,11 @@
 	return &Link{conn: conn, peer: peer, meter: m}
 }
 
-// Peer returns the proven name of the other node.
+// Peer returns the proven name of the other box.
 func (l *Link) Peer() string { return l.peer }
 
-// Send writes one message and returns its size in bytes. After an error the
-// link is closed.
+// Send writes one message, within WriteTimeout, and returns its size in bytes.
+// After a [Broken] the link is closed.
 func (l *Link) Send(ctx context.Context, m protocol.Message) (int, error) {
 	b, err := protocol.Encode(m)
 	if err != nil {
@@ -142,8 +149,9 @@
 	return len(b), nil
 }
 
-// Receive waits for the next message. It skips kinds that this version does
-// not know. After an error the link is closed.
+// Receive waits for the next message until ctx ends. It skips kinds that this
+// version does not know. After an error, the end of ctx included, the link is
+// closed.
 func (l *Link) Receive(ctx context.Context) (protocol.Message, error) {
 	for {
 		_, b, err := l.conn.Read(ctx)
@@ -163,5 +171,6 @@
 	}
 }
 
-// Close ends the link at once. It may be called more than once.
+// Close ends the link at once. It may be called more than once; the error of a
+// connection that is closed already is of no use to anybody.
 func (l *Link) Close() { _ = l.conn.CloseNow() }
--- a/transport/link/outbox.go
+++ b/transport/link/outbox.go
@@ -13,19 +13,21 @@
 // for the network.
 
 // Outbox sends queued messages over one link, in order, from a goroutine of
-// its own. When the queue is full the link is closed: the peer is too slow to
-// follow, and a new session starts from a clean state. Dropping single
-// messages was rejected because increments would be lost.
+// its own. When the queue is full the link is closed: the peer is too slow, and
+// a new session starts from a clean state. Dropping single messages was rejected
+// because increments would be lost. An error of the link ends the outbox without
+// a word; the link's reader gets it as well and logs it.
 type Outbox struct {
 	link  *Link
 	queue chan protocol.Message
 	done  chan struct{}
 	once  sync.Once
-	last  chan struct{} // closed once Drain's end of the queue is sent
+	last  chan struct{} // closed once everything queued before Drain is sent
 	drain sync.Once
 }
 
-// NewOutbox starts sending over l until it fails or Close is called.
+// NewOutbox starts sending over l until it fails or Close is called. depth is
+// the length of the queue in messages.
 func NewOutbox(l *Link, depth int) *Outbox {
 	o := &Outbox{link: l, queue: make(chan protocol.Message, depth), done: make(chan struct{}), last: make(chan struct{})}
 	go o.run()
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -1,12 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mesh carries consensus messages between replicas: one link to each
-// replica that there is something to say to.
+// Package mesh is the sending side of consensus messages between replicas: one
+// link and one goroutine for each replica that there are messages for.
 //
 // Each replica sends on the links that it opened and receives on those that
-// it accepted, so that no two replicas argue over one link. A message that
-// cannot be sent now is lost, as consensus allows; old messages are worth
-// less than new ones. A link with nothing to carry for long is closed.
+// it accepted, so two replicas never have to agree on which link to keep. A
+// message that cannot be sent now is dropped, as consensus allows: a newer one
+// replaces it. A link without messages for [idleTime] is closed.
+//
+// The package owns the queues and the links that it opens. It relies on its
+// caller for the replicas' addresses and for receiving, and on package link for
+// the proof of the peer and for the end of a link whose peer takes nothing.
+// Its only lock, Mesh.mu, is a leaf and never held while sending.
 package mesh
 
 import (
@@ -18,11 +23,14 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
+// This file defines Mesh.
+
+// Limits of the link to one replica. All are chosen, not measured.
 const (
-	queueDepth     = 4096
-	redialShortest = 50 * time.Millisecond
+	queueDepth     = 4096                  // messages; more are dropped
+	redialShortest = 50 * time.Millisecond // after a failed dial, doubling
 	redialLongest  = time.Second
-	idleTime       = 30 * time.Second
+	idleTime       = 30 * time.Second // without a message, before a link and its goroutine end
 )
 
 // Mesh is the sending side of one replica's links.
@@ -42,7 +50,8 @@
 	return &Mesh{ctx: ctx, identity: id, addressOf: addressOf, meter: m, queues: map[string]chan protocol.Consensus{}}
 }
 
-// Send queues a message to the replica that it names. It does not block.
+// Send queues a message to the replica that it names. It does not block: a
+// message to an unknown replica, or beyond queueDepth, is dropped.
 func (m *Mesh) Send(msg protocol.Consensus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +92,8 @@
 	}
 }
 
-// retire waits for a message and, if none comes, forgets the queue.
+// retire waits for a message and, if none comes, removes the queue and reports
+// that its goroutine is to end.
 func (m *Mesh) retire(name string, queue chan protocol.Consensus) bool {
 	idle := time.NewTimer(idleTime)
 	defer idle.Stop()
@@ -107,10 +117,12 @@
 	return true
 }
 
+// drain sends what is queued until the link fails or is idle for idleTime.
 func (m *Mesh) drain(l *link.Link, queue chan protocol.Consensus) {
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
 	go func() { // notices a link that the other side closed
+		// The accepting side sends nothing, so that any return means the end.
 		_, _ = l.Receive(ctx)
 		cancel()
 	}()
@@ -131,6 +143,7 @@
 	}
 }
 
+// discard empties a queue whose replica is unreachable.
 func discard(queue chan protocol.Consensus) {
 	for {
 		select {
