--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -63,10 +63,10 @@
 	reloads := make(chan process.Settings, 1)
 	go reload(ctx, reloads, log)
 	context.AfterFunc(ctx, func() { log.StateChange("stopping") })
-	if role == platform.ControlRole {
+	if role == platform.DirectoryRole {
 		return process.Directory(ctx, cfg, reloads, platform.NewAPI(cfg.API), log, metricSet)
 	}
-	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{}, platform.Refused, log, metricSet)
+	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{Log: log}, platform.Refused, log, metricSet)
 }
 
 // reloadPeriod is how often the settings are looked at without a signal.
--- a/process/process.go
+++ b/process/process.go
@@ -35,7 +35,7 @@
 // Settings of a node. Addresses are IP:PORT; an empty one is not listened on.
 type Settings struct {
 	Name     string
-	Zone     string
+	Hall     string
 	FleetKey []byte
 	Fleet    string   // fleet address of this node; directory replicas go by it
 	Seeds    []string // fleet addresses of directory replicas
@@ -176,7 +176,7 @@
 	running, stop := context.WithCancel(context.Background())
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
-		Identity: n.identity(), Hall: cfg.Zone, Seeds: cfg.Seeds, Headers: headers, Server: client,
+		Identity: n.identity(), Hall: cfg.Hall, Seeds: cfg.Seeds, Headers: headers, Server: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
 		Random: rand.Uint64, Log: log, Metrics: metricSet,
 	})
