--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,15 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package decision writes the log that explains what a process decided: one
-// JSON line for each decision that touches a request or changes what the
-// process believes.
+// JSON line for each decision about a request and each change of state. [Explain]
+// finds one request's life in the logs of many processes.
 //
 // The model: lines go to a bounded queue that one goroutine writes out, so a
 // slow reader of the log never delays a request. Lines have a class. Routine
 // outcomes ([Log.Routine]) get a small part of the line budget of a second,
-// failures and refusals ([Log.Failure]) a large one, and changes of belief
-// ([Log.Belief]) are dropped only when the queue is full. What was dropped is
-// counted and said in a line of its own, once a second.
+// failures and refusals ([Log.Failure]) a large one; changes of state
+// ([Log.StateChange]), of which there are few, are dropped only when the queue
+// is full. Dropped lines are counted, and their number is logged once a second.
+//
+// It owns the queue and the counts; it relies on a writer, usually standard
+// output. It has no lock: counts are atomic, and a line at the border of two
+// seconds may be counted in either.
 package decision
 
 import (
@@ -30,13 +34,15 @@
 	Failure int
 }
 
-// DefaultBudget suits a machine with a small part of a core: at most about 30
-// KB a second.
+// DefaultBudget is for a box with a small part of a core: at most about 30 KB a
+// second. Chosen, not measured.
 var DefaultBudget = Budget{Routine: 20, Failure: 80}
 
+// Bounds of the memory and of the writes. Chosen, not measured.
 const (
-	queueDepth = 1024 // lines
-	maxLine    = 4096 // bytes
+	queueDepth = 1024        // lines: ten seconds of the default budget
+	maxLine    = 4096        // bytes; a longer line is dropped
+	maxWrite   = 4 * maxLine // bytes, about, written with one call
 )
 
 // Log is a bounded log. It is safe for concurrent use.
@@ -44,22 +50,24 @@
 	slog    *slog.Logger
 	budget  Budget
 	queue   chan []byte
-	done    chan struct{}
 	dropped *metrics.Counter
 	lines   *metrics.Counter
 
-	second  atomic.Int64
-	routine atomic.Int64
-	failure atomic.Int64
-	missed  atomic.Int64
+	// Of the present second.
+	second   atomic.Int64 // Unix time
+	routines atomic.Int64 // lines, dropped ones included
+	failures atomic.Int64
+	missed   atomic.Int64 // lines dropped, whatever their class
+
 	closing sync.Once
-	end     chan struct{}
+	closed  chan struct{} // by Close
+	written chan struct{} // closed when the queue is empty and the writer has ended
 }
 
 // New returns a log that writes to w until Close.
 func New(w io.Writer, level slog.Level, budget Budget, set *metrics.Set) *Log {
 	l := &Log{
-		budget: budget, queue: make(chan []byte, queueDepth), done: make(chan struct{}), end: make(chan struct{}),
+		budget: budget, queue: make(chan []byte, queueDepth), closed: make(chan struct{}), written: make(chan struct{}),
 		dropped: set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total"),
 		lines:   set.GetOrCreateCounter("badgerspoke_log_lines_total"),
 	}
@@ -68,8 +76,8 @@
 	return l
 }
 
-// StateChange logs a change of what the process believes, its start, its stop, or a
-// dependency lost or regained.
+// StateChange logs a change of the process's state: its start, its stop, a
+// dependency lost or regained, another document, leader or backend server.
 func (l *Log) StateChange(event string, attrs ...slog.Attr) {
 	l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs...)
 }
@@ -77,38 +85,38 @@
 // Failure logs a decision after which a request was refused, failed or sent
 // again.
 func (l *Log) Failure(event string, attrs ...slog.Attr) {
-	l.within(&l.failure, l.budget.Failure, slog.LevelWarn, event, attrs)
+	l.within(&l.failures, l.budget.Failure, slog.LevelWarn, event, attrs)
 }
 
 // FailureOf is Failure with attributes that are made only if the line is
 // written: under a flood of refusals most lines are not.
 func (l *Log) FailureOf(event string, attrs func() []slog.Attr) {
-	if l.allow(&l.failure, l.budget.Failure) {
+	if l.allow(&l.failures, l.budget.Failure) {
 		l.slog.LogAttrs(context.Background(), slog.LevelWarn, event, attrs()...)
 	}
 }
 
-// Routine logs a decision of a request that went as hoped.
+// Routine logs a decision of a request that went well.
 func (l *Log) Routine(event string, attrs ...slog.Attr) {
-	l.within(&l.routine, l.budget.Routine, slog.LevelInfo, event, attrs)
+	l.within(&l.routines, l.budget.Routine, slog.LevelInfo, event, attrs)
 }
 
 // RoutineOf is Routine with attributes that are made only if the line is
 // written.
 func (l *Log) RoutineOf(event string, attrs func() []slog.Attr) {
-	if l.allow(&l.routine, l.budget.Routine) {
+	if l.allow(&l.routines, l.budget.Routine) {
 		l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs()...)
 	}
 }
 
-// Slog returns the log for packages that take a slog.Logger. Its lines count
-// as beliefs.
+// Slog returns the log for packages that take a slog.Logger. Its lines count as
+// changes of state.
 func (l *Log) Slog() *slog.Logger { return l.slog }
 
-// Close writes out what is queued and ends the log.
+// Close writes out what is queued and ends the log. It waits for the writer.
 func (l *Log) Close() {
-	l.closing.Do(func() { close(l.end) })
-	<-l.done
+	l.closing.Do(func() { close(l.closed) })
+	<-l.written
 }
 
 func (l *Log) within(count *atomic.Int64, budget int, level slog.Level, event string, attrs []slog.Attr) {
@@ -128,16 +136,15 @@
 	return true
 }
 
-// startSecond begins a new second's budget. A few lines may be counted to the wrong
-// second.
+// startSecond begins a new second's budget.
 func (l *Log) startSecond() {
 	now := time.Now().Unix()
 	before := l.second.Load()
 	if before == now || !l.second.CompareAndSwap(before, now) {
 		return
 	}
-	l.routine.Store(0)
-	l.failure.Store(0)
+	l.routines.Store(0)
+	l.failures.Store(0)
 	if missed := l.missed.Swap(0); missed > 0 {
 		l.slog.Warn("log lines dropped", "lines", missed)
 	}
@@ -167,25 +174,26 @@
 	return len(line), nil
 }
 
-// write writes queued lines, several with one call when they are there.
+// write writes queued lines, several with one call when they are there. Errors
+// are dropped: there is nowhere else to log, and a process serves without its log.
 func (l *Log) write(w io.Writer) {
-	defer close(l.done)
+	defer close(l.written)
 	for {
 		select {
 		case line := <-l.queue:
-			_, _ = w.Write(l.gather(line))
-		case <-l.end:
+			_, _ = w.Write(l.gather(line)) // see above
+		case <-l.closed:
 			for len(l.queue) > 0 {
-				_, _ = w.Write(l.gather(<-l.queue))
+				_, _ = w.Write(l.gather(<-l.queue)) // see above
 			}
 			return
 		}
 	}
 }
 
-// gather appends the lines that wait already.
+// gather appends lines that are queued already.
 func (l *Log) gather(lines []byte) []byte {
-	for len(lines) < 4*maxLine {
+	for len(lines) < maxWrite {
 		select {
 		case next := <-l.queue:
 			lines = append(lines, next...)
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -58,7 +58,7 @@
 }
 
 // TestBudget floods the log for three seconds: routine lines are thinned
-// first, beliefs never, and what was dropped is said and counted.
+// first, changes of state never, and dropped lines are logged and counted.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/decision/explain.go
+++ b/decision/explain.go
@@ -15,21 +15,26 @@
 )
 
 // This file defines Explain, which finds the life of one request in the logs
-// of many processes.
+// of many processes. Operators keep logs: lines of earlier versions stay
+// readable, so names of events and fields that a log once had stay here.
 
 // Line is one line of a decision log.
 type Line struct {
 	Time   time.Time
-	Box    string // from what stands before the line, if anything does
+	Box    string // the last word before the JSON object; empty without one
 	Event  string
 	Fields map[string]any
 }
 
-// around is how long before a request's first line changes of belief are
-// shown.
-const around = 10 * time.Second
+// leadTime is how long before a request's first line changes of state are shown.
+// Chosen, not measured.
+const leadTime = 10 * time.Second
 
-// meanings tell what the cause of a refusal says and where to look next.
+// maxScan bounds a line of a log that is read, in bytes. Longer than maxLine,
+// since files may hold lines of other programs. Chosen, not measured.
+const maxScan = 1 << 20
+
+// meanings explain the cause of a refusal and name what to look at next.
 var meanings = map[string]string{
 	"no-document":        "the gateway had not heard the first document: see 'directory found' and 'directory lost' on that node",
 	"no-route":           "no route of the document in force has that host and path: compare 'document' with what the operator put",
@@ -45,12 +50,12 @@
 	"stopping":           "the gateway was being stopped: see 'stopping' on that node",
 }
 
-// ReadLines reads the lines of a log. What is not a line of this log is passed
-// over.
+// ReadLines reads the lines of a log. Lines of other programs are ignored. The
+// error is of r, or of a line longer than 1 MiB.
 func ReadLines(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, 0, maxLine), 1<<20)
+	scanner.Buffer(make([]byte, 0, maxLine), maxScan)
 	for scanner.Scan() {
 		if l, ok := parseLine(scanner.Bytes()); ok {
 			lines = append(lines, l)
@@ -68,7 +73,7 @@
 	if json.Unmarshal(text[at:], &fields) != nil {
 		return Line{}, false
 	}
-	event, _ := fields["msg"].(string)
+	event, _ := fields["msg"].(string) // without either it is another program's line
 	when, _ := fields["time"].(string)
 	parsed, err := time.Parse(time.RFC3339Nano, when)
 	if err != nil || event == "" {
@@ -84,18 +89,18 @@
 	return l, true
 }
 
-// Explain writes the life of a request in order, with what its processes came
-// to believe around it, and what its end means. It reports whether the request
-// was found.
+// Explain writes the lines of a request in order, with the changes of state of its
+// processes around it, and what the cause of its refusal means. It reports whether
+// the request was found.
 func Explain(w io.Writer, lines []Line, request string) bool {
-	own, boxes, servers := life(lines, request)
+	own, boxes, servers := requestLines(lines, request)
 	if len(own) == 0 {
 		return false
 	}
 	first, last := own[0].Time, own[len(own)-1].Time
 	for _, l := range lines {
-		near := !l.Time.Before(first.Add(-around)) && !l.Time.After(last)
-		if near && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(servers) {
+		inTime := !l.Time.Before(first.Add(-leadTime)) && !l.Time.After(last)
+		if inTime && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(servers) {
 			own = append(own, l)
 		}
 	}
@@ -104,7 +109,7 @@
 		fmt.Fprintln(w, l)
 	}
 	for _, l := range own {
-		cause, _ := l.Fields["cause"].(string)
+		cause, _ := l.Fields["cause"].(string) // none has no meaning
 		if meaning := meanings[cause]; l.Event == "refused" && meaning != "" {
 			fmt.Fprintf(w, "%s: %s\n", cause, meaning)
 		}
@@ -112,9 +117,9 @@
 	return true
 }
 
-// life returns a request's own lines in order, and which nodes and backend servers
-// they name.
-func life(lines []Line, request string) (own []Line, boxes, servers map[string]bool) {
+// requestLines returns a request's own lines in order, and which boxes and backend
+// servers they name.
+func requestLines(lines []Line, request string) (own []Line, boxes, servers map[string]bool) {
 	boxes, servers = map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
 		if l.Fields["request"] != request {
@@ -130,8 +135,8 @@
 	return own, boxes, servers
 }
 
-// concerns reports whether a change of belief may explain a request: one about
-// another backend server does not.
+// concerns reports whether a change of state may explain a request that was sent
+// to these backend servers: one about another backend server does not.
 func (l Line) concerns(servers map[string]bool) bool {
 	if b, ok := l.Fields["backend"].(string); ok {
 		return servers[b]
@@ -140,7 +145,7 @@
 		return l.Event != "log lines dropped"
 	}
 	for _, list := range []string{"joined", "left"} {
-		ids, _ := l.Fields[list].([]any)
+		ids, _ := l.Fields[list].([]any) // null when empty
 		for _, id := range ids {
 			if name, ok := id.(string); ok && servers[name] {
 				return true
@@ -154,8 +159,8 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// String returns the line for a person: time, node, event, and the fields in
-// the order of their names.
+// String returns the line for a person: time, box, event, and the fields in the
+// order of their names.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.Time.Format("15:04:05.000"), l.Box, l.Event)
--- a/transport/socket/limit.go
+++ b/transport/socket/limit.go
@@ -9,8 +9,8 @@
 
 // This file defines a listener that bounds the connections open at once.
 
-// Limit returns a listener that accepts at most n connections at a time; more wait in the
-// kernel's backlog. Lock: none; the channel is the counter.
+// Limit returns a listener that accepts at most n connections at a time; more
+// wait in the kernel's backlog. Lock: none; the channel is the counter.
 func Limit(l net.Listener, n int) net.Listener {
 	return &limited{Listener: l, places: make(chan struct{}, n), closed: make(chan struct{})}
 }
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -2,7 +2,7 @@
 
 // Package socket opens connections that notice a silent peer.
 //
-// A machine that lost power or was cut off closes nothing. Connections opened
+// A box that lost power or was cut off closes nothing. Connections opened
 // or accepted here fail once what they sent has been unacknowledged for
 // [Silence], and, idle, once probes are not answered.
 package socket
@@ -14,13 +14,15 @@
 	"time"
 )
 
-// Silence is how long sent bytes may stay unacknowledged.
+// Silence is how long sent bytes may stay unacknowledged. Chosen, not measured:
+// far above the delay between data halls.
 const Silence = 2 * time.Second
 
-// DialTimeout bounds the opening of a connection.
+// DialTimeout bounds the opening of a connection. Chosen, not measured.
 const DialTimeout = time.Second
 
-// Times of the probes on an idle connection.
+// Probes of an idle connection: a silent peer is noticed after five seconds.
+// Chosen, not measured.
 const (
 	probeAfter = 2 * time.Second
 	probeEvery = time.Second
@@ -45,9 +47,11 @@
 }
 
 // setUserTimeout bounds unacknowledged bytes; accepted connections inherit it
-// from their listener.
+// from their listener. A kernel without the option leaves the bound to
+// retransmission, which takes longer and ends too.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
+		// See above for why an error is dropped.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(Silence.Milliseconds()))
 	})
 }
