--- a/decision/decision.go
+++ b/decision/decision.go
@@ -85,7 +85,7 @@
 // Failure logs a decision after which a request was refused, failed or sent
 // again.
 func (l *Log) Failure(event string, attrs ...slog.Attr) {
-	l.within(&l.failures, l.budget.Failure, slog.LevelWarn, event, attrs)
+	l.FailureOf(event, func() []slog.Attr { return attrs })
 }
 
 // FailureOf is Failure with attributes that are made only if the line is
@@ -98,7 +98,7 @@
 
 // Routine logs a decision of a request that went well.
 func (l *Log) Routine(event string, attrs ...slog.Attr) {
-	l.within(&l.routines, l.budget.Routine, slog.LevelInfo, event, attrs)
+	l.RoutineOf(event, func() []slog.Attr { return attrs })
 }
 
 // RoutineOf is Routine with attributes that are made only if the line is
@@ -119,12 +119,6 @@
 	<-l.written
 }
 
-func (l *Log) within(count *atomic.Int64, budget int, level slog.Level, event string, attrs []slog.Attr) {
-	if l.allow(count, budget) {
-		l.slog.LogAttrs(context.Background(), level, event, attrs...)
-	}
-}
-
 // allow reports whether the second's budget has room for one more line, and
 // counts it.
 func (l *Log) allow(count *atomic.Int64, budget int) bool {
