--- a/gateway/call.go
+++ b/gateway/call.go
@@ -93,6 +93,9 @@
 	if c.rs = c.g.routes.Load(); c.rs == nil {
 		return Refusal{Cause: NoDocument, RetryAfter: longRetryAfter}
 	}
+	if limit := c.rs.document.Limits.HeaderBytes; limit > 0 && headerBytes(c.r) > limit {
+		return Refusal{Cause: HeaderTooLarge}
+	}
 	var known bool
 	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
 		return Refusal{Cause: NoRoute}
@@ -104,6 +107,18 @@
 	return nil
 }
 
+// headerBytes returns the size of a request's header lines, each with one space
+// after its colon; the request line does not count.
+func headerBytes(r *http.Request) int {
+	n := len("Host: \r\n") + len(r.Host)
+	for name, values := range r.Header {
+		for _, v := range values {
+			n += len(name) + len(": \r\n") + len(v)
+		}
+	}
+	return n
+}
+
 // rank finds how the request stands against its account's share, and refuses
 // what may not be served now.
 func (c *call) rank() error {
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -18,6 +18,7 @@
 	NoDocument        Cause = "no-document"
 	NoRoute           Cause = "no-route"
 	UnknownKey        Cause = "unknown-key"
+	HeaderTooLarge    Cause = "header-too-large"
 	BodyTooLarge      Cause = "body-too-large"
 	BodyBroken        Cause = "body-broken"
 	Stopping          Cause = "stopping"
@@ -35,6 +36,7 @@
 // and never will; 502 and 504 promise nothing.
 var statuses = map[Cause]int{
 	NoDocument: http.StatusServiceUnavailable, NoRoute: http.StatusNotFound, UnknownKey: http.StatusUnauthorized,
+	HeaderTooLarge:    http.StatusRequestHeaderFieldsTooLarge,
 	ProcessorOverload: http.StatusServiceUnavailable, BodyTooLarge: http.StatusRequestEntityTooLarge, BodyBroken: http.StatusBadRequest,
 	Stopping: http.StatusServiceUnavailable, Overloaded: http.StatusServiceUnavailable,
 	BeyondShare: http.StatusTooManyRequests, NoServer: http.StatusServiceUnavailable,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -100,13 +100,13 @@
 	return g.stopped.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.unready(g.now())
 }
 
-// IdleTime is how long callers may leave a connection unused, by the document
-// in force; 0 is not said.
-func (g *Gateway) IdleTime() time.Duration {
+// Limits returns what callers may send and how long they may take, by the
+// document in force; before the first, nothing is limited.
+func (g *Gateway) Limits() document.Limits {
 	if rs := g.routes.Load(); rs != nil {
-		return rs.document.Limits.IdleTime
+		return rs.document.Limits
 	}
-	return 0
+	return document.Limits{}
 }
 
 // DocumentNumber returns the document in force here, 0 before the first.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -141,6 +141,21 @@
 	}, answers(200, "fine", 0))
 }
 
+func TestHeaderOverTheLimit(t *testing.T) {
+	bubble(t, func(x *fixture) {
+		is := is.New(x.t)
+		pad := strings.Repeat("x", 1000-len("Host: host\r\nId: request-1\r\nKey: key\r\nPad: \r\n"))
+		is.Equal(x.ask("/once/x", "Pad", pad+"x").status, 200) // no limit
+		d := testDocument()
+		d.Number, d.Limits.HeaderBytes = 4, 1000
+		x.g.apply(d)
+		is.Equal(x.ask("/once/x", "Pad", pad).status, 200)
+		is.Equal(x.ask("/once/x", "Pad", pad+"x").status, 431)
+		is.Equal(x.ask("/nowhere/x", "Pad", pad+"x").status, 431) // before anything else
+		is.Equal(x.servers.count(), 2)                            // it was not sent on
+	}, answers(200, "fine", 0))
+}
+
 // TestBeforeTheFirstDocument refuses as not run, never as unknown.
 func TestBeforeTheFirstDocument(t *testing.T) {
 	bubble(t, func(x *fixture) {
--- /dev/null
+++ b/process/caller.go
@@ -0,0 +1,49 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package process
+
+import (
+	"net"
+	"sync/atomic"
+	"time"
+
+	"github.com/badgerspoke/badgerspoke/state/document"
+)
+
+// This file defines callerConn, a caller's connection, on which the head of each
+// request must come within the time that the document in force allows. net/http
+// has one such time for the life of a server.
+
+type callerListener struct {
+	net.Listener
+	limits func() document.Limits
+}
+
+// Accept implements [net.Listener].
+func (l *callerListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return &callerConn{Conn: c, limits: l.limits}, nil
+}
+
+type callerConn struct {
+	net.Conn
+	limits  func() document.Limits
+	serving atomic.Bool // a head was read, and its request is not answered yet
+}
+
+// SetReadDeadline implements [net.Conn]. net/http sets a deadline within
+// readHeaderTimeout when it begins to read a head, on a new connection from its
+// start and on a kept one from the first bytes, and a later one while the
+// connection is idle. The first is moved to what the document allows, if that is
+// sooner.
+func (c *callerConn) SetReadDeadline(t time.Time) error {
+	limit := c.limits().HeaderTime
+	left := time.Until(t)
+	if limit > 0 && limit < left && left <= readHeaderTimeout && !c.serving.Load() {
+		t = time.Now().Add(limit)
+	}
+	return c.Conn.SetReadDeadline(t)
+}
--- /dev/null
+++ b/process/caller_test.go
@@ -0,0 +1,116 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package process
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/internal/fakenet"
+	"github.com/badgerspoke/badgerspoke/state/document"
+)
+
+// This file tests the time that callers have for a head, with net/http on a
+// network in virtual time.
+
+const callersAddress = "10.0.0.1:80"
+
+// callers runs f with a function that connects to a server of callers, and the
+// limits in force there.
+func callers(t *testing.T, f func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits])) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		network := fakenet.New(time.Millisecond)
+		l, err := network.Listen(callersAddress)
+		is.NoErr(err)
+		var limits atomic.Pointer[document.Limits]
+		limits.Store(&document.Limits{})
+		ctx, stop := context.WithCancel(t.Context())
+		b := &base{}
+		echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }) // errors: see the answer
+		b.serveCallers(ctx, l, echo, func() document.Limits { return *limits.Load() })
+		defer func() {
+			stop()
+			b.close()
+			synctest.Wait()
+		}()
+		connect := func() net.Conn {
+			conn, err := network.Box("10.0.0.2").DialContext(ctx, "tcp", callersAddress)
+			is.NoErr(err)
+			return conn
+		}
+		f(t, connect, &limits)
+	})
+}
+
+// send sends a text and returns what comes back within a second, and whether the
+// connection ended.
+func send(t *testing.T, conn net.Conn, text string) (answer string, ended bool) {
+	t.Helper()
+	is := is.New(t)
+	_, err := io.WriteString(conn, text)
+	is.NoErr(err)
+	is.NoErr(conn.SetReadDeadline(time.Now().Add(time.Second)))
+	b, err := io.ReadAll(conn)
+	return string(b), err == nil
+}
+
+// TestHeadMustComeInTime changes the document while a connection is open.
+func TestHeadMustComeInTime(t *testing.T) {
+	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+		is := is.New(t)
+		conn := connect()
+		send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\n")
+		time.Sleep(2 * time.Second)
+		answer, ended := send(t, conn, "Content-Length: 2\r\n\r\nok")
+		is.True(strings.HasSuffix(answer, "ok") && !ended) // after 3 s of 5 s
+
+		limits.Store(&document.Limits{HeaderTime: 1500 * time.Millisecond, IdleTime: 15 * time.Second})
+		time.Sleep(10 * time.Second) // idle is another limit
+		_, ended = send(t, conn, "POST / HTTP/1.1\r\n")
+		is.True(!ended) // after 1 s
+		_, ended = send(t, conn, "Host: h\r\n")
+		is.True(ended) // after 1.5 s
+
+		fresh := connect()
+		time.Sleep(time.Second)
+		_, ended = send(t, fresh, "POST / HTTP/1.1\r\n")
+		is.True(ended)
+	})
+}
+
+// TestBodyMayTakeLonger: the time for a head is not one for a body.
+func TestBodyMayTakeLonger(t *testing.T) {
+	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+		is := is.New(t)
+		limits.Store(&document.Limits{HeaderTime: 500 * time.Millisecond})
+		conn := connect()
+		for range 2 { // a new connection, then a kept one
+			_, ended := send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\no")
+			is.True(!ended)
+			answer, ended := send(t, conn, "k")
+			is.True(strings.HasSuffix(answer, "ok") && !ended)
+		}
+	})
+}
+
+// TestHeadTimeHasABound: a document cannot allow more than every listener does.
+func TestHeadTimeHasABound(t *testing.T) {
+	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+		is := is.New(t)
+		limits.Store(&document.Limits{HeaderTime: time.Minute})
+		conn := connect()
+		time.Sleep(readHeaderTimeout - 500*time.Millisecond)
+		_, ended := send(t, conn, "POST / HTTP/1.1\r\n")
+		is.True(ended)
+	})
+}
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -14,6 +14,7 @@
 
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/gateway"
+	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
@@ -79,7 +80,7 @@
 	}
 }
 
-// listenToCallers serves callers with a bound on their connections.
+// listenToCallers serves callers at their address.
 func (b *base) listenToCallers(ctx context.Context, g *gateway.Gateway) error {
 	// The bounds on idle connections and on writes end the connection of a caller
 	// that is gone; probes would cost system calls for each caller.
@@ -88,11 +89,21 @@
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", b.cfg.Callers)
 	}
+	b.serveCallers(ctx, l, g, g.Limits)
+	return nil
+}
+
+// serveCallers serves callers with a bound on their connections, and within the
+// limits of the document in force.
+func (b *base) serveCallers(ctx context.Context, l net.Listener, h http.Handler, limits func() document.Limits) {
 	most := b.cfg.mostConnections()
 	idle := newIdleConnections(most)
-	b.serve(socket.Limit(l, most), &http.Server{Handler: g, ConnState: idle.track})
-	go idle.sweep(ctx, g.IdleTime)
-	return nil
+	l = &callerListener{Listener: socket.Limit(l, most), limits: limits}
+	b.serve(l, &http.Server{Handler: h, ConnState: func(conn net.Conn, state http.ConnState) {
+		conn.(*callerConn).serving.Store(state == http.StateActive)
+		idle.track(conn, state)
+	}})
+	go idle.sweep(ctx, func() time.Duration { return limits().IdleTime })
 }
 
 // mostConnections returns how many callers may be connected at a time.
--- a/process/process.go
+++ b/process/process.go
@@ -66,7 +66,8 @@
 // for bursts. Chosen, not measured.
 const heapPart = 0.6
 
-// Limits of every listener. Chosen, not measured.
+// Limits of every listener, and the most that a document allows callers. Chosen,
+// not measured.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 5 * time.Minute // between two requests of a connection
