--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -180,20 +180,6 @@
 	})
 }
 
-func TestRetryBudget(t *testing.T) {
-	is := is.New(t)
-	b := Budget{Part: 0.1, Burst: 5}
-	retries := 0
-	for range 1000 {
-		b.Request()
-		if b.Retry() {
-			retries++
-		}
-	}
-	is.True(retries <= 100)
-	is.True(retries >= 99)
-}
-
 func BenchmarkChoose(b *testing.B) {
 	pl, c, p := New(8192), candidates(12), prompt(32, "a long prompt")
 	pl.Index.Sent("s3", p)
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -15,72 +15,72 @@
 
 func TestEvenPartOfTheExtra(t *testing.T) {
 	is := is.New(t)
-	w := New(limits)
+	w := NewWindow(limits)
 	allowed := 0
 	for range 100 {
-		if w.Repeat(0, 6) {
+		if w.Retry(0, 6) {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 7) // safety x 60 / 6
 }
 
-func TestRequestsEarnRepeats(t *testing.T) {
+func TestRequestsEarnRetries(t *testing.T) {
 	is := is.New(t)
-	w := New(limits)
+	w := NewWindow(limits)
 	for range 1000 {
 		w.Request(0)
 	}
 	allowed := 0
 	for range 1000 {
-		if w.Repeat(0, 6) {
+		if w.Retry(0, 6) {
 			allowed++
 		}
 	}
 	is.Equal(allowed, 147) // safety x (0.2 x 1000 + 10)
 }
 
-func TestRepeatsComeBackWithTime(t *testing.T) {
+func TestRetriesComeBackWithTime(t *testing.T) {
 	is := is.New(t)
-	w := New(Limits{Extra: 10, Window: 10 * time.Second})
-	for w.Repeat(0, 1) {
+	w := NewWindow(Limits{Extra: 10, Window: 10 * time.Second})
+	for w.Retry(0, 1) {
 	}
-	is.True(!w.Repeat(10*time.Second, 1)) // a slice longer than the window
-	is.True(w.Repeat(12*time.Second, 1))
-	is.True(w.Repeat(time.Hour, 1)) // many windows later
+	is.True(!w.Retry(10*time.Second, 1)) // a slice longer than the window
+	is.True(w.Retry(12*time.Second, 1))
+	is.True(w.Retry(time.Hour, 1)) // many windows later
 }
 
-// TestFleetKeepsToItsBudget lets several routers with uneven traffic repeat as
+// TestFleetKeepsToItsBudget lets several gateways with uneven traffic retry as
 // often as they may, and counts over every window of the whole fleet.
 func TestFleetKeepsToItsBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		n := rapid.IntRange(1, 9).Draw(t, "routers")
-		routers := make([]*Window, n)
-		for i := range routers {
-			routers[i] = New(limits)
+		n := rapid.IntRange(1, 9).Draw(t, "gateways")
+		gateways := make([]*Window, n)
+		for i := range gateways {
+			gateways[i] = NewWindow(limits)
 		}
 		const step, steps = 50 * time.Millisecond, 800
-		requests, repeats := make([]int, steps), make([]int, steps)
+		requests, retries := make([]int, steps), make([]int, steps)
 		for s := range steps {
 			now := time.Duration(s) * step
-			for i, r := range routers {
+			for i, r := range gateways {
 				for range rng.IntN(1 + i*2) {
 					r.Request(now)
 					requests[s]++
 				}
-				for rng.IntN(3) > 0 && r.Repeat(now, n) {
-					repeats[s]++
+				for rng.IntN(3) > 0 && r.Retry(now, n) {
+					retries[s]++
 				}
 			}
 		}
 		window := int(limits.Window / step)
 		for s := window; s < steps; s++ {
-			asked, again := sum(requests[s-window:s]), sum(repeats[s-window:s])
+			asked, again := sum(requests[s-window:s]), sum(retries[s-window:s])
 			before := sum(requests[max(s-2*window, 0) : s-window]) // counted where they are more
 			allowed := limits.Ratio*float64(max(asked, before)) + limits.Extra
 			if float64(again) > allowed {
-				t.Fatalf("%d repeats in the window to %d, %.0f allowed", again, s, allowed)
+				t.Fatalf("%d retries in the window to %d, %.0f allowed", again, s, allowed)
 			}
 		}
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,9 +69,6 @@
 	retries   map[string]*retry.Window
 }
 
-// assumedGateways is how many gateways there are before one has been told.
-const assumedGateways = 16
-
 // Start runs a gateway until Stop.
 func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
@@ -81,7 +78,7 @@
 	}
 	g.accounts = newAccounts(g.now)
 	g.SetSeeds(cfg.Seeds)
-	g.gateways.Store(assumedGateways)
+	g.gateways.Store(retry.AssumedGateways)
 	go newWatcher(g).run()
 	go g.tick()
 	return g
@@ -131,7 +128,7 @@
 func (g *Gateway) mayRepeat(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.window(pool).Repeat(g.now(), int(g.gateways.Load()))
+	return g.window(pool).Retry(g.now(), int(g.gateways.Load()))
 }
 
 func (g *Gateway) countRequest(pool string) {
@@ -143,7 +140,7 @@
 func (g *Gateway) window(pool string) *retry.Window {
 	w := g.retries[pool]
 	if w == nil {
-		w = retry.New(g.cfg.Retries)
+		w = retry.NewWindow(g.cfg.Retries)
 		g.retries[pool] = w
 	}
 	return w
--- a/router/router.go
+++ b/router/router.go
@@ -12,7 +12,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/badgerspoke/badgerspoke/coordination/place"
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 	"github.com/badgerspoke/badgerspoke/state/config"
@@ -70,8 +70,6 @@
 const (
 	firstEstimate = 256  // cost of a request of which nothing is known
 	prefixBlocks  = 8192 // prompt blocks remembered by each pool
-	retryPart     = 0.1
-	retryBurst    = 10
 	poolTick      = 100 * time.Millisecond
 )
 
@@ -96,7 +94,7 @@
 	pools map[string]*lockedPool
 
 	budgetMu sync.Mutex
-	budget   place.Budget
+	budget   retry.Budget
 }
 
 // Start runs a router until Stop. Its boot number is drawn here.
@@ -114,7 +112,7 @@
 	r := &Router{
 		set: set, boot: set.Random() | 1, start: time.Now(), ctx: ctx, stop: stop,
 		meter: link.NewMeter(set.Metrics), stats: newStats(set.Metrics), pools: map[string]*lockedPool{},
-		budget: newBudget(),
+		budget: retry.DefaultBudget,
 	}
 	r.routes.Store(newRoutes(config.Config{}))
 	r.serving.Store(true)
--- a/router/stats.go
+++ b/router/stats.go
@@ -7,8 +7,6 @@
 	"sync"
 
 	"github.com/VictoriaMetrics/metrics"
-
-	"github.com/badgerspoke/badgerspoke/coordination/place"
 )
 
 // This file defines the router's metrics. Labels come from the configuration
@@ -71,5 +69,3 @@
 	})
 	return got.(*series)
 }
-
-func newBudget() place.Budget { return place.Budget{Part: retryPart, Burst: retryBurst} }
