--- /dev/null
+++ b/coordination/retry/policy_test.go
@@ -0,0 +1,109 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package retry
+
+import (
+	"testing"
+
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
+	"github.com/badgerspoke/badgerspoke/state/document"
+)
+
+var (
+	once       = document.Route{Kind: document.Once, MaxAttempts: 2}
+	repeatable = document.Route{Kind: document.Repeatable, MaxAttempts: 2}
+	stream     = document.Route{Kind: document.Stream, MaxAttempts: 2}
+	resumable  = document.Route{Kind: document.Stream, MaxAttempts: 2, Resumable: true}
+	unbounded  = document.Route{Kind: document.Repeatable, MaxAttempts: 100}
+)
+
+// TestAfterAnAttempt gives a request's attempts one after the other, and says
+// what follows the last one. It also says how the request ends if that was
+// the last one.
+func TestAfterAnAttempt(t *testing.T) {
+	const late, head, broke = true, true, true // the time is over; the head was written; the budget refuses
+	type executions []Execution
+	type next struct{ allowed, fromBudget bool }
+	stop, free, paid := next{}, next{true, false}, next{true, true}
+	for _, tt := range []struct {
+		name              string
+		route             document.Route
+		attempts          executions
+		late, head, broke bool
+		next              next
+		ending            Ending
+	}{
+		{"not sent", once, executions{NotSent}, false, false, false, free, EndNoServer},
+		{"refused", once, executions{Refused}, false, false, false, paid, EndRefused},
+		{"refused without a budget", once, executions{Refused}, false, false, broke, paid, EndNoBudget},
+		{"may have run once", once, executions{MayHaveRun}, false, false, false, stop, EndMayHaveRun},
+		{"failed by itself", once, executions{HasRun}, false, false, false, stop, EndHeld},
+		{"may run again", repeatable, executions{MayHaveRun}, false, false, false, paid, EndMayHaveRun},
+		{"may run again, no budget", repeatable, executions{MayHaveRun}, false, false, broke, paid, EndMayHaveRun},
+		{"failure that may run again", repeatable, executions{HasRun}, false, false, false, paid, EndHeld},
+		{"as often as the route allows", repeatable, executions{MayHaveRun, MayHaveRun}, false, false, false, stop, EndMayHaveRun},
+		{"refused after it may have run", repeatable, executions{MayHaveRun, Refused}, false, false, false, paid, EndMayHaveRun},
+		{"not sent after it may have run", repeatable, executions{MayHaveRun, NotSent}, false, false, false, free, EndMayHaveRun},
+		{"one refusal more than runs", once, executions{Refused, Refused, Refused}, false, false, false, stop, EndRefused},
+		{"no limit said is one run", document.Route{}, executions{Refused, Refused}, false, false, false, stop, EndRefused},
+		{"arrivals are bounded", unbounded, executions{MayHaveRun, MayHaveRun, MayHaveRun}, false, false, false, stop, EndMayHaveRun},
+		{"below the bound of attempts", unbounded, executions{NotSent, NotSent, NotSent, NotSent}, false, false, false, free, EndNoServer},
+		{"attempts are bounded", unbounded, executions{NotSent, NotSent, NotSent, NotSent, NotSent}, false, false, false, stop, EndNoServer},
+		{"late, may have run", repeatable, executions{MayHaveRun}, late, false, false, stop, EndTimedOut},
+		{"late, failed by itself", repeatable, executions{HasRun}, late, false, false, stop, EndHeld},
+		{"late, refused", once, executions{Refused}, late, false, false, stop, EndRefused},
+		{"late, not sent", once, executions{NotSent}, late, false, false, stop, EndNoServer},
+		{"stream has begun", stream, executions{MayHaveRun}, false, head, false, stop, EndBroken},
+		{"stream has begun and resumes", resumable, executions{MayHaveRun}, false, head, false, paid, EndBroken},
+		{"large answer has begun", repeatable, executions{MayHaveRun}, false, head, false, stop, EndBroken},
+		{"stream has not begun", stream, executions{MayHaveRun}, false, false, false, stop, EndMayHaveRun},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			is := is.New(t)
+			r := Request{Route: tt.route, HeadWritten: tt.head, TimeLeft: !tt.late}
+			for _, e := range tt.attempts {
+				r.Counts = r.Counts.With(e)
+			}
+			last := tt.attempts[len(tt.attempts)-1]
+			allowed, fromBudget := r.Again(last)
+			is.Equal(next{allowed, fromBudget}, tt.next)
+			is.Equal(r.AfterAttempt(last, tt.broke), tt.ending)
+		})
+	}
+}
+
+func TestWithoutServer(t *testing.T) {
+	is := is.New(t)
+	const covered, extra = entitlement.Covered, entitlement.Extra
+	for _, tt := range []struct {
+		counts   Counts
+		left     bool
+		class    entitlement.Class
+		allTried bool
+		ending   Ending
+	}{
+		{Counts{}, true, covered, false, EndOverloaded},
+		{Counts{}, true, extra, false, EndBeyondShare},
+		{Counts{}, true, extra, true, EndNoServer},
+		{Counts{}, false, extra, true, EndOverloaded},
+		{Counts{Begun: 1}, false, covered, true, EndOverloaded}, // nobody had it
+		{Counts{Begun: 1, Arrived: 1}, false, covered, false, EndTimedOut},
+		{Counts{Begun: 1, Arrived: 1}, true, covered, false, EndOverloaded},
+		{Counts{Begun: 1, Arrived: 1, Runs: 1}, true, covered, true, EndMayHaveRun},
+		{Counts{Begun: 1, Arrived: 1, Runs: 1}, false, covered, true, EndTimedOut},
+	} {
+		r := Request{Counts: tt.counts, TimeLeft: tt.left}
+		is.Equal(r.WithoutServer(tt.class, tt.allTried), tt.ending) // tt
+	}
+}
+
+func TestCounts(t *testing.T) {
+	is := is.New(t)
+	var c Counts
+	for _, e := range []Execution{NotSent, Refused, MayHaveRun, HasRun, Answered} {
+		c = c.With(e)
+	}
+	is.Equal(c, Counts{Begun: 5, Arrived: 4, Runs: 3})
+}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -7,31 +7,21 @@
 	"errors"
 	"log/slog"
 
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines attempt, one sending of a request to one backend server, its
-// outcome, and what follows from it.
-
-// execution says what is known about a request after an attempt.
-type execution uint8
-
-const (
-	notSent    execution = iota // no byte reached the backend server
-	refused                     // it said that the request has not run and will not
-	mayHaveRun                  // it may have run
-	hasRun                      // it ran, and the answer is the backend server's own failure
-)
+// This file defines attempt, one sending of a request to one backend server, and
+// its outcome.
 
 // outcome is how an attempt ended.
 type outcome struct {
-	done      bool // the caller has the whole answer
-	execution execution
+	execution retry.Execution
 	cause     string  // for the log
 	blame     float64 // how much of a failure of the backend server it was; negative is none of its doing
-	// held is a whole answer of a failure that is given to the caller if
-	// nothing better comes.
+	// held is the whole answer of a failure (retry.HasRun), which is given to
+	// the caller if nothing better comes.
 	held        *heldAnswer
 	misdirected bool // another backend server has the address
 	err         error
@@ -49,20 +39,15 @@
 func (c *call) attempt(ctx context.Context, a *assignment) outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	c.tries++
 	c.stall = c.watchStall(cancel)
 	out := c.exchange(ctx, a)
-	if c.stall.stop() && !out.done && c.r.Context().Err() == nil {
+	answered := out.execution == retry.Answered
+	if c.stall.stop() && !answered && c.r.Context().Err() == nil {
 		out.blame, out.cause = blameLost, "silent"
-	} else if ctx.Err() != nil && !out.done {
+	} else if ctx.Err() != nil && !answered {
 		out.blame = noBlame // the caller left, or the time is over
 	}
-	if out.execution >= mayHaveRun || out.done {
-		c.attempts++
-	}
-	if out.execution >= refused || out.done {
-		c.sends++
-	}
+	c.counts = c.counts.With(out.execution)
 	if c.g.release(a, out.blame) {
 		c.g.stats.count("suspected", "pool", c.pool.Name)
 		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.server), slog.String("cause", out.cause))
@@ -82,12 +67,12 @@
 	defer answer.Body.Close()
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	if head.ID != c.head.ID {
-		return outcome{execution: mayHaveRun, cause: "crossed answer", blame: blameFaulty, err: errCrossed}
+		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", blame: blameFaulty, err: errCrossed}
 	}
 	success := answer.Status >= 200 && answer.Status < 300
 	switch {
 	case success && !head.Signed:
-		return outcome{execution: mayHaveRun, cause: "unsealed answer", blame: blameFaulty, err: errUnsealed}
+		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", blame: blameFaulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
 		return c.relay.stream(ctx, a, answer)
 	}
@@ -96,7 +81,7 @@
 
 // outgoing is the request as a backend server gets it.
 func (c *call) outgoing(a *assignment) forward.Call {
-	f := Forwarding{Timeout: c.deadline - c.g.now(), Server: a.server, Account: c.account.Name, LastEventID: c.relay.lastEventID}
+	f := Forwarding{Timeout: c.left(), Server: a.server, Account: c.account.Name, LastEventID: c.relay.lastEventID}
 	return forward.Call{
 		Method: c.r.Method, Path: c.r.RequestURI, Host: c.r.Host,
 		Header: c.g.cfg.Headers.ForwardHeader(c.r.Header, f), Body: c.body,
@@ -106,19 +91,19 @@
 func (c *call) sendFailed(err error) outcome {
 	var not forward.NotRun
 	if !errors.As(err, &not) {
-		return outcome{execution: mayHaveRun, cause: "lost", blame: blameLost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "lost", blame: blameLost, err: err}
 	}
 	if !not.Refused {
-		return outcome{execution: notSent, cause: "unreachable", blame: c.unreachableBlame(), err: err}
+		return outcome{execution: retry.NotSent, cause: "unreachable", blame: c.unreachableBlame(), err: err}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(not.Status, not.Header)
 	if head.ID != "" && head.ID != c.head.ID {
-		return outcome{execution: mayHaveRun, cause: "crossed refusal", blame: blameFaulty, err: errCrossed}
+		return outcome{execution: retry.MayHaveRun, cause: "crossed refusal", blame: blameFaulty, err: errCrossed}
 	}
 	if head.Misdirected {
-		return outcome{execution: refused, cause: "misplaced", blame: noBlame, misdirected: true, err: err}
+		return outcome{execution: retry.Refused, cause: "misplaced", blame: noBlame, misdirected: true, err: err}
 	}
-	return outcome{execution: refused, cause: "refused", blame: blameShed, err: err}
+	return outcome{execution: retry.Refused, cause: "refused", blame: blameShed, err: err}
 }
 
 // unreachableBlame is what a backend server that could not be connected to is blamed
@@ -132,7 +117,7 @@
 	return blameLost
 }
 
-// next decides what follows a failed attempt: to try again, or to end the
+// next carries out what follows a failed attempt: to try again, or to end the
 // request, with an error unless a held answer was given.
 func (c *call) next(ctx context.Context, a *assignment, out outcome) (again bool, err error) {
 	c.g.stats.count("attempts_failed", "cause", out.cause)
@@ -140,57 +125,25 @@
 		return false, callerLeft{}
 	}
 	c.avoid[a.server] = true
-	allowed := ctx.Err() == nil && c.mayTryAgain(out)
-	again = allowed && (out.execution == notSent || c.g.mayRepeat(c.pool.Name))
-	c.budgetSpent = allowed && !again
+	policy := c.policy(ctx)
+	allowed, fromBudget := policy.Again(out.execution)
+	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
 	c.g.cfg.Log.Failure("attempt failed", slog.String("request", c.head.ID), slog.String("backend", a.server),
-		slog.String("cause", out.cause), slog.String("error", text(out.err)), slog.Int("attempt", c.sends),
+		slog.String("cause", out.cause), slog.String("error", text(out.err)), slog.Int("attempt", c.counts.Arrived),
 		slog.Int("took_ms", int((c.g.now()-a.began).Milliseconds())), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID))
 	if again {
 		return true, nil
 	}
-	return false, c.final(ctx, out)
-}
-
-// Bounds of the attempts of one request.
-const (
-	maxSends = 3 // arrivals
-	maxTries = 5 // attempts, whether they arrived or not: the only backend server may be gone
-)
-
-// mayTryAgain reports whether the request may go to another backend server.
-func (c *call) mayTryAgain(out outcome) bool {
-	if c.relay.headWritten && !c.route.Resumable {
-		return false
-	}
-	if c.sends >= max(c.route.MaxAttempts, 1)+1 || c.sends >= maxSends || c.tries >= maxTries {
-		return false
-	}
-	if out.execution <= refused {
-		return c.attempts < max(c.route.MaxAttempts, 1)
-	}
-	return c.route.MayRepeat() && c.attempts < c.route.MaxAttempts
-}
-
-// final is the end of a request after its last attempt.
-func (c *call) final(ctx context.Context, out outcome) error {
-	switch {
-	case c.relay.headWritten:
-		return brokenAnswer{err: out.err}
-	case out.held != nil:
+	switch ending := policy.AfterAttempt(out.execution, allowed); ending {
+	case retry.EndBroken:
+		return false, brokenAnswer{err: out.err}
+	case retry.EndHeld:
 		c.relay.give(out.held)
-		return nil
-	case ctx.Err() != nil && c.attempts > 0:
-		return Refusal{Cause: TimedOut}
-	case c.attempts > 0:
-		return Refusal{Cause: MayHaveRun}
-	case out.execution == refused && c.budgetSpent:
-		return Refusal{Cause: NoBudget, RetryAfter: c.retryAfter()}
-	case out.execution == refused:
-		return Refusal{Cause: NotRunThere, RetryAfter: c.retryAfter()}
-	}
-	return Refusal{Cause: NoServer, RetryAfter: c.retryAfter()}
+		return false, nil
+	default:
+		return false, c.refusal(ending)
+	}
 }
 
 func (t *table) poolSize(name string) int {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -4,17 +4,19 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net/http"
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines call, one request from its arrival to its end.
+// This file defines call, one request from its arrival to its end: it is
+// admitted, goes to backend servers one after the other, and ends.
 
+// call is one request. Only the goroutine that serves it uses it.
 type call struct {
 	g        *Gateway
 	w        http.ResponseWriter
@@ -33,18 +35,16 @@
 	class   entitlement.Class // of requests to engines
 
 	// What has become of it.
-	tries       int // attempts begun
-	attempts    int // backend servers that may have run it
-	sends       int // arrivals at backend servers
-	avoid       map[string]bool
-	budgetSpent bool        // one more attempt was allowed but for the fleet's budget
-	assigned    *assignment // of the last attempt
-	short       shortage    // why there was no backend server in the end
-	relay       *relay      // nil before the first backend server is asked for
-	stall       *stallTimer // of the present attempt
+	counts   retry.Counts
+	avoid    map[string]bool // backend servers that had it already
+	assigned *assignment     // of the last attempt
+	short    shortage        // why there was no backend server in the end
+	relay    *relay          // nil until it is admitted
+	stall    *stallTimer     // of the present attempt
 }
 
-// defaultBody bounds a body when the document does not.
+// defaultBody bounds a body when the document does not, in bytes. Chosen, not
+// measured.
 const defaultBody = 4 << 20
 
 // ServeHTTP serves one caller's request.
@@ -63,8 +63,8 @@
 	c.finish(err)
 }
 
-// admit matches the request to a route and an account, ranks it and reads its
-// body. What is refused for its rank costs little that way, however much a
+// admit matches the request to a route and an account, classes it and reads its
+// body. What is refused for its class costs little that way, however much an
 // account floods: its body is never kept. The error is a [Refusal].
 func (c *call) admit() error {
 	if err := c.match(); err != nil {
@@ -75,11 +75,11 @@
 		patience = min(patience, c.head.Timeout)
 	}
 	c.deadline = c.arrived + patience
-	if err := c.rank(); err != nil {
+	if err := c.classify(); err != nil {
 		return err
 	}
 	if !c.g.endsBeforeStop(patience) {
-		return Refusal{Cause: Stopping, RetryAfter: shortRetryAfter}
+		return Refusal{Cause: Stopping, RetryAfter: retry.Soon}
 	}
 	if err := c.readBody(); err != nil {
 		return err
@@ -91,7 +91,7 @@
 // match finds the request's route, account and pool in the document in force.
 func (c *call) match() error {
 	if c.rs = c.g.routes.Load(); c.rs == nil {
-		return Refusal{Cause: NoDocument, RetryAfter: longRetryAfter}
+		return Refusal{Cause: NoDocument, RetryAfter: retry.Later}
 	}
 	var known bool
 	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
@@ -104,43 +104,28 @@
 	return nil
 }
 
-// rank finds how the request stands against its account's share, and refuses
-// what may not be served now.
-func (c *call) rank() error {
-	c.cost = float64(c.head.Prompt.Tokens() + outputCost*c.head.Prompt.Output)
+// classify finds how the request compares with its account's share, and
+// refuses what may not be served now.
+func (c *call) classify() error {
+	c.cost = entitlement.Cost(c.head.Prompt.Tokens(), c.head.Prompt.Output)
 	c.class = entitlement.Entitled
 	if c.pool.Engine {
 		c.class = c.g.accounts.classify(c.account.Name, c.cost)
 	}
 	if !c.g.overload.admits(c.class) {
 		c.g.accounts.countMissed(c.class, c.cost)
-		return Refusal{Cause: ProcessorOverload, RetryAfter: c.retryAfterOverload()}
+		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left())}
 	}
 	if !c.g.accounts.admits(c.class) {
-		return Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
+		return Refusal{Cause: BeyondShare, RetryAfter: retry.After(c.left())}
 	}
 	return nil
 }
 
-// retryAfterOverload is when a caller that the processor cannot serve should
-// try again. Within its account's share it may at once: most other gateways
-// have room.
-func (c *call) retryAfterOverload() time.Duration {
-	if c.class <= entitlement.Entitled {
-		return shortRetryAfter
-	}
-	return c.retryAfter()
-}
-
-// outputCost is what a token made costs against a token read.
-const outputCost = 2
-
-// Times after which a refused caller may come back.
-const (
-	shortRetryAfter = 50 * time.Millisecond
-	longRetryAfter  = time.Second
-)
+// left is the time until the deadline; it may be negative.
+func (c *call) left() time.Duration { return c.deadline - c.g.now() }
 
+// readBody reads the body within the bounds of one body and of all together.
 func (c *call) readBody() error {
 	if c.r.Body == http.NoBody || c.r.ContentLength == 0 {
 		return nil
@@ -153,11 +138,12 @@
 		return Refusal{Cause: BodyTooLarge}
 	}
 	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.Bodies {
-		return Refusal{Cause: Overloaded, RetryAfter: shortRetryAfter}
+		return Refusal{Cause: Overloaded, RetryAfter: retry.Soon}
 	}
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.deadline - c.g.now()))
+	// A writer without deadlines is no error: the server's own still bound the read.
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.left()))
 	body, err := readAll(io.LimitReader(c.r.Body, limit+1), c.r.ContentLength)
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{})
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{}) // the same
 	c.body = body
 	c.g.bodies.Add(int64(len(body)))
 	switch {
@@ -179,14 +165,14 @@
 	return b[:n], err
 }
 
-// serve gives the request to backend servers until one answers it whole, or nothing
-// more may be tried. The error is a [Refusal], a [broken] or the caller's
-// leaving.
+// serve gives the request to backend servers until one answers it whole, or
+// nothing more may be tried. The error is a [Refusal], a [brokenAnswer] or a
+// [callerLeft].
 func (c *call) serve() error {
-	ctx, cancel := context.WithTimeout(c.r.Context(), c.deadline-c.g.now())
+	ctx, cancel := context.WithTimeout(c.r.Context(), c.left())
 	defer cancel()
 	c.avoid = map[string]bool{}
-	c.relay = newRelay(c)
+	c.relay = &relay{c: c}
 	for {
 		a, err := c.server(ctx)
 		if err != nil && c.relay.headWritten {
@@ -197,7 +183,7 @@
 		}
 		c.assigned = a
 		out := c.attempt(ctx, a)
-		if out.done {
+		if out.execution == retry.Answered {
 			return nil
 		}
 		if again, err := c.next(ctx, a, out); !again {
@@ -206,68 +192,47 @@
 	}
 }
 
-// server waits for a backend server. The error is a [Refusal].
+// server waits for a backend server. The error is a [Refusal] or a
+// [callerLeft].
 func (c *call) server(ctx context.Context) (*assignment, error) {
 	req := requirements{
 		pool: c.pool, route: c.route, prompt: c.head.Prompt, account: c.account.Name,
 		priority: c.account.Priority*priorityScale + c.route.Priority, class: c.class,
 		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
-	a, short := c.g.awaitServer(ctx, req, c.queueTimeout())
+	patience := retry.QueueTimeout(c.route, c.counts.Runs, c.g.now()-c.arrived, c.left())
+	a, short := c.g.awaitServer(ctx, req, patience)
 	c.short = short
 	if a != nil {
-		if c.sends == 0 {
+		if c.counts.Arrived == 0 {
 			c.g.accounts.countStarted(c.account.Name, c.cost)
 		}
 		return a, nil
 	}
-	if ctx.Err() != nil {
-		return nil, c.overdue(ctx)
+	policy := c.policy(ctx)
+	if !policy.TimeLeft && c.r.Context().Err() != nil {
+		return nil, callerLeft{}
 	}
-	if c.pool.Engine && c.sends == 0 {
+	if policy.TimeLeft && c.pool.Engine && c.counts.Arrived == 0 {
 		c.g.accounts.countMissed(c.class, c.cost)
 	}
-	switch {
-	case c.attempts > 0:
-		return nil, Refusal{Cause: MayHaveRun}
-	case c.g.table.poolSize(c.pool.Name) <= len(c.avoid):
-		return nil, Refusal{Cause: NoServer, RetryAfter: c.retryAfter()}
-	case c.class > entitlement.Entitled:
-		return nil, Refusal{Cause: BeyondShare, RetryAfter: c.retryAfter()}
-	}
-	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
+	allTried := c.g.table.poolSize(c.pool.Name) <= len(c.avoid)
+	return nil, c.refusal(policy.WithoutServer(c.class, allTried))
 }
 
 // priorityScale puts an account's priority before a route's.
 const priorityScale = 1000
 
-// queueTimeout is how long the request may wait for a backend server: a refusal is worth
-// more to its caller while there is time to come back.
-func (c *call) queueTimeout() time.Duration {
-	const objectivePart = 0.22
-	p := part(c.route.Objective, objectivePart)
-	if c.attempts > 0 || c.route.Objective == 0 {
-		p = time.Second // nothing better can be said any more
-	}
-	return min(p-(c.g.now()-c.arrived), c.deadline-c.g.now())
+// policy is what decides about further attempts, as of now.
+func (c *call) policy(ctx context.Context) retry.Request {
+	return retry.Request{Route: c.route, Counts: c.counts, HeadWritten: c.relay.headWritten, TimeLeft: ctx.Err() == nil}
 }
 
-// retryAfter is when a refused caller should try again.
-func (c *call) retryAfter() time.Duration {
-	const holdPart = 0.1
-	left := c.deadline - c.g.now()
-	return max(min(part(left, holdPart), longRetryAfter), shortRetryAfter)
-}
-
-// overdue is the refusal of a request whose time is over.
-func (c *call) overdue(ctx context.Context) error {
-	switch {
-	case c.r.Context().Err() != nil:
-		return callerLeft{}
-	case c.sends > 0:
-		return Refusal{Cause: TimedOut}
-	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return Refusal{Cause: Overloaded, RetryAfter: shortRetryAfter}
+// refusal is the gateway's own answer for an ending.
+func (c *call) refusal(e retry.Ending) error {
+	cause := endings[e]
+	if !causes[cause].notRun {
+		return Refusal{Cause: cause}
 	}
-	return Refusal{Cause: TimedOut}
+	return Refusal{Cause: cause, RetryAfter: retry.After(c.left())}
 }
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines the end of a call: what its caller is told, and what is
+// This file defines the end of a call: what its caller gets, and what is
 // counted and logged.
 
 // callerLeft ends a request whose caller has closed the connection.
@@ -58,28 +58,28 @@
 
 // logAttrs are the attributes of the request's last log line.
 func (c *call) logAttrs(took time.Duration) []slog.Attr {
-	facts := []slog.Attr{
+	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.account.Name),
-		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.attempts),
-		slog.Int("sends", c.sends), slog.Int("took_ms", int(took.Milliseconds())),
+		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.counts.Runs),
+		slog.Int("sends", c.counts.Arrived), slog.Int("took_ms", int(took.Milliseconds())),
 	}
 	if c.class > entitlement.Entitled {
-		told, age := c.g.accounts.entitlement(c.account.Name)
-		facts = append(facts, slog.Float64("part", float64(told.Part)), slog.Float64("extra_part", float64(told.Extra)),
+		e, age := c.g.accounts.entitlement(c.account.Name)
+		attrs = append(attrs, slog.Float64("part", float64(e.Part)), slog.Float64("extra_part", float64(e.Extra)),
 			slog.Int("told_ms_ago", int(age.Milliseconds())))
 	}
 	if short := c.short; short.server != "" {
-		facts = append(facts, slog.String("full", short.server), slog.Int("full_requests", short.requests),
+		attrs = append(attrs, slog.String("full", short.server), slog.Int("full_requests", short.requests),
 			slog.Int("full_tokens", short.tokens), slog.Int("seen_ms_ago", int(short.age.Milliseconds())))
 	}
 	if a := c.assigned; a != nil {
-		facts = append(facts, slog.String("backend", a.server), slog.Int("tokens_ahead", a.tokensAhead),
+		attrs = append(attrs, slog.String("backend", a.server), slog.Int("tokens_ahead", a.tokensAhead),
 			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()), slog.Int("queued_ms", int((a.began-c.arrived).Milliseconds())),
 			slog.Int("first_ms", int(a.waiting.Milliseconds())))
 	}
 	if c.relay != nil && c.relay.passed > 0 {
-		facts = append(facts, slog.Int("pieces", c.relay.passed), slog.String("last_event", c.relay.lastEventID),
+		attrs = append(attrs, slog.Int("pieces", c.relay.passed), slog.String("last_event", c.relay.lastEventID),
 			slog.Int("quiet_ms", int((c.g.now()-c.relay.passedAt).Milliseconds())))
 	}
-	return facts
+	return attrs
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -124,8 +124,8 @@
 		slog.Int("tenants", len(d.Accounts)))
 }
 
-// mayRepeat takes one more attempt out of the fleet's budget.
-func (g *Gateway) mayRepeat(pool string) bool {
+// takeRetry takes one more attempt out of the fleet's budget, if it allows one.
+func (g *Gateway) takeRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
 	return g.window(pool).Retry(g.now(), int(g.gateways.Load()))
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -4,31 +4,32 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"io"
 	"net/http"
 	"strconv"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
 // This file defines relay, how an answer reaches the caller: a plain answer
 // once it is whole, a stream event by event.
 
-// maxPlain bounds a plain answer that is kept until it is whole, in bytes;
-// larger ones are passed on as they come.
-const maxPlain = 256 << 10
-
-// maxEvent bounds one event of a stream, in bytes.
-const maxEvent = 1 << 20
-
-const readSize = 8 << 10
+// Bounds of memory for one answer, in bytes. Chosen, not measured.
+const (
+	maxPlain = 256 << 10 // a plain answer that is kept until it is whole; larger ones pass as they come
+	maxEvent = 1 << 20   // one event of a stream
+	readSize = 8 << 10   // the buffer of a stream
+)
 
+// relay is the answer of one request, over all its attempts.
 type relay struct {
 	c           *call
 	headWritten bool   // the head has been written
-	lastEventID string // identifier of the last event passed on
+	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
 	passed   int // writes to the caller
@@ -36,8 +37,6 @@
 	extended time.Duration // when the write deadline was last moved
 }
 
-func newRelay(c *call) *relay { return &relay{c: c, lastEventID: ""} }
-
 // heldAnswer is a whole plain answer.
 type heldAnswer struct {
 	status int
@@ -50,7 +49,7 @@
 func (r *relay) plain(a *assignment, answer *forward.Answer, success bool) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
-		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: blameLost, err: err}
 	}
 	r.c.g.answerStarted(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
@@ -58,28 +57,28 @@
 		return r.large(answer, held)
 	}
 	if answer.Status >= 500 {
-		return outcome{execution: hasRun, cause: "server error", blame: blameFaulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
+		return outcome{execution: retry.HasRun, cause: "server error", blame: blameFaulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
 	}
 	r.give(held)
-	return outcome{done: true}
+	return outcome{execution: retry.Answered}
 }
 
 // large passes on an answer that is too large to be kept.
 func (r *relay) large(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	if _, err := r.c.w.Write(head.body); err != nil {
-		return outcome{execution: mayHaveRun, blame: noBlame, err: err}
+		return outcome{execution: retry.MayHaveRun, blame: noBlame, err: err}
 	}
 	if _, err := io.Copy(r.c.w, answer.Body); err != nil {
-		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: blameLost, err: err}
 	}
-	return outcome{done: true}
+	return outcome{execution: retry.Answered}
 }
 
 // give writes a whole answer to the caller.
 func (r *relay) give(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
-	_, _ = r.c.w.Write(h.body)
+	_, _ = r.c.w.Write(h.body) // it fails if the caller has gone, and net/http ends the connection
 }
 
 func (r *relay) writeHead(status int, from http.Header, length int64) {
@@ -116,7 +115,7 @@
 				r.writeHead(answer.Status, answer.Header, -1)
 			}
 			if werr := r.events(buffer[:n], flusher); werr != nil {
-				return outcome{execution: mayHaveRun, cause: "caller gone", blame: noBlame, err: werr}
+				return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: noBlame, err: werr}
 			}
 		}
 		if err == io.EOF {
@@ -126,7 +125,7 @@
 			r.coalesce(ctx)
 		}
 		if err != nil || ctx.Err() != nil {
-			return outcome{execution: mayHaveRun, cause: "stream broken", blame: blameLost, err: errorOr(err, ctx.Err())}
+			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: blameLost, err: cmp.Or(err, ctx.Err())}
 		}
 	}
 }
@@ -146,29 +145,22 @@
 	}
 }
 
-func errorOr(err, other error) error {
-	if err != nil {
-		return err
-	}
-	return other
-}
-
 // streamEnd ends a stream whose body is whole.
 func (r *relay) streamEnd(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
-			return outcome{execution: mayHaveRun, blame: noBlame, err: err}
+			return outcome{execution: retry.MayHaveRun, blame: noBlame, err: err}
 		}
 		r.partial = r.partial[:0]
 	}
 	if len(r.partial) > 0 {
-		return outcome{execution: mayHaveRun, cause: "stream cut off", blame: blameLost, err: errShort}
+		return outcome{execution: retry.MayHaveRun, cause: "stream cut off", blame: blameLost, err: errShort}
 	}
 	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
 	}
-	_ = flusher.Flush()
-	return outcome{done: true}
+	_ = flusher.Flush() // what it leaves behind goes out when the handler returns
+	return outcome{execution: retry.Answered}
 }
 
 // eventEnd separates events.
@@ -201,7 +193,8 @@
 	return nil
 }
 
-// writeTimeout bounds how long a caller may take no byte of a stream.
+// writeTimeout bounds how long a caller may take no byte of a stream. Chosen,
+// not measured.
 const writeTimeout = 10 * time.Second
 
 // extendWriteDeadline moves the deadline now and then; for every event would
@@ -212,6 +205,7 @@
 		return
 	}
 	r.extended = now
+	// A writer without deadlines is no error: the route's time still ends the stream.
 	_ = flusher.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -99,7 +100,7 @@
 		got := x.ask("/again/x")
 		is.Equal(got.status, 503)
 		is.True(got.header.Get("Retry-After") != "")
-		is.Equal(x.servers.count(), maxTries)
+		is.Equal(x.servers.count(), retry.MaxBegun)
 	}, refusing)
 }
 
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -6,19 +6,13 @@
 	"context"
 	"sync/atomic"
 	"time"
-)
-
-// This file defines stallTimer, how long a backend server may say nothing before another
-// one is asked.
 
-// Silence of a backend server after which another one is asked.
-const (
-	stallObjectives = 2.5 // before the first part of an answer
-	stallGaps       = 4.0 // between two parts
-	minStall        = 400 * time.Millisecond
-	forever         = 24 * time.Hour
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 )
 
+// This file defines stallTimer, which ends an attempt whose backend server
+// sends nothing for too long.
+
 // stallTimer watches one attempt. The zero value watches nothing.
 type stallTimer struct {
 	timer   *time.Timer // nil: not watched
@@ -26,29 +20,32 @@
 	expired atomic.Bool // the attempt was ended for its silence
 }
 
-// watchStall cancels an attempt when the backend server is silent for much longer
-// than it should be, if another one may take the request up: otherwise silence
-// justifies nothing. A gateway that is late itself may not have read what has
-// come, so it waits on.
+// unset is where the timer stands until its own function can refer to it: any
+// time longer than a call to Reset takes.
+const unset = 24 * time.Hour
+
+// watchStall cancels an attempt when its backend server stalls. A gateway that
+// is late itself may not have read what has come, so it waits on.
 func (c *call) watchStall(cancel context.CancelFunc) *stallTimer {
 	s := &stallTimer{}
-	if !c.route.MayRepeat() || c.attempts+1 >= c.route.MaxAttempts {
+	first, gap, watched := retry.StallTimeouts(c.route, c.counts.Runs)
+	if !watched {
 		return s
 	}
-	s.gap = max(part(c.route.EventGap, stallGaps), minStall)
-	s.timer = time.AfterFunc(forever, func() {
+	s.gap = gap
+	s.timer = time.AfterFunc(unset, func() {
 		if c.g.overload.late(c.g.now()) {
-			s.timer.Reset(minStall)
+			s.timer.Reset(retry.MinStall)
 			return
 		}
 		s.expired.Store(true)
 		cancel()
 	})
-	s.timer.Reset(max(part(c.route.Objective, stallObjectives), minStall))
+	s.timer.Reset(first)
 	return s
 }
 
-// progressed tells that something of the answer has come.
+// progressed restarts the wait: a part of the answer has come.
 func (s *stallTimer) progressed() {
 	if s.timer != nil && s.timer.Stop() {
 		s.timer.Reset(s.gap)
