--- a/gateway/call.go
+++ b/gateway/call.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/drain"
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/state/document"
@@ -78,7 +79,7 @@
 	if err := c.classify(); err != nil {
 		return err
 	}
-	if !c.g.endsBeforeStop(patience) {
+	if !drain.Grace(c.g.cfg.Grace).Admits(c.g.stopping(), patience) {
 		return Refusal{Cause: Stopping, RetryAfter: retry.Soon}
 	}
 	if err := c.readBody(); err != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -12,6 +12,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
+	"github.com/badgerspoke/badgerspoke/coordination/drain"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/state/document"
@@ -58,10 +59,10 @@
 	stats    *stats
 	meter    *link.Meter
 	seq      atomic.Uint64
-	gateways atomic.Int64 // gateways in the fleet, as last heard
+	gateways atomic.Int64 // gateways in the fleet, as last reported
 	calls    atomic.Int64 // requests being served
 	bodies   atomic.Int64 // bytes of their bodies
-	stopped  atomic.Int64 // when the stop began, by now; 0 before
+	stopped  atomic.Int64 // when the stop began, by now(); 0 before
 
 	overload overload
 
@@ -84,7 +85,7 @@
 	return g
 }
 
-// SetSeeds tells where else the directory may be found from now on.
+// SetSeeds replaces the addresses where the directory may be found.
 func (g *Gateway) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
 // now is the gateway's monotonic clock. It is never 0.
@@ -98,7 +99,7 @@
 }
 
 // IdleTime is how long callers may leave a connection unused, by the document
-// in force; 0 is not said.
+// in force; 0 without a limit.
 func (g *Gateway) IdleTime() time.Duration {
 	if rs := g.routes.Load(); rs != nil {
 		return rs.document.Limits.IdleTime
@@ -131,12 +132,14 @@
 	return g.window(pool).Retry(g.now(), int(g.gateways.Load()))
 }
 
+// countRequest counts a request that earns its pool retries.
 func (g *Gateway) countRequest(pool string) {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
 	g.window(pool).Request(g.now())
 }
 
+// window returns a pool's budget. The caller holds retriesMu.
 func (g *Gateway) window(pool string) *retry.Window {
 	w := g.retries[pool]
 	if w == nil {
@@ -146,47 +149,27 @@
 	return w
 }
 
-// Parts of the grace of a stop.
-const (
-	acceptPart = 0.34 // new requests are served however long they may take
-	finishPart = 0.88 // what runs may go to its end
-	stopPoll   = 20 * time.Millisecond
-)
+// stopPoll is how often a stopping gateway looks whether it may end. Chosen,
+// not measured.
+const stopPoll = 20 * time.Millisecond
 
-// Stop ends the gateway: it is not ready at once; requests that come are
-// served for a part of the grace, each connection closing after its answer;
-// then only those that surely end in time, and the others are refused as not
-// run, while what runs goes to its end. Stop returns early once nothing is
-// being served after the first part.
+// Stop ends the gateway: it is not ready at once, each connection closes after
+// its answer, and package drain says which requests may still begin and when
+// all ends.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
-	t := time.NewTicker(stopPoll)
-	defer t.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
-		since := g.stopping()
-		if since > part(g.cfg.Grace, finishPart) {
+	for range every(ctx, stopPoll) {
+		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.calls.Load()) {
+		case drain.CutOff:
 			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
 			return
-		}
-		if since > part(g.cfg.Grace, acceptPart) && g.calls.Load() == 0 {
+		case drain.End:
 			return
 		}
 	}
 }
 
-// endsBeforeStop reports whether a request that may take that long can be
-// begun.
-func (g *Gateway) endsBeforeStop(patience time.Duration) bool {
-	since := g.stopping()
-	return since <= part(g.cfg.Grace, acceptPart) || since+patience <= part(g.cfg.Grace, finishPart)
-}
-
 // stopping returns for how long the gateway has been stopping, or 0.
 func (g *Gateway) stopping() time.Duration {
 	began := g.stopped.Load()
@@ -196,6 +179,24 @@
 	return g.now() - time.Duration(began)
 }
 
+// every yields once a period until ctx ends.
+func every(ctx context.Context, period time.Duration) func(yield func() bool) {
+	return func(yield func() bool) {
+		t := time.NewTicker(period)
+		defer t.Stop()
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-t.C:
+			}
+			if !yield() {
+				return
+			}
+		}
+	}
+}
+
 func part(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
 
 var _ http.Handler = (*Gateway)(nil)
