--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,44 +1,48 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package registry keeps which backend servers have announced themselves.
+// Package registry keeps which backend servers have announced themselves, and
+// decides who owns an address, who is forgotten, when the list is complete, and how
+// often gateways get the state of the fleet.
 //
-// The model: soft state on the leader. A backend server announces itself again and
-// again under an identifier that is new at each of its starts; one that falls
-// silent is not removed (its callers know better whether it answers) but
+// The model: soft state on the leader. A backend server announces itself once in each
+// interval, under an identifier that is new at each of its starts; one that falls
+// silent is not removed soon (gateways see better whether it answers) but is
 // replaced when another announces the same address. Departures are not soft:
-// the caller keeps them in a replicated log and asks [Registry] only about
-// backend servers that have not departed. A new leader starts empty and is complete
-// once every backend server has had the time to announce itself ([Registry.Complete]).
+// the caller keeps them in a replicated log and passes on only the announcements of
+// backend servers that have not departed. A new leader starts from the registrations
+// in the log and is complete once every backend server has had the time to announce
+// itself ([Registry.Complete]).
 //
-// Nothing here is safe for concurrent use, and nothing reads a clock.
+// Nothing here is safe for concurrent use, and nothing reads a clock: now is the
+// replica's monotonic time.
 package registry
 
 import (
-	"cmp"
 	"fmt"
+	"maps"
 	"net/netip"
 	"slices"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// Announcement is what a backend server says of itself.
+// This file defines Registry, the table of announced backend servers.
+
+// Announcement is what a backend server reports about itself.
 type Announcement struct {
-	ID      string
-	Pool    string
-	Address string // IP:PORT
-	Hall    string
-	Slots   int
+	protocol.Registration
 	Leaving bool
 	Seq     uint64 // rises with each announcement of one ID
 }
 
-// Invalid refuses an announcement that cannot be meant.
+// Invalid refuses an announcement. Nothing was changed.
 type Invalid struct{ What string }
 
-// Error says what is wrong.
-func (e Invalid) Error() string { return "senseless announcement: " + e.What }
+// Error names what is wrong.
+func (e Invalid) Error() string { return "invalid announcement: " + e.What }
 
-// Check returns [Senseless], or nil.
+// Check returns [Invalid], or nil.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
 		return Invalid{What: "no identifier or no pool"}
@@ -52,17 +56,10 @@
 	return nil
 }
 
-// Server is a backend server that may be used.
-type Server struct {
-	Announcement
-	Handle   uint32        // short name within this registry
-	LastSeen time.Duration // when it last announced itself
-}
-
-// Change is what an announcement changed.
+// Change is what an announcement or a departure changed.
 type Change struct {
-	Set  []Server
-	Gone []string
+	Set  []protocol.Server // new or changed
+	Gone []string          // identifiers
 }
 
 // Empty reports whether nothing changed.
@@ -71,104 +68,112 @@
 // Registry is the table of announced backend servers.
 type Registry struct {
 	leaderSince time.Duration
-	interval    time.Duration // between announcements
-	servers     map[string]*Server
+	interval    time.Duration // between two announcements of one backend server
+	servers     map[string]*entry
 	byAddress   map[string]string // identifier by address
-	next        uint32
+	next        uint32            // handle; none is used twice, and 0 is none
+}
+
+type entry struct {
+	protocol.Server
+	seq      uint64        // of the last announcement; 0 if restored
+	lastSeen time.Duration // time of the last announcement, or of the restoring
 }
 
-// completeAfter is the number of announcement intervals after which every
-// backend server that is alive has been heard: one may be late or lost.
+// completeAfter is how long a leader waits, in announcement intervals, before it
+// takes its list for complete: one announcement may be late and one lost. Chosen, not
+// measured.
 const completeAfter = 3
 
-// forgetAfter is the number of intervals of silence after which a backend server is
-// forgotten. It is long: what a backend server's callers see of it counts more.
+// forgetAfter is the silence, in announcement intervals, after which a backend server
+// is forgotten. It is long because gateways see sooner whether the server answers;
+// this bound only keeps the table from growing. Chosen, not measured.
 const forgetAfter = 40
 
-// New returns an empty registry of a leader that begins to lead now.
+// New returns an empty registry of a replica that leads from now on.
 func New(now, interval time.Duration) *Registry {
 	return &Registry{
 		leaderSince: now, interval: interval,
-		servers: map[string]*Server{}, byAddress: map[string]string{}, next: 1,
+		servers: map[string]*entry{}, byAddress: map[string]string{}, next: 1,
 	}
 }
 
-// Restore adds a backend server of which another leader heard, before anybody has
-// spoken here. Any announcement goes before it.
-func (r *Registry) Restore(now time.Duration, a Announcement) {
-	a.Seq = 0
-	if r.servers[a.ID] == nil && r.byAddress[a.Address] == "" {
-		r.add(now, a)
+// Restore adds a backend server that announced itself to an earlier leader. Any
+// announcement to this one goes before it.
+func (r *Registry) Restore(now time.Duration, s protocol.Registration) {
+	if r.servers[s.ID] == nil && r.byAddress[s.Address] == "" {
+		r.add(now, s, 0)
 	}
 }
 
 // Announce takes an announcement of a backend server that has not departed. A late
 // one, with a number that is not above the last, changes nothing.
 func (r *Registry) Announce(now time.Duration, a Announcement) Change {
-	b := r.servers[a.ID]
-	if b == nil {
-		return r.add(now, a)
+	e := r.servers[a.ID]
+	if e == nil {
+		return r.add(now, a.Registration, a.Seq)
 	}
-	if a.Seq <= b.Seq {
+	if a.Seq <= e.seq {
 		return Change{}
 	}
-	same := b.Pool == a.Pool && b.Address == a.Address && b.Hall == a.Hall && b.Slots == a.Slots
-	b.Announcement, b.LastSeen = a, now
+	same := e.Registration == a.Registration
+	e.Registration, e.seq, e.lastSeen = a.Registration, a.Seq, now
 	if same {
 		return Change{}
 	}
-	return Change{Set: []Server{*b}}
+	return Change{Set: []protocol.Server{e.Server}}
 }
 
-func (r *Registry) add(now time.Duration, a Announcement) Change {
+// add adds a backend server, which takes its address from any other one there.
+func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
 	var gone []string
-	if old, taken := r.byAddress[a.Address]; taken {
+	if old, taken := r.byAddress[s.Address]; taken {
 		delete(r.servers, old)
 		gone = append(gone, old)
 	}
-	b := &Server{Announcement: a, Handle: r.next, LastSeen: now}
+	e := &entry{Server: protocol.Server{Registration: s, Handle: r.next}, seq: seq, lastSeen: now}
 	r.next++
-	r.servers[a.ID] = b
-	r.byAddress[a.Address] = a.ID
-	return Change{Set: []Server{*b}, Gone: gone}
+	r.servers[s.ID] = e
+	r.byAddress[s.Address] = s.ID
+	return Change{Set: []protocol.Server{e.Server}, Gone: gone}
 }
 
-// Remove takes out a backend server that has departed. Gone names it even if it was
-// not known here: a caller may know it.
+// Remove removes a backend server that has departed. Gone names it even if it is
+// not known here: a gateway may know it.
 func (r *Registry) Remove(id string) Change {
-	if b := r.servers[id]; b != nil {
+	if e := r.servers[id]; e != nil {
 		delete(r.servers, id)
-		if r.byAddress[b.Address] == id {
-			delete(r.byAddress, b.Address)
+		if r.byAddress[e.Address] == id {
+			delete(r.byAddress, e.Address)
 		}
 	}
 	return Change{Gone: []string{id}}
 }
 
-// ExpireSilent takes out backend servers that have been silent for very long.
+// ExpireSilent removes backend servers that have been silent for more than
+// forgetAfter intervals.
 func (r *Registry) ExpireSilent(now time.Duration) Change {
 	var change Change
-	for _, b := range r.List() {
-		if now-b.LastSeen > forgetAfter*r.interval {
-			change.Gone = append(change.Gone, r.Remove(b.ID).Gone...)
+	for _, s := range r.List() {
+		if now-r.servers[s.ID].lastSeen > forgetAfter*r.interval {
+			change.Gone = append(change.Gone, r.Remove(s.ID).Gone...)
 		}
 	}
 	return change
 }
 
-// Complete reports whether every living backend server has had the time to announce
-// itself here.
+// Complete reports whether every backend server that runs has had the time to
+// announce itself here.
 func (r *Registry) Complete(now time.Duration) bool {
 	return now-r.leaderSince >= completeAfter*r.interval
 }
 
 // List returns all backend servers, ordered by identifier.
-func (r *Registry) List() []Server {
-	list := make([]Server, 0, len(r.servers))
-	for _, b := range r.servers {
-		list = append(list, *b)
+func (r *Registry) List() []protocol.Server {
+	list := make([]protocol.Server, 0, len(r.servers))
+	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
+		list = append(list, r.servers[id].Server)
 	}
-	slices.SortFunc(list, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 	return list
 }
 
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -8,15 +8,17 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
 const interval = time.Second
 
 func announcement(id, address string, seq uint64) Announcement {
-	return Announcement{ID: id, Pool: "p", Address: address, Hall: "z", Slots: 4, Seq: seq}
+	return Announcement{Registration: protocol.Registration{ID: id, Pool: "p", Address: address, Hall: "z", Slots: 4}, Seq: seq}
 }
 
-func ids(list []Server) []string {
+func ids(list []protocol.Server) []string {
 	var out []string
 	for _, b := range list {
 		out = append(out, b.ID)
@@ -24,8 +26,8 @@
 	return out
 }
 
-func TestSenselessAnnouncements(t *testing.T) {
-	for name, a := range map[string]Announcement{
+func TestInvalidAnnouncements(t *testing.T) {
+	for name, s := range map[string]protocol.Registration{
 		"no identifier":  {Pool: "p", Address: "10.0.0.1:80"},
 		"no pool":        {ID: "a", Address: "10.0.0.1:80"},
 		"no port":        {ID: "a", Pool: "p", Address: "10.0.0.1"},
@@ -33,7 +35,7 @@
 		"negative slots": {ID: "a", Pool: "p", Address: "10.0.0.1:80", Slots: -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).True(errors.As(a.Check(), new(Invalid)))
+			is.New(t).True(errors.As(Announcement{Registration: s}.Check(), new(Invalid)))
 		})
 	}
 	is.New(t).NoErr(announcement("a", "10.0.0.1:80", 1).Check())
@@ -103,8 +105,8 @@
 	is := is.New(t)
 	r := New(0, interval)
 	r.Announce(0, announcement("new", "10.0.0.1:80", 1))
-	r.Restore(0, announcement("old", "10.0.0.1:80", 9)) // its address is taken
-	r.Restore(0, announcement("a", "10.0.0.2:80", 9))
+	r.Restore(0, announcement("old", "10.0.0.1:80", 9).Registration) // its address is taken
+	r.Restore(0, announcement("a", "10.0.0.2:80", 9).Registration)
 	is.Equal(ids(r.List()), []string{"a", "new"})
 	is.True(r.Announce(interval, announcement("a", "10.0.0.2:80", 1)).Empty()) // speaks, whatever its number was
 	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"new"})
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -72,7 +72,10 @@
 	const servers = 10000
 	announce := func(i int, seq uint64) {
 		r.Announce(0, registry.Announcement{
-			ID: fmt.Sprintf("i-%d", i), Pool: "p", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250), Slots: 48, Seq: seq,
+			Registration: protocol.Registration{
+				ID: fmt.Sprintf("i-%d", i), Pool: "p", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250), Slots: 48,
+			},
+			Seq: seq,
 		})
 	}
 	for i := range servers {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 	"github.com/badgerspoke/badgerspoke/directory"
+	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
@@ -171,9 +172,11 @@
 	})
 }
 
-func TestSenselessAnnouncementIsRefused(t *testing.T) {
+func TestInvalidAnnouncementIsRefused(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
-		err := x.mustLead().d.Announce(x.t.Context(), registry.Announcement{ID: "b1", Pool: "p", Address: "nowhere"})
+		err := x.mustLead().d.Announce(x.t.Context(), registry.Announcement{
+			Registration: protocol.Registration{ID: "b1", Pool: "p", Address: "nowhere"},
+		})
 		is.New(x.t).True(errors.As(err, new(registry.Invalid)))
 	})
 }
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -24,6 +24,7 @@
 	"github.com/badgerspoke/badgerspoke/gateway"
 	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
+	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -220,7 +221,8 @@
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
 	return x.mustLead().d.Announce(ctx, registry.Announcement{
-		ID: id, Pool: "p", Address: address(id), Slots: 4, Leaving: leaving, Seq: x.beats[id],
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4},
+		Leaving:      leaving, Seq: x.beats[id],
 	})
 }
 
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -10,6 +10,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/internal/golden"
+	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
@@ -20,7 +21,7 @@
 var goldenCommands = []command{
 	{Put: &document.Held{Document: document.Document{Number: 7, Pools: []document.Pool{{Name: "llm"}}}, Source: []byte("source")}},
 	{Depart: "engine-1#a"},
-	{Join: []document.Server{
+	{Join: []protocol.Registration{
 		{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.1:80", Hall: "hall-a", Slots: 16},
 		{ID: "engine-3#c", Pool: "llm", Address: "10.0.0.2:80"},
 	}},
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -14,7 +14,6 @@
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
 // This file defines hub, the goroutine that owns the registry and the
@@ -50,7 +49,7 @@
 	registry *registry.Registry
 	departed uint64 // departures applied to the registry
 	complete bool
-	unlogged []document.Server // announced, not yet put into the log
+	unlogged []protocol.Registration // announced, not yet put into the log
 	sessions map[*session]bool
 	usage    *usage
 	encoded  protocol.Document // newest document, encoded once
@@ -154,10 +153,8 @@
 	h.departed = 0
 	h.complete = false
 	h.unlogged = nil
-	for _, b := range h.d.state.Joined() {
-		h.registry.Restore(h.d.replica.Now(), registry.Announcement{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
-		})
+	for _, s := range h.d.state.Joined() {
+		h.registry.Restore(h.d.replica.Now(), s)
 	}
 	h.usage = newUsage()
 	h.d.cfg.Log.StateChange("leading", slog.Uint64("term", term), slog.Any("members", h.leadership.Load().members))
@@ -250,12 +247,10 @@
 		}
 		known = true
 		change := h.registry.Announce(h.d.replica.Now(), a)
-		for _, b := range change.Set {
-			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", b.ID), slog.String("pool", b.Pool),
-				slog.String("address", b.Address), slog.Any("replaces", change.Gone))
-			h.unlogged = append(h.unlogged, document.Server{
-				ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
-			})
+		for _, s := range change.Set {
+			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
+				slog.String("address", s.Address), slog.Any("replaces", change.Gone))
+			h.unlogged = append(h.unlogged, s.Registration)
 		}
 		h.broadcast(change)
 	})
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -7,6 +7,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/replica"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
@@ -19,7 +20,7 @@
 	Depart string         `cbor:"2,keyasint,omitempty"`
 	// Join is who was announced. Nobody waits for it: it only spares a new
 	// leader the time until everybody has spoken again.
-	Join []document.Server `cbor:"3,keyasint,omitempty"`
+	Join []protocol.Registration `cbor:"3,keyasint,omitempty"`
 }
 
 // Replicated is the applied state. It is safe for concurrent use.
@@ -54,7 +55,7 @@
 }
 
 // Joined returns the backend servers that were announced and have not departed.
-func (r *Replicated) Joined() []document.Server {
+func (r *Replicated) Joined() []protocol.Registration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Joined()
@@ -75,8 +76,8 @@
 	case c.Depart != "":
 		return r.store.Depart(c.Depart)
 	}
-	for _, b := range c.Join {
-		r.store.Join(b)
+	for _, s := range c.Join {
+		r.store.Join(s)
 	}
 	return false
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -27,7 +27,7 @@
 	if c.Empty() {
 		return
 	}
-	m := protocol.Servers{Term: h.term, Set: protocolServers(c.Set), Gone: c.Gone}
+	m := protocol.Servers{Term: h.term, Set: c.Set, Gone: c.Gone}
 	for s := range h.sessions {
 		s.out.Send(m)
 	}
@@ -36,7 +36,7 @@
 func (h *hub) wholeList() protocol.Servers {
 	return protocol.Servers{
 		Term: h.term, Whole: true, Complete: h.complete,
-		Set: protocolServers(h.registry.List()), Gone: h.recentDepartures(),
+		Set: h.registry.List(), Gone: h.recentDepartures(),
 	}
 }
 
@@ -49,16 +49,6 @@
 	return ids
 }
 
-func protocolServers(servers []registry.Server) []protocol.Server {
-	out := make([]protocol.Server, 0, len(servers))
-	for _, b := range servers {
-		out = append(out, protocol.Server{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots, Handle: b.Handle,
-		})
-	}
-	return out
-}
-
 // serve runs one gateway's session until its link ends.
 func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
 	var s *session
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -105,7 +105,9 @@
 	d := testDocument()
 	d.Pools[0].Connections = 10 * benchStream
 	g.apply(d)
-	g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{{ID: "b", Pool: "plain", Address: serverAddress, Slots: benchStream}}})
+	g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{
+		{Registration: protocol.Registration{ID: "b", Pool: "plain", Address: serverAddress, Slots: benchStream}},
+	}})
 	return benchServe(b, g), g
 }
 
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -233,10 +233,9 @@
 func (x *fixture) serversOf(pool string, does ...behaviour) {
 	m := protocol.Servers{Term: 1}
 	for i, d := range does {
-		b := protocol.Server{
-			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Hall: "z",
-			Slots: 4, Handle: uint32(len(pool)*10 + i),
-		}
+		b := protocol.Server{Handle: uint32(len(pool)*10 + i), Registration: protocol.Registration{
+			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Hall: "z", Slots: 4,
+		}}
 		x.servers.does[b.Address] = d
 		m.Set = append(m.Set, b)
 	}
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -73,8 +73,8 @@
 	Servers{
 		Term: 85, Whole: true, Complete: true,
 		Set: []Server{
-			{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Hall: "hall-a", Slots: 16, Handle: 1<<32 - 1},
-			{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80", Handle: 2},
+			{Registration{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Hall: "hall-a", Slots: 16}, 1<<32 - 1},
+			{Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, 2},
 		},
 		Gone: []string{"engine-3#c", "engine-4#d"},
 	},
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -32,7 +32,7 @@
 	WatchRedirect{Leader: "c", Members: []string{"c", "d"}},
 	Document{Number: 4, Data: []byte{5}},
 	Servers{Term: 1, Whole: true, Complete: true, Gone: []string{"x"},
-		Set: []Server{{ID: "b", Pool: "p", Address: "10.0.0.1:80", Hall: "z", Slots: 4, Handle: 7}}},
+		Set: []Server{{Registration{ID: "b", Pool: "p", Address: "10.0.0.1:80", Hall: "z", Slots: 4}, 7}}},
 	Usage{Loads: []ServerLoad{{Handle: 7, Requests: 2, Tokens: 900}}, Demands: []Demand{{Account: "t", Tokens: 12}},
 		Number: 4, Started: 5, Missed: 6},
 	Fleet{Gateways: 3, Loads: []ServerLoad{{Handle: 7, Requests: 1, Tokens: 2}},
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -31,13 +31,19 @@
 	Data   []byte `cbor:"2,keyasint"`
 }
 
-// Server is one announced backend server.
-type Server struct {
+// Registration is what a backend server registers under. Messages and stored
+// records hold it in the same form.
+type Registration struct {
 	ID      string `cbor:"1,keyasint"`
 	Pool    string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // IP:PORT
 	Hall    string `cbor:"4,keyasint,omitempty"`
-	Slots   int    `cbor:"5,keyasint,omitempty"`
+	Slots   int    `cbor:"5,keyasint,omitempty"` // requests that it runs at a time
+}
+
+// Server is one announced backend server.
+type Server struct {
+	Registration
 	// Handle stands for the backend server in Usage and Fleet, within one term.
 	Handle uint32 `cbor:"6,keyasint"`
 }
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
 func valid() Document {
@@ -109,13 +111,13 @@
 func TestJoinedBackends(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	s.Join(Server{ID: "b", Address: "10.0.0.2:80"})
-	s.Join(Server{ID: "a", Address: "10.0.0.1:80"})
+	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"})
+	s.Join(protocol.Registration{ID: "a", Address: "10.0.0.1:80"})
 	is.Equal(len(s.Joined()), 2)
-	s.Join(Server{ID: "c", Address: "10.0.0.1:80"}) // a's address
+	s.Join(protocol.Registration{ID: "c", Address: "10.0.0.1:80"}) // a's address
 	is.Equal(s.Joined()[0].ID, "b")
 	s.Depart("b")
-	s.Join(Server{ID: "b", Address: "10.0.0.2:80"}) // late
+	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"}) // late
 	is.Equal(len(s.Joined()), 1)
 	is.Equal(s.Joined()[0].ID, "c")
 }
@@ -126,7 +128,7 @@
 	s.Put(Held{Document: valid(), Source: []byte("as it was sent")})
 	s.Depart("x")
 	s.Depart("y")
-	s.Join(Server{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
+	s.Join(protocol.Registration{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
 	image, err := s.MarshalBinary()
 	is.NoErr(err)
 	var restored Store
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -15,6 +15,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/internal/golden"
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
 // This file pins the bytes of documents and of the store in testdata/golden: they
@@ -88,7 +89,7 @@
 
 func TestGoldenStore(t *testing.T) {
 	is := is.New(t)
-	joined := []Server{
+	joined := []protocol.Registration{
 		{ID: "a#1", Pool: "llm", Address: "10.0.0.1:80", Hall: "hall-a", Slots: 16},
 		{ID: "b#2", Pool: "web", Address: "10.0.0.2:80"},
 		{ID: "c#3", Pool: "web", Address: "10.0.0.3:80"},
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -7,6 +7,8 @@
 	"slices"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
 // This file defines Store, the state machine of documents and departures.
@@ -24,24 +26,14 @@
 // MaxServers is the number of backend servers that are remembered.
 const MaxServers = 16384
 
-// Server is an announced backend server, as far as it outlives the leader that heard
-// it.
-type Server struct {
-	ID      string `cbor:"1,keyasint"`
-	Pool    string `cbor:"2,keyasint"`
-	Address string `cbor:"3,keyasint"` // IP:PORT
-	Hall    string `cbor:"4,keyasint,omitempty"`
-	Slots   int    `cbor:"5,keyasint,omitempty"`
-}
-
 // Store holds the highest document, the newest departures, and who was
 // announced and has not departed. It is not safe for concurrent use. The zero
 // value is empty.
 type Store struct {
 	held    *Held
-	joined  map[string]Server // by identifier
-	order   []string          // departed backend servers, oldest first
-	total   uint64            // departures ever
+	joined  map[string]protocol.Registration // by identifier
+	order   []string                         // departed backend servers, oldest first
+	total   uint64                           // departures ever
 	departs map[string]bool
 }
 
@@ -83,26 +75,27 @@
 	return true
 }
 
-// Join remembers an announced backend server, in place of any at the same address.
-// One that has departed stays away.
-func (s *Store) Join(b Server) {
-	if s.departs[b.ID] || len(s.joined) >= MaxServers {
+// Join records an announced backend server, in place of any at the same address.
+// One that has departed is passed over,
+// and so is a new one beyond MaxServers.
+func (s *Store) Join(r protocol.Registration) {
+	if s.departs[r.ID] || len(s.joined) >= MaxServers {
 		return
 	}
 	if s.joined == nil {
-		s.joined = map[string]Server{}
+		s.joined = map[string]protocol.Registration{}
 	}
 	for id, other := range s.joined {
-		if other.Address == b.Address {
+		if other.Address == r.Address {
 			delete(s.joined, id)
 		}
 	}
-	s.joined[b.ID] = b
+	s.joined[r.ID] = r
 }
 
 // Joined returns the remembered backend servers, ordered by identifier.
-func (s *Store) Joined() []Server {
-	out := make([]Server, 0, len(s.joined))
+func (s *Store) Joined() []protocol.Registration {
+	out := make([]protocol.Registration, 0, len(s.joined))
 	for _, id := range slices.Sorted(maps.Keys(s.joined)) {
 		out = append(out, s.joined[id])
 	}
@@ -121,10 +114,10 @@
 
 // image is the serialized form.
 type image struct {
-	Held    *Held    `cbor:"1,keyasint,omitempty"`
-	Departs []string `cbor:"2,keyasint,omitempty"`
-	Total   uint64   `cbor:"3,keyasint,omitempty"`
-	Joined  []Server `cbor:"4,keyasint,omitempty"`
+	Held    *Held                   `cbor:"1,keyasint,omitempty"`
+	Departs []string                `cbor:"2,keyasint,omitempty"`
+	Total   uint64                  `cbor:"3,keyasint,omitempty"`
+	Joined  []protocol.Registration `cbor:"4,keyasint,omitempty"`
 }
 
 // MarshalBinary implements [encoding.BinaryMarshaler].
@@ -143,8 +136,8 @@
 		s.Depart(id)
 	}
 	s.total = max(s.total, im.Total)
-	for _, b := range im.Joined {
-		s.Join(b)
+	for _, r := range im.Joined {
+		s.Join(r)
 	}
 	return nil
 }
