--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -28,6 +28,7 @@
 
 	"github.com/badgerspoke/badgerspoke/control"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
+	"github.com/badgerspoke/badgerspoke/replica"
 	"github.com/badgerspoke/badgerspoke/router"
 	"github.com/badgerspoke/badgerspoke/settings"
 	"github.com/badgerspoke/badgerspoke/state/wal"
@@ -135,7 +136,7 @@
 	c, err := control.Start(ctx, control.Settings{
 		Identity: b.identity(), Replicas: b.set.Replicas,
 		Operators: addressOf(b.set.Operators), Dir: b.set.Dir, Overcommit: b.set.Overcommit,
-		Lease: b.set.Lease, Pace: b.set.Pace, Election: b.set.Election, Heartbeat: b.set.Heartbeat,
+		Lease: b.set.Lease, Pace: b.set.Pace, Tuning: replica.Tuning{Election: b.set.Election, Heartbeat: b.set.Heartbeat},
 		Random: b.set.Random, Log: b.set.Log, Metrics: b.metrics,
 	})
 	if err != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -44,12 +44,10 @@
 	// Overcommit is the part of an engine's slots that is granted beyond them.
 	Overcommit float64
 	Pace       slots.Pace
-	Election   time.Duration
-	Heartbeat  time.Duration
-	CompactAt  int64
-	Random     func() uint64
-	Log        *slog.Logger
-	Metrics    *metrics.Set
+	replica.Tuning
+	Random  func() uint64
+	Log     *slog.Logger
+	Metrics *metrics.Set
 }
 
 func (s Settings) withDefaults() Settings {
@@ -59,15 +57,7 @@
 	if s.Pace == (slots.Pace{}) {
 		s.Pace = slots.DefaultPace
 	}
-	if s.Election == 0 {
-		s.Election = replica.DefaultElection
-	}
-	if s.Heartbeat == 0 {
-		s.Heartbeat = replica.DefaultHeartbeat
-	}
-	if s.CompactAt == 0 {
-		s.CompactAt = replica.DefaultCompactAt
-	}
+	s.Tuning = s.Tuning.WithDefaults()
 	return s
 }
 
@@ -129,8 +119,7 @@
 	slices.Sort(names)
 	return replica.Start(c.ctx, replica.Settings{
 		Group: name, Name: c.set.Identity.Name, Names: names, Dir: dir, Machine: m,
-		Send: c.peers.Send, Election: c.set.Election, Heartbeat: c.set.Heartbeat,
-		CompactAt: c.set.CompactAt, Random: c.set.Random, Log: c.set.Log, Observe: observe,
+		Send: c.peers.Send, Tuning: c.set.Tuning, Random: c.set.Random, Log: c.set.Log, Observe: observe,
 	})
 }
 
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -38,26 +38,11 @@
 	Voters    int      // wanted in the group
 	Dir       wal.Dir
 	// Interval is the time between a backend server's announcements.
-	Interval  time.Duration
-	Election  time.Duration
-	Heartbeat time.Duration
-	CompactAt int64
-	Random    func() uint64
-	Log       *decision.Log
-	Metrics   *metrics.Set
-}
-
-func (cfg Settings) withDefaults() Settings {
-	if cfg.Election == 0 {
-		cfg.Election = replica.DefaultElection
-	}
-	if cfg.Heartbeat == 0 {
-		cfg.Heartbeat = replica.DefaultHeartbeat
-	}
-	if cfg.CompactAt == 0 {
-		cfg.CompactAt = replica.DefaultCompactAt
-	}
-	return cfg
+	Interval time.Duration
+	replica.Tuning
+	Random  func() uint64
+	Log     *decision.Log
+	Metrics *metrics.Set
 }
 
 // Directory is a running directory replica.
@@ -76,7 +61,7 @@
 // Start opens the data folder and joins or founds the group. It runs until
 // Stop, or until its disk fails (see Done).
 func Start(ctx context.Context, cfg Settings) (*Directory, error) {
-	cfg = cfg.withDefaults()
+	cfg.Tuning = cfg.Tuning.WithDefaults()
 	ctx, stop := context.WithCancel(ctx)
 	d := &Directory{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics)}
 	d.hub = newHub(d)
@@ -86,8 +71,7 @@
 	d.replica, err = replica.Start(ctx, replica.Settings{
 		Group: group, Name: cfg.Identity.Name, Names: cfg.Seeds,
 		Open: &replica.OpenGroup{Bootstrap: cfg.Bootstrap, Voters: cfg.Voters},
-		Dir:  cfg.Dir, Machine: d.state, Send: d.mesh.Send,
-		Election: cfg.Election, Heartbeat: cfg.Heartbeat, CompactAt: cfg.CompactAt,
+		Dir:  cfg.Dir, Machine: d.state, Send: d.mesh.Send, Tuning: cfg.Tuning,
 		Random: cfg.Random, Log: cfg.Log.Slog(), Observe: d.hub.observe,
 	})
 	if err != nil {
--- a/process/directory.go
+++ b/process/directory.go
@@ -17,6 +17,7 @@
 
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/directory"
+	"github.com/badgerspoke/badgerspoke/replica"
 	"github.com/badgerspoke/badgerspoke/state/wal"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 	"github.com/badgerspoke/badgerspoke/transport/socket"
@@ -121,7 +122,7 @@
 	}
 	d, err := directory.Start(context.Background(), directory.Settings{
 		Identity: n.identity(), Seeds: n.cfg.Seeds, Bootstrap: n.cfg.Bootstrap, Voters: n.cfg.Voters, Dir: dir,
-		Interval: n.cfg.Interval, Election: election, Heartbeat: heartbeat,
+		Interval: n.cfg.Interval, Tuning: replica.Tuning{Election: election, Heartbeat: heartbeat},
 		Random: rand.Uint64, Log: n.log, Metrics: n.metrics,
 	})
 	if err != nil {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -15,6 +15,7 @@
 package replica
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
 	"time"
@@ -50,17 +51,13 @@
 	Names []string // of all replicas
 	// Open, if set, makes an open group: Names are then seeds, and whoever
 	// asks may join.
-	Open      *OpenGroup
-	Dir       wal.Dir
-	Machine   Machine
-	Send      Sender
-	Election  time.Duration
-	Heartbeat time.Duration
-	// CompactAt is the size of the journal, in bytes, from which it is
-	// replaced by a snapshot.
-	CompactAt int64
-	Random    func() uint64
-	Log       *slog.Logger
+	Open    *OpenGroup
+	Dir     wal.Dir
+	Machine Machine
+	Send    Sender
+	Tuning
+	Random func() uint64
+	Log    *slog.Logger
 	// Observe, if set, is called from the replica's goroutine after every
 	// batch of inputs with the group's state. It must not block.
 	Observe func(now time.Duration, s consensus.Status, leads bool)
@@ -76,12 +73,25 @@
 	Voters int
 }
 
-// Defaults of the times and sizes of a replica.
-const (
-	DefaultElection  = 600 * time.Millisecond
-	DefaultHeartbeat = 120 * time.Millisecond
-	DefaultCompactAt = 4 << 20
-)
+// Tuning is the times and sizes that a role may leave to their defaults.
+type Tuning struct {
+	Election  time.Duration // silence of the leader after which a replica stands for election
+	Heartbeat time.Duration // between two messages of an idle leader
+	// CompactAt is the size of the journal, in bytes, from which it is replaced by
+	// a snapshot; 0 is never.
+	CompactAt int64
+}
+
+// WithDefaults returns the tuning with what is zero replaced. The figures are
+// chosen, not measured: a heartbeat is a fifth of an election timeout, so that four
+// may be lost; 4 MiB are about 16,000 changes of a configuration (docs/CAPACITY.md).
+func (t Tuning) WithDefaults() Tuning {
+	return Tuning{
+		Election:  cmp.Or(t.Election, 600*time.Millisecond),
+		Heartbeat: cmp.Or(t.Heartbeat, 120*time.Millisecond),
+		CompactAt: cmp.Or(t.CompactAt, 4<<20),
+	}
+}
 
 // Replica is a running replica.
 type Replica struct {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -40,7 +40,7 @@
 func settingsOf(dir wal.Dir, m Machine) Settings {
 	return Settings{
 		Group: "g", Name: "a", Names: []string{"a"}, Dir: dir, Machine: m, Send: func(protocol.Consensus) {},
-		Election: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, CompactAt: 2000,
+		Tuning: Tuning{Election: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, CompactAt: 2000},
 		Random: rand.Uint64, Log: slog.New(slog.DiscardHandler),
 	}
 }
