--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -111,3 +111,14 @@
 	is.True(r.Announce(interval, announcement("a", "10.0.0.2:80", 1)).Empty()) // speaks, whatever its number was
 	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"new"})
 }
+
+func TestFleetPause(t *testing.T) {
+	for size, want := range map[int]time.Duration{
+		0:               50 * time.Millisecond,
+		133:             50 * time.Millisecond, // 15 backend servers
+		4 << 10:         450 * time.Millisecond,
+		fleetBudget * 9: 550 * time.Millisecond,
+	} {
+		is.New(t).Equal(FleetPause(size), want)
+	}
+}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -82,8 +82,8 @@
 	return d, nil
 }
 
-// ServeHTTP accepts links of other nodes at [link.Path]: the first message
-// tells a gateway from a replica.
+// ServeHTTP accepts links of other nodes at [link.Path]: a gateway's first message is
+// a [protocol.Watch], a replica's is a [protocol.Consensus].
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l, err := link.Accept(w, r, d.cfg.Identity, d.meter)
 	if err != nil {
@@ -121,7 +121,7 @@
 
 // Put takes a document. When it returns nil, the document, or one with a
 // higher number, is on the disks of a majority. The error is
-// [document.Invalid], [Elsewhere] or [Unsure].
+// [document.Invalid], [NotLeader] or [Unavailable].
 func (d *Directory) Put(ctx context.Context, h document.Held) error {
 	if err := h.Document.Check(); err != nil {
 		return err
@@ -136,37 +136,37 @@
 // NoDocument says that no document was ever put.
 type NoDocument struct{}
 
-// Error says so.
+// Error implements error.
 func (NoDocument) Error() string { return "no document was put yet" }
 
 // Read returns the newest acknowledged document. The error is [NoDocument],
-// [Elsewhere] or [Unsure].
+// [NotLeader] or [Unavailable].
 func (d *Directory) Read(ctx context.Context) (document.Held, error) {
 	var held document.Held
-	var any, leads bool
+	var exists, leads bool
 	var leader string
 	var until time.Duration
 	err := d.replica.Inspect(ctx, func(now time.Duration, n *consensus.Node) {
 		s := n.Status()
 		leader, until, leads = s.Leader.Name, s.LeaseEnd, n.Leads(now)
-		held, any = d.state.Held()
+		held, exists = d.state.Held()
 	})
 	switch {
 	case err != nil:
 		return held, Unavailable{Err: err}
 	case !leads:
 		return held, d.notLeader(leader)
-	case d.replica.Now() >= until: // stood still since
+	case d.replica.Now() >= until: // the lease ran out while this goroutine waited
 		return held, Unavailable{}
-	case !any:
+	case !exists:
 		return held, NoDocument{}
 	}
 	return held, nil
 }
 
-// Announce takes a backend server's announcement. When it returns nil, gateways hear
-// of it; a backend server that leaves is then on the disks of a majority as leaving.
-// The error is [registry.Senseless], [Elsewhere] or [Unsure].
+// Announce takes a backend server's announcement. When it returns nil, it is on its
+// way to the gateways; the departure of one that is leaving is then on the disks of a
+// majority. The error is [registry.Invalid], [NotLeader] or [Unavailable].
 func (d *Directory) Announce(ctx context.Context, a registry.Announcement) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -183,8 +183,8 @@
 	return d.hub.announce(ctx, a)
 }
 
-// Withdraw takes a backend server out for good. The error is [Elsewhere] or
-// [Unsure].
+// Withdraw removes a backend server for good. When it returns nil, the departure is on
+// the disks of a majority. The error is [NotLeader] or [Unavailable].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
 	if err := d.leading(); err != nil {
 		return err
@@ -209,7 +209,7 @@
 // Leads reports whether this replica leads now.
 func (d *Directory) Leads() bool { return d.leading() == nil }
 
-// leading returns nil at the leader, [Elsewhere] or [Unsure].
+// leading returns nil at the leader, else [NotLeader] or [Unavailable].
 func (d *Directory) leading() error {
 	leadership := d.hub.leadership.Load()
 	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
@@ -249,12 +249,13 @@
 func (d *Directory) Err() error { return d.replica.Err() }
 
 // handoverElections bounds, in election timeouts, how long a stop waits for a
-// successor.
+// successor: when no other replica runs, none will come. Chosen, not measured.
 const handoverElections = 3
 
-// Stop hands the lead over, if another replica can take it, and stops.
+// Stop hands the leadership over, if another replica can take it, and stops.
 func (d *Directory) Stop(ctx context.Context) {
 	handover, cancel := context.WithTimeout(ctx, handoverElections*d.cfg.Election)
+	// Without a successor the other replicas elect one once they miss this leader.
 	_ = d.replica.Transfer(handover)
 	cancel()
 	d.stop()
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -20,15 +20,15 @@
 // gateways' sessions while this replica leads.
 
 const (
-	eventDepth   = 8192
-	sessionQueue = 256
-	fleetPeriod  = 100 * time.Millisecond // between two Fleet messages
-	fleetLongest = 600 * time.Millisecond // gateways take a leader that is silent for longer for lost
-	fleetBudget  = 8 << 10                // bytes a second of Fleet messages on one link
-	joinTimeout  = 2 * time.Second        // for joins to be logged
+	// eventDepth is the number of announcements and reports that may wait for the
+	// hub; beyond it their senders wait. Chosen, not measured.
+	eventDepth = 8192
+	// joinTimeout bounds how long the logging of announced backend servers is tried.
+	// Chosen, not measured.
+	joinTimeout = 2 * time.Second
 )
 
-// leadership is what the replica's goroutine last said.
+// leadership is what the replica's goroutine last published.
 type leadership struct {
 	leads    bool
 	term     uint64
@@ -47,8 +47,8 @@
 	// Owned by run.
 	term     uint64 // 0 unless this replica leads
 	registry *registry.Registry
-	departed uint64 // departures applied to the registry
-	complete bool
+	departed uint64                  // departures applied to the registry
+	complete bool                    // the registry is, and the sessions were sent the whole list since
 	unlogged []protocol.Registration // announced, not yet put into the log
 	sessions map[*session]bool
 	usage    *usage
@@ -92,6 +92,7 @@
 	return slices.EqualFunc(names, m.Voters, func(name string, p protocol.Peer) bool { return name == p.Name })
 }
 
+// post queues f for the hub's goroutine.
 func (h *hub) post(f func()) {
 	select {
 	case h.events <- f:
@@ -114,7 +115,7 @@
 }
 
 func (h *hub) run() {
-	tick := time.NewTicker(fleetPeriod)
+	tick := time.NewTicker(registry.FleetPeriod)
 	defer tick.Stop()
 	defer h.endTerm()
 	for {
@@ -131,7 +132,8 @@
 	}
 }
 
-// syncLeadership brings the hub to the present lead and state.
+// syncLeadership begins or ends a term if the leader has changed, and sends on what
+// has been applied since.
 func (h *hub) syncLeadership() {
 	l := h.leadership.Load()
 	switch {
@@ -189,8 +191,7 @@
 	h.pushFleet()
 }
 
-// logJoins puts what was announced since the last tick into the log. What is
-// lost on the way is heard again by a later leader.
+// logJoins puts the backend servers announced since the last tick into the log.
 func (h *hub) logJoins() {
 	if len(h.unlogged) == 0 {
 		return
@@ -200,12 +201,13 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, joinTimeout)
 		defer cancel()
+		// A later leader that lacks one learns it from its next announcement.
 		_, _ = h.d.propose(ctx, c)
 	}()
 }
 
-// pushDepartures takes departed backend servers out of the registry and tells
-// everybody.
+// pushDepartures removes departed backend servers from the registry and sends their
+// departures to every session.
 func (h *hub) pushDepartures() {
 	departures, total := h.d.state.DeparturesSince(h.departed)
 	h.departed = total
@@ -239,13 +241,14 @@
 	}
 }
 
+// announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	known := false
+	taken := false
 	err := h.do(ctx, func() {
 		if h.term == 0 || h.d.state.Departed(a.ID) {
 			return
 		}
-		known = true
+		taken = true
 		change := h.registry.Announce(h.d.replica.Now(), a)
 		for _, s := range change.Set {
 			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
@@ -254,7 +257,7 @@
 		}
 		h.broadcast(change)
 	})
-	if err == nil && !known && !h.d.state.Departed(a.ID) {
+	if err == nil && !taken && !h.d.state.Departed(a.ID) {
 		return Unavailable{}
 	}
 	return err
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -18,8 +18,8 @@
 type command struct {
 	Put    *document.Held `cbor:"1,keyasint,omitempty"`
 	Depart string         `cbor:"2,keyasint,omitempty"`
-	// Join is who was announced. Nobody waits for it: it only spares a new
-	// leader the time until everybody has spoken again.
+	// Join is backend servers that announced themselves. Nobody waits for it: it only
+	// spares a new leader the time until all have announced themselves again.
 	Join []protocol.Registration `cbor:"3,keyasint,omitempty"`
 }
 
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -12,8 +12,20 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines the gateways' sessions: their opening, what goes out on them,
+// This file defines the gateways' sessions: their opening, what is sent on them,
 // and their end. All but serve runs in the hub's goroutine.
+//
+// What an outbox refuses is not sent again: a queue that is full closes its link, and
+// the gateway's next session starts with the whole list.
+
+// sessionQueue is the number of messages that may wait for one gateway's link, at
+// most ten of them a second being Fleet messages. Chosen, not measured.
+const sessionQueue = 256
+
+// listedDepartures is the number of newest departures that go out with a whole list.
+// A gateway that missed more drops the rest with the first complete list. Chosen, not
+// measured.
+const listedDepartures = 256
 
 // session is one gateway's link.
 type session struct {
@@ -40,12 +52,11 @@
 	}
 }
 
-// recentDepartures are told with a whole list, because an incomplete list
-// does not say who is gone.
+// recentDepartures go out with a whole list, because one that is not complete does
+// not show which backend servers a gateway must drop.
 func (h *hub) recentDepartures() []string {
-	const recent = 256
 	_, total := h.d.state.DeparturesSince(h.departed)
-	ids, _ := h.d.state.DeparturesSince(total - min(total, recent))
+	ids, _ := h.d.state.DeparturesSince(total - min(total, listedDepartures))
 	return ids
 }
 
@@ -55,6 +66,7 @@
 	err := h.do(ctx, func() { s = h.open(l, w) })
 	if err != nil || s == nil {
 		leadership := h.leadership.Load()
+		// The link closes now in any case, and the gateway tries the next replica.
 		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
 		return
 	}
@@ -99,8 +111,8 @@
 	h.usage.forget(s)
 }
 
-// pushFleet tells every gateway how all of them together stand, as often as
-// the budget of its link allows.
+// pushFleet sends every gateway the state of all others, as often as the budget of
+// its link allows.
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
@@ -115,17 +127,15 @@
 			Entitlements: h.usage.entitlements, Members: members, Short: h.usage.short(),
 		}
 		s.out.Send(m)
-		s.due = now + fleetPause(m)
+		s.due = now + registry.FleetPause(encodedSize(m))
 	}
 }
 
-// fleetPause is how long a link rests after a message so that it keeps to its
-// budget.
-func fleetPause(m protocol.Fleet) time.Duration {
+// encodedSize returns the bytes that a message takes on a link.
+func encodedSize(m protocol.Message) int {
 	b, err := protocol.Encode(m)
 	if err != nil {
-		return fleetLongest
+		return protocol.MaxMessage // the outbox meets the same error and closes the link
 	}
-	byBudget := time.Duration(float64(len(b)) / fleetBudget * float64(time.Second))
-	return min(max(byBudget, fleetPeriod), fleetLongest) - fleetPeriod/2 // the tick that is nearest
+	return len(b)
 }
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -13,8 +13,8 @@
 
 // This file defines Store, the state machine of documents and departures.
 
-// MaxDepartures is the number of departed backend servers that are remembered. A
-// heartbeat that is later than so many departures is believed.
+// MaxDepartures is the number of departed backend servers that are remembered. A late
+// announcement of one that departed before them adds it again. Chosen, not measured.
 const MaxDepartures = 8192
 
 // Held is a document with the bytes that its author sent.
@@ -23,15 +23,17 @@
 	Source   []byte   `cbor:"2,keyasint"`
 }
 
-// MaxServers is the number of backend servers that are remembered.
+// MaxServers is the number of registrations that are remembered, above the 10,000
+// backend servers of docs/CAPACITY.md. Those beyond it are unknown to a new leader
+// until they announce themselves.
 const MaxServers = 16384
 
-// Store holds the highest document, the newest departures, and who was
-// announced and has not departed. It is not safe for concurrent use. The zero
+// Store holds the highest document, the newest departures, and the registrations of
+// backend servers that have not departed. It is not safe for concurrent use. The zero
 // value is empty.
 type Store struct {
 	held    *Held
-	joined  map[string]protocol.Registration // by identifier
+	joined  map[string]protocol.Registration // by identifier, one an address
 	order   []string                         // departed backend servers, oldest first
 	total   uint64                           // departures ever
 	departs map[string]bool
