--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -3,23 +3,24 @@
 package protocol
 
 // This file defines how a router claims the right to run a keyed request, and
-// what it says when the request has ended.
+// how it reports the request's end.
 
 // ClaimState is where a claim stands.
 type ClaimState uint8
 
 // The states of a claim.
 const (
-	ClaimGranted  ClaimState = 1 // to the asker: run it
+	ClaimGranted  ClaimState = 1 // to the router that claims: run it
 	ClaimRunning  ClaimState = 2 // another router holds it; ask again or wait
 	ClaimRan      ClaimState = 3 // it ran; Answer is set if it was small enough
-	ClaimUnknown  ClaimState = 4 // its router vanished; it may have run
+	ClaimUnknown  ClaimState = 4 // its router was lost; it may have run
 	ClaimMismatch ClaimState = 5 // the key was used with another content
-	ClaimRetry    ClaimState = 6 // this replica can't tell; ask the leader again
-	ClaimReleased ClaimState = 7 // it truly did not run
+	ClaimRetry    ClaimState = 6 // this replica does not know; ask the leader again
+	ClaimReleased ClaimState = 7 // it has not run
 )
 
-// Claim asks for the right to run a keyed request. A resend by the same
+// Claim is sent by a router to the leading control replica, before it runs a request
+// that has a key: it asks for the right to do so. A resend by the same
 // router with the same Attempt gets the same answer.
 type Claim struct {
 	Call    uint64 `cbor:"1,keyasint"` // pairs the answer with the question
@@ -30,7 +31,8 @@
 	Wait    bool   `cbor:"6,keyasint,omitempty"`
 }
 
-// Settle ends a claim that the router was granted.
+// Settle is sent by a router to the leading control replica when a request that it
+// claimed has ended.
 type Settle struct {
 	Call    uint64     `cbor:"1,keyasint"`
 	Account string     `cbor:"2,keyasint"`
@@ -40,7 +42,7 @@
 	Answer  *Answer    `cbor:"6,keyasint,omitempty"`
 }
 
-// Claimed answers a Claim or a Settle.
+// Claimed is the control replica's answer to a Claim or a Settle.
 type Claimed struct {
 	Call   uint64     `cbor:"1,keyasint"`
 	State  ClaimState `cbor:"2,keyasint"`
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -11,28 +11,34 @@
 // This file defines the envelope around every message, and the one encoder
 // and decoder that all links use.
 
-// MaxMessage bounds one message, in bytes. A larger configuration snapshot
-// does not exist at the sizes that this project is designed for (5,800
-// accounts and 10,000 backend servers take about 2 MB).
+// MaxMessage bounds one message, in bytes. The largest, a configuration snapshot at the
+// sizes of docs/CAPACITY.md, takes 932 KB (BenchmarkSpread of package control).
 const MaxMessage = 16 << 20
 
-// Kind names the type of a message on a link.
+// Kind names the type of a message on a link. The numbers are on the wire and are
+// never used again for something else.
 type Kind uint8
 
-// The kinds of message.
+// The kinds of message, by conversation. The comment of each type says who sends it to
+// whom, and when.
 const (
-	KindHello         Kind = 1
-	KindWelcome       Kind = 2
-	KindRedirect      Kind = 3
-	KindRenew         Kind = 4
-	KindRenewed       Kind = 5
-	KindReport        Kind = 6
-	KindView          Kind = 7
-	KindConfigure     Kind = 8
-	KindClaim         Kind = 9
-	KindSettle        Kind = 10
-	KindClaimed       Kind = 11
-	KindConsensus     Kind = 12
+	// Between a router and a control replica.
+	KindHello     Kind = 1
+	KindWelcome   Kind = 2
+	KindRedirect  Kind = 3
+	KindRenew     Kind = 4
+	KindRenewed   Kind = 5
+	KindReport    Kind = 6
+	KindView      Kind = 7
+	KindConfigure Kind = 8
+	KindClaim     Kind = 9
+	KindSettle    Kind = 10
+	KindClaimed   Kind = 11
+
+	// Between the replicas of one group.
+	KindConsensus Kind = 12
+
+	// Between a gateway and a directory replica.
 	KindWatch         Kind = 13
 	KindWatchRedirect Kind = 14
 	KindDocument      Kind = 15
@@ -41,23 +47,40 @@
 	KindFleet         Kind = 18
 )
 
-var kindNames = map[Kind]string{
-	KindHello: "hello", KindWelcome: "welcome", KindRedirect: "redirect", KindRenew: "renew",
-	KindRenewed: "renewed", KindReport: "report", KindView: "view", KindConfigure: "configure",
-	KindClaim: "claim", KindSettle: "settle", KindClaimed: "claimed", KindConsensus: "consensus",
-	KindWatch: "watch", KindWatchRedirect: "elsewhere", KindDocument: "document", KindServers: "backends",
-	KindUsage: "usage", KindFleet: "fleet",
+// kinds holds each kind's name, as metrics label it, and its decoder.
+var kinds = map[Kind]struct {
+	name   string
+	decode func(Envelope) (Message, error)
+}{
+	KindHello:         {"hello", decodeAs[Hello]},
+	KindWelcome:       {"welcome", decodeAs[Welcome]},
+	KindRedirect:      {"redirect", decodeAs[Redirect]},
+	KindRenew:         {"renew", decodeAs[Renew]},
+	KindRenewed:       {"renewed", decodeAs[Renewed]},
+	KindReport:        {"report", decodeAs[Report]},
+	KindView:          {"view", decodeAs[View]},
+	KindConfigure:     {"configure", decodeAs[Configure]},
+	KindClaim:         {"claim", decodeAs[Claim]},
+	KindSettle:        {"settle", decodeAs[Settle]},
+	KindClaimed:       {"claimed", decodeAs[Claimed]},
+	KindConsensus:     {"consensus", decodeAs[Consensus]},
+	KindWatch:         {"watch", decodeAs[Watch]},
+	KindWatchRedirect: {"elsewhere", decodeAs[WatchRedirect]},
+	KindDocument:      {"document", decodeAs[Document]},
+	KindServers:       {"backends", decodeAs[Servers]},
+	KindUsage:         {"usage", decodeAs[Usage]},
+	KindFleet:         {"fleet", decodeAs[Fleet]},
 }
 
 // String returns the kind's name, as metrics label it.
 func (k Kind) String() string {
-	if s, ok := kindNames[k]; ok {
-		return s
+	if known, ok := kinds[k]; ok {
+		return known.name
 	}
 	return "unknown"
 }
 
-// Envelope is what a link carries.
+// Envelope is what a link carries: a kind and the bytes of its message.
 type Envelope struct {
 	_    struct{}        `cbor:",toarray"`
 	Kind Kind            `cbor:""`
@@ -89,6 +112,8 @@
 // KindOf returns the kind under which m travels.
 func KindOf(m Message) Kind { return m.kind() }
 
+// The decoder's bounds keep a malformed message from taking memory. They are above what
+// a fleet sends at the sizes of docs/CAPACITY.md. Chosen, not measured.
 var (
 	encMode = mustEnc(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, Sort: cbor.SortNone})
 	decMode = mustDec(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16})
@@ -158,45 +183,11 @@
 	if err := decMode.Unmarshal(b, &e); err != nil {
 		return nil, Malformed{Err: err}
 	}
-	switch e.Kind {
-	case KindHello:
-		return decodeAs[Hello](e)
-	case KindWelcome:
-		return decodeAs[Welcome](e)
-	case KindRedirect:
-		return decodeAs[Redirect](e)
-	case KindRenew:
-		return decodeAs[Renew](e)
-	case KindRenewed:
-		return decodeAs[Renewed](e)
-	case KindReport:
-		return decodeAs[Report](e)
-	case KindView:
-		return decodeAs[View](e)
-	case KindConfigure:
-		return decodeAs[Configure](e)
-	case KindClaim:
-		return decodeAs[Claim](e)
-	case KindSettle:
-		return decodeAs[Settle](e)
-	case KindClaimed:
-		return decodeAs[Claimed](e)
-	case KindConsensus:
-		return decodeAs[Consensus](e)
-	case KindWatch:
-		return decodeAs[Watch](e)
-	case KindWatchRedirect:
-		return decodeAs[WatchRedirect](e)
-	case KindDocument:
-		return decodeAs[Document](e)
-	case KindServers:
-		return decodeAs[Servers](e)
-	case KindUsage:
-		return decodeAs[Usage](e)
-	case KindFleet:
-		return decodeAs[Fleet](e)
+	known, ok := kinds[e.Kind]
+	if !ok {
+		return nil, nil
 	}
-	return nil, nil
+	return known.decode(e)
 }
 
 func decodeAs[T Message](e Envelope) (Message, error) {
--- a/protocol/consensus.go
+++ b/protocol/consensus.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// This file defines what control replicas exchange to keep a replicated log,
+// This file defines what the replicas of one group exchange to keep a replicated log,
 // and what they write to their disks.
 
 // Peer is one replica on one disk. A replica that lost its disk comes back
@@ -17,17 +17,17 @@
 // String returns "name#incarnation".
 func (p Peer) String() string { return fmt.Sprintf("%s#%x", p.Name, p.Incarnation) }
 
-// IsZero reports whether p names nobody.
+// IsZero reports whether p is no replica.
 func (p Peer) IsZero() bool { return p == Peer{} }
 
-// Membership is who takes part in a group. Voters make quorums; learners
+// Membership is the replicas of a group. Voters make quorums; learners
 // receive the log and count for nothing.
 type Membership struct {
 	Voters   []Peer `cbor:"1,keyasint"`
 	Learners []Peer `cbor:"2,keyasint,omitempty"`
 }
 
-// EntryKind tells what the data of an entry means.
+// EntryKind says what the data of an entry means.
 type EntryKind uint8
 
 // The kinds of entry.
@@ -59,7 +59,7 @@
 	Data    []byte     `cbor:"5,keyasint,omitempty"`
 }
 
-// ConsensusKind tells what a consensus message asks or answers.
+// ConsensusKind says what a consensus message asks or answers.
 type ConsensusKind uint8
 
 // The kinds of consensus message.
@@ -79,7 +79,8 @@
 	MsgFound         ConsensusKind = 13 // formation: the first snapshot
 )
 
-// Consensus is a message between two replicas of one group.
+// Consensus is a message of one replica to another of its group, whenever the step
+// function of coordination/consensus has one to send.
 type Consensus struct {
 	Name     string        `cbor:"1,keyasint"` // of the group, such as "config"
 	Group    uint64        `cbor:"2,keyasint"` // identity of the group; 0 before formation
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -9,7 +9,12 @@
 // message is a typed error and ends the link. Sizes are bounded before
 // anything is decoded.
 //
-// Two conversations use it: control replicas among each other (consensus.go)
-// and a router with a control replica (session.go, claim.go). Operators do
-// not: their interface is the protobuf schema in protocol/operator.
+// Three conversations use it: the replicas of one consensus group, of control or of a
+// directory, among each other (consensus.go); a router with the leading control replica
+// (session.go, claim.go); a gateway with the leading directory replica (watch.go). The
+// first message on a link shows which one it is. Operators and backend servers do not
+// use it: they have the protobuf schema in protocol/operator, or a platform's own HTTP.
+//
+// What replicas write to their disks in the same form is here too: entries, snapshots
+// and the registrations of backend servers.
 package protocol
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -113,7 +113,7 @@
 			is.True(reflect.DeepEqual(got, m)) // the pinned bytes give the same value
 		})
 	}
-	is.New(t).Equal(len(seen), len(kindNames)) // a message of every kind
+	is.New(t).Equal(len(seen), len(kinds)) // a message of every kind
 }
 
 // TestGoldenKinds pins the number of each kind, which the envelope carries,
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -50,7 +50,7 @@
 		is.True(reflect.DeepEqual(got, m)) // every field survives
 		seen[KindOf(m)] = true
 	}
-	is.Equal(len(seen), len(kindNames)) // a sample of every kind
+	is.Equal(len(seen), len(kinds)) // a sample of every kind
 }
 
 func TestDecodeRefuses(t *testing.T) {
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -2,18 +2,19 @@
 
 package protocol
 
-// This file defines what a router and a control replica tell each other over
+// This file defines what a router and a control replica send each other over
 // the router's one session.
 //
 // Counters in a report are increments since the previous report of the same
 // session, and messages of one session arrive in order, so nothing is counted
 // twice; a new session starts from [Hello.Held], what the router really holds.
 //
-// Accounts and backend servers go by the short identifiers that the
+// Accounts and backend servers are named by the short identifiers that the
 // configuration gives them. The three types that make up most of the traffic
 // are encoded as arrays: they can't grow a field, a new message would.
 
-// Hello opens a session. The router has closed its previous one before.
+// Hello is the first message of a router to a control replica and opens a session. The
+// router has closed its previous one before.
 type Hello struct {
 	Router   string `cbor:"1,keyasint"`
 	Hall     string `cbor:"2,keyasint,omitempty"`
@@ -27,8 +28,8 @@
 	Pools []PoolView `cbor:"7,keyasint,omitempty"`
 }
 
-// Welcome accepts a session. A router never follows an epoch lower than one it
-// has seen.
+// Welcome is the leading control replica's answer to a Hello and accepts the session. A
+// router never follows an epoch lower than one it has seen.
 type Welcome struct {
 	Epoch       uint64 `cbor:"1,keyasint"` // term of the leader that allocates
 	LeaseMillis uint32 `cbor:"2,keyasint"`
@@ -42,7 +43,11 @@
 	Void bool `cbor:"6,keyasint,omitempty"`
 }
 
-// Redirect refuses a session at a replica that does not lead.
+// Redirect is the answer of a control replica that does not lead to a Hello; it then
+// closes the link. Unlike a [WatchRedirect] it names no members, because routers know
+// all replicas by their settings, and gives the state of the replica's log: a router to
+// which a majority answers that there is no leader and no newer configuration extends
+// its lease itself.
 type Redirect struct {
 	Leader  string `cbor:"1,keyasint,omitempty"` // empty when none is known
 	Follows bool   `cbor:"2,keyasint,omitempty"` // the replica has a leader at present
@@ -53,13 +58,14 @@
 	Pending  bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Renew asks to extend the lease from the time of its sending.
+// Renew is sent by a router several times in a lease: it asks the leader to extend the
+// lease from the time of its sending.
 type Renew struct {
 	Seq      uint64 `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"` // configuration in force at the router
 }
 
-// Renewed answers the Renew of the same number.
+// Renewed is the leader's answer to the Renew of the same number.
 type Renewed struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
@@ -71,7 +77,8 @@
 	Slots  int
 }
 
-// Report is what happened at a router since its previous report.
+// Report is sent by a router to the leader when its work has changed: what happened
+// there since its previous report.
 type Report struct {
 	ViewSeq  uint64       `cbor:"1,keyasint"` // newest View taken into account
 	Pools    []PoolReport `cbor:"2,keyasint,omitempty"`
@@ -97,8 +104,8 @@
 	Service float64 // service charged since the previous report
 }
 
-// View is what the allocator tells one router: slots granted, and how the
-// fleet stands.
+// View is sent by the leader to one router when its allocator has slots for it or the
+// state of the fleet has changed.
 type View struct {
 	Seq     uint64     `cbor:"1,keyasint"`
 	Granted []Held     `cbor:"2,keyasint,omitempty"`
@@ -108,7 +115,7 @@
 	ReportSeq uint64 `cbor:"4,keyasint"`
 }
 
-// PoolView is how the fleet stands in one pool.
+// PoolView is the state of the fleet in one pool.
 type PoolView struct {
 	Pool     string        `cbor:"1,keyasint"`
 	Short    bool          `cbor:"2,keyasint,omitempty"` // more work waits than slots are free
@@ -131,7 +138,7 @@
 	Ahead   float64 // above PoolView.Floor, in 32-bit precision
 }
 
-// Configure brings a router to a newer configuration. One field is set; both
+// Configure is sent by the leader to a router that holds an older configuration. One field is set; both
 // hold the encoding of the configuration package.
 type Configure struct {
 	Delta    []byte `cbor:"1,keyasint,omitempty"`
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -2,15 +2,15 @@
 
 package protocol
 
-// This file defines what a gateway and the leading directory replica tell each
+// This file defines what a gateway and the leading directory replica send each
 // other over the gateway's one session.
 //
-// A session starts with Watch. The leader answers with the document if the
-// gateway's is older, the whole list of backend servers, and from then on with what
-// changes; any other replica answers with Elsewhere and closes. Numbers that
-// go out several times a second are arrays.
+// A session starts with Watch. The leader answers with the whole list of backend
+// servers, the document if the gateway's is older, and from then on with what
+// changes; any other replica answers with WatchRedirect and closes. Numbers that
+// are sent several times a second are arrays.
 
-// Watch opens a session.
+// Watch is the first message of a gateway to a directory replica and opens a session.
 type Watch struct {
 	Gateway string `cbor:"1,keyasint"`
 	Boot    uint64 `cbor:"2,keyasint"`           // drawn at each start of the process
@@ -18,14 +18,16 @@
 	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest seen; an older leader must refuse
 }
 
-// WatchRedirect refuses a session at a replica that does not lead.
+// WatchRedirect is the answer of a directory replica that does not lead to a Watch; it
+// then closes the link. Unlike a [Redirect] it names the group's members, because a
+// gateway knows only seeds by its settings.
 type WatchRedirect struct {
 	Leader  string   `cbor:"1,keyasint,omitempty"` // fleet address; empty when unknown
 	Members []string `cbor:"2,keyasint,omitempty"` // fleet addresses of the group
 }
 
-// Document brings a gateway to a newer document: the CBOR of
-// document.Document.
+// Document is sent by the leader to a gateway that holds an older document: the CBOR
+// of document.Document.
 type Document struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Data   []byte `cbor:"2,keyasint"`
@@ -48,13 +50,14 @@
 	Handle uint32 `cbor:"6,keyasint"`
 }
 
-// Servers brings a gateway's list up to date.
+// Servers is sent by the leader to every gateway: the whole list when the session opens
+// and when the list has become complete, otherwise each change.
 type Servers struct {
 	Term uint64 `cbor:"1,keyasint"`
 	// Whole says that Set is the whole list that the leader knows.
 	Whole bool `cbor:"2,keyasint,omitempty"`
 	// Complete says that the leader has led for longer than backend servers take to
-	// announce themselves: who is not in the list is gone.
+	// announce themselves: one that is not in the list does not announce itself.
 	Complete bool     `cbor:"3,keyasint,omitempty"`
 	Set      []Server `cbor:"4,keyasint,omitempty"`
 	Gone     []string `cbor:"5,keyasint,omitempty"` // leaving, withdrawn or replaced
@@ -65,7 +68,7 @@
 	_        struct{} `cbor:",toarray"`
 	Handle   uint32
 	Requests uint32
-	Tokens   uint32 // of prompts not yet read there, by what the gateways know
+	Tokens   uint32 // of prompts not yet read there, as far as the gateways know
 }
 
 // Demand is what one account asked for since the previous report, in tokens.
@@ -75,7 +78,7 @@
 	Tokens  uint64
 }
 
-// Usage is a gateway's report, several times a second.
+// Usage is a gateway's report to the leader, ten times a second.
 type Usage struct {
 	Loads   []ServerLoad `cbor:"1,keyasint,omitempty"`
 	Demands []Demand     `cbor:"2,keyasint,omitempty"`
@@ -95,13 +98,14 @@
 	Extra   float32
 }
 
-// Fleet is how all gateways together stand, several times a second.
+// Fleet is sent by the leader to every gateway, ten times a second or less often if it
+// is large (registry.FleetPause): the state of all gateways together.
 type Fleet struct {
 	Gateways     int           `cbor:"1,keyasint,omitempty"`
 	Loads        []ServerLoad  `cbor:"2,keyasint,omitempty"` // on all gateways but the receiving one
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
 	// Short says that requests within their accounts' shares find no room
-	// somewhere: nobody may go beyond them.
+	// somewhere: no account may exceed its share.
 	Short bool `cbor:"5,keyasint,omitempty"`
 }
