--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -138,16 +138,14 @@
 	return Change{Set: []protocol.Server{e.Server}, Gone: gone}
 }
 
-// Remove removes a backend server that has departed. Gone names it even if it is
-// not known here: a gateway may know it.
-func (r *Registry) Remove(id string) Change {
+// Remove removes a backend server that has departed.
+func (r *Registry) Remove(id string) {
 	if e := r.servers[id]; e != nil {
 		delete(r.servers, id)
 		if r.byAddress[e.Address] == id {
 			delete(r.byAddress, e.Address)
 		}
 	}
-	return Change{Gone: []string{id}}
 }
 
 // ExpireSilent removes backend servers that have been silent for more than
@@ -156,7 +154,8 @@
 	var change Change
 	for _, s := range r.List() {
 		if now-r.servers[s.ID].lastSeen > forgetAfter*r.interval {
-			change.Gone = append(change.Gone, r.Remove(s.ID).Gone...)
+			r.Remove(s.ID)
+			change.Gone = append(change.Gone, s.ID)
 		}
 	}
 	return change
@@ -176,6 +175,3 @@
 	}
 	return list
 }
-
-// Size returns the number of backend servers.
-func (r *Registry) Size() int { return len(r.servers) }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -100,13 +100,14 @@
 	}
 }
 
-// do runs f in the hub's goroutine and waits for it.
-func (h *hub) do(ctx context.Context, f func()) error {
-	done := make(chan struct{})
-	h.post(func() { f(); close(done) })
+// do runs f in the hub's goroutine and returns its error, or [Unavailable] if it cannot
+// wait for it.
+func (h *hub) do(ctx context.Context, f func() error) error {
+	done := make(chan error, 1)
+	h.post(func() { done <- f() })
 	select {
-	case <-done:
-		return nil
+	case err := <-done:
+		return err
 	case <-ctx.Done():
 		return Unavailable{Err: ctx.Err()}
 	case <-h.d.ctx.Done():
@@ -182,9 +183,10 @@
 	h.broadcast(h.registry.ExpireSilent(h.d.replica.Now()))
 	if !h.complete && h.registry.Complete(h.d.replica.Now()) {
 		h.complete = true
-		h.d.cfg.Log.StateChange("registry complete", slog.Int("backends", h.registry.Size()))
+		list := h.wholeList()
+		h.d.cfg.Log.StateChange("registry complete", slog.Int("backends", len(list.Set)))
 		for s := range h.sessions {
-			s.out.Send(h.wholeList())
+			s.out.Send(list)
 		}
 	}
 	h.logJoins()
@@ -207,15 +209,15 @@
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
-// departures to every session.
+// departures to every session, also of those that are not in the registry: a gateway
+// may still list them.
 func (h *hub) pushDepartures() {
 	departures, total := h.d.state.DeparturesSince(h.departed)
 	h.departed = total
-	var change registry.Change
 	for _, id := range departures {
-		change.Gone = append(change.Gone, h.registry.Remove(id).Gone...)
+		h.registry.Remove(id)
 	}
-	h.broadcast(change)
+	h.broadcast(registry.Change{Gone: departures})
 }
 
 // pushDocument sends the newest document to every session that lacks it.
@@ -243,12 +245,13 @@
 
 // announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	taken := false
-	err := h.do(ctx, func() {
-		if h.term == 0 || h.d.state.Departed(a.ID) {
-			return
+	return h.do(ctx, func() error {
+		switch {
+		case h.d.state.Departed(a.ID):
+			return nil // a late announcement
+		case h.term == 0:
+			return Unavailable{}
 		}
-		taken = true
 		change := h.registry.Announce(h.d.replica.Now(), a)
 		for _, s := range change.Set {
 			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
@@ -256,9 +259,6 @@
 			h.unlogged = append(h.unlogged, s.Registration)
 		}
 		h.broadcast(change)
+		return nil
 	})
-	if err == nil && !taken && !h.d.state.Departed(a.ID) {
-		return Unavailable{}
-	}
-	return err
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -23,7 +23,7 @@
 const sessionQueue = 256
 
 // listedDepartures is the number of newest departures that go out with a whole list.
-// A gateway that missed more drops the rest with the first complete list. Chosen, not
+// Of earlier ones, a gateway gets to know by the first complete list. Chosen, not
 // measured.
 const listedDepartures = 256
 
@@ -63,8 +63,8 @@
 // serve runs one gateway's session until its link ends.
 func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
 	var s *session
-	err := h.do(ctx, func() { s = h.open(l, w) })
-	if err != nil || s == nil {
+	err := h.do(ctx, func() (err error) { s, err = h.open(l, w); return err })
+	if err != nil {
 		leadership := h.leadership.Load()
 		// The link closes now in any case, and the gateway tries the next replica.
 		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
@@ -83,11 +83,12 @@
 	}
 }
 
-// open admits a gateway if this replica leads.
-func (h *hub) open(l *link.Link, w protocol.Watch) *session {
+// open admits a gateway. It returns [Unavailable] if this replica does not lead, or
+// leads in an older term than the gateway has seen.
+func (h *hub) open(l *link.Link, w protocol.Watch) (*session, error) {
 	h.syncLeadership()
 	if h.term == 0 || w.Term > h.term || w.Gateway != l.Peer() {
-		return nil
+		return nil, Unavailable{}
 	}
 	for old := range h.sessions {
 		if old.gateway == w.Gateway {
@@ -100,7 +101,7 @@
 	s.out.Send(h.wholeList())
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.Number))
-	return s
+	return s, nil
 }
 
 func (h *hub) close(s *session) {
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -115,20 +115,11 @@
 // The decoder's bounds keep a malformed message from taking memory. They are above what
 // a fleet sends at the sizes of docs/CAPACITY.md. Chosen, not measured.
 var (
-	encMode = mustEnc(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, Sort: cbor.SortNone})
-	decMode = mustDec(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16})
+	encMode = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, Sort: cbor.SortNone}.EncMode())
+	decMode = must(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode())
 )
 
-func mustEnc(o cbor.EncOptions) cbor.EncMode {
-	m, err := o.EncMode()
-	if err != nil {
-		panic(err)
-	}
-	return m
-}
-
-func mustDec(o cbor.DecOptions) cbor.DecMode {
-	m, err := o.DecMode()
+func must[M any](m M, err error) M {
 	if err != nil {
 		panic(err)
 	}
