--- a/directory/directory.go
+++ b/directory/directory.go
@@ -177,6 +177,9 @@
 	if a.Leaving {
 		return d.Withdraw(ctx, a.ID)
 	}
+	if d.state.Departed(a.ID) {
+		return nil // a late announcement
+	}
 	return d.hub.announce(ctx, a)
 }
 
