--- a/control/control.go
+++ b/control/control.go
@@ -3,6 +3,7 @@
 package control
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
 	"net/http"
@@ -51,12 +52,8 @@
 }
 
 func (s Settings) withDefaults() Settings {
-	if s.Lease == (slots.Lease{}) {
-		s.Lease = slots.DefaultLease
-	}
-	if s.Pace == (slots.Pace{}) {
-		s.Pace = slots.DefaultPace
-	}
+	s.Lease = cmp.Or(s.Lease, slots.DefaultLease)
+	s.Pace = cmp.Or(s.Pace, slots.DefaultPace)
 	s.Tuning = s.Tuning.WithDefaults()
 	return s
 }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"log/slog"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -34,8 +33,8 @@
 	term     uint64
 	leader   string // fleet address
 	leaseEnd time.Duration
-	members  []string
-	formed   bool // the replica has a log
+	members  []string // fleet addresses of the voters
+	formed   bool     // the replica has a log
 }
 
 type hub struct {
@@ -75,12 +74,9 @@
 // observe is called by the replica's goroutine after every batch.
 func (h *hub) observe(_ time.Duration, s consensus.Status, leads bool) {
 	old := h.leadership.Load()
-	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, members: old.members, formed: true}
-	if !sameMembers(old.members, s.Members) {
-		next.members = nil
-		for _, p := range s.Members.Voters {
-			next.members = append(next.members, p.Name)
-		}
+	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, formed: true}
+	for _, p := range s.Members.Voters {
+		next.members = append(next.members, p.Name)
 	}
 	h.leadership.Store(next)
 	if old.leads != leads || old.term != s.Term || old.leader != next.leader {
@@ -88,10 +84,6 @@
 	}
 }
 
-func sameMembers(names []string, m protocol.Membership) bool {
-	return slices.EqualFunc(names, m.Voters, func(name string, p protocol.Peer) bool { return name == p.Name })
-}
-
 // post queues f for the hub's goroutine.
 func (h *hub) post(f func()) {
 	select {
@@ -248,7 +240,7 @@
 	return h.do(ctx, func() error {
 		switch {
 		case h.d.state.Departed(a.ID):
-			return nil // a late announcement
+			return nil // since the announcement came
 		case h.term == 0:
 			return Unavailable{}
 		}
