--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -6,12 +6,11 @@
 //
 // The model: soft state on the leader. A backend server announces itself once in each
 // interval, under an identifier that is new at each of its starts; one that falls
-// silent is not removed soon (gateways see better whether it answers) but is
-// replaced when another announces the same address. Departures are not soft:
-// the caller keeps them in a replicated log and passes on only the announcements of
-// backend servers that have not departed. A new leader starts from the registrations
-// in the log and is complete once every backend server has had the time to announce
-// itself ([Registry.Complete]).
+// silent is not removed soon but replaced when another announces the same address.
+// Departures are not soft: the caller keeps them in a replicated log and passes on only
+// the announcements of backend servers that have not departed. A new leader starts from
+// the registrations in the log and is complete once all had the time to announce
+// themselves.
 //
 // Nothing here is safe for concurrent use, and nothing reads a clock: now is the
 // replica's monotonic time.
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -201,8 +201,7 @@
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
-// departures to every session, also of those that are not in the registry: a gateway
-// may still list them.
+// departures to every session, whose gateway may list one that the registry lacks.
 func (h *hub) pushDepartures() {
 	departures, total := h.d.state.DeparturesSince(h.departed)
 	h.departed = total
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -22,9 +22,8 @@
 // most ten of them a second being Fleet messages. Chosen, not measured.
 const sessionQueue = 256
 
-// listedDepartures is the number of newest departures that go out with a whole list.
-// Of earlier ones, a gateway gets to know by the first complete list. Chosen, not
-// measured.
+// listedDepartures is the number of newest departures that go out with a whole list;
+// earlier ones show in the first complete list. Chosen, not measured.
 const listedDepartures = 256
 
 // session is one gateway's link.
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -19,8 +19,7 @@
 // never used again for something else.
 type Kind uint8
 
-// The kinds of message, by conversation. The comment of each type says who sends it to
-// whom, and when.
+// The kinds of message. The comment of each type says who sends it to whom, and when.
 const (
 	// Between a router and a control replica.
 	KindHello     Kind = 1
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -82,9 +82,8 @@
 	CompactAt int64
 }
 
-// WithDefaults returns the tuning with what is zero replaced. The figures are
-// chosen, not measured: a heartbeat is a fifth of an election timeout, so that four
-// may be lost; 4 MiB are about 16,000 changes of a configuration (docs/CAPACITY.md).
+// WithDefaults replaces what is zero. The figures are chosen, not measured; 4 MiB are
+// about 16,000 changes of a configuration (docs/CAPACITY.md).
 func (t Tuning) WithDefaults() Tuning {
 	return Tuning{
 		Election:  cmp.Or(t.Election, 600*time.Millisecond),
