--- a/directory/hub.go
+++ b/directory/hub.go
@@ -5,7 +5,6 @@
 import (
 	"context"
 	"log/slog"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -14,29 +13,28 @@
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 	"github.com/badgerspoke/badgerspoke/protocol"
-	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
 // This file defines hub, the goroutine that owns the registry and the
 // gateways' sessions while this replica leads.
 
 const (
-	eventDepth   = 8192
-	sessionQueue = 256
-	fleetPeriod  = 100 * time.Millisecond // between two Fleet messages
-	fleetLongest = 600 * time.Millisecond // gateways take a leader that is silent for longer for lost
-	fleetBudget  = 8 << 10                // bytes a second of Fleet messages on one link
-	joinTimeout  = 2 * time.Second        // for joins to be logged
+	// eventDepth is the number of announcements and reports that may wait for the
+	// hub; beyond it their senders wait. Chosen, not measured.
+	eventDepth = 8192
+	// joinTimeout bounds how long the logging of announced backend servers is tried.
+	// Chosen, not measured.
+	joinTimeout = 2 * time.Second
 )
 
-// leadership is what the replica's goroutine last said.
+// leadership is what the replica's goroutine last published.
 type leadership struct {
 	leads    bool
 	term     uint64
 	leader   string // fleet address
 	leaseEnd time.Duration
-	members  []string
-	formed   bool // the replica has a log
+	members  []string // fleet addresses of the voters
+	formed   bool     // the replica has a log
 }
 
 type hub struct {
@@ -48,9 +46,9 @@
 	// Owned by run.
 	term     uint64 // 0 unless this replica leads
 	registry *registry.Registry
-	departed uint64 // departures applied to the registry
-	complete bool
-	unlogged []document.Server // announced, not yet put into the log
+	departed uint64                  // departures applied to the registry
+	complete bool                    // the registry is, and the sessions were sent the whole list since
+	unlogged []protocol.Registration // announced, not yet put into the log
 	sessions map[*session]bool
 	usage    *usage
 	encoded  protocol.Document // newest document, encoded once
@@ -76,12 +74,9 @@
 // observe is called by the replica's goroutine after every batch.
 func (h *hub) observe(_ time.Duration, s consensus.Status, leads bool) {
 	old := h.leadership.Load()
-	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, members: old.members, formed: true}
-	if !sameMembers(old.members, s.Members) {
-		next.members = nil
-		for _, p := range s.Members.Voters {
-			next.members = append(next.members, p.Name)
-		}
+	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, formed: true}
+	for _, p := range s.Members.Voters {
+		next.members = append(next.members, p.Name)
 	}
 	h.leadership.Store(next)
 	if old.leads != leads || old.term != s.Term || old.leader != next.leader {
@@ -89,10 +84,7 @@
 	}
 }
 
-func sameMembers(names []string, m protocol.Membership) bool {
-	return slices.EqualFunc(names, m.Voters, func(name string, p protocol.Peer) bool { return name == p.Name })
-}
-
+// post queues f for the hub's goroutine.
 func (h *hub) post(f func()) {
 	select {
 	case h.events <- f:
@@ -100,13 +92,14 @@
 	}
 }
 
-// do runs f in the hub's goroutine and waits for it.
-func (h *hub) do(ctx context.Context, f func()) error {
-	done := make(chan struct{})
-	h.post(func() { f(); close(done) })
+// do runs f in the hub's goroutine and returns its error, or [Unavailable] if it cannot
+// wait for it.
+func (h *hub) do(ctx context.Context, f func() error) error {
+	done := make(chan error, 1)
+	h.post(func() { done <- f() })
 	select {
-	case <-done:
-		return nil
+	case err := <-done:
+		return err
 	case <-ctx.Done():
 		return Unavailable{Err: ctx.Err()}
 	case <-h.d.ctx.Done():
@@ -115,7 +108,7 @@
 }
 
 func (h *hub) run() {
-	tick := time.NewTicker(fleetPeriod)
+	tick := time.NewTicker(registry.FleetPeriod)
 	defer tick.Stop()
 	defer h.endTerm()
 	for {
@@ -132,7 +125,8 @@
 	}
 }
 
-// syncLeadership brings the hub to the present lead and state.
+// syncLeadership begins or ends a term if the leader has changed, and sends on what
+// has been applied since.
 func (h *hub) syncLeadership() {
 	l := h.leadership.Load()
 	switch {
@@ -154,10 +148,8 @@
 	h.departed = 0
 	h.complete = false
 	h.unlogged = nil
-	for _, b := range h.d.state.Joined() {
-		h.registry.Restore(h.d.replica.Now(), registry.Announcement{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
-		})
+	for _, s := range h.d.state.Joined() {
+		h.registry.Restore(h.d.replica.Now(), s)
 	}
 	h.usage = newUsage()
 	h.d.cfg.Log.StateChange("leading", slog.Uint64("term", term), slog.Any("members", h.leadership.Load().members))
@@ -183,17 +175,17 @@
 	h.broadcast(h.registry.ExpireSilent(h.d.replica.Now()))
 	if !h.complete && h.registry.Complete(h.d.replica.Now()) {
 		h.complete = true
-		h.d.cfg.Log.StateChange("registry complete", slog.Int("backends", h.registry.Size()))
+		list := h.wholeList()
+		h.d.cfg.Log.StateChange("registry complete", slog.Int("backends", len(list.Set)))
 		for s := range h.sessions {
-			s.out.Send(h.wholeList())
+			s.out.Send(list)
 		}
 	}
 	h.logJoins()
 	h.pushFleet()
 }
 
-// logJoins puts what was announced since the last tick into the log. What is
-// lost on the way is heard again by a later leader.
+// logJoins puts the backend servers announced since the last tick into the log.
 func (h *hub) logJoins() {
 	if len(h.unlogged) == 0 {
 		return
@@ -203,20 +195,20 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, joinTimeout)
 		defer cancel()
+		// A later leader that lacks one learns it from its next announcement.
 		_, _ = h.d.propose(ctx, c)
 	}()
 }
 
-// pushDepartures takes departed backend servers out of the registry and tells
-// everybody.
+// pushDepartures removes departed backend servers from the registry and sends their
+// departures to every session, whose gateway may list one that the registry lacks.
 func (h *hub) pushDepartures() {
 	departures, total := h.d.state.DeparturesSince(h.departed)
 	h.departed = total
-	var change registry.Change
 	for _, id := range departures {
-		change.Gone = append(change.Gone, h.registry.Remove(id).Gone...)
+		h.registry.Remove(id)
 	}
-	h.broadcast(change)
+	h.broadcast(registry.Change{Gone: departures})
 }
 
 // pushDocument sends the newest document to every session that lacks it.
@@ -242,25 +234,22 @@
 	}
 }
 
+// announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	known := false
-	err := h.do(ctx, func() {
-		if h.term == 0 || h.d.state.Departed(a.ID) {
-			return
+	return h.do(ctx, func() error {
+		switch {
+		case h.d.state.Departed(a.ID):
+			return nil // since the announcement came
+		case h.term == 0:
+			return Unavailable{}
 		}
-		known = true
 		change := h.registry.Announce(h.d.replica.Now(), a)
-		for _, b := range change.Set {
-			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", b.ID), slog.String("pool", b.Pool),
-				slog.String("address", b.Address), slog.Any("replaces", change.Gone))
-			h.unlogged = append(h.unlogged, document.Server{
-				ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots,
-			})
+		for _, s := range change.Set {
+			h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
+				slog.String("address", s.Address), slog.Any("replaces", change.Gone))
+			h.unlogged = append(h.unlogged, s.Registration)
 		}
 		h.broadcast(change)
+		return nil
 	})
-	if err == nil && !known && !h.d.state.Departed(a.ID) {
-		return Unavailable{}
-	}
-	return err
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -12,8 +12,19 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines the gateways' sessions: their opening, what goes out on them,
+// This file defines the gateways' sessions: their opening, what is sent on them,
 // and their end. All but serve runs in the hub's goroutine.
+//
+// What an outbox refuses is not sent again: a queue that is full closes its link, and
+// the gateway's next session starts with the whole list.
+
+// sessionQueue is the number of messages that may wait for one gateway's link, at
+// most ten of them a second being Fleet messages. Chosen, not measured.
+const sessionQueue = 256
+
+// listedDepartures is the number of newest departures that go out with a whole list;
+// earlier ones show in the first complete list. Chosen, not measured.
+const listedDepartures = 256
 
 // session is one gateway's link.
 type session struct {
@@ -27,7 +38,7 @@
 	if c.Empty() {
 		return
 	}
-	m := protocol.Servers{Term: h.term, Set: protocolServers(c.Set), Gone: c.Gone}
+	m := protocol.Servers{Term: h.term, Set: c.Set, Gone: c.Gone}
 	for s := range h.sessions {
 		s.out.Send(m)
 	}
@@ -36,35 +47,25 @@
 func (h *hub) wholeList() protocol.Servers {
 	return protocol.Servers{
 		Term: h.term, Whole: true, Complete: h.complete,
-		Set: protocolServers(h.registry.List()), Gone: h.recentDepartures(),
+		Set: h.registry.List(), Gone: h.recentDepartures(),
 	}
 }
 
-// recentDepartures are told with a whole list, because an incomplete list
-// does not say who is gone.
+// recentDepartures go out with a whole list, because one that is not complete does
+// not show which backend servers a gateway must drop.
 func (h *hub) recentDepartures() []string {
-	const recent = 256
 	_, total := h.d.state.DeparturesSince(h.departed)
-	ids, _ := h.d.state.DeparturesSince(total - min(total, recent))
+	ids, _ := h.d.state.DeparturesSince(total - min(total, listedDepartures))
 	return ids
 }
 
-func protocolServers(servers []registry.Server) []protocol.Server {
-	out := make([]protocol.Server, 0, len(servers))
-	for _, b := range servers {
-		out = append(out, protocol.Server{
-			ID: b.ID, Pool: b.Pool, Address: b.Address, Hall: b.Hall, Slots: b.Slots, Handle: b.Handle,
-		})
-	}
-	return out
-}
-
 // serve runs one gateway's session until its link ends.
 func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
 	var s *session
-	err := h.do(ctx, func() { s = h.open(l, w) })
-	if err != nil || s == nil {
+	err := h.do(ctx, func() (err error) { s, err = h.open(l, w); return err })
+	if err != nil {
 		leadership := h.leadership.Load()
+		// The link closes now in any case, and the gateway tries the next replica.
 		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
 		return
 	}
@@ -81,11 +82,12 @@
 	}
 }
 
-// open admits a gateway if this replica leads.
-func (h *hub) open(l *link.Link, w protocol.Watch) *session {
+// open admits a gateway. It returns [Unavailable] if this replica does not lead, or
+// leads in an older term than the gateway has seen.
+func (h *hub) open(l *link.Link, w protocol.Watch) (*session, error) {
 	h.syncLeadership()
 	if h.term == 0 || w.Term > h.term || w.Gateway != l.Peer() {
-		return nil
+		return nil, Unavailable{}
 	}
 	for old := range h.sessions {
 		if old.gateway == w.Gateway {
@@ -98,7 +100,7 @@
 	s.out.Send(h.wholeList())
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.Number))
-	return s
+	return s, nil
 }
 
 func (h *hub) close(s *session) {
@@ -109,8 +111,8 @@
 	h.usage.forget(s)
 }
 
-// pushFleet tells every gateway how all of them together stand, as often as
-// the budget of its link allows.
+// pushFleet sends every gateway the state of all others, as often as the budget of
+// its link allows.
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
@@ -126,17 +128,15 @@
 			Entitlements: h.usage.demand.Entitlements(), Members: members, Short: h.usage.demand.Short(),
 		}
 		s.out.Send(m)
-		s.due = now + fleetPause(m)
+		s.due = now + registry.FleetPause(encodedSize(m))
 	}
 }
 
-// fleetPause is how long a link rests after a message so that it keeps to its
-// budget.
-func fleetPause(m protocol.Fleet) time.Duration {
+// encodedSize returns the bytes that a message takes on a link.
+func encodedSize(m protocol.Message) int {
 	b, err := protocol.Encode(m)
 	if err != nil {
-		return fleetLongest
+		return protocol.MaxMessage // the outbox meets the same error and closes the link
 	}
-	byBudget := time.Duration(float64(len(b)) / fleetBudget * float64(time.Second))
-	return min(max(byBudget, fleetPeriod), fleetLongest) - fleetPeriod/2 // the tick that is nearest
+	return len(b)
 }
--- a/process/directory.go
+++ b/process/directory.go
@@ -17,6 +17,7 @@
 
 	"github.com/badgerspoke/badgerspoke/decision"
 	"github.com/badgerspoke/badgerspoke/directory"
+	"github.com/badgerspoke/badgerspoke/replica"
 	"github.com/badgerspoke/badgerspoke/state/wal"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
@@ -130,7 +131,7 @@
 	}
 	d, err := directory.Start(context.Background(), directory.Settings{
 		Identity: p.identity(), Seeds: p.cfg.Seeds, Bootstrap: p.cfg.Bootstrap, Voters: p.cfg.Voters, Dir: dir,
-		Interval: p.cfg.Interval, Election: election, Heartbeat: heartbeat,
+		Interval: p.cfg.Interval, Tuning: replica.Tuning{Election: election, Heartbeat: heartbeat},
 		Random: rand.Uint64, Log: p.log, Metrics: p.metrics,
 	})
 	if err != nil {
