--- a/callers_test.go
+++ b/callers_test.go
@@ -197,8 +197,7 @@
 		cancel()
 		wait()
 		time.Sleep(100 * time.Millisecond)
-		running, _, _ := e.Load()
-		is.Equal(running, 0)
+		is.Equal(e.Running(), 0)
 	})
 }
 
@@ -227,13 +226,11 @@
 		r.ctx = ctx
 		wait := f.startAll(r, r)
 		time.Sleep(time.Second)
-		running, _, _ := f.engines["e1"].Load()
-		is.Equal(running, 2)
+		is.Equal(f.engines["e1"].Running(), 2)
 		cancel()
 		wait()
 		time.Sleep(100 * time.Millisecond)
-		running, _, _ = f.engines["e1"].Load()
-		is.Equal(running, 0)                          // cancelled at the engine
+		is.Equal(f.engines["e1"].Running(), 0)        // cancelled at the engine
 		a := f.do(completion("r1", "hotel", 1, true)) // and the slots are free
 		is.Equal(a.status, 200)
 	})
--- a/cmd/badgerspoke-standin/main.go
+++ b/cmd/badgerspoke-standin/main.go
@@ -8,7 +8,6 @@
 	"flag"
 	"log"
 	"net/http"
-	"strings"
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/standin"
@@ -17,15 +16,13 @@
 func main() {
 	listen := flag.String("listen", "127.0.0.1:9001", "address to serve on")
 	kind := flag.String("kind", "engine", "engine or service")
-	models := flag.String("models", "badger-small", "models of an engine, separated by commas")
+	flag.String("models", "badger-small", "ignored: an engine answers for any model")
 	slots := flag.Int("slots", 8, "requests that an engine runs at once")
 	tokenTime := flag.Duration("token-time", 20*time.Millisecond, "time of one token")
 	promptTime := flag.Duration("prompt-time", 50*time.Millisecond, "time before the first token, or of a service's call")
 	flag.Parse()
 
-	var h http.Handler = standin.NewEngine(standin.EngineSettings{
-		Models: strings.Split(*models, ","), Slots: *slots, TokenTime: *tokenTime, PromptTime: *promptTime,
-	})
+	var h http.Handler = standin.NewEngine(standin.EngineSettings{Slots: *slots, TokenTime: *tokenTime, PromptTime: *promptTime})
 	if *kind == "service" {
 		h = &standin.Service{Time: *promptTime}
 	}
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -50,9 +50,7 @@
 func StartServers() (*Servers, error) {
 	s := &Servers{addresses: map[string]string{}}
 	for _, name := range []string{"engine-1", "engine-2"} {
-		e := standin.NewEngine(standin.EngineSettings{
-			Name: name, Models: []string{Model}, Slots: engineSlots, TokenTime: tokenTime, PromptTime: promptTime,
-		})
+		e := standin.NewEngine(standin.EngineSettings{Slots: engineSlots, TokenTime: tokenTime, PromptTime: promptTime})
 		if err := s.start(name, e); err != nil {
 			return nil, err
 		}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -208,14 +208,13 @@
 }
 
 func (f *testFleet) engineWith(name string, i int, set standin.EngineSettings) *standin.Engine {
-	set.Name, set.Models, set.TokenTime = name, []string{"m"}, tokenTime
-	slots := set.Slots
+	set.TokenTime = tokenTime
 	e := standin.NewEngine(set)
 	address := fmt.Sprintf("10.0.3.%d:9000", i)
 	f.standIn(address, e)
 	f.engines[name] = e
 	f.addServer(&operatorv1.Server{
-		Name: name, Pool: "llm", Address: address, Kind: operatorv1.Kind_KIND_ENGINE, Slots: uint32(slots),
+		Name: name, Pool: "llm", Address: address, Kind: operatorv1.Kind_KIND_ENGINE, Slots: uint32(set.Slots),
 		Mark: operatorv1.Mark_MARK_SERVING, Models: []string{"m"},
 	})
 	return e
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -2,7 +2,7 @@
 
 // Package pq is a priority queue whose items know their place, so that one can
 // be moved or taken out in O(log n). It puts types and the place over
-// container/heap, which five tables of this project need in the same way.
+// container/heap, which four tables of this project need in the same way.
 package pq
 
 import "container/heap"
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -4,92 +4,38 @@
 
 import (
 	"context"
-	"sync"
-
-	"github.com/badgerspoke/badgerspoke/internal/pq"
+	"sync/atomic"
 )
 
-// This file defines batch, the slots of an engine with a queue in front that
-// honours priorities.
+// This file defines batch, the slots of an engine with a queue in front.
 
 type batch struct {
-	mu      sync.Mutex
-	free    int
-	running int
-	most    int // highest number ever running
-	seq     int
-	waiting *pq.Queue[*waiting]
+	slots   chan struct{} // holds one element for each running request
+	entered atomic.Int64  // running and waiting requests
 }
 
-func newBatch(slots int) *batch {
-	return &batch{free: slots, waiting: pq.New(goesFirst, func(w *waiting) *int { return &w.place })}
-}
+func newBatch(slots int) *batch { return &batch{slots: make(chan struct{}, slots)} }
 
-// enter waits for a place, lower priority numbers first.
-func (b *batch) enter(ctx context.Context, priority int) error {
-	b.mu.Lock()
-	if b.free > 0 {
-		b.take()
-		b.mu.Unlock()
-		return nil
-	}
-	b.seq++
-	w := &waiting{priority: priority, seq: b.seq, place: pq.Absent, ready: make(chan struct{})}
-	b.waiting.Set(w)
-	b.mu.Unlock()
+// enter waits for a slot, in order of arrival.
+func (b *batch) enter(ctx context.Context) error {
+	b.entered.Add(1)
 	select {
-	case <-w.ready:
+	case b.slots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		b.abandon(w)
+		b.entered.Add(-1)
 		return ctx.Err()
 	}
 }
 
-func (b *batch) take() {
-	b.free--
-	b.running++
-	b.most = max(b.most, b.running)
-}
-
-// leave frees a place for the next in the queue.
+// leave frees a slot for the next in the queue.
 func (b *batch) leave() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.free++
-	b.running--
-	if b.waiting.Len() > 0 {
-		w := b.waiting.Pop()
-		b.take()
-		close(w.ready)
-	}
+	<-b.slots
+	b.entered.Add(-1)
 }
 
-func (b *batch) abandon(w *waiting) {
-	b.mu.Lock()
-	select {
-	case <-w.ready: // it got its place meanwhile
-		b.mu.Unlock()
-		b.leave()
-		return
-	default:
-	}
-	b.waiting.Remove(w)
-	b.mu.Unlock()
-}
-
-func (b *batch) load() (running, waiting, most int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.running, b.waiting.Len(), b.most
-}
+func (b *batch) running() int { return len(b.slots) }
 
-type waiting struct {
-	priority, seq, place int
-	ready                chan struct{}
-}
-
-// goesFirst orders by priority, then by arrival.
-func goesFirst(a, b *waiting) bool {
-	return a.priority < b.priority || (a.priority == b.priority && a.seq < b.seq)
-}
+// waiting is the number of requests without a slot. Its two figures are not
+// read at one moment: a request that ends between them must not count below 0.
+func (b *batch) waiting() int { return max(int(b.entered.Load())-len(b.slots), 0) }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -4,8 +4,9 @@
 // and tests: [Engine], a model engine with the OpenAI-style interface, and
 // [Service], a plain service that counts what it ran.
 //
-// They are small on purpose. A stand-in keeps time by tokens, honours slots
-// and priorities, and fails in each way that a real server can, when told to
+// They are small on purpose. A stand-in keeps time by tokens, runs as many
+// requests as it has slots, and fails in the next request when told to
 // ([Failure]); it models nothing else and nothing should be concluded from its
-// speed.
+// speed. Whole deployments with faulty servers are played by the users' bench,
+// not here.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,27 +17,24 @@
 
 // EngineSettings of an engine.
 type EngineSettings struct {
-	Name       string
-	Models     []string
 	Slots      int
 	TokenTime  time.Duration // between two tokens
 	PromptTime time.Duration // before the first token
 	Resumable  bool          // streams can be taken up again after a break
 }
 
-// Engine answers completion requests with as many tokens as max_tokens asks
-// for (16 without), each the word "tok" with its number.
+// Engine answers completion requests for any model with as many tokens as
+// max_tokens asks for (16 without), each the word "tok" with its number.
 type Engine struct {
 	failures
 	set     EngineSettings
 	batch   *batch
 	streams streams
 
-	mu     sync.Mutex
-	epoch  uint64 // highest fence seen
-	runs   int
-	told   string // load that answers tell
-	toldAt time.Time
+	mu       sync.Mutex
+	runs     int
+	load     string // as answers report it, up to loadLag old
+	loadTime time.Time
 }
 
 var _ http.Handler = (*Engine)(nil)
@@ -54,21 +51,15 @@
 	return e.runs
 }
 
-// Load returns the numbers of running and waiting requests, and the highest
-// number that ever ran at once.
-func (e *Engine) Load() (running, waiting, most int) { return e.batch.load() }
+// Running returns the number of running requests.
+func (e *Engine) Running() int { return e.batch.running() }
 
-// ServeHTTP serves the OpenAI-style interface and, under /standin/, what real
-// engines offer in ways of their own: load and fenced orders.
+// ServeHTTP serves the OpenAI-style interface and, under /standin/, streams
+// that are taken up again.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/chat/completions", "/v1/completions":
 		e.complete(w, r)
-	case "/standin/load":
-		running, waiting, _ := e.Load()
-		writeJSON(w, map[string]int{"running": running, "waiting": waiting})
-	case "/standin/order":
-		e.order(w, r)
 	default:
 		if strings.HasPrefix(r.URL.Path, streamsPath) {
 			e.streams.serve(w, r)
@@ -100,8 +91,7 @@
 		refuse(w)
 		return
 	}
-	priority, _ := strconv.Atoi(r.Header.Get("Badgerspoke-Priority"))
-	if e.batch.enter(r.Context(), priority) != nil {
+	if e.batch.enter(r.Context()) != nil {
 		return
 	}
 	e.mu.Lock()
@@ -119,17 +109,18 @@
 
 const (
 	loadHeader = "Badgerspoke-Load"
-	loadLag    = time.Second // how old the load may be that answers tell
+	// loadLag is how old the load may be that answers report. Real engines
+	// report with a lag too; its length is chosen, not measured.
+	loadLag = time.Second
 )
 
 // laggingLoad returns the load as it was up to loadLag ago. The caller holds
 // mu.
 func (e *Engine) laggingLoad() string {
-	if now := time.Now(); e.told == "" || now.Sub(e.toldAt) >= loadLag {
-		running, waiting, _ := e.batch.load()
-		e.told, e.toldAt = fmt.Sprintf("%d/%d", running, waiting), now
+	if now := time.Now(); e.load == "" || now.Sub(e.loadTime) >= loadLag {
+		e.load, e.loadTime = fmt.Sprintf("%d/%d", e.batch.running(), e.batch.waiting()), now
 	}
-	return e.told
+	return e.load
 }
 
 // serveResumable generates apart from the connection. The place in the batch
@@ -142,7 +133,6 @@
 		l.generate(ctx, *run)
 		e.batch.leave()
 		cancel()
-		time.AfterFunc(abandonAfter, func() { e.streams.end(path) })
 	}()
 	run.w.Header().Set("Content-Type", "text/event-stream")
 	run.w.Header().Set(ResumeHeader, path)
@@ -160,16 +150,8 @@
 }
 
 func (c *completion) serve() {
-	switch c.how {
-	case Hang:
-		<-c.ctx.Done()
-		return
-	case DieEarly:
+	if c.how == DieEarly {
 		panic(http.ErrAbortHandler)
-	case BadJSON:
-		c.w.Header().Set("Content-Type", "application/json")
-		fmt.Fprint(c.w, "<html>")
-		return
 	}
 	if !c.sleep(c.set.PromptTime) {
 		return
@@ -251,20 +233,6 @@
 	}
 }
 
-// order takes an order that carries an epoch and refuses one of an older
-// epoch than it has seen.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	epoch, err := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if err != nil || epoch < e.epoch {
-		http.Error(w, `{"error":"stale epoch"}`, http.StatusConflict)
-		return
-	}
-	e.epoch = epoch
-	writeJSON(w, map[string]uint64{"epoch": epoch})
-}
-
 // refuse says that a request was not started.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set("Badgerspoke-Refused", "true")
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -14,9 +14,8 @@
 	Refuse   Failure = "refuse"   // say so before starting
 	DieEarly Failure = "die"      // run, then drop the connection without an answer
 	DieMid   Failure = "die-mid"  // drop the connection in the middle of the answer
-	Truncate Failure = "truncate" // end a stream cleanly, but without its end mark
-	Hang     Failure = "hang"     // never answer
-	BadJSON  Failure = "bad-json" // answer with what is no JSON
+	Truncate Failure = "truncate" // an engine only: end a stream cleanly, but without its end mark
+	Hang     Failure = "hang"     // a service only: never answer
 )
 
 // failures is what the next requests are to suffer.
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -9,24 +9,19 @@
 	"strconv"
 	"strings"
 	"sync"
-	"time"
 )
 
 // This file defines streams that outlive their connection: a resumable engine
-// goes on generating for a while when a connection breaks, and serves the rest
-// from any byte on.
+// goes on generating when a connection breaks, and serves the rest from any
+// byte on. Streams are kept as long as the engine.
 
 // ResumeHeader tells where a stream can be taken up again, with a Range from
 // the first byte missing, or ended with DELETE.
 const ResumeHeader = "Badgerspoke-Resume"
 
-const (
-	streamsPath = "/standin/streams/"
-	// abandonAfter is how long a stream is kept that nobody reads.
-	abandonAfter = 5 * time.Second
-)
+const streamsPath = "/standin/streams/"
 
-// streams are the live streams of an engine.
+// streams are the streams of an engine, live or whole.
 type streams struct {
 	mu   sync.Mutex
 	next int
@@ -40,7 +35,6 @@
 	mu      sync.Mutex
 	data    []byte
 	whole   bool
-	readers int
 	changed chan struct{} // closed and replaced on every change
 }
 
@@ -63,12 +57,6 @@
 	return s.live[path]
 }
 
-func (s *streams) end(path string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.live, path)
-}
-
 // serve resumes or ends a stream.
 func (s *streams) serve(w http.ResponseWriter, r *http.Request) {
 	l := s.find(r.URL.Path)
@@ -103,8 +91,6 @@
 // copy sends the stream from a byte on, until it is whole, or fails in the way
 // that how says when half of what is known of is sent.
 func (l *liveStream) copy(ctx context.Context, w http.ResponseWriter, from int, how Failure) {
-	l.change(func() { l.readers++ })
-	defer l.change(func() { l.readers-- })
 	for sent := from; ; {
 		l.mu.Lock()
 		data, whole, changed := l.data, l.whole, l.changed
@@ -129,24 +115,13 @@
 	}
 }
 
-// generate appends the events of a completion until it is whole, cancelled, or
-// not read for abandonAfter.
+// generate appends the events of a completion until it is whole or cancelled.
 func (l *liveStream) generate(ctx context.Context, c completion) {
-	unread := time.Duration(0)
 	for i := range c.req.MaxTokens {
 		if !c.sleepFor(ctx, c.set.TokenTime) {
 			return
 		}
-		l.change(func() {
-			l.data = append(l.data, c.event(i)...)
-			unread += c.set.TokenTime
-			if l.readers > 0 {
-				unread = 0
-			}
-		})
-		if unread >= abandonAfter {
-			return
-		}
+		l.change(func() { l.data = append(l.data, c.event(i)...) })
 	}
 	l.change(func() { l.data = append(l.data, c.last()...); l.whole = true })
 }
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -214,7 +214,6 @@
 		is.True(err != nil)
 		a.Body.Close()
 		time.Sleep(2 * time.Second)
-		running, _, _ := e.Load()
-		is.Equal(running, 0)
+		is.Equal(e.Running(), 0)
 	})
 }
