--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -4,7 +4,6 @@
 
 import (
 	"crypto/sha256"
-	"crypto/subtle"
 	"encoding/hex"
 	"net/netip"
 	"regexp"
@@ -29,9 +28,6 @@
 // HashKey returns the hash under which key is kept.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Equal compares in constant time.
-func (h KeyHash) Equal(o KeyHash) bool { return subtle.ConstantTimeCompare(h[:], o[:]) == 1 }
-
 // String returns the first bytes in hexadecimal, enough to tell keys apart.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:6]) }
 
@@ -121,19 +117,6 @@
 	Leaving Mark = 3
 )
 
-// String returns the operators' word for the mark.
-func (m Mark) String() string {
-	switch m {
-	case Joining:
-		return "joining"
-	case Serving:
-		return "serving"
-	case Leaving:
-		return "leaving"
-	}
-	return "unset"
-}
-
 // Server is a backend server: a model engine or a plain service.
 type Server struct {
 	Name        string   `cbor:"1,keyasint"`
@@ -153,9 +136,6 @@
 // WithMark returns the server with another mark.
 func (s Server) WithMark(m Mark) Server { s.Mark = m; return s }
 
-// WithSlots returns the server with another number of slots.
-func (s Server) WithSlots(n int) Server { s.Slots = n; return s }
-
 // MayNotRepeat reports whether the server's configuration says that a call
 // may run at most once.
 func (s Server) MayNotRepeat(method, path string) bool {
