--- a/control/control.go
+++ b/control/control.go
@@ -46,7 +46,6 @@
 	Pace       slots.Pace
 	Election   time.Duration
 	Heartbeat  time.Duration
-	CompactAt  int64
 	Random     func() uint64
 	Log        *slog.Logger
 	Metrics    *metrics.Set
@@ -65,9 +64,6 @@
 	if s.Heartbeat == 0 {
 		s.Heartbeat = replica.DefaultHeartbeat
 	}
-	if s.CompactAt == 0 {
-		s.CompactAt = replica.DefaultCompactAt
-	}
 	return s
 }
 
@@ -130,7 +126,7 @@
 	return replica.Start(c.ctx, replica.Settings{
 		Group: name, Name: c.set.Identity.Name, Names: names, Dir: dir, Machine: m,
 		Send: c.peers.Send, Election: c.set.Election, Heartbeat: c.set.Heartbeat,
-		CompactAt: c.set.CompactAt, Random: c.set.Random, Log: c.set.Log, Observe: observe,
+		CompactAt: replica.DefaultCompactAt, Random: c.set.Random, Log: c.set.Log, Observe: observe,
 	})
 }
 
--- a/router/relay.go
+++ b/router/relay.go
@@ -201,7 +201,7 @@
 	if l.call.engine {
 		u = l.usage()
 	}
-	return l.router.set.Weights.Cost(u)
+	return share.DefaultWeights.Cost(u)
 }
 
 // usage is what the engine says, or else a guess from what passed through.
--- a/router/router.go
+++ b/router/router.go
@@ -13,7 +13,6 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"github.com/badgerspoke/badgerspoke/coordination/place"
-	"github.com/badgerspoke/badgerspoke/coordination/share"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
@@ -36,7 +35,6 @@
 	Hall     string
 	Replicas map[string]string // fleet addresses of the control replicas by name
 	Server   Server
-	Weights  share.Weights
 	Limits   Limits
 	Pace     slots.Pace
 	// StopWithoutLeader makes the router treat the absence of a leader like
@@ -104,9 +102,6 @@
 	if set.Limits == (Limits{}) {
 		set.Limits = DefaultLimits
 	}
-	if set.Weights == (share.Weights{}) {
-		set.Weights = share.DefaultWeights
-	}
 	if set.Pace == (slots.Pace{}) {
 		set.Pace = slots.DefaultPace
 	}
