--- a/control/control.go
+++ b/control/control.go
@@ -113,7 +113,7 @@
 }
 
 func (c *Control) startGroup(name string, m replica.Machine,
-	observe func(time.Duration, consensus.Status, bool)) (*replica.Replica, error) {
+	observe func(consensus.Status, bool)) (*replica.Replica, error) {
 	dir, err := c.set.Dir(name)
 	if err != nil {
 		return nil, err
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -57,9 +57,8 @@
 type session struct {
 	holder   claim.Holder
 	out      *link.Outbox
-	sent     uint64        // revision sent
-	revision uint64        // revision confirmed
-	renewed  time.Duration // when last renewed
+	sent     uint64 // revision sent
+	revision uint64 // revision confirmed
 }
 
 // snapshotCache keeps the encoding of the newest configuration, so that many
@@ -86,7 +85,7 @@
 }
 
 // observe is called by the replica's goroutine after every batch.
-func (d *dispatcher) observe(now time.Duration, s consensus.Status, leads bool) {
+func (d *dispatcher) observe(s consensus.Status, leads bool) {
 	l := lead{
 		leads: leads, term: s.Term, leader: s.Leader.Name, group: s.Group, leaseEnd: s.LeaseEnd,
 		members: s.Members, follows: !s.Leader.IsZero(),
--- a/control/session.go
+++ b/control/session.go
@@ -98,7 +98,7 @@
 	now := d.now()
 	void := !d.alloc.TakingOver(now) && !d.alloc.Knows(h.Router, h.Boot)
 	reports, known := d.alloc.Open(now, h)
-	s.renewed, s.revision = now, h.Revision
+	s.revision = h.Revision
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
 		Epoch: d.alloc.Epoch(), LeaseMillis: uint32(d.c.set.Lease.Length.Milliseconds()),
@@ -112,9 +112,8 @@
 	if d.sessions[s.holder.Router] != s || !d.acting() {
 		return
 	}
-	now := d.now()
-	s.renewed, s.revision = now, m.Revision
-	d.alloc.Renew(now, s.holder.Router)
+	s.revision = m.Revision
+	d.alloc.Renew(d.now(), s.holder.Router)
 	s.out.Send(protocol.Renewed{Seq: m.Seq})
 }
 
--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -102,7 +102,6 @@
 	seq     uint64 // of the view that carries it; 0 until sent
 	pool    string
 	account string
-	server  string
 }
 
 type server struct {
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -109,7 +109,7 @@
 	s := w.session
 	a.take(s, srv.Name, 1)
 	s.granted[srv.Name]++
-	s.unacked = append(s.unacked, grant{pool: p.name, account: w.account.name, server: srv.Name})
+	s.unacked = append(s.unacked, grant{pool: p.name, account: w.account.name})
 	s.urgent = true
 	w.onWay++
 	w.account.onWay++
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -74,7 +74,7 @@
 }
 
 // observe is called by the replica's goroutine after every batch.
-func (h *hub) observe(_ time.Duration, s consensus.Status, leads bool) {
+func (h *hub) observe(s consensus.Status, leads bool) {
 	old := h.leadership.Load()
 	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, members: old.members, formed: true}
 	if !sameMembers(old.members, s.Members) {
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -273,7 +273,7 @@
 		l.r.set.Log.Info("lead changed", "group", l.r.set.Group, "leads", leads, "term", s.Term)
 	}
 	if l.r.set.Observe != nil {
-		l.r.set.Observe(now, s, leads)
+		l.r.set.Observe(s, leads)
 	}
 }
 
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -63,7 +63,7 @@
 	Log       *slog.Logger
 	// Observe, if set, is called from the replica's goroutine after every
 	// batch of inputs with the group's state. It must not block.
-	Observe func(now time.Duration, s consensus.Status, leads bool)
+	Observe func(s consensus.Status, leads bool)
 }
 
 // OpenGroup is what an open group needs to know besides its seeds.
--- a/router/call.go
+++ b/router/call.go
@@ -25,7 +25,6 @@
 	pool     string
 	class    string // of the fixed set in classes
 	flow     string
-	stream   bool // the caller asked for a stream
 	engine   bool
 	send     forward.Call
 	body     []byte
--- a/router/callers.go
+++ b/router/callers.go
@@ -138,7 +138,7 @@
 // engineRequest is the part of a completion request that routing reads.
 type engineRequest struct {
 	Model  string `json:"model"`
-	Stream bool   `json:"stream"`
+	Stream bool   `json:"stream"` // not read; a body in which it is no boolean is refused
 	User   string `json:"user"`
 }
 
@@ -159,7 +159,7 @@
 	if !ok {
 		return failModel.With("no pool serves model " + strconv.Quote(er.Model))
 	}
-	c.pool, c.stream, c.engine = pool, er.Stream, true
+	c.pool, c.engine = pool, true
 	c.blocks = place.Blocks(c.body)
 	if c.flow == "" && len(er.User) <= maxUser {
 		c.flow = er.User
