--- a/fleet_test.go
+++ b/fleet_test.go
@@ -3,11 +3,8 @@
 package badgerspoke_test
 
 import (
-	"bytes"
 	"context"
-	"encoding/hex"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -16,24 +13,18 @@
 	"testing/synctest"
 	"time"
 
-	"connectrpc.com/connect"
-
 	"github.com/badgerspoke/badgerspoke"
-	"github.com/badgerspoke/badgerspoke/dev"
 	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
-	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
-
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
-
 	"github.com/badgerspoke/badgerspoke/settings"
 	"github.com/badgerspoke/badgerspoke/standin"
-	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
 // This file defines testFleet, a whole fleet in one bubble of virtual time:
-// real boxes on a network and disks in memory, in front of stand-ins.
+// real boxes on a network and disks in memory, in front of stand-ins. What its
+// callers do is in requests_test.go, what its operators do in operators_test.go.
 
 const (
 	latency   = 1500 * time.Microsecond
@@ -101,6 +92,17 @@
 	return f
 }
 
+func wholeFleet(t *testing.T, routers int) *testFleet {
+	f := newFleet(t, 3, routers)
+	f.account("hotel", 1)
+	f.account("notary", 1)
+	f.engine("e1", 1, 4)
+	f.engine("e2", 2, 4)
+	f.service("s1", 1, 8, 200*time.Millisecond)
+	f.settle()
+	return f
+}
+
 func (f *testFleet) add(name, ip string, control bool) {
 	b := &testBox{name: name, ip: ip, control: control, disks: map[string]*fakedisk.Disk{}}
 	f.boxes[name] = b
@@ -233,81 +235,6 @@
 	return s
 }
 
-func (f *testFleet) addServer(s *operatorv1.Server) {
-	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
-		_, err := c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: ch, Server: s}))
-		return err
-	})
-}
-
-func (f *testFleet) mark(name string, m operatorv1.Mark) {
-	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
-		_, err := c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{Change: ch, Name: name, Mark: m}))
-		return err
-	})
-}
-
-// account creates an account whose key is its name.
-func (f *testFleet) account(name string, share float64) {
-	h := config.HashKey(name)
-	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
-		_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
-			Change: ch, Name: name, Share: share, KeyHash: hex.EncodeToString(h[:]),
-		}))
-		return err
-	})
-}
-
-// operators returns a client of one control box.
-func (f *testFleet) operators(name string) operatorv1connect.OperatorServiceClient {
-	return operatorv1connect.NewOperatorServiceClient(f.client, f.scheme+f.boxes[name].ip+":8081",
-		connect.WithInterceptors(dev.Authorize(token)))
-}
-
-// mustChange makes a change at whoever leads, sending it again with the same
-// identifier until it is accepted.
-func (f *testFleet) mustChange(do func(context.Context, operatorv1connect.OperatorServiceClient, *operatorv1.Change) error) {
-	f.t.Helper()
-	f.changes++
-	ch := &operatorv1.Change{Id: fmt.Sprintf("change %d", f.changes)}
-	var last error
-	for range 200 {
-		for name := range f.replicas {
-			if f.boxes[name].box == nil {
-				continue
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-			last = do(ctx, f.operators(name), ch)
-			cancel()
-			if last == nil {
-				return
-			}
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	f.t.Fatalf("change was never accepted: %v", last)
-}
-
-// leader returns the control box that leads.
-func (f *testFleet) leader() string {
-	for range 200 {
-		for name := range f.replicas {
-			if f.boxes[name].box == nil {
-				continue
-			}
-			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-			_, err := f.operators(name).GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
-			cancel()
-			if err == nil {
-				return name
-			}
-		}
-		time.Sleep(50 * time.Millisecond)
-	}
-	f.t.Fatal("nobody leads")
-	return ""
-}
-
 // settle waits until every running router is ready and holds the newest
 // configuration.
 func (f *testFleet) settle() {
@@ -327,83 +254,6 @@
 	f.t.Fatal("the routers never got ready")
 }
 
-// answer is what a caller got.
-type answer struct {
-	status  int
-	outcome string
-	body    string
-	header  http.Header
-	err     error
-	took    time.Duration
-}
-
-type request struct {
-	router string
-	method string
-	path   string
-	key    string // of the account
-	body   string
-	header map[string]string
-	ctx    context.Context
-}
-
-func completion(router, account string, tokens int, stream bool) request {
-	return request{
-		router: router, path: "/v1/chat/completions", key: account,
-		body: fmt.Sprintf(`{"model":"m","stream":%t,"max_tokens":%d}`, stream, tokens),
-	}
-}
-
-func order(router, account, body, idempotencyKey string) request {
-	r := request{router: router, path: "/services/stock/orders", key: account, body: body}
-	if idempotencyKey != "" {
-		r.header = map[string]string{"Idempotency-Key": idempotencyKey}
-	}
-	return r
-}
-
-func (f *testFleet) do(r request) answer {
-	began := time.Now()
-	if r.method == "" {
-		r.method = http.MethodPost
-	}
-	if r.ctx == nil {
-		r.ctx = context.Background()
-	}
-	req, err := http.NewRequestWithContext(r.ctx, r.method, f.scheme+f.boxes[r.router].ip+":8080"+r.path, bytes.NewReader([]byte(r.body)))
-	if err != nil {
-		f.t.Error(err)
-		return answer{err: err}
-	}
-	if r.key != "" {
-		req.Header.Set("Authorization", "Bearer "+r.key)
-	}
-	for k, v := range r.header {
-		req.Header.Set(k, v)
-	}
-	resp, err := f.client.Do(req)
-	if err != nil {
-		return answer{err: err, took: time.Since(began)}
-	}
-	defer resp.Body.Close()
-	body, err := io.ReadAll(resp.Body)
-	return answer{
-		status: resp.StatusCode, outcome: resp.Header.Get("Badgerspoke-Outcome"), body: string(body),
-		header: resp.Header, err: err, took: time.Since(began),
-	}
-}
-
-// start runs requests at once and returns a function that waits for their
-// answers.
-func (f *testFleet) startAll(rs ...request) func() []answer {
-	out := make([]answer, len(rs))
-	var wg sync.WaitGroup
-	for i, r := range rs {
-		wg.Go(func() { out[i] = f.do(r) })
-	}
-	return func() []answer { wg.Wait(); return out }
-}
-
 // inBubble runs a test in virtual time.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
--- /dev/null
+++ b/operators_test.go
@@ -0,0 +1,322 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package badgerspoke_test
+
+import (
+	"context"
+	"encoding/hex"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"connectrpc.com/connect"
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/dev"
+	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
+	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
+	"github.com/badgerspoke/badgerspoke/state/config"
+)
+
+// This file defines what operators do at a testFleet, and checks what they are
+// promised: changes, revisions in force, servers that leave, planned stops,
+// and metrics.
+
+// operators returns a client of one control box.
+func (f *testFleet) operators(name string) operatorv1connect.OperatorServiceClient {
+	return operatorv1connect.NewOperatorServiceClient(f.client, f.scheme+f.boxes[name].ip+":8081",
+		connect.WithInterceptors(dev.Authorize(token)))
+}
+
+// leader returns the control box that leads.
+func (f *testFleet) leader() string {
+	f.t.Helper()
+	return f.atLeader(func(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
+		_, err := c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
+		return err
+	})
+}
+
+// atLeader makes a call at one running control box after the other until one
+// answers, and returns that one.
+func (f *testFleet) atLeader(call func(context.Context, operatorv1connect.OperatorServiceClient) error) string {
+	f.t.Helper()
+	var last error
+	for range 200 {
+		for name := range f.replicas {
+			if f.boxes[name].box == nil {
+				continue
+			}
+			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+			last = call(ctx, f.operators(name))
+			cancel()
+			if last == nil {
+				return name
+			}
+		}
+		time.Sleep(50 * time.Millisecond)
+	}
+	f.t.Fatalf("no control box took the call: %v", last)
+	return ""
+}
+
+// mustChange makes a change at whoever leads, sending it again with the same
+// identifier until it is accepted.
+func (f *testFleet) mustChange(do func(context.Context, operatorv1connect.OperatorServiceClient, *operatorv1.Change) error) {
+	f.t.Helper()
+	f.changes++
+	ch := &operatorv1.Change{Id: fmt.Sprintf("change %d", f.changes)}
+	f.atLeader(func(ctx context.Context, c operatorv1connect.OperatorServiceClient) error { return do(ctx, c, ch) })
+}
+
+// account creates an account whose key is its name.
+func (f *testFleet) account(name string, share float64) {
+	h := config.HashKey(name)
+	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
+		_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
+			Change: ch, Name: name, Share: share, KeyHash: hex.EncodeToString(h[:]),
+		}))
+		return err
+	})
+}
+
+func (f *testFleet) addServer(s *operatorv1.Server) {
+	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
+		_, err := c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: ch, Server: s}))
+		return err
+	})
+}
+
+func (f *testFleet) mark(name string, m operatorv1.Mark) {
+	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
+		_, err := c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{Change: ch, Name: name, Mark: m}))
+		return err
+	})
+}
+
+// markAt marks e1 at one control box, building on base.
+func (f *testFleet) markAt(control, id string, base uint64, m operatorv1.Mark) (uint64, error) {
+	resp, err := f.operators(control).MarkServer(context.Background(), connect.NewRequest(&operatorv1.MarkServerRequest{
+		Change: &operatorv1.Change{Id: id, BaseRevision: base}, Name: "e1", Mark: m,
+	}))
+	if err != nil {
+		return 0, err
+	}
+	return resp.Msg.GetRevision(), nil
+}
+
+func (f *testFleet) status(control string) *operatorv1.GetStatusResponse {
+	resp, err := f.operators(control).GetStatus(context.Background(), connect.NewRequest(&operatorv1.GetStatusRequest{}))
+	if err != nil {
+		f.t.Fatalf("status of %s: %v", control, err)
+	}
+	return resp.Msg
+}
+
+// slotsHeld returns the slots that a router holds, or -1 if no such router is
+// listed.
+func (f *testFleet) slotsHeld(router string) int {
+	for _, r := range f.status(f.leader()).GetRouters() {
+		if r.GetName() == router {
+			return int(r.GetSlotsHeld())
+		}
+	}
+	return -1
+}
+
+// awaitVoters waits until the configuration group has n voters.
+func (f *testFleet) awaitVoters(n int) {
+	for voters := 0; voters < n; {
+		time.Sleep(100 * time.Millisecond)
+		voters = 0
+		for _, r := range f.status(f.leader()).GetReplicas() {
+			if r.GetVoter() {
+				voters++
+			}
+		}
+	}
+}
+
+func (f *testFleet) scrape(control string) string {
+	resp, err := f.client.Get(f.scheme + f.boxes[control].ip + ":8081/metrics")
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return string(b)
+}
+
+func detail[T any](t *testing.T, err error) T {
+	t.Helper()
+	var ce *connect.Error
+	if c, ok := err.(*connect.Error); ok {
+		ce = c
+	}
+	for _, d := range ce.Details() {
+		if v, err := d.Value(); err == nil {
+			if typed, ok := v.(T); ok {
+				return typed
+			}
+		}
+	}
+	t.Fatalf("no such detail in %v", err)
+	var zero T
+	return zero
+}
+
+func TestOperatorsRace(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 1)
+		leader := f.leader()
+		base := f.status(leader).GetRevision()
+		mark := func(control, id string, m operatorv1.Mark) (uint64, error) {
+			return f.markAt(control, id, base, m)
+		}
+		revision, err := mark(leader, "ada", operatorv1.Mark_MARK_LEAVING)
+		is.NoErr(err)
+		is.Equal(revision, base+1)
+		_, err = mark(leader, "bob", operatorv1.Mark_MARK_JOINING) // equal number, other content
+		is.Equal(connect.CodeOf(err), connect.CodeAborted)
+		conflict := detail[*operatorv1.Conflict](t, err)
+		is.Equal(conflict.GetWinnerId(), "ada")
+		is.Equal(conflict.GetWinnerSubjects(), []string{"server e1"})
+		f.crash(leader)
+		next := f.leader()
+		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // the answer was lost: ask again
+		is.NoErr(err)
+		is.Equal(revision, base+1) // the first answer, from another leader
+		revision, err = mark(next, "carol", operatorv1.Mark_MARK_LEAVING)
+		is.NoErr(err) // equal number, equal content
+		is.Equal(revision, base+1)
+		_, err = mark(next, "ada", operatorv1.Mark_MARK_SERVING)
+		is.Equal(connect.CodeOf(err), connect.CodeAlreadyExists) // the identifier means something else
+	})
+}
+
+func TestRevisionInForceEverywhere(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 2)
+		f.net.Cut(f.boxes["r2"].ip)
+		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
+		leader := f.leader()
+		ctx, cancel := context.WithTimeout(context.Background(), 9*time.Second)
+		defer cancel()
+		began := time.Now()
+		resp, err := f.operators(leader).AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: uint64(f.changes)}))
+		is.NoErr(err)
+		is.True(resp.Msg.GetInForce())
+		is.Equal(resp.Msg.GetConfirmed(), []string{"r1"})
+		is.True(time.Since(began) < 5*time.Second) // a lease, its margin, and a little
+		f.net.Join(f.boxes["r2"].ip)
+	})
+}
+
+func TestLeavingServerGetsNoNewWork(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 2)
+		long := f.startAll(completion("r1", "hotel", 500, true), completion("r1", "hotel", 500, true),
+			completion("r2", "hotel", 500, true), completion("r2", "hotel", 500, true)) // 10 s
+		stop1 := f.load(2, completion("r1", "hotel", 5, true))
+		stop2 := f.load(2, completion("r2", "notary", 5, true))
+		time.Sleep(time.Second)
+		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
+		f.net.Cut(f.boxes["r2"].ip) // hears nothing of it, and reaches no server either
+		time.Sleep(3 * time.Second)
+		before := f.engines["e1"].Runs()
+		f.net.Join(f.boxes["r2"].ip)
+		time.Sleep(4 * time.Second)
+		is.Equal(f.engines["e1"].Runs(), before) // nothing new after 3 s, from anybody
+		for _, a := range append(stop1(), stop2()...) {
+			is.True(a.status == 200 || a.outcome == "not-run")
+		}
+		checkWhole(is, long(), 4) // and what ran there ended whole
+		time.Sleep(2 * time.Second)
+		for _, s := range f.status(f.leader()).GetServers() {
+			if s.GetName() == "e1" {
+				is.True(s.GetEmpty())
+			}
+		}
+	})
+}
+
+func TestPlannedStopsCutOffNothing(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 2)
+		running := f.startAll(completion("r1", "hotel", 200, true), completion("r1", "notary", 200, true)) // 4 s
+		stop2 := f.load(4, completion("r2", "hotel", 10, true))
+		time.Sleep(time.Second)
+		stopped := make(chan struct{})
+		go func() { f.stop("r1"); close(stopped) }()
+		time.Sleep(time.Second)
+		is.Equal(f.slotsHeld("r1"), 2) // what still runs there is not granted to others
+		<-stopped
+		checkWhole(is, running(), 2)
+		leader := f.leader()
+		f.stop(leader) // hands leadership over first
+		time.Sleep(time.Second)
+		for name := range f.replicas {
+			if f.boxes[name].box != nil && name != f.leader() {
+				f.stop(name) // a follower; one of three is left, no majority
+				break
+			}
+		}
+		f.start(leader)
+		time.Sleep(3 * time.Second)
+		checkWhole(is, stop2(), 100)
+	})
+}
+
+func TestSlotsOfAStoppedRouterAreFreeAtOnce(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 2)
+		for range 8 { // r1 takes slots
+			f.startAll(completion("r1", "hotel", 10, true))
+		}
+		time.Sleep(time.Second)
+		f.stop("r1")
+		time.Sleep(10 * time.Millisecond)
+		is.Equal(f.slotsHeld("r1"), -1) // not even listed, with no lease waited for
+		a := f.do(completion("r2", "hotel", 1, true))
+		is.Equal(a.status, 200)
+		is.True(a.took < 200*time.Millisecond) // far less than a lease
+	})
+}
+
+func TestMetricsTellHowTheFleetStands(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 1)
+		var rs []request
+		for range 20 { // 8 slots; the rest waits
+			rs = append(rs, completion("r1", "hotel", 100, true), completion("r1", "notary", 100, true))
+		}
+		wait := f.startAll(rs...)
+		time.Sleep(1500 * time.Millisecond)
+		leader := f.leader()
+		got := f.scrape(leader)
+		for _, want := range []string{
+			"badgerspoke_leads 1\n", `badgerspoke_pool_slots{pool="llm"} 8`, `badgerspoke_pool_slots_granted{pool="llm"} 8`,
+			`badgerspoke_waiting{pool="llm",account="hotel"} 16`, `badgerspoke_gap{pool="llm"} `,
+			`badgerspoke_control_bytes_total{direction="in",kind="report"}`,
+		} {
+			is.True(strings.Contains(got, want)) // each of the three measures
+		}
+		for name := range f.replicas {
+			if name != leader {
+				is.True(strings.Contains(f.scrape(name), "badgerspoke_leads 0\n"))
+			}
+		}
+		wait()
+	})
+}
--- /dev/null
+++ b/requests_test.go
@@ -0,0 +1,138 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package badgerspoke_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+// This file defines what callers do at a testFleet: requests, one by one, at
+// once, or as a load, and how their answers are checked.
+
+type request struct {
+	router string
+	method string
+	path   string
+	key    string // of the account
+	body   string
+	header map[string]string
+	ctx    context.Context
+}
+
+func completion(router, account string, tokens int, stream bool) request {
+	return request{
+		router: router, path: "/v1/chat/completions", key: account,
+		body: fmt.Sprintf(`{"model":"m","stream":%t,"max_tokens":%d}`, stream, tokens),
+	}
+}
+
+func order(router, account, body, idempotencyKey string) request {
+	r := request{router: router, path: "/services/stock/orders", key: account, body: body}
+	if idempotencyKey != "" {
+		r.header = map[string]string{"Idempotency-Key": idempotencyKey}
+	}
+	return r
+}
+
+// answer is what a caller got.
+type answer struct {
+	status  int
+	outcome string
+	body    string
+	header  http.Header
+	err     error
+	took    time.Duration
+}
+
+func (f *testFleet) do(r request) answer {
+	began := time.Now()
+	if r.method == "" {
+		r.method = http.MethodPost
+	}
+	if r.ctx == nil {
+		r.ctx = context.Background()
+	}
+	req, err := http.NewRequestWithContext(r.ctx, r.method, f.scheme+f.boxes[r.router].ip+":8080"+r.path, bytes.NewReader([]byte(r.body)))
+	if err != nil {
+		f.t.Error(err)
+		return answer{err: err}
+	}
+	if r.key != "" {
+		req.Header.Set("Authorization", "Bearer "+r.key)
+	}
+	for k, v := range r.header {
+		req.Header.Set(k, v)
+	}
+	resp, err := f.client.Do(req)
+	if err != nil {
+		return answer{err: err, took: time.Since(began)}
+	}
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
+	return answer{
+		status: resp.StatusCode, outcome: resp.Header.Get("Badgerspoke-Outcome"), body: string(body),
+		header: resp.Header, err: err, took: time.Since(began),
+	}
+}
+
+// start runs requests at once and returns a function that waits for their
+// answers.
+func (f *testFleet) startAll(rs ...request) func() []answer {
+	out := make([]answer, len(rs))
+	var wg sync.WaitGroup
+	for i, r := range rs {
+		wg.Go(func() { out[i] = f.do(r) })
+	}
+	return func() []answer { wg.Wait(); return out }
+}
+
+// load keeps requests running on routers until stop is called, and returns
+// their answers.
+func (f *testFleet) load(n int, r request) (stop func() []answer) {
+	done := make(chan struct{})
+	out := make(chan []answer, n)
+	for range n {
+		go func() {
+			var mine []answer
+			for {
+				select {
+				case <-done:
+					out <- mine
+					return
+				default:
+					mine = append(mine, f.do(r))
+				}
+			}
+		}()
+	}
+	return func() []answer {
+		close(done)
+		var all []answer
+		for range n {
+			all = append(all, <-out...)
+		}
+		return all
+	}
+}
+
+// checkWhole checks that every answer is whole, and that there are some.
+func checkWhole(is *is.I, all []answer, atLeast int) {
+	is.Helper()
+	is.True(len(all) >= atLeast)
+	for _, a := range all {
+		is.NoErr(a.err)
+		if a.status != 200 {
+			is.Equal(a.body, "") // a whole answer, not a failure
+		}
+		is.True(strings.HasSuffix(a.body, "data: [DONE]\n\n"))
+	}
+}
