--- a/cli/cli.go
+++ b/cli/cli.go
@@ -31,6 +31,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 	"github.com/badgerspoke/badgerspoke/settings"
@@ -221,10 +222,8 @@
 		if l, ok := detail[*operatorv1.NotLeader](err); ok && l.GetOperatorsAddress() != "" {
 			server = l.GetOperatorsAddress()
 		}
-		select {
-		case <-ctx.Done():
+		if !sleep.For(ctx, retryPause) {
 			return nil, err
-		case <-time.After(retryPause):
 		}
 	}
 }
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -15,6 +15,7 @@
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 	"github.com/badgerspoke/badgerspoke/standin"
@@ -151,10 +152,8 @@
 		if err == nil {
 			return nil
 		}
-		select {
-		case <-ctx.Done():
+		if !sleep.For(ctx, leaderPoll) {
 			return errors.Wrap(err, "wait for a leader")
-		case <-time.After(leaderPoll):
 		}
 	}
 }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -17,6 +17,8 @@
 	"os"
 	"sync"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
 // This file defines Network, its listeners and its faults.
@@ -93,11 +95,7 @@
 
 // travel waits for the latency, and while either side is cut off.
 func (n *Network) travel(ctx context.Context, from, to string) error {
-	t := time.NewTimer(n.latency)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-ctx.Done():
+	if !sleep.For(ctx, n.latency) {
 		return ctx.Err()
 	}
 	for {
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -20,6 +20,7 @@
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/journal"
 	"github.com/badgerspoke/badgerspoke/state/wal"
@@ -205,8 +206,8 @@
 		case <-r.stopped:
 			return Stopped{Err: r.err}
 		}
-		if err := pause(ctx, r.set.Heartbeat/4); err != nil {
-			return err
+		if !sleep.For(ctx, r.set.Heartbeat/4) {
+			return ctx.Err()
 		}
 	}
 }
@@ -227,14 +228,3 @@
 		return Stopped{Err: r.err}
 	}
 }
-
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/router/claims.go
+++ b/router/claims.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
@@ -101,12 +102,8 @@
 		if answered && got.State != protocol.ClaimRetry {
 			return got, true
 		}
-		t := time.NewTimer(claimRetryPause/2 + rand.N(claimRetryPause))
-		select {
-		case <-ctx.Done():
-			t.Stop()
+		if !sleep.For(ctx, claimRetryPause/2+rand.N(claimRetryPause)) {
 			return protocol.Claimed{}, false
-		case <-t.C:
 		}
 	}
 }
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -14,6 +14,7 @@
 	"github.com/pkg/errors"
 
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -76,7 +77,7 @@
 			wait = shortestRetry
 		}
 		if f.r.now()-began < wait || l == nil {
-			f.sleep(wait/2 + rand.N(wait)) // jitter keeps a rack of routers from dialling at once
+			sleep.For(f.r.ctx, wait/2+rand.N(wait)) // jitter keeps a rack of routers from dialling at once
 			wait = min(2*wait, f.longest())
 		}
 	}
@@ -91,15 +92,6 @@
 	return longestRetry
 }
 
-func (f *fleet) sleep(d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-f.r.ctx.Done():
-	case <-t.C:
-	}
-}
-
 // found is what one replica answered.
 type found struct {
 	link     *link.Link
--- a/router/router.go
+++ b/router/router.go
@@ -14,6 +14,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -135,10 +136,7 @@
 // back. When ctx ends first, what still runs is cut off.
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
-	select {
-	case <-time.After(grace):
-	case <-ctx.Done():
-	}
+	sleep.For(ctx, grace)
 	r.fleet.closeDoor()
 	awaitZero(ctx, &r.calls)
 	r.claims.flush(ctx)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,6 +11,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
 // This file defines Engine, the stand-in for a model engine.
@@ -153,7 +155,7 @@
 	if c.how == DieEarly {
 		panic(http.ErrAbortHandler)
 	}
-	if !c.sleep(c.set.PromptTime) {
+	if !sleep.For(c.ctx, c.set.PromptTime) {
 		return
 	}
 	if c.req.Stream {
@@ -172,7 +174,7 @@
 		if c.how == Truncate && i == c.req.MaxTokens/2 {
 			return
 		}
-		if !c.sleep(c.set.TokenTime) {
+		if !sleep.For(c.ctx, c.set.TokenTime) {
 			return
 		}
 		_, _ = c.w.Write(c.event(i))
@@ -193,7 +195,7 @@
 }
 
 func (c *completion) plain() {
-	if !c.sleep(time.Duration(c.req.MaxTokens) * c.set.TokenTime) {
+	if !sleep.For(c.ctx, time.Duration(c.req.MaxTokens)*c.set.TokenTime) {
 		return
 	}
 	text := ""
@@ -216,23 +218,6 @@
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.prompt, c.req.MaxTokens)
 }
 
-func (c *completion) sleep(d time.Duration) bool { return c.sleepFor(c.ctx, d) }
-
-// sleepFor reports whether ctx lasted as long.
-func (c *completion) sleepFor(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
-
 // refuse says that a request was not started.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set("Badgerspoke-Refused", "true")
--- a/standin/service.go
+++ b/standin/service.go
@@ -8,6 +8,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
 // This file defines Service, the stand-in for a plain service.
@@ -43,12 +45,8 @@
 		return
 	}
 	runs := s.run(string(body))
-	if s.Time > 0 {
-		select {
-		case <-time.After(s.Time):
-		case <-r.Context().Done():
-			return
-		}
+	if !sleep.For(r.Context(), s.Time) {
+		return
 	}
 	switch how {
 	case Hang:
