--- a/chaos_test.go
+++ b/chaos_test.go
@@ -153,23 +153,20 @@
 	case p < 96:
 		f.net.Reunite()
 	default:
-		f.loseDisk(b)
+		f.loseDiskOfWholeGroup(b)
 	}
 }
 
-// loseDisk empties a control box's disks, if the groups are whole: no system
-// survives the loss of a majority of its disks.
-func (f *testFleet) loseDisk(b *testBox) {
+// loseDiskOfWholeGroup empties a control box's disks once the groups are whole:
+// no system survives the loss of a majority of its disks.
+func (f *testFleet) loseDiskOfWholeGroup(b *testBox) {
 	if !b.control {
 		return
 	}
 	f.mendEverything()
 	f.awaitVoters(3)
 	time.Sleep(3 * time.Second) // the claims group is whole too
-	f.crash(b.name)
-	clear(b.disks)
-	f.start(b.name)
-	f.awaitVoters(3)
+	f.loseDisk(b.name)
 	time.Sleep(3 * time.Second)
 }
 
--- a/faults_test.go
+++ b/faults_test.go
@@ -83,10 +83,7 @@
 		is.Equal(f.do(order("r1", "hotel", "first", "k9")).status, 200)
 		revision := f.status(f.leader()).GetRevision()
 		for _, lost := range []string{"c1", "c2", "c3"} { // one after the other, each right after the repair of the last
-			f.crash(lost)
-			clear(f.boxes[lost].disks)
-			f.start(lost)
-			f.awaitVoters(3)
+			f.loseDisk(lost)
 			time.Sleep(2 * time.Second) // the claims group is repaired too
 		}
 		is.Equal(f.status(f.leader()).GetRevision(), revision)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -196,6 +196,15 @@
 	time.Sleep(10 * time.Second) // let timers of closed connections end
 }
 
+// loseDisk ends a control box, empties its disks, and waits until it has been
+// repaired in the configuration group. The claims group may take longer.
+func (f *testFleet) loseDisk(name string) {
+	f.crash(name)
+	clear(f.boxes[name].disks)
+	f.start(name)
+	f.awaitVoters(3)
+}
+
 // standIn serves a stand-in at an address.
 func (f *testFleet) standIn(address string, h http.Handler) {
 	s := &http.Server{Handler: h}
--- a/golden_test.go
+++ b/golden_test.go
@@ -232,10 +232,7 @@
 	{"second-box-lost-after-a-repair", 1, func(s *transcript) {
 		s.call(order("r1", "hotel", "12 towels", "k1"))
 		for _, lost := range []string{"c1", "c2"} {
-			s.crash(lost)
-			clear(s.boxes[lost].disks)
-			s.start(lost)
-			s.awaitVoters(3)
+			s.loseDisk(lost)
 			time.Sleep(2 * time.Second)
 			s.align()
 			s.say(lost, "lost its disk, was repaired and votes again")
