--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -56,6 +56,41 @@
 	return want
 }
 
+// Folder compares the files that write writes with a folder of pinned files,
+// and returns a copy of that folder, for opening. With -update a file that is
+// not written any more stays; remove it by hand.
+func Folder(t *testing.T, name string, write func(t *testing.T, folder string)) string {
+	t.Helper()
+	fresh, pinned := t.TempDir(), t.TempDir()
+	write(t, fresh)
+	written := list(t, fresh)
+	for _, e := range written {
+		got, err := os.ReadFile(filepath.Join(fresh, e.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if want := file(t, filepath.Join(name, e.Name()), got); !bytes.Equal(got, want) {
+			t.Errorf("%s/%s: bytes differ from the pinned ones\n got %x\nwant %x", name, e.Name(), got, want)
+		}
+	}
+	if err := os.CopyFS(pinned, os.DirFS(filepath.Join("testdata", "golden", name))); err != nil {
+		t.Fatal(err)
+	}
+	if kept := list(t, pinned); len(kept) != len(written) {
+		t.Errorf("%s: %d files are written, %d are pinned", name, len(written), len(kept))
+	}
+	return pinned
+}
+
+func list(t *testing.T, folder string) []os.DirEntry {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return entries
+}
+
 // file returns a file's content, written anew if asked for.
 func file(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
--- a/state/wal/golden_test.go
+++ b/state/wal/golden_test.go
@@ -3,8 +3,6 @@
 package wal_test
 
 import (
-	"os"
-	"path/filepath"
 	"testing"
 
 	"github.com/matryer/is"
@@ -52,7 +50,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			folder := goldenFolder(t, tt.name, tt.write)
+			folder := golden.Folder(t, tt.name, tt.write)
 			l, rec, err := wal.Open(wal.OSDir(folder))
 			is.NoErr(err)
 			defer l.Close()
@@ -65,45 +63,3 @@
 		})
 	}
 }
-
-// goldenFolder compares what write writes with the golden folder of that name,
-// and returns a copy of the golden folder.
-func goldenFolder(t *testing.T, name string, write func(*testing.T, string)) string {
-	t.Helper()
-	is := is.New(t)
-	path := filepath.Join("testdata", "golden", name)
-	fresh := t.TempDir()
-	write(t, fresh)
-	if golden.Update() {
-		is.NoErr(os.RemoveAll(path))
-		is.NoErr(os.CopyFS(path, os.DirFS(fresh)))
-	}
-	got, want := contents(t, fresh), contents(t, path)
-	for file, b := range want {
-		if got[file] != b {
-			t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x", file, got[file], b)
-		}
-	}
-	is.Equal(len(got), len(want)) // no other files
-	folder := t.TempDir()
-	is.NoErr(os.CopyFS(folder, os.DirFS(path)))
-	return folder
-}
-
-// contents returns the files of a folder by name.
-func contents(t *testing.T, folder string) map[string]string {
-	t.Helper()
-	entries, err := os.ReadDir(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	files := map[string]string{}
-	for _, e := range entries {
-		b, err := os.ReadFile(filepath.Join(folder, e.Name()))
-		if err != nil {
-			t.Fatal(err)
-		}
-		files[e.Name()] = string(b)
-	}
-	return files
-}
