--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -3,12 +3,15 @@
 // Package badgerspoke assembles a box of a router fleet: the router role, the
 // control role, or both, with the listeners that they need.
 //
-// The model: a [Box] is built from values and owns its listeners. Routers
-// take callers' requests and share them fairly over backend servers; control
+// The model: a [Box] is built from values and owns its listeners, its HTTP
+// servers, its metrics and the connections to backend servers. Routers take
+// callers' requests and share them fairly over backend servers; control
 // replicas keep the configuration and hand out the routers' slots. Boxes find
 // each other by the addresses in [Settings.Replicas] and trust each other by
-// one fleet key. The parts are packages of their own and may be embedded
-// without this one: [github.com/badgerspoke/badgerspoke/router],
+// one fleet key. A Box has no lock: its fields don't change after [Start]. It
+// stops in the order of dependence: router, control role, connections to
+// backend servers, listeners. The parts are packages of their own and may be
+// embedded without this one: [github.com/badgerspoke/badgerspoke/router],
 // [github.com/badgerspoke/badgerspoke/control], and the pure decisions under
 // coordination/.
 package badgerspoke
@@ -58,12 +61,15 @@
 	OperatorToken string
 	Overcommit    float64 // part of an engine's slots that is granted beyond them
 
-	TLS               *settings.TLS // nil leaves all connections plain
-	Lease             slots.Lease
-	Pace              slots.Pace
-	Election          time.Duration
-	Heartbeat         time.Duration
-	Limits            router.Limits
+	TLS *settings.TLS // nil leaves all connections plain
+	// Zero values of these five are the defaults of their packages.
+	Lease     slots.Lease
+	Pace      slots.Pace
+	Election  time.Duration // silence after which a control replica stands for election
+	Heartbeat time.Duration // between two messages of a leading control replica
+	Limits    router.Limits
+	// StopWithoutLeader makes a router without a leader stop serving, whatever a
+	// majority of the control replicas says.
 	StopWithoutLeader bool
 	// Grace is how long a stopping router still takes requests, for the
 	// balancer to notice.
@@ -86,12 +92,16 @@
 	servers []*http.Server
 }
 
-// Times and sizes that every listener has.
+// Bounds of every listener. All four were chosen, not measured.
 const (
+	// readHeaderTimeout is the longest time for a caller to send its headers.
 	readHeaderTimeout = 5 * time.Second
-	idleTimeout       = 2 * time.Minute
-	maxHeaderBytes    = 64 << 10
-	maxConnections    = 8192
+	// idleTimeout is how long a connection without a request is kept.
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes bounds the headers of one request.
+	maxHeaderBytes = 64 << 10
+	// maxConnections bounds the open connections of one listener.
+	maxConnections = 8192
 )
 
 // Start assembles and starts a box.
@@ -192,6 +202,7 @@
 	}
 	b.servers = append(b.servers, s)
 	limited := socket.Limit(l, maxConnections)
+	// Serve ends with the listener, which only Stop closes: its error says no more.
 	if cfg == nil {
 		go func() { _ = s.Serve(limited) }()
 		return
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -25,8 +25,8 @@
 // This file defines the backend servers and the configuration of a
 // development fleet.
 
-// Key is the key of the development account, Token the operators' token, and
-// FleetKey the key between boxes.
+// Key is the key of the development account, Token the operators' token,
+// FleetKey the key between boxes, and Model what the engines serve.
 const (
 	Key      = "dev"
 	Token    = "dev"
@@ -34,11 +34,13 @@
 	Model    = "badger-small"
 )
 
+// What the stand-ins do. Chosen so that a newcomer sees tokens come one by one;
+// nothing was measured.
 const (
-	engineSlots  = 4
+	engineSlots  = 4 // requests that an engine runs at once
 	serviceSlots = 8
-	tokenTime    = 40 * time.Millisecond
-	promptTime   = 80 * time.Millisecond
+	tokenTime    = 40 * time.Millisecond // between two tokens
+	promptTime   = 80 * time.Millisecond // before the first token
 )
 
 // Servers is the running stand-ins.
@@ -78,8 +80,8 @@
 	}
 }
 
-// Configure tells the fleet, through its operators' interface, about the
-// stand-ins and the account. It waits until the fleet can be asked. What a
+// Configure adds the stand-ins and the account to the fleet through its
+// operators' interface. It waits until the fleet can be asked. What a
 // data folder kept of an earlier run is replaced.
 func (s *Servers) Configure(ctx context.Context, operators string) error {
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+operators,
@@ -144,6 +146,8 @@
 	return nil
 }
 
+// leaderPoll is the pause between two questions for a leader; chosen, not
+// measured.
 const leaderPoll = 50 * time.Millisecond
 
 func awaitLeader(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -36,11 +36,20 @@
 	port      int
 }
 
+const (
+	// backlog bounds the connections that nobody has accepted yet, as a kernel
+	// does; chosen above what any test dials at once.
+	backlog = 4096
+	// firstPort is below the first port of a dialling side; any value that no
+	// listener of a test uses.
+	firstPort = 40000
+)
+
 // New returns an empty network.
 func New(latency time.Duration) *Network {
 	return &Network{
 		latency: latency, listeners: map[string]*listener{}, cut: map[string]bool{}, isolated: map[string]bool{},
-		conns: map[*conn]bool{}, joined: make(chan struct{}), port: 40000,
+		conns: map[*conn]bool{}, joined: make(chan struct{}), port: firstPort,
 	}
 }
 
@@ -51,7 +60,7 @@
 	if n.listeners[address] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: os.ErrExist}
 	}
-	l := &listener{n: n, address: address, queue: make(chan *conn, 4096), closed: make(chan struct{})}
+	l := &listener{n: n, address: address, queue: make(chan *conn, backlog), closed: make(chan struct{})}
 	n.listeners[address] = l
 	return l, nil
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -5,8 +5,8 @@
 // [Service], a plain service that counts what it ran.
 //
 // They are small on purpose. A stand-in keeps time by tokens, runs as many
-// requests as it has slots, and fails in the next request when told to
-// ([Failure]); it models nothing else and nothing should be concluded from its
+// requests as it has slots, and fails the next request in the way that a test
+// asks for ([Failure]); it models nothing else and nothing should be concluded from its
 // speed. Whole deployments with faulty servers are played by the users' bench,
 // not here.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -77,6 +77,8 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
+// defaultTokens is the length of an answer without max_tokens; chosen, not
+// measured.
 const defaultTokens = 16
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +139,7 @@
 		cancel()
 	}()
 	run.w.Header().Set("Content-Type", "text/event-stream")
-	run.w.Header().Set(ResumeHeader, path)
+	run.w.Header().Set(resumeHeader, path)
 	l.copy(run.ctx, run.w, 0, run.how)
 }
 
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -4,7 +4,7 @@
 
 import "sync"
 
-// This file defines the failures that a stand-in can be told to show.
+// This file defines the failures that a test asks of a stand-in.
 
 // Failure is a way to fail.
 type Failure string
@@ -24,7 +24,8 @@
 	next []Failure
 }
 
-// FailNext makes the next request fail in that way, after those told before.
+// FailNext makes the next request fail in that way, after those of earlier
+// calls.
 func (f *failures) FailNext(how Failure) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -17,9 +17,9 @@
 // goes on generating when a connection breaks, and serves the rest from any
 // byte on. Streams are kept as long as the engine.
 
-// ResumeHeader tells where a stream can be taken up again, with a Range from
+// resumeHeader names where a stream can be taken up again, with a Range from
 // the first byte missing, or ended with DELETE.
-const ResumeHeader = "Badgerspoke-Resume"
+const resumeHeader = "Badgerspoke-Resume"
 
 const streamsPath = "/standin/streams/"
 
