--- a/settings/settings.go
+++ b/settings/settings.go
@@ -16,10 +16,11 @@
 	"io"
 	"net/netip"
 	"os"
-	"regexp"
 	"slices"
 	"strings"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
 // This file defines Daemon, the settings of badgerspoked, and Parse.
@@ -145,8 +146,6 @@
 	return fs
 }
 
-var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$`)
-
 // check fills what follows from the raw values and returns every mistake.
 func (r *raw) check() []string {
 	var c checks
@@ -184,7 +183,7 @@
 // checkFleet checks what -dev fills in by itself.
 func (r *raw) checkFleet(c *checks) {
 	d := &r.d
-	c.that(namePattern.MatchString(d.Name), "-name: must be 1 to 63 letters, digits, dots, dashes or underscores")
+	c.that(config.ValidName(d.Name), "-name: must be 1 to 63 letters, digits, dots, dashes or underscores")
 	d.Control = c.replicas(r.control)
 	d.FleetKey = c.secret("-fleet-key-file", r.fleetKeyFile)
 	c.that(len(d.FleetKey) == 0 || len(d.FleetKey) >= MinFleetKey, "-fleet-key-file: the key is shorter than %d bytes", MinFleetKey)
@@ -223,7 +222,7 @@
 	}
 	for _, part := range strings.Split(v, ",") {
 		name, address, ok := strings.Cut(part, "=")
-		c.that(ok && namePattern.MatchString(name), "-control: %q is not NAME=IP:PORT", part)
+		c.that(ok && config.ValidName(name), "-control: %q is not NAME=IP:PORT", part)
 		c.address("-control", address)
 		_, twice := out[name]
 		c.that(!twice, "-control: lists %q twice", name)
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -176,11 +176,15 @@
 	return found
 }
 
+// The length of a name was chosen, not measured.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$`)
 
-// checkName keeps names usable as metric labels and URL path elements.
+// ValidName reports whether a name of an account, server, pool or box is usable
+// as a metric label and an element of a URL path.
+func ValidName(name string) bool { return namePattern.MatchString(name) }
+
 func checkName(found *mistakes, subject, name string) {
-	if !namePattern.MatchString(name) {
+	if !ValidName(name) {
 		found.add(subject, "name", "must be 1 to 63 letters, digits, dots, dashes or underscores")
 	}
 }
