--- a/control/claims.go
+++ b/control/claims.go
@@ -12,6 +12,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
@@ -89,14 +90,7 @@
 // replica that leads claims only hands them to that leader. Until then claims
 // are answered with ClaimRetry.
 func (c *Control) followLeader() {
-	tick := time.NewTicker(c.set.Heartbeat)
-	defer tick.Stop()
-	for {
-		select {
-		case <-c.ctx.Done():
-			return
-		case <-tick.C:
-		}
+	for sleep.For(c.ctx, c.set.Heartbeat) {
 		var leader string
 		c.dispatcher.do(func() { leader = c.dispatcher.lead.leader })
 		if leader == "" || leader == c.set.Identity.Name {
--- a/control/status.go
+++ b/control/status.go
@@ -9,6 +9,7 @@
 
 	"connectrpc.com/connect"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
@@ -56,8 +57,6 @@
 const awaitInterval = 50 * time.Millisecond
 
 func (o *operators) AwaitRevision(ctx context.Context, req *connect.Request[operatorv1.AwaitRevisionRequest]) (*connect.Response[operatorv1.AwaitRevisionResponse], error) {
-	tick := time.NewTicker(awaitInterval)
-	defer tick.Stop()
 	for {
 		var out *operatorv1.AwaitRevisionResponse
 		o.c.dispatcher.do(func() {
@@ -68,14 +67,9 @@
 		if out == nil {
 			return nil, o.c.rpcError("", o.c.notLeader())
 		}
-		if out.InForce {
+		if out.InForce || !sleep.For(ctx, awaitInterval) {
 			return connect.NewResponse(out), nil
 		}
-		select {
-		case <-ctx.Done():
-			return connect.NewResponse(out), nil
-		case <-tick.C:
-		}
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -149,27 +149,13 @@
 // awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
 // the count may rise again meanwhile.
 func awaitZero(ctx context.Context, count *atomic.Int64) {
-	t := time.NewTicker(zeroPoll)
-	defer t.Stop()
-	for count.Load() > 0 {
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			return
-		}
+	for count.Load() > 0 && sleep.For(ctx, zeroPoll) {
 	}
 }
 
 // tick expires waiting requests and unused slots.
 func (r *Router) tick() {
-	t := time.NewTicker(poolTick)
-	defer t.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case <-t.C:
-		}
+	for sleep.For(r.ctx, poolTick) {
 		leased := r.lease.valid(r.now())
 		for _, p := range r.poolList() {
 			p.tick(leased)
