--- a/chaos_test.go
+++ b/chaos_test.go
@@ -70,7 +70,7 @@
 }
 
 // make sends requests in turn until stop: streams, and keyed orders that are
-// sent a second time elsewhere when nobody could tell what became of them.
+// sent a second time elsewhere when their outcome is unknown.
 func (c *calls) make(caller int, stop chan struct{}) {
 	for i := 0; ; i++ {
 		select {
--- a/golden_test.go
+++ b/golden_test.go
@@ -48,7 +48,7 @@
 // call makes a request and writes down the answer.
 func (s *transcript) call(r request) answer {
 	a := s.do(r)
-	s.say(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), told(a))
+	s.say(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), describe(a))
 	return a
 }
 
@@ -66,8 +66,8 @@
 	return ""
 }
 
-// told describes an answer without what differs between runs.
-func told(a answer) string {
+// describe gives an answer without what differs between runs.
+func describe(a answer) string {
 	if a.err != nil {
 		return "connection broken"
 	}
@@ -97,7 +97,7 @@
 // the requests.
 func (s *transcript) together(rs ...request) {
 	for i, a := range s.startAll(rs...)() {
-		s.say(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), told(a))
+		s.say(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), describe(a))
 	}
 }
 
@@ -136,7 +136,7 @@
 		time.Sleep(2 * time.Second)
 		s.say("hotel → r1", "300 completions at once, 2 s ago")
 		a := s.do(completion("r2", "notary", 20, true))
-		s.say("notary → r2", "one completion  ←  %s, in under 2 s: %t", told(a), a.took < 2*time.Second)
+		s.say("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
 		whole := 0
 		for _, a := range wait() {
 			if strings.HasSuffix(a.body, "[DONE]\n\n") {
@@ -159,7 +159,7 @@
 		}
 		s.say("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
 		for _, a := range wait() {
-			s.say("long streams", "%s", told(a))
+			s.say("long streams", "%s", describe(a))
 		}
 	}},
 	{"router-partitioned-and-rejoined", 2, func(s *transcript) {
@@ -182,7 +182,7 @@
 		time.Sleep(time.Second)
 		s.crash("r1")
 		s.say("r1", "killed while it streams")
-		s.say("hotel → r1", "completion  ←  %s", told(wait()[0]))
+		s.say("hotel → r1", "completion  ←  %s", describe(wait()[0]))
 		s.start("r1")
 		s.settle()
 		s.align()
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -14,7 +14,7 @@
 )
 
 // This file checks that a keyed request runs at most once, wherever it is sent
-// and whatever dies meanwhile, and that callers are told the truth about it.
+// and whatever dies meanwhile, and that its outcome is true for callers.
 
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
--- a/names_test.go
+++ b/names_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestGoldenMetricLabels lists the names and labels that the control boxes of a
-// fleet tell after answers of several kinds.
+// fleet expose after answers of several kinds.
 func TestGoldenMetricLabels(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := wholeFleet(t, 1)
--- a/operators_test.go
+++ b/operators_test.go
@@ -229,7 +229,7 @@
 		stop2 := f.load(2, completion("r2", "notary", 5, true))
 		time.Sleep(time.Second)
 		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
-		f.net.Cut(f.boxes["r2"].ip) // hears nothing of it, and reaches no server either
+		f.net.Cut(f.boxes["r2"].ip) // gets no message of it, and reaches no server either
 		time.Sleep(3 * time.Second)
 		before := f.engines["e1"].Runs()
 		f.net.Join(f.boxes["r2"].ip)
