--- a/control/control.go
+++ b/control/control.go
@@ -9,7 +9,6 @@
 	"net/http"
 	"slices"
 	"sync"
-	"time"
 
 	"github.com/VictoriaMetrics/metrics"
 
@@ -104,7 +103,7 @@
 }
 
 func (c *Control) startGroup(name string, m replica.Machine,
-	observe func(time.Duration, consensus.Status, bool)) (*replica.Replica, error) {
+	observe func(consensus.Status, bool)) (*replica.Replica, error) {
 	dir, err := c.set.Dir(name)
 	if err != nil {
 		return nil, err
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/journal"
 	"github.com/badgerspoke/badgerspoke/state/wal"
@@ -60,7 +61,7 @@
 	Log    *slog.Logger
 	// Observe, if set, is called from the replica's goroutine after every
 	// batch of inputs with the group's state. It must not block.
-	Observe func(now time.Duration, s consensus.Status, leads bool)
+	Observe func(s consensus.Status, leads bool)
 }
 
 // OpenGroup is what an open group needs to know besides its seeds.
@@ -214,8 +215,8 @@
 		case <-r.stopped:
 			return Stopped{Err: r.err}
 		}
-		if err := pause(ctx, r.set.Heartbeat/4); err != nil {
-			return err
+		if !sleep.For(ctx, r.set.Heartbeat/4) {
+			return ctx.Err()
 		}
 	}
 }
@@ -236,14 +237,3 @@
 		return Stopped{Err: r.err}
 	}
 }
-
-func pause(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-}
--- a/router/router.go
+++ b/router/router.go
@@ -13,8 +13,8 @@
 	"github.com/VictoriaMetrics/metrics"
 
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
-	"github.com/badgerspoke/badgerspoke/coordination/share"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -36,7 +36,6 @@
 	Hall     string
 	Replicas map[string]string // fleet addresses of the control replicas by name
 	Server   Server
-	Weights  share.Weights
 	Limits   Limits
 	Pace     slots.Pace
 	// StopWithoutLeader makes the router treat the absence of a leader like
@@ -102,9 +101,6 @@
 	if set.Limits == (Limits{}) {
 		set.Limits = DefaultLimits
 	}
-	if set.Weights == (share.Weights{}) {
-		set.Weights = share.DefaultWeights
-	}
 	if set.Pace == (slots.Pace{}) {
 		set.Pace = slots.DefaultPace
 	}
@@ -138,10 +134,7 @@
 // back. When ctx ends first, what still runs is cut off.
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
-	select {
-	case <-time.After(grace):
-	case <-ctx.Done():
-	}
+	sleep.For(ctx, grace)
 	r.fleet.closeDoor()
 	awaitZero(ctx, &r.calls)
 	r.claims.flush(ctx)
@@ -154,27 +147,13 @@
 // awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
 // the count may rise again meanwhile.
 func awaitZero(ctx context.Context, count *atomic.Int64) {
-	t := time.NewTicker(zeroPoll)
-	defer t.Stop()
-	for count.Load() > 0 {
-		select {
-		case <-t.C:
-		case <-ctx.Done():
-			return
-		}
+	for count.Load() > 0 && sleep.For(ctx, zeroPoll) {
 	}
 }
 
 // tick expires waiting requests and unused slots.
 func (r *Router) tick() {
-	t := time.NewTicker(poolTick)
-	defer t.Stop()
-	for {
-		select {
-		case <-r.ctx.Done():
-			return
-		case <-t.C:
-		}
+	for sleep.For(r.ctx, poolTick) {
 		leased := r.lease.valid(r.now())
 		for _, p := range r.poolList() {
 			p.tick(leased)
