--- /dev/null
+++ b/coordination/outlier/consecutive.go
@@ -0,0 +1,91 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package outlier
+
+import "time"
+
+// This file defines Consecutive, the routers' judgement: failures in a row.
+
+// Bounds of a router's ejections: chosen, not measured.
+const (
+	failuresToEject = 3 // in a row
+	shortestEject   = time.Second
+	longestEject    = 30 * time.Second
+)
+
+// Consecutive follows the failures of the servers of one pool. Only failures of
+// the server count: refusals, lost connections, silence; not bad requests.
+type Consecutive struct {
+	servers map[string]*streak // without those that answered last
+	size    int                // servers of the pool
+}
+
+type streak struct {
+	ejection
+	failures int // in a row
+}
+
+// NewConsecutive returns a judgement by which every server is in use.
+func NewConsecutive() *Consecutive { return &Consecutive{servers: map[string]*streak{}} }
+
+// SetSize sets the number of serving servers of the pool.
+func (c *Consecutive) SetSize(n int) { c.size = n }
+
+// Usable reports whether a request may go to the server: it is in use, or its
+// ejection is over and no other request tries it.
+func (c *Consecutive) Usable(now time.Duration, server string) bool {
+	s := c.servers[server]
+	return s == nil || s.State(now) != Ejected
+}
+
+// Sent counts a request that goes to the server, the trial if one is due.
+func (c *Consecutive) Sent(now time.Duration, server string) {
+	if s := c.servers[server]; s != nil {
+		s.Sent(now)
+	}
+}
+
+// Succeeded counts an answer of the server.
+func (c *Consecutive) Succeeded(server string) { delete(c.servers, server) }
+
+// Abandoned counts a request that ended without saying anything about the
+// server, such as one that its caller gave up.
+func (c *Consecutive) Abandoned(server string) {
+	if s := c.servers[server]; s != nil {
+		s.trying = false
+	}
+}
+
+// Failed counts a failure of the server and reports whether it is ejected now.
+func (c *Consecutive) Failed(now time.Duration, server string) bool {
+	s := c.servers[server]
+	if s == nil {
+		s = &streak{}
+		c.servers[server] = s
+	}
+	s.failures++
+	if s.trying || (s.failures >= failuresToEject && s.until == 0) {
+		return c.eject(now, s)
+	}
+	return s.until > 0
+}
+
+// eject ejects a server unless half of the pool is ejected already: when most of
+// a pool fails, the cause is more likely between this router and the pool.
+func (c *Consecutive) eject(now time.Duration, s *streak) bool {
+	if s.until == 0 && 2*(c.ejected()+1) > c.size {
+		return false
+	}
+	s.eject(now, shortestEject, longestEject)
+	return true
+}
+
+func (c *Consecutive) ejected() int {
+	n := 0
+	for _, s := range c.servers {
+		if s.until > 0 {
+			n++
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/coordination/outlier/consecutive_test.go
@@ -0,0 +1,51 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package outlier
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"pgregory.net/rapid"
+)
+
+func TestConsecutiveFailures(t *testing.T) {
+	is := is.New(t)
+	h := NewConsecutive()
+	h.SetSize(4)
+	now := time.Second
+	is.True(!h.Failed(now, "a"))
+	h.Succeeded("a") // only failures in a row count
+	is.True(!h.Failed(now, "a"))
+	is.True(!h.Failed(now, "a"))
+	is.True(h.Failed(now, "a"))
+	is.True(!h.Usable(now, "a"))
+	later := now + shortestEject
+	is.True(h.Usable(later, "a"))
+	h.Sent(later, "a")
+	is.True(!h.Usable(later, "a")) // one probe at a time
+	is.True(h.Failed(later, "a"))
+	is.True(!h.Usable(later+shortestEject, "a")) // twice as long now
+	h.Sent(later+2*shortestEject, "a")
+	h.Abandoned("a") // the caller gave up: another may probe
+	is.True(h.Usable(later+2*shortestEject, "a"))
+	h.Sent(later+2*shortestEject, "a")
+	h.Succeeded("a")
+	is.True(h.Usable(later, "a"))
+}
+
+func TestNeverMoreThanHalfIsOut(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		h := NewConsecutive()
+		n := rapid.IntRange(1, 9).Draw(t, "servers")
+		h.SetSize(n)
+		for i := range rapid.IntRange(0, 200).Draw(t, "failures") {
+			h.Failed(time.Duration(i)*time.Millisecond, fmt.Sprint(rapid.IntRange(0, n-1).Draw(t, "server")))
+			if 2*h.ejected() > n {
+				t.Fatalf("%d of %d are out", h.ejected(), n)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/coordination/outlier/rate.go
@@ -0,0 +1,95 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package outlier
+
+import "time"
+
+// This file defines FailureRate and PoolRate, the gateways' judgement: a
+// server's part of failures against its pool's.
+
+// Verdict says what the end of an attempt says about the server. The zero value
+// is an answer.
+type Verdict uint8
+
+// The verdicts.
+const (
+	Answered  Verdict = iota
+	Refused           // as full, without having run
+	Faulty            // it answered, with an error of its own or an answer that is no good
+	Lost              // no answer, or only a part of one
+	NoVerdict         // the end was none of the server's doing
+)
+
+// weights are the parts of a failure that verdicts count for: chosen, not
+// measured. A refusal weighs least, since full engines refuse in normal
+// operation.
+var weights = [...]float64{Answered: 0, Refused: 0.4, Faulty: 0.7, Lost: 1}
+
+// Parameters of a gateway's ejections: chosen, not measured.
+const (
+	serverMemory = 12   // attempts over which a server's failures are averaged
+	poolMemory   = 0.02 // weight of one attempt in the pool's average: one of 50
+	rateToEject  = 0.35 // weighted part of failures above the pool's
+	lostToEject  = 3    // lost requests in a row, whatever the rates are
+	longestWait  = 12 * time.Second
+
+	// MinSamples is how many attempts since its last ejection a server is
+	// judged by at least.
+	MinSamples = 4
+	// ShortestWait is how long a server is ejected for the first time.
+	ShortestWait = 1500 * time.Millisecond
+)
+
+// PoolRate is the averaged weighted part of failures of all servers of one
+// pool. The zero value has no failures.
+type PoolRate struct{ failing float64 }
+
+// FailureRate judges one server. The zero value is a server in use.
+type FailureRate struct {
+	ejection
+	failing float64 // averaged weighted part of failures, 0 to 1
+	samples int     // attempts since the last ejection
+	lost    int     // requests in a row
+}
+
+// Record counts the end of an attempt at a server of the pool and reports
+// whether it ejects the server. trial is whether the attempt was the server's
+// trial.
+func (p *PoolRate) Record(now time.Duration, s *FailureRate, v Verdict, trial bool) (ejected bool) {
+	if v == NoVerdict {
+		if trial {
+			s.trying = false
+		}
+		return false
+	}
+	p.failing += poolMemory * (weights[v] - p.failing)
+	s.count(weights[v])
+	if v == Answered {
+		s.succeeded()
+		return false
+	}
+	if v == Lost {
+		s.lost++
+	}
+	above := s.samples >= MinSamples && s.failing > p.failing+rateToEject
+	if !s.trying && !above && s.lost < lostToEject {
+		return false
+	}
+	ejected = s.until == 0 || s.trying
+	s.eject(now, ShortestWait, longestWait)
+	s.samples, s.failing, s.lost = 0, 0, 0
+	return ejected
+}
+
+// succeeded ends an ejection. The next one is half as long as it would have
+// been.
+func (s *FailureRate) succeeded() {
+	s.until, s.trying, s.lost = 0, false, 0
+	s.wait = max(s.wait/2, ShortestWait)
+}
+
+// count averages over the attempts so far, then over about serverMemory.
+func (s *FailureRate) count(weight float64) {
+	s.samples++
+	s.failing += (weight - s.failing) / float64(min(s.samples, serverMemory))
+}
--- /dev/null
+++ b/coordination/outlier/rate_test.go
@@ -0,0 +1,65 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package outlier
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+)
+
+func TestFailureRate(t *testing.T) {
+	for _, tt := range []struct {
+		name    string
+		pool    float64 // the pool's own rate
+		ends    []Verdict
+		ejected bool
+	}{
+		{"lost in a row", 0, []Verdict{Lost, Lost, Lost}, true},
+		{"lost, answered between", 0, slices.Repeat([]Verdict{Lost, Answered, Answered, Answered, Answered, Answered}, 3), false},
+		{"too few samples", 0, []Verdict{Faulty, Faulty, Faulty}, false},
+		{"faulty answers", 0, []Verdict{Faulty, Faulty, Faulty, Faulty}, true},
+		{"faulty answers in a pool that fails alike", 0.5, []Verdict{Faulty, Faulty, Faulty, Faulty}, false},
+		{"full, refuses half", 0, slices.Repeat([]Verdict{Answered, Refused}, 10), false},
+		{"ends that are none of its doing", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			p, s, ejected := PoolRate{failing: tt.pool}, FailureRate{}, false
+			for _, v := range tt.ends {
+				ejected = p.Record(time.Second, &s, v, false) || ejected
+			}
+			is.New(t).Equal(ejected, tt.ejected)
+		})
+	}
+}
+
+// TestTrial ejects a server and tries it: each failed trial doubles the wait up
+// to the longest, a trial without a verdict lets another request try, and an
+// answer ends the ejection.
+func TestTrial(t *testing.T) {
+	is := is.New(t)
+	var p PoolRate
+	var s FailureRate
+	now := time.Second
+	for range lostToEject {
+		p.Record(now, &s, Lost, false)
+	}
+	is.True(!p.Record(now, &s, Lost, false)) // ejected already
+	for wait := ShortestWait; ; wait = min(2*wait, longestWait) {
+		is.Equal(s.State(now+wait-1), Ejected)
+		now += wait
+		is.True(s.Sent(now))
+		is.True(!s.Sent(now)) // one at a time
+		is.Equal(s.State(now), Ejected)
+		p.Record(now, &s, NoVerdict, true)
+		is.True(s.Sent(now))
+		if wait == longestWait {
+			break
+		}
+		is.True(p.Record(now, &s, Lost, true))
+	}
+	is.True(!p.Record(now, &s, Answered, true))
+	is.Equal(s.State(now), InUse)
+}
--- /dev/null
+++ b/coordination/place/budget.go
@@ -0,0 +1,26 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package place
+
+// This file defines Budget, the routers' budget of retries.
+
+// Budget is a budget of retries: a part of the requests, so that retries of
+// all routers together never exceed that part of the fleet's load. The zero
+// value allows none.
+type Budget struct {
+	Part  float64 // retries allowed per request
+	Burst float64 // retries that may be saved up
+	saved float64
+}
+
+// Request counts a first attempt.
+func (b *Budget) Request() { b.saved = min(b.saved+b.Part, b.Burst) }
+
+// Retry reports whether a retry is allowed, and counts it.
+func (b *Budget) Retry() bool {
+	if b.saved < 1 {
+		return false
+	}
+	b.saved--
+	return true
+}
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -21,10 +21,7 @@
 // candidates, so a hot server costs at most its price, never idle capacity
 // elsewhere.
 //
-// [Health] takes servers out that fail and lets single probes back in. It
-// never takes out more than half of a pool: when most of a pool fails, the
-// cause is more likely between this router and the pool, and the last half
-// keeps being tried.
+// Servers that fail are left alone by the judgement of package outlier.
 //
 // All types are pure and not safe for concurrent use.
 package place
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -5,6 +5,8 @@
 import (
 	"math"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
 // This file defines Placer, the choice itself, and the load that goes into it.
@@ -36,13 +38,13 @@
 // Placer chooses servers of one pool.
 type Placer struct {
 	Index  *Index
-	Health *Health
+	Health *outlier.Consecutive
 	loads  map[string]Load
 }
 
 // New returns a placer whose index holds at most blocks prompt blocks.
 func New(blocks int) *Placer {
-	return &Placer{Index: NewIndex(blocks), Health: NewHealth(), loads: map[string]Load{}}
+	return &Placer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}}
 }
 
 // Report takes a server's load report. An older one than held is dropped.
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -50,7 +50,7 @@
 		{"not to one that is out", func(pl *Placer, _ []Candidate) {
 			pl.Health.SetSize(4)
 			pl.Index.Sent("s2", p)
-			for range failuresToEject {
+			for pl.Health.Usable(10*time.Second, "s2") {
 				pl.Health.Failed(10*time.Second, "s2")
 			}
 			pl.Index.Sent("s1", p[:2])
@@ -141,45 +141,6 @@
 	})
 }
 
-func TestHealth(t *testing.T) {
-	is := is.New(t)
-	h := NewHealth()
-	h.SetSize(4)
-	now := time.Second
-	is.True(!h.Failed(now, "a"))
-	h.Succeeded("a") // only failures in a row count
-	is.True(!h.Failed(now, "a"))
-	is.True(!h.Failed(now, "a"))
-	is.True(h.Failed(now, "a"))
-	is.True(!h.Usable(now, "a"))
-	later := now + shortestEject
-	is.True(h.Usable(later, "a"))
-	h.Sent("a")
-	is.True(!h.Usable(later, "a")) // one probe at a time
-	is.True(h.Failed(later, "a"))
-	is.True(!h.Usable(later+shortestEject, "a")) // twice as long now
-	h.Sent("a")
-	h.Abandoned("a") // the caller gave up: another may probe
-	is.True(h.Usable(later+2*shortestEject, "a"))
-	h.Sent("a")
-	h.Succeeded("a")
-	is.True(h.Usable(later, "a"))
-}
-
-func TestNeverMoreThanHalfIsOut(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		h := NewHealth()
-		n := rapid.IntRange(1, 9).Draw(t, "servers")
-		h.SetSize(n)
-		for i := range rapid.IntRange(0, 200).Draw(t, "failures") {
-			h.Failed(time.Duration(i)*time.Millisecond, fmt.Sprint(rapid.IntRange(0, n-1).Draw(t, "server")))
-			if 2*h.ejected() > n {
-				t.Fatalf("%d of %d are out", h.ejected(), n)
-			}
-		}
-	})
-}
-
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	b := Budget{Part: 0.1, Burst: 5}
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -193,7 +193,7 @@
 		return Start{}, false
 	}
 	p.holder.Start(server)
-	p.placer.Health.Sent(server)
+	p.placer.Health.Sent(now, server)
 	p.placer.Index.Sent(server, w.Blocks)
 	p.queue.Start(next[0], w.meter.Start(p.costs.Estimate(account, w.Class)))
 	return Start{Work: w, Server: server}, true
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -7,6 +7,7 @@
 	"errors"
 	"log/slog"
 
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -28,8 +29,8 @@
 type outcome struct {
 	done      bool // the caller has the whole answer
 	execution execution
-	cause     string  // for the log
-	blame     float64 // how much of a failure of the backend server it was; negative is none of its doing
+	cause     string          // for the log
+	blame     outlier.Verdict // on the backend server
 	// held is a whole answer of a failure that is given to the caller if
 	// nothing better comes.
 	held        *heldAnswer
@@ -37,14 +38,6 @@
 	err         error
 }
 
-// Weights of failures.
-const (
-	blameLost   = 1.0 // no answer
-	blameShed   = 0.4 // refused as full
-	blameFaulty = 0.7 // a server error of its own
-	noBlame     = -1.0
-)
-
 // attempt sends the request to one backend server and relays what it answers.
 func (c *call) attempt(ctx context.Context, a *assignment) outcome {
 	ctx, cancel := context.WithCancel(ctx)
@@ -53,9 +46,9 @@
 	c.stall = c.watchStall(cancel)
 	out := c.exchange(ctx, a)
 	if c.stall.stop() && !out.done && c.r.Context().Err() == nil {
-		out.blame, out.cause = blameLost, "silent"
+		out.blame, out.cause = outlier.Lost, "silent"
 	} else if ctx.Err() != nil && !out.done {
-		out.blame = noBlame // the caller left, or the time is over
+		out.blame = outlier.NoVerdict // the caller left, or the time is over
 	}
 	if out.execution >= mayHaveRun || out.done {
 		c.attempts++
@@ -82,12 +75,12 @@
 	defer answer.Body.Close()
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	if head.ID != c.head.ID {
-		return outcome{execution: mayHaveRun, cause: "crossed answer", blame: blameFaulty, err: errCrossed}
+		return outcome{execution: mayHaveRun, cause: "crossed answer", blame: outlier.Faulty, err: errCrossed}
 	}
 	success := answer.Status >= 200 && answer.Status < 300
 	switch {
 	case success && !head.Signed:
-		return outcome{execution: mayHaveRun, cause: "unsealed answer", blame: blameFaulty, err: errUnsealed}
+		return outcome{execution: mayHaveRun, cause: "unsealed answer", blame: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
 		return c.relay.stream(ctx, a, answer)
 	}
@@ -106,30 +99,30 @@
 func (c *call) sendFailed(err error) outcome {
 	var not forward.NotRun
 	if !errors.As(err, &not) {
-		return outcome{execution: mayHaveRun, cause: "lost", blame: blameLost, err: err}
+		return outcome{execution: mayHaveRun, cause: "lost", blame: outlier.Lost, err: err}
 	}
 	if !not.Refused {
 		return outcome{execution: notSent, cause: "unreachable", blame: c.unreachableBlame(), err: err}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(not.Status, not.Header)
 	if head.ID != "" && head.ID != c.head.ID {
-		return outcome{execution: mayHaveRun, cause: "crossed refusal", blame: blameFaulty, err: errCrossed}
+		return outcome{execution: mayHaveRun, cause: "crossed refusal", blame: outlier.Faulty, err: errCrossed}
 	}
 	if head.Misdirected {
-		return outcome{execution: refused, cause: "misplaced", blame: noBlame, misdirected: true, err: err}
+		return outcome{execution: refused, cause: "misplaced", blame: outlier.NoVerdict, misdirected: true, err: err}
 	}
-	return outcome{execution: refused, cause: "refused", blame: blameShed, err: err}
+	return outcome{execution: refused, cause: "refused", blame: outlier.Refused, err: err}
 }
 
 // unreachableBlame is what a backend server that could not be connected to is blamed
 // for: nothing by a gateway that is late itself, whose own processor may have
 // let the time for it run out. Else a flood at one gateway would cost it one
 // backend server after the other.
-func (c *call) unreachableBlame() float64 {
+func (c *call) unreachableBlame() outlier.Verdict {
 	if c.g.overload.late(c.g.now()) {
-		return noBlame
+		return outlier.NoVerdict
 	}
-	return blameLost
+	return outlier.Lost
 }
 
 // next decides what follows a failed attempt: to try again, or to end the
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
@@ -93,9 +94,7 @@
 	a := &assignment{
 		member: s, server: s.ID, address: s.Address, tokens: choice.Read, began: now, tokensAhead: e.Tokens,
 	}
-	if _, trial := s.health.usable(now); trial {
-		a.trial, s.health.trying = true, true
-	}
+	a.trial = s.health.Sent(now)
 	s.requests++
 	s.tokens += a.tokens
 	return a
@@ -119,8 +118,8 @@
 		if req.avoid[s.ID] && !(anyHealth && len(p.members) == 1) {
 			continue
 		}
-		ok, trial := s.health.usable(now)
-		if !anyHealth && (!ok || (trial && !req.repeat)) {
+		state := s.health.State(now)
+		if !anyHealth && (state == outlier.Ejected || (state == outlier.Trial && !req.repeat)) {
 			continue
 		}
 		requests, tokens := s.load(now)
@@ -152,12 +151,12 @@
 		expected = firstEngine + float64(a.tokens+a.tokensAhead)/p.readRate()
 		p.learnRate(a.tokens+a.tokensAhead, took)
 	}
-	a.member.health.paced(took / expected)
+	a.member.pace.observe(took / expected)
 }
 
-// release ends an attempt at its backend server. weight is how much of a failure it
-// was: 0 none, 1 a lost request, negative says nothing about the backend server.
-func (g *Gateway) release(a *assignment, weight float64) (suspected bool) {
+// release ends an attempt at its backend server, with what it says about the
+// server, and reports whether the server is ejected by it.
+func (g *Gateway) release(a *assignment, v outlier.Verdict) (ejected bool) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
 	if a.ended {
@@ -171,33 +170,13 @@
 		a.started = true
 	}
 	p := g.table.pool(s.Pool)
-	suspected = g.recordOutcome(p, a, weight)
-	g.grantWaiting(p)
-	return suspected
-}
-
-// recordOutcome counts an attempt for the backend server's health.
-func (g *Gateway) recordOutcome(p *pool, a *assignment, weight float64) bool {
-	const poolMemory = 0.02
-	s := a.member
-	if weight == blameShed || weight == 0 {
-		p.learnSlots(weight == blameShed)
+	if v == outlier.Refused || v == outlier.Answered {
+		p.learnSlots(v == outlier.Refused)
 	}
-	switch {
-	case weight < 0:
-		if a.trial {
-			s.health.trying = false
-		}
-		return false
-	case weight == 0:
-		p.failing -= poolMemory * p.failing
-		s.health.succeeded()
-		return false
-	}
-	p.failing += poolMemory * (weight - p.failing)
-	suspected := s.health.failed(g.now(), weight, p.failing)
-	if suspected && s.unlisted {
+	ejected = p.failures.Record(g.now(), &s.health, v, a.trial)
+	if ejected && s.unlisted {
 		g.table.remove(s.ID) // the directory does not know it either
 	}
-	return suspected
+	g.grantWaiting(p)
+	return ejected
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -15,6 +15,7 @@
 
 	"github.com/matryer/is"
 
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -241,10 +242,9 @@
 		wasted := x.servers.count() - 12
 		is.True(wasted <= 3) // then it was left alone
 		x.servers.does["10.0.5.0:80"] = answers(200, "fine", 0)
-		time.Sleep(shortestSuspect)
+		time.Sleep(outlier.ShortestWait)
 		is.Equal(x.ask("/again/x").status, 200) // one that may be repeated tries it
-		ok, trial := x.g.table.members["p0"].health.usable(x.g.now())
-		is.True(ok && !trial)
+		is.Equal(x.g.table.members["p0"].health.State(x.g.now()), outlier.InUse)
 	})
 }
 
@@ -254,8 +254,11 @@
 	bubble(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
-		x.g.table.members["p0"].health.suspect(x.g.now())
-		time.Sleep(2 * shortestSuspect)
+		p := x.g.table.pool("plain")
+		for range 3 {
+			p.failures.Record(x.g.now(), &x.g.table.members["p0"].health, outlier.Lost, false)
+		}
+		time.Sleep(2 * outlier.ShortestWait)
 		for range 5 {
 			x.ask("/once/x")
 		}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -12,6 +12,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
@@ -161,10 +162,10 @@
 			x.serversOf("plain", fails(forward.NotRun{Err: errReset}))
 			release := x.holdPressure(tt.level)
 			time.Sleep(tickPeriod / 3) // between two ticks
-			for range 2 * minSamples {
+			for range 2 * outlier.MinSamples {
 				is.Equal(x.ask("/once/x").status, 503)
 			}
-			trusted, _ := x.g.table.members["p0"].health.usable(x.g.now())
+			trusted := x.g.table.members["p0"].health.State(x.g.now()) != outlier.Ejected
 			release()
 			is.Equal(trusted, tt.trusted)
 		})
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -10,6 +10,7 @@
 	"strconv"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
@@ -50,7 +51,7 @@
 func (r *relay) plain(a *assignment, answer *forward.Answer, success bool) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
-		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
+		return outcome{execution: mayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
 	}
 	r.c.g.answerStarted(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
@@ -58,7 +59,7 @@
 		return r.large(answer, held)
 	}
 	if answer.Status >= 500 {
-		return outcome{execution: hasRun, cause: "server error", blame: blameFaulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
+		return outcome{execution: hasRun, cause: "server error", blame: outlier.Faulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
 	}
 	r.give(held)
 	return outcome{done: true}
@@ -68,10 +69,10 @@
 func (r *relay) large(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	if _, err := r.c.w.Write(head.body); err != nil {
-		return outcome{execution: mayHaveRun, blame: noBlame, err: err}
+		return outcome{execution: mayHaveRun, blame: outlier.NoVerdict, err: err}
 	}
 	if _, err := io.Copy(r.c.w, answer.Body); err != nil {
-		return outcome{execution: mayHaveRun, cause: "cut off", blame: blameLost, err: err}
+		return outcome{execution: mayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
 	}
 	return outcome{done: true}
 }
@@ -116,7 +117,7 @@
 				r.writeHead(answer.Status, answer.Header, -1)
 			}
 			if werr := r.events(buffer[:n], flusher); werr != nil {
-				return outcome{execution: mayHaveRun, cause: "caller gone", blame: noBlame, err: werr}
+				return outcome{execution: mayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: werr}
 			}
 		}
 		if err == io.EOF {
@@ -126,7 +127,7 @@
 			r.coalesce(ctx)
 		}
 		if err != nil || ctx.Err() != nil {
-			return outcome{execution: mayHaveRun, cause: "stream broken", blame: blameLost, err: errorOr(err, ctx.Err())}
+			return outcome{execution: mayHaveRun, cause: "stream broken", blame: outlier.Lost, err: errorOr(err, ctx.Err())}
 		}
 	}
 }
@@ -157,12 +158,12 @@
 func (r *relay) streamEnd(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
-			return outcome{execution: mayHaveRun, blame: noBlame, err: err}
+			return outcome{execution: mayHaveRun, blame: outlier.NoVerdict, err: err}
 		}
 		r.partial = r.partial[:0]
 	}
 	if len(r.partial) > 0 {
-		return outcome{execution: mayHaveRun, cause: "stream cut off", blame: blameLost, err: errShort}
+		return outcome{execution: mayHaveRun, cause: "stream cut off", blame: outlier.Lost, err: errShort}
 	}
 	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
--- a/gateway/room.go
+++ b/gateway/room.go
@@ -91,18 +91,18 @@
 // left alone.
 func slowness(s *serverState, typical float64) float64 {
 	const noticed = 1.6
-	if s.health.paceCount < minSamples || typical <= 0 || s.health.pace < noticed*typical {
+	if s.pace.n < fewestPaces || typical <= 0 || s.pace.ratio < noticed*typical {
 		return 1
 	}
-	return math.Min(s.health.pace/typical, 16)
+	return math.Min(s.pace.ratio/typical, 16)
 }
 
 // typicalPace is the median pace of the pool.
 func typicalPace(p *pool) float64 {
 	paces := make([]float64, 0, len(p.members))
 	for _, s := range p.members {
-		if s.health.paceCount >= minSamples {
-			paces = append(paces, s.health.pace)
+		if s.pace.n >= fewestPaces {
+			paces = append(paces, s.pace.ratio)
 		}
 	}
 	if len(paces) < 2 {
@@ -111,3 +111,25 @@
 	slices.Sort(paces)
 	return paces[(len(paces)-1)/2]
 }
+
+// Parameters of a server's pace.
+const (
+	fewestPaces = 4   // answers before it is known
+	pacePart    = 0.1 // weight of a new one
+)
+
+// pace is the averaged time that a server's answers take to begin, as a ratio of
+// what was expected.
+type pace struct {
+	ratio float64
+	n     int
+}
+
+func (p *pace) observe(ratio float64) {
+	p.n++
+	if p.n == 1 {
+		p.ratio = ratio
+		return
+	}
+	p.ratio += pacePart * (ratio - p.ratio)
+}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
@@ -17,7 +18,8 @@
 // serverState is one backend server as this gateway sees it.
 type serverState struct {
 	protocol.Server
-	health   health
+	health   outlier.FailureRate
+	pace     pace
 	requests int // own, running there
 	tokens   int // of own prompts whose first event has not come
 	others   protocol.ServerLoad
@@ -52,7 +54,7 @@
 type pool struct {
 	members  []*serverState // ordered by identifier
 	waiting  []*waiter
-	failing  float64 // averaged part of failures over all members
+	failures outlier.PoolRate
 	rate     float64 // tokens that an engine reads in a millisecond; 0 is not known
 	refusing float64 // how far engines refuse what is beyond their slots, 0 to 1
 }
