--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -8,20 +8,16 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file defines the choice of an engine for a prompt whose parts are named
-// by its caller.
+// This file defines Prompt and the price of each candidate for it, by which
+// RoomPlacer chooses.
 //
-// The parts that others share give a rendezvous order of the engines, equal on
-// all routers without a message. The first in that order is taken to keep the
-// shared parts; any other would read them again. So the price of an engine is
-// the work in front of the request there, in tokens, plus the shared tokens if
-// it is not the first, many times: what is read again delays everybody else on
-// the engine as well, drives out what others will ask for, and makes the next
+// The parts that others share give a rendezvous order of the servers, equal on
+// all gateways without a message. The first in that order is taken to keep the
+// shared parts; any other would read them again. So the price of a server is the
+// work in front of the request there, in tokens, plus the shared tokens if it is
+// not the first, many times: what is read again delays everybody else on the
+// engine as well, drives out what others will ask for, and makes the next
 // choices worse. Far from full, a request still begins in time on the first.
-//
-// An engine that is the cheapest and has no room is waited for. Giving the
-// request to another that has room was tried: what is read again takes room
-// from others, so that ever more requests leave their first engine.
 
 // Part is one named part of a prompt.
 type Part struct {
@@ -54,7 +50,7 @@
 	if len(p.Shared) == 0 {
 		return 0
 	}
-	h := xxh3.New()
+	h := xxh3.New() // its writes never fail
 	_, _ = h.WriteString(p.Model)
 	for _, part := range p.Shared {
 		_, _ = h.WriteString("\x00" + part.Name)
@@ -67,15 +63,16 @@
 // commit 3c9399e; 30 and 40,000 were not played themselves). The others are chosen,
 // not measured.
 const (
-	againPrice   = 30     // each shared token on any engine but the first of the order
+	againPrice   = 30     // each shared token on any server but the first of the order
 	againMost    = 40_000 // for all of them
 	rankPart     = 0.1    // of that, more for each later place in the order
-	requestPrice = 60     // each request that shares the engine's steps
-	fullPrice    = 4000   // each request beyond the engine's slots
+	requestPrice = 60     // each request that shares the server's steps
+	fullPrice    = 4000   // each request beyond the server's slots
 	farPrice     = 40     // another data hall
 )
 
-// orderDepth is how many engines of a prompt's order are told apart.
+// orderDepth is how many servers of a prompt's order are told apart: chosen, not
+// measured.
 const orderDepth = 4
 
 // cheapest returns the cheapest candidate and the tokens that it has to read for
@@ -113,13 +110,13 @@
 	return (price + requestPrice) * max(c.slowness, 1)
 }
 
-// order is the indexes of the first engines in a key's order.
+// order is the indexes of the first candidates in a key's order.
 type order struct {
 	indexes [orderDepth]int
 	n       int
 }
 
-// rank is an engine's place in the order, at most orderDepth. Without a key
+// rank is a candidate's place in the order, at most orderDepth. Without a key
 // all are the first.
 func (o *order) rank(index int) int {
 	for rank, i := range o.indexes[:o.n] {
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -1,27 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package place chooses the backend server of a request among those on which
-// the router holds a free slot.
+// Package place chooses the backend server of a request.
 //
-// The model: every candidate has a price, the lowest wins. The price is the
-// work that must be done before the first token: what waits in front of the
-// request on that server, and the part of its prompt that the server's cache
-// does not hold. Both are guesses:
+// The model of both roles: every candidate has a price, the lowest wins. The
+// price is the work that must be done before the first token: what waits in
+// front of the request on that server, and the part of its prompt that the
+// server's cache does not hold. Both are guesses. Where nobody knows anything,
+// rendezvous hashing makes all boxes choose alike without a message.
 //
-//   - Load is what this router runs there itself, plus what the server last
-//     reported, discounted by the age of the report.
-//   - The cache is an approximate index of prompt blocks ([Index]): what this
-//     router sent where, corrected by the servers' late events. A gap in a
-//     server's event numbers makes all that was known of it doubtful, which
-//     halves the benefit instead of forgetting it.
-//   - Where nobody knows anything, routers agree without a message: the prompt's
-//     first block prefers one server by rendezvous hashing.
+// There are two placers, one for each way to share servers:
 //
-// Affinity never makes a request wait: only servers with a free slot are
-// candidates, so a hot server costs at most its price, never idle capacity
-// elsewhere.
+//	                  SlotPlacer                   RoomPlacer
+//	used by           routers (package pool)       gateways
+//	candidates        servers with a free slot     all servers of the pool
+//	                  that this router holds
+//	no room           cannot happen: a slot is     the cheapest is waited for; see
+//	                  room                         RoomPlacer.Choose
+//	cached prompts    Index: blocks of bytes that  first in the rendezvous order of
+//	                  this router sent where       the parts that the caller names
+//	load              own requests; the server's   own requests and tokens; the
+//	                  report, halved each second   other gateways', up to an age
+//	failing servers   outlier.Consecutive          outlier.FailureRate
 //
-// Servers that fail are left alone by the judgement of package outlier.
+// The allocator's slots bound what runs on a server, so a router never queues
+// there and affinity must not make a request wait: a hot server costs its price,
+// never idle capacity elsewhere. Gateways hold no slots. They bound the wait on a
+// server themselves, and are many, so a prompt must find the same engine from any
+// of them; leaving it costs all of them room, and a short wait is cheaper.
 //
 // All types are pure and not safe for concurrent use.
 package place
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -11,11 +11,12 @@
 // This file defines the approximate index of which server's cache holds which
 // prompt blocks.
 
-// BlockBytes is the length of prompt that one block covers.
-const BlockBytes = 512
-
-// MaxBlocks bounds the blocks of one prompt that are looked at.
-const MaxBlocks = 64
+// Sizes of the index: chosen, not measured.
+const (
+	BlockBytes      = 512 // bytes of prompt that one block covers
+	MaxBlocks       = 64  // of one prompt that are looked at
+	serversPerBlock = 3   // that are remembered
+)
 
 // Block is the hash of a prompt's prefix up to some block's end.
 type Block uint64
@@ -36,7 +37,7 @@
 
 // Preferred returns the candidate that the first block prefers by rendezvous
 // hashing, or "" for a prompt without blocks.
-func Preferred(candidates []Candidate, prompt []Block) string {
+func Preferred(candidates []FreeServer, prompt []Block) string {
 	if len(prompt) == 0 {
 		return ""
 	}
@@ -64,8 +65,6 @@
 	servers []string // at most serversPerBlock, newest last
 }
 
-const serversPerBlock = 3
-
 // serverCache is what is known of one server's events.
 type serverCache struct {
 	next     uint64 // expected number of the next event
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -74,8 +74,9 @@
 }
 
 // Choose returns the server that suits the request best, whether it has room or
-// not. Others that have room are not taken instead: reading shared tokens again
-// is dearer than a short wait, and the price of a choice knows when it is not.
+// not. Others that have room are not taken instead. That was tried (0.264 on a day
+// that had 0.555 before, commit 3c9399e): what is read again takes room from
+// others, so that ever more requests leave their first engine.
 func (p *RoomPlacer) Choose(r Request, servers []Server) Choice {
 	best, read, ok := cheapest(r.Prompt, candidates(r, servers))
 	if !ok {
--- a/coordination/place/place.go
+++ b/coordination/place/slotplacer.go
@@ -9,54 +9,56 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file defines Placer, the choice itself, and the load that goes into it.
+// This file defines SlotPlacer, the routers' choice among servers with a free
+// slot, and the load that goes into it.
 
-// Candidate is a backend server with a free slot.
-type Candidate struct {
+// FreeServer is a backend server with a slot that this router holds and does not
+// use.
+type FreeServer struct {
 	Server  string
 	Slots   int
-	Running int // by this router
+	Running int // requests by this router
 }
 
-// Load is what a backend server reports of itself.
+// Load is what a backend server reports of itself with its answers.
 type Load struct {
-	Running int
-	Waiting int
+	Running int // requests
+	Waiting int // requests
 	At      time.Duration // when the report was made, by this router's clock
 }
 
-// Weights of the parts of a price, in blocks of prompt.
+// Weights of the parts of a price, in blocks of prompt: chosen, not measured.
 const (
 	queuePrice      = 8.0 // one request per slot in front
 	preferenceBonus = 0.5 // the rendezvous choice, enough to break ties
 	doubtfulPart    = 0.5 // of the benefit when the server's events had a gap
 )
 
-// loadHalfLife is the age at which a report counts half.
+// loadHalfLife is the age at which a report counts half: chosen, not measured.
 const loadHalfLife = time.Second
 
-// Placer chooses servers of one pool.
-type Placer struct {
+// SlotPlacer chooses servers of one pool.
+type SlotPlacer struct {
 	Index  *Index
 	Health *outlier.Consecutive
 	loads  map[string]Load
 }
 
-// New returns a placer whose index holds at most blocks prompt blocks.
-func New(blocks int) *Placer {
-	return &Placer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}}
+// NewSlotPlacer returns a placer whose index holds at most blocks prompt blocks.
+func NewSlotPlacer(blocks int) *SlotPlacer {
+	return &SlotPlacer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}}
 }
 
 // Report takes a server's load report. An older one than held is dropped.
-func (p *Placer) Report(server string, l Load) {
+func (p *SlotPlacer) Report(server string, l Load) {
 	if old, ok := p.loads[server]; !ok || l.At > old.At {
 		p.loads[server] = l
 	}
 }
 
-// Choose returns the cheapest candidate, or false if all are out of health.
+// Choose returns the cheapest candidate, or false if all are ejected.
 // It costs O(candidates × prompt blocks).
-func (p *Placer) Choose(now time.Duration, candidates []Candidate, prompt []Block) (string, bool) {
+func (p *SlotPlacer) Choose(now time.Duration, candidates []FreeServer, prompt []Block) (string, bool) {
 	best, bestPrice := "", math.Inf(1)
 	preferred := Preferred(candidates, prompt)
 	for _, c := range candidates {
@@ -74,12 +76,12 @@
 	return best, best != ""
 }
 
-func (p *Placer) price(now time.Duration, c Candidate, prompt []Block) float64 {
+func (p *SlotPlacer) price(now time.Duration, c FreeServer, prompt []Block) float64 {
 	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.Benefit(c.Server, prompt)
 }
 
 // load is the expected number of requests in front, per slot.
-func (p *Placer) load(now time.Duration, c Candidate) float64 {
+func (p *SlotPlacer) load(now time.Duration, c FreeServer) float64 {
 	running := float64(c.Running)
 	if l, ok := p.loads[c.Server]; ok {
 		age := float64(now-l.At) / float64(loadHalfLife)
--- a/coordination/place/place_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -17,10 +17,10 @@
 	return Blocks(b)
 }
 
-func freeServers(n int) []Candidate {
-	var out []Candidate
+func freeServers(n int) []FreeServer {
+	var out []FreeServer
 	for i := range n {
-		out = append(out, Candidate{Server: fmt.Sprintf("s%d", i), Slots: 8})
+		out = append(out, FreeServer{Server: fmt.Sprintf("s%d", i), Slots: 8})
 	}
 	return out
 }
@@ -29,11 +29,11 @@
 	p := prompt(16, "the parcel history of")
 	tests := []struct {
 		name string
-		set  func(pl *Placer, c []Candidate)
+		set  func(pl *SlotPlacer, c []FreeServer)
 		want string
 	}{
-		{"where the prompt's prefix is", func(pl *Placer, _ []Candidate) { pl.Index.Sent("s2", p) }, "s2"},
-		{"not where it is, when that is loaded", func(pl *Placer, c []Candidate) {
+		{"where the prompt's prefix is", func(pl *SlotPlacer, _ []FreeServer) { pl.Index.Sent("s2", p) }, "s2"},
+		{"not where it is, when that is loaded", func(pl *SlotPlacer, c []FreeServer) {
 			pl.Index.Sent("s2", p[:4])
 			c[2].Running = 8
 			for i := range c {
@@ -42,12 +42,12 @@
 				}
 			}
 		}, "s1"},
-		{"least loaded by fresh reports", func(pl *Placer, _ []Candidate) {
+		{"least loaded by fresh reports", func(pl *SlotPlacer, _ []FreeServer) {
 			for _, s := range []string{"s0", "s1", "s2"} {
 				pl.Report(s, Load{Running: 8, Waiting: 8, At: 10 * time.Second})
 			}
 		}, "s3"},
-		{"not to one that is out", func(pl *Placer, _ []Candidate) {
+		{"not to one that is out", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Health.SetSize(4)
 			pl.Index.Sent("s2", p)
 			for pl.Health.Usable(10*time.Second, "s2") {
@@ -55,7 +55,7 @@
 			}
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
-		{"a doubtful cache counts half", func(pl *Placer, _ []Candidate) {
+		{"a doubtful cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Index.Take("s2", Event{Seq: 1})
 			pl.Index.Take("s2", Event{Seq: 3, Stored: p}) // event 2 was lost
 			pl.Index.Sent("s1", p[:10])
@@ -64,7 +64,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			pl, c := New(1000), freeServers(4)
+			pl, c := NewSlotPlacer(1000), freeServers(4)
 			pl.Health.SetSize(4)
 			tt.set(pl, c)
 			got, ok := pl.Choose(10*time.Second, c, p)
@@ -79,8 +79,8 @@
 	spread := map[string]bool{}
 	for i := range 50 {
 		p := prompt(4, fmt.Sprint("question ", i))
-		a, _ := New(10).Choose(0, freeServers(6), p)
-		b, _ := New(10).Choose(time.Hour, freeServers(6), p)
+		a, _ := NewSlotPlacer(10).Choose(0, freeServers(6), p)
+		b, _ := NewSlotPlacer(10).Choose(time.Hour, freeServers(6), p)
 		is.Equal(a, b)
 		spread[a] = true
 	}
@@ -89,8 +89,8 @@
 
 func TestOldLoadReportFades(t *testing.T) {
 	is := is.New(t)
-	pl := New(10)
-	c := Candidate{Server: "s0", Slots: 8}
+	pl := NewSlotPlacer(10)
+	c := FreeServer{Server: "s0", Slots: 8}
 	pl.Report("s0", Load{Running: 8, At: 0})
 	pl.Report("s0", Load{Running: 0, At: -time.Second}) // older, dropped
 	is.Equal(pl.load(0, c), 1.0)
@@ -156,7 +156,7 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	pl, c, p := New(8192), freeServers(12), prompt(32, "a long prompt")
+	pl, c, p := NewSlotPlacer(8192), freeServers(12), prompt(32, "a long prompt")
 	pl.Index.Sent("s3", p)
 	for b.Loop() {
 		pl.Choose(0, c, p)
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -72,7 +72,7 @@
 	set      Settings
 	queue    *share.Queue
 	holder   *slots.Holder
-	placer   *place.Placer
+	placer   *place.SlotPlacer
 	costs    *share.Estimator
 	fleet    slots.Fleet
 	servers  map[string]Server
@@ -85,7 +85,7 @@
 func New(name string, set Settings) *Pool {
 	return &Pool{
 		name: name, set: set, queue: share.NewQueue(set.Limits), holder: slots.NewHolder(),
-		placer: place.New(set.PrefixBlocks), costs: share.NewEstimator(set.FirstEstimate),
+		placer: place.NewSlotPlacer(set.PrefixBlocks), costs: share.NewEstimator(set.FirstEstimate),
 		servers: map[string]Server{}, accounts: map[string]bool{},
 	}
 }
@@ -201,8 +201,8 @@
 
 // candidates returns the serving, healthy servers with a free slot. Slots of
 // the others go back.
-func (p *Pool) candidates(now time.Duration) []place.Candidate {
-	var out []place.Candidate
+func (p *Pool) candidates(now time.Duration) []place.FreeServer {
+	var out []place.FreeServer
 	for _, name := range p.holder.FreeServers() {
 		s, serving := p.servers[name]
 		if !serving {
@@ -214,7 +214,7 @@
 			p.suspects = append(p.suspects, name)
 			continue
 		}
-		out = append(out, place.Candidate{Server: name, Slots: s.Slots, Running: p.holder.Running(name)})
+		out = append(out, place.FreeServer{Server: name, Slots: s.Slots, Running: p.holder.Running(name)})
 	}
 	return out
 }
