--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -10,7 +10,7 @@
 const (
 	failuresToEject = 3 // in a row
 	shortestEject   = time.Second
-	longestEject    = 30 * time.Second
+	longestEject    = 30 * time.Second // however often the trial fails
 )
 
 // Consecutive follows the failures of the servers of one pool. Only failures of
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -27,11 +27,11 @@
 
 // Parameters of a gateway's ejections: chosen, not measured.
 const (
-	serverMemory = 12   // attempts over which a server's failures are averaged
-	poolMemory   = 0.02 // weight of one attempt in the pool's average: one of 50
-	rateToEject  = 0.35 // weighted part of failures above the pool's
-	lostToEject  = 3    // lost requests in a row, whatever the rates are
-	longestWait  = 12 * time.Second
+	serverMemory = 12               // attempts over which a server's failures are averaged
+	poolMemory   = 0.02             // weight of one attempt in the pool's average: one of 50
+	rateToEject  = 0.35             // weighted part of failures above the pool's
+	lostToEject  = 3                // lost requests in a row, whatever the rates are
+	longestWait  = 12 * time.Second // however often the trial fails
 
 	// MinSamples is how many attempts since its last ejection a server is
 	// judged by at least.
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -35,8 +35,8 @@
 // Weights of one answer in refusing: chosen, not measured. One refusal counts as
 // much as 25 answers.
 const (
-	refusalWeight = 0.05
-	answerWeight  = 0.002
+	refusalWeight = 0.05  // of a refusal
+	answerWeight  = 0.002 // of an answer
 )
 
 // Reading of prompts by engines: chosen, not measured, as starting points that
@@ -125,7 +125,7 @@
 	paceWeight   = 0.1 // of one answer
 	fewestPaces  = 4   // answers before a pace is known
 	slowFrom     = 1.6 // times the typical pace; smaller differences are left alone
-	slownessMost = 16
+	slownessMost = 16  // a server counts as at most that many times slower
 )
 
 // Pace is the averaged time that a server's answers take to begin, as a ratio to
