--- a/coordination/outlier/doc.go
+++ b/coordination/outlier/doc.go
@@ -11,8 +11,8 @@
 // There are two judgements, since the two roles use servers differently:
 //
 //   - [Consecutive], for routers: failures in a row, and never more than half of
-//     a pool ejected. A router sends only what it holds a slot for, so even a
-//     refusal is a failure. It gives the slots of an ejected server back and the
+//     a pool ejected. A router sends only what it holds a slot for, so a refusal
+//     as full is a failure to it. It gives the slots of an ejected server back and the
 //     allocator withholds them for a while; the bound keeps a fault that is
 //     nearer to the router from costing it the whole pool.
 //   - [FailureRate], for gateways: a server's weighted part of failures above
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -22,11 +22,11 @@
 //	                  report, halved each second   other gateways', up to an age
 //	failing servers   outlier.Consecutive          outlier.FailureRate
 //
-// The allocator's slots bound what runs on a server, so a router never queues
-// there and affinity must not make a request wait: a hot server costs its price,
-// never idle capacity elsewhere. Gateways hold no slots. They bound the wait on a
-// server themselves, and are many, so a prompt must find the same engine from any
-// of them; leaving it costs all of them room, and a short wait is cheaper.
+// The allocator's slots bound what runs on a server, so affinity need not make a
+// router's request wait: a hot server costs its price, never idle capacity
+// elsewhere. Gateways hold no slots. They bound the wait on a server themselves,
+// and they are many, so a prompt must find the same engine from any of them;
+// leaving it takes room from all of them, and a short wait is cheaper.
 //
 // All types are pure and not safe for concurrent use.
 package place
