--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -119,7 +119,7 @@
 // let the time for it run out. Else a flood at one gateway would cost it one
 // backend server after the other.
 func (c *call) unreachableBlame() outlier.Verdict {
-	if c.g.overload.late(c.g.now()) {
+	if c.g.overload.Load().Late(c.g.now()) {
 		return outlier.NoVerdict
 	}
 	return outlier.Lost
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -93,6 +93,9 @@
 	if c.rs = c.g.routes.Load(); c.rs == nil {
 		return Refusal{Cause: NoDocument, RetryAfter: longRetryAfter}
 	}
+	if limit := c.rs.document.Limits.HeaderBytes; limit > 0 && headerBytes(c.r) > limit {
+		return Refusal{Cause: HeaderTooLarge}
+	}
 	var known bool
 	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
 		return Refusal{Cause: NoRoute}
@@ -104,6 +107,18 @@
 	return nil
 }
 
+// headerBytes returns the size of a request's header lines, each with one space
+// after its colon; the request line does not count.
+func headerBytes(r *http.Request) int {
+	n := len("Host: \r\n") + len(r.Host)
+	for name, values := range r.Header {
+		for _, v := range values {
+			n += len(name) + len(": \r\n") + len(v)
+		}
+	}
+	return n
+}
+
 // rank finds how the request stands against its account's share, and refuses
 // what may not be served now.
 func (c *call) rank() error {
@@ -112,7 +127,7 @@
 	if c.pool.Engine {
 		c.class = c.g.accounts.classify(c.account.Name, c.cost)
 	}
-	if !c.g.overload.admits(c.class) {
+	if !c.g.overload.Load().Admits(c.class) {
 		c.g.accounts.countMissed(c.class, c.cost)
 		return Refusal{Cause: ProcessorOverload, RetryAfter: c.retryAfterOverload()}
 	}
@@ -209,8 +224,10 @@
 // server waits for a backend server. The error is a [Refusal].
 func (c *call) server(ctx context.Context) (*assignment, error) {
 	req := requirements{
-		pool: c.pool, route: c.route, prompt: c.head.Prompt, account: c.account.Name,
-		priority: c.account.Priority*priorityScale + c.route.Priority, class: c.class,
+		Waiting: entitlement.Waiting{
+			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
+		},
+		pool: c.pool, route: c.route, prompt: c.head.Prompt,
 		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
 	a, short := c.g.awaitServer(ctx, req, c.queueTimeout())
@@ -238,9 +255,6 @@
 	return nil, Refusal{Cause: Overloaded, RetryAfter: c.retryAfter()}
 }
 
-// priorityScale puts an account's priority before a route's.
-const priorityScale = 1000
-
 // queueTimeout is how long the request may wait for a backend server: a refusal is worth
 // more to its caller while there is time to come back.
 func (c *call) queueTimeout() time.Duration {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -17,12 +17,10 @@
 
 // requirements are what a request asks of a backend server.
 type requirements struct {
+	entitlement.Waiting
 	pool     document.Pool
 	route    document.Route
 	prompt   place.Prompt
-	account  string
-	priority int
-	class    entitlement.Class
 	repeat   bool            // may run more than once
 	avoid    map[string]bool // backend servers that had the request already
 	gateways int
@@ -31,7 +29,7 @@
 // choiceRequest is what the choice needs of them.
 func (r *requirements) choiceRequest() place.Request {
 	return place.Request{
-		Prompt: r.prompt, Class: r.class, Objective: r.route.Objective, Repeatable: r.repeat,
+		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeat,
 		Engine: r.pool.Engine, Connections: r.pool.Connections, Gateways: r.gateways,
 	}
 }
