--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -4,7 +4,6 @@
 
 import (
 	"container/list"
-	"slices"
 
 	"github.com/zeebo/xxh3"
 )
@@ -57,6 +56,7 @@
 	max     int
 	byBlock map[Block]*list.Element
 	order   list.List // of *placed, oldest first
+	servers map[string]*serverCache
 }
 
 // placed is one block and the servers that should hold it.
@@ -65,9 +65,15 @@
 	servers []string // at most serversPerBlock, newest last
 }
 
+// serverCache is what is known of one server's events.
+type serverCache struct {
+	next     uint64 // expected number of the next event
+	doubtful bool
+}
+
 // NewIndex returns an index of at most max blocks.
 func NewIndex(max int) *Index {
-	return &Index{max: max, byBlock: map[Block]*list.Element{}}
+	return &Index{max: max, byBlock: map[Block]*list.Element{}, servers: map[string]*serverCache{}}
 }
 
 // Len returns the number of blocks held.
@@ -94,13 +100,22 @@
 }
 
 func appendNewest(servers []string, server string) []string {
-	servers = slices.DeleteFunc(servers, func(s string) bool { return s == server })
+	servers = remove(servers, server)
 	if len(servers) == serversPerBlock {
 		servers = servers[1:]
 	}
 	return append(servers, server)
 }
 
+func remove(servers []string, server string) []string {
+	for i, s := range servers {
+		if s == server {
+			return append(servers[:i:i], servers[i+1:]...)
+		}
+	}
+	return servers
+}
+
 func (x *Index) shrink() {
 	for len(x.byBlock) > x.max {
 		oldest := x.order.Front()
@@ -109,15 +124,85 @@
 	}
 }
 
-// Benefit returns how many leading blocks of a prompt the server should hold.
-func (x *Index) Benefit(server string, prompt []Block) int {
+// Event is what a server tells of its cache.
+type Event struct {
+	Seq     uint64
+	Stored  []Block
+	Evicted []Block
+	Cleared bool
+}
+
+// Take applies a server's event. An old number is dropped; a gap makes the
+// server doubtful until it clears its cache.
+func (x *Index) Take(server string, e Event) {
+	c := x.servers[server]
+	if c == nil {
+		c = &serverCache{next: e.Seq}
+		x.servers[server] = c
+	}
+	if e.Seq < c.next {
+		return
+	}
+	if e.Seq > c.next {
+		c.doubtful = true
+	}
+	c.next = e.Seq + 1
+	if e.Cleared {
+		x.Forget(server)
+		x.servers[server] = &serverCache{next: e.Seq + 1}
+	}
+	for _, b := range e.Stored {
+		x.add(server, b)
+	}
+	for _, b := range e.Evicted {
+		x.evict(server, b)
+	}
+}
+
+func (x *Index) evict(server string, b Block) {
+	el := x.byBlock[b]
+	if el == nil {
+		return
+	}
+	p := el.Value.(*placed)
+	p.servers = remove(p.servers, server)
+	if len(p.servers) == 0 {
+		delete(x.byBlock, b)
+		x.order.Remove(el)
+	}
+}
+
+// Forget drops all that is known of a server, which restarted or left. It
+// costs O(blocks held).
+func (x *Index) Forget(server string) {
+	delete(x.servers, server)
+	for b := range x.byBlock {
+		x.evict(server, b)
+	}
+}
+
+// Benefit returns how many leading blocks of a prompt the server should hold,
+// discounted when its events had a gap.
+func (x *Index) Benefit(server string, prompt []Block) float64 {
 	n := 0
 	for _, b := range prompt {
 		el := x.byBlock[b]
-		if el == nil || !slices.Contains(el.Value.(*placed).servers, server) {
+		if el == nil || !has(el.Value.(*placed).servers, server) {
 			break
 		}
 		n++
 	}
-	return n
+	if c := x.servers[server]; c != nil && c.doubtful {
+		return doubtfulPart * float64(n)
+	}
+	return float64(n)
+}
+
+func has(servers []string, server string) bool {
+	for _, s := range servers {
+		if s == server {
+			return true
+		}
+	}
+	return false
 }
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -22,8 +22,8 @@
 
 // Load is what a backend server reports of itself with its answers.
 type Load struct {
-	Running int           // requests
-	Waiting int           // requests
+	Running int // requests
+	Waiting int // requests
 	At      time.Duration // when the report was made, by this router's clock
 }
 
@@ -31,6 +31,7 @@
 const (
 	queuePrice      = 8.0 // one request per slot in front
 	preferenceBonus = 0.5 // the rendezvous choice, enough to break ties
+	doubtfulPart    = 0.5 // of the benefit when the server's events had a gap
 )
 
 // loadHalfLife is the age at which a report counts half: chosen, not measured.
@@ -76,7 +77,7 @@
 }
 
 func (p *SlotPlacer) price(now time.Duration, c FreeServer, prompt []Block) float64 {
-	return queuePrice*p.load(now, c) + float64(len(prompt)-p.Index.Benefit(c.Server, prompt))
+	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.Benefit(c.Server, prompt)
 }
 
 // load is the expected number of requests in front, per slot.
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -55,6 +55,11 @@
 			}
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
+		{"a doubtful cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
+			pl.Index.Take("s2", Event{Seq: 1})
+			pl.Index.Take("s2", Event{Seq: 3, Stored: p}) // event 2 was lost
+			pl.Index.Sent("s1", p[:10])
+		}, "s1"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -92,7 +97,23 @@
 	is.Equal(pl.load(loadHalfLife, c), 0.5)
 }
 
-// TestIndexIsBounded sends at random: the index never holds more
+func TestEvents(t *testing.T) {
+	is := is.New(t)
+	x := NewIndex(100)
+	p := prompt(4, "map sheet 12")
+	x.Take("s", Event{Seq: 5, Stored: p})
+	is.Equal(x.Benefit("s", p), 4.0)
+	x.Take("s", Event{Seq: 5, Evicted: p}) // twice
+	is.Equal(x.Benefit("s", p), 4.0)
+	x.Take("s", Event{Seq: 6, Evicted: p[2:]})
+	is.Equal(x.Benefit("s", p), 2.0)
+	x.Take("s", Event{Seq: 9}) // a gap
+	is.Equal(x.Benefit("s", p), 1.0)
+	x.Take("s", Event{Seq: 10, Cleared: true, Stored: p[:1]})
+	is.Equal(x.Benefit("s", p), 1.0) // known again
+}
+
+// TestIndexIsBounded sends and evicts at random: the index never holds more
 // than its bound, nor a block without a server.
 func TestIndexIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -100,7 +121,14 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			server := fmt.Sprintf("s%d", rapid.IntRange(0, 5).Draw(t, "server"))
 			p := prompt(rapid.IntRange(0, 8).Draw(t, "blocks"), fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "text")))
-			x.Sent(server, p)
+			switch rapid.IntRange(0, 3).Draw(t, "step") {
+			case 0:
+				x.Take(server, Event{Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), Evicted: p})
+			case 1:
+				x.Forget(server)
+			default:
+				x.Sent(server, p)
+			}
 			if x.Len() > 20 || x.order.Len() != x.Len() {
 				t.Fatalf("%d blocks, %d in order", x.Len(), x.order.Len())
 			}
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -263,6 +263,9 @@
 // Report takes a server's load report.
 func (p *Pool) Report(server string, l place.Load) { p.placer.Report(server, l) }
 
+// CacheEvent takes what a server tells of its cache.
+func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
+
 func works(tickets []*share.Ticket) []*Work {
 	out := make([]*Work, 0, len(tickets))
 	for _, t := range tickets {
