--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -85,7 +85,7 @@
 
 // Box is a running box.
 type Box struct {
-	set     Settings
+	cfg     Settings
 	metrics *metrics.Set
 	router  *router.Router
 	control *control.Control
@@ -106,48 +106,48 @@
 )
 
 // Start assembles and starts a box.
-func Start(ctx context.Context, set Settings) (*Box, error) {
-	if set.Log == nil {
-		set.Log = slog.New(slog.DiscardHandler)
+func Start(ctx context.Context, cfg Settings) (*Box, error) {
+	if cfg.Log == nil {
+		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	if set.Dir == nil {
-		set.Dir = func(group string) (wal.Dir, error) { return wal.MakeDir(filepath.Join(set.DataDir, group)) }
+	if cfg.Dir == nil {
+		cfg.Dir = func(group string) (wal.Dir, error) { return wal.MakeDir(filepath.Join(cfg.DataDir, group)) }
 	}
-	if set.Random == nil {
-		set.Random = rand.Uint64
+	if cfg.Random == nil {
+		cfg.Random = rand.Uint64
 	}
-	b := &Box{set: set, metrics: metrics.NewSet()}
-	if set.Control {
+	b := &Box{cfg: cfg, metrics: metrics.NewSet()}
+	if cfg.Control {
 		if err := b.startControl(ctx); err != nil {
 			return nil, err
 		}
 	}
-	if set.Router {
+	if cfg.Router {
 		b.startRouter(ctx)
 	}
-	if set.Operators != nil {
-		b.serve(set.Operators, b.operatorsMux(), b.tls().Door)
+	if cfg.Operators != nil {
+		b.serve(cfg.Operators, b.operatorsMux(), b.tls().Door)
 	}
 	return b, nil
 }
 
 func (b *Box) identity() link.Identity {
-	id := link.Identity{Name: b.set.Name, Key: b.set.FleetKey}
-	if b.set.Dialer != nil {
-		id.Dial = b.set.Dialer.DialContext
+	id := link.Identity{Name: b.cfg.Name, Key: b.cfg.FleetKey}
+	if b.cfg.Dialer != nil {
+		id.Dial = b.cfg.Dialer.DialContext
 	}
-	if b.set.TLS != nil {
-		id.TLS = b.set.TLS.Dial
+	if b.cfg.TLS != nil {
+		id.TLS = b.cfg.TLS.Dial
 	}
 	return id
 }
 
 func (b *Box) startControl(ctx context.Context) error {
 	c, err := control.Start(ctx, control.Settings{
-		Identity: b.identity(), Replicas: b.set.Replicas,
-		Operators: addressOf(b.set.Operators), Dir: b.set.Dir, Overcommit: b.set.Overcommit,
-		Lease: b.set.Lease, Pace: b.set.Pace, Tuning: replica.Tuning{Election: b.set.Election, Heartbeat: b.set.Heartbeat},
-		Random: b.set.Random, Log: b.set.Log, Metrics: b.metrics,
+		Identity: b.identity(), Replicas: b.cfg.Replicas,
+		Operators: addressOf(b.cfg.Operators), Dir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
+		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{Election: b.cfg.Election, Heartbeat: b.cfg.Heartbeat},
+		Random: b.cfg.Random, Log: b.cfg.Log, Metrics: b.metrics,
 	})
 	if err != nil {
 		return errors.Wrap(err, "start control role")
@@ -155,7 +155,7 @@
 	b.control = c
 	mux := http.NewServeMux()
 	mux.Handle(link.Path, c)
-	b.serve(b.set.Fleet, mux, b.tls().Fleet)
+	b.serve(b.cfg.Fleet, mux, b.tls().Fleet)
 	return nil
 }
 
@@ -167,13 +167,13 @@
 }
 
 func (b *Box) startRouter(ctx context.Context) {
-	b.server = forward.New(forward.Settings{Dialer: b.set.Dialer})
+	b.server = forward.New(forward.Settings{Dialer: b.cfg.Dialer})
 	b.router = router.Start(ctx, router.Settings{
-		Identity: b.identity(), Hall: b.set.Hall, Replicas: b.set.Replicas,
-		Server: b.server, Limits: b.set.Limits, Pace: b.set.Pace,
-		StopWithoutLeader: b.set.StopWithoutLeader, Random: b.set.Random, Log: b.set.Log, Metrics: b.metrics,
+		Identity: b.identity(), Hall: b.cfg.Hall, Replicas: b.cfg.Replicas,
+		Server: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
+		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Log: b.cfg.Log, Metrics: b.metrics,
 	})
-	b.serve(b.set.Callers, b.router, b.tls().Door)
+	b.serve(b.cfg.Callers, b.router, b.tls().Door)
 }
 
 func (b *Box) operatorsMux() http.Handler {
@@ -185,7 +185,7 @@
 		}
 	})
 	if b.control != nil {
-		mux.Handle("/", b.control.OperatorHandler(b.set.OperatorToken))
+		mux.Handle("/", b.control.OperatorHandler(b.cfg.OperatorToken))
 	}
 	return mux
 }
@@ -199,7 +199,7 @@
 	s := &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, Protocols: &protocols,
-		ErrorLog: slog.NewLogLogger(b.set.Log.Handler(), slog.LevelDebug),
+		ErrorLog: slog.NewLogLogger(b.cfg.Log.Handler(), slog.LevelDebug),
 	}
 	b.servers = append(b.servers, s)
 	limited := socket.Limit(l, maxConnections)
@@ -215,10 +215,10 @@
 
 // tls returns the TLS configurations, all nil without certificates.
 func (b *Box) tls() settings.TLS {
-	if b.set.TLS == nil {
+	if b.cfg.TLS == nil {
 		return settings.TLS{}
 	}
-	return *b.set.TLS
+	return *b.cfg.TLS
 }
 
 // Router returns the router role, or nil.
@@ -242,7 +242,7 @@
 // the router drains while its own control role, if it has one, still leads.
 func (b *Box) Stop(ctx context.Context) {
 	if b.router != nil {
-		b.router.Stop(ctx, b.set.Grace)
+		b.router.Stop(ctx, b.cfg.Grace)
 	}
 	if b.control != nil {
 		b.control.Stop(ctx)
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -103,7 +103,7 @@
 	limits.Wait = d.Wait
 	pace := slots.DefaultPace
 	pace.Budget, pace.Burst = d.ControlBudget, 2*d.ControlBudget
-	set := badgerspoke.Settings{
+	cfg := badgerspoke.Settings{
 		Name: d.Name, Hall: d.Hall, FleetKey: d.FleetKey, TLS: d.TLS, Replicas: d.Control,
 		Router: d.Has(settings.Router), Control: d.Has(settings.Control),
 		DataDir: d.DataDir, OperatorToken: d.OperatorToken,
@@ -111,20 +111,20 @@
 		Overcommit: d.Overcommit, Pace: pace, Limits: limits, StopWithoutLeader: d.StopWithoutLeader, Grace: d.Grace, Log: log,
 	}
 	var err error
-	if set.Operators, err = net.Listen("tcp", d.ListenOperators); err != nil {
+	if cfg.Operators, err = net.Listen("tcp", d.ListenOperators); err != nil {
 		return nil, err
 	}
-	if set.Router {
-		if set.Callers, err = net.Listen("tcp", d.ListenCallers); err != nil {
+	if cfg.Router {
+		if cfg.Callers, err = net.Listen("tcp", d.ListenCallers); err != nil {
 			return nil, err
 		}
 	}
-	if set.Control {
-		if set.Fleet, err = net.Listen("tcp", d.ListenFleet); err != nil {
+	if cfg.Control {
+		if cfg.Fleet, err = net.Listen("tcp", d.ListenFleet); err != nil {
 			return nil, err
 		}
 	}
-	return badgerspoke.Start(ctx, set)
+	return badgerspoke.Start(ctx, cfg)
 }
 
 // devDefaults fills in what a fleet of one process needs.
--- a/control/claims.go
+++ b/control/claims.go
@@ -90,13 +90,13 @@
 // replica that leads claims only hands them to that leader. Until then claims
 // are answered with ClaimRetry.
 func (c *Control) followLeader() {
-	for sleep.For(c.ctx, c.set.Heartbeat) {
+	for sleep.For(c.ctx, c.cfg.Heartbeat) {
 		var leader string
 		c.dispatcher.do(func() { leader = c.dispatcher.lead.leader })
-		if leader == "" || leader == c.set.Identity.Name {
+		if leader == "" || leader == c.cfg.Identity.Name {
 			continue
 		}
-		_ = c.claims.Inspect(c.ctx, func(_ time.Duration, n *consensus.Node) {
+		_ = c.claims.Inspect(c.ctx, func(_ time.Duration, n *consensus.Replica) {
 			if n.Status().Role == consensus.Leader {
 				n.Transfer(leader)
 			}
--- a/control/control.go
+++ b/control/control.go
@@ -50,16 +50,16 @@
 	Metrics *metrics.Set
 }
 
-func (s Settings) withDefaults() Settings {
-	s.Lease = cmp.Or(s.Lease, slots.DefaultLease)
-	s.Pace = cmp.Or(s.Pace, slots.DefaultPace)
-	s.Tuning = s.Tuning.WithDefaults()
-	return s
+func (cfg Settings) withDefaults() Settings {
+	cfg.Lease = cmp.Or(cfg.Lease, slots.DefaultLease)
+	cfg.Pace = cmp.Or(cfg.Pace, slots.DefaultPace)
+	cfg.Tuning = cfg.Tuning.WithDefaults()
+	return cfg
 }
 
 // Control is a running control replica.
 type Control struct {
-	set        Settings
+	cfg        Settings
 	ctx        context.Context
 	stop       context.CancelFunc
 	meter      *link.Meter
@@ -75,15 +75,15 @@
 
 // Start opens the data folder and joins the groups. The replica runs until
 // Stop, or until its disk fails (see Done).
-func Start(ctx context.Context, set Settings) (*Control, error) {
-	set = set.withDefaults()
+func Start(ctx context.Context, cfg Settings) (*Control, error) {
+	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(ctx)
-	c := &Control{set: set, ctx: ctx, stop: stop, meter: link.NewMeter(set.Metrics), watchers: newClaimWatchers()}
+	c := &Control{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics), watchers: newClaimWatchers()}
 	c.dispatcher = newDispatcher(c)
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
 	c.register.Settlement = c.watchers.settled
-	c.peers = mesh.New(ctx, set.Identity, func(name string) string { return set.Replicas[name] }, c.meter)
+	c.peers = mesh.New(ctx, cfg.Identity, func(name string) string { return cfg.Replicas[name] }, c.meter)
 	if err := c.startGroups(); err != nil {
 		stop()
 		return nil, err
@@ -104,18 +104,18 @@
 
 func (c *Control) startGroup(name string, m replica.Machine,
 	observe func(consensus.Status, bool)) (*replica.Replica, error) {
-	dir, err := c.set.Dir(name)
+	dir, err := c.cfg.Dir(name)
 	if err != nil {
 		return nil, err
 	}
-	names := make([]string, 0, len(c.set.Replicas))
-	for n := range c.set.Replicas {
+	names := make([]string, 0, len(c.cfg.Replicas))
+	for n := range c.cfg.Replicas {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	return replica.Start(c.ctx, replica.Settings{
-		Group: name, Name: c.set.Identity.Name, Names: names, Dir: dir, Machine: m,
-		Send: c.peers.Send, Tuning: c.set.Tuning, Random: c.set.Random, Log: c.set.Log, Observe: observe,
+		Group: name, Name: c.cfg.Identity.Name, Names: names, Dir: dir, Machine: m,
+		Send: c.peers.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Log: c.cfg.Log, Observe: observe,
 	})
 }
 
@@ -131,9 +131,9 @@
 // ServeHTTP accepts links of other nodes at [link.Path]: the first message
 // tells a router from a control replica.
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l, err := link.Accept(w, r, c.set.Identity, c.meter)
+	l, err := link.Accept(w, r, c.cfg.Identity, c.meter)
 	if err != nil {
-		c.set.Metrics.GetOrCreateCounter(`badgerspoke_links_refused_total`).Inc()
+		c.cfg.Metrics.GetOrCreateCounter(`badgerspoke_links_refused_total`).Inc()
 		return
 	}
 	defer l.Close()
@@ -182,10 +182,10 @@
 const handoverElections = 5
 
 func (c *Control) handOver(ctx context.Context) {
-	if len(c.set.Replicas) == 1 {
+	if len(c.cfg.Replicas) == 1 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.set.Election)
+	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.Election)
 	defer cancel()
 	_ = c.claims.Transfer(ctx)
 	_ = c.config.Transfer(ctx)
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -185,18 +185,18 @@
 	for _, h := range d.c.state.Routers() {
 		expected = append(expected, slots.Process{Router: h.Router, Boot: h.Boot})
 	}
-	d.alloc = slots.NewAllocator(term, d.now(), d.c.set.Lease, d.c.set.Pace, expected)
+	d.alloc = slots.NewAllocator(term, d.now(), d.c.cfg.Lease, d.c.cfg.Pace, expected)
 	d.pushConfig()
-	if at := d.c.set.Operators; at != "" && d.c.state.OperatorsAt(d.c.set.Identity.Name) != at {
+	if at := d.c.cfg.Operators; at != "" && d.c.state.OperatorsAt(d.c.cfg.Identity.Name) != at {
 		go func() {
-			_ = d.c.proposeCommand(command{Advert: &advert{Replica: d.c.set.Identity.Name, Address: at}})
+			_ = d.c.proposeCommand(command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: at}})
 		}()
 	}
-	d.c.set.Log.Info("allocating", "epoch", term, "expected-routers", len(expected))
+	d.c.cfg.Log.Info("allocating", "epoch", term, "expected-routers", len(expected))
 }
 
 func (d *dispatcher) endEpoch() {
-	d.c.set.Log.Info("allocation ended", "epoch", d.alloc.Epoch())
+	d.c.cfg.Log.Info("allocation ended", "epoch", d.alloc.Epoch())
 	d.alloc = nil
 	d.dropSessions()
 }
@@ -217,7 +217,7 @@
 		return
 	}
 	for _, name := range d.alloc.Tick(d.now()) {
-		d.c.set.Log.Info("lease of router ran out", "router", name)
+		d.c.cfg.Log.Info("lease of router ran out", "router", name)
 	}
 	d.endVanished()
 }
@@ -256,7 +256,7 @@
 		return
 	}
 	cfg := d.c.state.Config()
-	d.alloc.Configure(allocatorView(cfg, d.c.set.Overcommit))
+	d.alloc.Configure(allocatorView(cfg, d.c.cfg.Overcommit))
 	for _, s := range d.sessions {
 		d.pushTo(s, cfg)
 	}
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -54,11 +54,11 @@
 	var e NotLeading
 	c.dispatcher.do(func() {
 		e.Leader = c.dispatcher.lead.leader
-		if e.Leader == c.set.Identity.Name {
+		if e.Leader == c.cfg.Identity.Name {
 			e.Leader = "" // leads without a lease yet
 		}
 	})
-	e.Address = c.set.Replicas[e.Leader]
+	e.Address = c.cfg.Replicas[e.Leader]
 	e.Operators = c.state.OperatorsAt(e.Leader)
 	return e
 }
@@ -102,7 +102,7 @@
 	case errors.As(err, &leading):
 		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: leading.Leader, LeaderAddress: leading.Address, OperatorsAddress: leading.Operators})
 	case errors.As(err, &notLeader):
-		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: notLeader.Leader.Name, LeaderAddress: c.set.Replicas[notLeader.Leader.Name], OperatorsAddress: c.state.OperatorsAt(notLeader.Leader.Name)})
+		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: notLeader.Leader.Name, LeaderAddress: c.cfg.Replicas[notLeader.Leader.Name], OperatorsAddress: c.state.OperatorsAt(notLeader.Leader.Name)})
 	case errors.As(err, &handover):
 		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: handover.To.Name})
 	}
--- a/control/session.go
+++ b/control/session.go
@@ -101,8 +101,8 @@
 	s.revision = h.Revision
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
-		Epoch: d.alloc.Epoch(), LeaseMillis: uint32(d.c.set.Lease.Length.Milliseconds()),
-		Leader: d.c.set.Identity.Name, Known: known, Reports: reports, Void: void,
+		Epoch: d.alloc.Epoch(), LeaseMillis: uint32(d.c.cfg.Lease.Length.Milliseconds()),
+		Leader: d.c.cfg.Identity.Name, Known: known, Reports: reports, Void: void,
 	})
 	d.pushTo(s, d.c.state.Config())
 	return true
--- a/control/status.go
+++ b/control/status.go
@@ -78,7 +78,7 @@
 	now := d.now()
 	cfg := d.c.state.Config()
 	out := &operatorv1.GetStatusResponse{
-		Revision: cfg.Revision(), Epoch: d.alloc.Epoch(), Leader: d.c.set.Identity.Name,
+		Revision: cfg.Revision(), Epoch: d.alloc.Epoch(), Leader: d.c.cfg.Identity.Name,
 		TakingOver: d.alloc.TakingOver(now),
 	}
 	for _, p := range d.lead.members.Voters {
@@ -108,7 +108,7 @@
 }
 
 func (d *dispatcher) routerStatus(now time.Duration) []*operatorv1.RouterStatus {
-	lease := d.c.set.Lease.Length + d.c.set.Lease.Margin
+	lease := d.c.cfg.Lease.Length + d.c.cfg.Lease.Margin
 	var out []*operatorv1.RouterStatus
 	for _, r := range d.alloc.Routers() {
 		rs := &operatorv1.RouterStatus{
--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -31,16 +31,16 @@
 	d           Durable
 }
 
-func (d *disk) save(r Ready, n *Node) {
-	if r.Snapshot != nil {
-		hard, entries := n.Tail()
-		d.d = Durable{Hard: hard, Snapshot: *r.Snapshot, Entries: slices.Clone(entries)}
+func (d *disk) save(ready Ready, r *Replica) {
+	if ready.Snapshot != nil {
+		hard, entries := r.Tail()
+		d.d = Durable{Hard: hard, Snapshot: *ready.Snapshot, Entries: slices.Clone(entries)}
 		return
 	}
-	if r.Hard != nil {
-		d.d.Hard = *r.Hard
+	if ready.Hard != nil {
+		d.d.Hard = *ready.Hard
 	}
-	for _, e := range r.Entries {
+	for _, e := range ready.Entries {
 		keep := min(e.Index-d.d.Snapshot.Index-1, uint64(len(d.d.Entries)))
 		d.d.Entries = append(d.d.Entries[:keep:keep], e)
 	}
@@ -50,7 +50,7 @@
 type member struct {
 	name      string
 	disk      disk
-	node      *Node
+	r         *Replica
 	formation *Formation
 	running   bool
 	gone      bool     // for good
@@ -118,7 +118,7 @@
 
 func (c *cluster) start(name string) {
 	m := c.members[name]
-	m.running, m.node, m.formation = true, nil, nil
+	m.running, m.r, m.formation = true, nil, nil
 	m.applied, m.restored = nil, 0
 	if m.disk.d.Snapshot.Group == 0 {
 		m.formation = NewFormation("g", m.self(), c.seeds, c.rng.Uint64()|1, testHeartbeat)
@@ -133,7 +133,7 @@
 
 func (m *member) begin(c *cluster, d Durable) {
 	m.formation = nil
-	m.node = New(Config{
+	m.r = New(Config{
 		Name: "g", Self: m.self(), Election: testElection, Heartbeat: testHeartbeat,
 		Rand: c.rng.Int64N, MaxAppend: 64, MaxPiece: 16, MaxInflight: 4,
 		Admit: func(name string) bool { return slices.Contains(c.names, name) }, Voters: c.open,
@@ -166,10 +166,10 @@
 	c.now += d
 	for _, n := range c.names {
 		c.step(n, func(m *member) {
-			if m.node != nil {
-				m.node.Tick(c.now)
-				if m.node.RepairStopped() {
-					m.node, m.formation = nil, NewFormation("g", m.self(), c.seeds, c.rng.Uint64()|1, testHeartbeat).JoinOnly()
+			if m.r != nil {
+				m.r.Tick(c.now)
+				if m.r.RepairStopped() {
+					m.r, m.formation = nil, NewFormation("g", m.self(), c.seeds, c.rng.Uint64()|1, testHeartbeat).JoinOnly()
 				}
 				return
 			}
@@ -197,15 +197,15 @@
 }
 
 func (to *member) take(c *cluster, m protocol.Consensus) {
-	if to.node != nil {
-		if !to.node.AnswerBlankQuery(c.now, m) {
-			to.node.Step(c.now, m)
+	if to.r != nil {
+		if !to.r.AnswerBlankQuery(c.now, m) {
+			to.r.Step(c.now, m)
 		}
 		return
 	}
 	if m.To == to.self() && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
 		to.begin(c, Durable{})
-		to.node.Step(c.now, m)
+		to.r.Step(c.now, m)
 		return
 	}
 	if s, ok := to.formation.Step(m); ok {
@@ -229,17 +229,17 @@
 
 func (c *cluster) carryOut(m *member) {
 	for {
-		r := m.node.Ready()
+		r := m.r.Ready()
 		if r.Empty() {
 			break
 		}
-		m.disk.save(r, m.node)
+		m.disk.save(r, m.r)
 		c.net = append(c.net, r.Messages...)
 		if r.Restore != nil {
 			m.restore(*r.Restore)
 		}
 		c.apply(m, r.Committed)
-		m.node.Advance()
+		m.r.Advance()
 	}
 	c.checkLeader(m)
 }
@@ -261,16 +261,16 @@
 
 // acknowledge notes a command whose proposer learns that it is committed.
 func (c *cluster) acknowledge(m *member, e protocol.Entry) {
-	if m.node.role == Leader && c.proposed[string(e.Data)] == (placeInLog{e.Index, e.Term}) {
+	if m.r.role == Leader && c.proposed[string(e.Data)] == (placeInLog{e.Index, e.Term}) {
 		c.acked = append(c.acked, string(e.Data))
 	}
 }
 
 func (c *cluster) checkLeader(m *member) {
-	if m.node.role != Leader {
+	if m.r.role != Leader {
 		return
 	}
-	term := m.node.hard.Term
+	term := m.r.hard.Term
 	if other, ok := c.leaders[term]; ok && other != m.self() {
 		c.t.Fatalf("term %d has two leaders, %v and %v", term, other, m.self())
 	}
@@ -281,11 +281,11 @@
 func (c *cluster) propose(name string) bool {
 	ok := false
 	c.step(name, func(m *member) {
-		if m.node == nil || c.next > 250 {
+		if m.r == nil || c.next > 250 {
 			return
 		}
 		data := fmt.Sprint(c.next)
-		index, term, err := m.node.Propose([]byte(data))
+		index, term, err := m.r.Propose([]byte(data))
 		if err == nil {
 			c.proposed[data] = placeInLog{index, term}
 			c.next++
@@ -298,14 +298,14 @@
 // compact makes a replica replace its log by a snapshot.
 func (c *cluster) compact(name string) {
 	m := c.members[name]
-	if !m.running || m.node == nil || m.node.applied <= m.node.log.snapshot.Index {
+	if !m.running || m.r == nil || m.r.applied <= m.r.log.snapshot.Index {
 		return
 	}
-	s, err := m.node.Compact(m.node.applied, m.image())
+	s, err := m.r.Compact(m.r.applied, m.image())
 	if err != nil {
 		c.t.Fatalf("compact %s: %v", name, err)
 	}
-	hard, entries := m.node.Tail()
+	hard, entries := m.r.Tail()
 	m.disk.d = Durable{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
 }
 
@@ -332,7 +332,7 @@
 	leading := ""
 	for _, n := range c.names {
 		m := c.members[n]
-		if !m.running || m.node == nil || c.cut[n] || !m.node.Leads(c.now) {
+		if !m.running || m.r == nil || c.cut[n] || !m.r.Leads(c.now) {
 			continue
 		}
 		if leading != "" {
--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -26,9 +26,9 @@
 
 func TestFoundationLostOnItsWay(t *testing.T) {
 	c := newCluster(t, 2, "a", "b", "c")
-	for c.members["a"].node == nil { // a founds the group
+	for c.members["a"].r == nil { // a founds the group
 		c.tick(5 * time.Millisecond)
-		for len(c.net) > 0 && c.members["a"].node == nil {
+		for len(c.net) > 0 && c.members["a"].r == nil {
 			c.deliver(0)
 		}
 	}
@@ -37,7 +37,7 @@
 	c.settle(200 * time.Millisecond)
 	c.checkSame()
 	for _, n := range c.names {
-		if c.members[n].node == nil {
+		if c.members[n].r == nil {
 			t.Fatalf("%s never joined", n)
 		}
 	}
@@ -52,18 +52,18 @@
 	c.cut[old] = true
 	c.propose(old) // can never be committed
 	c.settle(time.Second)
-	is.True(!c.members[old].node.Leads(c.now)) // its lease ran out
+	is.True(!c.members[old].r.Leads(c.now)) // its lease ran out
 	next := c.mustLead()
 	is.True(next != old)
 	c.propose(next)
 	c.settle(50 * time.Millisecond)
 	is.Equal(c.acked, []string{"0", "2"})
-	term := c.members[next].node.hard.Term
+	term := c.members[next].r.hard.Term
 	c.settle(3 * time.Second) // a long silence
 	delete(c.cut, old)
 	c.settle(time.Second)
 	is.Equal(c.leader(), next) // the returned one did not disturb
-	is.Equal(c.members[next].node.hard.Term, term)
+	is.Equal(c.members[next].r.hard.Term, term)
 	c.checkSame()
 }
 
@@ -80,7 +80,7 @@
 	c.blank(lost)
 	c.start(lost)
 	c.settle(time.Second)
-	members := c.members[c.leader()].node.log.members()
+	members := c.members[c.leader()].r.log.members()
 	is.Equal(len(members.Voters), 3)
 	is.True(contains(members.Voters, c.members[lost].self()))
 	// A second node, lost right after the repair, loses nothing accepted.
@@ -91,7 +91,7 @@
 	c.settle(2 * time.Second)
 	is.Equal(len(c.acked), 5)
 	c.checkSame()
-	is.Equal(len(c.members[c.leader()].node.log.members().Voters), 3)
+	is.Equal(len(c.members[c.leader()].r.log.members().Voters), 3)
 }
 
 func TestBlankReplicaNeverVotes(t *testing.T) {
@@ -132,7 +132,7 @@
 	c.start(away)
 	c.settle(time.Second)
 	is.Equal(len(c.members[away].applied), 200)
-	is.True(c.members[away].node.log.snapshot.Index > 200) // it came by snapshot
+	is.True(c.members[away].r.log.snapshot.Index > 200) // it came by snapshot
 	c.checkSame()
 }
 
@@ -141,10 +141,10 @@
 	c := newCluster(t, 7, "a", "b", "c")
 	l := c.mustLead()
 	target := others(c, l)[1]
-	c.step(l, func(m *member) { is.True(m.node.Transfer(target)) })
+	c.step(l, func(m *member) { is.True(m.r.Transfer(target)) })
 	c.drain()
-	is.True(!c.members[l].node.Leads(c.now)) // its lease is void at once
-	c.settle(30 * time.Millisecond)          // far less than an election timeout
+	is.True(!c.members[l].r.Leads(c.now)) // its lease is void at once
+	c.settle(30 * time.Millisecond)       // far less than an election timeout
 	is.Equal(c.leader(), target)
 }
 
@@ -157,7 +157,7 @@
 	c.settle(400 * time.Millisecond) // lonely wants to be elected by now
 	c.kill(forgetful)
 	c.start(forgetful)
-	lease := c.members[l].node.leaseEnd()
+	lease := c.members[l].r.leaseEnd()
 	c.cut[l] = true
 	delete(c.cut, lonely)
 	for c.now < lease {
@@ -175,7 +175,7 @@
 func TestOldTermIsNotCommittedByCount(t *testing.T) {
 	is := is.New(t)
 	a, b, x := protocol.Peer{Name: "a", Incarnation: 1}, protocol.Peer{Name: "b", Incarnation: 2}, protocol.Peer{Name: "x", Incarnation: 3}
-	n := New(Config{
+	r := New(Config{
 		Name: "g", Self: a, Election: testElection, Heartbeat: testHeartbeat, Rand: func(int64) int64 { return 0 },
 	}, 0, Durable{
 		Hard:     protocol.HardState{Term: 3},
@@ -183,27 +183,27 @@
 		Entries:  []protocol.Entry{{Term: 2, Index: 2, Data: []byte("old")}},
 	})
 	now := 2 * testElection
-	n.Tick(now)
+	r.Tick(now)
 	reply := func(m protocol.Consensus) {
 		m.Name, m.Group, m.From, m.To = "g", 7, b, a
-		n.Step(now, m)
-		n.Ready()
-		n.Advance()
+		r.Step(now, m)
+		r.Ready()
+		r.Advance()
 	}
 	reply(protocol.Consensus{Kind: protocol.MsgPreVoteReply, Term: 4})
 	reply(protocol.Consensus{Kind: protocol.MsgVoteReply, Term: 4})
-	is.Equal(n.Status().Role, Leader)
+	is.Equal(r.Status().Role, Leader)
 	reply(protocol.Consensus{Kind: protocol.MsgAppendReply, Term: 4, Index: 2})
-	is.Equal(n.Status().Commit, uint64(1)) // on a majority, and not committed
+	is.Equal(r.Status().Commit, uint64(1)) // on a majority, and not committed
 	reply(protocol.Consensus{Kind: protocol.MsgAppendReply, Term: 4, Index: 3})
-	is.Equal(n.Status().Commit, uint64(3))
+	is.Equal(r.Status().Commit, uint64(3))
 }
 
 func TestMembershipChangesOneAtATime(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 9, "a", "b", "c")
 	l := c.mustLead()
-	m := c.members[l].node
+	m := c.members[l].r
 	two := protocol.Membership{Voters: m.log.members().Voters[:1]}
 	err := m.ChangeMembership(two) // drops two voters at once
 	is.Equal(err, ChangePending{Index: m.log.lastChange()})
@@ -273,8 +273,8 @@
 		c.compact(name)
 	case p < 996:
 		c.step(name, func(m *member) {
-			if m.node != nil {
-				m.node.Transfer("")
+			if m.r != nil {
+				m.r.Transfer("")
 			}
 		})
 	default:
@@ -297,7 +297,7 @@
 // whole reports whether every replica that is not gone for good runs and
 // votes, by the leader l.
 func (c *cluster) whole(l string) bool {
-	voters, present := c.members[l].node.log.members().Voters, 0
+	voters, present := c.members[l].r.log.members().Voters, 0
 	for _, n := range c.names {
 		m := c.members[n]
 		if m.gone {
@@ -308,7 +308,7 @@
 			return false
 		}
 	}
-	return len(voters) == present && !c.members[l].node.changePending()
+	return len(voters) == present && !c.members[l].r.changePending()
 }
 
 func others(c *cluster, name string) []string {
--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -3,9 +3,9 @@
 // Package consensus keeps one log equal on several replicas, so that what a
 // majority holds on disk is never lost, changed or reordered.
 //
-// The model is a pure step function, [Node]: messages, proposals and the time
+// The model is a pure step function, [Replica]: messages, proposals and the time
 // go in; what to write, what to send and what to apply comes out as a
-// [Ready]. The caller writes first, then sends, then calls [Node.Advance].
+// [Ready]. The caller writes first, then sends, then calls [Replica.Advance].
 // No clock, goroutine, socket or file is touched here, so a fault is a row in
 // a table and a run can be repeated from a seed.
 //
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -12,23 +12,23 @@
 
 // resetDeadline draws the next time to campaign, between one and two election
 // timeouts from now.
-func (n *Node) resetDeadline() {
-	n.deadline = n.now + n.cfg.Election + time.Duration(n.cfg.Rand(int64(n.cfg.Election)))
+func (r *Replica) resetDeadline() {
+	r.deadline = r.now + r.cfg.Election + time.Duration(r.cfg.Rand(int64(r.cfg.Election)))
 }
 
-func (n *Node) becomeFollower(term uint64, leader protocol.Peer) {
-	vote := n.hard.Vote
-	if term > n.hard.Term {
+func (r *Replica) becomeFollower(term uint64, leader protocol.Peer) {
+	vote := r.hard.Vote
+	if term > r.hard.Term {
 		vote = protocol.Peer{}
 	}
-	n.setHard(term, vote)
-	n.role = Follower
-	n.leader = leader
-	n.votes = nil
-	n.peers = nil
-	n.transferTo = protocol.Peer{}
-	n.leaseLost = false
-	n.resetDeadline()
+	r.setHard(term, vote)
+	r.role = Follower
+	r.leader = leader
+	r.votes = nil
+	r.peers = nil
+	r.transferTo = protocol.Peer{}
+	r.leaseLost = false
+	r.resetDeadline()
 }
 
 // preVoteParts is how many times in an election timeout a pre-candidate asks.
@@ -37,82 +37,82 @@
 // resetPreVote draws the next time to ask for pre-votes again. It is soon:
 // pre-votes change nothing, and replicas that have just started drop them for
 // an election timeout, because they may have promised a leader so much before.
-func (n *Node) resetPreVote() {
-	pause := n.cfg.Election / preVoteParts
-	n.deadline = n.now + pause + time.Duration(n.cfg.Rand(int64(pause)))
+func (r *Replica) resetPreVote() {
+	pause := r.cfg.Election / preVoteParts
+	r.deadline = r.now + pause + time.Duration(r.cfg.Rand(int64(pause)))
 }
 
 // campaign asks for votes. A pre-candidate asks whether it could win and
 // changes no term; force marks an election that the leader itself asked for.
-func (n *Node) campaign(role Role, force bool) {
-	n.role = role
-	n.leader = protocol.Peer{}
+func (r *Replica) campaign(role Role, force bool) {
+	r.role = role
+	r.leader = protocol.Peer{}
 	if role == PreCandidate {
-		n.resetPreVote()
+		r.resetPreVote()
 	} else {
-		n.resetDeadline()
+		r.resetDeadline()
 	}
-	kind, term := protocol.MsgPreVote, n.hard.Term+1
+	kind, term := protocol.MsgPreVote, r.hard.Term+1
 	if role == Candidate {
 		kind = protocol.MsgVote
-		n.setHard(term, n.cfg.Self)
+		r.setHard(term, r.cfg.Self)
 	}
-	n.votes = map[protocol.Peer]bool{n.cfg.Self: true}
-	if n.wonVotes() {
-		n.winRound()
+	r.votes = map[protocol.Peer]bool{r.cfg.Self: true}
+	if r.wonVotes() {
+		r.winRound()
 		return
 	}
-	for _, p := range n.log.members().Voters {
-		if p == n.cfg.Self {
+	for _, p := range r.log.members().Voters {
+		if p == r.cfg.Self {
 			continue
 		}
-		n.send(protocol.Consensus{
+		r.send(protocol.Consensus{
 			Kind: kind, To: p, Term: term, Force: force,
-			Index: n.log.last(), LogTerm: n.log.lastTerm(),
+			Index: r.log.last(), LogTerm: r.log.lastTerm(),
 		})
 	}
 }
 
 // winRound moves a pre-candidate to candidate and a candidate to leader.
-func (n *Node) winRound() {
-	if n.role == PreCandidate {
-		n.campaign(Candidate, false)
+func (r *Replica) winRound() {
+	if r.role == PreCandidate {
+		r.campaign(Candidate, false)
 		return
 	}
-	n.becomeLeader()
+	r.becomeLeader()
 }
 
-func (n *Node) wonVotes() bool {
+func (r *Replica) wonVotes() bool {
 	granted := 0
-	for _, p := range n.log.members().Voters {
-		if n.votes[p] {
+	for _, p := range r.log.members().Voters {
+		if r.votes[p] {
 			granted++
 		}
 	}
-	return granted >= n.quorum()
+	return granted >= r.quorum()
 }
 
 // ignoredVote reports whether a request for a vote must be dropped whole: a
 // leader was heard recently, or the asker is no voter. Dropping, rather than
 // rejecting, keeps the asker's term out of this replica.
-func (n *Node) ignoredVote(m protocol.Consensus) bool {
+func (r *Replica) ignoredVote(m protocol.Consensus) bool {
 	if m.Kind != protocol.MsgPreVote && m.Kind != protocol.MsgVote {
 		return false
 	}
-	if !n.isVoter(n.cfg.Self) {
+	if !r.isVoter(r.cfg.Self) {
 		return true
 	}
-	if !n.isVoter(m.From) {
-		n.stepJoin(m)
+	if !r.isVoter(m.From) {
+		r.stepJoin(m)
 		return true
 	}
 	if m.Force {
 		return false
 	}
-	if n.role == Leader {
-		return n.now < n.leaseEnd()
+	if r.role == Leader {
+		return r.now < r.leaseEnd()
 	}
-	return n.now-n.leaderSeen < n.cfg.Election
+	return r.now-r.leaderSeen < r.cfg.Election
 }
 
 // raisesTerm reports whether a message of a higher term makes this replica
@@ -129,57 +129,57 @@
 }
 
 // answerOldTerm tells a leader or candidate of an old term that it is over.
-func (n *Node) answerOldTerm(m protocol.Consensus) {
+func (r *Replica) answerOldTerm(m protocol.Consensus) {
 	switch m.Kind {
 	case protocol.MsgAppend, protocol.MsgSnapshot:
-		n.send(protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Reject: true, Hint: n.log.last()})
+		r.send(protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Reject: true, Hint: r.log.last()})
 	case protocol.MsgPreVote:
-		n.send(protocol.Consensus{Kind: protocol.MsgPreVoteReply, To: m.From, Reject: true})
+		r.send(protocol.Consensus{Kind: protocol.MsgPreVoteReply, To: m.From, Reject: true})
 	}
 }
 
-func (n *Node) stepVote(m protocol.Consensus) {
-	upToDate := m.LogTerm > n.log.lastTerm() ||
-		(m.LogTerm == n.log.lastTerm() && m.Index >= n.log.last())
+func (r *Replica) stepVote(m protocol.Consensus) {
+	upToDate := m.LogTerm > r.log.lastTerm() ||
+		(m.LogTerm == r.log.lastTerm() && m.Index >= r.log.last())
 	if m.Kind == protocol.MsgPreVote {
 		reply := protocol.Consensus{Kind: protocol.MsgPreVoteReply, To: m.From, Term: m.Term}
-		if !upToDate || m.Term <= n.hard.Term {
-			reply.Term, reply.Reject = n.hard.Term, true
+		if !upToDate || m.Term <= r.hard.Term {
+			reply.Term, reply.Reject = r.hard.Term, true
 		}
-		n.send(reply)
+		r.send(reply)
 		return
 	}
-	free := n.hard.Vote.IsZero() || n.hard.Vote == m.From
+	free := r.hard.Vote.IsZero() || r.hard.Vote == m.From
 	grant := upToDate && free
 	if grant {
-		n.setHard(n.hard.Term, m.From)
-		n.resetDeadline()
+		r.setHard(r.hard.Term, m.From)
+		r.resetDeadline()
 	}
-	n.send(protocol.Consensus{Kind: protocol.MsgVoteReply, To: m.From, Reject: !grant})
+	r.send(protocol.Consensus{Kind: protocol.MsgVoteReply, To: m.From, Reject: !grant})
 }
 
-func (n *Node) stepVoteReply(m protocol.Consensus) {
-	wanted, term := Candidate, n.hard.Term
+func (r *Replica) stepVoteReply(m protocol.Consensus) {
+	wanted, term := Candidate, r.hard.Term
 	if m.Kind == protocol.MsgPreVoteReply {
-		wanted, term = PreCandidate, n.hard.Term+1
+		wanted, term = PreCandidate, r.hard.Term+1
 	}
-	if n.role != wanted || m.Reject || m.Term != term {
+	if r.role != wanted || m.Reject || m.Term != term {
 		return
 	}
-	n.votes[m.From] = true
-	if n.wonVotes() {
-		n.winRound()
+	r.votes[m.From] = true
+	if r.wonVotes() {
+		r.winRound()
 	}
 }
 
-func (n *Node) becomeLeader() {
-	n.role = Leader
-	n.leader = n.cfg.Self
-	n.votes = nil
-	n.transferTo = protocol.Peer{}
-	n.leaseLost = false
-	n.peers = map[protocol.Peer]*progress{}
-	n.syncPeers()
-	n.nextBeat = n.now
-	n.termStart = n.appendOwn(protocol.EntryCommand, nil).Index
+func (r *Replica) becomeLeader() {
+	r.role = Leader
+	r.leader = r.cfg.Self
+	r.votes = nil
+	r.transferTo = protocol.Peer{}
+	r.leaseLost = false
+	r.peers = map[protocol.Peer]*progress{}
+	r.syncPeers()
+	r.nextBeat = r.now
+	r.termStart = r.appendOwn(protocol.EntryCommand, nil).Index
 }
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -8,7 +8,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the refusals of a Node.
+// This file defines the refusals of a Replica.
 
 // NotLeader refuses a proposal at a replica that does not lead. Leader is
 // zero when no leader is known.
--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -160,18 +160,18 @@
 // AnswerBlankQuery is what a replica that holds a log answers to one that
 // asks, or false for any other message. The leader takes the query as a
 // request to join as well.
-func (n *Node) AnswerBlankQuery(now time.Duration, m protocol.Consensus) bool {
-	if m.Kind != protocol.MsgBlankQuery || m.Name != n.cfg.Name || m.To.Name != n.cfg.Self.Name {
+func (r *Replica) AnswerBlankQuery(now time.Duration, m protocol.Consensus) bool {
+	if m.Kind != protocol.MsgBlankQuery || m.Name != r.cfg.Name || m.To.Name != r.cfg.Self.Name {
 		return false
 	}
-	n.now = max(n.now, now)
-	members := protocol.Snapshot{Members: n.log.members()}
-	n.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
-	if s := n.log.snapshot; s.Index == 1 && contains(s.Members.Voters, m.From) {
+	r.now = max(r.now, now)
+	members := protocol.Snapshot{Members: r.log.members()}
+	r.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
+	if s := r.log.snapshot; s.Index == 1 && contains(s.Members.Voters, m.From) {
 		// The foundation was lost on its way. This very incarnation was
 		// named in it and has never answered anything, so it may have it.
-		n.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
+		r.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
 	}
-	n.stepJoin(m)
+	r.stepJoin(m)
 	return true
 }
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -21,24 +21,24 @@
 // ChangeMembership appends a new membership. The error is [NotLeader],
 // [Handover] or [ChangePending]; a change that differs by more than one voter
 // is refused by [ChangePending] too, as two changes at once.
-func (n *Node) ChangeMembership(m protocol.Membership) error {
-	if n.role != Leader {
-		return NotLeader{Leader: n.leader}
+func (r *Replica) ChangeMembership(m protocol.Membership) error {
+	if r.role != Leader {
+		return NotLeader{Leader: r.leader}
 	}
-	if !n.transferTo.IsZero() {
-		return Handover{To: n.transferTo}
+	if !r.transferTo.IsZero() {
+		return Handover{To: r.transferTo}
 	}
-	if n.changePending() || voterDifference(n.log.members(), m) > 1 {
-		return ChangePending{Index: n.log.lastChange()}
+	if r.changePending() || voterDifference(r.log.members(), m) > 1 {
+		return ChangePending{Index: r.log.lastChange()}
 	}
-	n.appendOwn(protocol.EntryMembership, encodeMembership(m))
+	r.appendOwn(protocol.EntryMembership, encodeMembership(m))
 	return nil
 }
 
 // changePending reports whether a change must wait: another one is not
 // committed, or this leader has not committed anything in its own term yet.
-func (n *Node) changePending() bool {
-	return n.log.lastChange() > n.commit || n.commit < n.termStart
+func (r *Replica) changePending() bool {
+	return r.log.lastChange() > r.commit || r.commit < r.termStart
 }
 
 func voterDifference(a, b protocol.Membership) int {
@@ -57,14 +57,14 @@
 }
 
 // tickJoin makes a replica that is no member ask to become one.
-func (n *Node) tickJoin() {
-	m := n.log.members()
-	if contains(m.Voters, n.cfg.Self) || contains(m.Learners, n.cfg.Self) || n.now < n.nextJoin {
+func (r *Replica) tickJoin() {
+	m := r.log.members()
+	if contains(m.Voters, r.cfg.Self) || contains(m.Learners, r.cfg.Self) || r.now < r.nextJoin {
 		return
 	}
-	n.nextJoin = n.now + n.cfg.Election
+	r.nextJoin = r.now + r.cfg.Election
 	for _, p := range append(slices.Clone(m.Voters), m.Learners...) {
-		n.sendJoin(p)
+		r.sendJoin(p)
 	}
 }
 
@@ -76,42 +76,42 @@
 // that began to repair it. It knows no member that it could ask, and the next
 // leader may not know of it, so it must look for its group anew, as after a
 // restart. It was never a voter, so it has promised nothing to anybody.
-func (n *Node) RepairStopped() bool {
-	blank := n.log.snapshot.Group == 0 && n.log.last() == 0 && len(n.log.members().Voters) == 0
-	return blank && n.now-n.leaderSeen > repairElections*n.cfg.Election
+func (r *Replica) RepairStopped() bool {
+	blank := r.log.snapshot.Group == 0 && r.log.last() == 0 && len(r.log.members().Voters) == 0
+	return blank && r.now-r.leaderSeen > repairElections*r.cfg.Election
 }
 
-func (n *Node) sendJoin(to protocol.Peer) {
-	n.send(protocol.Consensus{Kind: protocol.MsgJoin, To: to})
+func (r *Replica) sendJoin(to protocol.Peer) {
+	r.send(protocol.Consensus{Kind: protocol.MsgJoin, To: to})
 }
 
 // stepJoin is the leader's answer to a replica that is no voter: the next
 // step of its repair. Messages that prove a replica of an unknown incarnation
 // to be alive (a request for a vote) come here too.
-func (n *Node) stepJoin(m protocol.Consensus) {
-	if n.role != Leader || n.changePending() || !n.transferTo.IsZero() {
+func (r *Replica) stepJoin(m protocol.Consensus) {
+	if r.role != Leader || r.changePending() || !r.transferTo.IsZero() {
 		return
 	}
-	members := n.log.members()
-	if contains(members.Voters, m.From) || contains(members.Learners, m.From) || !n.admits(m.From.Name) {
+	members := r.log.members()
+	if contains(members.Voters, m.From) || contains(members.Learners, m.From) || !r.admits(m.From.Name) {
 		return
 	}
 	if voters, removed := without(members.Voters, m.From.Name); removed {
 		if len(voters) > 0 {
-			_ = n.ChangeMembership(protocol.Membership{Voters: voters, Learners: members.Learners})
+			_ = r.ChangeMembership(protocol.Membership{Voters: voters, Learners: members.Learners})
 		}
 		return
 	}
 	learners, _ := without(members.Learners, m.From.Name)
-	_ = n.ChangeMembership(protocol.Membership{Voters: members.Voters, Learners: append(learners, m.From)})
+	_ = r.ChangeMembership(protocol.Membership{Voters: members.Voters, Learners: append(learners, m.From)})
 }
 
 // admits reports whether a replica of that name may take part.
-func (n *Node) admits(name string) bool {
-	if n.cfg.Admit != nil {
-		return n.cfg.Admit(name)
+func (r *Replica) admits(name string) bool {
+	if r.cfg.Admit != nil {
+		return r.cfg.Admit(name)
 	}
-	m := n.log.members()
+	m := r.log.members()
 	for _, p := range append(slices.Clone(m.Voters), m.Learners...) {
 		if p.Name == name {
 			return true
@@ -122,35 +122,35 @@
 
 // promoteLearner makes a voter of a learner that holds everything committed
 // and answered recently.
-func (n *Node) promoteLearner() {
-	if n.changePending() || !n.transferTo.IsZero() {
+func (r *Replica) promoteLearner() {
+	if r.changePending() || !r.transferTo.IsZero() {
 		return
 	}
-	m := n.log.members()
-	if n.cfg.Voters > 0 && n.dropSilentVoter(m) {
+	m := r.log.members()
+	if r.cfg.Voters > 0 && r.dropSilentVoter(m) {
 		return
 	}
-	if n.cfg.Voters > 0 && len(m.Voters) >= n.cfg.Voters && n.silentVoter(m).IsZero() {
+	if r.cfg.Voters > 0 && len(m.Voters) >= r.cfg.Voters && r.silentVoter(m).IsZero() {
 		return
 	}
 	for _, p := range m.Learners {
-		pr := n.peers[p]
-		if pr == nil || pr.outgoing != nil || pr.match < n.commit || n.now-pr.acked > n.cfg.Election {
+		pr := r.peers[p]
+		if pr == nil || pr.outgoing != nil || pr.match < r.commit || r.now-pr.acked > r.cfg.Election {
 			continue
 		}
 		learners, _ := without(m.Learners, p.Name)
 		voters := append(slices.Clone(m.Voters), p)
-		_ = n.ChangeMembership(protocol.Membership{Voters: voters, Learners: learners})
+		_ = r.ChangeMembership(protocol.Membership{Voters: voters, Learners: learners})
 		return
 	}
 }
 
 // silentVoter returns a voter that has not answered for Config.Silence, or
 // nobody.
-func (n *Node) silentVoter(m protocol.Membership) protocol.Peer {
+func (r *Replica) silentVoter(m protocol.Membership) protocol.Peer {
 	for _, p := range m.Voters {
-		pr := n.peers[p]
-		if p != n.cfg.Self && pr != nil && n.now-pr.acked > n.cfg.Silence {
+		pr := r.peers[p]
+		if p != r.cfg.Self && pr != nil && r.now-pr.acked > r.cfg.Silence {
 			return p
 		}
 	}
@@ -161,26 +161,26 @@
 // and reports whether it did. The replacement is promoted first and the
 // silent voter removed after, so the group never gets smaller: two quorums of
 // a smaller group could be two disks.
-func (n *Node) dropSilentVoter(m protocol.Membership) bool {
-	silent := n.silentVoter(m)
-	if len(m.Voters) <= n.cfg.Voters || silent.IsZero() {
+func (r *Replica) dropSilentVoter(m protocol.Membership) bool {
+	silent := r.silentVoter(m)
+	if len(m.Voters) <= r.cfg.Voters || silent.IsZero() {
 		return false
 	}
 	voters, _ := without(m.Voters, silent.Name)
-	return n.ChangeMembership(protocol.Membership{Voters: voters, Learners: m.Learners}) == nil
+	return r.ChangeMembership(protocol.Membership{Voters: voters, Learners: m.Learners}) == nil
 }
 
 // dropSilentLearner removes a learner that has not answered for many times
 // Config.Silence: in an open group nobody else would.
-func (n *Node) dropSilentLearner() {
-	if n.cfg.Voters == 0 || n.changePending() || !n.transferTo.IsZero() {
+func (r *Replica) dropSilentLearner() {
+	if r.cfg.Voters == 0 || r.changePending() || !r.transferTo.IsZero() {
 		return
 	}
-	m := n.log.members()
+	m := r.log.members()
 	for _, p := range m.Learners {
-		if pr := n.peers[p]; pr != nil && n.now-pr.acked > learnerSilences*n.cfg.Silence {
+		if pr := r.peers[p]; pr != nil && r.now-pr.acked > learnerSilences*r.cfg.Silence {
 			learners, _ := without(m.Learners, p.Name)
-			_ = n.ChangeMembership(protocol.Membership{Voters: m.Voters, Learners: learners})
+			_ = r.ChangeMembership(protocol.Membership{Voters: m.Voters, Learners: learners})
 			return
 		}
 	}
@@ -191,9 +191,9 @@
 
 // stepDownIfRemoved ends the leadership of a replica that is no voter once
 // the change is committed.
-func (n *Node) stepDownIfRemoved() {
-	if !n.isVoter(n.cfg.Self) && n.commit >= n.log.lastChange() {
-		n.becomeFollower(n.hard.Term, protocol.Peer{})
+func (r *Replica) stepDownIfRemoved() {
+	if !r.isVoter(r.cfg.Self) && r.commit >= r.log.lastChange() {
+		r.becomeFollower(r.hard.Term, protocol.Peer{})
 	}
 }
 
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -28,7 +28,7 @@
 // voters returns the names of the leader's voters.
 func (c *cluster) voters() map[string]bool {
 	names := map[string]bool{}
-	for _, p := range c.members[c.mustLead()].node.log.members().Voters {
+	for _, p := range c.members[c.mustLead()].r.log.members().Voters {
 		names[p.Name] = true
 	}
 	return names
@@ -48,7 +48,7 @@
 	c.mustLead()
 	c.settle(2 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
-	m := c.members[c.leader()].node.log.members()
+	m := c.members[c.leader()].r.log.members()
 	is.Equal(len(m.Learners), 2)
 }
 
@@ -100,7 +100,7 @@
 	c.settle(5 * time.Second)
 	is.Equal(c.leader(), "")
 	for _, n := range c.names {
-		is.True(c.members[n].node == nil)
+		is.True(c.members[n].r == nil)
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	c.start("a")
 	c.settle(time.Second)
-	is.True(c.members["a"].node == nil)
+	is.True(c.members["a"].r == nil)
 }
 
 // TestJoinsThroughAnyMember starts a blank replica whose only seed is a
@@ -221,7 +221,7 @@
 	c.kill(lost)
 	c.blank(lost)
 	c.start(lost)
-	leader := c.members[old].node
+	leader := c.members[old].r
 	for len(leader.log.members().Voters) == 5 || leader.changePending() {
 		c.tick(5 * time.Millisecond)
 		c.drain()
@@ -229,9 +229,9 @@
 	for _, n := range c.names { // nobody else hears that it is taken in
 		c.cut[n] = n != old && n != lost
 	}
-	for c.members[lost].node == nil {
+	for c.members[lost].r == nil {
 		c.tick(5 * time.Millisecond)
-		for len(c.net) > 0 && c.members[lost].node == nil {
+		for len(c.net) > 0 && c.members[lost].r == nil {
 			c.deliver(0)
 		}
 	}
--- a/coordination/consensus/node.go
+++ b/coordination/consensus/replica.go
@@ -8,7 +8,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Node, its inputs and its output. What the inputs cause is
+// This file defines Replica, its inputs and its output. What the inputs cause is
 // in the files beside it.
 
 // DriftMargin is the part of the election timeout by which a lease is
@@ -102,8 +102,8 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Node is one replica of one group. It is not safe for concurrent use.
-type Node struct {
+// Replica is one replica of one group. It is not safe for concurrent use.
+type Replica struct {
 	cfg  Config
 	now  time.Duration
 	role Role
@@ -135,8 +135,8 @@
 }
 
 // New returns a replica that starts at time now with what its disk held.
-func New(cfg Config, now time.Duration, d Durable) *Node {
-	n := &Node{
+func New(cfg Config, now time.Duration, d Durable) *Replica {
+	r := &Replica{
 		cfg:        cfg.withDefaults(),
 		now:        now,
 		hard:       d.Hard,
@@ -145,131 +145,131 @@
 		commit:     d.Snapshot.Index,
 		applied:    d.Snapshot.Index,
 	}
-	n.unwritten = n.log.last() + 1
-	if n.log.lastTerm() > n.hard.Term {
-		n.setHard(n.log.lastTerm(), protocol.Peer{}) // a founded group has no vote yet
+	r.unwritten = r.log.last() + 1
+	if r.log.lastTerm() > r.hard.Term {
+		r.setHard(r.log.lastTerm(), protocol.Peer{}) // a founded group has no vote yet
 	}
-	n.resetDeadline()
-	if v := n.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
-		n.deadline = now // nobody else could lead, or have been promised anything
+	r.resetDeadline()
+	if v := r.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
+		r.deadline = now // nobody else could lead, or have been promised anything
 	}
-	return n
+	return r
 }
 
 // Tick tells the time, which never goes back.
-func (n *Node) Tick(now time.Duration) {
-	n.now = max(n.now, now)
-	if n.role == Leader {
-		n.tickLeader()
+func (r *Replica) Tick(now time.Duration) {
+	r.now = max(r.now, now)
+	if r.role == Leader {
+		r.tickLeader()
 		return
 	}
-	n.tickJoin()
-	if n.now >= n.deadline && n.isVoter(n.cfg.Self) {
-		n.campaign(PreCandidate, false)
+	r.tickJoin()
+	if r.now >= r.deadline && r.isVoter(r.cfg.Self) {
+		r.campaign(PreCandidate, false)
 	}
 }
 
 // Propose appends a command and returns the index and term that it will have
 // if it is committed. The error is [NotLeader] or [Handover].
-func (n *Node) Propose(data []byte) (index, term uint64, err error) {
-	if n.role != Leader {
-		return 0, 0, NotLeader{Leader: n.leader}
+func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
+	if r.role != Leader {
+		return 0, 0, NotLeader{Leader: r.leader}
 	}
-	if !n.transferTo.IsZero() {
-		return 0, 0, Handover{To: n.transferTo}
+	if !r.transferTo.IsZero() {
+		return 0, 0, Handover{To: r.transferTo}
 	}
-	e := n.appendOwn(protocol.EntryCommand, data)
+	e := r.appendOwn(protocol.EntryCommand, data)
 	return e.Index, e.Term, nil
 }
 
 // Step takes a message from another replica. Messages of another group, to
 // another incarnation, or of nonsense are dropped.
-func (n *Node) Step(now time.Duration, m protocol.Consensus) {
-	n.now = max(n.now, now)
-	if !n.addressed(m) {
+func (r *Replica) Step(now time.Duration, m protocol.Consensus) {
+	r.now = max(r.now, now)
+	if !r.addressed(m) {
 		return
 	}
 	if m.Kind == protocol.MsgJoin {
-		n.stepJoin(m)
+		r.stepJoin(m)
 		return
 	}
-	if n.ignoredVote(m) {
+	if r.ignoredVote(m) {
 		return
 	}
-	if m.Term > n.hard.Term && raisesTerm(m) {
-		n.becomeFollower(m.Term, protocol.Peer{})
+	if m.Term > r.hard.Term && raisesTerm(m) {
+		r.becomeFollower(m.Term, protocol.Peer{})
 	}
-	if m.Term < n.hard.Term {
-		n.answerOldTerm(m)
+	if m.Term < r.hard.Term {
+		r.answerOldTerm(m)
 		return
 	}
-	n.dispatch(m)
+	r.dispatch(m)
 }
 
-func (n *Node) dispatch(m protocol.Consensus) {
+func (r *Replica) dispatch(m protocol.Consensus) {
 	switch m.Kind {
 	case protocol.MsgPreVote, protocol.MsgVote:
-		n.stepVote(m)
+		r.stepVote(m)
 	case protocol.MsgPreVoteReply, protocol.MsgVoteReply:
-		n.stepVoteReply(m)
+		r.stepVoteReply(m)
 	case protocol.MsgAppend:
-		n.stepAppend(m)
+		r.stepAppend(m)
 	case protocol.MsgAppendReply:
-		n.stepAppendReply(m)
+		r.stepAppendReply(m)
 	case protocol.MsgSnapshot:
-		n.stepSnapshot(m)
+		r.stepSnapshot(m)
 	case protocol.MsgSnapshotReply:
-		n.stepSnapshotReply(m)
+		r.stepSnapshotReply(m)
 	case protocol.MsgCampaignNow:
-		n.stepCampaignNow(m)
+		r.stepCampaignNow(m)
 	}
 }
 
 // Ready returns what to do now. Nothing else may be called before Advance.
-func (n *Node) Ready() Ready {
-	if n.role == Leader {
-		n.sendAppends()
+func (r *Replica) Ready() Ready {
+	if r.role == Leader {
+		r.sendAppends()
 	}
-	r := n.pending
-	n.pending = Ready{}
-	if n.hardChanged {
-		hard := n.hard
-		r.Hard = &hard
-		n.hardChanged = false
+	ready := r.pending
+	r.pending = Ready{}
+	if r.hardChanged {
+		hard := r.hard
+		ready.Hard = &hard
+		r.hardChanged = false
 	}
-	r.Entries = n.log.from(n.unwritten, 0)
-	n.unwritten = n.log.last() + 1
-	r.Committed = n.log.between(n.applied+1, min(n.commit, n.log.last()))
-	n.applied += uint64(len(r.Committed))
-	return r
+	ready.Entries = r.log.from(r.unwritten, 0)
+	r.unwritten = r.log.last() + 1
+	ready.Committed = r.log.between(r.applied+1, min(r.commit, r.log.last()))
+	r.applied += uint64(len(ready.Committed))
+	return ready
 }
 
 // Advance tells that everything of the last Ready was written and sent.
-func (n *Node) Advance() {
-	if n.role != Leader {
+func (r *Replica) Advance() {
+	if r.role != Leader {
 		return
 	}
-	if self := n.peers[n.cfg.Self]; self != nil {
-		self.match = n.unwritten - 1
-		self.acked = n.now
+	if self := r.peers[r.cfg.Self]; self != nil {
+		self.match = r.unwritten - 1
+		self.acked = r.now
 	}
-	n.advanceCommit()
+	r.advanceCommit()
 }
 
 // Compact replaces the log up to index by a snapshot of the state machine at
 // that index and returns the snapshot to write. The caller writes it with
-// [Node.Tail].
-func (n *Node) Compact(index uint64, data []byte) (protocol.Snapshot, error) {
-	if index > n.applied || index < n.log.snapshot.Index {
-		return protocol.Snapshot{}, OutOfRange{Index: index, First: n.log.snapshot.Index, Last: n.applied}
+// [Replica.Tail].
+func (r *Replica) Compact(index uint64, data []byte) (protocol.Snapshot, error) {
+	if index > r.applied || index < r.log.snapshot.Index {
+		return protocol.Snapshot{}, OutOfRange{Index: index, First: r.log.snapshot.Index, Last: r.applied}
 	}
-	n.log.compact(index, data)
-	return n.log.snapshot, nil
+	r.log.compact(index, data)
+	return r.log.snapshot, nil
 }
 
 // Tail returns the entries behind the snapshot, for rewriting the disk.
-func (n *Node) Tail() (protocol.HardState, []protocol.Entry) {
-	return n.hard, n.log.from(n.log.snapshot.Index+1, 0)
+func (r *Replica) Tail() (protocol.HardState, []protocol.Entry) {
+	return r.hard, r.log.from(r.log.snapshot.Index+1, 0)
 }
 
 // Status is what a replica knows about its group.
@@ -288,75 +288,75 @@
 }
 
 // Status returns the current state.
-func (n *Node) Status() Status {
+func (r *Replica) Status() Status {
 	return Status{
-		Self: n.cfg.Self, Group: n.log.snapshot.Group, Role: n.role, Term: n.hard.Term,
-		Leader: n.leader, Commit: n.commit, Applied: n.applied, Last: n.log.last(),
-		First: n.log.snapshot.Index, Members: n.log.members(), LeaseEnd: n.leaseEnd(),
+		Self: r.cfg.Self, Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
+		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
+		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(),
 	}
 }
 
 // Leads reports whether this replica may act as the leader at time now: it
 // has a lease, and everything that earlier leaders committed is applied.
-func (n *Node) Leads(now time.Duration) bool {
-	return n.role == Leader && now < n.leaseEnd() && n.applied >= n.termStart
+func (r *Replica) Leads(now time.Duration) bool {
+	return r.role == Leader && now < r.leaseEnd() && r.applied >= r.termStart
 }
 
 // FollowsLeader reports whether this replica has heard from a leader of its
 // term within the election timeout, or is one.
-func (n *Node) FollowsLeader(now time.Duration) bool {
-	if n.role == Leader {
-		return now < n.leaseEnd()
+func (r *Replica) FollowsLeader(now time.Duration) bool {
+	if r.role == Leader {
+		return now < r.leaseEnd()
 	}
-	return !n.leader.IsZero() && now-n.leaderSeen < n.cfg.Election
+	return !r.leader.IsZero() && now-r.leaderSeen < r.cfg.Election
 }
 
 // addressed reports whether the message is for this replica of this group.
-func (n *Node) addressed(m protocol.Consensus) bool {
-	own := n.log.snapshot.Group
-	if m.Name != n.cfg.Name || m.From == n.cfg.Self || m.To != n.cfg.Self {
+func (r *Replica) addressed(m protocol.Consensus) bool {
+	own := r.log.snapshot.Group
+	if m.Name != r.cfg.Name || m.From == r.cfg.Self || m.To != r.cfg.Self {
 		return false
 	}
 	if m.Kind == protocol.MsgJoin {
 		return own != 0
 	}
 	if own == 0 && (m.Kind == protocol.MsgSnapshot || m.Kind == protocol.MsgAppend) {
-		n.host = m.Group // a blank replica belongs to whoever repairs it
+		r.host = m.Group // a blank replica belongs to whoever repairs it
 	}
-	return m.Group != 0 && m.Group == n.group()
+	return m.Group != 0 && m.Group == r.group()
 }
 
 // send queues a message, filling in what every message carries.
-func (n *Node) send(m protocol.Consensus) {
-	m.Name = n.cfg.Name
-	m.Group = n.group()
-	m.From = n.cfg.Self
+func (r *Replica) send(m protocol.Consensus) {
+	m.Name = r.cfg.Name
+	m.Group = r.group()
+	m.From = r.cfg.Self
 	if m.Term == 0 {
-		m.Term = n.hard.Term
+		m.Term = r.hard.Term
 	}
-	n.pending.Messages = append(n.pending.Messages, m)
+	r.pending.Messages = append(r.pending.Messages, m)
 }
 
 // group returns the identity of the group, or of the one that is repairing
 // this replica.
-func (n *Node) group() uint64 {
-	if own := n.log.snapshot.Group; own != 0 {
+func (r *Replica) group() uint64 {
+	if own := r.log.snapshot.Group; own != 0 {
 		return own
 	}
-	return n.host
+	return r.host
 }
 
-func (n *Node) setHard(term uint64, vote protocol.Peer) {
+func (r *Replica) setHard(term uint64, vote protocol.Peer) {
 	h := protocol.HardState{Term: term, Vote: vote}
-	if h != n.hard {
-		n.hard = h
-		n.hardChanged = true
+	if h != r.hard {
+		r.hard = h
+		r.hardChanged = true
 	}
 }
 
-func (n *Node) isVoter(p protocol.Peer) bool { return contains(n.log.members().Voters, p) }
+func (r *Replica) isVoter(p protocol.Peer) bool { return contains(r.log.members().Voters, p) }
 
-func (n *Node) quorum() int { return len(n.log.members().Voters)/2 + 1 }
+func (r *Replica) quorum() int { return len(r.log.members().Voters)/2 + 1 }
 
 func contains(peers []protocol.Peer, p protocol.Peer) bool {
 	for _, q := range peers {
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -25,108 +25,108 @@
 }
 
 // appendOwn appends an entry of this leader's term.
-func (n *Node) appendOwn(kind protocol.EntryKind, data []byte) protocol.Entry {
-	e := protocol.Entry{Term: n.hard.Term, Index: n.log.last() + 1, Kind: kind, Data: data}
-	n.log.append(e)
+func (r *Replica) appendOwn(kind protocol.EntryKind, data []byte) protocol.Entry {
+	e := protocol.Entry{Term: r.hard.Term, Index: r.log.last() + 1, Kind: kind, Data: data}
+	r.log.append(e)
 	if kind == protocol.EntryMembership {
-		n.syncPeers()
+		r.syncPeers()
 	}
 	return e
 }
 
 // syncPeers makes the progress table hold exactly the members.
-func (n *Node) syncPeers() {
-	m := n.log.members()
+func (r *Replica) syncPeers() {
+	m := r.log.members()
 	all := append(slices.Clone(m.Voters), m.Learners...)
 	for _, p := range all {
-		if n.peers[p] == nil {
-			n.peers[p] = &progress{next: n.log.last() + 1, probing: true, acked: n.now}
+		if r.peers[p] == nil {
+			r.peers[p] = &progress{next: r.log.last() + 1, probing: true, acked: r.now}
 		}
 	}
-	for p := range n.peers {
+	for p := range r.peers {
 		if !contains(all, p) {
-			delete(n.peers, p)
+			delete(r.peers, p)
 		}
 	}
-	if self := n.peers[n.cfg.Self]; self != nil {
-		self.match = n.unwritten - 1
+	if self := r.peers[r.cfg.Self]; self != nil {
+		self.match = r.unwritten - 1
 	}
 }
 
-func (n *Node) tickLeader() {
-	if n.now >= n.lastQuorumContact()+n.cfg.Election {
-		n.becomeFollower(n.hard.Term, protocol.Peer{}) // check-quorum
+func (r *Replica) tickLeader() {
+	if r.now >= r.lastQuorumContact()+r.cfg.Election {
+		r.becomeFollower(r.hard.Term, protocol.Peer{}) // check-quorum
 		return
 	}
-	if !n.transferTo.IsZero() && n.now >= n.transferEnd {
-		n.endTransfer()
+	if !r.transferTo.IsZero() && r.now >= r.transferEnd {
+		r.endTransfer()
 		return
 	}
-	if n.now >= n.nextBeat {
-		n.nextBeat = n.now + n.cfg.Heartbeat
-		for _, p := range n.others() {
-			n.beat(p, n.peers[p])
+	if r.now >= r.nextBeat {
+		r.nextBeat = r.now + r.cfg.Heartbeat
+		for _, p := range r.others() {
+			r.beat(p, r.peers[p])
 		}
 	}
-	n.promoteLearner()
-	n.dropSilentLearner()
+	r.promoteLearner()
+	r.dropSilentLearner()
 }
 
 // others returns the replicas to send to, in an order that does not depend on
 // the map.
-func (n *Node) others() []protocol.Peer {
-	m := n.log.members()
+func (r *Replica) others() []protocol.Peer {
+	m := r.log.members()
 	all := append(slices.Clone(m.Voters), m.Learners...)
-	return slices.DeleteFunc(all, func(p protocol.Peer) bool { return p == n.cfg.Self })
+	return slices.DeleteFunc(all, func(p protocol.Peer) bool { return p == r.cfg.Self })
 }
 
 // beat sends an append even when there is nothing new. An answer that does
 // not come within an election timeout counts as lost.
-func (n *Node) beat(p protocol.Peer, pr *progress) {
-	if n.now-pr.sent >= n.cfg.Election || pr.waiting {
+func (r *Replica) beat(p protocol.Peer, pr *progress) {
+	if r.now-pr.sent >= r.cfg.Election || pr.waiting {
 		pr.probing, pr.waiting, pr.inflight = true, false, 0
 		if pr.outgoing != nil {
-			n.sendPiece(p, pr)
+			r.sendPiece(p, pr)
 			return
 		}
-		pr.next = max(min(pr.next, n.log.last()+1), pr.match+1)
+		pr.next = max(min(pr.next, r.log.last()+1), pr.match+1)
 	}
 	if pr.outgoing == nil {
-		n.sendAppend(p, pr)
+		r.sendAppend(p, pr)
 	}
 }
 
 // sendAppends sends what is new to everybody who can take it.
-func (n *Node) sendAppends() {
-	for _, p := range n.others() {
-		pr := n.peers[p]
-		for n.canSend(pr) {
-			n.sendAppend(p, pr)
+func (r *Replica) sendAppends() {
+	for _, p := range r.others() {
+		pr := r.peers[p]
+		for r.canSend(pr) {
+			r.sendAppend(p, pr)
 		}
 	}
 }
 
-func (n *Node) canSend(pr *progress) bool {
-	if pr.outgoing != nil || pr.next > n.log.last() {
+func (r *Replica) canSend(pr *progress) bool {
+	if pr.outgoing != nil || pr.next > r.log.last() {
 		return false
 	}
 	if pr.probing {
 		return !pr.waiting
 	}
-	return pr.inflight < n.cfg.MaxInflight
+	return pr.inflight < r.cfg.MaxInflight
 }
 
 // sendAppend sends one message: entries if there are any, a snapshot when the
 // log no longer reaches back far enough.
-func (n *Node) sendAppend(p protocol.Peer, pr *progress) {
+func (r *Replica) sendAppend(p protocol.Peer, pr *progress) {
 	prev := pr.next - 1
-	prevTerm, ok := n.log.term(prev)
+	prevTerm, ok := r.log.term(prev)
 	if !ok {
-		n.startSnapshot(p, pr)
+		r.startSnapshot(p, pr)
 		return
 	}
-	entries := n.log.from(pr.next, n.cfg.MaxAppend)
-	pr.sent = n.now
+	entries := r.log.from(pr.next, r.cfg.MaxAppend)
+	pr.sent = r.now
 	if pr.probing {
 		pr.waiting = true
 	} else {
@@ -135,76 +135,76 @@
 	if len(entries) > 0 {
 		pr.inflight++
 	}
-	n.send(protocol.Consensus{
+	r.send(protocol.Consensus{
 		Kind: protocol.MsgAppend, To: p, Index: prev, LogTerm: prevTerm,
-		Commit: n.commit, Entries: entries, Sent: int64(n.now),
+		Commit: r.commit, Entries: entries, Sent: int64(r.now),
 	})
 }
 
 // heardLeader records that the leader of this term is alive.
-func (n *Node) heardLeader(p protocol.Peer) {
-	if n.role != Follower || n.leader != p {
-		n.becomeFollower(n.hard.Term, p)
+func (r *Replica) heardLeader(p protocol.Peer) {
+	if r.role != Follower || r.leader != p {
+		r.becomeFollower(r.hard.Term, p)
 	}
-	n.leaderSeen = n.now
-	n.resetDeadline()
+	r.leaderSeen = r.now
+	r.resetDeadline()
 }
 
-func (n *Node) stepAppend(m protocol.Consensus) {
-	if n.role == Leader {
+func (r *Replica) stepAppend(m protocol.Consensus) {
+	if r.role == Leader {
 		return // two leaders in one term cannot be; never obey
 	}
-	n.heardLeader(m.From)
+	r.heardLeader(m.From)
 	reply := protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Sent: m.Sent}
-	if n.log.snapshot.Group == 0 {
+	if r.log.snapshot.Group == 0 {
 		reply.Reject = true // a blank log starts with a snapshot
-		n.send(reply)
+		r.send(reply)
 		return
 	}
-	if m.Index < n.commit {
-		m = n.skipCommitted(m)
+	if m.Index < r.commit {
+		m = r.skipCommitted(m)
 	}
-	if t, ok := n.log.term(m.Index); !ok || t != m.LogTerm {
+	if t, ok := r.log.term(m.Index); !ok || t != m.LogTerm {
 		reply.Reject = true
 		reply.Index = m.Index
-		reply.Hint = n.conflictHint(m.Index, m.LogTerm)
-		n.send(reply)
+		reply.Hint = r.conflictHint(m.Index, m.LogTerm)
+		r.send(reply)
 		return
 	}
-	n.accept(m.Entries)
+	r.accept(m.Entries)
 	reply.Index = m.Index + uint64(len(m.Entries))
-	n.commitTo(min(m.Commit, reply.Index))
-	n.send(reply)
+	r.commitTo(min(m.Commit, reply.Index))
+	r.send(reply)
 }
 
 // skipCommitted cuts off what is committed here already: committed entries
 // match by definition, and the log may no longer hold them.
-func (n *Node) skipCommitted(m protocol.Consensus) protocol.Consensus {
-	skip := min(n.commit-m.Index, uint64(len(m.Entries)))
+func (r *Replica) skipCommitted(m protocol.Consensus) protocol.Consensus {
+	skip := min(r.commit-m.Index, uint64(len(m.Entries)))
 	m.Entries = m.Entries[skip:]
-	m.Index = n.commit
-	m.LogTerm, _ = n.log.term(n.commit)
+	m.Index = r.commit
+	m.LogTerm, _ = r.log.term(r.commit)
 	return m
 }
 
 // accept appends the entries that the log does not hold yet. An entry that is
 // held already is left alone: an old message must not cut off newer entries.
-func (n *Node) accept(entries []protocol.Entry) {
+func (r *Replica) accept(entries []protocol.Entry) {
 	for _, e := range entries {
-		if t, ok := n.log.term(e.Index); ok && t == e.Term {
+		if t, ok := r.log.term(e.Index); ok && t == e.Term {
 			continue
 		}
-		n.log.append(e)
-		n.unwritten = min(n.unwritten, e.Index)
+		r.log.append(e)
+		r.unwritten = min(r.unwritten, e.Index)
 	}
 }
 
 // conflictHint returns the highest index at which this log could agree with
 // one that has term at index.
-func (n *Node) conflictHint(index, term uint64) uint64 {
-	hint := min(index-1, n.log.last())
-	for hint > n.commit {
-		t, ok := n.log.term(hint)
+func (r *Replica) conflictHint(index, term uint64) uint64 {
+	hint := min(index-1, r.log.last())
+	for hint > r.commit {
+		t, ok := r.log.term(hint)
 		if !ok || t <= term {
 			break
 		}
@@ -213,14 +213,14 @@
 	return hint
 }
 
-func (n *Node) stepAppendReply(m protocol.Consensus) {
-	pr := n.peers[m.From]
-	if n.role != Leader || pr == nil {
+func (r *Replica) stepAppendReply(m protocol.Consensus) {
+	pr := r.peers[m.From]
+	if r.role != Leader || pr == nil {
 		return
 	}
 	pr.acked = max(pr.acked, time.Duration(m.Sent))
 	if m.Reject {
-		n.retreat(pr, m)
+		r.retreat(pr, m)
 		return
 	}
 	pr.inflight = max(pr.inflight-1, 0)
@@ -235,72 +235,72 @@
 	pr.next = max(pr.next, m.Index+1)
 	if m.Index > pr.match {
 		pr.match = m.Index
-		n.advanceCommit()
+		r.advanceCommit()
 	}
-	if m.From == n.transferTo {
-		n.tryHandover()
+	if m.From == r.transferTo {
+		r.tryHandover()
 	}
 }
 
 // retreat finds out how far a follower's log agrees.
-func (n *Node) retreat(pr *progress, m protocol.Consensus) {
+func (r *Replica) retreat(pr *progress, m protocol.Consensus) {
 	pr.probing, pr.waiting, pr.inflight = true, false, 0
 	if m.Hint < pr.match && m.Index <= pr.match {
 		return // an old answer: durable entries do not go away
 	}
-	pr.next = max(min(m.Hint+1, n.log.last()+1), pr.match+1)
+	pr.next = max(min(m.Hint+1, r.log.last()+1), pr.match+1)
 }
 
 // advanceCommit commits what a majority of the voters holds on disk. Only
 // entries of the leader's own term are counted (Raft, section 3.6.2).
-func (n *Node) advanceCommit() {
-	voters := n.log.members().Voters
+func (r *Replica) advanceCommit() {
+	voters := r.log.members().Voters
 	if len(voters) == 0 {
 		return
 	}
 	matches := make([]uint64, 0, len(voters))
 	for _, p := range voters {
-		matches = append(matches, n.peers[p].match)
+		matches = append(matches, r.peers[p].match)
 	}
 	slices.Sort(matches)
-	index := matches[len(matches)-n.quorum()]
-	if t, ok := n.log.term(index); ok && t == n.hard.Term && index > n.commit {
-		n.commitTo(index)
-		n.nextBeat = n.now // tell the followers with the next tick
-		n.stepDownIfRemoved()
+	index := matches[len(matches)-r.quorum()]
+	if t, ok := r.log.term(index); ok && t == r.hard.Term && index > r.commit {
+		r.commitTo(index)
+		r.nextBeat = r.now // tell the followers with the next tick
+		r.stepDownIfRemoved()
 	}
 }
 
-func (n *Node) commitTo(index uint64) { n.commit = max(n.commit, min(index, n.log.last())) }
+func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.last())) }
 
 // lastQuorumContact returns the newest time at which a majority, this leader
 // included, is known to have followed it.
-func (n *Node) lastQuorumContact() time.Duration {
-	voters := n.log.members().Voters
+func (r *Replica) lastQuorumContact() time.Duration {
+	voters := r.log.members().Voters
 	times := make([]time.Duration, 0, len(voters))
 	for _, p := range voters {
-		if p == n.cfg.Self {
-			times = append(times, n.now)
+		if p == r.cfg.Self {
+			times = append(times, r.now)
 			continue
 		}
-		if pr := n.peers[p]; pr != nil {
+		if pr := r.peers[p]; pr != nil {
 			times = append(times, pr.acked)
 		}
 	}
-	if len(times) < n.quorum() {
+	if len(times) < r.quorum() {
 		return 0
 	}
 	slices.Sort(times)
-	return times[len(times)-n.quorum()]
+	return times[len(times)-r.quorum()]
 }
 
 // leaseEnd returns when this leader must stop believing that it leads. Until
 // then no other replica can have won an election: a majority has promised not
 // to vote for an election timeout after hearing from this leader.
-func (n *Node) leaseEnd() time.Duration {
-	if n.role != Leader || n.leaseLost {
+func (r *Replica) leaseEnd() time.Duration {
+	if r.role != Leader || r.leaseLost {
 		return 0
 	}
-	lease := time.Duration(float64(n.cfg.Election) * (1 - DriftMargin))
-	return n.lastQuorumContact() + lease
+	lease := time.Duration(float64(r.cfg.Election) * (1 - DriftMargin))
+	return r.lastQuorumContact() + lease
 }
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -22,8 +22,8 @@
 
 // Load is what a backend server reports of itself with its answers.
 type Load struct {
-	Running int // requests
-	Waiting int // requests
+	Running int           // requests
+	Waiting int           // requests
 	At      time.Duration // when the report was made, by this router's clock
 }
 
--- a/coordination/pool/fleet.go
+++ b/coordination/pool/fleet.go
@@ -70,7 +70,7 @@
 // Linger gives back slots that were not used for a while, when nothing waits.
 func (p *Pool) Linger(now time.Duration) {
 	if p.Waiting() == 0 {
-		p.holder.ReturnLingering(now, p.set.Linger)
+		p.holder.ReturnLingering(now, p.cfg.Linger)
 	}
 }
 
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -69,7 +69,7 @@
 // Pool is one pool on one router.
 type Pool struct {
 	name     string
-	set      Settings
+	cfg      Settings
 	queue    *share.Queue
 	holder   *slots.Holder
 	placer   *place.SlotPlacer
@@ -82,10 +82,10 @@
 }
 
 // New returns a pool without accounts or servers.
-func New(name string, set Settings) *Pool {
+func New(name string, cfg Settings) *Pool {
 	return &Pool{
-		name: name, set: set, queue: share.NewQueue(set.Limits), holder: slots.NewHolder(),
-		placer: place.NewSlotPlacer(set.PrefixBlocks), costs: share.NewEstimator(set.FirstEstimate),
+		name: name, cfg: cfg, queue: share.NewQueue(cfg.Limits), holder: slots.NewHolder(),
+		placer: place.NewSlotPlacer(cfg.PrefixBlocks), costs: share.NewEstimator(cfg.FirstEstimate),
 		servers: map[string]Server{}, accounts: map[string]bool{},
 	}
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -146,7 +146,7 @@
 	var exists, leads bool
 	var leader string
 	var until time.Duration
-	err := d.replica.Inspect(ctx, func(now time.Duration, n *consensus.Node) {
+	err := d.replica.Inspect(ctx, func(now time.Duration, n *consensus.Replica) {
 		s := n.Status()
 		leader, until, leads = s.Leader.Name, s.LeaseEnd, n.Leads(now)
 		held, exists = d.state.Held()
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -120,7 +120,7 @@
 	b := f.boxes[name]
 	ctx, cancel := context.WithCancel(context.Background())
 	b.kill = cancel
-	set := badgerspoke.Settings{
+	cfg := badgerspoke.Settings{
 		Name: name, FleetKey: []byte("a key that all boxes share"), Replicas: f.replicas, OperatorToken: token,
 		Dialer: f.net.Box(b.ip), Random: f.random, Grace: 100 * time.Millisecond,
 		Router: !b.control, Control: b.control,
@@ -132,14 +132,14 @@
 		},
 	}
 	if f.certify != nil {
-		set.TLS = f.certify(b.ip)
+		cfg.TLS = f.certify(b.ip)
 	}
 	if b.control {
-		set.Fleet, set.Operators = f.listen(b.ip+":8082"), f.listen(b.ip+":8081")
+		cfg.Fleet, cfg.Operators = f.listen(b.ip+":8082"), f.listen(b.ip+":8081")
 	} else {
-		set.Callers = f.listen(b.ip + ":8080")
+		cfg.Callers = f.listen(b.ip + ":8080")
 	}
-	box, err := badgerspoke.Start(ctx, set)
+	box, err := badgerspoke.Start(ctx, cfg)
 	if err != nil {
 		f.t.Fatalf("start %s: %v", name, err)
 	}
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -21,7 +21,7 @@
 	journal   *journal.Journal
 	self      protocol.Peer
 	formation *consensus.Formation // nil once there is a log
-	node      *consensus.Node      // nil until then
+	node      *consensus.Replica   // nil until then
 	waiting   map[uint64]waiter    // proposals by index
 	leads     bool
 }
@@ -36,17 +36,17 @@
 
 func (l *loop) init(r *Replica, j *journal.Journal, c journal.Contents) error {
 	l.r, l.journal = r, j
-	l.self = protocol.Peer{Name: r.set.Name, Incarnation: c.Incarnation}
+	l.self = protocol.Peer{Name: r.cfg.Name, Incarnation: c.Incarnation}
 	l.waiting = map[uint64]waiter{}
 	if c.Snapshot.Group == 0 {
 		l.formation = l.newFormation()
-		if o := r.set.Open; o != nil && (!o.Bootstrap || !slices.Contains(r.set.Names, r.set.Name)) {
+		if o := r.cfg.Open; o != nil && (!o.Bootstrap || !slices.Contains(r.cfg.Names, r.cfg.Name)) {
 			l.formation.JoinOnly()
 		}
 		return nil
 	}
 	if len(c.Snapshot.Data) > 0 {
-		if err := r.set.Machine.Restore(c.Snapshot.Data); err != nil {
+		if err := r.cfg.Machine.Restore(c.Snapshot.Data); err != nil {
 			return err
 		}
 	}
@@ -55,13 +55,13 @@
 }
 
 func (l *loop) newFormation() *consensus.Formation {
-	set := l.r.set
-	return consensus.NewFormation(set.Group, l.self, set.Names, set.Random(), set.Heartbeat)
+	cfg := l.r.cfg
+	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
 }
 
 // begin makes a member of a replica that has a log.
 func (l *loop) begin(now time.Duration, d consensus.Durable) {
-	set := l.r.set
+	set := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
 		Name: set.Group, Self: l.self, Election: set.Election, Heartbeat: set.Heartbeat,
@@ -77,7 +77,7 @@
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.stopped)
 	defer r.loop.journal.Close()
-	tick := time.NewTicker(max(r.set.Heartbeat/3, time.Millisecond))
+	tick := time.NewTicker(max(r.cfg.Heartbeat/3, time.Millisecond))
 	defer tick.Stop()
 	for {
 		var first input
@@ -90,7 +90,7 @@
 		}
 		if err := r.loop.round(r.batch(first)); err != nil {
 			r.err = err
-			r.set.Log.Error("replica stopped", "group", r.set.Group, "error", err)
+			r.cfg.Log.Error("replica stopped", "group", r.cfg.Group, "error", err)
 			r.loop.failAll(Stopped{Err: err})
 			return
 		}
@@ -125,7 +125,7 @@
 	}
 	l.node.Tick(now)
 	if l.node.RepairStopped() {
-		l.r.set.Log.Info("repair stopped, looking for the group again", "group", l.r.set.Group)
+		l.r.cfg.Log.Info("repair stopped, looking for the group again", "group", l.r.cfg.Group)
 		l.node, l.formation = nil, l.newFormation().JoinOnly()
 		return nil
 	}
@@ -193,7 +193,7 @@
 	if err := l.journal.Rotate(s, protocol.HardState{Term: s.Term}, nil); err != nil {
 		return err
 	}
-	l.r.set.Log.Info("group formed", "group", l.r.set.Group, "voters", len(s.Members.Voters))
+	l.r.cfg.Log.Info("group formed", "group", l.r.cfg.Group, "voters", len(s.Members.Voters))
 	l.begin(now, consensus.Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s})
 	return nil
 }
@@ -218,7 +218,7 @@
 	}
 	l.send(ready.Messages)
 	if ready.Restore != nil {
-		if err := l.r.set.Machine.Restore(ready.Restore.Data); err != nil {
+		if err := l.r.cfg.Machine.Restore(ready.Restore.Data); err != nil {
 			return err
 		}
 		l.failBelow(ready.Restore.Index)
@@ -239,14 +239,14 @@
 
 func (l *loop) send(messages []protocol.Consensus) {
 	for _, m := range messages {
-		l.r.set.Send(m)
+		l.r.cfg.Send(m)
 	}
 }
 
 func (l *loop) apply(e protocol.Entry) {
 	var result any
 	if e.Kind == protocol.EntryCommand && len(e.Data) > 0 {
-		result = l.r.set.Machine.Apply(e.Data)
+		result = l.r.cfg.Machine.Apply(e.Data)
 	}
 	w, ok := l.waiting[e.Index]
 	if !ok {
@@ -270,22 +270,22 @@
 	leads := l.node.Leads(now)
 	if leads != l.leads {
 		l.leads = leads
-		l.r.set.Log.Info("lead changed", "group", l.r.set.Group, "leads", leads, "term", s.Term)
+		l.r.cfg.Log.Info("lead changed", "group", l.r.cfg.Group, "leads", leads, "term", s.Term)
 	}
-	if l.r.set.Observe != nil {
-		l.r.set.Observe(s, leads)
+	if l.r.cfg.Observe != nil {
+		l.r.cfg.Observe(s, leads)
 	}
 }
 
 func (l *loop) compact() error {
-	if l.r.set.CompactAt <= 0 || l.journal.Size() < l.r.set.CompactAt {
+	if l.r.cfg.CompactAt <= 0 || l.journal.Size() < l.r.cfg.CompactAt {
 		return nil
 	}
 	s := l.node.Status()
 	if s.Applied <= s.First {
 		return nil
 	}
-	image, err := l.r.set.Machine.Snapshot()
+	image, err := l.r.cfg.Machine.Snapshot()
 	if err != nil {
 		return err
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -95,7 +95,7 @@
 
 // Replica is a running replica.
 type Replica struct {
-	set     Settings
+	cfg     Settings
 	start   time.Time
 	inputs  chan input
 	stopped chan struct{}
@@ -108,7 +108,7 @@
 	message  *protocol.Consensus
 	proposal *proposal
 	transfer chan bool
-	inspect  func(now time.Duration, n *consensus.Node)
+	inspect  func(now time.Duration, n *consensus.Replica)
 }
 
 type proposal struct {
@@ -125,20 +125,20 @@
 
 // Start opens the journal and runs the replica until ctx ends or the disk
 // fails.
-func Start(ctx context.Context, set Settings) (*Replica, error) {
-	j, contents, err := journal.Open(set.Dir, set.Random)
+func Start(ctx context.Context, cfg Settings) (*Replica, error) {
+	j, contents, err := journal.Open(cfg.Dir, cfg.Random)
 	if err != nil {
 		return nil, err
 	}
 	r := &Replica{
-		set: set, start: time.Now(), inputs: make(chan input, inputDepth), stopped: make(chan struct{}),
+		cfg: cfg, start: time.Now(), inputs: make(chan input, inputDepth), stopped: make(chan struct{}),
 	}
 	if err := r.loop.init(r, j, contents); err != nil {
 		j.Close()
 		return nil, err
 	}
 	if contents.Dropped > 0 {
-		set.Log.Warn("dropped a torn last write", "group", set.Group, "bytes", contents.Dropped)
+		cfg.Log.Warn("dropped a torn last write", "group", cfg.Group, "bytes", contents.Dropped)
 	}
 	go r.run(ctx)
 	return r, nil
@@ -176,9 +176,9 @@
 
 // Inspect runs f in the replica's goroutine, between two batches, unless the
 // replica has no log yet.
-func (r *Replica) Inspect(ctx context.Context, f func(now time.Duration, n *consensus.Node)) error {
+func (r *Replica) Inspect(ctx context.Context, f func(now time.Duration, n *consensus.Replica)) error {
 	done := make(chan struct{})
-	wrapped := func(now time.Duration, n *consensus.Node) {
+	wrapped := func(now time.Duration, n *consensus.Replica) {
 		defer close(done)
 		if n != nil {
 			f(now, n)
@@ -215,7 +215,7 @@
 		case <-r.stopped:
 			return Stopped{Err: r.err}
 		}
-		if !sleep.For(ctx, r.set.Heartbeat/4) {
+		if !sleep.For(ctx, r.cfg.Heartbeat/4) {
 			return ctx.Err()
 		}
 	}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -105,9 +105,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
-		set := settingsOf(d, &counter{})
-		set.CompactAt = 0
-		r, err := Start(t.Context(), set)
+		cfg := settingsOf(d, &counter{})
+		cfg.CompactAt = 0
+		r, err := Start(t.Context(), cfg)
 		is.NoErr(err)
 		mustPropose(t, r)
 		d.SyncTime(5 * time.Millisecond) // the first one lets all the others arrive
--- a/router/call.go
+++ b/router/call.go
@@ -157,7 +157,7 @@
 func (r *Router) attempt(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (again bool, f *Failure) {
 	p := r.pool(c.pool)
 	began := r.now()
-	a, err := r.set.Server.Send(ctx, server.Address, c.send)
+	a, err := r.cfg.Server.Send(ctx, server.Address, c.send)
 	if err != nil {
 		return r.sendFailed(ctx, c, p, server, err)
 	}
--- a/router/callers.go
+++ b/router/callers.go
@@ -231,7 +231,7 @@
 		return nil, failHeader.With(keyHeader + " is longer than 255 bytes")
 	}
 	if key != "" {
-		c.keyed = &keyed{account: a.Name, key: key, attempt: r.set.Random()}
+		c.keyed = &keyed{account: a.Name, key: key, attempt: r.cfg.Random()}
 	}
 	body, err := r.readBody(w, req, c)
 	if err != nil {
@@ -248,7 +248,7 @@
 // unknown length counts as the longest until it is read. What is reserved is
 // given back by done.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, error) {
-	limits := r.set.Limits
+	limits := r.cfg.Limits
 	if req.ContentLength > limits.Body {
 		return nil, failTooLarge
 	}
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -107,7 +107,7 @@
 	hint := f.hint
 	f.mu.Unlock()
 	for range 2 {
-		if address, ok := f.r.set.Replicas[hint]; ok {
+		if address, ok := f.r.cfg.Replicas[hint]; ok {
 			got := f.ask(address)
 			if got.link != nil {
 				return got.link, got.welcome, got.sent
@@ -128,11 +128,11 @@
 // been accepted before the question was sent, and every later leader waits
 // for this router's lease: the lease is extended as by a renewal.
 func (f *fleet) survey() (*link.Link, protocol.Welcome, time.Duration) {
-	names := slices.Sorted(maps.Keys(f.r.set.Replicas))
+	names := slices.Sorted(maps.Keys(f.r.cfg.Replicas))
 	answers := make(chan found, len(names))
 	sent := f.r.now()
 	for _, name := range names {
-		go func() { answers <- f.ask(f.r.set.Replicas[name]) }()
+		go func() { answers <- f.ask(f.r.cfg.Replicas[name]) }()
 	}
 	leaderless := 0
 	var best found
@@ -147,7 +147,7 @@
 			leaderless++
 		}
 	}
-	if best.link == nil && leaderless > len(names)/2 && !f.r.set.StopWithoutLeader {
+	if best.link == nil && leaderless > len(names)/2 && !f.r.cfg.StopWithoutLeader {
 		f.extendAlone(sent)
 	}
 	return best.link, best.welcome, best.sent
@@ -172,7 +172,7 @@
 func (f *fleet) ask(address string) found {
 	ctx, cancel := context.WithTimeout(f.r.ctx, helloTimeout)
 	defer cancel()
-	l, err := link.Dial(ctx, address, f.r.set.Identity, f.r.meter)
+	l, err := link.Dial(ctx, address, f.r.cfg.Identity, f.r.meter)
 	if err != nil {
 		return found{}
 	}
@@ -200,7 +200,7 @@
 	epoch := f.epoch
 	f.mu.Unlock()
 	h := protocol.Hello{
-		Router: f.r.set.Identity.Name, Hall: f.r.set.Hall, Boot: f.r.boot,
+		Router: f.r.cfg.Identity.Name, Hall: f.r.cfg.Hall, Boot: f.r.boot,
 		Revision: f.r.Revision(), Epoch: epoch,
 	}
 	leased := f.r.lease.valid(f.r.now())
@@ -221,13 +221,13 @@
 	if !f.begin(s, w, sent) {
 		return
 	}
-	f.r.set.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
+	f.r.cfg.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
 	go f.renewals(ctx, s)
 	go f.reporting(ctx, s)
 	err := f.receive(ctx, l, s)
 	f.end(s)
 	if f.r.ctx.Err() == nil {
-		f.r.set.Log.Info("session ended", "leader", w.Leader, "error", err)
+		f.r.cfg.Log.Info("session ended", "leader", w.Leader, "error", err)
 	}
 }
 
--- a/router/pool.go
+++ b/router/pool.go
@@ -41,7 +41,7 @@
 }
 
 func newPool(r *Router, name string) *lockedPool {
-	l := r.set.Limits
+	l := r.cfg.Limits
 	return &lockedPool{
 		name: name, router: r, servers: map[string]config.Server{},
 		pool: pool.New(name, pool.Settings{
@@ -77,10 +77,10 @@
 	for _, a := range cfg.Accounts() {
 		limits := share.Limits{Waiting: a.Limits.Waiting, Bytes: a.Limits.WaitingBytes, Running: a.Limits.Running}
 		if limits.Waiting == 0 {
-			limits.Waiting = r.set.Limits.AccountWaiting
+			limits.Waiting = r.cfg.Limits.AccountWaiting
 		}
 		if limits.Bytes == 0 {
-			limits.Bytes = r.set.Limits.AccountBytes
+			limits.Bytes = r.cfg.Limits.AccountBytes
 		}
 		accounts = append(accounts, pool.Account{Name: a.ID, Share: a.Share, Limits: limits})
 	}
@@ -92,7 +92,7 @@
 	w := &waiter{turn: make(chan turn, 1)}
 	w.work = &pool.Work{
 		Account: c.account.ID, Class: c.class, Flow: c.flow, Bytes: int64(len(c.body)), Blocks: c.blocks,
-		Deadline: p.router.now() + p.router.set.Limits.Wait, Value: w,
+		Deadline: p.router.now() + p.router.cfg.Limits.Wait, Value: w,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/relay.go
+++ b/router/relay.go
@@ -104,7 +104,7 @@
 				l.router.stats.of(l.call).first.Update((l.router.now() - l.call.came).Seconds())
 			}
 			l.count(buf[:n])
-			_ = flush.SetWriteDeadline(time.Now().Add(l.router.set.Limits.Write))
+			_ = flush.SetWriteDeadline(time.Now().Add(l.router.cfg.Limits.Write))
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return nil, true
 			}
@@ -139,7 +139,7 @@
 		return false
 	}
 	l.resumed++
-	a, err := l.router.set.Server.Send(l.ctx, l.server, forward.Call{
+	a, err := l.router.cfg.Server.Send(l.ctx, l.server, forward.Call{
 		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", l.out)}},
 	})
 	if err != nil {
@@ -167,7 +167,7 @@
 	}
 	ctx, cancel := context.WithTimeout(l.router.ctx, endTimeout)
 	defer cancel()
-	a, err := l.router.set.Server.Send(ctx, l.server, forward.Call{Method: http.MethodDelete, Path: path})
+	a, err := l.router.cfg.Server.Send(ctx, l.server, forward.Call{Method: http.MethodDelete, Path: path})
 	if err == nil {
 		a.Body.Close()
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -74,7 +74,7 @@
 
 // Router is a running router.
 type Router struct {
-	set     Settings
+	cfg     Settings
 	boot    uint64
 	start   time.Time
 	ctx     context.Context
@@ -97,17 +97,17 @@
 }
 
 // Start runs a router until Stop. Its boot number is drawn here.
-func Start(ctx context.Context, set Settings) *Router {
-	if set.Limits == (Limits{}) {
-		set.Limits = DefaultLimits
+func Start(ctx context.Context, cfg Settings) *Router {
+	if cfg.Limits == (Limits{}) {
+		cfg.Limits = DefaultLimits
 	}
-	if set.Pace == (slots.Pace{}) {
-		set.Pace = slots.DefaultPace
+	if cfg.Pace == (slots.Pace{}) {
+		cfg.Pace = slots.DefaultPace
 	}
 	ctx, stop := context.WithCancel(ctx)
 	r := &Router{
-		set: set, boot: set.Random() | 1, start: time.Now(), ctx: ctx, stop: stop,
-		meter: link.NewMeter(set.Metrics), stats: newStats(set.Metrics), pools: map[string]*lockedPool{},
+		cfg: cfg, boot: cfg.Random() | 1, start: time.Now(), ctx: ctx, stop: stop,
+		meter: link.NewMeter(cfg.Metrics), stats: newStats(cfg.Metrics), pools: map[string]*lockedPool{},
 		budget: retry.DefaultBudget,
 	}
 	r.routes.Store(newRoutes(config.Config{}))
@@ -179,7 +179,7 @@
 	for _, p := range r.poolList() {
 		p.configure(next, accounts)
 	}
-	r.set.Log.Debug("configuration in force", "revision", cfg.Revision())
+	r.cfg.Log.Debug("configuration in force", "revision", cfg.Revision())
 }
 
 func (r *Router) pool(name string) *lockedPool {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -29,7 +29,7 @@
 // max_tokens asks for (16 without), each the word "tok" with its number.
 type Engine struct {
 	failures
-	set     EngineSettings
+	cfg     EngineSettings
 	batch   *batch
 	streams streams
 
@@ -42,8 +42,8 @@
 var _ http.Handler = (*Engine)(nil)
 
 // NewEngine returns an engine.
-func NewEngine(set EngineSettings) *Engine {
-	return &Engine{set: set, batch: newBatch(set.Slots)}
+func NewEngine(cfg EngineSettings) *Engine {
+	return &Engine{cfg: cfg, batch: newBatch(cfg.Slots)}
 }
 
 // Runs returns the number of requests that were started.
@@ -102,8 +102,8 @@
 	e.runs++
 	w.Header().Set(loadHeader, e.laggingLoad())
 	e.mu.Unlock()
-	run := &completion{w: w, ctx: r.Context(), req: req, set: e.set, how: how, prompt: int(r.ContentLength) / 4}
-	if e.set.Resumable && req.Stream {
+	run := &completion{w: w, ctx: r.Context(), req: req, cfg: e.cfg, how: how, prompt: int(r.ContentLength) / 4}
+	if e.cfg.Resumable && req.Stream {
 		e.serveResumable(run)
 		return
 	}
@@ -148,7 +148,7 @@
 	w      http.ResponseWriter
 	ctx    context.Context
 	req    completionRequest
-	set    EngineSettings
+	cfg    EngineSettings
 	how    Failure
 	prompt int
 }
@@ -157,7 +157,7 @@
 	if c.how == DieEarly {
 		panic(http.ErrAbortHandler)
 	}
-	if !sleep.For(c.ctx, c.set.PromptTime) {
+	if !sleep.For(c.ctx, c.cfg.PromptTime) {
 		return
 	}
 	if c.req.Stream {
@@ -176,7 +176,7 @@
 		if c.how == Truncate && i == c.req.MaxTokens/2 {
 			return
 		}
-		if !sleep.For(c.ctx, c.set.TokenTime) {
+		if !sleep.For(c.ctx, c.cfg.TokenTime) {
 			return
 		}
 		_, _ = c.w.Write(c.event(i))
@@ -197,7 +197,7 @@
 }
 
 func (c *completion) plain() {
-	if !sleep.For(c.ctx, time.Duration(c.req.MaxTokens)*c.set.TokenTime) {
+	if !sleep.For(c.ctx, time.Duration(c.req.MaxTokens)*c.cfg.TokenTime) {
 		return
 	}
 	text := ""
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -120,7 +120,7 @@
 // generate appends the events of a completion until it is whole or cancelled.
 func (l *liveStream) generate(ctx context.Context, c completion) {
 	for i := range c.req.MaxTokens {
-		if !sleep.For(ctx, c.set.TokenTime) {
+		if !sleep.For(ctx, c.cfg.TokenTime) {
 			return
 		}
 		l.change(func() { l.data = append(l.data, c.event(i)...) })
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -27,14 +27,14 @@
 }
 
 // countingDial returns a dial function whose connections count.
-func countingDial(set Settings) func(ctx context.Context, network, address string) (net.Conn, error) {
+func countingDial(cfg Settings) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		conn, err := set.Dialer.DialContext(ctx, network, address)
+		conn, err := cfg.Dialer.DialContext(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		if set.Opened != nil {
-			set.Opened()
+		if cfg.Opened != nil {
+			cfg.Opened()
 		}
 		return &countingConn{Conn: conn}, nil
 	}
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -150,21 +150,21 @@
 }
 
 // New returns a client.
-func New(set Settings) *Client {
-	if set.Dialer == nil {
-		set.Dialer = &net.Dialer{Timeout: defaultDialTimeout}
+func New(cfg Settings) *Client {
+	if cfg.Dialer == nil {
+		cfg.Dialer = &net.Dialer{Timeout: defaultDialTimeout}
 	}
-	if set.IdleTime == 0 {
-		set.IdleTime = defaultIdleTime
+	if cfg.IdleTime == 0 {
+		cfg.IdleTime = defaultIdleTime
 	}
-	if set.Refused == nil {
-		set.Refused = refused
+	if cfg.Refused == nil {
+		cfg.Refused = refused
 	}
-	return &Client{refused: set.Refused, transport: &http.Transport{
-		DialContext:            countingDial(set),
-		ResponseHeaderTimeout:  set.HeaderTimeout,
-		MaxIdleConnsPerHost:    max(set.IdlePerServer, fewestIdle),
-		IdleConnTimeout:        set.IdleTime,
+	return &Client{refused: cfg.Refused, transport: &http.Transport{
+		DialContext:            countingDial(cfg),
+		ResponseHeaderTimeout:  cfg.HeaderTimeout,
+		MaxIdleConnsPerHost:    max(cfg.IdlePerServer, fewestIdle),
+		IdleConnTimeout:        cfg.IdleTime,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHeader,
 	}}
