--- a/control/control.go
+++ b/control/control.go
@@ -6,6 +6,7 @@
 	"cmp"
 	"context"
 	"log/slog"
+	"maps"
 	"net/http"
 	"slices"
 	"sync"
@@ -62,12 +63,11 @@
 	cfg        Settings
 	ctx        context.Context
 	stop       context.CancelFunc
-	meter      *link.Meter
 	state      *Replicated
 	config     *replica.Replica
 	claims     *replica.Replica
 	register   *claim.Register
-	peers      *mesh.Mesh
+	mesh       *mesh.Mesh
 	dispatcher *dispatcher
 	watchers   *claimWatchers
 	running    sync.WaitGroup
@@ -78,12 +78,13 @@
 func Start(ctx context.Context, cfg Settings) (*Control, error) {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(ctx)
-	c := &Control{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics), watchers: newClaimWatchers()}
+	c := &Control{cfg: cfg, ctx: ctx, stop: stop, watchers: newClaimWatchers()}
 	c.dispatcher = newDispatcher(c)
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
 	c.register.Settlement = c.watchers.settled
-	c.peers = mesh.New(ctx, cfg.Identity, func(name string) string { return cfg.Replicas[name] }, c.meter)
+	addressOf := func(replica string) string { return cfg.Replicas[replica] }
+	c.mesh = mesh.New(ctx, cfg.Identity, addressOf, link.NewMeter(cfg.Metrics))
 	if err := c.startGroups(); err != nil {
 		stop()
 		return nil, err
@@ -108,14 +109,10 @@
 	if err != nil {
 		return nil, err
 	}
-	names := make([]string, 0, len(c.cfg.Replicas))
-	for n := range c.cfg.Replicas {
-		names = append(names, n)
-	}
-	slices.Sort(names)
+	names := slices.Sorted(maps.Keys(c.cfg.Replicas))
 	return replica.Start(c.ctx, replica.Settings{
 		Group: name, Name: c.cfg.Identity.Name, Names: names, Dir: dir, Machine: m,
-		Send: c.peers.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Log: c.cfg.Log, Observe: observe,
+		Send: c.mesh.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Log: c.cfg.Log, Observe: observe,
 	})
 }
 
@@ -128,47 +125,14 @@
 	}
 }
 
-// ServeHTTP accepts links of other nodes at [link.Path]: the first message
-// tells a router from a control replica.
+// ServeHTTP accepts links of other boxes at [link.Path]: a router's first message is
+// a [protocol.Hello], a replica's is a [protocol.Consensus].
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l, err := link.Accept(w, r, c.cfg.Identity, c.meter)
-	if err != nil {
-		c.cfg.Metrics.GetOrCreateCounter(`badgerspoke_links_refused_total`).Inc()
-		return
-	}
-	defer l.Close()
-	ctx, cancel := context.WithCancel(c.ctx)
-	defer cancel()
-	m, err := l.Receive(ctx)
-	if err != nil {
-		return
-	}
-	switch m := m.(type) {
-	case protocol.Hello:
-		c.serveRouter(ctx, l, m)
-	case protocol.Consensus:
-		c.servePeer(ctx, l, m)
-	}
-}
-
-func (c *Control) servePeer(ctx context.Context, l *link.Link, first protocol.Consensus) {
-	c.fromPeer(l, first)
-	for {
-		m, err := l.Receive(ctx)
-		if err != nil {
-			return
+	c.mesh.Serve(w, r, c.deliver, func(ctx context.Context, l *link.Link, first protocol.Message) {
+		if h, ok := first.(protocol.Hello); ok {
+			c.serveRouter(ctx, l, h)
 		}
-		if cm, ok := m.(protocol.Consensus); ok {
-			c.fromPeer(l, cm)
-		}
-	}
-}
-
-// fromPeer delivers a message whose sender is the proven peer of the link.
-func (c *Control) fromPeer(l *link.Link, m protocol.Consensus) {
-	if m.From.Name == l.Peer() {
-		c.deliver(m)
-	}
+	})
 }
 
 // Done is closed when a disk failed and the replica must be replaced.
--- a/control/session.go
+++ b/control/session.go
@@ -23,13 +23,13 @@
 	holder := claim.Holder{Router: h.Router, Boot: h.Boot}
 	r, admitted := c.admit(h, holder)
 	if !admitted {
-		_, _ = l.Send(ctx, r)
+		_ = l.Send(ctx, r) // the link closes now in any case, and the router dials another replica
 		return
 	}
 	defer c.dispatcher.post(func() { c.dispatcher.opened(holder) })
 	// The log must know the router before it can hold a slot.
 	if err := c.proposeCommand(command{Open: &holder}); err != nil {
-		_, _ = l.Send(ctx, protocol.Redirect{})
+		_ = l.Send(ctx, protocol.Redirect{}) // as above
 		return
 	}
 	s := &session{holder: holder, out: link.NewOutbox(l, routerQueue), sent: h.Revision}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -54,7 +54,6 @@
 	replica *replica.Replica
 	mesh    *mesh.Mesh
 	hub     *hub
-	meter   *link.Meter
 	running sync.WaitGroup
 }
 
@@ -63,10 +62,10 @@
 func Start(ctx context.Context, cfg Settings) (*Directory, error) {
 	cfg.Tuning = cfg.Tuning.WithDefaults()
 	ctx, stop := context.WithCancel(ctx)
-	d := &Directory{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics)}
+	d := &Directory{cfg: cfg, ctx: ctx, stop: stop}
 	d.hub = newHub(d)
 	d.state = &Replicated{notify: d.hub.stateChanged}
-	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, d.meter)
+	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, link.NewMeter(cfg.Metrics))
 	var err error
 	d.replica, err = replica.Start(ctx, replica.Settings{
 		Group: group, Name: cfg.Identity.Name, Names: cfg.Seeds,
@@ -85,38 +84,11 @@
 // ServeHTTP accepts links of other nodes at [link.Path]: a gateway's first message is
 // a [protocol.Watch], a replica's is a [protocol.Consensus].
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l, err := link.Accept(w, r, d.cfg.Identity, d.meter)
-	if err != nil {
-		d.cfg.Metrics.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
-		return
-	}
-	defer l.Close()
-	ctx, cancel := context.WithCancel(d.ctx)
-	defer cancel()
-	m, err := l.Receive(ctx)
-	if err != nil {
-		return
-	}
-	switch m := m.(type) {
-	case protocol.Watch:
-		d.hub.serve(ctx, l, m)
-	case protocol.Consensus:
-		d.servePeer(ctx, l, m)
-	}
-}
-
-// servePeer delivers messages whose sender is the proven peer of the link.
-func (d *Directory) servePeer(ctx context.Context, l *link.Link, m protocol.Consensus) {
-	for {
-		if m.From.Name == l.Peer() {
-			d.replica.Deliver(m)
-		}
-		next, err := l.Receive(ctx)
-		if err != nil {
-			return
+	d.mesh.Serve(w, r, d.replica.Deliver, func(ctx context.Context, l *link.Link, first protocol.Message) {
+		if w, ok := first.(protocol.Watch); ok {
+			d.hub.serve(ctx, l, w)
 		}
-		m, _ = next.(protocol.Consensus)
-	}
+	})
 }
 
 // Put takes a document. When it returns nil, the document, or one with a
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		leadership := h.leadership.Load()
 		// The link closes now in any case, and the gateway tries the next replica.
-		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
+		_ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
 		return
 	}
 	defer s.out.Close()
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithCancel(w.g.ctx)
 	defer cancel()
 	hello := protocol.Watch{Gateway: w.g.cfg.Identity.Name, Boot: w.startID, Number: w.g.DocumentNumber(), Term: w.term}
-	if _, err := l.Send(ctx, hello); err != nil {
+	if err := l.Send(ctx, hello); err != nil {
 		return false
 	}
 	led := false
@@ -204,7 +204,7 @@
 	for range every(ctx, usagePeriod) {
 		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
 		u.Demands, u.Started, u.Missed = w.g.accounts.takeReport()
-		if _, err := l.Send(ctx, u); err != nil {
+		if err := l.Send(ctx, u); err != nil {
 			return // receive fails as well, and logs it
 		}
 	}
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -177,7 +177,7 @@
 		return found{}
 	}
 	sent := f.r.now()
-	if _, err := l.Send(ctx, f.hello()); err != nil {
+	if err := l.Send(ctx, f.hello()); err != nil {
 		return found{}
 	}
 	m, err := l.Receive(ctx)
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -132,21 +132,21 @@
 // Peer returns the proven name of the other box.
 func (l *Link) Peer() string { return l.peer }
 
-// Send writes one message, within WriteTimeout, and returns its size in bytes.
-// After a [Broken] the link is closed.
-func (l *Link) Send(ctx context.Context, m protocol.Message) (int, error) {
+// Send writes one message, within WriteTimeout. After a [Broken] the link is
+// closed.
+func (l *Link) Send(ctx context.Context, m protocol.Message) error {
 	b, err := protocol.Encode(m)
 	if err != nil {
-		return 0, err
+		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, WriteTimeout)
 	defer cancel()
 	if err := l.conn.Write(ctx, websocket.MessageBinary, b); err != nil {
 		l.Close()
-		return 0, Broken{Peer: l.peer, Err: err}
+		return Broken{Peer: l.peer, Err: err}
 	}
-	l.meter.sent(protocol.KindOf(m), len(b))
-	return len(b), nil
+	l.meter.count("out", protocol.KindOf(m), len(b))
+	return nil
 }
 
 // Receive waits for the next message until ctx ends. It skips kinds that this
@@ -165,7 +165,7 @@
 			return nil, err
 		}
 		if m != nil {
-			l.meter.received(protocol.KindOf(m), len(b))
+			l.meter.count("in", protocol.KindOf(m), len(b))
 			return m, nil
 		}
 	}
--- a/transport/link/meter.go
+++ b/transport/link/meter.go
@@ -12,16 +12,19 @@
 
 // This file defines Meter, the counters of control traffic.
 
-// Meter counts bytes and messages of control traffic by direction and kind.
-// A nil Meter counts nothing.
+// Meter counts bytes and messages of control traffic by direction and kind, and
+// refused links. A nil Meter counts no traffic.
 type Meter struct{ set *metrics.Set }
 
 // NewMeter returns a meter whose counters are in set.
 func NewMeter(set *metrics.Set) *Meter { return &Meter{set: set} }
 
-func (m *Meter) sent(k protocol.Kind, bytes int)     { m.count("out", k, bytes) }
-func (m *Meter) received(k protocol.Kind, bytes int) { m.count("in", k, bytes) }
+// Refused counts a link that could not be accepted.
+func (m *Meter) Refused() {
+	m.set.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
+}
 
+// count counts a message; direction is "in" or "out".
 func (m *Meter) count(direction string, k protocol.Kind, bytes int) {
 	if m == nil {
 		return
--- a/transport/link/outbox.go
+++ b/transport/link/outbox.go
@@ -90,7 +90,7 @@
 				close(o.last)
 				return
 			}
-			if _, err := o.link.Send(context.Background(), m); err != nil {
+			if err := o.link.Send(context.Background(), m); err != nil {
 				return
 			}
 		}
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mesh is the sending side of consensus messages between replicas: one
+// Package mesh carries consensus messages between replicas: for sending, it has one
 // link and one goroutine for each replica that there are messages for.
 //
 // Each replica sends on the links that it opened and receives on those that
@@ -8,17 +8,20 @@
 // message that cannot be sent now is dropped, as consensus allows: a newer one
 // replaces it. A link without messages for [idleTime] is closed.
 //
-// The package owns the queues and the links that it opens. It relies on its
-// caller for the replicas' addresses and for receiving, and on package link for
-// the proof of the peer and for the end of a link whose peer takes nothing.
+// The package owns the queues, the links that it opens and, while it serves them,
+// those that it accepts. It relies on its caller for the replicas' addresses and
+// for links of others than replicas, and on package link for the proof of the peer
+// and for the end of a link whose peer takes nothing.
 // Its only lock, Mesh.mu, is a leaf and never held while sending.
 package mesh
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
@@ -33,7 +36,7 @@
 	idleTime       = 30 * time.Second // without a message, before a link and its goroutine end
 )
 
-// Mesh is the sending side of one replica's links.
+// Mesh is one replica's links to the others.
 type Mesh struct {
 	ctx       context.Context
 	identity  link.Identity
@@ -71,6 +74,31 @@
 	}
 }
 
+// Serve accepts a link from an HTTP request at [link.Path] and serves it until it
+// ends. The first message tells whose it is: a replica's messages go to deliver, less
+// those that name another sender than the proven peer; any other link is session's.
+func (m *Mesh) Serve(w http.ResponseWriter, r *http.Request, deliver func(protocol.Consensus),
+	session func(ctx context.Context, l *link.Link, first protocol.Message)) {
+	l, err := link.Accept(w, r, m.identity, m.meter)
+	if err != nil {
+		m.meter.Refused()
+		return
+	}
+	defer l.Close()
+	ctx, cancel := context.WithCancel(m.ctx)
+	defer cancel()
+	msg, err := l.Receive(ctx)
+	if _, replica := msg.(protocol.Consensus); err == nil && !replica {
+		session(ctx, l, msg)
+		return
+	}
+	for ; err == nil; msg, err = l.Receive(ctx) {
+		if c, ok := msg.(protocol.Consensus); ok && c.From.Name == l.Peer() {
+			deliver(c)
+		}
+	}
+}
+
 // run keeps one link to one replica and sends what is queued, until nothing
 // was queued for idleTime.
 func (m *Mesh) run(name, address string, queue chan protocol.Consensus) {
@@ -84,10 +112,7 @@
 			continue
 		}
 		discard(queue)
-		select {
-		case <-m.ctx.Done():
-		case <-time.After(wait):
-		}
+		sleep.For(m.ctx, wait)
 		wait = min(2*wait, redialLongest)
 	}
 }
@@ -135,7 +160,7 @@
 		case <-idle.C:
 			return
 		case msg := <-queue:
-			if _, err := l.Send(ctx, msg); err != nil {
+			if err := l.Send(ctx, msg); err != nil {
 				return
 			}
 			idle.Reset(idleTime)
