--- a/control/claims.go
+++ b/control/claims.go
@@ -7,9 +7,6 @@
 	"sync"
 	"time"
 
-	"github.com/fxamacker/cbor/v2"
-	"github.com/pkg/errors"
-
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
@@ -17,40 +14,26 @@
 )
 
 // This file defines how claims of routers reach the claims group, and how a
-// router that waits for another's outcome is told.
-
-const proposeTimeout = 3 * time.Second
-
-// proposeCommand proposes a command of the configuration group.
-func (c *Control) proposeCommand(cmd command) error {
-	ctx, cancel := context.WithTimeout(c.ctx, proposeTimeout)
-	defer cancel()
-	b, err := cbor.Marshal(cmd)
-	if err != nil {
-		return errors.Wrap(err, "control: encode command")
-	}
-	_, err = c.config.Propose(ctx, b)
-	return err
-}
+// router that waits for the outcome of another's claim gets it.
 
+// proposeClaim proposes a command of the claims group, at the time of this box's
+// wall clock.
 func (c *Control) proposeClaim(ctx context.Context, cmd claim.Command) (protocol.Claimed, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
-	defer cancel()
 	cmd.Millis = time.Now().UnixMilli()
-	b, err := cbor.Marshal(cmd)
-	if err != nil {
-		return protocol.Claimed{}, errors.Wrap(err, "control: encode claim")
-	}
-	result, err := c.claims.Propose(ctx, b)
+	result, err := propose(ctx, c.claims, cmd)
 	if err != nil {
 		return protocol.Claimed{}, err
 	}
 	return result.(protocol.Claimed), nil
 }
 
-func (c *Control) orphanClaims(h claim.Holder) error {
-	_, err := c.proposeClaim(c.ctx, claim.Command{Holder: h, Orphan: true})
-	return err
+// claimOrRetry is proposeClaim for a router, which sends it again after an error.
+func (c *Control) claimOrRetry(ctx context.Context, cmd claim.Command) protocol.Claimed {
+	answer, err := c.proposeClaim(ctx, cmd)
+	if err != nil {
+		return protocol.Claimed{State: protocol.ClaimRetry}
+	}
+	return answer
 }
 
 // answerClaim answers a router's claim. When another router runs the request
@@ -59,10 +42,7 @@
 	w := c.watchers.add(m.Account, m.Key)
 	defer c.watchers.remove(w)
 	for {
-		answer, err := c.proposeClaim(ctx, claim.Command{Holder: s.holder, Claim: &m})
-		if err != nil {
-			answer = protocol.Claimed{State: protocol.ClaimRetry}
-		}
+		answer := c.claimOrRetry(ctx, claim.Command{Holder: s.holder, Claim: &m})
 		answer.Call = m.Call
 		if answer.State != protocol.ClaimRunning || !m.Wait {
 			s.out.Send(answer)
@@ -71,16 +51,13 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.settled: // released: claim again; else be told the outcome
+		case <-w.settled: // claim again: it was released, or the answer is the outcome
 		}
 	}
 }
 
 func (c *Control) answerSettle(ctx context.Context, s *session, m protocol.Settle) {
-	answer, err := c.proposeClaim(ctx, claim.Command{Holder: s.holder, Settle: &m})
-	if err != nil {
-		answer = protocol.Claimed{State: protocol.ClaimRetry}
-	}
+	answer := c.claimOrRetry(ctx, claim.Command{Holder: s.holder, Settle: &m})
 	answer.Call = m.Call
 	s.out.Send(answer)
 }
@@ -92,10 +69,11 @@
 func (c *Control) followLeader() {
 	for sleep.For(c.ctx, c.cfg.Heartbeat) {
 		var leader string
-		c.dispatcher.do(func() { leader = c.dispatcher.lead.leader })
+		c.dispatcher.do(func() { leader = c.dispatcher.lead.Leader.Name })
 		if leader == "" || leader == c.cfg.Identity.Name {
 			continue
 		}
+		// After an error the next heartbeat tries again.
 		_ = c.claims.Inspect(c.ctx, func(_ time.Duration, n *consensus.Replica) {
 			if n.Status().Role == consensus.Leader {
 				n.Transfer(leader)
@@ -114,38 +92,38 @@
 
 type claimWatcher struct {
 	name    claimName
-	settled chan struct{} // buffered
+	settled chan struct{} // of one place, so that a settlement never waits
 }
 
 func newClaimWatchers() *claimWatchers {
 	return &claimWatchers{waiting: map[claimName]map[*claimWatcher]bool{}}
 }
 
-func (cw *claimWatchers) add(account, key string) *claimWatcher {
+func (c *claimWatchers) add(account, key string) *claimWatcher {
 	w := &claimWatcher{name: claimName{account, key}, settled: make(chan struct{}, 1)}
-	cw.mu.Lock()
-	defer cw.mu.Unlock()
-	if cw.waiting[w.name] == nil {
-		cw.waiting[w.name] = map[*claimWatcher]bool{}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.waiting[w.name] == nil {
+		c.waiting[w.name] = map[*claimWatcher]bool{}
 	}
-	cw.waiting[w.name][w] = true
+	c.waiting[w.name][w] = true
 	return w
 }
 
-func (cw *claimWatchers) remove(w *claimWatcher) {
-	cw.mu.Lock()
-	defer cw.mu.Unlock()
-	delete(cw.waiting[w.name], w)
-	if len(cw.waiting[w.name]) == 0 {
-		delete(cw.waiting, w.name)
+func (c *claimWatchers) remove(w *claimWatcher) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.waiting[w.name], w)
+	if len(c.waiting[w.name]) == 0 {
+		delete(c.waiting, w.name)
 	}
 }
 
 // settled is called by the claims replica's goroutine.
-func (cw *claimWatchers) settled(account, key string, _ protocol.Claimed) {
-	cw.mu.Lock()
-	defer cw.mu.Unlock()
-	for w := range cw.waiting[claimName{account, key}] {
+func (c *claimWatchers) settled(account, key string, _ protocol.Claimed) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for w := range c.waiting[claimName{account, key}] {
 		select {
 		case w.settled <- struct{}{}:
 		default:
--- a/control/control.go
+++ b/control/control.go
@@ -10,8 +10,11 @@
 	"net/http"
 	"slices"
 	"sync"
+	"time"
 
 	"github.com/VictoriaMetrics/metrics"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/pkg/errors"
 
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
@@ -44,7 +47,7 @@
 	Lease slots.Lease
 	// Overcommit is the part of an engine's slots that is granted beyond them.
 	Overcommit float64
-	Pace       slots.Pace
+	Pace       slots.Pace // bounds the views sent to one router
 	replica.Tuning
 	Random  func() uint64
 	Log     *slog.Logger
@@ -116,6 +119,23 @@
 	})
 }
 
+// proposeTimeout bounds how long a proposal may take: five of the default election
+// timeouts (replica.Tuning), so that a change of leaders fits in. Chosen, not measured.
+const proposeTimeout = 3 * time.Second
+
+// propose puts a command into the log of one group and returns what the group's
+// machine answers when it is applied here.
+func propose(ctx context.Context, group *replica.Replica, cmd any) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	b, err := cbor.Marshal(cmd)
+	if err != nil {
+		return nil, errors.Wrap(err, "control: encode command")
+	}
+	return group.Propose(ctx, b)
+}
+
+// deliver hands a message of another replica to its group.
 func (c *Control) deliver(m protocol.Consensus) {
 	switch m.Name {
 	case configGroup:
@@ -142,7 +162,7 @@
 func (c *Control) Err() error { return c.config.Err() }
 
 // handoverElections bounds, in election timeouts, how long a stop waits for a
-// successor: when no other replica is there, none will come.
+// successor: when no other replica runs, none will come. Chosen, not measured.
 const handoverElections = 5
 
 func (c *Control) handOver(ctx context.Context) {
@@ -151,6 +171,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.Election)
 	defer cancel()
+	// Without a successor the other replicas elect one once they miss this leader.
 	_ = c.claims.Transfer(ctx)
 	_ = c.config.Transfer(ctx)
 }
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -19,17 +19,23 @@
 // This file defines dispatcher, the goroutine that owns the allocator and the
 // routers' sessions while this replica leads.
 
+// Bounds of the dispatcher's work. All are chosen, not measured.
 const (
-	eventDepth   = 8192
+	// eventDepth is the number of events that may wait for the dispatcher; beyond it
+	// their senders wait.
+	eventDepth = 8192
+	// maxEvents is the number of events taken together before slots are allocated.
+	maxEvents = 1024
+	// tickInterval is how often leases are looked at; a lease's end is seen that much
+	// later than it is.
 	tickInterval = 20 * time.Millisecond
-	maxEvents    = 1024 // taken together before slots are allocated
 )
 
 type dispatcher struct {
 	c      *Control
 	events chan func()
 	wake   chan struct{} // the configuration changed
-	leadCh chan lead     // newest lead only
+	leads  chan lead     // the newest only
 
 	// Owned by run.
 	lead      lead
@@ -41,16 +47,10 @@
 	opening   map[claim.Holder]int  // their session is being opened
 }
 
-// lead is what the replica's goroutine last said about leadership.
+// lead is what the replica's goroutine last published of the configuration group.
 type lead struct {
-	leads    bool
-	term     uint64
-	leader   string
-	follows  bool
-	pending  bool
-	group    uint64
-	leaseEnd time.Duration
-	members  protocol.Membership
+	consensus.Status
+	leads bool // this replica may act as the leader
 }
 
 // session is one router's link.
@@ -71,7 +71,7 @@
 func newDispatcher(c *Control) *dispatcher {
 	return &dispatcher{
 		c: c, events: make(chan func(), eventDepth), wake: make(chan struct{}, 1),
-		leadCh: make(chan lead, 1), sessions: map[string]*session{}, ending: map[claim.Holder]bool{},
+		leads: make(chan lead, 1), sessions: map[string]*session{}, ending: map[claim.Holder]bool{},
 		opening: map[claim.Holder]int{},
 	}
 }
@@ -86,16 +86,11 @@
 
 // observe is called by the replica's goroutine after every batch.
 func (d *dispatcher) observe(s consensus.Status, leads bool) {
-	l := lead{
-		leads: leads, term: s.Term, leader: s.Leader.Name, group: s.Group, leaseEnd: s.LeaseEnd,
-		members: s.Members, follows: !s.Leader.IsZero(),
-		pending: s.Last > s.Applied,
-	}
 	select {
-	case <-d.leadCh: // an older one, not taken yet
+	case <-d.leads: // an older one, not taken yet
 	default:
 	}
-	d.leadCh <- l
+	d.leads <- lead{Status: s, leads: leads}
 }
 
 // do runs f in the dispatcher's goroutine and reports whether it did.
@@ -133,7 +128,7 @@
 		select {
 		case <-d.c.ctx.Done():
 			return
-		case l := <-d.leadCh:
+		case l := <-d.leads:
 			d.setLead(l)
 		case <-d.wake:
 			d.pushConfig()
@@ -163,18 +158,16 @@
 
 // acting reports whether this replica may act as the allocator now.
 func (d *dispatcher) acting() bool {
-	return d.alloc != nil && d.now() < d.lead.leaseEnd
+	return d.alloc != nil && d.now() < d.lead.LeaseEnd
 }
 
 func (d *dispatcher) setLead(l lead) {
 	was := d.lead
 	d.lead = l
 	switch {
-	case l.leads && (d.alloc == nil || was.term != l.term):
-		d.beginEpoch(l.term)
-	case !l.leads && d.alloc != nil && d.now() >= was.leaseEnd:
-		d.endEpoch()
-	case !l.leads && l.term != was.term && d.alloc != nil:
+	case l.leads && (d.alloc == nil || was.Term != l.Term):
+		d.beginEpoch(l.Term)
+	case !l.leads && d.alloc != nil && (was.Term != l.Term || d.now() >= was.LeaseEnd):
 		d.endEpoch()
 	}
 }
@@ -183,14 +176,14 @@
 	d.dropSessions()
 	var expected []slots.Process
 	for _, h := range d.c.state.Routers() {
-		expected = append(expected, slots.Process{Router: h.Router, Boot: h.Boot})
+		expected = append(expected, slots.Process(h))
 	}
 	d.alloc = slots.NewAllocator(term, d.now(), d.c.cfg.Lease, d.c.cfg.Pace, expected)
 	d.pushConfig()
 	if at := d.c.cfg.Operators; at != "" && d.c.state.OperatorsAt(d.c.cfg.Identity.Name) != at {
-		go func() {
-			_ = d.c.proposeCommand(command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: at}})
-		}()
+		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: at}}
+		// After an error operators have to find this replica by themselves until it leads again.
+		go func() { _, _ = propose(d.c.ctx, d.c.config, cmd) }()
 	}
 	d.c.cfg.Log.Info("allocating", "epoch", term, "expected-routers", len(expected))
 }
@@ -230,7 +223,7 @@
 	}
 	known := map[claim.Holder]bool{}
 	for _, p := range d.alloc.Processes() {
-		known[claim.Holder{Router: p.Router, Boot: p.Boot}] = true
+		known[claim.Holder(p)] = true
 	}
 	for _, h := range d.c.state.Routers() {
 		if !known[h] && !d.ending[h] && d.opening[h] == 0 {
@@ -240,14 +233,15 @@
 	}
 }
 
-// recordEnd tells the logs that a process is gone: its claims become unknown
-// first, so that no claim is left behind by a crash in between.
+// recordEnd records in the logs that a process is gone: its claims become unknown
+// first, so that no claim is left behind by a crash in between. After an error the
+// process is still listed, and a later tick tries again.
 func (d *dispatcher) recordEnd(h claim.Holder) {
 	defer d.post(func() { delete(d.ending, h) })
-	if err := d.c.orphanClaims(h); err != nil {
+	if _, err := d.c.proposeClaim(d.c.ctx, claim.Command{Holder: h, Orphan: true}); err != nil {
 		return
 	}
-	_ = d.c.proposeCommand(command{End: &h})
+	_, _ = propose(d.c.ctx, d.c.config, command{End: &h}) // see above
 }
 
 // pushConfig brings allocator and routers to the applied configuration.
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -12,7 +12,7 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines what a leading replica tells of the fleet as metrics: how
+// This file defines the metrics of the fleet that a leading replica writes: how
 // full each pool is, how each account stands, and the largest gap. They are
 // written from the allocator's tables at each scrape, so nothing stale stays
 // behind a removed account or server.
--- a/control/operators.go
+++ b/control/operators.go
@@ -25,10 +25,15 @@
 // This file defines the operators' calls that change the configuration. Those
 // that only read are in status.go, the shape of errors in rpcerror.go.
 
+// Bounds of operators' calls. All are chosen, not measured.
 const (
+	// maxOperatorMessage bounds one call, in bytes.
 	maxOperatorMessage = 1 << 20
-	keyBytes           = 24
-	unprotectedTries   = 8
+	// keyBytes is the number of random bytes in a drawn key: 192 bits.
+	keyBytes = 24
+	// unprotectedTries is how often a change that names no base revision is tried
+	// while other changes are accepted before it.
+	unprotectedTries = 8
 )
 
 // OperatorHandler returns the operators' interface for callers that know the
@@ -46,6 +51,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
 		if subtle.ConstantTimeCompare(given[:], want[:]) != 1 {
+			// An error is the caller's connection: there is nobody to answer.
 			_ = connect.NewErrorWriter().Write(w, r, connect.NewError(connect.CodeUnauthenticated, BadToken{}))
 			return
 		}
@@ -72,13 +78,10 @@
 func (o *operators) change(ctx context.Context, req changeRequest, d derive) (uint64, error) {
 	ch := req.GetChange()
 	request := requestDigest(req)
+	var revision uint64
 	var err error
 	for range unprotectedTries {
-		if err := o.c.mustLead(); err != nil {
-			return 0, o.c.rpcError(ch.GetId(), err)
-		}
-		var revision uint64
-		if revision, err = o.propose(ctx, ch, request, d); err == nil {
+		if revision, err = o.proposeChange(ctx, ch, request, d); err == nil {
 			return revision, nil
 		}
 		if _, raced := err.(config.Conflict); !raced || ch.GetBaseRevision() != 0 {
@@ -88,7 +91,11 @@
 	return 0, o.c.rpcError(ch.GetId(), err)
 }
 
-func (o *operators) propose(ctx context.Context, ch *operatorv1.Change, request uint64, d derive) (uint64, error) {
+// proposeChange proposes what a request asks for once, if this replica leads.
+func (o *operators) proposeChange(ctx context.Context, ch *operatorv1.Change, request uint64, d derive) (uint64, error) {
+	if err := o.c.mustLead(); err != nil {
+		return 0, err
+	}
 	if first, revision, ok := o.c.state.Find(ch.GetId()); ok {
 		if first.Request != request {
 			return 0, config.Reused{ID: ch.GetId()}
@@ -109,7 +116,12 @@
 	}
 	// With another base there is nothing to derive from; the log answers
 	// with the conflict, or with the first answer to a resend.
-	return o.c.proposeChange(ctx, proposal)
+	result, err := propose(ctx, o.c.config, command{Change: &proposal})
+	if err != nil {
+		return 0, err
+	}
+	r := result.(changed)
+	return r.revision, r.err
 }
 
 // requestDigest identifies what was asked for, without the change's own
@@ -195,54 +207,49 @@
 }
 
 func (o *operators) RemoveAccount(ctx context.Context, req *connect.Request[operatorv1.RemoveAccountRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
-	revision, err := o.change(ctx, req.Msg, func(config.Config) ([]config.Op, error) {
+	return changeResponse(o.change(ctx, req.Msg, func(config.Config) ([]config.Op, error) {
 		return []config.Op{{RemoveAccount: req.Msg.GetName()}}, nil
-	})
-	return changeResponse(revision, err)
+	}))
 }
 
 func (o *operators) AddServer(ctx context.Context, req *connect.Request[operatorv1.AddServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
-	revision, err := o.change(ctx, req.Msg, func(cfg config.Config) ([]config.Op, error) {
+	return changeResponse(o.change(ctx, req.Msg, func(cfg config.Config) ([]config.Op, error) {
 		s := serverFrom(req.Msg.GetServer())
 		if _, exists := cfg.Server(s.Name); exists {
 			return nil, invalid("server "+s.Name, "name", "exists already")
 		}
 		return []config.Op{{PutServer: &s}}, nil
-	})
-	return changeResponse(revision, err)
+	}))
 }
 
 func (o *operators) MarkServer(ctx context.Context, req *connect.Request[operatorv1.MarkServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
-	revision, err := o.change(ctx, req.Msg, func(cfg config.Config) ([]config.Op, error) {
+	return changeResponse(o.change(ctx, req.Msg, func(cfg config.Config) ([]config.Op, error) {
 		s, ok := cfg.Server(req.Msg.GetName())
 		if !ok {
 			return nil, invalid("server "+req.Msg.GetName(), "name", "does not exist")
 		}
 		s = s.WithMark(config.Mark(req.Msg.GetMark()))
 		return []config.Op{{PutServer: &s}}, nil
-	})
-	return changeResponse(revision, err)
+	}))
 }
 
 func (o *operators) RemoveServer(ctx context.Context, req *connect.Request[operatorv1.RemoveServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
-	revision, err := o.change(ctx, req.Msg, func(config.Config) ([]config.Op, error) {
+	return changeResponse(o.change(ctx, req.Msg, func(config.Config) ([]config.Op, error) {
 		return []config.Op{{RemoveServer: req.Msg.GetName()}}, nil
-	})
-	return changeResponse(revision, err)
+	}))
 }
 
 // changeAccount changes one existing account.
 func (o *operators) changeAccount(ctx context.Context, req changeRequest, name string,
 	with func(config.Account) (config.Account, error)) (*connect.Response[operatorv1.ChangeResponse], error) {
-	revision, err := o.change(ctx, req, func(cfg config.Config) ([]config.Op, error) {
+	return changeResponse(o.change(ctx, req, func(cfg config.Config) ([]config.Op, error) {
 		a, ok := cfg.Account(name)
 		if !ok {
 			return nil, invalid("account "+name, "name", "does not exist")
 		}
 		a, err := with(a)
 		return []config.Op{{PutAccount: &a}}, err
-	})
-	return changeResponse(revision, err)
+	}))
 }
 
 func changeResponse(revision uint64, err error) (*connect.Response[operatorv1.ChangeResponse], error) {
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -26,7 +26,7 @@
 	Advert *advert        `cbor:"4,keyasint,omitempty"`
 }
 
-// advert is where operators reach a replica. A leader tells it to the log, so
+// advert is where operators reach a replica. A leader puts it into the log, so
 // that the others can send operators there.
 type advert struct {
 	Replica string `cbor:"1,keyasint"`
@@ -42,11 +42,11 @@
 // Replicated is the applied state of the configuration group. It is safe for
 // concurrent use.
 type Replicated struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // a leaf; guards what follows but notify
 	store   config.Store
 	routers map[claim.Holder]bool
 	adverts map[string]string // operators' address by replica
-	notify  func()
+	notify  func()            // must not block
 }
 
 var _ replica.Machine = (*Replicated)(nil)
@@ -56,66 +56,66 @@
 }
 
 // Config returns the configuration applied here.
-func (m *Replicated) Config() config.Config {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.Current()
+func (r *Replicated) Config() config.Config {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.Current()
 }
 
 // Routers returns the processes that may hold slots, in a fixed order.
-func (m *Replicated) Routers() []claim.Holder {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.sortedRouters()
+func (r *Replicated) Routers() []claim.Holder {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.sortedRouters()
 }
 
-func (m *Replicated) sortedRouters() []claim.Holder {
-	return slices.SortedFunc(maps.Keys(m.routers), func(a, b claim.Holder) int {
+func (r *Replicated) sortedRouters() []claim.Holder {
+	return slices.SortedFunc(maps.Keys(r.routers), func(a, b claim.Holder) int {
 		return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Boot, b.Boot))
 	})
 }
 
 // Find returns an accepted change by its identifier.
-func (m *Replicated) Find(id string) (config.Change, uint64, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.Find(id)
+func (r *Replicated) Find(id string) (config.Change, uint64, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.Find(id)
 }
 
 // DeltaFrom returns what leads from a revision to the current one, if the
 // past is still remembered.
-func (m *Replicated) DeltaFrom(revision uint64) (config.Delta, bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.store.DeltaFrom(revision)
+func (r *Replicated) DeltaFrom(revision uint64) (config.Delta, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.store.DeltaFrom(revision)
 }
 
 // Apply implements [replica.Machine].
-func (m *Replicated) Apply(data []byte) any {
+func (r *Replicated) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		return changed{err: protocol.Malformed{Err: err}}
 	}
-	m.mu.Lock()
-	result := m.apply(c)
-	m.mu.Unlock()
+	r.mu.Lock()
+	result := r.apply(c)
+	r.mu.Unlock()
 	if c.Change != nil && result.err == nil {
-		m.notify()
+		r.notify()
 	}
 	return result
 }
 
-func (m *Replicated) apply(c command) changed {
+func (r *Replicated) apply(c command) changed {
 	switch {
 	case c.Change != nil:
-		revision, err := m.store.Apply(*c.Change)
+		revision, err := r.store.Apply(*c.Change)
 		return changed{revision: revision, err: err}
 	case c.Open != nil:
-		m.routers[*c.Open] = true
+		r.routers[*c.Open] = true
 	case c.End != nil:
-		delete(m.routers, *c.End)
+		delete(r.routers, *c.End)
 	case c.Advert != nil:
-		m.adverts[c.Advert.Replica] = c.Advert.Address
+		r.adverts[c.Advert.Replica] = c.Advert.Address
 	}
 	return changed{}
 }
@@ -128,22 +128,22 @@
 }
 
 // Snapshot implements [replica.Machine].
-func (m *Replicated) Snapshot() ([]byte, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	store, err := m.store.MarshalBinary()
+func (r *Replicated) Snapshot() ([]byte, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	store, err := r.store.MarshalBinary()
 	if err != nil {
 		return nil, err
 	}
-	im := replicatedImage{Store: store, Routers: m.sortedRouters()}
-	for _, name := range slices.Sorted(maps.Keys(m.adverts)) {
-		im.Adverts = append(im.Adverts, advert{Replica: name, Address: m.adverts[name]})
+	im := replicatedImage{Store: store, Routers: r.sortedRouters()}
+	for _, name := range slices.Sorted(maps.Keys(r.adverts)) {
+		im.Adverts = append(im.Adverts, advert{Replica: name, Address: r.adverts[name]})
 	}
 	return cbor.Marshal(im)
 }
 
 // Restore implements [replica.Machine].
-func (m *Replicated) Restore(image []byte) error {
+func (r *Replicated) Restore(image []byte) error {
 	if len(image) == 0 {
 		return nil
 	}
@@ -151,26 +151,26 @@
 	if err := cbor.Unmarshal(image, &im); err != nil {
 		return protocol.Malformed{Err: err}
 	}
-	m.mu.Lock()
-	err := m.store.UnmarshalBinary(im.Store)
-	m.routers = map[claim.Holder]bool{}
+	r.mu.Lock()
+	err := r.store.UnmarshalBinary(im.Store)
+	r.routers = map[claim.Holder]bool{}
 	for _, h := range im.Routers {
-		m.routers[h] = true
+		r.routers[h] = true
 	}
-	m.adverts = map[string]string{}
+	r.adverts = map[string]string{}
 	for _, a := range im.Adverts {
-		m.adverts[a.Replica] = a.Address
+		r.adverts[a.Replica] = a.Address
 	}
-	m.mu.Unlock()
-	m.notify()
+	r.mu.Unlock()
+	r.notify()
 	return err
 }
 
 // OperatorsAt returns where operators reach a replica that has led.
-func (m *Replicated) OperatorsAt(name string) string {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.adverts[name]
+func (r *Replicated) OperatorsAt(name string) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.adverts[name]
 }
 
 // claims drives the claim register.
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -3,10 +3,7 @@
 package control
 
 import (
-	"context"
-
 	"connectrpc.com/connect"
-	"github.com/fxamacker/cbor/v2"
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
@@ -26,11 +23,7 @@
 func (BadToken) Error() string { return "no or wrong operator token" }
 
 // NotLeading refuses a call at a replica that does not lead.
-type NotLeading struct {
-	Leader    string
-	Address   string // of the leader among the replicas
-	Operators string // where operators reach it, if it has told
-}
+type NotLeading struct{ Leader string } // empty when none is known
 
 // Error names the leader.
 func (e NotLeading) Error() string {
@@ -40,44 +33,26 @@
 	return "this replica does not lead; ask " + e.Leader
 }
 
-// mustLead returns nil if this replica may answer for the fleet.
-func (c *Control) mustLead() error {
-	acting := false
-	c.dispatcher.do(func() { acting = c.dispatcher.acting() })
+// asLeader runs f in the dispatcher's goroutine if this replica may answer for the
+// fleet, else it returns [NotLeading].
+func (c *Control) asLeader(f func(d *dispatcher)) error {
+	var leader string
+	acting, d := false, c.dispatcher
+	d.do(func() {
+		if acting = d.acting(); acting {
+			f(d)
+		} else if d.lead.Leader.Name != c.cfg.Identity.Name { // itself: leads without a lease yet
+			leader = d.lead.Leader.Name
+		}
+	})
 	if acting {
 		return nil
 	}
-	return c.notLeader()
-}
-
-func (c *Control) notLeader() error {
-	var e NotLeading
-	c.dispatcher.do(func() {
-		e.Leader = c.dispatcher.lead.leader
-		if e.Leader == c.cfg.Identity.Name {
-			e.Leader = "" // leads without a lease yet
-		}
-	})
-	e.Address = c.cfg.Replicas[e.Leader]
-	e.Operators = c.state.OperatorsAt(e.Leader)
-	return e
+	return NotLeading{Leader: leader}
 }
 
-// proposeChange proposes a change of the configuration.
-func (c *Control) proposeChange(ctx context.Context, ch config.Change) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
-	defer cancel()
-	b, err := cbor.Marshal(command{Change: &ch})
-	if err != nil {
-		return 0, errors.Wrap(err, "control: encode change")
-	}
-	result, err := c.config.Propose(ctx, b)
-	if err != nil {
-		return 0, err
-	}
-	r := result.(changed)
-	return r.revision, r.err
-}
+// mustLead returns nil if this replica may answer for the fleet, else [NotLeading].
+func (c *Control) mustLead() error { return c.asLeader(func(*dispatcher) {}) }
 
 // rpcError returns err as a connect error with its detail.
 func (c *Control) rpcError(changeID string, err error) error {
@@ -100,15 +75,20 @@
 	case errors.As(err, &undecided):
 		return withDetail(connect.CodeDeadlineExceeded, err, &operatorv1.Undecided{ChangeId: changeID})
 	case errors.As(err, &leading):
-		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: leading.Leader, LeaderAddress: leading.Address, OperatorsAddress: leading.Operators})
+		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(leading.Leader))
 	case errors.As(err, &notLeader):
-		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: notLeader.Leader.Name, LeaderAddress: c.cfg.Replicas[notLeader.Leader.Name], OperatorsAddress: c.state.OperatorsAt(notLeader.Leader.Name)})
+		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(notLeader.Leader.Name))
 	case errors.As(err, &handover):
 		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: handover.To.Name})
 	}
 	return connect.NewError(connect.CodeInternal, err)
 }
 
+// leaderDetail names a leader, and where boxes and operators reach it.
+func (c *Control) leaderDetail(leader string) proto.Message {
+	return &operatorv1.NotLeader{Leader: leader, LeaderAddress: c.cfg.Replicas[leader], OperatorsAddress: c.state.OperatorsAt(leader)}
+}
+
 func withDetail(code connect.Code, err error, detail proto.Message) error {
 	e := connect.NewError(code, err)
 	if d, derr := connect.NewErrorDetail(detail); derr == nil {
--- a/control/session.go
+++ b/control/session.go
@@ -13,6 +13,8 @@
 // This file defines a router's session on the control side: its opening, the
 // messages that it carries, and its end.
 
+// routerQueue is the number of messages that may wait for one router's link; one more
+// closes the link. Chosen, not measured.
 const routerQueue = 1024
 
 // serveRouter runs one session until its link ends.
@@ -28,7 +30,7 @@
 	}
 	defer c.dispatcher.post(func() { c.dispatcher.opened(holder) })
 	// The log must know the router before it can hold a slot.
-	if err := c.proposeCommand(command{Open: &holder}); err != nil {
+	if _, err := propose(c.ctx, c.config, command{Open: &holder}); err != nil {
 		_ = l.Send(ctx, protocol.Redirect{}) // as above
 		return
 	}
@@ -49,8 +51,8 @@
 	d := c.dispatcher
 	d.do(func() {
 		r = protocol.Redirect{
-			Leader: d.lead.leader, Follows: d.lead.follows, Group: d.lead.group,
-			Revision: d.c.state.Config().Revision(), Pending: d.lead.pending,
+			Leader: d.lead.Leader.Name, Follows: !d.lead.Leader.IsZero(), Group: d.lead.Group,
+			Revision: d.c.state.Config().Revision(), Pending: d.lead.Last > d.lead.Applied,
 		}
 		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.ending[holder]
 		if admitted {
--- a/control/status.go
+++ b/control/status.go
@@ -42,30 +42,21 @@
 
 func (o *operators) GetStatus(_ context.Context, _ *connect.Request[operatorv1.GetStatusRequest]) (*connect.Response[operatorv1.GetStatusResponse], error) {
 	var out *operatorv1.GetStatusResponse
-	o.c.dispatcher.do(func() {
-		if o.c.dispatcher.acting() {
-			out = o.c.dispatcher.status()
-		}
-	})
-	if out == nil {
-		return nil, o.c.rpcError("", o.c.notLeader())
+	if err := o.c.asLeader(func(d *dispatcher) { out = d.status() }); err != nil {
+		return nil, o.c.rpcError("", err)
 	}
 	return connect.NewResponse(out), nil
 }
 
-// awaitInterval is how often AwaitRevision looks.
+// awaitInterval is how often AwaitRevision looks. Chosen, not measured; its load is
+// worked out in docs/CAPACITY.md, "Operators' front".
 const awaitInterval = 50 * time.Millisecond
 
 func (o *operators) AwaitRevision(ctx context.Context, req *connect.Request[operatorv1.AwaitRevisionRequest]) (*connect.Response[operatorv1.AwaitRevisionResponse], error) {
 	for {
 		var out *operatorv1.AwaitRevisionResponse
-		o.c.dispatcher.do(func() {
-			if o.c.dispatcher.acting() {
-				out = o.c.dispatcher.spread(req.Msg.GetRevision())
-			}
-		})
-		if out == nil {
-			return nil, o.c.rpcError("", o.c.notLeader())
+		if err := o.c.asLeader(func(d *dispatcher) { out = d.spread(req.Msg.GetRevision()) }); err != nil {
+			return nil, o.c.rpcError("", err)
 		}
 		if out.InForce || !sleep.For(ctx, awaitInterval) {
 			return connect.NewResponse(out), nil
@@ -81,10 +72,10 @@
 		Revision: cfg.Revision(), Epoch: d.alloc.Epoch(), Leader: d.c.cfg.Identity.Name,
 		TakingOver: d.alloc.TakingOver(now),
 	}
-	for _, p := range d.lead.members.Voters {
+	for _, p := range d.lead.Members.Voters {
 		out.Replicas = append(out.Replicas, &operatorv1.ReplicaStatus{Name: p.Name, Voter: true})
 	}
-	for _, p := range d.lead.members.Learners {
+	for _, p := range d.lead.Members.Learners {
 		out.Replicas = append(out.Replicas, &operatorv1.ReplicaStatus{Name: p.Name})
 	}
 	out.Routers = d.routerStatus(now)
@@ -135,7 +126,7 @@
 	return servers, accounts
 }
 
-// spread tells how far a revision is in force. Nobody can be left on an older
+// spread returns how far a revision is in force. Nobody can be left on an older
 // one once every process that may hold a lease has confirmed it: a router is
 // not renewed before it was sent the newest configuration.
 func (d *dispatcher) spread(revision uint64) *operatorv1.AwaitRevisionResponse {
