--- a/state/config/config.go
+++ b/state/config/config.go
@@ -51,18 +51,12 @@
 
 // Account returns the account of that name.
 func (c Config) Account(name string) (Account, bool) {
-	if i, ok := find(c.accounts, name); ok {
-		return c.accounts[i], true
-	}
-	return Account{}, false
+	return get(c.accounts, name)
 }
 
 // Server returns the backend server of that name.
 func (c Config) Server(name string) (Server, bool) {
-	if i, ok := find(c.servers, name); ok {
-		return c.servers[i], true
-	}
-	return Server{}, false
+	return get(c.servers, name)
 }
 
 // Accounts returns all accounts ordered by name. The caller must not change
@@ -89,6 +83,15 @@
 	return slices.BinarySearchFunc(list, name, func(x T, name string) int { return cmp.Compare(x.name(), name) })
 }
 
+// get returns the element of that name in an ordered list.
+func get[T named](list []T, name string) (x T, ok bool) {
+	i, ok := find(list, name)
+	if ok {
+		x = list[i]
+	}
+	return x, ok
+}
+
 // put sets x in an ordered list.
 func put[T named](list []T, x T) []T {
 	i, ok := find(list, x.name())
@@ -112,7 +115,7 @@
 // mistake found.
 func (c Config) Apply(ops []Op) (Config, error) {
 	n, found := c.with(ops)
-	found.addAll(n.crossChecks())
+	n.crossChecks(&found)
 	if len(found) > 0 {
 		return c, Invalid{Mistakes: found}
 	}
@@ -138,11 +141,11 @@
 	return n, found
 }
 
-// applyOne changes the maps of a configuration that is still being built.
+// applyOne changes the lists of a configuration that is still being built.
 func (c *Config) applyOne(op Op, found *mistakes) {
 	switch {
 	case op.PutAccount != nil:
-		found.addAll(op.PutAccount.check())
+		op.PutAccount.check(found)
 		a := *op.PutAccount
 		had, _ := c.Account(a.Name)
 		a.ID = c.idOf(had.ID)
@@ -153,7 +156,7 @@
 		}
 		c.accounts = drop(c.accounts, op.RemoveAccount)
 	case op.PutServer != nil:
-		found.addAll(op.PutServer.check())
+		op.PutServer.check(found)
 		s := *op.PutServer
 		had, _ := c.Server(s.Name)
 		s.ID = c.idOf(had.ID)
@@ -184,8 +187,7 @@
 
 // crossChecks finds mistakes that no single object shows: two accounts with
 // one key, one pool of two kinds, two servers at one address of one pool.
-func (c Config) crossChecks() mistakes {
-	var found mistakes
+func (c Config) crossChecks(found *mistakes) {
 	keys := map[KeyHash]string{}
 	for _, a := range c.Accounts() {
 		for _, k := range a.Keys {
@@ -195,7 +197,7 @@
 			keys[k] = a.Name
 		}
 	}
-	found.addAll(c.poolChecks())
+	c.poolChecks(found)
 	addresses := map[string]string{}
 	for _, s := range c.Servers() {
 		if other, ok := addresses[s.Address]; ok {
@@ -203,14 +205,12 @@
 		}
 		addresses[s.Address] = s.Name
 	}
-	return found
 }
 
 // poolChecks finds servers that cannot do the work of their pool: a pool is
 // what serves the same work, so kind, models and adapters are equal. Servers
 // that are leaving get no new work and may differ.
-func (c Config) poolChecks() mistakes {
-	var found mistakes
+func (c Config) poolChecks(found *mistakes) {
 	first := map[string]Server{}
 	for _, s := range c.Servers() {
 		if s.Mark == Leaving {
@@ -226,7 +226,6 @@
 			found.add("server "+s.Name, "models", "must be those of server "+f.Name+" of the same pool")
 		}
 	}
-	return found
 }
 
 // Snapshot is the serialized form of a Config.
--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -70,5 +70,3 @@
 func (m *mistakes) add(subject, field, reason string) {
 	*m = append(*m, Mistake{Subject: subject, Field: field, Reason: reason})
 }
-
-func (m *mistakes) addAll(more mistakes) { *m = append(*m, more...) }
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -14,12 +14,13 @@
 // This file defines the two objects that operators manage, Account and
 // Server, with the checks that each must pass by itself.
 
-// Bounds on what operators may set.
+// Bounds on what operators may set; a change beyond one is refused. All are chosen,
+// not measured.
 const (
-	MaxShare   = 1e6
-	MaxSlots   = 4096
-	MaxKeys    = 8
-	MaxWaiting = 1_000_000
+	MaxShare   = 1e6       // weight of an account
+	MaxSlots   = 4096      // requests at once on one backend server
+	MaxKeys    = 8         // valid keys of an account
+	MaxWaiting = 1_000_000 // requests of an account that wait on one router
 )
 
 // KeyHash is the SHA-256 of a caller's key. Keys themselves are never kept.
@@ -71,10 +72,9 @@
 	return a
 }
 
-func (a Account) check() mistakes {
-	var found mistakes
+func (a Account) check(found *mistakes) {
 	subject := "account " + a.Name
-	checkName(&found, subject, a.Name)
+	found.addName(subject, a.Name)
 	if !(a.Share > 0 && a.Share <= MaxShare) {
 		found.add(subject, "share", "must be above 0 and at most 1000000")
 	}
@@ -84,10 +84,9 @@
 	if a.Limits.Waiting < 0 || a.Limits.Waiting > MaxWaiting || a.Limits.WaitingBytes < 0 || a.Limits.Running < 0 {
 		found.add(subject, "limits", "must not be negative, and at most 1000000 waiting requests")
 	}
-	return found
 }
 
-// Kind tells what a backend server speaks.
+// Kind is what a backend server speaks. The numbers are stored and sent.
 type Kind uint8
 
 // The kinds of backend server.
@@ -107,14 +106,16 @@
 	return "unset"
 }
 
-// Mark is the operators' word on a backend server.
+// Mark is what operators have decided about a backend server. The numbers are stored
+// and sent.
 type Mark uint8
 
-// The marks of a backend server. Only a serving server is given new work.
+// The marks of a backend server. Only one that is serving gets new work, and only
+// one that is not may be removed.
 const (
-	Joining Mark = 1
+	Joining Mark = 1 // not serving yet
 	Serving Mark = 2
-	Leaving Mark = 3
+	Leaving Mark = 3 // finishes what runs there
 )
 
 // Server is a backend server: a model engine or a plain service.
@@ -148,11 +149,10 @@
 	return false
 }
 
-func (s Server) check() mistakes {
-	var found mistakes
+func (s Server) check(found *mistakes) {
 	subject := "server " + s.Name
-	checkName(&found, subject, s.Name)
-	checkName(&found, subject, s.Pool)
+	found.addName(subject, s.Name)
+	found.addName(subject, s.Pool)
 	if _, err := netip.ParseAddrPort(s.Address); err != nil {
 		found.add(subject, "address", "must be IP:PORT, not "+s.Address)
 	}
@@ -173,7 +173,6 @@
 			found.add(subject, "never", `must be "METHOD /path" or "* /path", not `+rule)
 		}
 	}
-	return found
 }
 
 // The length of a name was chosen, not measured.
@@ -183,8 +182,9 @@
 // as a metric label and an element of a URL path.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-func checkName(found *mistakes, subject, name string) {
+// addName adds a mistake if a name is not valid.
+func (m *mistakes) addName(subject, name string) {
 	if !ValidName(name) {
-		found.add(subject, "name", "must be 1 to 63 letters, digits, dots, dashes or underscores")
+		m.add(subject, "name", "must be 1 to 63 letters, digits, dots, dashes or underscores")
 	}
 }
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -12,10 +12,11 @@
 // send deltas.
 
 // HistoryLength is the number of past changes remembered. At 28,000 changes a
-// day it covers more than three hours of resends and of missed deltas.
+// day (docs/CAPACITY.md) it covers more than three hours of resends and of missed
+// deltas. Chosen, not measured.
 const HistoryLength = 4096
 
-// MaxChangeID bounds a change identifier, in bytes.
+// MaxChangeID bounds a change identifier, in bytes. Chosen, not measured.
 const MaxChangeID = 128
 
 // Change is what an operator proposes.
@@ -41,14 +42,10 @@
 	return xxh3.Hash(b)
 }
 
-// check finds mistakes that need no configuration.
+// check returns [Invalid] for what is wrong without any configuration.
 func (c Change) check() error {
-	var found mistakes
 	if c.ID == "" || len(c.ID) > MaxChangeID {
-		found.add("change", "id", "must be 1 to 128 bytes")
-	}
-	if len(found) > 0 {
-		return Invalid{Mistakes: found}
+		return Invalid{Mistakes: []Mistake{{Subject: "change", Field: "id", Reason: "must be 1 to 128 bytes"}}}
 	}
 	return nil
 }
@@ -121,7 +118,7 @@
 	return next.revision, nil
 }
 
-// answerOldBase tells a resend (same number, same content) from a race.
+// answerOldBase distinguishes a resend (same number, same content) from a race.
 func (s *Store) answerOldBase(ch Change) (uint64, error) {
 	e := Conflict{Base: ch.Base, Current: s.current.revision}
 	winner, ok := s.at(ch.Base + 1)
