--- a/cli/cli.go
+++ b/cli/cli.go
@@ -10,11 +10,13 @@
 // answer neither loses nor doubles a change. A replica that does not lead
 // names the one that does, and the call goes there.
 //
-// Exit codes: 0 done, 1 refused or failed, 2 wrong usage, 3 nobody leads or
-// answers (try again), 4 another change won the race.
+// The package owns nothing beyond one call; it relies on the operators' schema
+// (protocol/operator/v1) and, for explain, on package decision. There are no locks
+// and no goroutines.
 package cli
 
 import (
+	"cmp"
 	"context"
 	"crypto/tls"
 	"crypto/x509"
@@ -40,27 +42,28 @@
 // This file defines Run and what all commands share. The commands themselves
 // are in commands.go, the tables in table.go.
 
-// Exit codes.
+// Exit codes. Scripts rely on the numbers.
 const (
-	ExitOK          = 0
-	ExitRefused     = 1
-	ExitUsage       = 2
-	ExitUnavailable = 3
-	ExitConflict    = 4
+	ExitOK          = 0 // done
+	ExitRefused     = 1 // the fleet refused the call, or explain found nothing
+	ExitUsage       = 2 // wrong command, argument or flag
+	ExitUnavailable = 3 // nobody leads or answers, or the outcome is not known: try again
+	ExitConflict    = 4 // another change took the revision that this one builds on
 )
 
+// Of calls. Both times are chosen, not measured.
 const (
-	defaultServer = "127.0.0.1:8081"
-	patience      = 10 * time.Second
-	retryPause    = 200 * time.Millisecond
+	defaultServer = "127.0.0.1:8081"       // the default of badgerspoked's -listen-operators
+	patience      = 10 * time.Second       // for one command, all its calls together
+	retryPause    = 200 * time.Millisecond // between two calls of one command
 )
 
 // command is one command of the table.
 type command struct {
-	name    string // "account create"
-	args    []string
+	name    string   // "account create"
+	args    []string // positional arguments, as usage shows them
 	example string
-	what    string
+	what    string // what it does, for usage
 	flags   func(fs *flag.FlagSet, in *input)
 	run     func(ctx context.Context, c operatorv1connect.OperatorServiceClient, in *input) (proto.Message, error)
 }
@@ -123,7 +126,7 @@
 		fmt.Fprintln(stdout, protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Format(answer))
 		return ExitOK
 	}
-	print(stdout, answer)
+	printAnswer(stdout, answer)
 	return ExitOK
 }
 
@@ -142,7 +145,7 @@
 	in := &input{set: map[string]bool{}}
 	fs := flag.NewFlagSet("badgerspoke "+cmd.name, flag.ContinueOnError)
 	fs.SetOutput(stderr)
-	fs.StringVar(&in.server, "server", orDefault(getenv(settings.EnvPrefix+"SERVER"), defaultServer), "operators' address of any control box")
+	fs.StringVar(&in.server, "server", cmp.Or(getenv(settings.EnvPrefix+"SERVER"), defaultServer), "operators' address of any control box")
 	fs.StringVar(&in.token, "token", getenv(settings.EnvPrefix+"TOKEN"), "operators' token, or @FILE")
 	fs.StringVar(&in.ca, "tls-ca-file", getenv(settings.EnvName("tls-ca-file")), "authority of the boxes' certificates; the call is then encrypted")
 	fs.BoolVar(&in.json, "json", false, "print the answer as JSON")
@@ -202,13 +205,6 @@
 	return err
 }
 
-func orDefault(v, d string) string {
-	if v == "" {
-		return d
-	}
-	return v
-}
-
 // callLeader runs the command at the given box, at the one that it names as
 // the leader, and again while nobody leads or an answer was lost.
 func callLeader(ctx context.Context, cmd *command, in *input) (proto.Message, error) {
@@ -241,10 +237,11 @@
 		scheme = "https://"
 		hc = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: in.authority, MinVersion: tls.VersionTLS13}}}
 	}
-	return operatorv1connect.NewOperatorServiceClient(hc, scheme+server, connect.WithInterceptors(bearer(in.token)))
+	return operatorv1connect.NewOperatorServiceClient(hc, scheme+server, connect.WithInterceptors(Authorize(in.token)))
 }
 
-func bearer(token string) connect.Interceptor {
+// Authorize sends the operators' token with every call.
+func Authorize(token string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			req.Header().Set("Authorization", "Bearer "+token)
@@ -263,7 +260,7 @@
 	return ExitRefused
 }
 
-// explain says what an operator can do about an error.
+// explain returns what an operator can do about an error.
 func explain(err error) string {
 	if bad, ok := detail[*operatorv1.Invalid](err); ok {
 		lines := []string{"refused:"}
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -24,11 +24,7 @@
 	{
 		name: "account create", args: []string{"NAME"}, what: "create a client account and print its key once",
 		example: "badgerspoke account create hotel-adria -share 3",
-		flags: func(fs *flag.FlagSet, in *input) {
-			changeFlags(fs, in)
-			fs.Float64Var(&in.share, "share", 1, "weight against other accounts")
-			limitFlags(fs, in)
-		},
+		flags:   accountFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
 				Change: in.change, Name: in.args[0], Share: in.share, Limits: &in.limits,
@@ -44,12 +40,8 @@
 	{
 		name: "account set", args: []string{"NAME"}, what: "change an account's share or limits",
 		example: "badgerspoke account set hotel-adria -share 5 -max-waiting 200",
-		flags: func(fs *flag.FlagSet, in *input) {
-			changeFlags(fs, in)
-			fs.Float64Var(&in.share, "share", 1, "weight against other accounts")
-			limitFlags(fs, in)
-		},
-		run: setAccount,
+		flags:   accountFlags,
+		run:     setAccount,
 	},
 	{
 		name: "account rotate-key", args: []string{"NAME"}, what: "give an account a new key and print it once",
@@ -135,7 +127,9 @@
 	fs.Uint64Var(&in.change.BaseRevision, "base", 0, "revision that the change builds on; 0 is whatever is current")
 }
 
-func limitFlags(fs *flag.FlagSet, in *input) {
+func accountFlags(fs *flag.FlagSet, in *input) {
+	changeFlags(fs, in)
+	fs.Float64Var(&in.share, "share", 1, "weight against other accounts")
 	number := func(name, what string, to func(uint64)) {
 		fs.Func(name, what, func(v string) error {
 			n, err := strconv.ParseUint(v, 10, 32)
--- a/cli/table.go
+++ b/cli/table.go
@@ -13,9 +13,9 @@
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 )
 
-// This file defines how answers look to people.
+// This file defines how answers are printed for people.
 
-func print(w io.Writer, answer proto.Message) {
+func printAnswer(w io.Writer, answer proto.Message) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	defer t.Flush()
 	switch m := answer.(type) {
