--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -22,28 +22,28 @@
 // The kinds of message. The comment of each type says who sends it to whom, and when.
 const (
 	// Between a router and a control replica.
-	KindHello     Kind = 1
-	KindWelcome   Kind = 2
-	KindRedirect  Kind = 3
-	KindRenew     Kind = 4
-	KindRenewed   Kind = 5
-	KindReport    Kind = 6
-	KindView      Kind = 7
-	KindConfigure Kind = 8
-	KindClaim     Kind = 9
-	KindSettle    Kind = 10
-	KindClaimed   Kind = 11
+	KindHello     Kind = 1  // router: open a session
+	KindWelcome   Kind = 2  // leader: the session is open
+	KindRedirect  Kind = 3  // other replica: who leads
+	KindRenew     Kind = 4  // router: extend the lease
+	KindRenewed   Kind = 5  // leader: it is extended
+	KindReport    Kind = 6  // router: work and slots since the last one
+	KindView      Kind = 7  // leader: slots granted, state of the fleet
+	KindConfigure Kind = 8  // leader: a newer configuration
+	KindClaim     Kind = 9  // router: may a keyed request run?
+	KindSettle    Kind = 10 // router: how it ended
+	KindClaimed   Kind = 11 // leader: the answer to both
 
 	// Between the replicas of one group.
-	KindConsensus Kind = 12
+	KindConsensus Kind = 12 // of any [ConsensusKind]
 
 	// Between a gateway and a directory replica.
-	KindWatch         Kind = 13
-	KindWatchRedirect Kind = 14
-	KindDocument      Kind = 15
-	KindServers       Kind = 16
-	KindUsage         Kind = 17
-	KindFleet         Kind = 18
+	KindWatch         Kind = 13 // gateway: open a session
+	KindWatchRedirect Kind = 14 // other replica: who leads
+	KindDocument      Kind = 15 // leader: a newer document
+	KindServers       Kind = 16 // leader: backend servers that came or went
+	KindUsage         Kind = 17 // gateway: what runs and what was asked for
+	KindFleet         Kind = 18 // leader: the sums over all gateways
 )
 
 // kinds holds each kind's name, as metrics label it, and its decoder.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -8,6 +8,9 @@
 // variable, the variable before the default. [Parse] never stops at the first
 // mistake: [Invalid] lists every one. Secrets come from files only, so that
 // they appear neither in a process list nor in an environment.
+//
+// The package owns nothing after Parse, relies on state/config for what a valid name
+// is, and has no locks.
 package settings
 
 import (
@@ -64,8 +67,13 @@
 	Control = "control"
 )
 
-// MinFleetKey is the shortest fleet key, in bytes.
-const MinFleetKey = 16
+// Bounds of settings. All are chosen, not measured.
+const (
+	MinFleetKey      = 16 // bytes of the fleet key
+	minLease         = 500 * time.Millisecond
+	maxLease         = 8 * time.Second // with the margin still below the 9 s of docs/CAPACITY.md
+	minControlBudget = 500             // bytes a second
+)
 
 // Invalid lists everything wrong with the settings.
 type Invalid struct{ Mistakes []string }
@@ -114,6 +122,9 @@
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(flagName, "-", "_"))
 }
 
+// flags returns the flags that fill r. The defaults of -lease and -control-budget are
+// slots.DefaultLease and slots.DefaultPace, that of -overcommit is measured in
+// docs/design/fair-sharing.md; all others are chosen, not measured.
 func (r *raw) flags(usage io.Writer) *flag.FlagSet {
 	d := &r.d
 	fs := flag.NewFlagSet("badgerspoked", flag.ContinueOnError)
@@ -161,11 +172,11 @@
 	if d.Has(Control) {
 		c.address("-listen-fleet", d.ListenFleet)
 	}
-	c.that(d.Lease >= 500*time.Millisecond && d.Lease <= 8*time.Second, "-lease: must be between 500ms and 8s")
+	c.that(d.Lease >= minLease && d.Lease <= maxLease, "-lease: must be between 500ms and 8s")
 	c.that(d.Wait > 0, "-wait: must be positive")
 	c.that(d.Grace >= 0, "-grace: must not be negative")
 	c.that(d.StopTimeout > 0, "-stop-timeout: must be positive")
-	c.that(d.ControlBudget >= 500, "-control-budget: must be at least 500 bytes a second")
+	c.that(d.ControlBudget >= minControlBudget, "-control-budget: must be at least 500 bytes a second")
 	c.that(d.Overcommit >= 0 && d.Overcommit <= 1, "-overcommit: must be between 0 and 1")
 	c.oneOf("-log-level", d.LogLevel, "debug", "info", "warn", "error")
 	c.oneOf("-log-format", d.LogFormat, "text", "json")
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -12,8 +12,8 @@
 
 // TLS holds the three configurations that a box needs.
 type TLS struct {
-	Door  *tls.Config // for callers and operators, who need no certificate
-	Fleet *tls.Config // for boxes, who do
+	Door  *tls.Config // of listeners for callers and operators, who need no certificate
+	Fleet *tls.Config // of the listener for boxes, which need one
 	Dial  *tls.Config // towards other boxes
 }
 
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -136,11 +136,11 @@
 
 // Defaults of a client. All are chosen, not measured.
 const (
-	defaultDialTimeout = 2 * time.Second
-	defaultIdleTime    = 30 * time.Second
-	fewestIdle         = 16       // connections to one server
-	maxAnswerHeader    = 64 << 10 // bytes; as many as our own listeners accept of a request
-	maxRefusal         = 4 << 10  // bytes of a refusal's body read so that its connection can be kept
+	defaultDialTimeout = 2 * time.Second  // to open a connection
+	defaultIdleTime    = 30 * time.Second // for which an unused connection is kept
+	fewestIdle         = 16               // connections to one server
+	maxAnswerHeader    = 64 << 10         // bytes; as many as our own listeners accept of a request
+	maxRefusal         = 4 << 10          // bytes of a refusal's body read so that its connection can be kept
 )
 
 // Client sends calls. It is safe for concurrent use.
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -21,12 +21,12 @@
 // DialTimeout bounds the opening of a connection. Chosen, not measured.
 const DialTimeout = time.Second
 
-// Probes of an idle connection: a silent peer is noticed after five seconds.
-// Chosen, not measured.
+// Probes of an idle connection: by arithmetic a silent peer is noticed after five
+// seconds. All three are chosen, not measured.
 const (
-	probeAfter = 2 * time.Second
-	probeEvery = time.Second
-	probes     = 3
+	probeAfter = 2 * time.Second // without traffic, until the first probe
+	probeEvery = time.Second     // between two probes
+	probes     = 3               // unanswered, until the connection fails
 )
 
 // tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h; package syscall lacks it.
