--- a/cli/cli.go
+++ b/cli/cli.go
@@ -251,10 +251,10 @@
 }
 
 func exitCode(err error) int {
-	switch connect.CodeOf(err) {
-	case connect.CodeUnavailable, connect.CodeDeadlineExceeded:
+	switch {
+	case mayRetry(err):
 		return ExitUnavailable
-	case connect.CodeAborted:
+	case connect.CodeOf(err) == connect.CodeAborted:
 		return ExitConflict
 	}
 	return ExitRefused
--- a/cmd/badgerspoke-standin/main.go
+++ b/cmd/badgerspoke-standin/main.go
@@ -13,6 +13,9 @@
 	"github.com/badgerspoke/badgerspoke/standin"
 )
 
+// readHeaderTimeout is the longest time for a request's headers. Chosen, not measured.
+const readHeaderTimeout = 5 * time.Second
+
 func main() {
 	listen := flag.String("listen", "127.0.0.1:9001", "address to serve on")
 	kind := flag.String("kind", "engine", "engine or service")
@@ -26,6 +29,6 @@
 	if *kind == "service" {
 		h = &standin.Service{Time: *promptTime}
 	}
-	srv := &http.Server{Addr: *listen, Handler: h, ReadHeaderTimeout: 5 * time.Second}
+	srv := &http.Server{Addr: *listen, Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	log.Fatal(srv.ListenAndServe())
 }
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -25,7 +25,7 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
+	exitOK       = 0 // stopped by a signal, or nothing was to be run
 	exitFailed   = 1 // it could not start, or its disk failed
 	exitSettings = 2 // the settings are invalid
 )
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -282,8 +282,8 @@
 	return int(math.Ceil(over * float64(s.Slots)))
 }
 
-// pushTo sends what leads a router to cfg: a delta if the past is remembered,
-// else a snapshot.
+// pushTo sends what leads a router to cfg: a delta if the past is remembered (and
+// can be encoded), else a snapshot.
 func (d *dispatcher) pushTo(s *session, cfg config.Config) {
 	if s.sent >= cfg.Revision() {
 		return
@@ -298,6 +298,7 @@
 	if d.snapshots.revision != cfg.Revision() {
 		b, err := cbor.Marshal(cfg.Snapshot())
 		if err != nil {
+			d.c.cfg.Log.Error("configuration cannot be encoded", "revision", cfg.Revision(), "error", err)
 			return
 		}
 		d.snapshots = snapshotCache{revision: cfg.Revision(), image: b}
@@ -335,7 +336,7 @@
 func viewSize(v protocol.View) int {
 	b, err := protocol.Encode(v)
 	if err != nil {
-		return 0
+		return 0 // the outbox meets the same error and closes the link
 	}
 	return len(b)
 }
--- a/control/operators.go
+++ b/control/operators.go
@@ -132,7 +132,7 @@
 	m.ProtoReflect().Clear(fields.ByName("change"))
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return 0
+		return 0 // a message that was decoded is encoded; without a digest the operations are compared
 	}
 	return xxh3.Hash(append(b, string(m.ProtoReflect().Descriptor().FullName())...)) | 1
 }
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -37,7 +37,7 @@
 	}
 	b, err := cbor.Marshal(c.Ops)
 	if err != nil {
-		return 0
+		return 0 // operations that were decoded are encoded
 	}
 	return xxh3.Hash(b)
 }
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -28,8 +28,10 @@
 	Proof []byte `cbor:"3,keyasint,omitempty"`
 }
 
+// handshake is one side of it; it returns the proven name of the other.
+type handshake func(ctx context.Context, conn *websocket.Conn, id Identity) (peer string, err error)
+
 func dialHandshake(ctx context.Context, conn *websocket.Conn, id Identity) (peer string, err error) {
-	conn.SetReadLimit(maxHandshake)
 	own := newHello(id)
 	if err := writeFrame(ctx, conn, own); err != nil {
 		return "", err
@@ -45,7 +47,6 @@
 }
 
 func acceptHandshake(ctx context.Context, conn *websocket.Conn, id Identity) (peer string, err error) {
-	conn.SetReadLimit(maxHandshake)
 	var theirs hello
 	if err := readFrame(ctx, conn, &theirs); err != nil {
 		return "", err
@@ -87,10 +88,10 @@
 
 func writeFrame(ctx context.Context, conn *websocket.Conn, v hello) error {
 	b, err := cbor.Marshal(v)
-	if err != nil {
-		return Broken{Peer: v.Name, Err: err}
+	if err == nil {
+		err = conn.Write(ctx, websocket.MessageBinary, b)
 	}
-	if err := conn.Write(ctx, websocket.MessageBinary, b); err != nil {
+	if err != nil {
 		return Broken{Peer: v.Name, Err: err}
 	}
 	return nil
@@ -98,10 +99,10 @@
 
 func readFrame(ctx context.Context, conn *websocket.Conn, v *hello) error {
 	_, b, err := conn.Read(ctx)
-	if err != nil {
-		return Broken{Err: err}
+	if err == nil {
+		err = cbor.Unmarshal(b, v)
 	}
-	if err := cbor.Unmarshal(b, v); err != nil {
+	if err != nil {
 		return Broken{Err: err}
 	}
 	return nil
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -97,12 +97,7 @@
 	if err != nil {
 		return nil, Unreachable{Address: address, Err: err}
 	}
-	peer, err := dialHandshake(ctx, conn, id)
-	if err != nil {
-		conn.CloseNow()
-		return nil, err
-	}
-	return newLink(conn, peer, m), nil
+	return newLink(ctx, conn, id, m, dialHandshake)
 }
 
 // Accept opens a link from an HTTP request at Path. It writes the response
@@ -116,17 +111,20 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), HandshakeTimeout)
 	defer cancel()
-	peer, err := acceptHandshake(ctx, conn, id)
+	return newLink(ctx, conn, id, m, acceptHandshake)
+}
+
+// newLink proves both sides to each other by one side's handshake. The error is
+// [WrongKey] or [Broken].
+func newLink(ctx context.Context, conn *websocket.Conn, id Identity, m *Meter, handshake handshake) (*Link, error) {
+	conn.SetReadLimit(maxHandshake)
+	peer, err := handshake(ctx, conn, id)
 	if err != nil {
 		conn.CloseNow()
 		return nil, err
 	}
-	return newLink(conn, peer, m), nil
-}
-
-func newLink(conn *websocket.Conn, peer string, m *Meter) *Link {
 	conn.SetReadLimit(protocol.MaxMessage)
-	return &Link{conn: conn, peer: peer, meter: m}
+	return &Link{conn: conn, peer: peer, meter: m}, nil
 }
 
 // Peer returns the proven name of the other box.
