--- a/control/replicated.go
+++ b/control/replicated.go
@@ -144,9 +144,6 @@
 
 // Restore implements [replica.Machine].
 func (r *Replicated) Restore(image []byte) error {
-	if len(image) == 0 {
-		return nil
-	}
 	var im replicatedImage
 	if err := cbor.Unmarshal(image, &im); err != nil {
 		return protocol.Malformed{Err: err}
@@ -192,8 +189,5 @@
 
 // Restore implements [replica.Machine].
 func (c claims) Restore(image []byte) error {
-	if len(image) == 0 {
-		return nil
-	}
 	return c.register.UnmarshalBinary(image)
 }
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -91,9 +91,6 @@
 
 // Restore implements [replica.Machine].
 func (r *Replicated) Restore(image []byte) error {
-	if len(image) == 0 {
-		return nil
-	}
 	r.mu.Lock()
 	err := r.store.UnmarshalBinary(image)
 	r.mu.Unlock()
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -45,15 +45,22 @@
 		}
 		return nil
 	}
-	if len(c.Snapshot.Data) > 0 {
-		if err := r.cfg.Machine.Restore(c.Snapshot.Data); err != nil {
-			return err
-		}
+	if err := l.restore(c.Snapshot.Data); err != nil {
+		return err
 	}
 	l.begin(0, consensus.Durable{Hard: c.Hard, Snapshot: c.Snapshot, Entries: c.Entries})
 	return nil
 }
 
+// restore gives the machine an image. A group's first snapshot has none, and the machine
+// keeps its state.
+func (l *loop) restore(image []byte) error {
+	if len(image) == 0 {
+		return nil
+	}
+	return l.r.cfg.Machine.Restore(image)
+}
+
 func (l *loop) newFormation() *consensus.Formation {
 	cfg := l.r.cfg
 	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
@@ -218,7 +225,7 @@
 	}
 	l.send(ready.Messages)
 	if ready.Restore != nil {
-		if err := l.r.cfg.Machine.Restore(ready.Restore.Data); err != nil {
+		if err := l.restore(ready.Restore.Data); err != nil {
 			return err
 		}
 		l.failBelow(ready.Restore.Index)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -37,7 +37,7 @@
 	Apply(data []byte) any
 	// Snapshot returns an image of the state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by an image.
+	// Restore replaces the state by an image, which is never empty.
 	Restore(image []byte) error
 }
 
