--- a/control/metrics.go
+++ b/control/metrics.go
@@ -13,7 +13,7 @@
 )
 
 // This file defines the metrics of the fleet that a leading replica writes: how
-// full each pool is, how each account stands, and the largest gap. They are
+// full each pool is, what each account was served, and the largest gap. They are
 // written from the allocator's tables at each scrape, so nothing stale stays
 // behind a removed account or server.
 
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeAccounts writes how each account stands, and for each pool the largest
+// writeAccounts writes the service and queue of each account, and for each pool the largest
 // difference of normalised service between two accounts whose work waits.
 func (s fleetSnapshot) writeAccounts(w io.Writer) {
 	_, accounts := namesByID(s.cfg)
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines how a failure becomes the operators' answer: a code and a
-// typed detail of the schema.
+// This file defines which replica may answer operators, and how a failure becomes
+// their answer: a code and a typed detail of the schema.
 
 // BadToken refuses a call without the operators' token.
 type BadToken struct{}
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -5,7 +5,7 @@
 // This file defines how a router claims the right to run a keyed request, and
 // how it reports the request's end.
 
-// ClaimState is where a claim stands.
+// ClaimState is the state of a claim.
 type ClaimState uint8
 
 // The states of a claim. The numbers are on the wire and in the log of claims.
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -75,7 +75,7 @@
 }
 
 // Serve accepts a link from an HTTP request at [link.Path] and serves it until it
-// ends. The first message tells whose it is: a replica's messages go to deliver, less
+// ends. The first message decides: a replica's messages go to deliver, less
 // those that name another sender than the proven peer; any other link is session's.
 func (m *Mesh) Serve(w http.ResponseWriter, r *http.Request, deliver func(protocol.Consensus),
 	session func(ctx context.Context, l *link.Link, first protocol.Message)) {
