--- a/settings/settings.go
+++ b/settings/settings.go
@@ -69,10 +69,10 @@
 
 // Bounds of settings. All are chosen, not measured.
 const (
-	MinFleetKey      = 16 // bytes of the fleet key
-	minLease         = 500 * time.Millisecond
-	maxLease         = 8 * time.Second // with the margin still below the 9 s of docs/CAPACITY.md
-	minControlBudget = 500             // bytes a second
+	MinFleetKey      = 16                     // bytes of the fleet key
+	minLease         = 500 * time.Millisecond // of a router; it renews six times in a lease
+	maxLease         = 8 * time.Second        // with the margin still below the 9 s of docs/CAPACITY.md
+	minControlBudget = 500                    // bytes a second
 )
 
 // Invalid lists everything wrong with the settings.
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -114,7 +114,7 @@
 // one that is not may be removed.
 const (
 	Joining Mark = 1 // not serving yet
-	Serving Mark = 2
+	Serving Mark = 2 // is given work
 	Leaving Mark = 3 // finishes what runs there
 )
 
