--- a/control/control.go
+++ b/control/control.go
@@ -6,11 +6,15 @@
 	"cmp"
 	"context"
 	"log/slog"
+	"maps"
 	"net/http"
 	"slices"
 	"sync"
+	"time"
 
 	"github.com/VictoriaMetrics/metrics"
+	"github.com/fxamacker/cbor/v2"
+	"github.com/pkg/errors"
 
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
@@ -43,7 +47,7 @@
 	Lease slots.Lease
 	// Overcommit is the part of an engine's slots that is granted beyond them.
 	Overcommit float64
-	Pace       slots.Pace
+	Pace       slots.Pace // bounds the views sent to one router
 	replica.Tuning
 	Random  func() uint64
 	Log     *slog.Logger
@@ -62,12 +66,11 @@
 	cfg        Settings
 	ctx        context.Context
 	stop       context.CancelFunc
-	meter      *link.Meter
 	state      *Replicated
 	config     *replica.Replica
 	claims     *replica.Replica
 	register   *claim.Register
-	peers      *mesh.Mesh
+	mesh       *mesh.Mesh
 	dispatcher *dispatcher
 	watchers   *claimWatchers
 	running    sync.WaitGroup
@@ -78,12 +81,13 @@
 func Start(ctx context.Context, cfg Settings) (*Control, error) {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(ctx)
-	c := &Control{cfg: cfg, ctx: ctx, stop: stop, meter: link.NewMeter(cfg.Metrics), watchers: newClaimWatchers()}
+	c := &Control{cfg: cfg, ctx: ctx, stop: stop, watchers: newClaimWatchers()}
 	c.dispatcher = newDispatcher(c)
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
 	c.register.Settlement = c.watchers.settled
-	c.peers = mesh.New(ctx, cfg.Identity, func(name string) string { return cfg.Replicas[name] }, c.meter)
+	addressOf := func(replica string) string { return cfg.Replicas[replica] }
+	c.mesh = mesh.New(ctx, cfg.Identity, addressOf, link.NewMeter(cfg.Metrics))
 	if err := c.startGroups(); err != nil {
 		stop()
 		return nil, err
@@ -108,17 +112,30 @@
 	if err != nil {
 		return nil, err
 	}
-	names := make([]string, 0, len(c.cfg.Replicas))
-	for n := range c.cfg.Replicas {
-		names = append(names, n)
-	}
-	slices.Sort(names)
+	names := slices.Sorted(maps.Keys(c.cfg.Replicas))
 	return replica.Start(c.ctx, replica.Settings{
 		Group: name, Name: c.cfg.Identity.Name, Names: names, Dir: dir, Machine: m,
-		Send: c.peers.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Log: c.cfg.Log, Observe: observe,
+		Send: c.mesh.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Log: c.cfg.Log, Observe: observe,
 	})
 }
 
+// proposeTimeout bounds how long a proposal may take: five of the default election
+// timeouts (replica.Tuning), so that a change of leaders fits in. Chosen, not measured.
+const proposeTimeout = 3 * time.Second
+
+// propose puts a command into the log of one group and returns what the group's
+// machine answers when it is applied here.
+func propose(ctx context.Context, group *replica.Replica, cmd any) (any, error) {
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	defer cancel()
+	b, err := cbor.Marshal(cmd)
+	if err != nil {
+		return nil, errors.Wrap(err, "control: encode command")
+	}
+	return group.Propose(ctx, b)
+}
+
+// deliver hands a message of another replica to its group.
 func (c *Control) deliver(m protocol.Consensus) {
 	switch m.Name {
 	case configGroup:
@@ -128,47 +145,14 @@
 	}
 }
 
-// ServeHTTP accepts links of other nodes at [link.Path]: the first message
-// tells a router from a control replica.
+// ServeHTTP accepts links of other boxes at [link.Path]: a router's first message is
+// a [protocol.Hello], a replica's is a [protocol.Consensus].
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	l, err := link.Accept(w, r, c.cfg.Identity, c.meter)
-	if err != nil {
-		c.cfg.Metrics.GetOrCreateCounter(`badgerspoke_links_refused_total`).Inc()
-		return
-	}
-	defer l.Close()
-	ctx, cancel := context.WithCancel(c.ctx)
-	defer cancel()
-	m, err := l.Receive(ctx)
-	if err != nil {
-		return
-	}
-	switch m := m.(type) {
-	case protocol.Hello:
-		c.serveRouter(ctx, l, m)
-	case protocol.Consensus:
-		c.servePeer(ctx, l, m)
-	}
-}
-
-func (c *Control) servePeer(ctx context.Context, l *link.Link, first protocol.Consensus) {
-	c.fromPeer(l, first)
-	for {
-		m, err := l.Receive(ctx)
-		if err != nil {
-			return
-		}
-		if cm, ok := m.(protocol.Consensus); ok {
-			c.fromPeer(l, cm)
+	c.mesh.Serve(w, r, c.deliver, func(ctx context.Context, l *link.Link, first protocol.Message) {
+		if h, ok := first.(protocol.Hello); ok {
+			c.serveRouter(ctx, l, h)
 		}
-	}
-}
-
-// fromPeer delivers a message whose sender is the proven peer of the link.
-func (c *Control) fromPeer(l *link.Link, m protocol.Consensus) {
-	if m.From.Name == l.Peer() {
-		c.deliver(m)
-	}
+	})
 }
 
 // Done is closed when a disk failed and the replica must be replaced.
@@ -178,7 +162,7 @@
 func (c *Control) Err() error { return c.config.Err() }
 
 // handoverElections bounds, in election timeouts, how long a stop waits for a
-// successor: when no other replica is there, none will come.
+// successor: when no other replica runs, none will come. Chosen, not measured.
 const handoverElections = 5
 
 func (c *Control) handOver(ctx context.Context) {
@@ -187,6 +171,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.Election)
 	defer cancel()
+	// Without a successor the other replicas elect one once they miss this leader.
 	_ = c.claims.Transfer(ctx)
 	_ = c.config.Transfer(ctx)
 }
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -97,12 +97,7 @@
 	if err != nil {
 		return nil, Unreachable{Address: address, Err: err}
 	}
-	peer, err := dialHandshake(ctx, conn, id)
-	if err != nil {
-		conn.CloseNow()
-		return nil, err
-	}
-	return newLink(conn, peer, m), nil
+	return newLink(ctx, conn, id, m, dialHandshake)
 }
 
 // Accept opens a link from an HTTP request at Path. It writes the response
@@ -116,37 +111,40 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), HandshakeTimeout)
 	defer cancel()
-	peer, err := acceptHandshake(ctx, conn, id)
+	return newLink(ctx, conn, id, m, acceptHandshake)
+}
+
+// newLink proves both sides to each other by one side's handshake. The error is
+// [WrongKey] or [Broken].
+func newLink(ctx context.Context, conn *websocket.Conn, id Identity, m *Meter, handshake handshake) (*Link, error) {
+	conn.SetReadLimit(maxHandshake)
+	peer, err := handshake(ctx, conn, id)
 	if err != nil {
 		conn.CloseNow()
 		return nil, err
 	}
-	return newLink(conn, peer, m), nil
-}
-
-func newLink(conn *websocket.Conn, peer string, m *Meter) *Link {
 	conn.SetReadLimit(protocol.MaxMessage)
-	return &Link{conn: conn, peer: peer, meter: m}
+	return &Link{conn: conn, peer: peer, meter: m}, nil
 }
 
 // Peer returns the proven name of the other box.
 func (l *Link) Peer() string { return l.peer }
 
-// Send writes one message, within WriteTimeout, and returns its size in bytes.
-// After a [Broken] the link is closed.
-func (l *Link) Send(ctx context.Context, m protocol.Message) (int, error) {
+// Send writes one message, within WriteTimeout. After a [Broken] the link is
+// closed.
+func (l *Link) Send(ctx context.Context, m protocol.Message) error {
 	b, err := protocol.Encode(m)
 	if err != nil {
-		return 0, err
+		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, WriteTimeout)
 	defer cancel()
 	if err := l.conn.Write(ctx, websocket.MessageBinary, b); err != nil {
 		l.Close()
-		return 0, Broken{Peer: l.peer, Err: err}
+		return Broken{Peer: l.peer, Err: err}
 	}
-	l.meter.sent(protocol.KindOf(m), len(b))
-	return len(b), nil
+	l.meter.count("out", protocol.KindOf(m), len(b))
+	return nil
 }
 
 // Receive waits for the next message until ctx ends. It skips kinds that this
@@ -165,7 +163,7 @@
 			return nil, err
 		}
 		if m != nil {
-			l.meter.received(protocol.KindOf(m), len(b))
+			l.meter.count("in", protocol.KindOf(m), len(b))
 			return m, nil
 		}
 	}
