--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -4,6 +4,7 @@
 
 import (
 	"slices"
+	"time"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
@@ -18,6 +19,19 @@
 // with a majority after it. Removing first costs no availability, because the
 // lost incarnation could not have answered anyway.
 
+// Limits of silence. All three are chosen, not measured.
+const (
+	// voterSilences is how many election timeouts a voter of an open group may
+	// leave unanswered before a learner takes its place.
+	voterSilences = 4
+	// learnerSilences is how many times as long as a voter a learner of an open
+	// group may be silent before it is removed.
+	learnerSilences = 5
+	// repairElections is how many election timeouts a blank replica waits for the
+	// next message of a leader that began to repair it.
+	repairElections = 5
+)
+
 // ChangeMembership appends a new membership. The error is [NotLeader],
 // [Handover] or [ChangePending]; a change that differs by more than one voter
 // is refused by [ChangePending] too, as two changes at once.
@@ -41,15 +55,11 @@
 	return r.log.lastChange() > r.commit || r.commit < r.termStart
 }
 
+// voterDifference counts the voters that only one of two memberships has.
 func voterDifference(a, b protocol.Membership) int {
 	d := 0
-	for _, p := range a.Voters {
-		if !contains(b.Voters, p) {
-			d++
-		}
-	}
-	for _, p := range b.Voters {
-		if !contains(a.Voters, p) {
+	for _, p := range slices.Concat(a.Voters, b.Voters) {
+		if slices.Contains(a.Voters, p) != slices.Contains(b.Voters, p) {
 			d++
 		}
 	}
@@ -59,136 +69,99 @@
 // tickJoin makes a replica that is no member ask to become one.
 func (r *Replica) tickJoin() {
 	m := r.log.members()
-	if contains(m.Voters, r.cfg.Self) || contains(m.Learners, r.cfg.Self) || r.now < r.nextJoin {
+	all := slices.Concat(m.Voters, m.Learners)
+	if slices.Contains(all, r.cfg.Self) || r.now < r.nextJoin {
 		return
 	}
 	r.nextJoin = r.now + r.cfg.Election
-	for _, p := range append(slices.Clone(m.Voters), m.Learners...) {
-		r.sendJoin(p)
+	for _, p := range all {
+		r.send(protocol.Consensus{Kind: protocol.MsgJoin, To: p})
 	}
 }
 
-// repairElections is how many election timeouts a blank replica waits for the
-// next word of a leader that began to repair it.
-const repairElections = 5
-
 // RepairStopped reports whether a replica without a log has lost the leader
 // that began to repair it. It knows no member that it could ask, and the next
 // leader may not know of it, so it must look for its group anew, as after a
 // restart. It was never a voter, so it has promised nothing to anybody.
 func (r *Replica) RepairStopped() bool {
-	blank := r.log.snapshot.Group == 0 && r.log.last() == 0 && len(r.log.members().Voters) == 0
-	return blank && r.now-r.leaderSeen > repairElections*r.cfg.Election
-}
-
-func (r *Replica) sendJoin(to protocol.Peer) {
-	r.send(protocol.Consensus{Kind: protocol.MsgJoin, To: to})
+	return r.log.snapshot.Group == 0 && r.now-r.leaderSeen > repairElections*r.cfg.Election
 }
 
-// stepJoin is the leader's answer to a replica that is no voter: the next
-// step of its repair. Messages that prove a replica of an unknown incarnation
-// to be alive (a request for a vote) come here too.
+// stepJoin makes the next step of the repair of a replica that is no voter, at
+// the leader. Messages that prove a replica of an unknown incarnation to be
+// alive (a request for a vote) come here too.
 func (r *Replica) stepJoin(m protocol.Consensus) {
-	if r.role != Leader || r.changePending() || !r.transferTo.IsZero() {
-		return
-	}
 	members := r.log.members()
-	if contains(members.Voters, m.From) || contains(members.Learners, m.From) || !r.admits(m.From.Name) {
+	if slices.Contains(slices.Concat(members.Voters, members.Learners), m.From) || !r.cfg.Admit(m.From.Name) {
 		return
 	}
-	if voters, removed := without(members.Voters, m.From.Name); removed {
-		if len(voters) > 0 {
-			_ = r.ChangeMembership(protocol.Membership{Voters: voters, Learners: members.Learners})
-		}
-		return
+	next := protocol.Membership{Voters: without(members.Voters, m.From.Name), Learners: members.Learners}
+	if len(next.Voters) == 0 {
+		return // the lost voter was the only one: nobody could commit the change
 	}
-	learners, _ := without(members.Learners, m.From.Name)
-	_ = r.ChangeMembership(protocol.Membership{Voters: members.Voters, Learners: append(learners, m.From)})
-}
-
-// admits reports whether a replica of that name may take part.
-func (r *Replica) admits(name string) bool {
-	if r.cfg.Admit != nil {
-		return r.cfg.Admit(name)
+	if len(next.Voters) == len(members.Voters) {
+		next.Learners = append(without(members.Learners, m.From.Name), m.From)
 	}
-	m := r.log.members()
-	for _, p := range append(slices.Clone(m.Voters), m.Learners...) {
-		if p.Name == name {
-			return true
-		}
-	}
-	return false
+	// Refused at a follower and while another change or a handover is under way;
+	// the replica repeats its request.
+	_ = r.ChangeMembership(next)
 }
 
-// promoteLearner makes a voter of a learner that holds everything committed
-// and answered recently.
-func (r *Replica) promoteLearner() {
-	if r.changePending() || !r.transferTo.IsZero() {
-		return
-	}
-	m := r.log.members()
-	if r.cfg.Voters > 0 && r.dropSilentVoter(m) {
-		return
-	}
-	if r.cfg.Voters > 0 && len(m.Voters) >= r.cfg.Voters && r.silentVoter(m).IsZero() {
-		return
-	}
-	for _, p := range m.Learners {
-		pr := r.peers[p]
-		if pr == nil || pr.outgoing != nil || pr.match < r.commit || r.now-pr.acked > r.cfg.Election {
-			continue
-		}
-		learners, _ := without(m.Learners, p.Name)
-		voters := append(slices.Clone(m.Voters), p)
-		_ = r.ChangeMembership(protocol.Membership{Voters: voters, Learners: learners})
-		return
+// tickMembership makes the change of membership that is due, if there is one.
+func (r *Replica) tickMembership() {
+	if next, due := r.dueChange(r.log.members()); due {
+		// Refused while another change or a handover is under way; then the next
+		// tick tries again.
+		_ = r.ChangeMembership(next)
 	}
 }
 
-// silentVoter returns a voter that has not answered for Config.Silence, or
-// nobody.
-func (r *Replica) silentVoter(m protocol.Membership) protocol.Peer {
-	for _, p := range m.Voters {
-		pr := r.peers[p]
-		if p != r.cfg.Self && pr != nil && r.now-pr.acked > r.cfg.Silence {
-			return p
+// dueChange returns the membership that follows m and whether it differs. In
+// this order: an open group removes a silent voter that has been replaced; a
+// learner that holds everything becomes a voter if one is missing or silent; an
+// open group removes a silent learner, which nobody else would.
+//
+// The replacement is promoted first and the silent voter removed after, so the
+// group never gets smaller: two quorums of a smaller group could be two disks.
+func (r *Replica) dueChange(m protocol.Membership) (protocol.Membership, bool) {
+	open := r.cfg.Voters > 0
+	silence := voterSilences * r.cfg.Election
+	silent := r.firstSilent(m.Voters, silence)
+	if open && len(m.Voters) > r.cfg.Voters && !silent.IsZero() {
+		return protocol.Membership{Voters: without(m.Voters, silent.Name), Learners: m.Learners}, true
+	}
+	if !open || len(m.Voters) < r.cfg.Voters || !silent.IsZero() {
+		if i := slices.IndexFunc(m.Learners, r.promotable); i >= 0 {
+			p := m.Learners[i]
+			return protocol.Membership{
+				Voters: append(slices.Clone(m.Voters), p), Learners: without(m.Learners, p.Name),
+			}, true
 		}
 	}
-	return protocol.Peer{}
+	if p := r.firstSilent(m.Learners, learnerSilences*silence); open && !p.IsZero() {
+		return protocol.Membership{Voters: m.Voters, Learners: without(m.Learners, p.Name)}, true
+	}
+	return m, false
 }
 
-// dropSilentVoter removes a voter that a replacement has made superfluous,
-// and reports whether it did. The replacement is promoted first and the
-// silent voter removed after, so the group never gets smaller: two quorums of
-// a smaller group could be two disks.
-func (r *Replica) dropSilentVoter(m protocol.Membership) bool {
-	silent := r.silentVoter(m)
-	if len(m.Voters) <= r.cfg.Voters || silent.IsZero() {
-		return false
-	}
-	voters, _ := without(m.Voters, silent.Name)
-	return r.ChangeMembership(protocol.Membership{Voters: voters, Learners: m.Learners}) == nil
+// promotable reports whether a learner holds everything committed and answered
+// recently.
+func (r *Replica) promotable(p protocol.Peer) bool {
+	pr := r.peers[p]
+	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.acked <= r.cfg.Election
 }
 
-// dropSilentLearner removes a learner that has not answered for many times
-// Config.Silence: in an open group nobody else would.
-func (r *Replica) dropSilentLearner() {
-	if r.cfg.Voters == 0 || r.changePending() || !r.transferTo.IsZero() {
-		return
-	}
-	m := r.log.members()
-	for _, p := range m.Learners {
-		if pr := r.peers[p]; pr != nil && r.now-pr.acked > learnerSilences*r.cfg.Silence {
-			learners, _ := without(m.Learners, p.Name)
-			_ = r.ChangeMembership(protocol.Membership{Voters: m.Voters, Learners: learners})
-			return
+// firstSilent returns the first of the peers that has not answered for longer
+// than limit, or nobody.
+func (r *Replica) firstSilent(peers []protocol.Peer, limit time.Duration) protocol.Peer {
+	for _, p := range peers {
+		if p != r.cfg.Self && r.now-r.peers[p].acked > limit {
+			return p
 		}
 	}
+	return protocol.Peer{}
 }
 
-// learnerSilences is how many times Config.Silence a learner may be silent.
-const learnerSilences = 5
-
 // stepDownIfRemoved ends the leadership of a replica that is no voter once
 // the change is committed.
 func (r *Replica) stepDownIfRemoved() {
@@ -197,8 +170,7 @@
 	}
 }
 
-// without returns the peers that do not have that name, and whether any had.
-func without(peers []protocol.Peer, name string) ([]protocol.Peer, bool) {
-	rest := slices.DeleteFunc(slices.Clone(peers), func(p protocol.Peer) bool { return p.Name == name })
-	return rest, len(rest) != len(peers)
+// without returns the peers that do not have that name.
+func without(peers []protocol.Peer, name string) []protocol.Peer {
+	return slices.DeleteFunc(slices.Clone(peers), func(p protocol.Peer) bool { return p.Name == name })
 }
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -24,13 +24,12 @@
 	// Rand returns a value in [0, n). It spreads elections.
 	Rand func(n int64) int64
 	// Admit reports whether a replica of that name belongs to the group by
-	// the settings. Nil admits names that are members already.
+	// the settings.
 	Admit func(name string) bool
 	// Voters is the number of voters of an open group: more replicas than
-	// that stay learners until a voter has been silent for Silence, and then
-	// take its place. 0 promotes every learner and replaces nobody.
-	Voters  int
-	Silence time.Duration
+	// that stay learners until a voter is silent, and then take its place. 0
+	// promotes every learner and replaces nobody.
+	Voters int
 	// MaxAppend bounds the bytes of entries in one message.
 	MaxAppend int
 	// MaxPiece bounds the bytes of one piece of a snapshot.
@@ -39,9 +38,6 @@
 	MaxInflight int
 }
 
-// defaultSilences is Config.Silence in election timeouts unless set.
-const defaultSilences = 4
-
 // withDefaults fills what was left zero.
 func (c Config) withDefaults() Config {
 	if c.MaxAppend == 0 {
@@ -53,9 +49,6 @@
 	if c.MaxInflight == 0 {
 		c.MaxInflight = 32
 	}
-	if c.Silence == 0 {
-		c.Silence = defaultSilences * c.Election
-	}
 	return c
 }
 
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -68,8 +68,7 @@
 			r.beat(p, r.peers[p])
 		}
 	}
-	r.promoteLearner()
-	r.dropSilentLearner()
+	r.tickMembership()
 }
 
 // others returns the replicas to send to, in an order that does not depend on
