--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -3,6 +3,7 @@
 package consensus
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -82,7 +83,7 @@
 	c.settle(time.Second)
 	members := c.members[c.leader()].r.log.members()
 	is.Equal(len(members.Voters), 3)
-	is.True(contains(members.Voters, c.members[lost].self()))
+	is.True(slices.Contains(members.Voters, c.members[lost].self()))
 	// A second node, lost right after the repair, loses nothing accepted.
 	second := others(c, lost)[0]
 	c.kill(second)
@@ -304,7 +305,7 @@
 			continue
 		}
 		present++
-		if !m.running || c.cut[n] || !contains(voters, m.self()) {
+		if !m.running || c.cut[n] || !slices.Contains(voters, m.self()) {
 			return false
 		}
 	}
--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -96,7 +96,7 @@
 
 // ask queries every other replica by name: its incarnation is not known yet.
 func (f *Formation) ask() {
-	for _, name := range append(slices.Clone(f.names), f.hints...) {
+	for _, name := range slices.Concat(f.names, f.hints) {
 		if name != f.self.Name {
 			f.send(protocol.Consensus{Kind: protocol.MsgBlankQuery, To: protocol.Peer{Name: name}})
 		}
@@ -136,7 +136,7 @@
 	case protocol.MsgFound:
 		whole := !f.joins && m.Snapshot != nil && m.To == f.self &&
 			(f.promised.IsZero() || m.From == f.promised) &&
-			contains(m.Snapshot.Members.Voters, f.self)
+			slices.Contains(m.Snapshot.Members.Voters, f.self)
 		if whole {
 			return *m.Snapshot, true
 		}
@@ -167,7 +167,7 @@
 	r.now = max(r.now, now)
 	members := protocol.Snapshot{Members: r.log.members()}
 	r.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
-	if s := r.log.snapshot; s.Index == 1 && contains(s.Members.Voters, m.From) {
+	if s := r.log.snapshot; s.Index == 1 && slices.Contains(s.Members.Voters, m.From) {
 		// The foundation was lost on its way. This very incarnation was
 		// named in it and has never answered anything, so it may have it.
 		r.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
--- a/coordination/consensus/memlog.go
+++ b/coordination/consensus/memlog.go
@@ -133,8 +133,7 @@
 	next := protocol.Snapshot{
 		Group: l.snapshot.Group, Index: index, Term: term, Members: l.membersAt(index), Data: data,
 	}
-	rest := append([]protocol.Entry(nil), l.from(index+1, 0)...)
-	*l = newMemLog(next, rest)
+	*l = newMemLog(next, l.from(index+1, 0))
 }
 
 func encodeMembership(m protocol.Membership) []byte {
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -3,6 +3,8 @@
 package consensus
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
@@ -11,10 +13,6 @@
 // This file defines Replica, its inputs and its output. What the inputs cause is
 // in the files beside it.
 
-// DriftMargin is the part of the election timeout by which a lease is
-// shortened: clocks of two nodes may differ in speed by that much.
-const DriftMargin = 0.1
-
 // Config sets up one replica of one group.
 type Config struct {
 	Name      string        // of the group
@@ -30,25 +28,25 @@
 	// that stay learners until a voter is silent, and then take its place. 0
 	// promotes every learner and replaces nobody.
 	Voters int
-	// MaxAppend bounds the bytes of entries in one message.
-	MaxAppend int
-	// MaxPiece bounds the bytes of one piece of a snapshot.
-	MaxPiece int
-	// MaxInflight bounds unanswered appends to one follower.
-	MaxInflight int
+	// Bounds on what is sent to one follower; 0 is the default.
+	MaxAppend   int // bytes of entries in one message, but at least one entry
+	MaxPiece    int // bytes of one piece of a snapshot
+	MaxInflight int // unanswered appends
 }
 
-// withDefaults fills what was left zero.
+// Defaults of Config, chosen, not measured. With 64 KiB a piece, a lost disk's
+// snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md).
+const (
+	defaultMaxAppend   = 256 << 10
+	defaultMaxPiece    = 64 << 10
+	defaultMaxInflight = 32
+)
+
+// withDefaults replaces what is zero.
 func (c Config) withDefaults() Config {
-	if c.MaxAppend == 0 {
-		c.MaxAppend = 256 << 10
-	}
-	if c.MaxPiece == 0 {
-		c.MaxPiece = 64 << 10
-	}
-	if c.MaxInflight == 0 {
-		c.MaxInflight = 32
-	}
+	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
+	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxPiece)
+	c.MaxInflight = cmp.Or(c.MaxInflight, defaultMaxInflight)
 	return c
 }
 
@@ -347,15 +345,6 @@
 	}
 }
 
-func (r *Replica) isVoter(p protocol.Peer) bool { return contains(r.log.members().Voters, p) }
+func (r *Replica) isVoter(p protocol.Peer) bool { return slices.Contains(r.log.members().Voters, p) }
 
 func (r *Replica) quorum() int { return len(r.log.members().Voters)/2 + 1 }
-
-func contains(peers []protocol.Peer, p protocol.Peer) bool {
-	for _, q := range peers {
-		if q == p {
-			return true
-		}
-	}
-	return false
-}
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -3,6 +3,8 @@
 package consensus
 
 import (
+	"cmp"
+	"maps"
 	"slices"
 	"time"
 
@@ -37,17 +39,13 @@
 // syncPeers makes the progress table hold exactly the members.
 func (r *Replica) syncPeers() {
 	m := r.log.members()
-	all := append(slices.Clone(m.Voters), m.Learners...)
+	all := slices.Concat(m.Voters, m.Learners)
 	for _, p := range all {
 		if r.peers[p] == nil {
 			r.peers[p] = &progress{next: r.log.last() + 1, probing: true, acked: r.now}
 		}
 	}
-	for p := range r.peers {
-		if !contains(all, p) {
-			delete(r.peers, p)
-		}
-	}
+	maps.DeleteFunc(r.peers, func(p protocol.Peer, _ *progress) bool { return !slices.Contains(all, p) })
 	if self := r.peers[r.cfg.Self]; self != nil {
 		self.match = r.unwritten - 1
 	}
@@ -75,7 +73,7 @@
 // the map.
 func (r *Replica) others() []protocol.Peer {
 	m := r.log.members()
-	all := append(slices.Clone(m.Voters), m.Learners...)
+	all := slices.Concat(m.Voters, m.Learners)
 	return slices.DeleteFunc(all, func(p protocol.Peer) bool { return p == r.cfg.Self })
 }
 
@@ -253,46 +251,47 @@
 // advanceCommit commits what a majority of the voters holds on disk. Only
 // entries of the leader's own term are counted (Raft, section 3.6.2).
 func (r *Replica) advanceCommit() {
-	voters := r.log.members().Voters
-	if len(voters) == 0 {
-		return
-	}
-	matches := make([]uint64, 0, len(voters))
-	for _, p := range voters {
-		matches = append(matches, r.peers[p].match)
-	}
-	slices.Sort(matches)
-	index := matches[len(matches)-r.quorum()]
+	index := reachedByQuorum(r, func(p protocol.Peer) uint64 { return r.peers[p].match })
 	if t, ok := r.log.term(index); ok && t == r.hard.Term && index > r.commit {
 		r.commitTo(index)
-		r.nextBeat = r.now // tell the followers with the next tick
+		r.nextBeat = r.now // the followers learn of it with the next tick
 		r.stepDownIfRemoved()
 	}
 }
 
+// reachedByQuorum returns the highest value that a majority of the voters has
+// reached, zero in a group without voters.
+func reachedByQuorum[T cmp.Ordered](r *Replica, valueOf func(protocol.Peer) T) T {
+	var values []T
+	for _, p := range r.log.members().Voters {
+		values = append(values, valueOf(p))
+	}
+	if len(values) == 0 {
+		var zero T
+		return zero
+	}
+	slices.Sort(values)
+	return values[len(values)-r.quorum()]
+}
+
 func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.last())) }
 
 // lastQuorumContact returns the newest time at which a majority, this leader
 // included, is known to have followed it.
 func (r *Replica) lastQuorumContact() time.Duration {
-	voters := r.log.members().Voters
-	times := make([]time.Duration, 0, len(voters))
-	for _, p := range voters {
+	return reachedByQuorum(r, func(p protocol.Peer) time.Duration {
 		if p == r.cfg.Self {
-			times = append(times, r.now)
-			continue
-		}
-		if pr := r.peers[p]; pr != nil {
-			times = append(times, pr.acked)
+			return r.now
 		}
-	}
-	if len(times) < r.quorum() {
-		return 0
-	}
-	slices.Sort(times)
-	return times[len(times)-r.quorum()]
+		return r.peers[p].acked
+	})
 }
 
+// DriftMargin is the part of the election timeout by which a lease is
+// shortened: clocks of two boxes may differ in speed by that much. Chosen, not
+// measured.
+const DriftMargin = 0.1
+
 // leaseEnd returns when this leader must stop believing that it leads. Until
 // then no other replica can have won an election: a majority has promised not
 // to vote for an election timeout after hearing from this leader.
