--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -265,7 +265,6 @@
 
 // Status is what a replica knows about its group.
 type Status struct {
-	Self     protocol.Peer
 	Group    uint64
 	Role     Role
 	Term     uint64
@@ -281,7 +280,7 @@
 // Status returns the current state.
 func (r *Replica) Status() Status {
 	return Status{
-		Self: r.cfg.Self, Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
+		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
 		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(),
 	}
@@ -293,15 +292,6 @@
 	return r.role == Leader && now < r.leaseEnd() && r.applied >= r.termStart
 }
 
-// FollowsLeader reports whether this replica has heard from a leader of its
-// term within the election timeout, or is one.
-func (r *Replica) FollowsLeader(now time.Duration) bool {
-	if r.role == Leader {
-		return now < r.leaseEnd()
-	}
-	return !r.leader.IsZero() && now-r.leaderSeen < r.cfg.Election
-}
-
 // addressed reports whether the message is for this replica of this group.
 func (r *Replica) addressed(m protocol.Consensus) bool {
 	own := r.log.snapshot.Group
