--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -301,10 +301,7 @@
 	if !m.running || m.r == nil || m.r.applied <= m.r.log.snapshot.Index {
 		return
 	}
-	s, err := m.r.Compact(m.r.applied, m.image())
-	if err != nil {
-		c.t.Fatalf("compact %s: %v", name, err)
-	}
+	s := m.r.Compact(m.image())
 	hard, entries := m.r.Tail()
 	m.disk.d = Durable{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
 }
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -28,14 +28,6 @@
 // Error names the successor.
 func (e Handover) Error() string { return "leadership is being handed to " + e.To.Name }
 
-// OutOfRange refuses a compaction outside of what is applied.
-type OutOfRange struct{ Index, First, Last uint64 }
-
-// Error names the range.
-func (e OutOfRange) Error() string {
-	return fmt.Sprintf("index %d is not between %d and %d", e.Index, e.First, e.Last)
-}
-
 // ChangePending refuses a membership change while another is not committed.
 type ChangePending struct{ Index uint64 }
 
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -247,15 +247,12 @@
 	r.advanceCommit()
 }
 
-// Compact replaces the log up to index by a snapshot of the state machine at
-// that index and returns the snapshot to write. The caller writes it with
+// Compact replaces the log up to what is applied by a snapshot and returns it.
+// data is the state machine's image; the caller writes the snapshot with
 // [Replica.Tail].
-func (r *Replica) Compact(index uint64, data []byte) (protocol.Snapshot, error) {
-	if index > r.applied || index < r.log.snapshot.Index {
-		return protocol.Snapshot{}, OutOfRange{Index: index, First: r.log.snapshot.Index, Last: r.applied}
-	}
-	r.log.compact(index, data)
-	return r.log.snapshot, nil
+func (r *Replica) Compact(data []byte) protocol.Snapshot {
+	r.log.compact(r.applied, data)
+	return r.log.snapshot
 }
 
 // Tail returns the entries behind the snapshot, for rewriting the disk.
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -233,8 +233,7 @@
 	if ready.Snapshot == nil {
 		return l.journal.Save(ready.Hard, ready.Entries)
 	}
-	hard, entries := l.node.Tail()
-	return l.journal.Rotate(*ready.Snapshot, hard, entries)
+	return l.rotate(*ready.Snapshot)
 }
 
 func (l *loop) send(messages []protocol.Consensus) {
@@ -289,12 +288,13 @@
 	if err != nil {
 		return err
 	}
-	snapshot, err := l.node.Compact(s.Applied, image)
-	if err != nil {
-		return err
-	}
+	return l.rotate(l.node.Compact(image))
+}
+
+// rotate makes a snapshot and what is behind it durable, in place of all before.
+func (l *loop) rotate(s protocol.Snapshot) error {
 	hard, entries := l.node.Tail()
-	return l.journal.Rotate(snapshot, hard, entries)
+	return l.journal.Rotate(s, hard, entries)
 }
 
 func (l *loop) failBelow(index uint64) {
