--- a/replica/loop.go
+++ b/replica/loop.go
@@ -21,7 +21,7 @@
 	journal   *journal.Journal
 	self      protocol.Peer
 	formation *consensus.Formation // nil once there is a log
-	node      *consensus.Replica   // nil until then
+	member    *consensus.Replica   // nil until then
 	waiting   map[uint64]waiter    // proposals by index
 	leads     bool
 }
@@ -32,7 +32,16 @@
 	answer chan outcome
 }
 
-const maxBatch = 512
+const (
+	// maxBatch is how many inputs share one sync. Chosen, not measured;
+	// TestProposalsShareSyncs shows the sharing.
+	maxBatch = 512
+	// ticksPerHeartbeat is how often in a heartbeat the time is looked at when
+	// there is no input. Chosen, not measured.
+	ticksPerHeartbeat = 3
+	// shortestTick bounds the timer's work for very short heartbeats.
+	shortestTick = time.Millisecond
+)
 
 func (l *loop) init(r *Replica, j *journal.Journal, c journal.Contents) error {
 	l.r, l.journal = r, j
@@ -61,23 +70,25 @@
 
 // begin makes a member of a replica that has a log.
 func (l *loop) begin(now time.Duration, d consensus.Durable) {
-	set := l.r.cfg
+	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
-		Name: set.Group, Self: l.self, Election: set.Election, Heartbeat: set.Heartbeat,
-		Rand:  func(n int64) int64 { return int64(set.Random() % uint64(n)) },
-		Admit: func(name string) bool { return set.Open != nil || slices.Contains(set.Names, name) },
+		Name: settings.Group, Self: l.self, Election: settings.Election, Heartbeat: settings.Heartbeat,
+		Rand: func(n int64) int64 { return int64(settings.Random() % uint64(n)) },
+		Admit: func(name string) bool {
+			return settings.Open != nil || slices.Contains(settings.Names, name)
+		},
 	}
-	if set.Open != nil {
-		cfg.Voters = set.Open.Voters
+	if settings.Open != nil {
+		cfg.Voters = settings.Open.Voters
 	}
-	l.node = consensus.New(cfg, now, d)
+	l.member = consensus.New(cfg, now, d)
 }
 
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.stopped)
-	defer r.loop.journal.Close()
-	tick := time.NewTicker(max(r.cfg.Heartbeat/3, time.Millisecond))
+	defer r.loop.journal.Close() // what it could still fail at was never acknowledged
+	tick := time.NewTicker(max(r.cfg.Heartbeat/ticksPerHeartbeat, shortestTick))
 	defer tick.Stop()
 	for {
 		var first input
@@ -120,24 +131,24 @@
 			return err
 		}
 	}
-	if l.node == nil {
+	if l.member == nil {
 		return l.tickFormation(now)
 	}
-	l.node.Tick(now)
-	if l.node.RepairStopped() {
+	l.member.Tick(now)
+	if l.member.RepairStopped() {
 		l.r.cfg.Log.Info("repair stopped, looking for the group again", "group", l.r.cfg.Group)
-		l.node, l.formation = nil, l.newFormation().JoinOnly()
+		l.member, l.formation = nil, l.newFormation().JoinOnly()
 		return nil
 	}
 	for {
-		ready := l.node.Ready()
+		ready := l.member.Ready()
 		if ready.Empty() {
 			break
 		}
 		if err := l.carryOut(ready); err != nil {
 			return err
 		}
-		l.node.Advance()
+		l.member.Advance()
 	}
 	l.observe(now)
 	return l.compact()
@@ -149,25 +160,23 @@
 		return l.deliver(now, *i.message)
 	case i.proposal != nil:
 		l.propose(*i.proposal)
-	case i.transfer != nil:
-		i.transfer <- l.node != nil && l.node.Transfer("")
 	case i.inspect != nil:
-		i.inspect(now, l.node)
+		i.inspect(now, l.member)
 	}
 	return nil
 }
 
 func (l *loop) deliver(now time.Duration, m protocol.Consensus) error {
-	if l.node != nil {
-		if !l.node.AnswerBlankQuery(now, m) {
-			l.node.Step(now, m)
+	if l.member != nil {
+		if !l.member.AnswerBlankQuery(now, m) {
+			l.member.Step(now, m)
 		}
 		return nil
 	}
 	if m.To == l.self && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
 		// A leader repairs this replica: go on as a member without a log.
 		l.begin(now, consensus.Durable{})
-		l.node.Step(now, m)
+		l.member.Step(now, m)
 		return nil
 	}
 	if s, ok := l.formation.Step(m); ok {
@@ -199,11 +208,11 @@
 }
 
 func (l *loop) propose(p proposal) {
-	if l.node == nil {
+	if l.member == nil {
 		p.answer <- outcome{err: consensus.NotLeader{}}
 		return
 	}
-	index, term, err := l.node.Propose(p.data)
+	index, term, err := l.member.Propose(p.data)
 	if err != nil {
 		p.answer <- outcome{err: err}
 		return
@@ -253,7 +262,7 @@
 	}
 	delete(l.waiting, e.Index)
 	if w.term != e.Term {
-		w.answer <- outcome{err: consensus.NotLeader{Leader: l.node.Status().Leader}}
+		w.answer <- outcome{err: consensus.NotLeader{Leader: l.member.Status().Leader}}
 		return
 	}
 	w.answer <- outcome{result: result}
@@ -262,11 +271,11 @@
 // observe tells the owner how the group stands and fails proposals that this
 // replica can no longer decide.
 func (l *loop) observe(now time.Duration) {
-	s := l.node.Status()
+	s := l.member.Status()
 	if s.Role != consensus.Leader && len(l.waiting) > 0 {
 		l.failAll(Undecided{})
 	}
-	leads := l.node.Leads(now)
+	leads := l.member.Leads(now)
 	if leads != l.leads {
 		l.leads = leads
 		l.r.cfg.Log.Info("lead changed", "group", l.r.cfg.Group, "leads", leads, "term", s.Term)
@@ -280,7 +289,7 @@
 	if l.r.cfg.CompactAt <= 0 || l.journal.Size() < l.r.cfg.CompactAt {
 		return nil
 	}
-	s := l.node.Status()
+	s := l.member.Status()
 	if s.Applied <= s.First {
 		return nil
 	}
@@ -288,12 +297,12 @@
 	if err != nil {
 		return err
 	}
-	return l.rotate(l.node.Compact(image))
+	return l.rotate(l.member.Compact(image))
 }
 
 // rotate makes a snapshot and what is behind it durable, in place of all before.
 func (l *loop) rotate(s protocol.Snapshot) error {
-	hard, entries := l.node.Tail()
+	hard, entries := l.member.Tail()
 	return l.journal.Rotate(s, hard, entries)
 }
 
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -83,13 +83,21 @@
 	CompactAt int64
 }
 
-// WithDefaults replaces what is zero. The figures are chosen, not measured; 4 MiB are
-// about 16,000 changes of a configuration (docs/CAPACITY.md).
+// Defaults of Tuning. All three are chosen, not measured.
+const (
+	defaultElection  = 600 * time.Millisecond
+	defaultHeartbeat = 120 * time.Millisecond
+	// defaultCompactAt is in bytes: about 16,000 changes of a configuration
+	// (estimated in docs/CAPACITY.md).
+	defaultCompactAt = 4 << 20
+)
+
+// WithDefaults replaces what is zero.
 func (t Tuning) WithDefaults() Tuning {
 	return Tuning{
-		Election:  cmp.Or(t.Election, 600*time.Millisecond),
-		Heartbeat: cmp.Or(t.Heartbeat, 120*time.Millisecond),
-		CompactAt: cmp.Or(t.CompactAt, 4<<20),
+		Election:  cmp.Or(t.Election, defaultElection),
+		Heartbeat: cmp.Or(t.Heartbeat, defaultHeartbeat),
+		CompactAt: cmp.Or(t.CompactAt, defaultCompactAt),
 	}
 }
 
@@ -107,8 +115,7 @@
 type input struct {
 	message  *protocol.Consensus
 	proposal *proposal
-	transfer chan bool
-	inspect  func(now time.Duration, n *consensus.Replica)
+	inspect  func(now time.Duration, member *consensus.Replica)
 }
 
 type proposal struct {
@@ -121,7 +128,14 @@
 	err    error
 }
 
-const inputDepth = 4096
+const (
+	// inputDepth is how many inputs may wait for the loop; messages beyond it are
+	// dropped, callers wait. Chosen, not measured.
+	inputDepth = 4096
+	// transferPolls is how many times in a heartbeat Transfer looks whether the
+	// leadership is handed over. Chosen, not measured.
+	transferPolls = 4
+)
 
 // Start opens the journal and runs the replica until ctx ends or the disk
 // fails.
@@ -164,58 +178,41 @@
 	if err := r.put(ctx, input{proposal: p}); err != nil {
 		return nil, err
 	}
-	select {
-	case o := <-p.answer:
-		return o.result, o.err
-	case <-ctx.Done():
-		return nil, Undecided{Err: ctx.Err()}
-	case <-r.stopped:
-		return nil, Undecided{Err: Stopped{Err: r.err}}
+	o, err := await(ctx, r, p.answer)
+	if err != nil {
+		return nil, Undecided{Err: err}
 	}
+	return o.result, o.err
 }
 
 // Inspect runs f in the replica's goroutine, between two batches, unless the
-// replica has no log yet.
-func (r *Replica) Inspect(ctx context.Context, f func(now time.Duration, n *consensus.Replica)) error {
+// replica has no log yet. The error is [Stopped] or the context's.
+func (r *Replica) Inspect(ctx context.Context, f func(now time.Duration, member *consensus.Replica)) error {
 	done := make(chan struct{})
-	wrapped := func(now time.Duration, n *consensus.Replica) {
+	wrapped := func(now time.Duration, member *consensus.Replica) {
 		defer close(done)
-		if n != nil {
-			f(now, n)
+		if member != nil {
+			f(now, member)
 		}
 	}
 	if err := r.put(ctx, input{inspect: wrapped}); err != nil {
 		return err
 	}
-	select {
-	case <-done:
-		return nil
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-r.stopped:
-		return Stopped{Err: r.err}
-	}
+	_, err := await(ctx, r, done)
+	return err
 }
 
 // Transfer hands leadership to another replica, if this one leads, and waits
-// until it does not lead any more or ctx ends.
+// until it does not lead any more or ctx ends. The error is [Stopped] or the
+// context's.
 func (r *Replica) Transfer(ctx context.Context) error {
 	for {
-		started := make(chan bool, 1)
-		if err := r.put(ctx, input{transfer: started}); err != nil {
+		leads := false
+		err := r.Inspect(ctx, func(_ time.Duration, member *consensus.Replica) { leads = member.Transfer("") })
+		if err != nil || !leads {
 			return err
 		}
-		select {
-		case leading := <-started:
-			if !leading {
-				return nil
-			}
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-r.stopped:
-			return Stopped{Err: r.err}
-		}
-		if !sleep.For(ctx, r.cfg.Heartbeat/4) {
+		if !sleep.For(ctx, r.cfg.Heartbeat/transferPolls) {
 			return ctx.Err()
 		}
 	}
@@ -237,3 +234,17 @@
 		return Stopped{Err: r.err}
 	}
 }
+
+// await returns what comes from the loop, unless ctx ends or the replica stops
+// before.
+func await[T any](ctx context.Context, r *Replica, answer <-chan T) (T, error) {
+	var none T
+	select {
+	case v := <-answer:
+		return v, nil
+	case <-ctx.Done():
+		return none, ctx.Err()
+	case <-r.stopped:
+		return none, Stopped{Err: r.err}
+	}
+}
