--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -9,6 +9,8 @@
 	"log/slog"
 	"math/rand/v2"
 	"runtime"
+	"strings"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -123,15 +125,40 @@
 	})
 }
 
+// countedDir counts the syncs of appends: those of files under their final names.
+type countedDir struct {
+	wal.Dir
+	syncs atomic.Int64
+}
+
+func (d *countedDir) OpenAppend(name string, size int64) (wal.File, error) {
+	f, err := d.Dir.OpenAppend(name, size)
+	if err != nil || strings.HasSuffix(name, ".tmp") {
+		return f, err
+	}
+	return countedFile{f, &d.syncs}, nil
+}
+
+type countedFile struct {
+	wal.File
+	syncs *atomic.Int64
+}
+
+func (f countedFile) Sync() error {
+	f.syncs.Add(1)
+	return f.File.Sync()
+}
+
 // BenchmarkPropose gives commits a second and syncs per commit on the
 // machine's disk, by the number of proposers.
 func BenchmarkPropose(b *testing.B) {
 	for _, each := range []int{1, 4, 32} {
 		b.Run(fmt.Sprintf("proposers=%d", each*runtime.GOMAXPROCS(0)), func(b *testing.B) {
-			dir, err := wal.MakeDir(b.TempDir())
+			folder, err := wal.MakeDir(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
+			dir := &countedDir{Dir: folder}
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			r, err := Start(ctx, settingsOf(dir, &counter{}))
@@ -139,7 +166,7 @@
 				b.Fatal(err)
 			}
 			mustPropose(b, r)
-			before := r.loop.journal.Syncs()
+			before := dir.syncs.Load()
 			b.SetParallelism(each)
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
@@ -154,7 +181,7 @@
 			stop()
 			<-r.Done()
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
-			b.ReportMetric(float64(r.loop.journal.Syncs()-before)/float64(b.N), "syncs/commit")
+			b.ReportMetric(float64(dir.syncs.Load()-before)/float64(b.N), "syncs/commit")
 		})
 	}
 }
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -11,12 +11,18 @@
 // This file defines the frame, the unit that reaches the disk whole or not at
 // all, and how a damaged frame is told from a torn one.
 
+// The format of a frame, as it is on disk: a header of four little-endian
+// uint32 (magic, payload length, CRC-32C of the payload, CRC-32C of the header
+// before it), then the payload, which is records, each behind its length.
 const (
 	frameMagic  = 0x62737031 // "bsp1"
-	headerSize  = 16         // magic, payload length, payload checksum, header checksum
-	sectorSize  = 512        // the smallest unit that a disk writes at once
-	maxFrame    = 1 << 30
-	lengthBytes = 4
+	headerSize  = 16         // bytes
+	lengthBytes = 4          // bytes of a record's length, a little-endian uint32
+	// sectorSize, in bytes, is the smallest unit that a disk writes at once.
+	sectorSize = 512
+	// maxFrame is the largest payload, in bytes, that is taken for one when a log
+	// is read. Chosen, not measured.
+	maxFrame = 1 << 30
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/state/wal/log.go
+++ b/state/wal/log.go
@@ -19,7 +19,6 @@
 	file       File
 	generation uint64
 	size       int64
-	syncs      uint64
 	broken     error
 }
 
@@ -48,7 +47,7 @@
 	if err := l.readLog(&rec); err != nil {
 		return nil, rec, err
 	}
-	l.removeOthers(names)
+	l.removeOthers(names...)
 	if l.file, err = dir.OpenAppend(logName(gen), l.size); err != nil {
 		return nil, rec, errors.Wrap(err, "wal: open log")
 	}
@@ -71,7 +70,6 @@
 	if err := l.file.Sync(); err != nil {
 		return l.fail("sync", err)
 	}
-	l.syncs++
 	l.size += int64(len(frame))
 	return nil
 }
@@ -97,16 +95,13 @@
 	l.file.Close()
 	old := l.generation
 	l.file, l.generation, l.size = file, next, int64(len(frame))
-	l.removeGeneration(old)
+	l.removeOthers(logName(old), snapshotName(old))
 	return nil
 }
 
 // Size returns the bytes of the current log file.
 func (l *Log) Size() int64 { return l.size }
 
-// Syncs returns the number of syncs that Append has made.
-func (l *Log) Syncs() uint64 { return l.syncs }
-
 // Close closes the file. What was appended is durable already.
 func (l *Log) Close() error {
 	if l.broken == nil {
@@ -196,24 +191,22 @@
 	return records[0], nil
 }
 
-// removeOthers deletes temporary files and other generations. A failure is
-// harmless: the next opening tries again.
-func (l *Log) removeOthers(names []string) {
+// removeOthers deletes those of the files that are temporary or of another
+// generation.
+func (l *Log) removeOthers(names ...string) {
 	for _, name := range names {
 		if name != logName(l.generation) && name != snapshotName(l.generation) && ownName(name) {
+			// Harmless: nothing reads them, and the next opening tries again.
 			_ = l.dir.Remove(name)
 		}
 	}
 }
 
-func (l *Log) removeGeneration(gen uint64) {
-	_ = l.dir.Remove(logName(gen))
-	if gen > 0 {
-		_ = l.dir.Remove(snapshotName(gen))
-	}
-}
-
-const tmpSuffix = ".tmp"
+// Parts of the names of files.
+const (
+	tmpSuffix        = ".tmp"
+	generationDigits = 16 // hexadecimal digits of the generation, as in logName
+)
 
 func logName(gen uint64) string      { return fmt.Sprintf("%016x.log", gen) }
 func snapshotName(gen uint64) string { return fmt.Sprintf("%016x.snapshot", gen) }
@@ -223,7 +216,7 @@
 	var newest uint64
 	for _, name := range names {
 		var gen uint64
-		if n, err := fmt.Sscanf(name, "%016x.snapshot", &gen); err == nil && n == 1 && name == snapshotName(gen) {
+		if _, err := fmt.Sscanf(name, "%016x.snapshot", &gen); err == nil && name == snapshotName(gen) {
 			newest = max(newest, gen)
 		}
 	}
@@ -233,5 +226,5 @@
 // ownName reports whether the log made a file of that name.
 func ownName(name string) bool {
 	suffixes := []string{".log", ".snapshot", ".log" + tmpSuffix, ".snapshot" + tmpSuffix}
-	return len(name) > 16 && slices.Contains(suffixes, name[16:])
+	return len(name) > generationDigits && slices.Contains(suffixes, name[generationDigits:])
 }
