--- a/state/wal/log.go
+++ b/state/wal/log.go
@@ -52,6 +52,7 @@
 		return nil, rec, errors.Wrap(err, "wal: open log")
 	}
 	if err := l.syncAll(); err != nil {
+		l.file.Close()
 		return nil, rec, err
 	}
 	return l, rec, nil
