--- a/replica/loop.go
+++ b/replica/loop.go
@@ -68,7 +68,8 @@
 	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
 }
 
-// begin makes a member of a replica that has a log.
+// begin goes on as a member, with what the disk holds, or without a log if a
+// leader repairs this replica.
 func (l *loop) begin(now time.Duration, d consensus.Durable) {
 	settings := l.r.cfg
 	l.formation = nil
@@ -185,6 +186,8 @@
 	return nil
 }
 
+// tickFormation sends what a blank replica has to send and founds the group if
+// this replica may.
 func (l *loop) tickFormation(now time.Duration) error {
 	s, ok := l.formation.Tick(now)
 	messages := l.formation.Messages()
@@ -197,7 +200,7 @@
 	return nil
 }
 
-// found makes the group's first snapshot durable.
+// found makes the group's first snapshot durable and begins with it.
 func (l *loop) found(now time.Duration, s protocol.Snapshot) error {
 	if err := l.journal.Rotate(s, protocol.HardState{Term: s.Term}, nil); err != nil {
 		return err
@@ -207,6 +210,7 @@
 	return nil
 }
 
+// propose appends a command; its answer follows when the entry is applied.
 func (l *loop) propose(p proposal) {
 	if l.member == nil {
 		p.answer <- outcome{err: consensus.NotLeader{}}
@@ -285,6 +289,7 @@
 	}
 }
 
+// compact replaces the log by a snapshot once it has grown to Tuning.CompactAt.
 func (l *loop) compact() error {
 	if l.r.cfg.CompactAt <= 0 || l.journal.Size() < l.r.cfg.CompactAt {
 		return nil
