--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -3,6 +3,8 @@
 package consensus
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/protocol"
@@ -11,10 +13,6 @@
 // This file defines Replica, its inputs and its output. What the inputs cause is
 // in the files beside it.
 
-// DriftMargin is the part of the election timeout by which a lease is
-// shortened: clocks of two nodes may differ in speed by that much.
-const DriftMargin = 0.1
-
 // Config sets up one replica of one group.
 type Config struct {
 	Name      string        // of the group
@@ -24,38 +22,31 @@
 	// Rand returns a value in [0, n). It spreads elections.
 	Rand func(n int64) int64
 	// Admit reports whether a replica of that name belongs to the group by
-	// the settings. Nil admits names that are members already.
+	// the settings.
 	Admit func(name string) bool
 	// Voters is the number of voters of an open group: more replicas than
-	// that stay learners until a voter has been silent for Silence, and then
-	// take its place. 0 promotes every learner and replaces nobody.
-	Voters  int
-	Silence time.Duration
-	// MaxAppend bounds the bytes of entries in one message.
-	MaxAppend int
-	// MaxPiece bounds the bytes of one piece of a snapshot.
-	MaxPiece int
-	// MaxInflight bounds unanswered appends to one follower.
-	MaxInflight int
+	// that stay learners until a voter is silent, and then take its place. 0
+	// promotes every learner and replaces nobody.
+	Voters int
+	// Bounds on what is sent to one follower; 0 is the default.
+	MaxAppend   int // bytes of entries in one message, but at least one entry
+	MaxPiece    int // bytes of one piece of a snapshot
+	MaxInflight int // unanswered appends
 }
 
-// defaultSilences is Config.Silence in election timeouts unless set.
-const defaultSilences = 4
+// Defaults of Config, chosen, not measured. With 64 KiB a piece, a lost disk's
+// snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md).
+const (
+	defaultMaxAppend   = 256 << 10
+	defaultMaxPiece    = 64 << 10
+	defaultMaxInflight = 32
+)
 
-// withDefaults fills what was left zero.
+// withDefaults replaces what is zero.
 func (c Config) withDefaults() Config {
-	if c.MaxAppend == 0 {
-		c.MaxAppend = 256 << 10
-	}
-	if c.MaxPiece == 0 {
-		c.MaxPiece = 64 << 10
-	}
-	if c.MaxInflight == 0 {
-		c.MaxInflight = 32
-	}
-	if c.Silence == 0 {
-		c.Silence = defaultSilences * c.Election
-	}
+	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
+	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxPiece)
+	c.MaxInflight = cmp.Or(c.MaxInflight, defaultMaxInflight)
 	return c
 }
 
@@ -89,11 +80,11 @@
 // Role is what a replica is doing.
 type Role uint8
 
-// The roles of a replica.
+// The roles of a replica. They are neither sent nor stored.
 const (
-	Follower Role = iota
-	PreCandidate
-	Candidate
+	Follower     Role = iota
+	PreCandidate      // finds out whether it could win an election
+	Candidate         // has voted for itself and requests votes
 	Leader
 )
 
@@ -102,7 +93,8 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Replica is one replica of one group. It is not safe for concurrent use.
+// Replica is the step function of one replica of one group. The Replica of package replica runs one, in a goroutine
+// with a clock and a disk. It is not safe for concurrent use.
 type Replica struct {
 	cfg  Config
 	now  time.Duration
@@ -110,10 +102,10 @@
 	hard protocol.HardState
 	log  memLog
 
-	leader     protocol.Peer
-	leaderSeen time.Duration // when a leader of this term was last heard
-	deadline   time.Duration // when to campaign
-	votes      map[protocol.Peer]bool
+	leader        protocol.Peer
+	leaderContact time.Duration // time of the newest message of a leader, or of the start
+	deadline      time.Duration // when to campaign
+	votes         map[protocol.Peer]bool
 
 	commit  uint64
 	applied uint64
@@ -123,9 +115,9 @@
 	termStart   uint64 // index of this leader's no-op
 	transferTo  protocol.Peer
 	transferEnd time.Duration
-	leaseLost   bool // leadership was offered to another
+	leaseLost   bool // leadership was offered to another in this term
 
-	host     uint64 // group that repairs this blank replica
+	host     uint64 // group whose leader repairs this blank replica
 	incoming *incomingSnapshot
 	nextJoin time.Duration
 
@@ -137,13 +129,13 @@
 // New returns a replica that starts at time now with what its disk held.
 func New(cfg Config, now time.Duration, d Durable) *Replica {
 	r := &Replica{
-		cfg:        cfg.withDefaults(),
-		now:        now,
-		hard:       d.Hard,
-		log:        newMemLog(d.Snapshot, d.Entries),
-		leaderSeen: now,
-		commit:     d.Snapshot.Index,
-		applied:    d.Snapshot.Index,
+		cfg:           cfg.withDefaults(),
+		now:           now,
+		hard:          d.Hard,
+		log:           newMemLog(d.Snapshot, d.Entries),
+		leaderContact: now,
+		commit:        d.Snapshot.Index,
+		applied:       d.Snapshot.Index,
 	}
 	r.unwritten = r.log.last() + 1
 	if r.log.lastTerm() > r.hard.Term {
@@ -156,7 +148,7 @@
 	return r
 }
 
-// Tick tells the time, which never goes back.
+// Tick advances the time, which never goes back, and does what is due.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
 	if r.role == Leader {
@@ -183,7 +175,7 @@
 }
 
 // Step takes a message from another replica. Messages of another group, to
-// another incarnation, or of nonsense are dropped.
+// another incarnation or of an unknown kind are dropped.
 func (r *Replica) Step(now time.Duration, m protocol.Consensus) {
 	r.now = max(r.now, now)
 	if !r.addressed(m) {
@@ -244,7 +236,7 @@
 	return ready
 }
 
-// Advance tells that everything of the last Ready was written and sent.
+// Advance reports that everything of the last Ready was written and sent.
 func (r *Replica) Advance() {
 	if r.role != Leader {
 		return
@@ -256,15 +248,12 @@
 	r.advanceCommit()
 }
 
-// Compact replaces the log up to index by a snapshot of the state machine at
-// that index and returns the snapshot to write. The caller writes it with
+// Compact replaces the log up to what is applied by a snapshot and returns it.
+// data is the state machine's image; the caller writes the snapshot with
 // [Replica.Tail].
-func (r *Replica) Compact(index uint64, data []byte) (protocol.Snapshot, error) {
-	if index > r.applied || index < r.log.snapshot.Index {
-		return protocol.Snapshot{}, OutOfRange{Index: index, First: r.log.snapshot.Index, Last: r.applied}
-	}
-	r.log.compact(index, data)
-	return r.log.snapshot, nil
+func (r *Replica) Compact(data []byte) protocol.Snapshot {
+	r.log.compact(r.applied, data)
+	return r.log.snapshot
 }
 
 // Tail returns the entries behind the snapshot, for rewriting the disk.
@@ -274,23 +263,22 @@
 
 // Status is what a replica knows about its group.
 type Status struct {
-	Self     protocol.Peer
 	Group    uint64
 	Role     Role
 	Term     uint64
-	Leader   protocol.Peer
+	Leader   protocol.Peer // zero when none is known
 	Commit   uint64
 	Applied  uint64
-	Last     uint64
+	Last     uint64 // index of the newest entry
 	First    uint64 // index of the snapshot
 	Members  protocol.Membership
-	LeaseEnd time.Duration // leader only; 0 without a lease
+	LeaseEnd time.Duration // on the clock that the replica is given; 0 without a lease
 }
 
 // Status returns the current state.
 func (r *Replica) Status() Status {
 	return Status{
-		Self: r.cfg.Self, Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
+		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
 		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(),
 	}
@@ -302,15 +290,6 @@
 	return r.role == Leader && now < r.leaseEnd() && r.applied >= r.termStart
 }
 
-// FollowsLeader reports whether this replica has heard from a leader of its
-// term within the election timeout, or is one.
-func (r *Replica) FollowsLeader(now time.Duration) bool {
-	if r.role == Leader {
-		return now < r.leaseEnd()
-	}
-	return !r.leader.IsZero() && now-r.leaderSeen < r.cfg.Election
-}
-
 // addressed reports whether the message is for this replica of this group.
 func (r *Replica) addressed(m protocol.Consensus) bool {
 	own := r.log.snapshot.Group
@@ -354,15 +333,6 @@
 	}
 }
 
-func (r *Replica) isVoter(p protocol.Peer) bool { return contains(r.log.members().Voters, p) }
+func (r *Replica) isVoter(p protocol.Peer) bool { return slices.Contains(r.log.members().Voters, p) }
 
 func (r *Replica) quorum() int { return len(r.log.members().Voters)/2 + 1 }
-
-func contains(peers []protocol.Peer, p protocol.Peer) bool {
-	for _, q := range peers {
-		if q == p {
-			return true
-		}
-	}
-	return false
-}
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -21,7 +21,7 @@
 	journal   *journal.Journal
 	self      protocol.Peer
 	formation *consensus.Formation // nil once there is a log
-	node      *consensus.Replica   // nil until then
+	member    *consensus.Replica   // nil until then
 	waiting   map[uint64]waiter    // proposals by index
 	leads     bool
 }
@@ -32,7 +32,16 @@
 	answer chan outcome
 }
 
-const maxBatch = 512
+const (
+	// maxBatch is how many inputs share one sync. Chosen, not measured;
+	// TestProposalsShareSyncs shows the sharing.
+	maxBatch = 512
+	// ticksPerHeartbeat is how often in a heartbeat the time is looked at when
+	// there is no input. Chosen, not measured.
+	ticksPerHeartbeat = 3
+	// shortestTick bounds the timer's work for very short heartbeats.
+	shortestTick = time.Millisecond
+)
 
 func (l *loop) init(r *Replica, j *journal.Journal, c journal.Contents) error {
 	l.r, l.journal = r, j
@@ -66,25 +75,28 @@
 	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
 }
 
-// begin makes a member of a replica that has a log.
+// begin goes on as a member, with what the disk holds, or without a log if a
+// leader repairs this replica.
 func (l *loop) begin(now time.Duration, d consensus.Durable) {
-	set := l.r.cfg
+	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
-		Name: set.Group, Self: l.self, Election: set.Election, Heartbeat: set.Heartbeat,
-		Rand:  func(n int64) int64 { return int64(set.Random() % uint64(n)) },
-		Admit: func(name string) bool { return set.Open != nil || slices.Contains(set.Names, name) },
+		Name: settings.Group, Self: l.self, Election: settings.Election, Heartbeat: settings.Heartbeat,
+		Rand: func(n int64) int64 { return int64(settings.Random() % uint64(n)) },
+		Admit: func(name string) bool {
+			return settings.Open != nil || slices.Contains(settings.Names, name)
+		},
 	}
-	if set.Open != nil {
-		cfg.Voters = set.Open.Voters
+	if settings.Open != nil {
+		cfg.Voters = settings.Open.Voters
 	}
-	l.node = consensus.New(cfg, now, d)
+	l.member = consensus.New(cfg, now, d)
 }
 
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.stopped)
-	defer r.loop.journal.Close()
-	tick := time.NewTicker(max(r.cfg.Heartbeat/3, time.Millisecond))
+	defer r.loop.journal.Close() // what it could still fail at was never acknowledged
+	tick := time.NewTicker(max(r.cfg.Heartbeat/ticksPerHeartbeat, shortestTick))
 	defer tick.Stop()
 	for {
 		var first input
@@ -127,24 +139,24 @@
 			return err
 		}
 	}
-	if l.node == nil {
+	if l.member == nil {
 		return l.tickFormation(now)
 	}
-	l.node.Tick(now)
-	if l.node.RepairStopped() {
+	l.member.Tick(now)
+	if l.member.RepairStopped() {
 		l.r.cfg.Log.Info("repair stopped, looking for the group again", "group", l.r.cfg.Group)
-		l.node, l.formation = nil, l.newFormation().JoinOnly()
+		l.member, l.formation = nil, l.newFormation().JoinOnly()
 		return nil
 	}
 	for {
-		ready := l.node.Ready()
+		ready := l.member.Ready()
 		if ready.Empty() {
 			break
 		}
 		if err := l.carryOut(ready); err != nil {
 			return err
 		}
-		l.node.Advance()
+		l.member.Advance()
 	}
 	l.observe(now)
 	return l.compact()
@@ -156,25 +168,23 @@
 		return l.deliver(now, *i.message)
 	case i.proposal != nil:
 		l.propose(*i.proposal)
-	case i.transfer != nil:
-		i.transfer <- l.node != nil && l.node.Transfer("")
 	case i.inspect != nil:
-		i.inspect(now, l.node)
+		i.inspect(now, l.member)
 	}
 	return nil
 }
 
 func (l *loop) deliver(now time.Duration, m protocol.Consensus) error {
-	if l.node != nil {
-		if !l.node.AnswerBlankQuery(now, m) {
-			l.node.Step(now, m)
+	if l.member != nil {
+		if !l.member.AnswerBlankQuery(now, m) {
+			l.member.Step(now, m)
 		}
 		return nil
 	}
 	if m.To == l.self && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
 		// A leader repairs this replica: go on as a member without a log.
 		l.begin(now, consensus.Durable{})
-		l.node.Step(now, m)
+		l.member.Step(now, m)
 		return nil
 	}
 	if s, ok := l.formation.Step(m); ok {
@@ -183,6 +193,8 @@
 	return nil
 }
 
+// tickFormation sends what a blank replica has to send and founds the group if
+// this replica may.
 func (l *loop) tickFormation(now time.Duration) error {
 	s, ok := l.formation.Tick(now)
 	messages := l.formation.Messages()
@@ -195,7 +207,7 @@
 	return nil
 }
 
-// found makes the group's first snapshot durable.
+// found makes the group's first snapshot durable and begins with it.
 func (l *loop) found(now time.Duration, s protocol.Snapshot) error {
 	if err := l.journal.Rotate(s, protocol.HardState{Term: s.Term}, nil); err != nil {
 		return err
@@ -205,12 +217,13 @@
 	return nil
 }
 
+// propose appends a command; its answer follows when the entry is applied.
 func (l *loop) propose(p proposal) {
-	if l.node == nil {
+	if l.member == nil {
 		p.answer <- outcome{err: consensus.NotLeader{}}
 		return
 	}
-	index, term, err := l.node.Propose(p.data)
+	index, term, err := l.member.Propose(p.data)
 	if err != nil {
 		p.answer <- outcome{err: err}
 		return
@@ -218,7 +231,7 @@
 	l.waiting[index] = waiter{term: term, answer: p.answer}
 }
 
-// carryOut does what a Ready asks, in its order.
+// carryOut carries out a Ready in its order: write, send, restore, apply.
 func (l *loop) carryOut(ready consensus.Ready) error {
 	if err := l.persist(ready); err != nil {
 		return err
@@ -240,8 +253,7 @@
 	if ready.Snapshot == nil {
 		return l.journal.Save(ready.Hard, ready.Entries)
 	}
-	hard, entries := l.node.Tail()
-	return l.journal.Rotate(*ready.Snapshot, hard, entries)
+	return l.rotate(*ready.Snapshot)
 }
 
 func (l *loop) send(messages []protocol.Consensus) {
@@ -261,20 +273,20 @@
 	}
 	delete(l.waiting, e.Index)
 	if w.term != e.Term {
-		w.answer <- outcome{err: consensus.NotLeader{Leader: l.node.Status().Leader}}
+		w.answer <- outcome{err: consensus.NotLeader{Leader: l.member.Status().Leader}}
 		return
 	}
 	w.answer <- outcome{result: result}
 }
 
-// observe tells the owner how the group stands and fails proposals that this
-// replica can no longer decide.
+// observe gives the owner the group's state and fails proposals that this replica
+// can no longer decide.
 func (l *loop) observe(now time.Duration) {
-	s := l.node.Status()
+	s := l.member.Status()
 	if s.Role != consensus.Leader && len(l.waiting) > 0 {
 		l.failAll(Undecided{})
 	}
-	leads := l.node.Leads(now)
+	leads := l.member.Leads(now)
 	if leads != l.leads {
 		l.leads = leads
 		l.r.cfg.Log.Info("lead changed", "group", l.r.cfg.Group, "leads", leads, "term", s.Term)
@@ -284,11 +296,12 @@
 	}
 }
 
+// compact replaces the log by a snapshot once it has grown to Tuning.CompactAt.
 func (l *loop) compact() error {
 	if l.r.cfg.CompactAt <= 0 || l.journal.Size() < l.r.cfg.CompactAt {
 		return nil
 	}
-	s := l.node.Status()
+	s := l.member.Status()
 	if s.Applied <= s.First {
 		return nil
 	}
@@ -296,12 +309,13 @@
 	if err != nil {
 		return err
 	}
-	snapshot, err := l.node.Compact(s.Applied, image)
-	if err != nil {
-		return err
-	}
-	hard, entries := l.node.Tail()
-	return l.journal.Rotate(snapshot, hard, entries)
+	return l.rotate(l.member.Compact(image))
+}
+
+// rotate makes a snapshot and what is behind it durable, in place of all before.
+func (l *loop) rotate(s protocol.Snapshot) error {
+	hard, entries := l.member.Tail()
+	return l.journal.Rotate(s, hard, entries)
 }
 
 func (l *loop) failBelow(index uint64) {
