--- a/coordination/pool/fleet.go
+++ b/coordination/pool/fleet.go
@@ -24,7 +24,7 @@
 // News returns whether there is something to report.
 func (p *Pool) News() News {
 	switch {
-	case p.holder.HasReturned() || p.queue.Hidden() || len(p.suspects) > 0:
+	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
 		return UrgentNews
 	case p.queue.Changed() || p.holder.Idle() != p.idle:
 		return SomeNews
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -1,13 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pool is one pool of backend servers as one router sees it: the work
-// that waits, the slots that the router holds, and the choice of server.
+// Package pool decides what one router starts in one pool of backend servers.
+// The allocator's table of the same pool, over all routers, is in
+// coordination/slots.
 //
-// The model: the decisions of coordination/share (whose work goes next),
-// coordination/slots (may it go on a slot held here) and coordination/place
-// (on which server) joined into one value. Whatever happens to the pool is a
-// method; afterwards the owner calls [Pool.Dispatch] and starts what it
-// returns, and looks at [Pool.News] to see whether the allocator should hear.
+// A [Pool] joins three decisions: whose work goes next (coordination/share),
+// whether it may go on a slot held here (coordination/slots), and on which
+// server (coordination/place). It owns the work that waits, the slots that the
+// router holds, and the health of the servers. Whatever happens to the pool is
+// a method; afterwards the owner calls [Pool.Dispatch] and starts what it
+// returns, and looks at [Pool.News] to see when a report should go.
+//
+// Invariants: what starts has a slot of its server, which is given back or
+// used again after [Pool.Finish]; each work that was started is finished once.
 //
 // A Pool is pure: the time is an argument and nothing waits or sends. It is
 // not safe for concurrent use; the router keeps one lock for each.
@@ -27,10 +32,10 @@
 
 // Settings of a pool.
 type Settings struct {
-	Limits        share.Limits // over all accounts
-	Linger        time.Duration
-	FirstEstimate float64 // cost of a request of which nothing is known
-	PrefixBlocks  int     // prompt blocks remembered
+	Limits        share.Limits  // over all accounts
+	Linger        time.Duration // how long an unused slot is kept
+	FirstEstimate float64       // cost of a request of which nothing is known
+	PrefixBlocks  int           // prompt blocks remembered
 }
 
 // Server is a serving backend server.
@@ -90,9 +95,6 @@
 	}
 }
 
-// Name returns the pool's name.
-func (p *Pool) Name() string { return p.name }
-
 // Configure takes the accounts and the serving servers. Slots of other
 // servers go back; the waiting work of accounts that are gone is returned.
 func (p *Pool) Configure(accounts []Account, servers []Server) (dropped []*Work) {
@@ -150,7 +152,7 @@
 func (p *Pool) Drop() []*Work { return works(p.queue.Drop()) }
 
 // Waiting returns the number of waiting requests.
-func (p *Pool) Waiting() int { n, _ := p.queue.Len(); return n }
+func (p *Pool) Waiting() int { return p.queue.Waiting() }
 
 // Dispatch uses free slots for waiting work as far as the fleet's fairness
 // allows, gives back those that are wanted elsewhere, and returns what starts
@@ -158,19 +160,15 @@
 func (p *Pool) Dispatch(now time.Duration, leased bool) []Start {
 	var started []Start
 	for leased {
-		best := math.Inf(1)
-		account, time, waits := p.queue.Best()
-		if waits {
-			best = time
-		}
-		switch slots.Decide(now, best, p.holder.Granted(), p.fleet) {
+		next, time := p.queue.Next()
+		switch slots.Decide(now, time, p.holder.Granted(), p.fleet) {
 		case slots.Keep:
 			return started
 		case slots.Return:
 			p.holder.ReturnIdle()
 			return started
 		}
-		s, ok := p.startOne(now, account)
+		s, ok := p.start(now, next)
 		if !ok {
 			return started
 		}
@@ -179,23 +177,17 @@
 	return started
 }
 
-// startOne starts the next work of an account on the best server, if any has
-// a free slot.
-func (p *Pool) startOne(now time.Duration, account string) (Start, bool) {
-	candidates := p.candidates(now)
-	next := p.queue.Peek(account, 1)
-	if len(candidates) == 0 || len(next) == 0 {
-		return Start{}, false
-	}
-	w := next[0].Value.(*Work)
-	server, ok := p.placer.Choose(now, candidates, w.Blocks)
+// start starts waiting work on the best server, if any has a free slot.
+func (p *Pool) start(now time.Duration, t *share.Ticket) (Start, bool) {
+	w := t.Value.(*Work)
+	server, ok := p.placer.Choose(now, p.candidates(now), w.Blocks)
 	if !ok {
 		return Start{}, false
 	}
 	p.holder.Start(server)
 	p.placer.Health.Sent(now, server)
 	p.placer.Index.Sent(server, w.Blocks)
-	p.queue.Start(next[0], w.meter.Start(p.costs.Estimate(account, w.Class)))
+	p.queue.Start(t, w.meter.Start(p.costs.Estimate(w.Account, w.Class)))
 	return Start{Work: w, Server: server}, true
 }
 
@@ -257,13 +249,10 @@
 	return ejected
 }
 
-// Stat returns how an account stands.
-func (p *Pool) Stat(account string) share.Stat { return p.queue.Stat(account) }
-
 // Report takes a server's load report.
 func (p *Pool) Report(server string, l place.Load) { p.placer.Report(server, l) }
 
-// CacheEvent takes what a server tells of its cache.
+// CacheEvent takes an event of a server's cache.
 func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
 
 func works(tickets []*share.Ticket) []*Work {
--- a/coordination/share/cost.go
+++ b/coordination/share/cost.go
@@ -2,8 +2,10 @@
 
 package share
 
+import "maps"
+
 // This file defines how work becomes cost, and how the cost of a request that
-// has not ended yet is guessed and corrected.
+// has not ended yet is estimated and corrected.
 
 // Usage is what one request consumed.
 type Usage struct {
@@ -24,7 +26,8 @@
 }
 
 // DefaultWeights count a prompt token as a quarter of a generated one, as
-// prompts are computed in parallel, and a cached one as a fortieth.
+// prompts are computed in parallel, and a cached one as a fortieth. Output and
+// Second define the unit; the others are chosen, not measured.
 var DefaultWeights = Weights{Input: 0.25, Cached: 0.025, Output: 1, Request: 1, Second: 1000}
 
 // Cost returns the cost of u.
@@ -33,8 +36,8 @@
 		w.Output*float64(u.Output) + w.Second*u.Time
 }
 
-// Estimator learns what requests of one account and class cost. Memory is one
-// number per account and class seen; classes are bounded by configuration.
+// Estimator averages what requests of one account and class cost. Memory is
+// one number per account and class seen; classes are bounded by configuration.
 type Estimator struct {
 	initial float64
 	means   map[estimateKey]float64
@@ -42,11 +45,12 @@
 
 type estimateKey struct{ account, class string }
 
-// estimateGain is the weight of the newest request in the running mean.
+// estimateGain is the weight of the newest request in the running mean, so
+// that it follows about the last ten. Chosen, not measured.
 const estimateGain = 0.1
 
-// NewEstimator returns an estimator that guesses initial until it has seen a
-// request.
+// NewEstimator returns an estimator that answers initial, in units of cost,
+// until it has seen a request.
 func NewEstimator(initial float64) *Estimator {
 	return &Estimator{initial: initial, means: map[estimateKey]float64{}}
 }
@@ -59,7 +63,7 @@
 	return e.initial
 }
 
-// Observe learns the cost of a request that ended.
+// Observe averages in the cost of a request that ended.
 func (e *Estimator) Observe(account, class string, cost float64) {
 	k := estimateKey{account, class}
 	m, ok := e.means[k]
@@ -70,17 +74,14 @@
 	e.means[k] = m + estimateGain*(cost-m)
 }
 
-// Forget drops what is known of an account.
+// Forget drops the means of an account.
 func (e *Estimator) Forget(account string) {
-	for k := range e.means {
-		if k.account == account {
-			delete(e.means, k)
-		}
-	}
+	maps.DeleteFunc(e.means, func(k estimateKey, _ float64) bool { return k.account == account })
 }
 
-// Meter follows the charges of one running request. The zero value has
-// charged nothing.
+// Meter follows the charges of one running request: the estimate at the start,
+// what goes beyond it while the request runs, the difference at the end. The
+// zero value has charged nothing.
 type Meter struct{ charged float64 }
 
 // Start charges the estimate and returns it.
@@ -89,16 +90,16 @@
 	return estimate
 }
 
-// Progress tells the cost reached so far and returns what is to be charged in
-// addition: nothing until the estimate is used up.
+// Progress returns what is to be charged in addition for a request that has
+// cost that much so far: nothing until the estimate is used up.
 func (m *Meter) Progress(cost float64) float64 {
 	extra := max(cost-m.charged, 0)
 	m.charged += extra
 	return extra
 }
 
-// Finish tells the final cost and returns the difference to be charged, which
-// is negative when the request was cheaper than charged.
+// Finish returns the difference between the final cost and what was charged;
+// it is negative when the request was cheaper than charged.
 func (m *Meter) Finish(cost float64) float64 {
 	d := cost - m.charged
 	m.charged = cost
--- a/coordination/share/errors.go
+++ b/coordination/share/errors.go
@@ -7,7 +7,8 @@
 // This file defines why a request is not queued. In both cases it has not
 // run.
 
-// Full refuses a request because a limit on waiting work is reached.
+// Full refuses a request because a limit on waiting work is reached. Max is in
+// requests or bytes, as Limit says.
 type Full struct {
 	Account string
 	Limit   string // which limit, in words
--- a/coordination/share/flow.go
+++ b/coordination/share/flow.go
@@ -3,29 +3,36 @@
 package share
 
 import (
-	"maps"
-	"slices"
+	"container/list"
 
 	"github.com/badgerspoke/badgerspoke/internal/pq"
 )
 
-// This file defines the inside of a queue: flows, which are first-in
-// first-out lists of one user's requests, and the orders of accounts, flows
-// and deadlines.
+// This file defines flows, the first-in first-out lists of one user's requests
+// inside an account.
 
 // maxFlows bounds the idle flows that one account is remembered for: users are
-// named by callers, who may name any number.
+// named by callers, who may name any number. Chosen, not measured.
 const maxFlows = 1024
 
 // flow is the waiting requests of one user or class of an account.
 type flow struct {
-	name       string
-	time       float64 // cost charged to the flow
-	head, tail *Ticket
-	index      int // in account.busy
+	name    string
+	time    float64   // cost charged to the flow
+	tickets list.List // of *Ticket, oldest first
+	index   int       // in account.busy
 }
 
-// link appends a ticket to its flow.
+// oldest returns the ticket that goes next. The flow is not empty.
+func (f *flow) oldest() *Ticket { return f.tickets.Front().Value.(*Ticket) }
+
+// earlierFlow is a total order, so that a run can be repeated.
+func earlierFlow(a, b *flow) bool {
+	return a.time < b.time || (a.time == b.time && a.name < b.name)
+}
+
+// link appends a ticket to its flow. A flow that was idle is raised to the
+// lowest of the others, so that idle time earns it no credit.
 func (q *Queue) link(t *Ticket) {
 	a := t.account
 	f := a.flows[t.Flow]
@@ -34,15 +41,11 @@
 		a.flows[t.Flow] = f
 	}
 	t.flow = f
-	t.prev = f.tail
-	if f.tail != nil {
-		f.tail.next = t
-	} else {
-		f.head = t
-	}
-	f.tail = t
+	t.place = f.tickets.PushBack(t)
 	if !a.busy.Has(f) {
-		a.lift(f)
+		if a.busy.Len() > 0 {
+			f.time = max(f.time, a.busy.Min().time)
+		}
 		a.busy.Set(f)
 	}
 	a.waiting++
@@ -51,63 +54,26 @@
 	q.bytes += t.Bytes
 }
 
-// lift keeps a flow that was idle from being owed its idle time.
-func (a *account) lift(f *flow) {
-	if a.busy.Len() > 0 {
-		f.time = max(f.time, a.busy.Min().time)
-	}
-}
-
-// unlink removes a ticket from its flow. An empty flow is forgotten unless it
-// is ahead of the others, which is the memory of a debt.
+// unlink removes a ticket from its flow. An empty flow is forgotten once no
+// other waits, or there are too many: until then its time is the memory of how
+// far it is ahead.
 func (q *Queue) unlink(t *Ticket) {
 	a, f := t.account, t.flow
-	if t.prev != nil {
-		t.prev.next = t.next
-	} else {
-		f.head = t.next
-	}
-	if t.next != nil {
-		t.next.prev = t.prev
-	} else {
-		f.tail = t.prev
-	}
-	t.prev, t.next = nil, nil
-	t.waiting = false
+	f.tickets.Remove(t.place)
+	t.place = nil
 	a.waiting--
 	a.bytes -= t.Bytes
 	q.waiting--
 	q.bytes -= t.Bytes
 	q.deadlines.Remove(t)
-	if f.head != nil {
+	if f.tickets.Len() > 0 {
 		a.busy.Set(f)
 		return
 	}
 	a.busy.Remove(f)
 	if a.busy.Len() == 0 {
-		clear(a.flows) // nobody is behind: all debts between flows end
+		clear(a.flows) // no flow is behind: the differences between flows end
 	} else if len(a.flows) > maxFlows {
 		delete(a.flows, f.name)
 	}
 }
-
-// The orders are total, by name where times are equal, so that a run can be
-// repeated.
-
-func earlierAccount(a, b *account) bool {
-	return a.time < b.time || (a.time == b.time && a.name < b.name)
-}
-
-func earlierFlow(a, b *flow) bool {
-	return a.time < b.time || (a.time == b.time && a.name < b.name)
-}
-
-func earlierDeadline(a, b *Ticket) bool {
-	return a.Deadline < b.Deadline || (a.Deadline == b.Deadline && a.seq < b.seq)
-}
-
-func newFlows() *pq.Queue[*flow] {
-	return pq.New(earlierFlow, func(f *flow) *int { return &f.index })
-}
-
-func sortedNames(m map[string]*account) []string { return slices.Sorted(maps.Keys(m)) }
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -3,14 +3,18 @@
 package share
 
 import (
+	"container/list"
+	"maps"
 	"math"
+	"slices"
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/internal/pq"
 )
 
-// This file defines Queue, the waiting work of one pool on one router with
-// the virtual times that order it.
+// This file defines Queue, the waiting work of one pool on one router: how
+// requests come and leave, and which one goes next. What the queue exchanges
+// with the allocator is in report.go.
 
 // Request is what the queue needs to know of a request.
 type Request struct {
@@ -21,11 +25,11 @@
 	Value    any           // the caller's own
 }
 
-// Limits bound what one account may hold in a queue. Zero is no limit.
+// Limits bound what one account, or all of a queue, may hold. Zero is no limit.
 type Limits struct {
-	Waiting int
-	Bytes   int64
-	Running int
+	Waiting int   // requests
+	Bytes   int64 // of their bodies
+	Running int   // requests; of accounts only
 }
 
 // Ticket is one waiting request.
@@ -33,17 +37,12 @@
 	Request
 	account  *account
 	flow     *flow
-	prev     *Ticket
-	next     *Ticket
-	deadline int // place in Queue.deadlines
+	place    *list.Element // in flow.tickets; nil once it does not wait any more
+	deadline int           // place in Queue.deadlines
 	seq      uint64
-	waiting  bool
 }
 
-// Waiting reports whether the request is still in the queue.
-func (t *Ticket) Waiting() bool { return t.waiting }
-
-// Queue orders waiting requests. Pushing, popping, charging and cancelling
+// Queue orders waiting requests. Pushing, starting, charging and cancelling
 // cost O(log n) in the accounts of the queue, the flows of the account and
 // the requests with a deadline.
 type Queue struct {
@@ -71,18 +70,12 @@
 	running int
 	index   int // in Queue.ready
 
-	unsent   float64    // service charged since the last report
+	unsent   float64    // cost charged since the last report
 	started  int        // requests started since the last report
-	believed int        // what the allocator takes for waiting
+	reported int        // requests that wait as far as the allocator knows
 	sent     []sentPart // reported, not yet in a fleet-wide time
 }
 
-// sentPart is the normalised service that one report carried.
-type sentPart struct {
-	seq  uint64
-	time float64
-}
-
 // NewQueue returns an empty queue with limits over all accounts.
 func NewQueue(total Limits) *Queue {
 	return &Queue{
@@ -92,11 +85,23 @@
 	}
 }
 
+// The orders are total, by name or number where times are equal, so that a run
+// can be repeated.
+
+func earlierAccount(a, b *account) bool {
+	return a.time < b.time || (a.time == b.time && a.name < b.name)
+}
+
+func earlierDeadline(a, b *Ticket) bool {
+	return a.Deadline < b.Deadline || (a.Deadline == b.Deadline && a.seq < b.seq)
+}
+
 // SetAccount creates an account or changes its share and limits.
 func (q *Queue) SetAccount(name string, share float64, l Limits) {
 	a := q.accounts[name]
 	if a == nil {
-		a = &account{name: name, flows: map[string]*flow{}, busy: newFlows(), index: pq.Absent, time: q.lift}
+		a = &account{name: name, flows: map[string]*flow{}, index: pq.Absent, time: q.lift}
+		a.busy = pq.New(earlierFlow, func(f *flow) *int { return &f.index })
 		q.accounts[name] = a
 	}
 	a.share, a.limits = share, l
@@ -109,18 +114,33 @@
 	if a == nil {
 		return nil
 	}
+	dropped := q.drop(a)
+	delete(q.accounts, name)
+	delete(q.changed, name)
+	return dropped
+}
+
+// Drop removes and returns everything that waits, in the order of accounts.
+func (q *Queue) Drop() []*Ticket {
+	var dropped []*Ticket
+	for _, name := range sortedNames(q.accounts) {
+		dropped = append(dropped, q.drop(q.accounts[name])...)
+	}
+	return dropped
+}
+
+func (q *Queue) drop(a *account) []*Ticket {
 	var dropped []*Ticket
 	for a.waiting > 0 {
-		t := a.busy.Min().head
+		t := a.busy.Min().oldest()
 		q.Cancel(t)
 		dropped = append(dropped, t)
 	}
-	delete(q.accounts, name)
-	delete(q.changed, name)
 	return dropped
 }
 
-// Push adds a request. The error is [Full] or [NoAccount].
+// Push adds a request. An account that becomes backlogged is lifted. The error
+// is [Full] or [NoAccount].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
@@ -133,13 +153,12 @@
 		a.time = max(a.time, q.lift)
 	}
 	q.pushed++
-	t := &Ticket{Request: r, account: a, deadline: pq.Absent, seq: q.pushed, waiting: true}
+	t := &Ticket{Request: r, account: a, deadline: pq.Absent, seq: q.pushed}
 	q.link(t)
 	if r.Deadline > 0 {
 		q.deadlines.Set(t)
 	}
 	q.touch(a)
-	q.reorder(a)
 	return t, nil
 }
 
@@ -159,12 +178,11 @@
 
 // Cancel removes a request that is still waiting and reports whether it was.
 func (q *Queue) Cancel(t *Ticket) bool {
-	if !t.waiting {
+	if t.place == nil {
 		return false
 	}
 	q.unlink(t)
 	q.touch(t.account)
-	q.reorder(t.account)
 	return true
 }
 
@@ -179,212 +197,65 @@
 	return expired
 }
 
-// Drop removes and returns everything that waits, in the order of accounts.
-func (q *Queue) Drop() []*Ticket {
-	var dropped []*Ticket
-	for _, name := range sortedNames(q.accounts) {
-		a := q.accounts[name]
-		for a.waiting > 0 {
-			t := a.busy.Min().head
-			q.Cancel(t)
-			dropped = append(dropped, t)
-		}
-	}
-	return dropped
-}
+// Waiting returns the number of waiting requests.
+func (q *Queue) Waiting() int { return q.waiting }
 
-// Best returns the account that goes next and its virtual time.
-func (q *Queue) Best() (name string, time float64, ok bool) {
+// Next returns the request that goes next and the virtual time of its account:
+// the oldest request of the flow that has received least, of the account with
+// the lowest virtual time among those below their running limit. If there is
+// none, it returns nil and +Inf.
+func (q *Queue) Next() (t *Ticket, time float64) {
 	if q.ready.Len() == 0 {
-		return "", 0, false
+		return nil, math.Inf(1)
 	}
 	a := q.ready.Min()
-	return a.name, a.time, true
-}
-
-// Peek returns up to n requests of the account in the order in which its
-// current flow would send them, for a caller that may prefer one of them.
-func (q *Queue) Peek(name string, n int) []*Ticket {
-	a := q.accounts[name]
-	if a == nil || a.busy.Len() == 0 {
-		return nil
-	}
-	var out []*Ticket
-	for t := a.busy.Min().head; t != nil && len(out) < n; t = t.next {
-		out = append(out, t)
-	}
-	return out
+	return a.busy.Min().oldest(), a.time
 }
 
 // Start removes a waiting request to run it and charges the estimate.
 func (q *Queue) Start(t *Ticket, estimate float64) {
 	a := t.account
-	t.flow.time += estimate // before unlink, which puts the flow in its place
+	t.flow.time += estimate // before unlink, which orders the flow anew
 	q.unlink(t)
 	a.running++
 	a.started++
-	a.believed--
+	a.reported--
 	q.Charge(a.name, estimate)
 }
 
 // Charge adds cost, which may be negative, to an account.
 func (q *Queue) Charge(name string, cost float64) {
-	a := q.accounts[name]
-	if a == nil {
-		return
+	if a := q.accounts[name]; a != nil {
+		a.time += cost / a.share
+		a.unsent += cost
+		q.touch(a)
 	}
-	a.time += cost / a.share
-	a.unsent += cost
-	q.touch(a)
-	q.reorder(a)
 }
 
-// Finish tells that a started request of the account ended.
+// Finish counts the end of a started request of the account.
 func (q *Queue) Finish(name string) {
 	if a := q.accounts[name]; a != nil {
 		a.running = max(a.running-1, 0)
 		q.touch(a)
-		q.reorder(a)
-	}
-}
-
-// SetTime takes the fleet-wide virtual time of an account, which includes
-// this router's reports up to number seq, and adds what came after.
-func (q *Queue) SetTime(name string, time float64, seq uint64) {
-	a := q.accounts[name]
-	if a == nil {
-		return
-	}
-	for len(a.sent) > 0 && a.sent[0].seq <= seq {
-		a.sent = a.sent[1:]
-	}
-	a.time = time + a.unsent/a.share
-	for _, p := range a.sent {
-		a.time += p.time
-	}
-	q.reorder(a)
-}
-
-// SetLift takes the virtual time to which an account is raised that begins to
-// wait. It never goes back.
-func (q *Queue) SetLift(lift float64) { q.lift = max(q.lift, lift) }
-
-// Lift returns what SetLift took.
-func (q *Queue) Lift() float64 { return q.lift }
-
-// Times returns the virtual times of all accounts without what was not
-// reported yet, in the order of names.
-func (q *Queue) Times() []Stat {
-	out := make([]Stat, 0, len(q.accounts))
-	for _, name := range sortedNames(q.accounts) {
-		a := q.accounts[name]
-		out = append(out, Stat{Account: name, Time: a.time - a.unsent/a.share, Waiting: a.waiting, Running: a.running})
-	}
-	return out
-}
-
-// ResetReports starts the numbering of reports again, for a new session. An
-// allocator that remembers the previous session has taken its first arrived
-// reports into account; what later ones carried is reported again. A new
-// allocator took everything from Times.
-func (q *Queue) ResetReports(known bool, arrived uint64) {
-	for _, a := range q.accounts {
-		for _, p := range a.sent {
-			if known && p.seq > arrived {
-				a.unsent += p.time * a.share
-				q.touch(a)
-			}
-		}
-		a.sent = nil
-		a.believed = 0
-		if a.waiting > 0 {
-			q.touch(a)
-		}
-	}
-}
-
-// Change is what happened to one account since the previous report.
-type Change struct {
-	Account string
-	Waiting int
-	Service float64
-	Started int
-	Running int
-}
-
-// serviceStep is the fineness of reported service, in parts of a unit of cost.
-// Coarse values encode in five bytes instead of nine.
-const serviceStep = 8
-
-// TakeChanges returns what happened since the previous call, in the order of
-// names, as report number seq.
-func (q *Queue) TakeChanges(seq uint64) []Change {
-	out := make([]Change, 0, len(q.changed))
-	for _, name := range sortedNames(q.changed) {
-		a := q.changed[name]
-		service := math.Round(a.unsent*serviceStep) / serviceStep
-		out = append(out, Change{Account: name, Waiting: a.waiting, Service: service, Started: a.started, Running: a.running})
-		if service != 0 {
-			a.sent = append(a.sent, sentPart{seq: seq, time: service / a.share})
-		}
-		a.unsent -= service // what the rounding left goes with the next report
-		a.started, a.believed = 0, a.waiting
-	}
-	clear(q.changed)
-	return out
-}
-
-// Changed reports whether TakeChanges would return anything.
-func (q *Queue) Changed() bool { return len(q.changed) > 0 }
-
-// Hidden reports whether some account has waiting work that the allocator
-// does not know of, so that no slot will come for it.
-func (q *Queue) Hidden() bool {
-	for _, a := range q.changed {
-		if a.hidden() {
-			return true
-		}
-	}
-	return false
-}
-
-// hidden reports whether twice as much waits as the allocator believes. Telling
-// of every request would cost a message each while much waits; telling only
-// when the allocator believes in none lets the second of two requests wait for
-// the next full report.
-func (a *account) hidden() bool { return a.waiting > 0 && a.waiting >= 2*a.believed }
-
-// Len returns the number of waiting requests and their bytes.
-func (q *Queue) Len() (requests int, bytes int64) { return q.waiting, q.bytes }
-
-// Stat is the state of one account, for status and metrics.
-type Stat struct {
-	Account          string
-	Time             float64
-	Waiting, Running int
-}
-
-// Stat returns the state of an account.
-func (q *Queue) Stat(name string) Stat {
-	a := q.accounts[name]
-	if a == nil {
-		return Stat{Account: name}
 	}
-	return Stat{Account: name, Time: a.time, Waiting: a.waiting, Running: a.running}
 }
 
+// touch notes a change of the account for the next report and orders the
+// account anew.
 func (q *Queue) touch(a *account) {
 	if q.accounts[a.name] == a {
 		q.changed[a.name] = a
 	}
+	q.reorder(a)
 }
 
 // reorder puts the account where it belongs among those that may go next.
 func (q *Queue) reorder(a *account) {
-	may := a.waiting > 0 && (a.limits.Running == 0 || a.running < a.limits.Running)
-	if may {
+	if a.waiting > 0 && (a.limits.Running == 0 || a.running < a.limits.Running) {
 		q.ready.Set(a)
 	} else {
 		q.ready.Remove(a)
 	}
 }
+
+func sortedNames(m map[string]*account) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/coordination/share/report.go
@@ -0,0 +1,124 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package share
+
+import "math"
+
+// This file defines what a queue exchanges with the allocator: fleet-wide
+// virtual times one way, what happened here the other way.
+
+// sentPart is the virtual time that one report carried.
+type sentPart struct {
+	seq  uint64
+	time float64
+}
+
+// SetTime takes the fleet-wide virtual time of an account, which includes
+// this router's reports up to number seq, and adds what came after.
+func (q *Queue) SetTime(name string, time float64, seq uint64) {
+	a := q.accounts[name]
+	if a == nil {
+		return
+	}
+	for len(a.sent) > 0 && a.sent[0].seq <= seq {
+		a.sent = a.sent[1:]
+	}
+	a.time = time + a.unsent/a.share
+	for _, p := range a.sent {
+		a.time += p.time
+	}
+	q.reorder(a)
+}
+
+// SetLift takes the virtual time to which an account is raised that becomes
+// backlogged. It never goes back.
+func (q *Queue) SetLift(lift float64) { q.lift = max(q.lift, lift) }
+
+// Lift returns the highest value that SetLift took.
+func (q *Queue) Lift() float64 { return q.lift }
+
+// AccountTime is the virtual time of one account.
+type AccountTime struct {
+	Account string
+	Time    float64
+}
+
+// Times returns the virtual times of all accounts without what was not
+// reported yet, in the order of names.
+func (q *Queue) Times() []AccountTime {
+	out := make([]AccountTime, 0, len(q.accounts))
+	for _, name := range sortedNames(q.accounts) {
+		a := q.accounts[name]
+		out = append(out, AccountTime{Account: name, Time: a.time - a.unsent/a.share})
+	}
+	return out
+}
+
+// ResetReports starts the numbering of reports again, for a new session. An
+// allocator that remembers the previous session has taken its first arrived
+// reports into account; what later ones carried is reported again. A new
+// allocator took everything from Times.
+func (q *Queue) ResetReports(remembered bool, arrived uint64) {
+	for _, a := range q.accounts {
+		for _, p := range a.sent {
+			if remembered && p.seq > arrived {
+				a.unsent += p.time * a.share
+				q.touch(a)
+			}
+		}
+		a.sent = nil
+		a.reported = 0
+		if a.waiting > 0 {
+			q.touch(a)
+		}
+	}
+}
+
+// Change is what happened to one account since the previous report.
+type Change struct {
+	Account string
+	Waiting int     // requests, now
+	Service float64 // cost charged since
+	Started int     // requests, since
+	Running int     // requests, now
+}
+
+// serviceStep is how many steps of reported service make a unit of cost:
+// coarse values encode in five bytes instead of nine. What the rounding leaves
+// goes with the next report. The value is chosen, not measured.
+const serviceStep = 8
+
+// TakeChanges returns what happened since the previous call, in the order of
+// names, as report number seq.
+func (q *Queue) TakeChanges(seq uint64) []Change {
+	out := make([]Change, 0, len(q.changed))
+	for _, name := range sortedNames(q.changed) {
+		a := q.changed[name]
+		service := math.Round(a.unsent*serviceStep) / serviceStep
+		out = append(out, Change{Account: name, Waiting: a.waiting, Service: service, Started: a.started, Running: a.running})
+		if service != 0 {
+			a.sent = append(a.sent, sentPart{seq: seq, time: service / a.share})
+		}
+		a.unsent -= service
+		a.started, a.reported = 0, a.waiting
+	}
+	clear(q.changed)
+	return out
+}
+
+// Changed reports whether TakeChanges would return anything.
+func (q *Queue) Changed() bool { return len(q.changed) > 0 }
+
+// Unreported reports whether some account has waiting work that the allocator
+// lacks, so that no slot will come for it: at least twice as much waits as was
+// reported. Reporting every request would cost a message each while much waits;
+// reporting only when the allocator counts none would let the second of two
+// requests wait for the next full report.
+func (q *Queue) Unreported() bool {
+	for _, a := range q.changed {
+		if a.waiting > 0 && a.waiting >= 2*a.reported {
+			return true
+		}
+	}
+	return false
+}
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -22,13 +22,12 @@
 
 // next starts the next request at the given cost and returns its value.
 func next(q *Queue, cost float64) any {
-	name, _, ok := q.Best()
-	if !ok {
+	t, _ := q.Next()
+	if t == nil {
 		return nil
 	}
-	t := q.Peek(name, 1)[0]
 	q.Start(t, cost)
-	q.Finish(name)
+	q.Finish(t.Account)
 	return t.Value
 }
 
@@ -126,12 +125,12 @@
 	q.SetAccount("a", 1, Limits{Running: 1})
 	first, second := push(t, q, Request{Account: "a"}), push(t, q, Request{Account: "a"})
 	q.Start(first, 1)
-	_, _, ok := q.Best()
-	is.True(!ok)
+	none, _ := q.Next()
+	is.Equal(none, nil)
 	q.Finish("a")
-	_, _, ok = q.Best()
-	is.True(ok)
-	is.True(second.Waiting())
+	then, _ := q.Next()
+	is.Equal(then, second)
+	is.True(second.place != nil)
 }
 
 func TestDeadlinesAndCancelling(t *testing.T) {
@@ -144,9 +143,8 @@
 	is.True(q.Cancel(late))
 	is.True(!q.Cancel(late)) // once
 	is.Equal(len(q.Expire(time.Hour)), 0)
-	n, _ := q.Len()
-	is.Equal(n, 1)
-	is.True(never.Waiting())
+	is.Equal(q.Waiting(), 1)
+	is.True(never.place != nil)
 }
 
 func TestMeterSettlesWhatWasCharged(t *testing.T) {
@@ -201,8 +199,8 @@
 			arrived++
 		}
 		q.SetTime("a", allocator, arrived)
-		if d := q.Stat("a").Time - allocator; d > 0.1 || d < -0.1 { // what rounding holds back
-			t.Fatalf("router has %v, allocator %v", q.Stat("a").Time, allocator)
+		if d := q.accounts["a"].time - allocator; d > 0.1 || d < -0.1 { // what rounding holds back
+			t.Fatalf("router has %v, allocator %v", q.accounts["a"].time, allocator)
 		}
 	})
 }
@@ -226,10 +224,10 @@
 	})
 	b.Run("start+push", func(b *testing.B) {
 		for b.Loop() {
-			name, _, _ := q.Best()
-			q.Start(q.Peek(name, 1)[0], 10)
-			q.Finish(name)
-			push(b, q, Request{Account: name, Deadline: time.Hour})
+			t, _ := q.Next()
+			q.Start(t, 10)
+			q.Finish(t.Account)
+			push(b, q, Request{Account: t.Account, Deadline: time.Hour})
 		}
 	})
 	b.Run("charge", func(b *testing.B) {
