--- a/coordination/pool/fleet.go
+++ b/coordination/pool/exchange.go
@@ -11,25 +11,25 @@
 
 // This file defines what a pool exchanges with the allocator.
 
-// News tells how much the allocator should hear from this pool.
-type News uint8
+// Urgency is how soon the next report of a pool should go.
+type Urgency uint8
 
-// The degrees of news.
+// The urgencies.
 const (
-	NoNews News = iota
-	SomeNews
-	UrgentNews // a slot or a request waits for it
+	NothingNew Urgency = iota
+	Routine            // with the next full report
+	Urgent             // a slot or a request waits for it
 )
 
-// News returns whether there is something to report.
-func (p *Pool) News() News {
+// Urgency returns whether there is something to report.
+func (p *Pool) Urgency() Urgency {
 	switch {
 	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
-		return UrgentNews
+		return Urgent
 	case p.queue.Changed() || p.holder.Idle() != p.idle:
-		return SomeNews
+		return Routine
 	}
-	return NoNews
+	return NothingNew
 }
 
 // TakeReport adds what is new in this pool to a report with number seq. Urgent
@@ -51,7 +51,7 @@
 	p.idle = pr.Idle
 }
 
-// TakeView takes what the allocator says of this pool, which includes this
+// TakeView takes the allocator's view of this pool, which includes this
 // router's reports up to number reports.
 func (p *Pool) TakeView(now time.Duration, v protocol.PoolView, reports uint64) {
 	p.fleet = slots.Fleet{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, At: now}
@@ -67,7 +67,8 @@
 // Grant takes slots of one of the pool's servers.
 func (p *Pool) Grant(now time.Duration, h protocol.Held) { p.holder.Grant(now, h.Server, h.Slots) }
 
-// Linger gives back slots that were not used for a while, when nothing waits.
+// Linger gives back the free slots if nothing waits and none was used for
+// Settings.Linger.
 func (p *Pool) Linger(now time.Duration) {
 	if p.Waiting() == 0 {
 		p.holder.ReturnLingering(now, p.cfg.Linger)
@@ -80,8 +81,8 @@
 // ReturnIdle gives back every free slot, for a planned stop.
 func (p *Pool) ReturnIdle() { p.holder.ReturnIdle() }
 
-// Hello returns what the pool holds and knows, for a new session. What the
-// last allocator said of the fleet is over.
+// Hello returns the slots that the pool holds and the virtual times that it
+// has, for a new session. The last allocator's view is not acted on any more.
 func (p *Pool) Hello(leased bool) ([]protocol.Held, protocol.PoolView) {
 	if !leased {
 		p.holder.Expire()
@@ -96,7 +97,8 @@
 	return p.holder.Held(), v
 }
 
-// Welcomed starts the numbering of reports again.
+// Welcomed begins a session: reports are numbered from 1 again, and slots that
+// the allocator does not count for this router any more are given back.
 func (p *Pool) Welcomed(w protocol.Welcome) {
 	p.idle = 0
 	if w.Void {
@@ -105,6 +107,6 @@
 	p.queue.ResetReports(w.Known, w.Reports)
 }
 
-// Unlinked forgets what the allocator said, so that slots are used rather
-// than given back to nobody.
+// Unlinked forgets the allocator's view, so that slots are used rather than
+// given back to nobody.
 func (p *Pool) Unlinked() { p.fleet = slots.Fleet{} }
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -9,7 +9,7 @@
 // server (coordination/place). It owns the work that waits, the slots that the
 // router holds, and the health of the servers. Whatever happens to the pool is
 // a method; afterwards the owner calls [Pool.Dispatch] and starts what it
-// returns, and looks at [Pool.News] to see when a report should go.
+// returns, and looks at [Pool.Urgency] to see when a report should go.
 //
 // Invariants: what starts has a slot of its server, which is given back or
 // used again after [Pool.Finish]; each work that was started is finished once.
@@ -28,7 +28,7 @@
 )
 
 // This file defines Pool: how work comes, starts and ends. What it exchanges
-// with the allocator is in fleet.go.
+// with the allocator is in exchange.go.
 
 // Settings of a pool.
 type Settings struct {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -87,10 +87,10 @@
 	for _, s := range r.pools[p].Dispatch(r.f.now, r.f.now < r.lease) {
 		r.f.begin(s.Work.Value.(*request), r.f.servers[s.Server])
 	}
-	switch r.pools[p].News() {
-	case pool.UrgentNews:
+	switch r.pools[p].Urgency() {
+	case pool.Urgent:
 		r.reportBy(min(r.pacer.DueUrgent(), r.pacer.DueFull()))
-	case pool.SomeNews:
+	case pool.Routine:
 		r.reportBy(r.pacer.DueFull())
 	}
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -161,15 +161,15 @@
 	p.dispatch()
 }
 
-// dispatch wakes the requests whose turn has come, and the reporter if the
-// allocator should hear. The caller holds mu.
+// dispatch wakes the requests whose turn has come, and the reporter if there
+// is something to report. The caller holds mu.
 func (p *lockedPool) dispatch() {
 	now := p.router.now()
 	for _, s := range p.pool.Dispatch(now, p.router.lease.valid(now)) {
 		s.Work.Value.(*waiter).turn <- turn{server: p.servers[s.Server]}
 	}
-	if news := p.pool.News(); news != pool.NoNews {
-		p.router.fleet.wake(news == pool.UrgentNews)
+	if u := p.pool.Urgency(); u != pool.NothingNew {
+		p.router.fleet.wake(u == pool.Urgent)
 	}
 }
 
