--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -8,8 +8,29 @@
 	"time"
 )
 
-// This file defines how free slots find work: the account furthest behind
-// first, as long as there is a free slot that one of its routers can use.
+// This file defines the rule who is granted a free slot: the account furthest
+// behind first, at the router where most of its work waits, on the server with
+// the largest free part.
+
+// TurnGap is the shortest time between two allocations: what arrives meanwhile
+// is taken together, since an allocation looks at every session and the
+// allocator's work would grow with the square of the fleet (BenchmarkScale).
+// The value is chosen, not measured.
+const TurnGap = time.Millisecond
+
+// How many candidates are looked at for a grant, another few each time, so
+// that its cost does not grow with the fleet. Chosen, not measured.
+const (
+	serversLooked = 8
+	placesLooked  = 8
+)
+
+// grant is one slot on its way to a router for the work of an account.
+type grant struct {
+	seq     uint64 // of the view that carries it; 0 until sent
+	pool    string
+	account string
+}
 
 // Allocate grants every free slot that work waits for. A grant costs O(log n)
 // in the accounts that wait.
@@ -22,13 +43,13 @@
 	}
 }
 
-func (a *Allocator) allocatePool(now time.Duration, p *pool) {
+func (a *Allocator) allocatePool(now time.Duration, p *fleetPool) {
 	var passed []*account // whose routers can reach no free server at present
 	for p.unmet.Len() > 0 && len(p.free) > 0 {
 		acc := p.unmet.Min()
-		w := acc.place()
+		w := acc.nextPlace()
 		if srv := p.freest(now, w.session); srv != nil {
-			a.grantOne(p, w, srv)
+			a.grant(p, w, srv)
 			continue
 		}
 		p.unmet.Remove(acc)
@@ -40,74 +61,48 @@
 	p.raiseFloor()
 	short := p.unmet.Len() > 0 && p.recall(now)
 	p.measureRate(now)
-	p.noteShort(now, short)
+	p.setShort(now, short)
 }
 
-// recall asks routers for slots that work elsewhere waits for: free ones that
-// they keep, as many as work waits for; and for a router that holds none at
-// all, one that is in use. Routers with a slot serve the account that is
-// furthest behind with the next that becomes free, so they need no recall. It
-// reports whether more work waits than slots are known to be free.
-//
-// Asking everybody for every free slot was tried first: one waiting request
-// then emptied the whole fleet's hands, and every next request had to ask.
-func (p *pool) recall(now time.Duration) (short bool) {
-	need := p.waiting - p.recalling
-	slotless := p.slotless - p.recalling
-	for _, v := range p.views {
-		if need <= 0 || v.idle <= 0 || !v.session.linked {
-			continue
-		}
-		n := min(v.idle, need)
-		v.idle -= n
-		need -= n
-		slotless -= n
-		p.ask(now, v, n)
-	}
-	for ; slotless > 0; slotless-- {
-		v := p.richest()
-		if v == nil {
-			break
+// nextPlace returns the router to grant to: the one where most of the
+// account's work waits, among placesLooked.
+func (a *account) nextPlace() *waitingAt {
+	var best *waitingAt
+	n := len(a.places)
+	for i := range min(n, placesLooked) {
+		w := a.places[(a.cursor+i)%n]
+		if best == nil || w.unmet() > best.unmet() {
+			best = w
 		}
-		p.ask(now, v, 1)
 	}
-	return need > 0
+	a.cursor++
+	return best
 }
 
-// richest returns the router that can best spare a slot, or nil if nobody has
-// more than one.
-func (p *pool) richest() *viewState {
-	var best *viewState
-	most := 1
-	for _, v := range p.views {
-		if spare := v.held - v.recall - v.recalled; spare > most && v.session.linked {
-			best, most = v, spare
+// freest returns the server with the largest free part among serversLooked, or
+// nil when the router can reach none that is free.
+func (p *fleetPool) freest(now time.Duration, s *session) *server {
+	var best *server
+	looked := 0
+	for i := range p.free {
+		srv := p.free[(p.cursor+i)%len(p.free)]
+		if s.suspect[srv.Name] > now {
+			continue
+		}
+		if best == nil || srv.free()*best.Slots > best.free()*srv.Slots {
+			best = srv
+		}
+		if looked++; looked == serversLooked {
+			break
 		}
 	}
+	p.cursor++
 	return best
 }
 
-func (p *pool) ask(now time.Duration, v *viewState, n int) {
-	v.recall += n
-	v.askedAt = now
-	p.recalling += n
-	v.session.urgent = true
-}
-
-// answered takes back what was noted of n recalled slots.
-func (p *pool) answered(v *viewState, n int) {
-	n = min(n, v.recalled)
-	v.recalled -= n
-	p.recalling -= n
-}
-
-// recallLife is how long the allocator counts on a recall. A slot in use may
-// take longer to come back, and is welcome then too.
-const recallLife = time.Second
-
-func (a *Allocator) grantOne(p *pool, w *waitingAt, srv *server) {
+func (a *Allocator) grant(p *fleetPool, w *waitingAt, srv *server) {
 	s := w.session
-	a.take(s, srv.Name, 1)
+	a.assign(s, srv.Name, 1)
 	s.granted[srv.Name]++
 	s.unacked = append(s.unacked, grant{pool: p.name, account: w.account.name})
 	s.urgent = true
@@ -119,52 +114,22 @@
 // acknowledge forgets the grants that a router has taken into account: what
 // it reports as waiting no longer includes what it started on them.
 func (a *Allocator) acknowledge(s *session, seq uint64) {
-	n := 0
-	for _, g := range s.unacked {
-		if g.seq == 0 || g.seq > seq {
-			s.unacked[n] = g
-			n++
-			continue
+	s.unacked = slices.DeleteFunc(s.unacked, func(g grant) bool {
+		done := g.seq != 0 && g.seq <= seq
+		if done {
+			a.grantDone(s, g)
 		}
-		a.arrived(s, g)
-	}
-	s.unacked = s.unacked[:n]
-}
-
-// dropUnacked forgets all grants of a session that is over, sent or not.
-func (a *Allocator) dropUnacked(s *session) {
-	for _, g := range s.unacked {
-		a.arrived(s, g)
-	}
-	s.unacked = nil
+		return done
+	})
 }
 
-// arrived undoes what grantOne noted on the way.
-func (a *Allocator) arrived(s *session, g grant) {
+// grantDone undoes what grant counted as on the way.
+func (a *Allocator) grantDone(s *session, g grant) {
 	w := s.waiting[waitingKey{g.pool, g.account}]
 	if w == nil {
 		return
 	}
 	w.onWay = max(w.onWay-1, 0)
 	w.account.onWay = max(w.account.onWay-1, 0)
-	if w.reported == 0 && w.onWay == 0 && w.running == 0 {
-		delete(s.waiting, waitingKey{g.pool, g.account})
-	}
 	a.pools[g.pool].update(w)
 }
-
-// noteShort tells the routers when the pool begins or ceases to be short of
-// slots. While it is, the virtual times go to them with every full view.
-func (p *pool) noteShort(now time.Duration, short bool) {
-	changed := short != p.short
-	p.short = short
-	for _, v := range p.views {
-		if !v.session.linked {
-			continue
-		}
-		v.session.wantView = v.session.wantView || short || changed
-		if v.recalled > 0 && now-v.askedAt > recallLife {
-			p.answered(v, v.recalled)
-		}
-	}
-}
--- a/coordination/slots/ledger.go
+++ b/coordination/slots/ledger.go
@@ -7,10 +7,10 @@
 // This file defines the allocator's ledger: which session holds how many slots
 // of which server, and what is undone when a session ends.
 
-// take and give move slots of a server between the allocator and a session.
-// Unknown servers are ignored; a report of nonsense is bounded by what the
-// session holds.
-func (a *Allocator) take(s *session, name string, n int) {
+// assign and release move slots of a server from the allocator to a session
+// and back. Unknown servers are ignored; what a session reports is bounded by
+// what the server has, and what it returns by what it holds.
+func (a *Allocator) assign(s *session, name string, n int) {
 	srv := a.servers[name]
 	if srv == nil || n <= 0 {
 		return
@@ -18,11 +18,11 @@
 	n = min(n, srv.Slots+srv.Extra)
 	srv.granted += n
 	s.held[name] += n
-	s.view(srv.pool).hold(n)
+	s.pool(srv.pool).addHeld(n)
 	srv.pool.setFree(srv)
 }
 
-func (a *Allocator) give(s *session, name string, n int) int {
+func (a *Allocator) release(s *session, name string, n int) int {
 	n = min(n, s.held[name])
 	if n <= 0 {
 		return 0
@@ -34,37 +34,38 @@
 	if srv := a.servers[name]; srv != nil {
 		srv.granted -= n
 		srv.pool.setFree(srv)
-		s.view(srv.pool).hold(-n)
+		s.pool(srv.pool).addHeld(-n)
 	}
 	return n
 }
 
-// free gives back everything that a session holds.
-func (a *Allocator) free(s *session) {
+// releaseAll takes everything that a session holds back, and the session out of
+// the pools.
+func (a *Allocator) releaseAll(s *session) {
 	for name, n := range s.held {
-		a.give(s, name, n)
+		a.release(s, name, n)
 	}
 	a.forgetWaiting(s)
+	for _, r := range s.pools {
+		r.pool.routers = slices.DeleteFunc(r.pool.routers, func(o *routerPool) bool { return o == r })
+	}
 }
 
+// forgetWaiting forgets the work that waits at a router, and grants and recalls
+// on their way to it.
 func (a *Allocator) forgetWaiting(s *session) {
-	a.dropUnacked(s)
-	for _, v := range s.views {
-		v.pool.recalling -= v.recall
-		v.recall = 0
-		v.pool.answered(v, v.recalled)
+	for _, g := range s.unacked {
+		a.grantDone(s, g)
+	}
+	s.unacked = nil
+	for _, r := range s.pools {
+		r.pool.recalling -= r.recall
+		r.recall = 0
+		r.recallDone(r.recalled)
 	}
 	for k := range s.waiting {
-		if p := a.pools[k.pool]; p != nil {
-			p.setWaiting(s, p.accounts[k.account], 0, 0)
-		}
+		p := a.pools[k.pool]
+		p.setWaiting(s, p.accounts[k.account], 0, 0)
 	}
 	clear(s.waiting)
 }
-
-// forgetViews takes a session that is over out of the pools.
-func (a *Allocator) forgetViews(s *session) {
-	for _, v := range s.views {
-		v.pool.views = slices.DeleteFunc(v.pool.views, func(o *viewState) bool { return o == v })
-	}
-}
