--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -2,7 +2,11 @@
 
 package slots
 
-import "time"
+import (
+	"maps"
+	"slices"
+	"time"
+)
 
 // This file defines Allocator and the configuration that it works with.
 // Sessions and leases are in session.go, reports in report.go, grants in
@@ -76,8 +80,8 @@
 		s.Server, s.pool = b, a.pool(b.Pool)
 		s.pool.setFree(s)
 	}
-	for name, s := range a.servers {
-		if !seen[name] {
+	for _, name := range slices.Sorted(maps.Keys(a.servers)) {
+		if s := a.servers[name]; !seen[name] {
 			s.pool.removeFree(s)
 			delete(a.servers, name)
 		}
--- a/coordination/slots/doc.go
+++ b/coordination/slots/doc.go
@@ -40,9 +40,9 @@
 // held; a slot of a router that vanished is granted again only after its lease
 // and margin; an allocator grants nothing until every router that may hold
 // slots has reported what it holds, or the lease and the margin have passed.
-// Only requests that run on past a lease exceed a server's slots. A router counts its lease from the
-// moment that the renewal was sent, the allocator from the moment that it was
-// received, so the router's always ends first.
+// Only requests that run on past a lease exceed a server's slots. A router
+// counts its lease from the moment that the renewal was sent, the allocator
+// from the moment that it was received, so the router's always ends first.
 //
 // The bound. While accounts a and b are both backlogged for a pool, with
 // weights w, slots M, the largest request L, the service C that the pool can
--- a/coordination/slots/ledger.go
+++ b/coordination/slots/ledger.go
@@ -2,7 +2,10 @@
 
 package slots
 
-import "slices"
+import (
+	"maps"
+	"slices"
+)
 
 // This file defines the allocator's ledger: which session holds how many slots
 // of which server, and what is undone when a session ends.
@@ -42,8 +45,8 @@
 // releaseAll takes everything that a session holds back, and the session out of
 // the pools.
 func (a *Allocator) releaseAll(s *session) {
-	for name, n := range s.held {
-		a.release(s, name, n)
+	for _, name := range slices.Sorted(maps.Keys(s.held)) {
+		a.release(s, name, s.held[name])
 	}
 	a.forgetWaiting(s)
 	for _, r := range s.pools {
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -50,3 +50,51 @@
 		}
 	}
 }
+
+// TestEveryRunIsTheSame lets a session end while it holds slots of several
+// servers and has work of several accounts, then grants what came free: the
+// same steps give the same grants each time.
+func TestEveryRunIsTheSame(t *testing.T) {
+	names := []string{"a", "b", "c", "d", "e", "f"}
+	var servers []Server
+	var accounts []Account
+	var held []protocol.Held
+	var waiting []protocol.AccountReport
+	for _, n := range names {
+		servers = append(servers, Server{Name: n, Pool: "p", Slots: 1, Serving: true})
+		accounts = append(accounts, Account{Name: n, Share: 1})
+		held = append(held, protocol.Held{Server: n, Slots: 1})
+		waiting = append(waiting, protocol.AccountReport{Account: n, Waiting: 1})
+	}
+	report := protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: waiting}}}
+	ends := map[string]func(a *Allocator){
+		"lease runs out":       func(a *Allocator) { a.End("r1") },
+		"link breaks, unsent":  func(a *Allocator) { a.Unlink("r1", 1) },
+		"servers come and go":  func(a *Allocator) { a.End("r1"); a.Configure(servers[3:], accounts) },
+		"session is replaced":  func(a *Allocator) { a.Open(0, protocol.Hello{Router: "r1", Boot: 1}) },
+		"account and its work": func(a *Allocator) { a.End("r1"); a.Configure(servers, accounts[3:]) },
+	}
+	run := func(end func(a *Allocator), hello protocol.Hello) (free []string) {
+		a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
+		a.Configure(servers, accounts)
+		a.Open(0, hello)
+		a.Report(0, "r1", report)
+		a.Allocate(0)
+		end(a)
+		for _, s := range a.pools["p"].free {
+			free = append(free, s.Name)
+		}
+		return free
+	}
+	for name, end := range ends {
+		for _, h := range []protocol.Hello{{Router: "r1", Boot: 1, Held: held}, {Router: "r1", Boot: 1}} {
+			t.Run(name, func(t *testing.T) {
+				is := is.New(t)
+				first := run(end, h)
+				for range 20 {
+					is.Equal(run(end, h), first)
+				}
+			})
+		}
+	}
+}
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -143,8 +143,8 @@
 		return
 	}
 	s.linked = false
-	for name, n := range s.granted {
-		a.release(s, name, n)
+	for _, name := range slices.Sorted(maps.Keys(s.granted)) {
+		a.release(s, name, s.granted[name])
 	}
 	clear(s.granted)
 	a.forgetWaiting(s)
