--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -39,12 +39,7 @@
 	into.Returned = append(into.Returned, p.holder.TakeReturned()...)
 	into.Suspects = append(into.Suspects, p.suspects...)
 	p.suspects = nil
-	pr := protocol.PoolReport{Pool: p.name, Idle: p.holder.Idle()}
-	for _, c := range p.queue.TakeChanges(seq) {
-		pr.Accounts = append(pr.Accounts, protocol.AccountReport{
-			Account: c.Account, Waiting: c.Waiting, Service: c.Service, Started: c.Started, Running: c.Running,
-		})
-	}
+	pr := protocol.PoolReport{Pool: p.name, Idle: p.holder.Idle(), Accounts: p.queue.TakeChanges(seq)}
 	if len(pr.Accounts) > 0 || pr.Idle != p.idle {
 		into.Pools = append(into.Pools, pr)
 	}
@@ -88,13 +83,8 @@
 		p.holder.Expire()
 	}
 	p.view = slots.FleetView{}
-	v := protocol.PoolView{Pool: p.name, Floor: p.queue.Lift(), Lift: p.queue.Lift()}
-	for _, s := range p.queue.Times() {
-		if s.Time != 0 {
-			v.Accounts = append(v.Accounts, protocol.AccountView{Account: s.Account, Ahead: s.Time - v.Floor})
-		}
-	}
-	return p.holder.Held(), v
+	lift := p.queue.Lift()
+	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.Times()}
 }
 
 // Welcomed begins a session: reports are numbered from 1 again, and slots that
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -2,7 +2,11 @@
 
 package share
 
-import "math"
+import (
+	"math"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
+)
 
 // This file defines what a queue exchanges with the allocator: fleet-wide
 // virtual times one way, what happened here the other way.
@@ -37,19 +41,15 @@
 // Lift returns the highest value that SetLift took.
 func (q *Queue) Lift() float64 { return q.lift }
 
-// AccountTime is the virtual time of one account.
-type AccountTime struct {
-	Account string
-	Time    float64
-}
-
-// Times returns the virtual times of all accounts without what was not
-// reported yet, in the order of names.
-func (q *Queue) Times() []AccountTime {
-	out := make([]AccountTime, 0, len(q.accounts))
+// Times returns how far the virtual times are above the lift, without what was
+// not reported yet, of all accounts that have any, in the order of names.
+func (q *Queue) Times() []protocol.AccountView {
+	var out []protocol.AccountView
 	for _, name := range sortedNames(q.accounts) {
 		a := q.accounts[name]
-		out = append(out, AccountTime{Account: name, Time: a.time - a.unsent/a.share})
+		if time := a.time - a.unsent/a.share; time != 0 {
+			out = append(out, protocol.AccountView{Account: name, Ahead: time - q.lift})
+		}
 	}
 	return out
 }
@@ -74,15 +74,6 @@
 	}
 }
 
-// Change is what happened to one account since the previous report.
-type Change struct {
-	Account string
-	Waiting int     // requests, now
-	Service float64 // cost charged since
-	Started int     // requests, since
-	Running int     // requests, now
-}
-
 // serviceStep is how many steps of reported service make a unit of cost:
 // coarse values encode in five bytes instead of nine. What the rounding leaves
 // goes with the next report. The value is chosen, not measured.
@@ -90,12 +81,14 @@
 
 // TakeChanges returns what happened since the previous call, in the order of
 // names, as report number seq.
-func (q *Queue) TakeChanges(seq uint64) []Change {
-	out := make([]Change, 0, len(q.changed))
+func (q *Queue) TakeChanges(seq uint64) []protocol.AccountReport {
+	var out []protocol.AccountReport
 	for _, name := range sortedNames(q.changed) {
 		a := q.changed[name]
 		service := math.Round(a.unsent*serviceStep) / serviceStep
-		out = append(out, Change{Account: name, Waiting: a.waiting, Service: service, Started: a.started, Running: a.running})
+		out = append(out, protocol.AccountReport{
+			Account: name, Waiting: a.waiting, Service: service, Started: a.started, Running: a.running,
+		})
 		if service != 0 {
 			a.sent = append(a.sent, sentPart{seq: seq, time: service / a.share})
 		}
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -10,6 +10,8 @@
 
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
+
+	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
 func queueOf(shares map[string]float64) *Queue {
@@ -174,7 +176,7 @@
 		q := queueOf(map[string]float64{"a": 2})
 		var arrived, seq uint64
 		allocator := 0.0
-		var flying []Change
+		var flying []protocol.AccountReport
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -18,12 +18,10 @@
 // The value is chosen, not measured.
 const TurnGap = time.Millisecond
 
-// How many candidates are looked at for a grant, another few each time, so
-// that its cost does not grow with the fleet. Chosen, not measured.
-const (
-	serversLooked = 8
-	placesLooked  = 8
-)
+// candidatesLooked is how many routers, and how many servers, a grant is chosen
+// among: other ones each time, so that its cost does not grow with the fleet.
+// Chosen, not measured.
+const candidatesLooked = 8
 
 // grant is one slot on its way to a router for the work of an account.
 type grant struct {
@@ -65,11 +63,11 @@
 }
 
 // nextPlace returns the router to grant to: the one where most of the
-// account's work waits, among placesLooked.
+// account's work waits, among candidatesLooked.
 func (a *account) nextPlace() *waitingAt {
 	var best *waitingAt
 	n := len(a.places)
-	for i := range min(n, placesLooked) {
+	for i := range min(n, candidatesLooked) {
 		w := a.places[(a.cursor+i)%n]
 		if best == nil || w.unmet() > best.unmet() {
 			best = w
@@ -79,7 +77,7 @@
 	return best
 }
 
-// freest returns the server with the largest free part among serversLooked, or
+// freest returns the server with the largest free part among candidatesLooked, or
 // nil when the router can reach none that is free.
 func (p *fleetPool) freest(now time.Duration, s *session) *server {
 	var best *server
@@ -92,7 +90,7 @@
 		if best == nil || srv.free()*best.Slots > best.free()*srv.Slots {
 			best = srv
 		}
-		if looked++; looked == serversLooked {
+		if looked++; looked == candidatesLooked {
 			break
 		}
 	}
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -117,7 +117,11 @@
 // Recall gives back n slots: free ones, from the server with most of them
 // first, then those that become free next.
 func (h *Holder) Recall(n int) {
-	h.owed = min(h.owed+n, h.total())
+	held := 0
+	for _, s := range h.servers {
+		held += s.held
+	}
+	h.owed = min(h.owed+n, held)
 	for ; h.owed > 0; h.owed-- {
 		names := h.FreeServers()
 		if len(names) == 0 {
@@ -138,15 +142,6 @@
 	return out
 }
 
-// total is the number of slots held.
-func (h *Holder) total() int {
-	n := 0
-	for _, s := range h.servers {
-		n += s.held
-	}
-	return n
-}
-
 // ReturnIdle gives back every free slot.
 func (h *Holder) ReturnIdle() {
 	for _, name := range h.FreeServers() {
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -41,9 +41,12 @@
 	return out
 }
 
+// never is when a view goes that is not wanted.
+const never = time.Duration(math.MaxInt64)
+
 // due returns when the session's next view may go.
 func (s *session) due() time.Duration {
-	next := time.Duration(math.MaxInt64)
+	next := never
 	if s.urgent {
 		next = s.pacer.DueUrgent()
 	}
@@ -55,17 +58,13 @@
 
 // NextView returns when the next view is due, or false when none is wanted.
 func (a *Allocator) NextView() (time.Duration, bool) {
-	var next time.Duration
-	found := false
+	next := never
 	for _, s := range a.order {
-		if !s.linked || !(s.urgent || s.wantView) {
-			continue
-		}
-		if due := s.due(); !found || due < next {
-			next, found = due, true
+		if s.linked {
+			next = min(next, s.due())
 		}
 	}
-	return next, found
+	return next, next != never
 }
 
 // Sent counts the size of a view that went out.
