--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -72,7 +72,7 @@
 
 	unsent   float64    // cost charged since the last report
 	started  int        // requests started since the last report
-	reported int        // requests that wait as far as the allocator knows
+	reported int        // waiting requests in the last report, less those started since
 	sent     []sentPart // reported, not yet in a fleet-wide time
 }
 
