--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -38,8 +38,7 @@
 	r.known = map[int]bool{}
 	r.linked, r.lease, r.reports, r.viewSeq, r.due = false, 0, 0, 0, 0
 	r.link++
-	p := r.f.shape.pace
-	r.pacer = slots.Pacer{Short: p.Short, Long: p.Long, Budget: p.Budget, Burst: p.Burst}
+	r.pacer = slots.Pacer{Pace: r.f.shape.pace}
 	for _, ps := range r.f.shape.pools {
 		pl := pool.New(ps.name, pool.Settings{Linger: 100 * time.Millisecond, FirstEstimate: 256, PrefixBlocks: 16})
 		var servers []pool.Server
@@ -87,10 +86,10 @@
 	for _, s := range r.pools[p].Dispatch(r.f.now, r.f.now < r.lease) {
 		r.f.begin(s.Work.Value.(*request), r.f.servers[s.Server])
 	}
-	switch r.pools[p].News() {
-	case pool.UrgentNews:
+	switch r.pools[p].Urgency() {
+	case pool.Urgent:
 		r.reportBy(min(r.pacer.DueUrgent(), r.pacer.DueFull()))
-	case pool.SomeNews:
+	case pool.Routine:
 		r.reportBy(r.pacer.DueFull())
 	}
 }
@@ -267,7 +266,7 @@
 	r.viewSeq = v.Seq
 	for i, p := range r.pools {
 		for _, pv := range v.Pools {
-			if pv.Pool == p.Name() {
+			if pv.Pool == r.f.shape.pools[i].name {
 				p.TakeView(r.f.now, pv, v.ReportSeq)
 			}
 		}
