--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -21,6 +21,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
@@ -104,8 +105,8 @@
 // answers answers with a body after a while.
 func answers(status int, body string, after time.Duration) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
-		if err := sleep(ctx, after); err != nil {
-			return nil, forward.Unknown{Err: err}
+		if !sleep.For(ctx, after) {
+			return nil, forward.Unknown{Err: ctx.Err()}
 		}
 		return &forward.Answer{
 			Status: status, Header: headOf(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
@@ -158,8 +159,8 @@
 		return 0, io.EOF
 	}
 	p := r.pieces[0]
-	if err := sleep(r.ctx, p.after); err != nil {
-		return 0, err
+	if !sleep.For(r.ctx, p.after) {
+		return 0, r.ctx.Err()
 	}
 	r.pieces = r.pieces[1:]
 	return copy(b, p.text), p.err
@@ -167,15 +168,6 @@
 
 func (r *pieceReader) Close() error { return nil }
 
-func sleep(ctx context.Context, d time.Duration) error {
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-time.After(d):
-		return nil
-	}
-}
-
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
 // fixture is one gateway.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,6 +16,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/overload"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -160,7 +161,7 @@
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
-	for range every(ctx, stopPoll) {
+	for range sleep.Every(ctx, stopPoll) {
 		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.calls.Load()) {
 		case drain.CutOff:
 			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
@@ -180,22 +181,4 @@
 	return g.now() - time.Duration(began)
 }
 
-// every yields once a period until ctx ends.
-func every(ctx context.Context, period time.Duration) func(yield func() bool) {
-	return func(yield func() bool) {
-		t := time.NewTicker(period)
-		defer t.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-t.C:
-			}
-			if !yield() {
-				return
-			}
-		}
-	}
-}
-
 var _ http.Handler = (*Gateway)(nil)
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/badgerspoke/badgerspoke/coordination/overload"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
 // This file defines tick, the goroutine that watches this gateway's processor.
@@ -14,7 +15,7 @@
 // tick publishes how late its timer fires, and gives backend servers to requests
 // that wait for what others' load leaves free.
 func (g *Gateway) tick() {
-	for range every(g.ctx, overload.TickPeriod) {
+	for range sleep.Every(g.ctx, overload.TickPeriod) {
 		old := g.overload.Load()
 		d := old.Tick(g.now())
 		g.overload.Store(&d)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -4,7 +4,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"context"
 	"io"
 	"net/http"
@@ -13,6 +12,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
@@ -107,43 +107,35 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			r.c.stall.progressed()
-			if !a.started {
-				r.c.g.answerStarted(a, r.c.pool.Engine)
-			}
-			if !r.headWritten {
-				r.c.g.stats.firstPart(r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
-				r.writeHead(answer.Status, answer.Header, -1)
-			}
-			if werr := r.events(buffer[:n], flusher); werr != nil {
+			if werr := r.pass(a, answer, buffer[:n], flusher); werr != nil {
 				return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: werr}
 			}
 		}
 		if err == io.EOF {
 			return r.streamEnd(answer, flusher)
 		}
-		if err == nil {
-			r.coalesce(ctx)
+		// A late gateway waits a little, so that several events come with one read.
+		if err == nil && !sleep.For(ctx, r.c.g.overload.Load().Coalesce(r.c.route.EventGap)) {
+			err = ctx.Err()
 		}
-		if err != nil || ctx.Err() != nil {
-			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: cmp.Or(err, ctx.Err())}
+		if err != nil {
+			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: err}
 		}
 	}
 }
 
-// coalesce waits a little under pressure, so that several events come with one
-// read.
-func (r *relay) coalesce(ctx context.Context) {
-	wait := r.c.g.overload.Load().Coalesce(r.c.route.EventGap)
-	if wait == 0 {
-		return
+// pass takes what one read gave: the first of an attempt shows that the server has
+// begun, the first of the call needs the answer's head.
+func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
+	r.c.stall.progressed()
+	if !a.started {
+		r.c.g.answerStarted(a, r.c.pool.Engine)
 	}
-	t := time.NewTimer(wait)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
+	if !r.headWritten {
+		r.c.g.stats.firstPart(r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
+		r.writeHead(answer.Status, answer.Header, -1)
 	}
+	return r.events(piece, flusher)
 }
 
 // streamEnd ends a stream whose body is whole.
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -14,6 +14,7 @@
 	"github.com/matryer/is"
 
 	"github.com/badgerspoke/badgerspoke/coordination/overload"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
@@ -246,8 +247,8 @@
 func TestLateGatewayDoesNotTakeABackendForSilent(t *testing.T) {
 	const begins = 1500 * time.Millisecond // later than silence is borne
 	slow := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
-		if err := sleep(ctx, begins); err != nil {
-			return nil, forward.Unknown{Err: err}
+		if !sleep.For(ctx, begins) {
+			return nil, forward.Unknown{Err: ctx.Err()}
 		}
 		body := &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 20}
 		return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -10,6 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -68,10 +69,7 @@
 		if failures > redialsAtOnce {
 			pause = redialLongest
 		}
-		select {
-		case <-w.g.ctx.Done():
-		case <-time.After(pause):
-		}
+		sleep.For(w.g.ctx, pause) // the loop looks whether ctx has ended
 	}
 }
 
@@ -201,7 +199,7 @@
 // report sends the leader what runs and was asked for here, until ctx ends or
 // the session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
-	for range every(ctx, usagePeriod) {
+	for range sleep.Every(ctx, usagePeriod) {
 		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
 		u.Demands, u.Started, u.Missed = w.g.accounts.takeReport()
 		if _, err := l.Send(ctx, u); err != nil {
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sleep waits for a time that the end of a context cuts short.
+// Package sleep waits for times that the end of a context cuts short.
 package sleep
 
 import (
 	"context"
+	"iter"
 	"time"
 )
 
-// This file defines For.
+// This file defines For, one wait, and Every, one after the other.
 
 // For waits for d and reports whether ctx lasted as long. It returns at once
 // if d is not positive.
@@ -25,3 +26,22 @@
 		return false
 	}
 }
+
+// Every yields the time once a period until ctx ends. A loop body that takes
+// longer than the period misses ticks.
+func Every(ctx context.Context, period time.Duration) iter.Seq[time.Time] {
+	return func(yield func(time.Time) bool) {
+		t := time.NewTicker(period)
+		defer t.Stop()
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case now := <-t.C:
+				if !yield(now) {
+					return
+				}
+			}
+		}
+	}
+}
--- a/process/connections.go
+++ b/process/connections.go
@@ -10,6 +10,8 @@
 	"slices"
 	"sync"
 	"time"
+
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
 // This file defines idleConnections, which ends callers' connections that are
@@ -82,14 +84,7 @@
 // sweep ends connections that have been idle for longer than callers may leave
 // them, until ctx ends.
 func (c *idleConnections) sweep(ctx context.Context, allowed func() time.Duration) {
-	t := time.NewTicker(sweepPeriod)
-	defer t.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.C:
-		}
+	for range sleep.Every(ctx, sweepPeriod) {
 		if limit := allowed(); limit > 0 {
 			c.endIdle(limit)
 		}
