--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"log/slog"
+	"net/http"
 
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
@@ -24,8 +25,8 @@
 	// held is the whole answer of a failure (retry.HasRun), which is given to
 	// the caller if nothing better comes.
 	held        *heldAnswer
-	misdirected bool // another backend server has the address
-	err         error
+	misdirected bool  // another backend server has the address
+	err         error // nil after retry.Answered only
 }
 
 // attempt sends the request to one backend server and relays what it answers.
@@ -62,14 +63,14 @@
 	if head.ID != c.head.ID {
 		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", blame: outlier.Faulty, err: errCrossed}
 	}
-	success := answer.Status >= 200 && answer.Status < 300
+	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	switch {
 	case success && !head.Signed:
 		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", blame: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
 		return c.relay.stream(ctx, a, answer)
 	}
-	return c.relay.plain(a, answer, success)
+	return c.relay.plain(a, answer)
 }
 
 // outgoing is the request as a backend server gets it.
@@ -122,7 +123,7 @@
 	allowed, fromBudget := policy.Again(out.execution)
 	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
 	c.g.cfg.Log.Failure("attempt failed", slog.String("request", c.head.ID), slog.String("backend", a.server),
-		slog.String("cause", out.cause), slog.String("error", text(out.err)), slog.Int("attempt", c.counts.Arrived),
+		slog.String("cause", out.cause), slog.String("error", out.err.Error()), slog.Int("attempt", c.counts.Arrived),
 		slog.Int("took_ms", int((c.g.now()-a.began).Milliseconds())), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID))
 	if again {
@@ -139,19 +140,6 @@
 	}
 }
 
-func (t *table) poolSize(name string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.pool(name).servers)
-}
-
-func text(err error) string {
-	if err == nil {
-		return ""
-	}
-	return err.Error()
-}
-
 // Faults of an answer's head.
 var (
 	errCrossed  = faultyAnswer("the answer belongs to another request")
@@ -159,8 +147,8 @@
 	errShort    = faultyAnswer("the answer is cut off")
 )
 
-// faultyAnswer says what is wrong with a backend server's answer.
+// faultyAnswer is what is wrong with a backend server's answer.
 type faultyAnswer string
 
-// Error says it.
+// Error implements error.
 func (e faultyAnswer) Error() string { return string(e) }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -24,7 +24,7 @@
 
 // This file defines Gateway, its settings, its start and its stop.
 
-// Server sends calls to backend servers. [backend.Client] is one.
+// Server sends calls to backend servers. [forward.Client] is one.
 type Server interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
@@ -84,7 +84,7 @@
 	g.gateways.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
-	go newWatcher(g).run()
+	go (&watcher{g: g, startID: cfg.Random() | 1}).run()
 	go g.tick()
 	return g
 }
@@ -102,19 +102,17 @@
 
 // Limits returns what callers may send and how long they may take, by the
 // document in force; before the first, nothing is limited.
-func (g *Gateway) Limits() document.Limits {
-	if rs := g.routes.Load(); rs != nil {
-		return rs.document.Limits
-	}
-	return document.Limits{}
-}
+func (g *Gateway) Limits() document.Limits { return g.document().Limits }
 
 // DocumentNumber returns the document in force here, 0 before the first.
-func (g *Gateway) DocumentNumber() uint64 {
+func (g *Gateway) DocumentNumber() uint64 { return g.document().Number }
+
+// document returns the document in force, an empty one before the first.
+func (g *Gateway) document() document.Document {
 	if rs := g.routes.Load(); rs != nil {
-		return rs.document.Number
+		return rs.document
 	}
-	return 0
+	return document.Document{}
 }
 
 // apply brings a document into force. It never goes back.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -47,7 +47,7 @@
 
 // plain takes a plain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
-func (r *relay) plain(a *assignment, answer *forward.Answer, success bool) outcome {
+func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
@@ -57,8 +57,9 @@
 	if len(body) == maxPlain {
 		return r.large(answer, held)
 	}
-	if answer.Status >= 500 {
-		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
+	if answer.Status >= http.StatusInternalServerError {
+		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
+		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: err}
 	}
 	r.give(held)
 	return outcome{execution: retry.Answered}
@@ -132,7 +133,7 @@
 		r.c.g.answerStarted(a, r.c.pool.Engine)
 	}
 	if !r.headWritten {
-		r.c.g.stats.firstPart(r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
+		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
 		r.writeHead(answer.Status, answer.Header, -1)
 	}
 	return r.events(piece, flusher)
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -16,50 +16,48 @@
 type stats struct {
 	set *metrics.Set
 
-	mu     sync.Mutex // a leaf; guards the caches
-	first  map[[2]string]*metrics.Histogram
-	whole  map[[2]string]*metrics.Histogram
-	counts map[counterKey]*metrics.Counter
+	mu         sync.Mutex // a leaf; guards the caches
+	counters   map[counterKey]*metrics.Counter
+	histograms map[histogramKey]*metrics.Histogram
 }
 
 // counterKey is a counter's name and its one label.
 type counterKey struct{ name, label, value string }
 
+// histogramKey is a histogram's name and the values of its labels.
+type histogramKey struct{ name, account, route string }
+
 func newStats(set *metrics.Set) *stats {
-	return &stats{
-		set: set, first: map[[2]string]*metrics.Histogram{}, whole: map[[2]string]*metrics.Histogram{},
-		counts: map[counterKey]*metrics.Counter{},
-	}
+	return &stats{set: set, counters: map[counterKey]*metrics.Counter{}, histograms: map[histogramKey]*metrics.Histogram{}}
 }
 
 // count adds one to a counter with one label.
 func (s *stats) count(name, label, value string) {
 	key := counterKey{name, label, value}
 	s.mu.Lock()
-	c := s.counts[key]
+	c := s.counters[key]
 	if c == nil {
 		c = s.set.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_%s_total{%s=%q}", name, label, value))
-		s.counts[key] = c
+		s.counters[key] = c
 	}
 	s.mu.Unlock()
 	c.Inc()
 }
 
-func (s *stats) firstPart(account, route string, took time.Duration) {
-	s.observe(s.first, "first_seconds", account, route, took)
-}
-
-func (s *stats) wholeAnswer(account, route string, took time.Duration) {
-	s.observe(s.whole, "answer_seconds", account, route, took)
-}
+// Histograms: the time to the first part of a stream, and to a whole answer.
+const (
+	firstSeconds  = "first_seconds"
+	answerSeconds = "answer_seconds"
+)
 
-func (s *stats) observe(cache map[[2]string]*metrics.Histogram, name, account, route string, took time.Duration) {
-	key := [2]string{account, route}
+// observe adds a time to a histogram.
+func (s *stats) observe(name, account, route string, took time.Duration) {
+	key := histogramKey{name, account, route}
 	s.mu.Lock()
-	h := cache[key]
+	h := s.histograms[key]
 	if h == nil {
 		h = s.set.GetOrCreateHistogram(fmt.Sprintf("badgerspoke_gateway_%s{tenant=%q,route=%q}", name, account, route))
-		cache[key] = h
+		s.histograms[key] = h
 	}
 	s.mu.Unlock()
 	h.Update(took.Seconds())
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -171,7 +171,9 @@
 	for _, p := range t.pools {
 		for _, k := range p.servers {
 			if k.Handle != 0 && k.own.Requests > 0 {
-				out = append(out, protocol.ServerLoad{Handle: k.Handle, Requests: uint32(k.own.Requests), Tokens: uint32(max(k.own.Tokens, 0))})
+				out = append(out, protocol.ServerLoad{
+					Handle: k.Handle, Requests: uint32(k.own.Requests), Tokens: uint32(max(k.own.Tokens, 0)),
+				})
 			}
 		}
 	}
@@ -185,6 +187,13 @@
 	return len(t.servers)
 }
 
+// poolSize returns how many backend servers of a pool are known.
+func (t *table) poolSize(name string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.pool(name).servers)
+}
+
 // Servers returns the identifiers of the backend servers that the gateway knows, in
 // order.
 func (g *Gateway) Servers() []string {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -54,8 +54,6 @@
 	connected bool     // the last session was with a leader
 }
 
-func newWatcher(g *Gateway) *watcher { return &watcher{g: g, startID: g.cfg.Random() | 1} }
-
 // run keeps a session with whoever leads, until the gateway stops.
 func (w *watcher) run() {
 	failures := 0
