--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -48,7 +48,7 @@
 	return a.classifier.Admits(a.now(), c)
 }
 
-// countStarted counts the service that a request begins to get.
+// countStarted counts a request that gets its first backend server.
 func (a *accounts) countStarted(account string, cost float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,24 +74,24 @@
 	return a.served.Compare(a.now(), x, y)
 }
 
-// update takes the fleet's list of accounts that ask for more than their share.
+// update takes the fleet's list of accounts that demand more than their share.
 func (a *accounts) update(list []protocol.Entitlement, short bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.classifier.Update(a.now(), list, short)
 }
 
-// entitlement returns what the fleet's list says of an account, and the list's
-// age, for the log.
+// entitlement returns an account's entry in the fleet's list, and the list's age, for
+// the log.
 func (a *accounts) entitlement(account string) (e protocol.Entitlement, age time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.classifier.Entitlement(a.now(), account)
 }
 
-// takeReport returns and clears what was asked for, begun and
-// missed since the last call.
-func (a *accounts) takeReport() (demands []protocol.Demand, begun, missed uint64) {
+// takeReport returns and clears the tokens that were demanded, started and missed
+// since the last call.
+func (a *accounts) takeReport() (demands []protocol.Demand, started, missed uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	demands = make([]protocol.Demand, 0, len(a.demanded))
@@ -100,7 +100,7 @@
 	}
 	clear(a.demanded)
 	slices.SortFunc(demands, func(x, y protocol.Demand) int { return cmp.Compare(x.Account, y.Account) })
-	begun, missed = a.started, a.missed
+	started, missed = a.started, a.missed
 	a.started, a.missed = 0, 0
-	return demands, begun, missed
+	return demands, started, missed
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -124,7 +124,7 @@
 	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
 	c.g.cfg.Log.Failure("attempt failed", slog.String("request", c.head.ID), slog.String("backend", a.server),
 		slog.String("cause", out.cause), slog.String("error", out.err.Error()), slog.Int("attempt", c.counts.Arrived),
-		slog.Int("took_ms", int((c.g.now()-a.began).Milliseconds())), slog.Bool("again", again),
+		milliseconds("took_ms", c.g.now()-a.began), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID))
 	if again {
 		return true, nil
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -39,7 +39,7 @@
 	counts   retry.Counts
 	avoid    map[string]bool // backend servers that had it already
 	assigned *assignment     // of the last attempt
-	short    shortage        // why there was no backend server in the end
+	shortage shortage        // why there was no backend server in the end
 	relay    *relay          // nil until it is admitted
 	stall    *stallTimer     // of the present attempt
 }
@@ -190,9 +190,9 @@
 	c.avoid = map[string]bool{}
 	c.relay = &relay{c: c}
 	for {
-		a, err := c.server(ctx)
+		a, err := c.takeServer(ctx)
 		if err != nil && c.relay.headWritten {
-			return brokenAnswer{err: err} // the head is gone: nothing else can be said
+			return brokenAnswer{err: err} // after the head no other answer can follow
 		}
 		if err != nil {
 			return err
@@ -208,9 +208,9 @@
 	}
 }
 
-// server waits for a backend server. The error is a [Refusal] or a
+// takeServer waits for a backend server. The error is a [Refusal] or a
 // [callerLeft].
-func (c *call) server(ctx context.Context) (*assignment, error) {
+func (c *call) takeServer(ctx context.Context) (*assignment, error) {
 	req := requirements{
 		Waiting: entitlement.Waiting{
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
@@ -219,9 +219,8 @@
 		repeat: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()),
 	}
 	patience := retry.QueueTimeout(c.route, c.counts.Runs, c.g.now()-c.arrived, c.left())
-	a, short := c.g.awaitServer(ctx, req, patience)
-	c.short = short
-	if a != nil {
+	var a *assignment
+	if a, c.shortage = c.g.awaitServer(ctx, req, patience); a != nil {
 		if c.counts.Arrived == 0 {
 			c.g.accounts.countStarted(c.account.Name, c.cost)
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -15,7 +15,7 @@
 // known goes to package place, and what runs is counted. The rules are in
 // coordination/place and coordination/outlier.
 
-// requirements are what a request asks of a backend server.
+// requirements are what the choice of a backend server depends on.
 type requirements struct {
 	entitlement.Waiting
 	pool     document.Pool
@@ -26,7 +26,7 @@
 	gateways int
 }
 
-// choiceRequest is what the choice needs of them.
+// choiceRequest translates them for package place.
 func (r *requirements) choiceRequest() place.Request {
 	return place.Request{
 		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeat,
@@ -42,14 +42,14 @@
 	tokens      int // that it has to read
 	began       time.Duration
 	tokensAhead int           // tokens in front when it began
-	waiting     time.Duration // from its beginning to the first part of the answer; 0 before
+	untilFirst  time.Duration // from its beginning to the first part of the answer; 0 before
 	trial       bool          // of an ejected server
-	started     bool          // the first event has come, or the answer
+	answering   bool          // a part of the answer has come
 	ended       bool
 }
 
-// shortage says why a request got no backend server: the one that suits it best, as
-// it was known. It is empty if there was no candidate.
+// shortage is why a request got no backend server: the one that suits it best, with
+// what was known to run there. It is empty if there was no candidate.
 type shortage struct {
 	server   string
 	requests int
@@ -106,24 +106,24 @@
 	}
 }
 
-// answerStarted counts that the first part of an answer has come, so the prompt has
-// been read.
-func (g *Gateway) answerStarted(a *assignment, engine bool) {
+// countFirstPart counts that the first part of an answer has come, so that the prompt
+// has been read.
+func (g *Gateway) countFirstPart(a *assignment, engine bool) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
-	if a.started {
+	if a.answering {
 		return
 	}
-	a.started = true
-	a.waiting = g.now() - a.began
+	a.answering = true
+	a.untilFirst = g.now() - a.began
 	a.known.own.Tokens -= a.tokens
 	p := g.table.pool(a.known.Pool)
-	a.known.pace.Observe(p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, a.waiting))
+	a.known.pace.Observe(p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, a.untilFirst))
 }
 
-// release ends an attempt at its backend server, with what it says about the
-// server, and reports whether the server is ejected by it. A server that the
-// directory does not list is used as long as it answers, and no longer.
+// release ends an attempt at its backend server, with the verdict on the server, and
+// reports whether that ejects it. A server that the directory does not list is used
+// as long as it answers, and no longer.
 func (g *Gateway) release(a *assignment, v outlier.Verdict) (ejected bool) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
@@ -133,9 +133,8 @@
 	a.ended = true
 	k := a.known
 	k.own.Requests--
-	if !a.started {
+	if !a.answering {
 		k.own.Tokens -= a.tokens
-		a.started = true
 	}
 	p := g.table.pool(k.Pool)
 	if v == outlier.Refused || v == outlier.Answered {
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -38,8 +38,8 @@
 // ownAnswer is how a gateway answers for one cause.
 type ownAnswer struct {
 	status int
-	// notRun promises that the request has not run and never will; only then
-	// the answer says when to come back.
+	// notRun promises that the request has not run and never will; only then the
+	// answer carries Retry-After.
 	notRun bool
 	// closes ends the caller's connection with the answer: it comes back on
 	// another one, and many kept ones would use up descriptors.
@@ -75,7 +75,7 @@
 // Refusal is an answer that the gateway gives by itself.
 type Refusal struct {
 	Cause      Cause
-	RetryAfter time.Duration // when to come back; 0 is not said
+	RetryAfter time.Duration // when to come back; 0 is unknown
 }
 
 // Error names the cause.
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -17,7 +17,7 @@
 // callerLeft ends a request whose caller has closed the connection.
 type callerLeft struct{}
 
-// Error says so.
+// Error implements error.
 func (callerLeft) Error() string { return "the caller has left" }
 
 // brokenAnswer ends a request whose answer has begun and cannot be finished: only
@@ -42,7 +42,7 @@
 		c.g.stats.count("refused", "cause", string(refusal.Cause))
 		c.g.cfg.Log.FailureOf("refused", func() []slog.Attr {
 			return append(c.logAttrs(took), slog.String("cause", string(refusal.Cause)),
-				slog.Int("status", refusal.Status()), slog.Int("after_ms", int(refusal.RetryAfter.Milliseconds())))
+				slog.Int("status", refusal.Status()), milliseconds("after_ms", refusal.RetryAfter))
 		})
 		refusal.write(c.w)
 	case errors.As(err, &cut):
@@ -56,30 +56,34 @@
 	}
 }
 
-// logAttrs are the attributes of the request's last log line.
+// logAttrs are the attributes of the request's last log line: the request, its share,
+// what it waited for, its last backend server, and its stream, each if there was one.
 func (c *call) logAttrs(took time.Duration) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.account.Name),
-		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()), slog.Int("attempts", c.counts.Runs),
-		slog.Int("sends", c.counts.Arrived), slog.Int("took_ms", int(took.Milliseconds())),
+		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()),
+		slog.Int("attempts", c.counts.Runs), slog.Int("sends", c.counts.Arrived), milliseconds("took_ms", took),
 	}
 	if c.class > entitlement.Entitled {
 		e, age := c.g.accounts.entitlement(c.account.Name)
 		attrs = append(attrs, slog.Float64("part", float64(e.Part)), slog.Float64("extra_part", float64(e.Extra)),
-			slog.Int("told_ms_ago", int(age.Milliseconds())))
+			milliseconds("told_ms_ago", age))
 	}
-	if short := c.short; short.server != "" {
-		attrs = append(attrs, slog.String("full", short.server), slog.Int("full_requests", short.requests),
-			slog.Int("full_tokens", short.tokens), slog.Int("seen_ms_ago", int(short.age.Milliseconds())))
+	if s := c.shortage; s.server != "" {
+		attrs = append(attrs, slog.String("full", s.server), slog.Int("full_requests", s.requests),
+			slog.Int("full_tokens", s.tokens), milliseconds("seen_ms_ago", s.age))
 	}
 	if a := c.assigned; a != nil {
 		attrs = append(attrs, slog.String("backend", a.server), slog.Int("tokens_ahead", a.tokensAhead),
-			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()), slog.Int("queued_ms", int((a.began-c.arrived).Milliseconds())),
-			slog.Int("first_ms", int(a.waiting.Milliseconds())))
+			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
+			milliseconds("queued_ms", a.began-c.arrived), milliseconds("first_ms", a.untilFirst))
 	}
-	if c.relay != nil && c.relay.passed > 0 {
-		attrs = append(attrs, slog.Int("pieces", c.relay.passed), slog.String("last_event", c.relay.lastEventID),
-			slog.Int("quiet_ms", int((c.g.now()-c.relay.passedAt).Milliseconds())))
+	if r := c.relay; r != nil && r.passed > 0 {
+		attrs = append(attrs, slog.Int("pieces", r.passed), slog.String("last_event", r.lastEventID),
+			milliseconds("quiet_ms", c.g.now()-r.passedAt))
 	}
 	return attrs
 }
+
+// milliseconds is an attribute with a time in whole milliseconds.
+func milliseconds(key string, d time.Duration) slog.Attr { return slog.Int64(key, d.Milliseconds()) }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -9,19 +9,19 @@
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 )
 
-// This file defines HeaderCodec: how requests and answers say what the gateway
-// needs to know of them.
+// This file defines HeaderCodec, which translates between the heads of requests and
+// answers and what the gateway needs of them.
 
-// RequestHead is what a caller's request says of itself.
+// RequestHead is what the head of a caller's request holds.
 type RequestHead struct {
 	ID          string
 	Key         string        // of the account
-	Timeout     time.Duration // how long the caller waits; 0 is not said
+	Timeout     time.Duration // how long the caller waits; 0 is unknown
 	Prompt      place.Prompt
 	LastEventID string // the last event that the caller has of a broken stream
 }
 
-// Forwarding is what a request to a backend server says besides what the caller sent.
+// Forwarding is what the gateway adds to a request for a backend server.
 type Forwarding struct {
 	Timeout     time.Duration // until the caller gives up
 	Server      string        // the identifier expected at the address
@@ -29,13 +29,11 @@
 	LastEventID string        // the last event passed on, when a stream is taken up again
 }
 
-// AnswerHead is what an answer's head says.
+// AnswerHead is what the head of an answer holds.
 type AnswerHead struct {
-	ID string // of the request that it answers
-	// Misdirected says that another backend server has the address.
-	Misdirected bool
-	// Signed says that the answer carries the backend server's mark.
-	Signed bool
+	ID          string // of the request that it answers
+	Misdirected bool   // another backend server has the address
+	Signed      bool   // the answer carries the backend server's signature
 }
 
 // HeaderCodec translates heads. Its methods are safe for concurrent use.
--- a/gateway/overload.go
+++ b/gateway/overload.go
@@ -21,7 +21,7 @@
 		g.overload.Store(&d)
 		if d.Shedding != old.Shedding {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.Shedding),
-				slog.Int64("delay_ms", d.Delay.Round(time.Millisecond).Milliseconds()), slog.Int64("requests", g.calls.Load()))
+				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
 		}
 		g.grantAll()
 	}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -68,8 +68,8 @@
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Shedding = true })
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
-		_, begun, missed := x.g.accounts.takeReport()
-		is.Equal(begun, uint64(0))
+		_, started, missed := x.g.accounts.takeReport()
+		is.Equal(started, uint64(0))
 		is.Equal(missed, uint64(700))
 	})
 }
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -27,19 +27,19 @@
 	t := g.table
 	t.mu.Lock()
 	p := t.pool(req.pool.Name)
-	var short shortage
+	var full shortage
 	if !g.outranked(p, req) {
 		var a *assignment
-		if a, short = t.acquire(g.now(), req); a != nil {
+		if a, full = t.acquire(g.now(), req); a != nil {
 			t.mu.Unlock()
-			return a, short
+			return a, full
 		}
 	}
 	if patience <= 0 {
 		t.mu.Unlock()
-		return nil, short
+		return nil, full
 	}
-	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: short}
+	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: full}
 	p.waiting = append(p.waiting, waiting)
 	t.mu.Unlock()
 	timer := time.NewTimer(patience)
@@ -53,8 +53,8 @@
 	return g.leave(ctx, p, waiting)
 }
 
-// leave takes a request out of the queue; it may just have got a backend server. One
-// that its account's share covers takes any backend server that has room before it is
+// leave takes a request out of the queue; it may just have got a backend server. A
+// request that its account's share covers takes any server with room rather than be
 // refused.
 func (g *Gateway) leave(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
 	g.table.mu.Lock()
@@ -73,8 +73,8 @@
 	return nil, wt.shortage
 }
 
-// outranked reports whether somebody waits who goes before the request. The
-// caller holds table.mu.
+// outranked reports whether a request waits that goes before this one. The caller
+// holds table.mu.
 func (g *Gateway) outranked(p *pool, req requirements) bool {
 	for _, o := range p.waiting {
 		if g.accounts.compareWaiting(o.Waiting, req.Waiting) <= 0 {
@@ -84,8 +84,8 @@
 	return false
 }
 
-// grantWaiting gives backend servers to those who wait, in order, as far as there is room.
-// The caller holds table.mu.
+// grantWaiting gives backend servers to the requests that wait, in order, as far as
+// there is room. The caller holds table.mu.
 func (g *Gateway) grantWaiting(p *pool) {
 	if len(p.waiting) == 0 {
 		return
@@ -95,9 +95,9 @@
 	})
 	now := g.now()
 	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
-		a, short := g.table.acquire(now, wt.requirements)
+		a, full := g.table.acquire(now, wt.requirements)
 		if a == nil {
-			wt.shortage = short
+			wt.shortage = full
 			return false
 		}
 		wt.granted <- a
@@ -105,8 +105,8 @@
 	})
 }
 
-// grantAll looks at every queue: the load of other gateways has changed, or a
-// suspicion has ended.
+// grantAll looks at every queue: the load of other gateways has changed, or an
+// ejection may have ended.
 func (g *Gateway) grantAll() {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
 	}
-	r.c.g.answerStarted(a, r.c.pool.Engine)
+	r.c.g.countFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == maxPlain {
 		return r.large(answer, held)
@@ -129,8 +129,8 @@
 // begun, the first of the call needs the answer's head.
 func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
-	if !a.started {
-		r.c.g.answerStarted(a, r.c.pool.Engine)
+	if !a.answering {
+		r.c.g.countFirstPart(a, r.c.pool.Engine)
 	}
 	if !r.headWritten {
 		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -160,8 +160,8 @@
 			}
 		}
 		is.True(served >= 19 && served <= 21) // the extra share, and no more
-		_, begun, missed := x.g.accounts.takeReport()
-		is.Equal(begun, uint64(served*1000))
+		_, started, missed := x.g.accounts.takeReport()
+		is.Equal(started, uint64(served*1000))
 		is.Equal(missed, uint64(0)) // what is beyond every share is not missed
 	})
 }
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -20,8 +20,8 @@
 	expired atomic.Bool // the attempt was ended for its silence
 }
 
-// unset is where the timer stands until its own function can refer to it: any
-// time longer than a call to Reset takes.
+// unset is the timer's wait until its own function can refer to it: any time longer
+// than a call to Reset takes.
 const unset = 24 * time.Hour
 
 // watchStall cancels an attempt when its backend server stalls. A gateway that
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -49,7 +49,7 @@
 	startID   uint64   // random; a restarted gateway has another one
 	term      uint64   // the highest of a leader that has sent servers
 	leader    string   // where the leader is by the last redirect; it is tried once
-	members   []string // addresses of the directory's replicas, as last reported
+	replicas  []string // addresses of the directory's voters, as last reported
 	tried     int      // candidates tried so far; it begins at a random one
 	connected bool     // the last session was with a leader
 }
@@ -78,7 +78,7 @@
 		w.leader = ""
 		return leader
 	}
-	all := candidates(w.members, *w.g.seeds.Load())
+	all := candidates(w.replicas, *w.g.seeds.Load())
 	if len(all) == 0 {
 		return ""
 	}
@@ -89,10 +89,10 @@
 	return all[w.tried%len(all)]
 }
 
-// candidates are the addresses where a leader may be: the directory's members,
+// candidates are the addresses where a leader may be: the directory's replicas,
 // then the seeds that are none of them.
-func candidates(members, seeds []string) []string {
-	all := slices.Clone(members)
+func candidates(replicas, seeds []string) []string {
+	all := slices.Clone(replicas)
 	for _, s := range seeds {
 		if !slices.Contains(all, s) {
 			all = append(all, s)
@@ -143,11 +143,11 @@
 	return l.Receive(ctx)
 }
 
-// redirected takes the answer of a replica that does not lead. One that names
+// redirected handles the answer of a replica that does not lead. One that names
 // itself as the leader is not tried again at once.
 func (w *watcher) redirected(address string, e protocol.WatchRedirect) {
 	if len(e.Members) > 0 {
-		w.members = e.Members
+		w.replicas = e.Members
 	}
 	if e.Leader != address {
 		w.leader = e.Leader
@@ -187,15 +187,15 @@
 		w.g.grantAll()
 	case protocol.Fleet:
 		w.g.gateways.Store(int64(max(m.Gateways, 1)))
-		w.members = m.Members
+		w.replicas = m.Members
 		w.g.accounts.update(m.Entitlements, m.Short)
 		w.g.table.updateLoads(w.g.now(), m.Loads)
 		w.g.grantAll()
 	}
 }
 
-// report sends the leader what runs and was asked for here, until ctx ends or
-// the session is lost.
+// report sends the leader what runs here and what was demanded, until ctx ends or the
+// session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
 	for range sleep.Every(ctx, usagePeriod) {
 		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -16,7 +16,7 @@
 	is.Equal(candidates(nil, []string{"s", "t"}), []string{"s", "t"})
 	is.Equal(candidates([]string{"a", "s"}, []string{"s", "t"}), []string{"a", "s", "t"}) // each once
 	seeds := []string{"s", "t"}
-	w := watcher{g: &Gateway{}, startID: 3, members: []string{"a"}}
+	w := watcher{g: &Gateway{}, startID: 3, replicas: []string{"a"}}
 	w.g.SetSeeds(seeds)
 	var tried []string
 	for range 4 {
