--- a/coordination/registry/pace.go
+++ b/coordination/registry/pace.go
@@ -4,7 +4,14 @@
 
 import "time"
 
-// This file defines how often a gateway gets the state of the fleet.
+// This file defines the pace of a gateway's session with the leader: how often it
+// reports, how often it gets the state of the fleet, when a silent leader is left, and
+// when the next one is tried.
+
+// ReportPeriod is the time between two reports of a gateway. It was 250 ms until the
+// commit "Gateway: admit by the time before an engine begins to read", which measured
+// it only together with its other changes.
+const ReportPeriod = 100 * time.Millisecond
 
 // FleetPeriod is the shortest time between two Fleet messages on one link. Chosen,
 // not measured.
@@ -12,13 +19,17 @@
 
 const (
 	// fleetLongest is the longest time between two Fleet messages on one link, below
-	// the second of silence after which a gateway leaves its leader.
+	// SilenceLimit.
 	fleetLongest = 600 * time.Millisecond
 	// fleetBudget is the bytes a second of Fleet messages on one link, below the
 	// 10 KB/s a node that docs/CAPACITY.md grants to control.
 	fleetBudget = 8 << 10
 )
 
+// SilenceLimit is the silence of a leader after which a gateway leaves it. Chosen
+// above fleetLongest, not measured.
+const SilenceLimit = time.Second
+
 // FleetPause returns how long a link waits after a Fleet message of a size in bytes,
 // so that it keeps to its budget. It is less by half a period because the caller looks
 // once a period: the tick that is nearest counts.
@@ -26,3 +37,21 @@
 	byBudget := time.Duration(float64(size) / fleetBudget * float64(time.Second))
 	return min(max(byBudget, FleetPeriod), fleetLongest) - FleetPeriod/2
 }
+
+// Pauses between two tries to find the leader (commit 57eaa36): after a power loss a
+// leader was there in 0.46 s, but gateways whose pause had grown found it 0.3 to 0.7 s
+// later: so the pause stays short for as long as an election or two take.
+const (
+	redialPause   = 50 * time.Millisecond  // at first; chosen, not measured
+	redialLongest = 300 * time.Millisecond // later; chosen, not measured
+	redialsAtOnce = 60                     // redials before the pause grows; chosen, not measured
+)
+
+// RedialPause returns how long a gateway waits after that many failures in a row to
+// open a session.
+func RedialPause(failures int) time.Duration {
+	if failures > redialsAtOnce {
+		return redialLongest
+	}
+	return redialPause
+}
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package registry keeps which backend servers have announced themselves, and
-// decides who owns an address, who is forgotten, when the list is complete, and how
-// often gateways get the state of the fleet.
+// Package registry keeps which backend servers have announced themselves. It decides
+// who owns an address, who is forgotten, when the list is complete, and the pace of the
+// gateways' sessions with the leader.
 //
 // The model: soft state on the leader. A backend server announces itself once in each
 // interval, under an identifier that is new at each of its starts; one that falls
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -122,3 +122,11 @@
 		is.New(t).Equal(FleetPause(size), want)
 	}
 }
+
+func TestRedialPause(t *testing.T) {
+	is := is.New(t)
+	is.Equal(RedialPause(1), redialPause)
+	is.Equal(RedialPause(redialsAtOnce), redialPause) // an election or two take that long
+	is.Equal(RedialPause(redialsAtOnce+1), redialLongest)
+	is.True(fleetLongest < SilenceLimit) // a leader with little to send is not left
+}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -10,6 +10,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/badgerspoke/badgerspoke/coordination/registry"
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
@@ -19,29 +20,9 @@
 // This file defines watcher, the gateway's session with the directory's
 // leader.
 
-// Times of the session.
-const (
-	// usagePeriod is the time between two reports. It was 250 ms until the
-	// commit "Gateway: admit by the time before an engine begins to read",
-	// which measured it only together with its other changes.
-	usagePeriod = 100 * time.Millisecond
-	// silenceLimit ends a session whose leader sends nothing: a leader rests at
-	// most 600 ms between two messages (fleetLongest in package directory).
-	silenceLimit = time.Second
-	// dialTimeout is the time for one connection, after which a box that is off
-	// is left for the next candidate. Chosen, not measured.
-	dialTimeout = 700 * time.Millisecond
-)
-
-// Pauses between two tries to find the leader. After a power loss of all
-// machines a leader was there in 0.46 s, but gateways whose pause had grown
-// found it 0.3 to 0.7 s later: so the pause stays short for as long as an
-// election or two take.
-const (
-	redialPause   = 50 * time.Millisecond  // at first
-	redialLongest = 300 * time.Millisecond // later; chosen, not measured
-	redialsAtOnce = 60                     // redials before the pause grows
-)
+// dialTimeout is the time for one connection, after which a box that is off is left
+// for the next candidate. Chosen, not measured.
+const dialTimeout = 700 * time.Millisecond
 
 // watcher keeps the session. Only the goroutine of run uses its fields.
 type watcher struct {
@@ -63,11 +44,7 @@
 			continue
 		}
 		failures++
-		pause := redialPause
-		if failures > redialsAtOnce {
-			pause = redialLongest
-		}
-		sleep.For(w.g.ctx, pause) // the loop looks whether ctx has ended
+		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop looks whether ctx has ended
 	}
 }
 
@@ -138,7 +115,7 @@
 
 // receive waits for a message, but not for a leader that has gone silent.
 func (w *watcher) receive(ctx context.Context, l *link.Link) (protocol.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, registry.SilenceLimit)
 	defer cancel()
 	return l.Receive(ctx)
 }
@@ -197,7 +174,7 @@
 // report sends the leader what runs here and what was demanded, until ctx ends or the
 // session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
-	for range sleep.Every(ctx, usagePeriod) {
+	for range sleep.Every(ctx, registry.ReportPeriod) {
 		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
 		u.Demands, u.Started, u.Missed = w.g.accounts.takeReport()
 		if _, err := l.Send(ctx, u); err != nil {
