--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -30,7 +30,7 @@
 				for j := range each {
 					m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*each+j)%size.servers + 1), Requests: 3, Tokens: 2000})
 				}
-				u.report(sessions[i], m)
+				u.add(sessions[i], m)
 			}
 			var entitlements []protocol.Entitlement
 			for i := range size.accounts / 10 {
@@ -59,7 +59,7 @@
 		for j := range 100 {
 			m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*100+j)%10000 + 1), Requests: 3, Tokens: 2000})
 		}
-		u.report(&session{gateway: fmt.Sprint(i)}, m)
+		u.add(&session{gateway: fmt.Sprint(i)}, m)
 	}
 	for b.Loop() {
 		u.sum()
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -26,6 +26,7 @@
 
 // This file defines Directory, the assembled role, and its operations.
 
+// group is the name of the consensus group, in messages and logs.
 const group = "directory"
 
 // Settings of a directory replica.
@@ -129,11 +130,10 @@
 	if held, err := d.Read(ctx); err == nil && held.Document.Number >= h.Document.Number {
 		return nil
 	}
-	_, err := d.propose(ctx, command{Put: &h})
-	return err
+	return d.propose(ctx, command{Put: &h})
 }
 
-// NoDocument says that no document was ever put.
+// NoDocument is the error of a read before the first document.
 type NoDocument struct{}
 
 // Error implements error.
@@ -192,7 +192,7 @@
 	if d.state.Departed(id) {
 		return nil
 	}
-	if _, err := d.propose(ctx, command{Depart: id}); err != nil {
+	if err := d.propose(ctx, command{Depart: id}); err != nil {
 		return err
 	}
 	d.cfg.Log.StateChange("backend departs", slog.String("backend", id))
@@ -226,20 +226,20 @@
 }
 
 // propose puts a command into the log and waits until it is applied here.
-func (d *Directory) propose(ctx context.Context, c command) (any, error) {
+func (d *Directory) propose(ctx context.Context, c command) error {
 	data, err := cbor.Marshal(c)
 	if err != nil {
-		return nil, Unavailable{Err: err}
+		return Unavailable{Err: err}
 	}
-	result, err := d.replica.Propose(ctx, data)
+	_, err = d.replica.Propose(ctx, data)
 	var notLeader consensus.NotLeader
 	switch {
 	case errors.As(err, &notLeader):
-		return nil, d.notLeader(notLeader.Leader.Name)
+		return d.notLeader(notLeader.Leader.Name)
 	case err != nil:
-		return nil, Unavailable{Err: err}
+		return Unavailable{Err: err}
 	}
-	return result, nil
+	return nil
 }
 
 // Done is closed when the disk failed and the process must start again.
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -33,7 +33,7 @@
 	term     uint64
 	leader   string // fleet address
 	leaseEnd time.Duration
-	members  []string // fleet addresses of the voters
+	voters   []string // fleet addresses
 	formed   bool     // the replica has a log
 }
 
@@ -76,7 +76,7 @@
 	old := h.leadership.Load()
 	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, formed: true}
 	for _, p := range s.Members.Voters {
-		next.members = append(next.members, p.Name)
+		next.voters = append(next.voters, p.Name)
 	}
 	h.leadership.Store(next)
 	if old.leads != leads || old.term != s.Term || old.leader != next.leader {
@@ -152,7 +152,7 @@
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
 	h.usage = newUsage()
-	h.d.cfg.Log.StateChange("leading", slog.Uint64("term", term), slog.Any("members", h.leadership.Load().members))
+	h.d.cfg.Log.StateChange("leading", slog.Uint64("term", term), slog.Any("members", h.leadership.Load().voters))
 }
 
 func (h *hub) endTerm() {
@@ -195,8 +195,8 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, joinTimeout)
 		defer cancel()
-		// A later leader that lacks one learns it from its next announcement.
-		_, _ = h.d.propose(ctx, c)
+		// A later leader that lacks one gets it with its next announcement.
+		_ = h.d.propose(ctx, c)
 	}()
 }
 
@@ -227,9 +227,9 @@
 		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encoded.Number), slog.Int("bytes", len(data)))
 	}
 	for s := range h.sessions {
-		if s.sent < h.encoded.Number {
+		if s.number < h.encoded.Number {
 			s.out.Send(h.encoded)
-			s.sent = h.encoded.Number
+			s.number = h.encoded.Number
 		}
 	}
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -30,7 +30,7 @@
 type session struct {
 	gateway string
 	out     *link.Outbox
-	sent    uint64        // number of the document sent
+	number  uint64        // of the newest document that the gateway has or was sent
 	due     time.Duration // of the next Fleet message
 }
 
@@ -66,7 +66,7 @@
 	if err != nil {
 		leadership := h.leadership.Load()
 		// The link closes now in any case, and the gateway tries the next replica.
-		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.members})
+		_, _ = l.Send(ctx, protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.voters})
 		return
 	}
 	defer s.out.Close()
@@ -77,7 +77,7 @@
 			return
 		}
 		if u, ok := m.(protocol.Usage); ok {
-			h.post(func() { h.usage.report(s, u) })
+			h.post(func() { h.usage.add(s, u) })
 		}
 	}
 }
@@ -95,7 +95,7 @@
 			old.out.Close()
 		}
 	}
-	s := &session{gateway: w.Gateway, out: link.NewOutbox(l, sessionQueue), sent: w.Number}
+	s := &session{gateway: w.Gateway, out: link.NewOutbox(l, sessionQueue), number: w.Number}
 	h.sessions[s] = true
 	s.out.Send(h.wholeList())
 	h.pushDocument()
@@ -118,14 +118,14 @@
 	now := h.d.replica.Now()
 	h.usage.sum()
 	h.usage.demand.Settle(now, held.Document.Limits.TokensPerSecond)
-	members := h.leadership.Load().members
+	voters := h.leadership.Load().voters
 	for s := range h.sessions {
 		if now < s.due {
 			continue
 		}
 		m := protocol.Fleet{
 			Gateways: len(h.sessions), Loads: h.usage.others(s),
-			Entitlements: h.usage.demand.Entitlements(), Members: members, Short: h.usage.demand.Short(),
+			Entitlements: h.usage.demand.Entitlements(), Members: voters, Short: h.usage.demand.Short(),
 		}
 		s.out.Send(m)
 		s.due = now + registry.FleetPause(encodedSize(m))
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -12,38 +12,38 @@
 )
 
 // This file defines usage, the sums of what the gateways report: what runs on
-// each backend server, and what each account asks for.
+// each backend server, and what each account demands.
 
 type usage struct {
-	running map[*session][]protocol.ServerLoad
-	total   []protocol.ServerLoad // of all sessions, ordered by handle
-	demand  *entitlement.Demand
+	loads  map[*session][]protocol.ServerLoad // as last reported
+	total  []protocol.ServerLoad              // of all sessions, ordered by handle
+	demand *entitlement.Demand
 }
 
 func newUsage() *usage {
-	return &usage{running: map[*session][]protocol.ServerLoad{}, demand: entitlement.NewDemand()}
+	return &usage{loads: map[*session][]protocol.ServerLoad{}, demand: entitlement.NewDemand()}
 }
 
-// report takes what a gateway says. Its first report may cover any time, such
-// as the one that it was without a leader, so only what runs there counts.
-func (u *usage) report(s *session, m protocol.Usage) {
-	_, known := u.running[s]
-	u.running[s] = m.Loads
+// add takes a gateway's report. Its first one may cover any time, such as the one that
+// it was without a leader, so only what runs there counts.
+func (u *usage) add(s *session, m protocol.Usage) {
+	_, known := u.loads[s]
+	u.loads[s] = m.Loads
 	if known {
 		u.demand.Add(m)
 	}
 }
 
-func (u *usage) forget(s *session) { delete(u.running, s) }
+func (u *usage) forget(s *session) { delete(u.loads, s) }
 
 // sum adds up what runs on all gateways, by handle.
 func (u *usage) sum() {
 	sums := map[uint32]protocol.ServerLoad{}
-	for _, running := range u.running {
-		for _, r := range running {
-			sum := sums[r.Handle]
-			sums[r.Handle] = protocol.ServerLoad{
-				Handle: r.Handle, Requests: sum.Requests + r.Requests, Tokens: sum.Tokens + r.Tokens,
+	for _, loads := range u.loads {
+		for _, l := range loads {
+			sum := sums[l.Handle]
+			sums[l.Handle] = protocol.ServerLoad{
+				Handle: l.Handle, Requests: sum.Requests + l.Requests, Tokens: sum.Tokens + l.Tokens,
 			}
 		}
 	}
@@ -53,16 +53,16 @@
 // others returns what runs on all gateways but one, as of the last sum.
 func (u *usage) others(own *session) []protocol.ServerLoad {
 	mine := map[uint32]protocol.ServerLoad{}
-	for _, r := range u.running[own] {
-		mine[r.Handle] = r
+	for _, l := range u.loads[own] {
+		mine[l.Handle] = l
 	}
 	out := make([]protocol.ServerLoad, 0, len(u.total))
-	for _, r := range u.total {
-		o := mine[r.Handle]
-		r.Requests -= min(o.Requests, r.Requests)
-		r.Tokens -= min(o.Tokens, r.Tokens)
-		if r.Requests > 0 {
-			out = append(out, r)
+	for _, l := range u.total {
+		o := mine[l.Handle]
+		l.Requests -= min(o.Requests, l.Requests)
+		l.Tokens -= min(o.Tokens, l.Tokens)
+		if l.Requests > 0 {
+			out = append(out, l)
 		}
 	}
 	return out
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -22,7 +22,7 @@
 	settleFor := func(d time.Duration, sessions ...*session) {
 		for end := now + d; now < end; {
 			for _, s := range sessions {
-				u.report(s, steady)
+				u.add(s, steady)
 			}
 			now += 100 * time.Millisecond
 			u.demand.Settle(now, 10000)
@@ -30,7 +30,7 @@
 	}
 	settleFor(2*time.Second, old)
 	is.Equal(len(u.demand.Entitlements()), 0)
-	u.report(back, protocol.Usage{Demands: []protocol.Demand{{Account: "a", Tokens: 20_000}}})
+	u.add(back, protocol.Usage{Demands: []protocol.Demand{{Account: "a", Tokens: 20_000}}})
 	settleFor(200*time.Millisecond, old, back)
 	is.Equal(len(u.demand.Entitlements()), 0)
 }
@@ -39,8 +39,8 @@
 	is := is.New(t)
 	u := newUsage()
 	a, b, c := &session{}, &session{}, &session{}
-	u.report(a, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 2, Tokens: 10}}})
-	u.report(b, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}}})
+	u.add(a, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 2, Tokens: 10}}})
+	u.add(b, protocol.Usage{Loads: []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}}})
 	u.sum()
 	is.Equal(u.others(a), []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}})
 	is.Equal(u.others(c), []protocol.ServerLoad{{Handle: 1, Requests: 5, Tokens: 15}, {Handle: 2, Requests: 1}})
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -72,8 +72,8 @@
 	if m.Term != t.term { // handles are the leader's own
 		t.term = m.Term
 		clear(t.byHandle)
-		for _, known := range t.servers {
-			known.Handle = 0
+		for _, k := range t.servers {
+			k.Handle = 0
 		}
 	}
 	for _, id := range m.Gone {
@@ -81,9 +81,9 @@
 			changed.left = append(changed.left, id)
 		}
 	}
-	for _, b := range m.Set {
-		if t.set(b) {
-			changed.joined = append(changed.joined, b.ID)
+	for _, s := range m.Set {
+		if t.set(s) {
+			changed.joined = append(changed.joined, s.ID)
 		}
 	}
 	if m.Whole && m.Complete {
@@ -93,52 +93,51 @@
 }
 
 // set adds or changes a backend server and reports whether it is new.
-func (t *table) set(b protocol.Server) bool {
-	known := t.servers[b.ID]
-	if known != nil && known.Pool == b.Pool {
-		known.Server, known.unlisted = b, false
-		t.byHandle[b.Handle] = known
+func (t *table) set(s protocol.Server) bool {
+	k := t.servers[s.ID]
+	if k != nil && k.Pool == s.Pool {
+		k.Server, k.unlisted = s, false
+		t.byHandle[s.Handle] = k
 		return false
 	}
-	if known != nil {
-		t.remove(b.ID)
-	}
+	t.remove(s.ID)
 	for _, other := range t.servers {
-		if other.Address == b.Address {
+		if other.Address == s.Address {
 			t.remove(other.ID)
 			break
 		}
 	}
-	known = &knownServer{Server: b}
-	t.servers[b.ID] = known
-	t.byHandle[b.Handle] = known
-	p := t.pool(b.Pool)
-	p.servers = append(p.servers, known)
+	k = &knownServer{Server: s}
+	t.servers[s.ID] = k
+	t.byHandle[s.Handle] = k
+	p := t.pool(s.Pool)
+	p.servers = append(p.servers, k)
 	slices.SortFunc(p.servers, func(a, b *knownServer) int { return strings.Compare(a.ID, b.ID) })
 	return true
 }
 
+// remove drops a backend server and reports whether it was known.
 func (t *table) remove(id string) bool {
-	known := t.servers[id]
-	if known == nil {
+	k := t.servers[id]
+	if k == nil {
 		return false
 	}
 	delete(t.servers, id)
-	delete(t.byHandle, known.Handle)
-	p := t.pool(known.Pool)
-	p.servers = slices.DeleteFunc(p.servers, func(k *knownServer) bool { return k.ID == id })
+	delete(t.byHandle, k.Handle)
+	p := t.pool(k.Pool)
+	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	return true
 }
 
 // markUnlisted marks backend servers that a complete list lacks: they are used only
 // as long as they answer.
 func (t *table) markUnlisted(list []protocol.Server) {
-	in := map[string]bool{}
-	for _, b := range list {
-		in[b.ID] = true
+	listed := map[string]bool{}
+	for _, s := range list {
+		listed[s.ID] = true
 	}
 	for id, k := range t.servers {
-		k.unlisted = !in[id]
+		k.unlisted = !listed[id]
 	}
 }
 
@@ -150,21 +149,21 @@
 }
 
 // updateLoads takes what runs on all other gateways.
-func (t *table) updateLoads(now time.Duration, running []protocol.ServerLoad) {
+func (t *table) updateLoads(now time.Duration, loads []protocol.ServerLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, k := range t.servers {
 		k.others, k.othersAt = place.Work{}, now
 	}
-	for _, r := range running {
-		if k := t.byHandle[r.Handle]; k != nil {
-			k.others = place.Work{Requests: int(r.Requests), Tokens: int(r.Tokens)}
+	for _, l := range loads {
+		if k := t.byHandle[l.Handle]; k != nil {
+			k.others = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
 		}
 	}
 }
 
-// running returns what runs on this gateway, for the report.
-func (t *table) running() []protocol.ServerLoad {
+// loads returns what runs on this gateway, for the report.
+func (t *table) loads() []protocol.ServerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []protocol.ServerLoad
