--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -4,6 +4,7 @@
 
 import (
 	"container/list"
+	"slices"
 
 	"github.com/zeebo/xxh3"
 )
@@ -65,7 +66,11 @@
 	servers []string // at most serversPerBlock, newest last
 }
 
-// serverCache is what is known of one server's events.
+func (p *placed) remove(server string) {
+	p.servers = slices.DeleteFunc(p.servers, func(s string) bool { return s == server })
+}
+
+// serverCache is the state of one server's events.
 type serverCache struct {
 	next     uint64 // expected number of the next event
 	doubtful bool
@@ -96,24 +101,11 @@
 		x.order.MoveToBack(el)
 	}
 	p := el.Value.(*placed)
-	p.servers = appendNewest(p.servers, server)
-}
-
-func appendNewest(servers []string, server string) []string {
-	servers = remove(servers, server)
-	if len(servers) == serversPerBlock {
-		servers = servers[1:]
-	}
-	return append(servers, server)
-}
-
-func remove(servers []string, server string) []string {
-	for i, s := range servers {
-		if s == server {
-			return append(servers[:i:i], servers[i+1:]...)
-		}
+	p.remove(server)
+	if len(p.servers) == serversPerBlock {
+		p.servers = slices.Delete(p.servers, 0, 1)
 	}
-	return servers
+	p.servers = append(p.servers, server)
 }
 
 func (x *Index) shrink() {
@@ -124,7 +116,7 @@
 	}
 }
 
-// Event is what a server tells of its cache.
+// Event is a change of a server's cache.
 type Event struct {
 	Seq     uint64
 	Stored  []Block
@@ -165,7 +157,7 @@
 		return
 	}
 	p := el.Value.(*placed)
-	p.servers = remove(p.servers, server)
+	p.remove(server)
 	if len(p.servers) == 0 {
 		delete(x.byBlock, b)
 		x.order.Remove(el)
@@ -187,7 +179,7 @@
 	n := 0
 	for _, b := range prompt {
 		el := x.byBlock[b]
-		if el == nil || !has(el.Value.(*placed).servers, server) {
+		if el == nil || !slices.Contains(el.Value.(*placed).servers, server) {
 			break
 		}
 		n++
@@ -197,12 +189,3 @@
 	}
 	return float64(n)
 }
-
-func has(servers []string, server string) bool {
-	for _, s := range servers {
-		if s == server {
-			return true
-		}
-	}
-	return false
-}
