--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -66,11 +66,11 @@
 	// Zero values of these five are the defaults of their packages.
 	Lease     slots.Lease
 	Pace      slots.Pace
-	Election  time.Duration // silence after which a control replica stands for election
+	Election  time.Duration // silence after which a control replica begins an election
 	Heartbeat time.Duration // between two messages of a leading control replica
 	Limits    router.Limits
-	// StopWithoutLeader makes a router without a leader stop serving, whatever a
-	// majority of the control replicas says.
+	// StopWithoutLeader makes a router without a leader stop serving, even if a majority
+	// of the control replicas reports that nobody leads.
 	StopWithoutLeader bool
 	// Grace is how long a stopping router still takes requests, for the
 	// balancer to notice.
@@ -116,6 +116,9 @@
 	if cfg.Random == nil {
 		cfg.Random = rand.Uint64
 	}
+	if cfg.TLS == nil {
+		cfg.TLS = &settings.TLS{}
+	}
 	b := &Box{cfg: cfg, metrics: metrics.NewSet()}
 	if cfg.Control {
 		if err := b.startControl(ctx); err != nil {
@@ -126,19 +129,16 @@
 		b.startRouter(ctx)
 	}
 	if cfg.Operators != nil {
-		b.serve(cfg.Operators, b.operatorsMux(), b.tls().Door)
+		b.serve(cfg.Operators, b.operatorsMux(), cfg.TLS.Door)
 	}
 	return b, nil
 }
 
 func (b *Box) identity() link.Identity {
-	id := link.Identity{Name: b.cfg.Name, Key: b.cfg.FleetKey}
+	id := link.Identity{Name: b.cfg.Name, Key: b.cfg.FleetKey, TLS: b.cfg.TLS.Dial}
 	if b.cfg.Dialer != nil {
 		id.Dial = b.cfg.Dialer.DialContext
 	}
-	if b.cfg.TLS != nil {
-		id.TLS = b.cfg.TLS.Dial
-	}
 	return id
 }
 
@@ -155,7 +155,7 @@
 	b.control = c
 	mux := http.NewServeMux()
 	mux.Handle(link.Path, c)
-	b.serve(b.cfg.Fleet, mux, b.tls().Fleet)
+	b.serve(b.cfg.Fleet, mux, b.cfg.TLS.Fleet)
 	return nil
 }
 
@@ -173,7 +173,7 @@
 		Server: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
 		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Log: b.cfg.Log, Metrics: b.metrics,
 	})
-	b.serve(b.cfg.Callers, b.router, b.tls().Door)
+	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Door)
 }
 
 func (b *Box) operatorsMux() http.Handler {
@@ -213,14 +213,6 @@
 	go func() { _ = s.ServeTLS(limited, "", "") }()
 }
 
-// tls returns the TLS configurations, all nil without certificates.
-func (b *Box) tls() settings.TLS {
-	if b.cfg.TLS == nil {
-		return settings.TLS{}
-	}
-	return *b.cfg.TLS
-}
-
 // Router returns the router role, or nil.
 func (b *Box) Router() *router.Router { return b.router }
 
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -11,6 +11,7 @@
 
 import (
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -187,12 +188,7 @@
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var names []string
-	for n := range d.files {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	return names, nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
 // Sync implements [wal.Dir].
@@ -202,10 +198,7 @@
 	if d.failSync {
 		return ErrSync
 	}
-	d.durable = map[string]*file{}
-	for n, f := range d.files {
-		d.durable[n] = f
-	}
+	d.durable = maps.Clone(d.files)
 	return nil
 }
 
@@ -222,17 +215,16 @@
 	if h.epoch != h.d.epoch {
 		return 0, fs.ErrClosed
 	}
+	n := len(b)
 	if h.d.room >= 0 {
-		n := min(len(b), h.d.room)
+		n = min(n, h.d.room)
 		h.d.room -= n
-		h.f.content = append(h.f.content, b[:n]...)
-		if n < len(b) {
-			return n, ErrFull
-		}
-		return n, nil
 	}
-	h.f.content = append(h.f.content, b...)
-	return len(b), nil
+	h.f.content = append(h.f.content, b[:n]...)
+	if n < len(b) {
+		return n, ErrFull
+	}
+	return n, nil
 }
 
 func (h *handle) Sync() error {
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -134,8 +134,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, ip)
-	close(n.joined)
-	n.joined = make(chan struct{})
+	n.wakeTravellers()
 }
 
 // Isolate cuts boxes off from each other, not from the rest.
@@ -152,6 +151,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.isolated)
+	n.wakeTravellers()
+}
+
+// wakeTravellers lets all that waits for a box look again. The caller holds mu.
+func (n *Network) wakeTravellers() {
 	close(n.joined)
 	n.joined = make(chan struct{})
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -225,8 +225,3 @@
 	w.Header().Set("Badgerspoke-Refused", "true")
 	http.Error(w, `{"error":{"message":"refused"}}`, http.StatusServiceUnavailable)
 }
-
-func writeJSON(w http.ResponseWriter, v any) {
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v)
-}
--- a/standin/service.go
+++ b/standin/service.go
@@ -3,6 +3,7 @@
 package standin
 
 import (
+	"encoding/json"
 	"io"
 	"net/http"
 	"strconv"
@@ -60,7 +61,8 @@
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, map[string]string{
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(map[string]string{ // a caller that has gone sees no answer
 		"method": r.Method, "path": r.URL.RequestURI(), "body": string(body),
 		"account": r.Header.Get("Badgerspoke-Account"), "authorization": r.Header.Get("Authorization"),
 		"runs": strconv.Itoa(runs),
