--- a/state/document/document.go
+++ b/state/document/document.go
@@ -24,11 +24,6 @@
 	Stream
 )
 
-// String returns the kind's name.
-func (k Kind) String() string {
-	return [...]string{"once", "repeatable", "stream"}[min(k, Stream)]
-}
-
 // Document is one whole configuration. Documents are never changed once made.
 type Document struct {
 	Number   uint64    `cbor:"1,keyasint"`
