--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -18,8 +18,8 @@
 //   - headers.go: what a deployment calls its headers is the business of a
 //     [HeaderCodec], which reads the head.
 //   - call.go: ServeHTTP makes a call. Its admit matches it to a route and an
-//     account (routes.go), classes it by the account's share (accounts.go,
-//     overload.go) and only then reads the body. Its serve takes servers and
+//     account (routes.go), classes it by the account's share (accounts.go) and
+//     by how late the processor is, and only then reads the body. Its serve takes servers and
 //     makes attempts until one answers.
 //   - queue.go: the call gets a server at once if the one that suits it has
 //     room (choose.go), and waits in fair order otherwise.
@@ -34,7 +34,7 @@
 // # Goroutines
 //
 // One for each request (net/http's own); one for the watcher (watch.go), and one
-// for its reports while a session lasts; one for tick (overload.go), which
+// for its reports while a session lasts; one for tick (gateway.go), which
 // measures how late the processor is.
 //
 // # Locks
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -22,7 +22,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines Gateway, its settings, its start and its stop.
+// This file defines Gateway: its settings, its start, the watch over its processor, and
+// its stop.
 
 // Server sends calls to backend servers. [forward.Client] is one.
 type Server interface {
@@ -125,6 +126,21 @@
 		slog.Int("tenants", len(d.Accounts)))
 }
 
+// tick publishes how late its timer fires, and gives backend servers to requests
+// that wait for what others' load leaves free.
+func (g *Gateway) tick() {
+	for range sleep.Every(g.ctx, overload.TickPeriod) {
+		old := g.overload.Load()
+		d := old.Tick(g.now())
+		g.overload.Store(&d)
+		if d.Shedding != old.Shedding {
+			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.Shedding),
+				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+		}
+		g.grantAll()
+	}
+}
+
 // takeRetry takes one more attempt out of the fleet's budget, if it allows one.
 func (g *Gateway) takeRetry(pool string) bool {
 	g.retriesMu.Lock()
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -205,16 +205,11 @@
 
 // lastID returns the identifier of the last event that has one.
 func lastID(events []byte) (string, bool) {
-	at := bytes.LastIndex(events, []byte("\nid:"))
-	if at < 0 {
-		if !bytes.HasPrefix(events, []byte("id:")) {
-			return "", false
-		}
-		at = -1
-	}
-	line := events[at+1+len("id:"):]
-	if nl := bytes.IndexByte(line, '\n'); nl >= 0 {
-		line = line[:nl]
+	at := bytes.LastIndex(events, []byte("\nid:")) + 1 // 0, the first line, without one
+	line, found := bytes.CutPrefix(events[at:], []byte("id:"))
+	if !found {
+		return "", false
 	}
-	return string(bytes.TrimSpace(line)), true
+	id, _, _ := bytes.Cut(line, []byte("\n"))
+	return string(bytes.TrimSpace(id)), true
 }
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -77,10 +77,7 @@
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at := 0
-	if total > 1 {
-		at = rand.IntN(total)
-	}
+	at := rand.IntN(max(total, 1))
 	for _, t := range r.Targets {
 		if at < t.Weight {
 			return t.Pool
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -61,14 +61,11 @@
 	return p
 }
 
-// tableChange is what an update of the list changed.
-type tableChange struct{ joined, left []string }
-
-// update takes a message of the directory.
-func (t *table) update(m protocol.Servers) tableChange {
+// update takes a message of the directory and returns the identifiers of the backend
+// servers that joined and left by it.
+func (t *table) update(m protocol.Servers) (joined, left []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var changed tableChange
 	if m.Term != t.term { // handles are the leader's own
 		t.term = m.Term
 		clear(t.byHandle)
@@ -78,18 +75,18 @@
 	}
 	for _, id := range m.Gone {
 		if t.remove(id) {
-			changed.left = append(changed.left, id)
+			left = append(left, id)
 		}
 	}
 	for _, s := range m.Set {
 		if t.set(s) {
-			changed.joined = append(changed.joined, s.ID)
+			joined = append(joined, s.ID)
 		}
 	}
 	if m.Whole && m.Complete {
 		t.markUnlisted(m.Set)
 	}
-	return changed
+	return joined, left
 }
 
 // set adds or changes a backend server and reports whether it is new.
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -157,8 +157,8 @@
 		w.g.apply(d)
 	case protocol.Servers:
 		w.term = max(w.term, m.Term)
-		if changed := w.g.table.update(m); len(changed.joined)+len(changed.left) > 0 {
-			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
+		if joined, left := w.g.table.update(m); len(joined)+len(left) > 0 {
+			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", joined), slog.Any("left", left),
 				slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 		}
 		w.g.grantAll()
