--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -4,6 +4,7 @@
 
 import (
 	"math"
+	"slices"
 
 	"github.com/zeebo/xxh3"
 )
@@ -16,7 +17,7 @@
 // shared parts; any other would read them again. So the price of a server is the
 // work in front of the request there, in tokens, plus the shared tokens if it is
 // not the first, many times: what is read again delays everybody else on the
-// engine as well, drives out what others will ask for, and makes the next
+// engine as well, drives out what other requests will need, and makes the next
 // choices worse. Far from full, a request still begins in time on the first.
 
 // Part is one named part of a prompt.
@@ -119,14 +120,12 @@
 // rank is a candidate's place in the order, at most orderDepth. Without a key
 // all are the first.
 func (o *order) rank(index int) int {
-	for rank, i := range o.indexes[:o.n] {
-		if i == index {
-			return rank
-		}
-	}
 	if o.n == 0 {
 		return 0
 	}
+	if rank := slices.Index(o.indexes[:o.n], index); rank >= 0 {
+		return rank
+	}
 	return orderDepth
 }
 
