--- a/bench_test.go
+++ b/bench_test.go
@@ -18,7 +18,7 @@
 	"connectrpc.com/connect"
 
 	"github.com/badgerspoke/badgerspoke"
-	"github.com/badgerspoke/badgerspoke/dev"
+	"github.com/badgerspoke/badgerspoke/cli"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 	"github.com/badgerspoke/badgerspoke/router"
@@ -58,7 +58,7 @@
 		box.Stop(ctx)
 	})
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+ol.Addr().String(),
-		connect.WithInterceptors(dev.Authorize(token)))
+		connect.WithInterceptors(cli.Authorize(token)))
 	h := config.HashKey("hotel")
 	retry(b, func(ctx context.Context) error {
 		_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -241,10 +241,11 @@
 		scheme = "https://"
 		hc = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: in.authority, MinVersion: tls.VersionTLS13}}}
 	}
-	return operatorv1connect.NewOperatorServiceClient(hc, scheme+server, connect.WithInterceptors(bearer(in.token)))
+	return operatorv1connect.NewOperatorServiceClient(hc, scheme+server, connect.WithInterceptors(Authorize(in.token)))
 }
 
-func bearer(token string) connect.Interceptor {
+// Authorize sends the operators' token with every call.
+func Authorize(token string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 			req.Header().Set("Authorization", "Bearer "+token)
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -15,6 +15,7 @@
 	"connectrpc.com/connect"
 	"github.com/pkg/errors"
 
+	"github.com/badgerspoke/badgerspoke/cli"
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
@@ -85,7 +86,7 @@
 // data folder kept of an earlier run is replaced.
 func (s *Servers) Configure(ctx context.Context, operators string) error {
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+operators,
-		connect.WithInterceptors(Authorize(Token)))
+		connect.WithInterceptors(cli.Authorize(Token)))
 	if err := awaitLeader(ctx, c); err != nil {
 		return err
 	}
@@ -166,13 +167,3 @@
 func change(what string) *operatorv1.Change {
 	return &operatorv1.Change{Id: what + " " + time.Now().Format(time.RFC3339Nano)}
 }
-
-// Authorize sends the operators' token with every call.
-func Authorize(token string) connect.Interceptor {
-	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
-		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-			req.Header().Set("Authorization", "Bearer "+token)
-			return next(ctx, req)
-		}
-	})
-}
--- a/operators_test.go
+++ b/operators_test.go
@@ -14,7 +14,7 @@
 	"connectrpc.com/connect"
 	"github.com/matryer/is"
 
-	"github.com/badgerspoke/badgerspoke/dev"
+	"github.com/badgerspoke/badgerspoke/cli"
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 	"github.com/badgerspoke/badgerspoke/state/config"
@@ -27,7 +27,7 @@
 // operators returns a client of one control box.
 func (f *testFleet) operators(name string) operatorv1connect.OperatorServiceClient {
 	return operatorv1connect.NewOperatorServiceClient(f.client, f.scheme+f.boxes[name].ip+":8081",
-		connect.WithInterceptors(dev.Authorize(token)))
+		connect.WithInterceptors(cli.Authorize(token)))
 }
 
 // leader returns the control box that leads.
