--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -36,9 +36,9 @@
 
 // The steps.
 const (
-	GoOn   Step = iota
-	End         // nothing runs, and no more is expected
-	CutOff      // the time for what runs is over
+	GoOn   Step = iota // requests are being served, or may still begin
+	End                // nothing runs, and no more is expected
+	CutOff             // the time for what runs is over
 )
 
 // Next returns what to do, given the time since the stop began and the number
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -12,9 +12,9 @@
 
 // The states.
 const (
-	InUse   State = iota
-	Ejected       // it is left alone, or a trial is under way
-	Trial         // the ejection is over: one request may try the server
+	InUse   State = iota // requests may go there
+	Ejected              // it is left alone, or a trial is under way
+	Trial                // the ejection is over: one request may try the server
 )
 
 // ejection is the zero value for a server in use.
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -7,17 +7,17 @@
 // This file defines FailureRate and PoolRate, the gateways' judgement: a
 // server's part of failures against its pool's.
 
-// Verdict says what the end of an attempt says about the server. The zero value
-// is an answer.
+// Verdict is what the end of an attempt shows about the server. The zero value is an
+// answer.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Answered  Verdict = iota
-	Refused           // as full, without having run
-	Faulty            // it answered, with an error of its own or an answer that is no good
-	Lost              // no answer, or only a part of one
-	NoVerdict         // the end was none of the server's doing
+	Answered  Verdict = iota // whole, and no failure of its own
+	Refused                  // as full, without having run
+	Faulty                   // it answered, with an error of its own or an answer that is no good
+	Lost                     // no answer, or only a part of one
+	NoVerdict                // the end was none of the server's doing
 )
 
 // weights are the parts of a failure that verdicts count for: chosen, not
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -65,9 +65,9 @@
 // 26.1 µs of processor time with a gateway in between and 12.5 µs without,
 // nearly all of it in system calls (commit 87040e2).
 const (
-	coalesceMin  = 40 * time.Millisecond
-	coalesceMax  = 100 * time.Millisecond
-	coalesceGaps = 0.3 // of the pause that callers notice
+	coalesceMin  = 40 * time.Millisecond  // whatever the gap between events
+	coalesceMax  = 100 * time.Millisecond // however long that gap may be
+	coalesceGaps = 0.3                    // of the pause that callers notice
 )
 
 // Detector is what is known of a gateway's delay at one firing of its timer.
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -51,10 +51,10 @@
 	if len(p.Shared) == 0 {
 		return 0
 	}
-	h := xxh3.New() // its writes never fail
-	_, _ = h.WriteString(p.Model)
+	h := xxh3.New()
+	_, _ = h.WriteString(p.Model) // never fails
 	for _, part := range p.Shared {
-		_, _ = h.WriteString("\x00" + part.Name)
+		_, _ = h.WriteString("\x00" + part.Name) // never fails
 	}
 	return h.Sum64() | 1
 }
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -2,8 +2,8 @@
 
 package retry
 
-// This file defines Execution, what an attempt says about the run of a
-// request, and Counts, the sum over the attempts of one request.
+// This file defines Execution, what is known about the run of a request after an
+// attempt, and Counts, the sum over the attempts of one request.
 
 // Execution is what is known about the run of a request after one attempt. The
 // order is that of certainty that it ran.
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -16,23 +16,23 @@
 // Cause names why a gateway answered by itself. It labels counters and logs.
 type Cause string
 
-// The causes.
+// The causes. After a dash: when the caller should come back.
 const (
-	NoDocument        Cause = "no-document"
-	NoRoute           Cause = "no-route"
-	UnknownKey        Cause = "unknown-key"
-	HeaderTooLarge    Cause = "header-too-large"
-	BodyTooLarge      Cause = "body-too-large"
-	BodyBroken        Cause = "body-broken"
-	Stopping          Cause = "stopping"
-	ProcessorOverload Cause = "processor-pressure"
-	Overloaded        Cause = "overloaded"
-	BeyondShare       Cause = "beyond-share"
-	NoServer          Cause = "no-backend"
-	NoBudget          Cause = "no-retry-budget"
-	NotRunThere       Cause = "refused-by-backend"
-	MayHaveRun        Cause = "may-have-run"
-	TimedOut          Cause = "timed-out"
+	NoDocument        Cause = "no-document"        // nothing is configured yet - retry.Later
+	NoRoute           Cause = "no-route"           // none has the host and path
+	UnknownKey        Cause = "unknown-key"        // of no account, and the route is not public
+	HeaderTooLarge    Cause = "header-too-large"   // over the document's limit
+	BodyTooLarge      Cause = "body-too-large"     // over the document's limit
+	BodyBroken        Cause = "body-broken"        // it could not be read to its end
+	Stopping          Cause = "stopping"           // it may not end within the grace - retry.Soon
+	ProcessorOverload Cause = "processor-pressure" // the gateway is late - retry.AfterOverload
+	Overloaded        Cause = "overloaded"         // no room at servers - retry.After; or for its body - retry.Soon
+	BeyondShare       Cause = "beyond-share"       // no room beyond the account's share - retry.After
+	NoServer          Cause = "no-backend"         // none is known or could be reached - retry.After
+	NoBudget          Cause = "no-retry-budget"    // refused by a server, too many retries lately - retry.After
+	NotRunThere       Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
+	MayHaveRun        Cause = "may-have-run"       // an answer was lost, a second run is not allowed
+	TimedOut          Cause = "timed-out"          // a server had it when the time was over
 )
 
 // ownAnswer is how a gateway answers for one cause.
@@ -46,23 +46,23 @@
 	closes bool
 }
 
-// causes are the answers of all causes, with the reason and when to come back.
+// causes are the answers of all causes: status, notRun, closes.
 var causes = map[Cause]ownAnswer{
-	NoDocument:        {http.StatusServiceUnavailable, true, true},            // nothing is configured yet; retry.Later
-	Stopping:          {http.StatusServiceUnavailable, true, true},            // it may not end within the grace; retry.Soon
-	ProcessorOverload: {http.StatusServiceUnavailable, true, true},            // the gateway is late; retry.AfterOverload
-	Overloaded:        {http.StatusServiceUnavailable, true, false},           // no room at servers, retry.After; or for the body, retry.Soon
-	BeyondShare:       {http.StatusTooManyRequests, true, false},              // no room beyond the account's share; retry.After
-	NoServer:          {http.StatusServiceUnavailable, true, true},            // none is known or could be reached; retry.After
-	NoBudget:          {http.StatusServiceUnavailable, true, true},            // refused by a server, too many retries lately; retry.After
-	NotRunThere:       {http.StatusServiceUnavailable, true, true},            // refused by every server that may be tried; retry.After
-	MayHaveRun:        {http.StatusBadGateway, false, false},                  // an answer was lost, a second run is not allowed
-	TimedOut:          {http.StatusGatewayTimeout, false, false},              // a server had it when the time was over
-	NoRoute:           {http.StatusNotFound, false, false},                    // the caller's fault, as all below
-	UnknownKey:        {http.StatusUnauthorized, false, false},                // of no account, and the route is not public
-	HeaderTooLarge:    {http.StatusRequestHeaderFieldsTooLarge, false, false}, // over the document's limit
-	BodyTooLarge:      {http.StatusRequestEntityTooLarge, false, false},       // over the document's limit
-	BodyBroken:        {http.StatusBadRequest, false, false},                  // it could not be read to its end
+	NoDocument:        {http.StatusServiceUnavailable, true, true},
+	Stopping:          {http.StatusServiceUnavailable, true, true},
+	ProcessorOverload: {http.StatusServiceUnavailable, true, true},
+	Overloaded:        {http.StatusServiceUnavailable, true, false},
+	BeyondShare:       {http.StatusTooManyRequests, true, false},
+	NoServer:          {http.StatusServiceUnavailable, true, true},
+	NoBudget:          {http.StatusServiceUnavailable, true, true},
+	NotRunThere:       {http.StatusServiceUnavailable, true, true},
+	MayHaveRun:        {http.StatusBadGateway, false, false},
+	TimedOut:          {http.StatusGatewayTimeout, false, false},
+	NoRoute:           {http.StatusNotFound, false, false},
+	UnknownKey:        {http.StatusUnauthorized, false, false},
+	HeaderTooLarge:    {http.StatusRequestHeaderFieldsTooLarge, false, false},
+	BodyTooLarge:      {http.StatusRequestEntityTooLarge, false, false},
+	BodyBroken:        {http.StatusBadRequest, false, false},
 }
 
 // endings are the causes for the policy's endings, but for retry.EndBroken and
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -27,17 +27,14 @@
 	t := g.table
 	t.mu.Lock()
 	p := t.pool(req.pool.Name)
+	var a *assignment
 	var full shortage
 	if !g.outranked(p, req) {
-		var a *assignment
-		if a, full = t.acquire(g.now(), req); a != nil {
-			t.mu.Unlock()
-			return a, full
-		}
+		a, full = t.acquire(g.now(), req)
 	}
-	if patience <= 0 {
+	if a != nil || patience <= 0 {
 		t.mu.Unlock()
-		return nil, full
+		return a, full
 	}
 	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: full}
 	p.waiting = append(p.waiting, waiting)
@@ -76,12 +73,9 @@
 // outranked reports whether a request waits that goes before this one. The caller
 // holds table.mu.
 func (g *Gateway) outranked(p *pool, req requirements) bool {
-	for _, o := range p.waiting {
-		if g.accounts.compareWaiting(o.Waiting, req.Waiting) <= 0 {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(p.waiting, func(o *waiter) bool {
+		return g.accounts.compareWaiting(o.Waiting, req.Waiting) <= 0
+	})
 }
 
 // grantWaiting gives backend servers to the requests that wait, in order, as far as
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -106,7 +106,8 @@
 		}
 		if !led {
 			led = true
-			w.found(address)
+			w.connected = true
+			w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
 			go w.report(ctx, l)
 		}
 		w.handle(m)
@@ -131,11 +132,6 @@
 	}
 }
 
-func (w *watcher) found(address string) {
-	w.connected = true
-	w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
-}
-
 func (w *watcher) lost(address string, err error) {
 	if !w.connected {
 		return
--- a/process/directory.go
+++ b/process/directory.go
@@ -39,8 +39,8 @@
 // together with logged joins: 0.916 to 0.937 and 0.779 to 0.803 of the score
 // (commit b993e30). The heartbeat is a fifth of it: chosen, not measured.
 const (
-	election  = 400 * time.Millisecond
-	heartbeat = 80 * time.Millisecond
+	election  = 400 * time.Millisecond // silence of the leader until a replica begins an election
+	heartbeat = 80 * time.Millisecond  // between two messages of an idle leader
 )
 
 // stopPart is the part of the grace in which a replica may hand its leadership
--- a/process/process.go
+++ b/process/process.go
@@ -69,9 +69,9 @@
 // Limits of every listener, and the most that a document allows callers. Chosen,
 // not measured.
 const (
-	readHeaderTimeout = 5 * time.Second
+	readHeaderTimeout = 5 * time.Second // for a whole head
 	idleTimeout       = 5 * time.Minute // between two requests of a connection
-	maxHeaderBytes    = 64 << 10
+	maxHeaderBytes    = 64 << 10        // of one request
 )
 
 // base is what both kinds of process have: metrics, a log and listeners.
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Store, the state machine of documents and departures.
+// This file defines Store, the state machine of documents, departures and joins.
 
 // MaxDepartures is the number of departed backend servers that are remembered. A late
 // announcement of one that departed before them adds it again. Chosen, not measured.
@@ -77,9 +77,8 @@
 	return true
 }
 
-// Join records an announced backend server, in place of any at the same address.
-// One that has departed is passed over,
-// and so is a new one beyond MaxServers.
+// Join records an announced backend server, in place of any at the same address. One
+// that has departed is passed over, and so is any beyond MaxServers.
 func (s *Store) Join(r protocol.Registration) {
 	if s.departs[r.ID] || len(s.joined) >= MaxServers {
 		return
@@ -87,11 +86,7 @@
 	if s.joined == nil {
 		s.joined = map[string]protocol.Registration{}
 	}
-	for id, other := range s.joined {
-		if other.Address == r.Address {
-			delete(s.joined, id)
-		}
-	}
+	maps.DeleteFunc(s.joined, func(_ string, other protocol.Registration) bool { return other.Address == r.Address })
 	s.joined[r.ID] = r
 }
 
@@ -111,7 +106,7 @@
 // remembered, and how many there were in all.
 func (s *Store) DeparturesSince(n uint64) (ids []string, total uint64) {
 	fresh := min(s.total-min(n, s.total), uint64(len(s.order)))
-	return append([]string(nil), s.order[uint64(len(s.order))-fresh:]...), s.total
+	return slices.Clone(s.order[uint64(len(s.order))-fresh:]), s.total
 }
 
 // image is the serialized form.
