--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -70,7 +70,7 @@
 	Heartbeat time.Duration // between two messages of a leading control replica
 	Limits    router.Limits
 	// StopWithoutLeader makes a router without a leader stop serving, even if a majority
-	// of the control replicas reports that nobody leads.
+	// of the control replicas reports that there is no leader.
 	StopWithoutLeader bool
 	// Grace is how long a stopping router still takes requests, for the
 	// balancer to notice.
@@ -203,7 +203,7 @@
 	}
 	b.servers = append(b.servers, s)
 	limited := socket.Limit(l, maxConnections)
-	// Serve ends with the listener, which only Stop closes: its error says no more.
+	// Serve ends with the listener, which only Stop closes: its error adds nothing.
 	if cfg == nil {
 		go func() { _ = s.Serve(limited) }()
 		return
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package drain decides what a gateway that was asked to stop still does.
+// Package drain decides what a gateway that is stopping still does.
 //
 // A stop has three phases, each a part of the grace: new requests are served
 // however long they may take, because balancers still send some; then only
--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -11,13 +11,13 @@
 // This file defines Class, how a request compares with its account's share,
 // and Classifier, which finds it at one gateway.
 
-// Class says how a request compares with its account's fair share. Lower
+// Class is how a request compares with its account's fair share. Lower
 // classes go first.
 type Class uint8
 
 // The classes.
 const (
-	Covered  Class = iota // its account asks for no more than its share, so nothing of it need wait
+	Covered  Class = iota // its account demands no more than its share, so nothing of it need wait
 	Entitled              // within the share of the rate that the operator names
 	Extra                 // within the share of what the engines make beyond it
 	Beyond                // neither: served where nothing else waits
@@ -32,7 +32,7 @@
 const staleAfter = 10 * time.Second
 
 // Classifier classes the requests that arrive at one gateway, by the fleet's
-// last list of accounts that ask for more than their share.
+// last list of accounts that demand more than their share.
 type Classifier struct {
 	listed  map[string]protocol.Entitlement
 	short   bool          // somewhere requests within their shares find no room
@@ -48,7 +48,7 @@
 	return &Classifier{listed: map[string]protocol.Entitlement{}, markers: map[string]*markers{}}
 }
 
-// Update replaces the list. short says that somewhere in the fleet requests
+// Update replaces the list. short means that somewhere in the fleet requests
 // within their shares find no room.
 func (c *Classifier) Update(now time.Duration, list []protocol.Entitlement, short bool) {
 	c.updated = now
@@ -96,7 +96,7 @@
 	return class != Beyond || !c.short || !c.fresh(now)
 }
 
-// Entitlement returns what the list says of an account, and the list's age.
+// Entitlement returns the list's entry of an account, and the list's age.
 func (c *Classifier) Entitlement(now time.Duration, account string) (e protocol.Entitlement, age time.Duration) {
 	e, listed := c.listed[account]
 	if !listed {
--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -11,11 +11,11 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Demand, the leader's estimate of what each account asks for
+// This file defines Demand, the leader's estimate of what each account demands
 // and of what the engines make, and the entitlements that follow from it.
 
 // demandMemory is the time constant of all averages. Chosen, not measured: a
-// longer one knows a flood later, a shorter one follows every burst.
+// longer one shows a flood later, a shorter one follows every burst.
 const demandMemory = 1500 * time.Millisecond
 
 // leastWeight bounds how much averages over a short time are scaled up: those
@@ -24,13 +24,13 @@
 // for 0.7 s after each change of leaders (commit b9a79bb).
 const leastWeight = 0.18
 
-// leastRate, in tokens a second, is below any request's: an account that asks
-// for less has stopped asking. Chosen, not measured.
+// leastRate, in tokens a second, is below any request's: an account that demands
+// less sends nothing any more. Chosen, not measured.
 const leastRate = 1
 
-// Demand estimates what accounts ask for from the gateways' reports.
+// Demand estimates the accounts' demands from the gateways' reports.
 type Demand struct {
-	accounts     map[string]*rate // what each asks for
+	accounts     map[string]*rate // the demand of each
 	started      rate             // of requests given to engines
 	missed       rate             // of requests within a share that found no room
 	weight       float64          // of what the averages hold, 0 to 1: they begin at nothing
@@ -49,7 +49,7 @@
 	r.tokens = 0
 }
 
-// NewDemand returns an estimate that knows of nobody.
+// NewDemand returns an estimate without any account.
 func NewDemand() *Demand { return &Demand{accounts: map[string]*rate{}} }
 
 // Add counts what a gateway reports for the time since its previous report.
@@ -68,7 +68,7 @@
 
 // Settle averages what was added since the last settlement and finds the
 // entitlements anew. capacity is the rate that the operator names, in tokens a
-// second; without one, 0, nobody is limited. It costs O(n log n) for n accounts.
+// second; without one, 0, no account is limited. It costs O(n log n) for n accounts.
 func (d *Demand) Settle(now time.Duration, capacity float64) {
 	elapsed, first := now-d.settled, d.settled == 0
 	if elapsed <= 0 {
@@ -76,7 +76,7 @@
 	}
 	d.settled = now
 	if first {
-		return // nobody knows since when
+		return // the time that the first reports cover is unknown
 	}
 	keep := math.Exp(-float64(elapsed) / float64(demandMemory))
 	for _, r := range d.accounts {
@@ -98,7 +98,7 @@
 
 // entitle finds two levels: of the named capacity, and of what is made if that
 // is more. Without the second, what the engines make beyond the named rate
-// would go to whoever asks most.
+// would go to the account with the largest demand.
 func (d *Demand) entitle(capacity float64) {
 	d.entitlements = nil
 	if capacity <= 0 {
@@ -112,21 +112,21 @@
 	level := Level(rates, capacity)
 	extra := Level(rates, max(capacity, d.started.average-missedWeight*d.missed.average))
 	for _, account := range slices.Sorted(maps.Keys(d.accounts)) {
-		asked := d.accounts[account].average
-		if part := Part(asked, level); part < 1 {
+		demand := d.accounts[account].average
+		if part := Part(demand, level); part < 1 {
 			d.entitlements = append(d.entitlements, protocol.Entitlement{
-				Account: account, Part: float32(part), Extra: float32(Part(asked, extra)),
+				Account: account, Part: float32(part), Extra: float32(Part(demand, extra)),
 			})
 		}
 	}
 }
 
-// Entitlements returns the accounts that ask for more than their share, in
+// Entitlements returns the accounts that demand more than their share, in
 // order of their names. The caller must not change them.
 func (d *Demand) Entitlements() []protocol.Entitlement { return d.entitlements }
 
 // shortPart is the part of what is made that may be missed within shares
-// before nobody is let go beyond them. Chosen: with it the days that had broken
+// before no request beyond them is served. Chosen: with it the days that had broken
 // fairness kept it (commit ddfd6cc); other values were not tried.
 const shortPart = 0.02
 
--- a/coordination/entitlement/doc.go
+++ b/coordination/entitlement/doc.go
@@ -5,7 +5,7 @@
 //
 // It is the fairness of routed HTTP, where no slots are granted: the leader of
 // the directory averages what all gateways report ([Demand]), finds a max-min
-// level over it ([Level]) and sends the part of each account that asks for more
+// level over it ([Level]) and sends the part of each account that demands more
 // to all gateways; each gateway marks that part of the requests that arrive
 // there ([Classifier], [Marker]), without knowing where the rest arrive, and
 // orders what has to wait ([Served]). Package share is the other way, for boxes
--- a/coordination/entitlement/level.go
+++ b/coordination/entitlement/level.go
@@ -5,9 +5,9 @@
 import "slices"
 
 // This file defines max-min fair shares of a rate: what each account is
-// entitled to when all ask for more than there is.
+// entitled to when all demand more than there is.
 
-// Level returns the highest rate that every account may ask for in full: the
+// Level returns the highest demand that is covered in full for every account: the
 // sum of min(demand, level) is the capacity. Without a shortage it is the
 // largest demand. It costs O(n log n).
 func Level(demands []float64, capacity float64) float64 {
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -7,7 +7,7 @@
 // This file defines ejection, the time that a server is left alone and the
 // trial that ends it. Both judgements use it.
 
-// State says whether requests may go to a server.
+// State is whether requests may go to a server.
 type State uint8
 
 // The states.
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -58,7 +58,7 @@
 )
 
 // unreadyFor is how long an overloaded gateway is not ready: the balancer,
-// which asks every second, must see it twice before it sends callers elsewhere.
+// which checks every second, must see it twice before it sends callers elsewhere.
 const unreadyFor = 2500 * time.Millisecond
 
 // How long a stream waits after a piece. Chosen, not measured: an event costs
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -81,7 +81,7 @@
 }
 
 // requestsPerSlot is how many requests an engine is given for each slot. How
-// many it queues is nowhere said: refusals lower the number, answers raise it.
+// many it queues is not reported: refusals lower the number, answers raise it.
 func (p *RoomPlacer) requestsPerSlot() float64 {
 	return enginePerSlot - p.refusing*(enginePerSlot-fewestPerSlot)
 }
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -13,7 +13,7 @@
 //     which may be used without any request. Each gateway takes its even part.
 //   - [Budget], of the router, is a ratio alone, saved up to a small burst.
 //     A ratio of each router's requests is the same ratio of the fleet's, so
-//     nobody needs to know how many routers there are.
+//     the number of routers need not be known.
 //
 // They are not one rule: a window gives its fixed number again and again with
 // time, a budget gives nothing that requests did not earn.
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -12,7 +12,7 @@
 // What is known after an attempt.
 const (
 	NotSent    Execution = iota // no byte reached the server
-	Refused                     // the server said that it has not run the request and will not
+	Refused                     // the server promised that it has not run the request and will not
 	MayHaveRun                  // the server may have run it
 	HasRun                      // the server ran it and failed; its whole answer is held
 	Answered                    // the server ran it and the caller has the whole answer
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -33,7 +33,7 @@
 // Again reports whether there may be another attempt after one that ended
 // without a whole answer, and whether it has to come out of the retry budget.
 // What has not run may always go elsewhere, within the bounds; what may have
-// run only if its route allows a second run. An attempt that reached nobody put
+// run only if its route allows a second run. An attempt that reached no server put
 // no load on a server, so the one after it is free.
 func (r Request) Again(last Execution) (allowed, fromBudget bool) {
 	maxRuns := max(r.Route.MaxAttempts, 1)
@@ -66,7 +66,7 @@
 )
 
 // AfterAttempt returns how the request ends after its last attempt. noBudget
-// says that the budget refused another one.
+// means that the budget refused another one.
 func (r Request) AfterAttempt(last Execution, noBudget bool) Ending {
 	switch {
 	case r.HeadWritten:
@@ -86,7 +86,7 @@
 }
 
 // WithoutServer returns how the request ends if it got no server to go to:
-// allTried says that it had every one of its pool already.
+// allTried means that it had every one of its pool already.
 func (r Request) WithoutServer(class entitlement.Class, allTried bool) Ending {
 	switch {
 	case !r.TimeLeft && r.Arrived > 0:
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -29,7 +29,7 @@
 // that may have run, or has no objective, waits longer: a refusal could not
 // promise that it has not run, or would come no sooner than is useful.
 func QueueTimeout(route document.Route, runs int, waited, left time.Duration) time.Duration {
-	most := part(route.Objective, objectivePart)
+	most := scale(route.Objective, objectivePart)
 	if runs > 0 || route.Objective == 0 {
 		most = lastWait
 	}
@@ -46,7 +46,7 @@
 
 // After returns when a refused caller that has some time left should come back.
 func After(left time.Duration) time.Duration {
-	return min(max(part(left, leftPart), Soon), Later)
+	return min(max(scale(left, leftPart), Soon), Later)
 }
 
 // AfterOverload returns the same for a caller whom the gateway's processor
@@ -75,7 +75,9 @@
 	if !route.MayRepeat() || runs+1 >= route.MaxAttempts {
 		return 0, 0, false
 	}
-	return max(part(route.Objective, stallObjectives), MinStall), max(part(route.EventGap, stallGaps), MinStall), true
+	return max(scale(route.Objective, stallObjectives), MinStall), max(scale(route.EventGap, stallGaps), MinStall), true
 }
 
-func part(d time.Duration, p float64) time.Duration { return time.Duration(p * float64(d)) }
+func scale(d time.Duration, factor float64) time.Duration {
+	return time.Duration(factor * float64(d))
+}
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -82,7 +82,7 @@
 }
 
 // Configure adds the stand-ins and the account to the fleet through its
-// operators' interface. It waits until the fleet can be asked. What a
+// operators' interface. It waits until the fleet has a leader. What a
 // data folder kept of an earlier run is replaced.
 func (s *Servers) Configure(ctx context.Context, operators string) error {
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+operators,
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -12,7 +12,7 @@
 // registry and the gateways' sessions.
 //
 // Every operation is answered by the leader, under its lease, or refused:
-// [NotLeader] names the leader, [Unavailable] says that there is none, or that this
+// [NotLeader] names the leader, [Unavailable] means that there is none, or that this
 // replica cannot know. So nothing older than what was acknowledged is ever
 // read, at any replica, cut off or not.
 //
--- a/directory/errors.go
+++ b/directory/errors.go
@@ -10,9 +10,8 @@
 // Error names the leader.
 func (e NotLeader) Error() string { return "the directory's leader is " + e.Leader }
 
-// Unavailable refuses an operation because nobody leads as far as this replica
-// knows, or because it cannot know whether the operation was carried out. It
-// may be sent again.
+// Unavailable refuses an operation because this replica has no leader, or because it
+// cannot know whether the operation was carried out. It may be sent again.
 type Unavailable struct{ Err error }
 
 // Error names the cause.
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -19,8 +19,8 @@
 //     [HeaderCodec], which reads the head.
 //   - call.go: ServeHTTP makes a call. Its admit matches it to a route and an
 //     account (routes.go), classes it by the account's share (accounts.go) and
-//     by how late the processor is, and only then reads the body. Its serve takes servers and
-//     makes attempts until one answers.
+//     by how late the processor is, and only then reads the body. Its serve
+//     takes servers and makes attempts until one answers.
 //   - queue.go: the call gets a server at once if the one that suits it has
 //     room (choose.go), and waits in fair order otherwise.
 //   - attempt.go: one attempt sends the request and ends with what is known
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -96,6 +96,6 @@
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(r.Status())
-	// An error means that the caller has gone, and there is nobody to answer.
+	// It fails if the caller has gone; then the answer is lost anyway.
 	_, _ = fmt.Fprintf(w, "{\"error\":%q}\n", r.Cause)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -170,7 +170,7 @@
 const stopPoll = 20 * time.Millisecond
 
 // Stop ends the gateway: it is not ready at once, each connection closes after
-// its answer, and package drain says which requests may still begin and when
+// its answer, and package drain decides which requests may still begin and when
 // all ends.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines table, the backend servers that the gateway knows and what
+// This file defines table, the backend servers that the gateway has and what
 // runs on them.
 
 // knownServer is one backend server as this gateway sees it.
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package fakedisk is a folder in memory that loses what was not synced, and
-// worse, when a test asks for it. It stands in for [wal.Dir] in tests.
+// worse, when a test wants it. It stands in for [wal.Dir] in tests.
 //
 // The model: every file has content that is durable and content that was
 // written since its last sync; every name is durable or waits for a sync of
@@ -27,7 +27,7 @@
 // sector is what a disk writes whole, in bytes: the usual size of a sector.
 const sector = 512
 
-// Errors of the faults that a test asks of a Disk.
+// Errors of the faults of a Disk.
 var (
 	ErrSync = errors.New("fakedisk: sync failed")
 	ErrFull = errors.New("fakedisk: no space left")
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -2,7 +2,7 @@
 
 // Package fakenet is a network in memory for tests in virtual time.
 //
-// The model: addresses are IP:PORT strings that exist once somebody listens.
+// The model: addresses are IP:PORT strings that exist once a listener is there.
 // A connection carries bytes after a latency, in order, through a buffer. A
 // box can be cut off in silence: its connections stay open and nothing
 // arrives, in either direction, until it is joined again, as with a cable
@@ -37,7 +37,7 @@
 }
 
 const (
-	// backlog bounds the connections that nobody has accepted yet, as a kernel
+	// backlog bounds the connections that are not accepted yet, as a kernel
 	// does; chosen above what any test dials at once.
 	backlog = 4096
 	// firstPort is below the first port of a dialling side; any value that no
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -42,7 +42,7 @@
 // Gateway runs a gateway until ctx ends, and then stops it without cutting off a
 // request as far as the grace allows. Of reloaded settings it applies the seeds.
 // notRun reports whether an answer of a backend server, by its status and header,
-// says that the request has not run. The error is of a listener.
+// promises that the request has not run. The error is of a listener.
 func Gateway(ctx context.Context, cfg Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
 	notRun func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
 	b, err := start(cfg, log, metricSet)
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -91,7 +91,7 @@
 }
 
 // copy sends the stream from a byte on, until it is whole, or fails in the way
-// that how says when half of what is known of is sent.
+// of how after two events.
 func (l *liveStream) copy(ctx context.Context, w http.ResponseWriter, from int, how Failure) {
 	for sent := from; ; {
 		l.mu.Lock()
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -10,7 +10,7 @@
 
 // This file defines Document and its parts, and the checks of a document.
 
-// Kind says what may be done with a request of a route.
+// Kind is what may be done with a request of a route. Its numbers are stored.
 type Kind uint8
 
 // The kinds of request.
