--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package drain decides what a gateway that was asked to stop still does.
+// Package drain decides what a gateway that is stopping still does.
 //
 // A stop has three phases, each a part of the grace: new requests are served
 // however long they may take, because balancers still send some; then only
@@ -36,9 +36,9 @@
 
 // The steps.
 const (
-	GoOn   Step = iota
-	End         // nothing runs, and no more is expected
-	CutOff      // the time for what runs is over
+	GoOn   Step = iota // requests are being served, or may still begin
+	End                // nothing runs, and no more is expected
+	CutOff             // the time for what runs is over
 )
 
 // Next returns what to do, given the time since the stop began and the number
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -7,14 +7,14 @@
 // This file defines ejection, the time that a server is left alone and the
 // trial that ends it. Both judgements use it.
 
-// State says whether requests may go to a server.
+// State is whether requests may go to a server.
 type State uint8
 
 // The states.
 const (
-	InUse   State = iota
-	Ejected       // it is left alone, or a trial is under way
-	Trial         // the ejection is over: one request may try the server
+	InUse   State = iota // requests may go there
+	Ejected              // it is left alone, or a trial is under way
+	Trial                // the ejection is over: one request may try the server
 )
 
 // ejection is the zero value for a server in use.
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -2,8 +2,8 @@
 
 package retry
 
-// This file defines Execution, what an attempt says about the run of a
-// request, and Counts, the sum over the attempts of one request.
+// This file defines Execution, what is known about the run of a request after an
+// attempt, and Counts, the sum over the attempts of one request.
 
 // Execution is what is known about the run of a request after one attempt. The
 // order is that of certainty that it ran.
@@ -12,7 +12,7 @@
 // What is known after an attempt.
 const (
 	NotSent    Execution = iota // no byte reached the server
-	Refused                     // the server said that it has not run the request and will not
+	Refused                     // the server promised that it has not run the request and will not
 	MayHaveRun                  // the server may have run it
 	HasRun                      // the server ran it and failed; its whole answer is held
 	Answered                    // the server ran it and the caller has the whole answer
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -16,14 +16,16 @@
 	"github.com/badgerspoke/badgerspoke/coordination/overload"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/decision"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines Gateway, its settings, its start and its stop.
+// This file defines Gateway: its settings, its start, the watch over its processor, and
+// its stop.
 
-// Server sends calls to backend servers. [backend.Client] is one.
+// Server sends calls to backend servers. [forward.Client] is one.
 type Server interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
@@ -83,7 +85,7 @@
 	g.gateways.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
-	go newWatcher(g).run()
+	go (&watcher{g: g, startID: cfg.Random() | 1}).run()
 	go g.tick()
 	return g
 }
@@ -101,19 +103,17 @@
 
 // Limits returns what callers may send and how long they may take, by the
 // document in force; before the first, nothing is limited.
-func (g *Gateway) Limits() document.Limits {
-	if rs := g.routes.Load(); rs != nil {
-		return rs.document.Limits
-	}
-	return document.Limits{}
-}
+func (g *Gateway) Limits() document.Limits { return g.document().Limits }
 
 // DocumentNumber returns the document in force here, 0 before the first.
-func (g *Gateway) DocumentNumber() uint64 {
+func (g *Gateway) DocumentNumber() uint64 { return g.document().Number }
+
+// document returns the document in force, an empty one before the first.
+func (g *Gateway) document() document.Document {
 	if rs := g.routes.Load(); rs != nil {
-		return rs.document.Number
+		return rs.document
 	}
-	return 0
+	return document.Document{}
 }
 
 // apply brings a document into force. It never goes back.
@@ -126,6 +126,21 @@
 		slog.Int("tenants", len(d.Accounts)))
 }
 
+// tick publishes how late its timer fires, and gives backend servers to requests
+// that wait for what others' load leaves free.
+func (g *Gateway) tick() {
+	for range sleep.Every(g.ctx, overload.TickPeriod) {
+		old := g.overload.Load()
+		d := old.Tick(g.now())
+		g.overload.Store(&d)
+		if d.Shedding != old.Shedding {
+			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.Shedding),
+				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+		}
+		g.grantAll()
+	}
+}
+
 // takeRetry takes one more attempt out of the fleet's budget, if it allows one.
 func (g *Gateway) takeRetry(pool string) bool {
 	g.retriesMu.Lock()
@@ -155,12 +170,12 @@
 const stopPoll = 20 * time.Millisecond
 
 // Stop ends the gateway: it is not ready at once, each connection closes after
-// its answer, and package drain says which requests may still begin and when
+// its answer, and package drain decides which requests may still begin and when
 // all ends.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
-	for range every(ctx, stopPoll) {
+	for range sleep.Every(ctx, stopPoll) {
 		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.calls.Load()) {
 		case drain.CutOff:
 			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
@@ -180,22 +195,4 @@
 	return g.now() - time.Duration(began)
 }
 
-// every yields once a period until ctx ends.
-func every(ctx context.Context, period time.Duration) func(yield func() bool) {
-	return func(yield func() bool) {
-		t := time.NewTicker(period)
-		defer t.Stop()
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-t.C:
-			}
-			if !yield() {
-				return
-			}
-		}
-	}
-}
-
 var _ http.Handler = (*Gateway)(nil)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -4,7 +4,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"context"
 	"io"
 	"net/http"
@@ -13,6 +12,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
@@ -47,18 +47,19 @@
 
 // plain takes a plain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
-func (r *relay) plain(a *assignment, answer *forward.Answer, success bool) outcome {
+func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
 	}
-	r.c.g.answerStarted(a, r.c.pool.Engine)
+	r.c.g.countFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == maxPlain {
 		return r.large(answer, held)
 	}
-	if answer.Status >= 500 {
-		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: faultyAnswer("status " + strconv.Itoa(answer.Status))}
+	if answer.Status >= http.StatusInternalServerError {
+		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
+		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: err}
 	}
 	r.give(held)
 	return outcome{execution: retry.Answered}
@@ -107,43 +108,35 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			r.c.stall.progressed()
-			if !a.started {
-				r.c.g.answerStarted(a, r.c.pool.Engine)
-			}
-			if !r.headWritten {
-				r.c.g.stats.firstPart(r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
-				r.writeHead(answer.Status, answer.Header, -1)
-			}
-			if werr := r.events(buffer[:n], flusher); werr != nil {
+			if werr := r.pass(a, answer, buffer[:n], flusher); werr != nil {
 				return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: werr}
 			}
 		}
 		if err == io.EOF {
 			return r.streamEnd(answer, flusher)
 		}
-		if err == nil {
-			r.coalesce(ctx)
+		// A late gateway waits a little, so that several events come with one read.
+		if err == nil && !sleep.For(ctx, r.c.g.overload.Load().Coalesce(r.c.route.EventGap)) {
+			err = ctx.Err()
 		}
-		if err != nil || ctx.Err() != nil {
-			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: cmp.Or(err, ctx.Err())}
+		if err != nil {
+			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: err}
 		}
 	}
 }
 
-// coalesce waits a little under pressure, so that several events come with one
-// read.
-func (r *relay) coalesce(ctx context.Context) {
-	wait := r.c.g.overload.Load().Coalesce(r.c.route.EventGap)
-	if wait == 0 {
-		return
+// pass takes what one read gave: the first of an attempt shows that the server has
+// begun, the first of the call needs the answer's head.
+func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
+	r.c.stall.progressed()
+	if !a.answering {
+		r.c.g.countFirstPart(a, r.c.pool.Engine)
 	}
-	t := time.NewTimer(wait)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-	case <-t.C:
+	if !r.headWritten {
+		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
+		r.writeHead(answer.Status, answer.Header, -1)
 	}
+	return r.events(piece, flusher)
 }
 
 // streamEnd ends a stream whose body is whole.
@@ -212,16 +205,11 @@
 
 // lastID returns the identifier of the last event that has one.
 func lastID(events []byte) (string, bool) {
-	at := bytes.LastIndex(events, []byte("\nid:"))
-	if at < 0 {
-		if !bytes.HasPrefix(events, []byte("id:")) {
-			return "", false
-		}
-		at = -1
-	}
-	line := events[at+1+len("id:"):]
-	if nl := bytes.IndexByte(line, '\n'); nl >= 0 {
-		line = line[:nl]
+	at := bytes.LastIndex(events, []byte("\nid:")) + 1 // 0, the first line, without one
+	line, found := bytes.CutPrefix(events[at:], []byte("id:"))
+	if !found {
+		return "", false
 	}
-	return string(bytes.TrimSpace(line)), true
+	id, _, _ := bytes.Cut(line, []byte("\n"))
+	return string(bytes.TrimSpace(id)), true
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines table, the backend servers that the gateway knows and what
+// This file defines table, the backend servers that the gateway has and what
 // runs on them.
 
 // knownServer is one backend server as this gateway sees it.
@@ -61,84 +61,80 @@
 	return p
 }
 
-// tableChange is what an update of the list changed.
-type tableChange struct{ joined, left []string }
-
-// update takes a message of the directory.
-func (t *table) update(m protocol.Servers) tableChange {
+// update takes a message of the directory and returns the identifiers of the backend
+// servers that joined and left by it.
+func (t *table) update(m protocol.Servers) (joined, left []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var changed tableChange
 	if m.Term != t.term { // handles are the leader's own
 		t.term = m.Term
 		clear(t.byHandle)
-		for _, known := range t.servers {
-			known.Handle = 0
+		for _, k := range t.servers {
+			k.Handle = 0
 		}
 	}
 	for _, id := range m.Gone {
 		if t.remove(id) {
-			changed.left = append(changed.left, id)
+			left = append(left, id)
 		}
 	}
-	for _, b := range m.Set {
-		if t.set(b) {
-			changed.joined = append(changed.joined, b.ID)
+	for _, s := range m.Set {
+		if t.set(s) {
+			joined = append(joined, s.ID)
 		}
 	}
 	if m.Whole && m.Complete {
 		t.markUnlisted(m.Set)
 	}
-	return changed
+	return joined, left
 }
 
 // set adds or changes a backend server and reports whether it is new.
-func (t *table) set(b protocol.Server) bool {
-	known := t.servers[b.ID]
-	if known != nil && known.Pool == b.Pool {
-		known.Server, known.unlisted = b, false
-		t.byHandle[b.Handle] = known
+func (t *table) set(s protocol.Server) bool {
+	k := t.servers[s.ID]
+	if k != nil && k.Pool == s.Pool {
+		k.Server, k.unlisted = s, false
+		t.byHandle[s.Handle] = k
 		return false
 	}
-	if known != nil {
-		t.remove(b.ID)
-	}
+	t.remove(s.ID)
 	for _, other := range t.servers {
-		if other.Address == b.Address {
+		if other.Address == s.Address {
 			t.remove(other.ID)
 			break
 		}
 	}
-	known = &knownServer{Server: b}
-	t.servers[b.ID] = known
-	t.byHandle[b.Handle] = known
-	p := t.pool(b.Pool)
-	p.servers = append(p.servers, known)
+	k = &knownServer{Server: s}
+	t.servers[s.ID] = k
+	t.byHandle[s.Handle] = k
+	p := t.pool(s.Pool)
+	p.servers = append(p.servers, k)
 	slices.SortFunc(p.servers, func(a, b *knownServer) int { return strings.Compare(a.ID, b.ID) })
 	return true
 }
 
+// remove drops a backend server and reports whether it was known.
 func (t *table) remove(id string) bool {
-	known := t.servers[id]
-	if known == nil {
+	k := t.servers[id]
+	if k == nil {
 		return false
 	}
 	delete(t.servers, id)
-	delete(t.byHandle, known.Handle)
-	p := t.pool(known.Pool)
-	p.servers = slices.DeleteFunc(p.servers, func(k *knownServer) bool { return k.ID == id })
+	delete(t.byHandle, k.Handle)
+	p := t.pool(k.Pool)
+	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	return true
 }
 
 // markUnlisted marks backend servers that a complete list lacks: they are used only
 // as long as they answer.
 func (t *table) markUnlisted(list []protocol.Server) {
-	in := map[string]bool{}
-	for _, b := range list {
-		in[b.ID] = true
+	listed := map[string]bool{}
+	for _, s := range list {
+		listed[s.ID] = true
 	}
 	for id, k := range t.servers {
-		k.unlisted = !in[id]
+		k.unlisted = !listed[id]
 	}
 }
 
@@ -150,28 +146,30 @@
 }
 
 // updateLoads takes what runs on all other gateways.
-func (t *table) updateLoads(now time.Duration, running []protocol.ServerLoad) {
+func (t *table) updateLoads(now time.Duration, loads []protocol.ServerLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, k := range t.servers {
 		k.others, k.othersAt = place.Work{}, now
 	}
-	for _, r := range running {
-		if k := t.byHandle[r.Handle]; k != nil {
-			k.others = place.Work{Requests: int(r.Requests), Tokens: int(r.Tokens)}
+	for _, l := range loads {
+		if k := t.byHandle[l.Handle]; k != nil {
+			k.others = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
 		}
 	}
 }
 
-// running returns what runs on this gateway, for the report.
-func (t *table) running() []protocol.ServerLoad {
+// loads returns what runs on this gateway, for the report.
+func (t *table) loads() []protocol.ServerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []protocol.ServerLoad
 	for _, p := range t.pools {
 		for _, k := range p.servers {
 			if k.Handle != 0 && k.own.Requests > 0 {
-				out = append(out, protocol.ServerLoad{Handle: k.Handle, Requests: uint32(k.own.Requests), Tokens: uint32(max(k.own.Tokens, 0))})
+				out = append(out, protocol.ServerLoad{
+					Handle: k.Handle, Requests: uint32(k.own.Requests), Tokens: uint32(max(k.own.Tokens, 0)),
+				})
 			}
 		}
 	}
@@ -185,6 +183,13 @@
 	return len(t.servers)
 }
 
+// poolSize returns how many backend servers of a pool are known.
+func (t *table) poolSize(name string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.pool(name).servers)
+}
+
 // Servers returns the identifiers of the backend servers that the gateway knows, in
 // order.
 func (g *Gateway) Servers() []string {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -10,6 +10,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
+	"github.com/badgerspoke/badgerspoke/coordination/registry"
+	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/document"
 	"github.com/badgerspoke/badgerspoke/transport/link"
@@ -18,29 +20,9 @@
 // This file defines watcher, the gateway's session with the directory's
 // leader.
 
-// Times of the session.
-const (
-	// usagePeriod is the time between two reports. It was 250 ms until the
-	// commit "Gateway: admit by the time before an engine begins to read",
-	// which measured it only together with its other changes.
-	usagePeriod = 100 * time.Millisecond
-	// silenceLimit ends a session whose leader sends nothing: a leader rests at
-	// most 600 ms between two messages (fleetLongest in package directory).
-	silenceLimit = time.Second
-	// dialTimeout is the time for one connection, after which a box that is off
-	// is left for the next candidate. Chosen, not measured.
-	dialTimeout = 700 * time.Millisecond
-)
-
-// Pauses between two tries to find the leader. After a power loss of all
-// machines a leader was there in 0.46 s, but gateways whose pause had grown
-// found it 0.3 to 0.7 s later: so the pause stays short for as long as an
-// election or two take.
-const (
-	redialPause   = 50 * time.Millisecond  // at first
-	redialLongest = 300 * time.Millisecond // later; chosen, not measured
-	redialsAtOnce = 60                     // redials before the pause grows
-)
+// dialTimeout is the time for one connection, after which a box that is off is left
+// for the next candidate. Chosen, not measured.
+const dialTimeout = 700 * time.Millisecond
 
 // watcher keeps the session. Only the goroutine of run uses its fields.
 type watcher struct {
@@ -48,13 +30,11 @@
 	startID   uint64   // random; a restarted gateway has another one
 	term      uint64   // the highest of a leader that has sent servers
 	leader    string   // where the leader is by the last redirect; it is tried once
-	members   []string // addresses of the directory's replicas, as last reported
+	replicas  []string // addresses of the directory's voters, as last reported
 	tried     int      // candidates tried so far; it begins at a random one
 	connected bool     // the last session was with a leader
 }
 
-func newWatcher(g *Gateway) *watcher { return &watcher{g: g, startID: g.cfg.Random() | 1} }
-
 // run keeps a session with whoever leads, until the gateway stops.
 func (w *watcher) run() {
 	failures := 0
@@ -64,14 +44,7 @@
 			continue
 		}
 		failures++
-		pause := redialPause
-		if failures > redialsAtOnce {
-			pause = redialLongest
-		}
-		select {
-		case <-w.g.ctx.Done():
-		case <-time.After(pause):
-		}
+		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop looks whether ctx has ended
 	}
 }
 
@@ -82,7 +55,7 @@
 		w.leader = ""
 		return leader
 	}
-	all := candidates(w.members, *w.g.seeds.Load())
+	all := candidates(w.replicas, *w.g.seeds.Load())
 	if len(all) == 0 {
 		return ""
 	}
@@ -93,10 +66,10 @@
 	return all[w.tried%len(all)]
 }
 
-// candidates are the addresses where a leader may be: the directory's members,
+// candidates are the addresses where a leader may be: the directory's replicas,
 // then the seeds that are none of them.
-func candidates(members, seeds []string) []string {
-	all := slices.Clone(members)
+func candidates(replicas, seeds []string) []string {
+	all := slices.Clone(replicas)
 	for _, s := range seeds {
 		if !slices.Contains(all, s) {
 			all = append(all, s)
@@ -133,7 +106,8 @@
 		}
 		if !led {
 			led = true
-			w.found(address)
+			w.connected = true
+			w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
 			go w.report(ctx, l)
 		}
 		w.handle(m)
@@ -142,27 +116,22 @@
 
 // receive waits for a message, but not for a leader that has gone silent.
 func (w *watcher) receive(ctx context.Context, l *link.Link) (protocol.Message, error) {
-	ctx, cancel := context.WithTimeout(ctx, silenceLimit)
+	ctx, cancel := context.WithTimeout(ctx, registry.SilenceLimit)
 	defer cancel()
 	return l.Receive(ctx)
 }
 
-// redirected takes the answer of a replica that does not lead. One that names
+// redirected handles the answer of a replica that does not lead. One that names
 // itself as the leader is not tried again at once.
 func (w *watcher) redirected(address string, e protocol.WatchRedirect) {
 	if len(e.Members) > 0 {
-		w.members = e.Members
+		w.replicas = e.Members
 	}
 	if e.Leader != address {
 		w.leader = e.Leader
 	}
 }
 
-func (w *watcher) found(address string) {
-	w.connected = true
-	w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
-}
-
 func (w *watcher) lost(address string, err error) {
 	if !w.connected {
 		return
@@ -184,25 +153,25 @@
 		w.g.apply(d)
 	case protocol.Servers:
 		w.term = max(w.term, m.Term)
-		if changed := w.g.table.update(m); len(changed.joined)+len(changed.left) > 0 {
-			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", changed.joined), slog.Any("left", changed.left),
+		if joined, left := w.g.table.update(m); len(joined)+len(left) > 0 {
+			w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", joined), slog.Any("left", left),
 				slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 		}
 		w.g.grantAll()
 	case protocol.Fleet:
 		w.g.gateways.Store(int64(max(m.Gateways, 1)))
-		w.members = m.Members
+		w.replicas = m.Members
 		w.g.accounts.update(m.Entitlements, m.Short)
 		w.g.table.updateLoads(w.g.now(), m.Loads)
 		w.g.grantAll()
 	}
 }
 
-// report sends the leader what runs and was asked for here, until ctx ends or
-// the session is lost.
+// report sends the leader what runs here and what was demanded, until ctx ends or the
+// session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
-	for range every(ctx, usagePeriod) {
-		u := protocol.Usage{Loads: w.g.table.running(), Number: w.g.DocumentNumber()}
+	for range sleep.Every(ctx, registry.ReportPeriod) {
+		u := protocol.Usage{Loads: w.g.table.loads(), Number: w.g.DocumentNumber()}
 		u.Demands, u.Started, u.Missed = w.g.accounts.takeReport()
 		if err := l.Send(ctx, u); err != nil {
 			return // receive fails as well, and logs it
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package fakedisk is a folder in memory that loses what was not synced, and
-// worse, when a test asks for it. It stands in for [wal.Dir] in tests.
+// worse, when a test wants it. It stands in for [wal.Dir] in tests.
 //
 // The model: every file has content that is durable and content that was
 // written since its last sync; every name is durable or waits for a sync of
@@ -11,6 +11,7 @@
 
 import (
 	"io/fs"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"sync"
@@ -26,7 +27,7 @@
 // sector is what a disk writes whole, in bytes: the usual size of a sector.
 const sector = 512
 
-// Errors of the faults that a test asks of a Disk.
+// Errors of the faults of a Disk.
 var (
 	ErrSync = errors.New("fakedisk: sync failed")
 	ErrFull = errors.New("fakedisk: no space left")
@@ -187,12 +188,7 @@
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var names []string
-	for n := range d.files {
-		names = append(names, n)
-	}
-	slices.Sort(names)
-	return names, nil
+	return slices.Sorted(maps.Keys(d.files)), nil
 }
 
 // Sync implements [wal.Dir].
@@ -202,10 +198,7 @@
 	if d.failSync {
 		return ErrSync
 	}
-	d.durable = map[string]*file{}
-	for n, f := range d.files {
-		d.durable[n] = f
-	}
+	d.durable = maps.Clone(d.files)
 	return nil
 }
 
@@ -222,17 +215,16 @@
 	if h.epoch != h.d.epoch {
 		return 0, fs.ErrClosed
 	}
+	n := len(b)
 	if h.d.room >= 0 {
-		n := min(len(b), h.d.room)
+		n = min(n, h.d.room)
 		h.d.room -= n
-		h.f.content = append(h.f.content, b[:n]...)
-		if n < len(b) {
-			return n, ErrFull
-		}
-		return n, nil
 	}
-	h.f.content = append(h.f.content, b...)
-	return len(b), nil
+	h.f.content = append(h.f.content, b[:n]...)
+	if n < len(b) {
+		return n, ErrFull
+	}
+	return n, nil
 }
 
 func (h *handle) Sync() error {
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -10,7 +10,7 @@
 
 // This file defines Document and its parts, and the checks of a document.
 
-// Kind says what may be done with a request of a route.
+// Kind is what may be done with a request of a route. Its numbers are stored.
 type Kind uint8
 
 // The kinds of request.
@@ -24,11 +24,6 @@
 	Stream
 )
 
-// String returns the kind's name.
-func (k Kind) String() string {
-	return [...]string{"once", "repeatable", "stream"}[min(k, Stream)]
-}
-
 // Document is one whole configuration. Documents are never changed once made.
 type Document struct {
 	Number   uint64    `cbor:"1,keyasint"`
