--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -5,8 +5,10 @@
 // This file defines Budget, the retry budget of the router.
 
 // Budget is a budget of retries: a part of the requests, so that retries of
-// all routers together never exceed that part of the fleet's load. The zero
-// value allows none.
+// all routers together never exceed that part of the fleet's load. It is the
+// router's only bound on attempts, so every further attempt costs one, also
+// after an attempt that reached nobody, which is free in a gateway
+// ([Request.Again]). The zero value allows none.
 type Budget struct {
 	Part  float64 // retries allowed per request
 	Burst float64 // retries that may be saved up
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -18,6 +18,12 @@
 	Answered                    // the server ran it and the caller has the whole answer
 )
 
+// MayGoElsewhere is the rule that gateway and router share: what has not run
+// may be sent again, what may have run only if it may be repeated. Bounds and
+// budgets come on top of it, in the gateway those of [Request.Again], in the
+// router [Budget] alone.
+func (e Execution) MayGoElsewhere(repeatable bool) bool { return e <= Refused || repeatable }
+
 // Counts are the attempts of one request so far.
 type Counts struct {
 	Begun   int // attempts begun, whether or not they reached a server
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -43,7 +43,7 @@
 		r.Arrived >= min(maxRuns+1, maxArrived),
 		r.Begun >= MaxBegun,
 		r.Runs >= maxRuns,
-		last > Refused && !r.Route.MayRepeat():
+		!last.MayGoElsewhere(r.Route.MayRepeat()):
 		return false, false
 	}
 	return true, last != NotSent
--- a/router/call.go
+++ b/router/call.go
@@ -11,6 +11,7 @@
 
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
 	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/config"
 	"github.com/badgerspoke/badgerspoke/transport/forward"
@@ -42,8 +43,7 @@
 	c.came = r.now()
 	r.countRequest()
 	if f := r.run(w, req.Context(), c); f != nil {
-		r.stats.failure(*f)
-		f.write(w)
+		r.refuse(w, f)
 	}
 	r.stats.of(c).whole.Update((r.now() - c.came).Seconds())
 }
@@ -53,7 +53,7 @@
 	for {
 		server, f := r.awaitTurn(ctx, c)
 		if f != nil {
-			r.release(c)
+			r.settle(c, protocol.ClaimReleased, nil)
 			return f
 		}
 		if c.keyed != nil && !c.claimed {
@@ -75,15 +75,15 @@
 // awaitTurn queues the call and waits until it may use a server.
 func (r *Router) awaitTurn(ctx context.Context, c *call) (config.Server, *Failure) {
 	if !r.lease.valid(r.now()) {
-		return config.Server{}, &failLease
+		return config.Server{}, failLease
 	}
 	p := r.pool(c.pool)
 	if p == nil {
-		return config.Server{}, &failNoServer
+		return config.Server{}, failNoServer
 	}
-	w, err := p.enqueue(c)
-	if err != nil {
-		return config.Server{}, asFailure(err)
+	w, f := p.enqueue(c)
+	if f != nil {
+		return config.Server{}, f
 	}
 	c.work = w.work
 	began := r.now()
@@ -96,14 +96,14 @@
 	if got, started := p.cancel(w); started {
 		p.finish(c.work, got.server.ID, 0, pool.Abandoned)
 	}
-	f := failGone.WithOutcome(NotRun)
-	return config.Server{}, &f
+	return config.Server{}, failGone.WithOutcome(NotRun)
 }
 
-// claimTurn claims the key of a call that has a slot. done means that the
-// caller was answered.
+// claimTurn claims the key of a call that has a slot. If the claim is not
+// granted at once, the slot is given up: the wait for another router's outcome
+// may be long. done means that the caller was answered.
 func (r *Router) claimTurn(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (done bool, f *Failure) {
-	cctx, cancel := context.WithTimeout(ctx, claimPatience)
+	cctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	got, ok := r.claims.claim(cctx, *c.keyed, false)
 	cancel()
 	if ok && got.State == protocol.ClaimGranted {
@@ -111,45 +111,35 @@
 		return false, nil
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, pool.Abandoned)
+	f = failClaims
+	if ok && got.State == protocol.ClaimRunning {
+		got, ok = r.claims.claim(ctx, *c.keyed, true)
+		f = failGone.WithOutcome(NotRun)
+	}
 	if !ok {
 		r.claims.settle(*c.keyed, protocol.ClaimReleased, nil) // it may have been granted
-		return false, &failClaims
-	}
-	if got.State == protocol.ClaimRunning {
-		if got, ok = r.claims.claim(ctx, *c.keyed, true); !ok {
-			r.claims.settle(*c.keyed, protocol.ClaimReleased, nil)
-			f := failGone.WithOutcome(NotRun)
-			return false, &f
-		}
+		return false, f
 	}
 	return r.answerClaimed(w, c, got)
 }
 
-// answerClaimed tells the caller what became of the request under this key,
-// unless it is this router's to run now.
+// answerClaimed answers the caller with what became of the request under this
+// key, unless this router is to run it now.
 func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (done bool, f *Failure) {
 	switch got.State {
 	case protocol.ClaimGranted:
 		c.claimed = true
 		return false, nil
 	case protocol.ClaimMismatch:
-		return false, &failOtherBody
+		return false, failOtherBody
 	case protocol.ClaimRan:
 		if got.Answer == nil {
-			return false, &failRan
+			return false, failRan
 		}
 		replay(w, *got.Answer)
 		return true, nil
 	}
-	return false, &failUnknownRun
-}
-
-// release gives up a claim of a call that truly did not run.
-func (r *Router) release(c *call) {
-	if c.claimed {
-		r.claims.settle(*c.keyed, protocol.ClaimReleased, nil)
-		c.claimed = false
-	}
+	return false, failUnknownRun
 }
 
 // attempt sends the call to a server and relays the answer. again means that
@@ -159,85 +149,69 @@
 	began := r.now()
 	a, err := r.cfg.Server.Send(ctx, server.Address, c.send)
 	if err != nil {
-		return r.sendFailed(ctx, c, p, server, err)
+		return r.sendFailed(ctx, c, server, err)
 	}
 	defer func() { a.Body.Close() }() // the relay may have put another in its place
 	if running, waiting, ok := a.Load(); ok {
-		p.report(server.ID, place.Load{Running: running, Waiting: waiting, At: r.now()})
+		p.locked(func(pl *pool.Pool) {
+			pl.Report(server.ID, place.Load{Running: running, Waiting: waiting, At: r.now()})
+		})
 	}
-	rel := relay{router: r, ctx: ctx, server: server.Address, call: c, pool: p, work: c.work, answer: a, began: began}
+	rel := relay{router: r, ctx: ctx, server: server.Address, call: c, pool: p, answer: a, began: began}
 	end := rel.run(w)
 	p.finish(c.work, server.ID, end.cost, end.result)
 	r.stats.of(c).requests.Inc()
 	r.stats.of(c).service.Add(end.cost)
-	r.settle(c, a, end)
 	if end.failure != nil {
-		r.stats.failure(*end.failure)
-		if !end.written {
-			return false, end.failure
-		}
+		r.settle(c, protocol.ClaimUnknown, nil)
+		r.stats.failure(end.failure)
+		return false, nil
 	}
+	var kept *protocol.Answer
+	if end.whole != nil {
+		kept = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.whole}
+	}
+	r.settle(c, protocol.ClaimRan, kept)
 	return false, nil
 }
 
-// sendFailed decides what follows from a call that got no answer.
-func (r *Router) sendFailed(ctx context.Context, c *call, p *lockedPool, server config.Server, err error) (again bool, f *Failure) {
-	var notRun forward.NotRun
-	if ctx.Err() != nil {
-		p.finish(c.work, server.ID, 0, pool.Abandoned)
-		if errors.As(err, &notRun) {
-			r.release(c)
-			g := failGone.WithOutcome(NotRun)
-			return false, &g
-		}
-		r.settleUnknown(c)
-		return false, &failGone
+// sendFailed carries out what follows from an attempt that got no answer: it
+// settles the slot, and the claim if the call ends here.
+func (r *Router) sendFailed(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
+	f, claim, last := failBroken.With(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
+	if errors.As(err, new(forward.NotRun)) {
+		f, claim, last = failUnreachable.With(err.Error()), protocol.ClaimReleased, retry.Refused
 	}
-	p.finish(c.work, server.ID, 0, pool.Failed)
-	if errors.As(err, &notRun) {
-		if r.retry() {
-			return true, nil
-		}
-		r.release(c)
-		g := failUnreachable.With(err.Error())
-		return false, &g
+	result, gone := pool.Failed, ctx.Err() != nil
+	if gone {
+		f, result = failGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
-	if !c.send.Never && r.retry() {
+	r.pool(c.pool).finish(c.work, server.ID, 0, result)
+	if !gone && last.MayGoElsewhere(!c.send.Never) && r.retry() {
 		return true, nil
 	}
-	r.settleUnknown(c)
-	g := failBroken.With(err.Error())
-	return false, &g
+	r.settle(c, claim, nil)
+	return false, f
 }
 
 // retry takes one retry out of the budget.
 func (r *Router) retry() bool {
-	if r.mayRetry() {
+	r.budgetMu.Lock()
+	allowed := r.budget.Retry()
+	r.budgetMu.Unlock()
+	if allowed {
 		r.stats.retried.Inc()
-		return true
+	} else {
+		r.stats.refused.Inc()
 	}
-	r.stats.refused.Inc()
-	return false
+	return allowed
 }
 
-func (r *Router) settleUnknown(c *call) {
+// settle reports to the register how a call that holds its claim ended.
+func (r *Router) settle(c *call, state protocol.ClaimState, a *protocol.Answer) {
 	if c.claimed {
-		r.claims.settle(*c.keyed, protocol.ClaimUnknown, nil)
-	}
-}
-
-// settle tells the register how a claimed call ended.
-func (r *Router) settle(c *call, a *forward.Answer, end relayed) {
-	switch {
-	case !c.claimed:
-	case end.failure != nil:
-		r.settleUnknown(c)
-	default:
-		var kept *protocol.Answer
-		if end.whole != nil {
-			kept = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.whole}
-		}
-		r.claims.settle(*c.keyed, protocol.ClaimRan, kept)
+		r.claims.settle(*c.keyed, state, a)
+		c.claimed = false
 	}
 }
 
@@ -250,14 +224,5 @@
 	h.Set(OutcomeHeader, string(Ran))
 	h.Set("Badgerspoke-Replayed", "true")
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body)
-}
-
-func asFailure(err error) *Failure {
-	var f Failure
-	if errors.As(err, &f) {
-		return &f
-	}
-	f = failMalformed.With(err.Error())
-	return &f
+	_, _ = w.Write(a.Body) // fails only for a caller that is gone
 }
--- a/router/callers.go
+++ b/router/callers.go
@@ -51,7 +51,7 @@
 	path := req.URL.Path
 	switch {
 	case path == "/healthz":
-		_, _ = io.WriteString(w, "ok\n")
+		_, _ = io.WriteString(w, "ok\n") // whoever probes sees an answer cut short itself
 	case path == "/readyz":
 		r.serveReady(w)
 	case path == "/v1/models":
@@ -65,7 +65,7 @@
 	}
 }
 
-func (r *Router) refuse(w http.ResponseWriter, f Failure) {
+func (r *Router) refuse(w http.ResponseWriter, f *Failure) {
 	r.stats.failure(f)
 	f.write(w)
 }
@@ -73,51 +73,41 @@
 func (r *Router) serveReady(w http.ResponseWriter) {
 	if !r.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = io.WriteString(w, "not ready\n")
+		_, _ = io.WriteString(w, "not ready\n") // whoever probes sees an answer cut short itself
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n")
+	_, _ = io.WriteString(w, "ready\n") // whoever probes sees an answer cut short itself
 }
 
-type handler func(w http.ResponseWriter, req *http.Request, a config.Account) error
+type handler func(w http.ResponseWriter, req *http.Request, a config.Account) *Failure
 
-// withAccount checks method, door and key, and writes what h fails with.
+// withAccount refuses a request with another method, during a stop, or without
+// a valid key, and writes what h fails with.
 func (r *Router) withAccount(w http.ResponseWriter, req *http.Request, method string, h handler) {
-	err := r.admit(req, method)
-	if err == nil {
-		key, _ := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
-		a, ok := r.routes.Load().account(key)
-		if !ok {
-			r.refuse(w, r.unknownKey())
-			return
-		}
-		err = h(w, req, a)
-	}
-	if err != nil {
-		r.refuse(w, *asFailure(err))
+	if f := r.admit(w, req, method, h); f != nil {
+		r.refuse(w, f)
 	}
 }
 
-func (r *Router) admit(req *http.Request, method string) error {
+func (r *Router) admit(w http.ResponseWriter, req *http.Request, method string, h handler) *Failure {
 	if method != "" && req.Method != method {
 		return failMethod.With("use " + method)
 	}
-	if r.fleet.doorClosed() {
+	if r.closed.Load() {
 		return failStopping
 	}
-	return nil
-}
-
-// unknownKey is a bad key, unless this router has no configuration yet to
-// know any key from.
-func (r *Router) unknownKey() Failure {
-	if r.Revision() == 0 && !r.lease.valid(r.now()) {
-		return failLease
+	key, _ := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
+	a, ok := r.routes.Load().account(key)
+	switch {
+	case ok:
+		return h(w, req, a)
+	case r.Revision() == 0 && !r.lease.valid(r.now()):
+		return failLease // there is no configuration yet to know a key from
 	}
 	return failKey
 }
 
-func (r *Router) serveModels(w http.ResponseWriter, _ *http.Request, _ config.Account) error {
+func (r *Router) serveModels(w http.ResponseWriter, _ *http.Request, _ config.Account) *Failure {
 	type model struct {
 		ID     string `json:"id"`
 		Object string `json:"object"`
@@ -132,7 +122,10 @@
 		list.Data = append(list.Data, model{ID: name, Object: "model", Owner: t.models[name]})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	return json.NewEncoder(w).Encode(list)
+	if err := json.NewEncoder(w).Encode(list); err != nil {
+		return failMalformed.With(err.Error())
+	}
+	return nil
 }
 
 // engineRequest is the part of a completion request that routing reads.
@@ -142,10 +135,10 @@
 	User   string `json:"user"`
 }
 
-func (r *Router) serveEngine(w http.ResponseWriter, req *http.Request, a config.Account) error {
-	c, err := r.newCall(w, req, a)
-	if err != nil {
-		return err
+func (r *Router) serveEngine(w http.ResponseWriter, req *http.Request, a config.Account) *Failure {
+	c, f := r.newCall(w, req, a)
+	if f != nil {
+		return f
 	}
 	defer r.done(c)
 	var er engineRequest
@@ -169,16 +162,16 @@
 	return r.serveCall(w, req, c)
 }
 
-func (r *Router) serveService(w http.ResponseWriter, req *http.Request, a config.Account) error {
+func (r *Router) serveService(w http.ResponseWriter, req *http.Request, a config.Account) *Failure {
 	rest := strings.TrimPrefix(req.URL.EscapedPath(), "/services/")
 	name, path, _ := strings.Cut(rest, "/")
 	t := r.routes.Load()
 	if !t.services[name] {
 		return failService.With("no service " + strconv.Quote(name))
 	}
-	c, err := r.newCall(w, req, a)
-	if err != nil {
-		return err
+	c, f := r.newCall(w, req, a)
+	if f != nil {
+		return f
 	}
 	defer r.done(c)
 	c.pool = name
@@ -198,7 +191,7 @@
 
 // serveCall runs a call. An answer that broke off without a way to say so in
 // its body loses its connection.
-func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) error {
+func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) *Failure {
 	if c.keyed != nil {
 		c.send.Never = true
 		c.keyed.digest = xxh3.Hash(append([]byte(req.Method+" "+c.send.Path+"\n"), c.body...))
@@ -211,7 +204,7 @@
 }
 
 // newCall reads what all calls have in common.
-func (r *Router) newCall(w http.ResponseWriter, req *http.Request, a config.Account) (*call, error) {
+func (r *Router) newCall(w http.ResponseWriter, req *http.Request, a config.Account) (*call, *Failure) {
 	c := &call{account: a, class: defaultClass, flow: req.Header.Get(userHeader)}
 	if len(c.flow) > maxUser {
 		return nil, failHeader.With(userHeader + " is longer than 128 bytes")
@@ -233,9 +226,9 @@
 	if key != "" {
 		c.keyed = &keyed{account: a.Name, key: key, attempt: r.cfg.Random()}
 	}
-	body, err := r.readBody(w, req, c)
-	if err != nil {
-		return nil, err
+	body, f := r.readBody(w, req, c)
+	if f != nil {
+		return nil, f
 	}
 	c.body = body
 	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body, Never: repeat == "never"}
@@ -247,7 +240,7 @@
 // readBody reads a body inside the bound on all bodies together: a body of
 // unknown length counts as the longest until it is read. What is reserved is
 // given back by done.
-func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, error) {
+func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, *Failure) {
 	limits := r.cfg.Limits
 	if req.ContentLength > limits.Body {
 		return nil, failTooLarge
@@ -262,7 +255,7 @@
 	}
 	c.reserved = reserve
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(limits.Read))
+	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, as the read then does
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.Body))
 	if err != nil {
 		// The deadline stays: the server would else wait for the rest of the
@@ -271,7 +264,7 @@
 		r.done(c)
 		return nil, bodyFailure(err)
 	}
-	_ = rc.SetReadDeadline(time.Time{})
+	_ = rc.SetReadDeadline(time.Time{}) // as above
 	return body, nil
 }
 
@@ -281,7 +274,7 @@
 	c.reserved = 0
 }
 
-func bodyFailure(err error) error {
+func bodyFailure(err error) *Failure {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return failTooLarge
--- a/router/claims.go
+++ b/router/claims.go
@@ -19,7 +19,7 @@
 
 const (
 	claimRetryPause = 50 * time.Millisecond
-	claimPatience   = 5 * time.Second // for a claim before dispatch
+	claimTimeout    = 5 * time.Second // for a claim before dispatch
 )
 
 type claims struct {
--- a/router/errors.go
+++ b/router/errors.go
@@ -10,23 +10,26 @@
 )
 
 // This file defines Failure, the one shape in which a request fails, and the
-// table of failures.
+// tables of failures: status, outcome and time to come back, in three groups by
+// what the caller can do.
 
-// Outcome tells a caller what became of a request.
+// Outcome is what is known about the run of a request. The values are in the
+// header and body of answers.
 type Outcome string
 
 // The outcomes.
 const (
 	Ran        Outcome = "ran"
-	NotRun     Outcome = "not-run"
-	UnknownRun Outcome = "unknown"
+	NotRun     Outcome = "not-run" // it was never handed to a server, or the server refused it before starting
+	UnknownRun Outcome = "unknown" // it may have run
 )
 
 // OutcomeHeader carries the outcome of every failure and of every replayed
 // answer.
 const OutcomeHeader = "Badgerspoke-Outcome"
 
-// Failure is why a request has no answer from a backend server.
+// Failure is why a request has no answer from a backend server. It is not
+// changed once made: With and WithOutcome return a copy.
 type Failure struct {
 	Status     int
 	Type       string // the protocol's error type
@@ -36,15 +39,13 @@
 	RetryAfter time.Duration // 0 when a retry does not help, or at once
 }
 
-// Error returns the code and the message.
-func (f Failure) Error() string { return f.Code + ": " + f.Message }
-
 // With returns the failure with another message.
-func (f Failure) With(message string) Failure { f.Message = message; return f }
+func (f Failure) With(message string) *Failure { f.Message = message; return &f }
 
 // WithOutcome returns the failure with another outcome.
-func (f Failure) WithOutcome(o Outcome) Failure { f.Outcome = o; return f }
+func (f Failure) WithOutcome(o Outcome) *Failure { f.Outcome = o; return &f }
 
+// The protocol's error types.
 const (
 	badRequest   = "invalid_request_error"
 	authProblem  = "authentication_error"
@@ -52,28 +53,49 @@
 	ourProblem   = "server_error"
 )
 
-// The failures that callers can meet.
+// Times after which a refused caller should come back. Chosen, not measured.
+const (
+	soon  = time.Second     // the least that Retry-After can say
+	later = 2 * time.Second // after a whole wait in vain
+)
+
+// statusGone is the customary status for a caller that closed its connection
+// (nginx); it is only counted, nobody reads it.
+const statusGone = 499
+
+// The request as it is: it did not run, and sending the same again is of no
+// use, so there is no time to come back.
+var (
+	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0} // also when the account goes while it waits
+	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
+	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
+	failModel     = &Failure{http.StatusNotFound, badRequest, "model_not_found", "no pool serves this model", NotRun, 0}
+	failService   = &Failure{http.StatusNotFound, badRequest, "service_not_found", "no such service", NotRun, 0}
+	failPath      = &Failure{http.StatusNotFound, badRequest, "not_found", "no such path", NotRun, 0}
+	failMethod    = &Failure{http.StatusMethodNotAllowed, badRequest, "method_not_allowed", "use another method", NotRun, 0}
+	failTooLarge  = &Failure{http.StatusRequestEntityTooLarge, badRequest, "request_too_large", "the body is over the limit", NotRun, 0}
+	failOtherBody = &Failure{http.StatusUnprocessableEntity, badRequest, "idempotency_key_reused", "this idempotency key was used for another request", NotRun, 0}
+)
+
+// The state of this router or its pool: the request did not run, and the same
+// one may succeed later or at another router.
+var (
+	failFull        = &Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, soon}                       // a limit on what waits or on all bodies
+	failLease       = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}              // readiness is false, the balancer leaves
+	failStopping    = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}                            // after the grace of the stop
+	failNoServer    = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}                // the configuration names none
+	failWaited      = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}   // Limits.Wait is over
+	failUnreachable = &Failure{http.StatusBadGateway, ourProblem, "backend_unreachable", "no backend server took the request", NotRun, soon}              // not sent or refused, and the retry budget is empty
+	failClaims      = &Failure{http.StatusServiceUnavailable, ourProblem, "claims_unavailable", "the idempotency key could not be claimed", NotRun, soon} // no answer in claimTimeout
+)
+
+// The request ran or may have run: sending it again is the caller's decision,
+// so there is no time to come back.
 var (
-	failKey         = Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
-	failMalformed   = Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
-	failHeader      = Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
-	failModel       = Failure{http.StatusNotFound, badRequest, "model_not_found", "no pool serves this model", NotRun, 0}
-	failService     = Failure{http.StatusNotFound, badRequest, "service_not_found", "no such service", NotRun, 0}
-	failPath        = Failure{http.StatusNotFound, badRequest, "not_found", "no such path", NotRun, 0}
-	failMethod      = Failure{http.StatusMethodNotAllowed, badRequest, "method_not_allowed", "use another method", NotRun, 0}
-	failTooLarge    = Failure{http.StatusRequestEntityTooLarge, badRequest, "request_too_large", "the body is over the limit", NotRun, 0}
-	failFull        = Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, time.Second}
-	failLease       = Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, time.Second}
-	failStopping    = Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, time.Second}
-	failNoServer    = Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, time.Second}
-	failWaited      = Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, 2 * time.Second}
-	failUnreachable = Failure{http.StatusBadGateway, ourProblem, "backend_unreachable", "no backend server took the request", NotRun, time.Second}
-	failBroken      = Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
-	failClaims      = Failure{http.StatusServiceUnavailable, ourProblem, "claims_unavailable", "the idempotency key could not be claimed", NotRun, time.Second}
-	failRan         = Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
-	failUnknownRun  = Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
-	failOtherBody   = Failure{http.StatusUnprocessableEntity, badRequest, "idempotency_key_reused", "this idempotency key was used for another request", NotRun, 0}
-	failGone        = Failure{499, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
+	failBroken     = &Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0} // it may not be repeated, or the retry budget is empty
+	failRan        = &Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
+	failUnknownRun = &Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0} // its router vanished or its server broke
+	failGone       = &Failure{statusGone, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
 // errorBody is the usual JSON error of the protocol.
@@ -105,7 +127,7 @@
 		h.Set("Retry-After", strconv.Itoa(int(max(f.RetryAfter/time.Second, 1))))
 	}
 	w.WriteHeader(f.Status)
-	_, _ = w.Write(append(f.body(), '\n'))
+	_, _ = w.Write(append(f.body(), '\n')) // fails only for a caller that is gone
 }
 
 // event returns the failure as the last event of a broken stream.
--- a/router/fleet.go
+++ b/router/fleet.go
@@ -35,11 +35,9 @@
 )
 
 type fleet struct {
-	r       *Router
-	wakeup  chan struct{}
-	hurry   chan struct{}
-	closing sync.Once
-	closed  chan struct{} // no new requests from now on
+	r      *Router
+	wakeup chan struct{}
+	hurry  chan struct{}
 
 	mu      sync.Mutex // guards what follows
 	session *session
@@ -61,7 +59,7 @@
 
 func newFleet(r *Router) *fleet {
 	return &fleet{
-		r: r, wakeup: make(chan struct{}, 1), hurry: make(chan struct{}, 1), closed: make(chan struct{}),
+		r: r, wakeup: make(chan struct{}, 1), hurry: make(chan struct{}, 1),
 		length: defaultLease,
 	}
 }
@@ -205,9 +203,11 @@
 	}
 	leased := f.r.lease.valid(f.r.now())
 	for _, p := range f.r.poolList() {
-		held, view := p.hello(leased)
-		h.Held = append(h.Held, held...)
-		h.Pools = append(h.Pools, view)
+		p.locked(func(pl *pool.Pool) {
+			held, view := pl.Hello(leased)
+			h.Held = append(h.Held, held...)
+			h.Pools = append(h.Pools, view)
+		})
 	}
 	return h
 }
@@ -355,18 +355,6 @@
 	return nil
 }
 
-// closeDoor refuses new requests from now on.
-func (f *fleet) closeDoor() { f.closing.Do(func() { close(f.closed) }) }
-
-func (f *fleet) doorClosed() bool {
-	select {
-	case <-f.closed:
-		return true
-	default:
-		return false
-	}
-}
-
 // goodbye hands back what is held and waits until it is sent.
 func (f *fleet) goodbye(ctx context.Context) {
 	f.mu.Lock()
--- a/router/pool.go
+++ b/router/pool.go
@@ -3,21 +3,20 @@
 package router
 
 import (
+	"cmp"
 	"sync"
 	"time"
 
-	"github.com/badgerspoke/badgerspoke/coordination/place"
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
 	"github.com/badgerspoke/badgerspoke/coordination/share"
-	"github.com/badgerspoke/badgerspoke/protocol"
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
 // This file defines lockedPool, the lock around one pool's decisions, and how
-// a waiting request learns that its turn has come.
+// a waiting request is woken when its turn has come.
 
-// lockedPool is one pool on this router. Every method ends with dispatch, so
-// that nothing that changed waits for the next event.
+// lockedPool is one pool on this router. Every change that may let waiting work
+// start ends with dispatch, so that it does not wait for the next event.
 type lockedPool struct {
 	name   string
 	router *Router
@@ -75,12 +74,10 @@
 func (r *Router) poolAccounts(cfg config.Config) []pool.Account {
 	accounts := make([]pool.Account, 0, len(cfg.Accounts()))
 	for _, a := range cfg.Accounts() {
-		limits := share.Limits{Waiting: a.Limits.Waiting, Bytes: a.Limits.WaitingBytes, Running: a.Limits.Running}
-		if limits.Waiting == 0 {
-			limits.Waiting = r.cfg.Limits.AccountWaiting
-		}
-		if limits.Bytes == 0 {
-			limits.Bytes = r.cfg.Limits.AccountBytes
+		limits := share.Limits{
+			Waiting: cmp.Or(a.Limits.Waiting, r.cfg.Limits.AccountWaiting),
+			Bytes:   cmp.Or(a.Limits.WaitingBytes, r.cfg.Limits.AccountBytes),
+			Running: a.Limits.Running,
 		}
 		accounts = append(accounts, pool.Account{Name: a.ID, Share: a.Share, Limits: limits})
 	}
@@ -88,7 +85,7 @@
 }
 
 // enqueue adds a request to the queue.
-func (p *lockedPool) enqueue(c *call) (*waiter, error) {
+func (p *lockedPool) enqueue(c *call) (*waiter, *Failure) {
 	w := &waiter{turn: make(chan turn, 1)}
 	w.work = &pool.Work{
 		Account: c.account.ID, Class: c.class, Flow: c.flow, Bytes: int64(len(c.body)), Blocks: c.blocks,
@@ -119,32 +116,17 @@
 	return got, got.fail == nil
 }
 
-// progress charges what a running request has cost so far.
-func (p *lockedPool) progress(w *pool.Work, cost float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.Progress(w, cost)
-}
-
-// report takes what a server tells of its load.
-func (p *lockedPool) report(server string, l place.Load) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.Report(server, l)
-}
-
 // finish settles a request that used a slot and lets the next one start.
 func (p *lockedPool) finish(w *pool.Work, server string, cost float64, r pool.Result) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.pool.Finish(p.router.now(), w, server, cost, r) {
-		p.router.stats.ejected.Inc()
-	}
-	p.dispatch()
+	p.update(func(now time.Duration, pl *pool.Pool) {
+		if pl.Finish(now, w, server, cost, r) {
+			p.router.stats.ejected.Inc()
+		}
+	})
 }
 
-// tick expires what has waited too long. Without a lease, everything that
-// waits is told so.
+// tick fails what has waited too long and, without a lease, everything that
+// waits.
 func (p *lockedPool) tick(leased bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +143,8 @@
 	p.dispatch()
 }
 
-// dispatch wakes the requests whose turn has come, and the reporter if the
-// allocator should hear. The caller holds mu.
+// dispatch wakes the requests whose turn has come, and the reporter if there is
+// something to report. The caller holds mu.
 func (p *lockedPool) dispatch() {
 	now := p.router.now()
 	for _, s := range p.pool.Dispatch(now, p.router.lease.valid(now)) {
@@ -181,23 +163,16 @@
 	p.dispatch()
 }
 
-// takeReport adds what is new in this pool to a report.
-func (p *lockedPool) takeReport(seq uint64, into *protocol.Report) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.pool.TakeReport(seq, into)
-}
-
-// hello returns what the pool holds and knows, for a new session.
-func (p *lockedPool) hello(leased bool) ([]protocol.Held, protocol.PoolView) {
+// locked runs f, which lets no work start, under the lock.
+func (p *lockedPool) locked(f func(pl *pool.Pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pool.Hello(leased)
+	f(p.pool)
 }
 
 // fail answers waiting requests.
-func fail(works []*pool.Work, f Failure) {
+func fail(works []*pool.Work, f *Failure) {
 	for _, w := range works {
-		w.Value.(*waiter).turn <- turn{fail: &f}
+		w.Value.(*waiter).turn <- turn{fail: f}
 	}
 }
--- a/router/relay.go
+++ b/router/relay.go
@@ -33,7 +33,6 @@
 	server string // address
 	call   *call
 	pool   *lockedPool
-	work   *pool.Work
 	answer *forward.Answer
 	began  time.Duration
 
@@ -54,57 +53,54 @@
 	cost    float64
 	result  pool.Result
 	failure *Failure
-	written bool   // something reached the caller, or the caller is gone
 	whole   []byte // the whole body, if it is small enough to keep
 }
 
 // run relays the answer to its end.
-func (l *relay) run(w http.ResponseWriter) relayed {
-	l.writeHead(w)
-	if isEventStream(l.answer.Header) {
-		l.scan = &streamScan{}
+func (r *relay) run(w http.ResponseWriter) relayed {
+	r.writeHead(w)
+	if isEventStream(r.answer.Header) {
+		r.scan = &streamScan{}
 	}
-	err, callerGone := l.copy(w)
-	end := relayed{cost: l.cost(), written: true, result: pool.Served}
+	err, callerGone := r.copy(w)
+	end := relayed{cost: r.cost(), result: pool.Served}
 	switch {
 	case callerGone:
-		l.endAtServer()
-		f := failGone.WithOutcome(UnknownRun)
-		end.failure, end.result = &f, pool.Abandoned
-	case err != nil || l.cutShort():
-		f := failBroken
-		end.failure, end.result = &f, pool.Failed
-		l.breakOff(w, f)
-	case !l.tooBig:
-		end.whole = l.keep
+		r.endAtServer()
+		end.failure, end.result = failGone, pool.Abandoned
+	case err != nil || r.cutShort():
+		end.failure, end.result = failBroken, pool.Failed
+		r.breakOff(w, failBroken)
+	case !r.tooBig:
+		end.whole = r.keep
 	}
 	return end
 }
 
-func (l *relay) writeHead(w http.ResponseWriter) {
+func (r *relay) writeHead(w http.ResponseWriter) {
 	h := w.Header()
-	for name, values := range l.answer.Header {
+	for name, values := range r.answer.Header {
 		if !hopByHop[name] && name != forward.ResumeHeader && name != forward.LoadHeader {
 			h[name] = values
 		}
 	}
-	w.WriteHeader(l.answer.Status)
+	w.WriteHeader(r.answer.Status)
 }
 
 // copy moves the body in pieces, each flushed at once.
-func (l *relay) copy(w http.ResponseWriter) (err error, callerGone bool) {
+func (r *relay) copy(w http.ResponseWriter) (err error, callerGone bool) {
 	flush := http.NewResponseController(w)
 	held := relayBuffers.Get().(*[]byte)
 	defer relayBuffers.Put(held)
 	buf := *held
 	for {
-		n, err := l.answer.Body.Read(buf)
+		n, err := r.answer.Body.Read(buf)
 		if n > 0 {
-			if l.out == 0 {
-				l.router.stats.of(l.call).first.Update((l.router.now() - l.call.came).Seconds())
+			if r.out == 0 {
+				r.router.stats.of(r.call).first.Update((r.router.now() - r.call.came).Seconds())
 			}
-			l.count(buf[:n])
-			_ = flush.SetWriteDeadline(time.Now().Add(l.router.cfg.Limits.Write))
+			r.count(buf[:n])
+			_ = flush.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
 			if _, werr := w.Write(buf[:n]); werr != nil {
 				return nil, true
 			}
@@ -115,13 +111,13 @@
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && !l.cutShort() {
+		if err == io.EOF && !r.cutShort() {
 			return nil, false
 		}
-		if l.ctx.Err() != nil {
+		if r.ctx.Err() != nil {
 			return nil, true
 		}
-		if !l.resume() {
+		if !r.resume() {
 			return err, false
 		}
 	}
@@ -133,26 +129,26 @@
 // resume takes up a broken answer at the first byte that the caller does not
 // have, and reports whether it goes on. It is no repeat: the server sends the
 // rest of the same run.
-func (l *relay) resume() bool {
-	path := l.answer.Header.Get(forward.ResumeHeader)
-	if path == "" || l.resumed >= resumes {
+func (r *relay) resume() bool {
+	path := r.answer.Header.Get(forward.ResumeHeader)
+	if path == "" || r.resumed >= resumes {
 		return false
 	}
-	l.resumed++
-	a, err := l.router.cfg.Server.Send(l.ctx, l.server, forward.Call{
-		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", l.out)}},
+	r.resumed++
+	a, err := r.router.cfg.Server.Send(r.ctx, r.server, forward.Call{
+		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", r.out)}},
 	})
 	if err != nil {
 		return false
 	}
-	rest := fmt.Sprintf("bytes %d-", l.out)
+	rest := fmt.Sprintf("bytes %d-", r.out)
 	if a.Status != http.StatusPartialContent || !strings.HasPrefix(a.Header.Get("Content-Range"), rest) {
 		a.Body.Close()
 		return false
 	}
-	l.answer.Body.Close()
-	l.answer.Body = a.Body
-	l.router.stats.resumed.Inc()
+	r.answer.Body.Close()
+	r.answer.Body = a.Body
+	r.router.stats.resumed.Inc()
 	return true
 }
 
@@ -160,64 +156,65 @@
 
 // endAtServer tells a server that would keep the answer for a resumption that
 // its caller is gone.
-func (l *relay) endAtServer() {
-	path := l.answer.Header.Get(forward.ResumeHeader)
+func (r *relay) endAtServer() {
+	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(l.router.ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(r.router.ctx, endTimeout)
 	defer cancel()
-	a, err := l.router.cfg.Server.Send(ctx, l.server, forward.Call{Method: http.MethodDelete, Path: path})
+	a, err := r.router.cfg.Server.Send(ctx, r.server, forward.Call{Method: http.MethodDelete, Path: path})
 	if err == nil {
 		a.Body.Close()
 	}
 }
 
 // count looks at a piece on its way through.
-func (l *relay) count(b []byte) {
-	l.out += int64(len(b))
-	if l.call.keyed != nil && !l.tooBig {
-		l.keep = append(l.keep, b...)
-		if len(l.keep) > claim.MaxAnswer {
-			l.keep, l.tooBig = nil, true
+func (r *relay) count(b []byte) {
+	r.out += int64(len(b))
+	if r.call.keyed != nil && !r.tooBig {
+		r.keep = append(r.keep, b...)
+		if len(r.keep) > claim.MaxAnswer {
+			r.keep, r.tooBig = nil, true
 		}
 	}
-	if l.scan == nil {
-		if l.call.engine && len(l.plain)+len(b) <= maxUsageParse {
-			l.plain = append(l.plain, b...)
+	if r.scan == nil {
+		if r.call.engine && len(r.plain)+len(b) <= maxUsageParse {
+			r.plain = append(r.plain, b...)
 		}
 		return
 	}
-	before := l.scan.chunks
-	l.scan.write(b)
-	if l.scan.chunks/chargeEvery != before/chargeEvery {
-		l.pool.progress(l.work, l.cost())
+	before := r.scan.chunks
+	r.scan.write(b)
+	if r.scan.chunks/chargeEvery != before/chargeEvery {
+		cost := r.cost()
+		r.pool.locked(func(pl *pool.Pool) { pl.Progress(r.call.work, cost) })
 	}
 }
 
 // cost is the cost reached so far.
-func (l *relay) cost() float64 {
-	u := share.Usage{Time: (l.router.now() - l.began).Seconds()}
-	if l.call.engine {
-		u = l.usage()
+func (r *relay) cost() float64 {
+	u := share.Usage{Time: (r.router.now() - r.began).Seconds()}
+	if r.call.engine {
+		u = r.usage()
 	}
 	return share.DefaultWeights.Cost(u)
 }
 
 // usage is what the engine says, or else a guess from what passed through.
-func (l *relay) usage() share.Usage {
-	guess := share.Usage{Input: len(l.call.body) / bytesPerToken}
-	if l.scan != nil {
-		guess.Output = l.scan.chunks
-		if l.scan.usage != nil {
-			return l.scan.usage.share()
+func (r *relay) usage() share.Usage {
+	guess := share.Usage{Input: len(r.call.body) / bytesPerToken}
+	if r.scan != nil {
+		guess.Output = r.scan.chunks
+		if r.scan.usage != nil {
+			return r.scan.usage.share()
 		}
 		return guess
 	}
-	if u := parseUsage(l.plain); u != nil {
+	if u := parseUsage(r.plain); u != nil {
 		return u.share()
 	}
-	guess.Output = int(l.out) / bytesPerToken
+	guess.Output = int(r.out) / bytesPerToken
 	return guess
 }
 
@@ -226,19 +223,19 @@
 
 // cutShort reports whether an answer that ended without an error is not
 // whole: a stream without its end mark.
-func (l *relay) cutShort() bool {
-	return l.scan != nil && l.call.engine && l.answer.Status == http.StatusOK && !l.scan.done
+func (r *relay) cutShort() bool {
+	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
 
 // breakOff makes a broken answer visible: a stream gets an error event, any
 // other answer loses its connection before its declared end.
-func (l *relay) breakOff(w http.ResponseWriter, f Failure) {
-	if l.scan != nil {
-		_, _ = w.Write(append(l.scan.closeLine(), f.event()...))
+func (r *relay) breakOff(w http.ResponseWriter, f *Failure) {
+	if r.scan != nil {
+		_, _ = w.Write(append(r.scan.closeLine(), f.event()...))
 		_ = http.NewResponseController(w).Flush()
 		return
 	}
-	l.call.abort = true
+	r.call.abort = true
 }
 
 func isEventStream(h http.Header) bool {
--- a/router/report.go
+++ b/router/report.go
@@ -6,6 +6,7 @@
 	"context"
 	"time"
 
+	"github.com/badgerspoke/badgerspoke/coordination/pool"
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
@@ -94,7 +95,7 @@
 	report := protocol.Report{ViewSeq: s.viewSeq}
 	s.mu.Unlock()
 	for _, p := range f.r.poolList() {
-		p.takeReport(seq, &report)
+		p.locked(func(pl *pool.Pool) { pl.TakeReport(seq, &report) })
 	}
 	worth := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
 	if !worth {
--- a/router/router.go
+++ b/router/router.go
@@ -3,9 +3,12 @@
 package router
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
+	"maps"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -23,7 +26,7 @@
 // This file defines Router, its settings, and how a configuration comes into
 // force.
 
-// Server sends calls to backend servers. [backend.Client] is one.
+// Server sends calls to backend servers. [forward.Client] is one.
 type Server interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
@@ -85,7 +88,8 @@
 	lease   lease
 	fleet   *fleet
 	claims  *claims
-	serving atomic.Bool  // false once a stop has begun
+	serving atomic.Bool  // false once a stop has begun: readiness turns false
+	closed  atomic.Bool  // later in the stop: new requests are refused
 	calls   atomic.Int64 // requests being served
 	bodies  atomic.Int64 // bytes of their bodies
 
@@ -135,7 +139,7 @@
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
 	sleep.For(ctx, grace)
-	r.fleet.closeDoor()
+	r.closed.Store(true)
 	awaitZero(ctx, &r.calls)
 	r.claims.flush(ctx)
 	r.fleet.goodbye(ctx)
@@ -193,14 +197,7 @@
 func (r *Router) poolList() []*lockedPool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return sortedPools(r.pools)
-}
-
-// mayRetry takes a retry out of the budget.
-func (r *Router) mayRetry() bool {
-	r.budgetMu.Lock()
-	defer r.budgetMu.Unlock()
-	return r.budget.Retry()
+	return slices.SortedFunc(maps.Values(r.pools), func(a, b *lockedPool) int { return cmp.Compare(a.name, b.name) })
 }
 
 func (r *Router) countRequest() {
--- a/router/routes.go
+++ b/router/routes.go
@@ -3,7 +3,6 @@
 package router
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 
@@ -73,7 +72,3 @@
 	}
 	return false
 }
-
-func sortedPools(m map[string]*lockedPool) []*lockedPool {
-	return slices.SortedFunc(maps.Values(m), func(a, b *lockedPool) int { return cmp.Compare(a.name, b.name) })
-}
--- a/router/stats.go
+++ b/router/stats.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *stats) failure(f Failure) {
+func (s *stats) failure(f *Failure) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_failures_total{code=%q,outcome=%q}`, f.Code, f.Outcome)).Inc()
 }
 
