--- a/router/call.go
+++ b/router/call.go
@@ -187,7 +187,7 @@
 		f, result = failGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
-	if !gone && last.MayGoElsewhere(!c.send.Never) && r.retry() {
+	if !gone && last.MayGoElsewhere(!c.send.NoRepeat) && r.retry() {
 		return true, nil
 	}
 	r.settle(c, claim, nil)
--- a/router/callers.go
+++ b/router/callers.go
@@ -185,7 +185,7 @@
 		return failMalformed.With("the path is no valid URL path")
 	}
 	safe := req.Method == http.MethodGet || req.Method == http.MethodHead || req.Header.Get(repeatHeader) == "safe"
-	c.send.Never = c.send.Never || !safe || t.neverRepeats(name, req.Method, plain)
+	c.send.NoRepeat = c.send.NoRepeat || !safe || t.neverRepeats(name, req.Method, plain)
 	return r.serveCall(w, req, c)
 }
 
@@ -193,7 +193,7 @@
 // its body loses its connection.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) *Failure {
 	if c.keyed != nil {
-		c.send.Never = true
+		c.send.NoRepeat = true
 		c.keyed.digest = xxh3.Hash(append([]byte(req.Method+" "+c.send.Path+"\n"), c.body...))
 	}
 	r.serve(w, req, c)
@@ -231,7 +231,7 @@
 		return nil, f
 	}
 	c.body = body
-	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body, Never: repeat == "never"}
+	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body, NoRepeat: repeat == "never"}
 	c.send.Header.Set(accountHeader, a.Name)
 	c.send.Header.Set(priorityHeader, classes[c.class])
 	return c, nil
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -51,7 +51,9 @@
 	Host   string // empty is the server's address
 	Header http.Header
 	Body   []byte
-	Never  bool // must not be sent again if it may have run; read by the router, not here
+	// NoRepeat says that the call may not be sent again if it may have run. A
+	// Client sends every call once; the field is for the router, which decides.
+	NoRepeat bool
 }
 
 // ResumeHeader is set by a server that can send the rest of an answer whose
