--- a/router/leader.go
+++ b/router/leader.go
@@ -23,10 +23,10 @@
 // Times of the search for a leader. A router whose lease still runs searches
 // more often: an election takes about half a lease, and with pauses of a second,
 // slower elections and silentPart of 1 the lease ran out in 3 of 60 runs of
-// TestLeaderIsKilled, since then in none (commit 8ab89cd).
+// TestLeaderIsKilledUnderLoad, since then in none (commit 8ab89cd).
 const (
 	shortestRetry = 20 * time.Millisecond  // first pause, doubled with every failure; chosen, not measured
-	leasedRetry   = 250 * time.Millisecond // longest pause while the lease runs; by TestLeaderIsKilled
+	leasedRetry   = 250 * time.Millisecond // longest pause while the lease runs; by TestLeaderIsKilledUnderLoad
 	longestRetry  = time.Second            // longest pause without a lease; chosen, not measured
 	helloTimeout  = 2 * time.Second        // for a replica's answer, the dial included; chosen, not measured
 	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has named its own
--- a/router/session.go
+++ b/router/session.go
@@ -20,7 +20,7 @@
 // This file defines session, one link to a leader: what is received on it, and
 // the renewals of the lease. What is reported on it is in report.go.
 
-// Parts of a lease (docs/design/lease.md), by TestLeaderIsKilled: see the
+// Parts of a lease (docs/design/lease.md), by TestLeaderIsKilledUnderLoad: see the
 // times of the search in leader.go.
 const (
 	renewPart  = 6 // renewals in one lease
