--- a/router/errors.go
+++ b/router/errors.go
@@ -66,7 +66,8 @@
 // The request as it is: it did not run, and sending the same again is of no
 // use, so there is no time to come back.
 var (
-	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0} // also when the account goes while it waits
+	// Also when the account goes while it waits.
+	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
 	failModel     = &Failure{http.StatusNotFound, badRequest, "model_not_found", "no pool serves this model", NotRun, 0}
@@ -80,22 +81,32 @@
 // The state of this router or its pool: the request did not run, and the same
 // one may succeed later or at another router.
 var (
-	failFull        = &Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, soon}                       // a limit on what waits or on all bodies
-	failLease       = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}              // readiness is false, the balancer leaves
-	failStopping    = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}                            // after the grace of the stop
-	failNoServer    = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}                // the configuration names none
-	failWaited      = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}   // Limits.Wait is over
-	failUnreachable = &Failure{http.StatusBadGateway, ourProblem, "backend_unreachable", "no backend server took the request", NotRun, soon}              // not sent or refused, and the retry budget is empty
-	failClaims      = &Failure{http.StatusServiceUnavailable, ourProblem, "claims_unavailable", "the idempotency key could not be claimed", NotRun, soon} // no answer in claimTimeout
+	// A limit on what waits or on all bodies.
+	failFull = &Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, soon}
+	// Readiness is false, the balancer leaves.
+	failLease = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}
+	// After the grace of the stop.
+	failStopping = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}
+	// The configuration names none.
+	failNoServer = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}
+	// Limits.Wait is over.
+	failWaited = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}
+	// Not sent or refused, and the retry budget is empty.
+	failUnreachable = &Failure{http.StatusBadGateway, ourProblem, "backend_unreachable", "no backend server took the request", NotRun, soon}
+	// No answer in claimTimeout.
+	failClaims = &Failure{http.StatusServiceUnavailable, ourProblem, "claims_unavailable", "the idempotency key could not be claimed", NotRun, soon}
 )
 
 // The request ran or may have run: sending it again is the caller's decision,
 // so there is no time to come back.
 var (
-	failBroken     = &Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0} // it may not be repeated, or the retry budget is empty
-	failRan        = &Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
-	failUnknownRun = &Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0} // its router vanished or its server broke
-	failGone       = &Failure{statusGone, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
+	// It may not be repeated, or the retry budget is empty.
+	failBroken = &Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
+	failRan    = &Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
+	// Its router vanished or its server broke.
+	failUnknownRun = &Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
+	// Counted only. With NotRun if it was still waiting or the server refused it.
+	failGone = &Failure{statusGone, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
 // errorBody is the usual JSON error of the protocol.
@@ -111,10 +122,7 @@
 }
 
 func (f Failure) body() []byte {
-	b, err := json.Marshal(errorBody{errorFields{f.Message, f.Type, f.Code, f.Outcome}})
-	if err != nil {
-		return []byte(`{"error":{"code":"internal"}}`)
-	}
+	b, _ := json.Marshal(errorBody{errorFields{f.Message, f.Type, f.Code, f.Outcome}}) // strings alone never fail
 	return b
 }
 
