--- /dev/null
+++ b/router/lease_test.go
@@ -0,0 +1,40 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package router
+
+import (
+	"context"
+	"log/slog"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/matryer/is"
+)
+
+// This file checks what the end of a lease does to a router that reaches no
+// replica.
+
+func TestLeaseThatRunsOutIsCountedOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		ctx, stop := context.WithCancel(t.Context())
+		r := Start(ctx, Settings{
+			Random: func() uint64 { return 1 }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewSet(),
+		})
+		time.Sleep(time.Second)
+		is.Equal(r.stats.leaseExpired.Get(), uint64(0)) // there was none yet
+		for ended := range uint64(2) {
+			r.lease.extend(r.now(), time.Second)
+			time.Sleep(900 * time.Millisecond)
+			r.lease.extend(r.now(), time.Second)
+			time.Sleep(900 * time.Millisecond)
+			is.Equal(r.stats.leaseExpired.Get(), ended) // it was renewed in time
+			time.Sleep(time.Minute)
+			is.Equal(r.stats.leaseExpired.Get(), ended+1)
+		}
+		stop()
+		synctest.Wait()
+	})
+}
--- a/router/router.go
+++ b/router/router.go
@@ -157,10 +157,16 @@
 	}
 }
 
-// tick expires waiting requests and unused slots.
+// tick expires waiting requests and unused slots, and counts the leases that
+// ran out.
 func (r *Router) tick() {
+	leased := false
 	for sleep.For(r.ctx, poolTick) {
-		leased := r.lease.valid(r.now())
+		before := leased
+		leased = r.lease.valid(r.now())
+		if before && !leased {
+			r.stats.leaseExpired.Inc()
+		}
 		for _, p := range r.poolList() {
 			p.tick(leased)
 		}
