--- a/router/router.go
+++ b/router/router.go
@@ -3,9 +3,12 @@
 package router
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
+	"maps"
 	"net/http"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -23,7 +26,7 @@
 // This file defines Router, its settings, and how a configuration comes into
 // force.
 
-// Server sends calls to backend servers. [backend.Client] is one.
+// Server sends calls to backend servers. [forward.Client] is one.
 type Server interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
@@ -46,7 +49,7 @@
 	Metrics           *metrics.Set
 }
 
-// Limits of the callers' door and of waiting work.
+// Limits of what callers may send and of what may wait.
 type Limits struct {
 	Body           int64         // bytes of one request's body
 	Bodies         int64         // bytes of the bodies of all requests together, read or being read
@@ -60,16 +63,20 @@
 	Linger         time.Duration // how long an unused slot is kept
 }
 
-// DefaultLimits suit a box of 256 MB.
+// DefaultLimits suit a box of 256 MB: bodies take at most half of it, and a
+// waiting request 53 KB besides (BenchmarkRouterMemory). The parts are chosen,
+// not measured.
 var DefaultLimits = Limits{
-	Body: 8 << 20, Bodies: 128 << 20, Read: 30 * time.Second, Write: 30 * time.Second, Waiting: 4096, WaitingBytes: 64 << 20, AccountWaiting: 1024, AccountBytes: 32 << 20,
+	Body: 8 << 20, Bodies: 128 << 20, Read: 30 * time.Second, Write: 30 * time.Second,
+	Waiting: 4096, WaitingBytes: 64 << 20, AccountWaiting: 1024, AccountBytes: 32 << 20,
 	Wait: 60 * time.Second, Linger: 100 * time.Millisecond,
 }
 
+// Settings of every pool. Chosen, not measured.
 const (
-	firstEstimate = 256  // cost of a request of which nothing is known
-	prefixBlocks  = 8192 // prompt blocks remembered by each pool
-	poolTick      = 100 * time.Millisecond
+	firstEstimate = 256                    // cost, in share.Weights, of a request of which nothing is known
+	prefixBlocks  = 8192                   // prompt blocks remembered by each pool
+	poolTick      = 100 * time.Millisecond // between two looks for waits, slots and a lease that are over
 )
 
 // Router is a running router.
@@ -83,9 +90,10 @@
 	stats   *stats
 	routes  atomic.Pointer[routes]
 	lease   lease
-	fleet   *fleet
-	claims  *claims
-	serving atomic.Bool  // false once a stop has begun
+	leader  *leaderClient
+	claims  *claimClient
+	serving atomic.Bool  // false once a stop has begun: readiness turns false
+	closed  atomic.Bool  // later in the stop: new requests are refused
 	calls   atomic.Int64 // requests being served
 	bodies  atomic.Int64 // bytes of their bodies
 
@@ -96,14 +104,11 @@
 	budget   retry.Budget
 }
 
-// Start runs a router until Stop. Its boot number is drawn here.
+// Start runs a router until Stop. Its boot number is drawn here; cfg is its own
+// copy, in which limits and pace that are not set become the defaults.
 func Start(ctx context.Context, cfg Settings) *Router {
-	if cfg.Limits == (Limits{}) {
-		cfg.Limits = DefaultLimits
-	}
-	if cfg.Pace == (slots.Pace{}) {
-		cfg.Pace = slots.DefaultPace
-	}
+	cfg.Limits = cmp.Or(cfg.Limits, DefaultLimits)
+	cfg.Pace = cmp.Or(cfg.Pace, slots.DefaultPace)
 	ctx, stop := context.WithCancel(ctx)
 	r := &Router{
 		cfg: cfg, boot: cfg.Random() | 1, start: time.Now(), ctx: ctx, stop: stop,
@@ -112,9 +117,9 @@
 	}
 	r.routes.Store(newRoutes(config.Config{}))
 	r.serving.Store(true)
-	r.fleet = newFleet(r)
-	r.claims = newClaims(r)
-	go r.fleet.run()
+	r.leader = newLeaderClient(r)
+	r.claims = newClaimClient(r)
+	go r.leader.run()
 	go r.tick()
 	return r
 }
@@ -135,13 +140,14 @@
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
 	sleep.For(ctx, grace)
-	r.fleet.closeDoor()
+	r.closed.Store(true)
 	awaitZero(ctx, &r.calls)
 	r.claims.flush(ctx)
-	r.fleet.goodbye(ctx)
+	r.leader.goodbye(ctx)
 	r.stop()
 }
 
+// zeroPoll is between two looks at a count during a stop. Chosen, not measured.
 const zeroPoll = 10 * time.Millisecond
 
 // awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
@@ -151,10 +157,16 @@
 	}
 }
 
-// tick expires waiting requests and unused slots.
+// tick expires waiting requests and unused slots, and counts the leases that
+// ran out.
 func (r *Router) tick() {
+	leased := false
 	for sleep.For(r.ctx, poolTick) {
-		leased := r.lease.valid(r.now())
+		before := leased
+		leased = r.lease.valid(r.now())
+		if before && !leased {
+			r.stats.leaseExpired.Inc()
+		}
 		for _, p := range r.poolList() {
 			p.tick(leased)
 		}
@@ -193,16 +205,10 @@
 func (r *Router) poolList() []*lockedPool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return sortedPools(r.pools)
-}
-
-// mayRetry takes a retry out of the budget.
-func (r *Router) mayRetry() bool {
-	r.budgetMu.Lock()
-	defer r.budgetMu.Unlock()
-	return r.budget.Retry()
+	return slices.SortedFunc(maps.Values(r.pools), func(a, b *lockedPool) int { return cmp.Compare(a.name, b.name) })
 }
 
+// countRequest earns a part of a retry.
 func (r *Router) countRequest() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
