--- a/operators_test.go
+++ b/operators_test.go
@@ -248,6 +248,57 @@
 	})
 }
 
+// TestPoolWhoseOnlyServerLeavesAnswersAtOnce: what runs there ends whole, what waits
+// or comes is not kept waiting for a server that takes nothing new.
+func TestPoolWhoseOnlyServerLeavesAnswersAtOnce(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 1)
+		refused := func(a answer) bool {
+			return a.status == 503 && a.outcome == "not-run" && a.header.Get("Retry-After") == "1" &&
+				strings.Contains(a.body, `"no_server"`) && a.took < time.Second
+		}
+		var rs []request
+		for i := range 20 { // 8 slots; the rest waits
+			rs = append(rs, order("r1", "hotel", fmt.Sprint(i), ""))
+		}
+		wait := f.startAll(rs...)
+		time.Sleep(50 * time.Millisecond)
+		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
+		whole, notRun := 0, 0
+		for _, a := range wait() {
+			switch {
+			case a.status == 200:
+				whole++
+			case refused(a):
+				notRun++
+			}
+		}
+		is.Equal(whole, 8)
+		is.Equal(notRun, 12)
+		is.True(refused(f.do(order("r1", "hotel", "one more", ""))))
+	})
+}
+
+// TestPoolWhoseServerJoinsKeepsCallsWaiting: it will take them, and beside one that
+// leaves as well.
+func TestPoolWhoseServerJoinsKeepsCallsWaiting(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := wholeFleet(t, 1)
+		f.service("s2", 2, 8, 200*time.Millisecond)
+		f.mark("s2", operatorv1.Mark_MARK_JOINING)
+		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
+		f.settle()
+		wait := f.startAll(order("r1", "hotel", "an order", ""))
+		time.Sleep(2 * time.Second)
+		f.mark("s2", operatorv1.Mark_MARK_SERVING)
+		got := wait()[0]
+		is.Equal(got.status, 200)
+		is.True(got.took > 2*time.Second)
+	})
+}
+
 func TestPlannedStopsCutOffNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/router/errors.go
+++ b/router/errors.go
@@ -87,7 +87,7 @@
 	failLease = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}
 	// After the grace of the stop.
 	failStopping = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}
-	// The configuration names none.
+	// The configuration names none, or all that it names leave.
 	failNoServer = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}
 	// Limits.Wait is over.
 	failWaited = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}
--- a/router/pool.go
+++ b/router/pool.go
@@ -24,6 +24,7 @@
 	mu      sync.Mutex // rank 2, after Router.mu
 	pool    *pool.Pool
 	servers map[string]config.Server // by identifier, serving or not
+	open    bool                     // a server is serving or joining, not all are leaving
 }
 
 // waiter is a request in a pool's queue. turn receives the server to use, or
@@ -56,14 +57,16 @@
 	defer p.mu.Unlock()
 	var serving []pool.Server
 	clear(p.servers)
+	p.open = false
 	for _, s := range t.pools[p.name] {
 		p.servers[s.ID] = s
+		p.open = p.open || s.Mark != config.Leaving
 		if s.Mark == config.Serving {
 			serving = append(serving, pool.Server{Name: s.ID, Slots: s.Slots})
 		}
 	}
 	fail(p.pool.Configure(accounts, serving), failKey)
-	if len(p.servers) == 0 {
+	if !p.open {
 		fail(p.pool.Drop(), failNoServer)
 	}
 	p.dispatch()
@@ -93,7 +96,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.servers) == 0 {
+	if !p.open {
 		return nil, failNoServer
 	}
 	if err := p.pool.Push(w.work); err != nil {
