--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -115,25 +115,36 @@
 	if a.Seq <= e.seq {
 		return Change{}
 	}
-	same := e.Registration == a.Registration
+	before := e.Registration
 	e.Registration, e.seq, e.lastSeen = a.Registration, a.Seq, now
-	if same {
+	if before == a.Registration {
 		return Change{}
 	}
-	return Change{Set: []protocol.Server{e.Server}}
+	var gone []string
+	if before.Address != a.Address {
+		delete(r.byAddress, before.Address)
+		gone = r.occupy(a.Registration)
+	}
+	return Change{Set: []protocol.Server{e.Server}, Gone: gone}
 }
 
-// add adds a backend server, which takes its address from any other one there.
-func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
-	var gone []string
+// occupy gives a backend server its address, and removes and returns any other one
+// there.
+func (r *Registry) occupy(s protocol.Registration) (gone []string) {
 	if old, taken := r.byAddress[s.Address]; taken {
 		delete(r.servers, old)
 		gone = append(gone, old)
 	}
+	r.byAddress[s.Address] = s.ID
+	return gone
+}
+
+// add adds a backend server.
+func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
+	gone := r.occupy(s)
 	e := &entry{Server: protocol.Server{Registration: s, Handle: r.next}, seq: seq, lastSeen: now}
 	r.next++
 	r.servers[s.ID] = e
-	r.byAddress[s.Address] = s.ID
 	return Change{Set: []protocol.Server{e.Server}, Gone: gone}
 }
 
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -75,6 +75,22 @@
 	is.Equal(r.Announce(interval, announcement("x", "10.0.0.1:80", 1)).Gone, []string{"new"})
 }
 
+// TestServerMovesToAnotherAddress: one identifier announces another address. The old
+// address is free for others, and the new one is taken from whoever had it.
+func TestServerMovesToAnotherAddress(t *testing.T) {
+	is := is.New(t)
+	r := New(0, interval)
+	r.Announce(0, announcement("a", "10.0.0.1:80", 1))
+	r.Announce(0, announcement("b", "10.0.0.2:80", 1))
+	change := r.Announce(interval, announcement("a", "10.0.0.2:80", 2))
+	is.Equal(ids(change.Set), []string{"a"})
+	is.Equal(change.Gone, []string{"b"})
+	is.Equal(len(r.Announce(interval, announcement("c", "10.0.0.1:80", 1)).Gone), 0) // where a was
+	is.Equal(ids(r.List()), []string{"a", "c"})
+	is.Equal(r.Announce(interval, announcement("d", "10.0.0.2:80", 1)).Gone, []string{"a"})
+	is.Equal(ids(r.List()), []string{"c", "d"})
+}
+
 func TestHandlesAreNeverReused(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval)
