--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -122,6 +122,26 @@
 	is.Equal(s.Joined()[0].ID, "c")
 }
 
+// TestFullStoreTakesNewsOfWhatItHolds: the bound concerns only servers that are new.
+func TestFullStoreTakesNewsOfWhatItHolds(t *testing.T) {
+	is := is.New(t)
+	var s Store
+	s.joined = map[string]protocol.Registration{}
+	for i := range MaxServers { // not by Join, which looks at all of them each time
+		id := fmt.Sprint(i)
+		s.joined[id] = protocol.Registration{ID: id, Address: id}
+	}
+	s.Join(protocol.Registration{ID: "new", Address: "new"})
+	is.Equal(len(s.joined), MaxServers)
+	is.Equal(s.joined["new"].ID, "") // beyond the bound
+	s.Join(protocol.Registration{ID: "7", Address: "moved"})
+	is.Equal(s.joined["7"].Address, "moved")
+	s.Join(protocol.Registration{ID: "next", Address: "8"})
+	is.Equal(s.joined["next"].Address, "8") // in place of the one that was there
+	is.Equal(s.joined["8"].ID, "")
+	is.Equal(len(s.joined), MaxServers)
+}
+
 func TestImageHoldsEverything(t *testing.T) {
 	is := is.New(t)
 	var s Store
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -78,15 +78,20 @@
 }
 
 // Join records an announced backend server, in place of any at the same address. One
-// that has departed is passed over, and so is any beyond MaxServers.
+// that has departed is passed over, and so is a new one beyond MaxServers.
 func (s *Store) Join(r protocol.Registration) {
-	if s.departs[r.ID] || len(s.joined) >= MaxServers {
+	if s.departs[r.ID] {
+		return
+	}
+	maps.DeleteFunc(s.joined, func(id string, other protocol.Registration) bool {
+		return id == r.ID || other.Address == r.Address
+	})
+	if len(s.joined) >= MaxServers {
 		return
 	}
 	if s.joined == nil {
 		s.joined = map[string]protocol.Registration{}
 	}
-	maps.DeleteFunc(s.joined, func(_ string, other protocol.Registration) bool { return other.Address == r.Address })
 	s.joined[r.ID] = r
 }
 
