--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -140,11 +140,12 @@
 	}
 }
 
-// Faults of an answer's head.
+// Faults of an answer.
 var (
 	errCrossed  = faultyAnswer("the answer belongs to another request")
 	errUnsealed = faultyAnswer("the answer is not sealed")
 	errShort    = faultyAnswer("the answer is cut off")
+	errTooLarge = faultyAnswer("an event is too large")
 )
 
 // faultyAnswer is what is wrong with a backend server's answer.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -5,6 +5,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"net/http"
 	"strconv"
@@ -68,15 +69,41 @@
 // large passes on an answer that is too large to be kept.
 func (r *relay) large(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
-	if _, err := r.c.w.Write(head.body); err != nil {
-		return outcome{execution: retry.MayHaveRun, blame: outlier.NoVerdict, err: err}
-	}
-	if _, err := io.Copy(r.c.w, answer.Body); err != nil {
-		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+	_, err := io.Copy(callerWriter{r.c.w}, io.MultiReader(bytes.NewReader(head.body), answer.Body))
+	switch {
+	case err == nil:
+		return outcome{execution: retry.Answered}
+	case errors.As(err, new(writeFailed)):
+		return callerGone(err)
+	}
+	return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+}
+
+// callerGone is the outcome of an attempt whose answer could not be written to the
+// caller.
+func callerGone(err error) outcome {
+	return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: err}
+}
+
+// callerWriter writes to the caller and fails with [writeFailed], so that a copy's error
+// shows which side failed.
+type callerWriter struct{ w io.Writer }
+
+// Write implements [io.Writer].
+func (c callerWriter) Write(b []byte) (int, error) {
+	n, err := c.w.Write(b)
+	if err != nil {
+		err = writeFailed{err}
 	}
-	return outcome{execution: retry.Answered}
+	return n, err
 }
 
+// writeFailed is the failure of a write to the caller.
+type writeFailed struct{ err error }
+
+// Error names the cause.
+func (e writeFailed) Error() string { return e.err.Error() }
+
 // give writes a whole answer to the caller.
 func (r *relay) give(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
@@ -108,8 +135,12 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			if werr := r.pass(a, answer, buffer[:n], flusher); werr != nil {
-				return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: werr}
+			werr := r.pass(a, answer, buffer[:n], flusher)
+			switch {
+			case werr == errTooLarge:
+				return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Faulty, err: werr}
+			case werr != nil:
+				return callerGone(werr)
 			}
 		}
 		if err == io.EOF {
@@ -143,7 +174,7 @@
 func (r *relay) streamEnd(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
-			return outcome{execution: retry.MayHaveRun, blame: outlier.NoVerdict, err: err}
+			return callerGone(err)
 		}
 		r.partial = r.partial[:0]
 	}
@@ -160,13 +191,14 @@
 // eventEnd separates events.
 var eventEnd = []byte("\n\n")
 
-// events passes on the whole events of what has come, with one write.
+// events passes on the whole events of what has come, with one write. The error is
+// errTooLarge or of the write.
 func (r *relay) events(piece []byte, flusher *http.ResponseController) error {
 	r.partial = append(r.partial, piece...)
 	end := bytes.LastIndex(r.partial, eventEnd)
 	if end < 0 {
 		if len(r.partial) > maxEvent {
-			return faultyAnswer("an event is too large")
+			return errTooLarge
 		}
 		return nil
 	}
