--- a/replica/errors.go
+++ b/replica/errors.go
@@ -5,7 +5,7 @@
 // This file defines how a replica fails its callers.
 
 // Undecided says that a proposal may or may not be committed: this replica
-// lost the lead, or the caller's time ran out, before it knew. The same change
+// lost the lead or stopped, or the caller's time ran out, before it knew. The same change
 // must be proposed again under the same identifier.
 type Undecided struct{ Err error }
 
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -284,7 +284,7 @@
 func (l *loop) observe(now time.Duration) {
 	s := l.member.Status()
 	if s.Role != consensus.Leader && len(l.waiting) > 0 {
-		l.failAll(Undecided{})
+		l.failAll(nil)
 	}
 	leads := l.member.Leads(now)
 	if leads != l.leads {
@@ -327,9 +327,11 @@
 	}
 }
 
-func (l *loop) failAll(err error) {
+// failAll fails the proposals that have their place in the log. They may be committed
+// all the same, whatever the cause.
+func (l *loop) failAll(cause error) {
 	for i, w := range l.waiting {
-		w.answer <- outcome{err: err}
+		w.answer <- outcome{err: Undecided{Err: cause}}
 		delete(l.waiting, i)
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -178,7 +178,8 @@
 
 // Propose appends a command and waits until it is applied here. The error is
 // [consensus.NotLeader], [consensus.Handover], [Undecided], [Stopped] or the
-// context's. After Undecided and Stopped the command may be committed all the same.
+// context's. After Undecided, also if Stopped is its cause, the command may be committed
+// all the same; after Stopped alone it was not taken.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
 	p := &proposal{data: data, answer: make(chan outcome, 1)}
 	if err := r.put(ctx, input{proposal: p}); err != nil {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -103,6 +103,21 @@
 	})
 }
 
+// TestProposalInTheLogIsUndecidedWhenTheDiskFails: it may be durable here, or at others.
+func TestProposalInTheLogIsUndecidedWhenTheDiskFails(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		d := fakedisk.New(1)
+		r, err := Start(t.Context(), settingsOf(d, &counter{}))
+		is.NoErr(err)
+		mustPropose(t, r)
+		d.FailSync()
+		_, err = r.Propose(t.Context(), []byte("x"))
+		is.True(errors.As(err, new(Undecided)))
+		is.True(errors.As(err, new(Stopped))) // its cause
+	})
+}
+
 func TestProposalsShareSyncs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
