--- a/router/errors.go
+++ b/router/errors.go
@@ -66,7 +66,7 @@
 // The request as it is: it did not run, and sending the same again is of no
 // use, so there is no time to come back.
 var (
-	// Also when the account goes while it waits.
+	// Also when the account goes before the request is queued, or while it waits.
 	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
--- a/router/pool.go
+++ b/router/pool.go
@@ -7,6 +7,8 @@
 	"sync"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"github.com/badgerspoke/badgerspoke/coordination/pool"
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 	"github.com/badgerspoke/badgerspoke/state/config"
@@ -100,6 +102,9 @@
 		return nil, failNoServer
 	}
 	if err := p.pool.Push(w.work); err != nil {
+		if errors.As(err, new(share.NoAccount)) {
+			return nil, failKey
+		}
 		return nil, failFull.With(err.Error())
 	}
 	p.dispatch()
--- /dev/null
+++ b/router/pool_test.go
@@ -0,0 +1,43 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package router
+
+import (
+	"log/slog"
+	"testing"
+	"testing/synctest"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/matryer/is"
+
+	"github.com/badgerspoke/badgerspoke/state/config"
+)
+
+// This file checks how a pool refuses work.
+
+// TestAccountRemovedBeforeItsRequestIsQueued: the request was admitted with a key that
+// was valid then. It is answered as one that was waiting.
+func TestAccountRemovedBeforeItsRequestIsQueued(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		is := is.New(t)
+		r := Start(t.Context(), Settings{
+			Random: func() uint64 { return 1 }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewSet(),
+		})
+		account := config.Account{Name: "a", Share: 1}
+		server := config.Server{Name: "s", Pool: "p", Address: "10.0.0.1:80", Kind: config.Service, Mark: config.Serving, Slots: 1}
+		with, err := config.Config{}.Apply([]config.Op{{PutAccount: &account}, {PutServer: &server}})
+		is.NoErr(err)
+		r.apply(with)
+		p, c := r.pool("p"), &call{account: with.Accounts()[0], pool: "p"}
+		waiter, fail := p.enqueue(c)
+		is.True(fail == nil)
+		without, err := with.Apply([]config.Op{{RemoveAccount: account.Name}})
+		is.NoErr(err)
+		r.apply(without)
+		is.Equal((<-waiter.turn).fail, failKey)
+		_, fail = p.enqueue(c)
+		is.Equal(fail, failKey)
+		r.stop()
+		synctest.Wait()
+	})
+}
