--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -112,13 +112,15 @@
 
 // Admits reports whether a request of that class may begin.
 func (d Detector) Admits(c entitlement.Class) bool {
-	switch c {
-	case entitlement.Beyond:
+	switch {
+	case d.Shedding:
+		return false
+	case c == entitlement.Beyond:
 		return d.Delay < DelayBeyond
-	case entitlement.Extra:
+	case c == entitlement.Extra:
 		return d.Delay < delayExtra
 	}
-	return !d.Shedding
+	return true
 }
 
 // Coalesce returns how long a stream should wait after a piece, if callers
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -73,6 +73,22 @@
 	is.True(!d.Admits(entitlement.Entitled))
 }
 
+// TestNoClassIsAdmittedThatABetterOneIsNot looks at all delays, shedding or not: also
+// while the delay falls and shedding is still on.
+func TestNoClassIsAdmittedThatABetterOneIsNot(t *testing.T) {
+	classes := []entitlement.Class{entitlement.Covered, entitlement.Entitled, entitlement.Extra, entitlement.Beyond}
+	for delay := time.Duration(0); delay <= 2*delayTooLong; delay += time.Millisecond / 2 {
+		for _, shedding := range []bool{false, true} {
+			d := Detector{Delay: delay, Shedding: shedding}
+			for i, c := range classes[1:] {
+				if better := classes[i]; d.Admits(c) && !d.Admits(better) {
+					t.Errorf("delay %v, shedding %t: %v is admitted, %v is not", delay, shedding, c, better)
+				}
+			}
+		}
+	}
+}
+
 // TestLateAndUnready follows one firing that is late and what comes after it.
 func TestLateAndUnready(t *testing.T) {
 	is := is.New(t)
