--- a/router/errors.go
+++ b/router/errors.go
@@ -66,7 +66,7 @@
 // The request as it is: it did not run, and sending the same again is of no
 // use, so there is no time to come back.
 var (
-	// Also when the account goes while it waits.
+	// Also when the account goes before the request is queued, or while it waits.
 	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
@@ -87,7 +87,7 @@
 	failLease = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}
 	// After the grace of the stop.
 	failStopping = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}
-	// The configuration names none.
+	// The configuration names none, or all that it names leave.
 	failNoServer = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}
 	// Limits.Wait is over.
 	failWaited = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}
