--- a/router/call.go
+++ b/router/call.go
@@ -22,30 +22,31 @@
 
 // call is one request of a caller.
 type call struct {
-	account  config.Account
-	pool     string
-	class    string // of the fixed set in classes
-	flow     string
-	engine   bool
-	send     forward.Call
-	body     []byte
-	blocks   []place.Block
-	keyed    *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
-	claimed  bool            // holds the claim
-	reserved int64           // bytes counted in Router.bodies
-	abort    bool            // the connection must be broken: the answer is not whole
-	came     time.Duration
-	work     *pool.Work // of the present turn
+	account   config.Account
+	pool      string
+	class     string // of the fixed set in classes
+	flow      string // user within the account; share takes turns among them
+	engine    bool   // the pool's servers are engines, not plain services
+	send      forward.Call
+	mayRepeat bool // it may be sent again though it may have run
+	body      []byte
+	blocks    []place.Block   // of an engine's prompt
+	keyed     *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
+	claimed   bool            // holds the claim
+	reserved  int64           // bytes counted in Router.bodies
+	abort     bool            // the connection must be broken: the answer is not whole
+	arrived   time.Duration   // on Router.now
+	work      *pool.Work      // of the present turn
 }
 
 // serve runs a call to its end and writes its answer.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request, c *call) {
-	c.came = r.now()
+	c.arrived = r.now()
 	r.countRequest()
 	if f := r.run(w, req.Context(), c); f != nil {
 		r.refuse(w, f)
 	}
-	r.stats.of(c).whole.Update((r.now() - c.came).Seconds())
+	r.stats.of(c).whole.Update((r.now() - c.arrived).Seconds())
 }
 
 // run returns a failure if nothing was written to the caller yet.
@@ -57,8 +58,8 @@
 			return f
 		}
 		if c.keyed != nil && !c.claimed {
-			done, f := r.claimTurn(w, ctx, c, server)
-			if done || f != nil {
+			answered, f := r.claimTurn(w, ctx, c, server)
+			if answered || f != nil {
 				return f
 			}
 			if !c.claimed {
@@ -101,8 +102,8 @@
 
 // claimTurn claims the key of a call that has a slot. If the claim is not
 // granted at once, the slot is given up: the wait for another router's outcome
-// may be long. done means that the caller was answered.
-func (r *Router) claimTurn(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (done bool, f *Failure) {
+// may be long. answered means that the caller has its answer.
+func (r *Router) claimTurn(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (answered bool, f *Failure) {
 	cctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	got, ok := r.claims.claim(cctx, *c.keyed, false)
 	cancel()
@@ -125,7 +126,7 @@
 
 // answerClaimed answers the caller with what became of the request under this
 // key, unless this router is to run it now.
-func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (done bool, f *Failure) {
+func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (answered bool, f *Failure) {
 	switch got.State {
 	case protocol.ClaimGranted:
 		c.claimed = true
@@ -187,7 +188,7 @@
 		f, result = failGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
-	if !gone && last.MayGoElsewhere(!c.send.NoRepeat) && r.retry() {
+	if !gone && last.MayGoElsewhere(c.mayRepeat) && r.retry() {
 		return true, nil
 	}
 	r.settle(c, claim, nil)
@@ -224,5 +225,5 @@
 	h.Set(OutcomeHeader, string(Ran))
 	h.Set("Badgerspoke-Replayed", "true")
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // fails only for a caller that is gone
+	_, _ = w.Write(a.Body) // fails only for a caller that has left
 }
--- a/router/callers.go
+++ b/router/callers.go
@@ -83,6 +83,8 @@
 	_, _ = io.WriteString(w, "ready\n") // whoever probes sees an answer cut short itself
 }
 
+// handler serves a request of an account. A failure that it returns is not
+// written to the caller yet.
 type handler func(w http.ResponseWriter, req *http.Request, a config.Account) *Failure
 
 // withAccount refuses a request with another method, during a stop, or without
@@ -106,7 +108,7 @@
 	case ok:
 		return h(w, req, a)
 	case r.Revision() == 0 && !r.lease.valid(r.now()):
-		return failLease // there is no configuration yet to know a key from
+		return failLease // no configuration has come yet, so every key would be refused
 	}
 	return failKey
 }
@@ -144,7 +146,7 @@
 	if f != nil {
 		return f
 	}
-	defer r.done(c)
+	defer r.releaseBody(c)
 	var er engineRequest
 	if err := json.Unmarshal(c.body, &er); err != nil {
 		return failMalformed.With("the body is no valid JSON: " + err.Error())
@@ -177,7 +179,7 @@
 	if f != nil {
 		return f
 	}
-	defer r.done(c)
+	defer r.releaseBody(c)
 	c.pool = name
 	c.send.Path = "/" + path
 	if req.URL.RawQuery != "" {
@@ -189,15 +191,15 @@
 		return failMalformed.With("the path is no valid URL path")
 	}
 	safe := req.Method == http.MethodGet || req.Method == http.MethodHead || req.Header.Get(repeatHeader) == "safe"
-	c.send.NoRepeat = c.send.NoRepeat || !safe || t.neverRepeats(name, req.Method, plain)
+	c.mayRepeat = c.mayRepeat && safe && !t.neverRepeats(name, req.Method, plain)
 	return r.serveCall(w, req, c)
 }
 
-// serveCall runs a call. An answer that broke off without a way to say so in
-// its body loses its connection.
+// serveCall runs a call. If its answer broke off and the body cannot show it,
+// the connection is broken.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) *Failure {
 	if c.keyed != nil {
-		c.send.NoRepeat = true
+		c.mayRepeat = false
 		c.keyed.Digest = xxh3.Hash(append([]byte(req.Method+" "+c.send.Path+"\n"), c.body...))
 	}
 	r.serve(w, req, c)
@@ -207,7 +209,8 @@
 	return nil
 }
 
-// newCall reads what all calls have in common.
+// newCall checks the headers that callers may set on any call and reads its
+// body. The caller must release the body.
 func (r *Router) newCall(w http.ResponseWriter, req *http.Request, a config.Account) (*call, *Failure) {
 	c := &call{account: a, class: defaultClass, flow: req.Header.Get(userHeader)}
 	if len(c.flow) > maxUser {
@@ -235,15 +238,16 @@
 		return nil, f
 	}
 	c.body = body
-	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body, NoRepeat: repeat == "never"}
+	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body}
+	c.mayRepeat = repeat != "never"
 	c.send.Header.Set(accountHeader, a.Name)
 	c.send.Header.Set(priorityHeader, classes[c.class])
 	return c, nil
 }
 
 // readBody reads a body inside the bound on all bodies together: a body of
-// unknown length counts as the longest until it is read. What is reserved is
-// given back by done.
+// unknown length counts as the longest until it is read. releaseBody gives back
+// what is reserved.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, *Failure) {
 	limits := r.cfg.Limits
 	if req.ContentLength > limits.Body {
@@ -265,15 +269,15 @@
 		// The deadline stays: the server would else wait for the rest of the
 		// body before it closes the connection.
 		w.Header().Set("Connection", "close")
-		r.done(c)
+		r.releaseBody(c)
 		return nil, bodyFailure(err)
 	}
 	_ = rc.SetReadDeadline(time.Time{}) // as above
 	return body, nil
 }
 
-// done gives back what readBody reserved.
-func (r *Router) done(c *call) {
+// releaseBody gives back what readBody reserved.
+func (r *Router) releaseBody(c *call) {
 	r.bodies.Add(-c.reserved)
 	c.reserved = 0
 }
@@ -286,8 +290,8 @@
 	return failMalformed.With("the body could not be read: " + err.Error())
 }
 
-// copyServiceHeader copies what a plain service may see. Keys, cookies, this
-// system's own headers and those of the connection stay here.
+// copyServiceHeader copies the headers that a plain service may see: not keys,
+// cookies, the fleet's own headers or those of the connection.
 func copyServiceHeader(to, from http.Header) {
 	for name, values := range from {
 		if hopByHop[name] || withheld[name] || strings.HasPrefix(name, "Badgerspoke-") {
@@ -297,6 +301,7 @@
 	}
 }
 
+// withheld are the headers of a caller that a plain service does not get.
 var withheld = map[string]bool{
 	"Authorization": true, "Cookie": true, "Content-Length": true, "Host": true, "X-Api-Key": true,
 	"Forwarded": true, "X-Forwarded-For": true, "X-Forwarded-Host": true, "X-Forwarded-Proto": true,
--- a/router/doc.go
+++ b/router/doc.go
@@ -7,8 +7,8 @@
 // The model: a table of pools, and one session with the control replica that
 // leads. A request joins the queue of its pool and sleeps; whoever changes the
 // pool (another request that ends, a grant, a new configuration) runs the
-// pool's dispatch, which wakes the request with the backend server that it may
-// use. The package owns locks, clock and sockets, the lease, the queues and
+// pool's dispatch, which ends the wait of the requests that may start and names
+// their backend servers. The package owns locks, clock and sockets, the lease, the queues and
 // what runs; nothing of it must survive a restart. It relies on
 // coordination/pool (share, slots, place) for whose request goes where, on
 // coordination/retry for another attempt, on coordination/claim, through the
--- a/router/errors.go
+++ b/router/errors.go
@@ -10,8 +10,8 @@
 )
 
 // This file defines Failure, the one shape in which a request fails, and the
-// tables of failures: status, outcome and time to come back, in three groups by
-// what the caller can do.
+// tables of failures: status, outcome and Retry-After, in three groups by what
+// the caller can do.
 
 // Outcome is what is known about the run of a request. The values are in the
 // header and body of answers.
@@ -53,9 +53,9 @@
 	ourProblem   = "server_error"
 )
 
-// Times after which a refused caller should come back. Chosen, not measured.
+// Values of RetryAfter. Chosen, not measured.
 const (
-	soon  = time.Second     // the least that Retry-After can say
+	soon  = time.Second     // the least that Retry-After can express
 	later = 2 * time.Second // after a whole wait in vain
 )
 
@@ -63,10 +63,10 @@
 // (nginx); it is only counted, nobody reads it.
 const statusGone = 499
 
-// The request as it is: it did not run, and sending the same again is of no
-// use, so there is no time to come back.
+// The request itself is at fault: it did not run, and the same one would fail
+// again, so there is no Retry-After.
 var (
-	// Also when the account goes while it waits.
+	// Also when the account is removed while the request waits.
 	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
@@ -83,11 +83,11 @@
 var (
 	// A limit on what waits or on all bodies.
 	failFull = &Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, soon}
-	// Readiness is false, the balancer leaves.
+	// Readiness is false too, so the balancer sends requests elsewhere.
 	failLease = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}
 	// After the grace of the stop.
 	failStopping = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}
-	// The configuration names none.
+	// The configuration names none of this pool.
 	failNoServer = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}
 	// Limits.Wait is over.
 	failWaited = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}
@@ -98,14 +98,14 @@
 )
 
 // The request ran or may have run: sending it again is the caller's decision,
-// so there is no time to come back.
+// so there is no Retry-After.
 var (
 	// It may not be repeated, or the retry budget is empty.
 	failBroken = &Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
 	failRan    = &Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
-	// Its router vanished or its server broke.
+	// The lease of its router ran out, or the answer of its server broke off.
 	failUnknownRun = &Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
-	// Counted only. With NotRun if it was still waiting or the server refused it.
+	// Counted only. NotRun if it was still waiting or the server refused it.
 	failGone = &Failure{statusGone, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
@@ -135,7 +135,7 @@
 		h.Set("Retry-After", strconv.Itoa(int(max(f.RetryAfter/time.Second, 1))))
 	}
 	w.WriteHeader(f.Status)
-	_, _ = w.Write(append(f.body(), '\n')) // fails only for a caller that is gone
+	_, _ = w.Write(append(f.body(), '\n')) // fails only for a caller that has left
 }
 
 // event returns the failure as the last event of a broken stream.
--- a/router/leader.go
+++ b/router/leader.go
@@ -29,25 +29,25 @@
 	leasedRetry   = 250 * time.Millisecond // longest pause while the lease runs; by TestLeaderIsKilledUnderLoad
 	longestRetry  = time.Second            // longest pause without a lease; chosen, not measured
 	helloTimeout  = 2 * time.Second        // for a replica's answer, the dial included; chosen, not measured
-	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has named its own
+	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has given its own
 )
 
 // leaderClient keeps a session with the control replica that leads.
 type leaderClient struct {
 	r       *Router
-	news    chan struct{}           // there is something to report
-	urgent  chan struct{}           // there is something to report without delay
+	routine chan struct{}           // there is something for the next full report
+	urgent  chan struct{}           // there is something that a slot or a request waits for
 	session atomic.Pointer[session] // nil while there is none
 
 	// What follows belongs to the goroutine of run. Those of survey read it
 	// while run waits for them.
-	hint   string        // replica that leads, as far as known
-	epoch  uint64        // highest seen
-	length time.Duration // of the lease, as the last leader named it
+	leader string        // name of the replica that led the last session
+	epoch  uint64        // highest of all sessions
+	length time.Duration // of the lease, as the last leader gave it
 }
 
 func newLeaderClient(r *Router) *leaderClient {
-	return &leaderClient{r: r, news: make(chan struct{}, 1), urgent: make(chan struct{}, 1), length: defaultLease}
+	return &leaderClient{r: r, routine: make(chan struct{}, 1), urgent: make(chan struct{}, 1), length: defaultLease}
 }
 
 // run keeps a session until the router stops.
@@ -84,12 +84,12 @@
 	sent     time.Duration     // when the hello was sent
 }
 
-// find opens a session: first where the leader was last, then by a hello to
-// every replica. The link is nil when nobody leads.
+// find opens a link to the leader: at the last one known, at the one that it
+// names instead, then by a hello to every replica. The link is nil when nobody leads.
 func (l *leaderClient) find() reply {
-	hint := l.hint
+	name := l.leader
 	for range 2 {
-		address, ok := l.r.cfg.Replicas[hint]
+		address, ok := l.r.cfg.Replicas[name]
 		if !ok {
 			break
 		}
@@ -97,10 +97,10 @@
 		if got.link != nil {
 			return got
 		}
-		if got.redirect.Leader == hint {
+		if got.redirect.Leader == name {
 			break
 		}
-		hint = got.redirect.Leader
+		name = got.redirect.Leader
 	}
 	return l.survey()
 }
@@ -131,7 +131,7 @@
 		}
 	}
 	if best.link == nil && leaderless > len(names)/2 && !l.r.cfg.StopWithoutLeader {
-		l.extendAlone(sent)
+		l.extendWithoutLeader(sent)
 	}
 	return best
 }
@@ -142,15 +142,15 @@
 	return r.Group != 0 && !r.Follows && !r.Pending && r.Revision <= revision
 }
 
-// extendAlone extends a lease that still runs. One that has run out cannot be
-// revived without an allocator: its slots may be somebody else's.
-func (l *leaderClient) extendAlone(sent time.Duration) {
+// extendWithoutLeader extends a lease that still runs. One that has run out
+// needs an allocator: its slots may have been granted to another router.
+func (l *leaderClient) extendWithoutLeader(sent time.Duration) {
 	if l.r.lease.valid(l.r.now()) {
 		l.r.lease.extend(sent, l.length)
 	}
 }
 
-// hello opens a link to one replica and says hello. Its errors are not logged:
+// hello opens a link to one replica and sends a hello. Its errors are not logged:
 // during an election every replica fails several times a second, and the end
 // of the last session has its line.
 func (l *leaderClient) hello(address string) reply {
--- a/router/pool.go
+++ b/router/pool.go
@@ -13,7 +13,7 @@
 )
 
 // This file defines lockedPool, the lock around one pool's decisions, and how
-// a waiting request is woken when its turn has come.
+// a waiting request gets its server when its turn has come.
 
 // lockedPool is one pool on this router. Every change that may let waiting work
 // start ends with dispatch, so that it does not wait for the next event.
@@ -125,8 +125,8 @@
 	})
 }
 
-// tick fails what has waited too long and, without a lease, everything that
-// waits.
+// tick fails requests that have waited too long and, without a lease, all that
+// wait.
 func (p *lockedPool) tick(leased bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,15 +143,15 @@
 	p.dispatch()
 }
 
-// dispatch wakes the requests whose turn has come, and the reporter if there is
-// something to report. The caller holds mu.
+// dispatch gives the requests whose turn has come their servers, and requests a
+// report if there is something to report. The caller holds mu.
 func (p *lockedPool) dispatch() {
 	now := p.router.now()
 	for _, s := range p.pool.Dispatch(now, p.router.lease.valid(now)) {
 		s.Work.Value.(*waiter).turn <- turn{server: p.servers[s.Server]}
 	}
 	if u := p.pool.Urgency(); u != pool.NothingNew {
-		p.router.leader.wake(u == pool.Urgent)
+		p.router.leader.requestReport(u == pool.Urgent)
 	}
 }
 
--- a/router/relay.go
+++ b/router/relay.go
@@ -34,6 +34,7 @@
 	maxUsageParse = 1 << 20
 )
 
+// relay copies one answer of a backend server to its caller.
 type relay struct {
 	router *Router
 	ctx    context.Context
@@ -44,11 +45,11 @@
 	began  time.Duration
 
 	scan    *streamScan // of a stream of events
-	plain   []byte      // of any other answer, up to maxUsageParse
-	keep    []byte      // for the register, while small enough
-	tooBig  bool
-	out     int64
-	resumed int
+	plain   []byte      // the body of any other answer, up to maxUsageParse
+	keep    []byte      // the body for the register, up to claim.MaxAnswer
+	tooBig  bool        // the body is over claim.MaxAnswer
+	out     int64       // bytes of the body that have come
+	resumed int         // resumptions so far
 }
 
 // relayBuffers keeps buffers between relays: one of its own for each was most
@@ -69,10 +70,10 @@
 	if isEventStream(r.answer.Header) {
 		r.scan = &streamScan{}
 	}
-	err, callerGone := r.copy(w)
+	callerLeft, err := r.copy(w)
 	end := relayed{cost: r.cost(), result: pool.Served}
 	switch {
-	case callerGone:
+	case callerLeft:
 		r.endAtServer()
 		end.failure, end.result = failGone, pool.Abandoned
 	case err != nil || r.cutShort():
@@ -94,52 +95,50 @@
 	w.WriteHeader(r.answer.Status)
 }
 
-// copy moves the body in pieces, each flushed at once.
-func (r *relay) copy(w http.ResponseWriter) (err error, callerGone bool) {
-	flush := http.NewResponseController(w)
-	held := relayBuffers.Get().(*[]byte)
-	defer relayBuffers.Put(held)
-	buf := *held
+// copy copies the body to its end, past breaks that a resumption mends.
+func (r *relay) copy(w http.ResponseWriter) (callerLeft bool, err error) {
+	buf := relayBuffers.Get().(*[]byte)
+	defer relayBuffers.Put(buf)
 	for {
-		n, err := r.answer.Body.Read(buf)
-		if n > 0 {
-			if r.out == 0 {
-				r.router.stats.of(r.call).first.Update((r.router.now() - r.call.came).Seconds())
-			}
-			r.count(buf[:n])
-			// It fails only on a closed connection, as the write then does.
-			_ = flush.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
-			if _, werr := w.Write(buf[:n]); werr != nil {
-				return nil, true
-			}
-			if flush.Flush() != nil {
-				return nil, true
-			}
+		n, err := r.answer.Body.Read(*buf)
+		if n > 0 && !r.pass(w, (*buf)[:n]) {
+			return true, nil
 		}
-		if err == nil {
-			continue
-		}
-		if err == io.EOF && !r.cutShort() {
-			return nil, false
-		}
-		if r.ctx.Err() != nil {
-			return nil, true
-		}
-		if !r.resume() {
-			return err, false
+		switch {
+		case err == nil:
+		case err == io.EOF && !r.cutShort():
+			return false, nil
+		case r.ctx.Err() != nil:
+			return true, nil
+		case !r.resume():
+			return false, err
 		}
 	}
 }
 
-// resumes bounds how often one answer is taken up again. Chosen, not measured.
-const resumes = 3
+// pass counts one piece of the body and writes it to the caller at once. It
+// reports whether the caller is still there.
+func (r *relay) pass(w http.ResponseWriter, b []byte) bool {
+	if r.out == 0 {
+		r.router.stats.of(r.call).first.Update((r.router.now() - r.call.arrived).Seconds())
+	}
+	r.count(b)
+	rc := http.NewResponseController(w)
+	// It fails only on a closed connection, as the write then does.
+	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
+	_, err := w.Write(b)
+	return err == nil && rc.Flush() == nil
+}
+
+// maxResumes bounds the resumptions of one answer. Chosen, not measured.
+const maxResumes = 3
 
-// resume takes up a broken answer at the first byte that the caller does not
-// have, and reports whether it goes on. It is no repeat: the server sends the
-// rest of the same run.
+// resume requests the rest of a broken answer from its server, from the first
+// byte that the caller does not have, and reports whether it comes. It is no
+// repeat: the server sends the rest of the same run.
 func (r *relay) resume() bool {
 	path := r.answer.Header.Get(forward.ResumeHeader)
-	if path == "" || r.resumed >= resumes {
+	if path == "" || r.resumed >= maxResumes {
 		return false
 	}
 	r.resumed++
@@ -160,12 +159,12 @@
 	return true
 }
 
-// endTimeout is for a server to take the end of an answer that nobody wants.
-// Chosen, not measured.
+// endTimeout bounds the call that ends an answer at its server. Chosen, not
+// measured.
 const endTimeout = 2 * time.Second
 
-// endAtServer ends an answer that its server would keep for a resumption: the
-// caller is gone. A failure is not logged: nobody waits for the answer.
+// endAtServer ends an answer whose caller has left and that its server would
+// keep for a resumption. A failure is not logged: nobody waits for the answer.
 func (r *relay) endAtServer() {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
@@ -179,7 +178,7 @@
 	}
 }
 
-// count looks at a piece on its way through.
+// count adds a piece of the body to what cost and the register need of it.
 func (r *relay) count(b []byte) {
 	r.out += int64(len(b))
 	if r.call.keyed != nil && !r.tooBig {
@@ -231,8 +230,8 @@
 // bytesPerToken is the usual length of a token in English text, a rule of thumb.
 const bytesPerToken = 4
 
-// cutShort reports whether an answer that ended without an error is not
-// whole: a stream without its end mark.
+// cutShort reports whether an answer that ended without an error is not whole:
+// an engine's stream without its end mark.
 func (r *relay) cutShort() bool {
 	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
@@ -241,7 +240,7 @@
 // other answer loses its connection before its declared end.
 func (r *relay) breakOff(w http.ResponseWriter, f *Failure) {
 	if r.scan != nil {
-		// Both fail only for a caller that is gone, who needs no event.
+		// Both fail only for a caller that has left, who needs no event.
 		_, _ = w.Write(append(r.scan.closeLine(), f.event()...))
 		_ = http.NewResponseController(w).Flush() // as above
 		return
--- a/router/report.go
+++ b/router/report.go
@@ -11,12 +11,12 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how what happens in the pools reaches the allocator:
-// coalesced, urgent things soon, the rest seldom, all inside the byte budget.
+// This file defines the reports of the pools to the allocator: changes are
+// collected, urgent ones sent soon, the others seldom, all inside the byte budget.
 
-// wake wakes the reporter: there is something to report.
-func (l *leaderClient) wake(urgent bool) {
-	ch := l.news
+// requestReport signals to reporting that there is something to report.
+func (l *leaderClient) requestReport(urgent bool) {
+	ch := l.routine
 	if urgent {
 		ch = l.urgent
 	}
@@ -37,7 +37,7 @@
 			return
 		case <-l.urgent:
 			urgent = true
-		case <-l.news:
+		case <-l.routine:
 		}
 		if !l.awaitDue(ctx, &pacer, urgent) {
 			return
@@ -70,8 +70,8 @@
 
 // sendReport sends what is new.
 func (l *leaderClient) sendReport(s *session, p *slots.Pacer) {
-	report, worth := l.buildReport(s)
-	if !worth {
+	report, found := l.buildReport(s)
+	if !found {
 		return
 	}
 	s.out.Send(report)
@@ -90,11 +90,11 @@
 	for _, p := range l.r.poolList() {
 		p.locked(func(pl *pool.Pool) { pl.TakeReport(seq, &report) })
 	}
-	worth := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
-	if !worth {
+	found := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
+	if !found {
 		s.mu.Lock()
 		s.reports-- // the allocator counts only what it receives
 		s.mu.Unlock()
 	}
-	return report, worth
+	return report, found
 }
--- a/router/router.go
+++ b/router/router.go
@@ -41,10 +41,10 @@
 	Server   Server
 	Limits   Limits
 	Pace     slots.Pace
-	// StopWithoutLeader makes the router treat the absence of a leader like
-	// being cut off, whatever a majority says.
+	// StopWithoutLeader lets the lease run out when there is no leader, even if a
+	// majority of the replicas reports that there is none.
 	StopWithoutLeader bool
-	Random            func() uint64 // for the boot number and attempts
+	Random            func() uint64 // for the boot number and the numbers of attempts
 	Log               *slog.Logger
 	Metrics           *metrics.Set
 }
@@ -74,9 +74,9 @@
 
 // Settings of every pool. Chosen, not measured.
 const (
-	firstEstimate = 256                    // cost, in share.Weights, of a request of which nothing is known
+	firstEstimate = 256                    // cost, in share.Weights, of a request whose account and class have finished none
 	prefixBlocks  = 8192                   // prompt blocks remembered by each pool
-	poolTick      = 100 * time.Millisecond // between two looks for waits, slots and a lease that are over
+	poolTick      = 100 * time.Millisecond // between two checks for waits, slots and a lease that have ended
 )
 
 // Router is a running router.
@@ -135,8 +135,8 @@
 
 // Stop ends the router without cutting off a request: readiness turns false,
 // new requests are still served for grace (the balancer needs time to see
-// it), then those that are here go to their end, and what is held is handed
-// back. When ctx ends first, what still runs is cut off.
+// it), then those that run go to their end, and the slots are handed back. When
+// ctx ends first, what still runs is cut off.
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
 	sleep.For(ctx, grace)
@@ -147,7 +147,7 @@
 	r.stop()
 }
 
-// zeroPoll is between two looks at a count during a stop. Chosen, not measured.
+// zeroPoll is between two checks of a count during a stop. Chosen, not measured.
 const zeroPoll = 10 * time.Millisecond
 
 // awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
@@ -173,7 +173,7 @@
 	}
 }
 
-// apply brings a configuration into force. It never goes back.
+// apply brings a configuration into force, unless a newer one is.
 func (r *Router) apply(cfg config.Config) {
 	if cfg.Revision() < r.Revision() {
 		return
@@ -208,7 +208,7 @@
 	return slices.SortedFunc(maps.Values(r.pools), func(a, b *lockedPool) int { return cmp.Compare(a.name, b.name) })
 }
 
-// countRequest earns a part of a retry.
+// countRequest adds a request to the retry budget.
 func (r *Router) countRequest() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
--- a/router/session.go
+++ b/router/session.go
@@ -53,9 +53,9 @@
 	}
 	defer s.out.Close()
 	if w.Epoch < l.epoch {
-		return // of a leader that another one has replaced
+		return // another leader has replaced this one
 	}
-	l.epoch, l.hint, l.length = w.Epoch, w.Leader, s.length
+	l.epoch, l.leader, l.length = w.Epoch, w.Leader, s.length
 	l.r.lease.extend(got.sent, s.length)
 	l.begin(s, w)
 	l.r.cfg.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
@@ -101,8 +101,8 @@
 	}
 }
 
-// receive takes what the leader sends until the link ends or falls silent.
-// Renewals are answered, so silence means that the link is dead.
+// receive handles the leader's messages until the link ends or nothing has come
+// for a part of the lease. Renewals are answered, so the link is dead then.
 func (l *leaderClient) receive(ctx context.Context, lk *link.Link, s *session) error {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, s.length/silentPart)
--- a/router/stats.go
+++ b/router/stats.go
@@ -12,13 +12,14 @@
 // This file defines the router's metrics. Labels come from the configuration
 // or from fixed sets, never from what a caller sends.
 
+// stats are the metrics of one router.
 type stats struct {
 	set          *metrics.Set
 	handles      sync.Map // seriesKey → *series
 	waitedOut    *metrics.Counter
 	ejected      *metrics.Counter
 	retried      *metrics.Counter
-	resumed      *metrics.Counter // broken answers taken up again
+	resumed      *metrics.Counter // resumptions of broken answers
 	budgetEmpty  *metrics.Counter // retries that the budget did not allow
 	leaseExpired *metrics.Counter
 }
--- a/router/usage.go
+++ b/router/usage.go
@@ -21,8 +21,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// share returns the usage as the accounting wants it. Nonsense from an engine
-// is bounded: nothing is negative, and no more is cached than was prompted.
+// share returns the usage for the account's service. Impossible numbers of an
+// engine are bounded: none is negative, and no more is cached than was prompted.
 func (u usage) share() share.Usage {
 	prompt := max(u.PromptTokens, 0)
 	cached := min(max(u.Details.CachedTokens, 0), prompt)
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestContract(t *testing.T) {
-	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets"), NoRepeat: true}
+	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets")}
 	tests := []struct {
 		name  string
 		how   standin.Failure
@@ -112,8 +112,8 @@
 		most int32
 	}{
 		{"a GET that may be repeated", forward.Call{Method: "GET", Path: "/"}, 2},
-		{"a GET that may not", forward.Call{Method: "GET", Path: "/", NoRepeat: true}, 1},
-		{"a POST with a key that may not", forward.Call{Method: "POST", Path: "/", Body: []byte("x"), NoRepeat: true,
+		{"a GET that may not", forward.Call{Method: "GET", Path: "/"}, 1},
+		{"a POST with a key that may not", forward.Call{Method: "POST", Path: "/", Body: []byte("x"),
 			Header: http.Header{"Idempotency-Key": {"k"}}}, 1},
 	}
 	for _, tt := range tests {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -44,16 +44,13 @@
 // gave before it started the call.
 const RefusedHeader = "Badgerspoke-Refused"
 
-// Call is one call to a backend server.
+// Call is one call to a backend server. A Client sends it once.
 type Call struct {
 	Method string
 	Path   string // with the query, sent as it is
 	Host   string // empty is the server's address
 	Header http.Header
 	Body   []byte
-	// NoRepeat says that the call may not be sent again if it may have run. A
-	// Client sends every call once; the field is for the router, which decides.
-	NoRepeat bool
 }
 
 // ResumeHeader is set by a server that can send the rest of an answer whose
