--- a/control/claims.go
+++ b/control/claims.go
@@ -7,14 +7,37 @@
 	"sync"
 	"time"
 
+	"github.com/fxamacker/cbor/v2"
+
 	"github.com/badgerspoke/badgerspoke/coordination/claim"
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 	"github.com/badgerspoke/badgerspoke/protocol"
+	"github.com/badgerspoke/badgerspoke/replica"
 )
 
-// This file defines how claims of routers reach the claims group, and how a
-// router that waits for the outcome of another's claim gets it.
+// This file defines the state machine of the claims group, how claims of routers
+// reach it, and how a router that waits for another's outcome gets it.
+
+// claimMachine is the state machine of the claims group.
+type claimMachine struct{ register *claim.Register }
+
+var _ replica.Machine = claimMachine{}
+
+// Apply implements [replica.Machine].
+func (c claimMachine) Apply(data []byte) any {
+	var cmd claim.Command
+	if err := cbor.Unmarshal(data, &cmd); err != nil {
+		return protocol.Claimed{State: protocol.ClaimRetry}
+	}
+	return c.register.Apply(cmd)
+}
+
+// Snapshot implements [replica.Machine].
+func (c claimMachine) Snapshot() ([]byte, error) { return c.register.MarshalBinary() }
+
+// Restore implements [replica.Machine].
+func (c claimMachine) Restore(image []byte) error { return c.register.UnmarshalBinary(image) }
 
 // proposeClaim proposes a command of the claims group, at the time of this box's
 // wall clock.
@@ -37,7 +60,7 @@
 }
 
 // answerClaim answers a router's claim. When another router runs the request
-// and the asker wants to wait, the answer comes with the outcome.
+// and this one wants to wait, the answer comes with the outcome.
 func (c *Control) answerClaim(ctx context.Context, s *session, m protocol.Claim) {
 	w := c.watchers.add(m.Account, m.Key)
 	defer c.watchers.remove(w)
@@ -51,7 +74,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.settled: // claim again: it was released, or the answer is the outcome
+		case <-w.settled: // claim again: the key is free, or the answer is the outcome
 		}
 	}
 }
@@ -69,7 +92,7 @@
 func (c *Control) followLeader() {
 	for sleep.For(c.ctx, c.cfg.Heartbeat) {
 		var leader string
-		c.dispatcher.do(func() { leader = c.dispatcher.lead.Leader.Name })
+		c.dispatcher.do(func() { leader = c.dispatcher.group.Leader.Name })
 		if leader == "" || leader == c.cfg.Identity.Name {
 			continue
 		}
@@ -82,7 +105,7 @@
 	}
 }
 
-// claimWatchers wakes those who wait for the outcome of a claim.
+// claimWatchers signals settlements to the calls that wait for them.
 type claimWatchers struct {
 	mu      sync.Mutex
 	waiting map[claimName]map[*claimWatcher]bool
@@ -92,7 +115,7 @@
 
 type claimWatcher struct {
 	name    claimName
-	settled chan struct{} // of one place, so that a settlement never waits
+	settled chan struct{} // buffered, so that a settlement never waits
 }
 
 func newClaimWatchers() *claimWatchers {
--- a/control/control.go
+++ b/control/control.go
@@ -86,7 +86,7 @@
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
 	c.register.Settlement = c.watchers.settled
-	addressOf := func(replica string) string { return cfg.Replicas[replica] }
+	addressOf := func(name string) string { return cfg.Replicas[name] }
 	c.mesh = mesh.New(ctx, cfg.Identity, addressOf, link.NewMeter(cfg.Metrics))
 	if err := c.startGroups(); err != nil {
 		stop()
@@ -102,7 +102,7 @@
 	if c.config, err = c.startGroup(configGroup, c.state, c.dispatcher.observe); err != nil {
 		return err
 	}
-	c.claims, err = c.startGroup(claimGroup, claims{c.register}, nil)
+	c.claims, err = c.startGroup(claimGroup, claimMachine{c.register}, nil)
 	return err
 }
 
@@ -165,6 +165,7 @@
 // successor: when no other replica runs, none will come. Chosen, not measured.
 const handoverElections = 5
 
+// handOver transfers the leadership of both groups to another replica.
 func (c *Control) handOver(ctx context.Context) {
 	if len(c.cfg.Replicas) == 1 {
 		return
@@ -173,7 +174,7 @@
 	defer cancel()
 	// Without a successor the other replicas elect one once they miss this leader.
 	_ = c.claims.Transfer(ctx)
-	_ = c.config.Transfer(ctx)
+	_ = c.config.Transfer(ctx) // as above
 }
 
 // Stop hands leadership over, if another replica can take it within the
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -26,29 +26,30 @@
 	eventDepth = 8192
 	// maxEvents is the number of events taken together before slots are allocated.
 	maxEvents = 1024
-	// tickInterval is how often leases are looked at; a lease's end is seen that much
-	// later than it is.
+	// tickInterval is between two checks of the leases; the end of one is noticed that
+	// much late at most.
 	tickInterval = 20 * time.Millisecond
 )
 
+// dispatcher owns the allocator and the sessions. Other goroutines hand it events.
 type dispatcher struct {
-	c      *Control
-	events chan func()
-	wake   chan struct{} // the configuration changed
-	leads  chan lead     // the newest only
+	c        *Control
+	events   chan func()
+	applied  chan struct{}    // a configuration was applied
+	observed chan groupStatus // the newest only
 
 	// Owned by run.
-	lead      lead
+	group     groupStatus
 	alloc     *slots.Allocator
 	sessions  map[string]*session
 	snapshots snapshotCache
-	turned    time.Duration         // when slots were last allocated
-	ending    map[claim.Holder]bool // their end is being recorded
-	opening   map[claim.Holder]int  // their session is being opened
+	allocated time.Duration         // when slots were last allocated
+	ending    map[claim.Holder]bool // processes whose end is being recorded
+	opening   map[claim.Holder]int  // sessions being opened, by process
 }
 
-// lead is what the replica's goroutine last published of the configuration group.
-type lead struct {
+// groupStatus is what the replica's goroutine publishes of the configuration group.
+type groupStatus struct {
 	consensus.Status
 	leads bool // this replica may act as the leader
 }
@@ -70,8 +71,8 @@
 
 func newDispatcher(c *Control) *dispatcher {
 	return &dispatcher{
-		c: c, events: make(chan func(), eventDepth), wake: make(chan struct{}, 1),
-		leads: make(chan lead, 1), sessions: map[string]*session{}, ending: map[claim.Holder]bool{},
+		c: c, events: make(chan func(), eventDepth), applied: make(chan struct{}, 1),
+		observed: make(chan groupStatus, 1), sessions: map[string]*session{}, ending: map[claim.Holder]bool{},
 		opening: map[claim.Holder]int{},
 	}
 }
@@ -79,7 +80,7 @@
 // configChanged is called by the replica's goroutine.
 func (d *dispatcher) configChanged() {
 	select {
-	case d.wake <- struct{}{}:
+	case d.applied <- struct{}{}:
 	default:
 	}
 }
@@ -87,10 +88,10 @@
 // observe is called by the replica's goroutine after every batch.
 func (d *dispatcher) observe(s consensus.Status, leads bool) {
 	select {
-	case <-d.leads: // an older one, not taken yet
+	case <-d.observed: // an older one, not taken yet
 	default:
 	}
-	d.leads <- lead{Status: s, leads: leads}
+	d.observed <- groupStatus{Status: s, leads: leads}
 }
 
 // do runs f in the dispatcher's goroutine and reports whether it did.
@@ -128,9 +129,9 @@
 		select {
 		case <-d.c.ctx.Done():
 			return
-		case l := <-d.leads:
-			d.setLead(l)
-		case <-d.wake:
+		case s := <-d.observed:
+			d.setGroup(s)
+		case <-d.applied:
 			d.pushConfig()
 		case f := <-d.events:
 			f()
@@ -143,8 +144,7 @@
 	}
 }
 
-// takeMore takes events that wait already, so that one allocation serves them
-// all.
+// takeMore runs events that wait already, so that one allocation serves them all.
 func (d *dispatcher) takeMore() {
 	for range maxEvents {
 		select {
@@ -158,16 +158,18 @@
 
 // acting reports whether this replica may act as the allocator now.
 func (d *dispatcher) acting() bool {
-	return d.alloc != nil && d.now() < d.lead.LeaseEnd
+	return d.alloc != nil && d.now() < d.group.LeaseEnd
 }
 
-func (d *dispatcher) setLead(l lead) {
-	was := d.lead
-	d.lead = l
+// setGroup begins an epoch when this replica may lead, and ends it when its
+// lease has run out or another term has come.
+func (d *dispatcher) setGroup(next groupStatus) {
+	last := d.group
+	d.group = next
 	switch {
-	case l.leads && (d.alloc == nil || was.Term != l.Term):
-		d.beginEpoch(l.Term)
-	case !l.leads && d.alloc != nil && (was.Term != l.Term || d.now() >= was.LeaseEnd):
+	case next.leads && (d.alloc == nil || last.Term != next.Term):
+		d.beginEpoch(next.Term)
+	case !next.leads && d.alloc != nil && (last.Term != next.Term || d.now() >= last.LeaseEnd):
 		d.endEpoch()
 	}
 }
@@ -182,7 +184,7 @@
 	d.pushConfig()
 	if at := d.c.cfg.Operators; at != "" && d.c.state.OperatorsAt(d.c.cfg.Identity.Name) != at {
 		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: at}}
-		// After an error operators have to find this replica by themselves until it leads again.
+		// After an error the other replicas cannot give operators this address until it leads again.
 		go func() { _, _ = propose(d.c.ctx, d.c.config, cmd) }()
 	}
 	d.c.cfg.Log.Info("allocating", "epoch", term, "expected-routers", len(expected))
@@ -205,36 +207,35 @@
 	if d.alloc == nil {
 		return
 	}
-	if !d.lead.leads && !d.acting() {
+	if !d.group.leads && !d.acting() {
 		d.endEpoch()
 		return
 	}
 	for _, name := range d.alloc.Tick(d.now()) {
 		d.c.cfg.Log.Info("lease of router ran out", "router", name)
 	}
-	d.endVanished()
+	d.endExpired()
 }
 
-// endVanished records the end of processes that may still be listed as
-// holding slots but whose lease has run out.
-func (d *dispatcher) endVanished() {
+// endExpired records the end of listed processes whose lease has run out.
+func (d *dispatcher) endExpired() {
 	if !d.acting() || d.alloc.TakingOver(d.now()) {
 		return
 	}
-	known := map[claim.Holder]bool{}
+	leased := map[claim.Holder]bool{}
 	for _, p := range d.alloc.Processes() {
-		known[claim.Holder(p)] = true
+		leased[claim.Holder(p)] = true
 	}
 	for _, h := range d.c.state.Routers() {
-		if !known[h] && !d.ending[h] && d.opening[h] == 0 {
+		if !leased[h] && !d.ending[h] && d.opening[h] == 0 {
 			d.ending[h] = true
 			go d.recordEnd(h)
 		}
 	}
 }
 
-// recordEnd records in the logs that a process is gone: its claims become unknown
-// first, so that no claim is left behind by a crash in between. After an error the
+// recordEnd records in the logs that a process has ended: its claims become unknown
+// first, so that no claim is left running by a crash in between. After an error the
 // process is still listed, and a later tick tries again.
 func (d *dispatcher) recordEnd(h claim.Holder) {
 	defer d.post(func() { delete(d.ending, h) })
@@ -256,8 +257,8 @@
 	}
 }
 
-// allocatorView returns what the allocator needs of a configuration, by
-// identifiers. over is the part of a server's slots that is granted beyond.
+// allocatorView returns a configuration's servers and accounts for the allocator, by
+// identifiers. over is the part of an engine's slots that is granted beyond them.
 func allocatorView(cfg config.Config, over float64) ([]slots.Server, []slots.Account) {
 	var servers []slots.Server
 	for _, s := range cfg.Servers() {
@@ -273,8 +274,8 @@
 }
 
 // extra returns how many slots of a server are granted beyond what it runs at
-// once, to wait in its own queue and hide the way of the next grant. Plain
-// services are not assumed to queue.
+// once: their requests wait in its own queue and cover the time of the next grant's
+// round trip. Plain services are not assumed to queue.
 func extra(s config.Server, over float64) int {
 	if s.Kind != config.Engine {
 		return 0
@@ -282,8 +283,8 @@
 	return int(math.Ceil(over * float64(s.Slots)))
 }
 
-// pushTo sends what leads a router to cfg: a delta if the past is remembered (and
-// can be encoded), else a snapshot.
+// pushTo sends cfg to a router: as a delta if every change since is remembered (and
+// the delta can be encoded), else as a snapshot.
 func (d *dispatcher) pushTo(s *session, cfg config.Config) {
 	if s.sent >= cfg.Revision() {
 		return
@@ -314,10 +315,10 @@
 		return nil
 	}
 	now := d.now()
-	if early := d.turned + slots.TurnGap - now; early > 0 {
+	if early := d.allocated + slots.TurnGap - now; early > 0 {
 		return time.After(early)
 	}
-	d.turned = now
+	d.allocated = now
 	d.alloc.Allocate(now)
 	for _, o := range d.alloc.Views(now) {
 		if s := d.sessions[o.Router]; s != nil {
@@ -332,11 +333,11 @@
 	return time.After(max(next-now, 0))
 }
 
-// viewSize returns the bytes that a view takes on the link.
+// viewSize returns the bytes of a view on the link.
 func viewSize(v protocol.View) int {
 	b, err := protocol.Encode(v)
 	if err != nil {
-		return 0 // the outbox meets the same error and closes the link
+		return 0 // the outbox closes the link on the same error
 	}
 	return len(b)
 }
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -14,9 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file pins the bytes of the commands and the snapshot of the configuration group in testdata/golden: they
-// lie on disks and in the logs of running fleets. Run with -update to write the
-// files anew, which only a deliberate change of the stored format justifies.
+// This file pins the bytes of the commands and the snapshot of the configuration
+// group in testdata/golden: they lie on disks and in the logs of running fleets.
+// Run with -update to write the files anew, which only a deliberate change of the
+// stored format justifies.
 
 var goldenCommands = []command{
 	{Change: &config.Change{ID: "first", Ops: []config.Op{{PutAccount: &config.Account{Name: "hotel-a", Share: 2, ID: "1"}}}, Request: 9}},
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -25,7 +25,7 @@
 	snapshot.write(w)
 }
 
-// fleetSnapshot is what one scrape sees.
+// fleetSnapshot is the state that one scrape writes.
 type fleetSnapshot struct {
 	leads     bool
 	epoch     uint64
@@ -64,7 +64,7 @@
 }
 
 // writePools writes the slots of each pool. Granted over slots is the pool's
-// utilisation as the fleet sees it.
+// utilisation over the whole fleet.
 func (s fleetSnapshot) writePools(w io.Writer) {
 	type pool struct{ slots, granted int }
 	pools := map[string]pool{}
--- a/control/operators.go
+++ b/control/operators.go
@@ -13,9 +13,8 @@
 	"strings"
 
 	"connectrpc.com/connect"
-	"google.golang.org/protobuf/proto"
-
 	"github.com/zeebo/xxh3"
+	"google.golang.org/protobuf/proto"
 
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
@@ -36,7 +35,7 @@
 	unprotectedTries = 8
 )
 
-// OperatorHandler returns the operators' interface for callers that know the
+// OperatorHandler returns the operators' interface for callers that have the
 // token.
 func (c *Control) OperatorHandler(token string) http.Handler {
 	mux := http.NewServeMux()
@@ -45,13 +44,13 @@
 	return requireToken(token, mux)
 }
 
-// requireToken compares in constant time. Hashing first hides the length.
+// requireToken compares the token in constant time; the hashes hide its length.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
 		if subtle.ConstantTimeCompare(given[:], want[:]) != 1 {
-			// An error is the caller's connection: there is nobody to answer.
+			// It fails only on a broken connection: nobody is left to answer.
 			_ = connect.NewErrorWriter().Write(w, r, connect.NewError(connect.CodeUnauthenticated, BadToken{}))
 			return
 		}
@@ -59,7 +58,7 @@
 	})
 }
 
-// operators implements the service.
+// operators implements the operators' service of the schema.
 type operators struct{ c *Control }
 
 var _ operatorv1connect.OperatorServiceHandler = (*operators)(nil)
@@ -73,8 +72,8 @@
 // derive turns a request into operations on the current configuration.
 type derive func(cfg config.Config) ([]config.Op, error)
 
-// change proposes what a request asks for and returns the revision that it
-// produced, now or the first time.
+// change proposes the change of a request and returns the revision that it
+// produced, now or when it was first sent.
 func (o *operators) change(ctx context.Context, req changeRequest, d derive) (uint64, error) {
 	ch := req.GetChange()
 	request := requestDigest(req)
@@ -91,7 +90,7 @@
 	return 0, o.c.rpcError(ch.GetId(), err)
 }
 
-// proposeChange proposes what a request asks for once, if this replica leads.
+// proposeChange proposes the change of a request once, if this replica leads.
 func (o *operators) proposeChange(ctx context.Context, ch *operatorv1.Change, request uint64, d derive) (uint64, error) {
 	if err := o.c.mustLead(); err != nil {
 		return 0, err
@@ -124,7 +123,7 @@
 	return r.revision, r.err
 }
 
-// requestDigest identifies what was asked for, without the change's own
+// requestDigest identifies the content of a request, without the change's
 // identifier and base.
 func requestDigest(req changeRequest) uint64 {
 	m := proto.Clone(req)
@@ -155,7 +154,7 @@
 		return nil, err
 	}
 	if !derived {
-		key = "" // a resend: the key of the first answer is not known any more
+		key = "" // a resend: the key of the first answer was not kept
 	}
 	return connect.NewResponse(&operatorv1.CreateAccountResponse{Revision: revision, Key: key}), nil
 }
@@ -189,7 +188,7 @@
 		return nil, err
 	}
 	if !derived {
-		key = ""
+		key = "" // as in CreateAccount
 	}
 	return connect.NewResponse(&operatorv1.RotateKeyResponse{Revision: resp.Msg.GetRevision(), Key: key}), nil
 }
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -16,7 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the two state machines that the logs drive.
+// This file defines Replicated, the state machine of the configuration group. That
+// of the claims group is in claims.go.
 
 // command is one command of the configuration group. One field is set.
 type command struct {
@@ -33,7 +34,7 @@
 	Address string `cbor:"2,keyasint"`
 }
 
-// changed is what the proposer of a change gets.
+// changed is the answer to the proposer of a change.
 type changed struct {
 	revision uint64
 	err      error
@@ -120,7 +121,7 @@
 	return changed{}
 }
 
-// replicatedImage is the serialized form.
+// replicatedImage is the serialized form of a Replicated, stored in snapshots.
 type replicatedImage struct {
 	Store   []byte         `cbor:"1,keyasint"`
 	Routers []claim.Holder `cbor:"2,keyasint"`
@@ -169,25 +170,3 @@
 	defer r.mu.Unlock()
 	return r.adverts[name]
 }
-
-// claims drives the claim register.
-type claims struct{ register *claim.Register }
-
-var _ replica.Machine = claims{}
-
-// Apply implements [replica.Machine].
-func (c claims) Apply(data []byte) any {
-	var cmd claim.Command
-	if err := cbor.Unmarshal(data, &cmd); err != nil {
-		return protocol.Claimed{State: protocol.ClaimRetry}
-	}
-	return c.register.Apply(cmd)
-}
-
-// Snapshot implements [replica.Machine].
-func (c claims) Snapshot() ([]byte, error) { return c.register.MarshalBinary() }
-
-// Restore implements [replica.Machine].
-func (c claims) Restore(image []byte) error {
-	return c.register.UnmarshalBinary(image)
-}
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -19,7 +19,7 @@
 // BadToken refuses a call without the operators' token.
 type BadToken struct{}
 
-// Error says what is missing.
+// Error describes the refusal.
 func (BadToken) Error() string { return "no or wrong operator token" }
 
 // NotLeading refuses a call at a replica that does not lead.
@@ -41,8 +41,8 @@
 	d.do(func() {
 		if acting = d.acting(); acting {
 			f(d)
-		} else if d.lead.Leader.Name != c.cfg.Identity.Name { // itself: leads without a lease yet
-			leader = d.lead.Leader.Name
+		} else if d.group.Leader.Name != c.cfg.Identity.Name { // itself: leads without a lease yet
+			leader = d.group.Leader.Name
 		}
 	})
 	if acting {
--- a/control/session.go
+++ b/control/session.go
@@ -28,8 +28,8 @@
 		_ = l.Send(ctx, r) // the link closes now in any case, and the router dials another replica
 		return
 	}
-	defer c.dispatcher.post(func() { c.dispatcher.opened(holder) })
-	// The log must know the router before it can hold a slot.
+	defer c.dispatcher.post(func() { c.dispatcher.endOpening(holder) })
+	// The log must list the router before it can hold a slot.
 	if _, err := propose(c.ctx, c.config, command{Open: &holder}); err != nil {
 		_ = l.Send(ctx, protocol.Redirect{}) // as above
 		return
@@ -44,15 +44,14 @@
 	c.receive(ctx, l, s)
 }
 
-// admit reports whether this replica can serve a router, or where else it
-// might be served. From now on the router's end is not recorded until opened
-// is called.
+// admit reports whether this replica can serve a router, and who leads if not. The
+// end of an admitted router is not recorded until endOpening is called.
 func (c *Control) admit(h protocol.Hello, holder claim.Holder) (r protocol.Redirect, admitted bool) {
 	d := c.dispatcher
 	d.do(func() {
 		r = protocol.Redirect{
-			Leader: d.lead.Leader.Name, Follows: !d.lead.Leader.IsZero(), Group: d.lead.Group,
-			Revision: d.c.state.Config().Revision(), Pending: d.lead.Last > d.lead.Applied,
+			Leader: d.group.Leader.Name, Follows: !d.group.Leader.IsZero(), Group: d.group.Group,
+			Revision: d.c.state.Config().Revision(), Pending: d.group.Last > d.group.Applied,
 		}
 		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.ending[holder]
 		if admitted {
@@ -83,8 +82,8 @@
 
 // What follows runs in the dispatcher's goroutine.
 
-// opened ends what admit began.
-func (d *dispatcher) opened(h claim.Holder) {
+// endOpening lets the end of a router that was admitted be recorded again.
+func (d *dispatcher) endOpening(h claim.Holder) {
 	if d.opening[h]--; d.opening[h] <= 0 {
 		delete(d.opening, h)
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -14,7 +14,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the operators' calls that read.
+// This file defines the operators' calls that read, and what they read from the
+// dispatcher.
 
 func (o *operators) ListAccounts(_ context.Context, _ *connect.Request[operatorv1.ListAccountsRequest]) (*connect.Response[operatorv1.ListAccountsResponse], error) {
 	if err := o.c.mustLead(); err != nil {
@@ -48,7 +49,7 @@
 	return connect.NewResponse(out), nil
 }
 
-// awaitInterval is how often AwaitRevision looks. Chosen, not measured; its load is
+// awaitInterval is between two checks of AwaitRevision. Chosen, not measured; its load is
 // worked out in docs/CAPACITY.md, "Operators' front".
 const awaitInterval = 50 * time.Millisecond
 
@@ -72,10 +73,10 @@
 		Revision: cfg.Revision(), Epoch: d.alloc.Epoch(), Leader: d.c.cfg.Identity.Name,
 		TakingOver: d.alloc.TakingOver(now),
 	}
-	for _, p := range d.lead.Members.Voters {
+	for _, p := range d.group.Members.Voters {
 		out.Replicas = append(out.Replicas, &operatorv1.ReplicaStatus{Name: p.Name, Voter: true})
 	}
-	for _, p := range d.lead.Members.Learners {
+	for _, p := range d.group.Members.Learners {
 		out.Replicas = append(out.Replicas, &operatorv1.ReplicaStatus{Name: p.Name})
 	}
 	out.Routers = d.routerStatus(now)
@@ -126,7 +127,7 @@
 	return servers, accounts
 }
 
-// spread returns how far a revision is in force. Nobody can be left on an older
+// spread returns how far a revision is in force. No router can be left on an older
 // one once every process that may hold a lease has confirmed it: a router is
 // not renewed before it was sent the newest configuration.
 func (d *dispatcher) spread(revision uint64) *operatorv1.AwaitRevisionResponse {
