--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -6,9 +6,9 @@
 // The model: a request is named by its account and its idempotency key. Just
 // before a router dispatches it, the router claims the name; the register
 // grants each name once. The claim is settled with the outcome: ran (with the
-// answer when it is small), released (it truly did not run, so the name is
-// free again), or unknown. When a router vanishes, its unsettled claims become
-// unknown, and a resend gets that answer: whether it ran is not known.
+// answer when it is small), released (it did not run, so the name is
+// free again), or unknown. When a router's lease has run out, its unsettled claims
+// become unknown, and a resend gets that answer: the request may have run.
 //
 // The package owns the claims and their answers; package control proposes the
 // commands and orphans the claims of a router whose lease has run out.
@@ -52,7 +52,7 @@
 
 // Command is one command of the log. One of Claim, Settle and Orphan is set.
 type Command struct {
-	Millis int64            `cbor:"1,keyasint"` // the proposer's wall clock
+	Millis int64            `cbor:"1,keyasint"` // the proposer's wall clock, Unix time
 	Holder Holder           `cbor:"2,keyasint"`
 	Claim  *protocol.Claim  `cbor:"3,keyasint,omitempty"`
 	Settle *protocol.Settle `cbor:"4,keyasint,omitempty"`
@@ -72,14 +72,14 @@
 	Attempt uint64              `cbor:"5,keyasint"`
 	State   protocol.ClaimState `cbor:"6,keyasint"` // ClaimRunning, ClaimRan or ClaimUnknown
 	Answer  *protocol.Answer    `cbor:"7,keyasint,omitempty"`
-	Settled int64               `cbor:"8,keyasint,omitempty"` // when, in register time
+	Settled int64               `cbor:"8,keyasint,omitempty"` // when, by Register.millis
 
 	place *list.Element // in Register.settled
 }
 
 // Register is the state machine. It is not safe for concurrent use.
 type Register struct {
-	millis  int64
+	millis  int64 // highest time of a command so far, Unix time in milliseconds
 	entries map[name]*entry
 	settled list.List // entries in the order of their settling
 	// Settlement, if set, is called whenever a claim is no longer running.
@@ -107,8 +107,7 @@
 	return protocol.Claimed{}
 }
 
-// Peek returns what a claim would be answered without making it, for a caller
-// that waits for another router's outcome.
+// Peek returns the state and answer of a claim without making one.
 func (r *Register) Peek(account, key string) (protocol.Claimed, bool) {
 	e := r.entries[name{account, key}]
 	if e == nil {
@@ -137,7 +136,7 @@
 }
 
 // settle takes the outcome from the holder. A late outcome of a claim that
-// became unknown meanwhile replaces it: the holder knows more.
+// became unknown meanwhile replaces it, for the holder saw how the request ended.
 func (r *Register) settle(h Holder, s protocol.Settle) protocol.Claimed {
 	e := r.entries[name{s.Account, s.Key}]
 	if e == nil || e.Holder != h || e.Attempt != s.Attempt || e.State == protocol.ClaimRan {
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -34,7 +34,7 @@
 	tests := []struct {
 		name   string
 		before []Command
-		ask    Command
+		cmd    Command
 		want   protocol.ClaimState
 	}{
 		{"first", nil, claimOf(r1, "k", 7, 1), protocol.ClaimGranted},
@@ -45,8 +45,8 @@
 		{"after it ran", []Command{claimOf(r1, "k", 7, 1), ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
 		{"its own resend after it ran", []Command{claimOf(r1, "k", 7, 1), ran}, claimOf(r1, "k", 7, 1), protocol.ClaimRan},
 		{"after it did not run", []Command{claimOf(r1, "k", 7, 1), settleOf(r1, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimGranted},
-		{"its router vanished", []Command{claimOf(r1, "k", 7, 1), orphan}, claimOf(r2, "k", 7, 1), protocol.ClaimUnknown},
-		{"its router vanished and told later", []Command{claimOf(r1, "k", 7, 1), orphan, ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
+		{"its router's lease ran out", []Command{claimOf(r1, "k", 7, 1), orphan}, claimOf(r2, "k", 7, 1), protocol.ClaimUnknown},
+		{"its router's lease ran out, and it settled later", []Command{claimOf(r1, "k", 7, 1), orphan, ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
 		{"a stranger settles", []Command{claimOf(r1, "k", 7, 1), settleOf(r2, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
 		{"another attempt settles", []Command{claimOf(r1, "k", 7, 1), settleOf(r1, "k", 9, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
 		{"released after it ran", []Command{claimOf(r1, "k", 7, 1), ran, settleOf(r1, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
@@ -62,8 +62,8 @@
 			is.NoErr(err)
 			restored := New()
 			is.NoErr(restored.UnmarshalBinary(image))
-			is.Equal(r.Apply(tt.ask).State, tt.want)
-			is.Equal(restored.Apply(tt.ask).State, tt.want) // the same after a snapshot
+			is.Equal(r.Apply(tt.cmd).State, tt.want)
+			is.Equal(restored.Apply(tt.cmd).State, tt.want) // the same after a snapshot
 		})
 	}
 }
@@ -115,7 +115,7 @@
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimRan, ""))
 			case 4:
 				if granted[key] == who && r.entries[name{"a", key}].State != protocol.ClaimRan {
-					delete(granted, key) // it says that it did not run
+					delete(granted, key) // it did not run
 				}
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimReleased, ""))
 			case 5:
--- a/coordination/claim/golden_test.go
+++ b/coordination/claim/golden_test.go
@@ -13,9 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file pins the bytes of the register's commands and snapshot in testdata/golden: they
-// lie on disks and in the logs of running fleets. Run with -update to write the
-// files anew, which only a deliberate change of the stored format justifies.
+// This file pins the bytes of the register's commands and snapshot in
+// testdata/golden: they lie on disks and in the logs of running fleets. Run with
+// -update to write the files anew, which only a deliberate change of the stored
+// format justifies.
 
 var (
 	goldenHolder   = Holder{Router: "router-1", Boot: 1<<64 - 2}
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -34,7 +34,7 @@
 type Settings struct {
 	Limits        share.Limits  // over all accounts
 	Linger        time.Duration // how long an unused slot is kept
-	FirstEstimate float64       // cost of a request of which nothing is known
+	FirstEstimate float64       // cost assumed of a request whose account and class have finished none
 	PrefixBlocks  int           // prompt blocks remembered
 }
 
@@ -59,7 +59,7 @@
 	Bytes    int64
 	Blocks   []place.Block
 	Deadline time.Duration // when waiting ends; 0 is never
-	Value    any           // the owner's own
+	Value    any           // for the owner, not read here
 
 	ticket *share.Ticket
 	meter  share.Meter
@@ -82,8 +82,8 @@
 	view     slots.FleetView
 	servers  map[string]Server
 	accounts map[string]bool
-	suspects []string
-	idle     int // free slots as last reported
+	suspects []string // servers to report as failing
+	idle     int      // free slots as last reported
 }
 
 // New returns a pool without accounts or servers.
@@ -96,7 +96,7 @@
 }
 
 // Configure takes the accounts and the serving servers. Slots of other
-// servers go back; the waiting work of accounts that are gone is returned.
+// servers go back; the waiting work of accounts that are not listed is returned.
 func (p *Pool) Configure(accounts []Account, servers []Server) (dropped []*Work) {
 	clear(p.servers)
 	for _, s := range servers {
@@ -160,8 +160,8 @@
 func (p *Pool) Dispatch(now time.Duration, leased bool) []Start {
 	var started []Start
 	for leased {
-		next, time := p.queue.Next()
-		switch slots.Decide(now, time, p.holder.Granted(), p.view) {
+		next, virtual := p.queue.Next()
+		switch slots.Decide(now, virtual, p.holder.Granted(), p.view) {
 		case slots.Keep:
 			return started
 		case slots.Return:
@@ -225,7 +225,7 @@
 const (
 	Served    Result = iota // the server answered
 	Failed                  // the server failed
-	Abandoned               // says nothing about the server
+	Abandoned               // the request left the slot early, which shows nothing of the server
 )
 
 // Finish settles work that used a slot. It reports whether the server is
@@ -255,6 +255,9 @@
 // CacheEvent takes an event of a server's cache.
 func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
 
+// Usable returns the slots of each server that the pool holds, in use or free.
+func (p *Pool) Usable() map[string]int { return p.holder.Usable() }
+
 func works(tickets []*share.Ticket) []*Work {
 	out := make([]*Work, 0, len(tickets))
 	for _, t := range tickets {
@@ -262,7 +265,3 @@
 	}
 	return out
 }
-
-// Usable returns the slots of each server that the pool holds, in use or
-// free.
-func (p *Pool) Usable() map[string]int { return p.holder.Usable() }
