--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -45,9 +45,9 @@
 // Settings of a box. Listeners are opened by the caller, so that tests need
 // no fixed ports and the daemon can report a taken one before it starts.
 type Settings struct {
-	Name     string
-	Hall     string
-	FleetKey []byte
+	Name     string // unique in the fleet
+	Hall     string // the data hall
+	FleetKey []byte // equal on all boxes; badgerspoked wants settings.MinFleetKey bytes
 	// Replicas are the fleet addresses (IP:PORT) of all control replicas by
 	// name.
 	Replicas map[string]string
@@ -58,9 +58,9 @@
 	Control       bool
 	Operators     net.Listener // for the control role; metrics on any role
 	Fleet         net.Listener // for the control role
-	DataDir       string
-	OperatorToken string
-	Overcommit    float64 // part of an engine's slots that is granted beyond them
+	DataDir       string       // folder of the control role; it is made if missing
+	OperatorToken string       // every operator's call has to carry it
+	Overcommit    float64      // part of an engine's slots that is granted beyond them
 
 	TLS *settings.TLS // nil leaves all connections plain
 	// Zero values of these five are the defaults of their packages.
@@ -75,11 +75,11 @@
 	// Grace is how long a stopping router still takes requests, for the
 	// balancer to notice.
 	Grace time.Duration
-	Log   *slog.Logger
+	Log   *slog.Logger // nil logs nothing
 
-	// What tests put in place of the machine. Nil is the machine's own.
+	// Replacements for network, disk and random numbers in tests. Nil is the machine's own.
 	Dialer forward.Dialer
-	Dir    func(group string) (wal.Dir, error)
+	Dir    func(group string) (wal.Dir, error) // folder of one group of the control role
 	Random func() uint64
 }
 
@@ -105,7 +105,9 @@
 	maxConnections = 8192
 )
 
-// Start assembles and starts a box.
+// Start assembles and starts a box, which runs until Stop. The end of ctx ends its
+// roles at once. The only errors are those of the data folder (DataDir or Dir); the
+// listeners are then left open.
 func Start(ctx context.Context, cfg Settings) (*Box, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -129,7 +131,7 @@
 		b.startRouter(ctx)
 	}
 	if cfg.Operators != nil {
-		b.serve(cfg.Operators, b.operatorsMux(), cfg.TLS.Door)
+		b.serve(cfg.Operators, b.operatorsMux(), cfg.TLS.Clients)
 	}
 	return b, nil
 }
@@ -173,7 +175,7 @@
 		Server: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
 		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Log: b.cfg.Log, Metrics: b.metrics,
 	})
-	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Door)
+	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Clients)
 }
 
 func (b *Box) operatorsMux() http.Handler {
@@ -213,13 +215,16 @@
 	go func() { _ = s.ServeTLS(limited, "", "") }()
 }
 
-// Router returns the router role, or nil.
+// Router returns the router role, or nil without it. Its Revision is the revision of
+// the configuration in force here.
 func (b *Box) Router() *router.Router { return b.router }
 
-// Ready reports whether the box serves callers.
+// Ready reports whether the box takes callers' requests: its router holds a lease
+// and is not stopping.
 func (b *Box) Ready() bool { return b.router != nil && b.router.Ready() }
 
-// Done is closed when the box cannot go on: its disk failed.
+// Done is closed when the control role has ended, after a failure of its disk or by
+// Stop. Without that role it is nil: a router alone ends only by Stop.
 func (b *Box) Done() <-chan struct{} {
 	if b.control == nil {
 		return nil
@@ -227,7 +232,7 @@
 	return b.control.Done()
 }
 
-// Err returns why the box cannot go on, after Done.
+// Err returns why the control role has ended. It may be called only after Done.
 func (b *Box) Err() error { return b.control.Err() }
 
 // Stop ends the box without cutting off a request, unless ctx ends first:
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -51,11 +51,11 @@
 	ExitConflict    = 4 // another change took the revision that this one builds on
 )
 
-// Of calls. Both times are chosen, not measured.
+// Defaults of the calls to the fleet. Both times are chosen, not measured.
 const (
-	defaultServer = "127.0.0.1:8081"       // the default of badgerspoked's -listen-operators
-	patience      = 10 * time.Second       // for one command, all its calls together
-	retryPause    = 200 * time.Millisecond // between two calls of one command
+	defaultServer  = "127.0.0.1:8081"       // the default of badgerspoked's -listen-operators
+	commandTimeout = 10 * time.Second       // for all calls of one command together
+	retryPause     = 200 * time.Millisecond // between two calls of one command
 )
 
 // command is one command of the table.
@@ -63,35 +63,35 @@
 	name    string   // "account create"
 	args    []string // positional arguments, as usage shows them
 	example string
-	what    string // what it does, for usage
+	summary string // for usage
 	flags   func(fs *flag.FlagSet, in *input)
-	run     func(ctx context.Context, c operatorv1connect.OperatorServiceClient, in *input) (proto.Message, error)
+	run     func(ctx context.Context, c fleetClient, in *input) (proto.Message, error)
 }
 
-// input is what a command was given.
+// input is the arguments and flags of a command.
 type input struct {
 	args   []string
 	change *operatorv1.Change
 	server string
 	token  string
-	ca     string
+	caFile string
 
-	authority *x509.CertPool // nil without -tls-ca-file
-	json      bool
-	share     float64
-	limits    operatorv1.Limits
-	address   string
-	pool      string
-	kind      string
-	mark      string
-	slots     uint
-	models    string
-	adapt     string
-	version   string
-	never     string
-	fence     bool
-	keep      bool
-	set       map[string]bool // flags that were given
+	authority   *x509.CertPool // nil without -tls-ca-file
+	json        bool
+	share       float64
+	limits      operatorv1.Limits
+	address     string
+	pool        string
+	kind        string
+	mark        string
+	slots       uint
+	models      string
+	adapters    string
+	version     string
+	neverRepeat string
+	checksFence bool
+	keepOld     bool
+	set         map[string]bool // flags that were given
 }
 
 // Run runs one command and returns the exit code.
@@ -115,7 +115,7 @@
 		fmt.Fprintf(stderr, "badgerspoke %s: %v\n", cmd.name, err)
 		return ExitUsage
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	answer, err := callLeader(ctx, cmd, in)
 	if err != nil {
@@ -147,10 +147,10 @@
 	fs.SetOutput(stderr)
 	fs.StringVar(&in.server, "server", cmp.Or(getenv(settings.EnvPrefix+"SERVER"), defaultServer), "operators' address of any control box")
 	fs.StringVar(&in.token, "token", getenv(settings.EnvPrefix+"TOKEN"), "operators' token, or @FILE")
-	fs.StringVar(&in.ca, "tls-ca-file", getenv(settings.EnvName("tls-ca-file")), "authority of the boxes' certificates; the call is then encrypted")
+	fs.StringVar(&in.caFile, "tls-ca-file", getenv(settings.EnvName("tls-ca-file")), "authority of the boxes' certificates; the call is then encrypted")
 	fs.BoolVar(&in.json, "json", false, "print the answer as JSON")
 	fs.Usage = func() {
-		fmt.Fprintf(stderr, "%s\n\n  badgerspoke %s %s\n\nExample:\n  %s\n\nFlags:\n", cmd.what, cmd.name, strings.Join(cmd.args, " "), cmd.example)
+		fmt.Fprintf(stderr, "%s\n\n  badgerspoke %s %s\n\nExample:\n  %s\n\nFlags:\n", cmd.summary, cmd.name, strings.Join(cmd.args, " "), cmd.example)
 		fs.PrintDefaults()
 	}
 	in.change = &operatorv1.Change{Id: newChangeID()}
@@ -180,16 +180,16 @@
 
 // readAuthority reads the file of -tls-ca-file.
 func (in *input) readAuthority() error {
-	if in.ca == "" {
+	if in.caFile == "" {
 		return nil
 	}
-	b, err := os.ReadFile(in.ca)
+	b, err := os.ReadFile(in.caFile)
 	if err != nil {
 		return err
 	}
 	in.authority = x509.NewCertPool()
 	if !in.authority.AppendCertsFromPEM(b) {
-		return fmt.Errorf("%s holds no certificate", in.ca)
+		return fmt.Errorf("%s holds no certificate", in.caFile)
 	}
 	return nil
 }
@@ -205,8 +205,8 @@
 	return err
 }
 
-// callLeader runs the command at the given box, at the one that it names as
-// the leader, and again while nobody leads or an answer was lost.
+// callLeader runs the command at the given box or at the leader that it names,
+// and again while nobody leads or an answer was lost.
 func callLeader(ctx context.Context, cmd *command, in *input) (proto.Message, error) {
 	server := in.server
 	for {
@@ -231,7 +231,7 @@
 	return code == connect.CodeUnavailable || code == connect.CodeDeadlineExceeded
 }
 
-func client(server string, in *input) operatorv1connect.OperatorServiceClient {
+func client(server string, in *input) fleetClient {
 	scheme, hc := "http://", http.DefaultClient
 	if in.authority != nil {
 		scheme = "https://"
@@ -260,7 +260,7 @@
 	return ExitRefused
 }
 
-// explain returns what an operator can do about an error.
+// explain returns an error with what an operator needs to act on it.
 func explain(err error) string {
 	if bad, ok := detail[*operatorv1.Invalid](err); ok {
 		lines := []string{"refused:"}
@@ -299,7 +299,7 @@
 	fmt.Fprintln(w, "badgerspoke drives a router fleet.")
 	fmt.Fprintln(w)
 	for _, c := range commands {
-		fmt.Fprintf(w, "  badgerspoke %-40s %s\n", strings.TrimSpace(c.name+" "+strings.Join(c.args, " ")), c.what)
+		fmt.Fprintf(w, "  badgerspoke %-40s %s\n", strings.TrimSpace(c.name+" "+strings.Join(c.args, " ")), c.summary)
 	}
 	fmt.Fprintf(w, "  badgerspoke %-40s %s\n", "explain ID [FILE ...]", "print the life of a request from logs")
 	fmt.Fprintln(w)
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -16,13 +16,14 @@
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 )
 
-// This file defines the commands.
+// This file defines the table of the commands, their flags and their calls.
 
+// fleetClient makes the operators' calls.
 type fleetClient = operatorv1connect.OperatorServiceClient
 
 var commands = []command{
 	{
-		name: "account create", args: []string{"NAME"}, what: "create a client account and print its key once",
+		name: "account create", args: []string{"NAME"}, summary: "create a client account and print its key once",
 		example: "badgerspoke account create hotel-adria -share 3",
 		flags:   accountFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
@@ -32,32 +33,32 @@
 		},
 	},
 	{
-		name: "account list", what: "list the client accounts", example: "badgerspoke account list -json",
+		name: "account list", summary: "list the client accounts", example: "badgerspoke account list -json",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
 			return message(c.ListAccounts(ctx, connect.NewRequest(&operatorv1.ListAccountsRequest{})))
 		},
 	},
 	{
-		name: "account set", args: []string{"NAME"}, what: "change an account's share or limits",
+		name: "account set", args: []string{"NAME"}, summary: "change an account's share or limits",
 		example: "badgerspoke account set hotel-adria -share 5 -max-waiting 200",
 		flags:   accountFlags,
 		run:     setAccount,
 	},
 	{
-		name: "account rotate-key", args: []string{"NAME"}, what: "give an account a new key and print it once",
+		name: "account rotate-key", args: []string{"NAME"}, summary: "give an account a new key and print it once",
 		example: "badgerspoke account rotate-key hotel-adria -keep-old",
 		flags: func(fs *flag.FlagSet, in *input) {
 			changeFlags(fs, in)
-			fs.BoolVar(&in.keep, "keep-old", false, "keep the earlier keys valid until they are revoked")
+			fs.BoolVar(&in.keepOld, "keep-old", false, "keep the earlier keys valid until they are revoked")
 		},
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.RotateKey(ctx, connect.NewRequest(&operatorv1.RotateKeyRequest{
-				Change: in.change, Name: in.args[0], KeepOld: in.keep,
+				Change: in.change, Name: in.args[0], KeepOld: in.keepOld,
 			})))
 		},
 	},
 	{
-		name: "account revoke-key", args: []string{"NAME", "HASH"}, what: "revoke one key, by its hash as the list shows it",
+		name: "account revoke-key", args: []string{"NAME", "HASH"}, summary: "revoke one key, by its hash as the list shows it",
 		example: "badgerspoke account revoke-key hotel-adria 2bb80d537b1d", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.RevokeKey(ctx, connect.NewRequest(&operatorv1.RevokeKeyRequest{
@@ -66,19 +67,19 @@
 		},
 	},
 	{
-		name: "account remove", args: []string{"NAME"}, what: "remove an account; what waits is told so",
+		name: "account remove", args: []string{"NAME"}, summary: "remove an account; what waits is told so",
 		example: "badgerspoke account remove hotel-adria", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.RemoveAccount(ctx, connect.NewRequest(&operatorv1.RemoveAccountRequest{Change: in.change, Name: in.args[0]})))
 		},
 	},
 	{
-		name: "server add", args: []string{"NAME"}, what: "add a backend server",
+		name: "server add", args: []string{"NAME"}, summary: "add a backend server",
 		example: "badgerspoke server add engine-7 -address 10.0.3.7:8000 -pool llm -slots 16 -models badger-small -mark serving",
 		flags:   serverFlags, run: addServer,
 	},
 	{
-		name: "server mark", args: []string{"NAME", "joining|serving|leaving"}, what: "mark a backend server",
+		name: "server mark", args: []string{"NAME", "joining|serving|leaving"}, summary: "mark a backend server",
 		example: "badgerspoke server mark engine-7 leaving", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
@@ -87,31 +88,31 @@
 		},
 	},
 	{
-		name: "server list", what: "list the backend servers", example: "badgerspoke server list",
+		name: "server list", summary: "list the backend servers", example: "badgerspoke server list",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
 			return message(c.ListServers(ctx, connect.NewRequest(&operatorv1.ListServersRequest{})))
 		},
 	},
 	{
-		name: "server remove", args: []string{"NAME"}, what: "remove a backend server that is not serving",
+		name: "server remove", args: []string{"NAME"}, summary: "remove a backend server that is not serving",
 		example: "badgerspoke server remove engine-7", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return message(c.RemoveServer(ctx, connect.NewRequest(&operatorv1.RemoveServerRequest{Change: in.change, Name: in.args[0]})))
 		},
 	},
 	{
-		name: "status", what: "show how the fleet stands", example: "badgerspoke status",
+		name: "status", summary: "show how the fleet stands", example: "badgerspoke status",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
 			return message(c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{})))
 		},
 	},
 	{
-		name: "await", args: []string{"REVISION"}, what: "wait until a revision is in force everywhere",
+		name: "await", args: []string{"REVISION"}, summary: "wait until a revision is in force everywhere",
 		example: "badgerspoke await 42", run: awaitRevision,
 	},
 }
 
-// message turns a typed answer into a plain one.
+// message returns the message of an answer, whatever its type.
 func message[T any, P interface {
 	*T
 	proto.Message
@@ -150,10 +151,10 @@
 	fs.StringVar(&in.kind, "kind", "engine", "engine or service")
 	fs.StringVar(&in.mark, "mark", "joining", "joining or serving")
 	fs.StringVar(&in.models, "models", "", "models, separated by commas")
-	fs.StringVar(&in.adapt, "adapters", "", "adapters, separated by commas")
+	fs.StringVar(&in.adapters, "adapters", "", "adapters, separated by commas")
 	fs.StringVar(&in.version, "version", "", "version")
-	fs.BoolVar(&in.fence, "checks-fence", false, "it refuses orders of an older epoch")
-	fs.StringVar(&in.never, "never-repeat", "", "calls that may not be repeated: \"METHOD /path\", separated by commas")
+	fs.BoolVar(&in.checksFence, "checks-fence", false, "it refuses orders of an older epoch")
+	fs.StringVar(&in.neverRepeat, "never-repeat", "", "calls that may not be repeated: \"METHOD /path\", separated by commas")
 }
 
 func setAccount(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
@@ -174,7 +175,7 @@
 	}
 	return message(c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: in.change, Server: &operatorv1.Server{
 		Name: in.args[0], Pool: in.pool, Address: in.address, Kind: kind, Mark: markOf(in.mark), Slots: uint32(in.slots),
-		Models: list(in.models), Adapters: list(in.adapt), Version: in.version, ChecksFence: in.fence, NeverRepeat: list(in.never),
+		Models: list(in.models), Adapters: list(in.adapters), Version: in.version, ChecksFence: in.checksFence, NeverRepeat: list(in.neverRepeat),
 	}})))
 }
 
@@ -186,8 +187,8 @@
 	return message(c.AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: revision})))
 }
 
-// markOf returns the mark of that name, or unspecified, which the fleet
-// refuses with the reason.
+// markOf returns the mark of that name, or unspecified, which the fleet refuses
+// with its reason.
 func markOf(name string) operatorv1.Mark {
 	return operatorv1.Mark(operatorv1.Mark_value["MARK_"+strings.ToUpper(name)])
 }
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -32,7 +32,8 @@
 		return ExitRefused
 	}
 	if !decision.Explain(stdout, lines, args[0]) {
-		fmt.Fprintf(stderr, "badgerspoke explain: no line about %q: its lines may have been thinned (see 'log lines dropped'), or it met other processes\n", args[0])
+		fmt.Fprintf(stderr, "badgerspoke explain: no line about %q: its lines may have been thinned "+
+			"(see 'log lines dropped'), or it met other processes\n", args[0])
 		return ExitRefused
 	}
 	return ExitOK
--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -22,7 +22,7 @@
 
 // Exit codes.
 const (
-	exitOK       = 0
+	exitOK       = 0 // stopped by a signal, or the settings were only checked
 	exitFailed   = 1 // an address cannot be listened on
 	exitSettings = 2 // the settings are invalid
 )
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -127,7 +127,8 @@
 	return badgerspoke.Start(ctx, cfg)
 }
 
-// devDefaults fills in what a fleet of one process needs.
+// devDefaults sets what a fleet of one process needs. clean removes the data folder
+// that it makes if none is set.
 func devDefaults(d *settings.Daemon) (clean func(), err error) {
 	d.Roles = []string{settings.Router, settings.Control}
 	if d.Name == "" {
@@ -143,16 +144,17 @@
 	return func() { os.RemoveAll(d.DataDir) }, err
 }
 
-// devPatience bounds the first configuration of a development fleet, which waits
+// devTimeout bounds the first configuration of a development fleet, which waits
 // until the group has a leader. Chosen, not measured.
-const devPatience = 20 * time.Second
+const devTimeout = 20 * time.Second
 
+// fillDev configures a development fleet and starts its backend servers.
 func fillDev(ctx context.Context, d settings.Daemon) (stop func(), err error) {
 	servers, err := dev.StartServers()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, devPatience)
+	ctx, cancel := context.WithTimeout(ctx, devTimeout)
 	defer cancel()
 	if err := servers.Configure(ctx, d.ListenOperators); err != nil {
 		servers.Close()
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -5,9 +5,10 @@
 //
 // The model: every flag -some-name has an environment variable
 // BADGERSPOKE_SOME_NAME; a flag given on the command line goes before the
-// variable, the variable before the default. [Parse] never stops at the first
-// mistake: [Invalid] lists every one. Secrets come from files only, so that
-// they appear neither in a process list nor in an environment.
+// variable, the variable before the default. [Parse] lists every mistake in
+// [Invalid]; only a malformed flag on the command line ends it at once. Secrets
+// come from files only, so that they appear neither in a process list nor in an
+// environment.
 //
 // The package owns nothing after Parse, relies on state/config for what a valid name
 // is, and has no locks.
@@ -33,10 +34,10 @@
 
 // Daemon is the checked settings of one box.
 type Daemon struct {
-	Roles             []string
+	Roles             []string // Router, Control, or both
 	Name              string
 	Hall              string
-	ListenCallers     string
+	ListenCallers     string // IP:PORT, as the next two
 	ListenOperators   string
 	ListenFleet       string
 	Control           map[string]string // control replicas: name → fleet address
@@ -44,13 +45,13 @@
 	FleetKey          []byte
 	TLS               *TLS // nil without certificates
 	OperatorToken     string
-	Lease             time.Duration
-	Wait              time.Duration
-	Grace             time.Duration
-	StopTimeout       time.Duration
-	ControlBudget     float64
-	Overcommit        float64
-	StopWithoutLeader bool
+	Lease             time.Duration // of a router, from the sending of its renewal
+	Wait              time.Duration // longest wait of a request for its turn
+	Grace             time.Duration // for which a stopping router still takes requests
+	StopTimeout       time.Duration // for running requests to end after a stop
+	ControlBudget     float64       // bytes a second on one link in one direction
+	Overcommit        float64       // part of an engine's slots that is granted beyond them
+	StopWithoutLeader bool          // a router stops without a leader, whatever a majority reports
 	LogLevel          string
 	LogFormat         string
 	Dev               bool
@@ -70,7 +71,7 @@
 // Bounds of settings. All are chosen, not measured.
 const (
 	MinFleetKey      = 16                     // bytes of the fleet key
-	minLease         = 500 * time.Millisecond // of a router; it renews six times in a lease
+	minLease         = 500 * time.Millisecond // of a router, which renews six times in a lease
 	maxLease         = 8 * time.Second        // with the margin still below the 9 s of docs/CAPACITY.md
 	minControlBudget = 500                    // bytes a second
 )
@@ -83,7 +84,7 @@
 	return "invalid settings:\n  " + strings.Join(e.Mistakes, "\n  ")
 }
 
-// raw is what flags hold before it is checked.
+// raw holds the values of the flags before they are checked.
 type raw struct {
 	d                           Daemon
 	role, control, noLeader     string
@@ -91,8 +92,9 @@
 	tlsCert, tlsKey, tlsCA      string
 }
 
-// Parse reads args and the environment. It returns [flag.ErrHelp] for -h, and
-// [Invalid] when something is wrong. Usage is written to usage.
+// Parse reads args and the environment. It returns [flag.ErrHelp] for -h, the flag
+// package's error for a malformed flag, and [Invalid] for all else that is wrong.
+// Usage is written to usage.
 func Parse(args []string, getenv func(string) string, usage io.Writer) (Daemon, error) {
 	var r raw
 	fs := r.flags(usage)
@@ -184,14 +186,15 @@
 	d.StopWithoutLeader = r.noLeader == "stop"
 	d.TLS = c.tls(r.tlsCert, r.tlsKey, r.tlsCA)
 	if d.Dev {
-		c.that(r.operatorsFile == "" && r.fleetKeyFile == "", "-dev: has its own token and key; -operator-token-file and -fleet-key-file can't be used with it")
+		c.that(r.operatorsFile == "" && r.fleetKeyFile == "",
+			"-dev: has its own token and key; -operator-token-file and -fleet-key-file can't be used with it")
 		return c.found
 	}
 	r.checkFleet(&c)
 	return c.found
 }
 
-// checkFleet checks what -dev fills in by itself.
+// checkFleet checks the settings that -dev replaces by its own.
 func (r *raw) checkFleet(c *checks) {
 	d := &r.d
 	c.that(config.ValidName(d.Name), "-name: must be 1 to 63 letters, digits, dots, dashes or underscores")
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -8,13 +8,13 @@
 	"os"
 )
 
-// This file defines TLS, what the certificate files become.
+// This file defines TLS, the configurations made from the certificate files.
 
 // TLS holds the three configurations that a box needs.
 type TLS struct {
-	Door  *tls.Config // of listeners for callers and operators, who need no certificate
-	Fleet *tls.Config // of the listener for boxes, which need one
-	Dial  *tls.Config // towards other boxes
+	Clients *tls.Config // of listeners for callers and operators, who need no certificate
+	Fleet   *tls.Config // of the listener for boxes, which need one
+	Dial    *tls.Config // for links to other boxes
 }
 
 // NewTLS returns the configurations for a box's certificate and the authority
@@ -25,7 +25,7 @@
 	fleet.ClientAuth, fleet.ClientCAs = tls.RequireAndVerifyClientCert, authority
 	dial := base.Clone()
 	dial.RootCAs = authority
-	return &TLS{Door: base, Fleet: fleet, Dial: dial}
+	return &TLS{Clients: base, Fleet: fleet, Dial: dial}
 }
 
 // tls reads the certificate files: all three, or none.
