--- a/callers_test.go
+++ b/callers_test.go
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestDoor(t *testing.T) {
+func TestRefusedRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := smallFleet(t)
 		tests := []struct {
@@ -147,7 +147,7 @@
 				switch {
 				case tt.outcome == "":
 					is.Equal(a.outcome, "")
-				case tt.status == 200: // the stream says so in an event, and does not look whole
+				case tt.status == 200: // the stream has an error event, and does not look whole
 					is.True(strings.Contains(a.body, "event: error"))
 					is.True(strings.Contains(a.body, `"outcome":"`+tt.outcome+`"`))
 					is.True(!strings.Contains(a.body, "[DONE]"))
@@ -187,7 +187,7 @@
 		is.NoErr(a.err)
 		is.Equal(a.body, whole)                          // byte for byte, nothing twice
 		is.Equal(e.Runs(), 2)                            // and not run again
-		is.Equal(a.header.Get("Badgerspoke-Resume"), "") // the way to it is no caller's business
+		is.Equal(a.header.Get("Badgerspoke-Resume"), "") // between servers and routers only
 		// A caller that goes away ends the run, though the engine could keep it.
 		ctx, cancel := context.WithCancel(context.Background())
 		r = completion("r1", "hotel", 10000, true)
@@ -212,7 +212,7 @@
 				failed++
 			}
 		}
-		is.True(f.engines["e1"].Runs() <= 110) // at most a tenth more than was asked for
+		is.True(f.engines["e1"].Runs() <= 110) // at most a tenth more than was sent
 		is.True(failed > 0)
 	})
 }
--- a/chaos_test.go
+++ b/chaos_test.go
@@ -60,7 +60,7 @@
 	f.account("after", 1) // and changes are accepted
 }
 
-// calls is what the callers did and learned.
+// calls are the callers of a fleet and what they recorded.
 type calls struct {
 	f  *testFleet
 	mu sync.Mutex
@@ -90,11 +90,11 @@
 	}
 }
 
-// patience is how long a caller waits for an answer.
-const patience = 5 * time.Second
+// callerTimeout is how long a caller waits for an answer.
+const callerTimeout = 5 * time.Second
 
 func (c *calls) do(r request) answer {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	r.ctx = ctx
 	return c.f.do(r)
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -75,7 +75,7 @@
 		args []string
 		err  error
 		code int
-		says string
+		text string
 	}{
 		{"done", []string{"server", "mark", "e1", "leaving"}, nil, ExitOK, "revision 8"},
 		{"json", []string{"server", "mark", "e1", "leaving", "-json"}, nil, ExitOK, `"revision":`},
@@ -93,7 +93,7 @@
 			f := &fake{mark: func(*operatorv1.MarkServerRequest) error { return tt.err }}
 			code, stdout, stderr := run(t, f, tt.args...)
 			is.Equal(code, tt.code)
-			is.True(strings.Contains(stdout+stderr, tt.says))
+			is.True(strings.Contains(stdout+stderr, tt.text))
 			for _, token := range f.tokens {
 				is.Equal(token, "Bearer secret")
 			}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestLostAnswerIsAskedAgainUnderOneIdentifier(t *testing.T) {
+func TestLostAnswerIsResentUnderOneIdentifier(t *testing.T) {
 	is := is.New(t)
 	tries := 0
 	f := &fake{mark: func(*operatorv1.MarkServerRequest) error {
--- a/faults_test.go
+++ b/faults_test.go
@@ -31,7 +31,7 @@
 		f.account("late", 1) // changes are accepted again
 		f.start(old)
 		time.Sleep(4 * time.Second)
-		checkWhole(is, append(stop1(), stop2()...), 150) // nobody noticed
+		checkWhole(is, append(stop1(), stop2()...), 150) // no caller noticed
 		f.settle()
 	})
 }
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestNoLeaderButAMajorityIsHeard(t *testing.T) {
+func TestMajorityWithoutLeaderExtendsLeases(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 1)
--- a/golden_test.go
+++ b/golden_test.go
@@ -30,8 +30,8 @@
 	began time.Time
 }
 
-// say writes one line with the virtual time, in tenths of a second.
-func (s *transcript) say(who, format string, args ...any) {
+// write writes one line with the virtual time, in tenths of a second.
+func (s *transcript) write(who, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := time.Since(s.began).Round(100 * time.Millisecond).Seconds()
@@ -48,7 +48,7 @@
 // call makes a request and writes down the answer.
 func (s *transcript) call(r request) answer {
 	a := s.do(r)
-	s.say(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), describe(a))
+	s.write(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), describe(a))
 	return a
 }
 
@@ -97,11 +97,11 @@
 // the requests.
 func (s *transcript) together(rs ...request) {
 	for i, a := range s.startAll(rs...)() {
-		s.say(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), describe(a))
+		s.write(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), describe(a))
 	}
 }
 
-func (s *transcript) operator(format string, args ...any) { s.say("operator", format, args...) }
+func (s *transcript) operator(format string, args ...any) { s.write("operator", format, args...) }
 
 var sessions = []struct {
 	name    string
@@ -134,9 +134,9 @@
 		}
 		wait := s.startAll(flood...)
 		time.Sleep(2 * time.Second)
-		s.say("hotel → r1", "300 completions at once, 2 s ago")
+		s.write("hotel → r1", "300 completions at once, 2 s ago")
 		a := s.do(completion("r2", "notary", 20, true))
-		s.say("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
+		s.write("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
 		whole := 0
 		for _, a := range wait() {
 			if strings.HasSuffix(a.body, "[DONE]\n\n") {
@@ -144,7 +144,7 @@
 			}
 		}
 		s.align()
-		s.say("hotel → r1", "%d answers whole", whole)
+		s.write("hotel → r1", "%d answers whole", whole)
 	}},
 	{"server-leaving-under-load", 2, func(s *transcript) {
 		wait := s.startAll(completion("r1", "hotel", 250, true), completion("r1", "hotel", 250, true),
@@ -157,9 +157,9 @@
 		for range 6 {
 			s.call(completion("r1", "hotel", 2, true))
 		}
-		s.say("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
+		s.write("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
 		for _, a := range wait() {
-			s.say("long streams", "%s", describe(a))
+			s.write("long streams", "%s", describe(a))
 		}
 	}},
 	{"router-partitioned-and-rejoined", 2, func(s *transcript) {
@@ -167,11 +167,11 @@
 			s.net.Isolate("10.0.2.1", s.boxes[name].ip) // r1 reaches no control box
 		}
 		s.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
-		s.say("network", "r1 and the control boxes are cut off from each other")
+		s.write("network", "r1 and the control boxes are cut off from each other")
 		time.Sleep(4 * time.Second)
 		s.call(completion("r1", "hotel", 2, true))
 		s.net.Reunite()
-		s.say("network", "whole again")
+		s.write("network", "whole again")
 		s.settle()
 		s.align()
 		s.call(completion("r1", "hotel", 2, true))
@@ -181,12 +181,12 @@
 		wait := s.startAll(completion("r1", "hotel", 100, true))
 		time.Sleep(time.Second)
 		s.crash("r1")
-		s.say("r1", "killed while it streams")
-		s.say("hotel → r1", "completion  ←  %s", describe(wait()[0]))
+		s.write("r1", "killed while it streams")
+		s.write("hotel → r1", "completion  ←  %s", describe(wait()[0]))
 		s.start("r1")
 		s.settle()
 		s.align()
-		s.say("r1", "ready again, with no memory")
+		s.write("r1", "ready again, with no memory")
 		s.call(completion("r1", "hotel", 2, true))
 	}},
 	{"operators-racing", 1, func(s *transcript) {
@@ -206,7 +206,7 @@
 		try("ada-1", operatorv1.Mark_MARK_LEAVING)
 		try("eve-1", operatorv1.Mark_MARK_LEAVING)
 		s.crash(leader)
-		s.say(leaderWord, "killed")
+		s.write(leaderName, "killed")
 		leader = s.leader()
 		s.align()
 		try("ada-1", operatorv1.Mark_MARK_LEAVING)
@@ -215,7 +215,7 @@
 	{"leader-cut-off-in-silence", 2, func(s *transcript) {
 		old := s.leader()
 		s.net.Cut(s.boxes[old].ip)
-		s.say(leaderWord, "cut off in silence")
+		s.write(leaderName, "cut off in silence")
 		time.Sleep(10 * time.Second)
 		s.call(completion("r1", "hotel", 2, true))
 		s.account("late", 1)
@@ -226,7 +226,7 @@
 		back := s.leader() == old
 		s.settle()
 		s.align()
-		s.say("the old leader", "is back; leads: %t", back)
+		s.write("the old leader", "is back; leads: %t", back)
 		s.call(completion("r2", "late", 2, true))
 	}},
 	{"second-box-lost-after-a-repair", 1, func(s *transcript) {
@@ -235,12 +235,12 @@
 			s.loseDisk(lost)
 			time.Sleep(2 * time.Second)
 			s.align()
-			s.say(lost, "lost its disk, was repaired and votes again")
+			s.write(lost, "lost its disk, was repaired and votes again")
 		}
 		s.settle()
 		s.align()
 		s.call(order("r1", "hotel", "12 towels", "k1"))
-		s.say("s1", "ran it %d time", s.services["s1"].Runs("12 towels"))
+		s.write("s1", "ran it %d time", s.services["s1"].Runs("12 towels"))
 	}},
 	{"keyed-request-at-two-routers", 2, func(s *transcript) {
 		rs := []request{order("r1", "hotel", "5 robes", "k2"), order("r2", "hotel", "5 robes", "k2")}
@@ -248,18 +248,18 @@
 		for _, a := range s.startAll(rs...)() {
 			bodies[a.body] = a.status == 200
 		}
-		s.say("hotel → r1 and r2", "at once: /services/stock/orders 5 robes (key k2)  ←  both 200, %d answer", len(bodies))
-		s.say("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
+		s.write("hotel → r1 and r2", "at once: /services/stock/orders 5 robes (key k2)  ←  both 200, %d answer", len(bodies))
+		s.write("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
 		s.call(rs[1])
 		s.call(order("r1", "hotel", "6 robes", "k2"))
 		s.services["s1"].FailNext(standin.DieEarly)
 		s.call(order("r1", "hotel", "7 robes", "k3"))
 		s.call(order("r2", "hotel", "7 robes", "k3"))
-		s.say("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
+		s.write("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
 	}},
 }
 
-const leaderWord = "the leader"
+const leaderName = "the leader"
 
 func TestSessions(t *testing.T) {
 	for _, session := range sessions {
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -14,7 +14,7 @@
 )
 
 // This file checks that a keyed request runs at most once, wherever it is sent
-// and whatever dies meanwhile, and that its outcome is true for callers.
+// and whatever fails meanwhile, and that its outcome is true for callers.
 
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
@@ -60,7 +60,7 @@
 		first()
 		a := second()[0]
 		is.Equal(a.status, 409)
-		is.Equal(a.outcome, "unknown") // nobody knows, and nobody guesses
+		is.Equal(a.outcome, "unknown") // not guessed
 		is.Equal(f.services["s1"].Runs("towels"), 1)
 		f.start("r1")
 		f.settle()
--- a/operators_test.go
+++ b/operators_test.go
@@ -20,8 +20,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines what operators do at a testFleet, and checks what they are
-// promised: changes, revisions in force, servers that leave, planned stops,
+// This file defines what operators do at a testFleet, and checks what holds for
+// them: changes, revisions in force, servers that leave, planned stops,
 // and metrics.
 
 // operators returns a client of one control box.
@@ -189,7 +189,7 @@
 		is.Equal(conflict.GetWinnerSubjects(), []string{"server e1"})
 		f.crash(leader)
 		next := f.leader()
-		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // the answer was lost: ask again
+		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // the answer was lost: send it again
 		is.NoErr(err)
 		is.Equal(revision, base+1) // the first answer, from another leader
 		revision, err = mark(next, "carol", operatorv1.Mark_MARK_LEAVING)
@@ -293,7 +293,7 @@
 	})
 }
 
-func TestMetricsTellHowTheFleetStands(t *testing.T) {
+func TestMetricsOfTheFleet(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 1)
--- a/requests_test.go
+++ b/requests_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// start runs requests at once and returns a function that waits for their
+// startAll runs requests at once and returns a function that waits for their
 // answers.
 func (f *testFleet) startAll(rs ...request) func() []answer {
 	out := make([]answer, len(rs))
