--- a/callers_test.go
+++ b/callers_test.go
@@ -159,6 +159,26 @@
 	}
 }
 
+// TestRepeatedCallMayHaveRun: a call that was lost and sent again may have run,
+// whatever becomes of it afterwards.
+func TestRepeatedCallMayHaveRun(t *testing.T) {
+	inBubble(t, func(t *testing.T) {
+		is := is.New(t)
+		f := smallFleet(t)
+		for range 12 { // earn one retry
+			f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
+		}
+		f.engines["e1"].FailNext(standin.DieEarly)
+		f.engines["e1"].FailNext(standin.Refuse) // and no retry is left
+		a := f.do(completion("r1", "hotel", 4, false))
+		is.Equal(f.engines["e1"].Runs(), 1)
+		is.Equal(a.status, 502)
+		is.Equal(a.outcome, "unknown")
+		is.Equal(a.header.Get("Retry-After"), "")
+		is.True(strings.Contains(a.body, `"backend_broken"`))
+	})
+}
+
 func TestBrokenPlainAnswerNeverLooksWhole(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
--- a/router/call.go
+++ b/router/call.go
@@ -29,6 +29,7 @@
 	engine    bool   // the pool's servers are engines, not plain services
 	send      forward.Call
 	mayRepeat bool // it may be sent again though it may have run
+	repeated  bool // it was sent again though it may have run
 	body      []byte
 	blocks    []place.Block   // of an engine's prompt
 	keyed     *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
@@ -44,11 +45,23 @@
 	c.arrived = r.now()
 	r.countRequest()
 	if f := r.run(w, req.Context(), c); f != nil {
-		r.refuse(w, f)
+		r.refuse(w, c.trueOutcome(f))
 	}
 	r.stats.of(c).whole.Update((r.now() - c.arrived).Seconds())
 }
 
+// trueOutcome returns the failure with what is known of all attempts: what ended
+// the last one, or the wait for another, says nothing of those before.
+func (c *call) trueOutcome(f *Failure) *Failure {
+	switch {
+	case !c.repeated || f.Outcome != NotRun:
+		return f
+	case f.Code == failGone.Code:
+		return failGone
+	}
+	return failBroken
+}
+
 // run returns a failure if nothing was written to the caller yet.
 func (r *Router) run(w http.ResponseWriter, ctx context.Context, c *call) *Failure {
 	for {
@@ -189,6 +202,7 @@
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
 	if !gone && last.MayGoElsewhere(c.mayRepeat) && r.retry() {
+		c.repeated = c.repeated || last == retry.MayHaveRun
 		return true, nil
 	}
 	r.settle(c, claim, nil)
