--- /dev/null
+++ b/coordination/consensus/example_test.go
@@ -0,0 +1,41 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package consensus_test
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/consensus"
+	"github.com/badgerspoke/badgerspoke/protocol"
+)
+
+// A group of one replica forms, elects itself and commits a command. A caller
+// with a disk writes, sends and applies what Ready returns before Advance.
+func ExampleReplica() {
+	self := protocol.Peer{Name: "a", Incarnation: 1}
+	group := protocol.Snapshot{
+		Group: 7, Index: 1, Term: 1, Members: protocol.Membership{Voters: []protocol.Peer{self}},
+	}
+	r := consensus.New(consensus.Config{
+		Name: "config", Self: self, Election: time.Second, Heartbeat: 200 * time.Millisecond,
+		Rand: func(int64) int64 { return 0 },
+	}, 0, consensus.Durable{Hard: protocol.HardState{Term: 1}, Snapshot: group})
+	carryOut := func() {
+		for ready := r.Ready(); !ready.Empty(); ready = r.Ready() {
+			for _, e := range ready.Committed {
+				fmt.Printf("term %d, index %d: %q\n", e.Term, e.Index, e.Data)
+			}
+			r.Advance()
+		}
+	}
+	r.Tick(0)
+	carryOut()
+	if _, _, err := r.Propose([]byte("x=1")); err != nil {
+		fmt.Println(err)
+	}
+	carryOut()
+	// Output:
+	// term 2, index 2: ""
+	// term 2, index 3: "x=1"
+}
--- /dev/null
+++ b/coordination/place/example_test.go
@@ -0,0 +1,60 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package place_test
+
+import (
+	"bytes"
+	"fmt"
+	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
+	"github.com/badgerspoke/badgerspoke/coordination/place"
+)
+
+// An engine that publishes the events of its cache has them taken into the
+// index, here for a router that sent it nothing yet.
+func ExampleIndex_Take() {
+	x := place.NewIndex(1000)
+	prompt := place.Blocks(bytes.Repeat([]byte("x"), 2*place.BlockBytes))
+	x.Take("s1", place.Event{Seq: 1, Stored: prompt})
+	fmt.Println("after storing:", x.Benefit("s1", prompt))
+	x.Take("s1", place.Event{Seq: 3}) // event 2 was lost
+	fmt.Println("after a gap:", x.Benefit("s1", prompt))
+	x.Take("s1", place.Event{Seq: 4, Cleared: true})
+	fmt.Println("after clearing:", x.Benefit("s1", prompt))
+	// Output:
+	// after storing: 2
+	// after a gap: 1
+	// after clearing: 0
+}
+
+// A router prefers the server that should hold the prompt, until too much runs
+// there.
+func ExampleSlotPlacer() {
+	p := place.NewSlotPlacer(1000)
+	prompt := place.Blocks(bytes.Repeat([]byte("x"), 4*place.BlockBytes))
+	p.Index.Sent("s2", prompt)
+	free := []place.FreeServer{{Server: "s1", Slots: 4}, {Server: "s2", Slots: 4, Running: 1}}
+	fmt.Println(p.Choose(0, free, prompt))
+	p.Report("s2", place.Load{Running: 4, Waiting: 8})
+	fmt.Println(p.Choose(0, free, prompt))
+	// Output:
+	// s2 true
+	// s1 true
+}
+
+// A gateway chooses the cheapest server and learns whether it has room now.
+func ExampleRoomPlacer() {
+	var p place.RoomPlacer
+	r := place.Request{
+		Prompt: place.Prompt{Own: 2000}, Engine: true,
+		Class: entitlement.Entitled, Objective: 400 * time.Millisecond,
+	}
+	busy := place.Server{ID: "s1", Slots: 8, SameHall: true, Own: place.Work{Requests: 2, Tokens: 50_000}}
+	idle := place.Server{ID: "s2", Slots: 8, SameHall: true}
+	fmt.Printf("%+v\n", p.Choose(r, []place.Server{busy, idle}))
+	fmt.Printf("%+v\n", p.Choose(r, []place.Server{busy}))
+	// Output:
+	// {Index:1 Room:true Read:2000 Before:{Requests:0 Tokens:0}}
+	// {Index:0 Room:false Read:2000 Before:{Requests:2 Tokens:50000}}
+}
--- /dev/null
+++ b/coordination/retry/example_test.go
@@ -0,0 +1,47 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package retry_test
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/badgerspoke/badgerspoke/coordination/retry"
+	"github.com/badgerspoke/badgerspoke/state/document"
+)
+
+// What a server refused may go elsewhere, at the cost of the budget; what may
+// have run may not, unless its route allows a second run.
+func ExampleRequest_Again() {
+	r := retry.Request{Route: document.Route{MaxAttempts: 1}, TimeLeft: true}
+	for _, last := range []retry.Execution{retry.NotSent, retry.Refused, retry.MayHaveRun} {
+		after := r
+		after.Counts = r.With(last)
+		fmt.Println(after.Again(last))
+	}
+	// Output:
+	// true false
+	// true true
+	// false false
+}
+
+// A router's budget allows one retry for ten requests.
+func ExampleBudget() {
+	b := retry.DefaultBudget
+	for range 11 {
+		b.Request()
+	}
+	fmt.Println(b.Retry(), b.Retry())
+	// Output: true false
+}
+
+// Of several gateways each takes an even part of the fleet's extra retries.
+func ExampleWindow() {
+	w := retry.NewWindow(retry.Limits{Ratio: 0.1, Extra: 10, Window: 10 * time.Second})
+	allowed := 0
+	for w.Retry(time.Second, 2) {
+		allowed++
+	}
+	fmt.Println(allowed)
+	// Output: 3
+}
