--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -34,12 +34,11 @@
 	MaxInflight int // unanswered appends
 }
 
-// Defaults of Config, chosen, not measured. With 64 KiB a piece, a lost disk's
-// snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md).
+// Defaults of Config: chosen, not measured.
 const (
-	defaultMaxAppend   = 256 << 10
-	defaultMaxPiece    = 64 << 10
-	defaultMaxInflight = 32
+	defaultMaxAppend   = 256 << 10 // bytes of entries in one message
+	defaultMaxPiece    = 64 << 10  // bytes; a snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md)
+	defaultMaxInflight = 32        // appends
 )
 
 // withDefaults replaces what is zero.
@@ -93,8 +92,9 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Replica is the step function of one replica of one group. The Replica of package replica runs one, in a goroutine
-// with a clock and a disk. It is not safe for concurrent use.
+// Replica is the step function of one replica of one group. The Replica of
+// package replica runs one, in a goroutine with a clock and a disk. It is not
+// safe for concurrent use.
 type Replica struct {
 	cfg  Config
 	now  time.Duration
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -90,8 +90,8 @@
 
 // Defaults of Tuning. All three are chosen, not measured.
 const (
-	defaultElection  = 600 * time.Millisecond
-	defaultHeartbeat = 120 * time.Millisecond
+	defaultElection  = 600 * time.Millisecond // without a message of the leader
+	defaultHeartbeat = 120 * time.Millisecond // a fifth of that
 	// defaultCompactAt is in bytes: about 16,000 changes of a configuration
 	// (estimated in docs/CAPACITY.md).
 	defaultCompactAt = 4 << 20
