--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -196,20 +196,20 @@
 	c.step(m.To.Name, func(to *member) { to.take(c, m) })
 }
 
-func (to *member) take(c *cluster, m protocol.Consensus) {
-	if to.r != nil {
-		if !to.r.AnswerBlankQuery(c.now, m) {
-			to.r.Step(c.now, m)
+func (m *member) take(c *cluster, msg protocol.Consensus) {
+	if m.r != nil {
+		if !m.r.AnswerBlankQuery(c.now, msg) {
+			m.r.Step(c.now, msg)
 		}
 		return
 	}
-	if m.To == to.self() && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
-		to.begin(c, Durable{})
-		to.r.Step(c.now, m)
+	if msg.To == m.self() && (msg.Kind == protocol.MsgAppend || msg.Kind == protocol.MsgSnapshot) {
+		m.begin(c, Durable{})
+		m.r.Step(c.now, msg)
 		return
 	}
-	if s, ok := to.formation.Step(m); ok {
-		to.found(c, s)
+	if s, ok := m.formation.Step(msg); ok {
+		m.found(c, s)
 	}
 }
 
--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -33,7 +33,7 @@
 			c.deliver(0)
 		}
 	}
-	c.net = nil // and nobody hears of it
+	c.net = nil // and no other replica gets it
 	c.mustLead()
 	c.settle(200 * time.Millisecond)
 	c.checkSame()
@@ -101,8 +101,8 @@
 	l := c.mustLead()
 	c.propose(l)
 	c.settle(50 * time.Millisecond)
-	// The leader and a follower vanish; the third loses its disk. Nobody who
-	// is left knows what was accepted, so nobody may lead.
+	// The leader and a follower vanish; the third loses its disk. No replica
+	// that is left holds what was accepted, so none may lead.
 	for _, n := range c.names {
 		if n != l {
 			c.kill(n)
@@ -155,7 +155,7 @@
 	l := c.mustLead()
 	lonely, forgetful := others(c, l)[0], others(c, l)[1]
 	c.cut[lonely] = true
-	c.settle(400 * time.Millisecond) // lonely wants to be elected by now
+	c.settle(400 * time.Millisecond) // lonely campaigns by now
 	c.kill(forgetful)
 	c.start(forgetful)
 	lease := c.members[l].r.leaseEnd()
@@ -323,8 +323,8 @@
 }
 
 // TestRestartInTurnElectsSoon restarts a whole group one after the other. Those
-// that are back first ask too early for the others, which may have promised
-// their vote to a leader before; they ask again soon instead of waiting for an
+// that are back first campaign too early for the others, which may have followed
+// a leader before; they repeat it soon instead of waiting for an
 // election timeout more.
 func TestRestartInTurnElectsSoon(t *testing.T) {
 	is := is.New(t)
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// This file tests open groups: found through seeds, grown by whoever asks,
-// repaired by whoever comes instead.
+// This file tests open groups: found through seeds, grown by every replica that joins,
+// repaired by a new one.
 
 const openVoters = 5
 
@@ -122,7 +122,7 @@
 }
 
 // TestJoinsThroughAnyMember starts a blank replica whose only seed is a
-// follower: it must find the leader through the members that it hears of.
+// follower: it must find the leader through the members that it is sent.
 func TestJoinsThroughAnyMember(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 6, "a", "b", "c", "d")
@@ -207,7 +207,7 @@
 }
 
 // TestRepairerIsLost loses the leader right after it has begun to repair a
-// replica without a disk: the next one knows nothing of that replica, which
+// replica without a disk: the next one has no trace of that replica, which
 // must find the group again by itself.
 func TestRepairerIsLost(t *testing.T) {
 	is := is.New(t)
@@ -226,7 +226,7 @@
 		c.tick(5 * time.Millisecond)
 		c.drain()
 	}
-	for _, n := range c.names { // nobody else hears that it is taken in
+	for _, n := range c.names { // no other replica gets that it is taken in
 		c.cut[n] = n != old && n != lost
 	}
 	for c.members[lost].r == nil {
@@ -235,7 +235,7 @@
 			c.deliver(0)
 		}
 	}
-	c.net = nil // it has heard one message and no more
+	c.net = nil // it has received one message and no more
 	c.kill(old)
 	c.cut = map[string]bool{}
 	c.mustLead()
--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -118,10 +118,10 @@
 	is.Equal(c.index, 1)
 }
 
-// TestOverloadedEnginesGiveWayInOrder loads the engines of a prompt's order one
+// TestOverloadedEnginesAreLeftInOrder loads the engines of a prompt's order one
 // after the other: each time all routers find the same next one, where others of
 // its kind have gone before it.
-func TestOverloadedEnginesGiveWayInOrder(t *testing.T) {
+func TestOverloadedEnginesAreLeftInOrder(t *testing.T) {
 	is := is.New(t)
 	p := promptOf("a")
 	engines := idleEngines(12)
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -126,7 +126,7 @@
 	})
 }
 
-// restart makes a router forget everything and cancels what it ran.
+// restart makes a router lose its state and cancels what it ran.
 func (f *fleet) restart(i int) {
 	r := f.routers[i]
 	for p := range f.shape.pools {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -133,8 +133,8 @@
 	r.pacer.Sent(r.f.now, n, true)
 }
 
-// send carries a message to the allocator, if the link still stands when it
-// arrives.
+// send carries a message to the allocator, if the link is still open when
+// it arrives.
 func (r *testRouter) send(m protocol.Message, do func(*slots.Allocator)) int {
 	n := r.count(m)
 	link := r.link
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -235,7 +235,7 @@
 	}
 }
 
-// arrive brings one request to a router that the balancer believes in.
+// arrive brings one request to a router that the balancer takes for ready.
 func (f *fleet) arrive(account, p int) {
 	r := f.routers[account%len(f.routers)]
 	if f.rng.Float64() >= f.shape.accounts[account].home || !r.ready() {
--- a/coordination/slots/measure_test.go
+++ b/coordination/slots/measure_test.go
@@ -24,7 +24,7 @@
 	largest  float64         // cost
 	ended    int
 	lost     int
-	longest  time.Duration // wait of anybody
+	longest  time.Duration // wait of any request
 	idleRun  []time.Duration
 	maxIdle  time.Duration // longest time with a free slot while work waited
 }
@@ -139,19 +139,19 @@
 	}
 }
 
-func (pr *pair) sample(now map[int]float64) {
-	a, okA := now[pr.a]
-	b, okB := now[pr.b]
+func (p *pair) sample(now map[int]float64) {
+	a, okA := now[p.a]
+	b, okB := now[p.b]
 	if !okA || !okB {
-		pr.both = false
+		p.both = false
 		return
 	}
 	d := a - b
-	if !pr.both {
-		pr.both, pr.low, pr.high = true, d, d
+	if !p.both {
+		p.both, p.low, p.high = true, d, d
 	}
-	pr.low, pr.high = min(pr.low, d), max(pr.high, d)
-	pr.gap = max(pr.gap, pr.high-pr.low)
+	p.low, p.high = min(p.low, d), max(p.high, d)
+	p.gap = max(p.gap, p.high-p.low)
 }
 
 // sampleUse counts the slots in use while work waits.
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -13,7 +13,7 @@
 
 // This file checks the promises of the package comment over random fleets,
 // loads and faults: the gap stays inside the bound, no slot is granted twice,
-// no slot stays free for long while work waits, and everybody is served.
+// no slot stays free for long while work waits, and every account is served.
 
 // TestPromisesOverRandomSchedules runs random fleets.
 func TestPromisesOverRandomSchedules(t *testing.T) {
@@ -107,7 +107,7 @@
 
 // checkGrants checks that routers together never hold more slots of a server
 // than it has, counting those of routers whose lease runs. After a partition,
-// requests that run on past a lease are told by the router when it is back,
+// requests that run on past a lease are reported by the router when it is back,
 // and may then exceed the slots.
 func (f *fleet) checkGrants(t *rapid.T, partitioned bool) {
 	extra := f.shape.pools[0].extra()
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -114,15 +114,15 @@
 		at   time.Duration
 		want int
 	}{
-		{"nobody has told", func(*slots.Allocator) {}, lease.Length, 0},
+		{"no router has reported", func(*slots.Allocator) {}, lease.Length, 0},
 		{"the lease and its margin have passed", func(*slots.Allocator) {}, lease.Length + lease.Margin, 2},
-		{"it told that it holds none", func(a *slots.Allocator) {
+		{"it reported that it holds none", func(a *slots.Allocator) {
 			a.Open(0, protocol.Hello{Router: "old", Boot: 9})
 		}, 0, 2},
-		{"it told that it holds one", func(a *slots.Allocator) {
+		{"it reported that it holds one", func(a *slots.Allocator) {
 			a.Open(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 		}, 0, 1},
-		{"another process of its name told", func(a *slots.Allocator) {
+		{"another process of its name reported", func(a *slots.Allocator) {
 			a.Open(0, protocol.Hello{Router: "old", Boot: 10})
 		}, 0, 0},
 	}
@@ -219,7 +219,7 @@
 	a.Open(0, protocol.Hello{Router: "poor", Boot: 2})
 	a.Report(0, "poor", waits("a", 1))
 	a.Allocate(0)
-	is.Equal(told(a, 0)["rich"].Recall, 1) // one request waits, so one slot is asked back, not both
+	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one request waits, so one slot is recalled, not both
 }
 
 func TestFreeSlotElsewhereIsRecalledForARouterWithSlots(t *testing.T) {
@@ -230,7 +230,7 @@
 	a.Open(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	a.Report(0, "busy", waits("a", 3))
 	a.Allocate(0)
-	is.Equal(told(a, 0)["idle"].Recall, 1) // it is free there and wanted here
+	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // it is free there and wanted here
 }
 
 func TestRouterWithoutAnySlotIsGivenOneInUse(t *testing.T) {
@@ -240,34 +240,34 @@
 	a.Open(0, protocol.Hello{Router: "poor", Boot: 2})
 	a.Report(0, "poor", waits("a", 3))
 	a.Allocate(0)
-	is.Equal(told(a, 0)["rich"].Recall, 1) // one, for a router that has none; not three
+	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one, for a router that has none; not three
 	a.Allocate(0)
-	is.Equal(told(a, 0)["rich"].Recall, 0) // and not again while it is on its way
+	is.Equal(viewsOf(a, 0)["rich"].Recall, 0) // and not again while it is on its way
 }
 
-func TestShortnessIsTold(t *testing.T) {
+func TestShortnessIsSent(t *testing.T) {
 	is := is.New(t)
 	a := bench()
 	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.Report(0, "r1", waits("a", 2))
 	a.Allocate(0)
-	is.True(!told(a, 0)["r1"].Short) // two wait, two slots
+	is.True(!viewsOf(a, 0)["r1"].Short) // two wait, two slots
 	a.Report(0, "r1", protocol.Report{ViewSeq: 1, Pools: []protocol.PoolReport{{
 		Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Waiting: 3, Running: 2}},
 	}}})
 	a.Allocate(0)
-	is.True(told(a, 0)["r1"].Short) // three more wait, and nothing is free
+	is.True(viewsOf(a, 0)["r1"].Short) // three more wait, and nothing is free
 	a.Report(0, "r1", protocol.Report{ViewSeq: 2, Pools: []protocol.PoolReport{{
 		Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Running: 2}},
 	}}})
 	a.Allocate(0)
-	v, sent := told(a, 0)["r1"]
-	is.True(sent) // the end of it is told too
+	v, sent := viewsOf(a, 0)["r1"]
+	is.True(sent) // its end is sent too
 	is.True(!v.Short)
 }
 
-// told returns what the views that are due say of pool p, by router.
-func told(a *slots.Allocator, now time.Duration) map[string]protocol.PoolView {
+// viewsOf returns pool p in the views that are due, by router.
+func viewsOf(a *slots.Allocator, now time.Duration) map[string]protocol.PoolView {
 	out := map[string]protocol.PoolView{}
 	for _, o := range a.Views(now) {
 		for _, p := range o.View.Pools {
@@ -300,7 +300,7 @@
 	h.Start("s")
 	h.Expire()
 	is.Equal(h.Idle(), 0)
-	is.Equal(h.Held(), []protocol.Held{{Server: "s", Slots: 1}}) // what runs is told truly
+	is.Equal(h.Held(), []protocol.Held{{Server: "s", Slots: 1}}) // what runs is reported, lease or not
 	h.Done(0, "s")
 	is.Equal(h.Idle(), 1)
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -5,7 +5,7 @@
 //
 // The files pin what other processes, disks and people rely on: bytes on the
 // wire and on disk, and the names of metrics, flags and log attributes. A
-// difference is a failed test. The flag -update writes the files anew, which
+// difference is a failed test. The flag -update rewrites the files, which
 // only a deliberate change of a format justifies.
 //
 // It is imported by tests only.
@@ -27,9 +27,9 @@
 // This file defines the comparisons and the check that a pinned value leaves
 // no field out.
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Update reports whether the golden files are to be written anew.
+// Update reports whether the golden files are to be rewritten.
 func Update() bool { return *update }
 
 // Text compares text with a file.
@@ -91,7 +91,7 @@
 	return entries
 }
 
-// file returns a file's content, written anew if asked for.
+// file returns a file's content, after rewriting it with -update.
 func file(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -94,7 +94,7 @@
 		mustPropose(t, r)
 		d.FailSync()
 		_, err = r.Propose(t.Context(), []byte("x"))
-		is.True(errors.As(err, new(Stopped))) // told as undecided: it may be on the disk
+		is.True(errors.As(err, new(Stopped))) // an undecided outcome: it may be on the disk
 		is.True(errors.As(err, new(Undecided)) || errors.As(err, new(Stopped)))
 		<-r.Done()
 		is.True(errors.As(r.Err(), new(wal.Failed)))
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -13,9 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of changes, deltas, snapshots and the store in testdata/golden: they
-// lie on disks and in the logs of running fleets. Run with -update to write the
-// files anew, which only a deliberate change of the stored format justifies.
+// This file pins the bytes of changes, deltas, snapshots and the store in
+// testdata/golden: they are on disks and in the logs of running fleets. Run with
+// -update to rewrite the files, which only a deliberate change of the stored
+// format justifies.
 
 var (
 	goldenAccount = Account{
@@ -59,7 +60,7 @@
 	is.Equal([]Mark{Joining, Serving, Leaving}, []Mark{1, 2, 3})
 }
 
-// TestGoldenDigest pins how the content of a change is told from another's: a
+// TestGoldenDigest pins how the contents of two changes are distinguished: a
 // resend may come after an upgrade.
 func TestGoldenDigest(t *testing.T) {
 	is := is.New(t)
--- a/state/wal/contract_test.go
+++ b/state/wal/contract_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestDirContract runs one set of expectations against every implementation of
-// wal.Dir: the machine's folders, and the disk that stands in for them.
+// wal.Dir: the machine's folders, and the disk in memory that replaces them.
 func TestDirContract(t *testing.T) {
 	dirs := map[string]func(t *testing.T) wal.Dir{
 		"machine": func(t *testing.T) wal.Dir {
--- a/state/wal/golden_test.go
+++ b/state/wal/golden_test.go
@@ -13,7 +13,7 @@
 
 // This file pins the files of a log in testdata/golden: they lie on the disks
 // of running boxes. The format has no random and no time-dependent part. Run
-// with -update to write the files anew, which only a deliberate change of the
+// with -update to rewrite the files, which only a deliberate change of the
 // stored format justifies.
 
 var goldenRecords = [][]byte{[]byte("one"), {}, []byte("three\x00\xff"), []byte("four")}
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -91,7 +91,7 @@
 		n := fakenet.New(time.Millisecond)
 		_, err := client(t, n).Send(t.Context(), address, forward.Call{Method: "GET", Path: "/"})
 		is.True(errors.As(err, new(forward.NotRun)))
-		// Cut off before a connection stands: nothing was sent.
+		// Cut off before a connection is open: nothing was sent.
 		serve(t, n, &standin.Service{})
 		n.Cut("10.0.0.1")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/transport/link/golden_test.go
+++ b/transport/link/golden_test.go
@@ -15,7 +15,7 @@
 
 // This file pins the bytes of the handshake in testdata/golden, with nonces
 // that are not random: boxes of neighbouring versions must get past it. Run
-// with -update to write the files anew, which only a deliberate change of the
+// with -update to rewrite the files, which only a deliberate change of the
 // wire format justifies.
 
 func TestGoldenHandshake(t *testing.T) {
