--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -11,7 +11,7 @@
 
 // This file defines Formation, how replicas with blank disks become a group.
 //
-// A blank disk is either new or lost, and the replica cannot know which. So a
+// A blank disk is either new or lost, and the replica cannot find out which. So a
 // group forms only when every replica named in the settings answers that its
 // disk is blank: one that holds something proves that the group exists, and
 // its leader repairs the blank one instead. The replica whose name sorts
@@ -19,16 +19,16 @@
 // incarnation that it last answered, so a founder that lost its disk during
 // the foundation does not leave two groups behind.
 //
-// In a closed group a flag "this is the first start" was rejected: somebody
+// In a closed group a flag "this is the first start" was rejected: an operator
 // leaves it in the settings, and the first lost disk then founds a second
 // group.
 //
 // In an open group the settings do not name the members, only where some of them
 // are or were (seeds). The seeds of the first start found it, and only if the
-// operator says that it is the first start; any other blank replica sends queries
-// to the seeds, and to whomever they name, until the leader takes it in. There the
-// flag cannot be done without: a blank replica whose seeds are all cut off or new
-// cannot know whether a group exists.
+// operator sets the flag for it; any other blank replica sends queries
+// to the seeds, and to the members that they name, until the leader takes it in. There the
+// flag is needed: a blank replica whose seeds are all cut off or new
+// cannot find out whether a group exists.
 
 // Formation is a replica before it has a log. It is not safe for concurrent
 // use.
@@ -53,7 +53,9 @@
 
 // NewFormation returns a blank replica. groupID is a random number that names
 // the group if this replica founds it.
-func NewFormation(name string, self protocol.Peer, names []string, groupID uint64, interval time.Duration) *Formation {
+func NewFormation(
+	name string, self protocol.Peer, names []string, groupID uint64, interval time.Duration,
+) *Formation {
 	return &Formation{
 		name: name, self: self, names: slices.Sorted(slices.Values(names)),
 		groupID: groupID, interval: interval, answers: map[string]blankAnswer{},
@@ -94,8 +96,8 @@
 	return s, true
 }
 
-// query asks every other replica, by name, for its incarnation and whether its
-// disk is blank.
+// query requests from every other replica, by name, its incarnation and whether
+// its disk is blank.
 func (f *Formation) query() {
 	for _, name := range slices.Concat(f.names, f.hints) {
 		if name != f.self.Name {
@@ -169,8 +171,8 @@
 	members := protocol.Snapshot{Members: r.log.members()}
 	r.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
 	if s := r.log.snapshot; s.Index == 1 && slices.Contains(s.Members.Voters, m.From) {
-		// The foundation was lost on its way. This very incarnation was
-		// named in it and has never answered anything, so it may have it.
+		// The foundation was lost on its way. It names this very incarnation,
+		// which has answered nothing since, so it may be sent again.
 		r.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
 	}
 	r.stepJoin(m)
--- a/coordination/slots/account.go
+++ b/coordination/slots/account.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// value returns the mean, and one unit as long as nothing is known: with zero,
+// value returns the mean, and one unit before the first request: with zero,
 // the first account in the order would be granted every slot at once.
 func (m costMean) value() float64 {
 	if m.started == 0 {
@@ -91,12 +91,13 @@
 	p.unmet.Set(acc)
 }
 
-// raiseFloor notes the lowest virtual time among accounts that wait, and the
-// lift. The lift leaves out what is charged for requests that still run: with
-// it, an account that had filled the pool looked far ahead by service that it
-// had not received, and whoever came next waited until it had (under a flood,
-// p99 of small accounts 3.7 s, without 0.26 s: docs/design/fair-sharing.md).
-func (p *fleetPool) raiseFloor() {
+// updateFloor sets the floor to the lowest virtual time among accounts that
+// wait, and raises the lift. The lift leaves out what is charged for requests
+// that still run: with it, an account that had filled the pool looked far ahead
+// by service that it had not received, and the next account waited until it had
+// (under a flood, p99 of small accounts 3.7 s, without 0.26 s:
+// docs/design/fair-sharing.md).
+func (p *fleetPool) updateFloor() {
 	if p.unmet.Len() == 0 {
 		return
 	}
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -12,8 +12,8 @@
 // behind first, at the router where most of its work waits, on the server with
 // the largest free part.
 
-// TurnGap is the shortest time between two allocations: what arrives meanwhile
-// is taken together, since an allocation looks at every session and the
+// TurnGap is the shortest time between two allocations: what arrives in
+// between is taken together, since an allocation looks at every session and the
 // allocator's work would grow with the square of the fleet (BenchmarkScale).
 // The value is chosen, not measured.
 const TurnGap = time.Millisecond
@@ -56,7 +56,7 @@
 	for _, acc := range passed {
 		p.unmet.Set(acc)
 	}
-	p.raiseFloor()
+	p.updateFloor()
 	short := p.unmet.Len() > 0 && p.recall(now)
 	p.measureRate(now)
 	p.setShort(now, short)
--- a/coordination/slots/report.go
+++ b/coordination/slots/report.go
@@ -67,9 +67,10 @@
 	}
 }
 
-// sane refuses numbers that no router counts. The account keeps what it had.
+// sane reports whether a router can have counted these numbers. Of a report
+// that is not, nothing is taken.
 func sane(ar protocol.AccountReport) bool {
-	return ar.Waiting >= 0 && ar.Started >= 0 && ar.Running >= 0 && finite(ar.Service) && math.Abs(ar.Service) < maxService
+	return min(ar.Waiting, ar.Started, ar.Running) >= 0 && finite(ar.Service) && math.Abs(ar.Service) < maxService
 }
 
 func finite(f float64) bool { return !math.IsNaN(f) && !math.IsInf(f, 0) }
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -81,12 +81,12 @@
 	if len(a.Keys) > MaxKeys {
 		found.add(subject, "keys", "at most 8 keys")
 	}
-	if a.Limits.Waiting < 0 || a.Limits.Waiting > MaxWaiting || a.Limits.WaitingBytes < 0 || a.Limits.Running < 0 {
+	if min(a.Limits.Waiting, a.Limits.Running) < 0 || a.Limits.WaitingBytes < 0 || a.Limits.Waiting > MaxWaiting {
 		found.add(subject, "limits", "must not be negative, and at most 1000000 waiting requests")
 	}
 }
 
-// Kind is what a backend server speaks. The numbers are stored and sent.
+// Kind is the interface of a backend server. The numbers are stored and sent.
 type Kind uint8
 
 // The kinds of backend server.
@@ -95,7 +95,7 @@
 	Service Kind = 2 // a plain HTTP service
 )
 
-// String returns the operators' word for the kind.
+// String returns the kind's name in the operators' interface.
 func (k Kind) String() string {
 	switch k {
 	case Engine:
@@ -130,15 +130,16 @@
 	Adapters    []string `cbor:"8,keyasint,omitempty"`
 	Version     string   `cbor:"9,keyasint,omitempty"`
 	ChecksFence bool     `cbor:"10,keyasint,omitempty"`
-	Never       []string `cbor:"11,keyasint,omitempty"` // "METHOD /path-prefix" of calls that may not be repeated
-	ID          string   `cbor:"12,keyasint,omitempty"` // as Account.ID
+	// Never holds "METHOD /path-prefix" of calls that may not be repeated.
+	Never []string `cbor:"11,keyasint,omitempty"`
+	ID    string   `cbor:"12,keyasint,omitempty"` // as Account.ID
 }
 
 // WithMark returns the server with another mark.
 func (s Server) WithMark(m Mark) Server { s.Mark = m; return s }
 
-// MayNotRepeat reports whether the server's configuration says that a call
-// may run at most once.
+// MayNotRepeat reports whether by the server's configuration a call may run
+// at most once.
 func (s Server) MayNotRepeat(method, path string) bool {
 	for _, rule := range s.Never {
 		m, prefix, _ := strings.Cut(rule, " ")
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -3,7 +3,7 @@
 // Package link carries protocol messages between two boxes of the fleet over
 // one WebSocket.
 //
-// One side opens the link, both prove that they know the fleet key, and then it
+// One side opens the link, both prove that they have the fleet key, and then it
 // carries whole messages in order until either side closes it or it fails.
 // No message is read before the proof: the handshake is three binary frames of
 // at most maxHandshake bytes each,
@@ -13,14 +13,14 @@
 //	dialer   → HMAC-SHA256(key, "dialer" both nonces both names)
 //
 // so that a recorded handshake proves nothing later and neither side's proof
-// can be reflected. A key in a header was rejected: whoever accepts the
-// connection would learn it. The link is encrypted only if the box has
+// can be reflected. A key in a header was rejected: the accepting side
+// would learn it. The link is encrypted only if the box has
 // certificates; the key is proved inside either way.
 //
 // The package owns the connection, its deadlines for the handshake and for
 // writes, and the counters of bytes and messages ([Meter]). It relies on
 // package protocol for the encoding and its size limit. A read has no deadline
-// of its own: whoever expects messages at a known rate passes a context that
+// of its own: a caller that expects messages at some rate passes a context that
 // ends ([Link.Receive]). There are no locks; an [Outbox] has one goroutine.
 package link
 
@@ -62,19 +62,13 @@
 }
 
 // scheme returns the WebSocket scheme of links that this box opens.
-func (id Identity) scheme() string {
-	if id.TLS != nil {
+func (i Identity) scheme() string {
+	if i.TLS != nil {
 		return "wss://"
 	}
 	return "ws://"
 }
 
-// client returns the HTTP client that opens links: one connection each, none
-// kept.
-func (id Identity) client() *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: id.Dial, TLSClientConfig: id.TLS, DisableKeepAlives: true}}
-}
-
 // Link is an open, authenticated link. Send and Receive may be called
 // concurrently with each other.
 type Link struct {
@@ -88,8 +82,9 @@
 func Dial(ctx context.Context, address string, id Identity, m *Meter) (*Link, error) {
 	ctx, cancel := context.WithTimeout(ctx, HandshakeTimeout)
 	defer cancel()
+	transport := &http.Transport{DialContext: id.Dial, TLSClientConfig: id.TLS, DisableKeepAlives: true}
 	conn, resp, err := websocket.Dial(ctx, id.scheme()+address+Path, &websocket.DialOptions{
-		CompressionMode: websocket.CompressionDisabled, HTTPClient: id.client(),
+		CompressionMode: websocket.CompressionDisabled, HTTPClient: &http.Client{Transport: transport},
 	})
 	if resp != nil && resp.Body != nil {
 		defer resp.Body.Close()
@@ -148,7 +143,7 @@
 }
 
 // Receive waits for the next message until ctx ends. It skips kinds that this
-// version does not know. After an error, the end of ctx included, the link is
+// version does not have. After an error, the end of ctx included, the link is
 // closed.
 func (l *Link) Receive(ctx context.Context) (protocol.Message, error) {
 	for {
@@ -170,5 +165,5 @@
 }
 
 // Close ends the link at once. It may be called more than once; the error of a
-// connection that is closed already is of no use to anybody.
+// connection that is closed already has no consequence.
 func (l *Link) Close() { _ = l.conn.CloseNow() }
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -48,9 +48,10 @@
 }
 
 // New returns a mesh that sends until ctx ends. addressOf returns a replica's
-// fleet address, or "" for one that is not known.
+// fleet address, or "" for an unknown one.
 func New(ctx context.Context, id link.Identity, addressOf func(replica string) string, m *link.Meter) *Mesh {
-	return &Mesh{ctx: ctx, identity: id, addressOf: addressOf, meter: m, queues: map[string]chan protocol.Consensus{}}
+	queues := map[string]chan protocol.Consensus{}
+	return &Mesh{ctx: ctx, identity: id, addressOf: addressOf, meter: m, queues: queues}
 }
 
 // Send queues a message to the replica that it names. It does not block: a
--- a/transport/socket/limit.go
+++ b/transport/socket/limit.go
@@ -33,7 +33,7 @@
 		<-l.places
 		return nil, err
 	}
-	return &limitedConn{Conn: c, free: func() { <-l.places }}, nil
+	return &limitedConn{Conn: c, free: sync.OnceFunc(func() { <-l.places })}, nil
 }
 
 func (l *limited) Close() error {
@@ -43,11 +43,10 @@
 
 type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free func()
+	free func() // may be called more than once
 }
 
 func (c *limitedConn) Close() error {
-	c.once.Do(c.free)
+	c.free()
 	return c.Conn.Close()
 }
