--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -36,14 +36,15 @@
 //   - A replica is a [protocol.Peer]: a name and the incarnation of its disk. One
 //     that lost its disk is another peer and no voter: it never votes from a blank
 //     log (TestBlankReplicaNeverVotes). The leader removes the lost peer, takes the
-//     new one in as a learner and promotes it (TestLostDiskIsRepaired); a blank
-//     replica whose leader is lost meanwhile looks for its group again
+//     new one in as a learner and promotes it (TestLostDiskIsRepaired) once it holds
+//     everything (TestLearnerIsPromotedOnlyWithEverything); a blank
+//     replica whose leader is lost during that looks for its group again
 //     (TestRepairerIsLost).
-//   - A closed group knows the names of its replicas and forms only when all of
-//     them say that their disks are blank (TestGroupFormsAndCommits). An open group
-//     is found through seeds and takes in whoever asks
+//   - A closed group has the names of its replicas in the settings and forms only
+//     when all of them report blank disks (TestGroupFormsAndCommits). An open group
+//     is found through seeds and takes in any replica that requests it
 //     (TestOpenGroupFormsAroundItsSeeds, TestJoinsThroughAnyMember); it forms only
-//     if the operator says that this is the first start
+//     if the operator marks the start as the first one
 //     (TestBlankReplicasNeverFoundTwice).
 //   - An open group has a fixed number of voters. A silent voter is replaced by a
 //     learner, promoted first and the silent one removed after, and stays a voter
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -16,7 +16,7 @@
 	r.deadline = r.now + r.cfg.Election + time.Duration(r.cfg.Rand(int64(r.cfg.Election)))
 }
 
-// becomeFollower follows leader, or nobody yet, in a term that is not lower.
+// becomeFollower follows leader, or none yet, in a term that is not lower.
 func (r *Replica) becomeFollower(term uint64, leader protocol.Peer) {
 	vote := r.hard.Vote
 	if term > r.hard.Term {
@@ -33,9 +33,9 @@
 }
 
 // preVoteParts is how many times in an election timeout, at most, a pre-candidate
-// repeats its requests. Chosen, not measured; that it is more than one brought the time to
-// a leader after a restart in turn from 141 to 127 ms at a timeout of 100 ms
-// (TestRestartInTurnElectsSoon, commit 8b29d0c).
+// repeats its requests. Chosen, not measured; that it is more than one brought the
+// time to a leader after a restart in turn from 141 to 127 ms at a timeout of
+// 100 ms (TestRestartInTurnElectsSoon, commit 8b29d0c).
 const preVoteParts = 4
 
 // resetPreVote draws the next time to request pre-votes. It is soon: pre-votes
@@ -121,7 +121,7 @@
 }
 
 // raisesTerm reports whether a message of a higher term makes this replica
-// adopt the term. The term of a pre-vote is one that nobody has yet; a granted
+// adopt the term. The term of a pre-vote is one that no replica has yet; a granted
 // pre-vote echoes it.
 func raisesTerm(m protocol.Consensus) bool {
 	switch m.Kind {
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -82,8 +82,8 @@
 
 // RepairStopped reports whether a replica without a log has lost the leader
 // that began to repair it. It has no address of another member, and the next
-// leader may have no trace of it, so it must look for its group anew, as after a
-// restart. It was never a voter, so no vote of it can be forgotten.
+// leader may have no trace of it, so it must look for its group again, as after
+// a restart. It was never a voter, so no vote of it can be forgotten.
 func (r *Replica) RepairStopped() bool {
 	return r.log.snapshot.Group == 0 && r.now-r.leaderContact > repairElections*r.cfg.Election
 }
@@ -98,7 +98,7 @@
 	}
 	next := protocol.Membership{Voters: without(members.Voters, m.From.Name), Learners: members.Learners}
 	if len(next.Voters) == 0 {
-		return // the lost voter was the only one: nobody could commit the change
+		return // the lost voter was the only one: no quorum is left to commit the change
 	}
 	if len(next.Voters) == len(members.Voters) {
 		next.Learners = append(without(members.Learners, m.From.Name), m.From)
@@ -120,7 +120,7 @@
 // dueChange returns the membership that follows m and whether it differs. In
 // this order: an open group removes a silent voter that has been replaced; a
 // learner that holds everything becomes a voter if one is missing or silent; an
-// open group removes a silent learner, which nobody else would.
+// open group removes a silent learner.
 //
 // The replacement is promoted first and the silent voter removed after, so the
 // group never gets smaller: two quorums of a smaller group could be two disks.
@@ -153,7 +153,7 @@
 }
 
 // firstSilent returns the first of the peers that has not answered for longer
-// than limit, or nobody.
+// than limit, or the zero peer.
 func (r *Replica) firstSilent(peers []protocol.Peer, limit time.Duration) protocol.Peer {
 	for _, p := range peers {
 		if p != r.cfg.Self && r.now-r.peers[p].acked > limit {
--- a/coordination/consensus/memlog.go
+++ b/coordination/consensus/memlog.go
@@ -16,7 +16,7 @@
 	entries  []protocol.Entry // entries[i].Index == snapshot.Index+1+i
 	// changes are the membership entries that the log still holds, oldest
 	// first. The last one, or the snapshot's, is in force (on appending, not
-	// on commitment, as Raft asks).
+	// on commitment, as Raft requires).
 	changes []membershipAt
 }
 
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -26,7 +26,7 @@
 	Admit func(name string) bool
 	// Voters is the number of voters of an open group: more replicas than
 	// that stay learners until a voter is silent, and then take its place. 0
-	// promotes every learner and replaces nobody.
+	// promotes every learner and replaces none.
 	Voters int
 	// Bounds on what is sent to one follower; 0 is the default.
 	MaxAppend   int // bytes of entries in one message, but at least one entry
@@ -143,7 +143,7 @@
 	}
 	r.resetDeadline()
 	if v := r.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
-		r.deadline = now // nobody else could lead, or have been promised anything
+		r.deadline = now // no other replica can lead or have this one's vote
 	}
 	return r
 }
@@ -261,7 +261,7 @@
 	return r.hard, r.log.from(r.log.snapshot.Index+1, 0)
 }
 
-// Status is what a replica knows about its group.
+// Status is the state of a group as one replica has it.
 type Status struct {
 	Group    uint64
 	Role     Role
@@ -300,7 +300,7 @@
 		return own != 0
 	}
 	if own == 0 && (m.Kind == protocol.MsgSnapshot || m.Kind == protocol.MsgAppend) {
-		r.host = m.Group // a blank replica belongs to whoever repairs it
+		r.host = m.Group // a blank replica belongs to the group that repairs it
 	}
 	return m.Group != 0 && m.Group == r.group()
 }
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -16,7 +16,7 @@
 
 // progress is what a leader has learned of one replica.
 type progress struct {
-	match    uint64        // highest index known to be durable there
+	match    uint64        // highest index that is durable there, by its answers
 	next     uint64        // next index to send
 	probing  bool          // next is a guess: one message at a time
 	waiting  bool          // a probe is unanswered
@@ -95,7 +95,7 @@
 	}
 }
 
-// sendAppends sends what is new to everybody who can take it.
+// sendAppends sends what is new to every replica that can take it.
 func (r *Replica) sendAppends() {
 	for _, p := range r.others() {
 		pr := r.peers[p]
@@ -241,7 +241,7 @@
 	}
 }
 
-// retreat finds out how far a follower's log agrees.
+// retreat moves next back to where a follower's log may agree.
 func (r *Replica) retreat(pr *progress, m protocol.Consensus) {
 	pr.probing, pr.waiting, pr.inflight = true, false, 0
 	if m.Hint < pr.match && m.Index <= pr.match {
@@ -279,7 +279,7 @@
 func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.last())) }
 
 // lastQuorumContact returns the newest time at which a majority, this leader
-// included, is known to have followed it.
+// included, has confirmed that it follows.
 func (r *Replica) lastQuorumContact() time.Duration {
 	return reachedByQuorum(r, func(p protocol.Peer) time.Duration {
 		if p == r.cfg.Self {
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -12,7 +12,7 @@
 // snapshot, piece by piece, and leadership.
 
 // outgoingSnapshot is a snapshot on its way to one follower. It is held by
-// value, so that compaction meanwhile does not mix two snapshots.
+// value, so that a compaction during the transfer does not mix two snapshots.
 type outgoingSnapshot struct {
 	snapshot protocol.Snapshot
 	offset   uint64
@@ -105,7 +105,7 @@
 
 // Transfer hands leadership to the voter of that name, or with an empty name
 // to the voter that answered last. It reports whether a handover is under way:
-// not if this replica does not lead or nobody else can.
+// not if this replica does not lead or no other can.
 func (r *Replica) Transfer(name string) bool {
 	if r.role != Leader || !r.transferTo.IsZero() {
 		return r.role == Leader
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// This file defines Consecutive, the routers' judgement: failures in a row.
+// This file defines Consecutive, the routers' rule: failures in a row.
 
 // Bounds of a router's ejections: chosen, not measured.
 const (
@@ -25,7 +25,7 @@
 	failures int // in a row
 }
 
-// NewConsecutive returns a judgement by which every server is in use.
+// NewConsecutive returns a rule by which every server is in use.
 func NewConsecutive() *Consecutive { return &Consecutive{servers: map[string]*streak{}} }
 
 // SetSize sets the number of serving servers of the pool.
@@ -48,8 +48,8 @@
 // Succeeded counts an answer of the server.
 func (c *Consecutive) Succeeded(server string) { delete(c.servers, server) }
 
-// Abandoned counts a request that ended without saying anything about the
-// server, such as one that its caller gave up.
+// Abandoned counts a request that ended for a reason outside the server, such
+// as a caller that gave up.
 func (c *Consecutive) Abandoned(server string) {
 	if s := c.servers[server]; s != nil {
 		s.trying = false
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -5,7 +5,7 @@
 import "time"
 
 // This file defines ejection, the time that a server is left alone and the
-// trial that ends it. Both judgements use it.
+// trial that ends it. Both rules use it.
 
 // State is whether requests may go to a server.
 type State uint8
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// This file defines FailureRate and PoolRate, the gateways' judgement: a
+// This file defines FailureRate and PoolRate, the gateways' rule: a
 // server's part of failures against its pool's.
 
 // Verdict is what the end of an attempt shows about the server. The zero value is an
@@ -15,7 +15,7 @@
 const (
 	Answered  Verdict = iota // whole, and no failure of its own
 	Refused                  // as full, without having run
-	Faulty                   // it answered, with an error of its own or an answer that is no good
+	Faulty                   // it answered, with an error of its own or an unusable answer
 	Lost                     // no answer, or only a part of one
 	NoVerdict                // the end was none of the server's doing
 )
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -16,8 +16,8 @@
 // all gateways without a message. The first in that order is taken to keep the
 // shared parts; any other would read them again. So the price of a server is the
 // work in front of the request there, in tokens, plus the shared tokens if it is
-// not the first, many times: what is read again delays everybody else on the
-// engine as well, drives out what other requests will need, and makes the next
+// not the first, many times: what is read again delays all others on the engine
+// as well, drives out what other requests will need, and makes the next
 // choices worse. Far from full, a request still begins in time on the first.
 
 // Part is one named part of a prompt.
@@ -26,7 +26,7 @@
 	Tokens int
 }
 
-// Prompt is what is known of a request's size.
+// Prompt is a request's size and the names of what it shares with others.
 type Prompt struct {
 	Model  string
 	Shared []Part // parts that other requests begin with as well
@@ -72,8 +72,8 @@
 	farPrice     = 40     // another data hall
 )
 
-// orderDepth is how many servers of a prompt's order are told apart: chosen, not
-// measured.
+// orderDepth is how many servers of a prompt's order are ranked; the rest share
+// one rank. Chosen, not measured.
 const orderDepth = 4
 
 // cheapest returns the cheapest candidate and the tokens that it has to read for
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -5,7 +5,7 @@
 // The model of both roles: every candidate has a price, the lowest wins. The
 // price is the work that must be done before the first token: what waits in
 // front of the request on that server, and the part of its prompt that the
-// server's cache does not hold. Both are guesses. Where nothing is known,
+// server's cache does not hold. Both are estimates. Without any data,
 // rendezvous hashing makes all boxes choose alike without a message.
 //
 // There are two placers, one for each way to share servers:
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// Forget drops all that is known of a server, which restarted or left. It
-// costs O(blocks held).
+// Forget drops every block of a server that restarted or left. It costs
+// O(blocks held).
 func (x *Index) Forget(server string) {
 	delete(x.servers, server)
 	for b := range x.byBlock {
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -45,7 +45,7 @@
 	firstRate      = 100.0 // tokens a millisecond, before anything is learned
 	rateWeight     = 0.01  // of one answer in the learned rate
 	rateSpread     = 10    // the learned rate stays within firstRate divided and multiplied by it
-	informative    = 4000  // tokens; shorter prompts say little of the rate
+	informative    = 4000  // tokens; shorter prompts measure the rate badly
 	engineOverhead = 25.0  // ms that an idle engine needs before it reads
 	plainExpected  = 50.0  // ms that a plain service is expected to need
 )
@@ -123,7 +123,7 @@
 // Parameters of a server's pace: chosen, not measured.
 const (
 	paceWeight   = 0.1 // of one answer
-	fewestPaces  = 4   // answers before a pace is known
+	fewestPaces  = 4   // answers before a pace counts
 	slowFrom     = 1.6 // times the typical pace; smaller differences are left alone
 	slownessMost = 16  // a server counts as at most that many times slower
 )
@@ -153,7 +153,7 @@
 	return math.Min(p.ratio/typical, slownessMost)
 }
 
-// typicalPace is the median of the known paces; 0 with fewer than two.
+// typicalPace is the median of the paces that count; 0 with fewer than two.
 func typicalPace(servers []Server) float64 {
 	paces := make([]float64, 0, len(servers))
 	for i := range servers {
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -14,7 +14,7 @@
 // are candidates for a request, which one suits it best, and whether that one
 // has room for it now.
 
-// Request is what a choice needs to know of a request and of its pool.
+// Request is what a choice takes of a request and of its pool.
 type Request struct {
 	Prompt     Prompt
 	Class      entitlement.Class
@@ -50,7 +50,8 @@
 // work alone. Chosen, not measured; reports come every 100 to 600 ms.
 const MaxOthersAge = 4 * time.Second
 
-// fromAll returns what runs on the server from all gateways, as far as known.
+// fromAll returns what runs on the server from all gateways, without the others
+// when their report is too old.
 func (s *Server) fromAll() Work {
 	if s.OthersAge >= MaxOthersAge {
 		return s.Own
@@ -86,8 +87,8 @@
 }
 
 // ChooseWithRoom returns the server that suits the request best among those
-// that have room. It is for requests that would else be refused and should not
-// be: few, because what is read again takes room from others.
+// that have room. It is for requests that would otherwise be refused and should not
+// be. There may be few of them, because what is read again takes room from others.
 func (p *RoomPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
 	open := slices.DeleteFunc(candidates(r, servers), func(c candidate) bool { return !p.hasRoom(r, c) })
 	best, _, ok := cheapest(r.Prompt, open)
--- a/coordination/share/doc.go
+++ b/coordination/share/doc.go
@@ -5,7 +5,7 @@
 //
 // Service is counted in units of cost ([Weights]) and divided by the account's
 // share; the quotient is the account's virtual time. The account with the
-// lowest virtual time goes next ([Queue.Next]). What a request costs is known
+// lowest virtual time goes next ([Queue.Next]). What a request costs is certain
 // only when it ends, so an estimate is charged when it starts ([Meter]), more
 // while it streams past the estimate, and the difference is settled at the end.
 //
--- a/coordination/share/errors.go
+++ b/coordination/share/errors.go
@@ -8,10 +8,10 @@
 // run.
 
 // Full refuses a request because a limit on waiting work is reached. Max is in
-// requests or bytes, as Limit says.
+// requests or bytes, depending on Limit.
 type Full struct {
 	Account string
-	Limit   string // which limit, in words
+	Limit   string // which limit, for the message
 	Max     int64
 }
 
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -16,7 +16,7 @@
 // requests come and leave, and which one goes next. What the queue exchanges
 // with the allocator is in report.go.
 
-// Request is what the queue needs to know of a request.
+// Request is the part of a request that the queue works with.
 type Request struct {
 	Account  string
 	Flow     string // user or class inside the account; empty is a flow too
@@ -215,7 +215,7 @@
 // Start removes a waiting request to run it and charges the estimate.
 func (q *Queue) Start(t *Ticket, estimate float64) {
 	a := t.account
-	t.flow.time += estimate // before unlink, which orders the flow anew
+	t.flow.time += estimate // before unlink, which reorders the flow
 	q.unlink(t)
 	a.running++
 	a.started++
@@ -240,8 +240,7 @@
 	}
 }
 
-// touch notes a change of the account for the next report and orders the
-// account anew.
+// touch marks the account as changed for the next report and reorders it.
 func (q *Queue) touch(a *account) {
 	if q.accounts[a.name] == a {
 		q.changed[a.name] = a
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -38,8 +38,8 @@
 }
 
 // limit is the virtual time up to which a slot may be used again. The floor
-// has risen since the view was sent; without the rate, a router took its own
-// share of the rise for being ahead and gave back every slot between two views
+// has risen since the view was sent; without the rate, a router counted its own
+// share of the rise as being ahead and gave back every slot between two views
 // (docs/design/fair-sharing.md has the figures).
 func (f FleetView) limit(now time.Duration) float64 {
 	return f.Floor + f.Rate*(now-f.At).Seconds() + f.Slack
--- a/coordination/slots/fleetpool.go
+++ b/coordination/slots/fleetpool.go
@@ -22,7 +22,7 @@
 	unmet    *pq.Queue[*account] // accounts with waiting work that no slot is on its way to
 	floor    float64             // lowest virtual time among accounts that wait
 	lift     float64             // highest lift so far; accounts that become backlogged are raised to it
-	short    bool                // more work waits than slots are known to be free
+	short    bool                // more work waits than there are free slots
 	// recalling is the number of slots recalled and not returned yet.
 	recalling int
 	routers   []*routerPool // of all sessions that use the pool
@@ -119,7 +119,8 @@
 	}
 }
 
-// setFree keeps the list of servers with a free slot right. It costs O(1).
+// setFree puts a server into the list of those with a free slot, or takes it
+// out. It costs O(1).
 func (p *fleetPool) setFree(s *server) {
 	switch {
 	case s.free() > 0 && s.index < 0:
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -56,8 +56,8 @@
 // other.)
 func (h *Holder) Granted() bool { return h.granted > 0 }
 
-// Done ends the use of a slot, which is free again unless the lease ran out
-// meanwhile.
+// Done ends the use of a slot, which is free again unless the lease has run out
+// since its start.
 func (h *Holder) Done(now time.Duration, server string) {
 	s := h.server(server)
 	s.running = max(s.running-1, 0)
--- a/coordination/slots/ledger.go
+++ b/coordination/slots/ledger.go
@@ -10,9 +10,8 @@
 // This file defines the allocator's ledger: which session holds how many slots
 // of which server, and what is undone when a session ends.
 
-// assign and release move slots of a server from the allocator to a session
-// and back. Unknown servers are ignored; what a session reports is bounded by
-// what the server has, and what it returns by what it holds.
+// assign counts up to n slots of a server as held by a session, at most as many
+// as the server has. Unknown servers are ignored.
 func (a *Allocator) assign(s *session, name string, n int) {
 	srv := a.servers[name]
 	if srv == nil || n <= 0 {
@@ -25,6 +24,8 @@
 	srv.pool.setFree(srv)
 }
 
+// release takes up to n slots of a server back from a session, at most as many
+// as it holds, and returns their number.
 func (a *Allocator) release(s *session, name string, n int) int {
 	n = min(n, s.held[name])
 	if n <= 0 {
--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -28,7 +28,7 @@
 // Short was measured against 2 ms and Long against 500 ms (BenchmarkFleet/linen;
 // docs/design/fair-sharing.md): 5 ms gave a smaller gap for the same bytes,
 // 500 ms a p99 nearly twice as long for a tenth fewer bytes. Budget was set as
-// a goal, which that page says is missed; Burst is chosen, not measured.
+// a goal, which by that page is missed; Burst is chosen, not measured.
 var DefaultPace = Pace{Short: 5 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
 // StretchMost is how many times its usual gap a full message may be late: 1 s
--- a/coordination/slots/recall.go
+++ b/coordination/slots/recall.go
@@ -15,7 +15,7 @@
 // keep, as many as work waits for; and for a router that holds none at all, one
 // that is in use. Routers with a slot serve the account that is furthest behind
 // with the next that becomes free, so they need no recall. It reports whether
-// more work waits than slots are known to be free.
+// more work waits than there are free slots.
 //
 // Recalling every free slot was tried first: one waiting request then left no
 // router with a slot, and every next request needed a grant.
@@ -70,8 +70,8 @@
 	r.pool.recalling -= n
 }
 
-// setShort notes whether the pool is short of slots and has its routers sent a
-// full view when that begins, while it lasts, and when it ends.
+// setShort records whether the pool is short of slots. Its routers get a full
+// view when that begins, while it lasts, and when it ends.
 func (p *fleetPool) setShort(now time.Duration, short bool) {
 	changed := short != p.short
 	p.short = short
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -64,7 +64,7 @@
 // the old one has stopped.
 //
 // It returns the number of reports of the earlier session that are in the
-// counters, and whether that session was known.
+// counters, and whether the allocator had that session.
 func (a *Allocator) Open(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
 	if old := a.sessions[h.Router]; old != nil {
 		if old.boot == h.Boot {
@@ -112,7 +112,7 @@
 	}
 }
 
-// orphan keeps what a vanished process held under a name of its own until its
+// orphan keeps what a vanished process held under a separate name until its
 // lease has run out.
 func (a *Allocator) orphan(s *session) {
 	a.forgetWaiting(s)
@@ -177,8 +177,8 @@
 	return ended
 }
 
-// sortSessions makes order anew, as a list of its own: Tick ends sessions
-// while it goes through the earlier one.
+// sortSessions replaces order by a new slice: Tick ends sessions while it
+// iterates over the old one.
 func (a *Allocator) sortSessions() {
 	a.order = slices.SortedFunc(maps.Values(a.sessions), func(x, y *session) int {
 		return cmp.Compare(x.router, y.router)
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -41,7 +41,7 @@
 	return out
 }
 
-// never is when a view goes that is not wanted.
+// never is the due time of a view that is not wanted.
 const never = time.Duration(math.MaxInt64)
 
 // due returns when the session's next view may go.
@@ -74,7 +74,7 @@
 	}
 }
 
-// buildView returns the view for a router and whether it says anything new.
+// buildView returns the view for a router and whether it holds anything new.
 func (a *Allocator) buildView(s *session, full bool) (protocol.View, bool) {
 	s.viewSeq++
 	v := protocol.View{Seq: s.viewSeq, ReportSeq: s.reports, Granted: heldList(s.granted)}
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// leaderPoll is the pause between two questions for a leader; chosen, not
+// leaderPoll is the pause between two requests for the status; chosen, not
 // measured.
 const leaderPoll = 50 * time.Millisecond
 
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package fakedisk is a folder in memory that loses what was not synced, and
-// worse, when a test wants it. It stands in for [wal.Dir] in tests.
+// worse, when a test wants it. It implements [wal.Dir] for tests.
 //
 // The model: every file has content that is durable and content that was
 // written since its last sync; every name is durable or waits for a sync of
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pq is a priority queue whose items know their place, so that one can
+// Package pq is a priority queue whose items hold their place, so that one can
 // be moved or taken out in O(log n). It puts types and the place over
 // container/heap, which four tables of this project need in the same way.
 package pq
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -15,13 +15,13 @@
 	ClaimRan      ClaimState = 3 // it ran; Answer is set if it was small enough
 	ClaimUnknown  ClaimState = 4 // its router was lost; it may have run
 	ClaimMismatch ClaimState = 5 // the key was used with another content
-	ClaimRetry    ClaimState = 6 // this replica does not know; send it again to the leader
+	ClaimRetry    ClaimState = 6 // undecided at this replica; send it again to the leader
 	ClaimReleased ClaimState = 7 // it has not run
 )
 
 // Claim is sent by a router to the leading control replica, before it runs a request
-// that has a key, for the right to do so. A resend by the same
-// router with the same Attempt gets the same answer.
+// that has a key, for the right to do so. A resend by the same router with the same
+// Attempt gets the same answer.
 type Claim struct {
 	Call    uint64 `cbor:"1,keyasint"` // pairs the Claimed with this
 	Account string `cbor:"2,keyasint"`
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -19,7 +19,7 @@
 // never used again for something else.
 type Kind uint8
 
-// The kinds of message. The comment of each type says who sends it to whom, and when.
+// The kinds of message. The comment of each type has its sender, receiver and time.
 const (
 	// Between a router and a control replica.
 	KindHello     Kind = 1  // router: open a session
@@ -42,7 +42,7 @@
 	KindWatchRedirect Kind = 14 // other replica: who leads
 	KindDocument      Kind = 15 // leader: a newer document
 	KindServers       Kind = 16 // leader: backend servers that came or went
-	KindUsage         Kind = 17 // gateway: what runs and what was asked for
+	KindUsage         Kind = 17 // gateway: what runs and what was requested
 	KindFleet         Kind = 18 // leader: the sums over all gateways
 )
 
@@ -125,7 +125,7 @@
 	return m
 }
 
-// Malformed says that bytes from a link are no message.
+// Malformed is bytes from a link that are no message.
 type Malformed struct {
 	Kind Kind
 	Err  error
@@ -139,7 +139,7 @@
 // Unwrap returns the decoder's error.
 func (e Malformed) Unwrap() error { return e.Err }
 
-// TooLarge says that a message exceeds MaxMessage.
+// TooLarge is a message that exceeds MaxMessage.
 type TooLarge struct{ Size int }
 
 // Error names the size.
@@ -164,7 +164,7 @@
 }
 
 // Decode returns the message in b, or nil without an error for a kind that
-// this version does not know.
+// this version does not have.
 func Decode(b []byte) (Message, error) {
 	if len(b) > MaxMessage {
 		return nil, TooLarge{Size: len(b)}
--- a/protocol/consensus.go
+++ b/protocol/consensus.go
@@ -4,8 +4,8 @@
 
 import "fmt"
 
-// This file defines what the replicas of one group exchange to keep a replicated log,
-// and what they write to their disks.
+// This file defines what the replicas of one group exchange to keep a replicated
+// log, and what they write to their disks.
 
 // Peer is one replica on one disk. A replica that lost its disk comes back
 // under the same name and another incarnation, and is another peer.
@@ -27,7 +27,7 @@
 	Learners []Peer `cbor:"2,keyasint,omitempty"`
 }
 
-// EntryKind says what the data of an entry means.
+// EntryKind is the meaning of an entry's data.
 type EntryKind uint8
 
 // The kinds of entry. The numbers are on the wire and on disks.
@@ -59,12 +59,12 @@
 	Data    []byte     `cbor:"5,keyasint,omitempty"`
 }
 
-// ConsensusKind says what a consensus message requests or answers.
+// ConsensusKind is what a consensus message requests or answers.
 type ConsensusKind uint8
 
 // The kinds of consensus message. The numbers are on the wire.
 const (
-	MsgPreVote       ConsensusKind = 1  // would you vote for me in Term? Changes nothing
+	MsgPreVote       ConsensusKind = 1  // whether a vote in Term would be granted; changes nothing
 	MsgPreVoteReply  ConsensusKind = 2  // granted, unless Reject; then Term is the sender's
 	MsgVote          ConsensusKind = 3  // request for a vote in Term
 	MsgVoteReply     ConsensusKind = 4  // granted, unless Reject
@@ -74,7 +74,7 @@
 	MsgSnapshotReply ConsensusKind = 8  // received up to Offset; MsgAppendReply once it is whole
 	MsgCampaignNow   ConsensusKind = 9  // leadership transfer: campaign at once
 	MsgJoin          ConsensusKind = 10 // a replica that is no member requests to become one
-	MsgBlankQuery    ConsensusKind = 11 // formation: is your disk blank?
+	MsgBlankQuery    ConsensusKind = 11 // formation: whether the receiver's disk is blank
 	MsgBlankReply    ConsensusKind = 12 // blank if Group is 0, else Snapshot has the members
 	MsgFound         ConsensusKind = 13 // formation: the first snapshot
 )
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -22,7 +22,7 @@
 	Revision uint64 `cbor:"4,keyasint"` // configuration held
 	Epoch    uint64 `cbor:"5,keyasint"` // highest epoch seen; an older leader must refuse
 	Held     []Held `cbor:"6,keyasint,omitempty"`
-	// Pools are the fleet-wide times that the router knows, without what it
+	// Pools are the fleet-wide times as the router has them, without what it
 	// has not reported yet. An allocator that has just taken over rebuilds
 	// its counters from them.
 	Pools []PoolView `cbor:"7,keyasint,omitempty"`
@@ -34,22 +34,22 @@
 	Epoch       uint64 `cbor:"1,keyasint"` // term of the leader that allocates
 	LeaseMillis uint32 `cbor:"2,keyasint"`
 	Leader      string `cbor:"3,keyasint"`
-	// Known says that the allocator remembers the router's previous session,
+	// Known is set if the allocator remembers the router's previous session,
 	// of which it has taken Reports reports into account.
 	Known   bool   `cbor:"4,keyasint,omitempty"`
 	Reports uint64 `cbor:"5,keyasint,omitempty"`
-	// Void says that the router's lease had run out at the allocator: slots
+	// Void is set if the router's lease had run out at the allocator: slots
 	// that it holds and does not use must be given back unused.
 	Void bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Redirect is the answer of a control replica that does not lead to a Hello; it then
-// closes the link. Unlike a [WatchRedirect] it names no members, because routers know
-// all replicas by their settings, and gives the state of the replica's log: a router to
+// closes the link. Unlike a [WatchRedirect] it names no members, because routers have
+// all replicas in their settings, and gives the state of the replica's log: a router to
 // which a majority answers that there is no leader and no newer configuration extends
 // its lease itself.
 type Redirect struct {
-	Leader  string `cbor:"1,keyasint,omitempty"` // empty when none is known
+	Leader  string `cbor:"1,keyasint,omitempty"` // empty without one
 	Follows bool   `cbor:"2,keyasint,omitempty"` // the replica has a leader at present
 	Group   uint64 `cbor:"3,keyasint,omitempty"` // identity of the configuration group
 	// Revision is the newest configuration that the replica has applied, and
@@ -58,8 +58,8 @@
 	Pending  bool   `cbor:"5,keyasint,omitempty"`
 }
 
-// Renew is sent by a router several times in a lease: it asks the leader to extend the
-// lease from the time of its sending.
+// Renew is sent by a router several times in a lease, to have it extended from the
+// time of sending.
 type Renew struct {
 	Seq      uint64 `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"` // configuration in force at the router
@@ -117,10 +117,11 @@
 
 // PoolView is the state of the fleet in one pool.
 type PoolView struct {
-	Pool     string        `cbor:"1,keyasint"`
-	Short    bool          `cbor:"2,keyasint,omitempty"` // more work waits than slots are free
-	Floor    float64       `cbor:"3,keyasint,omitempty"` // lowest virtual time of an account whose work waits
-	Lift     float64       `cbor:"8,keyasint,omitempty"` // what an account is raised to that begins to wait, below Floor
+	Pool  string  `cbor:"1,keyasint"`
+	Short bool    `cbor:"2,keyasint,omitempty"` // more work waits than slots are free
+	Floor float64 `cbor:"3,keyasint,omitempty"` // lowest virtual time of an account whose work waits
+	// Lift is what an account is raised to that begins to wait, below Floor.
+	Lift     float64       `cbor:"8,keyasint,omitempty"`
 	Slack    float64       `cbor:"4,keyasint,omitempty"` // how far above the floor a slot may be reused
 	Accounts []AccountView `cbor:"5,keyasint,omitempty"`
 	// Recall is a number of slots to give back: free ones at once, else the
@@ -138,8 +139,8 @@
 	Ahead   float64 // above PoolView.Floor, in 32-bit precision
 }
 
-// Configure is sent by the leader to a router that holds an older configuration. One field is set; both
-// hold the encoding of the configuration package.
+// Configure is sent by the leader to a router that holds an older configuration. One
+// field is set; both hold the encoding of the configuration package.
 type Configure struct {
 	Delta    []byte `cbor:"1,keyasint,omitempty"`
 	Snapshot []byte `cbor:"2,keyasint,omitempty"`
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -20,7 +20,7 @@
 
 // WatchRedirect is the answer of a directory replica that does not lead to a Watch; it
 // then closes the link. Unlike a [Redirect] it names the group's members, because a
-// gateway knows only seeds by its settings.
+// gateway has only seeds in its settings.
 type WatchRedirect struct {
 	Leader  string   `cbor:"1,keyasint,omitempty"` // fleet address; empty when unknown
 	Members []string `cbor:"2,keyasint,omitempty"` // fleet addresses of the group
@@ -46,7 +46,7 @@
 // Server is one announced backend server.
 type Server struct {
 	Registration
-	// Handle stands for the backend server in Usage and Fleet, within one term.
+	// Handle identifies the backend server in Usage and Fleet, within one term.
 	Handle uint32 `cbor:"6,keyasint"`
 }
 
@@ -54,9 +54,9 @@
 // and when the list has become complete, otherwise each change.
 type Servers struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Whole says that Set is the whole list that the leader knows.
+	// Whole is set if Set is the whole list that the leader has.
 	Whole bool `cbor:"2,keyasint,omitempty"`
-	// Complete says that the leader has led for longer than backend servers take to
+	// Complete is set if the leader has led for longer than backend servers take to
 	// announce themselves: one that is not in the list does not announce itself.
 	Complete bool     `cbor:"3,keyasint,omitempty"`
 	Set      []Server `cbor:"4,keyasint,omitempty"`
@@ -68,10 +68,10 @@
 	_        struct{} `cbor:",toarray"`
 	Handle   uint32
 	Requests uint32
-	Tokens   uint32 // of prompts not yet read there, as far as the gateways know
+	Tokens   uint32 // of prompts not yet read there, by the gateways' count
 }
 
-// Demand is what one account asked for since the previous report, in tokens.
+// Demand is what one account requested since the previous report, in tokens.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
@@ -83,8 +83,10 @@
 	Loads   []ServerLoad `cbor:"1,keyasint,omitempty"`
 	Demands []Demand     `cbor:"2,keyasint,omitempty"`
 	Number  uint64       `cbor:"3,keyasint,omitempty"` // of the document in force there
-	Started uint64       `cbor:"4,keyasint,omitempty"` // tokens of requests given to engines since the previous report
-	Missed  uint64       `cbor:"5,keyasint,omitempty"` // tokens of requests within a share that found no room since then
+	// Started counts the tokens of requests given to engines since the previous
+	// report, Missed those of requests within a share that found no room.
+	Started uint64 `cbor:"4,keyasint,omitempty"`
+	Missed  uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Entitlement is the part of an account's demand that its fair share covers: of
@@ -105,7 +107,7 @@
 	Loads        []ServerLoad  `cbor:"2,keyasint,omitempty"` // on all gateways but the receiving one
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
-	// Short says that requests within their accounts' shares find no room
+	// Short is set if requests within their accounts' shares find no room
 	// somewhere: no account may exceed its share.
 	Short bool `cbor:"5,keyasint,omitempty"`
 }
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -4,12 +4,12 @@
 
 // This file defines how a replica fails its callers.
 
-// Undecided says that a proposal may or may not be committed: this replica
-// lost the lead, or the caller's time ran out, before it knew. The same change
+// Undecided is a proposal that may or may not be committed: this replica lost
+// the lead, or the caller's time ran out, before the outcome. The same change
 // must be proposed again under the same identifier.
 type Undecided struct{ Err error }
 
-// Error says what to do.
+// Error gives what to do.
 func (e Undecided) Error() string {
 	text := "undecided; ask again with the same identifier"
 	if e.Err != nil {
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e Undecided) Unwrap() error { return e.Err }
 
-// Stopped says that the replica no longer runs.
+// Stopped is a replica that no longer runs.
 type Stopped struct{ Err error }
 
 // Error names the cause.
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// restore gives the machine an image. A group's first snapshot has none, and the machine
-// keeps its state.
+// restore gives the machine an image. A group's first snapshot has none, and the
+// machine keeps its state.
 func (l *loop) restore(image []byte) error {
 	if len(image) == 0 {
 		return nil
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -32,7 +32,7 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// This file defines Replica, its settings and what others may ask of it. The
+// This file defines Replica, its settings and what others may call. The
 // loop that does the work is in loop.go.
 
 // Machine is the state machine that the log drives. All calls come from the
@@ -55,8 +55,8 @@
 	Group string   // name of the group
 	Name  string   // of this replica
 	Names []string // of all replicas
-	// Open, if set, makes an open group: Names are then seeds, and whoever
-	// asks may join.
+	// Open, if set, makes an open group: Names are then seeds, and any
+	// replica may join.
 	Open    *OpenGroup
 	Dir     wal.Dir
 	Machine Machine
@@ -69,10 +69,9 @@
 	Observe func(s consensus.Status, leads bool)
 }
 
-// OpenGroup is what an open group needs to know besides its seeds.
+// OpenGroup is what an open group needs besides its seeds.
 type OpenGroup struct {
-	// Bootstrap says that this is the first start of the whole group: the seeds
-	// may found it.
+	// Bootstrap marks the first start of the whole group: the seeds may found it.
 	Bootstrap bool
 	// Voters is how many voters the group has; more replicas than that are
 	// learners, ready to take a silent voter's place.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -26,7 +26,7 @@
 }
 
 // Engine answers completion requests for any model with as many tokens as
-// max_tokens asks for (16 without), each the word "tok" with its number.
+// max_tokens sets (defaultTokens without it), each "tok" with its number.
 type Engine struct {
 	failures
 	cfg     EngineSettings
@@ -220,7 +220,7 @@
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.prompt, c.req.MaxTokens)
 }
 
-// refuse says that a request was not started.
+// refuse answers a request that was not started.
 func refuse(w http.ResponseWriter) {
 	w.Header().Set("Badgerspoke-Refused", "true")
 	http.Error(w, `{"error":{"message":"refused"}}`, http.StatusServiceUnavailable)
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -4,14 +4,14 @@
 
 import "sync"
 
-// This file defines the failures that a test asks of a stand-in.
+// This file defines the failures that a test chooses for a stand-in.
 
 // Failure is a way to fail.
 type Failure string
 
 // The ways to fail.
 const (
-	Refuse   Failure = "refuse"   // say so before starting
+	Refuse   Failure = "refuse"   // refuse before starting
 	DieEarly Failure = "die"      // run, then drop the connection without an answer
 	DieMid   Failure = "die-mid"  // drop the connection in the middle of the answer
 	Truncate Failure = "truncate" // an engine only: end a stream cleanly, but without its end mark
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -74,7 +74,7 @@
 func (s Server) name() string  { return s.Name }
 
 // Ordered slices were chosen over maps: a change copies them in one piece and
-// nobody has to sort them, which made a change at 15,800 objects ten times
+// no reader has to sort them, which made a change at 15,800 objects ten times
 // cheaper on every box.
 
 // find returns the place of a name in an ordered list, and whether it is
--- a/state/config/doc.go
+++ b/state/config/doc.go
@@ -13,7 +13,7 @@
 // the revision it builds on and carries an identifier chosen by its author.
 // The store promises
 //
-//   - exactly one content wins a revision; whoever named the same revision
+//   - exactly one content wins a revision; an author that named the same revision
 //     with other content gets a [Conflict] that carries the winner;
 //   - a change sent again (same identifier, or same revision and same
 //     content) gets the first answer, however often and after any number of
@@ -21,5 +21,5 @@
 //   - a revision never decreases.
 //
 // A last-writer-wins map was rejected: two operators who raise the share of
-// one account at the same moment must not both be told that they succeeded.
+// one account at the same moment must not both get a success.
 package config
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -24,7 +24,7 @@
 	ID   string `cbor:"1,keyasint"` // chosen by the author, unique
 	Base uint64 `cbor:"2,keyasint"` // the revision it builds on
 	Ops  []Op   `cbor:"3,keyasint"`
-	// Request is a digest of what the author asked for, when Ops was derived
+	// Request is a digest of what the author requested, when Ops was derived
 	// from it (a drawn key, a field changed in the current value): a resend
 	// derives other operations from the same request.
 	Request uint64 `cbor:"4,keyasint,omitempty"`
--- a/state/wal/errors.go
+++ b/state/wal/errors.go
@@ -4,9 +4,9 @@
 
 import "fmt"
 
-// This file defines the two failures that a caller must tell apart.
+// This file defines the two failures that a caller handles differently.
 
-// Damaged says that a file does not hold what was written. The replica must
+// Damaged is a file that does not hold what was written. The replica must
 // not start from it.
 type Damaged struct {
 	File   string
@@ -20,8 +20,8 @@
 		e.File, e.Offset, e.Reason)
 }
 
-// Failed says that the disk refused a write or a sync. Nothing after it may
-// be acknowledged.
+// Failed is a write or a sync that the disk refused. Nothing after it may be
+// acknowledged.
 type Failed struct {
 	Op  string
 	Err error
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -9,7 +9,7 @@
 )
 
 // This file defines the frame, the unit that reaches the disk whole or not at
-// all, and how a damaged frame is told from a torn one.
+// all, and how a damaged frame differs from a torn one.
 
 // The format of a frame, as it is on disk: a header of four little-endian
 // uint32 (magic, payload length, CRC-32C of the payload, CRC-32C of the header
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -18,7 +18,7 @@
 //
 // The standard library's transport repeats a request by itself when a kept
 // connection turns out closed and the request looks repeatable, which a GET
-// does, and so does anything with an Idempotency-Key. Whoever counts arrivals
+// does, and so does anything with an Idempotency-Key. A caller that counts arrivals
 // has to decide about a second one, so every call goes out with a body, empty or
 // not, that cannot be rewound.
 package forward
@@ -51,14 +51,14 @@
 	Host   string // empty is the server's address
 	Header http.Header
 	Body   []byte
-	// NoRepeat says that the call may not be sent again if it may have run. A
+	// NoRepeat forbids to send the call again if it may have run. A
 	// Client sends every call once; the field is for the router, which decides.
 	NoRepeat bool
 }
 
 // ResumeHeader is set by a server that can send the rest of an answer whose
 // connection broke: it holds a path for GET with a Range from the first byte
-// missing (RFC 9110, section 14), and for DELETE when nobody wants the rest.
+// missing (RFC 9110, section 14), and for DELETE when the rest is not wanted.
 const ResumeHeader = "Badgerspoke-Resume"
 
 // LoadHeader is set by a server that reports its load with its answers: the
--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -31,7 +31,7 @@
 // Unwrap returns the cause.
 func (e Broken) Unwrap() error { return e.Err }
 
-// WrongKey is a peer that does not know the fleet key.
+// WrongKey is a peer that did not prove the fleet key.
 type WrongKey struct{ Peer string }
 
 // Error names what the other side called itself, unproven.
--- a/transport/link/outbox.go
+++ b/transport/link/outbox.go
@@ -15,8 +15,8 @@
 // Outbox sends queued messages over one link, in order, from a goroutine of
 // its own. When the queue is full the link is closed: the peer is too slow, and
 // a new session starts from a clean state. Dropping single messages was rejected
-// because increments would be lost. An error of the link ends the outbox without
-// a word; the link's reader gets it as well and logs it.
+// because increments would be lost. An error of the link ends the outbox silently;
+// the link's reader gets it as well and logs it.
 type Outbox struct {
 	link  *Link
 	queue chan protocol.Message
