--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -55,41 +55,41 @@
 // Record counts the end of an attempt at a server of the pool and reports
 // whether it ejects the server. trial is whether the attempt was the server's
 // trial.
-func (p *PoolRate) Record(now time.Duration, s *FailureRate, v Verdict, trial bool) (ejected bool) {
+func (p *PoolRate) Record(now time.Duration, f *FailureRate, v Verdict, trial bool) (ejected bool) {
 	if v == NoVerdict {
 		if trial {
-			s.trying = false
+			f.trying = false
 		}
 		return false
 	}
 	p.failing += poolMemory * (weights[v] - p.failing)
-	s.count(weights[v])
+	f.count(weights[v])
 	if v == Answered {
-		s.succeeded()
+		f.succeeded()
 		return false
 	}
 	if v == Lost {
-		s.lost++
+		f.lost++
 	}
-	above := s.samples >= MinSamples && s.failing > p.failing+rateToEject
-	if !s.trying && !above && s.lost < lostToEject {
+	above := f.samples >= MinSamples && f.failing > p.failing+rateToEject
+	if !f.trying && !above && f.lost < lostToEject {
 		return false
 	}
-	ejected = s.until == 0 || s.trying
-	s.eject(now, ShortestWait, longestWait)
-	s.samples, s.failing, s.lost = 0, 0, 0
+	ejected = f.until == 0 || f.trying
+	f.eject(now, ShortestWait, longestWait)
+	f.samples, f.failing, f.lost = 0, 0, 0
 	return ejected
 }
 
 // succeeded ends an ejection. The next one is half as long as it would have
 // been.
-func (s *FailureRate) succeeded() {
-	s.until, s.trying, s.lost = 0, false, 0
-	s.wait = max(s.wait/2, ShortestWait)
+func (f *FailureRate) succeeded() {
+	f.until, f.trying, f.lost = 0, false, 0
+	f.wait = max(f.wait/2, ShortestWait)
 }
 
 // count averages over the attempts so far, then over about serverMemory.
-func (s *FailureRate) count(weight float64) {
-	s.samples++
-	s.failing += (weight - s.failing) / float64(min(s.samples, serverMemory))
+func (f *FailureRate) count(weight float64) {
+	f.samples++
+	f.failing += (weight - f.failing) / float64(min(f.samples, serverMemory))
 }
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -19,6 +19,10 @@
 	serversPerBlock = 3   // that are remembered
 )
 
+// doubtfulPart is the part that is left of a benefit when the server's events
+// had a gap: chosen, not measured.
+const doubtfulPart = 0.5
+
 // Block is the hash of a prompt's prefix up to some block's end.
 type Block uint64
 
@@ -36,21 +40,6 @@
 	return blocks
 }
 
-// Preferred returns the candidate that the first block prefers by rendezvous
-// hashing, or "" for a prompt without blocks.
-func Preferred(candidates []FreeServer, prompt []Block) string {
-	if len(prompt) == 0 {
-		return ""
-	}
-	best, most := "", uint64(0)
-	for _, c := range candidates {
-		if h := xxh3.HashStringSeed(c.Server, uint64(prompt[0])); best == "" || h > most {
-			best, most = c.Server, h
-		}
-	}
-	return best
-}
-
 // Index remembers the newest blocks, up to a bound, with the servers that
 // should hold them.
 type Index struct {
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -6,6 +6,8 @@
 	"math"
 	"time"
 
+	"github.com/zeebo/xxh3"
+
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
@@ -31,7 +33,6 @@
 const (
 	queuePrice      = 8.0 // one request per slot in front
 	preferenceBonus = 0.5 // the rendezvous choice, enough to break ties
-	doubtfulPart    = 0.5 // of the benefit when the server's events had a gap
 )
 
 // loadHalfLife is the age at which a report counts half: chosen, not measured.
@@ -76,6 +77,21 @@
 	return best, best != ""
 }
 
+// Preferred returns the candidate that the first block prefers by rendezvous
+// hashing, or "" for a prompt without blocks.
+func Preferred(candidates []FreeServer, prompt []Block) string {
+	if len(prompt) == 0 {
+		return ""
+	}
+	best, most := "", uint64(0)
+	for _, c := range candidates {
+		if h := xxh3.HashStringSeed(c.Server, uint64(prompt[0])); best == "" || h > most {
+			best, most = c.Server, h
+		}
+	}
+	return best
+}
+
 func (p *SlotPlacer) price(now time.Duration, c FreeServer, prompt []Block) float64 {
 	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.Benefit(c.Server, prompt)
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -10,9 +10,9 @@
 // arrive during one sync share the next one (group commit), and nothing here
 // needs a lock.
 //
-// A disk that fails stops the replica ([Stopped]): after a failed sync it cannot
-// know what the disk holds, so it may neither vote nor acknowledge. The process
-// above decides whether to open the folder again.
+// A disk that fails stops the replica ([Stopped]): after a failed sync the
+// content of the disk is uncertain, so the replica may neither vote nor
+// acknowledge. The process above decides whether to open the folder again.
 //
 // Two types are called Replica: [consensus.Replica] is the pure step function, the
 // Replica here is what runs it. It owns its journal and its state machine, and
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -11,7 +11,7 @@
 
 // The ways to fail.
 const (
-	Refuse   Failure = "refuse"   // refuse before starting
+	Refuse   Failure = "refuse"   // answer that it was not started
 	DieEarly Failure = "die"      // run, then drop the connection without an answer
 	DieMid   Failure = "die-mid"  // drop the connection in the middle of the answer
 	Truncate Failure = "truncate" // an engine only: end a stream cleanly, but without its end mark
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -50,14 +50,10 @@
 func (c Config) Revision() uint64 { return c.revision }
 
 // Account returns the account of that name.
-func (c Config) Account(name string) (Account, bool) {
-	return get(c.accounts, name)
-}
+func (c Config) Account(name string) (Account, bool) { return get(c.accounts, name) }
 
 // Server returns the backend server of that name.
-func (c Config) Server(name string) (Server, bool) {
-	return get(c.servers, name)
-}
+func (c Config) Server(name string) (Server, bool) { return get(c.servers, name) }
 
 // Accounts returns all accounts ordered by name. The caller must not change
 // the slice.
