--- a/dev/dev.go
+++ b/dev/dev.go
@@ -101,7 +101,8 @@
 		return errors.Wrap(err, "create account")
 	}
 	for _, srv := range s.list() {
-		if _, err := c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: change(srv.Name), Server: srv})); err != nil {
+		req := &operatorv1.AddServerRequest{Change: change(srv.Name), Server: srv}
+		if _, err := c.AddServer(ctx, connect.NewRequest(req)); err != nil {
 			return errors.Wrap(err, "add server "+srv.Name)
 		}
 	}
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -234,10 +234,11 @@
 // without one for repeatable by its method or by some headers; an empty body
 // hides that it is empty.
 func bodyOf(call Call) io.Reader {
+	h := call.Header
 	switch {
 	case len(call.Body) > 0:
 		return bytes.NewReader(call.Body)
-	case call.Method == http.MethodPost && len(call.Header["Idempotency-Key"]) == 0 && len(call.Header["X-Idempotency-Key"]) == 0:
+	case call.Method == http.MethodPost && len(h["Idempotency-Key"]) == 0 && len(h["X-Idempotency-Key"]) == 0:
 		return http.NoBody
 	}
 	return unrewindable{strings.NewReader("")}
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -79,7 +79,8 @@
 // before the names, so that no two pairs of names give the same bytes.
 func proof(key []byte, side string, dialer, acceptor hello) []byte {
 	h := hmac.New(sha256.New, key)
-	for _, part := range [][]byte{[]byte(side), dialer.Nonce, acceptor.Nonce, []byte(dialer.Name), []byte(acceptor.Name)} {
+	parts := [][]byte{[]byte(side), dialer.Nonce, acceptor.Nonce, []byte(dialer.Name), []byte(acceptor.Name)}
+	for _, part := range parts {
 		h.Write([]byte{byte(len(part) >> 8), byte(len(part))})
 		h.Write(part)
 	}
