--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -26,7 +26,7 @@
 	Admit func(name string) bool
 	// Voters is the number of voters of an open group: more replicas than
 	// that stay learners until a voter is silent, and then take its place. 0
-	// promotes every learner and replaces nobody.
+	// promotes every learner and replaces none.
 	Voters int
 	// Bounds on what is sent to one follower; 0 is the default.
 	MaxAppend   int // bytes of entries in one message, but at least one entry
@@ -34,12 +34,11 @@
 	MaxInflight int // unanswered appends
 }
 
-// Defaults of Config, chosen, not measured. With 64 KiB a piece, a lost disk's
-// snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md).
+// Defaults of Config: chosen, not measured.
 const (
-	defaultMaxAppend   = 256 << 10
-	defaultMaxPiece    = 64 << 10
-	defaultMaxInflight = 32
+	defaultMaxAppend   = 256 << 10 // bytes of entries in one message
+	defaultMaxPiece    = 64 << 10  // bytes; a snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md)
+	defaultMaxInflight = 32        // appends
 )
 
 // withDefaults replaces what is zero.
@@ -93,8 +92,9 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Replica is the step function of one replica of one group. The Replica of package replica runs one, in a goroutine
-// with a clock and a disk. It is not safe for concurrent use.
+// Replica is the step function of one replica of one group. The Replica of
+// package replica runs one, in a goroutine with a clock and a disk. It is not
+// safe for concurrent use.
 type Replica struct {
 	cfg  Config
 	now  time.Duration
@@ -143,7 +143,7 @@
 	}
 	r.resetDeadline()
 	if v := r.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
-		r.deadline = now // nobody else could lead, or have been promised anything
+		r.deadline = now // no other replica can lead or have this one's vote
 	}
 	return r
 }
@@ -261,7 +261,7 @@
 	return r.hard, r.log.from(r.log.snapshot.Index+1, 0)
 }
 
-// Status is what a replica knows about its group.
+// Status is the state of a group as one replica has it.
 type Status struct {
 	Group    uint64
 	Role     Role
@@ -300,7 +300,7 @@
 		return own != 0
 	}
 	if own == 0 && (m.Kind == protocol.MsgSnapshot || m.Kind == protocol.MsgAppend) {
-		r.host = m.Group // a blank replica belongs to whoever repairs it
+		r.host = m.Group // a blank replica belongs to the group that repairs it
 	}
 	return m.Group != 0 && m.Group == r.group()
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -10,9 +10,9 @@
 // arrive during one sync share the next one (group commit), and nothing here
 // needs a lock.
 //
-// A disk that fails stops the replica ([Stopped]): after a failed sync it cannot
-// know what the disk holds, so it may neither vote nor acknowledge. The process
-// above decides whether to open the folder again.
+// A disk that fails stops the replica ([Stopped]): after a failed sync the
+// content of the disk is uncertain, so the replica may neither vote nor
+// acknowledge. The process above decides whether to open the folder again.
 //
 // Two types are called Replica: [consensus.Replica] is the pure step function, the
 // Replica here is what runs it. It owns its journal and its state machine, and
@@ -32,7 +32,7 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// This file defines Replica, its settings and what others may ask of it. The
+// This file defines Replica, its settings and what others may call. The
 // loop that does the work is in loop.go.
 
 // Machine is the state machine that the log drives. All calls come from the
@@ -55,8 +55,8 @@
 	Group string   // name of the group
 	Name  string   // of this replica
 	Names []string // of all replicas
-	// Open, if set, makes an open group: Names are then seeds, and whoever
-	// asks may join.
+	// Open, if set, makes an open group: Names are then seeds, and any
+	// replica may join.
 	Open    *OpenGroup
 	Dir     wal.Dir
 	Machine Machine
@@ -69,10 +69,9 @@
 	Observe func(s consensus.Status, leads bool)
 }
 
-// OpenGroup is what an open group needs to know besides its seeds.
+// OpenGroup is what an open group needs besides its seeds.
 type OpenGroup struct {
-	// Bootstrap says that this is the first start of the whole group: the seeds
-	// may found it.
+	// Bootstrap marks the first start of the whole group: the seeds may found it.
 	Bootstrap bool
 	// Voters is how many voters the group has; more replicas than that are
 	// learners, ready to take a silent voter's place.
@@ -90,8 +89,8 @@
 
 // Defaults of Tuning. All three are chosen, not measured.
 const (
-	defaultElection  = 600 * time.Millisecond
-	defaultHeartbeat = 120 * time.Millisecond
+	defaultElection  = 600 * time.Millisecond // without a message of the leader
+	defaultHeartbeat = 120 * time.Millisecond // a fifth of that
 	// defaultCompactAt is in bytes: about 16,000 changes of a configuration
 	// (estimated in docs/CAPACITY.md).
 	defaultCompactAt = 4 << 20
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -50,14 +50,10 @@
 func (c Config) Revision() uint64 { return c.revision }
 
 // Account returns the account of that name.
-func (c Config) Account(name string) (Account, bool) {
-	return get(c.accounts, name)
-}
+func (c Config) Account(name string) (Account, bool) { return get(c.accounts, name) }
 
 // Server returns the backend server of that name.
-func (c Config) Server(name string) (Server, bool) {
-	return get(c.servers, name)
-}
+func (c Config) Server(name string) (Server, bool) { return get(c.servers, name) }
 
 // Accounts returns all accounts ordered by name. The caller must not change
 // the slice.
@@ -74,7 +70,7 @@
 func (s Server) name() string  { return s.Name }
 
 // Ordered slices were chosen over maps: a change copies them in one piece and
-// nobody has to sort them, which made a change at 15,800 objects ten times
+// no reader has to sort them, which made a change at 15,800 objects ten times
 // cheaper on every box.
 
 // find returns the place of a name in an ordered list, and whether it is
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -18,7 +18,7 @@
 //
 // The standard library's transport repeats a request by itself when a kept
 // connection turns out closed and the request looks repeatable, which a GET
-// does, and so does anything with an Idempotency-Key. Whoever counts arrivals
+// does, and so does anything with an Idempotency-Key. A caller that counts arrivals
 // has to decide about a second one, so every call goes out with a body, empty or
 // not, that cannot be rewound.
 package forward
@@ -55,7 +55,7 @@
 
 // ResumeHeader is set by a server that can send the rest of an answer whose
 // connection broke: it holds a path for GET with a Range from the first byte
-// missing (RFC 9110, section 14), and for DELETE when nobody wants the rest.
+// missing (RFC 9110, section 14), and for DELETE when the rest is not wanted.
 const ResumeHeader = "Badgerspoke-Resume"
 
 // LoadHeader is set by a server that reports its load with its answers: the
@@ -231,10 +231,11 @@
 // without one for repeatable by its method or by some headers; an empty body
 // hides that it is empty.
 func bodyOf(call Call) io.Reader {
+	h := call.Header
 	switch {
 	case len(call.Body) > 0:
 		return bytes.NewReader(call.Body)
-	case call.Method == http.MethodPost && len(call.Header["Idempotency-Key"]) == 0 && len(call.Header["X-Idempotency-Key"]) == 0:
+	case call.Method == http.MethodPost && len(h["Idempotency-Key"]) == 0 && len(h["X-Idempotency-Key"]) == 0:
 		return http.NoBody
 	}
 	return unrewindable{strings.NewReader("")}
