--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -112,15 +112,13 @@
 
 // Admits reports whether a request of that class may begin.
 func (d Detector) Admits(c entitlement.Class) bool {
-	switch {
-	case d.Shedding:
-		return false
-	case c == entitlement.Beyond:
+	switch c {
+	case entitlement.Beyond:
 		return d.Delay < DelayBeyond
-	case c == entitlement.Extra:
+	case entitlement.Extra:
 		return d.Delay < delayExtra
 	}
-	return true
+	return !d.Shedding
 }
 
 // Coalesce returns how long a stream should wait after a piece, if callers
