--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -47,9 +47,9 @@
 	pause = 2 * time.Second
 )
 
-// Link is one gateway's budget and what it has learned of the links. The zero value has
+// LinkBudget is one gateway's budget and what it has learned of the links. The zero value has
 // learned nothing and its bucket is full.
-type Link struct {
+type LinkBudget struct {
 	spent  float64 // bytes that the bucket lacks
 	free   float64 // the same of the part for what need not leave
 	at     time.Duration
@@ -81,7 +81,7 @@
 
 // Admits reports whether the budget has the bytes of a request. What need not leave has a part
 // of the budget, and none while the link looks full; what must has all of it.
-func (l *Link) Admits(now time.Duration, s Share, p Passage) bool {
+func (l *LinkBudget) Admits(now time.Duration, s Share, p Passage) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burst, smallestBurst)
 	if p.Must {
@@ -98,14 +98,14 @@
 }
 
 // Spend takes bytes from the budget, or gives back what was expected and did not come.
-func (l *Link) Spend(now time.Duration, s Share, bytes float64) {
+func (l *LinkBudget) Spend(now time.Duration, s Share, bytes float64) {
 	l.refill(now, s)
 	l.spent = max(l.spent+bytes, 0)
 	l.free = max(l.free+bytes, 0)
 }
 
 // refill adds what has come since the last call.
-func (l *Link) refill(now time.Duration, s Share) {
+func (l *LinkBudget) refill(now time.Duration, s Share) {
 	came := s.rate() * max(now-l.at, 0).Seconds()
 	l.at = max(now, l.at)
 	l.spent = max(l.spent-came, 0)
@@ -113,7 +113,7 @@
 }
 
 // Way returns the round trip to a region.
-func (l *Link) Way(region string) time.Duration {
+func (l *LinkBudget) Way(region string) time.Duration {
 	if way, known := l.ways[region]; known {
 		return way
 	}
@@ -122,7 +122,7 @@
 
 // ObserveWay takes how long a new connection to a region took: one round trip, and what waits
 // on the link.
-func (l *Link) ObserveWay(now time.Duration, region string, took time.Duration) {
+func (l *LinkBudget) ObserveWay(now time.Duration, region string, took time.Duration) {
 	way, known := l.ways[region]
 	switch {
 	case l.ways == nil:
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -14,7 +14,7 @@
 // This file tests what gateways put on the link between regions.
 
 // sends offers requests of one kind for a while and returns the bytes that got over.
-func sends(l *Link, s Share, p Passage, each, span time.Duration) (bytes float64) {
+func sends(l *LinkBudget, s Share, p Passage, each, span time.Duration) (bytes float64) {
 	for now := time.Second; now < time.Second+span; now += each {
 		if l.Admits(now, s, p) {
 			l.Spend(now, s, p.Bytes)
@@ -46,7 +46,7 @@
 			is := is.New(t)
 			total := 0.0
 			for range 2 * gateways {
-				total += sends(&Link{}, share, tt.p, 10*time.Millisecond, tt.span)
+				total += sends(&LinkBudget{}, share, tt.p, 10*time.Millisecond, tt.span)
 			}
 			part := total / tt.span.Seconds() / capacity
 			t.Logf("%.2f of the capacity", part)
@@ -62,7 +62,7 @@
 func TestSharesFirstOnTheLink(t *testing.T) {
 	is := is.New(t)
 	share := Share{Rate: 6e6, Gateways: 44}
-	l := &Link{}
+	l := &LinkBudget{}
 	entitled, extra, must := Passage{Bytes: 1000}, Passage{Bytes: 1000, Class: entitlement.Extra}, Passage{Bytes: 1000, Must: true}
 	is.True(l.Admits(time.Second, share, extra))
 	l.Spend(time.Second, share, share.rate()*freePart*0.6)
@@ -83,7 +83,7 @@
 // as long keeps requests in their region for a while, but for those that must leave.
 func TestWayIsLearned(t *testing.T) {
 	is := is.New(t)
-	share, l := Share{Gateways: 10}, &Link{}
+	share, l := Share{Gateways: 10}, &LinkBudget{}
 	is.Equal(l.Way("south"), AssumedWay)
 	l.ObserveWay(time.Second, "south", 40*time.Millisecond)
 	is.Equal(l.Way("south"), 40*time.Millisecond)
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -188,7 +188,7 @@
 		spend := func(seconds float64) { // of the budget's rate
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.link = place.Link{}
+			t.link = place.LinkBudget{}
 			t.link.Spend(x.g.now(), t.site.share(1), seconds*place.DefaultLinkRate*0.35)
 		}
 		spend(0.9) // nothing is left for requests that need not leave
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -225,17 +225,17 @@
 		is.Equal(x.servedIn("s1"), 2)
 
 		x.full(true, "n1")
-		setLink := func(link place.Link) {
+		setLink := func(link place.LinkBudget) {
 			x.g.table.mu.Lock()
 			defer x.g.table.mu.Unlock()
 			x.g.table.link = link
 		}
-		slow := place.Link{}
+		slow := place.LinkBudget{}
 		slow.ObserveWay(x.g.now(), "south", 390*time.Millisecond) // of an objective of 400
 		setLink(slow)
 		is.Equal(ask().status, 503)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="time"} 1`))
-		setLink(place.Link{})
+		setLink(place.LinkBudget{})
 		x.full(true, "n1")
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, nil, false)
 		ask()
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -67,10 +67,10 @@
 	hallChanges uint64          // as of which
 	leased      time.Duration   // until when this gateway's shares of cold servers are in force
 
-	rollouts    rolloutList   // the newest held
-	sharesUntil time.Duration // until when its shares are in force
-	link        place.Link    // between this gateway's region and others
-	homes       homesIndex    // of the document in force
+	rollouts    rolloutList      // the newest held
+	sharesUntil time.Duration    // until when its shares are in force
+	link        place.LinkBudget // between this gateway's region and others
+	homes       homesIndex       // of the document in force
 }
 
 // pool is the backend servers of one name with what waits for them.
