--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -57,14 +57,14 @@
 	paused time.Duration            // until when
 }
 
-// Share is what divides a link's capacity.
-type Share struct {
+// LinkShare is what divides a link's capacity.
+type LinkShare struct {
 	Rate     float64 // bytes a second one way; 0 is DefaultLinkRate
 	Gateways int     // of the region
 }
 
 // rate is this gateway's part, in bytes a second.
-func (s Share) rate() float64 {
+func (s LinkShare) rate() float64 {
 	total := s.Rate
 	if total <= 0 {
 		total = DefaultLinkRate
@@ -81,7 +81,7 @@
 
 // Admits reports whether the budget has the bytes of a request. What need not leave has a part
 // of the budget, and none while the link looks full; what must has all of it.
-func (l *LinkBudget) Admits(now time.Duration, s Share, p Passage) bool {
+func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Passage) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burst, smallestBurst)
 	if p.Must {
@@ -98,14 +98,14 @@
 }
 
 // Spend takes bytes from the budget, or gives back what was expected and did not come.
-func (l *LinkBudget) Spend(now time.Duration, s Share, bytes float64) {
+func (l *LinkBudget) Spend(now time.Duration, s LinkShare, bytes float64) {
 	l.refill(now, s)
 	l.spent = max(l.spent+bytes, 0)
 	l.free = max(l.free+bytes, 0)
 }
 
 // refill adds what has come since the last call.
-func (l *LinkBudget) refill(now time.Duration, s Share) {
+func (l *LinkBudget) refill(now time.Duration, s LinkShare) {
 	came := s.rate() * max(now-l.at, 0).Seconds()
 	l.at = max(now, l.at)
 	l.spent = max(l.spent-came, 0)
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -14,7 +14,7 @@
 // This file tests what gateways put on the link between regions.
 
 // sends offers requests of one kind for a while and returns the bytes that got over.
-func sends(l *LinkBudget, s Share, p Passage, each, span time.Duration) (bytes float64) {
+func sends(l *LinkBudget, s LinkShare, p Passage, each, span time.Duration) (bytes float64) {
 	for now := time.Second; now < time.Second+span; now += each {
 		if l.Admits(now, s, p) {
 			l.Spend(now, s, p.Bytes)
@@ -29,7 +29,7 @@
 // are larger than a bucket, and what need not leave its region leaves a part to what must.
 func TestFloodDoesNotFillTheLink(t *testing.T) {
 	const capacity, gateways = 6e6, 44
-	share := Share{Rate: capacity, Gateways: gateways}
+	share := LinkShare{Rate: capacity, Gateways: gateways}
 	for _, tt := range []struct {
 		name  string
 		p     Passage
@@ -61,7 +61,7 @@
 // nothing goes by choice any more.
 func TestSharesFirstOnTheLink(t *testing.T) {
 	is := is.New(t)
-	share := Share{Rate: 6e6, Gateways: 44}
+	share := LinkShare{Rate: 6e6, Gateways: 44}
 	l := &LinkBudget{}
 	entitled, extra, must := Passage{Bytes: 1000}, Passage{Bytes: 1000, Class: entitlement.Extra}, Passage{Bytes: 1000, Must: true}
 	is.True(l.Admits(time.Second, share, extra))
@@ -83,7 +83,7 @@
 // as long keeps requests in their region for a while, but for those that must leave.
 func TestWayIsLearned(t *testing.T) {
 	is := is.New(t)
-	share, l := Share{Gateways: 10}, &LinkBudget{}
+	share, l := LinkShare{Gateways: 10}, &LinkBudget{}
 	is.Equal(l.Way("south"), AssumedWay)
 	l.ObserveWay(time.Second, "south", 40*time.Millisecond)
 	is.Equal(l.Way("south"), 40*time.Millisecond)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -39,9 +39,9 @@
 
 // share is what divides the link's capacity among the region's gateways: as many as if all
 // regions had equally many, and one more where they cannot, so that none uses more than its part.
-func (s *site) share(gateways int) place.Share {
+func (s *site) share(gateways int) place.LinkShare {
 	regions := max(s.regions, 1)
-	return place.Share{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
+	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
 }
 
 // part is the servers of a pool in one region, ordered by identifier.
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -58,7 +58,7 @@
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		x.g.table.mu.Lock()
-		x.g.table.link.Spend(x.g.now(), place.Share{}, 1e9)
+		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
 		is.Equal(x.ask("/again/x", "Patience", "1000").status, 503)
 		is.Equal(x.servers.count(), 1)
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -89,7 +89,7 @@
 		x.leaseShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
-		x.g.table.link.Spend(x.g.now(), place.Share{}, 1e9)
+		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
 		x.leaseShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"old": 10})
