--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -94,8 +94,8 @@
 	RollBack        // the target's servers get nothing any more
 )
 
-// Observed is what the leader knows at one moment.
-type Observed struct {
+// Observation is what the leader knows at one moment.
+type Observation struct {
 	Elapsed time.Duration // since the order, at least
 	// Totals are the outcomes by route since the rollout began.
 	Totals map[string]*Pair
@@ -156,7 +156,7 @@
 // use is how many requests the target had, and how many there were, on routes that can try it.
 type use struct{ sent, of uint64 }
 
-func (o Observed) use() (u use) {
+func (o Observation) use() (u use) {
 	for route, p := range o.Totals {
 		if !o.KeptAway[route] {
 			u.sent += p.Target.Sent
@@ -206,7 +206,7 @@
 func (s *Schedule) Switched() bool { return s.switched > 0 }
 
 // Step takes what is known now and returns what is to be done.
-func (s *Schedule) Step(o Observed) Decision {
+func (s *Schedule) Step(o Observation) Decision {
 	passed := max(o.Elapsed-s.last, 0)
 	s.last = o.Elapsed
 	d := Decision{}
@@ -236,7 +236,7 @@
 }
 
 // finish decides after the switch.
-func (s *Schedule) finish(o Observed, d *Decision) {
+func (s *Schedule) finish(o Observation, d *Decision) {
 	d.Share = 1
 	if s.resumed {
 		s.before, s.resumed = o.use(), false
@@ -257,7 +257,7 @@
 
 // unused reports whether hardly anything has gone to the target since the switch, though requests
 // came: what has no room, or cannot be used, cannot take the old servers' place.
-func (s *Schedule) unused(o Observed) bool {
+func (s *Schedule) unused(o Observation) bool {
 	now := o.use()
 	sent, of := rise(s.before.sent, now.sent), rise(s.before.of, now.of)
 	return of >= enoughKnown && sent < leastUsed*of
@@ -268,7 +268,7 @@
 }
 
 // try decides before the switch.
-func (s *Schedule) try(o Observed, d *Decision) {
+func (s *Schedule) try(o Observation, d *Decision) {
 	rate, known := s.rate.perSecond()
 	good := s.good(o, d)
 	late := o.Elapsed >= s.at(latestPart)
@@ -290,7 +290,7 @@
 	}
 }
 
-func (s *Schedule) switchAll(o Observed, d *Decision, why string) {
+func (s *Schedule) switchAll(o Observation, d *Decision, why string) {
 	s.switched = max(o.Elapsed, 1)
 	d.Share, d.Why = 1, why
 	s.before = o.use()
@@ -310,7 +310,7 @@
 
 // good reports whether each route that can try the target has enough answers of it, and no sum is
 // suspicious.
-func (s *Schedule) good(o Observed, d *Decision) bool {
+func (s *Schedule) good(o Observation, d *Decision) bool {
 	late := o.Elapsed >= s.at(latestPart)
 	if d.Grounds.Sum >= suspicion && !late || d.Grounds.Sum >= suspicionLate || d.Grounds.Known < enoughKnown {
 		return false
@@ -332,7 +332,7 @@
 }
 
 // share sets the shares of a trial.
-func (s *Schedule) share(o Observed, d *Decision, rate float64, known bool) {
+func (s *Schedule) share(o Observation, d *Decision, rate float64, known bool) {
 	bound := s.Bounds.orDefault().Share
 	d.Share, d.Why = math.Round(1000*trialOfBound*bound)/1000, "trial"
 	if !known || rate == 0 {
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -14,11 +14,11 @@
 
 // seen runs a schedule of 10 s on its own steps until it ends, with observe's view of each, and
 // returns all decisions.
-func seen(observe func(at time.Duration, d Decision) Observed) (all []Decision) {
+func seen(observe func(at time.Duration, d Decision) Observation) (all []Decision) {
 	return seenWithin(Bounds{Share: 0.1, Slack: 50}, observe)
 }
 
-func seenWithin(b Bounds, observe func(at time.Duration, d Decision) Observed) (all []Decision) {
+func seenWithin(b Bounds, observe func(at time.Duration, d Decision) Observation) (all []Decision) {
 	s := &Schedule{Duration: 10 * time.Second, Bounds: b}
 	var d Decision
 	for at := time.Duration(0); at < 20*time.Second && d.Ending == GoOn; at += 100 * time.Millisecond {
@@ -33,8 +33,8 @@
 // TestNoRequests: a pool without any is moved, since the bound holds whatever comes.
 func TestNoRequests(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(time.Duration, Decision) Observed {
-		return Observed{Informed: true, TargetListed: true, OldIdle: true}
+	all := seen(func(time.Duration, Decision) Observation {
+		return Observation{Informed: true, TargetListed: true, OldIdle: true}
 	})
 	is.Equal(all[len(all)-1].Ending, Complete)
 	is.True(len(all) < 96) // 9.5 s
@@ -44,13 +44,13 @@
 // besides, or those without a share, stay as they are.
 func TestBoundsByDefault(t *testing.T) {
 	is := is.New(t)
-	observe := func(at time.Duration, d Decision) Observed {
+	observe := func(at time.Duration, d Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
 		target := uint64(0.05 * float64(n))
 		if at > 6*time.Second {
 			target += n - 900
 		}
-		return Observed{Informed: true, TargetListed: true, OldIdle: true, Totals: map[string]*Pair{
+		return Observation{Informed: true, TargetListed: true, OldIdle: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}}
 	}
@@ -66,9 +66,9 @@
 func TestNoServerOfTheTarget(t *testing.T) {
 	is := is.New(t)
 	for _, perStep := range []uint64{0, 1, 15} {
-		all := seen(func(at time.Duration, _ Decision) Observed {
+		all := seen(func(at time.Duration, _ Decision) Observation {
 			n := perStep * uint64(at/(100*time.Millisecond))
-			return Observed{Informed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+			return Observation{Informed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 		})
 		is.Equal(all[len(all)-1].Ending, RollBack)
 		for _, d := range all {
@@ -80,9 +80,9 @@
 // TestTooLittleIsKnown: many requests, of which the target gets none, for want of room, say.
 func TestTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(at time.Duration, _ Decision) Observed {
+	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
-		return Observed{Informed: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
 	is.Equal(all[len(all)-1].Ending, RollBack)
 	is.Equal(all[len(all)-1].Why, "too little is known in time")
@@ -93,14 +93,14 @@
 func TestNewLeaderWaits(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
-	is.Equal(s.Step(Observed{Elapsed: 2 * time.Second, TargetListed: true}).Share, 0.0)
+	is.Equal(s.Step(Observation{Elapsed: 2 * time.Second, TargetListed: true}).Share, 0.0)
 	at := 8 * time.Second
-	is.Equal(s.Step(Observed{Elapsed: at, TargetListed: true}).Share, 0.0)
+	is.Equal(s.Step(Observation{Elapsed: at, TargetListed: true}).Share, 0.0)
 	totals := map[string]*Pair{"r": {Target: Tally{Sent: 40, Answered: 40}, Old: Tally{Sent: 960, Answered: 960}}}
-	is.Equal(s.Step(Observed{Elapsed: at + 500*time.Millisecond, TargetListed: true, Totals: totals}).Share, 0.0)
+	is.Equal(s.Step(Observation{Elapsed: at + 500*time.Millisecond, TargetListed: true, Totals: totals}).Share, 0.0)
 	var d Decision
 	for step := range 4 {
-		d = s.Step(Observed{Elapsed: at + time.Second + time.Duration(step)*100*time.Millisecond, TargetListed: true, Informed: true, Totals: totals})
+		d = s.Step(Observation{Elapsed: at + time.Second + time.Duration(step)*100*time.Millisecond, TargetListed: true, Informed: true, Totals: totals})
 		rate, _ := s.rate.perSecond()
 		is.Equal(rate, 0.0)
 	}
@@ -112,13 +112,13 @@
 func TestBoundIsUsedUp(t *testing.T) {
 	is := is.New(t)
 	target, old := uint64(300), uint64(0)
-	all := seen(func(_ time.Duration, d Decision) Observed {
+	all := seen(func(_ time.Duration, d Decision) Observation {
 		if d.Share == 1 {
 			target += 15
 		} else {
 			old += 15
 		}
-		return Observed{Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: old, Answered: old}},
 		}}
 	})
@@ -134,7 +134,7 @@
 		for _, idle := range []bool{false, true} {
 			is := is.New(t)
 			var switched uint64
-			all := seen(func(at time.Duration, d Decision) Observed {
+			all := seen(func(at time.Duration, d Decision) Observation {
 				n := 15 * uint64(at/(100*time.Millisecond))
 				target := n / 20
 				if d.Share == 1 && switched == 0 {
@@ -143,7 +143,7 @@
 				if switched > 0 {
 					target = switched / 20
 				}
-				return Observed{Informed: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*Pair{
+				return Observation{Informed: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*Pair{
 					"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 				}}
 			})
@@ -164,7 +164,7 @@
 		if at >= 3*time.Second && at < 4*time.Second {
 			n, target = n/3, target/3
 		}
-		d := s.Step(Observed{Elapsed: at, Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		d := s.Step(Observation{Elapsed: at, Informed: true, TargetListed: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}})
 		is.True(d.Sent >= min(uint64(at/(100*time.Millisecond)), 29))
@@ -181,7 +181,7 @@
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	var d Decision
 	for at := 8 * time.Second; at < 12*time.Second && d.Ending == GoOn; at += 100 * time.Millisecond {
-		d = s.Step(Observed{Elapsed: at, TargetListed: true, OldIdle: true, Informed: at >= 9*time.Second})
+		d = s.Step(Observation{Elapsed: at, TargetListed: true, OldIdle: true, Informed: at >= 9*time.Second})
 	}
 	is.Equal(d.Ending, Complete)
 }
@@ -190,9 +190,9 @@
 // then none either.
 func TestRouteMustBeTried(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(at time.Duration, _ Decision) Observed {
+	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := uint64(at / (100 * time.Millisecond))
-		return Observed{Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{
 			"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 			"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 		}}
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/together_test.go
@@ -28,9 +28,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			var switched uint64 // requests of a route until then
-			all := seen(func(at time.Duration, d Decision) Observed {
+			all := seen(func(at time.Duration, d Decision) Observation {
 				n := uint64(at / (100 * time.Millisecond))
-				o := Observed{Informed: true, TargetListed: true, KeptAway: test.keptAway, Totals: map[string]*Pair{
+				o := Observation{Informed: true, TargetListed: true, KeptAway: test.keptAway, Totals: map[string]*Pair{
 					"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 					"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 				}}
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -146,7 +146,7 @@
 	default:
 		r.noteForgotten(now)
 		before, halls := r.decision, h.targetHalls(r)
-		r.decision = r.schedule.Step(rollout.Observed{
+		r.decision = r.schedule.Step(rollout.Observation{
 			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
 			KeptAway: h.keptAway(halls),
 			Informed: now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
