--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -99,8 +99,8 @@
 	Elapsed time.Duration // since the order, at least
 	// Totals are the outcomes by route since the rollout began.
 	Totals map[string]*Pair
-	// KeptAway are the routes whose homes have no server of the target: they cannot try it.
-	KeptAway map[string]bool
+	// RoutesWithoutTarget are the routes whose homes have no server of the target: they cannot try it.
+	RoutesWithoutTarget map[string]bool
 	// Informed is whether all gateways in touch have reported, or have had the time.
 	Informed bool
 	// OldIdle is whether all gateways obey the switch and nothing runs on the old servers.
@@ -158,7 +158,7 @@
 
 func (o Observation) use() (u use) {
 	for route, p := range o.Totals {
-		if !o.KeptAway[route] {
+		if !o.RoutesWithoutTarget[route] {
 			u.sent += p.Target.Sent
 			u.of += p.Target.Sent + p.Old.Sent
 		}
@@ -316,7 +316,7 @@
 		return false
 	}
 	for route, p := range o.Totals {
-		if o.KeptAway[route] {
+		if o.RoutesWithoutTarget[route] {
 			continue
 		}
 		all := float64(p.Target.Sent + p.Old.Sent)
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -148,8 +148,8 @@
 		before, halls := r.decision, h.targetHalls(r)
 		r.decision = r.schedule.Step(rollout.Observation{
 			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
-			KeptAway: h.keptAway(halls),
-			Informed: now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
+			RoutesWithoutTarget: h.keptAway(halls),
+			Informed:            now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
 		})
 		if r.decision.Why != before.Why || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
 			h.logStep(now, r)
