--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -95,7 +95,7 @@
 		if tick%stepTicks == 0 && r.ending == GoOn {
 			m.reports = append(m.reports, m.snapshot())
 			seen := m.reports[max(len(m.reports)-1-reportSteps, 0)]
-			d := s.Step(Observation{Elapsed: now, Totals: seen, Informed: true, TargetListed: true, OldIdle: s.Switched() && m.running == 0})
+			d := s.Step(Observation{Elapsed: now, Totals: seen, ReportsComplete: true, TargetListed: true, OldIdle: s.Switched() && m.running == 0})
 			m.decided = append(m.decided, d)
 			if s.Switched() && r.switched == 0 {
 				r.switched = now
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -101,8 +101,8 @@
 	Totals map[string]*Pair
 	// RoutesWithoutTarget are the routes whose homes have no server of the target: they cannot try it.
 	RoutesWithoutTarget map[string]bool
-	// Informed is whether all gateways in touch have reported, or have had the time.
-	Informed bool
+	// ReportsComplete is whether all gateways in touch have reported, or have had the time.
+	ReportsComplete bool
 	// OldIdle is whether all gateways obey the switch and nothing runs on the old servers.
 	OldIdle bool
 	// TargetListed is whether a server of the target is listed, in a data hall in service.
@@ -215,7 +215,7 @@
 		d.Of += p.Target.Sent + p.Old.Sent
 	}
 	d.Sent = max(d.Sent, s.decided.Sent) // what a relay's totals take with them was sent all the same
-	if !o.Informed {
+	if !o.ReportsComplete {
 		s.rate = rateMeter{} // what comes now was sent at any time
 	}
 	s.rate.step(passed, d.Of)
@@ -224,7 +224,7 @@
 	switch {
 	case d.Grounds.Sum >= alarm:
 		d.Ending, d.Why = RollBack, "bad answers"
-	case !o.Informed:
+	case !o.ReportsComplete:
 		d.Why = "reports are awaited"
 	case s.Switched():
 		s.finish(o, &d)
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -34,7 +34,7 @@
 func TestNoRequests(t *testing.T) {
 	is := is.New(t)
 	all := seen(func(time.Duration, Decision) Observation {
-		return Observation{Informed: true, TargetListed: true, OldIdle: true}
+		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true}
 	})
 	is.Equal(all[len(all)-1].Ending, Complete)
 	is.True(len(all) < 96) // 9.5 s
@@ -50,7 +50,7 @@
 		if at > 6*time.Second {
 			target += n - 900
 		}
-		return Observation{Informed: true, TargetListed: true, OldIdle: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}}
 	}
@@ -68,7 +68,7 @@
 	for _, perStep := range []uint64{0, 1, 15} {
 		all := seen(func(at time.Duration, _ Decision) Observation {
 			n := perStep * uint64(at/(100*time.Millisecond))
-			return Observation{Informed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+			return Observation{ReportsComplete: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 		})
 		is.Equal(all[len(all)-1].Ending, RollBack)
 		for _, d := range all {
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
-		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
 	is.Equal(all[len(all)-1].Ending, RollBack)
 	is.Equal(all[len(all)-1].Why, "too little is known in time")
@@ -100,7 +100,7 @@
 	is.Equal(s.Step(Observation{Elapsed: at + 500*time.Millisecond, TargetListed: true, Totals: totals}).Share, 0.0)
 	var d Decision
 	for step := range 4 {
-		d = s.Step(Observation{Elapsed: at + time.Second + time.Duration(step)*100*time.Millisecond, TargetListed: true, Informed: true, Totals: totals})
+		d = s.Step(Observation{Elapsed: at + time.Second + time.Duration(step)*100*time.Millisecond, TargetListed: true, ReportsComplete: true, Totals: totals})
 		rate, _ := s.rate.perSecond()
 		is.Equal(rate, 0.0)
 	}
@@ -118,7 +118,7 @@
 		} else {
 			old += 15
 		}
-		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: old, Answered: old}},
 		}}
 	})
@@ -143,7 +143,7 @@
 				if switched > 0 {
 					target = switched / 20
 				}
-				return Observation{Informed: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*Pair{
+				return Observation{ReportsComplete: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*Pair{
 					"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 				}}
 			})
@@ -164,7 +164,7 @@
 		if at >= 3*time.Second && at < 4*time.Second {
 			n, target = n/3, target/3
 		}
-		d := s.Step(Observation{Elapsed: at, Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		d := s.Step(Observation{Elapsed: at, ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}})
 		is.True(d.Sent >= min(uint64(at/(100*time.Millisecond)), 29))
@@ -181,7 +181,7 @@
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	var d Decision
 	for at := 8 * time.Second; at < 12*time.Second && d.Ending == GoOn; at += 100 * time.Millisecond {
-		d = s.Step(Observation{Elapsed: at, TargetListed: true, OldIdle: true, Informed: at >= 9*time.Second})
+		d = s.Step(Observation{Elapsed: at, TargetListed: true, OldIdle: true, ReportsComplete: at >= 9*time.Second})
 	}
 	is.Equal(d.Ending, Complete)
 }
@@ -192,7 +192,7 @@
 	is := is.New(t)
 	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := uint64(at / (100 * time.Millisecond))
-		return Observation{Informed: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
 			"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 			"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 		}}
