--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -101,7 +101,7 @@
 				r.switched = now
 			}
 			if d.Ending != GoOn {
-				r.ending, r.at, r.why = d.Ending, now, d.Why
+				r.ending, r.at, r.why = d.Ending, now, d.Reason
 			}
 		}
 		if tick%stepTicks == sendTicks && len(m.decided) > 0 {
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -114,7 +114,7 @@
 	Ending  Ending
 	Share   float64            // of all requests
 	Routes  map[string]float64 // by route, where it is not Share
-	Why     string             // for the log
+	Reason  string             // for the log
 	Grounds Grounds
 	Sent    uint64 // to the target
 	Of      uint64 // requests of the pool
@@ -223,9 +223,9 @@
 	d.Grounds = s.evidence.worst()
 	switch {
 	case d.Grounds.Sum >= alarm:
-		d.Ending, d.Why = RollBack, "bad answers"
+		d.Ending, d.Reason = RollBack, "bad answers"
 	case !o.ReportsComplete:
-		d.Why = "reports are awaited"
+		d.Reason = "reports are awaited"
 	case s.Switched():
 		s.finish(o, &d)
 	default:
@@ -245,13 +245,13 @@
 	full := o.Elapsed-s.switched >= min(fullTime, time.Duration(fullOfRest*rest))
 	switch {
 	case full && o.Elapsed >= s.at(completePart) && (!o.TargetListed || s.unused(o)):
-		d.Ending, d.Why = RollBack, "the target gets no requests"
+		d.Ending, d.Reason = RollBack, "the target gets no requests"
 	case full && o.Elapsed >= s.at(completePart):
-		d.Ending, d.Why = Complete, "the time is nearly over"
+		d.Ending, d.Reason = Complete, "the time is nearly over"
 	case full && o.OldIdle && o.TargetListed && d.Grounds.Sum < suspicion:
-		d.Ending, d.Why = Complete, "nothing runs on the old servers"
+		d.Ending, d.Reason = Complete, "nothing runs on the old servers"
 	default:
-		d.Why = "all requests"
+		d.Reason = "all requests"
 	}
 }
 
@@ -276,15 +276,15 @@
 	few := known && d.Grounds.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
-		d.Ending, d.Why = RollBack, "no server of the target"
+		d.Ending, d.Reason = RollBack, "no server of the target"
 	case late && !known:
-		d.Why = "the rate is not known yet"
+		d.Reason = "the rate is not known yet"
 	case o.Elapsed >= s.at(trialPart) && o.TargetListed && good && (reserve || late):
 		s.switchAll(o, d, "good answers")
 	case late && few:
 		s.switchAll(o, d, "few requests, and nothing speaks against it")
 	case late:
-		d.Ending, d.Why = RollBack, "too little is known in time"
+		d.Ending, d.Reason = RollBack, "too little is known in time"
 	default:
 		s.share(o, d, rate, known)
 	}
@@ -292,7 +292,7 @@
 
 func (s *Schedule) switchAll(o Observation, d *Decision, why string) {
 	s.switched = max(o.Elapsed, 1)
-	d.Share, d.Why = 1, why
+	d.Share, d.Reason = 1, why
 	s.before = o.use()
 }
 
@@ -334,7 +334,7 @@
 // share sets the shares of a trial.
 func (s *Schedule) share(o Observation, d *Decision, rate float64, known bool) {
 	bound := s.Bounds.orDefault().Share
-	d.Share, d.Why = math.Round(1000*trialOfBound*bound)/1000, "trial"
+	d.Share, d.Reason = math.Round(1000*trialOfBound*bound)/1000, "trial"
 	if !known || rate == 0 {
 		return
 	}
@@ -344,7 +344,7 @@
 	wanted := max(d.Share, float64(enoughSent*len(o.Totals))/(float64(d.Of)+rate*until))
 	d.Share = max(min((budget-float64(d.Sent))/(rate*until), wanted, mostShare), leastOfBound*bound)
 	if float64(d.Sent)+d.Share*rate*stopTime.Seconds() > s.allowed(d.Of) {
-		d.Share, d.Why = 0, "the bound is used up"
+		d.Share, d.Reason = 0, "the bound is used up"
 		return
 	}
 	d.Share = math.Round(1000*d.Share) / 1000 // as it is logged
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -85,7 +85,7 @@
 		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
 	is.Equal(all[len(all)-1].Ending, RollBack)
-	is.Equal(all[len(all)-1].Why, "too little is known in time")
+	is.Equal(all[len(all)-1].Reason, "too little is known in time")
 }
 
 // TestNewLeaderWaits: nothing goes to the target before the gateways have reported; what they
@@ -123,7 +123,7 @@
 		}}
 	})
 	is.Equal(all[40].Share, 0.0)
-	is.Equal(all[40].Why, "the bound is used up")
+	is.Equal(all[40].Reason, "the bound is used up")
 	is.Equal(all[len(all)-1].Ending, Complete) // at the latest, it is good by what was seen
 }
 
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -53,7 +53,7 @@
 func (h *hub) takeBarred(list []protocol.Barred) {
 	for _, b := range list {
 		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Ending != rollout.RollBack {
-			r.decision.Ending, r.decision.Why = rollout.RollBack, barredBefore
+			r.decision.Ending, r.decision.Reason = rollout.RollBack, barredBefore
 		}
 	}
 }
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -141,7 +141,7 @@
 	switch {
 	case r.decision.Ending != rollout.GoOn:
 	case r.Target == r.Completed:
-		r.decision = rollout.Decision{Ending: rollout.Complete, Share: 1, Why: "it has the requests"}
+		r.decision = rollout.Decision{Ending: rollout.Complete, Share: 1, Reason: "it has the requests"}
 		h.logStep(now, r)
 	default:
 		r.noteForgotten(now)
@@ -151,7 +151,7 @@
 			RoutesWithoutTarget: h.keptAway(halls),
 			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
 		})
-		if r.decision.Why != before.Why || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
+		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
 			h.logStep(now, r)
 		}
 	}
@@ -388,6 +388,6 @@
 		slog.Int64("elapsed_ms", r.elapsed(now).Milliseconds()), slog.Float64("share", d.Share), slog.Uint64("sent", d.Sent),
 		slog.Uint64("of", d.Of), slog.Uint64("known", d.Grounds.Known), slog.Uint64("failed", d.Grounds.Failed),
 		slog.String("worst_route", d.Grounds.Route), slog.String("worst_for", kind),
-		slog.Float64("evidence", math.Round(10*d.Grounds.Sum)/10), slog.Bool("old_idle", h.oldIdle(r)), slog.String("why", d.Why),
+		slog.Float64("evidence", math.Round(10*d.Grounds.Sum)/10), slog.Bool("old_idle", h.oldIdle(r)), slog.String("why", d.Reason),
 	}
 }
