--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -117,7 +117,7 @@
 	Reason  string             // for the log
 	Grounds Grounds
 	Sent    uint64 // to the target
-	Of      uint64 // requests of the pool
+	Total   uint64 // requests of the pool
 }
 
 // hardly is the part by which a share may differ from the one that gateways were sent before they are
@@ -212,13 +212,13 @@
 	d := Decision{}
 	for _, p := range o.Totals {
 		d.Sent += p.Target.Sent
-		d.Of += p.Target.Sent + p.Old.Sent
+		d.Total += p.Target.Sent + p.Old.Sent
 	}
 	d.Sent = max(d.Sent, s.decided.Sent) // what a relay's totals take with them was sent all the same
 	if !o.ReportsComplete {
 		s.rate = rateMeter{} // what comes now was sent at any time
 	}
-	s.rate.step(passed, d.Of)
+	s.rate.step(passed, d.Total)
 	s.evidence.step(passed, o.Totals, s.Switched())
 	d.Grounds = s.evidence.worst()
 	switch {
@@ -272,7 +272,7 @@
 	rate, known := s.rate.perSecond()
 	good := s.good(o, d)
 	late := o.Elapsed >= s.at(latestPart)
-	reserve := s.allowed(d.Of)-float64(d.Sent) >= rate*stopTime.Seconds()
+	reserve := s.allowed(d.Total)-float64(d.Sent) >= rate*stopTime.Seconds()
 	few := known && d.Grounds.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
@@ -305,7 +305,7 @@
 // fits reports whether all requests until the deadline may go to a bad version.
 func (s *Schedule) fits(rate float64, elapsed time.Duration, d *Decision) bool {
 	rest := rate * max(s.Duration-elapsed, 0).Seconds()
-	return float64(d.Sent)+rest <= s.allowed(d.Of+uint64(rest))
+	return float64(d.Sent)+rest <= s.allowed(d.Total+uint64(rest))
 }
 
 // good reports whether each route that can try the target has enough answers of it, and no sum is
@@ -339,11 +339,11 @@
 		return
 	}
 	until := max(s.at(trialPart)-o.Elapsed, stopTime).Seconds()
-	allowed := usedBudget * s.allowed(d.Of+uint64(rate*until))
+	allowed := usedBudget * s.allowed(d.Total+uint64(rate*until))
 	budget := max(allowed-usedBudget*rate*stopTime.Seconds(), min(allowed, float64(neededSent*len(o.Totals))))
-	wanted := max(d.Share, float64(enoughSent*len(o.Totals))/(float64(d.Of)+rate*until))
+	wanted := max(d.Share, float64(enoughSent*len(o.Totals))/(float64(d.Total)+rate*until))
 	d.Share = max(min((budget-float64(d.Sent))/(rate*until), wanted, mostShare), leastOfBound*bound)
-	if float64(d.Sent)+d.Share*rate*stopTime.Seconds() > s.allowed(d.Of) {
+	if float64(d.Sent)+d.Share*rate*stopTime.Seconds() > s.allowed(d.Total) {
 		d.Share, d.Reason = 0, "the bound is used up"
 		return
 	}
