--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -215,8 +215,8 @@
 	overall      sums
 }
 
-// Grounds are what a decision rests on, for the log.
-type Grounds struct {
+// Evidence are what a decision rests on, for the log.
+type Evidence struct {
 	Route    string  // the worst; empty: all together
 	Sum      float64 // Page's sum; alarm is bad
 	Failures bool    // it is of failures, else of slow answers
@@ -314,8 +314,8 @@
 func rise(before, now uint64) float64 { return float64(max(now, before) - before) }
 
 // worst returns the grounds with the largest sum.
-func (e *evidence) worst() Grounds {
-	var g Grounds
+func (e *evidence) worst() Evidence {
+	var g Evidence
 	g.Sum, g.Failures = e.overall.most()
 	for _, route := range slices.Sorted(maps.Keys(e.routes)) {
 		t := e.routes[route]
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -115,7 +115,7 @@
 	Share   float64            // of all requests
 	Routes  map[string]float64 // by route, where it is not Share
 	Reason  string             // for the log
-	Grounds Grounds
+	Grounds Evidence
 	Sent    uint64 // to the target
 	Total   uint64 // requests of the pool
 }
