--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -111,13 +111,13 @@
 
 // Decision is what is to be done until the next step.
 type Decision struct {
-	Ending  Ending
-	Share   float64            // of all requests
-	Routes  map[string]float64 // by route, where it is not Share
-	Reason  string             // for the log
-	Grounds Evidence
-	Sent    uint64 // to the target
-	Total   uint64 // requests of the pool
+	Ending   Ending
+	Share    float64            // of all requests
+	Routes   map[string]float64 // by route, where it is not Share
+	Reason   string             // for the log
+	Evidence Evidence
+	Sent     uint64 // to the target
+	Total    uint64 // requests of the pool
 }
 
 // hardly is the part by which a share may differ from the one that gateways were sent before they are
@@ -220,9 +220,9 @@
 	}
 	s.rate.step(passed, d.Total)
 	s.evidence.step(passed, o.Totals, s.Switched())
-	d.Grounds = s.evidence.worst()
+	d.Evidence = s.evidence.worst()
 	switch {
-	case d.Grounds.Sum >= alarm:
+	case d.Evidence.Sum >= alarm:
 		d.Ending, d.Reason = RollBack, "bad answers"
 	case !o.ReportsComplete:
 		d.Reason = "reports are awaited"
@@ -248,7 +248,7 @@
 		d.Ending, d.Reason = RollBack, "the target gets no requests"
 	case full && o.Elapsed >= s.at(completePart):
 		d.Ending, d.Reason = Complete, "the time is nearly over"
-	case full && o.OldIdle && o.TargetListed && d.Grounds.Sum < suspicion:
+	case full && o.OldIdle && o.TargetListed && d.Evidence.Sum < suspicion:
 		d.Ending, d.Reason = Complete, "nothing runs on the old servers"
 	default:
 		d.Reason = "all requests"
@@ -273,7 +273,7 @@
 	good := s.good(o, d)
 	late := o.Elapsed >= s.at(latestPart)
 	reserve := s.allowed(d.Total)-float64(d.Sent) >= rate*stopTime.Seconds()
-	few := known && d.Grounds.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
+	few := known && d.Evidence.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
 		d.Ending, d.Reason = RollBack, "no server of the target"
@@ -312,7 +312,7 @@
 // suspicious.
 func (s *Schedule) good(o Observation, d *Decision) bool {
 	late := o.Elapsed >= s.at(latestPart)
-	if d.Grounds.Sum >= suspicion && !late || d.Grounds.Sum >= suspicionLate || d.Grounds.Known < enoughKnown {
+	if d.Evidence.Sum >= suspicion && !late || d.Evidence.Sum >= suspicionLate || d.Evidence.Known < enoughKnown {
 		return false
 	}
 	for route, p := range o.Totals {
