--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -217,11 +217,11 @@
 
 // Evidence are what a decision rests on, for the log.
 type Evidence struct {
-	Route    string  // the worst; empty: all together
-	Sum      float64 // Page's sum; alarm is bad
-	Failures bool    // it is of failures, else of slow answers
-	Failed   uint64  // of Known answers of the target on all routes
-	Known    uint64
+	Route        string  // the worst; empty: all together
+	Sum          float64 // Page's sum; alarm is bad
+	FromFailures bool    // it is of failures, else of slow answers
+	Failed       uint64  // of Known answers of the target on all routes
+	Known        uint64
 }
 
 // step takes the totals by route; passed is the time since the last step.
@@ -316,13 +316,13 @@
 // worst returns the grounds with the largest sum.
 func (e *evidence) worst() Evidence {
 	var g Evidence
-	g.Sum, g.Failures = e.overall.most()
+	g.Sum, g.FromFailures = e.overall.most()
 	for _, route := range slices.Sorted(maps.Keys(e.routes)) {
 		t := e.routes[route]
 		g.Failed += t.seen.Target.Failed
 		g.Known += t.seen.Target.known()
 		if sum, failures := t.sums.most(); sum > g.Sum {
-			g.Route, g.Sum, g.Failures = route, sum, failures
+			g.Route, g.Sum, g.FromFailures = route, sum, failures
 		}
 	}
 	return g
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -380,7 +380,7 @@
 func (h *hub) rolloutAttrs(now time.Duration, r *leadRollout) []slog.Attr {
 	d := r.decision
 	kind := "slow"
-	if d.Evidence.Failures {
+	if d.Evidence.FromFailures {
 		kind = "failed"
 	}
 	return []slog.Attr{
