--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -217,11 +217,11 @@
 
 // Evidence are what a decision rests on, for the log.
 type Evidence struct {
-	Route        string  // the worst; empty: all together
-	Sum          float64 // Page's sum; alarm is bad
-	FromFailures bool    // it is of failures, else of slow answers
-	Failed       uint64  // of Known answers of the target on all routes
-	Known        uint64
+	Route         string  // the worst; empty: all together
+	Sum           float64 // Page's sum; alarm is bad
+	FromFailures  bool    // it is of failures, else of slow answers
+	Failed        uint64  // of Known answers of the target on all routes
+	KnownOutcomes uint64
 }
 
 // step takes the totals by route; passed is the time since the last step.
@@ -320,7 +320,7 @@
 	for _, route := range slices.Sorted(maps.Keys(e.routes)) {
 		t := e.routes[route]
 		g.Failed += t.seen.Target.Failed
-		g.Known += t.seen.Target.known()
+		g.KnownOutcomes += t.seen.Target.known()
 		if sum, failures := t.sums.most(); sum > g.Sum {
 			g.Route, g.Sum, g.FromFailures = route, sum, failures
 		}
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -312,7 +312,7 @@
 // suspicious.
 func (s *Schedule) good(o Observation, d *Decision) bool {
 	late := o.Elapsed >= s.at(latestPart)
-	if d.Evidence.Sum >= suspicion && !late || d.Evidence.Sum >= suspicionLate || d.Evidence.Known < enoughKnown {
+	if d.Evidence.Sum >= suspicion && !late || d.Evidence.Sum >= suspicionLate || d.Evidence.KnownOutcomes < enoughKnown {
 		return false
 	}
 	for route, p := range o.Totals {
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -386,7 +386,7 @@
 	return []slog.Attr{
 		slog.String("pool", r.Pool), slog.String("target", r.Target), slog.Uint64("attempt", r.Attempt),
 		slog.Int64("elapsed_ms", r.elapsed(now).Milliseconds()), slog.Float64("share", d.Share), slog.Uint64("sent", d.Sent),
-		slog.Uint64("of", d.Total), slog.Uint64("known", d.Evidence.Known), slog.Uint64("failed", d.Evidence.Failed),
+		slog.Uint64("of", d.Total), slog.Uint64("known", d.Evidence.KnownOutcomes), slog.Uint64("failed", d.Evidence.Failed),
 		slog.String("worst_route", d.Evidence.Route), slog.String("worst_for", kind),
 		slog.Float64("evidence", math.Round(10*d.Evidence.Sum)/10), slog.Bool("old_idle", h.oldIdle(r)), slog.String("why", d.Reason),
 	}
