--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -73,7 +73,7 @@
 
 // result is what a run came to.
 type result struct {
-	ending   Ending
+	ending   Action
 	at       time.Duration // of the end
 	switched time.Duration
 	overrun  float64       // most requests to the target above the bound at any moment
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -84,12 +84,12 @@
 	leastWeight = 0.25
 )
 
-// Ending is what becomes of a rollout under way. The zero value is no end.
-type Ending uint8
+// Action is what becomes of a rollout under way. The zero value is no end.
+type Action uint8
 
 // The endings.
 const (
-	GoOn     Ending = iota
+	GoOn     Action = iota
 	Complete        // the old servers may stop
 	RollBack        // the target's servers get nothing any more
 )
@@ -111,7 +111,7 @@
 
 // Decision is what is to be done until the next step.
 type Decision struct {
-	Ending   Ending
+	Ending   Action
 	Share    float64            // of all requests
 	Routes   map[string]float64 // by route, where it is not Share
 	Reason   string             // for the log
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/together_test.go
@@ -18,7 +18,7 @@
 	for _, test := range []struct {
 		name     string
 		keptAway map[string]bool
-		ending   Ending
+		ending   Action
 		switches bool
 	}{
 		{"one", map[string]bool{"b": true}, Complete, true},
