--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -100,12 +100,12 @@
 			if s.Switched() && r.switched == 0 {
 				r.switched = now
 			}
-			if d.Ending != GoOn {
-				r.ending, r.at, r.why = d.Ending, now, d.Reason
+			if d.Action != GoOn {
+				r.ending, r.at, r.why = d.Action, now, d.Reason
 			}
 		}
 		if tick%stepTicks == sendTicks && len(m.decided) > 0 {
-			if last := m.decided[len(m.decided)-1]; last.Ending != GoOn || last.Differs(inForce) {
+			if last := m.decided[len(m.decided)-1]; last.Action != GoOn || last.Differs(inForce) {
 				inForce = last
 			}
 		}
@@ -114,7 +114,7 @@
 			fiftieth = now
 		}
 		share := func(route int) float64 {
-			if inForce.Ending == Complete {
+			if inForce.Action == Complete {
 				return 1
 			}
 			if part, ok := inForce.Routes[m.name(route)]; ok {
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -111,7 +111,7 @@
 
 // Decision is what is to be done until the next step.
 type Decision struct {
-	Ending   Action
+	Action   Action
 	Share    float64            // of all requests
 	Routes   map[string]float64 // by route, where it is not Share
 	Reason   string             // for the log
@@ -223,7 +223,7 @@
 	d.Evidence = s.evidence.worst()
 	switch {
 	case d.Evidence.Sum >= alarm:
-		d.Ending, d.Reason = RollBack, "bad answers"
+		d.Action, d.Reason = RollBack, "bad answers"
 	case !o.ReportsComplete:
 		d.Reason = "reports are awaited"
 	case s.Switched():
@@ -245,11 +245,11 @@
 	full := o.Elapsed-s.switched >= min(fullTime, time.Duration(fullOfRest*rest))
 	switch {
 	case full && o.Elapsed >= s.at(completePart) && (!o.TargetListed || s.unused(o)):
-		d.Ending, d.Reason = RollBack, "the target gets no requests"
+		d.Action, d.Reason = RollBack, "the target gets no requests"
 	case full && o.Elapsed >= s.at(completePart):
-		d.Ending, d.Reason = Complete, "the time is nearly over"
+		d.Action, d.Reason = Complete, "the time is nearly over"
 	case full && o.OldIdle && o.TargetListed && d.Evidence.Sum < suspicion:
-		d.Ending, d.Reason = Complete, "nothing runs on the old servers"
+		d.Action, d.Reason = Complete, "nothing runs on the old servers"
 	default:
 		d.Reason = "all requests"
 	}
@@ -276,7 +276,7 @@
 	few := known && d.Evidence.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
-		d.Ending, d.Reason = RollBack, "no server of the target"
+		d.Action, d.Reason = RollBack, "no server of the target"
 	case late && !known:
 		d.Reason = "the rate is not known yet"
 	case o.Elapsed >= s.at(trialPart) && o.TargetListed && good && (reserve || late):
@@ -284,7 +284,7 @@
 	case late && few:
 		s.switchAll(o, d, "few requests, and nothing speaks against it")
 	case late:
-		d.Ending, d.Reason = RollBack, "too little is known in time"
+		d.Action, d.Reason = RollBack, "too little is known in time"
 	default:
 		s.share(o, d, rate, known)
 	}
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -21,7 +21,7 @@
 func seenWithin(b Bounds, observe func(at time.Duration, d Decision) Observation) (all []Decision) {
 	s := &Schedule{Duration: 10 * time.Second, Bounds: b}
 	var d Decision
-	for at := time.Duration(0); at < 20*time.Second && d.Ending == GoOn; at += 100 * time.Millisecond {
+	for at := time.Duration(0); at < 20*time.Second && d.Action == GoOn; at += 100 * time.Millisecond {
 		o := observe(at, d)
 		o.Elapsed = at
 		d = s.Step(o)
@@ -36,7 +36,7 @@
 	all := seen(func(time.Duration, Decision) Observation {
 		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true}
 	})
-	is.Equal(all[len(all)-1].Ending, Complete)
+	is.Equal(all[len(all)-1].Action, Complete)
 	is.True(len(all) < 96) // 9.5 s
 }
 
@@ -55,7 +55,7 @@
 		}}
 	}
 	all := seenWithin(Bounds{}, observe)
-	is.Equal(all[len(all)-1].Ending, Complete)
+	is.Equal(all[len(all)-1].Action, Complete)
 	is.Equal(all, seenWithin(Bounds{Share: DefaultShare, Slack: DefaultSlack}, observe))
 	for _, b := range []Bounds{{Share: 0.2}, {Slack: 9}} {
 		is.Equal(b.orDefault(), b)
@@ -70,7 +70,7 @@
 			n := perStep * uint64(at/(100*time.Millisecond))
 			return Observation{ReportsComplete: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 		})
-		is.Equal(all[len(all)-1].Ending, RollBack)
+		is.Equal(all[len(all)-1].Action, RollBack)
 		for _, d := range all {
 			is.True(d.Share < 1)
 		}
@@ -84,7 +84,7 @@
 		n := 15 * uint64(at/(100*time.Millisecond))
 		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
-	is.Equal(all[len(all)-1].Ending, RollBack)
+	is.Equal(all[len(all)-1].Action, RollBack)
 	is.Equal(all[len(all)-1].Reason, "too little is known in time")
 }
 
@@ -124,7 +124,7 @@
 	})
 	is.Equal(all[40].Share, 0.0)
 	is.Equal(all[40].Reason, "the bound is used up")
-	is.Equal(all[len(all)-1].Ending, Complete) // at the latest, it is good by what was seen
+	is.Equal(all[len(all)-1].Action, Complete) // at the latest, it is good by what was seen
 }
 
 // TestTargetUnusedAfterTheSwitch: while its servers have gone, or get nothing, the old ones may not
@@ -148,7 +148,7 @@
 				}}
 			})
 			is.True(switched > 0)
-			is.Equal(all[len(all)-1].Ending, RollBack)
+			is.Equal(all[len(all)-1].Action, RollBack)
 		}
 	}
 }
@@ -180,10 +180,10 @@
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	var d Decision
-	for at := 8 * time.Second; at < 12*time.Second && d.Ending == GoOn; at += 100 * time.Millisecond {
+	for at := 8 * time.Second; at < 12*time.Second && d.Action == GoOn; at += 100 * time.Millisecond {
 		d = s.Step(Observation{Elapsed: at, TargetListed: true, OldIdle: true, ReportsComplete: at >= 9*time.Second})
 	}
-	is.Equal(d.Ending, Complete)
+	is.Equal(d.Action, Complete)
 }
 
 // TestRouteMustBeTried: no switch before the latest moment while a route has had nothing, and
@@ -197,7 +197,7 @@
 			"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 		}}
 	})
-	is.Equal(all[len(all)-1].Ending, RollBack)
+	is.Equal(all[len(all)-1].Action, RollBack)
 	for _, d := range all {
 		is.True(d.Share < 1)
 	}
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/together_test.go
@@ -51,7 +51,7 @@
 				switches = switches || d.Share == 1
 			}
 			is.Equal(switches, test.switches)
-			is.Equal(all[len(all)-1].Ending, test.ending)
+			is.Equal(all[len(all)-1].Action, test.ending)
 		})
 	}
 }
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -87,9 +87,9 @@
 		h.addOutcomes(&session{gateway: "g", boot: 1}, protocol.Usage{Barred: list})
 	}
 	report(protocol.Barred{Pool: "p", Attempt: 1}, protocol.Barred{Pool: "q", Attempt: 2})
-	is.Equal(r.decision.Ending, rollout.GoOn)
+	is.Equal(r.decision.Action, rollout.GoOn)
 	report(protocol.Barred{Pool: "p", Attempt: 2})
-	is.Equal(r.decision.Ending, rollout.RollBack)
+	is.Equal(r.decision.Action, rollout.RollBack)
 	is.Equal(r.entry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
 
@@ -121,7 +121,7 @@
 		Pool: "p", Attempt: 3, Target: "v2", Share: 0.04, Barred: []string{},
 		Routes: []protocol.RouteShare{{Route: "a", Share: 0.25}, {Route: "b", Share: 0.5}},
 	})
-	r.decision = rollout.Decision{Ending: rollout.RollBack}
+	r.decision = rollout.Decision{Action: rollout.RollBack}
 	is.Equal(r.entry(base), protocol.Rollout{Pool: "p", Attempt: 3, Target: "v2", Barred: []string{"v2"}})
 	is.Equal(len(r.Barred), 0)
 }
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -52,8 +52,8 @@
 // takeBarred takes what a gateway has barred by a verdict that the log may lack.
 func (h *hub) takeBarred(list []protocol.Barred) {
 	for _, b := range list {
-		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Ending != rollout.RollBack {
-			r.decision.Ending, r.decision.Reason = rollout.RollBack, barredBefore
+		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Action != rollout.RollBack {
+			r.decision.Action, r.decision.Reason = rollout.RollBack, barredBefore
 		}
 	}
 }
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -139,9 +139,9 @@
 // stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
 func (h *hub) stepRollout(now time.Duration, r *leadRollout) {
 	switch {
-	case r.decision.Ending != rollout.GoOn:
+	case r.decision.Action != rollout.GoOn:
 	case r.Target == r.Completed:
-		r.decision = rollout.Decision{Ending: rollout.Complete, Share: 1, Reason: "it has the requests"}
+		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "it has the requests"}
 		h.logStep(now, r)
 	default:
 		r.noteForgotten(now)
@@ -173,7 +173,7 @@
 	c := document.RolloutChange{
 		Pool: r.Pool, Target: r.Target, After: r.Changes, Elapsed: max(r.elapsed(now), r.Elapsed), State: document.RolloutUnderWay,
 	}
-	switch r.decision.Ending {
+	switch r.decision.Action {
 	case rollout.Complete:
 		if !h.finalObeyed(now, r) {
 			return
@@ -318,7 +318,7 @@
 // they were sent.
 func (r *leadRollout) entry(e protocol.Rollout) protocol.Rollout {
 	e.Target = r.Target
-	switch r.decision.Ending {
+	switch r.decision.Action {
 	case rollout.RollBack:
 		e.Barred = append(slices.Clone(e.Barred), r.Target)
 		return e
