--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -126,7 +126,7 @@
 			if r.ending == RollBack && r.overrun <= 0 {
 				kept++
 			}
-			if r.ending == GoOn || r.afterBad > 5*time.Second {
+			if r.ending == Continue || r.afterBad > 5*time.Second {
 				t.Errorf("%d servers, streams of %v, seed %d: %+v", p.servers, p.stream, seed, r)
 			}
 			if want == bounded && r.overrun > 0 {
--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -92,7 +92,7 @@
 	inForce := Decision{}
 	for tick := 0; time.Duration(tick)*poolTick < m.duration; tick++ {
 		now := time.Duration(tick) * poolTick
-		if tick%stepTicks == 0 && r.ending == GoOn {
+		if tick%stepTicks == 0 && r.ending == Continue {
 			m.reports = append(m.reports, m.snapshot())
 			seen := m.reports[max(len(m.reports)-1-reportSteps, 0)]
 			d := s.Step(Observation{Elapsed: now, Totals: seen, ReportsComplete: true, TargetListed: true, OldIdle: s.Switched() && m.running == 0})
@@ -100,12 +100,12 @@
 			if s.Switched() && r.switched == 0 {
 				r.switched = now
 			}
-			if d.Action != GoOn {
+			if d.Action != Continue {
 				r.ending, r.at, r.why = d.Action, now, d.Reason
 			}
 		}
 		if tick%stepTicks == sendTicks && len(m.decided) > 0 {
-			if last := m.decided[len(m.decided)-1]; last.Action != GoOn || last.Differs(inForce) {
+			if last := m.decided[len(m.decided)-1]; last.Action != Continue || last.Differs(inForce) {
 				inForce = last
 			}
 		}
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -89,7 +89,7 @@
 
 // The endings.
 const (
-	GoOn     Action = iota
+	Continue Action = iota
 	Complete        // the old servers may stop
 	RollBack        // the target's servers get nothing any more
 )
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -21,7 +21,7 @@
 func seenWithin(b Bounds, observe func(at time.Duration, d Decision) Observation) (all []Decision) {
 	s := &Schedule{Duration: 10 * time.Second, Bounds: b}
 	var d Decision
-	for at := time.Duration(0); at < 20*time.Second && d.Action == GoOn; at += 100 * time.Millisecond {
+	for at := time.Duration(0); at < 20*time.Second && d.Action == Continue; at += 100 * time.Millisecond {
 		o := observe(at, d)
 		o.Elapsed = at
 		d = s.Step(o)
@@ -180,7 +180,7 @@
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	var d Decision
-	for at := 8 * time.Second; at < 12*time.Second && d.Action == GoOn; at += 100 * time.Millisecond {
+	for at := 8 * time.Second; at < 12*time.Second && d.Action == Continue; at += 100 * time.Millisecond {
 		d = s.Step(Observation{Elapsed: at, TargetListed: true, OldIdle: true, ReportsComplete: at >= 9*time.Second})
 	}
 	is.Equal(d.Action, Complete)
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -87,7 +87,7 @@
 		h.addOutcomes(&session{gateway: "g", boot: 1}, protocol.Usage{Barred: list})
 	}
 	report(protocol.Barred{Pool: "p", Attempt: 1}, protocol.Barred{Pool: "q", Attempt: 2})
-	is.Equal(r.decision.Action, rollout.GoOn)
+	is.Equal(r.decision.Action, rollout.Continue)
 	report(protocol.Barred{Pool: "p", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.RollBack)
 	is.Equal(r.entry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -139,7 +139,7 @@
 // stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
 func (h *hub) stepRollout(now time.Duration, r *leadRollout) {
 	switch {
-	case r.decision.Action != rollout.GoOn:
+	case r.decision.Action != rollout.Continue:
 	case r.Target == r.Completed:
 		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "it has the requests"}
 		h.logStep(now, r)
