--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -69,7 +69,7 @@
 
 // The verdicts.
 const (
-	Take     Verdict = iota // it begins a rollout
+	Accept   Verdict = iota // it begins a rollout
 	Done                    // it is a copy, or the version has the requests: nothing changes
 	Conflict                // another version is under way
 )
@@ -77,7 +77,7 @@
 // String names the verdict, for logs.
 func (v Verdict) String() string {
 	switch v {
-	case Take:
+	case Accept:
 		return "take"
 	case Done:
 		return "done"
@@ -176,7 +176,7 @@
 	case newest.State == document.RolloutUnderWay:
 		return Conflict, document.RolloutChange{}
 	}
-	return Take, document.RolloutChange{
+	return Accept, document.RolloutChange{
 		Pool: order.Pool, Target: order.Target, Duration: order.Duration, State: document.RolloutUnderWay, After: newest.Changes,
 	}
 }
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -158,7 +158,7 @@
 		newest, _ := r.store.Rollout("p")
 		verdict, change := r.orders.Decide(m.now+r.offset, f.order, newest)
 		switch verdict {
-		case Take:
+		case Accept:
 			proposed = append(proposed, entry{change: change, order: f.number})
 		case Done:
 			r.orders = r.orders.WithRepeat(m.now+r.offset, f.order)
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -57,11 +57,11 @@
 		{"another version long after", underWay, "v3", time.Hour, Conflict},
 		{"a copy after the end", complete, "v2", time.Second, Done},
 		{"what has the requests", complete, "v2", time.Hour, Done},
-		{"the next version", complete, "v3", time.Second, Take},
+		{"the next version", complete, "v3", time.Second, Accept},
 		{"a copy of what was rolled back", back, "v2", window, Done},
-		{"a new attempt", back, "v2", window + 1, Take},
-		{"another version than what was rolled back", back, "v3", time.Second, Take},
-		{"the first of a pool", 0, "v2", 0, Take},
+		{"a new attempt", back, "v2", window + 1, Accept},
+		{"another version than what was rolled back", back, "v3", time.Second, Accept},
+		{"the first of a pool", 0, "v2", 0, Accept},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -74,7 +74,7 @@
 			}
 			verdict, change := orders.Decide(tt.after, order(tt.target), newest)
 			is.Equal(verdict, tt.want)
-			if verdict == Take {
+			if verdict == Accept {
 				is.Equal(change, document.RolloutChange{Pool: "p", Target: tt.target, Duration: time.Minute, State: underWay, After: newest.Changes})
 			}
 		})
@@ -93,7 +93,7 @@
 	is.Equal(verdict, Conflict) // it is an order of its own
 	other := Order{Pool: "q", Target: "v2", Duration: time.Minute}
 	verdict, _ = orders.Decide(3*time.Second, other, document.Rollout{})
-	is.Equal(verdict, Take) // of another pool
+	is.Equal(verdict, Accept) // of another pool
 }
 
 // TestOrdersKnowTheAgeOfARollout: a replica that reads the log or a snapshot takes no order
@@ -104,17 +104,17 @@
 	verdict, _ := Orders{}.WithRollout(0, back).Decide(2*time.Second, order("v2"), back)
 	is.Equal(verdict, Done)
 	verdict, _ = Orders{}.WithRollout(0, back).Decide(2*time.Second+1, order("v2"), back)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	began := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay, Attempt: 1}
 	orders := Orders{}.WithRollout(0, began).WithRollout(time.Second, document.Rollout{
 		Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 1, // too little
 	})
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), back)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	ended := began
 	ended.State = document.RolloutRolledBack // before any time was noted
 	verdict, _ = Orders{}.WithRollout(0, began).WithRollout(time.Minute, ended).Decide(time.Minute, order("v2"), ended)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	began.Attempt = 2
 	orders = orders.WithRollout(4*time.Second, began)
 	verdict, _ = orders.Decide(4*time.Second+DefaultWindow, order("v2"), back)
@@ -129,7 +129,7 @@
 	verdict, _ := orders.Decide(LeastWindow, order("v2"), back)
 	is.Equal(verdict, Done)
 	verdict, _ = orders.Decide(LeastWindow+1, order("v2"), back)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	verdict, _ = Orders{Window: time.Minute}.WithRollout(0, back).Decide(time.Minute, order("v2"), back)
 	is.Equal(verdict, Done)
 }
@@ -144,7 +144,7 @@
 	verdict, _ := orders.Decide(time.Minute+DefaultWindow, order("v2"), next)
 	is.Equal(verdict, Done)
 	verdict, _ = orders.Decide(time.Minute+DefaultWindow+1, order("v2"), next)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 }
 
 // TestSnapshotsSayLittle: of a version that was rolled back before the newest rollout, a
@@ -156,12 +156,12 @@
 	verdict, _ := orders.Decide(DefaultWindow, order("v2"), newest[0])
 	is.Equal(verdict, Done)
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), newest[0])
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	verdict, _ = orders.Decide(0, order("v3"), newest[0])
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 	orders = Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", Attempt: 1}).WithSnapshot(time.Second, newest)
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), newest[0])
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 }
 
 // TestSnapshotsSkipAttempts: what a replica remembers of earlier attempts says nothing of those
@@ -178,7 +178,7 @@
 	is.Equal(verdict, Done)
 	same := orders.WithSnapshot(time.Minute+time.Second, []document.Rollout{next}) // that has nothing new
 	verdict, _ = same.Decide(time.Minute+DefaultWindow+1, order("v2"), next)
-	is.Equal(verdict, Take)
+	is.Equal(verdict, Accept)
 }
 
 // TestLargestSnapshot reads as much as a snapshot may hold; that must not take the square of it.
