--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -69,9 +69,9 @@
 
 // The verdicts.
 const (
-	Accept   Verdict = iota // it begins a rollout
-	Done                    // it is a copy, or the version has the requests: nothing changes
-	Conflict                // another version is under way
+	Accept         Verdict = iota // it begins a rollout
+	AlreadyApplied                // it is a copy, or the version has the requests: nothing changes
+	Conflict                      // another version is under way
 )
 
 // String names the verdict, for logs.
@@ -79,7 +79,7 @@
 	switch v {
 	case Accept:
 		return "take"
-	case Done:
+	case AlreadyApplied:
 		return "done"
 	case Conflict:
 		return "conflict"
@@ -172,7 +172,7 @@
 	isCopy := o.takenLately(now, order)
 	switch {
 	case same && (newest.State == document.RolloutUnderWay || newest.State == document.RolloutComplete), isCopy:
-		return Done, document.RolloutChange{}
+		return AlreadyApplied, document.RolloutChange{}
 	case newest.State == document.RolloutUnderWay:
 		return Conflict, document.RolloutChange{}
 	}
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -160,7 +160,7 @@
 		switch verdict {
 		case Accept:
 			proposed = append(proposed, entry{change: change, order: f.number})
-		case Done:
+		case AlreadyApplied:
 			r.orders = r.orders.WithRepeat(m.now+r.offset, f.order)
 			if !m.begun[f.number] {
 				m.calm = m.now + modelWindow
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -51,14 +51,14 @@
 		after  time.Duration // since the order
 		want   Verdict
 	}{
-		{"a copy of what is under way", underWay, "v2", time.Second, Done},
-		{"one long after", underWay, "v2", time.Hour, Done},
+		{"a copy of what is under way", underWay, "v2", time.Second, AlreadyApplied},
+		{"one long after", underWay, "v2", time.Hour, AlreadyApplied},
 		{"another version", underWay, "v3", time.Second, Conflict},
 		{"another version long after", underWay, "v3", time.Hour, Conflict},
-		{"a copy after the end", complete, "v2", time.Second, Done},
-		{"what has the requests", complete, "v2", time.Hour, Done},
+		{"a copy after the end", complete, "v2", time.Second, AlreadyApplied},
+		{"what has the requests", complete, "v2", time.Hour, AlreadyApplied},
 		{"the next version", complete, "v3", time.Second, Accept},
-		{"a copy of what was rolled back", back, "v2", window, Done},
+		{"a copy of what was rolled back", back, "v2", window, AlreadyApplied},
 		{"a new attempt", back, "v2", window + 1, Accept},
 		{"another version than what was rolled back", back, "v3", time.Second, Accept},
 		{"the first of a pool", 0, "v2", 0, Accept},
@@ -88,7 +88,7 @@
 	next := document.Rollout{Pool: "p", Target: "v3", State: document.RolloutUnderWay, Changes: 3}
 	orders = orders.WithRollout(2*time.Second, next)
 	verdict, _ := orders.Decide(3*time.Second, order("v2"), next)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), next)
 	is.Equal(verdict, Conflict) // it is an order of its own
 	other := Order{Pool: "q", Target: "v2", Duration: time.Minute}
@@ -102,7 +102,7 @@
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 3 * time.Second}
 	verdict, _ := Orders{}.WithRollout(0, back).Decide(2*time.Second, order("v2"), back)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = Orders{}.WithRollout(0, back).Decide(2*time.Second+1, order("v2"), back)
 	is.Equal(verdict, Accept)
 	began := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay, Attempt: 1}
@@ -118,7 +118,7 @@
 	began.Attempt = 2
 	orders = orders.WithRollout(4*time.Second, began)
 	verdict, _ = orders.Decide(4*time.Second+DefaultWindow, order("v2"), back)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 }
 
 // TestWindowHasALeast: the command line repeats for LeastWindow, whatever the deployment states.
@@ -127,11 +127,11 @@
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1}
 	orders := Orders{Window: time.Second}.WithRollout(0, back)
 	verdict, _ := orders.Decide(LeastWindow, order("v2"), back)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = orders.Decide(LeastWindow+1, order("v2"), back)
 	is.Equal(verdict, Accept)
 	verdict, _ = Orders{Window: time.Minute}.WithRollout(0, back).Decide(time.Minute, order("v2"), back)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 }
 
 // TestRepeatsAreRemembered: an order that was acknowledged and began nothing has copies too.
@@ -142,7 +142,7 @@
 	next := document.Rollout{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Elapsed: time.Second}
 	orders = orders.WithRollout(time.Minute+2*time.Second, next)
 	verdict, _ := orders.Decide(time.Minute+DefaultWindow, order("v2"), next)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = orders.Decide(time.Minute+DefaultWindow+1, order("v2"), next)
 	is.Equal(verdict, Accept)
 }
@@ -154,7 +154,7 @@
 	newest := []document.Rollout{{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2", "v3"}, Elapsed: time.Hour}}
 	orders := Orders{}.WithSnapshot(0, newest)
 	verdict, _ := orders.Decide(DefaultWindow, order("v2"), newest[0])
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), newest[0])
 	is.Equal(verdict, Accept)
 	verdict, _ = orders.Decide(0, order("v3"), newest[0])
@@ -171,11 +171,11 @@
 	first := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	again := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2"}, Elapsed: time.Second}
 	verdict, _ := first.WithSnapshot(time.Minute, []document.Rollout{again}).Decide(time.Minute+DefaultWindow-time.Second, order("v2"), again)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	next := document.Rollout{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Attempt: 3, Barred: []string{"v2", "v3"}, Elapsed: time.Second}
 	orders := first.WithSnapshot(time.Minute, []document.Rollout{next})
 	verdict, _ = orders.Decide(time.Minute+DefaultWindow, order("v2"), next)
-	is.Equal(verdict, Done)
+	is.Equal(verdict, AlreadyApplied)
 	same := orders.WithSnapshot(time.Minute+time.Second, []document.Rollout{next}) // that has nothing new
 	verdict, _ = same.Decide(time.Minute+DefaultWindow+1, order("v2"), next)
 	is.Equal(verdict, Accept)
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -138,7 +138,7 @@
 	defer r.mu.Unlock()
 	newest, _ := r.store.Rollout(o.Pool)
 	verdict, change := r.rolloutOrders.Decide(r.now(), o, newest)
-	if verdict == rollout.Done {
+	if verdict == rollout.AlreadyApplied {
 		r.rolloutOrders = r.rolloutOrders.WithRepeat(r.now(), o)
 	}
 	return verdict, change, newest
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -56,7 +56,7 @@
 		switch {
 		case err != nil:
 			return err
-		case verdict == rollout.Done:
+		case verdict == rollout.AlreadyApplied:
 			d.logOrder(o, verdict.String(), newest)
 			return nil
 		case verdict == rollout.Conflict:
