--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -25,7 +25,7 @@
 const (
 	// rolloutTimeout bounds all tries of one command together: for as long replicas surely
 	// take a repeated order for a copy, so that no repeat begins a second attempt.
-	rolloutTimeout = rollout.LeastWindow
+	rolloutTimeout = rollout.MinWindow
 	// defaultWithin is the time of an order that names none.
 	defaultWithin = 10 * time.Minute
 )
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -221,7 +221,7 @@
 	is.NoErr(err)
 	is.Equal(orderExit(answer.Outcome), ExitUnavailable)
 	is.Equal(orderExit(protocol.OrderElsewhere), ExitUnavailable)
-	is.True(rolloutTimeout <= rollout.LeastWindow) // later repeats would be orders of their own
+	is.True(rolloutTimeout <= rollout.MinWindow) // later repeats would be orders of their own
 }
 
 // TestRolloutTable pins what people read.
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -91,9 +91,9 @@
 const (
 	// DefaultWindow is for deployments that state none.
 	DefaultWindow = 5 * time.Second
-	// LeastWindow is the shortest, whatever a deployment states: the command line repeats an
+	// MinWindow is the shortest, whatever a deployment states: the command line repeats an
 	// order for as long.
-	LeastWindow = 4 * time.Second
+	MinWindow = 4 * time.Second
 )
 
 // Orders is when the last orders for each version of a pool were taken and acknowledged. The zero
@@ -193,7 +193,7 @@
 	if o.Window <= 0 {
 		return DefaultWindow
 	}
-	return max(o.Window, LeastWindow)
+	return max(o.Window, MinWindow)
 }
 
 // Abort returns the change that ends a rollout under way as rolled back, or false if it is not
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -126,9 +126,9 @@
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1}
 	orders := Orders{Window: time.Second}.WithRollout(0, back)
-	verdict, _ := orders.Decide(LeastWindow, order("v2"), back)
+	verdict, _ := orders.Decide(MinWindow, order("v2"), back)
 	is.Equal(verdict, AlreadyApplied)
-	verdict, _ = orders.Decide(LeastWindow+1, order("v2"), back)
+	verdict, _ = orders.Decide(MinWindow+1, order("v2"), back)
 	is.Equal(verdict, Accept)
 	verdict, _ = Orders{Window: time.Minute}.WithRollout(0, back).Decide(time.Minute, order("v2"), back)
 	is.Equal(verdict, AlreadyApplied)
