--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -61,8 +61,8 @@
 	return n
 }
 
-// Pair is the tallies of both versions on one route, as totals since the rollout began.
-type Pair struct{ Target, Old Tally }
+// RouteTallies is the tallies of both versions on one route, as totals since the rollout began.
+type RouteTallies struct{ Target, Old Tally }
 
 // Parameters of the test. The error rates that follow are measured by TestFalseAlarms and
 // TestBadVersions.
@@ -197,8 +197,8 @@
 
 // trace is what is known of one route.
 type trace struct {
-	seen         Pair // totals as of the last step
-	failed, slow rate // of the old version
+	seen         RouteTallies // totals as of the last step
+	failed, slow rate         // of the old version
 	sums         sums
 
 	// Of the last step.
@@ -225,7 +225,7 @@
 }
 
 // step takes the totals by route; passed is the time since the last step.
-func (e *evidence) step(passed time.Duration, totals map[string]*Pair, alone bool) {
+func (e *evidence) step(passed time.Duration, totals map[string]*RouteTallies, alone bool) {
 	if e.routes == nil {
 		e.routes = map[string]*trace{}
 	}
@@ -255,7 +255,7 @@
 }
 
 // take takes one route's totals.
-func (t *trace) take(passed time.Duration, now Pair) {
+func (t *trace) take(passed time.Duration, now RouteTallies) {
 	t.usual = usualPace(&now.Old)
 	t.target, t.old = newest(&t.seen.Target, &now.Target, t.usual), newest(&t.seen.Old, &now.Old, t.usual)
 	t.ever = newest(&Tally{}, &now.Old, t.usual)
--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -41,11 +41,11 @@
 	target, old behaviour
 
 	rng     *rand.Rand
-	totals  map[string]*Pair
+	totals  map[string]*RouteTallies
 	pending dueList
 	running int // on old servers
 	decided []Decision
-	reports []map[string]*Pair
+	reports []map[string]*RouteTallies
 }
 
 // ending is what a request does at some time.
@@ -84,7 +84,7 @@
 
 func (m *poolModel) run(seed uint64) result {
 	m.rng = rand.New(rand.NewPCG(seed, 1))
-	m.totals, m.pending, m.running, m.decided, m.reports = map[string]*Pair{}, nil, 0, nil, nil
+	m.totals, m.pending, m.running, m.decided, m.reports = map[string]*RouteTallies{}, nil, 0, nil, nil
 	s := &Schedule{Duration: m.duration, Bounds: Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second}}
 	r := result{overrun: math.Inf(-1)}
 	bad, fiftieth := 0, time.Duration(0)
@@ -165,8 +165,8 @@
 	return n
 }
 
-func (m *poolModel) snapshot() map[string]*Pair {
-	out := map[string]*Pair{}
+func (m *poolModel) snapshot() map[string]*RouteTallies {
+	out := map[string]*RouteTallies{}
 	for name, p := range m.totals {
 		c := *p
 		out[name] = &c
@@ -178,7 +178,7 @@
 func (m *poolModel) send(now time.Duration, route int, toTarget bool, share float64) {
 	p := m.totals[m.name(route)]
 	if p == nil {
-		p = &Pair{}
+		p = &RouteTallies{}
 		m.totals[m.name(route)] = p
 	}
 	tally, does, load := &p.Old, m.old, 1.0
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -98,7 +98,7 @@
 type Observation struct {
 	Elapsed time.Duration // since the order, at least
 	// Totals are the outcomes by route since the rollout began.
-	Totals map[string]*Pair
+	Totals map[string]*RouteTallies
 	// RoutesWithoutTarget are the routes whose homes have no server of the target: they cannot try it.
 	RoutesWithoutTarget map[string]bool
 	// ReportsComplete is whether all gateways in touch have reported, or have had the time.
@@ -353,7 +353,7 @@
 
 // divide gives each route as many requests as the others where the share of all allows it, so
 // that a route with few is tried as well. No route gets more than mostShare.
-func divide(totals map[string]*Pair, share float64) map[string]float64 {
+func divide(totals map[string]*RouteTallies, share float64) map[string]float64 {
 	if len(totals) < 2 {
 		return nil
 	}
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -50,7 +50,7 @@
 		if at > 6*time.Second {
 			target += n - 900
 		}
-		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true, Totals: map[string]*RouteTallies{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}}
 	}
@@ -68,7 +68,7 @@
 	for _, perStep := range []uint64{0, 1, 15} {
 		all := seen(func(at time.Duration, _ Decision) Observation {
 			n := perStep * uint64(at/(100*time.Millisecond))
-			return Observation{ReportsComplete: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+			return Observation{ReportsComplete: true, Totals: map[string]*RouteTallies{"r": {Old: Tally{Sent: n, Answered: n}}}}
 		})
 		is.Equal(all[len(all)-1].Action, RollBack)
 		for _, d := range all {
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
-		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{"r": {Old: Tally{Sent: n, Answered: n}}}}
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
 	is.Equal(all[len(all)-1].Action, RollBack)
 	is.Equal(all[len(all)-1].Reason, "too little is known in time")
@@ -96,7 +96,7 @@
 	is.Equal(s.Step(Observation{Elapsed: 2 * time.Second, TargetListed: true}).Share, 0.0)
 	at := 8 * time.Second
 	is.Equal(s.Step(Observation{Elapsed: at, TargetListed: true}).Share, 0.0)
-	totals := map[string]*Pair{"r": {Target: Tally{Sent: 40, Answered: 40}, Old: Tally{Sent: 960, Answered: 960}}}
+	totals := map[string]*RouteTallies{"r": {Target: Tally{Sent: 40, Answered: 40}, Old: Tally{Sent: 960, Answered: 960}}}
 	is.Equal(s.Step(Observation{Elapsed: at + 500*time.Millisecond, TargetListed: true, Totals: totals}).Share, 0.0)
 	var d Decision
 	for step := range 4 {
@@ -118,7 +118,7 @@
 		} else {
 			old += 15
 		}
-		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: old, Answered: old}},
 		}}
 	})
@@ -143,7 +143,7 @@
 				if switched > 0 {
 					target = switched / 20
 				}
-				return Observation{ReportsComplete: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*Pair{
+				return Observation{ReportsComplete: true, TargetListed: listed || d.Share < 1, OldIdle: idle && !listed, Totals: map[string]*RouteTallies{
 					"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 				}}
 			})
@@ -164,7 +164,7 @@
 		if at >= 3*time.Second && at < 4*time.Second {
 			n, target = n/3, target/3
 		}
-		d := s.Step(Observation{Elapsed: at, ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
+		d := s.Step(Observation{Elapsed: at, ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}})
 		is.True(d.Sent >= min(uint64(at/(100*time.Millisecond)), 29))
@@ -192,7 +192,7 @@
 	is := is.New(t)
 	all := seen(func(at time.Duration, _ Decision) Observation {
 		n := uint64(at / (100 * time.Millisecond))
-		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*Pair{
+		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{
 			"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 			"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 		}}
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/together_test.go
@@ -30,7 +30,7 @@
 			var switched uint64 // requests of a route until then
 			all := seen(func(at time.Duration, d Decision) Observation {
 				n := uint64(at / (100 * time.Millisecond))
-				o := Observation{ReportsComplete: true, TargetListed: true, RoutesWithoutTarget: test.keptAway, Totals: map[string]*Pair{
+				o := Observation{ReportsComplete: true, TargetListed: true, RoutesWithoutTarget: test.keptAway, Totals: map[string]*RouteTallies{
 					"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 					"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 				}}
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -18,7 +18,7 @@
 // This file tests what the leader keeps of one rollout.
 
 func newLeadRollout(d document.Rollout) *leadRollout {
-	return &leadRollout{Rollout: d, reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.Pair{}}
+	return &leadRollout{Rollout: d, reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
 // TestTotalsReplaceTotals: a report that is lost or comes twice changes nothing, and a gateway
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -71,7 +71,7 @@
 	mine[key] = o
 	pair := r.totals[o.Route]
 	if pair == nil {
-		pair = &rollout.Pair{}
+		pair = &rollout.RouteTallies{}
 		r.totals[o.Route] = pair
 	}
 	t := &pair.Old
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -50,7 +50,7 @@
 	schedule  rollout.Schedule
 	ordered   time.Duration // when, at the latest
 	reported  map[reporter]map[outcomeKey]protocol.Outcomes
-	totals    map[string]*rollout.Pair
+	totals    map[string]*rollout.RouteTallies
 	decision  rollout.Decision
 	sent      rollout.Decision // whose shares the gateways were sent
 	fullSeq   uint64           // of the first list that gives the target all requests; 0: none does
@@ -96,7 +96,7 @@
 		}
 		if r == nil {
 			r = &leadRollout{
-				reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.Pair{},
+				reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{},
 				schedule: rollout.Schedule{Duration: d.Duration, Bounds: h.d.cfg.Rollouts},
 			}
 			if d.Switched > 0 {
