--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -29,8 +29,8 @@
 	// bad version may get, beside Slack requests.
 	Share float64
 	Slack float64
-	// Stop is how long after its first bad answers a bad version may get requests.
-	Stop time.Duration
+	// RollbackTime is how long after its first bad answers a bad version may get requests.
+	RollbackTime time.Duration
 	// Repeats is for how long an operator repeats an order that got no clear answer.
 	Repeats time.Duration
 }
--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -85,7 +85,7 @@
 func (m *poolModel) run(seed uint64) result {
 	m.rng = rand.New(rand.NewPCG(seed, 1))
 	m.totals, m.pending, m.running, m.decided, m.reports = map[string]*RouteTallies{}, nil, 0, nil, nil
-	s := &Schedule{Duration: m.duration, Bounds: Bounds{Share: 0.1, Slack: 50, Stop: 5 * time.Second}}
+	s := &Schedule{Duration: m.duration, Bounds: Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second}}
 	r := result{overrun: math.Inf(-1)}
 	bad, fiftieth := 0, time.Duration(0)
 	var last time.Duration
