--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -31,8 +31,8 @@
 	Slack float64
 	// RollbackTime is how long after its first bad answers a bad version may get requests.
 	RollbackTime time.Duration
-	// Repeats is for how long an operator repeats an order that got no clear answer.
-	Repeats time.Duration
+	// RepeatWindow is for how long an operator repeats an order that got no clear answer.
+	RepeatWindow time.Duration
 }
 
 // orDefault returns the bounds that are in force.
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -90,7 +90,7 @@
 	if d.several() {
 		d.meter = d.meter.WithRegions(d.regionOf)
 	}
-	d.state = newReplicated(cfg.OrderWindow, cfg.Rollouts.Repeats, d.hub.stateChanged)
+	d.state = newReplicated(cfg.OrderWindow, cfg.Rollouts.RepeatWindow, d.hub.stateChanged)
 	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, d.meter)
 	var err error
 	d.replica, err = replica.Start(ctx, replica.Settings{
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -45,7 +45,7 @@
 )
 
 // exposure bounds what a bad version may get.
-var exposure = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, Repeats: 5 * time.Second}
+var exposure = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
 
 var fleetKey = []byte("a key that all nodes share")
 
