--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -36,7 +36,7 @@
 
 // The verdicts.
 const (
-	Take    Verdict = iota // it changes the hall's state
+	Accept  Verdict = iota // it changes the hall's state
 	Done                   // the hall is as it asks
 	Unclear                // it may be a late copy, and changes nothing
 )
@@ -94,5 +94,5 @@
 	if at, before := o.taken[order{hall, out}]; before && now-at <= window {
 		return Unclear
 	}
-	return Take
+	return Accept
 }
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -16,14 +16,14 @@
 	const hall = "hall-a"
 	orders := Orders{Window: 5 * time.Second}
 	is.Equal(orders.Decide(0, hall, false, false), Done) // is in service
-	is.Equal(orders.Decide(0, hall, true, false), Take)
+	is.Equal(orders.Decide(0, hall, true, false), Accept)
 	orders = orders.WithTaken(0, hall, true)
 	is.Equal(orders.Decide(time.Second, hall, true, true), Done) // again
-	is.Equal(orders.Decide(time.Second, hall, false, true), Take)
+	is.Equal(orders.Decide(time.Second, hall, false, true), Accept)
 	orders = orders.WithTaken(time.Second, hall, false)
 	is.Equal(orders.Decide(4*time.Second, hall, true, false), Unclear) // a copy of the first, or a new one
-	is.Equal(orders.Decide(4*time.Second, "hall-b", true, false), Take)
-	is.Equal(orders.Decide(5*time.Second+1, hall, true, false), Take)
+	is.Equal(orders.Decide(4*time.Second, "hall-b", true, false), Accept)
+	is.Equal(orders.Decide(5*time.Second+1, hall, true, false), Accept)
 	is.Equal(orders.PutBackWithin(3*time.Second, 2*time.Second), []string{hall})
 	is.Equal(len(orders.PutBackWithin(4*time.Second, 2*time.Second)), 0)
 }
@@ -55,7 +55,7 @@
 	switch o.orders.Decide(o.now, "hall", c.out, o.out) {
 	case Unclear:
 		return c, false
-	case Take:
+	case Accept:
 		if c.order < current || settled {
 			t.Errorf("at %v a copy of order %d takes effect after order %d", o.now, c.order, current)
 		}
