--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -36,9 +36,9 @@
 
 // The verdicts.
 const (
-	Accept  Verdict = iota // it changes the hall's state
-	Done                   // the hall is as it asks
-	Unclear                // it may be a late copy, and changes nothing
+	Accept         Verdict = iota // it changes the hall's state
+	AlreadyApplied                // the hall is as it asks
+	Unclear                       // it may be a late copy, and changes nothing
 )
 
 // DefaultWindow is for deployments that state none.
@@ -85,7 +85,7 @@
 // state.
 func (o Orders) Decide(now time.Duration, hall string, out, isOut bool) Verdict {
 	if out == isOut {
-		return Done
+		return AlreadyApplied
 	}
 	window := o.Window
 	if window <= 0 {
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -15,10 +15,10 @@
 	is := is.New(t)
 	const hall = "hall-a"
 	orders := Orders{Window: 5 * time.Second}
-	is.Equal(orders.Decide(0, hall, false, false), Done) // is in service
+	is.Equal(orders.Decide(0, hall, false, false), AlreadyApplied) // is in service
 	is.Equal(orders.Decide(0, hall, true, false), Accept)
 	orders = orders.WithTaken(0, hall, true)
-	is.Equal(orders.Decide(time.Second, hall, true, true), Done) // again
+	is.Equal(orders.Decide(time.Second, hall, true, true), AlreadyApplied) // again
 	is.Equal(orders.Decide(time.Second, hall, false, true), Accept)
 	orders = orders.WithTaken(time.Second, hall, false)
 	is.Equal(orders.Decide(4*time.Second, hall, true, false), Unclear) // a copy of the first, or a new one
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -65,7 +65,7 @@
 		switch {
 		case err != nil:
 			return err
-		case verdict == evacuation.Done:
+		case verdict == evacuation.AlreadyApplied:
 			return nil
 		case verdict == evacuation.Unclear:
 			d.cfg.Log.Failure("hall order unclear", slog.String("hall", hall), slog.Bool("out", out))
