--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -38,7 +38,7 @@
 const (
 	Accept         Verdict = iota // it changes the hall's state
 	AlreadyApplied                // the hall is as it asks
-	Unclear                       // it may be a late copy, and changes nothing
+	Ambiguous                     // it may be a late copy, and changes nothing
 )
 
 // DefaultWindow is for deployments that state none.
@@ -92,7 +92,7 @@
 		window = DefaultWindow
 	}
 	if at, before := o.taken[order{hall, out}]; before && now-at <= window {
-		return Unclear
+		return Ambiguous
 	}
 	return Accept
 }
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -21,7 +21,7 @@
 	is.Equal(orders.Decide(time.Second, hall, true, true), AlreadyApplied) // again
 	is.Equal(orders.Decide(time.Second, hall, false, true), Accept)
 	orders = orders.WithTaken(time.Second, hall, false)
-	is.Equal(orders.Decide(4*time.Second, hall, true, false), Unclear) // a copy of the first, or a new one
+	is.Equal(orders.Decide(4*time.Second, hall, true, false), Ambiguous) // a copy of the first, or a new one
 	is.Equal(orders.Decide(4*time.Second, "hall-b", true, false), Accept)
 	is.Equal(orders.Decide(5*time.Second+1, hall, true, false), Accept)
 	is.Equal(orders.PutBackWithin(3*time.Second, 2*time.Second), []string{hall})
@@ -53,7 +53,7 @@
 	c, o.pending = o.pending[0], o.pending[1:]
 	o.now = max(o.now, c.arrives)
 	switch o.orders.Decide(o.now, "hall", c.out, o.out) {
-	case Unclear:
+	case Ambiguous:
 		return c, false
 	case Accept:
 		if c.order < current || settled {
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -67,7 +67,7 @@
 			return err
 		case verdict == evacuation.AlreadyApplied:
 			return nil
-		case verdict == evacuation.Unclear:
+		case verdict == evacuation.Ambiguous:
 			d.cfg.Log.Failure("hall order unclear", slog.String("hall", hall), slog.Bool("out", out))
 			return UnclearOrder{Hall: hall}
 		case !d.knowsHall(hall):
