--- a/coordination/topology/topology.go
+++ b/coordination/topology/topology.go
@@ -51,8 +51,8 @@
 // Regions returns the names of all regions, ordered.
 func (t Topology) Regions() []string { return slices.Clone(t.names) }
 
-// Several reports whether there is more than one region.
-func (t Topology) Several() bool { return len(t.names) > 1 }
+// MultipleRegions reports whether there is more than one region.
+func (t Topology) MultipleRegions() bool { return len(t.names) > 1 }
 
 // Halls returns the names of all data halls, ordered.
 func (t Topology) Halls() []string { return slices.Sorted(maps.Keys(t.regions)) }
--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -20,12 +20,12 @@
 	is.Equal(topology.Region("never named"), "")
 	is.Equal(topology.Regions(), []string{"north", "south"})
 	is.Equal(topology.Halls(), []string{"north-a", "north-b", "south-a"})
-	is.True(topology.Several())
+	is.True(topology.MultipleRegions())
 
 	one, err := New(map[string]string{"a": "north", "b": "north"})
 	is.NoErr(err)
-	is.True(!one.Several())
-	is.True(!Topology{}.Several())
+	is.True(!one.MultipleRegions())
+	is.True(!Topology{}.MultipleRegions())
 	is.Equal(Topology{}.Region("a"), "")
 }
 
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -40,7 +40,7 @@
 func (soon) Error() string { return "it shows in a moment who serves the gateway" }
 
 // several reports whether the fleet has regions of which this replica knows its own.
-func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.Several() }
+func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions() }
 
 // unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
