--- a/decision/decision.go
+++ b/decision/decision.go
@@ -84,12 +84,12 @@
 // Failure logs a decision after which a request was refused, failed or sent
 // again.
 func (l *Log) Failure(event string, attrs ...slog.Attr) {
-	l.FailureOf(event, func() []slog.Attr { return attrs })
+	l.FailureFunc(event, func() []slog.Attr { return attrs })
 }
 
-// FailureOf is Failure with attributes that are made only if the line is
+// FailureFunc is Failure with attributes that are made only if the line is
 // written: under a flood of refusals most lines are not.
-func (l *Log) FailureOf(event string, attrs func() []slog.Attr) {
+func (l *Log) FailureFunc(event string, attrs func() []slog.Attr) {
 	if l.allow(&l.failures, l.budget.Failure) {
 		l.slog.LogAttrs(context.Background(), slog.LevelWarn, event, attrs()...)
 	}
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -132,7 +132,7 @@
 		}
 		is.Equal(made, 2)
 		for range 10 {
-			l.FailureOf("refused", facts)
+			l.FailureFunc("refused", facts)
 		}
 		is.Equal(made, 5)
 	})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -183,7 +183,7 @@
 	// Each further attempt of a request that was at three ends might cost one more server.
 	allowed = allowed && c.suspicion.MayTryAgain(c.losses)
 	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
-	c.g.cfg.Log.FailureOf("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
+	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
 	if again {
 		return true, nil
 	}
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -61,7 +61,7 @@
 	case errors.As(err, &refusal):
 		c.g.stats.count("refused", "cause", string(refusal.Cause))
 		c.countTokens(string(refusal.Cause))
-		c.g.cfg.Log.FailureOf("refused", func() []slog.Attr {
+		c.g.cfg.Log.FailureFunc("refused", func() []slog.Attr {
 			return append(c.logAttrs(took), slog.String("cause", string(refusal.Cause)),
 				slog.Int("status", refusal.Status()), milliseconds("after_ms", refusal.RetryAfter))
 		})
