--- a/decision/decision.go
+++ b/decision/decision.go
@@ -97,12 +97,12 @@
 
 // Routine logs a decision of a request that went well.
 func (l *Log) Routine(event string, attrs ...slog.Attr) {
-	l.RoutineOf(event, func() []slog.Attr { return attrs })
+	l.RoutineFunc(event, func() []slog.Attr { return attrs })
 }
 
-// RoutineOf is Routine with attributes that are made only if the line is
+// RoutineFunc is Routine with attributes that are made only if the line is
 // written.
-func (l *Log) RoutineOf(event string, attrs func() []slog.Attr) {
+func (l *Log) RoutineFunc(event string, attrs func() []slog.Attr) {
 	if l.allow(&l.routines, l.budget.Routine) {
 		l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs()...)
 	}
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -128,7 +128,7 @@
 		made := 0
 		facts := func() []slog.Attr { made++; return nil }
 		for range 10 {
-			l.RoutineOf("answered", facts)
+			l.RoutineFunc("answered", facts)
 		}
 		is.Equal(made, 2)
 		for range 10 {
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -57,7 +57,7 @@
 	case err == nil:
 		c.g.stats.count("answered", "route", c.route.Name)
 		c.g.stats.observe(answerSeconds, c.account.Name, c.route.Name, took)
-		c.g.cfg.Log.RoutineOf("answered", func() []slog.Attr { return c.logAttrs(took) })
+		c.g.cfg.Log.RoutineFunc("answered", func() []slog.Attr { return c.logAttrs(took) })
 	case errors.As(err, &refusal):
 		c.g.stats.count("refused", "cause", string(refusal.Cause))
 		c.countTokens(string(refusal.Cause))
