--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -49,7 +49,7 @@
 		{"a stream that is taken up", "plain", "/resume/1", streams(piece{event(1), 0, errReset})},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
 				x.serversOf(tt.pool, askingForBackoff(backoff, &calls), tt.other, tt.other)
@@ -78,7 +78,7 @@
 func TestAllServersBackedOff(t *testing.T) {
 	for _, pool := range []string{"plain", "engines"} {
 		t.Run(pool, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				path := map[string]string{"plain": "/once/1", "engines": "/engine/1"}[pool]
 				var calls atomic.Int64
@@ -102,7 +102,7 @@
 
 // TestLastServerAsksForBackoffWhileOthersWait: what waits is refused at once as well.
 func TestLastServerAsksForBackoffWhileOthersWait(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		refusal := askingForBackoff(3*time.Second, &calls)
@@ -128,7 +128,7 @@
 func TestMayHaveRunOutlastsAShortBackoff(t *testing.T) {
 	for backoff, status := range map[time.Duration]int{300 * time.Millisecond: 200, 2 * time.Second: 502} {
 		t.Run(backoff.String(), func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
 				x.serversOf("plain", fails(forward.Unknown{Err: errReset}), askingForBackoff(backoff, &calls))
@@ -149,7 +149,7 @@
 // TestConnectionThatOpensAfterTheRefusal: a call that waited for its connection when the server asked for
 // backoff is not sent, and goes elsewhere.
 func TestConnectionThatOpensAfterTheRefusal(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls, sent atomic.Int64
 		refusal := askingForBackoff(3*time.Second, &calls)
@@ -177,7 +177,7 @@
 
 // TestBackoffOfAnotherLife: it ends with the server, not with what the directory lists.
 func TestBackoffOfAnotherLife(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.serversOf("plain", askingForBackoff(3*time.Second, &calls))
@@ -206,7 +206,7 @@
 // servers of that version backoff.
 func TestBackoffBringsNoOldVersionBack(t *testing.T) {
 	var calls atomic.Int64
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
@@ -222,7 +222,7 @@
 
 // TestBackoffOfAnAnswerThatRan: a 503 asks for backoff whether it has run the request or not.
 func TestBackoffOfAnAnswerThatRan(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.serversOf("plain", func(_ context.Context, call forward.Call) (*forward.Answer, error) {
@@ -242,7 +242,7 @@
 // TestWaitingRequestsGoToNoBackedOffServer: what waited for room when the server asked is not given to it
 // as the other servers fill up.
 func TestWaitingRequestsGoToNoBackedOffServer(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.serversOf("plain", askingForBackoff(3*time.Second, &calls), answers(200, "ok", 300*time.Millisecond))
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -21,7 +21,7 @@
 // that takes new ones has not.
 func TestEndOfAServer(t *testing.T) {
 	for _, ended := range []bool{false, true} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			is.Equal(x.ask("/once/").status, 502)
 			if ended {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -216,9 +216,9 @@
 	}
 }
 
-// bubble runs f with a gateway that knows backend servers b0, b1, … of the pool
+// withGateway runs f with a gateway that knows backend servers b0, b1, … of the pool
 // "plain", by their behaviours, and none of the directory.
-func bubble(t *testing.T, f func(x *fixture), does ...behaviour) {
+func withGateway(t *testing.T, f func(x *fixture), does ...behaviour) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
 		x := &fixture{t: t, servers: &fakeServers{does: map[string]behaviour{}}}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -75,7 +75,7 @@
 		{"no backend at all", "once", nil, 503, "no-backend", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.inOrder(tt.does)
 				got := x.ask("/" + tt.route + "/x")
@@ -124,7 +124,7 @@
 		{"known", "/once/x", nil, 200},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is.New(x.t).Equal(x.ask(tt.path, tt.header...).status, tt.status)
 			}, answers(200, "fine", 0))
 		})
@@ -132,7 +132,7 @@
 }
 
 func TestBodyOverTheLimit(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		d := testDocument()
 		d.Number, d.Limits.BodyBytes = 4, 10
@@ -143,7 +143,7 @@
 }
 
 func TestHeaderOverTheLimit(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		pad := strings.Repeat("x", 1000-len("Host: host\r\nId: request-1\r\nKey: key\r\nPad: \r\n"))
 		is.Equal(x.ask("/once/x", "Pad", pad+"x").status, 200) // no limit
@@ -159,7 +159,7 @@
 
 // TestBeforeTheFirstDocument refuses as not run, never as unknown.
 func TestBeforeTheFirstDocument(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.routes.Store(nil)
 		is.True(!x.g.Ready())
@@ -168,7 +168,7 @@
 }
 
 func TestDocumentNeverGoesBack(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		older := testDocument()
 		older.Number, older.Routes = 2, nil
@@ -180,7 +180,7 @@
 
 // TestWhatTheBackendGets checks the head that goes out.
 func TestWhatTheBackendGets(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.ask("/once/a%2Fb?q=1", "Patience", "1000", "Tenant", "forged", "Other", "kept")
 		call := x.servers.arrivals[0]
@@ -198,7 +198,7 @@
 // TestLeftOverTime checks that a second backend server is told what is left, and that
 // the route's time bounds a caller's patience.
 func TestLeftOverTime(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{hangs, answers(200, "fine", 0)})
 		x.ask("/again/x", "Patience", "9000")
@@ -208,7 +208,7 @@
 }
 
 func TestTimeOutIsOnTime(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/once/x", "Patience", "1500")
 		is.Equal(got.status, 504)
@@ -219,7 +219,7 @@
 // TestLeavingCallerCancels checks that a backend server stops working for a caller
 // that has gone.
 func TestLeavingCallerCancels(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		ctx, cancel := context.WithTimeout(x.t.Context(), 300*time.Millisecond)
 		defer cancel()
@@ -239,7 +239,7 @@
 // TestMisplacedBackendIsDropped: another backend server has the address; the request
 // has not run and goes on, and the list loses the entry.
 func TestMisplacedBackendIsDropped(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{refuses(http.StatusMisdirectedRequest), answers(200, "fine", 0)})
 		is.Equal(x.ask("/once/x").status, 200)
@@ -248,7 +248,7 @@
 }
 
 func TestSuspectedBackendIsLeftAlone(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
 		for range 12 {
@@ -266,7 +266,7 @@
 // TestOnceIsNoTrial checks that a request that may not be repeated never tries
 // a suspected backend server while another one is there.
 func TestOnceIsNoTrial(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
 		p := x.g.table.pool("plain")
@@ -285,7 +285,7 @@
 
 // TestRetryBudget lets every backend server fail: repeats stop at the budget.
 func TestRetryBudget(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 10
 		x.inOrder([]behaviour{answers(500, "broken", 0), answers(500, "broken", 0)})
@@ -300,7 +300,7 @@
 // TestSpentBudgetIsSaid: the request was refused there and might have gone
 // elsewhere.
 func TestSpentBudgetIsSaid(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 0
 		x.inOrder([]behaviour{refuses(503), refuses(503)})
@@ -314,7 +314,7 @@
 // TestDoubtfulBackendIsDroppedOnceItFails: a complete list lacks it; it is used
 // as long as it answers, and no longer.
 func TestDoubtfulBackendIsDroppedOnceItFails(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
 		list := []protocol.Server{x.g.table.servers["p1"].Server}
@@ -334,7 +334,7 @@
 
 // TestStop checks the parts of a planned stop.
 func TestStop(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
 		var long reply
@@ -363,7 +363,7 @@
 }
 
 func TestCallersBodyBreaks(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.askBody(&pieceReader{ctx: x.t.Context(), pieces: []piece{{text: "a b", err: errReset}}}, 10)
 		is.Equal(got.status, 400)
@@ -372,7 +372,7 @@
 }
 
 func TestManyRequestsAtOnce(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
 		statuses := make([]int, 200)
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -18,7 +18,7 @@
 // TestAllHallsOut: what nothing can serve is refused at once, as not run, with a time to
 // come back; and a list that is older than the one in force changes nothing.
 func TestAllHallsOut(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.Equal(x.ask("/once/1", "Patience", "2000").status, 200)
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"z"}, HallChanges: 3})
@@ -40,7 +40,7 @@
 // only while the leader has counted a report that it sent a moment ago: not when it was
 // frozen or cut off meanwhile.
 func TestColdServerNeedsALease(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		s := x.g.table.servers["p0"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -38,7 +38,7 @@
 		{"a region that nobody knows", nil, []string{"moon"}, "", "homes-without-server"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.twoRegions()
 				x.g.apply(homesDocument(4, tt.route, tt.account))
@@ -69,7 +69,7 @@
 // elsewhere are idle; without a listed server in its homes it is refused at once.
 func TestHomeIsFullOrGone(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.twoRegions()
 			x.g.apply(homesDocument(4, []string{home}, nil))
@@ -97,7 +97,7 @@
 
 // TestRepeatsKeepToTheHomes: a second attempt, and a stream that is taken up.
 func TestRepeatsKeepToTheHomes(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
@@ -117,7 +117,7 @@
 // TestHomesGivenLater: what runs ends where it is; what waits, and each further attempt, obeys
 // the newer document, also where it takes homes away.
 func TestHomesGivenLater(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, answers(200, "ok", 200*time.Millisecond), "n1")
@@ -156,7 +156,7 @@
 // TestHomesWithoutRegions: without settings of regions nothing is known to be in a home; with one
 // region its halls are, and a hall that is not named is not.
 func TestHomesWithoutRegions(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		ok := answers(200, "ok", time.Millisecond)
 		x.at("plain", 1, ok, "n1")
@@ -179,7 +179,7 @@
 // TestHomeBeyondTheLink: what may be served in another region alone goes over when nothing goes
 // by choice any more, and waits, or is refused as not run, when the link's part is used up.
 func TestHomeBeyondTheLink(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -59,7 +59,7 @@
 		{"while answers of the others are lost", "engines", "/engine/1", whole, fails(forward.Unknown{Err: errReset}), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
 				x.serversOf(tt.pool, leaving(tt.leaves, &calls), tt.other, tt.other)
@@ -79,7 +79,7 @@
 // TestWaitingRequestsGoToNoLeavingServer: what waited for room when the server said that it leaves is not
 // given to it, though a stream of it goes on.
 func TestWaitingRequestsGoToNoLeavingServer(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		long := streams(piece{event(1), 0, nil}, piece{event(2), 40 * time.Millisecond, nil}, piece{event(3), 40 * time.Millisecond, io.EOF})
@@ -103,7 +103,7 @@
 // TestLeavingServerIsListedAgain: what it said holds for its life, whatever the directory lists, and not
 // for the next one.
 func TestLeavingServerIsListedAgain(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.serversOf("plain", leaving(answers(200, "ok", time.Millisecond), &calls))
@@ -140,7 +140,7 @@
 // TestAllServersLeave: a request waits for another one as where none is listed, and the last ones that
 // serve backed off from are told apart from those that leave.
 func TestAllServersLeave(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		ok := answers(200, "ok", time.Millisecond)
@@ -175,7 +175,7 @@
 	ok := answers(200, "ok", time.Millisecond)
 	t.Run("old", func(t *testing.T) {
 		var calls atomic.Int64
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.versionsOf("v1", "v2")
 			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
@@ -188,7 +188,7 @@
 	})
 	t.Run("target", func(t *testing.T) {
 		var calls atomic.Int64
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.versionsOf("v1", "v2", "v2")
 			for i := range 3 {
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -31,7 +31,7 @@
 }
 
 func TestUnderPressureRequestsAreRefusedAtOnce(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
 		got := x.ask("/once/x")
@@ -47,7 +47,7 @@
 // TestUnderPressureCallersGoElsewhere: not ready long enough to be seen twice
 // by a balancer that asks every second.
 func TestUnderPressureCallersGoElsewhere(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.True(x.g.Ready())
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayBeyond })
@@ -64,7 +64,7 @@
 // TestRefusalsUnderPressureAreMissed: what is within a share and refused for
 // the processor is told to the leader like what finds no engine.
 func TestRefusalsUnderPressureAreMissed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
@@ -85,7 +85,7 @@
 // TestFloodIsRefusedWithoutItsBody: what is beyond its account's share is
 // refused by its head alone, while another account is served.
 func TestFloodIsRefusedWithoutItsBody(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.001, Extra: 0.002}}, nil, true)
 		r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/engine/x", untouchedBody{x.t})
@@ -108,7 +108,7 @@
 		level   time.Duration
 		trusted bool
 	}{{0, false}, {2 * overload.DelayNoticed, true}} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.serversOf("plain", fails(forward.NotRun{Err: errReset}))
 			release := x.holdPressure(tt.level)
@@ -131,7 +131,7 @@
 		level  time.Duration
 		learns bool
 	}{{0, true}, {2 * overload.DelayNoticed, false}} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.serversOf("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
 			release := x.holdPressure(tt.level)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -43,7 +43,7 @@
 
 // TestCondemnedIsRefused: that request alone, and only until it is listed no more.
 func TestCondemnedIsRefused(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		x.list(3, true, "/again/deadly")
 		r := x.ask("/again/deadly")
@@ -69,7 +69,7 @@
 		{answers(200, "done", 0), 1}, {answers(404, "no", 0), 0}, {answers(500, "no", 0), 0}, {broken, 0},
 		{fails(forward.NotRun{Err: io.EOF}), 0},
 	} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			x.list(1, false, "/once/suspect")
 			x.ask("/once/suspect")
@@ -89,7 +89,7 @@
 // from the list.
 func TestThirdEndIsTheLast(t *testing.T) {
 	for known, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			x.list(known, false, "/again/deadly")
 			is.Equal(x.ask("/again/deadly").status, 502)
@@ -102,7 +102,7 @@
 // does.
 func TestUndecidedWaits(t *testing.T) {
 	for _, condemned := range []bool{false, true} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			x.list(3, false, "/again/deadly")
 			if condemned {
@@ -119,7 +119,7 @@
 // TestAnswerBeforeTheEndIsKnown: the second attempt is answered before it shows that the first one's
 // server has ended. Nothing is suspected.
 func TestAnswerBeforeTheEndIsKnown(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		is.Equal(x.ask("/again/unlucky").status, 200)
 		x.servers.stop("10.0.5.0:80")
@@ -132,7 +132,7 @@
 // TestAloneAGatewayJudges: without a leader that lists anything it refuses what it saw at three
 // ends itself, and tells the next leader all that it saw.
 func TestAloneAGatewayJudges(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		is.Equal(x.ask("/again/fine").status, 502) // all of them break connections
 		time.Sleep(time.Second)                    // and it shows that they go on
@@ -157,7 +157,7 @@
 // TestUnreachedSaysNothing: attempts that reach nobody while a server is down do not hide that the
 // pool answers.
 func TestUnreachedSaysNothing(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		for range 10 {
 			is.Equal(x.ask("/again/").status, 200)
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -19,7 +19,7 @@
 // TestWaitingGoInOrder fills the only backend server; of three that wait, the one of
 // the account that was served least goes first, whenever it came.
 func TestWaitingGoInOrder(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		d := testDocument()
 		d.Number = 4
@@ -51,7 +51,7 @@
 // TestConnectionsAreShared: a backend server's connections are divided by the
 // gateways.
 func TestConnectionsAreShared(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.gateways.Store(45) // of 100 connections, two are this gateway's
 		var group sync.WaitGroup
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -30,7 +30,7 @@
 		{fails(forward.NotRun{Err: io.EOF}), 32e3, 0},
 		{answers(200, strings.Repeat("x", 10_000), time.Millisecond), 21e3, 22.1e3},
 	} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.twoRegions()
 			x.g.table.mu.Lock()
@@ -52,7 +52,7 @@
 // TestOnlyServerOfARegionIsNotAskedAgain: it is not the only one of its pool, also while the link
 // keeps the request from the others.
 func TestOnlyServerOfARegionIsNotAskedAgain(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
@@ -67,7 +67,7 @@
 
 // TestWayIsNotLearnedFrom: a connection that was open before, and one that a late gateway opened.
 func TestWayIsNotLearnedFrom(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		ago, late := time.Minute, time.Duration(0)
@@ -114,7 +114,7 @@
 
 // TestHomesAreNotMissed: no engine lacks for what its homes let nothing serve.
 func TestHomesAreNotMissed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -104,7 +104,7 @@
 // TestIdleFleetStaysInItsRegion: engines and plain services, also one with a single server in
 // each hall.
 func TestIdleFleetStaysInItsRegion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
@@ -128,7 +128,7 @@
 // servers; those that stand nowhere known come last.
 func TestRegionWithoutServers(t *testing.T) {
 	for _, path := range []string{"/again/x", "/engine/x"} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.twoRegions()
 			pool := map[string]string{"/again/x": "plain", "/engine/x": "engines"}[path]
@@ -161,7 +161,7 @@
 
 // TestRegionOutOfServiceOrEjected: what the own region has and may not give is none.
 func TestRegionOutOfServiceOrEjected(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		ok := answers(200, "ok", time.Millisecond)
@@ -199,7 +199,7 @@
 // the time, and it is not beyond its account's share; else it waits, and goes over while it
 // waits once there is room.
 func TestNoRoomInTheRegion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
@@ -249,7 +249,7 @@
 // takes. A request with a home waits on, in its own region and elsewhere.
 func TestBestEngineIsWaitedFor(t *testing.T) {
 	for _, home := range []string{"", "north", "south"} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.twoRegions()
 			if home != "" {
@@ -291,7 +291,7 @@
 // before a narrow link: what goes over stays within the gateway's part of it, and the rest is
 // refused as not run.
 func TestFloodStaysWithinTheLink(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		const rate = 1e6
@@ -326,7 +326,7 @@
 // TestConnectionsTellOfTheLink: a new connection to another region is its round trip, one that
 // takes much longer keeps requests from going over by choice.
 func TestConnectionsTellOfTheLink(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		opening := 40 * time.Millisecond
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -37,7 +37,7 @@
 // TestTrialInEachRegion: each region has its own servers of a trial, so that no request leaves
 // it for the version alone.
 func TestTrialInEachRegion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.versionAt("old", 4, "n1", "s1", "nowhere")
@@ -60,7 +60,7 @@
 // TestHomeWithoutTheOldVersion: where the homes have servers of the target alone, it serves.
 func TestHomeWithoutTheOldVersion(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.twoRegions()
 			x.g.apply(homesDocument(4, nil, []string{home}))
@@ -80,7 +80,7 @@
 // TestLinkKeepsFromTheTarget: after the switch, what the link has no room for goes to the old
 // version of its own region rather than be refused.
 func TestLinkKeepsFromTheTarget(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.versionAt("old", 2, "n1")
@@ -100,7 +100,7 @@
 // in another region, as in its own, rather than be refused.
 func TestHomeServesWhatItsAccountIsOwed(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			x.twoRegions()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
@@ -113,7 +113,7 @@
 // TestServerMovesToAnotherRegion: an attempt counts for the region where its server stood when it
 // began.
 func TestServerMovesToAnotherRegion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
@@ -133,7 +133,7 @@
 
 // TestWhatWasNotSentIsNotCounted: an attempt that reaches nobody puts nothing on the link.
 func TestWhatWasNotSentIsNotCounted(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
@@ -157,7 +157,7 @@
 // TestHomeOfTheOldVersionAfterTheSwitch: engines of a home that run the old version serve what its
 // account's share covers while the target stands elsewhere, also those that suit it less.
 func TestHomeOfTheOldVersionAfterTheSwitch(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		x.twoRegions()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
@@ -196,7 +196,7 @@
 // TestEjectedRegionComesAfterOneWithoutRoom: what must leave waits for a healthy server of a region
 // further away rather than go to an ejected one of a nearer.
 func TestEjectedRegionComesAfterOneWithoutRoom(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -66,7 +66,7 @@
 		{"event too large", "/stream/x", "stream broken", 9, endlessEvent, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				for range 5 { // enough to eject a server
 					x.askFrom(tt.path, &brokenCaller{ResponseRecorder: httptest.NewRecorder(), takes: tt.takes})
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -25,7 +25,7 @@
 // TestRoomIsShared holds every slot; one request too many waits for its part
 // of the objective and is refused, and one that finds room in time is served.
 func TestRoomIsShared(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
 		for range 8 { // plainRoom x 4 slots
@@ -45,7 +45,7 @@
 
 // TestOthersLoadCounts checks that what runs on other gateways takes room.
 func TestOthersLoadCounts(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 50, Requests: 8}})
 		is.Equal(x.ask("/once/x").status, 503)
@@ -59,7 +59,7 @@
 // one within its share it is served like any, and shows how long callers wait. Both are
 // reported.
 func TestWhatComesBackLateGoesLast(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		beyond := []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}
@@ -92,7 +92,7 @@
 // TestOthersAreTheSumLessThisGateway: sums hold a report of this gateway, not always the
 // last one, and only those that have changed come.
 func TestOthersAreTheSumLessThisGateway(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", hangs, hangs)
 		table := x.g.table
@@ -127,7 +127,7 @@
 // while the engine has something to read, nine in ten are refused with 429 and
 // the other account's requests are served.
 func TestBeyondTheShareWaitsForIdleEngines(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, nil, false)
@@ -150,7 +150,7 @@
 // TestNobodyWaitsWhileEnginesAreIdle: beyond its share, but nothing else is
 // there to do.
 func TestNobodyWaitsWhileEnginesAreIdle(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, nil, false)
@@ -165,7 +165,7 @@
 // TestStartIsCountedOnce: an attempt that reaches nobody does not make the next one
 // another start.
 func TestStartIsCountedOnce(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		unreachable := fails(forward.NotRun{Err: errReset})
 		x.serversOf("engines", unreachable, unreachable, streams(piece{text: event(1)}))
@@ -200,7 +200,7 @@
 // TestWhatGetsNoAnswerIsNotServed: a request that no engine could be reached for, and
 // one whose caller leaves first, are taken back from what was started.
 func TestWhatGetsNoAnswerIsNotServed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", fails(forward.NotRun{Err: errReset}))
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
@@ -217,7 +217,7 @@
 // TestNothingRunsForACallerThatHasLeft: a caller that closed its connection before its request
 // was read, which net/http may notice later, costs no attempt.
 func TestNothingRunsForACallerThatHasLeft(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		ctx := WithCallerLeft(x.t.Context(), func() bool { return true })
@@ -253,7 +253,7 @@
 // TestRefusalsOfThisGatewayAreMissed: what is refused for the memory of bodies, or because
 // the gateway stops, is missed like what finds no engine.
 func TestRefusalsOfThisGatewayAreMissed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.bodies.Store(x.g.cfg.Bodies)
 		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
@@ -269,7 +269,7 @@
 // TestExtraWithoutRoomIsNotMissed: a request beyond the named shares that no engine has room for says
 // nothing of shares; one that this gateway has no memory for does.
 func TestExtraWithoutRoomIsNotMissed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0, Extra: 1}}, nil, true)
@@ -289,7 +289,7 @@
 		time.Sleep(time.Millisecond)
 		return nil, forward.NotRun{Err: errReset}
 	}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/again/x")
 		is.Equal(got.status, 503)
@@ -302,7 +302,7 @@
 // parts has no room. Who asks for more than a share waits and is refused;
 // others go to another engine in the end.
 func TestCoveredTenantIsServedElsewhere(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		served := streams(piece{text: event(1)})
 		x.serversOf("engines", served, served, served)
@@ -327,7 +327,7 @@
 // the objective takes a request of an account that its share covers, at once, and
 // none of one that asks for more.
 func TestCoveredTenantHasMoreRoom(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, nil, false)
@@ -342,7 +342,7 @@
 // TestShortFleetLetsNobodyBeyond: engines are idle here, but somebody within a
 // share waits elsewhere.
 func TestShortFleetLetsNobodyBeyond(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.5}}, nil, true)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestStreamIsPassedOn(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/stream/x")
 		is.Equal(got.status, 200)
@@ -63,7 +63,7 @@
 // TestBrokenStreamIsTakenUp breaks a stream in the middle of an event: the
 // second backend server goes on after the last whole one.
 func TestBrokenStreamIsTakenUp(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
 		got := x.ask("/resume/x")
@@ -76,7 +76,7 @@
 // TestStreamThatEndsInsideAnEventIsBroken: an end without an error is not
 // whole if an event is not.
 func TestStreamThatEndsInsideAnEventIsBroken(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, io.EOF), resuming(6, 0, nil)})
 		got := x.ask("/resume/x")
@@ -87,7 +87,7 @@
 // TestStreamThatMayNotRunAgainIsCut: the caller must see that it is not whole,
 // and no other backend server may get it.
 func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
 		got := x.ask("/stream/x")
@@ -100,7 +100,7 @@
 // TestBrokenStreamWithNobodyLeftIsCut: no answer of the gateway's own may be
 // written into a stream that has begun.
 func TestBrokenStreamWithNobodyLeftIsCut(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
 		got := x.ask("/resume/x")
@@ -111,7 +111,7 @@
 
 // TestBrokenStreamGoesOnAtItsOnlyBackend: with no other, the same is asked.
 func TestBrokenStreamGoesOnAtItsOnlyBackend(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/resume/x")
 		is.Equal(got.body, wholeStream(6))
@@ -120,7 +120,7 @@
 }
 
 func TestStreamBreaksAgain(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
 		got := x.ask("/resume/x")
@@ -135,7 +135,7 @@
 	silent := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(1)}, piece{text: event(2), after: time.Hour})(ctx, call)
 	}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{silent, resuming(4, 0, nil)})
 		got := x.ask("/resume/x")
@@ -148,7 +148,7 @@
 // on, be it that the stream may not run again or that all attempts are used.
 func TestPausingStreamIsNotCut(t *testing.T) {
 	pausing := streams(piece{text: event(1)}, piece{text: event(2), after: 1500 * time.Millisecond})
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/stream/x")
 		is.Equal(got.body, wholeStream(2))
@@ -157,7 +157,7 @@
 	resumed := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(2)}, piece{text: event(3), after: 1500 * time.Millisecond})(ctx, call)
 	}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(3, 1, errReset), resumed})
 		got := x.ask("/resume/x")
@@ -171,7 +171,7 @@
 	endless := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return resuming(1000, 0, nil)(ctx, call)
 	}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/stream/x")
 		is.True(got.cut)
@@ -181,7 +181,7 @@
 
 // TestCallerTakesUpItsOwnStream passes on where the caller wants to go on.
 func TestCallerTakesUpItsOwnStream(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.ask("/resume/x", "After", "3")
 		is.Equal(got.body, event(4)+event(5))
@@ -194,7 +194,7 @@
 	for i := 0; i < len(whole); i += 7 {
 		pieces = append(pieces, piece{text: whole[i:min(i+7, len(whole))], after: time.Millisecond})
 	}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is.New(x.t).Equal(x.ask("/resume/x").body, whole)
 	}, streams(pieces...))
 }
@@ -258,7 +258,7 @@
 		level    time.Duration
 		arrivals int
 	}{{0, 2}, {2 * overload.DelayNoticed, 1}} {
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // so that the silence ends between two ticks
@@ -280,7 +280,7 @@
 			body = &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 40}
 			return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
 		}
-		bubble(t, func(x *fixture) {
+		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			level := time.Duration(0)
 			if pressed {
@@ -343,7 +343,7 @@
 			return does(ctx, call)
 		}
 	}
-	bubble(t, func(fx *fixture) {
+	withGateway(t, func(fx *fixture) {
 		x = fx
 		is := is.New(x.t)
 		opened = time.Now()
@@ -378,7 +378,7 @@
 // looks the same, but the next one goes out on a new connection.
 func TestRequestThatMayNotRunAgainOnASilentConnection(t *testing.T) {
 	opened := time.Time{}
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		opened = time.Now()
 		time.Sleep(time.Second)
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -32,7 +32,7 @@
 // TestFinalShareStays: once complete is about to be said, the target has all requests without a
 // session as well, since the old servers may stop; until another list says otherwise.
 func TestFinalShareStays(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
@@ -50,7 +50,7 @@
 // its leader. The next one has to see what it rested on, or it takes no requests at all for few
 // of which none speaks against the version.
 func TestNextLeaderLearnsWhyAVersionIsBarred(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
 		x.versionsOf("v1", "v2")
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -64,7 +64,7 @@
 		{"complete", protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.rollsInTheNorth()
 				x.rollouts(1, 1, tt.list)
--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -19,7 +19,7 @@
 // TestTokensAreCounted: what an account demands is begun or refused for a cause,
 // whatever lines of single requests are dropped.
 func TestTokensAreCounted(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.2}}, nil, true)
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -50,7 +50,7 @@
 		{"the only one", true, []behaviour{unreachable}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			bubble(t, func(x *fixture) {
+			withGateway(t, func(x *fixture) {
 				x.versionsOf([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
 				x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 				x.askEach(20)
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -69,7 +69,7 @@
 // TestShareNeedsALease: the target gets its share while the leader counts reports; without, the
 // old version gets all, and the target only where there is no other.
 func TestShareNeedsALease(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
 		x.versionsOf("v1", "v2")
@@ -95,7 +95,7 @@
 
 // TestSharesByRoute: a route may have a share of its own.
 func TestSharesByRoute(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
 		x.versionsOf("v1", "v2")
@@ -109,7 +109,7 @@
 // TestBarredVersionGetsNothing: for good, also by a later leader's list that lacks it, unless
 // the log has the attempt complete or another one began.
 func TestBarredVersionGetsNothing(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
 		x.versionsOf("v1", "v2")
@@ -137,7 +137,7 @@
 
 // TestReplacedVersion gets something only where there is no other that is not barred.
 func TestReplacedVersion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
@@ -151,7 +151,7 @@
 
 // TestLastOldServerTurnsOut to be another: the target gets all then, as without any old one.
 func TestLastOldServerTurnsOut(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
@@ -164,7 +164,7 @@
 // TestObeyed: a list is while its shares are in force here and nothing keeps requests from the
 // target; else the old servers are needed.
 func TestObeyed(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		obeyed := func() uint64 {
 			_, seq := x.g.table.takeOutcomes(x.g.now())
@@ -199,7 +199,7 @@
 
 // TestRetryGoesToTheOldVersion: what failed at the target, and what found no room there.
 func TestRetryGoesToTheOldVersion(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2", "v2", "v2") // lots are always low
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
@@ -221,7 +221,7 @@
 // TestVersionIsLogged: the last line of a request says which version served it and why, and a
 // counter has the target's attempts by name and all others together.
 func TestVersionIsLogged(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var text bytes.Buffer
 		old := x.g.cfg.Log
@@ -298,7 +298,7 @@
 // TestTargetWithoutUse: after the switch the old version gets something only if no server of
 // the target may have requests.
 func TestTargetWithoutUse(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
@@ -314,7 +314,7 @@
 // TestColdTarget: a cold server of the target gets its share as a cold one alone; what finds no
 // room there goes to the old version, and no pace is counted.
 func TestColdTarget(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		s := x.g.table.servers["p1"].Server
@@ -334,7 +334,7 @@
 // TestOutcomesAreTotals: each report has what has changed, and the first of a session all. An
 // answer that had not begun when its time was over counts with that time.
 func TestOutcomesAreTotals(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -38,7 +38,7 @@
 // TestNewLeadersListIsKeptOut: a leader that knows too little yet does not replace the list of
 // the one before, nor its bound.
 func TestNewLeadersListIsKeptOut(t *testing.T) {
-	bubble(t, func(x *fixture) {
+	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		w := &watcher{g: x.g}
 		part := func() float32 {
