--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -54,18 +54,18 @@
 				var calls atomic.Int64
 				x.serversOf(tt.pool, askingForBackoff(backoff, &calls), tt.other, tt.other)
 				for calls.Load() == 0 {
-					x.ask(tt.path, "Patience", "2000")
+					x.request(tt.path, "Patience", "2000")
 					time.Sleep(time.Millisecond)
 				}
 				asked := x.g.now()
 				for x.g.now() < asked+backoff-300*time.Millisecond { // longer than any of them takes
-					x.ask(tt.path, "Patience", "2000")
+					x.request(tt.path, "Patience", "2000")
 					time.Sleep(10 * time.Millisecond)
 				}
 				is.Equal(calls.Load(), int64(1)) // within the time that it asked for
 				time.Sleep(asked + backoff - x.g.now())
 				for range 40 {
-					x.ask(tt.path, "Patience", "2000")
+					x.request(tt.path, "Patience", "2000")
 				}
 				is.True(calls.Load() > 1) // after it
 			})
@@ -84,16 +84,16 @@
 				var calls atomic.Int64
 				x.serversOf(pool, askingForBackoff(2*time.Second, &calls), askingForBackoff(3*time.Second, &calls))
 				for range 10 {
-					x.ask(path, "Patience", "9000")
+					x.request(path, "Patience", "9000")
 				}
 				is.Equal(calls.Load(), int64(2))
-				r := x.ask(path, "Patience", "9000")
+				r := x.request(path, "Patience", "9000")
 				is.Equal(r.status, 503)
 				is.Equal(r.body, "{\"error\":\"backing-off\"}\n")
 				is.Equal(r.took, time.Duration(0))
 				is.Equal(r.header.Get("Retry-After"), "2.000")
 				time.Sleep(2 * time.Second)
-				x.ask(path, "Patience", "9000")
+				x.request(path, "Patience", "9000")
 				is.Equal(calls.Load(), int64(3))
 			})
 		})
@@ -112,7 +112,7 @@
 		})
 		done := make(chan reply, 20)
 		for range 20 {
-			go func() { done <- x.ask("/once/1", "Patience", "2000") }()
+			go func() { done <- x.request("/once/1", "Patience", "2000") }()
 		}
 		for range 20 {
 			r := <-done
@@ -133,12 +133,12 @@
 				var calls atomic.Int64
 				x.serversOf("plain", fails(forward.Unknown{Err: errReset}), askingForBackoff(backoff, &calls))
 				for calls.Load() == 0 {
-					x.ask("/once/1", "Patience", "2000")
+					x.request("/once/1", "Patience", "2000")
 				}
 				x.servers.does["10.0.5.1:80"] = answers(200, "ok", time.Millisecond)
 				ended := time.AfterFunc(backoff+time.Millisecond, x.g.grantAll)
 				defer ended.Stop()
-				r := x.ask("/again/1", "Patience", "2900")
+				r := x.request("/again/1", "Patience", "2900")
 				is.Equal(r.status, status)
 				is.True(r.took < time.Second)
 			})
@@ -166,7 +166,7 @@
 		}, answers(200, "ok", time.Millisecond))
 		done := make(chan reply, 6)
 		for range 6 {
-			go func() { done <- x.ask("/once/1", "Patience", "2000") }()
+			go func() { done <- x.request("/once/1", "Patience", "2000") }()
 		}
 		for range 6 {
 			is.Equal((<-done).status, 200)
@@ -182,7 +182,7 @@
 		var calls atomic.Int64
 		x.serversOf("plain", askingForBackoff(3*time.Second, &calls))
 		ask := func() int64 {
-			x.ask("/once/1", "Patience", "2000")
+			x.request("/once/1", "Patience", "2000")
 			return calls.Load()
 		}
 		is.Equal(ask(), int64(1))
@@ -211,10 +211,10 @@
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.leaseShares()
-		x.ask("/once/1", "Patience", "800")
+		x.request("/once/1", "Patience", "800")
 		is.Equal(calls.Load(), int64(1))
 		x.leaseShares()
-		is.Equal(x.ask("/once/1", "Patience", "800").status, 503)
+		is.Equal(x.request("/once/1", "Patience", "800").status, 503)
 		is.Equal(calls.Load(), int64(1))
 		is.Equal(x.servers.count(), 1)
 	}, answers(200, "old", time.Millisecond), askingForBackoff(3*time.Second, &calls))
@@ -232,7 +232,7 @@
 			return &forward.Answer{Status: 503, Header: h, Length: 0, Body: http.NoBody}, nil
 		}, answers(200, "ok", time.Millisecond))
 		for range 40 {
-			x.ask("/again/1", "Patience", "2000")
+			x.request("/again/1", "Patience", "2000")
 			time.Sleep(50 * time.Millisecond)
 		}
 		is.Equal(calls.Load(), int64(1))
@@ -250,7 +250,7 @@
 		for i := range 100 {
 			go func() {
 				time.Sleep(time.Duration(i) * 10 * time.Millisecond)
-				done <- x.ask("/once/1", "Patience", "2000")
+				done <- x.request("/once/1", "Patience", "2000")
 			}()
 		}
 		for range 100 {
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -23,7 +23,7 @@
 	for _, ended := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			is.Equal(x.ask("/once/").status, 502)
+			is.Equal(x.request("/once/").status, 502)
 			if ended {
 				x.servers.stop("10.0.5.0:80")
 			}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -262,8 +262,8 @@
 	took   time.Duration
 }
 
-// ask sends a request and waits for the reply.
-func (x *fixture) ask(path string, header ...string) reply {
+// request sends a request and waits for the reply.
+func (x *fixture) request(path string, header ...string) reply {
 	return x.askWith(x.t.Context(), http.MethodPost, path, "a body", header...)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -78,7 +78,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.inOrder(tt.does)
-				got := x.ask("/" + tt.route + "/x")
+				got := x.request("/" + tt.route + "/x")
 				is.Equal(got.status, tt.status)
 				is.True(strings.Contains(got.body, tt.body))
 				is.Equal(x.servers.count(), tt.arrivals)
@@ -125,7 +125,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
-				is.New(x.t).Equal(x.ask(tt.path, tt.header...).status, tt.status)
+				is.New(x.t).Equal(x.request(tt.path, tt.header...).status, tt.status)
 			}, answers(200, "fine", 0))
 		})
 	}
@@ -146,14 +146,14 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		pad := strings.Repeat("x", 1000-len("Host: host\r\nId: request-1\r\nKey: key\r\nPad: \r\n"))
-		is.Equal(x.ask("/once/x", "Pad", pad+"x").status, 200) // no limit
+		is.Equal(x.request("/once/x", "Pad", pad+"x").status, 200) // no limit
 		d := testDocument()
 		d.Number, d.Limits.HeaderBytes = 4, 1000
 		x.g.apply(d)
-		is.Equal(x.ask("/once/x", "Pad", pad).status, 200)
-		is.Equal(x.ask("/once/x", "Pad", pad+"x").status, 431)
-		is.Equal(x.ask("/nowhere/x", "Pad", pad+"x").status, 431) // before anything else
-		is.Equal(x.servers.count(), 2)                            // it was not sent on
+		is.Equal(x.request("/once/x", "Pad", pad).status, 200)
+		is.Equal(x.request("/once/x", "Pad", pad+"x").status, 431)
+		is.Equal(x.request("/nowhere/x", "Pad", pad+"x").status, 431) // before anything else
+		is.Equal(x.servers.count(), 2)                                // it was not sent on
 	}, answers(200, "fine", 0))
 }
 
@@ -163,7 +163,7 @@
 		is := is.New(x.t)
 		x.g.routes.Store(nil)
 		is.True(!x.g.Ready())
-		is.Equal(x.ask("/nowhere/x", "Key", "wrong").status, 503)
+		is.Equal(x.request("/nowhere/x", "Key", "wrong").status, 503)
 	}, answers(200, "fine", 0))
 }
 
@@ -174,7 +174,7 @@
 		older.Number, older.Routes = 2, nil
 		x.g.apply(older)
 		is.Equal(x.g.DocumentNumber(), uint64(3))
-		is.Equal(x.ask("/once/x").status, 200)
+		is.Equal(x.request("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
 
@@ -182,7 +182,7 @@
 func TestWhatTheBackendGets(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.ask("/once/a%2Fb?q=1", "Patience", "1000", "Tenant", "forged", "Other", "kept")
+		x.request("/once/a%2Fb?q=1", "Patience", "1000", "Tenant", "forged", "Other", "kept")
 		call := x.servers.arrivals[0]
 		is.Equal(call.Path, "/once/a%2Fb?q=1")
 		is.Equal(call.Host, "host")
@@ -201,7 +201,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{hangs, answers(200, "fine", 0)})
-		x.ask("/again/x", "Patience", "9000")
+		x.request("/again/x", "Patience", "9000")
 		is.Equal(x.servers.arrivals[0].Header.Get("Left"), "3000") // the route's
 		is.Equal(x.servers.arrivals[1].Header.Get("Left"), "2000") // after 2.5 objectives
 	})
@@ -210,7 +210,7 @@
 func TestTimeOutIsOnTime(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/once/x", "Patience", "1500")
+		got := x.request("/once/x", "Patience", "1500")
 		is.Equal(got.status, 504)
 		is.Equal(got.took, 1500*time.Millisecond)
 	}, hangs)
@@ -242,7 +242,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{refuses(http.StatusMisdirectedRequest), answers(200, "fine", 0)})
-		is.Equal(x.ask("/once/x").status, 200)
+		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.g.table.size(), 1)
 	})
 }
@@ -252,13 +252,13 @@
 		is := is.New(x.t)
 		x.serversOf("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
 		for range 12 {
-			is.Equal(x.ask("/once/x").status, 200)
+			is.Equal(x.request("/once/x").status, 200)
 		}
 		wasted := x.servers.count() - 12
 		is.True(wasted <= 3) // then it was left alone
 		x.servers.does["10.0.5.0:80"] = answers(200, "fine", 0)
 		time.Sleep(outlier.ShortestWait)
-		is.Equal(x.ask("/again/x").status, 200) // one that may be repeated tries it
+		is.Equal(x.request("/again/x").status, 200) // one that may be repeated tries it
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	})
 }
@@ -275,7 +275,7 @@
 		}
 		time.Sleep(2 * outlier.ShortestWait)
 		for range 5 {
-			x.ask("/once/x")
+			x.request("/once/x")
 		}
 		for _, call := range x.servers.arrivals {
 			is.Equal(call.Header.Get("Backend"), "p1")
@@ -290,7 +290,7 @@
 		x.g.cfg.Retries.Extra = 10
 		x.inOrder([]behaviour{answers(500, "broken", 0), answers(500, "broken", 0)})
 		for range 100 {
-			x.ask("/again/x")
+			x.request("/again/x")
 		}
 		repeats := x.servers.count() - 100
 		is.True(repeats >= 10 && repeats <= 21) // 0.7 x (0.2 x 100 + 10)
@@ -304,7 +304,7 @@
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 0
 		x.inOrder([]behaviour{refuses(503), refuses(503)})
-		got := x.ask("/once/x")
+		got := x.request("/once/x")
 		is.Equal(got.status, 503)
 		is.True(strings.Contains(got.body, "no-retry-budget"))
 		is.Equal(x.servers.count(), 1)
@@ -320,13 +320,13 @@
 		list := []protocol.Server{x.g.table.servers["p1"].Server}
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true, Complete: true, Set: list})
 		for range 4 {
-			is.Equal(x.ask("/again/x").status, 200)
+			is.Equal(x.request("/again/x").status, 200)
 		}
 		is.Equal(x.g.Servers(), []string{"p0", "p1"})
 		x.servers.does["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
 		x.g.table.servers["p1"].own.Requests = 1 // so that the other is asked
 		for range 4 {
-			is.Equal(x.ask("/again/x").status, 200)
+			is.Equal(x.request("/again/x").status, 200)
 		}
 		is.Equal(x.g.Servers(), []string{"p1"})
 	})
@@ -338,22 +338,22 @@
 		is := is.New(x.t)
 		var group sync.WaitGroup
 		var long reply
-		group.Go(func() { long = x.ask("/once/x", "Patience", "3000") })
+		group.Go(func() { long = x.request("/once/x", "Patience", "3000") })
 		time.Sleep(10 * time.Millisecond)
 		ended := make(chan time.Duration, 1)
 		began := time.Now()
 		go func() { x.g.Stop(context.Background()); ended <- time.Since(began) }()
 		time.Sleep(time.Second)
 		is.True(!x.g.Ready())
-		early := x.ask("/once/x")
+		early := x.request("/once/x")
 		is.Equal(early.status, 200) // the balancer has not noticed yet
 		is.Equal(early.header.Get("Connection"), "close")
 		time.Sleep(900 * time.Millisecond)
-		group.Go(func() { x.ask("/once/x") }) // keeps the gateway from ending early
-		time.Sleep(800 * time.Millisecond)    // after a third of the grace
-		late := x.ask("/once/x", "Patience", "2900")
+		group.Go(func() { x.request("/once/x") }) // keeps the gateway from ending early
+		time.Sleep(800 * time.Millisecond)        // after a third of the grace
+		late := x.request("/once/x", "Patience", "2900")
 		is.Equal(late.status, 200) // ends in time, however long it takes
-		later := x.ask("/once/x", "Patience", "10000")
+		later := x.request("/once/x", "Patience", "10000")
 		is.Equal(later.status, 503)
 		is.True(strings.Contains(later.body, "stopping"))
 		group.Wait()
@@ -379,7 +379,7 @@
 		for i := range statuses {
 			group.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				statuses[i] = x.ask(fmt.Sprintf("/again/%d", i)).status
+				statuses[i] = x.request(fmt.Sprintf("/again/%d", i)).status
 			})
 		}
 		group.Wait()
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -20,19 +20,19 @@
 func TestAllHallsOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 200)
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 200)
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"z"}, HallChanges: 3})
-		r := x.ask("/once/1", "Patience", "2000")
+		r := x.request("/once/1", "Patience", "2000")
 		is.Equal(r.status, 503)
 		is.Equal(r.took, time.Duration(0))
 		is.Equal(r.header.Get("Retry-After"), "1.000")
 		is.Equal(x.servers.count(), 1)
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true, HallsOut: []string{"y"}, HallChanges: 2}) // an older leader's
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 503)
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
 		x.g.table.update(protocol.Servers{Term: 1}) // says nothing of halls
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 503)
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
 		x.g.table.update(protocol.Servers{Term: 1, HallChanges: 4})
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 200)
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 200)
 	}, answers(200, "ok", time.Millisecond))
 }
 
@@ -45,7 +45,7 @@
 		s := x.g.table.servers["p0"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
-		ask := func() int { return x.ask("/once/1", "Patience", "300").status }
+		ask := func() int { return x.request("/once/1", "Patience", "300").status }
 		is.Equal(ask(), 503) // no report was counted
 		x.g.table.takeReport(1)
 		x.g.table.updateLoads(x.g.now(), 1, nil)
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -44,7 +44,7 @@
 				x.g.apply(homesDocument(4, tt.route, tt.account))
 				x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 				for range 10 {
-					r := x.ask("/again/x", "Patience", "1000")
+					r := x.request("/again/x", "Patience", "1000")
 					if tt.served != "" {
 						is.Equal(r.status, 200)
 						continue
@@ -76,20 +76,20 @@
 			x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 			hall := home[:1] + "1"
 			x.full(true, hall)
-			r := x.ask("/again/x", "Patience", "1000")
+			r := x.request("/again/x", "Patience", "1000")
 			is.Equal(r.status, 503)
 			is.Equal(r.body, "{\"error\":\"overloaded\"}\n")
 			is.True(r.took > 0)
 			x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{hall}, HallChanges: 1})
-			is.Equal(x.ask("/again/x", "Patience", "1000").body, "{\"error\":\"halls-out\"}\n")
+			is.Equal(x.request("/again/x", "Patience", "1000").body, "{\"error\":\"halls-out\"}\n")
 			x.g.table.update(protocol.Servers{Term: 1, HallChanges: 2})
 			x.gone("plain", 2, hall)
-			r = x.ask("/again/x", "Patience", "1000")
+			r = x.request("/again/x", "Patience", "1000")
 			is.Equal(r.body, "{\"error\":\"homes-without-server\"}\n")
 			is.Equal(r.took, time.Duration(0))
 			is.Equal(x.servers.count(), 0)
 			x.at("plain", 2, answers(200, "ok", time.Millisecond), hall)
-			is.Equal(x.ask("/again/x").status, 200)
+			is.Equal(x.request("/again/x").status, 200)
 			is.Equal(x.servedIn(hall), 1)
 		})
 	}
@@ -103,11 +103,11 @@
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
 		x.at("plain", 2, fails(forward.NotRun{Err: io.EOF}), "s1")
 		x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "nowhere")
-		is.Equal(x.ask("/again/x", "Patience", "1000").status, 503)
+		is.Equal(x.request("/again/x", "Patience", "1000").status, 503)
 		is.Equal(x.servedIn("n")+x.servedIn("nowhere"), 0)
 		x.at("plain", 2, streams(piece{text: event(1)}, piece{err: io.ErrUnexpectedEOF}), "s1")
 		before := x.servers.count()
-		x.ask("/resume/x", "Patience", "1000")
+		x.request("/resume/x", "Patience", "1000")
 		is.Equal(x.servedIn("n")+x.servedIn("nowhere"), 0)
 		is.Equal(x.servedIn("s1"), before+2)
 		is.Equal(x.servers.arrivals[before+1].Header.Get("After"), "1") // it was taken up
@@ -124,11 +124,11 @@
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		var group sync.WaitGroup
 		var running, waiting reply
-		group.Go(func() { running = x.ask("/again/x") })
+		group.Go(func() { running = x.request("/again/x") })
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(x.servedIn("n1"), 1)
 		x.full(true, "n1", "s1")
-		group.Go(func() { waiting = x.ask("/again/x", "Patience", "1000") })
+		group.Go(func() { waiting = x.request("/again/x", "Patience", "1000") })
 		time.Sleep(10 * time.Millisecond)
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
 		x.full(false, "n1") // idle, and no home any more
@@ -143,12 +143,12 @@
 			x.g.apply(homesDocument(x.g.DocumentNumber()+1, []string{"north"}, nil))
 			return nil, forward.NotRun{Err: io.EOF}
 		}, "s1")
-		is.Equal(x.ask("/again/x").status, 200) // the first attempt in the south, the second by the newer document
+		is.Equal(x.request("/again/x").status, 200) // the first attempt in the south, the second by the newer document
 		is.Equal(x.servedIn("s1"), 2)
 		is.Equal(x.servedIn("n1"), 2)
 		x.g.apply(homesDocument(20, nil, nil))
 		x.gone("plain", 1, "n1")
-		is.Equal(x.ask("/again/x").status, 503) // the south fails still, but may be asked
+		is.Equal(x.request("/again/x").status, 503) // the south fails still, but may be asked
 		is.Equal(x.servedIn("s1"), 3)
 	})
 }
@@ -161,7 +161,7 @@
 		ok := answers(200, "ok", time.Millisecond)
 		x.at("plain", 1, ok, "n1")
 		x.g.apply(homesDocument(4, []string{"north"}, nil))
-		is.Equal(x.ask("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
+		is.Equal(x.request("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
 		fleet, err := topology.New(map[string]string{"n1": "north"})
 		is.NoErr(err)
 		x.g.table.mu.Lock()
@@ -169,9 +169,9 @@
 		x.g.table.mu.Unlock()
 		x.gone("plain", 1, "n1")
 		x.at("plain", 1, ok, "nowhere")
-		is.Equal(x.ask("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
+		is.Equal(x.request("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
 		x.at("plain", 1, ok, "n1")
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.servedIn("n1"), 1)
 	})
 }
@@ -193,13 +193,13 @@
 		}
 		spend(0.9) // nothing is left for requests that need not leave
 		is.True(!t.link.Admits(x.g.now(), t.site.share(1), place.Passage{Bytes: 1000}))
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		spend(10)
-		r := x.ask("/again/x", "Patience", "1000")
+		r := x.request("/again/x", "Patience", "1000")
 		is.Equal(r.body, "{\"error\":\"overloaded\"}\n")
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="link"} 1`))
 		spend(1.2)
-		r = x.ask("/again/x", "Patience", "1000")
+		r = x.request("/again/x", "Patience", "1000")
 		is.Equal(r.status, 200)
 		is.True(r.took > 200*time.Millisecond)
 		is.Equal(x.servedIn("s1"), 2)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -64,10 +64,10 @@
 				var calls atomic.Int64
 				x.serversOf(tt.pool, leaving(tt.leaves, &calls), tt.other, tt.other)
 				for calls.Load() == 0 {
-					x.ask(tt.path, "Patience", "2000")
+					x.request(tt.path, "Patience", "2000")
 				}
 				for range 100 {
-					x.ask(tt.path, "Patience", "2000")
+					x.request(tt.path, "Patience", "2000")
 					time.Sleep(50 * time.Millisecond)
 				}
 				is.Equal(calls.Load(), int64(1))
@@ -86,7 +86,7 @@
 		x.serversOf("engines", leaving(long, &calls))
 		done := make(chan reply, 20)
 		for range 20 {
-			go func() { done <- x.ask("/engine/1", "Patience", "2000") }()
+			go func() { done <- x.request("/engine/1", "Patience", "2000") }()
 		}
 		served := 0
 		for range 20 {
@@ -108,7 +108,7 @@
 		var calls atomic.Int64
 		x.serversOf("plain", leaving(answers(200, "ok", time.Millisecond), &calls))
 		ask := func() int64 {
-			x.ask("/once/1", "Patience", "500")
+			x.request("/once/1", "Patience", "500")
 			return calls.Load()
 		}
 		is.Equal(ask(), int64(1))
@@ -145,8 +145,8 @@
 		var calls atomic.Int64
 		ok := answers(200, "ok", time.Millisecond)
 		x.serversOf("plain", leaving(ok, &calls))
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 200)
-		r := x.ask("/once/1", "Patience", "2000")
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 200)
+		r := x.request("/once/1", "Patience", "2000")
 		is.Equal(r.status, 503)
 		is.True(r.took > 0)
 		time.AfterFunc(50*time.Millisecond, func() {
@@ -155,9 +155,9 @@
 			x.servers.does[another.Address] = askingForBackoff(3*time.Second, &calls)
 			x.g.takeNew(another)
 		})
-		is.Equal(x.ask("/once/1", "Patience", "2000").status, 503)
+		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
 		is.Equal(calls.Load(), int64(2)) // the new one had it
-		r = x.ask("/once/1", "Patience", "2000")
+		r = x.request("/once/1", "Patience", "2000")
 		is.Equal(r.body, "{\"error\":\"backing-off\"}\n")
 		is.Equal(r.took, time.Duration(0))
 	})
@@ -181,7 +181,7 @@
 			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
 			for range 5 {
 				x.leaseShares()
-				is.Equal(x.ask("/once/1", "Patience", "800").status, 200)
+				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
 			is.Equal(calls.Load(), int64(1))
 		}, leaving(ok, &calls), ok)
@@ -194,7 +194,7 @@
 			for i := range 3 {
 				x.rollouts(1, uint64(i+1), protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5, Routes: []protocol.RouteShare{{Route: "once", Share: 1}}})
 				x.leaseShares()
-				is.Equal(x.ask("/once/1", "Patience", "800").status, 200)
+				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
 			is.Equal(calls.Load(), int64(1)) // one of the two, whichever the trial began with
 			targets := 0
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -34,13 +34,13 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
-		got := x.ask("/once/x")
+		got := x.request("/once/x")
 		is.Equal(got.status, 503)
 		is.Equal(got.header.Get("Connection"), "close")
 		is.Equal(got.took, time.Duration(0))
 		is.Equal(x.servers.count(), 0)
 		x.setOverload(func(d *overload.Detector) { d.Delay = 0 })
-		is.Equal(x.ask("/once/x").status, 200)
+		is.Equal(x.request("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
 
@@ -67,7 +67,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
-		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
 		u := x.g.accounts.takeReport()
 		is.Equal(u.Started, uint64(0))
 		is.Equal(u.Missed, uint64(700))
@@ -97,7 +97,7 @@
 		x.g.ServeHTTP(w, r)
 		is.Equal(w.Code, 429)
 		is.True(w.Result().Header.Get("Retry-After") != "")
-		is.Equal(x.ask("/once/x", "Key", "other").status, 200)
+		is.Equal(x.request("/once/x", "Key", "other").status, 200)
 	}, answers(200, "fine", 0))
 }
 
@@ -114,7 +114,7 @@
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			for range 2 * outlier.MinSamples {
-				is.Equal(x.ask("/once/x").status, 503)
+				is.Equal(x.request("/once/x").status, 503)
 			}
 			trusted := x.g.table.servers["p0"].health.State(x.g.now()) != outlier.Ejected
 			release()
@@ -136,7 +136,7 @@
 			x.serversOf("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
-			is.Equal(x.ask("/engine/x", "Tokens", "6000").status, 200)
+			is.Equal(x.request("/engine/x", "Tokens", "6000").status, 200)
 			release()
 			learned := x.g.table.pools["engines"].placer.Learned()
 			is.Equal(learned.Rate != 0, tt.learns)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -46,16 +46,16 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		x.list(3, true, "/again/deadly")
-		r := x.ask("/again/deadly")
+		r := x.request("/again/deadly")
 		is.Equal(r.status, 400)
 		is.Equal(r.header.Get("Retry-After"), "")
 		is.Equal(x.servers.count(), 0)
-		is.Equal(x.ask("/again/deadly", "Key", "other").status, 200) // of another account
-		is.Equal(x.ask("/again/other").status, 200)
+		is.Equal(x.request("/again/deadly", "Key", "other").status, 200) // of another account
+		is.Equal(x.request("/again/other").status, 200)
 		is.Equal(x.askWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // of the same length
 		k := theBody("/again/deadly")
 		x.g.suspicions.take(protocol.Quarantine{Gone: [][]byte{k[:]}})
-		is.Equal(x.ask("/again/deadly").status, 200)
+		is.Equal(x.request("/again/deadly").status, 200)
 	}, answers(200, "done", time.Millisecond))
 }
 
@@ -72,14 +72,14 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			x.list(1, false, "/once/suspect")
-			x.ask("/once/suspect")
-			x.ask("/once/suspect")
-			x.ask("/once/other")
+			x.request("/once/suspect")
+			x.request("/once/suspect")
+			x.request("/once/other")
 			cleared := x.reported().Cleared
 			is.Equal(len(cleared), tt.cleared)
 			is.Equal(len(x.reported().Cleared), 0) // once
 			x.g.suspicions.told.Store(false)
-			x.ask("/once/suspect")
+			x.request("/once/suspect")
 			is.Equal(len(x.reported().Cleared), 0) // to nobody
 		}, tt.does)
 	}
@@ -92,7 +92,7 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
 			x.list(known, false, "/again/deadly")
-			is.Equal(x.ask("/again/deadly").status, 502)
+			is.Equal(x.request("/again/deadly").status, 502)
 			is.Equal(x.servers.count(), sent)
 		}, broken, broken, broken)
 	}
@@ -108,7 +108,7 @@
 			if condemned {
 				time.AfterFunc(100*time.Millisecond, func() { x.list(3, true, "/again/deadly") })
 			}
-			r := x.ask("/again/deadly")
+			r := x.request("/again/deadly")
 			is.Equal(r.status == 400, condemned)
 			is.Equal(r.took >= quarantine.Decision, !condemned)
 			is.True(r.took <= quarantine.Decision+50*time.Millisecond)
@@ -121,7 +121,7 @@
 func TestAnswerBeforeTheEndIsKnown(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
-		is.Equal(x.ask("/again/unlucky").status, 200)
+		is.Equal(x.request("/again/unlucky").status, 200)
 		x.servers.stop("10.0.5.0:80")
 		x.servers.stop("10.0.5.1:80")
 		time.Sleep(time.Second)
@@ -134,8 +134,8 @@
 func TestAloneAGatewayJudges(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
-		is.Equal(x.ask("/again/fine").status, 502) // all of them break connections
-		time.Sleep(time.Second)                    // and it shows that they go on
+		is.Equal(x.request("/again/fine").status, 502) // all of them break connections
+		time.Sleep(time.Second)                        // and it shows that they go on
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
 			x.g.ends.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
@@ -144,13 +144,13 @@
 			x.servers.stop(at)
 			time.Sleep(time.Second)
 		}
-		is.Equal(x.ask("/again/deadly").status, 400)
+		is.Equal(x.request("/again/deadly").status, 400)
 		is.Equal(len(x.reported().Losses), 3)
 		is.Equal(len(x.reported().Losses), 0)
 		x.g.suspicions.beginSession()
 		is.Equal(len(x.reported().Losses), 3)
 		x.list(0, false) // a leader that knows of nothing decides now
-		is.True(x.ask("/again/deadly").status != 400)
+		is.True(x.request("/again/deadly").status != 400)
 	}, broken, broken, broken)
 }
 
@@ -160,11 +160,11 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		for range 10 {
-			is.Equal(x.ask("/again/").status, 200)
+			is.Equal(x.request("/again/").status, 200)
 		}
 		x.servers.stop("10.0.5.0:80")
 		for range attemptsKept {
-			x.ask("/again/")
+			x.request("/again/")
 		}
 		is.True(x.g.table.serves("plain", "another"))
 	}, answers(200, "done", time.Millisecond))
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -38,7 +38,7 @@
 		for i, header := range [][]string{{"Id", "a"}, {"Id", "b"}, {"Id", "c"}, {"Id", "d", "Key", "other"}} {
 			group.Go(func() {
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				x.ask("/once/x", header...)
+				x.request("/once/x", header...)
 			})
 		}
 		x.g.accounts.countStarted("t", 1000)
@@ -56,10 +56,10 @@
 		x.g.gateways.Store(45) // of 100 connections, two are this gateway's
 		var group sync.WaitGroup
 		for range 2 {
-			group.Go(func() { x.ask("/once/x") })
+			group.Go(func() { x.request("/once/x") })
 		}
 		time.Sleep(time.Millisecond)
-		is.Equal(x.ask("/once/x").status, 503)
+		is.Equal(x.request("/once/x").status, 503)
 		group.Wait()
 		is.Equal(x.servers.count(), 2)
 	}, answers(200, "fine", time.Second))
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -37,7 +37,7 @@
 			x.g.table.site.linkRate = 1 // nothing comes back by itself
 			x.g.table.mu.Unlock()
 			x.at("plain", 1, tt.does, "s1")
-			x.ask("/once/x", "Patience", "1000")
+			x.request("/once/x", "Patience", "1000")
 			is.True(x.servedIn("s1") > 0)
 			admits := func(bytes float64) bool {
 				share := x.g.table.site.share(1)
@@ -60,7 +60,7 @@
 		x.g.table.mu.Lock()
 		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
-		is.Equal(x.ask("/again/x", "Patience", "1000").status, 503)
+		is.Equal(x.request("/again/x", "Patience", "1000").status, 503)
 		is.Equal(x.servers.count(), 1)
 	})
 }
@@ -79,10 +79,10 @@
 			return a, err
 		}, "s1")
 		time.Sleep(2 * time.Minute)
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.g.table.link.Way("south"), place.AssumedWay)
 		ago, late = time.Millisecond, time.Second
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.g.table.link.Way("south"), place.AssumedWay)
 	})
 }
@@ -120,10 +120,10 @@
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false)
 		x.at("engines", 1, streams(piece{text: event(1)}), "n1")
 		x.full(true, "n1")
-		is.Equal(x.ask("/engine/x", "Tokens", "500", "Patience", "1000").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "500", "Patience", "1000").status, 503)
 		is.True(x.g.accounts.takeReport().Missed > 0)
 		x.g.apply(homesDocument(4, nil, []string{"west"}))
-		is.Equal(x.ask("/engine/x", "Tokens", "500").body, "{\"error\":\"homes-without-server\"}\n")
+		is.Equal(x.request("/engine/x", "Tokens", "500").body, "{\"error\":\"homes-without-server\"}\n")
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(0))
 	})
 }
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -110,15 +110,15 @@
 		x.at("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
 		for i := range 200 {
-			is.Equal(x.ask("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
-			is.Equal(x.ask("/again/x").status, 200)
+			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
+			is.Equal(x.request("/again/x").status, 200)
 		}
 		is.Equal(x.servedIn("n1")+x.servedIn("n2"), 400)
 		is.True(x.servedIn("n2-plain") > 60) // and spread over both halls
 		x.gone("engines", 6, "s1", "s2", "nowhere")
 		for i := range 200 { // a prompt's engine is the same whatever there is elsewhere
 			before := x.servers.arrivals[2*i].Header.Get("Backend")
-			is.Equal(x.ask("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
+			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
 			is.Equal(x.servers.arrivals[400+i].Header.Get("Backend"), before)
 		}
 	})
@@ -136,15 +136,15 @@
 			x.at(pool, 2, ok, "n1", "nowhere", "s1")
 			x.gone(pool, 2, "n1")
 			for range 20 {
-				is.Equal(x.ask(path, "Shared", "a").status, 200)
+				is.Equal(x.request(path, "Shared", "a").status, 200)
 			}
 			is.Equal(x.servedIn("s1"), 20)
 			x.gone(pool, 2, "s1")
-			is.Equal(x.ask(path).status, 200)
+			is.Equal(x.request(path).status, 200)
 			is.Equal(x.servedIn("nowhere"), 1)
 			x.at(pool, 2, ok, "n2", "s1")
 			for range 20 {
-				is.Equal(x.ask(path).status, 200)
+				is.Equal(x.request(path).status, 200)
 			}
 			is.Equal(x.servedIn("n2"), 20)
 			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 20`))
@@ -167,30 +167,30 @@
 		ok := answers(200, "ok", time.Millisecond)
 		x.at("plain", 2, ok, "n1", "s1")
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1"}, HallChanges: 1})
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.servedIn("s1"), 1)
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1", "s1"}, HallChanges: 2})
-		r := x.ask("/again/x")
+		r := x.request("/again/x")
 		is.Equal(r.status, 503)
 		is.Equal(r.body, "{\"error\":\"halls-out\"}\n")
 		x.g.table.update(protocol.Servers{Term: 1, HallChanges: 3})
 		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "n1")
 		for range 40 {
-			x.ask("/again/x")
+			x.request("/again/x")
 		}
 		x.servers.mu.Lock()
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.servedIn("n1"), 0) // both are ejected
 		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
 		for range 40 {
-			x.ask("/again/x")
+			x.request("/again/x")
 		}
 		x.servers.mu.Lock()
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
-		x.ask("/once/x") // all are: better one of the own region
+		x.request("/once/x") // all are: better one of the own region
 		is.True(strings.HasPrefix(x.servers.arrivals[0].Header.Get("Backend"), "n1"))
 	})
 }
@@ -204,7 +204,7 @@
 		x.twoRegions()
 		x.at("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
 		ask := func(header ...string) reply {
-			return x.ask("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
+			return x.request("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
 		}
 		is.Equal(ask().status, 200)
 		is.Equal(x.servedIn("n1"), 1)
@@ -256,7 +256,7 @@
 				x.g.apply(homesDocument(4, nil, []string{home}))
 			}
 			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
-			ask := func() reply { return x.ask("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
+			ask := func() reply { return x.request("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
 			is.Equal(ask().status, 200)
 			best := x.servers.arrivals[0].Header.Get("Backend")
 			is.True(home != "south" || strings.HasPrefix(best, "s1"))
@@ -338,10 +338,10 @@
 			}
 			return a, err
 		}, "s1")
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.g.table.link.Way("south"), opening)
 		opening = 300 * time.Millisecond
-		is.Equal(x.ask("/again/x").status, 200)
+		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.g.table.link.Way("south"), 40*time.Millisecond)
 		is.True(!x.g.table.link.Admits(x.g.now(), place.LinkShare{}, place.Passage{Bytes: 1}))
 	})
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -118,7 +118,7 @@
 		x.twoRegions()
 		x.at("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
 		done := make(chan reply)
-		go func() { done <- x.ask("/again/x") }()
+		go func() { done <- x.request("/again/x") }()
 		time.Sleep(10 * time.Millisecond)
 		for i := range 200 { // also while the answer is counted and logged
 			s := known("plain", "s1", 0)
@@ -137,7 +137,7 @@
 		is := is.New(x.t)
 		x.twoRegions()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
-		is.Equal(x.ask("/once/x", "Patience", "1000").status, 503)
+		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
 		is.True(x.servedIn("s1") > 0)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
 	})
@@ -181,7 +181,7 @@
 // another engine of the region serves it in the end.
 func (x *fixture) askWithBestFull(region string) {
 	is := is.New(x.t)
-	ask := func() reply { return x.ask("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
+	ask := func() reply { return x.request("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
 	is.Equal(ask().status, 200)
 	best := x.servers.arrivals[0].Header.Get("Backend")
 	t := x.g.table
@@ -208,13 +208,13 @@
 		}
 		t.mu.Unlock()
 		x.full(true, "w1")
-		is.Equal(x.ask("/once/x", "Patience", "300").status, 503)
+		is.Equal(x.request("/once/x", "Patience", "300").status, 503)
 		is.Equal(x.servers.count(), 0)
 		x.full(false, "w1")
-		is.Equal(x.ask("/once/x").status, 200)
+		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.servedIn("w1"), 1)
 		x.gone("plain", 1, "w1")
-		is.Equal(x.ask("/once/x").status, 200) // better an ejected one than none
+		is.Equal(x.request("/once/x").status, 200) // better an ejected one than none
 		is.Equal(x.servedIn("s1"), 1)
 	})
 }
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -29,15 +29,15 @@
 		is := is.New(x.t)
 		var group sync.WaitGroup
 		for range 8 { // plainRoom x 4 slots
-			group.Go(func() { x.ask("/once/x") })
+			group.Go(func() { x.request("/once/x") })
 		}
 		time.Sleep(10 * time.Millisecond)
-		refused := x.ask("/once/x")
+		refused := x.request("/once/x")
 		is.Equal(refused.status, 503)
 		is.Equal(refused.took, 230*time.Millisecond) // until it could not be answered in time any more
 		is.True(refused.header.Get("Retry-After") != "")
 		time.Sleep(200 * time.Millisecond) // the eight end at 500 ms
-		served := x.ask("/once/x")
+		served := x.request("/once/x")
 		is.Equal(served.status, 200)
 		group.Wait()
 	}, answers(200, "fine", 500*time.Millisecond))
@@ -48,9 +48,9 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 50, Requests: 8}})
-		is.Equal(x.ask("/once/x").status, 503)
+		is.Equal(x.request("/once/x").status, 503)
 		time.Sleep(place.MaxOthersAge) // nobody says so any more
-		is.Equal(x.ask("/once/x").status, 200)
+		is.Equal(x.request("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
 
@@ -65,7 +65,7 @@
 		beyond := []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}
 		x.g.accounts.update(beyond, nil, true)
 		ask := func(patience, key string) reply {
-			return x.ask("/engine/x", "Tokens", "100", "Patience", patience, "Key", key)
+			return x.request("/engine/x", "Tokens", "100", "Patience", patience, "Key", key)
 		}
 		for wait := 2600; wait <= 3000; wait += 20 {
 			is.Equal(ask(strconv.Itoa(wait), "other").status, 200)
@@ -134,7 +134,7 @@
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 500}})
 		served, refused := 0, 0
 		for range 50 {
-			switch x.ask("/engine/x", "Tokens", "1000").status {
+			switch x.request("/engine/x", "Tokens", "1000").status {
 			case 200:
 				served++
 			case 429:
@@ -143,7 +143,7 @@
 		}
 		is.True(served >= 4 && served <= 6)
 		is.Equal(served+refused, 50)
-		is.Equal(x.ask("/engine/x", "Tokens", "1000", "Key", "other").status, 200)
+		is.Equal(x.request("/engine/x", "Tokens", "1000", "Key", "other").status, 200)
 	})
 }
 
@@ -155,7 +155,7 @@
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, nil, false)
 		for range 20 {
-			got := x.ask("/engine/x", "Tokens", "1000")
+			got := x.request("/engine/x", "Tokens", "1000")
 			is.Equal(got.status, 200)
 			is.Equal(got.took, time.Duration(0))
 		}
@@ -169,7 +169,7 @@
 		is := is.New(x.t)
 		unreachable := fails(forward.NotRun{Err: errReset})
 		x.serversOf("engines", unreachable, unreachable, streams(piece{text: event(1)}))
-		is.Equal(x.ask("/engine/x", "Tokens", "700", "Shared", sharedFor(x, 2)).status, 200)
+		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedFor(x, 2)).status, 200)
 		is.Equal(x.servers.count(), 3)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(700+sharedTokens))
 	})
@@ -203,7 +203,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.serversOf("engines", fails(forward.NotRun{Err: errReset}))
-		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
 		x.serversOf("engines", hangs)
 		ctx, leave := context.WithTimeout(x.t.Context(), 100*time.Millisecond)
 		defer leave()
@@ -256,12 +256,12 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.bodies.Store(x.g.cfg.Bodies)
-		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(700))
 		x.g.bodies.Store(0)
 		x.g.stopped.Store(int64(x.g.now()))
 		time.Sleep(x.g.cfg.Grace)
-		is.Equal(x.ask("/engine/x", "Tokens", "900").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "900").status, 503)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(900))
 	})
 }
@@ -274,10 +274,10 @@
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0, Extra: 1}}, nil, true)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 6000}})
-		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 429)
+		is.Equal(x.request("/engine/x", "Tokens", "700").status, 429)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(0))
 		x.g.bodies.Store(x.g.cfg.Bodies)
-		is.Equal(x.ask("/engine/x", "Tokens", "700").status, 503)
+		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(700))
 	})
 }
@@ -291,7 +291,7 @@
 	}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/again/x")
+		got := x.request("/again/x")
 		is.Equal(got.status, 503)
 		is.True(got.header.Get("Retry-After") != "")
 		is.Equal(x.servers.count(), retry.MaxBegun)
@@ -307,16 +307,16 @@
 		served := streams(piece{text: event(1)})
 		x.serversOf("engines", served, served, served)
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, nil, false)
-		before := x.ask("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
+		before := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(before.status, 200)
 		is.Equal(before.took, time.Duration(0))
 		keeps := x.g.table.servers[x.servers.arrivals[0].Header.Get("Backend")]
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
 
-		refused := x.ask("/engine/x", "Tokens", "100", "Shared", "a")
+		refused := x.request("/engine/x", "Tokens", "100", "Shared", "a")
 		is.Equal(refused.status, 503)
 		is.Equal(refused.took, 224*time.Millisecond) // until it could not be answered in time any more
-		got := x.ask("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
+		got := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(got.status, 200)
 		is.Equal(got.took, 224*time.Millisecond)
 		is.True(x.servers.arrivals[1].Header.Get("Backend") != keeps.ID)
@@ -332,8 +332,8 @@
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, nil, false)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 14_000}})
-		is.Equal(x.ask("/engine/x", "Tokens", "100").status, 503)
-		got := x.ask("/engine/x", "Tokens", "100", "Key", "other")
+		is.Equal(x.request("/engine/x", "Tokens", "100").status, 503)
+		got := x.request("/engine/x", "Tokens", "100", "Key", "other")
 		is.Equal(got.status, 200)
 		is.Equal(got.took, time.Duration(0))
 	})
@@ -348,7 +348,7 @@
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.5}}, nil, true)
 		served := 0
 		for range 40 {
-			if x.ask("/engine/x", "Tokens", "1000").status == 200 {
+			if x.request("/engine/x", "Tokens", "1000").status == 200 {
 				served++
 			}
 		}
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -52,7 +52,7 @@
 func TestStreamIsPassedOn(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/stream/x")
+		got := x.request("/stream/x")
 		is.Equal(got.status, 200)
 		is.Equal(got.body, wholeStream(5))
 		is.Equal(got.header.Get("Sealed"), "yes")
@@ -66,7 +66,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 		is.True(!got.cut)
 		is.Equal(x.servers.arrivals[1].Header.Get("After"), "3")
@@ -79,7 +79,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, io.EOF), resuming(6, 0, nil)})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 	})
 }
@@ -90,7 +90,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
-		got := x.ask("/stream/x")
+		got := x.request("/stream/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
 		is.Equal(x.servers.count(), 1)
@@ -103,7 +103,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
 	})
@@ -113,7 +113,7 @@
 func TestBrokenStreamGoesOnAtItsOnlyBackend(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 		is.Equal(x.servers.count(), 2)
 	}, resuming(6, 3, errReset))
@@ -123,7 +123,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(4))
 		is.True(got.cut) // two backend servers are all that the route allows
 		is.Equal(x.servers.count(), 2)
@@ -138,7 +138,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{silent, resuming(4, 0, nil)})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(4))
 		is.True(got.took < 700*time.Millisecond)
 	})
@@ -150,7 +150,7 @@
 	pausing := streams(piece{text: event(1)}, piece{text: event(2), after: 1500 * time.Millisecond})
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/stream/x")
+		got := x.request("/stream/x")
 		is.Equal(got.body, wholeStream(2))
 		is.True(!got.cut)
 	}, pausing)
@@ -160,7 +160,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.inOrder([]behaviour{resuming(3, 1, errReset), resumed})
-		got := x.ask("/resume/x")
+		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(!got.cut)
 	})
@@ -173,7 +173,7 @@
 	}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/stream/x")
+		got := x.request("/stream/x")
 		is.True(got.cut)
 		is.Equal(got.took, 3*time.Second)
 	}, endless)
@@ -183,7 +183,7 @@
 func TestCallerTakesUpItsOwnStream(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.ask("/resume/x", "After", "3")
+		got := x.request("/resume/x", "After", "3")
 		is.Equal(got.body, event(4)+event(5))
 	}, resuming(5, 0, nil))
 }
@@ -195,7 +195,7 @@
 		pieces = append(pieces, piece{text: whole[i:min(i+7, len(whole))], after: time.Millisecond})
 	}
 	withGateway(t, func(x *fixture) {
-		is.New(x.t).Equal(x.ask("/resume/x").body, whole)
+		is.New(x.t).Equal(x.request("/resume/x").body, whole)
 	}, streams(pieces...))
 }
 
@@ -262,7 +262,7 @@
 			is := is.New(x.t)
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // so that the silence ends between two ticks
-			got := x.ask("/resume/x")
+			got := x.request("/resume/x")
 			release()
 			is.Equal(got.status, 200)
 			is.Equal(got.body, wholeStream(20))
@@ -287,7 +287,7 @@
 				level = 2 * overload.DelayNoticed
 			}
 			release := x.holdPressure(level)
-			got := x.ask("/resume/x")
+			got := x.request("/resume/x")
 			release()
 			is.Equal(got.body, wholeStream(40))
 			if pressed {
@@ -350,7 +350,7 @@
 		time.Sleep(time.Second)
 		silent = true
 		for range 8 {
-			x.ask("/resume/x")
+			x.request("/resume/x")
 		}
 		x.g.table.mu.Lock()
 		for _, k := range x.g.table.servers {
@@ -360,7 +360,7 @@
 		is.Equal(x.servers.dropped[:2], []string{"10.0.5.0:80", "all"}) // the second server's: it is the network
 		opened = time.Now().Add(time.Hour)                              // all are new from here on
 		for range 8 {
-			x.ask("/resume/x")
+			x.request("/resume/x")
 		}
 		ejected := 0
 		x.g.table.mu.Lock()
@@ -382,7 +382,7 @@
 		is := is.New(x.t)
 		opened = time.Now()
 		time.Sleep(time.Second)
-		got := x.ask("/once/x")
+		got := x.request("/once/x")
 		is.Equal(got.status, 504)
 		is.Equal(x.servers.dropped, []string{"10.0.5.0:80"})
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -39,7 +39,7 @@
 	var asking sync.WaitGroup
 	for range times {
 		asking.Go(func() {
-			r := x.ask(path, "Patience", "2000")
+			r := x.request(path, "Patience", "2000")
 			mu.Lock()
 			defer mu.Unlock()
 			if r.status == 200 {
@@ -75,7 +75,7 @@
 				is.Equal(x.servedIn("s"), 40)
 				is.True(tt.name == "trial" || x.servedIn("n2") == 10)
 				x.gone("plain", 2, "s1")
-				is.Equal(x.ask("/again/x", "Patience", "2000").body, "{\"error\":\"homes-without-server\"}\n")
+				is.Equal(x.request("/again/x", "Patience", "2000").body, "{\"error\":\"homes-without-server\"}\n")
 				is.Equal(x.servedIn("n"), 10)
 			})
 		})
--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -24,10 +24,10 @@
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.2}}, nil, true)
 		for range 500 {
-			x.ask("/engine/x", "Tokens", "1000")
+			x.request("/engine/x", "Tokens", "1000")
 		}
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
-		x.ask("/engine/x", "Tokens", "700", "Key", "other")
+		x.request("/engine/x", "Tokens", "700", "Key", "other")
 		sorted := byAccount(x.g.tokens.takeSecond())
 		is.Equal(len(sorted), 2)
 		is.Equal(sorted[0].account, "u") // refused within its share
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -30,7 +30,7 @@
 func (x *fixture) askEach(times int) {
 	for range times {
 		x.leaseShares()
-		x.ask("/again/1", "Patience", "800")
+		x.request("/again/1", "Patience", "800")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -59,7 +59,7 @@
 func (x *fixture) served(path string, times int) map[string]int {
 	got := map[string]int{}
 	for range times {
-		got[x.ask(path, "Patience", "2000").body]++
+		got[x.request(path, "Patience", "2000").body]++
 	}
 	return got
 }
@@ -129,7 +129,7 @@
 		x.rollouts(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
 		is.Equal(asked(), all)
 		x.g.table.update(protocol.Servers{Term: 3, Gone: []string{"p0"}})
-		is.Equal(x.ask("/once/1", "Patience", "300").status, 503) // also where there is no other
+		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // also where there is no other
 		x.rollouts(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
 		is.Equal(asked(), map[string]int{"new": 10})
 	}, oldAndNew...)
@@ -227,12 +227,12 @@
 		old := x.g.cfg.Log
 		x.g.cfg.Log = decision.New(&text, slog.LevelInfo, decision.DefaultBudget, metrics.NewSet())
 		defer old.Close()
-		x.ask("/once/1")
+		x.request("/once/1")
 		x.versionsOf("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
-		x.ask("/once/1")
+		x.request("/once/1")
 		x.leaseShares()
-		x.ask("/once/1")
+		x.request("/once/1")
 		x.g.cfg.Log.Close()
 		is.Equal(strings.Count(text.String(), `"answered"`), 3)
 		is.Equal(strings.Count(text.String(), `"version"`), 2)
@@ -350,7 +350,7 @@
 		is.Equal(again, first)
 		x.leaseShares()
 		x.servers.does[x.g.table.servers["p1"].Address] = hangs
-		is.Equal(x.ask("/once/1", "Patience", "800").status, 504)
+		is.Equal(x.request("/once/1", "Patience", "800").status, 504)
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(slow[0].Sent, uint64(3))
 		is.Equal(slow[0].Failed, uint64(0))
