--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -264,10 +264,10 @@
 
 // request sends a request and waits for the reply.
 func (x *fixture) request(path string, header ...string) reply {
-	return x.askWith(x.t.Context(), http.MethodPost, path, "a body", header...)
+	return x.requestWith(x.t.Context(), http.MethodPost, path, "a body", header...)
 }
 
-func (x *fixture) askWith(ctx context.Context, method, path, body string, header ...string) (out reply) {
+func (x *fixture) requestWith(ctx context.Context, method, path, body string, header ...string) (out reply) {
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	r.Host = "host"
 	r.Header.Set("Id", "request-1")
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -137,8 +137,8 @@
 		d := testDocument()
 		d.Number, d.Limits.BodyBytes = 4, 10
 		x.g.apply(d)
-		is.Equal(x.askWith(x.t.Context(), "POST", "/once/x", strings.Repeat("x", 11)).status, 413)
-		is.Equal(x.askWith(x.t.Context(), "POST", "/once/x", strings.Repeat("x", 10)).status, 200)
+		is.Equal(x.requestWith(x.t.Context(), "POST", "/once/x", strings.Repeat("x", 11)).status, 413)
+		is.Equal(x.requestWith(x.t.Context(), "POST", "/once/x", strings.Repeat("x", 10)).status, 200)
 	}, answers(200, "fine", 0))
 }
 
@@ -229,7 +229,7 @@
 			return hangs(ctx, call)
 		}
 		began := time.Now()
-		got := x.askWith(ctx, "POST", "/again/x", "")
+		got := x.requestWith(ctx, "POST", "/again/x", "")
 		is.True(got.cut)
 		is.Equal(stoppedAt.Sub(began), 300*time.Millisecond)
 		is.Equal(x.servers.count(), 1) // not asked again for nobody
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -52,7 +52,7 @@
 		is.Equal(x.servers.count(), 0)
 		is.Equal(x.request("/again/deadly", "Key", "other").status, 200) // of another account
 		is.Equal(x.request("/again/other").status, 200)
-		is.Equal(x.askWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // of the same length
+		is.Equal(x.requestWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // of the same length
 		k := theBody("/again/deadly")
 		x.g.suspicions.take(protocol.Quarantine{Gone: [][]byte{k[:]}})
 		is.Equal(x.request("/again/deadly").status, 200)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -306,7 +306,7 @@
 		body := strings.Repeat("y", 10_000)
 		for began := time.Now(); time.Since(began) < span; time.Sleep(time.Millisecond) {
 			group.Go(func() {
-				r := x.askWith(x.t.Context(), http.MethodPost, "/again/x", body, "Patience", "1000")
+				r := x.requestWith(x.t.Context(), http.MethodPost, "/again/x", body, "Patience", "1000")
 				mu.Lock()
 				defer mu.Unlock()
 				if r.status == http.StatusServiceUnavailable {
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -207,7 +207,7 @@
 		x.serversOf("engines", hangs)
 		ctx, leave := context.WithTimeout(x.t.Context(), 100*time.Millisecond)
 		defer leave()
-		is.True(x.askWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "900").cut)
+		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "900").cut)
 		u := x.g.accounts.takeReport()
 		is.Equal(u.Started, uint64(0))
 		is.Equal(len(u.Served), 0)
@@ -221,12 +221,12 @@
 		is := is.New(x.t)
 		x.serversOf("engines", streams(piece{text: event(1)}))
 		ctx := WithCallerLeft(x.t.Context(), func() bool { return true })
-		is.True(x.askWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
+		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
 		is.Equal(x.servers.count(), 0)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(0))
 		is.Equal(len(x.g.table.loads()), 0) // and takes no room
 		ctx = WithCallerLeft(x.t.Context(), func() bool { return false })
-		is.Equal(x.askWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").status, 200)
+		is.Equal(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").status, 200)
 	})
 }
 
