--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -52,7 +52,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.serversOf(tt.pool, askingForBackoff(backoff, &calls), tt.other, tt.other)
+				x.announceServers(tt.pool, askingForBackoff(backoff, &calls), tt.other, tt.other)
 				for calls.Load() == 0 {
 					x.request(tt.path, "Patience", "2000")
 					time.Sleep(time.Millisecond)
@@ -82,7 +82,7 @@
 				is := is.New(x.t)
 				path := map[string]string{"plain": "/once/1", "engines": "/engine/1"}[pool]
 				var calls atomic.Int64
-				x.serversOf(pool, askingForBackoff(2*time.Second, &calls), askingForBackoff(3*time.Second, &calls))
+				x.announceServers(pool, askingForBackoff(2*time.Second, &calls), askingForBackoff(3*time.Second, &calls))
 				for range 10 {
 					x.request(path, "Patience", "9000")
 				}
@@ -106,7 +106,7 @@
 		is := is.New(x.t)
 		var calls atomic.Int64
 		refusal := askingForBackoff(3*time.Second, &calls)
-		x.serversOf("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(100 * time.Millisecond)
 			return refusal(ctx, call)
 		})
@@ -131,7 +131,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.serversOf("plain", fails(forward.Unknown{Err: errReset}), askingForBackoff(backoff, &calls))
+				x.announceServers("plain", fails(forward.Unknown{Err: errReset}), askingForBackoff(backoff, &calls))
 				for calls.Load() == 0 {
 					x.request("/once/1", "Patience", "2000")
 				}
@@ -153,7 +153,7 @@
 		is := is.New(x.t)
 		var calls, sent atomic.Int64
 		refusal := askingForBackoff(3*time.Second, &calls)
-		x.serversOf("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			if sent.Add(1) == 1 {
 				return refusal(ctx, call)
 			}
@@ -180,7 +180,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.serversOf("plain", askingForBackoff(3*time.Second, &calls))
+		x.announceServers("plain", askingForBackoff(3*time.Second, &calls))
 		ask := func() int64 {
 			x.request("/once/1", "Patience", "2000")
 			return calls.Load()
@@ -225,7 +225,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.serversOf("plain", func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			calls.Add(1)
 			h := headOf(call)
 			h.Set("Backoff", "3s")
@@ -245,7 +245,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.serversOf("plain", askingForBackoff(3*time.Second, &calls), answers(200, "ok", 300*time.Millisecond))
+		x.announceServers("plain", askingForBackoff(3*time.Second, &calls), answers(200, "ok", 300*time.Millisecond))
 		done := make(chan reply, 100)
 		for i := range 100 {
 			go func() {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -235,13 +235,13 @@
 		}()
 		x.g.gateways.Store(1)
 		x.g.apply(testDocument())
-		x.serversOf("plain", does...)
+		x.announceServers("plain", does...)
 		f(x)
 	})
 }
 
-// serversOf announces backend servers with behaviours.
-func (x *fixture) serversOf(pool string, does ...behaviour) {
+// announceServers announces backend servers with behaviours.
+func (x *fixture) announceServers(pool string, does ...behaviour) {
 	m := protocol.Servers{Term: 1}
 	for i, d := range does {
 		b := protocol.Server{Handle: uint32(len(pool)*10 + i), Registration: protocol.Registration{
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -107,7 +107,7 @@
 	for i := range all {
 		all[i] = each
 	}
-	x.serversOf("plain", all...)
+	x.announceServers("plain", all...)
 }
 
 func TestOwnAnswers(t *testing.T) {
@@ -250,7 +250,7 @@
 func TestSuspectedBackendIsLeftAlone(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
+		x.announceServers("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
 		for range 12 {
 			is.Equal(x.request("/once/x").status, 200)
 		}
@@ -268,7 +268,7 @@
 func TestOnceIsNoTrial(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
+		x.announceServers("plain", answers(200, "fine", 0), answers(200, "fine", 0))
 		p := x.g.table.pool("plain")
 		for range 3 {
 			p.failures.Record(x.g.now(), &x.g.table.servers["p0"].health, outlier.Lost, false)
@@ -316,7 +316,7 @@
 func TestDoubtfulBackendIsDroppedOnceItFails(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("plain", answers(200, "fine", 0), answers(200, "fine", 0))
+		x.announceServers("plain", answers(200, "fine", 0), answers(200, "fine", 0))
 		list := []protocol.Server{x.g.table.servers["p1"].Server}
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true, Complete: true, Set: list})
 		for range 4 {
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -62,7 +62,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.serversOf(tt.pool, leaving(tt.leaves, &calls), tt.other, tt.other)
+				x.announceServers(tt.pool, leaving(tt.leaves, &calls), tt.other, tt.other)
 				for calls.Load() == 0 {
 					x.request(tt.path, "Patience", "2000")
 				}
@@ -83,7 +83,7 @@
 		is := is.New(x.t)
 		var calls atomic.Int64
 		long := streams(piece{event(1), 0, nil}, piece{event(2), 40 * time.Millisecond, nil}, piece{event(3), 40 * time.Millisecond, io.EOF})
-		x.serversOf("engines", leaving(long, &calls))
+		x.announceServers("engines", leaving(long, &calls))
 		done := make(chan reply, 20)
 		for range 20 {
 			go func() { done <- x.request("/engine/1", "Patience", "2000") }()
@@ -106,7 +106,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.serversOf("plain", leaving(answers(200, "ok", time.Millisecond), &calls))
+		x.announceServers("plain", leaving(answers(200, "ok", time.Millisecond), &calls))
 		ask := func() int64 {
 			x.request("/once/1", "Patience", "500")
 			return calls.Load()
@@ -144,7 +144,7 @@
 		is := is.New(x.t)
 		var calls atomic.Int64
 		ok := answers(200, "ok", time.Millisecond)
-		x.serversOf("plain", leaving(ok, &calls))
+		x.announceServers("plain", leaving(ok, &calls))
 		is.Equal(x.request("/once/1", "Patience", "2000").status, 200)
 		r := x.request("/once/1", "Patience", "2000")
 		is.Equal(r.status, 503)
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -110,7 +110,7 @@
 	}{{0, false}, {2 * overload.DelayNoticed, true}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.serversOf("plain", fails(forward.NotRun{Err: errReset}))
+			x.announceServers("plain", fails(forward.NotRun{Err: errReset}))
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			for range 2 * outlier.MinSamples {
@@ -133,7 +133,7 @@
 	}{{0, true}, {2 * overload.DelayNoticed, false}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.serversOf("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
+			x.announceServers("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
 			release := x.holdPressure(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			is.Equal(x.request("/engine/x", "Tokens", "6000").status, 200)
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -61,7 +61,7 @@
 func TestWhatComesBackLateGoesLast(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		beyond := []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}
 		x.g.accounts.update(beyond, nil, true)
 		ask := func(patience, key string) reply {
@@ -94,7 +94,7 @@
 func TestOthersAreTheSumLessThisGateway(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", hangs, hangs)
+		x.announceServers("engines", hangs, hangs)
 		table := x.g.table
 		one, two := table.servers["e0"], table.servers["e1"]
 		others := func(counted uint64, loads ...protocol.ServerLoad) [2]place.Work {
@@ -129,7 +129,7 @@
 func TestBeyondTheShareWaitsForIdleEngines(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, nil, false)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 500}})
 		served, refused := 0, 0
@@ -152,7 +152,7 @@
 func TestNobodyWaitsWhileEnginesAreIdle(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.1, Extra: 0.1}}, nil, false)
 		for range 20 {
 			got := x.request("/engine/x", "Tokens", "1000")
@@ -168,7 +168,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		unreachable := fails(forward.NotRun{Err: errReset})
-		x.serversOf("engines", unreachable, unreachable, streams(piece{text: event(1)}))
+		x.announceServers("engines", unreachable, unreachable, streams(piece{text: event(1)}))
 		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedFor(x, 2)).status, 200)
 		is.Equal(x.servers.count(), 3)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(700+sharedTokens))
@@ -202,9 +202,9 @@
 func TestWhatGetsNoAnswerIsNotServed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", fails(forward.NotRun{Err: errReset}))
+		x.announceServers("engines", fails(forward.NotRun{Err: errReset}))
 		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
-		x.serversOf("engines", hangs)
+		x.announceServers("engines", hangs)
 		ctx, leave := context.WithTimeout(x.t.Context(), 100*time.Millisecond)
 		defer leave()
 		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "900").cut)
@@ -219,7 +219,7 @@
 func TestNothingRunsForACallerThatHasLeft(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		ctx := WithCallerLeft(x.t.Context(), func() bool { return true })
 		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
 		is.Equal(x.servers.count(), 0)
@@ -271,7 +271,7 @@
 func TestExtraWithoutRoomIsNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0, Extra: 1}}, nil, true)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 6000}})
 		is.Equal(x.request("/engine/x", "Tokens", "700").status, 429)
@@ -305,7 +305,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		served := streams(piece{text: event(1)})
-		x.serversOf("engines", served, served, served)
+		x.announceServers("engines", served, served, served)
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, nil, false)
 		before := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(before.status, 200)
@@ -329,7 +329,7 @@
 func TestCoveredTenantHasMoreRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.9, Extra: 0.9}}, nil, false)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 70, Requests: 1, Tokens: 14_000}})
 		is.Equal(x.request("/engine/x", "Tokens", "100").status, 503)
@@ -344,7 +344,7 @@
 func TestShortFleetLetsNobodyBeyond(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.5}}, nil, true)
 		served := 0
 		for range 40 {
--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -21,7 +21,7 @@
 func TestTokensAreCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.serversOf("engines", streams(piece{text: event(1)}))
+		x.announceServers("engines", streams(piece{text: event(1)}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.2, Extra: 0.2}}, nil, true)
 		for range 500 {
 			x.request("/engine/x", "Tokens", "1000")
