--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -135,7 +135,7 @@
 				for calls.Load() == 0 {
 					x.request("/once/1", "Patience", "2000")
 				}
-				x.servers.does["10.0.5.1:80"] = answers(200, "ok", time.Millisecond)
+				x.servers.behaviours["10.0.5.1:80"] = answers(200, "ok", time.Millisecond)
 				ended := time.AfterFunc(backoff+time.Millisecond, x.g.grantAll)
 				defer ended.Stop()
 				r := x.request("/again/1", "Patience", "2900")
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -37,7 +37,7 @@
 func (f *fakeServers) stop(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.does, address)
+	delete(f.behaviours, address)
 }
 
 func (x *fixture) counter(name string) uint64 {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -77,16 +77,16 @@
 
 // fakeServers counts what arrives where.
 type fakeServers struct {
-	mu       sync.Mutex
-	does     map[string]behaviour // by address
-	arrivals []forward.Call
-	dropped  []string // addresses whose idle connections were closed
+	mu         sync.Mutex
+	behaviours map[string]behaviour // by address
+	arrivals   []forward.Call
+	dropped    []string // addresses whose idle connections were closed
 }
 
 func (f *fakeServers) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
 	f.mu.Lock()
 	f.arrivals = append(f.arrivals, call)
-	does := f.does[address]
+	does := f.behaviours[address]
 	f.mu.Unlock()
 	if does == nil {
 		return nil, forward.NotRun{Server: address, Err: io.ErrClosedPipe}
@@ -106,7 +106,7 @@
 func (f *fakeServers) Refuses(_ context.Context, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.does[address] == nil
+	return f.behaviours[address] == nil
 }
 
 func (f *fakeServers) count() int {
@@ -221,7 +221,7 @@
 func withGateway(t *testing.T, f func(x *fixture), does ...behaviour) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
-		x := &fixture{t: t, servers: &fakeServers{does: map[string]behaviour{}}}
+		x := &fixture{t: t, servers: &fakeServers{behaviours: map[string]behaviour{}}}
 		x.g = Start(t.Context(), Settings{
 			Identity: link.Identity{Name: "g"}, Hall: "z", Headers: testHeaders{}, Server: x.servers,
 			Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, Grace: 8 * time.Second,
@@ -247,7 +247,7 @@
 		b := protocol.Server{Handle: uint32(len(pool)*10 + i), Registration: protocol.Registration{
 			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Hall: "z", Slots: 4,
 		}}
-		x.servers.does[b.Address] = d
+		x.servers.behaviours[b.Address] = d
 		m.Set = append(m.Set, b)
 	}
 	x.g.table.update(m)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -224,7 +224,7 @@
 		ctx, cancel := context.WithTimeout(x.t.Context(), 300*time.Millisecond)
 		defer cancel()
 		var stoppedAt time.Time
-		x.servers.does["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.servers.behaviours["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			defer func() { stoppedAt = time.Now() }()
 			return hangs(ctx, call)
 		}
@@ -256,7 +256,7 @@
 		}
 		wasted := x.servers.count() - 12
 		is.True(wasted <= 3) // then it was left alone
-		x.servers.does["10.0.5.0:80"] = answers(200, "fine", 0)
+		x.servers.behaviours["10.0.5.0:80"] = answers(200, "fine", 0)
 		time.Sleep(outlier.ShortestWait)
 		is.Equal(x.request("/again/x").status, 200) // one that may be repeated tries it
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
@@ -323,7 +323,7 @@
 			is.Equal(x.request("/again/x").status, 200)
 		}
 		is.Equal(x.g.Servers(), []string{"p0", "p1"})
-		x.servers.does["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
+		x.servers.behaviours["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
 		x.g.table.servers["p1"].own.Requests = 1 // so that the other is asked
 		for range 4 {
 			is.Equal(x.request("/again/x").status, 200)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -152,7 +152,7 @@
 		time.AfterFunc(50*time.Millisecond, func() {
 			another := x.g.table.servers["p0"].Server
 			another.ID, another.Address = "p1", "10.0.5.1:80"
-			x.servers.does[another.Address] = askingForBackoff(3*time.Second, &calls)
+			x.servers.behaviours[another.Address] = askingForBackoff(3*time.Second, &calls)
 			x.g.takeNew(another)
 		})
 		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -54,8 +54,8 @@
 	for _, hall := range halls {
 		for i := range each {
 			s := known(pool, hall, i)
-			s.Handle = uint32(1000*len(x.servers.does) + 1)
-			x.servers.does[s.Address] = does
+			s.Handle = uint32(1000*len(x.servers.behaviours) + 1)
+			x.servers.behaviours[s.Address] = does
 			m.Set = append(m.Set, s)
 		}
 	}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -349,7 +349,7 @@
 		again, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(again, first)
 		x.leaseShares()
-		x.servers.does[x.g.table.servers["p1"].Address] = hangs
+		x.servers.behaviours[x.g.table.servers["p1"].Address] = hangs
 		is.Equal(x.request("/once/1", "Patience", "800").status, 504)
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(slow[0].Sent, uint64(3))
