--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -218,7 +218,7 @@
 
 // withGateway runs f with a gateway that knows backend servers b0, b1, … of the pool
 // "plain", by their behaviours, and none of the directory.
-func withGateway(t *testing.T, f func(x *fixture), does ...behaviour) {
+func withGateway(t *testing.T, f func(x *fixture), behaviours ...behaviour) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
 		x := &fixture{t: t, servers: &fakeServers{behaviours: map[string]behaviour{}}}
@@ -235,7 +235,7 @@
 		}()
 		x.g.gateways.Store(1)
 		x.g.apply(testDocument())
-		x.announceServers("plain", does...)
+		x.announceServers("plain", behaviours...)
 		f(x)
 	})
 }
