--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -241,9 +241,9 @@
 }
 
 // announceServers announces backend servers with behaviours.
-func (x *fixture) announceServers(pool string, does ...behaviour) {
+func (x *fixture) announceServers(pool string, behaviours ...behaviour) {
 	m := protocol.Servers{Term: 1}
-	for i, d := range does {
+	for i, d := range behaviours {
 		b := protocol.Server{Handle: uint32(len(pool)*10 + i), Registration: protocol.Registration{
 			ID: fmt.Sprintf("%s%d", pool[:1], i), Pool: pool, Address: fmt.Sprintf("10.0.%d.%d:80", len(pool), i), Hall: "z", Slots: 4,
 		}}
