--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -227,7 +227,7 @@
 		var calls atomic.Int64
 		x.announceServers("plain", func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			calls.Add(1)
-			h := headOf(call)
+			h := answerHeader(call)
 			h.Set("Backoff", "3s")
 			return &forward.Answer{Status: 503, Header: h, Length: 0, Body: http.NoBody}, nil
 		}, answers(200, "ok", time.Millisecond))
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -115,8 +115,8 @@
 	return len(f.arrivals)
 }
 
-// headOf returns the head of an answer to a call.
-func headOf(call forward.Call) http.Header {
+// answerHeader returns the head of an answer to a call.
+func answerHeader(call forward.Call) http.Header {
 	return http.Header{"Id": call.Header["Id"], "Sealed": {"yes"}}
 }
 
@@ -127,7 +127,7 @@
 			return nil, forward.Unknown{Err: ctx.Err()}
 		}
 		return &forward.Answer{
-			Status: status, Header: headOf(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
+			Status: status, Header: answerHeader(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
 		}, nil
 	}
 }
@@ -162,7 +162,7 @@
 func streams(pieces ...piece) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return &forward.Answer{
-			Status: http.StatusOK, Header: headOf(call), Length: -1, Body: &pieceReader{ctx: ctx, pieces: pieces},
+			Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: &pieceReader{ctx: ctx, pieces: pieces},
 		}, nil
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,18 +31,18 @@
 	lostAnswer := fails(forward.Unknown{Err: errReset})
 	ok := answers(200, "fine", 0)
 	crossed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
-		h := headOf(call)
+		h := answerHeader(call)
 		h.Set("Id", "another")
 		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
 	unsealed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
-		h := headOf(call)
+		h := answerHeader(call)
 		h.Del("Sealed")
 		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
 	cutOff := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		body := &pieceReader{ctx: context.Background(), pieces: []piece{{text: "fi", err: io.ErrUnexpectedEOF}}}
-		return &forward.Answer{Status: 200, Header: headOf(call), Length: 4, Body: body}, nil
+		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: 4, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		name     string
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -98,5 +98,5 @@
 // endlessEvent streams an event that never ends.
 func endlessEvent(_ context.Context, call forward.Call) (*forward.Answer, error) {
 	body := io.NopCloser(strings.NewReader(strings.Repeat("x", 2*maxEvent)))
-	return &forward.Answer{Status: http.StatusOK, Header: headOf(call), Length: -1, Body: body}, nil
+	return &forward.Answer{Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: body}, nil
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -252,7 +252,7 @@
 			return nil, forward.Unknown{Err: ctx.Err()}
 		}
 		body := &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 20}
-		return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
+		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		level    time.Duration
@@ -278,7 +278,7 @@
 		var body *timedBody
 		does := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			body = &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 40}
-			return &forward.Answer{Status: 200, Header: headOf(call), Length: -1, Body: body}, nil
+			return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 		}
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
