--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -19,13 +19,13 @@
 // requirements are what the choice of a backend server depends on.
 type requirements struct {
 	entitlement.Waiting
-	pool     document.Pool
-	route    document.Route
-	prompt   place.Prompt
-	repeat   bool            // may run more than once
-	avoid    map[string]bool // backend servers that had the request already
-	gateways int
-	random   float64 // from 0 to 1
+	pool       document.Pool
+	route      document.Route
+	prompt     place.Prompt
+	repeatable bool            // may run more than once
+	avoid      map[string]bool // backend servers that had the request already
+	gateways   int
+	random     float64 // from 0 to 1
 	// outlast is how long a backoff of all servers may be for the request to wait for its end. What has not
 	// run is refused at once instead: another gateway's servers may take it.
 	outlast time.Duration
@@ -42,7 +42,7 @@
 // choiceRequest translates them for package place.
 func (r *requirements) choiceRequest() place.Request {
 	return place.Request{
-		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeat,
+		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeatable,
 		Engine: r.pool.Engine, Connections: r.pool.Connections, Gateways: r.gateways, Random: r.random,
 	}
 }
