--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -35,7 +35,7 @@
 	accountHomes  []string      // by the document with which the request was taken
 	homes         homes         // by the document in force at the last choice
 	requestBytes  int           // that it sends
-	since         time.Duration // when it began to wait, by the gateway's clock
+	waitingSince  time.Duration // when it began to wait, by the gateway's clock
 	objectiveEnds time.Duration // by the gateway's clock; 0 is none
 }
 
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -186,7 +186,7 @@
 func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.Leave, region string) bool {
 	way := t.link.Way(region)
 	inTime := req.objectiveEnds == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveEnds
-	return inTime && why.Due(now-req.since, way)
+	return inTime && why.Due(now-req.waitingSince, way)
 }
 
 // indexed turns a choice among some of the pool's servers into one among all.
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -20,7 +20,7 @@
 		},
 		pool: c.pool, route: c.route, prompt: c.head.Prompt,
 		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()), random: c.g.random(),
-		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), since: c.g.now(),
+		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), waitingSince: c.g.now(),
 	}
 	if c.route.Objective > 0 {
 		req.objectiveEnds = c.arrived + c.route.Objective - c.spent
