--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -32,11 +32,11 @@
 
 	versions versions // the servers' versions that the choice under way is among
 
-	accountHomes  []string      // by the document with which the request was taken
-	homes         homes         // by the document in force at the last choice
-	requestBytes  int           // that it sends
-	waitingSince  time.Duration // when it began to wait, by the gateway's clock
-	objectiveEnds time.Duration // by the gateway's clock; 0 is none
+	accountHomes      []string      // by the document with which the request was taken
+	homes             homes         // by the document in force at the last choice
+	requestBytes      int           // that it sends
+	waitingSince      time.Duration // when it began to wait, by the gateway's clock
+	objectiveDeadline time.Duration // by the gateway's clock; 0 is none
 }
 
 // choiceRequest translates them for package place.
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -185,7 +185,7 @@
 // within its objective.
 func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.Leave, region string) bool {
 	way := t.link.Way(region)
-	inTime := req.objectiveEnds == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveEnds
+	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && why.Due(now-req.waitingSince, way)
 }
 
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -23,7 +23,7 @@
 		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), waitingSince: c.g.now(),
 	}
 	if c.route.Objective > 0 {
-		req.objectiveEnds = c.arrived + c.route.Objective - c.spent
+		req.objectiveDeadline = c.arrived + c.route.Objective - c.spent
 	}
 	waiting := c.waiting()
 	switch {
