--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -39,8 +39,8 @@
 	objectiveDeadline time.Duration // by the gateway's clock; 0 is none
 }
 
-// choiceRequest translates them for package place.
-func (r *requirements) choiceRequest() place.Request {
+// placeRequest translates them for package place.
+func (r *requirements) placeRequest() place.Request {
 	return place.Request{
 		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeatable,
 		Engine: r.pool.Engine, Connections: r.pool.Connections, Gateways: r.gateways, Random: r.random,
@@ -200,7 +200,7 @@
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
-	c, ok = p.placer.ChooseSpread(req.choiceRequest(), t.viewOfSome(p, ids, now, req), p.typicalPace())
+	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.viewOfSome(p, ids, now, req), p.typicalPace())
 	if ok {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, ids[c.Index], compareID)
 	}
