--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -146,9 +146,9 @@
 	return t.pool(pool.Name).placer.ExpectedFirst(pool.Engine, prompt.Tokens())
 }
 
-// view returns what is known of some of the pool's servers, for one choice. The caller holds
+// candidates returns what is known of some of the pool's servers, for one choice. The caller holds
 // mu.
-func (t *table) view(p *pool, servers []*knownServer, now time.Duration, req *requirements) []place.Server {
+func (t *table) candidates(p *pool, servers []*knownServer, now time.Duration, req *requirements) []place.Server {
 	leased := now < t.leased
 	// The only server of a region is not the only one of its pool, which may have a request again.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -110,10 +110,10 @@
 		if c, ok := t.chooseSpread(p, now, req); ok {
 			return c, departure{}
 		}
-		return p.placer.Choose(req.placeRequest(), t.view(p, p.servers, now, req)), departure{}
+		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
 	}
 	own := p.parts[0].servers
-	c, why := p.placer.ChooseNear(req.placeRequest(), t.view(p, own, now, req))
+	c, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, own, now, req))
 	c = p.indexed(c, own)
 	if why == place.Stay {
 		return c, departure{}
@@ -144,7 +144,7 @@
 			kept = stayedForTime
 			continue
 		}
-		c, farWhy := p.placer.ChooseNear(req.placeRequest(), t.view(p, x.servers, now, req))
+		c, farWhy := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, x.servers, now, req))
 		switch c = p.indexed(c, x.servers); {
 		case farWhy == place.Stay && admitted:
 			return c, ""
@@ -201,16 +201,16 @@
 func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, departure) {
 	req.homes = t.homes.of(req)
 	if !t.site.hasFarSide() || len(p.parts) == 0 {
-		return p.placer.ChooseWithRoom(req.placeRequest(), t.view(p, p.servers, now, req)), departure{}
+		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
 	}
 	own := p.parts[0].servers
-	near, why := p.placer.ChooseNear(req.placeRequest(), t.view(p, own, now, req))
+	near, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, own, now, req))
 	if why == place.NoServer {
 		if far := t.farWithRoom(p, now, req, near.Index >= 0); far.Index >= 0 {
 			return far, departure{why: why}
 		}
 	}
-	c := p.placer.ChooseWithRoom(req.placeRequest(), t.view(p, own, now, req))
+	c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, own, now, req))
 	if c.Index >= 0 || why == place.NoServer {
 		return p.indexed(c, own), departure{}
 	}
@@ -230,11 +230,11 @@
 		return place.Choice{Index: -1}
 	}
 	for _, x := range t.farParts(p) {
-		_, why := p.placer.ChooseNear(req.placeRequest(), t.view(p, x.servers, now, req))
+		_, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, x.servers, now, req))
 		if why == place.NoServer && ownEjected {
 			continue
 		}
-		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.view(p, x.servers, now, req)); c.Index >= 0 {
+		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, x.servers, now, req)); c.Index >= 0 {
 			return p.indexed(c, x.servers)
 		}
 	}
