--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -188,15 +188,15 @@
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
 }
 
-// spreadAmong is the number of servers from which a prompt's requests part by lot over as many of the
+// minSpreadServers is the number of servers from which a prompt's requests part by lot over as many of the
 // first ones of its order as they need ([place.RoomPlacer.ChooseSpread]): below, the sums of what runs
 // name all that is busy, and a look at all servers is short.
-const spreadAmong = 256
+const minSpreadServers = 256
 
 // chooseSpread is choose among the first servers of the request's order. ok is false if all have to be
 // looked at. The caller holds mu.
 func (t *table) chooseSpread(p *pool, now time.Duration, req *requirements) (c place.Choice, ok bool) {
-	if !req.pool.Engine || len(p.servers) < spreadAmong || len(req.prompt.Shared) == 0 {
+	if !req.pool.Engine || len(p.servers) < minSpreadServers || len(req.prompt.Shared) == 0 {
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
