--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -306,7 +306,7 @@
 	p := t.pool("engines")
 	for i := range 2 {
 		p.servers[i].own.Requests = 1
-		p.noteBusy(p.servers[i])
+		p.markBusy(p.servers[i])
 	}
 	seq := uint64(0)
 	for b.Loop() {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -231,7 +231,7 @@
 	k := p.servers[choice.Index]
 	k.own.Requests++
 	k.own.Tokens += choice.Read
-	p.noteBusy(k)
+	p.markBusy(k)
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
 		known: k, server: k.ID, address: k.Address, tokens: choice.Read, began: now,
@@ -240,8 +240,8 @@
 	}
 }
 
-// noteBusy notes that this gateway has a request on a server. The caller holds mu.
-func (p *pool) noteBusy(k *knownServer) {
+// markBusy notes that this gateway has a request on a server. The caller holds mu.
+func (p *pool) markBusy(k *knownServer) {
 	if p.busy == nil {
 		p.busy = map[*knownServer]bool{}
 	}
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -102,7 +102,7 @@
 			return [2]place.Work{one.others, two.others}
 		}
 		table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{one.Server, two.Server}})
-		table.pool("engines").noteBusy(one)
+		table.pool("engines").markBusy(one)
 		one.own = place.Work{Requests: 2, Tokens: 300}
 		table.takeReport(1)
 		one.own = place.Work{Requests: 3, Tokens: 500}
