--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -14,7 +14,7 @@
 
 // assignment is a backend server given to one attempt of a request.
 type assignment struct {
-	known       *knownServer
+	entry       *knownServer
 	server      string
 	address     string
 	tokens      int // that it has to read
@@ -47,13 +47,13 @@
 	}
 	a.answering = true
 	a.untilFirst = g.now() - a.began
-	a.known.own.Tokens -= a.tokens
-	p := g.table.pool(a.known.Pool)
+	a.entry.own.Tokens -= a.tokens
+	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
 	if !g.overload.Load().Late(g.now()) {
 		ratio := p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.way, 0))
-		a.known.pace.Observe(ratio)
-		p.notePace(a.known)
+		a.entry.pace.Observe(ratio)
+		p.notePace(a.entry)
 		a.countPace(g.now(), ratio)
 	}
 }
@@ -75,7 +75,7 @@
 func (g *Gateway) silentBlame(a *assignment) outlier.Verdict {
 	now := g.now()
 	g.table.mu.Lock()
-	v, drop := a.known.doubt.Silent(now, a.began, a.opened)
+	v, drop := a.entry.doubt.Silent(now, a.began, a.opened)
 	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.server)
 	g.table.mu.Unlock()
 	switch {
@@ -100,7 +100,7 @@
 		return false
 	}
 	a.ended = true
-	k := a.known
+	k := a.entry
 	k.own.Requests--
 	if !a.answering {
 		k.own.Tokens -= a.tokens
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -219,7 +219,7 @@
 	req.prompt = place.Prompt{Own: 600, Shared: []place.Part{{Name: "a", Tokens: 500}, {Name: "b", Tokens: 4000}}}
 	for b.Loop() {
 		a, _ := t.acquire(t.now(), req)
-		a.known.own = place.Work{}
+		a.entry.own = place.Work{}
 	}
 }
 
@@ -250,7 +250,7 @@
 					drawn++
 					req.random = float64(drawn%1000) / 1000 / lotParts
 					a, _ := t.acquire(t.now(), req)
-					a.known.own = place.Work{}
+					a.entry.own = place.Work{}
 				}
 			})
 		}
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -21,12 +21,12 @@
 	}
 	before, after := g.table.heed(a.server, head)
 	if head.Backoff > 0 {
-		g.stats.count("backoffs", "pool", a.known.Pool)
+		g.stats.count("backoffs", "pool", a.entry.Pool)
 	}
 	now := g.now()
 	switch {
 	case after.Leaving() && !before.Leaving():
-		g.stats.count("leaving", "pool", a.known.Pool)
+		g.stats.count("leaving", "pool", a.entry.Pool)
 		g.cfg.Log.StateChange("backend leaving", slog.String("backend", a.server))
 	case before.Admits(now) && !after.Admits(now):
 		g.cfg.Log.StateChange("backend backoff", slog.String("backend", a.server), milliseconds("backoff_ms", head.Backoff))
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -137,7 +137,7 @@
 // countPace counts how long an answer took to begin. Answers of cold servers do not count: they are
 // slow whatever their version is. The caller holds mu.
 func (a *assignment) countPace(now time.Duration, ratio float64) {
-	if c := a.tried.tally; c != nil && !a.known.cold.Cold(now) {
+	if c := a.tried.tally; c != nil && !a.entry.cold.Cold(now) {
 		c.paces[rollout.PaceBucket(ratio)]++
 		c.changed = true
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -257,12 +257,12 @@
 
 // depart notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
 func (t *table) depart(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
-	a.region, a.left, a.homes = a.known.region, left.why, req.homes
+	a.region, a.left, a.homes = a.entry.region, left.why, req.homes
 	if left.why == place.Stay {
 		return a
 	}
 	a.way = t.link.Way(a.region)
-	a.charged = float64(req.requestBytes) + t.pool(a.known.Pool).expectedAnswer()
+	a.charged = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
 	t.link.Spend(now, t.site.share(req.gateways), a.charged)
 	return a
 }
@@ -276,7 +276,7 @@
 	t := g.table
 	t.mu.Lock()
 	if a.received > 0 {
-		p := t.pool(a.known.Pool)
+		p := t.pool(a.entry.Pool)
 		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.received)-p.expectedAnswer())
 	}
 	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.received)-a.charged)
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -31,7 +31,7 @@
 	choose := func(thing int) *knownServer {
 		req.prompt = place.Prompt{Own: 900, Shared: []place.Part{{Name: fmt.Sprint(thing), Tokens: 2000}}}
 		a, _ := x.acquire(x.now(), req)
-		return a.known
+		return a.entry
 	}
 	used := map[string]bool{}
 	for thing := range 200 {
