--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -15,7 +15,7 @@
 // assignment is a backend server given to one attempt of a request.
 type assignment struct {
 	entry       *knownServer
-	server      string
+	serverID    string
 	address     string
 	tokens      int // that it has to read
 	began       time.Duration
@@ -76,7 +76,7 @@
 	now := g.now()
 	g.table.mu.Lock()
 	v, drop := a.entry.doubt.Silent(now, a.began, a.opened)
-	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.server)
+	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.serverID)
 	g.table.mu.Unlock()
 	switch {
 	case dropAll:
@@ -86,7 +86,7 @@
 	default:
 		return v
 	}
-	g.cfg.Log.Failure("connection silent", slog.String("backend", a.server), milliseconds("open_ms", now-a.opened), slog.Bool("others", dropAll))
+	g.cfg.Log.Failure("connection silent", slog.String("backend", a.serverID), milliseconds("open_ms", now-a.opened), slog.Bool("others", dropAll))
 	return v
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,11 +65,11 @@
 	c.g.settleLink(a, sent)
 	if c.g.release(a, out.blame) {
 		c.g.stats.count("suspected", "pool", c.pool.Name)
-		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.server), slog.String("cause", out.cause))
+		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.serverID), slog.String("cause", out.cause))
 	}
 	if out.misdirected {
-		c.g.table.removeMisdirected(a.server)
-		c.g.cfg.Log.StateChange("backend replaced", slog.String("backend", a.server), slog.String("address", a.address))
+		c.g.table.removeMisdirected(a.serverID)
+		c.g.cfg.Log.StateChange("backend replaced", slog.String("backend", a.serverID), slog.String("address", a.address))
 	}
 	return out
 }
@@ -109,11 +109,11 @@
 
 // outgoing is the request as a backend server gets it.
 func (c *call) outgoing(a *assignment) forward.Call {
-	f := Forwarding{Timeout: c.left(), Server: a.server, Account: c.account.Name, LastEventID: c.relay.lastEventID}
+	f := Forwarding{Timeout: c.left(), Server: a.serverID, Account: c.account.Name, LastEventID: c.relay.lastEventID}
 	return forward.Call{
 		Method: c.r.Method, Path: c.r.RequestURI, Host: c.r.Host,
 		Header: c.g.cfg.Headers.ForwardHeader(c.r.Header, f), Body: c.body,
-		Unwanted: func() bool { return callerHasLeft(c.r.Context()) || !c.g.table.admits(a.server) },
+		Unwanted: func() bool { return callerHasLeft(c.r.Context()) || !c.g.table.admits(a.serverID) },
 	}
 }
 
@@ -177,7 +177,7 @@
 	if c.r.Context().Err() != nil {
 		return false, callerLeft{}
 	}
-	c.avoid[a.server] = true
+	c.avoid[a.serverID] = true
 	policy := c.policy(ctx)
 	allowed, fromBudget := policy.Again(out.execution)
 	// Each further attempt of a request that was at three ends might cost one more server.
@@ -202,7 +202,7 @@
 // comes again under another identifier.
 func (c *call) failureAttrs(a *assignment, out outcome, again bool) []slog.Attr {
 	attrs := []slog.Attr{
-		slog.String("request", c.head.ID), slog.String("backend", a.server),
+		slog.String("request", c.head.ID), slog.String("backend", a.serverID),
 		slog.String("cause", out.cause), slog.String("error", out.err.Error()), slog.Int("attempt", c.counts.Arrived),
 		milliseconds("took_ms", c.g.now()-a.began), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID),
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -19,7 +19,7 @@
 	if head.Misdirected || (head.Backoff <= 0 && !head.Leaving) {
 		return
 	}
-	before, after := g.table.heed(a.server, head)
+	before, after := g.table.heed(a.serverID, head)
 	if head.Backoff > 0 {
 		g.stats.count("backoffs", "pool", a.entry.Pool)
 	}
@@ -27,9 +27,9 @@
 	switch {
 	case after.Leaving() && !before.Leaving():
 		g.stats.count("leaving", "pool", a.entry.Pool)
-		g.cfg.Log.StateChange("backend leaving", slog.String("backend", a.server))
+		g.cfg.Log.StateChange("backend leaving", slog.String("backend", a.serverID))
 	case before.Admits(now) && !after.Admits(now):
-		g.cfg.Log.StateChange("backend backoff", slog.String("backend", a.server), milliseconds("backoff_ms", head.Backoff))
+		g.cfg.Log.StateChange("backend backoff", slog.String("backend", a.serverID), milliseconds("backoff_ms", head.Backoff))
 	}
 }
 
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -179,11 +179,11 @@
 	}
 	switch {
 	case v == outlier.Answered:
-		if r.unreached.answered(g.now(), a.server) {
+		if r.unreached.answered(g.now(), a.serverID) {
 			g.table.sortVersionsOf(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
-		r.unreached.add(g.now(), a.server, a.tried.tally)
+		r.unreached.add(g.now(), a.serverID, a.tried.tally)
 		g.table.sortVersionsOf(p)
 		return true
 	}
