--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -50,7 +50,7 @@
 // shortage is why a request got no backend server: the one that suits it best, with
 // what was known to run there. It is empty if there was no candidate.
 type shortage struct {
-	server     string
+	serverID   string
 	bound      place.Bound
 	requests   int
 	tokens     int
@@ -98,7 +98,7 @@
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
-			server: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
+			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
 			stayed: left.stayed,
 		}, true
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -96,8 +96,8 @@
 		attrs = append(attrs, slog.Float64("part", float64(e.Part)), slog.Float64("extra_part", float64(e.Extra)),
 			milliseconds("told_ms_ago", age))
 	}
-	if s := c.shortage; s.server != "" {
-		attrs = append(attrs, slog.String("full", s.server), slog.String("full_for", s.bound.String()),
+	if s := c.shortage; s.serverID != "" {
+		attrs = append(attrs, slog.String("full", s.serverID), slog.String("full_for", s.bound.String()),
 			slog.Int("full_requests", s.requests), slog.Int("full_tokens", s.tokens), slog.Float64("slowness", s.slowness),
 			slog.Float64("tokens_a_ms", s.learned.Rate), slog.Float64("per_slot", s.learned.PerSlot),
 			milliseconds("seen_ms_ago", s.age))
