--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -18,7 +18,7 @@
 	serverID    string
 	address     string
 	tokens      int // that it has to read
-	began       time.Duration
+	startedAt   time.Duration
 	tokensAhead int           // tokens in front when it began
 	expected    time.Duration // from its beginning to the first part of the answer
 	untilFirst  time.Duration // from its beginning to the first part of the answer; 0 before
@@ -46,7 +46,7 @@
 		return
 	}
 	a.answering = true
-	a.untilFirst = g.now() - a.began
+	a.untilFirst = g.now() - a.startedAt
 	a.entry.own.Tokens -= a.tokens
 	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
@@ -75,7 +75,7 @@
 func (g *Gateway) silentBlame(a *assignment) outlier.Verdict {
 	now := g.now()
 	g.table.mu.Lock()
-	v, drop := a.entry.doubt.Silent(now, a.began, a.opened)
+	v, drop := a.entry.doubt.Silent(now, a.startedAt, a.opened)
 	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.serverID)
 	g.table.mu.Unlock()
 	switch {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -49,7 +49,7 @@
 		out.blame, out.cause = c.g.silentBlame(a), "silent"
 	} else if ctx.Err() != nil && !answered {
 		out.blame = outlier.NoVerdict // the caller left, or the time is over
-		if c.r.Context().Err() == nil && !a.answering && a.opened > 0 && a.opened < a.began {
+		if c.r.Context().Err() == nil && !a.answering && a.opened > 0 && a.opened < a.startedAt {
 			c.g.silentBlame(a) // nobody is blamed, but its other connections may be silent too
 		}
 	}
@@ -204,7 +204,7 @@
 	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("backend", a.serverID),
 		slog.String("cause", out.cause), slog.String("error", out.err.Error()), slog.Int("attempt", c.counts.Arrived),
-		milliseconds("took_ms", c.g.now()-a.began), slog.Bool("again", again),
+		milliseconds("took_ms", c.g.now()-a.startedAt), slog.Bool("again", again),
 		slog.String("last_event", c.relay.lastEventID),
 	}
 	if out.status > 0 {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -234,7 +234,7 @@
 	p.markBusy(k)
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
-		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, began: now,
+		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
 		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
 		trial: k.health.Sent(now), tried: p.begin(k, req, choice, why),
 	}
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -108,7 +108,7 @@
 	if a := c.assigned; a != nil {
 		attrs = append(attrs, slog.String("backend", a.serverID), slog.Int("tokens_ahead", a.tokensAhead),
 			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
-			milliseconds("queued_ms", a.began-c.arrived), milliseconds("first_ms", a.untilFirst), milliseconds("expected_ms", a.expected))
+			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.untilFirst), milliseconds("expected_ms", a.expected))
 		attrs = append(attrs, a.tried.logAttrs()...)
 	}
 	attrs = append(attrs, c.regionAttrs()...)
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -156,7 +156,7 @@
 	case outlier.Faulty, outlier.Lost:
 		c.failed++
 	case outlier.NoVerdict:
-		took := g.now() - a.began
+		took := g.now() - a.startedAt
 		if !a.answering && took > a.tried.expected && !g.overload.Load().Late(g.now()) {
 			a.countPace(g.now(), float64(took)/float64(a.tried.expected))
 		}
