--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -14,20 +14,20 @@
 
 // assignment is a backend server given to one attempt of a request.
 type assignment struct {
-	entry       *knownServer
-	serverID    string
-	address     string
-	tokens      int // that it has to read
-	startedAt   time.Duration
-	tokensAhead int           // tokens in front when it began
-	expected    time.Duration // from its beginning to the first part of the answer
-	untilFirst  time.Duration // from its beginning to the first part of the answer; 0 before
-	opened      time.Duration // the connection; 0: it got none
-	trial       bool          // of an ejected server
-	tried       tried         // what it counts for, in a pool that had a rollout
-	answering   bool          // a part of the answer has come
-	unreached   bool          // it got no connection
-	ended       bool
+	entry        *knownServer
+	serverID     string
+	address      string
+	tokens       int // that it has to read
+	startedAt    time.Duration
+	tokensAhead  int           // tokens in front when it began
+	expected     time.Duration // from its beginning to the first part of the answer
+	untilFirst   time.Duration // from its beginning to the first part of the answer; 0 before
+	connOpenedAt time.Duration // the connection; 0: it got none
+	trial        bool          // of an ejected server
+	tried        tried         // what it counts for, in a pool that had a rollout
+	answering    bool          // a part of the answer has come
+	unreached    bool          // it got no connection
+	ended        bool
 
 	region   string        // where the server stood when it began
 	left     place.Leave   // why it goes to another region; place.Stay: it does not
@@ -75,7 +75,7 @@
 func (g *Gateway) silentBlame(a *assignment) outlier.Verdict {
 	now := g.now()
 	g.table.mu.Lock()
-	v, drop := a.entry.doubt.Silent(now, a.startedAt, a.opened)
+	v, drop := a.entry.doubt.Silent(now, a.startedAt, a.connOpenedAt)
 	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.serverID)
 	g.table.mu.Unlock()
 	switch {
@@ -86,7 +86,7 @@
 	default:
 		return v
 	}
-	g.cfg.Log.Failure("connection silent", slog.String("backend", a.serverID), milliseconds("open_ms", now-a.opened), slog.Bool("others", dropAll))
+	g.cfg.Log.Failure("connection silent", slog.String("backend", a.serverID), milliseconds("open_ms", now-a.connOpenedAt), slog.Bool("others", dropAll))
 	return v
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -49,7 +49,7 @@
 		out.blame, out.cause = c.g.silentBlame(a), "silent"
 	} else if ctx.Err() != nil && !answered {
 		out.blame = outlier.NoVerdict // the caller left, or the time is over
-		if c.r.Context().Err() == nil && !a.answering && a.opened > 0 && a.opened < a.startedAt {
+		if c.r.Context().Err() == nil && !a.answering && a.connOpenedAt > 0 && a.connOpenedAt < a.startedAt {
 			c.g.silentBlame(a) // nobody is blamed, but its other connections may be silent too
 		}
 	}
@@ -80,7 +80,7 @@
 		return c.sendFailed(a, err)
 	}
 	defer answer.Body.Close()
-	a.opened = c.g.since(answer.Opened)
+	a.connOpenedAt = c.g.since(answer.Opened)
 	c.g.observeWay(a)
 	if a.left != place.Stay {
 		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.received}
@@ -120,7 +120,7 @@
 func (c *call) sendFailed(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
-		a.opened = c.g.since(unknown.Opened)
+		a.connOpenedAt = c.g.since(unknown.Opened)
 	}
 	var not forward.NotRun
 	if !errors.As(err, &not) {
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -293,12 +293,12 @@
 // observeWay learns the round trip to another region of a connection that was opened for an
 // attempt there. A gateway that is late itself would take its own lateness for the link's.
 func (g *Gateway) observeWay(a *assignment) {
-	if a.left == place.Stay || a.opened <= a.startedAt || g.overload.Load().Late(g.now()) {
+	if a.left == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
 		return
 	}
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
-	g.table.link.ObserveWay(g.now(), a.region, a.opened-a.startedAt)
+	g.table.link.ObserveWay(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
 // countedBody counts the bytes of an answer that comes over the link.
