--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -82,7 +82,7 @@
 	defer answer.Body.Close()
 	a.connOpenedAt = c.g.since(answer.Opened)
 	c.g.observeWay(a)
-	if a.left != place.Stay {
+	if a.leaveReason != place.Stay {
 		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.received}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -257,7 +257,7 @@
 
 // depart notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
 func (t *table) depart(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
-	a.region, a.left, a.homes = a.entry.region, left.why, req.homes
+	a.region, a.leaveReason, a.homes = a.entry.region, left.why, req.homes
 	if left.why == place.Stay {
 		return a
 	}
@@ -270,7 +270,7 @@
 // settleLink corrects what an attempt has taken of the link by what it has put there, and
 // counts it.
 func (g *Gateway) settleLink(a *assignment, sent int) {
-	if a.left == place.Stay {
+	if a.leaveReason == place.Stay {
 		return
 	}
 	t := g.table
@@ -285,7 +285,7 @@
 	count := func(name, labels string, n int) {
 		g.cfg.Metrics.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_region_%s_total{%s}", name, labels)).Add(n)
 	}
-	count("requests", fmt.Sprintf("from=%q,to=%q,why=%q", from, to, a.left), 1)
+	count("requests", fmt.Sprintf("from=%q,to=%q,why=%q", from, to, a.leaveReason), 1)
 	count("bytes", fmt.Sprintf("from=%q,to=%q", from, to), sent)
 	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.received)
 }
@@ -293,7 +293,7 @@
 // observeWay learns the round trip to another region of a connection that was opened for an
 // attempt there. A gateway that is late itself would take its own lateness for the link's.
 func (g *Gateway) observeWay(a *assignment) {
-	if a.left == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
+	if a.leaveReason == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
 		return
 	}
 	g.table.mu.Lock()
@@ -323,8 +323,8 @@
 		if a.region != "" {
 			attrs = append(attrs, slog.String("region", a.region))
 		}
-		if a.left != place.Stay {
-			attrs = append(attrs, slog.String("left_region", a.left.String()))
+		if a.leaveReason != place.Stay {
+			attrs = append(attrs, slog.String("left_region", a.leaveReason.String()))
 		}
 		homes, bound = a.homes.regions, a.homes.bound
 	}
