--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -32,7 +32,7 @@
 	region      string        // where the server stood when it began
 	leaveReason place.Leave   // why it goes to another region; place.Stay: it does not
 	homes       homes         // that bound it
-	way         time.Duration // the round trip there
+	roundTrip   time.Duration // the round trip there
 	charged     float64       // bytes that were taken of the link for it
 	received    int           // bytes that came from another region
 }
@@ -51,7 +51,7 @@
 	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
 	if !g.overload.Load().Late(g.now()) {
-		ratio := p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.way, 0))
+		ratio := p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.roundTrip, 0))
 		a.entry.pace.Observe(ratio)
 		p.notePace(a.entry)
 		a.countPace(g.now(), ratio)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -261,7 +261,7 @@
 	if left.why == place.Stay {
 		return a
 	}
-	a.way = t.link.Way(a.region)
+	a.roundTrip = t.link.Way(a.region)
 	a.charged = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
 	t.link.Spend(now, t.site.share(req.gateways), a.charged)
 	return a
