--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -262,8 +262,8 @@
 		return a
 	}
 	a.roundTrip = t.link.Way(a.region)
-	a.charged = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
-	t.link.Spend(now, t.site.share(req.gateways), a.charged)
+	a.chargedBytes = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
+	t.link.Spend(now, t.site.share(req.gateways), a.chargedBytes)
 	return a
 }
 
@@ -279,7 +279,7 @@
 		p := t.pool(a.entry.Pool)
 		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.received)-p.expectedAnswer())
 	}
-	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.received)-a.charged)
+	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.received)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
