--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -275,11 +275,11 @@
 	}
 	t := g.table
 	t.mu.Lock()
-	if a.received > 0 {
+	if a.receivedBytes > 0 {
 		p := t.pool(a.entry.Pool)
-		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.received)-p.expectedAnswer())
+		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.receivedBytes)-p.expectedAnswer())
 	}
-	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.received)-a.chargedBytes)
+	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
@@ -287,7 +287,7 @@
 	}
 	count("requests", fmt.Sprintf("from=%q,to=%q,why=%q", from, to, a.leaveReason), 1)
 	count("bytes", fmt.Sprintf("from=%q,to=%q", from, to), sent)
-	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.received)
+	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.receivedBytes)
 }
 
 // observeWay learns the round trip to another region of a connection that was opened for an
