--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -47,7 +47,7 @@
 	}
 	a.answering = true
 	a.untilFirst = g.now() - a.startedAt
-	a.entry.own.Tokens -= a.tokens
+	a.entry.ownLoad.Tokens -= a.tokens
 	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
 	if !g.overload.Load().Late(g.now()) {
@@ -101,12 +101,12 @@
 	}
 	a.ended = true
 	k := a.entry
-	k.own.Requests--
+	k.ownLoad.Requests--
 	if !a.answering {
-		k.own.Tokens -= a.tokens
+		k.ownLoad.Tokens -= a.tokens
 	}
 	p := g.table.pool(k.Pool)
-	if k.own.Requests == 0 {
+	if k.ownLoad.Requests == 0 {
 		delete(p.busy, k)
 	}
 	// What reached nobody, or was refused, says nothing of whether the pool answers: while a server
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -219,7 +219,7 @@
 	req.prompt = place.Prompt{Own: 600, Shared: []place.Part{{Name: "a", Tokens: 500}, {Name: "b", Tokens: 4000}}}
 	for b.Loop() {
 		a, _ := t.acquire(t.now(), req)
-		a.entry.own = place.Work{}
+		a.entry.ownLoad = place.Work{}
 	}
 }
 
@@ -250,7 +250,7 @@
 					drawn++
 					req.random = float64(drawn%1000) / 1000 / lotParts
 					a, _ := t.acquire(t.now(), req)
-					a.entry.own = place.Work{}
+					a.entry.ownLoad = place.Work{}
 				}
 			})
 		}
@@ -305,7 +305,7 @@
 	t.update(m)
 	p := t.pool("engines")
 	for i := range 2 {
-		p.servers[i].own.Requests = 1
+		p.servers[i].ownLoad.Requests = 1
 		p.markBusy(p.servers[i])
 	}
 	seq := uint64(0)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -170,7 +170,7 @@
 // viewOf returns what is known of one server. The caller holds mu.
 func (t *table) viewOf(k *knownServer, now time.Duration, req *requirements, v viewing) place.Server {
 	return place.Server{
-		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.own, Others: k.others, OthersAge: now - t.othersAt,
+		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.others, OthersAge: now - t.othersAt,
 		Lately: k.lately.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		Lost: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
@@ -229,8 +229,8 @@
 // assign counts a request at the chosen backend server.
 func (p *pool) assign(now time.Duration, choice place.Choice, req *requirements, why string) *assignment {
 	k := p.servers[choice.Index]
-	k.own.Requests++
-	k.own.Tokens += choice.Read
+	k.ownLoad.Requests++
+	k.ownLoad.Tokens += choice.Read
 	p.markBusy(k)
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -324,7 +324,7 @@
 		}
 		is.Equal(x.g.Servers(), []string{"p0", "p1"})
 		x.servers.behaviours["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
-		x.g.table.servers["p1"].own.Requests = 1 // so that the other is asked
+		x.g.table.servers["p1"].ownLoad.Requests = 1 // so that the other is asked
 		for range 4 {
 			is.Equal(x.request("/again/x").status, 200)
 		}
@@ -387,8 +387,8 @@
 			is.Equal(s, 200)
 		}
 		for _, k := range x.g.table.servers {
-			is.Equal(k.own.Requests, 0) // every assignment came back
-			is.Equal(k.own.Tokens, 0)
+			is.Equal(k.ownLoad.Requests, 0) // every assignment came back
+			is.Equal(k.ownLoad.Tokens, 0)
 		}
 	}, answers(200, "a", 20*time.Millisecond), answers(200, "b", 20*time.Millisecond))
 }
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -79,9 +79,9 @@
 	var out []protocol.ServerLoad
 	for _, p := range t.pools {
 		for k := range p.busy {
-			if k.Handle != 0 && k.own.Requests > 0 {
+			if k.Handle != 0 && k.ownLoad.Requests > 0 {
 				out = append(out, protocol.ServerLoad{
-					Handle: k.Handle, Requests: uint32(k.own.Requests), Tokens: uint32(max(k.own.Tokens, 0)),
+					Handle: k.Handle, Requests: uint32(k.ownLoad.Requests), Tokens: uint32(max(k.ownLoad.Tokens, 0)),
 				})
 			}
 		}
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -103,9 +103,9 @@
 		}
 		table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{one.Server, two.Server}})
 		table.pool("engines").markBusy(one)
-		one.own = place.Work{Requests: 2, Tokens: 300}
+		one.ownLoad = place.Work{Requests: 2, Tokens: 300}
 		table.takeReport(1)
-		one.own = place.Work{Requests: 3, Tokens: 500}
+		one.ownLoad = place.Work{Requests: 3, Tokens: 500}
 		table.takeReport(2)
 		sum := protocol.ServerLoad{Handle: one.Handle, Requests: 10, Tokens: 4000}
 		is.Equal(others(1, sum), [2]place.Work{{Requests: 8, Tokens: 3700}, {}})
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -38,7 +38,7 @@
 		k := choose(thing)
 		is.Equal(choose(thing), k)
 		used[k.ID] = true
-		k.own = place.Work{}
+		k.ownLoad = place.Work{}
 	}
 	is.True(len(used) > 130) // 157 of 400 by lot
 	k := choose(7)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -25,7 +25,7 @@
 	health   outlier.FailureRate
 	doubt    outlier.Doubt
 	pace     place.Pace
-	own      place.Work // running there from this gateway; prompts count until their first event
+	ownLoad  place.Work // running there from this gateway; prompts count until their first event
 	all      place.Work // the same of all gateways, as the leader last sent it
 	others   place.Work // of all but this gateway, as of the table's othersAt
 	lately   place.Peak // of all
