--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -40,7 +40,7 @@
 		}
 	}
 	for _, k := range t.unequal {
-		k.others = k.all
+		k.othersLoad = k.all
 	}
 	t.othersAt, t.unequal = now, t.unequal[:0]
 	for _, r := range t.reports {
@@ -56,7 +56,7 @@
 func (t *table) subtract(own []protocol.ServerLoad) {
 	for _, l := range own {
 		if k := t.byHandle[l.Handle]; k != nil {
-			k.others = place.Work{
+			k.othersLoad = place.Work{
 				Requests: max(k.all.Requests-int(l.Requests), 0), Tokens: max(k.all.Tokens-int(l.Tokens), 0),
 			}
 			t.unequal = append(t.unequal, k)
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -99,7 +99,7 @@
 		one, two := table.servers["e0"], table.servers["e1"]
 		others := func(counted uint64, loads ...protocol.ServerLoad) [2]place.Work {
 			table.updateLoads(x.g.now(), counted, loads)
-			return [2]place.Work{one.others, two.others}
+			return [2]place.Work{one.othersLoad, two.othersLoad}
 		}
 		table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{one.Server, two.Server}})
 		table.pool("engines").markBusy(one)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -22,20 +22,20 @@
 // knownServer is one backend server as this gateway sees it.
 type knownServer struct {
 	protocol.Server
-	health   outlier.FailureRate
-	doubt    outlier.Doubt
-	pace     place.Pace
-	ownLoad  place.Work // running there from this gateway; prompts count until their first event
-	all      place.Work // the same of all gateways, as the leader last sent it
-	others   place.Work // of all but this gateway, as of the table's othersAt
-	lately   place.Peak // of all
-	cold     coldstart.Allowance
-	notice   backpressure.Notice // what it said of further requests
-	region   string              // of its hall; empty if no setting names it
-	versions versions            // its version, as the pool's rollout has it
-	list     uint64              // number of the last whole list that had it, itself or by a change since
-	unlisted bool                // a complete list of the directory lacked it
-	left     bool                // the pool
+	health     outlier.FailureRate
+	doubt      outlier.Doubt
+	pace       place.Pace
+	ownLoad    place.Work // running there from this gateway; prompts count until their first event
+	all        place.Work // the same of all gateways, as the leader last sent it
+	othersLoad place.Work // of all but this gateway, as of the table's othersAt
+	lately     place.Peak // of all
+	cold       coldstart.Allowance
+	notice     backpressure.Notice // what it said of further requests
+	region     string              // of its hall; empty if no setting names it
+	versions   versions            // its version, as the pool's rollout has it
+	list       uint64              // number of the last whole list that had it, itself or by a change since
+	unlisted   bool                // a complete list of the directory lacked it
+	left       bool                // the pool
 }
 
 type table struct {
