--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -34,13 +34,13 @@
 	defer t.mu.Unlock()
 	for _, l := range loads {
 		if k := t.byHandle[l.Handle]; k != nil {
-			k.all = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
-			k.lately = k.lately.With(now, k.all)
+			k.totalLoad = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
+			k.lately = k.lately.With(now, k.totalLoad)
 			t.unequal = append(t.unequal, k)
 		}
 	}
 	for _, k := range t.unequal {
-		k.othersLoad = k.all
+		k.othersLoad = k.totalLoad
 	}
 	t.othersAt, t.unequal = now, t.unequal[:0]
 	for _, r := range t.reports {
@@ -57,7 +57,7 @@
 	for _, l := range own {
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.othersLoad = place.Work{
-				Requests: max(k.all.Requests-int(l.Requests), 0), Tokens: max(k.all.Tokens-int(l.Tokens), 0),
+				Requests: max(k.totalLoad.Requests-int(l.Requests), 0), Tokens: max(k.totalLoad.Tokens-int(l.Tokens), 0),
 			}
 			t.unequal = append(t.unequal, k)
 		}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -26,7 +26,7 @@
 	doubt      outlier.Doubt
 	pace       place.Pace
 	ownLoad    place.Work // running there from this gateway; prompts count until their first event
-	all        place.Work // the same of all gateways, as the leader last sent it
+	totalLoad  place.Work // the same of all gateways, as the leader last sent it
 	othersLoad place.Work // of all but this gateway, as of the table's othersAt
 	lately     place.Peak // of all
 	cold       coldstart.Allowance
@@ -234,8 +234,8 @@
 	t.reports = nil
 	t.beginOutcomes()
 	for _, k := range t.servers {
-		if k.all != (place.Work{}) {
-			k.all = place.Work{}
+		if k.totalLoad != (place.Work{}) {
+			k.totalLoad = place.Work{}
 			t.unequal = append(t.unequal, k)
 		}
 	}
