--- a/coordination/entitlement/bench_test.go
+++ b/coordination/entitlement/bench_test.go
@@ -35,6 +35,6 @@
 			d.Add(m)
 		}
 		now += 100 * time.Millisecond
-		d.Settle(now, 330e6)
+		d.Recompute(now, 330e6)
 	}
 }
--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -77,10 +77,10 @@
 	return a
 }
 
-// Settle averages what was added since the last settlement and finds the
+// Recompute averages what was added since the last settlement and finds the
 // entitlements anew. capacity is the rate that the operator names, in tokens a
 // second; without one, 0, no account is limited. It costs O(n log n) for n accounts.
-func (d *Demand) Settle(now time.Duration, capacity float64) {
+func (d *Demand) Recompute(now time.Duration, capacity float64) {
 	elapsed, first := now-d.settled, d.settled == 0
 	if elapsed <= 0 {
 		return
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -21,7 +21,7 @@
 				d.Add(m)
 			}
 		}
-		d.Settle(d.settled+100*time.Millisecond, capacity)
+		d.Recompute(d.settled+100*time.Millisecond, capacity)
 	}
 }
 
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -197,7 +197,7 @@
 	}
 	f.leader.SetBusy(min(f.taken/(f.made*settleTime.Seconds()), 1)) // so many of the engines run something
 	f.taken = 0
-	f.leader.Settle(f.now, named)
+	f.leader.Recompute(f.now, named)
 	f.lists = append(f.lists, sentList{
 		f.now + listDelay, f.leader.Entitlements(), f.leader.Short(), f.leader.Most(), f.leader.Known(),
 	})
--- a/coordination/entitlement/late_test.go
+++ b/coordination/entitlement/late_test.go
@@ -134,7 +134,7 @@
 	if m.now%(100*time.Millisecond) != 0 {
 		return
 	}
-	m.demand.Settle(m.now, modelShare*(float64(m.floods)+0.2))
+	m.demand.Recompute(m.now, modelShare*(float64(m.floods)+0.2))
 	for _, g := range m.gateways {
 		g.Update(m.now, m.demand.Entitlements(), m.demand.Late(), m.demand.Short())
 	}
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -262,7 +262,7 @@
 		m.leader.Add(u)
 		clear(m.usage[g])
 	}
-	m.leader.Settle(now, sideNamed)
+	m.leader.Recompute(now, sideNamed)
 	for _, c := range m.classes {
 		if m.leader.Known() {
 			c.Update(now, m.leader.Entitlements(), nil, m.leader.Short())
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -66,7 +66,7 @@
 		if m.now%shareSettle == 0 {
 			m.leader.Add(m.report)
 			m.report = protocol.Usage{}
-			m.leader.Settle(m.now, shareRate)
+			m.leader.Recompute(m.now, shareRate)
 			if m.leader.Known() {
 				m.classifier.Update(m.now, m.leader.Entitlements(), m.leader.Late(), true)
 			}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -155,7 +155,7 @@
 		}
 		l.usage.sum()
 		l.usage.demand.SetBusy(l.registry.Busy(l.usage.total, func(pool, _ string) string { return pool }))
-		l.usage.demand.Settle(l.now, 5e6)
+		l.usage.demand.Recompute(l.now, 5e6)
 		if _, err := protocol.Encode(protocol.Fleet{
 			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.BudgetOf(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
 			Entitlements: l.usage.demand.Entitlements(),
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -20,7 +20,7 @@
 	now := h.d.replica.Now()
 	h.usage.sum()
 	h.usage.demand.SetBusy(h.registry.Busy(h.usage.total, h.engineGroup(held.Document)))
-	h.usage.demand.Settle(now, held.Document.Limits.TokensPerSecond)
+	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
 	if now < h.fleetDue || len(h.sessions) == 0 {
 		return
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -25,7 +25,7 @@
 				u.add(s, steady)
 			}
 			now += 100 * time.Millisecond
-			u.demand.Settle(now, 10000)
+			u.demand.Recompute(now, 10000)
 		}
 	}
 	settleFor(2*time.Second, old)
