--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -104,7 +104,7 @@
 		extra  float64 // of what big demands
 	}{{0.12, 0, 1}, {0.3, 0, (16667 - 500.0) / 2 / 15000}, {0.9, 0, (12500 - 500.0) / 2 / 15000}, {0, 0, (12500 - 500.0) / 2 / 15000}, {0.12, 100, (10000 - 500.0) / 2 / 15000}} {
 		d := NewDemand()
-		d.SetBusy(tt.busy)
+		d.SetBusyFraction(tt.busy)
 		settleFor(d, time.Second, 10000, reports(tt.missed))
 		is.True(d.Known())
 		is.True(math.Abs(float64(d.Entitlements()[0].Extra)-tt.extra) < 0.02)
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -195,7 +195,7 @@
 		clear(g.demanded)
 		clear(g.served)
 	}
-	f.leader.SetBusy(min(f.taken/(f.made*settleTime.Seconds()), 1)) // so many of the engines run something
+	f.leader.SetBusyFraction(min(f.taken/(f.made*settleTime.Seconds()), 1)) // so many of the engines run something
 	f.taken = 0
 	f.leader.Recompute(f.now, named)
 	f.lists = append(f.lists, sentList{
--- a/coordination/entitlement/makes.go
+++ b/coordination/entitlement/makes.go
@@ -16,8 +16,8 @@
 // idleUsed is how much of the time of engines that run nothing is counted on: some of them may be off.
 const idleUsed = 0.5
 
-// SetBusy takes which part of the engines run something, of those that are the busiest; 0 is not known.
-func (d *Demand) SetBusy(part float64) { d.busy = part }
+// SetBusyFraction takes which part of the engines run something, of those that are the busiest; 0 is not known.
+func (d *Demand) SetBusyFraction(part float64) { d.busy = part }
 
 // idle reports whether most engines run nothing.
 func (d *Demand) idle() bool { return d.busy > 0 && idleUsed/d.busy > probe }
