--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -192,10 +192,10 @@
 // is behind must be made up for, and nobody may get twice what another gets. Chosen.
 const mostLevels = 1.25
 
-// Most returns what one account may be given, in tokens a second: somewhat more than the
+// MaxAccountRate returns what one account may be given, in tokens a second: somewhat more than the
 // higher level, and what nobody demands. It is 0 before anything is known and where the
 // operator names no rate.
-func (d *Demand) Most() float64 { return d.most }
+func (d *Demand) MaxAccountRate() float64 { return d.most }
 
 // Known reports whether the averages hold enough to decide by. A new leader's do not at
 // first, and the list of the one before is better than none.
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -131,8 +131,8 @@
 	report := protocol.Usage{Demands: []protocol.Demand{{Account: "big", Tokens: 3000}}}
 	settleFor(d, 300*time.Millisecond, 10000, report) // two settlements after the first
 	is.True(!d.Known())
-	is.Equal(d.Most(), 0.0)
+	is.Equal(d.MaxAccountRate(), 0.0)
 	settleFor(d, 200*time.Millisecond, 10000, report)
 	is.True(d.Known())
-	is.True(d.Most() > 0)
+	is.True(d.MaxAccountRate() > 0)
 }
