--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -84,11 +84,11 @@
 	}
 }
 
-// SetMost bounds what this gateway alone may give to one account, in tokens a second: what
+// SetMaxAccountRate bounds what this gateway alone may give to one account, in tokens a second: what
 // the whole fleet may give it. It holds until the next call, also while no list
 // comes: an account whose callers meet at one gateway is bounded there however late the
 // leader knows of its flood, or this gateway of the leader. 0 does not bound.
-func (c *Classifier) SetMost(rate float64) { c.most = rate }
+func (c *Classifier) SetMaxAccountRate(rate float64) { c.most = rate }
 
 // mostNow is the bound now. Without news of the leader it is less: other gateways may
 // give the account as much, and nobody adds that up.
--- a/coordination/entitlement/class_test.go
+++ b/coordination/entitlement/class_test.go
@@ -55,7 +55,7 @@
 func TestOneGatewayGivesNoMore(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
-	c.SetMost(1000)
+	c.SetMaxAccountRate(1000)
 	c.Update(time.Second, nil, nil, false)
 	given := func(from, to time.Duration) (tokens float64) {
 		for now := from; now < to; now += 10 * time.Millisecond {
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -165,7 +165,7 @@
 		for _, g := range f.gateways {
 			if f.lists[0].known && g.behind <= patience {
 				g.classifier.Update(f.now, f.lists[0].list, nil, f.lists[0].short)
-				g.classifier.SetMost(f.lists[0].most)
+				g.classifier.SetMaxAccountRate(f.lists[0].most)
 			}
 		}
 		f.lists = f.lists[1:]
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -266,7 +266,7 @@
 	for _, c := range m.classes {
 		if m.leader.Known() {
 			c.Update(now, m.leader.Entitlements(), nil, m.leader.Short())
-			c.SetMost(m.leader.MaxAccountRate())
+			c.SetMaxAccountRate(m.leader.MaxAccountRate())
 		}
 	}
 }
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -109,7 +109,7 @@
 func (a *accounts) setMost(rate float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.classifier.SetMost(rate)
+	a.classifier.SetMaxAccountRate(rate)
 }
 
 // entitlement returns an account's entry in the fleet's list, and the list's age, for
