--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -119,17 +119,17 @@
 	d.level = Level(rates, capacity)
 	makes := max(capacity, d.makes())
 	d.extra = Level(rates, makes)
-	if d.Known() && d.balanced() {
+	if d.Ready() && d.balanced() {
 		d.hold = d.hold.settle(elapsed, d.leastGiven(), d.level)
 		d.extra = max(d.level, d.hold.bound(d.extra))
 	}
-	if d.Known() {
+	if d.Ready() {
 		d.most = mostLevels*d.extra + max(makes-covered(rates, d.extra), 0)
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.accounts)) {
 		a := d.accounts[name]
 		demand := a.demand.average
-		if d.Known() {
+		if d.Ready() {
 			a.balance = a.balance.settle(elapsed, min(demand, d.extra), a.given.average)
 			a.lack = a.lack.settle(elapsed, min(demand+a.unread.average, d.extra), a.given.average)
 		}
@@ -197,9 +197,9 @@
 // operator names no rate.
 func (d *Demand) MaxAccountRate() float64 { return d.most }
 
-// Known reports whether the averages hold enough to decide by. A new leader's do not at
+// Ready reports whether the averages hold enough to decide by. A new leader's do not at
 // first, and the list of the one before is better than none.
-func (d *Demand) Known() bool { return d.weights.full() }
+func (d *Demand) Ready() bool { return d.weights.full() }
 
 // shortPart is the part of what is made that may be missed within shares
 // before no request beyond them is served.
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -106,7 +106,7 @@
 		d := NewDemand()
 		d.SetBusyFraction(tt.busy)
 		settleFor(d, time.Second, 10000, reports(tt.missed))
-		is.True(d.Known())
+		is.True(d.Ready())
 		is.True(math.Abs(float64(d.Entitlements()[0].Extra)-tt.extra) < 0.02)
 	}
 }
@@ -130,9 +130,9 @@
 	d := NewDemand()
 	report := protocol.Usage{Demands: []protocol.Demand{{Account: "big", Tokens: 3000}}}
 	settleFor(d, 300*time.Millisecond, 10000, report) // two settlements after the first
-	is.True(!d.Known())
+	is.True(!d.Ready())
 	is.Equal(d.MaxAccountRate(), 0.0)
 	settleFor(d, 200*time.Millisecond, 10000, report)
-	is.True(d.Known())
+	is.True(d.Ready())
 	is.True(d.MaxAccountRate() > 0)
 }
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -264,7 +264,7 @@
 	}
 	m.leader.Recompute(now, sideNamed)
 	for _, c := range m.classes {
-		if m.leader.Known() {
+		if m.leader.Ready() {
 			c.Update(now, m.leader.Entitlements(), nil, m.leader.Short())
 			c.SetMaxAccountRate(m.leader.MaxAccountRate())
 		}
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -67,7 +67,7 @@
 			m.leader.Add(m.report)
 			m.report = protocol.Usage{}
 			m.leader.Recompute(m.now, shareRate)
-			if m.leader.Known() {
+			if m.leader.Ready() {
 				m.classifier.Update(m.now, m.leader.Entitlements(), m.leader.Late(), true)
 			}
 		}
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -67,7 +67,7 @@
 	demand := h.usage.demand
 	return protocol.Fleet{
 		Gateways: len(h.gateways()), Loads: loads, Entitlements: demand.Entitlements(), Late: demand.Late(),
-		Members: h.leadership.Load().voters, Short: demand.Short(), Unknown: !demand.Known(), Most: demand.MaxAccountRate(),
+		Members: h.leadership.Load().voters, Short: demand.Short(), Unknown: !demand.Ready(), Most: demand.MaxAccountRate(),
 	}
 }
 
