--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -205,12 +205,12 @@
 // before no request beyond them is served.
 const shortPart = 0.02
 
-// Short reports whether what is beyond every share must wait: because requests within
+// Contended reports whether what is beyond every share must wait: because requests within
 // their shares find no room, or because several accounts demand more than theirs. What the
 // engines make beyond the shares would else go to the account with the most callers: one was
 // given seven times what another one got, in a second in which both waited
 // (docs/incidents/fair-kmo-mapa-grown.md). Requests beyond every share must not count as
 // missed: they would keep themselves out.
-func (d *Demand) Short() bool {
+func (d *Demand) Contended() bool {
 	return len(d.entitlements) > 1 || d.missed.average > shortPart*d.started.average
 }
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -43,7 +43,7 @@
 	is.Equal(len(parts), 1) // the others are covered whole
 	is.True(near(parts["big"].Part, 5000.0/15000))
 	is.True(near(parts["big"].Extra, (probe*15000-5000)/15000)) // of 15000 made, and a little more
-	is.True(!d.Short())
+	is.True(!d.Contended())
 }
 
 // TestFloodIsKnownSoon: a new leader's averages begin at nothing, and an account
@@ -65,9 +65,9 @@
 	is := is.New(t)
 	d := NewDemand()
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 10})
-	is.True(!d.Short())
+	is.True(!d.Contended())
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 60})
-	is.True(d.Short())
+	is.True(d.Contended())
 }
 
 // TestExtraFallsWithWhatIsMissed: the more is missed within shares, the less
@@ -118,10 +118,10 @@
 	big := protocol.Demand{Account: "big", Tokens: 2000}
 	d := NewDemand()
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Demands: []protocol.Demand{big}, Started: 1000})
-	is.True(!d.Short())
+	is.True(!d.Contended())
 	second := protocol.Demand{Account: "second", Tokens: 2000}
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Demands: []protocol.Demand{big, second}, Started: 1000})
-	is.True(d.Short())
+	is.True(d.Contended())
 }
 
 // TestNewLeaderKnowsNothing: its averages must hold 300 ms before they decide anything.
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -199,7 +199,7 @@
 	f.taken = 0
 	f.leader.Recompute(f.now, named)
 	f.lists = append(f.lists, sentList{
-		f.now + listDelay, f.leader.Entitlements(), f.leader.Short(), f.leader.MaxAccountRate(), f.leader.Ready(),
+		f.now + listDelay, f.leader.Entitlements(), f.leader.Contended(), f.leader.MaxAccountRate(), f.leader.Ready(),
 	})
 }
 
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -265,7 +265,7 @@
 	m.leader.Recompute(now, sideNamed)
 	for _, c := range m.classes {
 		if m.leader.Ready() {
-			c.Update(now, m.leader.Entitlements(), nil, m.leader.Short())
+			c.Update(now, m.leader.Entitlements(), nil, m.leader.Contended())
 			c.SetMaxAccountRate(m.leader.MaxAccountRate())
 		}
 	}
