--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -184,9 +184,9 @@
 // order of their names. The caller must not change them.
 func (d *Demand) Entitlements() []protocol.Entitlement { return d.entitlements }
 
-// Late returns the parts of what comes back late, for some of the same accounts. The
+// LateEntitlements returns the parts of what comes back late, for some of the same accounts. The
 // caller must not change them.
-func (d *Demand) Late() []protocol.Entitlement { return d.late }
+func (d *Demand) LateEntitlements() []protocol.Entitlement { return d.late }
 
 // mostLevels is how many times the level one account may be given at one gateway: what it
 // is behind must be made up for, and nobody may get twice what another gets. Chosen.
--- a/coordination/entitlement/late_test.go
+++ b/coordination/entitlement/late_test.go
@@ -136,7 +136,7 @@
 	}
 	m.demand.Recompute(m.now, modelShare*(float64(m.floods)+0.2))
 	for _, g := range m.gateways {
-		g.Update(m.now, m.demand.Entitlements(), m.demand.Late(), m.demand.Contended())
+		g.Update(m.now, m.demand.Entitlements(), m.demand.LateEntitlements(), m.demand.Contended())
 	}
 }
 
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -68,7 +68,7 @@
 			m.report = protocol.Usage{}
 			m.leader.Recompute(m.now, shareRate)
 			if m.leader.Ready() {
-				m.classifier.Update(m.now, m.leader.Entitlements(), m.leader.Late(), true)
+				m.classifier.Update(m.now, m.leader.Entitlements(), m.leader.LateEntitlements(), true)
 			}
 		}
 	}
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -66,7 +66,7 @@
 func (h *hub) fleetMessage(loads []protocol.ServerLoad) protocol.Fleet {
 	demand := h.usage.demand
 	return protocol.Fleet{
-		Gateways: len(h.gateways()), Loads: loads, Entitlements: demand.Entitlements(), Late: demand.Late(),
+		Gateways: len(h.gateways()), Loads: loads, Entitlements: demand.Entitlements(), Late: demand.LateEntitlements(),
 		Members: h.leadership.Load().voters, Short: demand.Contended(), Unknown: !demand.Ready(), Most: demand.MaxAccountRate(),
 	}
 }
