--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -99,8 +99,8 @@
 	return c.most
 }
 
-// Started counts a request that gets its first backend server.
-func (c *Classifier) Started(now time.Duration, account string, cost float64) {
+// RecordStart counts a request that gets its first backend server.
+func (c *Classifier) RecordStart(now time.Duration, account string, cost float64) {
 	if most := c.mostNow(now); most > 0 {
 		c.given[account] = c.given[account].take(now, most, cost)
 	}
--- a/coordination/entitlement/class_test.go
+++ b/coordination/entitlement/class_test.go
@@ -60,7 +60,7 @@
 	given := func(from, to time.Duration) (tokens float64) {
 		for now := from; now < to; now += 10 * time.Millisecond {
 			if class := c.Classify(now, "a", 100, false); c.Admits(now, "a", class) {
-				c.Started(now, "a", 100)
+				c.RecordStart(now, "a", 100)
 				tokens += 100
 			}
 		}
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -287,7 +287,7 @@
 	f.taken += t.cost
 	g.relays += serveTime
 	g.served[t.account.name] += uint64(t.cost)
-	g.classifier.Started(f.now, t.account.name, t.cost)
+	g.classifier.RecordStart(f.now, t.account.name, t.cost)
 	f.second(t.account).got += t.cost
 }
 
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -179,7 +179,7 @@
 	u := m.usage[w.gateway][w.account]
 	u[1] += sideShared + sideOwn
 	m.usage[w.gateway][w.account] = u
-	m.classes[w.gateway].Started(now, w.account, sideShared+sideOwn)
+	m.classes[w.gateway].RecordStart(now, w.account, sideShared+sideOwn)
 	m.second(now, w.account).got++
 }
 
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -66,7 +66,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.served.Add(a.now(), account, cost)
-	a.classifier.Started(a.now(), account, cost)
+	a.classifier.RecordStart(a.now(), account, cost)
 	a.began[account] += int64(cost)
 }
 
