--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -111,9 +111,9 @@
 	return c.updated != 0 && now-c.updated <= staleAfter
 }
 
-// Covers reports whether a fresh list shows that the account demands no more than its
+// WithinShare reports whether a fresh list shows that the account demands no more than its
 // share.
-func (c *Classifier) Covers(now time.Duration, account string) bool {
+func (c *Classifier) WithinShare(now time.Duration, account string) bool {
 	_, listed := c.listed[account]
 	return c.fresh(now) && !listed
 }
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -51,7 +51,7 @@
 func (a *accounts) covers(account string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.classifier.Covers(a.now(), account)
+	return a.classifier.WithinShare(a.now(), account)
 }
 
 // admits reports whether a request of that account and class may be served now.
