--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -26,13 +26,13 @@
 // String returns the class's name, as log lines carry it.
 func (c Class) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[c] }
 
-// Misses reports whether a request of a class that is refused without a backend server counts as
+// CountsAsMissed reports whether a request of a class that is refused without a backend server counts as
 // missed: what is within the shares of the named rate always does, and what is within those of what
 // the engines make beyond it (Extra) only if the gateway lacked something. Extra begins where an
 // engine has next to nothing to read, so that it often finds no room: counted, it would hold the
 // levels near the named rate, and engines idle. What a gateway lacks shows in no other gateway, and
 // must not let others run away. What is beyond every share would keep itself out.
-func Misses(c Class, gatewayLacks bool) bool {
+func CountsAsMissed(c Class, gatewayLacks bool) bool {
 	return c <= Entitled || (c == Extra && gatewayLacks)
 }
 
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -277,7 +277,7 @@
 	room := f.busy <= roomParts[class]*objective.Seconds()*f.made
 	admits := g.detector.Admits(class)
 	if !admits || !g.classifier.Admits(f.now, t.account.name, class) || !room {
-		if entitlement.Misses(class, !admits) {
+		if entitlement.CountsAsMissed(class, !admits) {
 			g.report.Missed += uint64(t.cost)
 		}
 		f.refused(t, 100*time.Millisecond)
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -82,7 +82,7 @@
 // countMissed counts a request that got no backend server: it found no room on engines, or, if the
 // gateway lacks something, its processor, its memory or its time until a stop.
 func (a *accounts) countMissed(c entitlement.Class, cost float64, gatewayLacks bool) {
-	if !entitlement.Misses(c, gatewayLacks) {
+	if !entitlement.CountsAsMissed(c, gatewayLacks) {
 		return
 	}
 	a.mu.Lock()
