--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -145,10 +145,10 @@
 // classOf marks the parts of an entitlement.
 func classOf(e protocol.Entitlement, cost float64, entitled, extra *Marker) Class {
 	part := float64(e.Part)
-	if entitled.Entitled(part, cost) {
+	if entitled.Mark(part, cost) {
 		return Entitled
 	}
-	if extra.Entitled((float64(e.Extra)-part)/(1-part), cost) { // of what the first level leaves
+	if extra.Mark((float64(e.Extra)-part)/(1-part), cost) { // of what the first level leaves
 		return Extra
 	}
 	return Beyond
--- a/coordination/entitlement/marker.go
+++ b/coordination/entitlement/marker.go
@@ -19,8 +19,8 @@
 // largestMemory is the part of the largest cost that is left after a request: half after 34.
 const largestMemory = 0.98
 
-// Entitled reports whether a request of that cost is within the part.
-func (m *Marker) Entitled(part, cost float64) bool {
+// Mark reports whether a request of that cost is within the part.
+func (m *Marker) Mark(part, cost float64) bool {
 	if part >= 1 {
 		m.credit = 0
 		return true
--- a/coordination/entitlement/marker_test.go
+++ b/coordination/entitlement/marker_test.go
@@ -22,7 +22,7 @@
 		entitled, all := 0.0, 0.0
 		for _, c := range costs {
 			all += c
-			if m.Entitled(part, c) {
+			if m.Mark(part, c) {
 				entitled += c
 			}
 		}
@@ -36,7 +36,7 @@
 	is := is.New(t)
 	var m Marker
 	for range 10 {
-		is.True(m.Entitled(1, 5))
+		is.True(m.Mark(1, 5))
 	}
-	is.True(!m.Entitled(0.1, 5)) // no credit was saved up meanwhile
+	is.True(!m.Mark(0.1, 5)) // no credit was saved up meanwhile
 }
