--- a/coordination/entitlement/doc.go
+++ b/coordination/entitlement/doc.go
@@ -8,7 +8,7 @@
 // level over it ([Level]) and sends the part of each account that demands more
 // to all gateways; each gateway marks that part of the requests that arrive
 // there ([Classifier], [Marker]), without knowing where the rest arrive, and
-// orders what has to wait ([Served]). Package share is the other way, for boxes
+// orders what has to wait ([RecentService]). Package share is the other way, for boxes
 // that hold slots under a lease.
 //
 // The promise: over any six seconds no account that waits all through is given
--- a/coordination/entitlement/served.go
+++ b/coordination/entitlement/served.go
@@ -14,9 +14,9 @@
 // servedMemory is the time constant with which service is forgotten.
 const servedMemory = 4 * time.Second
 
-// Served holds for each account a decaying sum of the tokens that it was
+// RecentService holds for each account a decaying sum of the tokens that it was
 // served. An account that is not in it was served nothing.
-type Served map[string]servedSum
+type RecentService map[string]servedSum
 
 type servedSum struct {
 	tokens float64
@@ -24,11 +24,11 @@
 }
 
 // Add counts tokens that an account is served from now on.
-func (s Served) Add(now time.Duration, account string, tokens float64) {
+func (s RecentService) Add(now time.Duration, account string, tokens float64) {
 	s[account] = servedSum{tokens: s.recent(now, account) + tokens, at: now}
 }
 
-func (s Served) recent(now time.Duration, account string) float64 {
+func (s RecentService) recent(now time.Duration, account string) float64 {
 	sum := s[account]
 	return sum.tokens * math.Exp(-float64(now-sum.at)/float64(servedMemory))
 }
@@ -42,7 +42,7 @@
 
 // Compare orders waiting requests: by class, then by priority, then the account
 // that was served least lately. Equal requests go in the order of their arrival.
-func (s Served) Compare(now time.Duration, a, b Waiting) int {
+func (s RecentService) Compare(now time.Duration, a, b Waiting) int {
 	if c := cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Priority, b.Priority)); c != 0 {
 		return c
 	}
--- a/coordination/entitlement/served_test.go
+++ b/coordination/entitlement/served_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestOrderOfWaiting(t *testing.T) {
-	served := Served{}
+	served := RecentService{}
 	served.Add(time.Second, "busy", 1000)
 	for _, tt := range []struct {
 		name          string
@@ -34,7 +34,7 @@
 
 func TestServiceIsForgotten(t *testing.T) {
 	is := is.New(t)
-	served := Served{}
+	served := RecentService{}
 	served.Add(time.Second, "a", 1000)
 	served.Add(time.Second+servedMemory, "a", 500)
 	is.True(math.Abs(served.recent(time.Second+servedMemory, "a")-(1000/math.E+500)) < 1e-6)
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -20,7 +20,7 @@
 
 	mu         sync.Mutex // a leaf; guards all below
 	classifier *entitlement.Classifier
-	served     entitlement.Served
+	served     entitlement.RecentService
 	// Tokens since the last report.
 	demanded map[string]uint64 // by account
 	late     map[string]uint64 // the part of it that came back late
@@ -30,7 +30,7 @@
 
 func newAccounts(now func() time.Duration) *accounts {
 	return &accounts{
-		now: now, classifier: entitlement.NewClassifier(), served: entitlement.Served{}, demanded: map[string]uint64{},
+		now: now, classifier: entitlement.NewClassifier(), served: entitlement.RecentService{}, demanded: map[string]uint64{},
 		late: map[string]uint64{}, began: map[string]int64{},
 	}
 }
