--- a/coordination/entitlement/served.go
+++ b/coordination/entitlement/served.go
@@ -33,8 +33,8 @@
 	return sum.tokens * math.Exp(-float64(now-sum.at)/float64(servedMemory))
 }
 
-// Waiting is what decides the place of a waiting request.
-type Waiting struct {
+// WaitingRequest is what decides the place of a waiting request.
+type WaitingRequest struct {
 	Class    Class
 	Priority int // by [Priority]
 	Account  string
@@ -42,7 +42,7 @@
 
 // Compare orders waiting requests: by class, then by priority, then the account
 // that was served least lately. Equal requests go in the order of their arrival.
-func (s RecentService) Compare(now time.Duration, a, b Waiting) int {
+func (s RecentService) Compare(now time.Duration, a, b WaitingRequest) int {
 	if c := cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Priority, b.Priority)); c != 0 {
 		return c
 	}
--- a/coordination/entitlement/served_test.go
+++ b/coordination/entitlement/served_test.go
@@ -15,13 +15,13 @@
 	served.Add(time.Second, "busy", 1000)
 	for _, tt := range []struct {
 		name          string
-		first, second Waiting
+		first, second WaitingRequest
 	}{
-		{"within the share before beyond the named one", Waiting{Class: Entitled, Priority: 9}, Waiting{Class: Extra}},
-		{"beyond the named share before beyond every one", Waiting{Class: Extra, Priority: 9}, Waiting{Class: Beyond}},
-		{"priority", Waiting{Priority: 1, Account: "busy"}, Waiting{Priority: 2, Account: "idle"}},
-		{"the account's priority before the route's", Waiting{Priority: Priority(1, 9)}, Waiting{Priority: Priority(2, 0)}},
-		{"the account that was served least", Waiting{Account: "idle"}, Waiting{Account: "busy"}},
+		{"within the share before beyond the named one", WaitingRequest{Class: Entitled, Priority: 9}, WaitingRequest{Class: Extra}},
+		{"beyond the named share before beyond every one", WaitingRequest{Class: Extra, Priority: 9}, WaitingRequest{Class: Beyond}},
+		{"priority", WaitingRequest{Priority: 1, Account: "busy"}, WaitingRequest{Priority: 2, Account: "idle"}},
+		{"the account's priority before the route's", WaitingRequest{Priority: Priority(1, 9)}, WaitingRequest{Priority: Priority(2, 0)}},
+		{"the account that was served least", WaitingRequest{Account: "idle"}, WaitingRequest{Account: "busy"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -91,7 +91,7 @@
 }
 
 // compareWaiting orders waiting requests.
-func (a *accounts) compareWaiting(x, y entitlement.Waiting) int {
+func (a *accounts) compareWaiting(x, y entitlement.WaitingRequest) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.served.Compare(a.now(), x, y)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -18,7 +18,7 @@
 
 // requirements are what the choice of a backend server depends on.
 type requirements struct {
-	entitlement.Waiting
+	entitlement.WaitingRequest
 	pool       document.Pool
 	route      document.Route
 	prompt     place.Prompt
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -82,7 +82,7 @@
 // holds table.mu.
 func (g *Gateway) outranked(p *pool, req requirements) bool {
 	return slices.ContainsFunc(p.waiting, func(o *waiter) bool {
-		return g.accounts.compareWaiting(o.Waiting, req.Waiting) <= 0
+		return g.accounts.compareWaiting(o.WaitingRequest, req.WaitingRequest) <= 0
 	})
 }
 
@@ -93,7 +93,7 @@
 		return
 	}
 	slices.SortStableFunc(p.waiting, func(a, b *waiter) int {
-		return cmp.Or(g.accounts.compareWaiting(a.Waiting, b.Waiting), cmp.Compare(a.seq, b.seq))
+		return cmp.Or(g.accounts.compareWaiting(a.WaitingRequest, b.WaitingRequest), cmp.Compare(a.seq, b.seq))
 	})
 	now := g.now()
 	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -15,7 +15,7 @@
 // [callerLeft].
 func (c *call) takeServer(ctx context.Context) (*assignment, error) {
 	req := requirements{
-		Waiting: entitlement.Waiting{
+		WaitingRequest: entitlement.WaitingRequest{
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
 		},
 		pool: c.pool, route: c.route, prompt: c.head.Prompt,
