--- a/coordination/entitlement/balance_test.go
+++ b/coordination/entitlement/balance_test.go
@@ -18,7 +18,7 @@
 	is := is.New(t)
 	demands := []protocol.Demand{{Account: "even", Tokens: 2000}, {Account: "short", Tokens: 2000}}
 	parts := func(served ...protocol.Demand) (even, short protocol.Entitlement) {
-		d := NewDemand()
+		d := NewDemandEstimator()
 		settleFor(d, 10*time.Second, 10000, protocol.Usage{Demands: demands, Served: served, Started: 1500})
 		is.Equal(len(d.Entitlements()), 2)
 		return d.Entitlements()[0], d.Entitlements()[1]
@@ -36,7 +36,7 @@
 // once all that it asks when that is no more than a share.
 func TestBalanceTakesBack(t *testing.T) {
 	is := is.New(t)
-	d := NewDemand()
+	d := NewDemandEstimator()
 	report := func(demand, served uint64) protocol.Usage {
 		return protocol.Usage{
 			Demands: []protocol.Demand{{Account: "big", Tokens: demand}, {Account: "other", Tokens: 3000}},
--- a/coordination/entitlement/bench_test.go
+++ b/coordination/entitlement/bench_test.go
@@ -29,7 +29,7 @@
 			reports[i].Started += min(tokens, 2500)
 		}
 	}
-	d, now := NewDemand(), time.Second
+	d, now := NewDemandEstimator(), time.Second
 	for b.Loop() {
 		for _, m := range reports {
 			d.Add(m)
--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -43,8 +43,8 @@
 	lack    balance // the same with unread in what is due
 }
 
-// NewDemand returns an estimate without any account.
-func NewDemand() *Demand { return &Demand{accounts: map[string]*account{}} }
+// NewDemandEstimator returns an estimate without any account.
+func NewDemandEstimator() *Demand { return &Demand{accounts: map[string]*account{}} }
 
 // Add counts what a gateway reports for the time since its previous report.
 func (d *Demand) Add(m protocol.Usage) {
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -29,7 +29,7 @@
 // named, while the engines make half as much again.
 func TestEntitlements(t *testing.T) {
 	is := is.New(t)
-	d := NewDemand()
+	d := NewDemandEstimator()
 	reports := []protocol.Usage{
 		{Demands: []protocol.Demand{{Account: "big", Tokens: 1000}, {Account: "small", Tokens: 50}}, Started: 750},
 		{Demands: []protocol.Demand{{Account: "big", Tokens: 500}, {Account: "middle", Tokens: 450}}, Started: 750},
@@ -50,7 +50,7 @@
 // that asks for three times its share is still known after 400 ms.
 func TestFloodIsKnownSoon(t *testing.T) {
 	is := is.New(t)
-	d := NewDemand()
+	d := NewDemandEstimator()
 	report := protocol.Usage{
 		Demands: []protocol.Demand{{Account: "big", Tokens: 3000}, {Account: "small", Tokens: 50}},
 		Served:  []protocol.Demand{{Account: "big", Tokens: 950}, {Account: "small", Tokens: 50}}, Started: 1000,
@@ -63,7 +63,7 @@
 
 func TestShortWhenSharesAreMissed(t *testing.T) {
 	is := is.New(t)
-	d := NewDemand()
+	d := NewDemandEstimator()
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 10})
 	is.True(!d.Contended())
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 60})
@@ -78,7 +78,7 @@
 		missed uint64 // each 100 ms
 		extra  float64
 	}{{0, probe * 15000 / 40000}, {100, 12000.0 / 40000}, {400, 10000.0 / 40000}} {
-		d := NewDemand()
+		d := NewDemandEstimator()
 		settleFor(d, 10*time.Second, 10000, protocol.Usage{
 			Demands: []protocol.Demand{{Account: "big", Tokens: 4000}}, Started: 1500, Missed: tt.missed,
 		})
@@ -103,7 +103,7 @@
 		missed uint64
 		extra  float64 // of what big demands
 	}{{0.12, 0, 1}, {0.3, 0, (16667 - 500.0) / 2 / 15000}, {0.9, 0, (12500 - 500.0) / 2 / 15000}, {0, 0, (12500 - 500.0) / 2 / 15000}, {0.12, 100, (10000 - 500.0) / 2 / 15000}} {
-		d := NewDemand()
+		d := NewDemandEstimator()
 		d.SetBusyFraction(tt.busy)
 		settleFor(d, time.Second, 10000, reports(tt.missed))
 		is.True(d.Ready())
@@ -116,7 +116,7 @@
 func TestSeveralWaitForTheRest(t *testing.T) {
 	is := is.New(t)
 	big := protocol.Demand{Account: "big", Tokens: 2000}
-	d := NewDemand()
+	d := NewDemandEstimator()
 	settleFor(d, 5*time.Second, 10000, protocol.Usage{Demands: []protocol.Demand{big}, Started: 1000})
 	is.True(!d.Contended())
 	second := protocol.Demand{Account: "second", Tokens: 2000}
@@ -127,7 +127,7 @@
 // TestNewLeaderKnowsNothing: its averages must hold 300 ms before they decide anything.
 func TestNewLeaderKnowsNothing(t *testing.T) {
 	is := is.New(t)
-	d := NewDemand()
+	d := NewDemandEstimator()
 	report := protocol.Usage{Demands: []protocol.Demand{{Account: "big", Tokens: 3000}}}
 	settleFor(d, 300*time.Millisecond, 10000, report) // two settlements after the first
 	is.True(!d.Ready())
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -122,7 +122,7 @@
 
 func newFleet(seed uint64, gateways int, accounts []*modelAccount) *fleet {
 	f := &fleet{
-		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, accounts: accounts, leader: entitlement.NewDemand(),
+		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, accounts: accounts, leader: entitlement.NewDemandEstimator(),
 		seconds: map[string][]window{}, made: made,
 	}
 	for range gateways {
@@ -175,7 +175,7 @@
 // settle sends all reports to the leader, and its list on the way.
 func (f *fleet) settle() {
 	for len(f.changes) > 0 && f.changes[0] <= f.now {
-		f.leader = entitlement.NewDemand()
+		f.leader = entitlement.NewDemandEstimator()
 		f.changes = f.changes[1:]
 	}
 	for _, g := range f.gateways {
--- a/coordination/entitlement/hold_test.go
+++ b/coordination/entitlement/hold_test.go
@@ -39,7 +39,7 @@
 func TestWhoGetsTooLittleHoldsTheOthers(t *testing.T) {
 	is := is.New(t)
 	extra := func(demand, served uint64) float64 {
-		d := NewDemand()
+		d := NewDemandEstimator()
 		settleFor(d, 10*time.Second, 10_000, protocol.Usage{ // a level of 2,000 to 2,500 a second
 			Demands: []protocol.Demand{{Account: "a", Tokens: 1000}, {Account: "b", Tokens: 1000}, {Account: "c", Tokens: 1000}, {Account: "d", Tokens: 1000}, {Account: "few", Tokens: demand}},
 			Served:  []protocol.Demand{{Account: "a", Tokens: 750}, {Account: "b", Tokens: 750}, {Account: "c", Tokens: 750}, {Account: "d", Tokens: 750}, {Account: "few", Tokens: served}},
@@ -57,7 +57,7 @@
 func TestWhatIsNotReadHoldsTheOthers(t *testing.T) {
 	is := is.New(t)
 	settled := func(unread uint64) *Demand {
-		d := NewDemand()
+		d := NewDemandEstimator()
 		few := protocol.Demand{Account: "few", Tokens: 400}
 		settleFor(d, 10*time.Second, 10_000, protocol.Usage{
 			Demands: []protocol.Demand{{Account: "a", Tokens: 1000}, {Account: "b", Tokens: 1000}, {Account: "c", Tokens: 1000}, few},
--- a/coordination/entitlement/late_test.go
+++ b/coordination/entitlement/late_test.go
@@ -55,7 +55,7 @@
 
 // run plays the model.
 func (m *returning) run() {
-	m.demand, m.later, m.owed = NewDemand(), map[time.Duration][]arrival{}, make([]float64, m.floods+1)
+	m.demand, m.later, m.owed = NewDemandEstimator(), map[time.Duration][]arrival{}, make([]float64, m.floods+1)
 	for i := range m.gateways {
 		m.gateways[i] = modelGateway{NewClassifier(), map[string]uint64{}, map[string]uint64{}, map[string]uint64{}}
 	}
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -113,7 +113,7 @@
 }
 
 func newTwoSides(w way) *twoSides {
-	m := &twoSides{rng: rand.New(rand.NewPCG(9, 10)), way: w, leader: entitlement.NewDemand(), seconds: map[string][]sideSecond{}}
+	m := &twoSides{rng: rand.New(rand.NewPCG(9, 10)), way: w, leader: entitlement.NewDemandEstimator(), seconds: map[string][]sideSecond{}}
 	for g := range m.classes {
 		m.classes[g], m.usage[g] = entitlement.NewClassifier(), map[string][2]uint64{}
 	}
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -118,7 +118,7 @@
 	is := is.New(t)
 	play := func(times float64, soon bool) (inTime, served float64) {
 		m := &sharedAccounts{
-			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemand(), classifier: entitlement.NewClassifier(),
+			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemandEstimator(), classifier: entitlement.NewClassifier(),
 			later: map[time.Duration][]refusedOnce{}, soon: soon,
 		}
 		m.play(times)
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -18,7 +18,7 @@
 }
 
 func newUsage() *usage {
-	return &usage{loads: map[*session][]protocol.ServerLoad{}, demand: entitlement.NewDemand()}
+	return &usage{loads: map[*session][]protocol.ServerLoad{}, demand: entitlement.NewDemandEstimator()}
 }
 
 // add takes a gateway's report, or a relay's. Its first one may cover any time, such as the one
