--- a/coordination/entitlement/hold_test.go
+++ b/coordination/entitlement/hold_test.go
@@ -72,7 +72,7 @@
 		if held {
 			is.True(d.extra <= 2*4000) // nobody gets twice what it gets
 		}
-		is.Equal(d.Rates(9).Accounts[3], AccountRates{Account: "few", Demand: 4000, Given: 4000, Unread: int64(10 * unread)})
+		is.Equal(d.Rates(9).Accounts[3], AccountRates{Account: "few", Demand: 4000, Served: 4000, Unread: int64(10 * unread)})
 		is.Equal(d.level, settled(0).level)
 	}
 }
--- a/coordination/entitlement/rates.go
+++ b/coordination/entitlement/rates.go
@@ -21,9 +21,9 @@
 
 // AccountRates are the averages of one account.
 type AccountRates struct {
-	Account       string
-	Demand, Given int64
-	Unread        int64 // estimate of what gateways have not read of it
+	Account        string
+	Demand, Served int64
+	Unread         int64 // estimate of what gateways have not read of it
 }
 
 // Rates returns the averages, with up to most of the accounts.
@@ -33,7 +33,7 @@
 		Hold: d.holding(),
 	}
 	for name, a := range d.accounts {
-		r.Accounts = append(r.Accounts, AccountRates{Account: name, Demand: int64(a.demand.average), Given: int64(a.given.average), Unread: int64(a.unread.average)})
+		r.Accounts = append(r.Accounts, AccountRates{Account: name, Demand: int64(a.demand.average), Served: int64(a.given.average), Unread: int64(a.unread.average)})
 	}
 	slices.SortFunc(r.Accounts, func(a, b AccountRates) int {
 		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Account, b.Account))
