--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -72,8 +72,8 @@
 	return total * (1 - ownMessagesPart) * regionPart / float64(max(s.Gateways, 1))
 }
 
-// Passage is a request that is to leave its region.
-type Passage struct {
+// Transfer is a request that is to leave its region.
+type Transfer struct {
 	Bytes float64 // that it sends and expects back
 	Class entitlement.Class
 	Must  bool // it may be served nowhere else
@@ -81,7 +81,7 @@
 
 // Admits reports whether the budget has the bytes of a request. What need not leave has a part
 // of the budget, and none while the link looks full; what must has all of it.
-func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Passage) bool {
+func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Transfer) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burst, smallestBurst)
 	if p.Must {
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -14,7 +14,7 @@
 // This file tests what gateways put on the link between regions.
 
 // sends offers requests of one kind for a while and returns the bytes that got over.
-func sends(l *LinkBudget, s LinkShare, p Passage, each, span time.Duration) (bytes float64) {
+func sends(l *LinkBudget, s LinkShare, p Transfer, each, span time.Duration) (bytes float64) {
 	for now := time.Second; now < time.Second+span; now += each {
 		if l.Admits(now, s, p) {
 			l.Spend(now, s, p.Bytes)
@@ -32,15 +32,15 @@
 	share := LinkShare{Rate: capacity, Gateways: gateways}
 	for _, tt := range []struct {
 		name  string
-		p     Passage
+		p     Transfer
 		most  float64 // parts of the capacity, over both directions of both regions
 		least float64
 		span  time.Duration
 	}{
-		{"must", Passage{Bytes: 10_000, Must: true}, 0.75, 0.65, 20 * time.Second},
-		{"by choice", Passage{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
-		{"beyond the share", Passage{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
-		{"larger than a bucket", Passage{Bytes: 4e6, Must: true}, 0.75, 0.65, 2000 * time.Second}, // one of each gateway at first, then as often as the debt allows
+		{"must", Transfer{Bytes: 10_000, Must: true}, 0.75, 0.65, 20 * time.Second},
+		{"by choice", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
+		{"beyond the share", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
+		{"larger than a bucket", Transfer{Bytes: 4e6, Must: true}, 0.75, 0.65, 2000 * time.Second}, // one of each gateway at first, then as often as the debt allows
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	share := LinkShare{Rate: 6e6, Gateways: 44}
 	l := &LinkBudget{}
-	entitled, extra, must := Passage{Bytes: 1000}, Passage{Bytes: 1000, Class: entitlement.Extra}, Passage{Bytes: 1000, Must: true}
+	entitled, extra, must := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Must: true}
 	is.True(l.Admits(time.Second, share, extra))
 	l.Spend(time.Second, share, share.rate()*freePart*0.6)
 	is.True(!l.Admits(time.Second, share, extra))
@@ -90,10 +90,10 @@
 	l.ObserveWay(time.Second, "south", 50*time.Millisecond)
 	is.Equal(l.Way("south"), 41*time.Millisecond)
 	is.Equal(l.Way("west"), AssumedWay)
-	is.True(l.Admits(time.Second, share, Passage{Bytes: 1000}))
+	is.True(l.Admits(time.Second, share, Transfer{Bytes: 1000}))
 	l.ObserveWay(time.Second, "south", 300*time.Millisecond)
 	is.Equal(l.Way("south"), 41*time.Millisecond) // says nothing of the way itself
-	is.True(!l.Admits(2*time.Second, share, Passage{Bytes: 1000}))
-	is.True(l.Admits(2*time.Second, share, Passage{Bytes: 1000, Must: true}))
-	is.True(l.Admits(time.Second+pause, share, Passage{Bytes: 1000}))
+	is.True(!l.Admits(2*time.Second, share, Transfer{Bytes: 1000}))
+	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Must: true}))
+	is.True(l.Admits(time.Second+pause, share, Transfer{Bytes: 1000}))
 }
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -192,7 +192,7 @@
 			t.link.Spend(x.g.now(), t.site.share(1), seconds*place.DefaultLinkRate*0.35)
 		}
 		spend(0.9) // nothing is left for requests that need not leave
-		is.True(!t.link.Admits(x.g.now(), t.site.share(1), place.Passage{Bytes: 1000}))
+		is.True(!t.link.Admits(x.g.now(), t.site.share(1), place.Transfer{Bytes: 1000}))
 		is.Equal(x.request("/again/x").status, 200)
 		spend(10)
 		r := x.request("/again/x", "Patience", "1000")
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -343,7 +343,7 @@
 		opening = 300 * time.Millisecond
 		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.g.table.link.Way("south"), 40*time.Millisecond)
-		is.True(!x.g.table.link.Admits(x.g.now(), place.LinkShare{}, place.Passage{Bytes: 1}))
+		is.True(!x.g.table.link.Admits(x.g.now(), place.LinkShare{}, place.Transfer{Bytes: 1}))
 	})
 }
 
