--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -74,9 +74,9 @@
 
 // Transfer is a request that is to leave its region.
 type Transfer struct {
-	Bytes float64 // that it sends and expects back
-	Class entitlement.Class
-	Must  bool // it may be served nowhere else
+	Bytes    float64 // that it sends and expects back
+	Class    entitlement.Class
+	Required bool // it may be served nowhere else
 }
 
 // Admits reports whether the budget has the bytes of a request. What need not leave has a part
@@ -84,7 +84,7 @@
 func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Transfer) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burst, smallestBurst)
-	if p.Must {
+	if p.Required {
 		return full-l.spent >= min(p.Bytes, full)
 	}
 	if now < l.paused {
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -37,10 +37,10 @@
 		least float64
 		span  time.Duration
 	}{
-		{"must", Transfer{Bytes: 10_000, Must: true}, 0.75, 0.65, 20 * time.Second},
+		{"must", Transfer{Bytes: 10_000, Required: true}, 0.75, 0.65, 20 * time.Second},
 		{"by choice", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
 		{"beyond the share", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
-		{"larger than a bucket", Transfer{Bytes: 4e6, Must: true}, 0.75, 0.65, 2000 * time.Second}, // one of each gateway at first, then as often as the debt allows
+		{"larger than a bucket", Transfer{Bytes: 4e6, Required: true}, 0.75, 0.65, 2000 * time.Second}, // one of each gateway at first, then as often as the debt allows
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	share := LinkShare{Rate: 6e6, Gateways: 44}
 	l := &LinkBudget{}
-	entitled, extra, must := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Must: true}
+	entitled, extra, must := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Required: true}
 	is.True(l.Admits(time.Second, share, extra))
 	l.Spend(time.Second, share, share.rate()*freePart*0.6)
 	is.True(!l.Admits(time.Second, share, extra))
@@ -94,6 +94,6 @@
 	l.ObserveWay(time.Second, "south", 300*time.Millisecond)
 	is.Equal(l.Way("south"), 41*time.Millisecond) // says nothing of the way itself
 	is.True(!l.Admits(2*time.Second, share, Transfer{Bytes: 1000}))
-	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Must: true}))
+	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Required: true}))
 	is.True(l.Admits(time.Second+pause, share, Transfer{Bytes: 1000}))
 }
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -131,7 +131,7 @@
 func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.Leave, ownEjected bool) (place.Choice, stayed) {
 	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	must := why == place.NoServer
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Must: must}
+	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: must}
 	admitted := t.link.Admits(now, t.site.share(req.gateways), passage)
 	switch {
 	case !must && !place.MayLeave(req.Class):
@@ -225,7 +225,7 @@
 // served nowhere else. Ejected ones are looked at unless its own region has some. The caller
 // holds mu.
 func (t *table) farWithRoom(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Must: true}
+	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: true}
 	if !t.link.Admits(now, t.site.share(req.gateways), passage) {
 		return place.Choice{Index: -1}
 	}
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -41,7 +41,7 @@
 			is.True(x.servedIn("s1") > 0)
 			admits := func(bytes float64) bool {
 				share := x.g.table.site.share(1)
-				return x.g.table.link.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Must: true})
+				return x.g.table.link.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Required: true})
 			}
 			is.True(admits(tt.left))
 			is.True(tt.notLeft == 0 || !admits(tt.notLeft))
