--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -112,8 +112,8 @@
 	l.free = max(l.free-came*freePart, 0)
 }
 
-// Way returns the round trip to a region.
-func (l *LinkBudget) Way(region string) time.Duration {
+// RoundTrip returns the round trip to a region.
+func (l *LinkBudget) RoundTrip(region string) time.Duration {
 	if way, known := l.ways[region]; known {
 		return way
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -175,7 +175,7 @@
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
 		}
-		return cmp.Or(cmp.Compare(t.link.Way(a.region), t.link.Way(b.region)), cmp.Compare(a.region, b.region))
+		return cmp.Or(cmp.Compare(t.link.RoundTrip(a.region), t.link.RoundTrip(b.region)), cmp.Compare(a.region, b.region))
 	})
 	return far
 }
@@ -184,7 +184,7 @@
 // waited as long as its reason asks, and the way and a server that runs nothing else leave it
 // within its objective.
 func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.Leave, region string) bool {
-	way := t.link.Way(region)
+	way := t.link.RoundTrip(region)
 	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && why.Due(now-req.waitingSince, way)
 }
@@ -261,7 +261,7 @@
 	if left.why == place.Stay {
 		return a
 	}
-	a.roundTrip = t.link.Way(a.region)
+	a.roundTrip = t.link.RoundTrip(a.region)
 	a.chargedBytes = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
 	t.link.Spend(now, t.site.share(req.gateways), a.chargedBytes)
 	return a
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -339,10 +339,10 @@
 			return a, err
 		}, "s1")
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.Way("south"), opening)
+		is.Equal(x.g.table.link.RoundTrip("south"), opening)
 		opening = 300 * time.Millisecond
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.Way("south"), 40*time.Millisecond)
+		is.Equal(x.g.table.link.RoundTrip("south"), 40*time.Millisecond)
 		is.True(!x.g.table.link.Admits(x.g.now(), place.LinkShare{}, place.Transfer{Bytes: 1}))
 	})
 }
