--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -120,9 +120,9 @@
 	return AssumedWay
 }
 
-// ObserveWay takes how long a new connection to a region took: one round trip, and what waits
+// ObserveRoundTrip takes how long a new connection to a region took: one round trip, and what waits
 // on the link.
-func (l *LinkBudget) ObserveWay(now time.Duration, region string, took time.Duration) {
+func (l *LinkBudget) ObserveRoundTrip(now time.Duration, region string, took time.Duration) {
 	way, known := l.ways[region]
 	switch {
 	case l.ways == nil:
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -85,13 +85,13 @@
 	is := is.New(t)
 	share, l := LinkShare{Gateways: 10}, &LinkBudget{}
 	is.Equal(l.RoundTrip("south"), AssumedWay)
-	l.ObserveWay(time.Second, "south", 40*time.Millisecond)
+	l.ObserveRoundTrip(time.Second, "south", 40*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 40*time.Millisecond)
-	l.ObserveWay(time.Second, "south", 50*time.Millisecond)
+	l.ObserveRoundTrip(time.Second, "south", 50*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 41*time.Millisecond)
 	is.Equal(l.RoundTrip("west"), AssumedWay)
 	is.True(l.Admits(time.Second, share, Transfer{Bytes: 1000}))
-	l.ObserveWay(time.Second, "south", 300*time.Millisecond)
+	l.ObserveRoundTrip(time.Second, "south", 300*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 41*time.Millisecond) // says nothing of the way itself
 	is.True(!l.Admits(2*time.Second, share, Transfer{Bytes: 1000}))
 	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Required: true}))
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -298,7 +298,7 @@
 	}
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
-	g.table.link.ObserveWay(g.now(), a.region, a.connOpenedAt-a.startedAt)
+	g.table.link.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
 // countedBody counts the bytes of an answer that comes over the link.
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -231,7 +231,7 @@
 			x.g.table.link = link
 		}
 		slow := place.LinkBudget{}
-		slow.ObserveWay(x.g.now(), "south", 390*time.Millisecond) // of an objective of 400
+		slow.ObserveRoundTrip(x.g.now(), "south", 390*time.Millisecond) // of an objective of 400
 		setLink(slow)
 		is.Equal(ask().status, 503)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="time"} 1`))
