--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -38,11 +38,11 @@
 
 // The way to another region.
 const (
-	// AssumedWay is the round trip to another region until one is learned: twice the 30 ms
+	// AssumedRoundTrip is the round trip to another region until one is learned: twice the 30 ms
 	// that regions of one country lie apart.
-	AssumedWay = 60 * time.Millisecond
-	wayWeight  = 0.1 // of one connection that took longer, in the learned round trip
-	slowFactor = 3   // times the learned round trip that a connection takes over a full link
+	AssumedRoundTrip = 60 * time.Millisecond
+	wayWeight        = 0.1 // of one connection that took longer, in the learned round trip
+	slowFactor       = 3   // times the learned round trip that a connection takes over a full link
 	// pause is for how long nothing leaves its region by choice after such a connection.
 	pause = 2 * time.Second
 )
@@ -117,7 +117,7 @@
 	if way, known := l.ways[region]; known {
 		return way
 	}
-	return AssumedWay
+	return AssumedRoundTrip
 }
 
 // ObserveRoundTrip takes how long a new connection to a region took: one round trip, and what waits
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -84,12 +84,12 @@
 func TestWayIsLearned(t *testing.T) {
 	is := is.New(t)
 	share, l := LinkShare{Gateways: 10}, &LinkBudget{}
-	is.Equal(l.RoundTrip("south"), AssumedWay)
+	is.Equal(l.RoundTrip("south"), AssumedRoundTrip)
 	l.ObserveRoundTrip(time.Second, "south", 40*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 40*time.Millisecond)
 	l.ObserveRoundTrip(time.Second, "south", 50*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 41*time.Millisecond)
-	is.Equal(l.RoundTrip("west"), AssumedWay)
+	is.Equal(l.RoundTrip("west"), AssumedRoundTrip)
 	is.True(l.Admits(time.Second, share, Transfer{Bytes: 1000}))
 	l.ObserveRoundTrip(time.Second, "south", 300*time.Millisecond)
 	is.Equal(l.RoundTrip("south"), 41*time.Millisecond) // says nothing of the way itself
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -346,7 +346,7 @@
 // sideWays are the ways that are compared.
 var sideWays = map[string]way{
 	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": soonerThere, "full": whenFull,
-	"waits 0 ms": waits(0), "waits 120 ms": waits(2 * AssumedWay), "kept": waits(AssumedWay),
+	"waits 0 ms": waits(0), "waits 120 ms": waits(2 * AssumedRoundTrip), "kept": waits(AssumedRoundTrip),
 }
 
 // TestTwoRegions compares ways to leave a region, under a load that all engines of both bear,
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -80,10 +80,10 @@
 		}, "s1")
 		time.Sleep(2 * time.Minute)
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedWay)
+		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedRoundTrip)
 		ago, late = time.Millisecond, time.Second
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedWay)
+		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedRoundTrip)
 	})
 }
 
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -267,7 +267,7 @@
 			var r reply
 			var group sync.WaitGroup
 			group.Go(func() { r = ask() })
-			time.Sleep(place.AssumedWay - time.Millisecond)
+			time.Sleep(place.AssumedRoundTrip - time.Millisecond)
 			is.Equal(x.servers.count(), 1)
 			if home != "" {
 				time.Sleep(100 * time.Millisecond)
@@ -281,7 +281,7 @@
 				return
 			}
 			is.Equal(x.servedIn("s1"), 1)
-			is.True(r.took < place.AssumedWay+30*time.Millisecond) // with the tick after it
+			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // with the tick after it
 			is.True(strings.Contains(x.metrics(), `why="waited"} 1`))
 		})
 	}
