--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -23,23 +23,23 @@
 // 0.36; where no engine of the region has room 0.50 and 0.37; the same, and at once where the best
 // has none 0.97 and 0.34, after 120 ms 0.69 and 0.52, after the way of 60 ms (kept) 0.98 and 0.27.
 
-// Leave is why a request may leave its region.
-type Leave uint8
+// LeaveReason is why a request may leave its region.
+type LeaveReason uint8
 
 // The reasons.
 const (
-	Stay     Leave = iota // it may not
-	NoServer              // no server of the region may have it, or only ejected ones
-	NoRoom                // none of the region has room for it
-	BestFull              // the engine that suits it best has none, another one has
+	Stay     LeaveReason = iota // it may not
+	NoServer                    // no server of the region may have it, or only ejected ones
+	NoRoom                      // none of the region has room for it
+	BestFull                    // the engine that suits it best has none, another one has
 )
 
 // String returns the reason's name, as log lines and counters carry it.
-func (l Leave) String() string { return [...]string{"", "no-server", "no-room", "waited"}[l] }
+func (l LeaveReason) String() string { return [...]string{"", "no-server", "no-room", "waited"}[l] }
 
 // Due reports whether a request that has waited for so long may leave now: for the engine that
 // suits it best it first waits as long as the way there and back takes.
-func (l Leave) Due(waited, way time.Duration) bool {
+func (l LeaveReason) Due(waited, way time.Duration) bool {
 	return l == NoServer || l == NoRoom || (l == BestFull && waited >= way)
 }
 
@@ -49,7 +49,7 @@
 
 // ChooseNear is Choose among the servers of one region, with the reason to leave it, if there is
 // one.
-func (p *RoomPlacer) ChooseNear(r Request, servers []Server) (Choice, Leave) {
+func (p *RoomPlacer) ChooseNear(r Request, servers []Server) (Choice, LeaveReason) {
 	found, healthy := candidates(r, servers)
 	c := p.choose(r, found)
 	switch {
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -39,7 +39,7 @@
 	for _, tt := range []struct {
 		name   string
 		change func(i int, s *Server)
-		want   Leave
+		want   LeaveReason
 	}{
 		{"idle", func(int, *Server) {}, Stay},
 		{"the best is full", func(i int, s *Server) {
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -29,12 +29,12 @@
 	unreached    bool          // it got no connection
 	ended        bool
 
-	region        string        // where the server stood when it began
-	leaveReason   place.Leave   // why it goes to another region; place.Stay: it does not
-	homes         homes         // that bound it
-	roundTrip     time.Duration // the round trip there
-	chargedBytes  float64       // bytes that were taken of the link for it
-	receivedBytes int           // bytes that came from another region
+	region        string            // where the server stood when it began
+	leaveReason   place.LeaveReason // why it goes to another region; place.Stay: it does not
+	homes         homes             // that bound it
+	roundTrip     time.Duration     // the round trip there
+	chargedBytes  float64           // bytes that were taken of the link for it
+	receivedBytes int               // bytes that came from another region
 }
 
 // countFirstPart counts that the first part of an answer has come, so that the prompt
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -86,7 +86,7 @@
 
 // departure is why a choice leaves the gateway's region, or what kept it there.
 type departure struct {
-	why    place.Leave // place.Stay: it does not
+	why    place.LeaveReason // place.Stay: it does not
 	stayed stayed
 }
 
@@ -128,7 +128,7 @@
 // chooseFar returns the server of the nearest other region that may have the request, or else
 // one that it would wait for, and what kept it from going. Ejected ones are looked at unless
 // its own region has some. The caller holds mu.
-func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.Leave, ownEjected bool) (place.Choice, stayed) {
+func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayed) {
 	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	must := why == place.NoServer
 	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: must}
@@ -183,7 +183,7 @@
 // pays reports whether a request that has servers in its own region may go to another now: it has
 // waited as long as its reason asks, and the way and a server that runs nothing else leave it
 // within its objective.
-func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.Leave, region string) bool {
+func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.LeaveReason, region string) bool {
 	way := t.link.RoundTrip(region)
 	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && why.Due(now-req.waitingSince, way)
