--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -47,9 +47,9 @@
 // beyond its account's share is served where nothing else waits, and nothing is moved for it.
 func MayLeave(c entitlement.Class) bool { return c != entitlement.Beyond }
 
-// ChooseNear is Choose among the servers of one region, with the reason to leave it, if there is
+// ChooseInRegion is Choose among the servers of one region, with the reason to leave it, if there is
 // one.
-func (p *RoomPlacer) ChooseNear(r Request, servers []Server) (Choice, LeaveReason) {
+func (p *RoomPlacer) ChooseInRegion(r Request, servers []Server) (Choice, LeaveReason) {
 	found, healthy := candidates(r, servers)
 	c := p.choose(r, found)
 	switch {
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -35,7 +35,7 @@
 // that suits it best has none.
 func TestWhenARequestMayLeave(t *testing.T) {
 	p, r := &RoomPlacer{}, engineRequest(promptOf("a"))
-	first, _ := p.ChooseNear(r, engines("n", 4))
+	first, _ := p.ChooseInRegion(r, engines("n", 4))
 	for _, tt := range []struct {
 		name   string
 		change func(i int, s *Server)
@@ -65,7 +65,7 @@
 				}
 				r := r
 				r.Engine = engine
-				_, why := p.ChooseNear(r, servers)
+				_, why := p.ChooseInRegion(r, servers)
 				if !engine && tt.want == BestFull {
 					tt.want = Stay // any other one suits a plain request as well
 				}
@@ -74,7 +74,7 @@
 		}
 	}
 	is := is.New(t)
-	_, why := p.ChooseNear(r, nil)
+	_, why := p.ChooseInRegion(r, nil)
 	is.Equal(why, NoServer)
 	is.True(!BestFull.Due(59*time.Millisecond, 60*time.Millisecond))
 	is.True(BestFull.Due(60*time.Millisecond, 60*time.Millisecond))
@@ -92,7 +92,7 @@
 	p := &RoomPlacer{}
 	for i := range 50 {
 		r := engineRequest(promptOf(fmt.Sprint(i)))
-		near, _ := p.ChooseNear(r, engines("n", 6))
+		near, _ := p.ChooseInRegion(r, engines("n", 6))
 		alone := p.Choose(r, engines("n", 6))
 		is.Equal(near, alone)
 		is.Equal(near.Read, r.Prompt.Own)
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -42,8 +42,8 @@
 
 // whenFull leaves where no engine of the region has room.
 func whenFull(p *RoomPlacer, r Request, s side) (Choice, bool) {
-	c, why := p.ChooseNear(r, s.own)
-	if far, _ := p.ChooseNear(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
+	c, why := p.ChooseInRegion(r, s.own)
+	if far, _ := p.ChooseInRegion(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
 		return far, true
 	}
 	return c, false
@@ -52,8 +52,8 @@
 // waits leaves also once the engine that suits best was waited for so long.
 func waits(least time.Duration) way {
 	return func(p *RoomPlacer, r Request, s side) (Choice, bool) {
-		c, why := p.ChooseNear(r, s.own)
-		far, _ := p.ChooseNear(r, s.far)
+		c, why := p.ChooseInRegion(r, s.own)
+		far, _ := p.ChooseInRegion(r, s.far)
 		if why.Due(s.waited, least) && MayLeave(r.Class) && far.Bound == Free {
 			return far, true
 		}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -113,7 +113,7 @@
 		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
 	}
 	own := p.parts[0].servers
-	c, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, own, now, req))
+	c, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	c = p.indexed(c, own)
 	if why == place.Stay {
 		return c, departure{}
@@ -144,7 +144,7 @@
 			kept = stayedForTime
 			continue
 		}
-		c, farWhy := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, x.servers, now, req))
+		c, farWhy := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
 		switch c = p.indexed(c, x.servers); {
 		case farWhy == place.Stay && admitted:
 			return c, ""
@@ -204,7 +204,7 @@
 		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
 	}
 	own := p.parts[0].servers
-	near, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, own, now, req))
+	near, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	if why == place.NoServer {
 		if far := t.farWithRoom(p, now, req, near.Index >= 0); far.Index >= 0 {
 			return far, departure{why: why}
@@ -230,7 +230,7 @@
 		return place.Choice{Index: -1}
 	}
 	for _, x := range t.farParts(p) {
-		_, why := p.placer.ChooseNear(req.placeRequest(), t.candidates(p, x.servers, now, req))
+		_, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
 		if why == place.NoServer && ownEjected {
 			continue
 		}
