--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -65,7 +65,7 @@
 	Connections              // this gateway's part of the connections that it accepts
 	Slots                    // requests on it
 	Reading                  // prompts that it has to read first
-	Crossing                 // this gateway's part of the link to its region
+	RegionLink               // this gateway's part of the link to its region
 )
 
 // String returns the bound's name, as log lines carry it.
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -73,7 +73,7 @@
 	p := t.pool(req.pool.Name)
 	order := t.order(p, now, &req)
 	a, full, found := t.acquireOf(p, now, req, order.first, order.why)
-	usable := found && full.bound != place.Crossing || full.backingOff // a backoff does not bring an old version back
+	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
 	if a != nil || order.second == 0 || (order.ifNone && usable) {
 		return a, full
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -162,7 +162,7 @@
 // waitedFor is a choice that the link keeps from being taken now.
 func waitedFor(c place.Choice) place.Choice {
 	if c.Index >= 0 && c.Bound == place.Free {
-		c.Bound = place.Crossing
+		c.Bound = place.RegionLink
 	}
 	return c
 }
