--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -154,9 +154,9 @@
 	return p.rate
 }
 
-// ExpectedFirst returns how long a server that runs nothing else is expected to need until
+// ExpectedTimeToFirst returns how long a server that runs nothing else is expected to need until
 // the first part of its answer, with that many tokens to read.
-func (p *RoomPlacer) ExpectedFirst(engine bool, tokens int) time.Duration {
+func (p *RoomPlacer) ExpectedTimeToFirst(engine bool, tokens int) time.Duration {
 	ms := plainExpected
 	if engine {
 		ms = engineOverhead + float64(tokens)/p.readRate()
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -143,7 +143,7 @@
 func (t *table) expectedFirst(pool document.Pool, prompt place.Prompt) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.pool(pool.Name).placer.ExpectedFirst(pool.Engine, prompt.Tokens())
+	return t.pool(pool.Name).placer.ExpectedTimeToFirst(pool.Engine, prompt.Tokens())
 }
 
 // candidates returns what is known of some of the pool's servers, for one choice. The caller holds
@@ -235,7 +235,7 @@
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
 		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
-		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
+		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
 		trial: k.health.Sent(now), tried: p.begin(k, req, choice, why),
 	}
 }
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -185,7 +185,7 @@
 // within its objective.
 func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.LeaveReason, region string) bool {
 	way := t.link.RoundTrip(region)
-	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
+	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedTimeToFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && why.Due(now-req.waitingSince, way)
 }
 
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -330,7 +330,7 @@
 		t.tally = r.outcomes.of(k.Version, req.route.Name)
 		t.tally.sent++
 		t.tally.changed = true
-		t.expected = p.placer.ExpectedFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
+		t.expected = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
 	}
 	return t
 }
