--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -164,9 +164,9 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// ObserveFirst takes how long an answer took to begin, and the tokens that an
+// ObserveTimeToFirst takes how long an answer took to begin, and the tokens that an
 // engine had to read before. It returns the ratio to what was expected.
-func (p *RoomPlacer) ObserveFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
+func (p *RoomPlacer) ObserveTimeToFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
 	ms := milliseconds(took)
 	if !engine {
 		return ms / plainExpected
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -117,13 +117,13 @@
 	var p RoomPlacer
 	for range 500 {
 		p.ObserveAnswer(true)
-		p.ObserveFirst(true, 50_000, 125*time.Millisecond) // 500 tokens a millisecond
+		p.ObserveTimeToFirst(true, 50_000, 125*time.Millisecond) // 500 tokens a millisecond
 	}
 	is.True(p.requestsPerSlot() < fewestPerSlot+0.01)
 	is.True(p.readRate() > 490 && p.readRate() < 501)
 	learned := p.readRate()
-	p.ObserveFirst(true, informative-1, time.Hour)                     // too short to learn from
-	p.ObserveFirst(true, informative, engineOverhead*time.Millisecond) // nothing was read
+	p.ObserveTimeToFirst(true, informative-1, time.Hour)                     // too short to learn from
+	p.ObserveTimeToFirst(true, informative, engineOverhead*time.Millisecond) // nothing was read
 	is.Equal(p.readRate(), learned)
 	for range 5000 {
 		p.ObserveAnswer(false)
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -51,7 +51,7 @@
 	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
 	if !g.overload.Load().Late(g.now()) {
-		ratio := p.placer.ObserveFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.roundTrip, 0))
+		ratio := p.placer.ObserveTimeToFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.roundTrip, 0))
 		a.entry.pace.Observe(ratio)
 		p.notePace(a.entry)
 		a.countPace(g.now(), ratio)
