--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -196,10 +196,10 @@
 // busy reports whether a request would have to wait at a server, or would have lately: for longer than it takes to
 // read the shared parts again elsewhere.
 func (p *RoomPlacer) busy(r Request, c candidate) bool {
-	ahead := float64(max(c.load.Tokens, c.Lately.Tokens)) * c.slowness
+	ahead := float64(max(c.load.Tokens, c.RecentPeak.Tokens)) * c.slowness
 	most := max(busyWait*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
 	return ahead > most || p.bound(r, c) != Free ||
-		(c.Slots > 0 && float64(max(c.load.Requests, c.Lately.Requests)) >= busySlots*float64(c.Slots))
+		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlots*float64(c.Slots))
 }
 
 // ofTwo returns the cheaper of two by a lot from 0 to 1, and what is left of the lot.
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -268,7 +268,7 @@
 		}
 	}
 	for i := range x.pool {
-		x.pool[i].Others, x.pool[i].Lately = x.sums[i], x.peaks[i].At(clock(now))
+		x.pool[i].Others, x.pool[i].RecentPeak = x.sums[i], x.peaks[i].At(clock(now))
 	}
 }
 
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -36,18 +36,18 @@
 
 // Server is a backend server of the pool.
 type Server struct {
-	ID        string
-	Slots     int // 0 is unknown
-	SameHall  bool
-	Own       Work // from this gateway
-	Others    Work // from all other gateways
-	OthersAge time.Duration
-	Lately    Work // the most from all gateways, of late
-	Pace      Pace
-	Health    outlier.State
-	Avoid     bool // the request has failed there
-	Closed    bool // it gets nothing now, whatever else there is
-	Lost      int  // requests in a row, from this gateway
+	ID         string
+	Slots      int // 0 is unknown
+	SameHall   bool
+	Own        Work // from this gateway
+	Others     Work // from all other gateways
+	OthersAge  time.Duration
+	RecentPeak Work // the most from all gateways, of late
+	Pace       Pace
+	Health     outlier.State
+	Avoid      bool // the request has failed there
+	Closed     bool // it gets nothing now, whatever else there is
+	Lost       int  // requests in a row, from this gateway
 }
 
 // MaxOthersAge is the age from which the report of other gateways' work is not counted, so that a
