--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -47,7 +47,7 @@
 	Health     outlier.State
 	Avoid      bool // the request has failed there
 	Closed     bool // it gets nothing now, whatever else there is
-	Lost       int  // requests in a row, from this gateway
+	LostInARow int  // requests in a row, from this gateway
 }
 
 // MaxOthersAge is the age from which the report of other gateways' work is not counted, so that a
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -90,5 +90,5 @@
 
 // capacity is what a server can bear, against others of its pool.
 func capacity(c candidate) float64 {
-	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lostWeight*c.Lost)
+	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lostWeight*c.LostInARow)
 }
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -237,7 +237,7 @@
 func TestServersThatAreOff(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s < 4 }
-	kept := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.Lost = lost })
+	kept := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
 	without := offPool(62, 14, off, func(int, int, *Server, int) {})
 	t.Logf("lost %.3f, without the weight %.3f", kept, without)
 	is.True(kept < 0.75*without)
@@ -248,8 +248,8 @@
 func TestHallIsPreferred(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s%3 == 2 }
-	kept := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.Lost, v.SameHall = lost, s%3 == g%2 })
-	without := offPool(41, 15, off, func(_, _ int, v *Server, lost int) { v.Lost = lost })
+	kept := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
+	without := offPool(41, 15, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
 	t.Logf("lost %.3f, without the preference %.3f", kept, without)
 	is.True(kept < 0.85*without)
 }
