--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -44,8 +44,8 @@
 // groupOf returns the group of a server, whatever the prompt.
 func groupOf(id string) int { return int(xxh3.HashString(id) % groups) }
 
-// Added takes a new server of the pool.
-func (r *Ranks) Added(id string) {
+// Add takes a new server of the pool.
+func (r *Ranks) Add(id string) {
 	g := groupOf(id)
 	r.groups[g] = append(r.groups[g], id)
 }
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -22,8 +22,8 @@
 	const servers, prompts = 2000, 20_000
 	var ranks, other Ranks
 	for i := range servers {
-		ranks.Added(fmt.Sprintf("e%05d", i))
-		other.Added(fmt.Sprintf("e%05d", servers-1-i))
+		ranks.Add(fmt.Sprintf("e%05d", i))
+		other.Add(fmt.Sprintf("e%05d", servers-1-i))
 	}
 	first := map[string]int{}
 	for n := range prompts {
@@ -243,7 +243,7 @@
 	}
 	x.pool = drawnPool(x.rng, n)
 	for i, s := range x.pool {
-		x.ranks.Added(s.ID)
+		x.ranks.Add(s.ID)
 		x.kept[i] = map[string]bool{}
 	}
 	return x
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -265,7 +265,7 @@
 	t.servers[s.ID], t.byHandle[s.Handle], t.at[s.Address] = k, k, k
 	p := t.pool(s.Pool)
 	p.servers = insert(p.servers, k)
-	p.ranks.Added(k.ID)
+	p.ranks.Add(k.ID)
 	t.joinPart(p, k)
 	return true
 }
