--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -50,8 +50,8 @@
 	r.groups[g] = append(r.groups[g], id)
 }
 
-// Removed takes that a server has left the pool.
-func (r *Ranks) Removed(id string) {
+// Remove takes that a server has left the pool.
+func (r *Ranks) Remove(id string) {
 	g := groupOf(id)
 	r.groups[g] = slices.DeleteFunc(r.groups[g], func(other string) bool { return other == id })
 }
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -36,7 +36,7 @@
 	for _, n := range first {
 		is.True(n <= 5*prompts/servers)
 	}
-	ranks.Removed("e00007")
+	ranks.Remove("e00007")
 	moved := 0
 	for n := range prompts {
 		before := other.First(promptOf(fmt.Sprint(n)))[0]
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -290,7 +290,7 @@
 	t.leaveAddress(k)
 	p := t.pool(k.Pool)
 	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
-	p.ranks.Removed(k.ID)
+	p.ranks.Remove(k.ID)
 	delete(p.paced, k)
 	delete(p.busy, k)
 	k.left = true
