--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -54,8 +54,8 @@
 	return &SlotPlacer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}, notices: map[string]backpressure.Notice{}}
 }
 
-// Backoff takes that a server wants nothing for a while.
-func (p *SlotPlacer) Backoff(now time.Duration, server string, backoff time.Duration) {
+// SetBackoff takes that a server wants nothing for a while.
+func (p *SlotPlacer) SetBackoff(now time.Duration, server string, backoff time.Duration) {
 	p.notices[server] = p.notices[server].WithBackoff(now, backoff)
 }
 
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -252,7 +252,7 @@
 
 // Backoff takes that a server wants nothing for a while. Its free slots go back with the next Dispatch.
 func (p *Pool) Backoff(now time.Duration, server string, backoff time.Duration) {
-	p.placer.Backoff(now, server, backoff)
+	p.placer.SetBackoff(now, server, backoff)
 }
 
 // Report takes a server's load report.
