--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -214,14 +214,14 @@
 	return math.Min(p.ratio/typical, slownessMost)
 }
 
-// Counts reports whether enough answers were taken for the pace to count.
-func (p Pace) Counts() bool { return p.answers >= fewestPaces }
+// Reliable reports whether enough answers were taken for the pace to count.
+func (p Pace) Reliable() bool { return p.answers >= fewestPaces }
 
 // TypicalPace returns the median of the paces that count; 0 with fewer than two.
 func TypicalPace(all []Pace) float64 {
 	ratios := make([]float64, 0, len(all))
 	for _, pace := range all {
-		if pace.Counts() {
+		if pace.Reliable() {
 			ratios = append(ratios, pace.ratio)
 		}
 	}
@@ -236,7 +236,7 @@
 func typicalPace(servers []Server) float64 {
 	paces := make([]Pace, 0, len(servers))
 	for i := range servers {
-		if servers[i].Pace.Counts() {
+		if servers[i].Pace.Reliable() {
 			paces = append(paces, servers[i].Pace)
 		}
 	}
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -60,7 +60,7 @@
 
 // notePace notes that a server has a pace, unless it has left the pool. The caller holds mu.
 func (p *pool) notePace(k *knownServer) {
-	if !k.pace.Counts() || k.left {
+	if !k.pace.Reliable() || k.left {
 		return
 	}
 	if p.paced == nil {
