--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -25,8 +25,8 @@
 	lastWait = time.Second
 )
 
-// Waiting is what decides how long a request waits for a server.
-type Waiting struct {
+// QueuedRequest is what decides how long a request waits for a server.
+type QueuedRequest struct {
 	Route    document.Route
 	Class    entitlement.Class
 	Runs     int           // that it may have had
@@ -40,7 +40,7 @@
 // as it can still begin in time. One that cannot, or may have run, waits a little longer
 // for any answer: a refusal would send it away for good, or could not promise that it has
 // not run.
-func QueueTimeout(w Waiting) time.Duration {
+func QueueTimeout(w QueuedRequest) time.Duration {
 	objective := w.Route.Objective
 	most := objective - w.Spent - w.Expected - scale(objective, reserve)
 	switch {
@@ -61,7 +61,7 @@
 // CanEnd reports whether the request may still get an answer before its deadline. What
 // certainly cannot is refused at once and reaches no server: its caller would have gone
 // before the first part of the answer. A request that may have run is not refused.
-func CanEnd(w Waiting) bool { return w.Runs > 0 || w.Left >= scale(w.Expected, surePart) }
+func CanEnd(w QueuedRequest) bool { return w.Runs > 0 || w.Left >= scale(w.Expected, surePart) }
 
 // Times after which a refused caller should come back.
 const (
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -38,7 +38,7 @@
 		{400 * ms, covered, 1, 0, 300 * ms, 3000 * ms, 50 * ms, 700 * ms},
 		{0, covered, 0, 0, 0, 3000 * ms, 50 * ms, time.Second},
 	} {
-		got := QueueTimeout(Waiting{
+		got := QueueTimeout(QueuedRequest{
 			Route: document.Route{Objective: tt.objective}, Class: tt.class, Runs: tt.runs, Spent: tt.spent,
 			Waited: tt.waited, Left: tt.left, Expected: tt.expects,
 		})
@@ -102,7 +102,7 @@
 // TestCanEnd: what no server can answer before the deadline is not sent to one.
 func TestCanEnd(t *testing.T) {
 	is := is.New(t)
-	w := Waiting{Expected: 100 * time.Millisecond, Left: 50 * time.Millisecond}
+	w := QueuedRequest{Expected: 100 * time.Millisecond, Left: 50 * time.Millisecond}
 	is.True(CanEnd(w))
 	w.Left--
 	is.True(!CanEnd(w))
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -72,8 +72,8 @@
 }
 
 // waiting is what decides how long the request may wait for a server.
-func (c *call) waiting() retry.Waiting {
-	return retry.Waiting{
+func (c *call) waiting() retry.QueuedRequest {
+	return retry.QueuedRequest{
 		Route: c.route, Class: c.class, Runs: c.counts.Runs, Spent: c.spent, Waited: c.g.now() - c.arrived, Left: c.left(),
 		Expected: c.g.table.expectedFirst(c.pool, c.head.Prompt),
 	}
