--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -58,10 +58,12 @@
 // be twice as fast as expected.
 const surePart = 0.5
 
-// CanEnd reports whether the request may still get an answer before its deadline. What
+// CanAnswerInTime reports whether the request may still get an answer before its deadline. What
 // certainly cannot is refused at once and reaches no server: its caller would have gone
 // before the first part of the answer. A request that may have run is not refused.
-func CanEnd(w QueuedRequest) bool { return w.Runs > 0 || w.Left >= scale(w.Expected, surePart) }
+func CanAnswerInTime(w QueuedRequest) bool {
+	return w.Runs > 0 || w.Left >= scale(w.Expected, surePart)
+}
 
 // Times after which a refused caller should come back.
 const (
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -103,13 +103,13 @@
 func TestCanEnd(t *testing.T) {
 	is := is.New(t)
 	w := QueuedRequest{Expected: 100 * time.Millisecond, Left: 50 * time.Millisecond}
-	is.True(CanEnd(w))
+	is.True(CanAnswerInTime(w))
 	w.Left--
-	is.True(!CanEnd(w))
+	is.True(!CanAnswerInTime(w))
 	w.Left = -time.Second
-	is.True(!CanEnd(w))
+	is.True(!CanAnswerInTime(w))
 	w.Runs = 1 // it may have run, and must not be refused as if it had not
-	is.True(CanEnd(w))
+	is.True(CanAnswerInTime(w))
 }
 
 // TestWhenToComeBackAfterABackoff: not before it is over, and not all at once.
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -29,7 +29,7 @@
 	switch {
 	case c.r.Context().Err() != nil:
 		return nil, callerLeft{}
-	case !retry.CanEnd(waiting):
+	case !retry.CanAnswerInTime(waiting):
 		return nil, Refusal{Cause: TooLate}
 	}
 	patience := retry.QueueTimeout(waiting)
