--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -67,8 +67,8 @@
 
 // Times after which a refused caller should come back.
 const (
-	Soon  = 50 * time.Millisecond // what refused it passes quickly, or another gateway has room
-	Later = time.Second           // what refused it lasts
+	ShortDelay = 50 * time.Millisecond // what refused it passes quickly, or another gateway has room
+	Later      = time.Second           // what refused it lasts
 
 	leftPart = 0.1 // of the time that the caller has left: room for several tries
 
@@ -90,7 +90,7 @@
 
 // After returns when a refused caller that has some time left should come back.
 func After(left time.Duration) time.Duration {
-	return min(max(scale(left, leftPart), Soon), Later)
+	return min(max(scale(left, leftPart), ShortDelay), Later)
 }
 
 // Share is what decides when a request comes back that its account's share does not cover.
@@ -103,11 +103,11 @@
 
 // After returns when the request should come back. random is from 0 to 1.
 func (s Share) After(random float64) time.Duration {
-	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), Soon)
+	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), ShortDelay)
 	if s.Part >= likelyPart && s.Spent+again < s.Objective {
 		return again
 	}
-	return max(scale(s.Left, sharePart*(1-spread*random)), Soon)
+	return max(scale(s.Left, sharePart*(1-spread*random)), ShortDelay)
 }
 
 // AfterOverload returns the same for a caller whom the gateway's processor
@@ -115,7 +115,7 @@
 // gateways have room.
 func AfterOverload(class entitlement.Class, left time.Duration, random float64) time.Duration {
 	if class <= entitlement.Entitled {
-		return Soon
+		return ShortDelay
 	}
 	return Share{Left: left}.After(random)
 }
@@ -123,7 +123,7 @@
 // AfterBackoff returns when a caller should come back whose servers all asked for backoff:
 // not all callers at once. random is from 0 to 1.
 func AfterBackoff(backoff, left time.Duration, random float64) time.Duration {
-	return max(backoff+scale(max(left, 0), leftPart*random), Soon)
+	return max(backoff+scale(max(left, 0), leftPart*random), ShortDelay)
 }
 
 // Times after which a server that sends nothing is given up.
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -48,13 +48,13 @@
 
 func TestWhenToComeBack(t *testing.T) {
 	is := is.New(t)
-	is.Equal(After(-time.Second), Soon)
-	is.Equal(After(200*ms), Soon)
+	is.Equal(After(-time.Second), ShortDelay)
+	is.Equal(After(200*ms), ShortDelay)
 	is.Equal(After(3*time.Second), 300*ms)
 	is.Equal(After(time.Minute), Later)
-	is.Equal(AfterOverload(entitlement.Entitled, time.Minute, 0.5), Soon)
+	is.Equal(AfterOverload(entitlement.Entitled, time.Minute, 0.5), ShortDelay)
 	is.Equal(AfterOverload(entitlement.Extra, 10*time.Second, 0), 3300*ms)
-	is.Equal(Share{Left: -time.Second}.After(0), Soon)
+	is.Equal(Share{Left: -time.Second}.After(0), ShortDelay)
 	is.Equal(Share{Left: 10 * time.Second}.After(0), 3300*ms) // callers wait for up to a third of what is left
 	is.Equal(Share{Left: 10 * time.Second}.After(1), 2475*ms)
 }
@@ -75,7 +75,7 @@
 	is.Equal(late.After(1), 2970*ms)
 	short := some
 	short.Objective = 100 * ms
-	is.Equal(short.After(0), Soon)
+	is.Equal(short.After(0), ShortDelay)
 	none := some
 	none.Objective = 0
 	is.Equal(none.After(0), 3960*ms)
@@ -118,5 +118,5 @@
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 0), 2*time.Second)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 1), 3*time.Second)
 	is.Equal(AfterBackoff(2*time.Second, -time.Second, 1), 2*time.Second) // its time is over
-	is.Equal(AfterBackoff(0, 0, 0), Soon)
+	is.Equal(AfterBackoff(0, 0, 0), ShortDelay)
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -92,7 +92,7 @@
 	}
 	if !drain.Grace(c.g.cfg.Grace).Admits(c.g.stopping(), patience) {
 		c.countMissed(true)
-		return Refusal{Cause: Stopping, RetryAfter: retry.Soon}
+		return Refusal{Cause: Stopping, RetryAfter: retry.ShortDelay}
 	}
 	if err := c.readBody(); err != nil {
 		return err
@@ -209,7 +209,7 @@
 	}
 	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.Bodies {
 		c.countMissed(true)
-		return Refusal{Cause: Overloaded, RetryAfter: retry.Soon}
+		return Refusal{Cause: Overloaded, RetryAfter: retry.ShortDelay}
 	}
 	// A writer without deadlines is no error: the server's own still bound the read.
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.left()))
