--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -68,7 +68,7 @@
 // Times after which a refused caller should come back.
 const (
 	ShortDelay = 50 * time.Millisecond // what refused it passes quickly, or another gateway has room
-	Later      = time.Second           // what refused it lasts
+	LongDelay  = time.Second           // what refused it lasts
 
 	leftPart = 0.1 // of the time that the caller has left: room for several tries
 
@@ -90,7 +90,7 @@
 
 // After returns when a refused caller that has some time left should come back.
 func After(left time.Duration) time.Duration {
-	return min(max(scale(left, leftPart), ShortDelay), Later)
+	return min(max(scale(left, leftPart), ShortDelay), LongDelay)
 }
 
 // Share is what decides when a request comes back that its account's share does not cover.
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -51,7 +51,7 @@
 	is.Equal(After(-time.Second), ShortDelay)
 	is.Equal(After(200*ms), ShortDelay)
 	is.Equal(After(3*time.Second), 300*ms)
-	is.Equal(After(time.Minute), Later)
+	is.Equal(After(time.Minute), LongDelay)
 	is.Equal(AfterOverload(entitlement.Entitled, time.Minute, 0.5), ShortDelay)
 	is.Equal(AfterOverload(entitlement.Extra, 10*time.Second, 0), 3300*ms)
 	is.Equal(Share{Left: -time.Second}.After(0), ShortDelay)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -107,7 +107,7 @@
 // match finds the request's route, account and pool in the document in force.
 func (c *call) match() error {
 	if c.rs = c.g.routes.Load(); c.rs == nil {
-		return Refusal{Cause: NoDocument, RetryAfter: retry.Later}
+		return Refusal{Cause: NoDocument, RetryAfter: retry.LongDelay}
 	}
 	if limit := c.rs.document.Limits.HeaderBytes; limit > 0 && headerBytes(c.r) > limit {
 		return Refusal{Cause: HeaderTooLarge}
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -60,9 +60,9 @@
 	if policy.TimeLeft && c.counts.Runs == 0 {
 		switch {
 		case c.shortage.homes != "":
-			return Refusal{Cause: c.shortage.homes, RetryAfter: retry.Later}
+			return Refusal{Cause: c.shortage.homes, RetryAfter: retry.LongDelay}
 		case len(c.shortage.halls) > 0:
-			return Refusal{Cause: HallsOut, RetryAfter: retry.Later}
+			return Refusal{Cause: HallsOut, RetryAfter: retry.LongDelay}
 		case c.shortage.backingOff:
 			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.left(), c.g.random())}
 		}
