--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -119,7 +119,7 @@
 				for range 30 {
 					wait := tt.callers(rng, second)
 					if rng.IntN(20) == 0 { // some of them come back as well
-						wait -= Share{Left: wait}.After(rng.Float64())
+						wait -= UncoveredRequest{Left: wait}.After(rng.Float64())
 					}
 					p.ObserveFirst(now, wait)
 					longest.spent(wait)
@@ -130,7 +130,7 @@
 					firsts++
 					observe(now, wait, 0)
 					returns++
-					observe(now, wait-Share{Left: wait}.After(rng.Float64()), 1)
+					observe(now, wait-UncoveredRequest{Left: wait}.After(rng.Float64()), 1)
 				}
 			}
 			for way, name := range []string{"longest", "less a sixth", "waits seen"} {
@@ -165,7 +165,7 @@
 				if p.Spent(wait) >= 250*time.Millisecond {
 					first++
 				}
-				if p.Spent(wait-Share{Left: wait}.After(rng.Float64())) >= 250*time.Millisecond {
+				if p.Spent(wait-UncoveredRequest{Left: wait}.After(rng.Float64())) >= 250*time.Millisecond {
 					returned++
 				}
 			}
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	e, _ := m.classifier.Entitlement(m.now, r.account)
-	share := Share{Part: float64(e.Extra), Left: sharePatience}
+	share := UncoveredRequest{Part: float64(e.Extra), Left: sharePatience}
 	if m.soon {
 		share.Objective = shareObjective
 	}
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -93,8 +93,8 @@
 	return min(max(scale(left, leftPart), ShortDelay), LongDelay)
 }
 
-// Share is what decides when a request comes back that its account's share does not cover.
-type Share struct {
+// UncoveredRequest is what decides when a request comes back that its account's share does not cover.
+type UncoveredRequest struct {
 	Part      float64       // of the account's requests that the share covers
 	Objective time.Duration // of its route; 0 is none
 	Spent     time.Duration // since its caller asked first
@@ -102,7 +102,7 @@
 }
 
 // After returns when the request should come back. random is from 0 to 1.
-func (s Share) After(random float64) time.Duration {
+func (s UncoveredRequest) After(random float64) time.Duration {
 	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), ShortDelay)
 	if s.Part >= likelyPart && s.Spent+again < s.Objective {
 		return again
@@ -117,7 +117,7 @@
 	if class <= entitlement.Entitled {
 		return ShortDelay
 	}
-	return Share{Left: left}.After(random)
+	return UncoveredRequest{Left: left}.After(random)
 }
 
 // AfterBackoff returns when a caller should come back whose servers all asked for backoff:
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -54,16 +54,16 @@
 	is.Equal(After(time.Minute), LongDelay)
 	is.Equal(AfterOverload(entitlement.Entitled, time.Minute, 0.5), ShortDelay)
 	is.Equal(AfterOverload(entitlement.Extra, 10*time.Second, 0), 3300*ms)
-	is.Equal(Share{Left: -time.Second}.After(0), ShortDelay)
-	is.Equal(Share{Left: 10 * time.Second}.After(0), 3300*ms) // callers wait for up to a third of what is left
-	is.Equal(Share{Left: 10 * time.Second}.After(1), 2475*ms)
+	is.Equal(UncoveredRequest{Left: -time.Second}.After(0), ShortDelay)
+	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(0), 3300*ms) // callers wait for up to a third of what is left
+	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(1), 2475*ms)
 }
 
 // TestWhenToComeBackToAShare: a request comes back within its objective where the share covers
 // some of what its account asks for, and it can still be in time.
 func TestWhenToComeBackToAShare(t *testing.T) {
 	is := is.New(t)
-	some := Share{Part: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
+	some := UncoveredRequest{Part: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
 	is.Equal(some.After(0), 80*ms)
 	is.Equal(some.After(1), 180*ms)
 	little := some
