--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	e, _ := m.classifier.Entitlement(m.now, r.account)
-	share := UncoveredRequest{Part: float64(e.Extra), Left: sharePatience}
+	share := UncoveredRequest{CoveredPart: float64(e.Extra), Left: sharePatience}
 	if m.soon {
 		share.Objective = shareObjective
 	}
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -95,16 +95,16 @@
 
 // UncoveredRequest is what decides when a request comes back that its account's share does not cover.
 type UncoveredRequest struct {
-	Part      float64       // of the account's requests that the share covers
-	Objective time.Duration // of its route; 0 is none
-	Spent     time.Duration // since its caller asked first
-	Left      time.Duration // until its deadline
+	CoveredPart float64       // of the account's requests that the share covers
+	Objective   time.Duration // of its route; 0 is none
+	Spent       time.Duration // since its caller asked first
+	Left        time.Duration // until its deadline
 }
 
 // After returns when the request should come back. random is from 0 to 1.
 func (s UncoveredRequest) After(random float64) time.Duration {
 	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), ShortDelay)
-	if s.Part >= likelyPart && s.Spent+again < s.Objective {
+	if s.CoveredPart >= likelyPart && s.Spent+again < s.Objective {
 		return again
 	}
 	return max(scale(s.Left, sharePart*(1-spread*random)), ShortDelay)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -162,7 +162,7 @@
 // cover.
 func (c *call) afterShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
-	share := retry.UncoveredRequest{Part: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.left()}
+	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.left()}
 	return share.After(c.g.random())
 }
 
