--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -53,7 +53,7 @@
 // The endings.
 const (
 	EndBroken      Ending = iota // the answer has begun: closing the connection alone shows that it is not whole
-	EndHeld                      // with the server's own failure
+	EndServerError               // with the server's own failure
 	EndTimedOut                  // the time is over and it may have run, or a server had it
 	EndMayHaveRun                // it may have run, and may not be tried again
 	EndNoBudget                  // refused by a server; the retry budget did not allow another
@@ -70,7 +70,7 @@
 	case r.HeadWritten:
 		return EndBroken
 	case last == HasRun:
-		return EndHeld
+		return EndServerError
 	case r.Runs > 0 && !r.TimeLeft:
 		return EndTimedOut
 	case r.Runs > 0:
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -190,7 +190,7 @@
 	switch ending := policy.AfterAttempt(out.execution, allowed); ending {
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
-	case retry.EndHeld:
+	case retry.EndServerError:
 		c.relay.give(out.held)
 		return false, nil
 	default:
