--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -10,16 +10,16 @@
 // after an attempt that reached nobody, which is free in a gateway
 // ([Request.Again]). The zero value allows none.
 type Budget struct {
-	Part  float64 // retries allowed per request
+	Ratio float64 // retries allowed per request
 	Burst float64 // retries that may be saved up
 	saved float64
 }
 
 // DefaultBudget is the budget of one router: a tenth of the requests (docs/design/outcomes.md).
-var DefaultBudget = Budget{Part: 0.1, Burst: 10}
+var DefaultBudget = Budget{Ratio: 0.1, Burst: 10}
 
 // Request counts a first attempt.
-func (b *Budget) Request() { b.saved = min(b.saved+b.Part, b.Burst) }
+func (b *Budget) Request() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
 // Retry reports whether a retry is allowed, and counts it.
 func (b *Budget) Retry() bool {
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -10,7 +10,7 @@
 
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
-	b := Budget{Part: 0.1, Burst: 5}
+	b := Budget{Ratio: 0.1, Burst: 5}
 	retries := 0
 	for range 1000 {
 		b.Request()
