--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -35,13 +35,13 @@
 const (
 	freeBurst  = 64.0           // connections at once: what waits in the short queue of a paced one
 	freeGrowth = 2.0            // times what came lately
-	freeLeast  = LeastPace      // connections a second, however few came
+	freeLeast  = MinPace        // connections a second, however few came
 	freeSpan   = 5 * TickPeriod // that a late firing makes up for
 )
 
-// LeastPace is the lowest rate, in connections a second: at 250 µs each two fifths of a
+// MinPace is the lowest rate, in connections a second: at 250 µs each two fifths of a
 // fifth of a core. Chosen.
-const LeastPace = 300.0
+const MinPace = 300.0
 
 // Pace is the bound at one firing of the timer. The zero value is of a gateway that is not late.
 type Pace struct {
@@ -79,12 +79,12 @@
 	p.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedMemory.Seconds())) * (float64(taken)/elapsed.Seconds() - p.arrived)
 	switch {
 	case delay >= DelayBeyond && p.rate == 0:
-		p.rate = max(p.arrived, LeastPace)
+		p.rate = max(p.arrived, MinPace)
 	case delay >= DelayBeyond:
-		p.rate = max(math.Pow(paceFall, periods)*p.rate, LeastPace)
+		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinPace)
 	case delay < DelayNoticed && p.rate > 0:
 		p.rate *= math.Pow(paceRise, periods)
-		if p.rate > freePart*max(p.arrived, LeastPace) {
+		if p.rate > freePart*max(p.arrived, MinPace) {
 			p.rate = 0
 		}
 	}
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -66,10 +66,10 @@
 // in time: objectives are 150 to 800 ms on the deployments seen, and most 300 and more.
 func TestQueueOfAPacedGateway(t *testing.T) {
 	is := is.New(t)
-	is.True(float64(shortBacklog)/overload.LeastPace < 0.25) // seconds
+	is.True(float64(shortBacklog)/overload.MinPace < 0.25) // seconds
 	// What waited before the gateway was paced is taken before its callers have left, who
 	// wait for a second until a request is read.
-	is.True(float64(longBacklog)/overload.LeastPace < 1)
+	is.True(float64(longBacklog)/overload.MinPace < 1)
 }
 
 // TestQueueThatTheKernelShows: what the pacer is told is what waits.
