--- a/coordination/entitlement/queue_test.go
+++ b/coordination/entitlement/queue_test.go
@@ -39,7 +39,7 @@
 	q.waiting = max(q.waiting-taken, 0)
 	for i := range looks {
 		q.waiting = min(q.waiting+came*(i+1)/looks-came*i/looks, queueMost)
-		q.arrivals = q.arrivals.WithLook(now+time.Duration(i+1)*step/looks, q.waiting, queueMost)
+		q.arrivals = q.arrivals.WithSample(now+time.Duration(i+1)*step/looks, q.waiting, queueMost)
 	}
 }
 
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -34,8 +34,8 @@
 	return a
 }
 
-// WithLook returns the arrivals after a look at a queue that holds at most some connections.
-func (a Arrivals) WithLook(now time.Duration, waiting, most int) Arrivals {
+// WithSample returns the arrivals after a look at a queue that holds at most some connections.
+func (a Arrivals) WithSample(now time.Duration, waiting, most int) Arrivals {
 	if left := a.waiting - a.taken; a.at != 0 && left < most {
 		a.came += max(waiting-left, 0)
 		a.room += now - a.at
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -23,7 +23,7 @@
 	waiting := 0
 	for now := lookPeriod; now <= queuePlayed; now += lookPeriod {
 		waiting = min(waiting+came(now), queueMost)
-		a = a.WithLook(now, waiting, queueMost)
+		a = a.WithSample(now, waiting, queueMost)
 		if now%TickPeriod == 0 {
 			for range min(6, waiting) {
 				a = a.WithTaken()
@@ -89,10 +89,10 @@
 	var a Arrivals
 	n, a := a.Untaken(time.Second)
 	is.Equal(n, 0)
-	a = a.WithLook(time.Second, 64, 64).WithLook(2*time.Second, 64, 64)
+	a = a.WithSample(time.Second, 64, 64).WithSample(2*time.Second, 64, 64)
 	n, a = a.Untaken(2 * time.Second)
 	is.Equal(n, 0)
-	a = a.WithTaken().WithLook(2*time.Second+10*time.Millisecond, 64, 64)
+	a = a.WithTaken().WithSample(2*time.Second+10*time.Millisecond, 64, 64)
 	n, _ = a.Untaken(3 * time.Second)
 	is.Equal(n, 99) // one in 10 ms, and one was taken
 }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -34,7 +34,7 @@
 func (q *queued) look(now time.Duration, waiting, most int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.arrivals = q.arrivals.WithLook(now, waiting, most)
+	q.arrivals = q.arrivals.WithSample(now, waiting, most)
 }
 
 // untaken returns how many connections came since the last call and were not taken.
