--- a/coordination/entitlement/queue_test.go
+++ b/coordination/entitlement/queue_test.go
@@ -34,7 +34,7 @@
 		return
 	}
 	for range taken {
-		q.arrivals = q.arrivals.WithTaken()
+		q.arrivals = q.arrivals.WithAccepted()
 	}
 	q.waiting = max(q.waiting-taken, 0)
 	for i := range looks {
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -27,8 +27,8 @@
 	all   int           // that were taken
 }
 
-// WithTaken returns the arrivals after a connection was taken out of the queue.
-func (a Arrivals) WithTaken() Arrivals {
+// WithAccepted returns the arrivals after a connection was taken out of the queue.
+func (a Arrivals) WithAccepted() Arrivals {
 	a.taken++
 	a.all++
 	return a
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -26,7 +26,7 @@
 		a = a.WithSample(now, waiting, queueMost)
 		if now%TickPeriod == 0 {
 			for range min(6, waiting) {
-				a = a.WithTaken()
+				a = a.WithAccepted()
 				waiting--
 			}
 		}
@@ -92,7 +92,7 @@
 	a = a.WithSample(time.Second, 64, 64).WithSample(2*time.Second, 64, 64)
 	n, a = a.Untaken(2 * time.Second)
 	is.Equal(n, 0)
-	a = a.WithTaken().WithSample(2*time.Second+10*time.Millisecond, 64, 64)
+	a = a.WithAccepted().WithSample(2*time.Second+10*time.Millisecond, 64, 64)
 	n, _ = a.Untaken(3 * time.Second)
 	is.Equal(n, 99) // one in 10 ms, and one was taken
 }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -28,7 +28,7 @@
 func (q *queued) took() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.arrivals = q.arrivals.WithTaken()
+	q.arrivals = q.arrivals.WithAccepted()
 }
 
 func (q *queued) look(now time.Duration, waiting, most int) {
