--- a/coordination/entitlement/queue_test.go
+++ b/coordination/entitlement/queue_test.go
@@ -45,7 +45,7 @@
 
 // untaken returns the estimate since the last call.
 func (q *modelQueue) untaken(now time.Duration) (n int) {
-	n, q.arrivals = q.arrivals.Untaken(now)
+	n, q.arrivals = q.arrivals.Unaccepted(now)
 	return n
 }
 
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -44,9 +44,9 @@
 	return a
 }
 
-// Untaken returns how many connections came since the last call and were neither taken nor still wait,
+// Unaccepted returns how many connections came since the last call and were neither taken nor still wait,
 // and the arrivals to go on with. It is 0 where no look has shown any.
-func (a Arrivals) Untaken(now time.Duration) (n int, next Arrivals) {
+func (a Arrivals) Unaccepted(now time.Duration) (n int, next Arrivals) {
 	if a.room > 0 && a.since != 0 {
 		all := float64(a.came) * float64(now-a.since) / float64(a.room)
 		n = max(int(all)-a.all-(a.waiting-a.held), 0)
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		var n int
-		if n, a = a.Untaken(now); now > after {
+		if n, a = a.Unaccepted(now); now > after {
 			untaken += n
 		}
 	}
@@ -87,12 +87,12 @@
 func TestArrivalsUnseen(t *testing.T) {
 	is := is.New(t)
 	var a Arrivals
-	n, a := a.Untaken(time.Second)
+	n, a := a.Unaccepted(time.Second)
 	is.Equal(n, 0)
 	a = a.WithSample(time.Second, 64, 64).WithSample(2*time.Second, 64, 64)
-	n, a = a.Untaken(2 * time.Second)
+	n, a = a.Unaccepted(2 * time.Second)
 	is.Equal(n, 0)
 	a = a.WithAccepted().WithSample(2*time.Second+10*time.Millisecond, 64, 64)
-	n, _ = a.Untaken(3 * time.Second)
+	n, _ = a.Unaccepted(3 * time.Second)
 	is.Equal(n, 99) // one in 10 ms, and one was taken
 }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -41,6 +41,6 @@
 func (q *queued) untaken(now time.Duration) (n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	n, q.arrivals = q.arrivals.Untaken(now)
+	n, q.arrivals = q.arrivals.Unaccepted(now)
 	return n
 }
