--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -11,7 +11,7 @@
 
 // TestSilentConnections follows the attempts at one server, in seconds.
 func TestSilentConnections(t *testing.T) {
-	var d Doubt
+	var d ServerSilence
 	for _, tt := range []struct {
 		what               string
 		now, began, opened float64
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -23,7 +23,7 @@
 type knownServer struct {
 	protocol.Server
 	health     outlier.FailureRate
-	doubt      outlier.Doubt
+	doubt      outlier.ServerSilence
 	pace       place.Pace
 	ownLoad    place.Work // running there from this gateway; prompts count until their first event
 	totalLoad  place.Work // the same of all gateways, as the leader last sent it
