--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -19,10 +19,10 @@
 	since time.Duration // when a kept connection was silent first; 0: never
 }
 
-// Silent takes an attempt that began at a time, on a connection opened at another (0: it
+// ObserveSilence takes an attempt that began at a time, on a connection opened at another (0: it
 // got none), and ended because nothing came. It returns the verdict on the server and whether the idle
 // connections to it should be closed, so that the next request tries a new one.
-func (d *ServerSilence) Silent(now, began, opened time.Duration) (v Verdict, drop bool) {
+func (d *ServerSilence) ObserveSilence(now, began, opened time.Duration) (v Verdict, drop bool) {
 	kept := opened != 0 && opened < began
 	switch {
 	case !kept:
--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -30,7 +30,7 @@
 		t.Run(tt.what, func(t *testing.T) {
 			is := is.New(t)
 			at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-			v, drop := d.Silent(at(tt.now), at(tt.began), at(tt.opened))
+			v, drop := d.ObserveSilence(at(tt.now), at(tt.began), at(tt.opened))
 			is.Equal(v, tt.verdict)
 			is.Equal(drop, tt.drop)
 		})
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -75,7 +75,7 @@
 func (g *Gateway) silentBlame(a *assignment) outlier.Verdict {
 	now := g.now()
 	g.table.mu.Lock()
-	v, drop := a.entry.doubt.Silent(now, a.startedAt, a.connOpenedAt)
+	v, drop := a.entry.doubt.ObserveSilence(now, a.startedAt, a.connOpenedAt)
 	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.serverID)
 	g.table.mu.Unlock()
 	switch {
