--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -48,9 +48,9 @@
 	ended  time.Duration // when all idle connections were last closed; 0: never
 }
 
-// Silent takes that a kept connection to a server was silent, and reports whether all idle
+// ObserveSilence takes that a kept connection to a server was silent, and reports whether all idle
 // connections should be closed: two servers' were, and that was not done lately.
-func (o *Outage) Silent(now time.Duration, server string) (dropAll bool) {
+func (o *Outage) ObserveSilence(now time.Duration, server string) (dropAll bool) {
 	together := o.server != "" && o.server != server && now-o.at <= togetherWithin
 	o.server, o.at = server, now
 	if !together || o.ended != 0 && now-o.ended <= doubtFor {
--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -40,11 +40,11 @@
 func TestOutage(t *testing.T) {
 	is := is.New(t)
 	var o Outage
-	is.True(!o.Silent(1*time.Second, "a"))
-	is.True(!o.Silent(1*time.Second, "a")) // one server only
-	is.True(!o.Silent(4*time.Second, "b")) // too late after it
-	is.True(o.Silent(5*time.Second, "a"))
-	is.True(!o.Silent(6*time.Second, "b")) // done already
-	is.True(!o.Silent(20*time.Second, "a"))
-	is.True(o.Silent(21*time.Second, "c"))
+	is.True(!o.ObserveSilence(1*time.Second, "a"))
+	is.True(!o.ObserveSilence(1*time.Second, "a")) // one server only
+	is.True(!o.ObserveSilence(4*time.Second, "b")) // too late after it
+	is.True(o.ObserveSilence(5*time.Second, "a"))
+	is.True(!o.ObserveSilence(6*time.Second, "b")) // done already
+	is.True(!o.ObserveSilence(20*time.Second, "a"))
+	is.True(o.ObserveSilence(21*time.Second, "c"))
 }
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -76,7 +76,7 @@
 	now := g.now()
 	g.table.mu.Lock()
 	v, drop := a.entry.doubt.ObserveSilence(now, a.startedAt, a.connOpenedAt)
-	dropAll := v == outlier.NoVerdict && g.table.outage.Silent(now, a.serverID)
+	dropAll := v == outlier.NoVerdict && g.table.outage.ObserveSilence(now, a.serverID)
 	g.table.mu.Unlock()
 	switch {
 	case dropAll:
