--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -87,9 +87,9 @@
 	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.Times()}
 }
 
-// Welcomed begins a session: reports are numbered from 1 again, and slots that
+// BeginSession begins a session: reports are numbered from 1 again, and slots that
 // the allocator does not count for this router any more are given back.
-func (p *Pool) Welcomed(w protocol.Welcome) {
+func (p *Pool) BeginSession(w protocol.Welcome) {
 	p.idle = 0
 	if w.Void {
 		p.holder.ReturnIdle()
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -206,7 +206,7 @@
 	r.lease = max(r.lease, sent+testLease.Length)
 	r.reports, r.viewSeq, r.due = 0, 0, 0
 	for i, p := range r.pools {
-		p.Welcomed(w)
+		p.BeginSession(w)
 		r.dispatch(i)
 	}
 	r.report()
--- a/router/session.go
+++ b/router/session.go
@@ -70,7 +70,7 @@
 func (l *leaderClient) begin(s *session, w protocol.Welcome) {
 	l.session.Store(s)
 	for _, p := range l.r.poolList() {
-		p.update(func(_ time.Duration, pl *pool.Pool) { pl.Welcomed(w) })
+		p.update(func(_ time.Duration, pl *pool.Pool) { pl.BeginSession(w) })
 	}
 	l.r.claims.setSession(s)
 }
