--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -97,6 +97,6 @@
 	p.queue.ResetReports(w.Known, w.Reports)
 }
 
-// Unlinked forgets the allocator's view, so that slots are used rather than
+// Disconnected forgets the allocator's view, so that slots are used rather than
 // given back to nobody.
-func (p *Pool) Unlinked() { p.view = slots.FleetView{} }
+func (p *Pool) Disconnected() { p.view = slots.FleetView{} }
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -238,7 +238,7 @@
 		r.f.alloc.Unlink(r.name, r.boot)
 	}
 	for i, p := range r.pools {
-		p.Unlinked()
+		p.Disconnected()
 		r.dispatch(i)
 	}
 	r.connect()
--- a/router/session.go
+++ b/router/session.go
@@ -79,7 +79,7 @@
 	l.session.Store(nil)
 	l.r.claims.setSession(nil)
 	for _, p := range l.r.poolList() {
-		p.update(func(_ time.Duration, pl *pool.Pool) { pl.Unlinked() })
+		p.update(func(_ time.Duration, pl *pool.Pool) { pl.Disconnected() })
 	}
 }
 
