--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -46,9 +46,9 @@
 	p.idle = pr.Idle
 }
 
-// TakeView takes the allocator's view of this pool, which includes this
+// ApplyView takes the allocator's view of this pool, which includes this
 // router's reports up to number reports.
-func (p *Pool) TakeView(now time.Duration, v protocol.PoolView, reports uint64) {
+func (p *Pool) ApplyView(now time.Duration, v protocol.PoolView, reports uint64) {
 	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, At: now}
 	p.queue.SetLift(v.Lift)
 	if v.Recall > 0 {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -267,7 +267,7 @@
 	for i, p := range r.pools {
 		for _, pv := range v.Pools {
 			if pv.Pool == r.f.shape.pools[i].name {
-				p.TakeView(r.f.now, pv, v.ReportSeq)
+				p.ApplyView(r.f.now, pv, v.ReportSeq)
 			}
 		}
 		for _, h := range v.Granted {
--- a/router/session.go
+++ b/router/session.go
@@ -140,7 +140,7 @@
 	s.viewSeq.Store(v.Seq)
 	for _, pv := range v.Pools {
 		if p := l.r.pool(pv.Pool); p != nil {
-			p.update(func(now time.Duration, pl *pool.Pool) { pl.TakeView(now, pv, v.ReportSeq) })
+			p.update(func(now time.Duration, pl *pool.Pool) { pl.ApplyView(now, pv, v.ReportSeq) })
 		}
 	}
 	t := l.r.routes.Load()
