--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -32,10 +32,10 @@
 	return NothingNew
 }
 
-// TakeReport adds what is new in this pool to a report with number seq. Urgent
+// AppendReport adds what is new in this pool to a report with number seq. Urgent
 // or not, a report holds everything: with only the urgent part the allocator
 // took work for waiting that had started since, and granted slots for it.
-func (p *Pool) TakeReport(seq uint64, into *protocol.Report) {
+func (p *Pool) AppendReport(seq uint64, into *protocol.Report) {
 	into.Returned = append(into.Returned, p.holder.TakeReturned()...)
 	into.Suspects = append(into.Suspects, p.suspects...)
 	p.suspects = nil
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -123,7 +123,7 @@
 func (r *testRouter) report() {
 	report := protocol.Report{ViewSeq: r.viewSeq}
 	for _, p := range r.pools {
-		p.TakeReport(r.reports+1, &report)
+		p.AppendReport(r.reports+1, &report)
 	}
 	if len(report.Pools)+len(report.Returned)+len(report.Suspects) == 0 {
 		return
--- a/router/report.go
+++ b/router/report.go
@@ -88,7 +88,7 @@
 	s.mu.Unlock()
 	report := protocol.Report{ViewSeq: s.viewSeq.Load()}
 	for _, p := range l.r.poolList() {
-		p.locked(func(pl *pool.Pool) { pl.TakeReport(seq, &report) })
+		p.locked(func(pl *pool.Pool) { pl.AppendReport(seq, &report) })
 	}
 	found := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
 	if !found {
