--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -250,8 +250,8 @@
 	return ejected
 }
 
-// Backoff takes that a server wants nothing for a while. Its free slots go back with the next Dispatch.
-func (p *Pool) Backoff(now time.Duration, server string, backoff time.Duration) {
+// SetBackoff takes that a server wants nothing for a while. Its free slots go back with the next Dispatch.
+func (p *Pool) SetBackoff(now time.Duration, server string, backoff time.Duration) {
 	p.placer.SetBackoff(now, server, backoff)
 }
 
--- a/router/call.go
+++ b/router/call.go
@@ -217,7 +217,7 @@
 		return
 	}
 	if backoff, _ := forward.RetryAfter(refusal.Header); backoff > 0 {
-		r.pool(c.pool).update(func(now time.Duration, pl *pool.Pool) { pl.Backoff(now, server.ID, backoff) })
+		r.pool(c.pool).update(func(now time.Duration, pl *pool.Pool) { pl.SetBackoff(now, server.ID, backoff) })
 		r.stats.backoffs.Inc()
 	}
 }
