--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -261,8 +261,8 @@
 // CacheEvent takes an event of a server's cache.
 func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
 
-// Usable returns the slots of each server that the pool holds, in use or free.
-func (p *Pool) Usable() map[string]int { return p.holder.Usable() }
+// UsableSlots returns the slots of each server that the pool holds, in use or free.
+func (p *Pool) UsableSlots() map[string]int { return p.holder.Usable() }
 
 func works(tickets []*share.Ticket) []*Work {
 	out := make([]*Work, 0, len(tickets))
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -145,7 +145,7 @@
 		if f.now >= r.lease {
 			continue
 		}
-		for name, n := range r.pools[0].Usable() {
+		for name, n := range r.pools[0].UsableSlots() {
 			used[name] += n
 		}
 	}
