--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -42,7 +42,7 @@
 func (n Notice) Leaving() bool { return n.leaving }
 
 // Admits reports whether the server may have a request.
-func (n Notice) Admits(now time.Duration) bool { return !n.leaving && n.Backoff(now) == 0 }
+func (n Notice) Admits(now time.Duration) bool { return !n.leaving && n.BackoffLeft(now) == 0 }
 
-// Backoff returns what is left of the time that the server asked for.
-func (n Notice) Backoff(now time.Duration) time.Duration { return max(n.backoffUntil-now, 0) }
+// BackoffLeft returns what is left of the time that the server asked for.
+func (n Notice) BackoffLeft(now time.Duration) time.Duration { return max(n.backoffUntil-now, 0) }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -100,7 +100,7 @@
 		if !t.inService(k) || k.versions&req.versions == 0 || !t.mayBeServedAt(req, k) {
 			continue
 		}
-		left := k.notice.Backoff(now)
+		left := k.notice.BackoffLeft(now)
 		if left <= req.outlast && !req.avoid[k.ID] {
 			return 0, false
 		}
