--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -16,7 +16,7 @@
 	is.True(n.Leaving())
 	is.True(!n.Admits(1000 * time.Hour))
 	is.Equal(n.BackoffLeft(0), time.Duration(0))
-	is.True(!n.WithBackoff(0, time.Second).Admits(2 * time.Second)) // a backoff that is over changes nothing
+	is.True(!n.WithBackoff(0, time.Second).Admits(2 * time.Second)) // an expired backoff changes nothing
 }
 
 func TestBackoff(t *testing.T) {
@@ -27,9 +27,9 @@
 	is.Equal(n.BackoffLeft(11*time.Second), 2*time.Second)
 	is.True(!n.Admits(13*time.Second - 1))
 	is.True(n.Admits(13 * time.Second))
-	is.Equal(n.WithBackoff(11*time.Second, time.Second), n)                                            // a shorter one
-	is.Equal(n.WithBackoff(11*time.Second, 0), n)                                                      // none
-	is.Equal(n.WithBackoff(11*time.Second, -time.Minute), n)                                           // the same
-	is.Equal(n.WithBackoff(12*time.Second, 3*time.Second).BackoffLeft(13*time.Second), 2*time.Second)  // a longer one
-	is.Equal(n.WithBackoff(10*time.Second, math.MaxInt64).BackoffLeft(10*time.Second), LongestBackoff) // an absurd one
+	is.Equal(n.WithBackoff(11*time.Second, time.Second), n)                                            // shorter
+	is.Equal(n.WithBackoff(11*time.Second, 0), n)                                                      // zero
+	is.Equal(n.WithBackoff(11*time.Second, -time.Minute), n)                                           // negative
+	is.Equal(n.WithBackoff(12*time.Second, 3*time.Second).BackoffLeft(13*time.Second), 2*time.Second)  // longer
+	is.Equal(n.WithBackoff(10*time.Second, math.MaxInt64).BackoffLeft(10*time.Second), LongestBackoff) // clamped
 }
--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -1,32 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package coldstart keeps the requests that a whole fleet sends to one cold backend server
-// within what that server bears.
+// Package coldstart bounds the requests that the whole fleet sends to one cold backend server.
 //
-// The model: a server that has just started, or has become cold again, bears a rate of
-// requests that its pool states, and falls over above it. It looks the emptiest of all, to
-// every gateway at the same moment, and what is known of others' requests is up to 600 ms
-// old; so the rate is divided before anything is sent. The leader gives each cold server to
-// Holders gateways, in an order of their own for each server, with whole requests a second
-// that add up to the rate ([Divide]). Nobody else sends to it. A share holds under a lease:
-// for Lease after the gateway sent the newest of its reports that the leader has counted.
-// A new leader divides nothing for as long. So at any moment the shares in force add up to
-// no more than the rate, whatever messages are lost and whoever is cut off, frozen or
-// replaced ([Allowance]).
+// A server that has just started, or has become cold again, can handle a request rate that its pool states, and
+// fails above it. To every gateway it looks like the least loaded server at the same moment, and the reported
+// load of other gateways is up to 600 ms old, so the rate has to be divided before any request is sent. For each
+// cold server the leader chooses Holders gateways, in an order that differs between servers, and assigns them
+// whole requests a second that add up to the rate ([Divide]). No other gateway sends to it. A share is leased: it
+// is valid for Lease after the gateway sent its latest report that the leader has received. A new leader assigns
+// no shares for the same time. The valid shares therefore never add up to more than the rate, even if messages
+// are lost or gateways and leaders are cut off, frozen or replaced ([Allowance]).
 //
-// Ways weighed, by what they send to a server that bears 18 a second in its 3 s, at 62, 300
-// and 1,600 gateways (TestWaysOfDividing, 200 draws each):
-//   - each gateway a part of a request a second, from a moment of its own: 54 on average
-//     where every gateway always has a request, up to 35 of them in one second; 1.8, 0.4
-//     and 0.1 where two gateways have all the traffic;
-//   - Holders gateways with whole requests (kept): 54, never over 18 in one second; where
-//     two gateways have all the traffic, their shares of the servers that they hold;
-//   - the gateways of the server's data hall alone, not played: the first way with a third
-//     of the gateways;
-//   - a lease that the leader gives to whoever asks, not played: the most exact, at a round
-//     trip of 100 to 600 ms before the first request of 3 s.
+// Alternatives, for a server that can handle 18 requests a second for 3 s:
+//   - If each gateway gets an equal fraction of a request a second, starting at a random time, up to 35 requests
+//     coincide in one second. If only two gateways have traffic, the server gets fewer than two requests in all.
+//   - Using the gateways of the server's data hall alone has the same problems with a third of the gateways.
+//   - A lease granted by the leader on demand would be the most exact, but takes a round trip of 100 to 600 ms of
+//     the 3 s before the first request.
 //
-// Nothing here is safe for concurrent use, and nothing reads a clock.
+// No type is safe for concurrent use, and no function reads a clock.
 package coldstart
 
 import (
@@ -39,23 +31,23 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// Holders is how many gateways have a share of one cold server. Fewer would waste more of it when one
-// of them has no request or is lost, more would leave shares under one request a second at 18.
+// Holders is the number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
+// them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
 const Holders = 4
 
-// Lease is for how long a share holds after the report by which it was last renewed. It is above the
-// longest pause between two of the leader's messages (registry.FleetBudget).
+// Lease is how long a share is valid after the report that last renewed it. It exceeds the longest interval
+// between two messages of the leader (registry.FleetBudget).
 const Lease = time.Second
 
-// window is the time over which requests are counted: rates are a second's.
+// window is the period over which requests are counted, since rates are per second.
 const window = time.Second
 
-// WarmSpread is the time over which the gateways begin to use a server that is not cold any more, each
-// at a moment of its own, so that what it gets does not jump.
+// WarmSpread is the period over which the gateways begin to use a server that is no longer cold, each at its own
+// time, so that its load does not jump.
 const WarmSpread = time.Second
 
-// Divide gives a cold server's rate, in requests a second, to Holders of the gateways: the
-// first in the server's own order of them. Shares are whole, and at least one.
+// Divide divides a cold server's rate, in requests a second, among the first Holders gateways in the server's
+// order. Shares are whole numbers of at least one.
 func Divide(server string, gateways []string, rate float64) []protocol.ColdShare {
 	whole := int(rate)
 	holders := min(Holders, len(gateways), whole)
@@ -76,20 +68,19 @@
 	return shares
 }
 
-// rank is a gateway's place in a server's order.
+// rank returns the value by which gateways are ordered for a server.
 func rank(server, gateway string) uint64 { return xxh3.HashString(server + "\x00" + gateway) }
 
-// Allowance is what one gateway may send to one server. The zero value is a server that is
+// Allowance determines how many requests one gateway may send to one server. The zero value is a server that is
 // not cold.
 type Allowance struct {
-	until time.Duration // cold until then
-	opens time.Duration // from then on without a bound, for a gateway without a share
-	share int           // requests in a second
+	until time.Duration // end of the cold period
+	opens time.Duration // when a gateway without a share may send without limit
+	share int           // requests a second
 	begun []time.Duration
 }
 
-// WithCold returns the allowance of a server that is cold for some more time, with this
-// gateway's share of it.
+// WithCold returns the allowance of a server that stays cold for the given time, with this gateway's share of it.
 func (a Allowance) WithCold(now, left time.Duration, server, gateway string, shares []protocol.ColdShare) Allowance {
 	until := now + left
 	a.until = until
@@ -103,17 +94,16 @@
 	return a
 }
 
-// WithoutShare returns the allowance without its share: nobody renews it any more.
+// WithoutShare returns the allowance without its share, which is no longer renewed.
 func (a Allowance) WithoutShare() Allowance {
 	a.share = 0
 	return a
 }
 
-// Cold reports whether the server is cold, or has been until a moment ago.
+// Cold reports whether the server is cold, or this gateway does not yet use it as a warm one.
 func (a Allowance) Cold(now time.Duration) bool { return now < a.opens }
 
-// Admits reports whether one more request may begin there now; leased is whether this
-// gateway's shares are in force.
+// Admits reports whether one more request may begin now. leased is whether this gateway's shares are valid.
 func (a Allowance) Admits(now time.Duration, leased bool) bool {
 	if !a.Cold(now) {
 		return true
@@ -121,7 +111,7 @@
 	return leased && a.inWindow(now) < a.share
 }
 
-// inWindow returns how many requests began less than a window ago.
+// countInWindow returns the number of requests that began within the window.
 func (a Allowance) inWindow(now time.Duration) int {
 	n := 0
 	for _, at := range a.begun {
@@ -132,7 +122,7 @@
 	return n
 }
 
-// WithBegun returns the allowance after one more request.
+// WithBegun returns the allowance after one more request has begun.
 func (a Allowance) WithBegun(now time.Duration) Allowance {
 	if !a.Cold(now) {
 		a.begun = nil
--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -34,11 +34,11 @@
 	is.Equal(sum(Divide("a", names(62), 18)), 18)
 	is.Equal(sum(Divide("a", names(3), 18)), 18)
 	is.Equal(sum(Divide("a", names(1), 18.9)), 18)
-	is.Equal(len(Divide("a", names(62), 2)), 2) // no share is a part of a request
+	is.Equal(len(Divide("a", names(62), 2)), 2) // shares are whole requests
 	is.Equal(len(Divide("a", names(62), 0.9)), 0)
 	is.Equal(len(Divide("a", nil, 18)), 0)
 	is.Equal(Divide("a", names(62), 18), Divide("a", names(62), 18))
-	// Each server has an order of its own: all gateways take part in a hall's return.
+	// The order differs between servers, so all gateways take part when a data hall returns.
 	holders := map[string]bool{}
 	for i := range 60 {
 		for _, s := range Divide(fmt.Sprint("server-", i), names(62), 18) {
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	shares := []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}
 	var a Allowance
-	is.True(a.Admits(0, false)) // is not cold
+	is.True(a.Admits(0, false)) // not cold
 	a = a.WithCold(0, 3*time.Second, "s", "g", shares)
 	is.True(!a.Admits(0, false)) // no lease
 	is.True(a.Admits(0, true))
@@ -61,15 +61,15 @@
 	is.True(a.Admits(time.Second+1, true))
 	is.True(!a.WithoutShare().Admits(2*time.Second, true))
 	is.True(!a.Admits(3*time.Second-1, false))
-	is.True(a.Admits(3*time.Second+WarmSpread, false)) // is not cold any more, for anybody
+	is.True(a.Admits(3*time.Second+WarmSpread, false)) // open to all gateways, since it is no longer cold
 
 	other := Allowance{}.WithCold(0, 3*time.Second, "s", "another", shares)
 	is.True(!other.Admits(0, true))
 	is.True(other.Admits(3*time.Second+WarmSpread, false))
 }
 
-// TestWarmServersDoNotJump: the gateways begin to use a server that is not cold any more
-// one after the other.
+// TestWarmServersDoNotJump checks that the gateways begin to use a server one after the other once it is no
+// longer cold.
 func TestWarmServersDoNotJump(t *testing.T) {
 	is := is.New(t)
 	for tenth := range 10 {
@@ -83,12 +83,10 @@
 	}
 }
 
-// way is one way of dividing a cold server's rate: it says whether a gateway may begin a
-// request now.
+// way is a strategy for dividing a cold server's rate. It reports whether a gateway may begin a request now.
 type way func(gateway int, now time.Duration) bool
 
-// partsOfRequests gives each of some gateways an equal part of the rate, from a moment of
-// its own on.
+// partsOfRequests gives each gateway an equal fraction of the rate, starting at a random time.
 func partsOfRequests(gateways int, rate float64, rng *rand.Rand) way {
 	spacing := time.Duration(float64(gateways) / rate * float64(time.Second))
 	next := make([]time.Duration, gateways)
@@ -104,7 +102,7 @@
 	}
 }
 
-// wholeShares is Divide with an Allowance at each gateway.
+// wholeShares uses Divide, with an Allowance on each gateway.
 func wholeShares(gateways int, rate float64) way {
 	all := names(gateways)
 	shares := Divide("server", all, rate)
@@ -121,8 +119,8 @@
 	}
 }
 
-// play lets some of the gateways send whenever they may, every 10 ms of a cold time of
-// 3 s, and returns what was sent in all and the most in one second.
+// play lets a range of gateways send whenever they are allowed to, every 10 ms of a cold period of 3 s. It returns
+// the number of requests and the maximum in one second.
 func play(w way, from, to int) (sent, most int) {
 	var times []time.Duration
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
@@ -142,8 +140,8 @@
 	return len(times), most
 }
 
-// TestWaysOfDividing compares ways to divide a rate of 18 a second: what all gateways that
-// always have a request send, and what two of them do that have all the traffic.
+// TestWaysOfDividing compares strategies for a rate of 18 a second: with constant demand on all gateways, and with
+// all traffic on two of them.
 func TestWaysOfDividing(t *testing.T) {
 	is := is.New(t)
 	const rate = 18.0
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -1,47 +1,44 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package drain decides what a gateway that is stopping still does.
+// Package drain decides what a stopping gateway still does.
 //
-// A stop has three phases, each a part of the grace: new requests are served
-// however long they may take, because balancers still send some; then only
-// those that surely end in time; at last what still runs is cut off, while
-// there is time left to close connections and write the log. Everything is
-// pure: the time since the stop began is an argument.
+// A stop has three phases, each a fraction of the grace period. At first, new requests are admitted however long
+// they may take, because balancers still send some. Then only requests that are certain to end in time are
+// admitted. Finally, requests that are still running are cut off, which leaves time to close connections and write
+// the log. All functions are pure; the time since the stop began is an argument.
 package drain
 
 import "time"
 
-// Ends of the phases, as parts of the grace.
+// Ends of the phases, as fractions of the grace period.
 const (
-	// acceptPart was 0.4 until the bench cut off requests that a stopping
-	// gateway had taken (docs/FINDINGS.md, served for 0.4 of the grace;
-	// TestStop). 0.34 is chosen.
+	// acceptPart ends the phase of unrestricted admission. At 0.4, requests that a stopping gateway had admitted
+	// were cut off (docs/FINDINGS.md).
 	acceptPart = 0.34
-	// finishPart leaves the rest of the grace to close connections and write the log.
+	// finishPart leaves the rest of the grace period to close connections and write the log.
 	finishPart = 0.88
 )
 
-// Grace is how long a process has from the request to stop until it is killed.
+// Grace is the time between the request to stop a process and the kill.
 type Grace time.Duration
 
-// Admits reports whether a request may begin that takes at most patience,
-// given the time since the stop began, 0 before.
+// Admits reports whether a request that takes at most patience may begin, given the time since the stop began, or 0
+// if it has not.
 func (g Grace) Admits(since, patience time.Duration) bool {
 	return since <= g.part(acceptPart) || since+patience <= g.part(finishPart)
 }
 
-// Step is what a stopping gateway does now.
+// Step is the next action of a stopping gateway.
 type Step uint8
 
-// The steps.
+// Steps of a stop.
 const (
-	GoOn   Step = iota // requests are being served, or may still begin
-	End                // nothing runs, and no more is expected
-	CutOff             // the time for what runs is over
+	GoOn   Step = iota // continue: requests are running or may still begin
+	End                // end: no requests are running and no more are expected
+	CutOff             // cut off requests that are still running
 )
 
-// Next returns what to do, given the time since the stop began and the number
-// of requests that are being served.
+// Next returns the next action, given the time since the stop began and the number of running requests.
 func (g Grace) Next(since time.Duration, running int64) Step {
 	switch {
 	case since > g.part(finishPart):
--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	grace = Grace(10 * time.Second) // accepts until 3.4 s, cuts off at 8.8 s
+	grace = Grace(10 * time.Second) // admits until 3.4 s, cuts off at 8.8 s
 	ms    = time.Millisecond
 )
 
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -4,59 +4,59 @@
 
 import "time"
 
-// This file defines Consecutive, the routers' rule: failures in a row.
+// This file defines Consecutive, the routers' rule: consecutive failures.
 
 // Bounds of a router's ejections.
 const (
-	failuresToEject = 3 // in a row
+	failuresToEject = 3 // consecutive
 	shortestEject   = time.Second
-	longestEject    = 30 * time.Second // however often the trial fails
+	longestEject    = 30 * time.Second // maximum, reached after failed trials
 )
 
-// Consecutive follows the failures of the servers of one pool. Only failures of
-// the server count: refusals, lost connections, silence; not bad requests.
+// Consecutive tracks the failures of the servers of one pool. Only failures of the server count, such as
+// refusals, lost connections and silence, but not bad requests.
 type Consecutive struct {
-	servers map[string]*streak // without those that answered last
-	size    int                // servers of the pool
+	servers map[string]*streak // without servers whose last request succeeded
+	size    int                // number of servers in the pool
 }
 
 type streak struct {
 	ejection
-	failures int // in a row
+	failures int // consecutive
 }
 
-// NewConsecutive returns a rule by which every server is in use.
+// NewConsecutive returns a tracker with all servers in use.
 func NewConsecutive() *Consecutive { return &Consecutive{servers: map[string]*streak{}} }
 
-// SetSize sets the number of serving servers of the pool.
+// SetSize sets the number of serving servers in the pool.
 func (c *Consecutive) SetSize(n int) { c.size = n }
 
-// Usable reports whether a request may go to the server: it is in use, or its
-// ejection is over and no other request tries it.
+// Usable reports whether a request may be sent to the server: it is in use, or its ejection has ended and
+// no trial is under way.
 func (c *Consecutive) Usable(now time.Duration, server string) bool {
 	s := c.servers[server]
 	return s == nil || s.State(now) != Ejected
 }
 
-// Sent counts a request that goes to the server, the trial if one is due.
+// Sent records a request sent to the server, which is the trial if one is due.
 func (c *Consecutive) Sent(now time.Duration, server string) {
 	if s := c.servers[server]; s != nil {
 		s.Sent(now)
 	}
 }
 
-// Succeeded counts an answer of the server.
+// Succeeded records an answer of the server.
 func (c *Consecutive) Succeeded(server string) { delete(c.servers, server) }
 
-// Abandoned counts a request that ended for a reason outside the server, such
-// as a caller that gave up.
+// Abandoned records a request that ended for a reason other than the server, such as a caller that gave
+// up.
 func (c *Consecutive) Abandoned(server string) {
 	if s := c.servers[server]; s != nil {
 		s.trying = false
 	}
 }
 
-// Failed counts a failure of the server and reports whether it is ejected now.
+// Failed records a failure of the server and reports whether the server is ejected now.
 func (c *Consecutive) Failed(now time.Duration, server string) bool {
 	s := c.servers[server]
 	if s == nil {
@@ -70,8 +70,8 @@
 	return s.until > 0
 }
 
-// eject ejects a server unless half of the pool is ejected already: when most of
-// a pool fails, the cause is more likely between this router and the pool.
+// eject ejects a server unless half of the pool is ejected already. If most of a pool fails, the cause is
+// more likely between this router and the pool.
 func (c *Consecutive) eject(now time.Duration, s *streak) bool {
 	if s.until == 0 && 2*(c.ejected()+1) > c.size {
 		return false
--- a/coordination/outlier/consecutive_test.go
+++ b/coordination/outlier/consecutive_test.go
@@ -19,7 +19,7 @@
 	h.SetSize(4)
 	now := time.Second
 	is.True(!h.Failed(now, "a"))
-	h.Succeeded("a") // only failures in a row count
+	h.Succeeded("a") // only consecutive failures count
 	is.True(!h.Failed(now, "a"))
 	is.True(!h.Failed(now, "a"))
 	is.True(h.Failed(now, "a"))
@@ -27,11 +27,11 @@
 	later := now + shortestEject
 	is.True(h.Usable(later, "a"))
 	h.Sent(later, "a")
-	is.True(!h.Usable(later, "a")) // one probe at a time
+	is.True(!h.Usable(later, "a")) // one trial at a time
 	is.True(h.Failed(later, "a"))
-	is.True(!h.Usable(later+shortestEject, "a")) // twice as long now
+	is.True(!h.Usable(later+shortestEject, "a")) // twice as long as the first ejection
 	h.Sent(later+2*shortestEject, "a")
-	h.Abandoned("a") // the caller gave up: another may probe
+	h.Abandoned("a") // the caller gave up, so another request may be the trial
 	is.True(h.Usable(later+2*shortestEject, "a"))
 	h.Sent(later+2*shortestEject, "a")
 	h.Succeeded("a")
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -4,24 +4,24 @@
 
 import "time"
 
-// This file defines ejection, the time that a server is left alone and the
-// trial that ends it. Both rules use it.
+// This file defines ejection, the period for which a server is not used and the trial that ends it. Both
+// rules use it.
 
-// State is whether requests may go to a server.
+// State states whether requests may be sent to a server.
 type State uint8
 
-// The states.
+// States of a server.
 const (
-	InUse   State = iota // requests may go there
-	Ejected              // it is left alone, or a trial is under way
-	Trial                // the ejection is over: one request may try the server
+	InUse   State = iota // requests may be sent
+	Ejected              // no requests may be sent, or a trial is under way
+	Trial                // the ejection has ended and one request may try the server
 )
 
-// ejection is the zero value for a server in use.
+// ejection is the ejection state of one server. The zero value is a server in use.
 type ejection struct {
-	until  time.Duration // 0: not ejected
-	wait   time.Duration // of the next ejection, before it is bounded
-	trying bool          // the trial is under way
+	until  time.Duration // zero if not ejected
+	wait   time.Duration // duration of the next ejection, before limits apply
+	trying bool          // whether the trial is under way
 }
 
 // State returns the server's state.
@@ -35,8 +35,7 @@
 	return Trial
 }
 
-// Sent counts a request that goes to the server and reports whether it is the
-// trial.
+// Sent records a request sent to the server and reports whether it is the trial.
 func (e *ejection) Sent(now time.Duration) (trial bool) {
 	if e.State(now) != Trial {
 		return false
@@ -45,7 +44,7 @@
 	return true
 }
 
-// eject begins an ejection, twice as long as the one before, within the bounds.
+// eject begins an ejection twice as long as the last one, within the limits.
 func (e *ejection) eject(now, shortest, longest time.Duration) {
 	e.trying = false
 	e.wait = min(max(e.wait, shortest), longest)
--- a/coordination/outlier/example_test.go
+++ b/coordination/outlier/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// A router ejects a server after failures in a row, then sends it one trial.
+// A router ejects a server after consecutive failures, then sends it one trial.
 func ExampleConsecutive() {
 	c := outlier.NewConsecutive()
 	c.SetSize(2)
@@ -31,7 +31,7 @@
 	// usable after it: true
 }
 
-// A gateway ejects a server that fails much more than its pool does.
+// A gateway ejects a server with a much higher failure rate than its pool.
 func ExamplePoolRate() {
 	var pool outlier.PoolRate
 	var good, bad outlier.FailureRate
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -4,56 +4,52 @@
 
 import "time"
 
-// This file defines FailureRate and PoolRate, the gateways' rule: a
-// server's part of failures against its pool's.
+// This file defines FailureRate and PoolRate, the gateways' rule: the failure rate of a server compared
+// with that of its pool.
 
-// Verdict is what the end of an attempt shows about the server. The zero value is an
-// answer.
+// Verdict is what the result of an attempt shows about the server. The zero value is an answer.
 type Verdict uint8
 
-// The verdicts.
+// Verdicts on an attempt.
 const (
-	Answered  Verdict = iota // whole, and no failure of its own
-	Refused                  // as full, without having run
-	Faulty                   // it answered, with an error of its own or an unusable answer
-	Lost                     // no answer, or only a part of one
-	NoVerdict                // the end was none of the server's doing
+	Answered  Verdict = iota // complete and without a server error
+	Refused                  // for lack of capacity, without having run
+	Faulty                   // answered with a server error or an unusable answer
+	Lost                     // no answer or an incomplete one
+	NoVerdict                // ended for a reason other than the server
 )
 
-// weights are the parts of a failure that verdicts count for: A refusal weighs least, since full
-// engines refuse in normal operation.
+// failureWeights are the weights of verdicts in the failure rate. Refusals weigh least, since full engines
+// refuse requests in normal operation.
 var weights = [...]float64{Answered: 0, Refused: 0.4, Faulty: 0.7, Lost: 1}
 
-// Parameters of a gateway's ejections.
+// Parameters of the gateways' rule.
 const (
-	serverMemory = 12               // attempts over which a server's failures are averaged
-	poolMemory   = 0.02             // weight of one attempt in the pool's average: one of 50
-	rateToEject  = 0.35             // weighted part of failures above the pool's
-	lostToEject  = 3                // lost requests in a row, whatever the rates are
-	longestWait  = 12 * time.Second // however often the trial fails
+	serverMemory = 12               // attempts in the average of a server
+	poolMemory   = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
+	rateToEject  = 0.35             // difference to the pool's rate from which a server is ejected
+	lostToEject  = 3                // consecutive lost requests, at any rate
+	longestWait  = 12 * time.Second // maximum ejection, reached after failed trials
 
-	// MinSamples is how many attempts since its last ejection a server is
-	// judged by at least.
+	// MinSamples is the minimum number of attempts since the last ejection for a server's rate to count.
 	MinSamples = 4
-	// ShortestWait is how long a server is ejected for the first time.
+	// ShortestWait is the duration of a server's first ejection.
 	ShortestWait = 1500 * time.Millisecond
 )
 
-// PoolRate is the averaged weighted part of failures of all servers of one
-// pool. The zero value has no failures.
+// PoolRate is the average weighted failure rate of all servers of one pool. The zero value has no failures.
 type PoolRate struct{ failing float64 }
 
-// FailureRate judges one server. The zero value is a server in use.
+// FailureRate is the state of one server. The zero value is a server in use.
 type FailureRate struct {
 	ejection
-	failing float64 // averaged weighted part of failures, 0 to 1
+	failing float64 // average weighted failure rate, 0 to 1
 	samples int     // attempts since the last ejection
-	lost    int     // requests in a row
+	lost    int     // consecutive lost requests
 }
 
-// Record counts the end of an attempt at a server of the pool and reports
-// whether it ejects the server. trial is whether the attempt was the server's
-// trial.
+// Record records the result of an attempt at a server of the pool and reports whether the server is ejected
+// because of it. trial is whether the attempt was the server's trial.
 func (p *PoolRate) Record(now time.Duration, f *FailureRate, v Verdict, trial bool) (ejected bool) {
 	if v == NoVerdict {
 		if trial {
@@ -80,18 +76,17 @@
 	return ejected
 }
 
-// LostInARow returns how many requests were lost at the server since it last answered or was
+// LostInARow returns the number of consecutive requests lost at the server since it last answered or was
 // ejected.
 func (f *FailureRate) LostInARow() int { return f.lost }
 
-// succeeded ends an ejection. The next one is half as long as it would have
-// been.
+// succeeded ends an ejection and halves the duration of the next one.
 func (f *FailureRate) succeeded() {
 	f.until, f.trying, f.lost = 0, false, 0
 	f.wait = max(f.wait/2, ShortestWait)
 }
 
-// count averages over the attempts so far, then over about serverMemory.
+// count updates the average, over all attempts at first and later over about serverSamples of them.
 func (f *FailureRate) count(weight float64) {
 	f.samples++
 	f.failing += (weight - f.failing) / float64(min(f.samples, serverMemory))
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -13,7 +13,7 @@
 func TestFailureRate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		pool    float64 // the pool's own rate
+		pool    float64 // failure rate of the pool
 		ends    []Verdict
 		ejected bool
 	}{
@@ -35,9 +35,8 @@
 	}
 }
 
-// TestTrial ejects a server and tries it: each failed trial doubles the wait up
-// to the longest, a trial without a verdict lets another request try, and an
-// answer ends the ejection.
+// TestTrial ejects a server and tries it repeatedly. A failed trial doubles the next ejection up to the
+// maximum, a trial without a verdict allows another one, and an answer ends the ejection.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
 	var p PoolRate
@@ -51,7 +50,7 @@
 		is.Equal(s.State(now+wait-1), Ejected)
 		now += wait
 		is.True(s.Sent(now))
-		is.True(!s.Sent(now)) // one at a time
+		is.True(!s.Sent(now)) // one trial at a time
 		is.Equal(s.State(now), Ejected)
 		p.Record(now, &s, NoVerdict, true)
 		is.True(s.Sent(now))
--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -4,24 +4,26 @@
 
 import "time"
 
-// This file defines Doubt and Outage. Doubt tells a server that has stopped answering from a kept
-// connection that fell silent: something on the way may forget connections, without a
-// reset, while new ones work. So silence on a kept connection says nothing of the server
-// until a connection opened after it is silent too. Outage tells that from connections to
-// one server alone, so that not each server's are found out by requests that wait in vain.
-
-// doubtFor is how long the silence of one connection excuses others opened before it. Above the time
-// for which idle connections are kept.
+// This file defines ServerSilence and Outage, which interpret connections on which no answer arrives.
+//
+// A middlebox may drop the state of idle connections without a reset while new ones still work. Silence on
+// a reused connection is therefore no evidence against the server until a connection opened later is silent
+// too. ServerSilence distinguishes the two cases for one server. Outage detects that the connections to
+// several servers are affected, so that the idle connections to the others can be closed before requests
+// wait on them in vain.
+
+// silenceMemory is how long silence on one connection excuses others that were opened before it. It is
+// longer than the time for which idle connections are kept.
 const doubtFor = 10 * time.Second
 
-// ServerSilence is what is known of the connections to one server. The zero value has no doubt.
+// ServerSilence tracks silent connections to one server. The zero value has recorded none.
 type ServerSilence struct {
-	since time.Duration // when a kept connection was silent first; 0: never
+	since time.Duration // first silence on a reused connection; zero if none
 }
 
-// ObserveSilence takes an attempt that began at a time, on a connection opened at another (0: it
-// got none), and ended because nothing came. It returns the verdict on the server and whether the idle
-// connections to it should be closed, so that the next request tries a new one.
+// ObserveSilence records an attempt that ended because no answer arrived, with the time it began and the
+// time its connection was opened, 0 if there was none. It returns the verdict on the server, and whether its
+// idle connections should be closed so that the next request opens a new one.
 func (d *ServerSilence) ObserveSilence(now, began, opened time.Duration) (v Verdict, drop bool) {
 	kept := opened != 0 && opened < began
 	switch {
@@ -36,20 +38,19 @@
 	return Lost, false
 }
 
-// togetherWithin is how soon after each other the connections to two servers must be found silent for
-// it to be the network's doing. Requests of all kinds are given up within about two objectives.
+// outageWindow is the maximum interval between silent connections to two servers for these to count as an
+// outage of the network. Requests of any kind are given up within about two objectives.
 const togetherWithin = 2 * time.Second
 
-// Outage is what is known of silence on kept connections to all servers. The zero value
-// knows of none.
+// Outage tracks silent reused connections to all servers. The zero value has recorded none.
 type Outage struct {
-	server string        // whose connection was found silent last
-	at     time.Duration // when
-	ended  time.Duration // when all idle connections were last closed; 0: never
+	server string        // server of the last silent connection
+	at     time.Duration // time of the last silence
+	ended  time.Duration // when all idle connections were last closed; zero if never
 }
 
-// ObserveSilence takes that a kept connection to a server was silent, and reports whether all idle
-// connections should be closed: two servers' were, and that was not done lately.
+// ObserveSilence records silence on a reused connection to a server. It reports whether all idle connections
+// should be closed: two servers are affected, and that has not been done recently.
 func (o *Outage) ObserveSilence(now time.Duration, server string) (dropAll bool) {
 	together := o.server != "" && o.server != server && now-o.at <= togetherWithin
 	o.server, o.at = server, now
--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestSilentConnections follows the attempts at one server, in seconds.
+// TestSilentConnections follows attempts at one server; times are in seconds.
 func TestSilentConnections(t *testing.T) {
 	var d ServerSilence
 	for _, tt := range []struct {
@@ -41,10 +41,10 @@
 	is := is.New(t)
 	var o Outage
 	is.True(!o.ObserveSilence(1*time.Second, "a"))
-	is.True(!o.ObserveSilence(1*time.Second, "a")) // one server only
-	is.True(!o.ObserveSilence(4*time.Second, "b")) // too late after it
+	is.True(!o.ObserveSilence(1*time.Second, "a")) // the same server
+	is.True(!o.ObserveSilence(4*time.Second, "b")) // too late after the first
 	is.True(o.ObserveSilence(5*time.Second, "a"))
-	is.True(!o.ObserveSilence(6*time.Second, "b")) // done already
+	is.True(!o.ObserveSilence(6*time.Second, "b")) // closed already
 	is.True(!o.ObserveSilence(20*time.Second, "a"))
 	is.True(o.ObserveSilence(21*time.Second, "c"))
 }
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -4,37 +4,37 @@
 
 import "time"
 
-// This file defines Arrivals, which estimates how many connections come to a gateway that does not
-// take all of them.
+// This file defines Arrivals, which estimates how many connections arrive at a gateway that does not
+// accept all of them.
 
-// Arrivals is what looks at the kernel's queue of connections have shown. The zero value has seen
-// nothing.
+// Arrivals accumulates samples of the kernel's accept queue. The zero value has no samples.
 //
-// A full queue hides what comes. So only those times between two looks count at whose begin it had room.
-// What does not fit within one of them is not seen: the estimate is at most the room that the taken
-// connections leave, for each time between two looks, and never too high.
+// A full queue hides further arrivals, so only intervals between two samples count that began with room
+// in the queue. Arrivals beyond that room are not visible: the estimate is at most the room left by
+// accepted connections in each interval, and never too high.
 type Arrivals struct {
-	// As of the last look.
-	at      time.Duration // 0: there was none
+	// State of the last sample.
+	at      time.Duration // zero before the first one
 	waiting int
 	taken   int // since then
 
-	// Since the last estimate.
+	// Totals since the last estimate.
 	since time.Duration
-	held  int           // connections that waited then
-	room  time.Duration // for which the queue had room
-	came  int           // in that time
-	all   int           // that were taken
+	held  int           // connections waiting at that time
+	room  time.Duration // duration of the intervals that began with room
+	came  int           // connections that arrived in them
+	all   int           // connections accepted in all intervals
 }
 
-// WithAccepted returns the arrivals after a connection was taken out of the queue.
+// WithAccepted returns the arrivals after a connection was accepted from the queue.
 func (a Arrivals) WithAccepted() Arrivals {
 	a.taken++
 	a.all++
 	return a
 }
 
-// WithSample returns the arrivals after a look at a queue that holds at most some connections.
+// WithSample returns the arrivals after a sample of the queue: the number of connections waiting, and the
+// queue's capacity.
 func (a Arrivals) WithSample(now time.Duration, waiting, most int) Arrivals {
 	if left := a.waiting - a.taken; a.at != 0 && left < most {
 		a.came += max(waiting-left, 0)
@@ -44,8 +44,8 @@
 	return a
 }
 
-// Unaccepted returns how many connections came since the last call and were neither taken nor still wait,
-// and the arrivals to go on with. It is 0 where no look has shown any.
+// Unaccepted returns how many connections arrived since the last estimate and were neither accepted nor
+// are still waiting, and the arrivals to continue with. It is 0 if no interval gave a sample.
 func (a Arrivals) Unaccepted(now time.Duration) (n int, next Arrivals) {
 	if a.room > 0 && a.since != 0 {
 		all := float64(a.came) * float64(now-a.since) / float64(a.room)
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// Of the queue that is played: 300 connections are taken a second, six each 20 ms, with a look each 5 ms.
+// Parameters of the model: 300 connections are accepted a second, six every 20 ms, and the queue is sampled
+// every 5 ms.
 const (
 	queueMost   = 64
 	lookPeriod  = 5 * time.Millisecond
@@ -17,7 +18,7 @@
 	queuePlayed = 4 * time.Second
 )
 
-// playQueue lets connections come at each look, and returns the estimates of the reports after a time.
+// playQueue adds arrivals before each sample, and returns the sum of the estimates after a given time.
 func playQueue(came func(now time.Duration) int, after time.Duration) (untaken int) {
 	var a Arrivals
 	waiting := 0
@@ -41,12 +42,12 @@
 	return untaken
 }
 
-// TestArrivals lets connections come evenly.
+// TestArrivals covers arrivals at a constant rate.
 func TestArrivals(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
-		rate         float64 // connections a second that come
-		lowest, most int     // untaken in a second: never more than there are, and enough to tell twice as many
+		rate         float64 // connections a second
+		lowest, most int     // unaccepted per second: never too many, and enough to detect a doubled rate
 	}{
 		{"nobody comes", 0, 0, 0},
 		{"all are taken", 250, 0, 5},
@@ -70,8 +71,7 @@
 	}
 }
 
-// TestBurstsThatWait: connections that come at once and wait for their turn are not taken for ones that were
-// never let in.
+// TestBurstsThatWait checks that bursts of connections that wait in the queue are not counted as unaccepted.
 func TestBurstsThatWait(t *testing.T) {
 	is := is.New(t)
 	untaken := playQueue(func(now time.Duration) int {
@@ -80,10 +80,10 @@
 		}
 		return 0
 	}, 0)
-	is.True(untaken <= 50) // of 800, at the edges between looks
+	is.True(untaken <= 50) // of 800, from rounding at the intervals' ends
 }
 
-// TestArrivalsUnseen: nothing is said without a look, nor where the queue never had room.
+// TestArrivalsUnseen checks that there is no estimate without samples, or if the queue never had room.
 func TestArrivalsUnseen(t *testing.T) {
 	is := is.New(t)
 	var a Arrivals
@@ -94,5 +94,5 @@
 	is.Equal(n, 0)
 	a = a.WithAccepted().WithSample(2*time.Second+10*time.Millisecond, 64, 64)
 	n, _ = a.Unaccepted(3 * time.Second)
-	is.Equal(n, 99) // one in 10 ms, and one was taken
+	is.Equal(n, 99) // one per 10 ms, of which one was accepted
 }
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -1,28 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package overload decides when a gateway's processor cannot keep up, and what
-// the gateway does then.
+// Package overload detects that a gateway's processor cannot keep up, and decides how the gateway sheds
+// load.
 //
-// A timer that fires late shows how long everything else waits as well. The
-// longer the averaged delay, the more is done:
+// A timer that fires late indicates how long everything else waits for the processor. The response grows
+// with the averaged delay:
 //
-//   - streams are passed on in larger pieces: a gateway that waits a little
-//     after each piece finds several events for one read and one write, which
-//     is most of what an event costs;
-//   - the gateway is not ready for a while, because the balancer spreads
-//     callers unevenly and other gateways may be idle, and requests beyond
-//     their account's share are refused, the further beyond the sooner;
-//   - new connections are taken no faster than the processor bears ([Pace]);
-//   - every new request is refused, as not run, with its connection closed, so
-//     that its caller reaches another gateway, for as long as the delay is that long.
+//   - Streams are forwarded in larger pieces. Most of the cost of an event is one read and one write; a
+//     gateway that waits briefly after each piece handles several events with one of each.
+//   - The gateway reports that it is not ready, since balancers spread callers unevenly and other
+//     gateways may be idle. Requests beyond their account's share are refused, those furthest beyond
+//     first.
+//   - New connections are accepted no faster than the processor can handle them ([Pace]).
+//   - While the delay is too long, every new request is refused as not run and its connection closed, so
+//     that its caller reaches another gateway.
 //
-// Requests are classed (package entitlement) before any of that: the cause of
-// overload is mostly one account far beyond its share, and refusing what is
-// beyond it is cheap, so that the others on this gateway need not be refused
-// with it.
+// Requests are classified (package entitlement) before any of this. Overload is mostly caused by one
+// account far beyond its share. Refusing its excess requests is cheap and spares the other accounts on
+// the gateway.
 //
-// A [Detector] is an immutable value: one goroutine makes the next one from each
-// firing of its timer, and any number may read it without a lock.
+// A [Detector] is an immutable value: one goroutine derives the next one whenever its timer fires, and
+// any number of goroutines may read it without a lock.
 package overload
 
 import (
@@ -32,54 +30,53 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines Detector, which averages how late a timer fires, and the
-// thresholds of that delay.
+// This file defines Detector, which averages how late a timer fires, and the thresholds of that delay.
 
-// TickPeriod is the period of the timer that is watched.
+// TickPeriod is the period of the watched timer.
 const TickPeriod = 20 * time.Millisecond
 
 // Thresholds of the averaged delay.
 const (
-	DelayNoticed = 5 * time.Millisecond  // pieces of streams are gathered from here on
-	DelayBeyond  = 12 * time.Millisecond // and for longer; the gateway is not ready; what is beyond every share is refused
-	delayExtra   = 20 * time.Millisecond // what is beyond the named share is refused
+	DelayNoticed = 5 * time.Millisecond  // pieces of streams are coalesced
+	DelayBeyond  = 12 * time.Millisecond // pieces wait longer; the gateway is not ready; requests beyond every share are refused
+	delayExtra   = 20 * time.Millisecond // requests beyond the named share are refused
 	DelayTooLong = 35 * time.Millisecond // all new requests are refused
-	delayShort   = 10 * time.Millisecond // a pressure that was high is over
+	delayShort   = 10 * time.Millisecond // high pressure has ended
 )
 
-// A firing counts for as long as it took to come, because a starved timer fires rarely; a machine that
-// stood still looks the same for the first half second after. With these, one firing that is seconds
-// late is forgotten within 700 ms.
+// A tick is weighted by the time since the last one, because a starved timer fires rarely. A machine that
+// was paused looks the same for the first half second afterwards. With these values, one tick that is
+// seconds late is forgotten within 700 ms.
 const (
-	delayMost   = 120 * time.Millisecond // that one firing counts
+	delayMost   = 120 * time.Millisecond // upper bound on the delay of one tick
 	delayMemory = 250 * time.Millisecond // time constant of the average
 )
 
-// unreadyFor is how long an overloaded gateway is not ready: the balancer,
-// which checks every second, must see it twice before it sends callers elsewhere.
+// unreadyFor is how long an overloaded gateway reports that it is not ready. The balancer checks every
+// second and must see it twice before it moves callers elsewhere.
 const unreadyFor = 2500 * time.Millisecond
 
-// How long a stream waits after a piece: what an event costs is nearly all system calls.
+// Wait of a stream after each piece. Nearly all of the cost of an event is in system calls.
 const (
-	coalesceMin  = 40 * time.Millisecond  // whatever the gap between events
-	coalesceMax  = 100 * time.Millisecond // however long that gap may be
-	coalesceGaps = 0.3                    // of the pause that callers notice
+	coalesceMin  = 40 * time.Millisecond  // minimum, whatever the gap between events
+	coalesceMax  = 100 * time.Millisecond // maximum, whatever that gap
+	coalesceGaps = 0.3                    // fraction of the gap that callers notice
 )
 
-// Detector is what is known of a gateway's delay at one firing of its timer.
+// Detector is the state of a gateway's delay as of one tick of its timer.
 type Detector struct {
-	Delay        time.Duration // averaged
-	High         bool          // it was too long and has not been short since; for the log
+	Delay        time.Duration // moving average
+	High         bool          // whether it was too long and has not been short since; used for the log
 	unreadyUntil time.Duration // when the gateway may be ready again
 	lastTick     time.Duration // when the timer last fired
 }
 
-// New returns a detector whose timer is started now.
+// New returns a detector for a timer that is started now.
 func New(now time.Duration) Detector { return Detector{lastTick: now} }
 
-// Tick returns the detector after a firing of the timer. waited is how long what was ready
-// to run has waited since the last one, 0 if nothing says so: the timer's own goroutine goes
-// before all others, and is late only when the processor is held by something else.
+// Tick returns the detector after the timer has fired. waited is the longest time since the last tick that
+// runnable goroutines have waited, or 0 if unknown. The timer's own goroutine runs before all others, so
+// the timer is late only if something else occupies the processor.
 func (d Detector) Tick(now, waited time.Duration) Detector {
 	if d.Delay >= DelayBeyond {
 		d.unreadyUntil = now + unreadyFor
@@ -98,21 +95,20 @@
 	return d
 }
 
-// Unready reports whether new callers should go to other gateways.
+// Unready reports whether new callers should use other gateways.
 func (d Detector) Unready(now time.Duration) bool { return now < d.unreadyUntil }
 
-// Late reports whether the gateway cannot keep up now, or has just stood
-// still, so that it may not have read what has come.
+// Late reports whether the gateway cannot keep up now, or was paused until a moment ago and may not have
+// read everything that has arrived.
 func (d Detector) Late(now time.Duration) bool {
 	overdue := now-d.lastTick > TickPeriod+DelayNoticed
 	return overdue || d.Delay > DelayNoticed
 }
 
-// Admits reports whether a request of that class may begin. The present delay alone
-// decides, the same way for all classes: while a flood is refused, what is within its
-// account's share begins as soon as there is processor for it. Refusing all until the
-// delay was short again took an account's whole share from it at the gateway where its own
-// callers flooded (docs/incidents/fair-kmo-mapa-grown.md).
+// Admits reports whether a request of the given class may begin. Only the present delay counts, without
+// hysteresis: while a flood is refused, requests within their account's share begin as soon as there is
+// processor time for them. Refusing everything until the delay is short again would deny an account its
+// whole share at the gateway that its own callers flood (docs/incidents/fair-kmo-mapa-grown.md).
 func (d Detector) Admits(c entitlement.Class) bool {
 	switch c {
 	case entitlement.Beyond:
@@ -123,8 +119,8 @@
 	return d.Delay <= DelayTooLong
 }
 
-// Coalesce returns how long a stream should wait after a piece, if callers
-// notice a pause of gap (0: unknown); 0 without overload.
+// Coalesce returns how long a stream should wait after a piece, or 0 without overload. gap is the pause
+// that callers notice, or 0 if unknown.
 func (d Detector) Coalesce(gap time.Duration) time.Duration {
 	switch {
 	case d.Delay <= DelayNoticed:
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -11,11 +11,11 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// fire returns the detector after a firing that was late.
+// fire returns the detector after a tick that was late by the given time.
 func (d Detector) fire(late time.Duration) Detector { return d.Tick(d.lastTick+TickPeriod+late, 0) }
 
-// fireUntil fires until the pressure is high, or not any more, and returns how
-// often it fired before the last time.
+// fireUntil fires until the pressure is high, or is not any more, and returns the number of ticks before
+// the last one.
 func (d Detector) fireUntil(high bool, late time.Duration) (_ Detector, n int) {
 	for d = d.fire(late); d.High != high; d = d.fire(late) {
 		n++
@@ -40,8 +40,8 @@
 	is.True(fall < 40)
 }
 
-// TestStarvedTimerFiresRarely: seconds late, once, is as bad as late all the
-// time; and half a second later nothing is left of it.
+// TestStarvedTimerFiresRarely checks that one tick that is seconds late has the effect of many late ones,
+// and that it is forgotten soon afterwards.
 func TestStarvedTimerFiresRarely(t *testing.T) {
 	is := is.New(t)
 	d := New(time.Second).fire(2 * time.Second)
@@ -51,13 +51,13 @@
 	is.True(fall*int(TickPeriod) < int(700*time.Millisecond))
 }
 
-// TestPressureRefusesByStanding raises the delay step by step.
+// TestPressureRefusesByStanding covers the classes admitted at increasing delays.
 func TestPressureRefusesByStanding(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		delay                   time.Duration
 		entitled, extra, beyond bool
-		gather                  time.Duration // with a pause of 300 ms
+		gather                  time.Duration // with a gap of 300 ms
 	}{
 		{0, true, true, true, 0},
 		{6 * time.Millisecond, true, true, true, 40 * time.Millisecond},
@@ -76,8 +76,8 @@
 	is.True(!d.Admits(entitlement.Entitled))
 }
 
-// TestNoClassIsAdmittedThatABetterOneIsNot looks at all delays, with the pressure high
-// or not: also while the delay falls and was too long.
+// TestNoClassIsAdmittedThatABetterOneIsNot checks the order of classes at all delays, with high pressure and
+// without. The delay may be falling after it was too long.
 func TestNoClassIsAdmittedThatABetterOneIsNot(t *testing.T) {
 	classes := []entitlement.Class{entitlement.Covered, entitlement.Entitled, entitlement.Extra, entitlement.Beyond}
 	for delay := time.Duration(0); delay <= 2*DelayTooLong; delay += time.Millisecond / 2 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestLateAndUnready follows one firing that is late and what comes after it.
+// TestLateAndUnready follows one late tick and the ones after it.
 func TestLateAndUnready(t *testing.T) {
 	is := is.New(t)
 	start := time.Second
@@ -101,13 +101,13 @@
 	is.True(d.Late(start + TickPeriod + DelayNoticed + 1)) // the timer is overdue
 	d = d.fire(time.Second)
 	is.True(d.Late(d.lastTick))
-	is.True(!d.Unready(d.lastTick)) // it is from the next firing on
+	is.True(!d.Unready(d.lastTick)) // only from the next tick on
 	d = d.fire(0)
 	is.True(d.Unready(d.lastTick + unreadyFor - 1))
 	is.True(!d.Unready(d.lastTick + unreadyFor))
 }
 
-// TestQueueBehindATimerInTime: what is ready to run waits, though the timer fires in time.
+// TestQueueBehindATimerInTime checks that waiting goroutines count as a delay even if the timer is on time.
 func TestQueueBehindATimerInTime(t *testing.T) {
 	is := is.New(t)
 	d := New(time.Second)
--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// This file defines Pace, how many new connections a gateway takes.
+// This file defines Pace, the rate at which a gateway accepts new connections.
 //
-// That a processor is late shows only after what makes it late has begun: a gateway that takes all
-// that a flood brings begins in a tenth of a second what it relays for two, and reads nothing
-// meanwhile. So what it takes grows no faster than its delay can show.
+// The processor's delay shows only after the work that causes it has begun. A gateway that accepts all
+// connections of a flood starts as much in a tenth of a second as it can relay in two, and reads nothing
+// meanwhile. Its acceptance rate therefore grows no faster than the delay can show.
 //
-// Whatever a gateway does with a connection costs more than leaving it alone: closing it
-// unread was tried, and at 6,000 a second took a whole fifth of a core, so that nothing
-// was served for seconds (docs/incidents/fair-kmo-mapa-grown.md). So a late gateway takes new
-// connections at the rate at which it is just not late. All that it takes is read and
-// classed, and what is within a share is served. The rest waits in the kernel's short
-// queue or is not let in by the kernel, and its callers go to another gateway.
+// Anything done with a connection costs more than leaving it alone. Closing connections unread costs a
+// fifth of a core at 6,000 a second, and nothing else would be served for seconds
+// (docs/incidents/fair-kmo-mapa-grown.md). A late gateway accepts connections at the rate at which it is
+// just not late. It reads and classifies the requests on all of these and serves those within a share.
+// Other connections wait in the kernel's short queue or are rejected by the kernel, and their callers use
+// another gateway.
 
-// Steps of the rate in each TickPeriod, however late the timer fires. Chosen; to a tenth
-// of the rate takes 0.9 s, and back 1.6 s.
+// Change of the rate per TickPeriod, however late the timer fires. Falling to a tenth of the rate takes
+// 0.9 s, and recovering takes 1.6 s.
 const (
 	paceFall = 0.95 // while the gateway is late
 	paceRise = 1.03 // while it is not
-	// freePart ends the bound: the rate is so many times what comes.
+	// unboundFactor ends the limit, once the rate is this multiple of the arrivals.
 	freePart = 3.0
-	// arrivedMemory is the time constant of the average of what came.
+	// arrivedTimeConstant is the time constant of the average of arrivals.
 	arrivedMemory = 100 * time.Millisecond
 )
 
-// Bounds of a gateway that is not late.
+// Limits of a gateway that is not late.
 const (
-	freeBurst  = 64.0           // connections at once: what waits in the short queue of a paced one
-	freeGrowth = 2.0            // times what came lately
-	freeLeast  = MinPace        // connections a second, however few came
-	freeSpan   = 5 * TickPeriod // that a late firing makes up for
+	freeBurst  = 64.0           // connections at once: the length of the kernel's short queue
+	freeGrowth = 2.0            // multiple of the recent rate
+	freeLeast  = MinPace        // connections a second, however few arrived
+	freeSpan   = 5 * TickPeriod // maximum time that a late tick makes up for
 )
 
-// MinPace is the lowest rate, in connections a second: at 250 µs each two fifths of a
-// fifth of a core. Chosen.
+// MinPace is the lowest rate, in connections a second. At 250 µs per connection it takes two fifths of a
+// fifth of a core.
 const MinPace = 300.0
 
-// Pace is the bound at one firing of the timer. The zero value is of a gateway that is not late.
+// Pace is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
 type Pace struct {
-	rate    float64       // connections a second; 0: it is not late
-	credit  float64       // connections that one that is not late may take at once
-	arrived float64       // average of those taken
-	at      time.Duration // of this firing; 0: there was none
+	rate    float64       // connections a second; zero if the gateway is not late
+	credit  float64       // connections that a gateway which is not late may accept at once
+	arrived float64       // moving average of accepted connections a second
+	at      time.Duration // time of the tick; zero before the first one
 }
 
-// Bounded reports whether connections are kept waiting because the gateway is late.
+// Bounded reports whether the rate is limited because the gateway is late.
 func (p Pace) Bounded() bool { return p.rate > 0 }
 
-// Allowance is how many connections may be taken until the next firing.
+// Allowance returns how many connections may be accepted until the next tick.
 func (p Pace) Allowance() int {
 	switch {
 	case p.Bounded():
@@ -65,8 +65,8 @@
 	return int(p.credit)
 }
 
-// Next returns the pace after a firing: delay is the detector's, taken the connections
-// since the firing before.
+// Next returns the pace after a tick, given the detector's delay and the number of connections accepted
+// since the last tick.
 func (p Pace) Next(now, delay time.Duration, taken int) Pace {
 	elapsed := max(now-p.at, time.Millisecond)
 	if p.at == 0 {
@@ -91,7 +91,7 @@
 	return p
 }
 
-// refilled returns the credit after a time in which some connections were taken.
+// refilled returns the credit after some time in which connections were accepted.
 func (p Pace) refilled(elapsed time.Duration, taken int) float64 {
 	if p.Bounded() {
 		return 0
--- a/coordination/overload/pace_test.go
+++ b/coordination/overload/pace_test.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// TestPaceFollowsTheProcessor lets more connections come than the processor bears: the
-// rate settles where it is just not late, and is free again once few come.
+// TestPaceFollowsTheProcessor offers more connections than the processor can handle. The rate must settle
+// where the gateway is just not late, and be unlimited again once few arrive.
 func TestPaceFollowsTheProcessor(t *testing.T) {
-	for _, offered := range []int{2000, 6000, 20000} { // a second; 500 can be borne
+	for _, offered := range []int{2000, 6000, 20000} { // a second, of which 500 can be handled
 		is := is.New(t)
 		const cost = 2 * time.Millisecond
 		d, p := New(time.Second), Pace{}
@@ -36,7 +36,7 @@
 			fire(offered)
 			most = max(most, behind)
 		}
-		is.True(taken >= 200 && taken <= 200*12) // of 10 a firing that can be borne
+		is.True(taken >= 200 && taken <= 200*12) // 10 per tick can be handled
 		is.True(most < 500*time.Millisecond)
 		for range 300 {
 			fire(100)
@@ -45,15 +45,15 @@
 	}
 }
 
-// TestFloodBeginsBeforeItShows: until a flood that begins has made a gateway late, and is refused, it has
-// begun no more than the gateway can relay before callers leave and sessions are lost.
+// TestFloodBeginsBeforeItShows starts a flood. Until the gateway is late and refuses requests, it must have
+// started no more than it can relay before callers leave and sessions are lost.
 func TestFloodBeginsBeforeItShows(t *testing.T) {
 	const (
 		serve  = 5 * time.Millisecond // relayed over stream
 		stream = 500 * time.Millisecond
 		refuse = 300 * time.Microsecond
 	)
-	for _, usual := range []int{0, 40, 150} { // connections a second, of 200 that can be served
+	for _, usual := range []int{0, 40, 150} { // connections a second, of which 200 can be served
 		is := is.New(t)
 		d, p := New(time.Second), Pace{}
 		var behind, relays, longest time.Duration
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestBurstsAreTaken: what comes at once to a gateway that is not late, and what grows by twice in a tenth of a
-// second, is taken at once.
+// TestBurstsAreTaken checks that a gateway which is not late accepts a burst at once, as well as arrivals
+// that double in a tenth of a second.
 func TestBurstsAreTaken(t *testing.T) {
 	is := is.New(t)
 	p := Pace{}
@@ -97,7 +97,7 @@
 		came := int(rate * TickPeriod.Seconds())
 		is.True(p.Allowance() >= came)
 		p = p.Next(now, 0, came)
-		rate *= 1.1 // twice in 7 firings
+		rate *= 1.1 // doubles in 7 ticks
 	}
 	is.True(rate > 4000)
 }
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -9,16 +9,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file defines Prompt and the price of each candidate for it, by which
-// RoomPlacer chooses.
+// This file defines Prompt and the price by which RoomPlacer compares candidates for it.
 //
-// The parts that others share give a rendezvous order of the servers, equal on
-// all gateways without a message. The first in that order is taken to keep the
-// shared parts; any other would read them again. So the price of a server is the
-// work in front of the request there, in tokens, plus the shared tokens if it is
-// not the first, many times: what is read again delays all others on the engine
-// as well, drives out what other requests will need, and makes the next
-// choices worse. Far from full, a request still begins in time on the first.
+// The shared parts of a prompt determine a rendezvous order of the servers, which is the same on
+// all gateways without any message. The first server in that order is assumed to cache the shared
+// parts; any other server would have to read (prefill) them again. The price of a server is the
+// work ahead of the request, in tokens. Servers other than the first add a multiple of the shared
+// tokens, because reading them again delays all other requests on the engine, evicts entries that
+// other requests need, and degrades later choices. An engine with plenty of headroom still starts
+// the request in time.
 
 // Part is one named part of a prompt.
 type Part struct {
@@ -26,18 +25,18 @@
 	Tokens int
 }
 
-// Prompt is a request's size and the names of what it shares with others.
+// Prompt describes a request's size and the parts it shares with other requests.
 type Prompt struct {
 	Model  string
-	Shared []Part // parts that other requests begin with as well
-	Own    int    // tokens of the request's own
-	Output int    // tokens that it will make at most
+	Shared []Part // prefix parts that other requests have in common with this one
+	Own    int    // tokens of this request alone
+	Output int    // maximum number of output tokens
 }
 
-// Tokens returns the tokens of the whole prompt.
+// Tokens returns the length of the whole prompt in tokens.
 func (p Prompt) Tokens() int { return p.SharedTokens() + p.Own }
 
-// SharedTokens returns the tokens of the shared parts.
+// SharedTokens returns the number of tokens in the shared parts.
 func (p Prompt) SharedTokens() int {
 	total := 0
 	for _, part := range p.Shared {
@@ -46,7 +45,7 @@
 	return total
 }
 
-// key names the whole shared prefix; it is zero without one.
+// key returns a hash of the shared prefix, or zero if there is none.
 func (p Prompt) key() uint64 {
 	if len(p.Shared) == 0 {
 		return 0
@@ -59,21 +58,21 @@
 	return h.Sum64() | 1
 }
 
-// Prices of the parts of a choice, in tokens.
+// Components of a server's price, in tokens.
 const (
-	againPrice   = 30     // each shared token on any server but the first of the order
-	againMost    = 40_000 // for all of them
-	rankPart     = 0.1    // of that, more for each later place in the order
-	requestPrice = 60     // each request that shares the server's steps
-	fullPrice    = 4000   // each request beyond the server's slots
-	farPrice     = 40     // another data hall
+	rereadPrice   = 30     // for each shared token, on any server but the first of the order
+	againMost    = 40_000 // upper bound on the sum of these
+	rankPart     = 0.1    // relative surcharge for each further place in the order
+	requestPrice = 60     // for each request that shares the server's batch
+	fullPrice    = 4000   // for each request beyond the server's slots
+	farPrice     = 40     // for a server in another data hall
 )
 
-// orderDepth is how many servers of a prompt's order are ranked; the rest share one rank.
+// orderDepth is the number of servers ranked for a prompt. All others share one rank.
 const orderDepth = 4
 
-// cheapest returns the cheapest candidate and the tokens that it has to read for
-// the prompt, or false without any. It costs O(candidates).
+// cheapest returns the cheapest candidate and the number of tokens it has to read for the prompt.
+// ok is false if there are no candidates. It costs O(candidates).
 func cheapest(p Prompt, from []candidate) (best candidate, read int, ok bool) {
 	order := rendezvous(p.key(), from)
 	bestPrice := math.Inf(1)
@@ -86,8 +85,8 @@
 	return best, read, !math.IsInf(bestPrice, 1)
 }
 
-// priceAt returns the price of a candidate at a place of the prompt's order, and the tokens that
-// it has to read.
+// priceAt returns the price of a candidate at a given rank of the prompt's order, and the number
+// of tokens it has to read.
 func priceAt(p Prompt, c candidate, rank int) (read int, price float64) {
 	read = p.Own
 	if rank > 0 {
@@ -96,10 +95,9 @@
 	return read, price + loadPrice(c) + float64(p.Own)*max(c.slowness, 1)
 }
 
-// leavingPrice is the price of reading shared tokens again, at a later place
-// of the order.
+// rereadPrice returns the price of reading the shared tokens again on a server at a later rank.
 func leavingPrice(shared, rank int) float64 {
-	return min(againPrice*float64(shared), againMost) * (1 + rankPart*float64(rank-1))
+	return min(rereadPrice*float64(shared), againMost) * (1 + rankPart*float64(rank-1))
 }
 
 func loadPrice(c candidate) float64 {
@@ -113,14 +111,14 @@
 	return (price + requestPrice) * max(c.slowness, 1)
 }
 
-// order is the indexes of the first candidates in a key's order.
+// order holds the indexes of the first candidates in the rendezvous order of a key.
 type order struct {
 	indexes [orderDepth]int
 	n       int
 }
 
-// rank is a candidate's place in the order, at most orderDepth. Without a key
-// all are the first.
+// rank returns the position of a candidate in the order, or orderDepth if it is not ranked.
+// Without a key all candidates have rank 0.
 func (o *order) rank(index int) int {
 	if o.n == 0 {
 		return 0
@@ -131,7 +129,7 @@
 	return orderDepth
 }
 
-// rendezvous returns the first candidates in the key's order.
+// rendezvous returns the first candidates in the rendezvous order of key.
 func rendezvous(key uint64, from []candidate) order {
 	var o order
 	if key == 0 {
--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -36,8 +36,8 @@
 	is.New(t).True(!ok)
 }
 
-// TestEqualPromptsMeet checks that routers choose alike without a message, and
-// that the first choice reads nothing shared.
+// TestEqualPromptsMeet checks that gateways agree on the first choice of a prompt without exchanging
+// messages, and that it has no shared tokens to read.
 func TestEqualPromptsMeet(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(12)
@@ -48,7 +48,7 @@
 		is.Equal(read, 1000)
 		far := cloneOf(engines)
 		for i := range far {
-			far[i].SameHall = i%3 == 0 // another router's data hall
+			far[i].SameHall = i%3 == 0 // as seen from another data hall
 		}
 		second, _, _ := cheapest(p, far)
 		is.Equal(first.index, second.index)
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestLostEngineMovesOnlyItsOwn checks that prompts of other engines stay
-// where their shared parts are kept.
+// TestLostEngineMovesOnlyItsOwn checks that the loss of an engine moves none of the prompts whose
+// shared parts are cached on another one.
 func TestLostEngineMovesOnlyItsOwn(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(12)
@@ -118,9 +118,8 @@
 	is.Equal(c.index, 1)
 }
 
-// TestOverloadedEnginesAreLeftInOrder loads the engines of a prompt's order one
-// after the other: each time all routers find the same next one, where others of
-// its kind have gone before it.
+// TestOverloadedEnginesAreLeftInOrder overloads the engines of a prompt's order one after the other.
+// Each time all gateways must agree on the next engine, so that the prompt's requests meet again.
 func TestOverloadedEnginesAreLeftInOrder(t *testing.T) {
 	is := is.New(t)
 	p := promptOf("a")
@@ -132,7 +131,7 @@
 		other := cloneOf(engines)
 		for i := range other {
 			other[i].SameHall = i%3 == 0
-			other[i].load.Tokens += 100 * (len(other) - i) // and other loads, the least at the end
+			other[i].load.Tokens += 100 * (len(other) - i) // a different load as well, lowest on the last engine
 		}
 		same, _, _ := cheapest(p, other)
 		is.Equal(same.index, c.index)
@@ -141,14 +140,14 @@
 	}
 }
 
-// TestSmallPromptsLeaveSooner: what little is shared is not worth a long wait.
+// TestSmallPromptsLeaveSooner checks that a small shared part does not justify a long wait.
 func TestSmallPromptsLeaveSooner(t *testing.T) {
 	is := is.New(t)
 	small := Prompt{Shared: []Part{{"system", 100}, {"a", 100}}, Own: 600}
 	large := promptOf("a")
 	for _, tt := range []struct {
 		ahead        int
-		small, large bool // leave their first engine
+		small, large bool // whether they leave their first engine
 	}{{4000, false, false}, {10_000, true, false}, {50_000, true, true}} {
 		for p, leaves := range map[*Prompt]bool{&small: tt.small, &large: tt.large} {
 			engines := idleEngines(12)
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -1,36 +1,37 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package place chooses the backend server of a request.
+// Package place chooses the backend server for a request.
 //
-// The model of both roles: every candidate has a price, the lowest wins. The
-// price is the work that must be done before the first token: what waits in
-// front of the request on that server, and the part of its prompt that the
-// server's cache does not hold. Both are estimates. Without any data,
-// rendezvous hashing makes all boxes choose alike without a message.
+// Both placers assign a price to every candidate and take the lowest. The price is the work to
+// be done before the first token: the queue ahead of the request on that server, plus the part
+// of its prompt that is missing from the server's cache. Both are estimates. Rendezvous hashing
+// makes all boxes agree on a choice without exchanging messages, even before any load is known.
 //
-// There are two placers, one for each way to share servers:
+// There are two placers, one for each way of sharing servers:
 //
 //	                  SlotPlacer                   RoomPlacer
 //	used by           routers (package pool)       gateways
 //	candidates        servers with a free slot     all servers of the pool
-//	                  that this router holds
-//	no room           cannot happen: a slot is     the cheapest is waited for; see
-//	                  room                         RoomPlacer.Choose
-//	cached prompts    Index: blocks of bytes that  first in the rendezvous order of
-//	                  this router sent where       the parts that the caller names
-//	load              own requests; the server's   own requests and tokens; the
-//	                  report, halved each second   other gateways', up to an age
+//	                  held by this router
+//	no capacity       cannot happen: holding a     the request waits for its cheapest
+//	                  slot implies capacity        server, see RoomPlacer.Choose
+//	cached prompts    Index: blocks of bytes and   the first server in the rendezvous
+//	                  the servers they were        order of the prompt's named parts
+//	                  sent to
+//	load              own requests; the server's   own requests and tokens; those of
+//	                  report, with a half-life     other gateways, up to a maximum
+//	                  of one second                age
 //	failing servers   outlier.Consecutive          outlier.FailureRate
 //
-// The allocator's slots bound what runs on a server, so affinity need not make a
-// router's request wait: a hot server costs its price, never idle capacity
-// elsewhere. Gateways hold no slots. They bound the wait on a server themselves,
-// and they are many, so a prompt must find the same engine from any of them;
-// leaving it takes room from all of them, and a short wait is cheaper.
+// The allocator's slots bound the load of a server, so a router never queues a request for the
+// sake of affinity: a hot server only costs its price and leaves no capacity idle elsewhere.
+// Gateways hold no slots and bound the wait on a server themselves. There are many of them, so a
+// prompt has to reach the same engine from any gateway. Moving it to another engine consumes
+// capacity for all gateways, which makes a short wait cheaper.
 //
-// In a fleet over several regions a choice of RoomPlacer is among the servers of one region
-// (regions.go says when another one is looked at), and Link bounds what a gateway puts on the
-// link between them.
+// In a fleet of several regions, RoomPlacer chooses among the servers of one region (regions.go
+// defines when another region is considered), and LinkBudget bounds the bytes that a gateway
+// sends over the link between regions.
 //
 // All types are pure and not safe for concurrent use.
 package place
--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 )
 
-// An engine that publishes the events of its cache has them taken into the
-// index, here for a router that sent it nothing yet.
+// Cache events published by an engine are recorded in the index, even if this router has sent it no
+// request yet.
 func ExampleIndex_Take() {
 	x := place.NewIndex(1000)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 2*place.BlockBytes))
@@ -28,8 +28,7 @@
 	// after clearing: 0
 }
 
-// A router prefers the server that should hold the prompt, until too much runs
-// there.
+// A router prefers the server expected to have the prompt cached, until its load is too high.
 func ExampleSlotPlacer() {
 	p := place.NewSlotPlacer(1000)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 4*place.BlockBytes))
@@ -43,7 +42,7 @@
 	// s1 true
 }
 
-// A gateway chooses the cheapest server and learns whether it has room now.
+// A gateway chooses the cheapest server and learns whether it has capacity now.
 func ExampleRoomPlacer() {
 	var p place.RoomPlacer
 	r := place.Request{
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -9,25 +9,23 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file defines the approximate index of which server's cache holds which
-// prompt blocks.
+// This file defines Index, which approximates which servers have which prompt blocks cached.
 
-// Sizes of the index.
+// Dimensions of the index.
 const (
-	BlockBytes      = 512 // bytes of prompt that one block covers
-	MaxBlocks       = 64  // of one prompt that are looked at
-	serversPerBlock = 3   // that are remembered
+	BlockBytes      = 512 // bytes of prompt covered by one block
+	MaxBlocks       = 64  // blocks considered per prompt
+	serversPerBlock = 3   // servers recorded per block
 )
 
-// doubtfulPart is the part that is left of a benefit when the server's events had a gap.
+// uncertainFactor discounts the benefit of a server whose cache events had a gap.
 const doubtfulPart = 0.5
 
-// Block is the hash of a prompt's prefix up to some block's end.
+// Block is the hash of a prompt's prefix up to the end of one block.
 type Block uint64
 
-// Blocks returns the blocks of a prompt: the hash of each whole block chained
-// with those before it. A tail shorter than a block is left out, as engines
-// cache whole blocks only.
+// Blocks returns the blocks of a prompt. Each hash covers one whole block and is chained with the
+// hashes before it. A tail shorter than a block is omitted, since engines cache whole blocks only.
 func Blocks(prompt []byte) []Block {
 	n := min(len(prompt)/BlockBytes, MaxBlocks)
 	blocks := make([]Block, n)
@@ -39,28 +37,28 @@
 	return blocks
 }
 
-// Index remembers the newest blocks, up to a bound, with the servers that
-// should hold them.
+// Index records the most recently used blocks, up to a bound, with the servers that are expected
+// to have them cached.
 type Index struct {
 	max     int
 	byBlock map[Block]*list.Element
-	order   list.List // of *placed, oldest first
+	order   list.List // of *cachedBlock, least recently used first
 	servers map[string]*serverCache
 }
 
-// placed is one block and the servers that should hold it.
+// cachedBlock is one block and the servers that are expected to have it cached.
 type placed struct {
 	block   Block
-	servers []string // at most serversPerBlock, newest last
+	servers []string // at most serversPerBlock, most recent last
 }
 
 func (p *placed) remove(server string) {
 	p.servers = slices.DeleteFunc(p.servers, func(s string) bool { return s == server })
 }
 
-// serverCache is the state of one server's events.
+// serverCache tracks the sequence of one server's cache events.
 type serverCache struct {
-	next     uint64 // expected number of the next event
+	next     uint64 // sequence number of the next event
 	doubtful bool
 }
 
@@ -69,10 +67,10 @@
 	return &Index{max: max, byBlock: map[Block]*list.Element{}, servers: map[string]*serverCache{}}
 }
 
-// Len returns the number of blocks held.
+// Len returns the number of blocks in the index.
 func (x *Index) Len() int { return len(x.byBlock) }
 
-// Sent notes that a prompt went to a server.
+// Sent records that a prompt was sent to a server.
 func (x *Index) Sent(server string, prompt []Block) {
 	for _, b := range prompt {
 		x.add(server, b)
@@ -104,7 +102,7 @@
 	}
 }
 
-// Event is a change of a server's cache.
+// Event is a change to a server's cache.
 type Event struct {
 	Seq     uint64
 	Stored  []Block
@@ -112,8 +110,8 @@
 	Cleared bool
 }
 
-// Take applies a server's event. An old number is dropped; a gap makes the
-// server doubtful until it clears its cache.
+// Take applies a cache event of a server. Events with an old sequence number are dropped. After a
+// gap in the sequence the server's entries are uncertain until it clears its cache.
 func (x *Index) Take(server string, e Event) {
 	c := x.servers[server]
 	if c == nil {
@@ -152,8 +150,8 @@
 	}
 }
 
-// Forget drops every block of a server that restarted or left. It costs
-// O(blocks held).
+// Forget removes all entries of a server that has restarted or left. It costs O(blocks in the
+// index).
 func (x *Index) Forget(server string) {
 	delete(x.servers, server)
 	for b := range x.byBlock {
@@ -161,8 +159,8 @@
 	}
 }
 
-// Benefit returns how many leading blocks of a prompt the server should hold,
-// discounted when its events had a gap.
+// Benefit returns the number of leading blocks of a prompt that the server is expected to have
+// cached, discounted if its events had a gap.
 func (x *Index) Benefit(server string, prompt []Block) float64 {
 	n := 0
 	for _, b := range prompt {
--- a/coordination/place/inorder_test.go
+++ b/coordination/place/inorder_test.go
@@ -13,41 +13,41 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file tests what requests within their shares feel of those beyond, with a model of engines
-// that read in order of arrival. The choice is the real one.
+// This file tests how requests beyond their shares affect those within them, with a model of engines
+// that read prompts in order of arrival. The placer is the real one.
 
-// Times and rates of the model.
+// Parameters of the model.
 const (
 	orderEngines  = 18
 	engineReads   = 60.0 // tokens a millisecond
 	engineSlots   = 48
 	streamLasts   = 2500 * time.Millisecond
-	sumsEach      = 100 * time.Millisecond // many gateways know of each other by sums alone
+	sumsEach      = 100 * time.Millisecond // interval between reports of the others' load; gateways see each other's load only by these
 	engineStep    = time.Millisecond
 	enginesEnd    = 30 * time.Second
 	enginesAim    = 400 * time.Millisecond
-	withinEach    = 9 * time.Millisecond // between two requests within shares
-	beyondEach    = 4 * time.Millisecond // between two others, a tenth of which are long
-	shortPrompt   = 700                  // tokens of its own
+	withinEach    = 9 * time.Millisecond // between two requests within their shares
+	beyondEach    = 4 * time.Millisecond // between two requests beyond them, a tenth of which are long
+	shortPrompt   = 700                  // own tokens
 	longPrompt    = 40_000
 	sharedTokens  = 200
 	sharedPrompts = 400
 )
 
-// engineRuns is what one engine has: when it has read all that was begun, and when its streams end.
+// engineRuns is the state of one engine: prompts still to be read, and the end times of its streams.
 type engineRuns struct {
 	read []readUntil
 	ends []time.Duration
-	busy time.Duration // until it has read all
+	busy time.Duration // when the engine has read all prompts
 }
 
-// readUntil is one prompt that is not read yet.
+// readUntil is one prompt that is still to be read.
 type readUntil struct {
 	at     time.Duration
 	tokens int
 }
 
-// settle lets time pass and returns what runs.
+// settle advances the engine to now and returns its load.
 func (e *engineRuns) settle(now time.Duration) Work {
 	for len(e.read) > 0 && e.read[0].at <= now {
 		e.read = e.read[1:]
@@ -62,7 +62,7 @@
 	return w
 }
 
-// begin gives it a request and returns how long that waits for a slot and for its turn.
+// begin starts a request and returns how long it waits for a slot and for its turn to be read.
 func (e *engineRuns) begin(now time.Duration, tokens int) time.Duration {
 	waits := max(e.busy-now, 0)
 	if beyond := len(e.ends) - engineSlots; beyond >= 0 {
@@ -74,8 +74,9 @@
 	return waits
 }
 
-// TestWhatIsBeyondSharesHoldsUpNobody: engines are offered several times what they read, most of it
-// beyond the shares and some of that in long prompts. What is within the shares begins in time.
+// TestWhatIsBeyondSharesHoldsUpNobody offers engines several times the load they can read, most of it
+// beyond the shares and some of that with long prompts. Requests within the shares must still begin
+// in time.
 func TestWhatIsBeyondSharesHoldsUpNobody(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -122,8 +123,8 @@
 	is.True(beyond >= within)   // and engines are not kept idle for that
 }
 
-// TestWhatIsBeyondSharesStays: where the engine that keeps a prompt's shared parts is full, what is
-// within its share leaves it, and what is beyond waits there.
+// TestWhatIsBeyondSharesStays checks that, while the engine that caches a prompt's shared parts is
+// full, requests within their share use another one and requests beyond it wait.
 func TestWhatIsBeyondSharesStays(t *testing.T) {
 	is := is.New(t)
 	servers := []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -8,62 +8,63 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines Link, what one gateway may put on the links between its region and others,
-// and what it has learned of the way there.
+// This file defines LinkBudget, which bounds the bytes that one gateway sends over the links
+// between its region and others, and tracks the round-trip time to each of them.
 //
-// The budget is a token bucket of bytes, of what requests send over and what their answers
-// bring back. Gateways divide the capacity without a message, so each one's part is small: a
-// bucket that holds as much as a request needs, or is full, lets it over, and may owe the rest.
+// The budget is a token bucket of bytes, counting both what requests send and what their answers
+// return. The capacity is divided among the gateways without any message, so the part of each is
+// small. A request passes if the bucket holds enough for it or is full, and may leave it in debt.
 //
-// Ways weighed for what goes over though its region has room for nothing else: without a budget
-// a flood in one region fills the link, and the fleet's own messages with it; a budget for each
-// direction needs the other region's use, which comes late. One bucket for both directions
-// (kept) wastes what answers do not need of the one and requests of the other.
+// One bucket covers both directions, although that wastes capacity whenever requests and answers
+// are of different size. A budget for each direction would need the other region's usage, which
+// arrives late. Without a budget, a flood in one region fills the link and delays the fleet's own
+// messages.
 
-// DefaultLinkRate is the capacity of the link between two regions one way, in bytes a second, where
-// the settings name none: 50 Mbit/s.
+// DefaultLinkRate is the capacity of the link between two regions in one direction, in bytes a
+// second, unless configured: 50 Mbit/s.
 const DefaultLinkRate = 50e6 / 8
 
-// Parts of the capacity. Own messages need 50 KB/s between two regions (docs/CAPACITY.md), 0.008 of
-// the default, and the whole lists after a loss of power; a direction carries one region's requests
-// and the other's answers, so each region may use half of what is left.
+// Division of the capacity. The fleet's own messages need 50 KB/s between two regions
+// (docs/CAPACITY.md), 0.008 of the default capacity, and more when complete lists are sent after a
+// power loss. Each direction carries the requests of one region and the answers to the other, so
+// each region may use half of the remainder.
 const (
-	ownMessagesPart = 0.3  // of the capacity, for the fleet's own messages
-	regionPart      = 0.5  // of the rest, for the requests of one region
-	freePart        = 0.7  // of that, for requests that leave their region without having to
-	entitledKept    = 0.5  // of a full bucket that requests beyond their account's share leave
-	burst           = 1.0  // seconds of its rate that a bucket holds
-	smallestBurst   = 32e3 // bytes that a bucket holds at least: a few requests
+	ownMessagesPart = 0.3  // fraction of the capacity, for the fleet's own messages
+	regionPart      = 0.5  // fraction of the rest, for the requests of one region
+	freePart        = 0.7  // fraction of that, for requests that could be served in their own region
+	entitledKept    = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
+	burst           = 1.0  // seconds at the gateway's rate that a bucket holds
+	smallestBurst   = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
 )
 
-// The way to another region.
+// Round-trip times to other regions.
 const (
-	// AssumedRoundTrip is the round trip to another region until one is learned: twice the 30 ms
-	// that regions of one country lie apart.
+	// AssumedRoundTrip is the round-trip time to another region until one is measured: twice the
+	// one-way latency of 30 ms between regions of one country.
 	AssumedRoundTrip = 60 * time.Millisecond
-	wayWeight        = 0.1 // of one connection that took longer, in the learned round trip
-	slowFactor       = 3   // times the learned round trip that a connection takes over a full link
-	// pause is for how long nothing leaves its region by choice after such a connection.
+	wayWeight        = 0.1 // weight of one slower connection in the estimated round-trip time
+	slowFactor       = 3   // multiple of the estimate above which the link is considered congested
+	// congestionPause is how long optional transfers are suspended after a sign of congestion.
 	pause = 2 * time.Second
 )
 
-// LinkBudget is one gateway's budget and what it has learned of the links. The zero value has
-// learned nothing and its bucket is full.
+// LinkBudget is one gateway's byte budget for the links to other regions, with the estimated
+// round-trip times. The zero value has a full bucket and no estimates.
 type LinkBudget struct {
-	spent  float64 // bytes that the bucket lacks
-	free   float64 // the same of the part for what need not leave
+	spent  float64 // bytes missing from the bucket
+	free   float64 // bytes missing from the part of the bucket for optional transfers
 	at     time.Duration
-	ways   map[string]time.Duration // round trips by region
-	paused time.Duration            // until when
+	ways   map[string]time.Duration // by region
+	paused time.Duration            // end of the congestion pause
 }
 
-// LinkShare is what divides a link's capacity.
+// LinkShare determines a gateway's part of the link's capacity.
 type LinkShare struct {
-	Rate     float64 // bytes a second one way; 0 is DefaultLinkRate
-	Gateways int     // of the region
+	Rate     float64 // bytes a second in one direction; zero means DefaultLinkRate
+	Gateways int     // number of gateways in the region
 }
 
-// rate is this gateway's part, in bytes a second.
+// rate returns the gateway's part of the capacity, in bytes a second.
 func (s LinkShare) rate() float64 {
 	total := s.Rate
 	if total <= 0 {
@@ -72,15 +73,15 @@
 	return total * (1 - ownMessagesPart) * regionPart / float64(max(s.Gateways, 1))
 }
 
-// Transfer is a request that is to leave its region.
+// Transfer is a request that is about to leave its region.
 type Transfer struct {
-	Bytes    float64 // that it sends and expects back
+	Bytes    float64 // sent and expected in return
 	Class    entitlement.Class
-	Required bool // it may be served nowhere else
+	Required bool // whether no server of its own region can serve it
 }
 
-// Admits reports whether the budget has the bytes of a request. What need not leave has a part
-// of the budget, and none while the link looks full; what must has all of it.
+// Admits reports whether the budget allows a transfer. Optional transfers may use only a part of
+// the budget, and none of it while the link looks congested; required ones may use all of it.
 func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Transfer) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burst, smallestBurst)
@@ -97,14 +98,15 @@
 	return full-l.spent >= min(p.Bytes, full) && full*freePart-l.free >= least
 }
 
-// Spend takes bytes from the budget, or gives back what was expected and did not come.
+// Spend takes bytes from the budget. A negative number returns bytes that were expected but not
+// sent.
 func (l *LinkBudget) Spend(now time.Duration, s LinkShare, bytes float64) {
 	l.refill(now, s)
 	l.spent = max(l.spent+bytes, 0)
 	l.free = max(l.free+bytes, 0)
 }
 
-// refill adds what has come since the last call.
+// refill credits the bytes accrued since the last call.
 func (l *LinkBudget) refill(now time.Duration, s LinkShare) {
 	came := s.rate() * max(now-l.at, 0).Seconds()
 	l.at = max(now, l.at)
@@ -112,7 +114,7 @@
 	l.free = max(l.free-came*freePart, 0)
 }
 
-// RoundTrip returns the round trip to a region.
+// RoundTrip returns the estimated round-trip time to a region.
 func (l *LinkBudget) RoundTrip(region string) time.Duration {
 	if way, known := l.ways[region]; known {
 		return way
@@ -120,8 +122,8 @@
 	return AssumedRoundTrip
 }
 
-// ObserveRoundTrip takes how long a new connection to a region took: one round trip, and what waits
-// on the link.
+// ObserveRoundTrip records how long a new connection to a region took to open: one round trip plus
+// any queueing on the link.
 func (l *LinkBudget) ObserveRoundTrip(now time.Duration, region string, took time.Duration) {
 	way, known := l.ways[region]
 	switch {
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file tests what gateways put on the link between regions.
+// This file tests the byte budget for the link between regions.
 
-// sends offers requests of one kind for a while and returns the bytes that got over.
+// sends offers equal transfers for some time and returns the bytes that were admitted.
 func sends(l *LinkBudget, s LinkShare, p Transfer, each, span time.Duration) (bytes float64) {
 	for now := time.Second; now < time.Second+span; now += each {
 		if l.Admits(now, s, p) {
@@ -24,23 +24,23 @@
 	return bytes
 }
 
-// TestFloodDoesNotFillTheLink: 44 gateways of each of two regions offer together many times
-// what the link carries; they leave the part of the fleet's own messages, also where requests
-// are larger than a bucket, and what need not leave its region leaves a part to what must.
+// TestFloodDoesNotFillTheLink offers many times the link's capacity from 44 gateways in each of two
+// regions. They must leave room for the fleet's own messages, also when requests are larger than a
+// bucket, and optional transfers must leave room for required ones.
 func TestFloodDoesNotFillTheLink(t *testing.T) {
 	const capacity, gateways = 6e6, 44
 	share := LinkShare{Rate: capacity, Gateways: gateways}
 	for _, tt := range []struct {
 		name  string
 		p     Transfer
-		most  float64 // parts of the capacity, over both directions of both regions
+		most  float64 // fractions of the capacity, summed over both regions and directions
 		least float64
 		span  time.Duration
 	}{
 		{"must", Transfer{Bytes: 10_000, Required: true}, 0.75, 0.65, 20 * time.Second},
 		{"by choice", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
 		{"beyond the share", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
-		{"larger than a bucket", Transfer{Bytes: 4e6, Required: true}, 0.75, 0.65, 2000 * time.Second}, // one of each gateway at first, then as often as the debt allows
+		{"larger than a bucket", Transfer{Bytes: 4e6, Required: true}, 0.75, 0.65, 2000 * time.Second}, // each gateway sends one at first, then as the debt is repaid
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -56,9 +56,8 @@
 	}
 }
 
-// TestSharesFirstOnTheLink: where others' requests have used up half of a bucket, those beyond
-// their account's share get nothing; what may be served nowhere else still goes over when
-// nothing goes by choice any more.
+// TestSharesFirstOnTheLink uses up the bucket step by step. Requests beyond their account's share are
+// refused first, then other optional transfers, and required transfers last.
 func TestSharesFirstOnTheLink(t *testing.T) {
 	is := is.New(t)
 	share := LinkShare{Rate: 6e6, Gateways: 44}
@@ -73,14 +72,14 @@
 	is.True(l.Admits(time.Second, share, must))
 	l.Spend(time.Second, share, share.rate())
 	is.True(!l.Admits(time.Second, share, must))
-	is.True(l.Admits(3*time.Second, share, must)) // it has filled again
+	is.True(l.Admits(3*time.Second, share, must)) // the bucket has refilled
 	l.Spend(3*time.Second, share, 4000)
-	l.Spend(3*time.Second, share, -4000) // an answer that did not come
+	l.Spend(3*time.Second, share, -4000) // the answer was not sent
 	is.True(l.Admits(3*time.Second, share, extra))
 }
 
-// TestWayIsLearned: the round trip follows new connections, and one that takes several times
-// as long keeps requests in their region for a while, but for those that must leave.
+// TestWayIsLearned checks that the estimated round-trip time follows new connections, and that one
+// which takes several times as long suspends optional transfers for a while.
 func TestWayIsLearned(t *testing.T) {
 	is := is.New(t)
 	share, l := LinkShare{Gateways: 10}, &LinkBudget{}
@@ -92,7 +91,7 @@
 	is.Equal(l.RoundTrip("west"), AssumedRoundTrip)
 	is.True(l.Admits(time.Second, share, Transfer{Bytes: 1000}))
 	l.ObserveRoundTrip(time.Second, "south", 300*time.Millisecond)
-	is.Equal(l.RoundTrip("south"), 41*time.Millisecond) // says nothing of the way itself
+	is.Equal(l.RoundTrip("south"), 41*time.Millisecond) // the estimate ignores congestion
 	is.True(!l.Admits(2*time.Second, share, Transfer{Bytes: 1000}))
 	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Required: true}))
 	is.True(l.Admits(time.Second+pause, share, Transfer{Bytes: 1000}))
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -12,28 +12,29 @@
 	"github.com/badgerspoke/badgerspoke/internal/mix"
 )
 
-// This file defines Ranks, the first servers of each prompt's order in a large pool, and the choice
-// among these alone.
+// This file defines Ranks, the first servers of each prompt's rendezvous order in a large pool, and
+// ChooseSpread, the choice among these alone.
 //
-// A choice that looks at every server costs servers times requests: 0.7 to 1.2 ms among 10,000, so a
-// gateway with a fifth of a core and one busy caller has no time for more than 200 requests a second
-// (BenchmarkChoose of package gateway). What a prompt needs is the servers that keep its shared parts.
+// Pricing every server takes 0.7 to 1.2 ms among 10,000, which limits a gateway with a fifth of a
+// core to 200 requests a second from one busy caller (BenchmarkChoose of package gateway). A prompt
+// only needs the servers that cache its shared parts.
 //
-// Ways weighed: the plain order of all servers, kept for each prompt (there are as many prompts as
-// servers, so few are kept when they come again); a ring (arcs differ, so that some servers are first
-// for many times as many prompts as others); an order of groups and of the servers in each (kept).
+// The servers are hashed into groups, and both the groups and the servers in each are put in
+// rendezvous order. Caching the full order of each prompt would not help: there are as many prompts
+// as servers, so few orders would still be cached when their prompt returns. On a hash ring the arcs
+// differ in length, so some servers would come first for many times as many prompts as others.
 
-// Sizes of the order.
+// Dimensions of the order.
 const (
-	groups    = 128 // of servers, in each of which about as many are: 78 of 10,000
-	ranksKept = 64  // first servers of an order: what one prompt's requests need when they are many
+	groups    = 128 // groups of servers of roughly equal size, 78 servers each in a pool of 10,000
+	ranksKept = 64  // servers considered for each prompt, enough for one with many requests
 )
 
-// Ranks orders the servers of one pool for each prompt, alike at all gateways without a message:
-// groups by a hash of prompt and group, and the servers of each by one of prompt and server. A server
-// that comes or goes moves no other. The zero value has no servers.
+// Ranks orders the servers of one pool for each prompt, identically on all gateways without any
+// message: groups by a hash of prompt and group, servers within a group by a hash of prompt and
+// server. Adding or removing a server does not move any other. The zero value has no servers.
 type Ranks struct {
-	groups [groups][]string // identifiers
+	groups [groups][]string // server IDs
 }
 
 type ranked struct {
@@ -41,23 +42,23 @@
 	score uint64
 }
 
-// groupOf returns the group of a server, whatever the prompt.
+// groupOf returns the group of a server, which does not depend on the prompt.
 func groupOf(id string) int { return int(xxh3.HashString(id) % groups) }
 
-// Add takes a new server of the pool.
+// Add adds a server to the pool.
 func (r *Ranks) Add(id string) {
 	g := groupOf(id)
 	r.groups[g] = append(r.groups[g], id)
 }
 
-// Remove takes that a server has left the pool.
+// Remove removes a server from the pool.
 func (r *Ranks) Remove(id string) {
 	g := groupOf(id)
 	r.groups[g] = slices.DeleteFunc(r.groups[g], func(other string) bool { return other == id })
 }
 
-// First returns the identifiers of the first servers of a prompt's order. It costs O(groups), and
-// O(servers of a group) for each group that it takes.
+// First returns the IDs of the first servers in a prompt's order. It costs O(groups) plus
+// O(servers of a group) for each group it visits.
 func (r *Ranks) First(p Prompt) []string {
 	key := p.key()
 	var order [groups]ranked
@@ -78,7 +79,7 @@
 	return ids[:min(len(ids), ranksKept)]
 }
 
-// inOrder returns servers in the order of a key.
+// rendezvousOrder returns the servers in the rendezvous order of key.
 func inOrder(servers []string, key uint64) []string {
 	all := make([]ranked, 0, len(servers))
 	for _, id := range servers {
@@ -92,26 +93,26 @@
 	return ids
 }
 
-// Width of a prompt's servers in a large pool.
+// Limits that determine how many servers a prompt is spread over in a large pool.
 const (
-	busyWait  = 0.125 // of the objective: the wait for the prompts in front from which a server is busy
-	busySlots = 0.75  // of its slots, the same
-	widthPart = 4     // servers for each busy one
-	// latelyFor is how long a server that was busy counts as such: five of the longest pauses between
-	// sums. Without it a prompt with many requests has one server again after each sum that shows its
-	// servers idle (TestManyRequestsOfOnePrompt: 0.157 of them found 250 ms of reading in front of them,
-	// 0.001 with it).
+	busyWait  = 0.125 // fraction of the objective: queue wait from which a server is busy
+	busySlots = 0.75  // fraction of the slots in use from which a server is busy
+	widthPart = 4     // servers used for each busy one
+	// peakSpan is how long a load peak marks a server as busy: five of the longest intervals between
+	// load summaries. Without it, a prompt with many requests falls back to a single server after each
+	// summary that shows its servers idle, and requests queue there.
 	latelyFor = 3 * time.Second
 )
 
-// Peak is the most that ran on a server lately, as sums over all gateways have it. The zero value has
-// seen nothing.
+// Peak is the highest recent load of a server according to the summaries over all gateways. The zero
+// value has no peak.
 type Peak struct {
 	most Work
-	at   time.Duration // of the newest sum that was as large
+	at   time.Duration // time of the most recent summary that was as high
 }
 
-// With returns the peak with a sum that is known since now: the sum, if it has no less of either than the peak.
+// With returns the peak after a summary received at now. The summary replaces the peak if it is at
+// least as high in both requests and tokens.
 func (k Peak) With(now time.Duration, w Work) Peak {
 	if before := k.At(now); w.Tokens >= before.Tokens && w.Requests >= before.Requests {
 		return Peak{most: w, at: now}
@@ -119,7 +120,7 @@
 	return k
 }
 
-// At returns the peak as of now.
+// At returns the peak as of now, or zero if it has expired.
 func (k Peak) At(now time.Duration) Work {
 	if now-k.at >= latelyFor {
 		return Work{}
@@ -127,15 +128,16 @@
 	return k.most
 }
 
-// ChooseSpread is a choice of an engine in a pool with many others, among the first servers of the
-// request's order. Which of them it has grows with what runs there ([RoomPlacer.width]). Of these it takes
-// the cheaper of two by lot; without room there, of two of the whole order; without room there, the
-// cheapest of it. ok is false if none of the order is usable.
+// ChooseSpread chooses an engine among the first servers of the request's order, for pools too large
+// to price every server. Load determines how many of these are considered ([RoomPlacer.width]). It
+// takes the cheaper of two drawn at random; if that has no capacity, the cheaper of two drawn from
+// the whole order; if that has none either, the cheapest of the order. ok is false if no server of
+// the order is usable.
 //
-// What a choice knows of other gateways is as old as the last sums. Until the next ones all gateways
-// see the same server as the cheapest. That is harmless while few requests come meanwhile. Where a
-// prompt has 150 a second, 90 of them chose one server before anybody knew, and it read for seconds
-// (TestManyRequestsOfOnePrompt).
+// The load reported by other gateways is as old as the latest summary, and until the next one all
+// gateways regard the same server as the cheapest. That is harmless at low request rates. At 150
+// requests a second for one prompt, however, 90 of them would choose the same server before its load
+// is reported, and it would queue seconds of reading.
 func (p *RoomPlacer) ChooseSpread(r Request, order []Server, typical float64) (c Choice, ok bool) {
 	usable := usableOf(r, order, typical)
 	if len(usable) == 0 {
@@ -151,14 +153,14 @@
 	return Choice{Index: best.index, Bound: p.bound(r, best.candidate), Read: best.read, Before: best.load, Slowness: best.slowness}, true
 }
 
-// priced is a candidate with its price and what it has to read.
+// pricedCandidate is a candidate with its price and the number of tokens it has to read.
 type priced struct {
 	candidate
 	price float64
 	read  int
 }
 
-// usableOf returns the usable servers of an order, priced as if each kept the shared parts.
+// usableServers returns the usable servers of an order, each priced as if it cached the shared parts.
 func usableOf(r Request, order []Server, typical float64) []priced {
 	usable := make([]priced, 0, len(order))
 	for i := range order {
@@ -173,10 +175,11 @@
 	return usable
 }
 
-// width returns how many of the usable servers of its order a prompt has: the first one, and while that is
-// busy, or at least two are, as many of the first ones as have widthPart for each busy one. Those farther
-// back do not count: the order is as long as a prompt with many requests needs, and in a large
-// pool some of it are nearly always busy with other prompts, a single one of the first ones now and then.
+// width returns over how many of the usable servers of its order a prompt is spread. It is 1 unless
+// the first server or at least two of the leading ones are busy; then it grows to serversPerBusy for
+// each busy server. Servers beyond the width do not count: the order is long enough for a prompt with
+// many requests, and in a large pool some of its servers are nearly always busy with other prompts,
+// occasionally even one of the leading ones.
 func (p *RoomPlacer) width(r Request, usable []priced) int {
 	width, busy := 1, 0
 	if !p.busy(r, usable[0].candidate) {
@@ -193,8 +196,8 @@
 	return width
 }
 
-// busy reports whether a request would have to wait at a server, or would have lately: for longer than it takes to
-// read the shared parts again elsewhere.
+// busy reports whether a request would have to wait at a server, now or at its recent peak, for longer
+// than reading the shared parts again elsewhere would take.
 func (p *RoomPlacer) busy(r Request, c candidate) bool {
 	ahead := float64(max(c.load.Tokens, c.RecentPeak.Tokens)) * c.slowness
 	most := max(busyWait*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
@@ -202,7 +205,8 @@
 		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlots*float64(c.Slots))
 }
 
-// ofTwo returns the cheaper of two by a lot from 0 to 1, and what is left of the lot.
+// cheaperOfTwo returns the cheaper of two random servers, and the unused rest of the random number,
+// which is between 0 and 1.
 func ofTwo(from []priced, lot float64) (best priced, left float64) {
 	first, lot := drawn(len(from), lot)
 	second, left := drawn(len(from), lot)
@@ -212,7 +216,8 @@
 	return from[first], left
 }
 
-// drawn returns one of n by a lot from 0 to 1, and what is left of the lot.
+// draw returns a random index below n, and the unused rest of the random number, which is between 0
+// and 1.
 func drawn(n int, lot float64) (index int, left float64) {
 	at := lot * float64(n)
 	index = min(int(at), n-1)
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -15,8 +15,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRanksAgree: the order of a prompt is the same whatever the order in which servers came, each
-// server is first for about as many prompts as any other, and one that leaves moves only its own.
+// TestRanksAgree checks that a prompt's order does not depend on the order in which servers were added,
+// that each server is first for a similar number of prompts, and that removing one moves only its own.
 func TestRanksAgree(t *testing.T) {
 	is := is.New(t)
 	const servers, prompts = 2000, 20_000
@@ -48,8 +48,8 @@
 	is.Equal(moved, first["e00007"])
 }
 
-// TestPromptStaysWhileItsServerIsNotBusy: without much in front of it the first server of the order is
-// taken, whatever the lot; a busy, ejected or closed one is passed by.
+// TestPromptStaysWhileItsServerIsNotBusy checks that the first server of the order is used while it is
+// not busy, and skipped while it is busy, ejected or closed.
 func TestPromptStaysWhileItsServerIsNotBusy(t *testing.T) {
 	is := is.New(t)
 	order := drawnPool(rand.New(rand.NewPCG(1, 1)), 64)
@@ -63,18 +63,18 @@
 	is.Equal([]int{at(0), at(0.3), at(0.99)}, []int{0, 0, 0})
 	order[0].Closed = true
 	is.Equal([]int{at(0), at(0.3), at(0.99)}, []int{1, 1, 1})
-	order[0].Closed, order[0].Health = false, outlier.Trial // what may not be repeated is no trial
+	order[0].Closed, order[0].Health = false, outlier.Trial // a request that must not be repeated cannot be a trial
 	is.Equal(at(0.5), 1)
 	order[0].Health, order[0].Others = outlier.InUse, Work{Requests: 13, Tokens: 9_000}
 	for _, lot := range []float64{0.1, 0.3, 0.7, 0.99} {
-		is.True(at(lot) >= 1 && at(lot) < 5) // one of the next, which are not busy
+		is.True(at(lot) >= 1 && at(lot) < 5) // one of the next servers, none of which is busy
 	}
 	_, ok := p.ChooseSpread(Request{Engine: true}, nil, 0)
 	is.True(!ok)
 }
 
-// TestPromptStaysWhateverOthersDo: servers of the order that a prompt does not use are others'; that they
-// are busy moves nothing. What it uses grows with those of its own that are busy.
+// TestPromptStaysWhateverOthersDo checks that a prompt's requests stay on its first server while servers
+// beyond its width are busy with other prompts, and that its width grows once its own servers are busy.
 func TestPromptStaysWhateverOthersDo(t *testing.T) {
 	is := is.New(t)
 	order := drawnPool(rand.New(rand.NewPCG(1, 1)), 64)
@@ -95,12 +95,12 @@
 	is.Equal(used(), map[int]bool{0: true})
 	order[0].Others, order[1].Others = busy, Work{}
 	for i := range used() {
-		is.True(i < 5) // the first one and four more, none of which is busy
+		is.True(i < 5) // the first one and the next four, which are not busy
 	}
 	for i := range order {
 		order[i].Others = busy
 	}
-	is.True(len(used()) > 32) // all are busy: the whole order
+	is.True(len(used()) > 32) // all servers are busy, so the whole order is used
 }
 
 func drawnPool(rng *rand.Rand, n int) (pool []Server) {
@@ -110,7 +110,7 @@
 	return pool
 }
 
-// firstOf returns the servers of some identifiers, and their indexes in the pool.
+// firstOf returns the servers with the given IDs, and their indexes in the pool.
 func firstOf(pool []Server, ids []string) (first []Server, at []int) {
 	for _, id := range ids {
 		i := slices.IndexFunc(pool, func(s Server) bool { return s.ID == id })
@@ -119,10 +119,10 @@
 	return first, at
 }
 
-// TestManyRequestsOfOnePrompt plays 152 requests a second of one prompt, 11,000 tokens of their own each
-// and 24 events, from 300 gateways that hear of each other every 0.6 s, in a pool of 300 engines that
-// nothing else runs on. Chosen among all as the cheapest they wait for seconds; spread, hardly any
-// finds 250 ms of reading in front of it, and the prompt's shared part is read on few engines.
+// TestManyRequestsOfOnePrompt sends 152 requests a second for one prompt, with 11,000 own tokens each,
+// through 300 gateways to 300 otherwise idle engines. Load is reported every 0.6 s. If every gateway took
+// the cheapest engine, requests would wait for seconds. Spread over the order, hardly any request may
+// have more than 250 ms of reading ahead of it, and few engines read the shared part.
 func TestManyRequestsOfOnePrompt(t *testing.T) {
 	is := is.New(t)
 	one := promptLoad{engines: 300, prompts: 1, rate: 152, own: 11_000, shared: 512}
@@ -130,15 +130,15 @@
 		return p.Choose(r, pool).Index
 	})
 	t.Logf("the cheapest of all: worst wait %.0f ms, %.3f over 250 ms", all.worst, all.late)
-	is.True(all.late > 0.3) // the load is one that breaks it
+	is.True(all.late > 0.3) // the load is high enough to show the failure
 	spread := one.play(chooseSpread)
 	t.Logf("spread: worst wait %.0f ms, %.3f over 250 ms, %d engines", spread.worst, spread.late, spread.engines)
 	is.True(spread.late < 0.02)
 	is.True(spread.engines <= ranksKept)
 }
 
-// TestManyRarePrompts plays many prompts that have a request each six seconds, which keep one engine in a
-// hundred busy: nearly all find their shared parts where the last request read them.
+// TestManyRarePrompts sends many prompts, each once in six seconds, which keep one engine in a hundred
+// busy. Nearly all requests must find their shared parts cached by the previous one.
 func TestManyRarePrompts(t *testing.T) {
 	is := is.New(t)
 	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, learned: 40, first: 0.04, spread: 1.4}.play(chooseSpread)
@@ -147,8 +147,8 @@
 	is.True(rare.late < 0.02)
 }
 
-// TestPromptsWithMuchInCommon plays one prompt whose shared part is large. A few requests a second use few engines,
-// since each of them reads all of it again; many use as many as they need.
+// TestPromptsWithMuchInCommon sends one prompt with a large shared part. A low rate must use few engines,
+// since each of them reads the shared part again; a high rate must use as many as it needs.
 func TestPromptsWithMuchInCommon(t *testing.T) {
 	is := is.New(t)
 	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, learned: 40, first: 0.04, spread: 1.4}.play(chooseSpread)
@@ -157,35 +157,35 @@
 	is.True(few.late < 0.02)
 	many := promptLoad{engines: 300, prompts: 1, rate: 60, own: 6600, shared: 15_000, learned: 40, first: 0.04}.play(chooseSpread)
 	t.Logf("60 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", many.worst, many.late, many.engines)
-	is.True(many.engines > 8) // four at least would be busy all the time
+	is.True(many.engines > 8) // at least four would be busy all the time
 	is.True(many.late < 0.02)
 }
 
-// chooseSpread is what gateways of a large pool do.
+// chooseSpread chooses as gateways do for a large pool.
 func chooseSpread(p *RoomPlacer, r Request, _, order []Server, at []int) int {
-	c, _ := p.ChooseSpread(r, order, 0) // all servers are usable
+	c, _ := p.ChooseSpread(r, order, 0) // ok, since all servers are usable
 	return at[c.Index]
 }
 
-// promptLoad is requests of some prompts before 300 gateways, which hear of each other every 0.6 s.
+// promptLoad is a load of some prompts on 300 gateways, which receive load reports every 0.6 s.
 type promptLoad struct {
 	engines, prompts int
 	rate             float64 // requests a second
 	own, shared      int     // tokens of each request
-	learned          float64 // the rate that gateways take engines to read at, tokens a millisecond; 0: unknown
-	first            float64 // seconds from the end of reading until the gateway has the first event
-	spread           float64 // of the own tokens, of a lognormal distribution; 0: all are alike
+	learned          float64 // read rate assumed by the gateways, in tokens a millisecond; zero means unknown
+	first            float64 // seconds between the end of reading and the first event at the gateway
+	spread           float64 // sigma of the lognormal distribution of own tokens; zero means constant
 }
 
-// promptOutcome is what became of the requests: the worst time in which tokens in front were read, in ms,
-// and the part of requests that found more than 250 ms of it, both after the first two seconds; how many
-// engines were used; and the part of requests that were not at the first one of their prompt's order.
+// promptOutcome is the result of a run: the longest wait for prompts ahead, in ms, and the fraction of
+// requests that waited more than 250 ms, both after the first two seconds; the fraction of requests that
+// did not use the first engine of their prompt's order; and the number of engines used.
 type promptOutcome struct {
 	worst, late, left float64
 	engines           int
 }
 
-// play plays ten seconds.
+// play runs the load for ten seconds.
 func (l promptLoad) play(choose func(p *RoomPlacer, r Request, pool, order []Server, at []int) int) (o promptOutcome) {
 	const gateways, ends, settled, long = 300, 10.0, 2.0, 0.25 // seconds
 	x := newPromptPool(l)
@@ -215,21 +215,21 @@
 	return o
 }
 
-// promptPool is the engines of a play, and what gateways know of them.
+// promptPool is the state of the engines, and what the gateways have learned of it.
 type promptPool struct {
 	promptLoad
 	rng    *rand.Rand
 	pool   []Server
 	ranks  Ranks
 	runs   [][]promptRun
-	kept   []map[string]bool // shared parts, by engine
-	reads  []float64         // until when, in seconds
+	kept   []map[string]bool // cached shared parts, by engine
+	reads  []float64         // end of reading in seconds, by engine
 	sums   []Work
 	peaks  []Peak
-	summed float64 // when the next sums are due
+	summed float64 // time of the next load report in seconds
 }
 
-// promptRun is a request on an engine: its tokens count until its first event.
+// promptRun is a request on an engine. Its tokens count as load until its first event.
 type promptRun struct {
 	tokens     int
 	first, end float64
@@ -249,7 +249,7 @@
 	return x
 }
 
-// look brings what gateways know to a time.
+// look advances the engines and the load reports to now.
 func (x *promptPool) look(now float64) {
 	const period = 0.6 // seconds between sums
 	for i := range x.pool {
@@ -272,8 +272,8 @@
 	}
 }
 
-// begin begins a request on an engine, which reads the shared part as well if it does not keep it, and returns how long,
-// in seconds, others are read before.
+// begin starts a request on an engine, which reads the shared part too if it is not cached. It returns
+// how long the request waits for prompts ahead of it, in seconds.
 func (x *promptPool) begin(i int, prompt Prompt, now float64) (wait float64) {
 	const perSecond, streams = 157_000.0, 1.4 // tokens, seconds
 	wait = max(x.reads[i]-now, 0)
@@ -287,7 +287,7 @@
 	return wait
 }
 
-// used returns how many engines had a request.
+// used returns the number of engines that had a request.
 func (x *promptPool) used() (n int) {
 	for _, until := range x.reads {
 		if until > 0 {
@@ -297,7 +297,7 @@
 	return n
 }
 
-// clock returns a number of seconds as a time.
+// clock converts seconds to a duration.
 func clock(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // drawName returns the name of a request's shared part.
@@ -308,7 +308,7 @@
 	return fmt.Sprint("a", rng.IntN(l.prompts))
 }
 
-// drawOwn returns the own tokens of a request.
+// drawOwn returns the number of own tokens of a request.
 func (l promptLoad) drawOwn(rng *rand.Rand) int {
 	if l.spread == 0 {
 		return l.own
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -9,46 +9,50 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines how a choice goes from one region to another: the own region's servers
-// first, others only where the own region has none for the request, none with room, or the one
-// that suits it best was waited for as long as the way to another region takes.
+// This file defines when a request leaves its region. Servers of its own region come first. Others
+// are considered only if none of the region may serve the request, if none has capacity, or if the
+// request has waited for its best engine as long as a round trip to another region takes.
 //
-// A prompt's rendezvous order is one in each region, because a choice looks at the servers of
-// one region alone: no request crosses the link for a rank. In another region a request goes to
-// the engine that suits it best there, and to no other.
+// Each region has its own rendezvous order, since a choice considers the servers of one region only.
+// A request never crosses the link for the sake of its rank, and in another region it may only use
+// its best engine there.
 //
-// Ways weighed in TestTwoRegions, an account of 0.55 of what all engines bear at one side of two, by
-// requests in time and the part that goes over: the own region only 0.23 and 0; one order over
-// both 1.00 and 0.49, and half under any load; where the first event is expected sooner 0.98 and
-// 0.36; where no engine of the region has room 0.50 and 0.37; the same, and at once where the best
-// has none 0.97 and 0.34, after 120 ms 0.69 and 0.52, after the way of 60 ms (kept) 0.98 and 0.27.
+// The wait of one round trip suits an account whose callers are all in one region and that needs more
+// than half of the fleet:
+//   - Staying in the own region serves few of its requests in time.
+//   - One order over both regions sends half of all requests across the link under any load.
+//   - Leaving whenever the other region is expected to answer sooner, or as soon as the best engine
+//     is full, sends more requests across the link for no more of them in time.
+//   - Leaving only when the whole region is full, or after 120 ms, is too late for many requests and
+//     makes more of them cross.
 
-// LeaveReason is why a request may leave its region.
+// LeaveReason is the reason why a request may leave its region.
 type LeaveReason uint8
 
-// The reasons.
+// Reasons for leaving a region.
 const (
-	Stay     LeaveReason = iota // it may not
-	NoServer                    // no server of the region may have it, or only ejected ones
-	NoRoom                      // none of the region has room for it
-	BestFull                    // the engine that suits it best has none, another one has
+	Stay     LeaveReason = iota // it may not leave
+	NoServer                    // no server of the region is usable for it, or only ejected ones are
+	NoRoom                      // no server of the region has capacity for it
+	BestFull                    // its best engine has no capacity, but another one in the region has
 )
 
-// String returns the reason's name, as log lines and counters carry it.
+// String returns the reason's name as used in log lines and counters.
 func (l LeaveReason) String() string { return [...]string{"", "no-server", "no-room", "waited"}[l] }
 
-// Due reports whether a request that has waited for so long may leave now: for the engine that
-// suits it best it first waits as long as the way there and back takes.
+// Due reports whether a request that has waited for the given time may leave now. If only its best
+// engine is full, it first waits for one round trip to the other region.
 func (l LeaveReason) Due(waited, way time.Duration) bool {
 	return l == NoServer || l == NoRoom || (l == BestFull && waited >= way)
 }
 
-// MayLeave reports whether a request of a class may leave its region for want of room: what is
-// beyond its account's share is served where nothing else waits, and nothing is moved for it.
+// MayLeave reports whether a request of the given class may leave its region for lack of capacity.
+// Requests beyond their account's share only use capacity that is idle where they are, and are not
+// moved for it.
 func MayLeave(c entitlement.Class) bool { return c != entitlement.Beyond }
 
-// ChooseInRegion is Choose among the servers of one region, with the reason to leave it, if there is
-// one.
+// ChooseInRegion is like Choose for the servers of one region, and also returns the reason for the
+// request to leave it, if any.
 func (p *RoomPlacer) ChooseInRegion(r Request, servers []Server) (Choice, LeaveReason) {
 	found, healthy := candidates(r, servers)
 	c := p.choose(r, found)
@@ -63,8 +67,8 @@
 	return c, NoRoom
 }
 
-// anyFree reports whether a candidate has room. It costs O(candidates), and is looked at only
-// where the best has none.
+// anyFree reports whether any candidate has capacity. It costs O(candidates) and is called only if
+// the best candidate has none.
 func (p *RoomPlacer) anyFree(r Request, found []candidate) bool {
 	return slices.ContainsFunc(found, func(c candidate) bool { return p.bound(r, c) == Free })
 }
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -13,7 +13,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file tests when a request may leave its region, and where it goes.
+// This file tests when a request may leave its region, and which engine it uses.
 
 // engines returns idle engines of one region.
 func engines(region string, n int) []Server {
@@ -28,11 +28,11 @@
 	return Request{Prompt: p, Engine: true, Class: entitlement.Covered, Objective: 400 * time.Millisecond}
 }
 
-// fill leaves a server without room.
+// fill uses up the capacity of a server.
 func fill(s *Server) { s.Own.Tokens = 30_000 }
 
-// TestWhenARequestMayLeave: not at once while an engine of the region has room, also where the one
-// that suits it best has none.
+// TestWhenARequestMayLeave checks the reasons for leaving a region. While another engine of the region
+// has capacity, a request does not leave at once even if its best engine is full.
 func TestWhenARequestMayLeave(t *testing.T) {
 	p, r := &RoomPlacer{}, engineRequest(promptOf("a"))
 	first, _ := p.ChooseInRegion(r, engines("n", 4))
@@ -67,7 +67,7 @@
 				r.Engine = engine
 				_, why := p.ChooseInRegion(r, servers)
 				if !engine && tt.want == BestFull {
-					tt.want = Stay // any other one suits a plain request as well
+					tt.want = Stay // a plain request may use any other server
 				}
 				is.Equal(why, tt.want)
 			})
@@ -85,8 +85,8 @@
 	is.True(MayLeave(entitlement.Extra))
 }
 
-// TestOrderIsOneInEachRegion: the first engine of a prompt is the region's own, whatever engines
-// there are elsewhere, and a far one is not looked at for a rank.
+// TestOrderIsOneInEachRegion checks that the first engine of a prompt is determined by the engines of
+// its own region alone.
 func TestOrderIsOneInEachRegion(t *testing.T) {
 	is := is.New(t)
 	p := &RoomPlacer{}
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -10,68 +10,68 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines whether a server has room for one more request, and what is
-// learned of the pool's servers for that.
+// This file defines whether a server has capacity for one more request, and the estimates of the
+// pool's behavior that this depends on.
 
-// roomParts are the parts of the objective that may pass before an engine begins to read a
-// request, or has read it ([waitedFor]).
+// maxWaitParts are the fractions of the objective that may pass until an engine begins to read a
+// request, or has read it (see [admissionTokens]).
 var roomParts = [...]float64{
 	entitlement.Covered: 0.45, entitlement.Entitled: 0.25, entitlement.Extra: 0.12,
-	entitlement.Beyond: 0, // only where there is nothing to read
+	entitlement.Beyond: 0, // only if nothing is waiting to be read
 }
 
-// Bounds of the requests on one server, as multiples of its slots.
+// Maximum requests on one server, as multiples of its slots.
 const (
-	plainPerSlot  = 2.0  // on a plain service, whose work is short
-	enginePerSlot = 1.25 // on an engine, when it queues what is beyond its slots
-	fewestPerSlot = 0.7  // and when it refuses that
-	// extraPerSlot is the bound for what is beyond the named shares: a stream holds its slot for
-	// seconds, and what is within a share must find one meanwhile.
+	plainPerSlot  = 2.0  // on a plain service, where requests are short
+	enginePerSlot = 1.25 // on an engine that queues requests beyond its slots
+	fewestPerSlot = 0.7  // on an engine that refuses them
+	// extraPerSlot applies to requests beyond the named shares. A stream occupies its slot for
+	// seconds, and requests within a share need a free one in the meantime.
 	extraPerSlot = 0.75
 )
 
-// Weights of one answer in refusing: one refusal counts as much as 25 answers.
+// Weights of one answer in refusalLevel. One refusal counts as much as 25 answers.
 const (
 	refusalWeight = 0.05  // of a refusal
 	answerWeight  = 0.002 // of an answer
 )
 
-// Reading of prompts by engines: chosen, not measured, as starting points that
-// answers correct.
+// Estimates of how fast servers read prompts and answer. The read rate is corrected by observed
+// answers.
 const (
-	firstRate      = 100.0 // tokens a millisecond, before anything is learned
-	rateWeight     = 0.01  // of one answer in the learned rate
-	rateSpread     = 10    // the learned rate stays within firstRate divided and multiplied by it
-	informative    = 4000  // tokens; shorter prompts measure the rate badly
-	engineOverhead = 25.0  // ms that an idle engine needs before it reads
-	plainExpected  = 50.0  // ms that a plain service is expected to need
+	firstRate      = 100.0 // initial read rate in tokens a millisecond
+	rateWeight     = 0.01  // weight of one answer in the estimated rate
+	rateSpread     = 10    // the estimate stays within initialReadRate divided and multiplied by this
+	informative    = 4000  // tokens; shorter prompts give unreliable samples of the rate
+	engineOverhead = 25.0  // ms before an idle engine begins to read
+	plainExpected  = 50.0  // expected latency of a plain service in ms
 )
 
-// Division of a server's connections among gateways.
+// Division of a server's connections among the gateways.
 const (
-	connectionsUsed   = 0.9 // part of them; the rest is reserve
-	fewestConnections = 2   // of each gateway, even if the sum is too large then
-	// amplePerSlot is the connections for each slot from which the slots bound what runs on a server
-	// long before its connections do.
+	connectionsUsed   = 0.9 // fraction that is used; the rest is reserve
+	fewestConnections = 2   // per gateway, even if that exceeds the total
+	// ampleConnectionsPerSlot is the number of connections per slot from which the slots limit a
+	// server's load long before its connections do.
 	amplePerSlot = 32
 )
 
-// Bound is what keeps a server from taking one more request.
+// Bound is the limit that keeps a server from accepting one more request.
 type Bound uint8
 
-// The bounds, in the order in which they are looked at.
+// Bounds, in the order in which they are checked.
 const (
-	Free        Bound = iota // it takes one
-	Connections              // this gateway's part of the connections that it accepts
-	Slots                    // requests on it
-	Reading                  // prompts that it has to read first
-	RegionLink               // this gateway's part of the link to its region
+	Free        Bound = iota // none: the server may have the request
+	Connections              // this gateway's part of the server's connections
+	Slots                    // requests on the server
+	Reading                  // prompt tokens that the server has to read first
+	RegionLink               // this gateway's part of the link to the server's region
 )
 
-// String returns the bound's name, as log lines carry it.
+// String returns the bound's name as used in log lines.
 func (b Bound) String() string { return [...]string{"", "connections", "slots", "reading", "link"}[b] }
 
-// bound returns what keeps a server from taking one more request now.
+// bound returns the limit that keeps a server from accepting one more request now.
 func (p *RoomPlacer) bound(r Request, c candidate) Bound {
 	if r.Connections > 0 && c.Own.Requests >= ownConnections(r.Connections, r.Gateways, c.Slots) {
 		return Connections
@@ -89,7 +89,7 @@
 	return Free
 }
 
-// perSlot returns how many requests for each of its slots keep a server from taking one more.
+// perSlot returns the maximum number of requests per slot of a server.
 func (p *RoomPlacer) perSlot(r Request) float64 {
 	switch {
 	case !r.Engine:
@@ -100,10 +100,9 @@
 	return p.requestsPerSlot()
 }
 
-// waitedFor returns the tokens that decide whether an engine has room: those in front of the
-// request, and of one beyond the named shares its own as well. An engine reads in order of arrival, so
-// that what is within a share waits behind all that was begun: a long prompt beyond them would
-// make it late.
+// admissionTokens returns the tokens that decide whether an engine has capacity: those ahead of the
+// request and, if it is beyond the named shares, its own as well. Engines read in order of arrival,
+// so a long prompt beyond the shares would delay later requests within a share.
 func waitedFor(r Request, c candidate) int {
 	if r.Class == entitlement.Extra {
 		return c.load.Tokens + r.Prompt.Own
@@ -111,18 +110,19 @@
 	return c.load.Tokens
 }
 
-// Learned is what the placer has learned of its servers.
+// Learned holds the placer's estimates of its servers.
 type Learned struct {
-	Rate    float64 // tokens that an engine reads in a millisecond; 0 is unknown
-	PerSlot float64 // requests that an engine is given for each slot
+	Rate    float64 // tokens that an engine reads in a millisecond; zero means unknown
+	PerSlot float64 // requests sent to an engine for each of its slots
 }
 
-// Learned returns what is learned, for the log and the metrics.
+// Learned returns the current estimates, for the log and the metrics.
 func (p *RoomPlacer) Learned() Learned { return Learned{Rate: p.rate, PerSlot: p.requestsPerSlot()} }
 
-// ownConnections is one gateway's part of the connections that a server accepts; where these are
-// ample for its slots, never less than the slots. A part alone falls with the gateways of the fleet,
-// to two of 1,900 at 985, and the gateway with the busiest callers waits at servers that are free.
+// ownConnections returns one gateway's part of the connections that a server accepts. If these are
+// ample for its slots, it is at least the number of slots. An even part alone shrinks as the fleet
+// grows, to two of 1,900 connections at 985 gateways, and the gateway with the busiest callers would
+// then queue requests for servers that are idle.
 func ownConnections(accepted, gateways, slots int) int {
 	part := int(connectionsUsed * float64(accepted) / float64(max(gateways, 1)))
 	if accepted >= amplePerSlot*slots {
@@ -131,13 +131,13 @@
 	return max(part, fewestConnections)
 }
 
-// requestsPerSlot is how many requests an engine is given for each slot. How
-// many it queues is not reported: refusals lower the number, answers raise it.
+// requestsPerSlot returns how many requests an engine is sent for each of its slots. Engines do not
+// report the length of their queue, so refusals lower the number and answers raise it.
 func (p *RoomPlacer) requestsPerSlot() float64 {
 	return enginePerSlot - p.refusing*(enginePerSlot-fewestPerSlot)
 }
 
-// ObserveAnswer counts that a server answered a request or refused it as full.
+// ObserveAnswer records whether a server answered a request or refused it because it was full.
 func (p *RoomPlacer) ObserveAnswer(refused bool) {
 	if refused {
 		p.refusing += refusalWeight * (1 - p.refusing)
@@ -146,7 +146,7 @@
 	p.refusing -= answerWeight * p.refusing
 }
 
-// readRate is how many tokens an engine reads in a millisecond.
+// readRate returns the estimated tokens that an engine reads in a millisecond.
 func (p *RoomPlacer) readRate() float64 {
 	if p.rate == 0 {
 		return firstRate
@@ -154,8 +154,8 @@
 	return p.rate
 }
 
-// ExpectedTimeToFirst returns how long a server that runs nothing else is expected to need until
-// the first part of its answer, with that many tokens to read.
+// ExpectedTimeToFirst returns how long an otherwise idle server is expected to take until the first
+// part of its answer, given the number of tokens it has to read.
 func (p *RoomPlacer) ExpectedTimeToFirst(engine bool, tokens int) time.Duration {
 	ms := plainExpected
 	if engine {
@@ -164,8 +164,8 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// ObserveTimeToFirst takes how long an answer took to begin, and the tokens that an
-// engine had to read before. It returns the ratio to what was expected.
+// ObserveTimeToFirst records how long an answer took to begin, and the number of tokens that an
+// engine had to read before. It returns the ratio to the expected time.
 func (p *RoomPlacer) ObserveTimeToFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
 	ms := milliseconds(took)
 	if !engine {
@@ -183,20 +183,20 @@
 
 // Parameters of a server's pace.
 const (
-	paceWeight   = 0.1 // of one answer
-	fewestPaces  = 4   // answers before a pace counts
-	slowFrom     = 1.6 // times the typical pace; smaller differences are left alone
-	slownessMost = 16  // a server counts as at most that many times slower
+	paceWeight   = 0.1 // weight of one answer
+	fewestPaces  = 4   // answers before a pace is reliable
+	slowFrom     = 1.6 // multiple of the typical pace; smaller differences are ignored
+	slownessMost = 16  // upper bound of the slowness
 )
 
-// Pace is the averaged time that a server's answers take to begin, as a ratio to
-// what was expected. The zero value is unknown.
+// Pace is the moving average of the time until a server's answers begin, relative to the expected
+// time. The zero value is unknown.
 type Pace struct {
 	ratio   float64
 	answers int
 }
 
-// Observe takes an answer's ratio.
+// Observe records the ratio of one answer.
 func (p *Pace) Observe(ratio float64) {
 	p.answers++
 	if p.answers == 1 {
@@ -206,7 +206,7 @@
 	p.ratio += paceWeight * (ratio - p.ratio)
 }
 
-// slowness returns how many times slower than others a server is.
+// slowness returns how many times slower than a typical server this one is, at least 1.
 func (p Pace) slowness(typical float64) float64 {
 	if p.answers < fewestPaces || typical <= 0 || p.ratio < slowFrom*typical {
 		return 1
@@ -214,10 +214,10 @@
 	return math.Min(p.ratio/typical, slownessMost)
 }
 
-// Reliable reports whether enough answers were taken for the pace to count.
+// Reliable reports whether enough answers were observed for the pace to be used.
 func (p Pace) Reliable() bool { return p.answers >= fewestPaces }
 
-// TypicalPace returns the median of the paces that count; 0 with fewer than two.
+// TypicalPace returns the median of the reliable paces, or 0 if there are fewer than two.
 func TypicalPace(all []Pace) float64 {
 	ratios := make([]float64, 0, len(all))
 	for _, pace := range all {
@@ -232,7 +232,7 @@
 	return ratios[(len(ratios)-1)/2]
 }
 
-// typicalPace is TypicalPace of some servers.
+// typicalPace returns the TypicalPace of the given servers.
 func typicalPace(servers []Server) float64 {
 	paces := make([]Pace, 0, len(servers))
 	for i := range servers {
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -12,8 +12,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRoom is the table of what fits on one server: an engine reads 100 tokens a
-// millisecond before anything is learned, of an objective of 400 ms.
+// TestRoom covers the limits of one server, with an objective of 400 ms. Without estimates an engine is
+// assumed to read 100 tokens a millisecond.
 func TestRoom(t *testing.T) {
 	engine := func(c entitlement.Class) Request {
 		return Request{Class: c, Objective: 400 * time.Millisecond, Engine: true}
@@ -21,7 +21,7 @@
 	long := engine(entitlement.Extra)
 	long.Prompt.Own = 3000
 	plain := Request{Class: entitlement.Entitled}
-	shared := Request{Class: entitlement.Entitled, Connections: 100, Gateways: 45} // two for each
+	shared := Request{Class: entitlement.Entitled, Connections: 100, Gateways: 45} // two for each gateway
 	for _, tt := range []struct {
 		name string
 		r    Request
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestFullServerIsWaitedFor: a request is not given to another server with room,
-// unless it would else be refused; that one reads all of its prompt.
+// TestFullServerIsWaitedFor checks that a request is not moved to a server with capacity unless it would
+// be refused otherwise, and that this server then reads the whole prompt.
 func TestFullServerIsWaitedFor(t *testing.T) {
 	is := is.New(t)
 	var p RoomPlacer
@@ -106,7 +106,7 @@
 	for _, tt := range []struct{ accepts, gateways, slots, own int }{
 		{300, 7, 0, 38}, {300, 1, 0, 270}, {100, 59, 0, 2}, {100, 0, 0, 90},
 		{300, 59, 48, 4},                          // connections are as scarce as slots
-		{1900, 985, 16, 16}, {1900, 1970, 16, 16}, // they are not, and do not fall with the fleet
+		{1900, 985, 16, 16}, {1900, 1970, 16, 16}, // connections are ample: the part does not shrink with the fleet
 	} {
 		is.New(t).Equal(ownConnections(tt.accepts, tt.gateways, tt.slots), tt.own)
 	}
@@ -122,8 +122,8 @@
 	is.True(p.requestsPerSlot() < fewestPerSlot+0.01)
 	is.True(p.readRate() > 490 && p.readRate() < 501)
 	learned := p.readRate()
-	p.ObserveTimeToFirst(true, informative-1, time.Hour)                     // too short to learn from
-	p.ObserveTimeToFirst(true, informative, engineOverhead*time.Millisecond) // nothing was read
+	p.ObserveTimeToFirst(true, informative-1, time.Hour)                     // too short for a sample
+	p.ObserveTimeToFirst(true, informative, engineOverhead*time.Millisecond) // no time left for reading
 	is.Equal(p.readRate(), learned)
 	for range 5000 {
 		p.ObserveAnswer(false)
@@ -136,17 +136,17 @@
 	servers := make([]Server, 3)
 	for i, ratio := range []float64{1, 1.5, 100} {
 		for range fewestPaces {
-			is.Equal(typicalPace(servers[i:i+1]), 0.0) // one alone is not compared
+			is.Equal(typicalPace(servers[i:i+1]), 0.0) // a single server is not compared
 			servers[i].Pace.Observe(ratio)
 		}
 	}
 	typical := typicalPace(servers)
 	is.Equal(typical, 1.5)
-	is.Equal(servers[1].Pace.slowness(1), 1.0) // a small difference
+	is.Equal(servers[1].Pace.slowness(1), 1.0) // the difference is too small
 	is.Equal(servers[2].Pace.slowness(typical), float64(slownessMost))
 	is.Equal(Pace{}.slowness(typical), 1.0)
 
-	// A slow engine needs as many times longer for what it has to read.
+	// A slow engine takes as many times longer to read.
 	r := Request{Class: entitlement.Covered, Objective: 400 * time.Millisecond, Engine: true}
 	for i := range servers {
 		servers[i].Own.Tokens = 2000
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -10,53 +10,52 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file defines RoomPlacer, the gateways' choice: which servers of a pool
-// are candidates for a request, which one suits it best, and whether that one
-// has room for it now.
+// This file defines RoomPlacer, which gateways use to choose a server: the candidates for a request,
+// the best one among them, and whether that one has capacity for it now.
 
-// Request is what a choice takes of a request and of its pool.
+// Request holds the inputs of a choice: the request and the properties of its pool.
 type Request struct {
 	Prompt     Prompt
 	Class      entitlement.Class
-	Objective  time.Duration // for the first part of the answer
-	Repeatable bool          // may run more than once
+	Objective  time.Duration // until the first part of the answer
+	Repeatable bool          // whether it may run more than once
 
-	Engine      bool // the pool's servers are engines, not plain services
-	Connections int  // that each server of the pool accepts; 0 is unknown
-	Gateways    int  // that share them
+	Engine      bool // whether the pool's servers are engines, not plain services
+	Connections int  // accepted by each server of the pool; zero means unknown
+	Gateways    int  // number of gateways that share these
 
-	Random float64 // from 0 to 1, drawn for this choice
+	Random float64 // between 0 and 1, drawn for this choice
 }
 
-// Work is what runs on a server.
+// Work is the load of a server.
 type Work struct {
 	Requests int
-	Tokens   int // of prompts that it has still to read
+	Tokens   int // prompt tokens still to be read
 }
 
 // Server is a backend server of the pool.
 type Server struct {
 	ID         string
-	Slots      int // 0 is unknown
+	Slots      int // zero means unknown
 	SameHall   bool
-	Own        Work // from this gateway
-	Others     Work // from all other gateways
+	Own        Work // sent by this gateway
+	Others     Work // sent by all other gateways
 	OthersAge  time.Duration
-	RecentPeak Work // the most from all gateways, of late
+	RecentPeak Work // highest recent load from all gateways
 	Pace       Pace
 	Health     outlier.State
-	Avoid      bool // the request has failed there
-	Closed     bool // it gets nothing now, whatever else there is
-	LostInARow int  // requests in a row, from this gateway
+	Avoid      bool // whether an attempt of the request has failed there
+	Closed     bool // whether it accepts no requests at present
+	LostInARow int  // consecutive requests of this gateway that were lost there
 }
 
-// MaxOthersAge is the age from which the report of other gateways' work is not counted, so that a
-// gateway that is cut off from the directory goes by its own work alone. Reports come every 100 to 600
+// MaxOthersAge is the age from which the reported work of other gateways is ignored, so that a
+// gateway that has lost the directory relies on its own work alone. Reports arrive every 100 to 600
 // ms.
 const MaxOthersAge = 4 * time.Second
 
-// fromAll returns what runs on the server from all gateways, without the others
-// when their report is too old.
+// totalWork returns the server's load from all gateways, without that of the others if their report
+// is too old.
 func (s *Server) fromAll() Work {
 	if s.OthersAge >= MaxOthersAge {
 		return s.Own
@@ -64,34 +63,34 @@
 	return Work{Requests: s.Own.Requests + s.Others.Requests, Tokens: s.Own.Tokens + s.Others.Tokens}
 }
 
-// Choice is the server that suits a request best.
+// Choice is the best server for a request.
 type Choice struct {
 	Index    int     // of the server; -1 if there is no candidate
-	Bound    Bound   // why it may not have the request now; Free if it may
-	Read     int     // tokens that it has to read for the request
-	Before   Work    // on it, from all gateways
-	Slowness float64 // how many times slower than others it counts
+	Bound    Bound   // limit that keeps it from accepting the request now; Free if none
+	Read     int     // tokens that the server has to read for the request
+	Before   Work    // load from all gateways before the request
+	Slowness float64 // how many times slower than a typical server it is
 }
 
-// RoomPlacer chooses servers of one pool, and holds what is learned of them for
-// that. The zero value has learned nothing.
+// RoomPlacer chooses servers of one pool and holds the estimates used for that. The zero value has
+// none.
 type RoomPlacer struct {
-	refusing float64 // how far engines refuse what is beyond their slots, 0 to 1
-	rate     float64 // tokens that an engine reads in a millisecond; 0 is unknown
+	refusing float64 // how consistently engines refuse requests beyond their slots, 0 to 1
+	rate     float64 // tokens that an engine reads in a millisecond; zero means unknown
 }
 
-// Choose returns the server that suits the request best. Of a plain service it is one by lot
-// that has room, if any has.
+// Choose returns the best server for the request. For a plain service it is a random one, among
+// those with capacity if there are any.
 //
-// An engine is returned whether it has room or not, and others that have room are not taken
-// instead: what is read again takes room from others, so that ever more requests leave their first
-// engine.
+// For an engine it is the best one regardless of its capacity. Moving the request to an engine that
+// has capacity would make that one read the shared parts again, which takes capacity from other
+// requests and pushes ever more of them off their first engine.
 func (p *RoomPlacer) Choose(r Request, servers []Server) Choice {
 	found, _ := candidates(r, servers)
 	return p.choose(r, found)
 }
 
-// choose is Choose among candidates.
+// choose is like Choose for a list of candidates.
 func (p *RoomPlacer) choose(r Request, found []candidate) Choice {
 	if !r.Engine {
 		return p.spread(r, found)
@@ -103,9 +102,9 @@
 	return Choice{Index: best.index, Bound: p.bound(r, best), Read: read, Before: best.load, Slowness: best.slowness}
 }
 
-// suited returns the candidate that suits the request best and the tokens that it has to read for
-// it. What is beyond the named shares stays at the engine that keeps its shared parts: elsewhere
-// they would be read again, which takes room from what is within a share.
+// bestCandidate returns the best candidate for the request and the number of tokens that it has to
+// read. Requests beyond the named shares stay at the engine that caches their shared parts: reading
+// these again elsewhere would take capacity from requests within a share.
 func suited(r Request, found []candidate) (best candidate, read int, ok bool) {
 	if r.Class < entitlement.Extra || len(r.Prompt.Shared) == 0 || len(found) == 0 {
 		return cheapest(r.Prompt, found)
@@ -114,15 +113,15 @@
 	return found[order.indexes[0]], r.Prompt.Own, true
 }
 
-// ChooseWithRoom returns the server that suits the request best among those
-// that have room. It is for requests that would otherwise be refused and should not
-// be. There may be few of them, because what is read again takes room from others.
+// ChooseWithRoom returns the best server among those with capacity. It is a last resort for requests
+// that would otherwise be refused and should be rare, because reading shared parts again takes
+// capacity from other requests.
 func (p *RoomPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
 	found, _ := candidates(r, servers)
 	return p.withRoom(r, found)
 }
 
-// withRoom is ChooseWithRoom among candidates, whose slice it uses up.
+// chooseWithRoom is like ChooseWithRoom for a list of candidates, which it overwrites.
 func (p *RoomPlacer) withRoom(r Request, found []candidate) Choice {
 	if !r.Engine {
 		if c := p.spread(r, found); c.Bound == Free {
@@ -135,22 +134,21 @@
 	if !ok {
 		return Choice{Index: -1}
 	}
-	// No shared part of the prompt is kept there.
+	// The engine is assumed to cache none of the shared parts.
 	return Choice{Index: best.index, Read: r.Prompt.Tokens(), Before: best.load, Slowness: best.slowness}
 }
 
-// candidate is a server that a request may go to.
+// candidate is a server that a request may be sent to.
 type candidate struct {
 	*Server
-	index    int     // of the server
+	index    int     // in the list of servers
 	load     Work    // from all gateways
-	slowness float64 // how many times slower than others; 1 is as fast
+	slowness float64 // how many times slower than a typical server; at least 1
 }
 
-// candidates returns the servers that the request may go to: those in use, and
-// for what may run more than once those that are due for a trial. Better an
-// ejected one than none, then healthy is false; and the only server of a pool may have a
-// request again.
+// candidates returns the servers that the request may be sent to: those in use and, if the request
+// may run more than once, those due for a trial. If there are none, it falls back to ejected servers,
+// and healthy is false; only then may the sole server of a pool get the same request again.
 func candidates(r Request, servers []Server) (found []candidate, healthy bool) {
 	found = make([]candidate, 0, len(servers))
 	typical := typicalPace(servers)
@@ -169,7 +167,7 @@
 	return nil, false
 }
 
-// usableFor reports whether a server is in use for a request, or due for a trial by it.
+// usableFor reports whether a server is in use, or due for a trial that the request may serve as.
 func usableFor(r Request, s *Server) bool {
 	return s.Health == outlier.InUse || (s.Health == outlier.Trial && r.Repeatable)
 }
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -13,31 +13,30 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file defines SlotPlacer, the routers' choice among servers with a free
-// slot, and the load that goes into it.
+// This file defines SlotPlacer, which routers use to choose among servers with a free slot, and the
+// load estimate it depends on.
 
-// FreeServer is a backend server with a slot that this router holds and does not
-// use.
+// FreeServer is a backend server on which this router holds an unused slot.
 type FreeServer struct {
 	Server  string
 	Slots   int
-	Running int // requests by this router
+	Running int // requests sent by this router
 }
 
-// Load is what a backend server reports of itself with its answers.
+// Load is the load that a backend server reports with its answers.
 type Load struct {
 	Running int           // requests
 	Waiting int           // requests
-	At      time.Duration // when the report was made, by this router's clock
+	At      time.Duration // time of the report, by this router's clock
 }
 
-// Weights of the parts of a price, in blocks of prompt.
+// Components of a price, in blocks of prompt.
 const (
-	queuePrice      = 8.0 // one request per slot in front
-	preferenceBonus = 0.5 // the rendezvous choice, enough to break ties
+	queuePrice      = 8.0 // for one request per slot ahead
+	preferenceBonus = 0.5 // for the preferred server in rendezvous order, enough to break ties
 )
 
-// loadHalfLife is the age at which a report counts half.
+// loadHalfLife is the age at which a load report counts half.
 const loadHalfLife = time.Second
 
 // SlotPlacer chooses servers of one pool.
@@ -45,39 +44,39 @@
 	Index  *Index
 	Health *outlier.Consecutive
 	loads  map[string]Load
-	// notices are of servers that asked for backoff.
+	// notices holds the back-pressure of servers that have asked for a backoff.
 	notices map[string]backpressure.Notice
 }
 
-// NewSlotPlacer returns a placer whose index holds at most blocks prompt blocks.
+// NewSlotPlacer returns a placer whose index holds at most the given number of prompt blocks.
 func NewSlotPlacer(blocks int) *SlotPlacer {
 	return &SlotPlacer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}, notices: map[string]backpressure.Notice{}}
 }
 
-// SetBackoff takes that a server wants nothing for a while.
+// SetBackoff records that a server has asked to receive no requests for a while.
 func (p *SlotPlacer) SetBackoff(now time.Duration, server string, backoff time.Duration) {
 	p.notices[server] = p.notices[server].WithBackoff(now, backoff)
 }
 
-// Forget forgets what servers asked for, but for those that are listed.
+// Forget drops the notices of all servers that are not listed.
 func (p *SlotPlacer) Forget(listed func(server string) bool) {
 	maps.DeleteFunc(p.notices, func(server string, _ backpressure.Notice) bool { return !listed(server) })
 }
 
-// Usable reports whether a request may go to a server: it is not ejected, and wants some.
+// Usable reports whether a request may be sent to a server: it is not ejected and not backing off.
 func (p *SlotPlacer) Usable(now time.Duration, server string) bool {
 	return p.Health.Usable(now, server) && p.notices[server].Admits(now)
 }
 
-// Report takes a server's load report. An older one than held is dropped.
+// Report records a server's load report unless it is older than the current one.
 func (p *SlotPlacer) Report(server string, l Load) {
 	if old, ok := p.loads[server]; !ok || l.At > old.At {
 		p.loads[server] = l
 	}
 }
 
-// Choose returns the cheapest candidate, or false if none is usable.
-// It costs O(candidates × prompt blocks).
+// Choose returns the cheapest candidate, or false if none is usable. It costs O(candidates × prompt
+// blocks).
 func (p *SlotPlacer) Choose(now time.Duration, candidates []FreeServer, prompt []Block) (string, bool) {
 	best, bestPrice := "", math.Inf(1)
 	preferred := Preferred(candidates, prompt)
@@ -96,8 +95,8 @@
 	return best, best != ""
 }
 
-// Preferred returns the candidate that the first block prefers by rendezvous
-// hashing, or "" for a prompt without blocks.
+// Preferred returns the candidate that comes first in the rendezvous order of the prompt's first
+// block, or "" for a prompt without blocks.
 func Preferred(candidates []FreeServer, prompt []Block) string {
 	if len(prompt) == 0 {
 		return ""
@@ -115,7 +114,7 @@
 	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.Benefit(c.Server, prompt)
 }
 
-// load is the expected number of requests in front, per slot.
+// load returns the expected number of requests per slot ahead of a new one.
 func (p *SlotPlacer) load(now time.Duration, c FreeServer) float64 {
 	running := float64(c.Running)
 	if l, ok := p.loads[c.Server]; ok {
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -86,7 +86,7 @@
 		is.Equal(a, b)
 		spread[a] = true
 	}
-	is.Equal(len(spread), 6) // and not all on one server
+	is.Equal(len(spread), 6) // they are spread over all servers
 }
 
 func TestOldLoadReportFades(t *testing.T) {
@@ -94,7 +94,7 @@
 	pl := NewSlotPlacer(10)
 	c := FreeServer{Server: "s0", Slots: 8}
 	pl.Report("s0", Load{Running: 8, At: 0})
-	pl.Report("s0", Load{Running: 0, At: -time.Second}) // older, dropped
+	pl.Report("s0", Load{Running: 0, At: -time.Second}) // dropped as older
 	is.Equal(pl.load(0, c), 1.0)
 	is.Equal(pl.load(loadHalfLife, c), 0.5)
 }
@@ -105,18 +105,18 @@
 	p := prompt(4, "map sheet 12")
 	x.Take("s", Event{Seq: 5, Stored: p})
 	is.Equal(x.Benefit("s", p), 4.0)
-	x.Take("s", Event{Seq: 5, Evicted: p}) // twice
+	x.Take("s", Event{Seq: 5, Evicted: p}) // duplicate
 	is.Equal(x.Benefit("s", p), 4.0)
 	x.Take("s", Event{Seq: 6, Evicted: p[2:]})
 	is.Equal(x.Benefit("s", p), 2.0)
-	x.Take("s", Event{Seq: 9}) // a gap
+	x.Take("s", Event{Seq: 9}) // gap in the sequence
 	is.Equal(x.Benefit("s", p), 1.0)
 	x.Take("s", Event{Seq: 10, Cleared: true, Stored: p[:1]})
-	is.Equal(x.Benefit("s", p), 1.0) // known again
+	is.Equal(x.Benefit("s", p), 1.0) // certain again
 }
 
-// TestIndexIsBounded sends and evicts at random: the index never holds more
-// than its bound, nor a block without a server.
+// TestIndexIsBounded applies random operations. The index must never exceed its bound or hold a block
+// without a server.
 func TestIndexIsBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		x := NewIndex(20)
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -4,22 +4,17 @@
 
 import "slices"
 
-// This file defines how requests to plain services spread over their servers.
+// This file defines how requests to a plain service are spread over its servers.
 //
-// The work of a plain request is short against the age of what is known of other gateways'
-// requests: what a report shows has ended when it comes. So the least loaded server by the
-// last report is the one that all gateways choose until the next one. By lot, each server
-// gets its part whatever is known.
-//
-// Ways weighed, by the requests that find no room of 330 a second of 30 ms each, on three
-// servers of six slots before 62 gateways, reports 300 ms apart (TestSmallPool): the least
-// loaded 0.25, the less loaded of two by lot 0.053, by lot in proportion to what servers
-// bear (kept) 0.000. Where one server is three times slower and 250 come: 0.14, 0.14 and
-// 0.002. With requests of a second, which outlast reports, all three lose nothing.
+// Plain requests are short compared to the age of the reported load of other gateways: the requests
+// in a report have ended by the time it arrives. If gateways took the least loaded server of the last
+// report, all of them would choose the same one until the next report. With 62 gateways and reports
+// 300 ms apart, a quarter of the requests would then be refused for lack of capacity, and 5% with the
+// less loaded of two random servers. A random choice in proportion to capacity spreads the load
+// without depending on reports.
 
-// spread chooses one of the servers that have room by lot, in proportion to what they can
-// bear: their slots over their slowness, and less where requests were lost. Without room
-// anywhere it is one of all.
+// spread chooses a random server among those with capacity, or among all if there are none. Servers
+// are weighted by their slots divided by their slowness, and less if requests were lost there.
 func (p *RoomPlacer) spread(r Request, found []candidate) Choice {
 	open := slices.DeleteFunc(slices.Clone(found), func(c candidate) bool { return p.bound(r, c) != Free })
 	if len(open) == 0 {
@@ -32,8 +27,8 @@
 	return Choice{Index: c.index, Bound: p.bound(r, c), Read: r.Prompt.Tokens(), Before: c.load, Slowness: c.slowness}
 }
 
-// byLot returns one of the candidates, for a number from 0 to 1; those of the gateway's own
-// data hall have so many times their capacity.
+// weightedRandom returns one of the candidates, given a random number between 0 and 1. ownHall
+// multiplies the weight of servers in the gateway's own data hall.
 func byLot(random float64, from []candidate, ownHall float64) candidate {
 	weight := func(c candidate) float64 {
 		if c.SameHall {
@@ -54,21 +49,18 @@
 	return from[len(from)-1]
 }
 
-// The preference of a gateway's own data hall: another hall that is lost then costs fewer
-// requests, and the bytes between halls are fewer. Only where some servers stand in it, since
-// halls differ in their callers. Chosen; with them 0.075 of requests find a server that is off
-// in the first ten seconds after one of three halls of five was lost, 0.099 without
-// (TestHallIsPreferred). A preference that follows what runs there was tried: what is known
-// of it is older than the requests, and all gateways of a hall left it and came back together;
-// on a day in which a hall of one server has most callers 0.76 of a route's worth was served
-// with it, 0.98 without any (docs/design/shifted-work.md).
+// Preference for the gateway's own data hall. It reduces the requests that are lost when another hall
+// fails, and the traffic between halls. It only applies if the hall has several servers, since halls
+// differ in the load of their callers. It does not follow the servers' load: that is reported too late
+// for short requests, so all gateways of a hall would leave and return at the same time. A hall with
+// one server and most of the callers would then serve far fewer of their requests
+// (docs/design/shifted-work.md).
 const (
-	ownHallWeight  = 4.0 // times the capacity of its servers
-	ownHallServers = 3   // at least, in the hall
+	ownHallWeight  = 4.0 // multiple of the capacity of its servers
+	ownHallServers = 3   // minimum number of servers in the hall
 )
 
-// hallWeight is how many times their capacity the servers of the gateway's own data hall
-// count for.
+// hallWeight returns the factor by which servers of the gateway's own data hall are preferred.
 func hallWeight(servers []candidate) float64 {
 	own := 0
 	for _, c := range servers {
@@ -82,13 +74,13 @@
 	return ownHallWeight
 }
 
-// lostWeight is how much less a server gets for each request in a row that was lost there:
-// of those that are off, a gateway finds each one out by losing a request, and it must not
-// lose as many as eject a server. In the first ten seconds in which 4 of 14 servers are off,
-// 62 gateways lose 0.10 of their requests there, and 0.21 without it (TestServersThatAreOff).
+// lossPenalty reduces the weight of a server for each consecutive request that was lost there. Each
+// gateway detects a failed server only by losing requests, and should lose fewer than the number that
+// ejects a server. With 4 of 14 servers down, 62 gateways would otherwise lose a fifth of their
+// requests in the first ten seconds.
 const lostWeight = 9
 
-// capacity is what a server can bear, against others of its pool.
+// capacity returns the weight of a server relative to others of its pool.
 func capacity(c candidate) float64 {
 	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lostWeight*c.LostInARow)
 }
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -14,23 +14,23 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file plays a small pool of plain servers before many gateways, each of which sees a
-// small part of the requests and what the others sent as of some 100 ms ago.
+// This file models a small pool of plain servers behind many gateways. Each gateway sends a small part of
+// the requests and receives reports of the others' load that are some 100 ms old.
 
-// chooser is one way to choose a server: it gets what a gateway knows.
+// chooser is a strategy for choosing a server, given the state that a gateway has.
 type chooser func(rng *rand.Rand, servers []Server) Choice
 
-// smallPool is the pool that is played.
+// smallPool holds the parameters of the model.
 type smallPool struct {
 	gateways int
 	servers  int
 	slots    int
-	queue    int // requests that a server holds beyond its slots; it refuses more
+	queue    int // requests that a server queues beyond its slots before it refuses more
 	work     time.Duration
 	rate     float64 // requests a second
 	period   time.Duration
-	slow     float64   // how many times slower the last server is
-	halls    []float64 // the parts of the requests that come through each hall; servers stand in them in turn
+	slow     float64   // factor by which the last server is slower
+	halls    []float64 // fraction of the requests by data hall; servers are assigned to halls round robin
 }
 
 // end is the end of a request at a server.
@@ -52,13 +52,13 @@
 	return last
 }
 
-// outcomes of a play.
+// outcomes are the results of a run.
 type outcomes struct {
 	p50, p99 time.Duration
-	lost     float64 // part that a server refused or that found no room
+	lost     float64 // fraction of requests that were refused or found no capacity
 }
 
-// play sends requests for a minute.
+// play sends requests for one minute.
 func (p smallPool) play(choose chooser) outcomes {
 	rng := rand.New(rand.NewPCG(7, 8))
 	own := make([][]Work, p.gateways) // by gateway and server
@@ -71,7 +71,7 @@
 	for g := range ownReported {
 		ownReported[g] = make([]int, p.servers)
 	}
-	free := make([][]time.Duration, p.servers) // when each slot is free
+	free := make([][]time.Duration, p.servers) // when each slot becomes free
 	for s := range free {
 		free[s] = make([]time.Duration, p.slots)
 	}
@@ -125,7 +125,7 @@
 	return outcomes{p50: took[len(took)/2], p99: took[len(took)*99/100], lost: float64(lost) / float64(asked)}
 }
 
-// drawHall returns the hall through which a request comes.
+// drawHall returns the data hall that a request arrives in.
 func (p smallPool) drawHall(rng *rand.Rand) int {
 	at := rng.Float64()
 	for hall, part := range p.halls {
@@ -136,7 +136,7 @@
 	return 0
 }
 
-// leastLoaded is the cheapest by what is known, whatever its age.
+// leastLoaded chooses the cheapest server by the reported load, however old the report is.
 func leastLoaded(_ *rand.Rand, servers []Server) Choice {
 	p := &RoomPlacer{}
 	r := Request{}
@@ -148,10 +148,10 @@
 	return Choice{Index: best.index, Bound: p.bound(r, best), Read: read}
 }
 
-// anyone is any server by lot.
+// anyServer chooses any server at random.
 func anyone(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
 
-// betterOfTwo is the less loaded of two by lot.
+// betterOfTwo chooses the less loaded of two random servers.
 func betterOfTwo(rng *rand.Rand, servers []Server) Choice {
 	a, b := rng.IntN(len(servers)), rng.IntN(len(servers)-1)
 	if b >= a {
@@ -163,13 +163,13 @@
 	return Choice{Index: a}
 }
 
-// kept is what RoomPlacer does.
+// placerChoice chooses as RoomPlacer does.
 func kept(rng *rand.Rand, servers []Server) Choice {
 	return new(RoomPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
-// TestSmallPool compares ways to spread a load of 330 requests a second of 30 ms over three
-// servers of six places, before 62 gateways: p50 is 30 ms where nothing waits.
+// TestSmallPool compares strategies for 330 requests a second of 30 ms each, on three servers with six
+// slots behind 62 gateways. The median is 30 ms if no request waits.
 func TestSmallPool(t *testing.T) {
 	is := is.New(t)
 	load := smallPool{gateways: 62, servers: 3, slots: 6, queue: 6, work: 30 * time.Millisecond, rate: 330, period: 300 * time.Millisecond}
@@ -203,9 +203,8 @@
 	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways kept"].lost)
 }
 
-// offPool plays the first ten seconds of gateways, 300 requests a second, before servers of
-// which some are off, and returns the part of requests that is lost there. A gateway ejects a
-// server after three requests in a row were lost, for 1.5 s.
+// offPool sends 300 requests a second for ten seconds to servers of which some are down, and returns the
+// fraction of requests that are lost. A gateway ejects a server for 1.5 s after three consecutive losses.
 func offPool(gateways, servers int, off func(s int) bool, view func(g, s int, v *Server, lostInARow int)) float64 {
 	rng := rand.New(rand.NewPCG(5, 6))
 	health := make([][]outlier.FailureRate, gateways)
@@ -233,7 +232,8 @@
 	return float64(gone) / float64(asked)
 }
 
-// TestServersThatAreOff: 4 of 14 servers are off, before 62 gateways.
+// TestServersThatAreOff checks that lossPenalty reduces the losses of 62 gateways when 4 of 14 servers
+// are down.
 func TestServersThatAreOff(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s < 4 }
@@ -243,8 +243,8 @@
 	is.True(kept < 0.75*without)
 }
 
-// TestHallIsPreferred: the five servers of one of three halls are off, and its gateways with
-// them; what the other 41 gateways lose.
+// TestHallIsPreferred takes down one of three data halls with its five servers and its gateways. The
+// preference for the own hall must reduce the losses of the remaining 41 gateways.
 func TestHallIsPreferred(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s%3 == 2 }
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -18,41 +18,41 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file plays engines in two regions before many gateways in virtual time. The decisions are
-// those of RoomPlacer and of the accounts' shares; engines, reports and callers are a few lines
-// each. Gateways know what others run as of 100 to 600 ms ago.
+// This file models engines in two regions behind many gateways in virtual time. It uses the real
+// RoomPlacer and account shares, and simple models of engines, reports and callers. Gateways receive
+// reports of the others' load that are 100 to 600 ms old.
 
-// The model's times and sizes.
+// Parameters of the model.
 const (
 	sideStep     = 20 * time.Millisecond
 	sideGateways = 20  // in each region
 	sideEngines  = 15  // in each region
 	sideRate     = 100 // tokens that an engine reads in a millisecond
-	sideKept     = 30  // shared parts that an engine keeps
-	sideParts    = 300 // that prompts have
+	sideKept     = 30  // shared parts that an engine caches
+	sideParts    = 300 // number of different shared parts
 	sideShared   = 5000
 	sideOwn      = 3000
-	sideRuns     = 100 * time.Millisecond // after the first event
+	sideRuns     = 100 * time.Millisecond // from the first event to the end of the answer
 	sideGoal     = 800 * time.Millisecond
-	sidePatience = 300 * time.Millisecond // in the queue
-	sideSpan     = 20 * time.Second       // that is played
+	sidePatience = 300 * time.Millisecond // maximum time in the queue
+	sideSpan     = 20 * time.Second       // duration of a run
 	sideWay      = 60 * time.Millisecond
 )
 
-// sideFull is the requests a second that all engines bear if nothing is read again.
+// sideFull is the load in requests a second that all engines can serve if no shared part is read again.
 const sideFull = 2 * sideEngines * sideRate * 1000 / sideOwn
 
-// sideNamed is the tokens a second that the operator names: 0.8 of what the engines bear then.
+// sideNamed is the capacity configured by the operator in tokens a second: 0.8 of the full load.
 const sideNamed = 0.8 * sideFull * (sideShared + sideOwn)
 
-// sideAccount is one account's callers.
+// sideAccount is the load of one account.
 type sideAccount struct {
 	name  string
 	rate  float64    // requests a second
-	parts [2]float64 // of it, by region
+	parts [2]float64 // fraction of the rate by region
 }
 
-// sideEvent ends the reading or the running of a request.
+// sideEvent is the end of reading a prompt, or the end of a request.
 type sideEvent struct {
 	at              time.Duration
 	gateway, engine int
@@ -72,7 +72,7 @@
 	return last
 }
 
-// sideWaiter is a request that waits for room.
+// sideWaiter is a request in the queue.
 type sideWaiter struct {
 	account string
 	gateway int
@@ -81,35 +81,35 @@
 	arrived time.Duration
 }
 
-// sideSecond is one second of one account.
+// sideSecond counts the requests of one account in one second.
 type sideSecond struct {
 	asked, got float64
 	waited     bool
 }
 
-// twoSides is the model.
+// twoSides is the state of the model.
 type twoSides struct {
 	rng      *rand.Rand
 	way      way
 	placers  [2 * sideGateways]RoomPlacer
 	own      [2 * sideGateways][2 * sideEngines]Work
-	seen     [7][2 * sideGateways][2 * sideEngines]Work // as of 0, 100, … ms ago
-	sums     [7][2 * sideEngines]Work                   // of them
+	seen     [7][2 * sideGateways][2 * sideEngines]Work // load of each engine by gateway, as of 0, 100, … ms ago
+	sums     [7][2 * sideEngines]Work                   // load of each engine from all gateways
 	busy     [2 * sideEngines]time.Duration
-	caches   [2 * sideEngines][]string // oldest first
+	caches   [2 * sideEngines][]string // shared parts, least recently used first
 	events   sideEvents
 	waiting  []sideWaiter
 	leader   *entitlement.Demand
 	classes  [2 * sideGateways]*entitlement.Classifier
-	usage    [2 * sideGateways]map[string][2]uint64 // demanded, served
+	usage    [2 * sideGateways]map[string][2]uint64 // tokens demanded and served, by account
 	missed   uint64
 	seconds  map[string][]sideSecond
 	asked    int
 	inTime   int
 	over     int
-	shared   int // read again
+	shared   int // shared tokens read again
 	workings [2]time.Duration
-	views    [2][]Server // of the last choice; kept for their memory
+	views    [2][]Server // buffers reused for each choice
 }
 
 func newTwoSides(w way) *twoSides {
@@ -124,12 +124,12 @@
 	return m
 }
 
-// region of a gateway or an engine, of so many in each.
+// region returns the region of a gateway or an engine, given the number in each region.
 func region(i, each int) int { return i / each }
 
-// view is what a gateway knows of the engines of one region.
+// view returns the servers of one region as a gateway sees them.
 func (m *twoSides) view(g, of int) []Server {
-	age := g % 6 // and up to 100 ms until the next report
+	age := g % 6 // plus up to 100 ms until the next report
 	for i := range m.views[of] {
 		e, s := of*sideEngines+i, &m.views[of][i]
 		s.Own, s.OthersAge = m.own[g][e], time.Duration(age)*100*time.Millisecond
@@ -139,7 +139,7 @@
 	return m.views[of]
 }
 
-// start lets a request begin if it finds room.
+// start starts a request if an engine has capacity for it.
 func (m *twoSides) start(now time.Duration, w sideWaiter) bool {
 	here := region(w.gateway, sideGateways)
 	r := Request{
@@ -159,7 +159,8 @@
 	return true
 }
 
-// run lets an engine read a request's prompt, which its gateway expects to be so many tokens.
+// run makes an engine read a request's prompt. expected is the number of tokens that the gateway expects
+// it to read.
 func (m *twoSides) run(now time.Duration, w sideWaiter, e, expected int, far bool) {
 	delay := time.Duration(0)
 	if far {
@@ -183,7 +184,7 @@
 	m.second(now, w.account).got++
 }
 
-// read returns the tokens of a prompt that an engine reads, and keeps its shared part.
+// read returns the number of prompt tokens that an engine reads, and caches the shared part.
 func (m *twoSides) read(e int, part string) int {
 	tokens := sideOwn
 	if i := slices.Index(m.caches[e], part); i >= 0 {
@@ -204,7 +205,7 @@
 	return &m.seconds[account][int(now/time.Second)]
 }
 
-// arrive takes the step's new requests.
+// arrive adds the new requests of a step and starts those that find capacity.
 func (m *twoSides) arrive(now time.Duration, accounts []sideAccount) {
 	for _, a := range accounts {
 		for here, part := range a.parts {
@@ -237,7 +238,7 @@
 	})
 }
 
-// report sends what the leader needs, and its list to all gateways.
+// report sends the gateways' usage to the leader, and the resulting shares to all gateways.
 func (m *twoSides) report(now time.Duration) {
 	copy(m.seen[1:], m.seen[:len(m.seen)-1])
 	copy(m.sums[1:], m.sums[:len(m.sums)-1])
@@ -271,7 +272,7 @@
 	}
 }
 
-// play runs accounts' callers for 20 seconds.
+// play runs the accounts' load for 20 seconds.
 func (m *twoSides) play(accounts []sideAccount) *twoSides {
 	for now := time.Second; now < time.Second+sideSpan; now += sideStep {
 		for len(m.events) > 0 && m.events[0].at <= now {
@@ -287,7 +288,7 @@
 	return m
 }
 
-// part that an account got of what it asked.
+// part returns the fraction of an account's requests that were served.
 func (m *twoSides) part(account string) float64 {
 	asked, got := 0.0, 0.0
 	for i, s := range m.seconds[account] {
@@ -300,8 +301,9 @@
 	return got / asked
 }
 
-// worst is the least that an account which waited through six seconds got of what it was owed:
-// half of what it asked or another one got, whichever is less.
+// worst returns the lowest ratio of requests served to requests due, over all accounts with a queue
+// throughout six seconds. An account is due half of its own requests or half of those that another one
+// was served, whichever is less.
 func (m *twoSides) worst() float64 {
 	const span = 6
 	worst := 100.0
@@ -325,8 +327,8 @@
 	return worst
 }
 
-// sideResult is what a play shows: parts of the requests, of what the accounts asked, and of the
-// far region's time.
+// sideResult is the result of a run, as fractions of all requests, of each account's requests, and of the
+// other region's engine time.
 type sideResult struct{ inTime, over, big, small, owed, idle, againM float64 }
 
 // String implements [fmt.Stringer].
@@ -343,14 +345,14 @@
 	}
 }
 
-// sideWays are the ways that are compared.
+// sideWays are the strategies compared by TestTwoRegions.
 var sideWays = map[string]way{
 	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": soonerThere, "full": whenFull,
 	"waits 0 ms": waits(0), "waits 120 ms": waits(2 * AssumedRoundTrip), "kept": waits(AssumedRoundTrip),
 }
 
-// TestTwoRegions compares ways to leave a region, under a load that all engines of both bear,
-// and one that comes to one side alone: a large account whose callers all stand there.
+// TestTwoRegions compares strategies for leaving a region, under a load that all engines together can
+// serve and that is either even or comes mostly from a large account in one region.
 func TestTwoRegions(t *testing.T) {
 	is := is.New(t)
 	both := [2]float64{0.5, 0.5}
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// This file defines the ways to leave a region that TestTwoRegions compares.
+// This file defines the strategies for leaving a region that TestTwoRegions compares.
 
-// side is a region as a way to choose sees it.
+// side is the input of a strategy: the engines of a gateway's own region and of the other one.
 type side struct {
 	own, far    []Server
 	now, waited time.Duration
 }
 
-// way chooses an engine, and whether it is a far one.
+// way is a strategy: it chooses an engine, and reports whether that is in the other region.
 type way func(p *RoomPlacer, r Request, s side) (c Choice, far bool)
 
 func ownRegionOnly(p *RoomPlacer, r Request, s side) (Choice, bool) { return p.Choose(r, s.own), false }
 
-// oneOrder is one rendezvous order over both regions.
+// oneOrder uses one rendezvous order over both regions.
 func oneOrder(p *RoomPlacer, r Request, s side) (Choice, bool) {
 	c := p.Choose(r, slices.Concat(s.own, s.far))
 	if c.Index >= len(s.own) {
@@ -30,7 +30,7 @@
 	return c, false
 }
 
-// soonerThere goes where the first event is expected sooner, by what is known.
+// soonerThere leaves if the other region is expected to send the first event sooner.
 func soonerThere(p *RoomPlacer, r Request, s side) (Choice, bool) {
 	near, far := p.Choose(r, s.own), p.Choose(r, s.far)
 	ms := func(c Choice) float64 { return float64(c.Before.Tokens+c.Read) / sideRate }
@@ -40,7 +40,7 @@
 	return near, false
 }
 
-// whenFull leaves where no engine of the region has room.
+// whenFull leaves if no engine of the own region has capacity.
 func whenFull(p *RoomPlacer, r Request, s side) (Choice, bool) {
 	c, why := p.ChooseInRegion(r, s.own)
 	if far, _ := p.ChooseInRegion(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
@@ -49,7 +49,7 @@
 	return c, false
 }
 
-// waits leaves also once the engine that suits best was waited for so long.
+// waits also leaves once a request has waited for its best engine for the given time.
 func waits(least time.Duration) way {
 	return func(p *RoomPlacer, r Request, s side) (Choice, bool) {
 		c, why := p.ChooseInRegion(r, s.own)
--- a/coordination/pool/example_test.go
+++ b/coordination/pool/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// Work starts on a granted slot, on the server whose cache holds its prompt by
-// the server's own events.
+// Work starts on a granted slot of the server that has its prompt cached according to the server's cache
+// events.
 func ExamplePool() {
 	p := pool.New("llm", pool.Settings{PrefixBlocks: 1000, FirstEstimate: 100})
 	p.Configure(
--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -9,19 +9,19 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what a pool exchanges with the allocator.
+// This file defines the messages that a pool exchanges with the allocator.
 
-// Urgency is how soon the next report of a pool should go.
+// Urgency is how soon the next report of a pool should be sent.
 type Urgency uint8
 
-// The urgencies.
+// Levels of urgency.
 const (
 	NothingNew Urgency = iota
 	Routine            // with the next full report
-	Urgent             // a slot or a request waits for it
+	Urgent             // a slot or a request is waiting for it
 )
 
-// Urgency returns whether there is something to report.
+// Urgency returns how soon the next report should be sent, if there is anything to report.
 func (p *Pool) Urgency() Urgency {
 	switch {
 	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
@@ -32,9 +32,9 @@
 	return NothingNew
 }
 
-// AppendReport adds what is new in this pool to a report with number seq. Urgent
-// or not, a report holds everything: with only the urgent part the allocator
-// took work for waiting that had started since, and granted slots for it.
+// AppendReport adds the changes in this pool to the report numbered seq. Even an urgent report contains all
+// changes: if it contained only the urgent ones, the allocator would count work that has started since as
+// waiting and grant slots for it.
 func (p *Pool) AppendReport(seq uint64, into *protocol.Report) {
 	into.Returned = append(into.Returned, p.holder.TakeReturned()...)
 	into.Suspects = append(into.Suspects, p.suspects...)
@@ -46,8 +46,8 @@
 	p.idle = pr.Idle
 }
 
-// ApplyView takes the allocator's view of this pool, which includes this
-// router's reports up to number reports.
+// ApplyView applies the allocator's view of this pool, which includes this router's reports up to the number
+// reports.
 func (p *Pool) ApplyView(now time.Duration, v protocol.PoolView, reports uint64) {
 	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, At: now}
 	p.queue.SetLift(v.Lift)
@@ -59,10 +59,10 @@
 	}
 }
 
-// Grant takes slots of one of the pool's servers.
+// Grant adds granted slots on one of the pool's servers.
 func (p *Pool) Grant(now time.Duration, h protocol.Held) { p.holder.Grant(now, h.Server, h.Slots) }
 
-// Linger gives back the free slots if nothing waits and none was used for
+// Linger returns the free slots to the allocator if no request is waiting and none was used for
 // Settings.Linger.
 func (p *Pool) Linger(now time.Duration) {
 	if p.Waiting() == 0 {
@@ -70,14 +70,14 @@
 	}
 }
 
-// LeaseLost voids the free slots. Work that runs goes on.
+// LeaseLost invalidates the free slots. Running work continues.
 func (p *Pool) LeaseLost() { p.holder.Expire() }
 
-// ReturnIdle gives back every free slot, for a planned stop.
+// ReturnIdle returns all free slots to the allocator, for a planned stop.
 func (p *Pool) ReturnIdle() { p.holder.ReturnIdle() }
 
-// Hello returns the slots that the pool holds and the virtual times that it
-// has, for a new session. The last allocator's view is not acted on any more.
+// Hello returns the slots held by the pool and its virtual times, for a new session. It discards the view of
+// the previous allocator.
 func (p *Pool) Hello(leased bool) ([]protocol.Held, protocol.PoolView) {
 	if !leased {
 		p.holder.Expire()
@@ -87,8 +87,8 @@
 	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.Times()}
 }
 
-// BeginSession begins a session: reports are numbered from 1 again, and slots that
-// the allocator does not count for this router any more are given back.
+// BeginSession begins a session: it numbers reports from 1 again and returns the slots that the allocator no
+// longer counts for this router.
 func (p *Pool) BeginSession(w protocol.Welcome) {
 	p.idle = 0
 	if w.Void {
@@ -97,6 +97,6 @@
 	p.queue.ResetReports(w.Known, w.Reports)
 }
 
-// Disconnected forgets the allocator's view, so that slots are used rather than
-// given back to nobody.
+// Disconnected discards the allocator's view, so that slots are used rather than returned while there is no
+// allocator to return them to.
 func (p *Pool) Disconnected() { p.view = slots.FleetView{} }
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -1,21 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pool decides what one router starts in one pool of backend servers.
-// The allocator's table of the same pool, over all routers, is in
-// coordination/slots.
+// Package pool decides which requests one router starts on one pool of backend servers. The allocator's table
+// of the same pool, covering all routers, is in coordination/slots.
 //
-// A [Pool] joins three decisions: whose work goes next (coordination/share),
-// whether it may go on a slot held here (coordination/slots), and on which
-// server (coordination/place). It owns the work that waits, the slots that the
-// router holds, and the health of the servers. Whatever happens to the pool is
-// a method; afterwards the owner calls [Pool.Dispatch] and starts what it
-// returns, and looks at [Pool.Urgency] to see when a report should go.
+// A [Pool] combines three decisions: which request is next (coordination/share), whether it may use a slot
+// held by this router (coordination/slots), and which server it is sent to (coordination/place). It owns the
+// queue, the held slots and the health of the servers. Each event of the pool is a method. After any of them,
+// the owner calls [Pool.Dispatch], starts the requests that it returns, and checks [Pool.Urgency] for when to
+// send a report.
 //
-// Invariants: what starts has a slot of its server, which is given back or
-// used again after [Pool.Finish]; each work that was started is finished once.
+// Invariants: every started request has a slot of its server, which is returned or reused after [Pool.Finish];
+// every started request is finished exactly once.
 //
-// A Pool is pure: the time is an argument and nothing waits or sends. It is
-// not safe for concurrent use; the router keeps one lock for each.
+// A Pool is pure: the time is an argument, and no method waits or sends. It is not safe for concurrent use;
+// the router has one lock for each.
 package pool
 
 import (
@@ -27,24 +25,23 @@
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 )
 
-// This file defines Pool: how work comes, starts and ends. What it exchanges
-// with the allocator is in exchange.go.
+// This file defines Pool: how work arrives, starts and ends. Its exchange with the allocator is in exchange.go.
 
-// Settings of a pool.
+// Settings are the settings of a pool.
 type Settings struct {
 	Limits        share.Limits  // over all accounts
 	Linger        time.Duration // how long an unused slot is kept
-	FirstEstimate float64       // cost assumed of a request whose account and class have finished none
-	PrefixBlocks  int           // prompt blocks remembered
+	FirstEstimate float64       // assumed cost of a request until one of its account and class has finished
+	PrefixBlocks  int           // prompt blocks in the placer's index
 }
 
-// Server is a serving backend server.
+// Server is a backend server in service.
 type Server struct {
 	Name  string
 	Slots int
 }
 
-// Account is a client account as the pool needs it.
+// Account is a client account with its share and limits.
 type Account struct {
 	Name   string
 	Share  float64
@@ -58,20 +55,20 @@
 	Flow     string
 	Bytes    int64
 	Blocks   []place.Block
-	Deadline time.Duration // when waiting ends; 0 is never
-	Value    any           // for the owner, not read here
+	Deadline time.Duration // end of the wait in the queue; zero means never
+	Value    any           // for the owner; not used by the pool
 
 	ticket *share.Ticket
 	meter  share.Meter
 }
 
-// Start is work whose turn has come, on a slot of Server.
+// Start is work that starts now on a slot of Server.
 type Start struct {
 	Work   *Work
 	Server string
 }
 
-// Pool is one pool on one router.
+// Pool is the state of one pool on one router.
 type Pool struct {
 	name     string
 	cfg      Settings
@@ -82,8 +79,8 @@
 	view     slots.FleetView
 	servers  map[string]Server
 	accounts map[string]bool
-	suspects []string // servers to report as failing
-	idle     int      // free slots as last reported
+	suspects []string // failing servers, for the next report
+	idle     int      // free slots in the last report
 }
 
 // New returns a pool without accounts or servers.
@@ -95,8 +92,8 @@
 	}
 }
 
-// Configure takes the accounts and the serving servers. Slots of other
-// servers go back; the waiting work of accounts that are not listed is returned.
+// Configure replaces the accounts and the serving servers. Slots of other servers are returned to the
+// allocator, and the waiting work of accounts that are not listed is dropped and returned to the caller.
 func (p *Pool) Configure(accounts []Account, servers []Server) (dropped []*Work) {
 	clear(p.servers)
 	for _, s := range servers {
@@ -124,14 +121,13 @@
 	return dropped
 }
 
-// SetAccount creates an account or changes it.
+// SetAccount adds or updates an account.
 func (p *Pool) SetAccount(a Account) {
 	p.queue.SetAccount(a.Name, a.Share, a.Limits)
 	p.accounts[a.Name] = true
 }
 
-// Push adds work to the queue. The error is [share.Full] or
-// [share.NoAccount].
+// Push adds work to the queue. The error is [share.Full] or [share.NoAccount].
 func (p *Pool) Push(w *Work) error {
 	t, err := p.queue.Push(share.Request{
 		Account: w.Account, Flow: w.Flow, Bytes: w.Bytes, Deadline: w.Deadline, Value: w,
@@ -143,21 +139,20 @@
 	return nil
 }
 
-// Cancel takes work out of the queue and reports whether it was still there.
+// Cancel removes work from the queue and reports whether it was still there.
 func (p *Pool) Cancel(w *Work) bool { return p.queue.Cancel(w.ticket) }
 
-// Expire takes out the work whose deadline is not after now.
+// Expire removes and returns the work whose deadline has passed.
 func (p *Pool) Expire(now time.Duration) []*Work { return works(p.queue.Expire(now)) }
 
-// Drop takes out all waiting work.
+// Drop removes and returns all waiting work.
 func (p *Pool) Drop() []*Work { return works(p.queue.Drop()) }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return p.queue.Waiting() }
 
-// Dispatch uses free slots for waiting work as far as the fleet's fairness
-// allows, gives back those that are wanted elsewhere, and returns what starts
-// now. Without a lease nothing starts.
+// Dispatch uses free slots for waiting work as far as fairness across the fleet allows, returns slots that are
+// needed elsewhere to the allocator, and returns the work that starts now. Without a lease nothing starts.
 func (p *Pool) Dispatch(now time.Duration, leased bool) []Start {
 	var started []Start
 	for leased {
@@ -178,7 +173,7 @@
 	return started
 }
 
-// start starts waiting work on the best server, if any has a free slot.
+// start starts a request on the best server with a free slot, if there is one.
 func (p *Pool) start(now time.Duration, t *share.Ticket) (Start, bool) {
 	w := t.Value.(*Work)
 	server, ok := p.placer.Choose(now, p.candidates(now), w.Blocks)
@@ -192,8 +187,8 @@
 	return Start{Work: w, Server: server}, true
 }
 
-// candidates returns the serving, healthy servers with a free slot. Slots of
-// the others go back.
+// candidates returns the healthy serving servers with a free slot. Slots of other servers are returned to the
+// allocator.
 func (p *Pool) candidates(now time.Duration) []place.FreeServer {
 	var out []place.FreeServer
 	for _, name := range p.holder.FreeServers() {
@@ -212,25 +207,24 @@
 	return out
 }
 
-// Progress charges what running work has cost so far.
+// Progress charges the cost of running work so far.
 func (p *Pool) Progress(w *Work, cost float64) {
 	if extra := w.meter.Progress(cost); extra > 0 {
 		p.queue.Charge(w.Account, extra)
 	}
 }
 
-// Result is how work ended on a server.
+// Result is how work on a server ended.
 type Result uint8
 
-// The results.
+// Results of work.
 const (
 	Served    Result = iota // the server answered
 	Failed                  // the server failed
-	Abandoned               // the request left the slot early, which shows nothing of the server
+	Abandoned               // the request left the slot early, which is no evidence about the server
 )
 
-// Finish settles work that used a slot. It reports whether the server is
-// ejected now.
+// Finish settles work that used a slot and reports whether its server is ejected now.
 func (p *Pool) Finish(now time.Duration, w *Work, server string, cost float64, r Result) (ejected bool) {
 	p.queue.Charge(w.Account, w.meter.Finish(cost))
 	w.meter = share.Meter{}
@@ -250,18 +244,19 @@
 	return ejected
 }
 
-// SetBackoff takes that a server wants nothing for a while. Its free slots go back with the next Dispatch.
+// SetBackoff records that a server has asked to receive no requests for a while. The next Dispatch returns its
+// free slots.
 func (p *Pool) SetBackoff(now time.Duration, server string, backoff time.Duration) {
 	p.placer.SetBackoff(now, server, backoff)
 }
 
-// Report takes a server's load report.
+// Report records a server's load report.
 func (p *Pool) Report(server string, l place.Load) { p.placer.Report(server, l) }
 
-// CacheEvent takes an event of a server's cache.
+// CacheEvent records an event of a server's cache.
 func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
 
-// UsableSlots returns the slots of each server that the pool holds, in use or free.
+// UsableSlots returns the number of slots held on each server, used or free.
 func (p *Pool) UsableSlots() map[string]int { return p.holder.Usable() }
 
 func works(tickets []*share.Ticket) []*Work {
