--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -4,24 +4,23 @@
 
 // This file defines Budget, the retry budget of the router.
 
-// Budget is a budget of retries: a part of the requests, so that retries of
-// all routers together never exceed that part of the fleet's load. It is the
-// router's only bound on attempts, so every further attempt costs one, also
-// after an attempt that reached nobody, which is free in a gateway
-// ([Request.Again]). The zero value allows none.
+// Budget allows retries in proportion to first attempts. If every router keeps to the same ratio, so
+// does the fleet. It is the router's only limit on attempts, so each further attempt is charged, even
+// after one that reached no server; gateways do not charge for those ([Request.Again]). The zero
+// value allows no retries.
 type Budget struct {
 	Ratio float64 // retries allowed per request
-	Burst float64 // retries that may be saved up
+	Burst float64 // maximum number of unused retries that accumulate
 	saved float64
 }
 
-// DefaultBudget is the budget of one router: a tenth of the requests (docs/design/outcomes.md).
+// DefaultBudget is the budget of one router: a tenth of its requests (docs/design/outcomes.md).
 var DefaultBudget = Budget{Ratio: 0.1, Burst: 10}
 
-// Request counts a first attempt.
+// Request records the first attempt of a request.
 func (b *Budget) Request() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
-// Retry reports whether a retry is allowed, and counts it.
+// Retry reports whether a retry is allowed, and if so charges it.
 func (b *Budget) Retry() bool {
 	if b.saved < 1 {
 		return false
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -1,27 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package retry decides whether a request is sent to a backend server again,
-// how it ends if not, and how long it waits for any of that.
+// Package retry decides whether a request is sent to a backend server again, how it ends if it is
+// not, and the timeouts that apply.
 //
-// The policy starts from what is known after an attempt ([Execution]): what
-// has not run may go elsewhere, what may have run only where its route allows
-// a second run ([Request.Again]). The number of attempts is bounded for each
-// request ([Counts]) and over the whole fleet by one of two budgets:
+// The policy depends on the outcome of an attempt ([Execution]). A request that has not run may be
+// sent elsewhere; one that may have run only if its route allows a second run ([Request.Again]). The
+// number of attempts is limited for each request ([Counts]), and for the fleet as a whole by one of
+// two budgets:
 //
-//   - [Window], of the gateway, is an allowance of the whole fleet over any
-//     window of time: a ratio of the requests, and a fixed number besides,
-//     which may be used without any request. Each gateway takes its even part.
-//   - [Budget], of the router, is a ratio alone, saved up to a small burst.
-//     A ratio of each router's requests is the same ratio of the fleet's, so
-//     the number of routers need not be known.
+//   - [Window], used by the gateway, is an allowance of the fleet over a sliding window: a ratio of
+//     the requests, plus a fixed number that is available even without requests. Each gateway gets
+//     an equal part of that number.
+//   - [Budget], used by the router, is a ratio alone, with a small burst. If every router keeps to
+//     the ratio, so does the fleet, whatever the number of routers.
 //
-// They are not one rule: a window gives its fixed number again and again with
-// time, a budget gives nothing that requests did not earn.
+// The two are not interchangeable: a window grants its fixed number again as time passes, while a
+// budget grants nothing that requests have not earned.
 //
-// It also has the times around retries: how long a request waits for a server
-// ([QueueTimeout]), when a refused caller should come back ([After]), and when
-// a server that sends nothing is given up ([StallTimeouts]).
+// The package also defines the times around retries: how long a request waits for a server
+// ([QueueTimeout]), when a refused caller should try again ([After]), and when a silent server is
+// given up ([StallTimeouts]).
 //
-// It relies on the routes of state/document. All types are pure and not safe
-// for concurrent use; time is an argument.
+// It relies on the routes of state/document. All types are pure and not safe for concurrent use;
+// the time is an argument.
 package retry
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// What a server refused may go elsewhere, at the cost of the budget; what may
+// A request that a server refused may be sent elsewhere, which is charged to the budget. One that may
 // have run may not, unless its route allows a second run.
 func ExampleRequest_Again() {
 	r := retry.Request{Route: document.Route{MaxAttempts: 1}, TimeLeft: true}
@@ -25,7 +25,7 @@
 	// false false
 }
 
-// A router's budget allows one retry for ten requests.
+// A router's budget allows one retry per ten requests.
 func ExampleBudget() {
 	b := retry.DefaultBudget
 	for range 11 {
@@ -35,7 +35,7 @@
 	// Output: true false
 }
 
-// Of several gateways each takes an even part of the fleet's extra retries.
+// Each gateway gets an equal part of the fleet's extra retries.
 func ExampleWindow() {
 	w := retry.NewWindow(retry.Limits{Ratio: 0.1, Extra: 10, Window: 10 * time.Second})
 	allowed := 0
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -2,36 +2,35 @@
 
 package retry
 
-// This file defines Execution, what is known about the run of a request after an
-// attempt, and Counts, the sum over the attempts of one request.
+// This file defines Execution, the outcome of one attempt, and Counts, the totals over all attempts
+// of a request.
 
-// Execution is what is known about the run of a request after one attempt. The
-// order is that of certainty that it ran.
+// Execution states whether a request has run, as far as one attempt shows. Values are ordered by the
+// certainty that it has.
 type Execution uint8
 
-// What is known after an attempt.
+// Outcomes of an attempt.
 const (
-	NotSent    Execution = iota // no byte reached the server
+	NotSent    Execution = iota // no byte was sent to the server
 	Refused                     // the server promised that it has not run the request and will not
 	MayHaveRun                  // the server may have run it
-	HasRun                      // the server ran it and failed; its whole answer is held
-	Answered                    // the server ran it and the caller has the whole answer
+	HasRun                      // the server ran it and failed, and its complete answer was received
+	Answered                    // the server ran it and the caller has the complete answer
 )
 
-// MayGoElsewhere is the rule that gateway and router share: what has not run
-// may be sent again, what may have run only if it may be repeated. Bounds and
-// budgets come on top of it, in the gateway those of [Request.Again], in the
-// router [Budget] alone.
+// MayGoElsewhere is the rule shared by gateway and router: a request that has not run may be sent to
+// another server, and one that may have run only if it is repeatable. Limits and budgets apply in
+// addition: those of [Request.Again] in the gateway, [Budget] alone in the router.
 func (e Execution) MayGoElsewhere(repeatable bool) bool { return e <= Refused || repeatable }
 
-// Counts are the attempts of one request so far.
+// Counts holds the number of attempts of a request so far.
 type Counts struct {
-	Begun   int // attempts begun, whether or not they reached a server
-	Arrived int // of these, the ones that reached a server
-	Runs    int // of these, the ones that ran or may have run
+	Begun   int // attempts started, whether or not they reached a server
+	Arrived int // of those, attempts that reached a server
+	Runs    int // of those, attempts that ran or may have run
 }
 
-// With returns the counts after one more attempt.
+// With returns the counts after one more attempt with the given outcome.
 func (c Counts) With(e Execution) Counts {
 	c.Begun++
 	if e >= Refused {
--- a/coordination/retry/patience.go
+++ b/coordination/retry/patience.go
@@ -4,60 +4,54 @@
 
 import "time"
 
-// This file defines Patience, which tells how long ago a caller asked for the first time.
+// This file defines Patience, which estimates how long ago a caller first sent a request.
 //
-// A caller that comes back sends another identifier, and says only how long it will still
-// wait. Callers differ in how long they wait at all, so that says something only where
-// nobody asks first who waits as long. What those say that ask first is learned from the
-// accounts that demand no more than their shares: their callers are told to come back
-// rarely. Between the waits that are seen there, a request counts as one that came back,
-// since as long as would be certain: the nearest longer wait less its own.
+// A caller that returns after a refusal uses a new identifier and only states how long it will still
+// wait. Callers differ in their total wait, so the remaining wait is evidence of a return only if no
+// first request states a similar one. The distribution for first requests is learned from accounts
+// that demand no more than their shares, since their callers are rarely told to come back. A request
+// with a remaining wait in a gap of that distribution counts as a return. Its age is at least the
+// distance to the next longer wait of a first request.
 //
-// Ways weighed, by the part of a flooding account's first requests that count as come back
-// after their objective (TestPatienceOfMixedCallers: callers told to come back after a
-// quarter to a third of their time, objective 250 ms, waits up to 10 s):
-//   - what the longest wait is, all say that ask first: 0.83 where waits differ by a sixth,
-//     0.94 by a half, 0.87 in two groups;
-//   - who says up to a sixth less than the longest asks first: 0.00, 0.65 and 0.49;
-//   - the waits that are seen, with the gaps between them (kept): 0.00 in all. It recognizes
-//     0.96, 0.37 and 1.00 of those that come back, the others all of them.
+// Comparing with the longest wait instead would count most first requests of a flooding account as
+// late returns, with or without a margin of a sixth, as soon as callers' waits differ by half or form
+// two groups. Using the gaps avoids that, at the price of recognizing only some of the returns.
 
 const (
-	// patienceBins is the number of waits that are told apart: to 1 part in 64 to 128 of the
-	// longest, under a half of the objectives seen.
+	// patienceBins is the number of bins for waits. It resolves 1/128 to 1/64 of the longest wait,
+	// which is less than half of the usual objectives.
 	patienceBins = 128
-	// patienceSpan is the time after which what was seen counts half. Longer than a flood's first
-	// seconds, in which few ask first, and short against the time in which callers' software changes.
+	// patienceHalfLife is the time after which earlier samples count half. It is longer than the first
+	// seconds of a flood, in which there are few first requests, and short compared to the time between
+	// changes of callers' software.
 	patienceSpan = 10 * time.Second
-	// fewestFirst is how many must have asked first before anything is told from them. Of 16 a gateway
-	// that few callers reach learned nothing in 15 s.
+	// minFirstSamples is the number of first requests needed for an estimate. With 16, a gateway with
+	// few callers would have no estimate after 15 s.
 	fewestFirst = 6
-	// unseenRanges is how many times the part of the range that n waits leave unseen on
-	// average, 1/(n+1), is not certain. Chosen: with 1.5 a
-	// twenty-fifth of first requests count as come back where eight of a half were seen, with
-	// this under a fiftieth (TestFewCallersTellLittle).
+	// unseenFactor scales the uncertainty about the range of waits: n samples leave 1/(n+1) of it unseen
+	// on average. With a factor of 1.5 and eight samples of waits that differ by half, 4% of first
+	// requests would count as returns, with 2.5 less than 2%.
 	unseenRanges = 2.5
-	// nearPart is how far around a wait, as a part of it, others count as like it: few samples leave
-	// holes. What a quarter of the time told leaves is further.
+	// nearPart is the relative distance within which waits count as similar, since few samples leave
+	// gaps. It is less than the distance of returns, which come after a quarter of the wait or more.
 	nearPart = 0.05
-	// heldPart is the part of those that ask first that a wait must have near it to be one
-	// with which callers ask first: some of accounts within their shares come back as well.
-	// Chosen: where one in twenty does, 0.03 leaves 0.18 to 0.63 of a flooding account's
-	// returns unrecognized that this recognizes (TestPatienceOfMixedCallers). Waits that
-	// differ by more than half have less near each, and then nothing counts as come back.
+	// minNearPart is the fraction of first requests that must state a similar wait for that wait to be
+	// one of a first request, because some callers within their shares return as well. If one in twenty
+	// does, 0.03 would miss a large part of a flooding account's returns. If waits differ by more than
+	// half, fewer are similar to each, and no request counts as a return.
 	heldPart = 0.08
 )
 
-// Patience is how long the callers of one route said lately that they will wait when they
-// ask first. The zero value knows of none. Its methods cost O(patienceBins).
+// Patience is the recent distribution of the waits that callers of one route state in their first
+// request. The zero value is empty. Its methods cost O(patienceBins).
 type Patience struct {
 	width time.Duration // of one bin
 	bins  [patienceBins]float32
 	total float32
-	aged  time.Duration // when the counts were halved
+	aged  time.Duration // when the counts were last halved
 }
 
-// ObserveFirst takes how long a caller will wait that asks first, 0 if it does not say.
+// ObserveFirst records the wait stated in a first request, zero if it states none.
 func (p *Patience) ObserveFirst(now, left time.Duration) {
 	if left <= 0 {
 		return
@@ -76,7 +70,7 @@
 	p.total++
 }
 
-// halve makes what was seen count half.
+// halve halves the weight of all samples.
 func (p *Patience) halve() {
 	for i := range p.bins {
 		p.bins[i] /= 2
@@ -93,13 +87,13 @@
 	p.width *= 2
 }
 
-// Spent returns how long ago a caller certainly asked first that will still wait for left:
-// 0 if it may ask first now.
+// Spent returns the minimum time since a caller's first request, given how long it will still wait.
+// It is zero if this may be the first one.
 func (p *Patience) Spent(left time.Duration) time.Duration {
 	if p.total < fewestFirst || left <= 0 || left >= patienceBins*p.width {
 		return 0
 	}
-	var upTo [patienceBins + 1]float32 // sums of the bins before each
+	var upTo [patienceBins + 1]float32 // cumulative counts
 	for i, n := range p.bins {
 		upTo[i+1] = upTo[i] + n
 	}
@@ -114,11 +108,10 @@
 		}
 		return max(time.Duration(i)*p.width-p.unseen()-left, 0)
 	}
-	return 0 // it waits for longer than any that asks first
+	return 0 // longer than the wait of any first request
 }
 
-// unseen is how far beyond the waits that were seen others may be with which callers ask
-// first.
+// uncertainty returns how far beyond the observed waits those of other first requests may lie.
 func (p *Patience) unseen() time.Duration {
 	lowest, highest := patienceBins, 0
 	for i, n := range p.bins {
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -13,23 +13,23 @@
 func TestPatience(t *testing.T) {
 	is := is.New(t)
 	var p Patience
-	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // nothing is known
-	p.ObserveFirst(0, 0)                               // does not say
+	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // no samples
+	p.ObserveFirst(0, 0)                               // no wait stated
 	for i := range fewestFirst - 1 {
 		p.ObserveFirst(0, 10*time.Second-time.Duration(i)*100*time.Millisecond)
 	}
-	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // too few
+	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // too few samples
 	for i := range 10 {
 		p.ObserveFirst(0, 10*time.Second-time.Duration(i)*150*time.Millisecond)
 	}
 	p.ObserveFirst(0, 8500*time.Millisecond)
 	is.Equal(p.Spent(9*time.Second), time.Duration(0))
-	is.Equal(p.Spent(11*time.Second), time.Duration(0)) // more than any
+	is.Equal(p.Spent(11*time.Second), time.Duration(0)) // longer than any
 	is.Equal(p.Spent(time.Hour), time.Duration(0))
 	is.Equal(p.Spent(-time.Second), time.Duration(0))
 	spent := p.Spent(7 * time.Second)
-	is.True(spent > 800*time.Millisecond && spent <= 1500*time.Millisecond) // certainly so long ago
-	for n := range 8 {                                                      // their software changes
+	is.True(spent > 800*time.Millisecond && spent <= 1500*time.Millisecond) // lower bound of its age
+	for n := range 8 {                                                      // the callers' software changes
 		for range 50 {
 			p.ObserveFirst(time.Duration(n+1)*patienceSpan, 5*time.Second)
 		}
@@ -38,8 +38,8 @@
 	is.True(p.Spent(4*time.Second) > 700*time.Millisecond)
 }
 
-// longestWait is a way of telling first requests from others: what is shorter than the
-// longest wait by more than a part asked first that long ago.
+// longestWait is an alternative estimate: a remaining wait counts as a return if it is shorter than the
+// longest one seen by more than the allowed part.
 type longestWait struct {
 	longest time.Duration
 	allowed float64
@@ -53,17 +53,17 @@
 	return l.longest - left
 }
 
-// callersOf draws how long a caller waits in all, at a moment of the play.
+// callersOf draws a caller's total wait at a given second of the run.
 type callersOf func(rng *rand.Rand, second int) time.Duration
 
-// uniform draws waits that differ by a part of the longest.
+// uniform draws waits that are shorter than 10 s by up to the given part.
 func uniform(part float64) callersOf {
 	return func(rng *rand.Rand, _ int) time.Duration {
 		return time.Duration((1 - part*rng.Float64()) * float64(10*time.Second))
 	}
 }
 
-// twoGroups draws half of the waits around 5 s, half around 10 s.
+// twoGroups draws half of the waits around 5 s and the other half around 10 s.
 func twoGroups(rng *rand.Rand, _ int) time.Duration {
 	wait := uniform(0.1)(rng, 0)
 	if rng.IntN(2) == 0 {
@@ -72,7 +72,7 @@
 	return wait
 }
 
-// changing draws waits of 10 s, and from the middle of the play on of 7 s.
+// changing draws waits around 10 s, and around 7 s in the second half of the run.
 func changing(rng *rand.Rand, second int) time.Duration {
 	wait := uniform(0.1)(rng, second)
 	if second >= 15 {
@@ -81,18 +81,18 @@
 	return wait
 }
 
-// TestPatienceOfMixedCallers plays 30 s at one gateway: 30 requests a second of accounts
-// within their shares, of which one in twenty comes back, and 30 or 300 of a flooding account, most of which are told to come
-// back and do. It compares ways by the flooding account's first requests that count as late
-// and its returns that do.
+// TestPatienceOfMixedCallers runs one gateway for 30 s. It receives 30 requests a second from accounts
+// within their shares, one in twenty of them a return, and 30 or 300 from a flooding account, of which
+// most return once. It compares estimates by how many first requests and how many returns of the flooding
+// account they count as late.
 func TestPatienceOfMixedCallers(t *testing.T) {
 	const objective = 250 * time.Millisecond
 	for _, tt := range []struct {
 		name         string
 		callers      callersOf
 		flood        int
-		mostFirst    float64 // first requests that may count as late
-		fewestReturn float64 // returns that must
+		mostFirst    float64 // maximum fraction of first requests counted as late
+		fewestReturn float64 // minimum fraction of returns counted as late
 	}{
 		{"a sixth", uniform(0.15), 30, 0.01, 0.95},
 		{"a sixth, nearly all come back", uniform(0.15), 300, 0.01, 0.95},
@@ -106,7 +106,7 @@
 			var p Patience
 			longest, sixth := longestWait{}, longestWait{allowed: 1.0 / 6}
 			var firsts, returns float64
-			var late [3][2]float64 // by way, of firsts and of returns
+			var late [3][2]float64 // by estimate, for first requests and for returns
 			observe := func(now, left time.Duration, came int) {
 				for way, spent := range []time.Duration{longest.spent(left), sixth.spent(left), p.Spent(left)} {
 					if spent >= objective {
@@ -118,7 +118,7 @@
 				now := time.Duration(second) * time.Second
 				for range 30 {
 					wait := tt.callers(rng, second)
-					if rng.IntN(20) == 0 { // some of them come back as well
+					if rng.IntN(20) == 0 { // some of them are returns
 						wait -= UncoveredRequest{Left: wait}.After(rng.Float64())
 					}
 					p.ObserveFirst(now, wait)
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestFewCallersTellLittle learns from eight callers and asks of others that ask first, and
-// of some that come back: the fewer were seen, the less is certain.
+// TestFewCallersTellLittle takes samples from eight callers only, and checks that few first requests of
+// others are counted as late.
 func TestFewCallersTellLittle(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -7,32 +7,32 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines Request, the policy of one request's attempts: whether
-// there is another one, and how the request ends if not.
+// This file defines Request, the policy for one request: whether there is another attempt, and how the
+// request ends if there is none.
 
-// Bounds of the attempts of one request, besides its route's.
+// Limits on the attempts of one request, in addition to those of its route.
 const (
-	// maxArrived bounds arrivals, so that servers that refuse everything do not multiply the load.
+	// maxArrived bounds the attempts that reach a server, so that servers refusing everything do not
+	// multiply the load.
 	maxArrived = 3
-	// MaxBegun bounds all attempts: without it, a request whose only server refused connections was
-	// sent 3,000 times in 3 s (TestOnlyBackendIsUnreachable).
+	// MaxBegun bounds all attempts. Without it, a request whose only server refused connections would be
+	// sent 3,000 times in 3 s.
 	MaxBegun = 5
 )
 
-// Request is what the policy needs to know of a request that has no whole
-// answer yet.
+// Request holds the state of a request that has no complete answer yet, as far as the policy depends
+// on it.
 type Request struct {
 	Route document.Route
 	Counts
-	HeadWritten bool // the head of an answer has gone to the caller
-	TimeLeft    bool // the caller and the route still allow time
+	HeadWritten bool // whether the head of an answer was sent to the caller
+	TimeLeft    bool // whether the limits of the caller and the route have not expired
 }
 
-// Again reports whether there may be another attempt after one that ended
-// without a whole answer, and whether it has to come out of the retry budget.
-// What has not run may always go elsewhere, within the bounds; what may have
-// run only if its route allows a second run. An attempt that reached no server put
-// no load on a server, so the one after it is free.
+// Again reports whether another attempt is allowed after one that ended without a complete answer, and
+// whether it is charged to the retry budget. Within the limits, a request that has not run may always
+// be sent elsewhere, and one that may have run only if its route allows a second run. An attempt that
+// reached no server caused no load, so the next one is not charged.
 func (r Request) Again(last Execution) (allowed, fromBudget bool) {
 	maxRuns := max(r.Route.MaxAttempts, 1)
 	switch {
@@ -47,24 +47,24 @@
 	return true, last != NotSent
 }
 
-// Ending is how a request ends that no server answered whole.
+// Ending is how a request ends without a complete answer.
 type Ending uint8
 
-// The endings.
+// Endings of a request.
 const (
-	EndBroken      Ending = iota // the answer has begun: closing the connection alone shows that it is not whole
-	EndServerError               // with the server's own failure
-	EndTimedOut                  // the time is over and it may have run, or a server had it
-	EndMayHaveRun                // it may have run, and may not be tried again
-	EndNoBudget                  // refused by a server; the retry budget did not allow another
-	EndRefused                   // refused by a server; no other may be tried
-	EndNoServer                  // no server is left that was not tried
-	EndBeyondShare               // no room, for a request beyond its account's share
-	EndOverloaded                // no room
+	EndBroken      Ending = iota // the answer has begun: the connection is closed to show that it is incomplete
+	EndServerError               // with the server's own error
+	EndTimedOut                  // timed out, and it may have run or has reached a server
+	EndMayHaveRun                // it may have run and must not be repeated
+	EndNoBudget                  // refused by a server, and the retry budget was exhausted
+	EndRefused                   // refused by a server, and no other may be tried
+	EndNoServer                  // every server was tried
+	EndBeyondShare               // no capacity for a request beyond its account's share
+	EndOverloaded                // no capacity
 )
 
-// AfterAttempt returns how the request ends after its last attempt. noBudget
-// means that the budget refused another one.
+// AfterAttempt returns how the request ends after its last attempt. noBudget is whether the retry
+// budget was exhausted.
 func (r Request) AfterAttempt(last Execution, noBudget bool) Ending {
 	switch {
 	case r.HeadWritten:
@@ -83,8 +83,8 @@
 	return EndNoServer
 }
 
-// WithoutServer returns how the request ends if it got no server to go to:
-// allTried means that it had every one of its pool already.
+// WithoutServer returns how the request ends if no server was available. allTried is whether every
+// server of its pool was tried already.
 func (r Request) WithoutServer(class entitlement.Class, allTried bool) Ending {
 	switch {
 	case !r.TimeLeft && r.Arrived > 0:
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -19,11 +19,10 @@
 	unbounded  = document.Route{Kind: document.Repeatable, MaxAttempts: 100}
 )
 
-// TestAfterAnAttempt gives a request's attempts one after the other, and says
-// what follows the last one. It also says how the request ends if that was
-// the last one.
+// TestAfterAnAttempt covers what follows the last of a series of attempts, and how the request ends if
+// there is no further one.
 func TestAfterAnAttempt(t *testing.T) {
-	const late, head, broke = true, true, true // the time is over; the head was written; the budget refuses
+	const late, head, broke = true, true, true // timed out; head written; budget exhausted
 	type executions []Execution
 	type next struct{ allowed, fromBudget bool }
 	stop, free, paid := next{}, next{true, false}, next{true, true}
@@ -88,7 +87,7 @@
 		{Counts{}, true, extra, false, EndBeyondShare},
 		{Counts{}, true, extra, true, EndNoServer},
 		{Counts{}, false, extra, true, EndOverloaded},
-		{Counts{Begun: 1}, false, covered, true, EndOverloaded}, // nobody had it
+		{Counts{Begun: 1}, false, covered, true, EndOverloaded}, // it reached no server
 		{Counts{Begun: 1, Arrived: 1}, false, covered, false, EndTimedOut},
 		{Counts{Begun: 1, Arrived: 1}, true, covered, false, EndOverloaded},
 		{Counts{Begun: 1, Arrived: 1, Runs: 1}, true, covered, true, EndMayHaveRun},
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -13,24 +13,24 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests when requests come back that their account's share does not cover, with a model
-// of one gateway, the leader and engines in virtual time. The shares are the real ones.
+// This file tests when refused requests beyond their account's share return, with a model of one
+// gateway, the leader and engines in virtual time. It uses the real shares.
 
-// Times and rates of the model.
+// Parameters of the model.
 const (
 	shareTick      = 10 * time.Millisecond
-	shareSettle    = 100 * time.Millisecond // between two reports, and two lists
+	shareSettle    = 100 * time.Millisecond // interval between usage reports, and between updates of the shares
 	shareWarm      = 3 * time.Second
 	shareEnd       = 33 * time.Second
-	shareRate      = 400_000.0 // tokens a second that the operator names
-	shareCost      = 1000.0    // tokens of a request
+	shareRate      = 400_000.0 // capacity configured by the operator, in tokens a second
+	shareCost      = 1000.0    // tokens per request
 	shareObjective = 400 * time.Millisecond
 	sharePatience  = 12 * time.Second
-	shareMade      = shareRate // tokens a second that the engines make
-	shareRoom      = 40_000.0  // tokens that may be in front of a request there: a quarter of the objective
+	shareMade      = shareRate // capacity of the engines, in tokens a second
+	shareRoom      = 40_000.0  // maximum tokens ahead of a request at the engines: a quarter of the objective
 )
 
-// sharedAccounts is two accounts that ask alike.
+// sharedAccounts models two accounts with the same load.
 type sharedAccounts struct {
 	rng        *rand.Rand
 	now        time.Duration
@@ -38,19 +38,19 @@
 	classifier *entitlement.Classifier
 	report     protocol.Usage
 	later      map[time.Duration][]refusedOnce
-	busy       float64 // tokens that the engines have still to read
-	soon       bool    // requests come back as the rule says, or after a part of their time in any case
+	busy       float64 // tokens that the engines still have to read
+	soon       bool    // whether requests return within the objective, rather than always after a part of their remaining time
 
 	asked, inTime, served int // requests
 }
 
-// refusedOnce is a request that comes back.
+// refusedOnce is a request that will return.
 type refusedOnce struct {
 	account string
 	since   time.Duration
 }
 
-// play lets each account ask for so many times the level of its share.
+// play sends requests of both accounts at the given multiple of their shares.
 func (m *sharedAccounts) play(times float64) {
 	owed := 0.0
 	for m.now = shareTick; m.now < shareEnd; m.now += shareTick {
@@ -74,8 +74,8 @@
 	}
 }
 
-// ask lets a request be served or refused. Nobody knows that one came back: callers of other
-// patience ask as well, and a gateway that is new has seen few.
+// ask serves or refuses a request. Returns are not recognized as such, as on a new gateway or with
+// callers of differing patience.
 func (m *sharedAccounts) ask(r refusedOnce, back bool) {
 	counts := m.now >= shareWarm
 	if counts && !back {
@@ -111,9 +111,9 @@
 	m.later[when] = append(m.later[when], r)
 }
 
-// TestReturnsAreInTime: accounts that ask for somewhat more than their shares have as many requests
-// served as before, those that come back in time as well. After a third of their time half of what
-// is served would be late.
+// TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests return
+// within the objective, as many must be served as if they return after a third of their remaining time,
+// and far more of them in time.
 func TestReturnsAreInTime(t *testing.T) {
 	is := is.New(t)
 	play := func(times float64, soon bool) (inTime, served float64) {
@@ -128,9 +128,9 @@
 		inTime, served := play(times, true)
 		late, servedLate := play(times, false)
 		t.Logf("asks for %.1f of its share: in time %.2f of %.2f served; after a third of its time %.2f of %.2f", times, inTime, served, late, servedLate)
-		is.True(inTime >= 0.9/times)       // what the share covers is in time
-		is.True(served <= 1.1/times)       // and no more is given than it covers
-		is.True(served >= 0.95*servedLate) // nor less than to those that come back later
-		is.True(inTime >= late+0.1/times)  // which it is worth
+		is.True(inTime >= 0.9/times)       // requests covered by the share are in time
+		is.True(served <= 1.1/times)       // no more is served than the share covers
+		is.True(served >= 0.95*servedLate) // no fewer than if requests return later
+		is.True(inTime >= late+0.1/times)  // more in time than if requests return later
 	}
 }
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -9,37 +9,35 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines the times around a request's attempts: how long it waits
-// for a server, when a refused caller should come back, and how long a server
-// may send nothing.
+// This file defines the times around a request's attempts: how long it waits for a server, when a
+// refused caller should try again, and how long a server may be silent.
 
-// Bounds of the wait for a server, from the arrival on.
+// Limits on the wait for a server, counted from the request's arrival.
 const (
-	// beyondPart is the part of the objective that a request beyond its account's share waits: it
-	// finds room at once or only once others have gone.
+	// beyondWaitPart is the fraction of the objective that a request beyond its account's share waits.
+	// It gets capacity either at once or only after others have ended.
 	beyondPart = 0.1
-	// reserve is the part of the objective that is kept for what delays a request after its wait: the
-	// server's own queue, the network.
+	// reserve is the fraction of the objective kept for delays after the wait: the server's own queue and
+	// the network.
 	reserve = 0.3
-	// lastWait bounds the wait where the objective cannot be kept, or there is none.
+	// maxLateWait bounds the wait if the objective cannot be met, or there is none.
 	lastWait = time.Second
 )
 
-// QueuedRequest is what decides how long a request waits for a server.
+// QueuedRequest determines how long a request waits for a server.
 type QueuedRequest struct {
 	Route    document.Route
 	Class    entitlement.Class
-	Runs     int           // that it may have had
-	Spent    time.Duration // since its caller asked first, before it came here
-	Waited   time.Duration // since it came here
+	Runs     int           // attempts that ran or may have run
+	Spent    time.Duration // since the caller's first request, before this one arrived
+	Waited   time.Duration // since this one arrived
 	Left     time.Duration // until its deadline
-	Expected time.Duration // from a server until the first part of the answer
+	Expected time.Duration // expected time from sending it to the first part of the answer
 }
 
-// QueueTimeout returns how long a request may wait for a server from now on: for as long
-// as it can still begin in time. One that cannot, or may have run, waits a little longer
-// for any answer: a refusal would send it away for good, or could not promise that it has
-// not run.
+// QueueTimeout returns how much longer a request may wait for a server: as long as its answer can still
+// begin in time. A request that is late already, or that may have run, waits longer. A refusal would
+// make the caller of the first give up, and for the second could not promise that it has not run.
 func QueueTimeout(w QueuedRequest) time.Duration {
 	objective := w.Route.Objective
 	most := objective - w.Spent - w.Expected - scale(objective, reserve)
@@ -54,54 +52,54 @@
 	return min(most-w.Waited, w.Left)
 }
 
-// surePart is the part of the expected time to an answer below which there will be none: a server may
-// be twice as fast as expected.
+// minExpectedPart is the fraction of the expected time to an answer below which none will arrive: a
+// server may be twice as fast as expected.
 const surePart = 0.5
 
-// CanAnswerInTime reports whether the request may still get an answer before its deadline. What
-// certainly cannot is refused at once and reaches no server: its caller would have gone
-// before the first part of the answer. A request that may have run is not refused.
+// CanAnswerInTime reports whether the request may still be answered before its deadline. If it cannot, it
+// is refused at once and sent to no server, since its caller would be gone before the first part of the
+// answer. A request that may have run is not refused.
 func CanAnswerInTime(w QueuedRequest) bool {
 	return w.Runs > 0 || w.Left >= scale(w.Expected, surePart)
 }
 
-// Times after which a refused caller should come back.
+// Delays after which a refused caller should try again.
 const (
-	ShortDelay = 50 * time.Millisecond // what refused it passes quickly, or another gateway has room
-	LongDelay  = time.Second           // what refused it lasts
+	ShortDelay = 50 * time.Millisecond // for a short-lived cause, or one that other gateways do not share
+	LongDelay  = time.Second           // for a lasting cause
 
-	leftPart = 0.1 // of the time that the caller has left: room for several tries
+	leftPart = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
-	// sharePart is the same for what its account's share hardly covers: the flood lasts,
-	// and a second refusal is worth nothing to the caller. Callers wait for up to a third.
+	// beyondDelayPart is the same for requests that their account's share barely covers: the flood lasts,
+	// and a second refusal is of no use to the caller. Callers wait for up to a third.
 	sharePart = 0.33
-	spread    = 0.25 // by which that is less, at most, so that callers do not meet again
+	spread    = 0.25 // maximum relative reduction, so that callers do not return at the same time
 )
 
-// A request beyond a share that covers some of what its account asks for comes back within its
-// objective: the next try is as likely to be covered, and can still be in time.
+// If a share covers some of an account's requests, one that was refused returns within its objective: its
+// next try is as likely to be covered and can still be in time.
 const (
-	likelyPart = 0.1 // of the account's requests that the share covers, at least
-	// When it comes back, as parts of the objective, by lot: long enough for a list to be newer, and
-	// short enough for the answer.
-	againFrom = 0.2  // at the earliest
-	againUpTo = 0.45 // at the latest
+	likelyPart = 0.1 // minimum fraction of the account's requests that the share covers
+	// Random return time, as fractions of the objective: late enough for updated shares, early enough for
+	// the answer.
+	againFrom = 0.2  // earliest
+	againUpTo = 0.45 // latest
 )
 
-// After returns when a refused caller that has some time left should come back.
+// After returns when a refused caller with the given remaining time should try again.
 func After(left time.Duration) time.Duration {
 	return min(max(scale(left, leftPart), ShortDelay), LongDelay)
 }
 
-// UncoveredRequest is what decides when a request comes back that its account's share does not cover.
+// UncoveredRequest is a request refused because its account's share does not cover it.
 type UncoveredRequest struct {
-	CoveredPart float64       // of the account's requests that the share covers
-	Objective   time.Duration // of its route; 0 is none
-	Spent       time.Duration // since its caller asked first
+	CoveredPart float64       // fraction of the account's requests that the share covers
+	Objective   time.Duration // of its route; zero means none
+	Spent       time.Duration // since the caller's first request
 	Left        time.Duration // until its deadline
 }
 
-// After returns when the request should come back. random is from 0 to 1.
+// After returns when the request should return. random is between 0 and 1.
 func (s UncoveredRequest) After(random float64) time.Duration {
 	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), ShortDelay)
 	if s.CoveredPart >= likelyPart && s.Spent+again < s.Objective {
@@ -110,9 +108,8 @@
 	return max(scale(s.Left, sharePart*(1-spread*random)), ShortDelay)
 }
 
-// AfterOverload returns the same for a caller whom the gateway's processor
-// cannot serve. Within its account's share it may come back soon: most other
-// gateways have room.
+// AfterOverload returns the same for a caller refused because the gateway's processor is overloaded.
+// Requests within their account's share may return soon, since most other gateways have capacity.
 func AfterOverload(class entitlement.Class, left time.Duration, random float64) time.Duration {
 	if class <= entitlement.Entitled {
 		return ShortDelay
@@ -120,23 +117,22 @@
 	return UncoveredRequest{Left: left}.After(random)
 }
 
-// AfterBackoff returns when a caller should come back whose servers all asked for backoff:
-// not all callers at once. random is from 0 to 1.
+// AfterBackoff returns when a caller should try again if all its servers have asked for a backoff. random
+// is between 0 and 1 and keeps callers from returning at the same time.
 func AfterBackoff(backoff, left time.Duration, random float64) time.Duration {
 	return max(backoff+scale(max(left, 0), leftPart*random), ShortDelay)
 }
 
-// Times after which a server that sends nothing is given up.
+// Times after which a silent server is given up.
 const (
-	stallObjectives = 2.5                    // before the first part of an answer, in the route's objective
-	stallGaps       = 4.0                    // between two parts, in the route's longest gap between events
-	MinStall        = 400 * time.Millisecond // the least of both
+	stallObjectives = 2.5                    // before the first part of an answer, as a multiple of the route's objective
+	stallGaps       = 4.0                    // between two parts, as a multiple of the route's maximum gap between events
+	MinStall        = 400 * time.Millisecond // minimum of both
 )
 
-// StallTimeouts returns how long a server may send nothing before the first
-// part of its answer, and between two parts. Silence is watched only if
-// another server may take the request up after this attempt; otherwise waiting
-// on is always better than giving up.
+// StallTimeouts returns how long a server may be silent before the first part of its answer, and between
+// two parts. Silence is watched only if another server may take over the request after this attempt;
+// otherwise waiting is always better than giving up.
 func StallTimeouts(route document.Route, runs int) (first, gap time.Duration, watched bool) {
 	if !route.MayRepeat() || runs+1 >= route.MaxAttempts {
 		return 0, 0, false
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -24,11 +24,11 @@
 		spent, waited, left, expects time.Duration
 		waits                        time.Duration
 	}{
-		{400 * ms, covered, 0, 0, 0, 3000 * ms, 50 * ms, 230 * ms}, // 0.3 are kept
+		{400 * ms, covered, 0, 0, 0, 3000 * ms, 50 * ms, 230 * ms}, // 0.3 of the objective is reserved
 		{400 * ms, entitlement.Entitled, 0, 0, 0, 3000 * ms, 50 * ms, 230 * ms},
 		{400 * ms, covered, 0, 0, 80 * ms, 3000 * ms, 50 * ms, 150 * ms},
-		{400 * ms, covered, 0, 60 * ms, 0, 3000 * ms, 50 * ms, 170 * ms},  // it came back at once
-		{400 * ms, covered, 0, 0, 240 * ms, 3000 * ms, 50 * ms, -10 * ms}, // not at all
+		{400 * ms, covered, 0, 60 * ms, 0, 3000 * ms, 50 * ms, 170 * ms},  // it returned immediately
+		{400 * ms, covered, 0, 0, 240 * ms, 3000 * ms, 50 * ms, -10 * ms}, // no time left to wait
 		{400 * ms, covered, 0, 0, 0, 50 * ms, 50 * ms, 50 * ms},
 		{400 * ms, covered, 0, 0, 0, 3000 * ms, 300 * ms, time.Second}, // late in any case
 		{400 * ms, covered, 0, 900 * ms, 0, 3000 * ms, 50 * ms, time.Second},
@@ -55,12 +55,12 @@
 	is.Equal(AfterOverload(entitlement.Entitled, time.Minute, 0.5), ShortDelay)
 	is.Equal(AfterOverload(entitlement.Extra, 10*time.Second, 0), 3300*ms)
 	is.Equal(UncoveredRequest{Left: -time.Second}.After(0), ShortDelay)
-	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(0), 3300*ms) // callers wait for up to a third of what is left
+	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(0), 3300*ms) // up to a third of the remaining time
 	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(1), 2475*ms)
 }
 
-// TestWhenToComeBackToAShare: a request comes back within its objective where the share covers
-// some of what its account asks for, and it can still be in time.
+// TestWhenToComeBackToAShare checks that a request returns within its objective if the share covers some
+// of its account's requests and it can still be in time.
 func TestWhenToComeBackToAShare(t *testing.T) {
 	is := is.New(t)
 	some := UncoveredRequest{CoveredPart: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
@@ -71,7 +71,7 @@
 	is.Equal(little.After(0), 3960*ms)
 	late := some
 	late.Spent = 300 * ms
-	is.Equal(late.After(0), 80*ms) // 380 ms after it asked first
+	is.Equal(late.After(0), 80*ms) // 380 ms after its first request
 	is.Equal(late.After(1), 2970*ms)
 	short := some
 	short.Objective = 100 * ms
@@ -89,17 +89,17 @@
 	is.Equal(gap, time.Second)
 	is.True(watched)
 	_, _, watched = StallTimeouts(route, 1)
-	is.True(!watched) // this attempt is the last that the route allows
+	is.True(!watched) // the last attempt that the route allows
 	route.Objective, route.EventGap = 0, 50*ms
 	first, gap, _ = StallTimeouts(route, 0)
 	is.Equal(first, MinStall)
 	is.Equal(gap, MinStall)
 	route.Resumable = false
 	_, _, watched = StallTimeouts(route, 0)
-	is.True(!watched) // nobody else may go on
+	is.True(!watched) // no other server may continue the answer
 }
 
-// TestCanEnd: what no server can answer before the deadline is not sent to one.
+// TestCanEnd checks that requests which no server can answer before the deadline are not sent.
 func TestCanEnd(t *testing.T) {
 	is := is.New(t)
 	w := QueuedRequest{Expected: 100 * time.Millisecond, Left: 50 * time.Millisecond}
@@ -108,15 +108,15 @@
 	is.True(!CanAnswerInTime(w))
 	w.Left = -time.Second
 	is.True(!CanAnswerInTime(w))
-	w.Runs = 1 // it may have run, and must not be refused as if it had not
+	w.Runs = 1 // it may have run, so it must not be refused as not run
 	is.True(CanAnswerInTime(w))
 }
 
-// TestWhenToComeBackAfterABackoff: not before it is over, and not all at once.
+// TestWhenToComeBackAfterABackoff checks that callers return after the backoff, at different times.
 func TestWhenToComeBackAfterABackoff(t *testing.T) {
 	is := is.New(t)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 0), 2*time.Second)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 1), 3*time.Second)
-	is.Equal(AfterBackoff(2*time.Second, -time.Second, 1), 2*time.Second) // its time is over
+	is.Equal(AfterBackoff(2*time.Second, -time.Second, 1), 2*time.Second) // no time left
 	is.Equal(AfterBackoff(0, 0, 0), ShortDelay)
 }
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -6,46 +6,45 @@
 
 // This file defines Window, the retry budget of the gateway.
 
-// Limits of a fleet.
+// Limits is the retry allowance of a fleet.
 type Limits struct {
-	Ratio  float64       // retries allowed for each request
-	Extra  float64       // retries allowed besides, by the whole fleet
-	Window time.Duration // over which both hold
+	Ratio  float64       // retries allowed per request
+	Extra  float64       // further retries allowed to the whole fleet
+	Window time.Duration // period over which both apply
 }
 
-// AssumedGateways is the number of gateways before the directory has reported one: many, so that an
-// unconnected gateway takes a small part of the extra.
+// AssumedGateways is the number of gateways assumed until the directory reports one. It is high, so that
+// a gateway without a connection uses a small part of the extra retries.
 const AssumedGateways = 16
 
-// safety is the part of the allowance that is used: the windows of gateways and
-// of whoever checks them do not begin together, and requests are counted where
-// they are sent from. Chosen; TestFleetKeepsToItsBudget checks that it suffices.
+// safety is the fraction of the allowance that is used. The windows of different gateways, and of whoever
+// checks the limit, do not start at the same time, and requests are counted at the gateway that sends
+// them. TestFleetKeepsToItsBudget checks that the fraction suffices.
 const safety = 0.7
 
-// slices of a window. Retries leave it a slice late, requests a slice early.
-// Chosen: a tenth of the window is the error that safety has to cover.
+// sliceCount is the number of slices of a window. Retries leave the window one slice late and requests
+// one slice early, an error of a tenth that safety has to cover.
 const slices = 10
 
-// Window is one gateway's budget for one pool: its own requests earn it the
-// ratio, and of the extra it takes an even part.
+// Window is one gateway's retry budget for one pool: the ratio of its own requests, plus an equal part of
+// the fleet's extra retries.
 type Window struct {
 	limits   Limits
 	requests [slices]int
 	retries  [slices + 1]int
-	slice    int64 // number of the current slice since time 0
+	slice    int64 // number of the current slice since time zero
 }
 
-// NewWindow returns a budget with nothing counted.
+// NewWindow returns an empty window.
 func NewWindow(limits Limits) *Window { return &Window{limits: limits} }
 
-// Request counts a request's first attempt.
+// Request records the first attempt of a request.
 func (w *Window) Request(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slice%slices]++
 }
 
-// Retry reports whether one more attempt is within the budget of one of n
-// gateways, and counts it if it is.
+// Retry reports whether one more attempt is within the budget of one of n gateways, and if so charges it.
 func (w *Window) Retry(now time.Duration, n int) bool {
 	w.advance(now)
 	allowed := safety * (w.limits.Ratio*float64(sum(w.requests[:])) + w.limits.Extra/float64(max(n, 1)))
@@ -56,7 +55,7 @@
 	return true
 }
 
-// advance clears the slices that have gone by.
+// advance clears the slices that have expired.
 func (w *Window) advance(now time.Duration) {
 	width := max(w.limits.Window/slices, 1)
 	current := int64(now / width)
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -47,13 +47,13 @@
 	w := NewWindow(Limits{Extra: 10, Window: 10 * time.Second})
 	for w.Retry(0, 1) {
 	}
-	is.True(!w.Retry(10*time.Second, 1)) // a slice longer than the window
+	is.True(!w.Retry(10*time.Second, 1)) // retries expire one slice after the window
 	is.True(w.Retry(12*time.Second, 1))
-	is.True(w.Retry(time.Hour, 1)) // many windows later
+	is.True(w.Retry(time.Hour, 1)) // after many windows
 }
 
-// TestFleetKeepsToItsBudget lets several gateways with uneven traffic retry as
-// often as they may, and counts over every window of the whole fleet.
+// TestFleetKeepsToItsBudget lets several gateways with uneven traffic retry as often as allowed, and checks
+// the limit of the whole fleet over every window.
 func TestFleetKeepsToItsBudget(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -79,7 +79,7 @@
 		window := int(limits.Window / step)
 		for s := window; s < steps; s++ {
 			asked, again := sum(requests[s-window:s]), sum(retries[s-window:s])
-			before := sum(requests[max(s-2*window, 0) : s-window]) // counted where they are more
+			before := sum(requests[max(s-2*window, 0) : s-window]) // the higher of the two counts applies
 			allowed := limits.Ratio*float64(max(asked, before)) + limits.Extra
 			if float64(again) > allowed {
 				t.Fatalf("%d retries in the window to %d, %.0f allowed", again, s, allowed)
