--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -74,17 +74,17 @@
 // Allowance determines how many requests one gateway may send to one server. The zero value is a server that is
 // not cold.
 type Allowance struct {
-	until time.Duration // end of the cold period
-	opens time.Duration // when a gateway without a share may send without limit
-	share int           // requests a second
-	begun []time.Duration
+	coldUntil  time.Duration // end of the cold period
+	opensAt    time.Duration // when a gateway without a share may send without limit
+	share      int           // requests a second
+	startTimes []time.Duration
 }
 
 // WithCold returns the allowance of a server that stays cold for the given time, with this gateway's share of it.
 func (a Allowance) WithCold(now, left time.Duration, server, gateway string, shares []protocol.ColdShare) Allowance {
 	until := now + left
-	a.until = until
-	a.opens = until + WarmSpread*time.Duration(rank(server, gateway)%1024)/1024
+	a.coldUntil = until
+	a.opensAt = until + WarmSpread*time.Duration(rank(server, gateway)%1024)/1024
 	a.share = 0
 	for _, s := range shares {
 		if s.Gateway == gateway {
@@ -101,20 +101,20 @@
 }
 
 // Cold reports whether the server is cold, or this gateway does not yet use it as a warm one.
-func (a Allowance) Cold(now time.Duration) bool { return now < a.opens }
+func (a Allowance) Cold(now time.Duration) bool { return now < a.opensAt }
 
 // Admits reports whether one more request may begin now. leased is whether this gateway's shares are valid.
 func (a Allowance) Admits(now time.Duration, leased bool) bool {
 	if !a.Cold(now) {
 		return true
 	}
-	return leased && a.inWindow(now) < a.share
+	return leased && a.countInWindow(now) < a.share
 }
 
 // countInWindow returns the number of requests that began within the window.
-func (a Allowance) inWindow(now time.Duration) int {
+func (a Allowance) countInWindow(now time.Duration) int {
 	n := 0
-	for _, at := range a.begun {
+	for _, at := range a.startTimes {
 		if now-at <= window {
 			n++
 		}
@@ -125,10 +125,10 @@
 // WithBegun returns the allowance after one more request has begun.
 func (a Allowance) WithBegun(now time.Duration) Allowance {
 	if !a.Cold(now) {
-		a.begun = nil
+		a.startTimes = nil
 		return a
 	}
-	kept := slices.DeleteFunc(slices.Clone(a.begun), func(at time.Duration) bool { return now-at > window })
-	a.begun = append(kept, now)
+	recent := slices.DeleteFunc(slices.Clone(a.startTimes), func(at time.Duration) bool { return now-at > window })
+	a.startTimes = append(recent, now)
 	return a
 }
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -52,7 +52,7 @@
 // up.
 func (c *Consecutive) Abandoned(server string) {
 	if s := c.servers[server]; s != nil {
-		s.trying = false
+		s.inTrial = false
 	}
 }
 
@@ -64,7 +64,7 @@
 		c.servers[server] = s
 	}
 	s.failures++
-	if s.trying || (s.failures >= failuresToEject && s.until == 0) {
+	if s.inTrial || (s.failures >= failuresToEject && s.until == 0) {
 		return c.eject(now, s)
 	}
 	return s.until > 0
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -19,9 +19,9 @@
 
 // ejection is the ejection state of one server. The zero value is a server in use.
 type ejection struct {
-	until  time.Duration // zero if not ejected
-	wait   time.Duration // duration of the next ejection, before limits apply
-	trying bool          // whether the trial is under way
+	until    time.Duration // zero if not ejected
+	nextWait time.Duration // duration of the next ejection, before limits apply
+	inTrial  bool          // whether the trial is under way
 }
 
 // State returns the server's state.
@@ -29,7 +29,7 @@
 	switch {
 	case e.until == 0:
 		return InUse
-	case now < e.until || e.trying:
+	case now < e.until || e.inTrial:
 		return Ejected
 	}
 	return Trial
@@ -40,14 +40,14 @@
 	if e.State(now) != Trial {
 		return false
 	}
-	e.trying = true
+	e.inTrial = true
 	return true
 }
 
 // eject begins an ejection twice as long as the last one, within the limits.
 func (e *ejection) eject(now, shortest, longest time.Duration) {
-	e.trying = false
-	e.wait = min(max(e.wait, shortest), longest)
-	e.until = now + e.wait
-	e.wait *= 2
+	e.inTrial = false
+	e.nextWait = min(max(e.nextWait, shortest), longest)
+	e.until = now + e.nextWait
+	e.nextWait *= 2
 }
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -19,17 +19,17 @@
 	NoVerdict                // ended for a reason other than the server
 )
 
-// failureWeights are the weights of verdicts in the failure rate. Refusals weigh least, since full engines
+// failureWeights are the failureWeights of verdicts in the failure rate. Refusals weigh least, since full engines
 // refuse requests in normal operation.
-var weights = [...]float64{Answered: 0, Refused: 0.4, Faulty: 0.7, Lost: 1}
+var failureWeights = [...]float64{Answered: 0, Refused: 0.4, Faulty: 0.7, Lost: 1}
 
 // Parameters of the gateways' rule.
 const (
-	serverMemory = 12               // attempts in the average of a server
-	poolMemory   = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
-	rateToEject  = 0.35             // difference to the pool's rate from which a server is ejected
-	lostToEject  = 3                // consecutive lost requests, at any rate
-	longestWait  = 12 * time.Second // maximum ejection, reached after failed trials
+	serverSamples = 12               // attempts in the average of a server
+	poolWeight    = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
+	rateToEject   = 0.35             // difference to the pool's rate from which a server is ejected
+	lostToEject   = 3                // consecutive lost requests, at any rate
+	longestWait   = 12 * time.Second // maximum ejection, reached after failed trials
 
 	// MinSamples is the minimum number of attempts since the last ejection for a server's rate to count.
 	MinSamples = 4
@@ -38,12 +38,12 @@
 )
 
 // PoolRate is the average weighted failure rate of all servers of one pool. The zero value has no failures.
-type PoolRate struct{ failing float64 }
+type PoolRate struct{ rate float64 }
 
 // FailureRate is the state of one server. The zero value is a server in use.
 type FailureRate struct {
 	ejection
-	failing float64 // average weighted failure rate, 0 to 1
+	rate    float64 // average weighted failure rate, 0 to 1
 	samples int     // attempts since the last ejection
 	lost    int     // consecutive lost requests
 }
@@ -53,12 +53,12 @@
 func (p *PoolRate) Record(now time.Duration, f *FailureRate, v Verdict, trial bool) (ejected bool) {
 	if v == NoVerdict {
 		if trial {
-			f.trying = false
+			f.inTrial = false
 		}
 		return false
 	}
-	p.failing += poolMemory * (weights[v] - p.failing)
-	f.count(weights[v])
+	p.rate += poolWeight * (failureWeights[v] - p.rate)
+	f.count(failureWeights[v])
 	if v == Answered {
 		f.succeeded()
 		return false
@@ -66,13 +66,13 @@
 	if v == Lost {
 		f.lost++
 	}
-	above := f.samples >= MinSamples && f.failing > p.failing+rateToEject
-	if !f.trying && !above && f.lost < lostToEject {
+	above := f.samples >= MinSamples && f.rate > p.rate+rateToEject
+	if !f.inTrial && !above && f.lost < lostToEject {
 		return false
 	}
-	ejected = f.until == 0 || f.trying
+	ejected = f.until == 0 || f.inTrial
 	f.eject(now, ShortestWait, longestWait)
-	f.samples, f.failing, f.lost = 0, 0, 0
+	f.samples, f.rate, f.lost = 0, 0, 0
 	return ejected
 }
 
@@ -82,12 +82,12 @@
 
 // succeeded ends an ejection and halves the duration of the next one.
 func (f *FailureRate) succeeded() {
-	f.until, f.trying, f.lost = 0, false, 0
-	f.wait = max(f.wait/2, ShortestWait)
+	f.until, f.inTrial, f.lost = 0, false, 0
+	f.nextWait = max(f.nextWait/2, ShortestWait)
 }
 
 // count updates the average, over all attempts at first and later over about serverSamples of them.
 func (f *FailureRate) count(weight float64) {
 	f.samples++
-	f.failing += (weight - f.failing) / float64(min(f.samples, serverMemory))
+	f.rate += (weight - f.rate) / float64(min(f.samples, serverSamples))
 }
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -26,7 +26,7 @@
 		{"ends that are none of its doing", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p, s, ejected := PoolRate{failing: tt.pool}, FailureRate{}, false
+			p, s, ejected := PoolRate{rate: tt.pool}, FailureRate{}, false
 			for _, v := range tt.ends {
 				ejected = p.Record(time.Second, &s, v, false) || ejected
 			}
--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -14,25 +14,25 @@
 
 // silenceMemory is how long silence on one connection excuses others that were opened before it. It is
 // longer than the time for which idle connections are kept.
-const doubtFor = 10 * time.Second
+const silenceMemory = 10 * time.Second
 
 // ServerSilence tracks silent connections to one server. The zero value has recorded none.
 type ServerSilence struct {
-	since time.Duration // first silence on a reused connection; zero if none
+	firstSilent time.Duration // first silence on a reused connection; zero if none
 }
 
 // ObserveSilence records an attempt that ended because no answer arrived, with the time it began and the
 // time its connection was opened, 0 if there was none. It returns the verdict on the server, and whether its
 // idle connections should be closed so that the next request opens a new one.
 func (d *ServerSilence) ObserveSilence(now, began, opened time.Duration) (v Verdict, drop bool) {
-	kept := opened != 0 && opened < began
+	reused := opened != 0 && opened < began
 	switch {
-	case !kept:
+	case !reused:
 		return Lost, false
-	case d.since == 0 || now-d.since > doubtFor:
-		d.since = now
+	case d.firstSilent == 0 || now-d.firstSilent > silenceMemory:
+		d.firstSilent = now
 		return NoVerdict, true
-	case opened <= d.since:
+	case opened <= d.firstSilent:
 		return NoVerdict, false
 	}
 	return Lost, false
@@ -40,23 +40,23 @@
 
 // outageWindow is the maximum interval between silent connections to two servers for these to count as an
 // outage of the network. Requests of any kind are given up within about two objectives.
-const togetherWithin = 2 * time.Second
+const outageWindow = 2 * time.Second
 
 // Outage tracks silent reused connections to all servers. The zero value has recorded none.
 type Outage struct {
-	server string        // server of the last silent connection
-	at     time.Duration // time of the last silence
-	ended  time.Duration // when all idle connections were last closed; zero if never
+	lastServer string        // server of the last silent connection
+	lastSilent time.Duration // time of the last silence
+	closedAt   time.Duration // when all idle connections were last closed; zero if never
 }
 
 // ObserveSilence records silence on a reused connection to a server. It reports whether all idle connections
 // should be closed: two servers are affected, and that has not been done recently.
 func (o *Outage) ObserveSilence(now time.Duration, server string) (dropAll bool) {
-	together := o.server != "" && o.server != server && now-o.at <= togetherWithin
-	o.server, o.at = server, now
-	if !together || o.ended != 0 && now-o.ended <= doubtFor {
+	together := o.lastServer != "" && o.lastServer != server && now-o.lastSilent <= outageWindow
+	o.lastServer, o.lastSilent = server, now
+	if !together || o.closedAt != 0 && now-o.closedAt <= silenceMemory {
 		return false
 	}
-	o.ended = now
+	o.closedAt = now
 	return true
 }
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -14,43 +14,43 @@
 // accepted connections in each interval, and never too high.
 type Arrivals struct {
 	// State of the last sample.
-	at      time.Duration // zero before the first one
-	waiting int
-	taken   int // since then
-
-	// Totals since the last estimate.
-	since time.Duration
-	held  int           // connections waiting at that time
-	room  time.Duration // duration of the intervals that began with room
-	came  int           // connections that arrived in them
-	all   int           // connections accepted in all intervals
+	sampledAt time.Duration // zero before the first one
+	waiting   int
+	accepted  int // since then
+
+	// Totals intervalStart the last estimate.
+	intervalStart  time.Duration
+	waitingAtStart int           // connections waiting at that time
+	observed       time.Duration // duration of the intervals that began with room
+	arrived        int           // connections that arrived in them
+	acceptedTotal  int           // connections accepted in all intervals
 }
 
 // WithAccepted returns the arrivals after a connection was accepted from the queue.
 func (a Arrivals) WithAccepted() Arrivals {
-	a.taken++
-	a.all++
+	a.accepted++
+	a.acceptedTotal++
 	return a
 }
 
 // WithSample returns the arrivals after a sample of the queue: the number of connections waiting, and the
 // queue's capacity.
-func (a Arrivals) WithSample(now time.Duration, waiting, most int) Arrivals {
-	if left := a.waiting - a.taken; a.at != 0 && left < most {
-		a.came += max(waiting-left, 0)
-		a.room += now - a.at
+func (a Arrivals) WithSample(now time.Duration, waiting, capacity int) Arrivals {
+	if stillWaiting := a.waiting - a.accepted; a.sampledAt != 0 && stillWaiting < capacity {
+		a.arrived += max(waiting-stillWaiting, 0)
+		a.observed += now - a.sampledAt
 	}
-	a.at, a.waiting, a.taken = now, waiting, 0
+	a.sampledAt, a.waiting, a.accepted = now, waiting, 0
 	return a
 }
 
 // Unaccepted returns how many connections arrived since the last estimate and were neither accepted nor
 // are still waiting, and the arrivals to continue with. It is 0 if no interval gave a sample.
 func (a Arrivals) Unaccepted(now time.Duration) (n int, next Arrivals) {
-	if a.room > 0 && a.since != 0 {
-		all := float64(a.came) * float64(now-a.since) / float64(a.room)
-		n = max(int(all)-a.all-(a.waiting-a.held), 0)
+	if a.observed > 0 && a.intervalStart != 0 {
+		arrived := float64(a.arrived) * float64(now-a.intervalStart) / float64(a.observed)
+		n = max(int(arrived)-a.acceptedTotal-(a.waiting-a.waitingAtStart), 0)
 	}
-	a.came, a.room, a.all, a.since, a.held = 0, 0, 0, now, a.waiting
+	a.arrived, a.observed, a.acceptedTotal, a.intervalStart, a.waitingAtStart = 0, 0, 0, now, a.waiting
 	return n, a
 }
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -48,8 +48,8 @@
 // was paused looks the same for the first half second afterwards. With these values, one tick that is
 // seconds late is forgotten within 700 ms.
 const (
-	delayMost   = 120 * time.Millisecond // upper bound on the delay of one tick
-	delayMemory = 250 * time.Millisecond // time constant of the average
+	maxTickDelay      = 120 * time.Millisecond // upper bound on the delay of one tick
+	delayTimeConstant = 250 * time.Millisecond // time constant of the average
 )
 
 // unreadyFor is how long an overloaded gateway reports that it is not ready. The balancer checks every
@@ -83,8 +83,8 @@
 	}
 	elapsed := now - d.lastTick
 	d.lastTick = now
-	weight := 1 - math.Exp(-float64(elapsed)/float64(delayMemory))
-	late := min(max(elapsed-TickPeriod, waited, 0), delayMost)
+	weight := 1 - math.Exp(-float64(elapsed)/float64(delayTimeConstant))
+	late := min(max(elapsed-TickPeriod, waited, 0), maxTickDelay)
 	d.Delay += time.Duration(weight * float64(late-d.Delay))
 	switch {
 	case d.Delay > DelayTooLong:
--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -26,17 +26,17 @@
 	paceFall = 0.95 // while the gateway is late
 	paceRise = 1.03 // while it is not
 	// unboundFactor ends the limit, once the rate is this multiple of the arrivals.
-	freePart = 3.0
+	unboundFactor = 3.0
 	// arrivedTimeConstant is the time constant of the average of arrivals.
-	arrivedMemory = 100 * time.Millisecond
+	arrivedTimeConstant = 100 * time.Millisecond
 )
 
 // Limits of a gateway that is not late.
 const (
-	freeBurst  = 64.0           // connections at once: the length of the kernel's short queue
-	freeGrowth = 2.0            // multiple of the recent rate
-	freeLeast  = MinPace        // connections a second, however few arrived
-	freeSpan   = 5 * TickPeriod // maximum time that a late tick makes up for
+	freeBurst      = 64.0           // connections at once: the length of the kernel's short queue
+	freeGrowth     = 2.0            // multiple of the recent rate
+	freeMinRate    = MinPace        // connections a second, however few arrived
+	freeMaxElapsed = 5 * TickPeriod // maximum time that a late tick makes up for
 )
 
 // MinPace is the lowest rate, in connections a second. At 250 µs per connection it takes two fifths of a
@@ -67,7 +67,7 @@
 
 // Next returns the pace after a tick, given the detector's delay and the number of connections accepted
 // since the last tick.
-func (p Pace) Next(now, delay time.Duration, taken int) Pace {
+func (p Pace) Next(now, delay time.Duration, accepted int) Pace {
 	elapsed := max(now-p.at, time.Millisecond)
 	if p.at == 0 {
 		elapsed = TickPeriod
@@ -75,8 +75,8 @@
 	}
 	p.at = now
 	periods := elapsed.Seconds() / TickPeriod.Seconds()
-	p.credit = p.refilled(elapsed, taken)
-	p.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedMemory.Seconds())) * (float64(taken)/elapsed.Seconds() - p.arrived)
+	p.credit = p.refilled(elapsed, accepted)
+	p.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - p.arrived)
 	switch {
 	case delay >= DelayBeyond && p.rate == 0:
 		p.rate = max(p.arrived, MinPace)
@@ -84,7 +84,7 @@
 		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinPace)
 	case delay < DelayNoticed && p.rate > 0:
 		p.rate *= math.Pow(paceRise, periods)
-		if p.rate > freePart*max(p.arrived, MinPace) {
+		if p.rate > unboundFactor*max(p.arrived, MinPace) {
 			p.rate = 0
 		}
 	}
@@ -92,11 +92,11 @@
 }
 
 // refilled returns the credit after some time in which connections were accepted.
-func (p Pace) refilled(elapsed time.Duration, taken int) float64 {
+func (p Pace) refilled(elapsed time.Duration, accepted int) float64 {
 	if p.Bounded() {
 		return 0
 	}
-	rate := max(freeLeast, freeGrowth*p.arrived)
-	most := max(freeBurst, rate*TickPeriod.Seconds())
-	return min(max(p.credit-float64(taken), 0)+rate*min(elapsed, freeSpan).Seconds(), most)
+	rate := max(freeMinRate, freeGrowth*p.arrived)
+	maxCredit := max(freeBurst, rate*TickPeriod.Seconds())
+	return min(max(p.credit-float64(accepted), 0)+rate*min(elapsed, freeMaxElapsed).Seconds(), maxCredit)
 }
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -60,12 +60,12 @@
 
 // Components of a server's price, in tokens.
 const (
-	rereadPrice   = 30     // for each shared token, on any server but the first of the order
-	againMost    = 40_000 // upper bound on the sum of these
-	rankPart     = 0.1    // relative surcharge for each further place in the order
-	requestPrice = 60     // for each request that shares the server's batch
-	fullPrice    = 4000   // for each request beyond the server's slots
-	farPrice     = 40     // for a server in another data hall
+	rereadPrice    = 30     // for each shared token, on any server but the first of the order
+	maxRereadPrice = 40_000 // upper bound on the sum of these
+	rankSurcharge  = 0.1    // relative surcharge for each further place in the order
+	batchPrice     = 60     // for each request that shares the server's batch
+	overSlotPrice  = 4000   // for each request beyond the server's slots
+	otherHallPrice = 40     // for a server in another data hall
 )
 
 // orderDepth is the number of servers ranked for a prompt. All others share one rank.
@@ -73,10 +73,10 @@
 
 // cheapest returns the cheapest candidate and the number of tokens it has to read for the prompt.
 // ok is false if there are no candidates. It costs O(candidates).
-func cheapest(p Prompt, from []candidate) (best candidate, read int, ok bool) {
-	order := rendezvous(p.key(), from)
+func cheapest(p Prompt, cands []candidate) (best candidate, read int, ok bool) {
+	order := rendezvous(p.key(), cands)
 	bestPrice := math.Inf(1)
-	for i, c := range from {
+	for i, c := range cands {
 		mustRead, price := priceAt(p, c, order.rank(i))
 		if price < bestPrice {
 			best, read, bestPrice = c, mustRead, price
@@ -90,25 +90,25 @@
 func priceAt(p Prompt, c candidate, rank int) (read int, price float64) {
 	read = p.Own
 	if rank > 0 {
-		read, price = p.Tokens(), leavingPrice(p.SharedTokens(), rank)
+		read, price = p.Tokens(), affinityLossPrice(p.SharedTokens(), rank)
 	}
 	return read, price + loadPrice(c) + float64(p.Own)*max(c.slowness, 1)
 }
 
 // rereadPrice returns the price of reading the shared tokens again on a server at a later rank.
-func leavingPrice(shared, rank int) float64 {
-	return min(rereadPrice*float64(shared), againMost) * (1 + rankPart*float64(rank-1))
+func affinityLossPrice(shared, rank int) float64 {
+	return min(rereadPrice*float64(shared), maxRereadPrice) * (1 + rankSurcharge*float64(rank-1))
 }
 
 func loadPrice(c candidate) float64 {
-	price := float64(c.load.Tokens) + requestPrice*float64(c.load.Requests)
+	price := float64(c.load.Tokens) + batchPrice*float64(c.load.Requests)
 	if over := c.load.Requests + 1 - c.Slots; c.Slots > 0 && over > 0 {
-		price += fullPrice * float64(over)
+		price += overSlotPrice * float64(over)
 	}
 	if !c.SameHall {
-		price += farPrice
+		price += otherHallPrice
 	}
-	return (price + requestPrice) * max(c.slowness, 1)
+	return (price + batchPrice) * max(c.slowness, 1)
 }
 
 // order holds the indexes of the first candidates in the rendezvous order of a key.
@@ -130,13 +130,13 @@
 }
 
 // rendezvous returns the first candidates in the rendezvous order of key.
-func rendezvous(key uint64, from []candidate) order {
+func rendezvous(key uint64, cands []candidate) order {
 	var o order
 	if key == 0 {
 		return o
 	}
 	var scores [orderDepth]uint64
-	for i, c := range from {
+	for i, c := range cands {
 		score := xxh3.HashStringSeed(c.ID, key)
 		at := o.n
 		for at > 0 && score > scores[at-1] {
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -19,7 +19,7 @@
 )
 
 // uncertainFactor discounts the benefit of a server whose cache events had a gap.
-const doubtfulPart = 0.5
+const uncertainFactor = 0.5
 
 // Block is the hash of a prompt's prefix up to the end of one block.
 type Block uint64
@@ -47,19 +47,19 @@
 }
 
 // cachedBlock is one block and the servers that are expected to have it cached.
-type placed struct {
+type cachedBlock struct {
 	block   Block
 	servers []string // at most serversPerBlock, most recent last
 }
 
-func (p *placed) remove(server string) {
+func (p *cachedBlock) remove(server string) {
 	p.servers = slices.DeleteFunc(p.servers, func(s string) bool { return s == server })
 }
 
 // serverCache tracks the sequence of one server's cache events.
 type serverCache struct {
-	next     uint64 // sequence number of the next event
-	doubtful bool
+	next      uint64 // sequence number of the next event
+	uncertain bool
 }
 
 // NewIndex returns an index of at most max blocks.
@@ -80,13 +80,13 @@
 func (x *Index) add(server string, b Block) {
 	el := x.byBlock[b]
 	if el == nil {
-		el = x.order.PushBack(&placed{block: b})
+		el = x.order.PushBack(&cachedBlock{block: b})
 		x.byBlock[b] = el
 		x.shrink()
 	} else {
 		x.order.MoveToBack(el)
 	}
-	p := el.Value.(*placed)
+	p := el.Value.(*cachedBlock)
 	p.remove(server)
 	if len(p.servers) == serversPerBlock {
 		p.servers = slices.Delete(p.servers, 0, 1)
@@ -97,7 +97,7 @@
 func (x *Index) shrink() {
 	for len(x.byBlock) > x.max {
 		oldest := x.order.Front()
-		delete(x.byBlock, oldest.Value.(*placed).block)
+		delete(x.byBlock, oldest.Value.(*cachedBlock).block)
 		x.order.Remove(oldest)
 	}
 }
@@ -122,7 +122,7 @@
 		return
 	}
 	if e.Seq > c.next {
-		c.doubtful = true
+		c.uncertain = true
 	}
 	c.next = e.Seq + 1
 	if e.Cleared {
@@ -142,7 +142,7 @@
 	if el == nil {
 		return
 	}
-	p := el.Value.(*placed)
+	p := el.Value.(*cachedBlock)
 	p.remove(server)
 	if len(p.servers) == 0 {
 		delete(x.byBlock, b)
@@ -165,13 +165,13 @@
 	n := 0
 	for _, b := range prompt {
 		el := x.byBlock[b]
-		if el == nil || !slices.Contains(el.Value.(*placed).servers, server) {
+		if el == nil || !slices.Contains(el.Value.(*cachedBlock).servers, server) {
 			break
 		}
 		n++
 	}
-	if c := x.servers[server]; c != nil && c.doubtful {
-		return doubtfulPart * float64(n)
+	if c := x.servers[server]; c != nil && c.uncertain {
+		return uncertainFactor * float64(n)
 	}
 	return float64(n)
 }
--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -29,12 +29,12 @@
 // power loss. Each direction carries the requests of one region and the answers to the other, so
 // each region may use half of the remainder.
 const (
-	ownMessagesPart = 0.3  // fraction of the capacity, for the fleet's own messages
-	regionPart      = 0.5  // fraction of the rest, for the requests of one region
-	freePart        = 0.7  // fraction of that, for requests that could be served in their own region
-	entitledKept    = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
-	burst           = 1.0  // seconds at the gateway's rate that a bucket holds
-	smallestBurst   = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
+	fleetMessagesPart = 0.3  // fraction of the capacity, for the fleet's own messages
+	regionPart        = 0.5  // fraction of the rest, for the requests of one region
+	optionalPart      = 0.7  // fraction of that, for requests that could be served in their own region
+	entitledReserve   = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
+	burstSeconds      = 1.0  // seconds at the gateway's rate that a bucket holds
+	minBurst          = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
 )
 
 // Round-trip times to other regions.
@@ -42,20 +42,20 @@
 	// AssumedRoundTrip is the round-trip time to another region until one is measured: twice the
 	// one-way latency of 30 ms between regions of one country.
 	AssumedRoundTrip = 60 * time.Millisecond
-	wayWeight        = 0.1 // weight of one slower connection in the estimated round-trip time
-	slowFactor       = 3   // multiple of the estimate above which the link is considered congested
+	roundTripWeight  = 0.1 // weight of one slower connection in the estimated round-trip time
+	congestedFactor  = 3   // multiple of the estimate above which the link is considered congested
 	// congestionPause is how long optional transfers are suspended after a sign of congestion.
-	pause = 2 * time.Second
+	congestionPause = 2 * time.Second
 )
 
 // LinkBudget is one gateway's byte budget for the links to other regions, with the estimated
 // round-trip times. The zero value has a full bucket and no estimates.
 type LinkBudget struct {
-	spent  float64 // bytes missing from the bucket
-	free   float64 // bytes missing from the part of the bucket for optional transfers
-	at     time.Duration
-	ways   map[string]time.Duration // by region
-	paused time.Duration            // end of the congestion pause
+	spent         float64 // bytes missing from the bucket
+	optionalSpent float64 // bytes missing from the part of the bucket for optional transfers
+	at            time.Duration
+	roundTrips    map[string]time.Duration // by region
+	pausedUntil   time.Duration            // end of the congestion pause
 }
 
 // LinkShare determines a gateway's part of the link's capacity.
@@ -70,7 +70,7 @@
 	if total <= 0 {
 		total = DefaultLinkRate
 	}
-	return total * (1 - ownMessagesPart) * regionPart / float64(max(s.Gateways, 1))
+	return total * (1 - fleetMessagesPart) * regionPart / float64(max(s.Gateways, 1))
 }
 
 // Transfer is a request that is about to leave its region.
@@ -84,18 +84,18 @@
 // the budget, and none of it while the link looks congested; required ones may use all of it.
 func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Transfer) bool {
 	l.refill(now, s)
-	full := max(s.rate()*burst, smallestBurst)
+	full := max(s.rate()*burstSeconds, minBurst)
 	if p.Required {
 		return full-l.spent >= min(p.Bytes, full)
 	}
-	if now < l.paused {
+	if now < l.pausedUntil {
 		return false
 	}
-	least := min(p.Bytes, full*freePart)
+	needed := min(p.Bytes, full*optionalPart)
 	if p.Class > entitlement.Entitled {
-		least = max(least, full*freePart*entitledKept)
+		needed = max(needed, full*optionalPart*entitledReserve)
 	}
-	return full-l.spent >= min(p.Bytes, full) && full*freePart-l.free >= least
+	return full-l.spent >= min(p.Bytes, full) && full*optionalPart-l.optionalSpent >= needed
 }
 
 // Spend takes bytes from the budget. A negative number returns bytes that were expected but not
@@ -103,21 +103,21 @@
 func (l *LinkBudget) Spend(now time.Duration, s LinkShare, bytes float64) {
 	l.refill(now, s)
 	l.spent = max(l.spent+bytes, 0)
-	l.free = max(l.free+bytes, 0)
+	l.optionalSpent = max(l.optionalSpent+bytes, 0)
 }
 
 // refill credits the bytes accrued since the last call.
 func (l *LinkBudget) refill(now time.Duration, s LinkShare) {
-	came := s.rate() * max(now-l.at, 0).Seconds()
+	accrued := s.rate() * max(now-l.at, 0).Seconds()
 	l.at = max(now, l.at)
-	l.spent = max(l.spent-came, 0)
-	l.free = max(l.free-came*freePart, 0)
+	l.spent = max(l.spent-accrued, 0)
+	l.optionalSpent = max(l.optionalSpent-accrued*optionalPart, 0)
 }
 
 // RoundTrip returns the estimated round-trip time to a region.
 func (l *LinkBudget) RoundTrip(region string) time.Duration {
-	if way, known := l.ways[region]; known {
-		return way
+	if rtt, known := l.roundTrips[region]; known {
+		return rtt
 	}
 	return AssumedRoundTrip
 }
@@ -125,15 +125,15 @@
 // ObserveRoundTrip records how long a new connection to a region took to open: one round trip plus
 // any queueing on the link.
 func (l *LinkBudget) ObserveRoundTrip(now time.Duration, region string, took time.Duration) {
-	way, known := l.ways[region]
+	rtt, known := l.roundTrips[region]
 	switch {
-	case l.ways == nil:
-		l.ways = map[string]time.Duration{region: took}
-	case !known || took < way:
-		l.ways[region] = took
-	case took > slowFactor*way:
-		l.paused = now + pause
+	case l.roundTrips == nil:
+		l.roundTrips = map[string]time.Duration{region: took}
+	case !known || took < rtt:
+		l.roundTrips[region] = took
+	case took > congestedFactor*rtt:
+		l.pausedUntil = now + congestionPause
 	default:
-		l.ways[region] = way + time.Duration(wayWeight*float64(took-way))
+		l.roundTrips[region] = rtt + time.Duration(roundTripWeight*float64(took-rtt))
 	}
 }
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -64,10 +64,10 @@
 	l := &LinkBudget{}
 	entitled, extra, must := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Required: true}
 	is.True(l.Admits(time.Second, share, extra))
-	l.Spend(time.Second, share, share.rate()*freePart*0.6)
+	l.Spend(time.Second, share, share.rate()*optionalPart*0.6)
 	is.True(!l.Admits(time.Second, share, extra))
 	is.True(l.Admits(time.Second, share, entitled))
-	l.Spend(time.Second, share, share.rate()*freePart*0.4)
+	l.Spend(time.Second, share, share.rate()*optionalPart*0.4)
 	is.True(!l.Admits(time.Second, share, entitled))
 	is.True(l.Admits(time.Second, share, must))
 	l.Spend(time.Second, share, share.rate())
@@ -94,5 +94,5 @@
 	is.Equal(l.RoundTrip("south"), 41*time.Millisecond) // the estimate ignores congestion
 	is.True(!l.Admits(2*time.Second, share, Transfer{Bytes: 1000}))
 	is.True(l.Admits(2*time.Second, share, Transfer{Bytes: 1000, Required: true}))
-	is.True(l.Admits(time.Second+pause, share, Transfer{Bytes: 1000}))
+	is.True(l.Admits(time.Second+congestionPause, share, Transfer{Bytes: 1000}))
 }
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -26,24 +26,24 @@
 
 // Dimensions of the order.
 const (
-	groups    = 128 // groups of servers of roughly equal size, 78 servers each in a pool of 10,000
-	ranksKept = 64  // servers considered for each prompt, enough for one with many requests
+	groupCount = 128 // groups of servers of roughly equal size, 78 servers each in a pool of 10,000
+	rankDepth  = 64  // servers considered for each prompt, enough for one with many requests
 )
 
 // Ranks orders the servers of one pool for each prompt, identically on all gateways without any
 // message: groups by a hash of prompt and group, servers within a group by a hash of prompt and
 // server. Adding or removing a server does not move any other. The zero value has no servers.
 type Ranks struct {
-	groups [groups][]string // server IDs
+	groups [groupCount][]string // server IDs
 }
 
-type ranked struct {
+type scoredServer struct {
 	id    string
 	score uint64
 }
 
 // groupOf returns the group of a server, which does not depend on the prompt.
-func groupOf(id string) int { return int(xxh3.HashString(id) % groups) }
+func groupOf(id string) int { return int(xxh3.HashString(id) % groupCount) }
 
 // Add adds a server to the pool.
 func (r *Ranks) Add(id string) {
@@ -61,12 +61,12 @@
 // O(servers of a group) for each group it visits.
 func (r *Ranks) First(p Prompt) []string {
 	key := p.key()
-	var order [groups]ranked
+	var order [groupCount]scoredServer
 	for g := range order {
-		order[g] = ranked{id: "", score: mix.Bits(key^uint64(g+1)*0x9e3779b97f4a7c15) | 1}
+		order[g] = scoredServer{id: "", score: mix.Bits(key^uint64(g+1)*0x9e3779b97f4a7c15) | 1}
 	}
 	var ids []string
-	for taken := 0; taken < groups && len(ids) < ranksKept; taken++ {
+	for taken := 0; taken < groupCount && len(ids) < rankDepth; taken++ {
 		g := 0
 		for i := range order {
 			if order[i].score > order[g].score {
@@ -74,18 +74,18 @@
 			}
 		}
 		order[g].score = 0
-		ids = append(ids, inOrder(r.groups[g], key)...)
+		ids = append(ids, rendezvousOrder(r.groups[g], key)...)
 	}
-	return ids[:min(len(ids), ranksKept)]
+	return ids[:min(len(ids), rankDepth)]
 }
 
 // rendezvousOrder returns the servers in the rendezvous order of key.
-func inOrder(servers []string, key uint64) []string {
-	all := make([]ranked, 0, len(servers))
+func rendezvousOrder(servers []string, key uint64) []string {
+	all := make([]scoredServer, 0, len(servers))
 	for _, id := range servers {
-		all = append(all, ranked{id: id, score: xxh3.HashStringSeed(id, key)})
+		all = append(all, scoredServer{id: id, score: xxh3.HashStringSeed(id, key)})
 	}
-	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(b.score, a.score) })
+	slices.SortFunc(all, func(a, b scoredServer) int { return cmp.Compare(b.score, a.score) })
 	ids := make([]string, 0, len(all))
 	for _, e := range all {
 		ids = append(ids, e.id)
@@ -95,19 +95,19 @@
 
 // Limits that determine how many servers a prompt is spread over in a large pool.
 const (
-	busyWait  = 0.125 // fraction of the objective: queue wait from which a server is busy
-	busySlots = 0.75  // fraction of the slots in use from which a server is busy
-	widthPart = 4     // servers used for each busy one
+	busyWaitPart   = 0.125 // fraction of the objective: queue wait from which a server is busy
+	busySlotsPart  = 0.75  // fraction of the slots in use from which a server is busy
+	serversPerBusy = 4     // servers used for each busy one
 	// peakSpan is how long a load peak marks a server as busy: five of the longest intervals between
 	// load summaries. Without it, a prompt with many requests falls back to a single server after each
 	// summary that shows its servers idle, and requests queue there.
-	latelyFor = 3 * time.Second
+	peakSpan = 3 * time.Second
 )
 
 // Peak is the highest recent load of a server according to the summaries over all gateways. The zero
 // value has no peak.
 type Peak struct {
-	most Work
+	work Work
 	at   time.Duration // time of the most recent summary that was as high
 }
 
@@ -115,17 +115,17 @@
 // least as high in both requests and tokens.
 func (k Peak) With(now time.Duration, w Work) Peak {
 	if before := k.At(now); w.Tokens >= before.Tokens && w.Requests >= before.Requests {
-		return Peak{most: w, at: now}
+		return Peak{work: w, at: now}
 	}
 	return k
 }
 
 // At returns the peak as of now, or zero if it has expired.
 func (k Peak) At(now time.Duration) Work {
-	if now-k.at >= latelyFor {
+	if now-k.at >= peakSpan {
 		return Work{}
 	}
-	return k.most
+	return k.work
 }
 
 // ChooseSpread chooses an engine among the first servers of the request's order, for pools too large
@@ -139,38 +139,38 @@
 // requests a second for one prompt, however, 90 of them would choose the same server before its load
 // is reported, and it would queue seconds of reading.
 func (p *RoomPlacer) ChooseSpread(r Request, order []Server, typical float64) (c Choice, ok bool) {
-	usable := usableOf(r, order, typical)
+	usable := usableServers(r, order, typical)
 	if len(usable) == 0 {
 		return Choice{Index: -1}, false
 	}
-	best, left := ofTwo(usable[:p.width(r, usable)], r.Random)
+	best, rest := cheaperOfTwo(usable[:p.width(r, usable)], r.Random)
 	if p.bound(r, best.candidate) != Free {
-		best, _ = ofTwo(usable, left)
+		best, _ = cheaperOfTwo(usable, rest)
 	}
 	if p.bound(r, best.candidate) != Free {
-		best = slices.MinFunc(usable, func(a, b priced) int { return cmp.Compare(a.price, b.price) })
+		best = slices.MinFunc(usable, func(a, b pricedCandidate) int { return cmp.Compare(a.price, b.price) })
 	}
 	return Choice{Index: best.index, Bound: p.bound(r, best.candidate), Read: best.read, Before: best.load, Slowness: best.slowness}, true
 }
 
 // pricedCandidate is a candidate with its price and the number of tokens it has to read.
-type priced struct {
+type pricedCandidate struct {
 	candidate
 	price float64
 	read  int
 }
 
 // usableServers returns the usable servers of an order, each priced as if it cached the shared parts.
-func usableOf(r Request, order []Server, typical float64) []priced {
-	usable := make([]priced, 0, len(order))
+func usableServers(r Request, order []Server, typical float64) []pricedCandidate {
+	usable := make([]pricedCandidate, 0, len(order))
 	for i := range order {
 		s := &order[i]
 		if !usableFor(r, s) || s.Avoid || s.Closed {
 			continue
 		}
-		c := candidate{Server: s, index: i, load: s.fromAll(), slowness: s.Pace.slowness(typical)}
+		c := candidate{Server: s, index: i, load: s.totalWork(), slowness: s.Pace.slowness(typical)}
 		read, price := priceAt(r.Prompt, c, 0)
-		usable = append(usable, priced{candidate: c, price: price, read: read})
+		usable = append(usable, pricedCandidate{candidate: c, price: price, read: read})
 	}
 	return usable
 }
@@ -180,7 +180,7 @@
 // each busy server. Servers beyond the width do not count: the order is long enough for a prompt with
 // many requests, and in a large pool some of its servers are nearly always busy with other prompts,
 // occasionally even one of the leading ones.
-func (p *RoomPlacer) width(r Request, usable []priced) int {
+func (p *RoomPlacer) width(r Request, usable []pricedCandidate) int {
 	width, busy := 1, 0
 	if !p.busy(r, usable[0].candidate) {
 		busy = -1
@@ -189,7 +189,7 @@
 		if p.busy(r, c.candidate) {
 			busy++
 		}
-		if widthPart*busy > i {
+		if serversPerBusy*busy > i {
 			width = i + 1
 		}
 	}
@@ -200,26 +200,26 @@
 // than reading the shared parts again elsewhere would take.
 func (p *RoomPlacer) busy(r Request, c candidate) bool {
 	ahead := float64(max(c.load.Tokens, c.RecentPeak.Tokens)) * c.slowness
-	most := max(busyWait*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
-	return ahead > most || p.bound(r, c) != Free ||
-		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlots*float64(c.Slots))
+	limit := max(busyWaitPart*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
+	return ahead > limit || p.bound(r, c) != Free ||
+		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlotsPart*float64(c.Slots))
 }
 
 // cheaperOfTwo returns the cheaper of two random servers, and the unused rest of the random number,
 // which is between 0 and 1.
-func ofTwo(from []priced, lot float64) (best priced, left float64) {
-	first, lot := drawn(len(from), lot)
-	second, left := drawn(len(from), lot)
-	if from[second].price < from[first].price {
+func cheaperOfTwo(cands []pricedCandidate, random float64) (best pricedCandidate, rest float64) {
+	first, random := draw(len(cands), random)
+	second, rest := draw(len(cands), random)
+	if cands[second].price < cands[first].price {
 		first = second
 	}
-	return from[first], left
+	return cands[first], rest
 }
 
 // draw returns a random index below n, and the unused rest of the random number, which is between 0
 // and 1.
-func drawn(n int, lot float64) (index int, left float64) {
-	at := lot * float64(n)
-	index = min(int(at), n-1)
-	return index, at - float64(index)
+func draw(n int, random float64) (index int, rest float64) {
+	scaled := random * float64(n)
+	index = min(int(scaled), n-1)
+	return index, scaled - float64(index)
 }
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -28,7 +28,7 @@
 	first := map[string]int{}
 	for n := range prompts {
 		ids := ranks.First(promptOf(fmt.Sprint(n)))
-		is.Equal(len(ids), ranksKept)
+		is.Equal(len(ids), rankDepth)
 		is.Equal(ids, other.First(promptOf(fmt.Sprint(n))))
 		first[ids[0]]++
 	}
@@ -134,7 +134,7 @@
 	spread := one.play(chooseSpread)
 	t.Logf("spread: worst wait %.0f ms, %.3f over 250 ms, %d engines", spread.worst, spread.late, spread.engines)
 	is.True(spread.late < 0.02)
-	is.True(spread.engines <= ranksKept)
+	is.True(spread.engines <= rankDepth)
 }
 
 // TestManyRarePrompts sends many prompts, each once in six seconds, which keep one engine in a hundred
@@ -189,7 +189,7 @@
 func (l promptLoad) play(choose func(p *RoomPlacer, r Request, pool, order []Server, at []int) int) (o promptOutcome) {
 	const gateways, ends, settled, long = 300, 10.0, 2.0, 0.25 // seconds
 	x := newPromptPool(l)
-	p := RoomPlacer{rate: l.learned}
+	p := RoomPlacer{learnedRate: l.learned}
 	asked, counted, late, left := 0.0, 0.0, 0.0, 0.0
 	for now := 0.0; now < ends; now += x.rng.ExpFloat64() / l.rate {
 		x.look(now)
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -15,16 +15,16 @@
 
 // maxWaitParts are the fractions of the objective that may pass until an engine begins to read a
 // request, or has read it (see [admissionTokens]).
-var roomParts = [...]float64{
+var maxWaitParts = [...]float64{
 	entitlement.Covered: 0.45, entitlement.Entitled: 0.25, entitlement.Extra: 0.12,
 	entitlement.Beyond: 0, // only if nothing is waiting to be read
 }
 
 // Maximum requests on one server, as multiples of its slots.
 const (
-	plainPerSlot  = 2.0  // on a plain service, where requests are short
-	enginePerSlot = 1.25 // on an engine that queues requests beyond its slots
-	fewestPerSlot = 0.7  // on an engine that refuses them
+	plainPerSlot     = 2.0  // on a plain service, where requests are short
+	enginePerSlot    = 1.25 // on an engine that queues requests beyond its slots
+	minEnginePerSlot = 0.7  // on an engine that refuses them
 	// extraPerSlot applies to requests beyond the named shares. A stream occupies its slot for
 	// seconds, and requests within a share need a free one in the meantime.
 	extraPerSlot = 0.75
@@ -39,21 +39,21 @@
 // Estimates of how fast servers read prompts and answer. The read rate is corrected by observed
 // answers.
 const (
-	firstRate      = 100.0 // initial read rate in tokens a millisecond
-	rateWeight     = 0.01  // weight of one answer in the estimated rate
-	rateSpread     = 10    // the estimate stays within initialReadRate divided and multiplied by this
-	informative    = 4000  // tokens; shorter prompts give unreliable samples of the rate
-	engineOverhead = 25.0  // ms before an idle engine begins to read
-	plainExpected  = 50.0  // expected latency of a plain service in ms
+	initialReadRate = 100.0 // initial read rate in tokens a millisecond
+	readRateWeight  = 0.01  // weight of one answer in the estimated rate
+	readRateSpread  = 10    // the estimate stays within initialReadRate divided and multiplied by this
+	minRateSample   = 4000  // tokens; shorter prompts give unreliable samples of the rate
+	engineOverhead  = 25.0  // ms before an idle engine begins to read
+	plainLatency    = 50.0  // expected latency of a plain service in ms
 )
 
 // Division of a server's connections among the gateways.
 const (
-	connectionsUsed   = 0.9 // fraction that is used; the rest is reserve
-	fewestConnections = 2   // per gateway, even if that exceeds the total
+	connectionsPart = 0.9 // fraction that is used; the rest is reserve
+	minConnections  = 2   // per gateway, even if that exceeds the total
 	// ampleConnectionsPerSlot is the number of connections per slot from which the slots limit a
 	// server's load long before its connections do.
-	amplePerSlot = 32
+	ampleConnectionsPerSlot = 32
 )
 
 // Bound is the limit that keeps a server from accepting one more request.
@@ -82,8 +82,8 @@
 	if !r.Engine {
 		return Free
 	}
-	wait := float64(waitedFor(r, c)) * c.slowness / p.readRate() // ms
-	if wait > roomParts[r.Class]*float64(r.Objective)/float64(time.Millisecond) {
+	wait := float64(admissionTokens(r, c)) * c.slowness / p.readRate() // ms
+	if wait > maxWaitParts[r.Class]*float64(r.Objective)/float64(time.Millisecond) {
 		return Reading
 	}
 	return Free
@@ -103,7 +103,7 @@
 // admissionTokens returns the tokens that decide whether an engine has capacity: those ahead of the
 // request and, if it is beyond the named shares, its own as well. Engines read in order of arrival,
 // so a long prompt beyond the shares would delay later requests within a share.
-func waitedFor(r Request, c candidate) int {
+func admissionTokens(r Request, c candidate) int {
 	if r.Class == entitlement.Extra {
 		return c.load.Tokens + r.Prompt.Own
 	}
@@ -117,47 +117,49 @@
 }
 
 // Learned returns the current estimates, for the log and the metrics.
-func (p *RoomPlacer) Learned() Learned { return Learned{Rate: p.rate, PerSlot: p.requestsPerSlot()} }
+func (p *RoomPlacer) Learned() Learned {
+	return Learned{Rate: p.learnedRate, PerSlot: p.requestsPerSlot()}
+}
 
 // ownConnections returns one gateway's part of the connections that a server accepts. If these are
 // ample for its slots, it is at least the number of slots. An even part alone shrinks as the fleet
 // grows, to two of 1,900 connections at 985 gateways, and the gateway with the busiest callers would
 // then queue requests for servers that are idle.
 func ownConnections(accepted, gateways, slots int) int {
-	part := int(connectionsUsed * float64(accepted) / float64(max(gateways, 1)))
-	if accepted >= amplePerSlot*slots {
+	part := int(connectionsPart * float64(accepted) / float64(max(gateways, 1)))
+	if accepted >= ampleConnectionsPerSlot*slots {
 		part = max(part, slots)
 	}
-	return max(part, fewestConnections)
+	return max(part, minConnections)
 }
 
 // requestsPerSlot returns how many requests an engine is sent for each of its slots. Engines do not
 // report the length of their queue, so refusals lower the number and answers raise it.
 func (p *RoomPlacer) requestsPerSlot() float64 {
-	return enginePerSlot - p.refusing*(enginePerSlot-fewestPerSlot)
+	return enginePerSlot - p.refusalLevel*(enginePerSlot-minEnginePerSlot)
 }
 
 // ObserveAnswer records whether a server answered a request or refused it because it was full.
 func (p *RoomPlacer) ObserveAnswer(refused bool) {
 	if refused {
-		p.refusing += refusalWeight * (1 - p.refusing)
+		p.refusalLevel += refusalWeight * (1 - p.refusalLevel)
 		return
 	}
-	p.refusing -= answerWeight * p.refusing
+	p.refusalLevel -= answerWeight * p.refusalLevel
 }
 
 // readRate returns the estimated tokens that an engine reads in a millisecond.
 func (p *RoomPlacer) readRate() float64 {
-	if p.rate == 0 {
-		return firstRate
+	if p.learnedRate == 0 {
+		return initialReadRate
 	}
-	return p.rate
+	return p.learnedRate
 }
 
 // ExpectedTimeToFirst returns how long an otherwise idle server is expected to take until the first
 // part of its answer, given the number of tokens it has to read.
 func (p *RoomPlacer) ExpectedTimeToFirst(engine bool, tokens int) time.Duration {
-	ms := plainExpected
+	ms := plainLatency
 	if engine {
 		ms = engineOverhead + float64(tokens)/p.readRate()
 	}
@@ -169,12 +171,12 @@
 func (p *RoomPlacer) ObserveTimeToFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
 	ms := milliseconds(took)
 	if !engine {
-		return ms / plainExpected
+		return ms / plainLatency
 	}
 	expected := engineOverhead + float64(tokens)/p.readRate()
-	if tokens >= informative && ms > engineOverhead {
-		p.rate = p.readRate() + rateWeight*(float64(tokens)/(ms-engineOverhead)-p.readRate())
-		p.rate = min(max(p.rate, firstRate/rateSpread), firstRate*rateSpread)
+	if tokens >= minRateSample && ms > engineOverhead {
+		p.learnedRate = p.readRate() + readRateWeight*(float64(tokens)/(ms-engineOverhead)-p.readRate())
+		p.learnedRate = min(max(p.learnedRate, initialReadRate/readRateSpread), initialReadRate*readRateSpread)
 	}
 	return ms / expected
 }
@@ -183,10 +185,10 @@
 
 // Parameters of a server's pace.
 const (
-	paceWeight   = 0.1 // weight of one answer
-	fewestPaces  = 4   // answers before a pace is reliable
-	slowFrom     = 1.6 // multiple of the typical pace; smaller differences are ignored
-	slownessMost = 16  // upper bound of the slowness
+	paceWeight     = 0.1 // weight of one answer
+	minPaceSamples = 4   // answers before a pace is reliable
+	slowThreshold  = 1.6 // multiple of the typical pace; smaller differences are ignored
+	maxSlowness    = 16  // upper bound of the slowness
 )
 
 // Pace is the moving average of the time until a server's answers begin, relative to the expected
@@ -208,14 +210,14 @@
 
 // slowness returns how many times slower than a typical server this one is, at least 1.
 func (p Pace) slowness(typical float64) float64 {
-	if p.answers < fewestPaces || typical <= 0 || p.ratio < slowFrom*typical {
+	if p.answers < minPaceSamples || typical <= 0 || p.ratio < slowThreshold*typical {
 		return 1
 	}
-	return math.Min(p.ratio/typical, slownessMost)
+	return math.Min(p.ratio/typical, maxSlowness)
 }
 
 // Reliable reports whether enough answers were observed for the pace to be used.
-func (p Pace) Reliable() bool { return p.answers >= fewestPaces }
+func (p Pace) Reliable() bool { return p.answers >= minPaceSamples }
 
 // TypicalPace returns the median of the reliable paces, or 0 if there are fewer than two.
 func TypicalPace(all []Pace) float64 {
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -54,7 +54,7 @@
 			got := new(RoomPlacer).Choose(tt.r, []Server{tt.s})
 			is.Equal(got.Index, 0)
 			is.Equal(got.Bound == Free, tt.room)
-			is.Equal(got.Before, tt.s.fromAll())
+			is.Equal(got.Before, tt.s.totalWork())
 		})
 	}
 }
@@ -119,11 +119,11 @@
 		p.ObserveAnswer(true)
 		p.ObserveTimeToFirst(true, 50_000, 125*time.Millisecond) // 500 tokens a millisecond
 	}
-	is.True(p.requestsPerSlot() < fewestPerSlot+0.01)
+	is.True(p.requestsPerSlot() < minEnginePerSlot+0.01)
 	is.True(p.readRate() > 490 && p.readRate() < 501)
 	learned := p.readRate()
-	p.ObserveTimeToFirst(true, informative-1, time.Hour)                     // too short for a sample
-	p.ObserveTimeToFirst(true, informative, engineOverhead*time.Millisecond) // no time left for reading
+	p.ObserveTimeToFirst(true, minRateSample-1, time.Hour)                     // too short for a sample
+	p.ObserveTimeToFirst(true, minRateSample, engineOverhead*time.Millisecond) // no time left for reading
 	is.Equal(p.readRate(), learned)
 	for range 5000 {
 		p.ObserveAnswer(false)
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	servers := make([]Server, 3)
 	for i, ratio := range []float64{1, 1.5, 100} {
-		for range fewestPaces {
+		for range minPaceSamples {
 			is.Equal(typicalPace(servers[i:i+1]), 0.0) // a single server is not compared
 			servers[i].Pace.Observe(ratio)
 		}
@@ -143,7 +143,7 @@
 	typical := typicalPace(servers)
 	is.Equal(typical, 1.5)
 	is.Equal(servers[1].Pace.slowness(1), 1.0) // the difference is too small
-	is.Equal(servers[2].Pace.slowness(typical), float64(slownessMost))
+	is.Equal(servers[2].Pace.slowness(typical), float64(maxSlowness))
 	is.Equal(Pace{}.slowness(typical), 1.0)
 
 	// A slow engine takes as many times longer to read.
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -56,7 +56,7 @@
 
 // totalWork returns the server's load from all gateways, without that of the others if their report
 // is too old.
-func (s *Server) fromAll() Work {
+func (s *Server) totalWork() Work {
 	if s.OthersAge >= MaxOthersAge {
 		return s.Own
 	}
@@ -75,8 +75,8 @@
 // RoomPlacer chooses servers of one pool and holds the estimates used for that. The zero value has
 // none.
 type RoomPlacer struct {
-	refusing float64 // how consistently engines refuse requests beyond their slots, 0 to 1
-	rate     float64 // tokens that an engine reads in a millisecond; zero means unknown
+	refusalLevel float64 // how consistently engines refuse requests beyond their slots, 0 to 1
+	learnedRate  float64 // tokens that an engine reads in a millisecond; zero means unknown
 }
 
 // Choose returns the best server for the request. For a plain service it is a random one, among
@@ -86,16 +86,16 @@
 // has capacity would make that one read the shared parts again, which takes capacity from other
 // requests and pushes ever more of them off their first engine.
 func (p *RoomPlacer) Choose(r Request, servers []Server) Choice {
-	found, _ := candidates(r, servers)
-	return p.choose(r, found)
+	cands, _ := candidates(r, servers)
+	return p.choose(r, cands)
 }
 
 // choose is like Choose for a list of candidates.
-func (p *RoomPlacer) choose(r Request, found []candidate) Choice {
+func (p *RoomPlacer) choose(r Request, cands []candidate) Choice {
 	if !r.Engine {
-		return p.spread(r, found)
+		return p.spread(r, cands)
 	}
-	best, read, ok := suited(r, found)
+	best, read, ok := bestCandidate(r, cands)
 	if !ok {
 		return Choice{Index: -1}
 	}
@@ -105,32 +105,32 @@
 // bestCandidate returns the best candidate for the request and the number of tokens that it has to
 // read. Requests beyond the named shares stay at the engine that caches their shared parts: reading
 // these again elsewhere would take capacity from requests within a share.
-func suited(r Request, found []candidate) (best candidate, read int, ok bool) {
-	if r.Class < entitlement.Extra || len(r.Prompt.Shared) == 0 || len(found) == 0 {
-		return cheapest(r.Prompt, found)
+func bestCandidate(r Request, cands []candidate) (best candidate, read int, ok bool) {
+	if r.Class < entitlement.Extra || len(r.Prompt.Shared) == 0 || len(cands) == 0 {
+		return cheapest(r.Prompt, cands)
 	}
-	order := rendezvous(r.Prompt.key(), found)
-	return found[order.indexes[0]], r.Prompt.Own, true
+	order := rendezvous(r.Prompt.key(), cands)
+	return cands[order.indexes[0]], r.Prompt.Own, true
 }
 
 // ChooseWithRoom returns the best server among those with capacity. It is a last resort for requests
 // that would otherwise be refused and should be rare, because reading shared parts again takes
 // capacity from other requests.
 func (p *RoomPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
-	found, _ := candidates(r, servers)
-	return p.withRoom(r, found)
+	cands, _ := candidates(r, servers)
+	return p.chooseWithRoom(r, cands)
 }
 
 // chooseWithRoom is like ChooseWithRoom for a list of candidates, which it overwrites.
-func (p *RoomPlacer) withRoom(r Request, found []candidate) Choice {
+func (p *RoomPlacer) chooseWithRoom(r Request, cands []candidate) Choice {
 	if !r.Engine {
-		if c := p.spread(r, found); c.Bound == Free {
+		if c := p.spread(r, cands); c.Bound == Free {
 			return c
 		}
 		return Choice{Index: -1}
 	}
-	open := slices.DeleteFunc(found, func(c candidate) bool { return p.bound(r, c) != Free })
-	best, _, ok := cheapest(r.Prompt, open)
+	withRoom := slices.DeleteFunc(cands, func(c candidate) bool { return p.bound(r, c) != Free })
+	best, _, ok := cheapest(r.Prompt, withRoom)
 	if !ok {
 		return Choice{Index: -1}
 	}
@@ -149,19 +149,19 @@
 // candidates returns the servers that the request may be sent to: those in use and, if the request
 // may run more than once, those due for a trial. If there are none, it falls back to ejected servers,
 // and healthy is false; only then may the sole server of a pool get the same request again.
-func candidates(r Request, servers []Server) (found []candidate, healthy bool) {
-	found = make([]candidate, 0, len(servers))
+func candidates(r Request, servers []Server) (cands []candidate, healthy bool) {
+	cands = make([]candidate, 0, len(servers))
 	typical := typicalPace(servers)
 	for _, anyHealth := range []bool{false, true} {
 		for i := range servers {
 			s := &servers[i]
 			notAvoided := !s.Avoid || (anyHealth && len(servers) == 1)
 			if notAvoided && (usableFor(r, s) || anyHealth) && !s.Closed {
-				found = append(found, candidate{Server: s, index: i, load: s.fromAll(), slowness: s.Pace.slowness(typical)})
+				cands = append(cands, candidate{Server: s, index: i, load: s.totalWork(), slowness: s.Pace.slowness(typical)})
 			}
 		}
-		if len(found) > 0 {
-			return found, !anyHealth
+		if len(cands) > 0 {
+			return cands, !anyHealth
 		}
 	}
 	return nil, false
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -101,10 +101,10 @@
 	if len(prompt) == 0 {
 		return ""
 	}
-	best, most := "", uint64(0)
+	best, highest := "", uint64(0)
 	for _, c := range candidates {
-		if h := xxh3.HashStringSeed(c.Server, uint64(prompt[0])); best == "" || h > most {
-			best, most = c.Server, h
+		if h := xxh3.HashStringSeed(c.Server, uint64(prompt[0])); best == "" || h > highest {
+			best, highest = c.Server, h
 		}
 	}
 	return best
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -135,7 +135,7 @@
 				t.Fatalf("%d blocks, %d in order", x.Len(), x.order.Len())
 			}
 			for b, el := range x.byBlock {
-				if n := len(el.Value.(*placed).servers); n == 0 || n > serversPerBlock {
+				if n := len(el.Value.(*cachedBlock).servers); n == 0 || n > serversPerBlock {
 					t.Fatalf("block %v has %d servers", b, n)
 				}
 			}
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -15,21 +15,21 @@
 
 // spread chooses a random server among those with capacity, or among all if there are none. Servers
 // are weighted by their slots divided by their slowness, and less if requests were lost there.
-func (p *RoomPlacer) spread(r Request, found []candidate) Choice {
-	open := slices.DeleteFunc(slices.Clone(found), func(c candidate) bool { return p.bound(r, c) != Free })
-	if len(open) == 0 {
-		open = found
+func (p *RoomPlacer) spread(r Request, cands []candidate) Choice {
+	withRoom := slices.DeleteFunc(slices.Clone(cands), func(c candidate) bool { return p.bound(r, c) != Free })
+	if len(withRoom) == 0 {
+		withRoom = cands
 	}
-	if len(open) == 0 {
+	if len(withRoom) == 0 {
 		return Choice{Index: -1}
 	}
-	c := byLot(r.Random, open, hallWeight(found))
+	c := weightedRandom(r.Random, withRoom, hallWeight(cands))
 	return Choice{Index: c.index, Bound: p.bound(r, c), Read: r.Prompt.Tokens(), Before: c.load, Slowness: c.slowness}
 }
 
 // weightedRandom returns one of the candidates, given a random number between 0 and 1. ownHall
 // multiplies the weight of servers in the gateway's own data hall.
-func byLot(random float64, from []candidate, ownHall float64) candidate {
+func weightedRandom(random float64, cands []candidate, ownHall float64) candidate {
 	weight := func(c candidate) float64 {
 		if c.SameHall {
 			return ownHall * capacity(c)
@@ -37,16 +37,16 @@
 		return capacity(c)
 	}
 	sum := 0.0
-	for _, c := range from {
+	for _, c := range cands {
 		sum += weight(c)
 	}
-	at := random * sum
-	for _, c := range from {
-		if at -= weight(c); at < 0 {
+	rest := random * sum
+	for _, c := range cands {
+		if rest -= weight(c); rest < 0 {
 			return c
 		}
 	}
-	return from[len(from)-1]
+	return cands[len(cands)-1]
 }
 
 // Preference for the gateway's own data hall. It reduces the requests that are lost when another hall
@@ -56,19 +56,19 @@
 // one server and most of the callers would then serve far fewer of their requests
 // (docs/design/shifted-work.md).
 const (
-	ownHallWeight  = 4.0 // multiple of the capacity of its servers
-	ownHallServers = 3   // minimum number of servers in the hall
+	ownHallWeight     = 4.0 // multiple of the capacity of its servers
+	minOwnHallServers = 3   // minimum number of servers in the hall
 )
 
 // hallWeight returns the factor by which servers of the gateway's own data hall are preferred.
-func hallWeight(servers []candidate) float64 {
+func hallWeight(cands []candidate) float64 {
 	own := 0
-	for _, c := range servers {
+	for _, c := range cands {
 		if c.SameHall {
 			own++
 		}
 	}
-	if own < ownHallServers {
+	if own < minOwnHallServers {
 		return 1
 	}
 	return ownHallWeight
@@ -78,9 +78,9 @@
 // gateway detects a failed server only by losing requests, and should lose fewer than the number that
 // ejects a server. With 4 of 14 servers down, 62 gateways would otherwise lose a fifth of their
 // requests in the first ten seconds.
-const lostWeight = 9
+const lossPenalty = 9
 
 // capacity returns the weight of a server relative to others of its pool.
 func capacity(c candidate) float64 {
-	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lostWeight*c.LostInARow)
+	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lossPenalty*c.LostInARow)
 }
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -149,7 +149,7 @@
 }
 
 // anyServer chooses any server at random.
-func anyone(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
+func anyServer(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
 
 // betterOfTwo chooses the less loaded of two random servers.
 func betterOfTwo(rng *rand.Rand, servers []Server) Choice {
@@ -157,14 +157,14 @@
 	if b >= a {
 		b++
 	}
-	if la, lb := servers[a].fromAll(), servers[b].fromAll(); lb.Requests < la.Requests {
+	if la, lb := servers[a].totalWork(), servers[b].totalWork(); lb.Requests < la.Requests {
 		a = b
 	}
 	return Choice{Index: a}
 }
 
 // placerChoice chooses as RoomPlacer does.
-func kept(rng *rand.Rand, servers []Server) Choice {
+func placerChoice(rng *rand.Rand, servers []Server) Choice {
 	return new(RoomPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
@@ -189,7 +189,7 @@
 		for _, way := range []struct {
 			name string
 			c    chooser
-		}{{"least loaded", leastLoaded}, {"by lot", anyone}, {"better of two", betterOfTwo}, {"kept", kept}} {
+		}{{"least loaded", leastLoaded}, {"by lot", anyServer}, {"better of two", betterOfTwo}, {"kept", placerChoice}} {
 			o := tt.pool.play(way.c)
 			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, way.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
 			results[tt.name+" "+way.name] = o
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -113,7 +113,7 @@
 	}
 	for name := range p.accounts {
 		if !seen[name] {
-			dropped = append(dropped, works(p.queue.RemoveAccount(name))...)
+			dropped = append(dropped, workOf(p.queue.RemoveAccount(name))...)
 			p.costs.Forget(name)
 		}
 	}
@@ -143,10 +143,10 @@
 func (p *Pool) Cancel(w *Work) bool { return p.queue.Cancel(w.ticket) }
 
 // Expire removes and returns the work whose deadline has passed.
-func (p *Pool) Expire(now time.Duration) []*Work { return works(p.queue.Expire(now)) }
+func (p *Pool) Expire(now time.Duration) []*Work { return workOf(p.queue.Expire(now)) }
 
 // Drop removes and returns all waiting work.
-func (p *Pool) Drop() []*Work { return works(p.queue.Drop()) }
+func (p *Pool) Drop() []*Work { return workOf(p.queue.Drop()) }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return p.queue.Waiting() }
@@ -259,7 +259,7 @@
 // UsableSlots returns the number of slots held on each server, used or free.
 func (p *Pool) UsableSlots() map[string]int { return p.holder.Usable() }
 
-func works(tickets []*share.Ticket) []*Work {
+func workOf(tickets []*share.Ticket) []*Work {
 	out := make([]*Work, 0, len(tickets))
 	for _, t := range tickets {
 		out = append(out, t.Value.(*Work))
--- a/coordination/retry/patience.go
+++ b/coordination/retry/patience.go
@@ -24,14 +24,14 @@
 	// patienceHalfLife is the time after which earlier samples count half. It is longer than the first
 	// seconds of a flood, in which there are few first requests, and short compared to the time between
 	// changes of callers' software.
-	patienceSpan = 10 * time.Second
+	patienceHalfLife = 10 * time.Second
 	// minFirstSamples is the number of first requests needed for an estimate. With 16, a gateway with
 	// few callers would have no estimate after 15 s.
-	fewestFirst = 6
+	minFirstSamples = 6
 	// unseenFactor scales the uncertainty about the range of waits: n samples leave 1/(n+1) of it unseen
 	// on average. With a factor of 1.5 and eight samples of waits that differ by half, 4% of first
 	// requests would count as returns, with 2.5 less than 2%.
-	unseenRanges = 2.5
+	unseenFactor = 2.5
 	// nearPart is the relative distance within which waits count as similar, since few samples leave
 	// gaps. It is less than the distance of returns, which come after a quarter of the wait or more.
 	nearPart = 0.05
@@ -39,16 +39,16 @@
 	// one of a first request, because some callers within their shares return as well. If one in twenty
 	// does, 0.03 would miss a large part of a flooding account's returns. If waits differ by more than
 	// half, fewer are similar to each, and no request counts as a return.
-	heldPart = 0.08
+	minNearPart = 0.08
 )
 
 // Patience is the recent distribution of the waits that callers of one route state in their first
 // request. The zero value is empty. Its methods cost O(patienceBins).
 type Patience struct {
-	width time.Duration // of one bin
-	bins  [patienceBins]float32
-	total float32
-	aged  time.Duration // when the counts were last halved
+	width    time.Duration // of one bin
+	bins     [patienceBins]float32
+	total    float32
+	halvedAt time.Duration // when the counts were last halved
 }
 
 // ObserveFirst records the wait stated in a first request, zero if it states none.
@@ -56,9 +56,9 @@
 	if left <= 0 {
 		return
 	}
-	if now-p.aged >= patienceSpan {
+	if now-p.halvedAt >= patienceHalfLife {
 		p.halve()
-		p.aged = now
+		p.halvedAt = now
 	}
 	if p.width == 0 {
 		p.width = time.Millisecond
@@ -90,34 +90,34 @@
 // Spent returns the minimum time since a caller's first request, given how long it will still wait.
 // It is zero if this may be the first one.
 func (p *Patience) Spent(left time.Duration) time.Duration {
-	if p.total < fewestFirst || left <= 0 || left >= patienceBins*p.width {
+	if p.total < minFirstSamples || left <= 0 || left >= patienceBins*p.width {
 		return 0
 	}
-	var upTo [patienceBins + 1]float32 // cumulative counts
+	var cumulative [patienceBins + 1]float32 // cumulative counts
 	for i, n := range p.bins {
-		upTo[i+1] = upTo[i] + n
+		cumulative[i+1] = cumulative[i] + n
 	}
 	own := int(left / p.width)
 	for i := own; i < patienceBins; i++ {
 		near := max(int(nearPart*float64(i)), 1)
-		if upTo[min(i+near+1, patienceBins)]-upTo[max(i-near, 0)] < heldPart*p.total {
+		if cumulative[min(i+near+1, patienceBins)]-cumulative[max(i-near, 0)] < minNearPart*p.total {
 			continue
 		}
 		if i == own {
 			return 0
 		}
-		return max(time.Duration(i)*p.width-p.unseen()-left, 0)
+		return max(time.Duration(i)*p.width-p.uncertainty()-left, 0)
 	}
 	return 0 // longer than the wait of any first request
 }
 
 // uncertainty returns how far beyond the observed waits those of other first requests may lie.
-func (p *Patience) unseen() time.Duration {
+func (p *Patience) uncertainty() time.Duration {
 	lowest, highest := patienceBins, 0
 	for i, n := range p.bins {
 		if n > 0 {
 			lowest, highest = min(lowest, i), i
 		}
 	}
-	return time.Duration(unseenRanges / float64(p.total+1) * float64(highest-lowest) * float64(p.width))
+	return time.Duration(unseenFactor / float64(p.total+1) * float64(highest-lowest) * float64(p.width))
 }
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -15,7 +15,7 @@
 	var p Patience
 	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // no samples
 	p.ObserveFirst(0, 0)                               // no wait stated
-	for i := range fewestFirst - 1 {
+	for i := range minFirstSamples - 1 {
 		p.ObserveFirst(0, 10*time.Second-time.Duration(i)*100*time.Millisecond)
 	}
 	is.Equal(p.Spent(3*time.Second), time.Duration(0)) // too few samples
@@ -31,7 +31,7 @@
 	is.True(spent > 800*time.Millisecond && spent <= 1500*time.Millisecond) // lower bound of its age
 	for n := range 8 {                                                      // the callers' software changes
 		for range 50 {
-			p.ObserveFirst(time.Duration(n+1)*patienceSpan, 5*time.Second)
+			p.ObserveFirst(time.Duration(n+1)*patienceHalfLife, 5*time.Second)
 		}
 	}
 	is.Equal(p.Spent(7*time.Second), time.Duration(0))
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -16,12 +16,12 @@
 const (
 	// beyondWaitPart is the fraction of the objective that a request beyond its account's share waits.
 	// It gets capacity either at once or only after others have ended.
-	beyondPart = 0.1
+	beyondWaitPart = 0.1
 	// reserve is the fraction of the objective kept for delays after the wait: the server's own queue and
 	// the network.
 	reserve = 0.3
 	// maxLateWait bounds the wait if the objective cannot be met, or there is none.
-	lastWait = time.Second
+	maxLateWait = time.Second
 )
 
 // QueuedRequest determines how long a request waits for a server.
@@ -40,27 +40,27 @@
 // make the caller of the first give up, and for the second could not promise that it has not run.
 func QueueTimeout(w QueuedRequest) time.Duration {
 	objective := w.Route.Objective
-	most := objective - w.Spent - w.Expected - scale(objective, reserve)
+	limit := objective - w.Spent - w.Expected - scale(objective, reserve)
 	switch {
 	case w.Runs > 0, objective == 0:
-		most = lastWait
+		limit = maxLateWait
 	case w.Class >= entitlement.Extra:
-		most = scale(objective, beyondPart)
-	case most <= 0:
-		most = lastWait
+		limit = scale(objective, beyondWaitPart)
+	case limit <= 0:
+		limit = maxLateWait
 	}
-	return min(most-w.Waited, w.Left)
+	return min(limit-w.Waited, w.Left)
 }
 
 // minExpectedPart is the fraction of the expected time to an answer below which none will arrive: a
 // server may be twice as fast as expected.
-const surePart = 0.5
+const minExpectedPart = 0.5
 
 // CanAnswerInTime reports whether the request may still be answered before its deadline. If it cannot, it
 // is refused at once and sent to no server, since its caller would be gone before the first part of the
 // answer. A request that may have run is not refused.
 func CanAnswerInTime(w QueuedRequest) bool {
-	return w.Runs > 0 || w.Left >= scale(w.Expected, surePart)
+	return w.Runs > 0 || w.Left >= scale(w.Expected, minExpectedPart)
 }
 
 // Delays after which a refused caller should try again.
@@ -68,27 +68,27 @@
 	ShortDelay = 50 * time.Millisecond // for a short-lived cause, or one that other gateways do not share
 	LongDelay  = time.Second           // for a lasting cause
 
-	leftPart = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
+	delayPart = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
 	// beyondDelayPart is the same for requests that their account's share barely covers: the flood lasts,
 	// and a second refusal is of no use to the caller. Callers wait for up to a third.
-	sharePart = 0.33
-	spread    = 0.25 // maximum relative reduction, so that callers do not return at the same time
+	beyondDelayPart = 0.33
+	jitter          = 0.25 // maximum relative reduction, so that callers do not return at the same time
 )
 
 // If a share covers some of an account's requests, one that was refused returns within its objective: its
 // next try is as likely to be covered and can still be in time.
 const (
-	likelyPart = 0.1 // minimum fraction of the account's requests that the share covers
+	minCoveredPart = 0.1 // minimum fraction of the account's requests that the share covers
 	// Random return time, as fractions of the objective: late enough for updated shares, early enough for
 	// the answer.
-	againFrom = 0.2  // earliest
-	againUpTo = 0.45 // latest
+	minReturnPart = 0.2  // earliest
+	maxReturnPart = 0.45 // latest
 )
 
 // After returns when a refused caller with the given remaining time should try again.
 func After(left time.Duration) time.Duration {
-	return min(max(scale(left, leftPart), ShortDelay), LongDelay)
+	return min(max(scale(left, delayPart), ShortDelay), LongDelay)
 }
 
 // UncoveredRequest is a request refused because its account's share does not cover it.
@@ -101,11 +101,11 @@
 
 // After returns when the request should return. random is between 0 and 1.
 func (s UncoveredRequest) After(random float64) time.Duration {
-	again := max(scale(s.Objective, againFrom+(againUpTo-againFrom)*random), ShortDelay)
-	if s.CoveredPart >= likelyPart && s.Spent+again < s.Objective {
+	again := max(scale(s.Objective, minReturnPart+(maxReturnPart-minReturnPart)*random), ShortDelay)
+	if s.CoveredPart >= minCoveredPart && s.Spent+again < s.Objective {
 		return again
 	}
-	return max(scale(s.Left, sharePart*(1-spread*random)), ShortDelay)
+	return max(scale(s.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
 }
 
 // AfterOverload returns the same for a caller refused because the gateway's processor is overloaded.
@@ -120,7 +120,7 @@
 // AfterBackoff returns when a caller should try again if all its servers have asked for a backoff. random
 // is between 0 and 1 and keeps callers from returning at the same time.
 func AfterBackoff(backoff, left time.Duration, random float64) time.Duration {
-	return max(backoff+scale(max(left, 0), leftPart*random), ShortDelay)
+	return max(backoff+scale(max(left, 0), delayPart*random), ShortDelay)
 }
 
 // Times after which a silent server is given up.
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -22,16 +22,16 @@
 // them. TestFleetKeepsToItsBudget checks that the fraction suffices.
 const safety = 0.7
 
-// sliceCount is the number of slices of a window. Retries leave the window one slice late and requests
+// sliceCount is the number of sliceCount of a window. Retries leave the window one slice late and requests
 // one slice early, an error of a tenth that safety has to cover.
-const slices = 10
+const sliceCount = 10
 
 // Window is one gateway's retry budget for one pool: the ratio of its own requests, plus an equal part of
 // the fleet's extra retries.
 type Window struct {
 	limits   Limits
-	requests [slices]int
-	retries  [slices + 1]int
+	requests [sliceCount]int
+	retries  [sliceCount + 1]int
 	slice    int64 // number of the current slice since time zero
 }
 
@@ -41,7 +41,7 @@
 // Request records the first attempt of a request.
 func (w *Window) Request(now time.Duration) {
 	w.advance(now)
-	w.requests[w.slice%slices]++
+	w.requests[w.slice%sliceCount]++
 }
 
 // Retry reports whether one more attempt is within the budget of one of n gateways, and if so charges it.
@@ -51,19 +51,19 @@
 	if float64(sum(w.retries[:])+1) > allowed {
 		return false
 	}
-	w.retries[w.slice%(slices+1)]++
+	w.retries[w.slice%(sliceCount+1)]++
 	return true
 }
 
 // advance clears the slices that have expired.
 func (w *Window) advance(now time.Duration) {
-	width := max(w.limits.Window/slices, 1)
+	width := max(w.limits.Window/sliceCount, 1)
 	current := int64(now / width)
-	steps := min(current-w.slice, slices+1)
+	steps := min(current-w.slice, sliceCount+1)
 	for i := range steps {
 		at := current - i
-		w.requests[at%slices] = 0
-		w.retries[at%(slices+1)] = 0
+		w.requests[at%sliceCount] = 0
+		w.retries[at%(sliceCount+1)] = 0
 	}
 	w.slice = max(w.slice, current)
 }
