--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -83,11 +83,11 @@
 	}
 }
 
-// way is a strategy for dividing a cold server's rate. It reports whether a gateway may begin a request now.
-type way func(gateway int, now time.Duration) bool
+// strategy is a strategy for dividing a cold server's rate. It reports whether a gateway may begin a request now.
+type strategy func(gateway int, now time.Duration) bool
 
 // partsOfRequests gives each gateway an equal fraction of the rate, starting at a random time.
-func partsOfRequests(gateways int, rate float64, rng *rand.Rand) way {
+func partsOfRequests(gateways int, rate float64, rng *rand.Rand) strategy {
 	spacing := time.Duration(float64(gateways) / rate * float64(time.Second))
 	next := make([]time.Duration, gateways)
 	for i := range next {
@@ -103,7 +103,7 @@
 }
 
 // wholeShares uses Divide, with an Allowance on each gateway.
-func wholeShares(gateways int, rate float64) way {
+func wholeShares(gateways int, rate float64) strategy {
 	all := names(gateways)
 	shares := Divide("server", all, rate)
 	allowances := make([]Allowance, gateways)
@@ -121,7 +121,7 @@
 
 // play lets a range of gateways send whenever they are allowed to, every 10 ms of a cold period of 3 s. It returns
 // the number of requests and the maximum in one second.
-func play(w way, from, to int) (sent, most int) {
+func play(w strategy, from, to int) (sent, most int) {
 	var times []time.Duration
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
 		for g := from; g < to; g++ {
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -12,19 +12,19 @@
 // Parameters of the model: 300 connections are accepted a second, six every 20 ms, and the queue is sampled
 // every 5 ms.
 const (
-	queueMost   = 64
-	lookPeriod  = 5 * time.Millisecond
-	reportEvery = 100 * time.Millisecond
-	queuePlayed = 4 * time.Second
+	queueCapacity = 64
+	samplePeriod  = 5 * time.Millisecond
+	reportEvery   = 100 * time.Millisecond
+	queueDuration = 4 * time.Second
 )
 
-// playQueue adds arrivals before each sample, and returns the sum of the estimates after a given time.
-func playQueue(came func(now time.Duration) int, after time.Duration) (untaken int) {
+// simulateQueue adds arrivals before each sample, and returns the sum of the estimates after a given time.
+func simulateQueue(arrivals func(now time.Duration) int, after time.Duration) (untaken int) {
 	var a Arrivals
 	waiting := 0
-	for now := lookPeriod; now <= queuePlayed; now += lookPeriod {
-		waiting = min(waiting+came(now), queueMost)
-		a = a.WithSample(now, waiting, queueMost)
+	for now := samplePeriod; now <= queueDuration; now += samplePeriod {
+		waiting = min(waiting+arrivals(now), queueCapacity)
+		a = a.WithSample(now, waiting, queueCapacity)
 		if now%TickPeriod == 0 {
 			for range min(6, waiting) {
 				a = a.WithAccepted()
@@ -59,9 +59,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			fraction := 0.0
-			untaken := playQueue(func(time.Duration) int {
-				whole := int(fraction + tt.rate*lookPeriod.Seconds())
-				fraction += tt.rate*lookPeriod.Seconds() - float64(whole)
+			untaken := simulateQueue(func(time.Duration) int {
+				whole := int(fraction + tt.rate*samplePeriod.Seconds())
+				fraction += tt.rate*samplePeriod.Seconds() - float64(whole)
 				return whole
 			}, time.Second) / 3
 			t.Logf("%d a second", untaken)
@@ -74,7 +74,7 @@
 // TestBurstsThatWait checks that bursts of connections that wait in the queue are not counted as unaccepted.
 func TestBurstsThatWait(t *testing.T) {
 	is := is.New(t)
-	untaken := playQueue(func(now time.Duration) int {
+	untaken := simulateQueue(func(now time.Duration) int {
 		if now%(250*time.Millisecond) == 0 {
 			return 50
 		}
--- a/coordination/place/inorder_test.go
+++ b/coordination/place/inorder_test.go
@@ -18,60 +18,60 @@
 
 // Parameters of the model.
 const (
-	orderEngines  = 18
-	engineReads   = 60.0 // tokens a millisecond
-	engineSlots   = 48
-	streamLasts   = 2500 * time.Millisecond
-	sumsEach      = 100 * time.Millisecond // interval between reports of the others' load; gateways see each other's load only by these
-	engineStep    = time.Millisecond
-	enginesEnd    = 30 * time.Second
-	enginesAim    = 400 * time.Millisecond
-	withinEach    = 9 * time.Millisecond // between two requests within their shares
-	beyondEach    = 4 * time.Millisecond // between two requests beyond them, a tenth of which are long
-	shortPrompt   = 700                  // own tokens
-	longPrompt    = 40_000
-	sharedTokens  = 200
-	sharedPrompts = 400
+	orderEngines   = 18
+	engineReadRate = 60.0 // tokens a millisecond
+	engineSlots    = 48
+	streamDuration = 2500 * time.Millisecond
+	reportInterval = 100 * time.Millisecond // interval between reports of the others' load; gateways see each other's load only by these
+	modelStep      = time.Millisecond
+	modelEnd       = 30 * time.Second
+	modelObjective = 400 * time.Millisecond
+	withinInterval = 9 * time.Millisecond // between two requests within their shares
+	beyondInterval = 4 * time.Millisecond // between two requests beyond them, a tenth of which are long
+	shortPrompt    = 700                  // own tokens
+	longPrompt     = 40_000
+	sharedTokens   = 200
+	sharedPrompts  = 400
 )
 
-// engineRuns is the state of one engine: prompts still to be read, and the end times of its streams.
-type engineRuns struct {
-	read []readUntil
-	ends []time.Duration
-	busy time.Duration // when the engine has read all prompts
+// engineState is the state of one engine: prompts still to be read, and the end times of its streams.
+type engineState struct {
+	pending    []pendingRead
+	streamEnds []time.Duration
+	busyUntil  time.Duration // when the engine has read all prompts
 }
 
-// readUntil is one prompt that is still to be read.
-type readUntil struct {
-	at     time.Duration
+// pendingRead is one prompt that is still to be read.
+type pendingRead struct {
+	doneAt time.Duration
 	tokens int
 }
 
 // settle advances the engine to now and returns its load.
-func (e *engineRuns) settle(now time.Duration) Work {
-	for len(e.read) > 0 && e.read[0].at <= now {
-		e.read = e.read[1:]
+func (e *engineState) settle(now time.Duration) Work {
+	for len(e.pending) > 0 && e.pending[0].doneAt <= now {
+		e.pending = e.pending[1:]
 	}
-	for len(e.ends) > 0 && e.ends[0] <= now {
-		e.ends = e.ends[1:]
+	for len(e.streamEnds) > 0 && e.streamEnds[0] <= now {
+		e.streamEnds = e.streamEnds[1:]
 	}
-	w := Work{Requests: len(e.ends)}
-	for _, r := range e.read {
+	w := Work{Requests: len(e.streamEnds)}
+	for _, r := range e.pending {
 		w.Tokens += r.tokens
 	}
 	return w
 }
 
 // begin starts a request and returns how long it waits for a slot and for its turn to be read.
-func (e *engineRuns) begin(now time.Duration, tokens int) time.Duration {
-	waits := max(e.busy-now, 0)
-	if beyond := len(e.ends) - engineSlots; beyond >= 0 {
-		waits = max(waits, e.ends[beyond]-now)
+func (e *engineState) begin(now time.Duration, tokens int) time.Duration {
+	wait := max(e.busyUntil-now, 0)
+	if beyond := len(e.streamEnds) - engineSlots; beyond >= 0 {
+		wait = max(wait, e.streamEnds[beyond]-now)
 	}
-	e.busy = now + waits + time.Duration(float64(tokens)/engineReads*float64(time.Millisecond))
-	e.read = append(e.read, readUntil{e.busy, tokens})
-	e.ends = append(e.ends, e.busy+streamLasts)
-	return waits
+	e.busyUntil = now + wait + time.Duration(float64(tokens)/engineReadRate*float64(time.Millisecond))
+	e.pending = append(e.pending, pendingRead{e.busyUntil, tokens})
+	e.streamEnds = append(e.streamEnds, e.busyUntil+streamDuration)
+	return wait
 }
 
 // TestWhatIsBeyondSharesHoldsUpNobody offers engines several times the load they can read, most of it
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
 	servers := make([]Server, orderEngines)
-	runs := make([]engineRuns, orderEngines)
+	runs := make([]engineState, orderEngines)
 	for i := range servers {
 		servers[i] = Server{ID: fmt.Sprintf("e%d", i), Slots: engineSlots}
 	}
@@ -89,22 +89,22 @@
 	within, late, beyond := 0, 0, 0
 	ask := func(now time.Duration, c entitlement.Class, own int) (began bool, waits time.Duration) {
 		shared := Part{Name: fmt.Sprint(rng.IntN(sharedPrompts)), Tokens: sharedTokens}
-		r := Request{Class: c, Objective: enginesAim, Engine: true, Prompt: Prompt{Shared: []Part{shared}, Own: own}}
+		r := Request{Class: c, Objective: modelObjective, Engine: true, Prompt: Prompt{Shared: []Part{shared}, Own: own}}
 		choice := p.Choose(r, servers)
 		if choice.Bound != Free {
 			return false, 0
 		}
 		return true, runs[choice.Index].begin(now, choice.Read)
 	}
-	for now := engineStep; now < enginesEnd; now += engineStep {
+	for now := modelStep; now < modelEnd; now += modelStep {
 		for i := range servers {
-			if work := runs[i].settle(now); now%sumsEach == 0 {
+			if work := runs[i].settle(now); now%reportInterval == 0 {
 				servers[i].Others = work
 			}
 		}
-		if now%withinEach == 0 {
+		if now%withinInterval == 0 {
 			within++
-			if began, waits := ask(now, entitlement.Entitled, shortPrompt); !began || waits > enginesAim/2 {
+			if began, waits := ask(now, entitlement.Entitled, shortPrompt); !began || waits > modelObjective/2 {
 				late++
 			}
 		}
@@ -112,7 +112,7 @@
 		if rng.IntN(10) == 0 {
 			own = longPrompt
 		}
-		if now%beyondEach == 0 {
+		if now%beyondInterval == 0 {
 			if began, _ := ask(now, entitlement.Extra, own); began {
 				beyond++
 			}
@@ -129,7 +129,7 @@
 	is := is.New(t)
 	servers := []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	r := Request{
-		Class: entitlement.Entitled, Objective: enginesAim, Engine: true,
+		Class: entitlement.Entitled, Objective: modelObjective, Engine: true,
 		Prompt: Prompt{Shared: []Part{{Name: "p", Tokens: sharedTokens}}, Own: shortPrompt},
 	}
 	var p RoomPlacer
--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -82,20 +82,20 @@
 
 // Admits reports whether the budget allows a transfer. Optional transfers may use only a part of
 // the budget, and none of it while the link looks congested; required ones may use all of it.
-func (l *LinkBudget) Admits(now time.Duration, s LinkShare, p Transfer) bool {
+func (l *LinkBudget) Admits(now time.Duration, s LinkShare, t Transfer) bool {
 	l.refill(now, s)
 	full := max(s.rate()*burstSeconds, minBurst)
-	if p.Required {
-		return full-l.spent >= min(p.Bytes, full)
+	if t.Required {
+		return full-l.spent >= min(t.Bytes, full)
 	}
 	if now < l.pausedUntil {
 		return false
 	}
-	needed := min(p.Bytes, full*optionalPart)
-	if p.Class > entitlement.Entitled {
+	needed := min(t.Bytes, full*optionalPart)
+	if t.Class > entitlement.Entitled {
 		needed = max(needed, full*optionalPart*entitledReserve)
 	}
-	return full-l.spent >= min(p.Bytes, full) && full*optionalPart-l.optionalSpent >= needed
+	return full-l.spent >= min(t.Bytes, full) && full*optionalPart-l.optionalSpent >= needed
 }
 
 // Spend takes bytes from the budget. A negative number returns bytes that were expected but not
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -13,9 +13,9 @@
 
 // This file tests the byte budget for the link between regions.
 
-// sends offers equal transfers for some time and returns the bytes that were admitted.
-func sends(l *LinkBudget, s LinkShare, p Transfer, each, span time.Duration) (bytes float64) {
-	for now := time.Second; now < time.Second+span; now += each {
+// admittedBytes offers equal transfers for some time and returns the bytes that were admitted.
+func admittedBytes(l *LinkBudget, s LinkShare, p Transfer, interval, span time.Duration) (bytes float64) {
+	for now := time.Second; now < time.Second+span; now += interval {
 		if l.Admits(now, s, p) {
 			l.Spend(now, s, p.Bytes)
 			bytes += p.Bytes
@@ -46,7 +46,7 @@
 			is := is.New(t)
 			total := 0.0
 			for range 2 * gateways {
-				total += sends(&LinkBudget{}, share, tt.p, 10*time.Millisecond, tt.span)
+				total += admittedBytes(&LinkBudget{}, share, tt.p, 10*time.Millisecond, tt.span)
 			}
 			part := total / tt.span.Seconds() / capacity
 			t.Logf("%.2f of the capacity", part)
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -52,7 +52,7 @@
 // not busy, and skipped while it is busy, ejected or closed.
 func TestPromptStaysWhileItsServerIsNotBusy(t *testing.T) {
 	is := is.New(t)
-	order := drawnPool(rand.New(rand.NewPCG(1, 1)), 64)
+	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	var p RoomPlacer
 	at := func(lot float64) int {
 		c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: lot}, order, 0)
@@ -77,7 +77,7 @@
 // beyond its width are busy with other prompts, and that its width grows once its own servers are busy.
 func TestPromptStaysWhateverOthersDo(t *testing.T) {
 	is := is.New(t)
-	order := drawnPool(rand.New(rand.NewPCG(1, 1)), 64)
+	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	busy := Work{Requests: 13, Tokens: 9_000}
 	for i := 1; i < len(order); i += 8 {
 		order[i].Others = busy
@@ -103,15 +103,15 @@
 	is.True(len(used()) > 32) // all servers are busy, so the whole order is used
 }
 
-func drawnPool(rng *rand.Rand, n int) (pool []Server) {
+func randomPool(rng *rand.Rand, n int) (pool []Server) {
 	for i := range n {
 		pool = append(pool, Server{ID: fmt.Sprintf("e%05d", i), Slots: 16, SameHall: rng.IntN(5) == 0})
 	}
 	return pool
 }
 
-// firstOf returns the servers with the given IDs, and their indexes in the pool.
-func firstOf(pool []Server, ids []string) (first []Server, at []int) {
+// serversByID returns the servers with the given IDs, and their indexes in the pool.
+func serversByID(pool []Server, ids []string) (first []Server, at []int) {
 	for _, id := range ids {
 		i := slices.IndexFunc(pool, func(s Server) bool { return s.ID == id })
 		first, at = append(first, pool[i]), append(at, i)
@@ -141,9 +141,9 @@
 // busy. Nearly all requests must find their shared parts cached by the previous one.
 func TestManyRarePrompts(t *testing.T) {
 	is := is.New(t)
-	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, learned: 40, first: 0.04, spread: 1.4}.play(chooseSpread)
-	t.Logf("worst wait %.0f ms, %.3f over 250 ms, %.3f of the requests not at their prompt's first engine", rare.worst, rare.late, rare.left)
-	is.True(rare.left < 0.05)
+	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
+	t.Logf("worst wait %.0f ms, %.3f over 250 ms, %.3f of the requests not at their prompt's first engine", rare.worst, rare.late, rare.moved)
+	is.True(rare.moved < 0.05)
 	is.True(rare.late < 0.02)
 }
 
@@ -151,11 +151,11 @@
 // since each of them reads the shared part again; a high rate must use as many as it needs.
 func TestPromptsWithMuchInCommon(t *testing.T) {
 	is := is.New(t)
-	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, learned: 40, first: 0.04, spread: 1.4}.play(chooseSpread)
+	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
 	t.Logf("3 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", few.worst, few.late, few.engines)
 	is.True(few.engines <= 4)
 	is.True(few.late < 0.02)
-	many := promptLoad{engines: 300, prompts: 1, rate: 60, own: 6600, shared: 15_000, learned: 40, first: 0.04}.play(chooseSpread)
+	many := promptLoad{engines: 300, prompts: 1, rate: 60, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04}.play(chooseSpread)
 	t.Logf("60 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", many.worst, many.late, many.engines)
 	is.True(many.engines > 8) // at least four would be busy all the time
 	is.True(many.late < 0.02)
@@ -172,29 +172,29 @@
 	engines, prompts int
 	rate             float64 // requests a second
 	own, shared      int     // tokens of each request
-	learned          float64 // read rate assumed by the gateways, in tokens a millisecond; zero means unknown
-	first            float64 // seconds between the end of reading and the first event at the gateway
-	spread           float64 // sigma of the lognormal distribution of own tokens; zero means constant
+	assumedRate      float64 // read rate assumed by the gateways, in tokens a millisecond; zero means unknown
+	firstEventDelay  float64 // seconds between the end of reading and the first event at the gateway
+	sigma            float64 // sigma of the lognormal distribution of own tokens; zero means constant
 }
 
 // promptOutcome is the result of a run: the longest wait for prompts ahead, in ms, and the fraction of
 // requests that waited more than 250 ms, both after the first two seconds; the fraction of requests that
 // did not use the first engine of their prompt's order; and the number of engines used.
 type promptOutcome struct {
-	worst, late, left float64
-	engines           int
+	worst, late, moved float64
+	engines            int
 }
 
 // play runs the load for ten seconds.
 func (l promptLoad) play(choose func(p *RoomPlacer, r Request, pool, order []Server, at []int) int) (o promptOutcome) {
 	const gateways, ends, settled, long = 300, 10.0, 2.0, 0.25 // seconds
 	x := newPromptPool(l)
-	p := RoomPlacer{learnedRate: l.learned}
+	p := RoomPlacer{learnedRate: l.assumedRate}
 	asked, counted, late, left := 0.0, 0.0, 0.0, 0.0
 	for now := 0.0; now < ends; now += x.rng.ExpFloat64() / l.rate {
-		x.look(now)
+		x.advance(now)
 		prompt := Prompt{Own: l.drawOwn(x.rng), Shared: []Part{{l.drawName(x.rng), l.shared}}}
-		order, at := firstOf(x.pool, x.ranks.First(prompt))
+		order, at := serversByID(x.pool, x.ranks.First(prompt))
 		r := Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: prompt, Random: x.rng.Float64(), Gateways: gateways}
 		i := choose(&p, r, x.pool, order, at)
 		asked++
@@ -211,22 +211,22 @@
 			late++
 		}
 	}
-	o.late, o.left, o.engines = late/counted, left/asked, x.used()
+	o.late, o.moved, o.engines = late/counted, left/asked, x.used()
 	return o
 }
 
 // promptPool is the state of the engines, and what the gateways have learned of it.
 type promptPool struct {
 	promptLoad
-	rng    *rand.Rand
-	pool   []Server
-	ranks  Ranks
-	runs   [][]promptRun
-	kept   []map[string]bool // cached shared parts, by engine
-	reads  []float64         // end of reading in seconds, by engine
-	sums   []Work
-	peaks  []Peak
-	summed float64 // time of the next load report in seconds
+	rng        *rand.Rand
+	pool       []Server
+	ranks      Ranks
+	runs       [][]promptRun
+	cached     []map[string]bool // cached shared parts, by engine
+	busyUntil  []float64         // end of reading in seconds, by engine
+	reports    []Work
+	peaks      []Peak
+	nextReport float64 // time of the next load report in seconds
 }
 
 // promptRun is a request on an engine. Its tokens count as load until its first event.
@@ -238,37 +238,37 @@
 func newPromptPool(l promptLoad) *promptPool {
 	n := l.engines
 	x := &promptPool{
-		promptLoad: l, rng: rand.New(rand.NewPCG(7, 8)), runs: make([][]promptRun, n), kept: make([]map[string]bool, n),
-		reads: make([]float64, n), sums: make([]Work, n), peaks: make([]Peak, n),
+		promptLoad: l, rng: rand.New(rand.NewPCG(7, 8)), runs: make([][]promptRun, n), cached: make([]map[string]bool, n),
+		busyUntil: make([]float64, n), reports: make([]Work, n), peaks: make([]Peak, n),
 	}
-	x.pool = drawnPool(x.rng, n)
+	x.pool = randomPool(x.rng, n)
 	for i, s := range x.pool {
 		x.ranks.Add(s.ID)
-		x.kept[i] = map[string]bool{}
+		x.cached[i] = map[string]bool{}
 	}
 	return x
 }
 
-// look advances the engines and the load reports to now.
-func (x *promptPool) look(now float64) {
+// advance advances the engines and the load reports to now.
+func (x *promptPool) advance(now float64) {
 	const period = 0.6 // seconds between sums
 	for i := range x.pool {
 		x.runs[i] = slices.DeleteFunc(x.runs[i], func(r promptRun) bool { return r.end < now })
 	}
-	if now >= x.summed {
-		x.summed = now + period
+	if now >= x.nextReport {
+		x.nextReport = now + period
 		for i, runs := range x.runs {
-			x.sums[i] = Work{Requests: len(runs)}
+			x.reports[i] = Work{Requests: len(runs)}
 			for _, r := range runs {
 				if r.first > now {
-					x.sums[i].Tokens += r.tokens
+					x.reports[i].Tokens += r.tokens
 				}
 			}
-			x.peaks[i] = x.peaks[i].With(clock(now), x.sums[i])
+			x.peaks[i] = x.peaks[i].With(toDuration(now), x.reports[i])
 		}
 	}
 	for i := range x.pool {
-		x.pool[i].Others, x.pool[i].RecentPeak = x.sums[i], x.peaks[i].At(clock(now))
+		x.pool[i].Others, x.pool[i].RecentPeak = x.reports[i], x.peaks[i].At(toDuration(now))
 	}
 }
 
@@ -276,20 +276,20 @@
 // how long the request waits for prompts ahead of it, in seconds.
 func (x *promptPool) begin(i int, prompt Prompt, now float64) (wait float64) {
 	const perSecond, streams = 157_000.0, 1.4 // tokens, seconds
-	wait = max(x.reads[i]-now, 0)
+	wait = max(x.busyUntil[i]-now, 0)
 	read := prompt.Own
-	if name := prompt.Shared[0].Name; !x.kept[i][name] {
-		x.kept[i][name] = true
+	if name := prompt.Shared[0].Name; !x.cached[i][name] {
+		x.cached[i][name] = true
 		read += x.shared
 	}
-	x.reads[i] = now + wait + float64(read)/perSecond
-	x.runs[i] = append(x.runs[i], promptRun{tokens: prompt.Own, first: x.reads[i] + x.first, end: x.reads[i] + streams})
+	x.busyUntil[i] = now + wait + float64(read)/perSecond
+	x.runs[i] = append(x.runs[i], promptRun{tokens: prompt.Own, first: x.busyUntil[i] + x.firstEventDelay, end: x.busyUntil[i] + streams})
 	return wait
 }
 
 // used returns the number of engines that had a request.
 func (x *promptPool) used() (n int) {
-	for _, until := range x.reads {
+	for _, until := range x.busyUntil {
 		if until > 0 {
 			n++
 		}
@@ -297,8 +297,8 @@
 	return n
 }
 
-// clock converts seconds to a duration.
-func clock(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+// toDuration converts seconds to a duration.
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
 // drawName returns the name of a request's shared part.
 func (l promptLoad) drawName(rng *rand.Rand) string {
@@ -310,8 +310,8 @@
 
 // drawOwn returns the number of own tokens of a request.
 func (l promptLoad) drawOwn(rng *rand.Rand) int {
-	if l.spread == 0 {
+	if l.sigma == 0 {
 		return l.own
 	}
-	return int(float64(l.own) * math.Exp(l.spread*rng.NormFloat64()-l.spread*l.spread/2))
+	return int(float64(l.own) * math.Exp(l.sigma*rng.NormFloat64()-l.sigma*l.sigma/2))
 }
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -42,8 +42,8 @@
 
 // Due reports whether a request that has waited for the given time may leave now. If only its best
 // engine is full, it first waits for one round trip to the other region.
-func (l LeaveReason) Due(waited, way time.Duration) bool {
-	return l == NoServer || l == NoRoom || (l == BestFull && waited >= way)
+func (l LeaveReason) Due(waited, rtt time.Duration) bool {
+	return l == NoServer || l == NoRoom || (l == BestFull && waited >= rtt)
 }
 
 // MayLeave reports whether a request of the given class may leave its region for lack of capacity.
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -17,49 +17,49 @@
 // This file models a small pool of plain servers behind many gateways. Each gateway sends a small part of
 // the requests and receives reports of the others' load that are some 100 ms old.
 
-// chooser is a strategy for choosing a server, given the state that a gateway has.
-type chooser func(rng *rand.Rand, servers []Server) Choice
+// strategy is a strategy for choosing a server, given the state that a gateway has.
+type strategy func(rng *rand.Rand, servers []Server) Choice
 
 // smallPool holds the parameters of the model.
 type smallPool struct {
-	gateways int
-	servers  int
-	slots    int
-	queue    int // requests that a server queues beyond its slots before it refuses more
-	work     time.Duration
-	rate     float64 // requests a second
-	period   time.Duration
-	slow     float64   // factor by which the last server is slower
-	halls    []float64 // fraction of the requests by data hall; servers are assigned to halls round robin
+	gateways   int
+	servers    int
+	slots      int
+	queue      int // requests that a server queues beyond its slots before it refuses more
+	work       time.Duration
+	rate       float64 // requests a second
+	period     time.Duration
+	slowFactor float64   // factor by which the last server is slower
+	halls      []float64 // fraction of the requests by data hall; servers are assigned to halls round robin
 }
 
-// end is the end of a request at a server.
-type end struct {
+// completion is the completion of a request at a server.
+type completion struct {
 	at              time.Duration
 	gateway, server int
 }
 
-type ends []end
+type completions []completion
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
+func (e completions) Len() int           { return len(e) }
+func (e completions) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completions) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completions) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completions) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-// outcomes are the results of a run.
-type outcomes struct {
+// poolResult are the results of a run.
+type poolResult struct {
 	p50, p99 time.Duration
 	lost     float64 // fraction of requests that were refused or found no capacity
 }
 
 // play sends requests for one minute.
-func (p smallPool) play(choose chooser) outcomes {
+func (p smallPool) play(choose strategy) poolResult {
 	rng := rand.New(rand.NewPCG(7, 8))
 	own := make([][]Work, p.gateways) // by gateway and server
 	paces := make([][]Pace, p.gateways)
@@ -75,13 +75,13 @@
 	for s := range free {
 		free[s] = make([]time.Duration, p.slots)
 	}
-	var pending ends
+	var pending completions
 	var took []time.Duration
 	asked, lost := 0, 0
 	nextReport := time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += time.Duration(rng.ExpFloat64() / p.rate * float64(time.Second)) {
 		for len(pending) > 0 && pending[0].at <= now {
-			e := heap.Pop(&pending).(end)
+			e := heap.Pop(&pending).(completion)
 			own[e.gateway][e.server].Requests--
 			running[e.server]--
 		}
@@ -109,20 +109,20 @@
 		}
 		s := c.Index
 		work := time.Duration((0.5 + rng.Float64()) * float64(p.work))
-		if s == p.servers-1 && p.slow > 0 {
-			work = time.Duration(p.slow * float64(work))
+		if s == p.servers-1 && p.slowFactor > 0 {
+			work = time.Duration(p.slowFactor * float64(work))
 		}
 		slot := slices.Index(free[s], slices.Min(free[s]))
 		free[s][slot] = max(free[s][slot], now) + work
 		ended := free[s][slot]
 		running[s]++
 		own[g][s].Requests++
-		heap.Push(&pending, end{at: ended, gateway: g, server: s})
+		heap.Push(&pending, completion{at: ended, gateway: g, server: s})
 		took = append(took, ended-now)
 		paces[g][s].Observe(float64(ended-now) / float64(p.work))
 	}
 	slices.Sort(took)
-	return outcomes{p50: took[len(took)/2], p99: took[len(took)*99/100], lost: float64(lost) / float64(asked)}
+	return poolResult{p50: took[len(took)/2], p99: took[len(took)*99/100], lost: float64(lost) / float64(asked)}
 }
 
 // drawHall returns the data hall that a request arrives in.
@@ -174,21 +174,21 @@
 	is := is.New(t)
 	load := smallPool{gateways: 62, servers: 3, slots: 6, queue: 6, work: 30 * time.Millisecond, rate: 330, period: 300 * time.Millisecond}
 	slow := load
-	slow.slow, slow.rate = 3, 250
+	slow.slowFactor, slow.rate = 3, 250
 	few, long, halls, uneven := load, load, load, load
 	large := load
 	large.servers, large.rate, large.halls = 15, 5*load.rate, []float64{0.5, 0.3, 0.2}
 	halls.halls, uneven.halls = []float64{0.34, 0.33, 0.33}, []float64{0.6, 0.25, 0.15}
 	few.gateways = 3
 	long.work, long.rate = time.Second, 10
-	results := map[string]outcomes{}
+	results := map[string]poolResult{}
 	for _, tt := range []struct {
 		name string
 		pool smallPool
 	}{{"62 gateways", load}, {"one server is 3 times slower", slow}, {"3 gateways", few}, {"requests of 1 s", long}, {"three halls", halls}, {"uneven halls", uneven}, {"uneven halls of five servers", large}} {
 		for _, way := range []struct {
 			name string
-			c    chooser
+			c    strategy
 		}{{"least loaded", leastLoaded}, {"by lot", anyServer}, {"better of two", betterOfTwo}, {"kept", placerChoice}} {
 			o := tt.pool.play(way.c)
 			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, way.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
@@ -212,7 +212,7 @@
 	for g := range health {
 		health[g] = make([]outlier.FailureRate, servers)
 	}
-	asked, gone := 0, 0
+	asked, lost := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Second / 300 {
 		g := rng.IntN(gateways)
 		seen := make([]Server, servers)
@@ -225,11 +225,11 @@
 		verdict, trial := outlier.Answered, health[g][c.Index].Sent(now)
 		if off(c.Index) {
 			verdict = outlier.Lost
-			gone++
+			lost++
 		}
 		pool[g].Record(now, &health[g][c.Index], verdict, trial)
 	}
-	return float64(gone) / float64(asked)
+	return float64(lost) / float64(asked)
 }
 
 // TestServersThatAreOff checks that lossPenalty reduces the losses of 62 gateways when 4 of 14 servers
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -24,26 +24,26 @@
 
 // Parameters of the model.
 const (
-	sideStep     = 20 * time.Millisecond
-	sideGateways = 20  // in each region
-	sideEngines  = 15  // in each region
-	sideRate     = 100 // tokens that an engine reads in a millisecond
-	sideKept     = 30  // shared parts that an engine caches
-	sideParts    = 300 // number of different shared parts
-	sideShared   = 5000
-	sideOwn      = 3000
-	sideRuns     = 100 * time.Millisecond // from the first event to the end of the answer
-	sideGoal     = 800 * time.Millisecond
-	sidePatience = 300 * time.Millisecond // maximum time in the queue
-	sideSpan     = 20 * time.Second       // duration of a run
-	sideWay      = 60 * time.Millisecond
+	sideStep       = 20 * time.Millisecond
+	sideGateways   = 20  // in each region
+	sideEngines    = 15  // in each region
+	sideRate       = 100 // tokens that an engine reads in a millisecond
+	sideCached     = 30  // shared parts that an engine caches
+	sidePrompts    = 300 // number of different shared parts
+	sideShared     = 5000
+	sideOwn        = 3000
+	sideAfterFirst = 100 * time.Millisecond // from the first event to the end of the answer
+	sideObjective  = 800 * time.Millisecond
+	sidePatience   = 300 * time.Millisecond // maximum time in the queue
+	sideSpan       = 20 * time.Second       // duration of a run
+	sideRoundTrip  = 60 * time.Millisecond
 )
 
-// sideFull is the load in requests a second that all engines can serve if no shared part is read again.
-const sideFull = 2 * sideEngines * sideRate * 1000 / sideOwn
+// sideFullRate is the load in requests a second that all engines can serve if no shared part is read again.
+const sideFullRate = 2 * sideEngines * sideRate * 1000 / sideOwn
 
-// sideNamed is the capacity configured by the operator in tokens a second: 0.8 of the full load.
-const sideNamed = 0.8 * sideFull * (sideShared + sideOwn)
+// sideCapacity is the capacity configured by the operator in tokens a second: 0.8 of the full load.
+const sideCapacity = 0.8 * sideFullRate * (sideShared + sideOwn)
 
 // sideAccount is the load of one account.
 type sideAccount struct {
@@ -72,8 +72,8 @@
 	return last
 }
 
-// sideWaiter is a request in the queue.
-type sideWaiter struct {
+// queuedRequest is a request in the queue.
+type queuedRequest struct {
 	account string
 	gateway int
 	class   entitlement.Class
@@ -81,39 +81,39 @@
 	arrived time.Duration
 }
 
-// sideSecond counts the requests of one account in one second.
-type sideSecond struct {
+// accountSecond counts the requests of one account in one second.
+type accountSecond struct {
 	asked, got float64
 	waited     bool
 }
 
 // twoSides is the state of the model.
 type twoSides struct {
-	rng      *rand.Rand
-	way      way
-	placers  [2 * sideGateways]RoomPlacer
-	own      [2 * sideGateways][2 * sideEngines]Work
-	seen     [7][2 * sideGateways][2 * sideEngines]Work // load of each engine by gateway, as of 0, 100, … ms ago
-	sums     [7][2 * sideEngines]Work                   // load of each engine from all gateways
-	busy     [2 * sideEngines]time.Duration
-	caches   [2 * sideEngines][]string // shared parts, least recently used first
-	events   sideEvents
-	waiting  []sideWaiter
-	leader   *entitlement.Demand
-	classes  [2 * sideGateways]*entitlement.Classifier
-	usage    [2 * sideGateways]map[string][2]uint64 // tokens demanded and served, by account
-	missed   uint64
-	seconds  map[string][]sideSecond
-	asked    int
-	inTime   int
-	over     int
-	shared   int // shared tokens read again
-	workings [2]time.Duration
-	views    [2][]Server // buffers reused for each choice
+	rng          *rand.Rand
+	strategy     regionStrategy
+	placers      [2 * sideGateways]RoomPlacer
+	own          [2 * sideGateways][2 * sideEngines]Work
+	reported     [7][2 * sideGateways][2 * sideEngines]Work // load of each engine by gateway, as of 0, 100, … ms ago
+	totals       [7][2 * sideEngines]Work                   // load of each engine from all gateways
+	busy         [2 * sideEngines]time.Duration
+	caches       [2 * sideEngines][]string // shared parts, least recently used first
+	events       sideEvents
+	waiting      []queuedRequest
+	leader       *entitlement.Demand
+	classes      [2 * sideGateways]*entitlement.Classifier
+	usage        [2 * sideGateways]map[string][2]uint64 // tokens demanded and served, by account
+	missedTokens uint64
+	seconds      map[string][]accountSecond
+	asked        int
+	inTime       int
+	crossed      int
+	reread       int // shared tokens read again
+	readTime     [2]time.Duration
+	views        [2][]Server // buffers reused for each choice
 }
 
-func newTwoSides(w way) *twoSides {
-	m := &twoSides{rng: rand.New(rand.NewPCG(9, 10)), way: w, leader: entitlement.NewDemandEstimator(), seconds: map[string][]sideSecond{}}
+func newTwoSides(w regionStrategy) *twoSides {
+	m := &twoSides{rng: rand.New(rand.NewPCG(9, 10)), strategy: w, leader: entitlement.NewDemandEstimator(), seconds: map[string][]accountSecond{}}
 	for g := range m.classes {
 		m.classes[g], m.usage[g] = entitlement.NewClassifier(), map[string][2]uint64{}
 	}
@@ -133,19 +133,19 @@
 	for i := range m.views[of] {
 		e, s := of*sideEngines+i, &m.views[of][i]
 		s.Own, s.OthersAge = m.own[g][e], time.Duration(age)*100*time.Millisecond
-		s.Others.Requests = m.sums[age][e].Requests - m.seen[age][g][e].Requests
-		s.Others.Tokens = m.sums[age][e].Tokens - m.seen[age][g][e].Tokens
+		s.Others.Requests = m.totals[age][e].Requests - m.reported[age][g][e].Requests
+		s.Others.Tokens = m.totals[age][e].Tokens - m.reported[age][g][e].Tokens
 	}
 	return m.views[of]
 }
 
 // start starts a request if an engine has capacity for it.
-func (m *twoSides) start(now time.Duration, w sideWaiter) bool {
+func (m *twoSides) start(now time.Duration, w queuedRequest) bool {
 	here := region(w.gateway, sideGateways)
 	r := Request{
-		Prompt: Prompt{Shared: []Part{{w.part, sideShared}}, Own: sideOwn}, Class: w.class, Objective: sideGoal, Engine: true,
+		Prompt: Prompt{Shared: []Part{{w.part, sideShared}}, Own: sideOwn}, Class: w.class, Objective: sideObjective, Engine: true,
 	}
-	c, far := m.way(&m.placers[w.gateway], r, side{
+	c, far := m.strategy(&m.placers[w.gateway], r, sideView{
 		own: m.view(w.gateway, here), far: m.view(w.gateway, 1-here), now: now, waited: now - w.arrived,
 	})
 	if c.Index < 0 || c.Bound != Free {
@@ -153,7 +153,7 @@
 	}
 	if far {
 		here = 1 - here
-		m.over++
+		m.crossed++
 	}
 	m.run(now, w, here*sideEngines+c.Index, c.Read, far)
 	return true
@@ -161,22 +161,22 @@
 
 // run makes an engine read a request's prompt. expected is the number of tokens that the gateway expects
 // it to read.
-func (m *twoSides) run(now time.Duration, w sideWaiter, e, expected int, far bool) {
+func (m *twoSides) run(now time.Duration, w queuedRequest, e, expected int, far bool) {
 	delay := time.Duration(0)
 	if far {
-		delay = sideWay
+		delay = sideRoundTrip
 	}
 	took := time.Duration(m.read(e, w.part)) * time.Millisecond / sideRate
 	m.busy[e] = max(m.busy[e], now+delay/2) + took
-	m.workings[region(e, sideEngines)] += took
+	m.readTime[region(e, sideEngines)] += took
 	first := m.busy[e] + delay/2
-	if first-w.arrived <= sideGoal {
+	if first-w.arrived <= sideObjective {
 		m.inTime++
 	}
 	m.own[w.gateway][e].Requests++
 	m.own[w.gateway][e].Tokens += expected
 	heap.Push(&m.events, sideEvent{first, w.gateway, e, Work{Tokens: -expected}})
-	heap.Push(&m.events, sideEvent{first + sideRuns, w.gateway, e, Work{Requests: -1}})
+	heap.Push(&m.events, sideEvent{first + sideAfterFirst, w.gateway, e, Work{Requests: -1}})
 	u := m.usage[w.gateway][w.account]
 	u[1] += sideShared + sideOwn
 	m.usage[w.gateway][w.account] = u
@@ -191,16 +191,16 @@
 		m.caches[e] = slices.Delete(m.caches[e], i, i+1)
 	} else {
 		tokens += sideShared
-		m.shared += sideShared
+		m.reread += sideShared
 	}
 	m.caches[e] = append(m.caches[e], part)
-	m.caches[e] = m.caches[e][max(len(m.caches[e])-sideKept, 0):]
+	m.caches[e] = m.caches[e][max(len(m.caches[e])-sideCached, 0):]
 	return tokens
 }
 
-func (m *twoSides) second(now time.Duration, account string) *sideSecond {
+func (m *twoSides) second(now time.Duration, account string) *accountSecond {
 	for len(m.seconds[account]) <= int(now/time.Second) {
-		m.seconds[account] = append(m.seconds[account], sideSecond{})
+		m.seconds[account] = append(m.seconds[account], accountSecond{})
 	}
 	return &m.seconds[account][int(now/time.Second)]
 }
@@ -211,7 +211,7 @@
 		for here, part := range a.parts {
 			n := a.rate * part * sideStep.Seconds()
 			for ; n > m.rng.Float64(); n-- {
-				w := sideWaiter{account: a.name, gateway: here*sideGateways + m.rng.IntN(sideGateways), part: fmt.Sprint(m.rng.IntN(sideParts)), arrived: now}
+				w := queuedRequest{account: a.name, gateway: here*sideGateways + m.rng.IntN(sideGateways), part: fmt.Sprint(m.rng.IntN(sidePrompts)), arrived: now}
 				u := m.usage[w.gateway][a.name]
 				u[0] += sideShared + sideOwn
 				m.usage[w.gateway][a.name] = u
@@ -222,8 +222,8 @@
 			}
 		}
 	}
-	slices.SortStableFunc(m.waiting, func(a, b sideWaiter) int { return int(a.class) - int(b.class) })
-	m.waiting = slices.DeleteFunc(m.waiting, func(w sideWaiter) bool {
+	slices.SortStableFunc(m.waiting, func(a, b queuedRequest) int { return int(a.class) - int(b.class) })
+	m.waiting = slices.DeleteFunc(m.waiting, func(w queuedRequest) bool {
 		if m.start(now, w) {
 			return true
 		}
@@ -232,7 +232,7 @@
 			return false
 		}
 		if w.class != entitlement.Beyond {
-			m.missed += sideShared + sideOwn
+			m.missedTokens += sideShared + sideOwn
 		}
 		return true
 	})
@@ -240,13 +240,13 @@
 
 // report sends the gateways' usage to the leader, and the resulting shares to all gateways.
 func (m *twoSides) report(now time.Duration) {
-	copy(m.seen[1:], m.seen[:len(m.seen)-1])
-	copy(m.sums[1:], m.sums[:len(m.sums)-1])
-	m.seen[0], m.sums[0] = m.own, [2 * sideEngines]Work{}
+	copy(m.reported[1:], m.reported[:len(m.reported)-1])
+	copy(m.totals[1:], m.totals[:len(m.totals)-1])
+	m.reported[0], m.totals[0] = m.own, [2 * sideEngines]Work{}
 	for g := range m.own {
 		for e, w := range m.own[g] {
-			m.sums[0][e].Requests += w.Requests
-			m.sums[0][e].Tokens += w.Tokens
+			m.totals[0][e].Requests += w.Requests
+			m.totals[0][e].Tokens += w.Tokens
 		}
 	}
 	for g := range m.usage {
@@ -258,12 +258,12 @@
 			u.Started += t[1]
 		}
 		if g == 0 {
-			u.Missed, m.missed = m.missed, 0
+			u.Missed, m.missedTokens = m.missedTokens, 0
 		}
 		m.leader.Add(u)
 		clear(m.usage[g])
 	}
-	m.leader.Recompute(now, sideNamed)
+	m.leader.Recompute(now, sideCapacity)
 	for _, c := range m.classes {
 		if m.leader.Ready() {
 			c.Update(now, m.leader.Entitlements(), nil, m.leader.Contended())
@@ -314,12 +314,12 @@
 				got, waited = got+s.got, waited && s.waited
 			}
 			for _, other := range m.seconds {
-				owed := 0.0
+				due := 0.0
 				for i := from; waited && i < from+span; i++ {
-					owed += 0.5 * min(a[i].asked, other[i].got)
+					due += 0.5 * min(a[i].asked, other[i].got)
 				}
-				if owed > 0 {
-					worst = min(worst, got/owed)
+				if due > 0 {
+					worst = min(worst, got/due)
 				}
 			}
 		}
@@ -329,26 +329,26 @@
 
 // sideResult is the result of a run, as fractions of all requests, of each account's requests, and of the
 // other region's engine time.
-type sideResult struct{ inTime, over, big, small, owed, idle, againM float64 }
+type sideResult struct{ inTime, crossed, big, small, due, idle, rereadM float64 }
 
 // String implements [fmt.Stringer].
 func (r sideResult) String() string {
 	return fmt.Sprintf("in time %.3f, over %.3f, big %.2f, small %.2f, of what is owed %.2f, far side idle %.2f, read again %4.1f M",
-		r.inTime, r.over, r.big, r.small, r.owed, r.idle, r.againM)
+		r.inTime, r.crossed, r.big, r.small, r.due, r.idle, r.rereadM)
 }
 
 func (m *twoSides) result() sideResult {
 	return sideResult{
-		inTime: float64(m.inTime) / float64(m.asked), over: float64(m.over) / float64(m.asked),
-		big: m.part("big"), small: m.part("small-0"), owed: m.worst(),
-		idle: 1 - m.workings[1].Seconds()/sideSpan.Seconds()/sideEngines, againM: float64(m.shared) / 1e6,
+		inTime: float64(m.inTime) / float64(m.asked), crossed: float64(m.crossed) / float64(m.asked),
+		big: m.part("big"), small: m.part("small-0"), due: m.worst(),
+		idle: 1 - m.readTime[1].Seconds()/sideSpan.Seconds()/sideEngines, rereadM: float64(m.reread) / 1e6,
 	}
 }
 
-// sideWays are the strategies compared by TestTwoRegions.
-var sideWays = map[string]way{
-	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": soonerThere, "full": whenFull,
-	"waits 0 ms": waits(0), "waits 120 ms": waits(2 * AssumedRoundTrip), "kept": waits(AssumedRoundTrip),
+// sideStrategies are the strategies compared by TestTwoRegions.
+var sideStrategies = map[string]regionStrategy{
+	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": whenSooner, "full": whenFull,
+	"waits 0 ms": afterWait(0), "waits 120 ms": afterWait(2 * AssumedRoundTrip), "kept": afterWait(AssumedRoundTrip),
 }
 
 // TestTwoRegions compares strategies for leaving a region, under a load that all engines together can
@@ -369,10 +369,10 @@
 		name     string
 		accounts []sideAccount
 	}{
-		{"even", small(0.09 * sideFull)},
-		{"one side", append(small(0.04*sideFull), sideAccount{"big", 0.55 * sideFull, [2]float64{1, 0}})},
+		{"even", small(0.09 * sideFullRate)},
+		{"one side", append(small(0.04*sideFullRate), sideAccount{"big", 0.55 * sideFullRate, [2]float64{1, 0}})},
 	} {
-		for name, w := range sideWays {
+		for name, w := range sideStrategies {
 			group.Go(func() {
 				r := newTwoSides(w).play(load.accounts).result()
 				mu.Lock()
@@ -384,12 +384,12 @@
 	}
 	group.Wait()
 	kept, only, full := results["one side kept"], results["one side own region only"], results["one side full"]
-	is.True(results["even kept"].over < 0.01)
+	is.True(results["even kept"].crossed < 0.01)
 	is.True(results["even kept"].inTime > 0.99)
-	is.True(kept.owed >= 1)
+	is.True(kept.due >= 1)
 	is.True(kept.small > 0.95)
 	is.True(kept.big > 2*only.big)
 	is.True(kept.inTime > 1.5*full.inTime)
 	is.True(kept.idle < only.idle-0.3)
-	is.True(kept.over < results["one side one order"].over)
+	is.True(kept.crossed < results["one side one order"].crossed)
 }
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -9,19 +9,21 @@
 
 // This file defines the strategies for leaving a region that TestTwoRegions compares.
 
-// side is the input of a strategy: the engines of a gateway's own region and of the other one.
-type side struct {
+// sideView is the input of a strategy: the engines of a gateway's own region and of the other one.
+type sideView struct {
 	own, far    []Server
 	now, waited time.Duration
 }
 
-// way is a strategy: it chooses an engine, and reports whether that is in the other region.
-type way func(p *RoomPlacer, r Request, s side) (c Choice, far bool)
+// regionStrategy is a strategy: it chooses an engine, and reports whether that is in the other region.
+type regionStrategy func(p *RoomPlacer, r Request, s sideView) (c Choice, far bool)
 
-func ownRegionOnly(p *RoomPlacer, r Request, s side) (Choice, bool) { return p.Choose(r, s.own), false }
+func ownRegionOnly(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+	return p.Choose(r, s.own), false
+}
 
 // oneOrder uses one rendezvous order over both regions.
-func oneOrder(p *RoomPlacer, r Request, s side) (Choice, bool) {
+func oneOrder(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
 	c := p.Choose(r, slices.Concat(s.own, s.far))
 	if c.Index >= len(s.own) {
 		c.Index -= len(s.own)
@@ -30,18 +32,18 @@
 	return c, false
 }
 
-// soonerThere leaves if the other region is expected to send the first event sooner.
-func soonerThere(p *RoomPlacer, r Request, s side) (Choice, bool) {
+// whenSooner leaves if the other region is expected to send the first event sooner.
+func whenSooner(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
 	near, far := p.Choose(r, s.own), p.Choose(r, s.far)
 	ms := func(c Choice) float64 { return float64(c.Before.Tokens+c.Read) / sideRate }
-	if far.Bound == Free && ms(far)+milliseconds(sideWay) < ms(near) {
+	if far.Bound == Free && ms(far)+milliseconds(sideRoundTrip) < ms(near) {
 		return far, true
 	}
 	return near, false
 }
 
 // whenFull leaves if no engine of the own region has capacity.
-func whenFull(p *RoomPlacer, r Request, s side) (Choice, bool) {
+func whenFull(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
 	c, why := p.ChooseInRegion(r, s.own)
 	if far, _ := p.ChooseInRegion(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
 		return far, true
@@ -49,12 +51,12 @@
 	return c, false
 }
 
-// waits also leaves once a request has waited for its best engine for the given time.
-func waits(least time.Duration) way {
-	return func(p *RoomPlacer, r Request, s side) (Choice, bool) {
+// afterWait also leaves once a request has waited for its best engine for the given time.
+func afterWait(minWait time.Duration) regionStrategy {
+	return func(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
 		c, why := p.ChooseInRegion(r, s.own)
 		far, _ := p.ChooseInRegion(r, s.far)
-		if why.Due(s.waited, least) && MayLeave(r.Class) && far.Bound == Free {
+		if why.Due(s.waited, minWait) && MayLeave(r.Class) && far.Bound == Free {
 			return far, true
 		}
 		return c, false
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -53,11 +53,11 @@
 	return l.longest - left
 }
 
-// callersOf draws a caller's total wait at a given second of the run.
-type callersOf func(rng *rand.Rand, second int) time.Duration
+// waitDistribution draws a caller's total wait at a given second of the run.
+type waitDistribution func(rng *rand.Rand, second int) time.Duration
 
 // uniform draws waits that are shorter than 10 s by up to the given part.
-func uniform(part float64) callersOf {
+func uniform(part float64) waitDistribution {
 	return func(rng *rand.Rand, _ int) time.Duration {
 		return time.Duration((1 - part*rng.Float64()) * float64(10*time.Second))
 	}
@@ -89,7 +89,7 @@
 	const objective = 250 * time.Millisecond
 	for _, tt := range []struct {
 		name         string
-		callers      callersOf
+		callers      waitDistribution
 		flood        int
 		mostFirst    float64 // maximum fraction of first requests counted as late
 		fewestReturn float64 // minimum fraction of returns counted as late
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	for _, tt := range []struct {
 		name         string
-		callers      callersOf
+		callers      waitDistribution
 		fewestReturn float64
 	}{{"a sixth", uniform(0.15), 0.7}, {"a half", uniform(0.5), 0}, {"two groups", twoGroups, 0.4}, {"all alike", uniform(0.001), 0.95}} {
 		rng := rand.New(rand.NewPCG(9, 9))
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -18,50 +18,50 @@
 
 // Parameters of the model.
 const (
-	shareTick      = 10 * time.Millisecond
-	shareSettle    = 100 * time.Millisecond // interval between usage reports, and between updates of the shares
-	shareWarm      = 3 * time.Second
-	shareEnd       = 33 * time.Second
-	shareRate      = 400_000.0 // capacity configured by the operator, in tokens a second
-	shareCost      = 1000.0    // tokens per request
-	shareObjective = 400 * time.Millisecond
-	sharePatience  = 12 * time.Second
-	shareMade      = shareRate // capacity of the engines, in tokens a second
-	shareRoom      = 40_000.0  // maximum tokens ahead of a request at the engines: a quarter of the objective
+	shareTick       = 10 * time.Millisecond
+	shareSettle     = 100 * time.Millisecond // interval between usage reports, and between updates of the shares
+	shareWarm       = 3 * time.Second
+	shareEnd        = 33 * time.Second
+	shareRate       = 400_000.0 // capacity configured by the operator, in tokens a second
+	shareCost       = 1000.0    // tokens per request
+	shareObjective  = 400 * time.Millisecond
+	sharePatience   = 12 * time.Second
+	shareEngineRate = shareRate // capacity of the engines, in tokens a second
+	shareMaxAhead   = 40_000.0  // maximum tokens ahead of a request at the engines: a quarter of the objective
 )
 
 // sharedAccounts models two accounts with the same load.
 type sharedAccounts struct {
-	rng        *rand.Rand
-	now        time.Duration
-	leader     *entitlement.Demand
-	classifier *entitlement.Classifier
-	report     protocol.Usage
-	later      map[time.Duration][]refusedOnce
-	busy       float64 // tokens that the engines still have to read
-	soon       bool    // whether requests return within the objective, rather than always after a part of their remaining time
+	rng             *rand.Rand
+	now             time.Duration
+	leader          *entitlement.Demand
+	classifier      *entitlement.Classifier
+	report          protocol.Usage
+	returns         map[time.Duration][]returningRequest
+	backlog         float64 // tokens that the engines still have to read
+	withinObjective bool    // whether requests return within the objective, rather than always after a part of their remaining time
 
-	asked, inTime, served int // requests
+	submitted, inTime, served int // requests
 }
 
-// refusedOnce is a request that will return.
-type refusedOnce struct {
+// returningRequest is a request that will return.
+type returningRequest struct {
 	account string
 	since   time.Duration
 }
 
 // play sends requests of both accounts at the given multiple of their shares.
 func (m *sharedAccounts) play(times float64) {
-	owed := 0.0
+	due := 0.0
 	for m.now = shareTick; m.now < shareEnd; m.now += shareTick {
-		m.busy = max(m.busy-shareMade*shareTick.Seconds(), 0)
-		for _, r := range m.later[m.now] {
-			m.ask(r, true)
+		m.backlog = max(m.backlog-shareEngineRate*shareTick.Seconds(), 0)
+		for _, r := range m.returns[m.now] {
+			m.submit(r, true)
 		}
-		delete(m.later, m.now)
-		for owed += times * shareRate / 2 * shareTick.Seconds() / shareCost; owed >= 1; owed-- {
-			m.ask(refusedOnce{"a", m.now}, false)
-			m.ask(refusedOnce{"b", m.now}, false)
+		delete(m.returns, m.now)
+		for due += times * shareRate / 2 * shareTick.Seconds() / shareCost; due >= 1; due-- {
+			m.submit(returningRequest{"a", m.now}, false)
+			m.submit(returningRequest{"b", m.now}, false)
 		}
 		if m.now%shareSettle == 0 {
 			m.leader.Add(m.report)
@@ -74,21 +74,21 @@
 	}
 }
 
-// ask serves or refuses a request. Returns are not recognized as such, as on a new gateway or with
+// submit serves or refuses a request. Returns are not recognized as such, as on a new gateway or with
 // callers of differing patience.
-func (m *sharedAccounts) ask(r refusedOnce, back bool) {
+func (m *sharedAccounts) submit(r returningRequest, back bool) {
 	counts := m.now >= shareWarm
 	if counts && !back {
-		m.asked++
+		m.submitted++
 	}
 	tokens := []protocol.Demand{{Account: r.account, Tokens: shareCost}}
 	m.report.Demands = append(m.report.Demands, tokens...)
 	class := m.classifier.Classify(m.now, r.account, shareCost, false)
-	if class < entitlement.Beyond && m.busy >= shareRoom {
+	if class < entitlement.Beyond && m.backlog >= shareMaxAhead {
 		m.report.Missed += shareCost
 	}
-	if class < entitlement.Beyond && m.busy < shareRoom {
-		m.busy += shareCost
+	if class < entitlement.Beyond && m.backlog < shareMaxAhead {
+		m.backlog += shareCost
 		m.report.Served = append(m.report.Served, tokens...)
 		m.report.Started += shareCost
 		if counts {
@@ -104,11 +104,11 @@
 	}
 	e, _ := m.classifier.Entitlement(m.now, r.account)
 	share := UncoveredRequest{CoveredPart: float64(e.Extra), Left: sharePatience}
-	if m.soon {
+	if m.withinObjective {
 		share.Objective = shareObjective
 	}
 	when := (m.now + share.After(m.rng.Float64())).Truncate(shareTick)
-	m.later[when] = append(m.later[when], r)
+	m.returns[when] = append(m.returns[when], r)
 }
 
 // TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests return
@@ -119,10 +119,10 @@
 	play := func(times float64, soon bool) (inTime, served float64) {
 		m := &sharedAccounts{
 			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemandEstimator(), classifier: entitlement.NewClassifier(),
-			later: map[time.Duration][]refusedOnce{}, soon: soon,
+			returns: map[time.Duration][]returningRequest{}, withinObjective: soon,
 		}
 		m.play(times)
-		return float64(m.inTime) / float64(m.asked), float64(m.served) / float64(m.asked)
+		return float64(m.inTime) / float64(m.submitted), float64(m.served) / float64(m.submitted)
 	}
 	for _, times := range []float64{1.2, 1.4, 2, 5} {
 		inTime, served := play(times, true)
