--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// strategy is a strategy for dividing a cold server's rate. It reports whether a gateway may begin a request now.
+// strategy divides a cold server's rate: it reports whether a gateway may begin a request now.
 type strategy func(gateway int, now time.Duration) bool
 
 // partsOfRequests gives each gateway an equal fraction of the rate, starting at a random time.
--- a/coordination/outlier/consecutive_test.go
+++ b/coordination/outlier/consecutive_test.go
@@ -46,7 +46,7 @@
 		for i := range rapid.IntRange(0, 200).Draw(t, "failures") {
 			h.Failed(time.Duration(i)*time.Millisecond, fmt.Sprint(rapid.IntRange(0, n-1).Draw(t, "server")))
 			if 2*h.ejected() > n {
-				t.Fatalf("%d of %d are out", h.ejected(), n)
+				t.Fatalf("%d of %d servers are ejected", h.ejected(), n)
 			}
 		}
 	})
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -19,7 +19,7 @@
 	NoVerdict                // ended for a reason other than the server
 )
 
-// failureWeights are the failureWeights of verdicts in the failure rate. Refusals weigh least, since full engines
+// failureWeights are the weights of verdicts in the failure rate. Refusals weigh least, since full engines
 // refuse requests in normal operation.
 var failureWeights = [...]float64{Answered: 0, Refused: 0.4, Faulty: 0.7, Lost: 1}
 
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -18,12 +18,12 @@
 		ejected bool
 	}{
 		{"lost in a row", 0, []Verdict{Lost, Lost, Lost}, true},
-		{"lost, answered between", 0, slices.Repeat([]Verdict{Lost, Answered, Answered, Answered, Answered, Answered}, 3), false},
+		{"lost, with answers in between", 0, slices.Repeat([]Verdict{Lost, Answered, Answered, Answered, Answered, Answered}, 3), false},
 		{"too few samples", 0, []Verdict{Faulty, Faulty, Faulty}, false},
 		{"faulty answers", 0, []Verdict{Faulty, Faulty, Faulty, Faulty}, true},
 		{"faulty answers in a pool that fails alike", 0.5, []Verdict{Faulty, Faulty, Faulty, Faulty}, false},
 		{"full, refuses half", 0, slices.Repeat([]Verdict{Answered, Refused}, 10), false},
-		{"ends that are none of its doing", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
+		{"results without a verdict", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			p, s, ejected := PoolRate{rate: tt.pool}, FailureRate{}, false
--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -24,15 +24,15 @@
 // ObserveSilence records an attempt that ended because no answer arrived, with the time it began and the
 // time its connection was opened, 0 if there was none. It returns the verdict on the server, and whether its
 // idle connections should be closed so that the next request opens a new one.
-func (d *ServerSilence) ObserveSilence(now, began, opened time.Duration) (v Verdict, drop bool) {
+func (s *ServerSilence) ObserveSilence(now, began, opened time.Duration) (v Verdict, drop bool) {
 	reused := opened != 0 && opened < began
 	switch {
 	case !reused:
 		return Lost, false
-	case d.firstSilent == 0 || now-d.firstSilent > silenceMemory:
-		d.firstSilent = now
+	case s.firstSilent == 0 || now-s.firstSilent > silenceMemory:
+		s.firstSilent = now
 		return NoVerdict, true
-	case opened <= d.firstSilent:
+	case opened <= s.firstSilent:
 		return NoVerdict, false
 	}
 	return Lost, false
--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -13,21 +13,21 @@
 func TestSilentConnections(t *testing.T) {
 	var d ServerSilence
 	for _, tt := range []struct {
-		what               string
+		name               string
 		now, began, opened float64
 		verdict            Verdict
 		drop               bool
 	}{
 		{"a new connection", 5, 4, 4, Lost, false},
-		{"none came about", 6, 5, 0, Lost, false},
-		{"the first kept one", 10, 9, 3, NoVerdict, true},
-		{"others that were open then", 10.5, 9.5, 8, NoVerdict, false},
-		{"the same", 12, 11, 10, NoVerdict, false},
-		{"one opened after it, for the attempt", 13, 12, 12, Lost, false},
-		{"one opened after it, and kept", 14, 13, 11, Lost, false},
+		{"no connection", 6, 5, 0, Lost, false},
+		{"the first reused one", 10, 9, 3, NoVerdict, true},
+		{"another one open at that time", 10.5, 9.5, 8, NoVerdict, false},
+		{"the same again", 12, 11, 10, NoVerdict, false},
+		{"one opened later, for the attempt", 13, 12, 12, Lost, false},
+		{"one opened later, and reused", 14, 13, 11, Lost, false},
 		{"much later", 21, 20, 15, NoVerdict, true},
 	} {
-		t.Run(tt.what, func(t *testing.T) {
+		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			at := func(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 			v, drop := d.ObserveSilence(at(tt.now), at(tt.began), at(tt.opened))
--- a/coordination/overload/arrivals.go
+++ b/coordination/overload/arrivals.go
@@ -18,7 +18,7 @@
 	waiting   int
 	accepted  int // since then
 
-	// Totals intervalStart the last estimate.
+	// Totals since the last estimate.
 	intervalStart  time.Duration
 	waitingAtStart int           // connections waiting at that time
 	observed       time.Duration // duration of the intervals that began with room
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -19,7 +19,7 @@
 )
 
 // simulateQueue adds arrivals before each sample, and returns the sum of the estimates after a given time.
-func simulateQueue(arrivals func(now time.Duration) int, after time.Duration) (untaken int) {
+func simulateQueue(arrivals func(now time.Duration) int, after time.Duration) (unaccepted int) {
 	var a Arrivals
 	waiting := 0
 	for now := samplePeriod; now <= queueDuration; now += samplePeriod {
@@ -36,10 +36,10 @@
 		}
 		var n int
 		if n, a = a.Unaccepted(now); now > after {
-			untaken += n
+			unaccepted += n
 		}
 	}
-	return untaken
+	return unaccepted
 }
 
 // TestArrivals covers arrivals at a constant rate.
@@ -49,24 +49,24 @@
 		rate         float64 // connections a second
 		lowest, most int     // unaccepted per second: never too many, and enough to detect a doubled rate
 	}{
-		{"nobody comes", 0, 0, 0},
-		{"all are taken", 250, 0, 5},
+		{"no arrivals", 0, 0, 0},
+		{"all are accepted", 250, 0, 5},
 		{"a fifth too many", 360, 20, 60},
 		{"twice as many", 600, 200, 300},
 		{"four times as many", 1200, 600, 900},
-		{"more than can be seen", 9000, 600, 900},
+		{"more than the queue shows", 9000, 600, 900},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			fraction := 0.0
-			untaken := simulateQueue(func(time.Duration) int {
+			unaccepted := simulateQueue(func(time.Duration) int {
 				whole := int(fraction + tt.rate*samplePeriod.Seconds())
 				fraction += tt.rate*samplePeriod.Seconds() - float64(whole)
 				return whole
 			}, time.Second) / 3
-			t.Logf("%d a second", untaken)
-			is.True(untaken >= tt.lowest)
-			is.True(untaken <= tt.most)
+			t.Logf("%d unaccepted a second", unaccepted)
+			is.True(unaccepted >= tt.lowest)
+			is.True(unaccepted <= tt.most)
 		})
 	}
 }
@@ -74,13 +74,13 @@
 // TestBurstsThatWait checks that bursts of connections that wait in the queue are not counted as unaccepted.
 func TestBurstsThatWait(t *testing.T) {
 	is := is.New(t)
-	untaken := simulateQueue(func(now time.Duration) int {
+	unaccepted := simulateQueue(func(now time.Duration) int {
 		if now%(250*time.Millisecond) == 0 {
 			return 50
 		}
 		return 0
 	}, 0)
-	is.True(untaken <= 50) // of 800, from rounding at the intervals' ends
+	is.True(unaccepted <= 50) // of 800, from rounding at the intervals' ends
 }
 
 // TestArrivalsUnseen checks that there is no estimate without samples, or if the queue never had room.
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -57,7 +57,7 @@
 	for _, tt := range []struct {
 		delay                   time.Duration
 		entitled, extra, beyond bool
-		gather                  time.Duration // with a gap of 300 ms
+		coalesce                time.Duration // with a gap of 300 ms
 	}{
 		{0, true, true, true, 0},
 		{6 * time.Millisecond, true, true, true, 40 * time.Millisecond},
@@ -69,7 +69,7 @@
 		is.Equal(d.Admits(entitlement.Entitled), tt.entitled)
 		is.Equal(d.Admits(entitlement.Extra), tt.extra)
 		is.Equal(d.Admits(entitlement.Beyond), tt.beyond)
-		is.Equal(d.Coalesce(300*time.Millisecond), tt.gather)
+		is.Equal(d.Coalesce(300*time.Millisecond), tt.coalesce)
 	}
 	d := Detector{Delay: DelayTooLong + 1}
 	is.True(!d.Admits(entitlement.Covered))
--- a/coordination/overload/pace_test.go
+++ b/coordination/overload/pace_test.go
@@ -18,12 +18,12 @@
 		is := is.New(t)
 		const cost = 2 * time.Millisecond
 		d, p := New(time.Second), Pace{}
-		now, behind, taken, most := time.Second, time.Duration(0), 0, time.Duration(0)
+		now, backlog, taken, most := time.Second, time.Duration(0), 0, time.Duration(0)
 		fire := func(offered int) {
 			came := min(offered/int(time.Second/TickPeriod), p.Allowance())
 			taken += came
-			behind = max(behind+time.Duration(came)*cost-TickPeriod, 0)
-			now += TickPeriod + min(behind, time.Second)
+			backlog = max(backlog+time.Duration(came)*cost-TickPeriod, 0)
+			now += TickPeriod + min(backlog, time.Second)
 			d = d.Tick(now, 0)
 			p = p.Next(now, d.Delay, came)
 		}
@@ -34,7 +34,7 @@
 		taken = 0
 		for range 200 {
 			fire(offered)
-			most = max(most, behind)
+			most = max(most, backlog)
 		}
 		is.True(taken >= 200 && taken <= 200*12) // 10 per tick can be handled
 		is.True(most < 500*time.Millisecond)
@@ -56,13 +56,13 @@
 	for _, usual := range []int{0, 40, 150} { // connections a second, of which 200 can be served
 		is := is.New(t)
 		d, p := New(time.Second), Pace{}
-		var behind, relays, longest time.Duration
+		var backlog, relays, longest time.Duration
 		fires, taken := time.Second+TickPeriod, 0
 		for now := time.Second; now < 10*time.Second; now += TickPeriod {
 			if now >= fires {
 				d = d.Tick(max(fires, now-TickPeriod), 0)
 				p = p.Next(now, d.Delay, taken)
-				fires, taken = max(fires, now-TickPeriod)+TickPeriod+behind, 0
+				fires, taken = max(fires, now-TickPeriod)+TickPeriod+backlog, 0
 			}
 			offered := usual
 			if now >= 6*time.Second {
@@ -70,17 +70,17 @@
 			}
 			for range min(offered/int(time.Second/TickPeriod), p.Allowance()-taken) {
 				taken++
-				behind += refuse
+				backlog += refuse
 				if d.Admits(entitlement.Entitled) {
 					relays += serve
 				}
 			}
 			relayed := relays * TickPeriod / stream
 			relays -= relayed
-			behind = max(behind+relayed-TickPeriod, 0)
-			longest = max(longest, behind)
+			backlog = max(backlog+relayed-TickPeriod, 0)
+			longest = max(longest, backlog)
 		}
-		t.Logf("usual %d: behind by %v at most", usual, longest)
+		t.Logf("usual rate %d: backlog of %v at most", usual, longest)
 		is.True(longest < time.Second)
 	}
 }
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -95,7 +95,7 @@
 	return read, price + loadPrice(c) + float64(p.Own)*max(c.slowness, 1)
 }
 
-// rereadPrice returns the price of reading the shared tokens again on a server at a later rank.
+// affinityLossPrice returns the price of reading the shared tokens again on a server at a later rank.
 func affinityLossPrice(shared, rank int) float64 {
 	return min(rereadPrice*float64(shared), maxRereadPrice) * (1 + rankSurcharge*float64(rank-1))
 }
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -99,19 +99,19 @@
 	busySlotsPart  = 0.75  // fraction of the slots in use from which a server is busy
 	serversPerBusy = 4     // servers used for each busy one
 	// peakSpan is how long a load peak marks a server as busy: five of the longest intervals between
-	// load summaries. Without it, a prompt with many requests falls back to a single server after each
-	// summary that shows its servers idle, and requests queue there.
+	// load reports. Without it, a prompt with many requests falls back to a single server after each
+	// report that shows its servers idle, and requests queue there.
 	peakSpan = 3 * time.Second
 )
 
-// Peak is the highest recent load of a server according to the summaries over all gateways. The zero
+// Peak is the highest recent load of a server according to the reports over all gateways. The zero
 // value has no peak.
 type Peak struct {
 	work Work
-	at   time.Duration // time of the most recent summary that was as high
+	at   time.Duration // time of the most recent report that was as high
 }
 
-// With returns the peak after a summary received at now. The summary replaces the peak if it is at
+// With returns the peak after a report received at now. The report replaces the peak if it is at
 // least as high in both requests and tokens.
 func (k Peak) With(now time.Duration, w Work) Peak {
 	if before := k.At(now); w.Tokens >= before.Tokens && w.Requests >= before.Requests {
@@ -134,7 +134,7 @@
 // the whole order; if that has none either, the cheapest of the order. ok is false if no server of
 // the order is usable.
 //
-// The load reported by other gateways is as old as the latest summary, and until the next one all
+// The load reported by other gateways is as old as the latest report, and until the next one all
 // gateways regard the same server as the cheapest. That is harmless at low request rates. At 150
 // requests a second for one prompt, however, 90 of them would choose the same server before its load
 // is reported, and it would queue seconds of reading.
@@ -177,7 +177,7 @@
 
 // width returns over how many of the usable servers of its order a prompt is spread. It is 1 unless
 // the first server or at least two of the leading ones are busy; then it grows to serversPerBusy for
-// each busy server. Servers beyond the width do not count: the order is long enough for a prompt with
+// each busy one. Servers beyond the width do not count: the order is long enough for a prompt with
 // many requests, and in a large pool some of its servers are nearly always busy with other prompts,
 // occasionally even one of the leading ones.
 func (p *RoomPlacer) width(r Request, usable []pricedCandidate) int {
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -54,8 +54,8 @@
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	var p RoomPlacer
-	at := func(lot float64) int {
-		c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: lot}, order, 0)
+	at := func(random float64) int {
+		c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
 		is.True(ok)
 		return c.Index
 	}
@@ -66,8 +66,8 @@
 	order[0].Closed, order[0].Health = false, outlier.Trial // a request that must not be repeated cannot be a trial
 	is.Equal(at(0.5), 1)
 	order[0].Health, order[0].Others = outlier.InUse, Work{Requests: 13, Tokens: 9_000}
-	for _, lot := range []float64{0.1, 0.3, 0.7, 0.99} {
-		is.True(at(lot) >= 1 && at(lot) < 5) // one of the next servers, none of which is busy
+	for _, random := range []float64{0.1, 0.3, 0.7, 0.99} {
+		is.True(at(random) >= 1 && at(random) < 5) // one of the next servers, none of which is busy
 	}
 	_, ok := p.ChooseSpread(Request{Engine: true}, nil, 0)
 	is.True(!ok)
@@ -85,8 +85,8 @@
 	var p RoomPlacer
 	used := func() map[int]bool {
 		all := map[int]bool{}
-		for lot := 0.0005; lot < 1; lot += 0.001 {
-			c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: lot}, order, 0)
+		for random := 0.0005; random < 1; random += 0.001 {
+			c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
 			is.True(ok)
 			all[c.Index] = true
 		}
@@ -249,7 +249,7 @@
 	return x
 }
 
-// advance advances the engines and the load reports to now.
+// advance brings the engines and the load reports up to now.
 func (x *promptPool) advance(now float64) {
 	const period = 0.6 // seconds between sums
 	for i := range x.pool {
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -49,7 +49,7 @@
 				pl.Report(s, Load{Running: 8, Waiting: 8, At: 10 * time.Second})
 			}
 		}, "s3"},
-		{"not to one that is out", func(pl *SlotPlacer, _ []FreeServer) {
+		{"not to an ejected server", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Health.SetSize(4)
 			pl.Index.Sent("s2", p)
 			for pl.Health.Usable(10*time.Second, "s2") {
@@ -57,7 +57,7 @@
 			}
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
-		{"a doubtful cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
+		{"an uncertain cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Index.Take("s2", Event{Seq: 1})
 			pl.Index.Take("s2", Event{Seq: 3, Stored: p}) // event 2 was lost
 			pl.Index.Sent("s1", p[:10])
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -17,7 +17,7 @@
 // This file models a small pool of plain servers behind many gateways. Each gateway sends a small part of
 // the requests and receives reports of the others' load that are some 100 ms old.
 
-// strategy is a strategy for choosing a server, given the state that a gateway has.
+// strategy chooses a server, given the state that a gateway has.
 type strategy func(rng *rand.Rand, servers []Server) Choice
 
 // smallPool holds the parameters of the model.
@@ -33,7 +33,7 @@
 	halls      []float64 // fraction of the requests by data hall; servers are assigned to halls round robin
 }
 
-// completion is the completion of a request at a server.
+// completion is the end of a request at a server.
 type completion struct {
 	at              time.Duration
 	gateway, server int
@@ -52,7 +52,7 @@
 	return last
 }
 
-// poolResult are the results of a run.
+// poolResult is the result of a run.
 type poolResult struct {
 	p50, p99 time.Duration
 	lost     float64 // fraction of requests that were refused or found no capacity
@@ -189,18 +189,18 @@
 		for _, way := range []struct {
 			name string
 			c    strategy
-		}{{"least loaded", leastLoaded}, {"by lot", anyServer}, {"better of two", betterOfTwo}, {"kept", placerChoice}} {
+		}{{"least loaded", leastLoaded}, {"random", anyServer}, {"better of two", betterOfTwo}, {"placer", placerChoice}} {
 			o := tt.pool.play(way.c)
 			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, way.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
 			results[tt.name+" "+way.name] = o
 		}
 	}
-	is.True(results["62 gateways kept"].lost < 0.01)
-	is.True(results["62 gateways kept"].p50 < 35*time.Millisecond)
-	is.True(results["three halls kept"].lost < 0.01)
-	is.True(results["uneven halls kept"].lost < 0.01)
-	is.True(results["uneven halls of five servers kept"].lost < 0.01)
-	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways kept"].lost)
+	is.True(results["62 gateways placer"].lost < 0.01)
+	is.True(results["62 gateways placer"].p50 < 35*time.Millisecond)
+	is.True(results["three halls placer"].lost < 0.01)
+	is.True(results["uneven halls placer"].lost < 0.01)
+	is.True(results["uneven halls of five servers placer"].lost < 0.01)
+	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways placer"].lost)
 }
 
 // offPool sends 300 requests a second for ten seconds to servers of which some are down, and returns the
@@ -237,10 +237,10 @@
 func TestServersThatAreOff(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s < 4 }
-	kept := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
+	penalized := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
 	without := offPool(62, 14, off, func(int, int, *Server, int) {})
-	t.Logf("lost %.3f, without the weight %.3f", kept, without)
-	is.True(kept < 0.75*without)
+	t.Logf("lost %.3f, without the penalty %.3f", penalized, without)
+	is.True(penalized < 0.75*without)
 }
 
 // TestHallIsPreferred takes down one of three data halls with its five servers and its gateways. The
@@ -248,8 +248,8 @@
 func TestHallIsPreferred(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s%3 == 2 }
-	kept := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
+	preferring := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
 	without := offPool(41, 15, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
-	t.Logf("lost %.3f, without the preference %.3f", kept, without)
-	is.True(kept < 0.85*without)
+	t.Logf("lost %.3f, without the preference %.3f", preferring, without)
+	is.True(preferring < 0.85*without)
 }
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -333,7 +333,7 @@
 
 // String implements [fmt.Stringer].
 func (r sideResult) String() string {
-	return fmt.Sprintf("in time %.3f, over %.3f, big %.2f, small %.2f, of what is owed %.2f, far side idle %.2f, read again %4.1f M",
+	return fmt.Sprintf("in time %.3f, crossed %.3f, big %.2f, small %.2f, of what is due %.2f, far side idle %.2f, read again %4.1f M",
 		r.inTime, r.crossed, r.big, r.small, r.due, r.idle, r.rereadM)
 }
 
@@ -348,7 +348,7 @@
 // sideStrategies are the strategies compared by TestTwoRegions.
 var sideStrategies = map[string]regionStrategy{
 	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": whenSooner, "full": whenFull,
-	"waits 0 ms": afterWait(0), "waits 120 ms": afterWait(2 * AssumedRoundTrip), "kept": afterWait(AssumedRoundTrip),
+	"waits 0 ms": afterWait(0), "waits 120 ms": afterWait(2 * AssumedRoundTrip), "waits a round trip": afterWait(AssumedRoundTrip),
 }
 
 // TestTwoRegions compares strategies for leaving a region, under a load that all engines together can
@@ -377,19 +377,19 @@
 				r := newTwoSides(w).play(load.accounts).result()
 				mu.Lock()
 				defer mu.Unlock()
-				t.Logf("%-8s %-15s %v", load.name, name, r)
+				t.Logf("%-8s %-18s %v", load.name, name, r)
 				results[load.name+" "+name] = r
 			})
 		}
 	}
 	group.Wait()
-	kept, only, full := results["one side kept"], results["one side own region only"], results["one side full"]
-	is.True(results["even kept"].crossed < 0.01)
-	is.True(results["even kept"].inTime > 0.99)
-	is.True(kept.due >= 1)
-	is.True(kept.small > 0.95)
-	is.True(kept.big > 2*only.big)
-	is.True(kept.inTime > 1.5*full.inTime)
-	is.True(kept.idle < only.idle-0.3)
-	is.True(kept.crossed < results["one side one order"].crossed)
+	chosen, only, full := results["one side waits a round trip"], results["one side own region only"], results["one side full"]
+	is.True(results["even waits a round trip"].crossed < 0.01)
+	is.True(results["even waits a round trip"].inTime > 0.99)
+	is.True(chosen.due >= 1)
+	is.True(chosen.small > 0.95)
+	is.True(chosen.big > 2*only.big)
+	is.True(chosen.inTime > 1.5*full.inTime)
+	is.True(chosen.idle < only.idle-0.3)
+	is.True(chosen.crossed < results["one side one order"].crossed)
 }
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -15,7 +15,7 @@
 	now, waited time.Duration
 }
 
-// regionStrategy is a strategy: it chooses an engine, and reports whether that is in the other region.
+// regionStrategy chooses an engine, and reports whether that is in the other region.
 type regionStrategy func(p *RoomPlacer, r Request, s sideView) (c Choice, far bool)
 
 func ownRegionOnly(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -107,10 +107,10 @@
 			longest, sixth := longestWait{}, longestWait{allowed: 1.0 / 6}
 			var firsts, returns float64
 			var late [3][2]float64 // by estimate, for first requests and for returns
-			observe := func(now, left time.Duration, came int) {
-				for way, spent := range []time.Duration{longest.spent(left), sixth.spent(left), p.Spent(left)} {
+			observe := func(now, left time.Duration, kind int) {
+				for estimate, spent := range []time.Duration{longest.spent(left), sixth.spent(left), p.Spent(left)} {
 					if spent >= objective {
-						late[way][came]++
+						late[estimate][kind]++
 					}
 				}
 			}
@@ -133,8 +133,8 @@
 					observe(now, wait-UncoveredRequest{Left: wait}.After(rng.Float64()), 1)
 				}
 			}
-			for way, name := range []string{"longest", "less a sixth", "waits seen"} {
-				t.Logf("%-12s first requests counted late %.2f, returns %.2f", name, late[way][0]/firsts, late[way][1]/returns)
+			for estimate, name := range []string{"longest", "less a sixth", "first waits"} {
+				t.Logf("%-12s first requests counted late %.2f, returns %.2f", name, late[estimate][0]/firsts, late[estimate][1]/returns)
 			}
 			is := is.New(t)
 			is.True(late[2][0]/firsts <= tt.mostFirst)
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -22,36 +22,36 @@
 // TestAfterAnAttempt covers what follows the last of a series of attempts, and how the request ends if
 // there is no further one.
 func TestAfterAnAttempt(t *testing.T) {
-	const late, head, broke = true, true, true // timed out; head written; budget exhausted
+	const late, head, noBudget = true, true, true // timed out; head written; budget exhausted
 	type executions []Execution
 	type next struct{ allowed, fromBudget bool }
 	stop, free, paid := next{}, next{true, false}, next{true, true}
 	for _, tt := range []struct {
-		name              string
-		route             document.Route
-		attempts          executions
-		late, head, broke bool
-		next              next
-		ending            Ending
+		name                 string
+		route                document.Route
+		attempts             executions
+		late, head, noBudget bool
+		next                 next
+		ending               Ending
 	}{
 		{"not sent", once, executions{NotSent}, false, false, false, free, EndNoServer},
 		{"refused", once, executions{Refused}, false, false, false, paid, EndRefused},
-		{"refused without a budget", once, executions{Refused}, false, false, broke, paid, EndNoBudget},
+		{"refused without a budget", once, executions{Refused}, false, false, noBudget, paid, EndNoBudget},
 		{"may have run once", once, executions{MayHaveRun}, false, false, false, stop, EndMayHaveRun},
-		{"failed by itself", once, executions{HasRun}, false, false, false, stop, EndServerError},
+		{"failed", once, executions{HasRun}, false, false, false, stop, EndServerError},
 		{"may run again", repeatable, executions{MayHaveRun}, false, false, false, paid, EndMayHaveRun},
-		{"may run again, no budget", repeatable, executions{MayHaveRun}, false, false, broke, paid, EndMayHaveRun},
+		{"may run again, no budget", repeatable, executions{MayHaveRun}, false, false, noBudget, paid, EndMayHaveRun},
 		{"failure that may run again", repeatable, executions{HasRun}, false, false, false, paid, EndServerError},
 		{"as often as the route allows", repeatable, executions{MayHaveRun, MayHaveRun}, false, false, false, stop, EndMayHaveRun},
 		{"refused after it may have run", repeatable, executions{MayHaveRun, Refused}, false, false, false, paid, EndMayHaveRun},
 		{"not sent after it may have run", repeatable, executions{MayHaveRun, NotSent}, false, false, false, free, EndMayHaveRun},
 		{"one refusal more than runs", once, executions{Refused, Refused, Refused}, false, false, false, stop, EndRefused},
-		{"no limit said is one run", document.Route{}, executions{Refused, Refused}, false, false, false, stop, EndRefused},
+		{"no limit means one run", document.Route{}, executions{Refused, Refused}, false, false, false, stop, EndRefused},
 		{"arrivals are bounded", unbounded, executions{MayHaveRun, MayHaveRun, MayHaveRun}, false, false, false, stop, EndMayHaveRun},
 		{"below the bound of attempts", unbounded, executions{NotSent, NotSent, NotSent, NotSent}, false, false, false, free, EndNoServer},
 		{"attempts are bounded", unbounded, executions{NotSent, NotSent, NotSent, NotSent, NotSent}, false, false, false, stop, EndNoServer},
 		{"late, may have run", repeatable, executions{MayHaveRun}, late, false, false, stop, EndTimedOut},
-		{"late, failed by itself", repeatable, executions{HasRun}, late, false, false, stop, EndServerError},
+		{"late, failed", repeatable, executions{HasRun}, late, false, false, stop, EndServerError},
 		{"late, refused", once, executions{Refused}, late, false, false, stop, EndRefused},
 		{"late, not sent", once, executions{NotSent}, late, false, false, stop, EndNoServer},
 		{"stream has begun", stream, executions{MayHaveRun}, false, head, false, stop, EndBroken},
@@ -68,7 +68,7 @@
 			last := tt.attempts[len(tt.attempts)-1]
 			allowed, fromBudget := r.Again(last)
 			is.Equal(next{allowed, fromBudget}, tt.next)
-			is.Equal(r.AfterAttempt(last, tt.broke), tt.ending)
+			is.Equal(r.AfterAttempt(last, tt.noBudget), tt.ending)
 		})
 	}
 }
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -116,10 +116,10 @@
 // and far more of them in time.
 func TestReturnsAreInTime(t *testing.T) {
 	is := is.New(t)
-	play := func(times float64, soon bool) (inTime, served float64) {
+	play := func(times float64, withinObjective bool) (inTime, served float64) {
 		m := &sharedAccounts{
 			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemandEstimator(), classifier: entitlement.NewClassifier(),
-			returns: map[time.Duration][]returningRequest{}, withinObjective: soon,
+			returns: map[time.Duration][]returningRequest{}, withinObjective: withinObjective,
 		}
 		m.play(times)
 		return float64(m.inTime) / float64(m.submitted), float64(m.served) / float64(m.submitted)
@@ -127,7 +127,7 @@
 	for _, times := range []float64{1.2, 1.4, 2, 5} {
 		inTime, served := play(times, true)
 		late, servedLate := play(times, false)
-		t.Logf("asks for %.1f of its share: in time %.2f of %.2f served; after a third of its time %.2f of %.2f", times, inTime, served, late, servedLate)
+		t.Logf("demand of %.1f times the share: in time %.2f of %.2f served; %.2f of %.2f if returning after a third of the remaining time", times, inTime, served, late, servedLate)
 		is.True(inTime >= 0.9/times)       // requests covered by the share are in time
 		is.True(served <= 1.1/times)       // no more is served than the share covers
 		is.True(served >= 0.95*servedLate) // no fewer than if requests return later
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -100,12 +100,12 @@
 }
 
 // After returns when the request should return. random is between 0 and 1.
-func (s UncoveredRequest) After(random float64) time.Duration {
-	again := max(scale(s.Objective, minReturnPart+(maxReturnPart-minReturnPart)*random), ShortDelay)
-	if s.CoveredPart >= minCoveredPart && s.Spent+again < s.Objective {
-		return again
+func (r UncoveredRequest) After(random float64) time.Duration {
+	delay := max(scale(r.Objective, minReturnPart+(maxReturnPart-minReturnPart)*random), ShortDelay)
+	if r.CoveredPart >= minCoveredPart && r.Spent+delay < r.Objective {
+		return delay
 	}
-	return max(scale(s.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
+	return max(scale(r.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
 }
 
 // AfterOverload returns the same for a caller refused because the gateway's processor is overloaded.
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -22,7 +22,7 @@
 // them. TestFleetKeepsToItsBudget checks that the fraction suffices.
 const safety = 0.7
 
-// sliceCount is the number of sliceCount of a window. Retries leave the window one slice late and requests
+// sliceCount is the number of slices of a window. Retries leave the window one slice late and requests
 // one slice early, an error of a tenth that safety has to cover.
 const sliceCount = 10
 
