--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -53,7 +53,7 @@
 type LinkBudget struct {
 	spent         float64 // bytes missing from the bucket
 	optionalSpent float64 // bytes missing from the part of the bucket for optional transfers
-	at            time.Duration
+	refilledAt    time.Duration
 	roundTrips    map[string]time.Duration // by region
 	pausedUntil   time.Duration            // end of the congestion pause
 }
@@ -108,8 +108,8 @@
 
 // refill credits the bytes accrued since the last call.
 func (l *LinkBudget) refill(now time.Duration, s LinkShare) {
-	accrued := s.rate() * max(now-l.at, 0).Seconds()
-	l.at = max(now, l.at)
+	accrued := s.rate() * max(now-l.refilledAt, 0).Seconds()
+	l.refilledAt = max(now, l.refilledAt)
 	l.spent = max(l.spent-accrued, 0)
 	l.optionalSpent = max(l.optionalSpent-accrued*optionalPart, 0)
 }
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -190,16 +190,16 @@
 	const gateways, ends, settled, long = 300, 10.0, 2.0, 0.25 // seconds
 	x := newPromptPool(l)
 	p := RoomPlacer{learnedRate: l.assumedRate}
-	asked, counted, late, left := 0.0, 0.0, 0.0, 0.0
+	sent, counted, late, moved := 0.0, 0.0, 0.0, 0.0
 	for now := 0.0; now < ends; now += x.rng.ExpFloat64() / l.rate {
 		x.advance(now)
 		prompt := Prompt{Own: l.drawOwn(x.rng), Shared: []Part{{l.drawName(x.rng), l.shared}}}
 		order, at := serversByID(x.pool, x.ranks.First(prompt))
 		r := Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: prompt, Random: x.rng.Float64(), Gateways: gateways}
 		i := choose(&p, r, x.pool, order, at)
-		asked++
+		sent++
 		if i != at[0] {
-			left++
+			moved++
 		}
 		wait := x.begin(i, prompt, now)
 		if now <= settled {
@@ -211,7 +211,7 @@
 			late++
 		}
 	}
-	o.late, o.moved, o.engines = late/counted, left/asked, x.used()
+	o.late, o.moved, o.engines = late/counted, moved/sent, x.used()
 	return o
 }
 
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -19,12 +19,12 @@
 //
 // The wait of one round trip suits an account whose callers are all in one region and that needs more
 // than half of the fleet:
-//   - Staying in the own region serves few of its requests in time.
+//   - Staying in the own region serves a quarter of its requests in time.
 //   - One order over both regions sends half of all requests across the link under any load.
 //   - Leaving whenever the other region is expected to answer sooner, or as soon as the best engine
 //     is full, sends more requests across the link for no more of them in time.
-//   - Leaving only when the whole region is full, or after 120 ms, is too late for many requests and
-//     makes more of them cross.
+//   - Leaving only when the whole region is full serves half of them in time, and leaving after 120 ms
+//     two thirds; both make more requests cross the link.
 
 // LeaveReason is the reason why a request may leave its region.
 type LeaveReason uint8
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -52,8 +52,8 @@
 // Preference for the gateway's own data hall. It reduces the requests that are lost when another hall
 // fails, and the traffic between halls. It only applies if the hall has several servers, since halls
 // differ in the load of their callers. It does not follow the servers' load: that is reported too late
-// for short requests, so all gateways of a hall would leave and return at the same time. A hall with
-// one server and most of the callers would then serve far fewer of their requests
+// for short requests, so all gateways of a hall would leave and return at the same time. On a day when a
+// hall with one server has most of the callers, a quarter of a route's traffic would then be lost
 // (docs/design/shifted-work.md).
 const (
 	ownHallWeight     = 4.0 // multiple of the capacity of its servers
--- a/coordination/retry/patience.go
+++ b/coordination/retry/patience.go
@@ -13,9 +13,10 @@
 // with a remaining wait in a gap of that distribution counts as a return. Its age is at least the
 // distance to the next longer wait of a first request.
 //
-// Comparing with the longest wait instead would count most first requests of a flooding account as
-// late returns, with or without a margin of a sixth, as soon as callers' waits differ by half or form
-// two groups. Using the gaps avoids that, at the price of recognizing only some of the returns.
+// Comparing with the longest wait instead would count more than 80% of a flooding account's first
+// requests as late returns. With a margin of a sixth it would still be half of them if callers' waits
+// differ by half or form two groups. Using the gaps avoids that, at the price of recognizing only some
+// of the returns.
 
 const (
 	// patienceBins is the number of bins for waits. It resolves 1/128 to 1/64 of the longest wait,
