--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -171,7 +171,7 @@
 func (t *table) viewOf(k *knownServer, now time.Duration, req *requirements, v viewing) place.Server {
 	return place.Server{
 		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersAt,
-		RecentPeak: k.lately.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
+		RecentPeak: k.peakLoad.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
 }
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -35,7 +35,7 @@
 	for _, l := range loads {
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.totalLoad = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
-			k.lately = k.lately.With(now, k.totalLoad)
+			k.peakLoad = k.peakLoad.With(now, k.totalLoad)
 			t.unequal = append(t.unequal, k)
 		}
 	}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -28,7 +28,7 @@
 	ownLoad    place.Work // running there from this gateway; prompts count until their first event
 	totalLoad  place.Work // the same of all gateways, as the leader last sent it
 	othersLoad place.Work // of all but this gateway, as of the table's othersAt
-	lately     place.Peak // of all
+	peakLoad   place.Peak // of all
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
