--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -46,7 +46,7 @@
 	for _, r := range t.reports {
 		if r.seq == counted {
 			t.subtract(r.loads)
-			t.leased = max(t.leased, r.at+coldstart.Lease)
+			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.Lease)
 			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
 		}
 	}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -63,9 +63,9 @@
 	// unlistedNotices are those of servers that are not listed now.
 	unlistedNotices map[string]unlistedNotice
 
-	hallsOut    map[string]bool // data halls whose servers get nothing
-	hallChanges uint64          // as of which
-	leased      time.Duration   // until when this gateway's shares of cold servers are in force
+	hallsOut        map[string]bool // data halls whose servers get nothing
+	hallChanges     uint64          // as of which
+	coldSharesUntil time.Duration   // until when this gateway's shares of cold servers are in force
 
 	rollouts    rolloutList      // the newest held
 	sharesUntil time.Duration    // until when its shares are in force
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -288,7 +288,7 @@
 // anyUsable reports whether a server of some versions may have the request now. The caller holds
 // mu.
 func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versions) bool {
-	leased := now < t.leased
+	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return k.versions&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
 	})
