--- a/gateway/table.go
+++ b/gateway/table.go
@@ -44,18 +44,18 @@
 	site    site
 	now     func() time.Duration // the gateway's clock
 
-	mu       sync.Mutex
-	servers  map[string]*knownServer
-	byHandle map[uint32]*knownServer
-	at       map[string]*knownServer // by address
-	pools    map[string]*pool
-	term     uint64
-	space    uint64 // of the handles
-	lists    uint64 // whole lists taken
-	marked   uint64 // the list that was complete when servers were last marked as unlisted
-	outage   outlier.Outage
-	reports  []report // of this session, newest last
-	othersAt time.Duration
+	mu        sync.Mutex
+	servers   map[string]*knownServer
+	byHandle  map[uint32]*knownServer
+	byAddress map[string]*knownServer // by address
+	pools     map[string]*pool
+	term      uint64
+	space     uint64 // of the handles
+	lists     uint64 // whole lists taken
+	marked    uint64 // the list that was complete when servers were last marked as unlisted
+	outage    outlier.Outage
+	reports   []report // of this session, newest last
+	othersAt  time.Duration
 	// unequal are the servers whose others may differ from all: what this gateway reported is in the
 	// one and not in the other.
 	unequal []*knownServer
@@ -135,7 +135,7 @@
 func newTable(gateway, hall string, now func() time.Duration) *table {
 	return &table{
 		gateway: gateway, hall: hall, now: now, servers: map[string]*knownServer{}, byHandle: map[uint32]*knownServer{},
-		at: map[string]*knownServer{}, pools: map[string]*pool{}, unlistedNotices: map[string]unlistedNotice{},
+		byAddress: map[string]*knownServer{}, pools: map[string]*pool{}, unlistedNotices: map[string]unlistedNotice{},
 	}
 }
 
@@ -252,17 +252,17 @@
 		}
 		k.Server, k.list, k.unlisted = s, t.lists, false
 		t.setCold(k)
-		t.byHandle[s.Handle], t.at[s.Address] = k, k
+		t.byHandle[s.Handle], t.byAddress[s.Address] = k, k
 		return false
 	}
 	t.remove(s.ID)
-	if other := t.at[s.Address]; other != nil {
+	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
 	k = &knownServer{Server: s, list: t.lists, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
-	t.servers[s.ID], t.byHandle[s.Handle], t.at[s.Address] = k, k, k
+	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
 	p := t.pool(s.Pool)
 	p.servers = insert(p.servers, k)
 	p.ranks.Add(k.ID)
@@ -300,8 +300,8 @@
 
 // leaveAddress forgets that a backend server is at its address, unless another one is.
 func (t *table) leaveAddress(k *knownServer) {
-	if t.at[k.Address] == k {
-		delete(t.at, k.Address)
+	if t.byAddress[k.Address] == k {
+		delete(t.byAddress, k.Address)
 	}
 }
 
