--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -200,7 +200,7 @@
 	now := c.g.now()
 	c.g.ends.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
 		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, Ran: now - a.startedAt, Again: c.losses > 0,
-		Serving: c.g.table.serves(c.pool.Name, a.serverID),
+		Serving: c.g.table.othersServe(c.pool.Name, a.serverID),
 	}})
 	c.losses++
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -166,6 +166,6 @@
 		for range attemptsKept {
 			x.request("/again/")
 		}
-		is.True(x.g.table.serves("plain", "another"))
+		is.True(x.g.table.othersServe("plain", "another"))
 	}, answers(200, "done", time.Millisecond))
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -114,9 +114,9 @@
 	p.ended = append(p.ended, attemptEnd{server: server, answered: answered})
 }
 
-// serves reports whether other servers of a pool than one gave whole answers lately, as far as
+// othersServe reports whether other servers of a pool than one gave whole answers lately, as far as
 // this gateway has seen; true if it has seen nothing.
-func (t *table) serves(name, but string) bool {
+func (t *table) othersServe(name, but string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answered, all := 0, 0
