--- a/gateway/table.go
+++ b/gateway/table.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// followed returns the term of the leader of whom the gateway last heard.
-func (t *table) followed() uint64 {
+// leaderTerm returns the term of the leader of whom the gateway last heard.
+func (t *table) leaderTerm() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.term
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -235,7 +235,7 @@
 		w.g.stats.untaken.Add(untaken)
 		u.Unread = unreadOf(u.Demands, untaken, int(w.g.read.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
-		u.Term = w.g.table.followed() // before what is obeyed, which may be of the next leader
+		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
 		u.Barred = w.g.table.barredHere()
 		w.g.suspicions.report(w.g.now(), &u)
