--- a/gateway/table.go
+++ b/gateway/table.go
@@ -330,8 +330,8 @@
 	return len(t.servers)
 }
 
-// sizeOf returns how many backend servers of a pool are known.
-func (t *table) sizeOf(pool string) int {
+// poolSize returns how many backend servers of a pool are known.
+func (t *table) poolSize(pool string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.pool(pool).servers)
