--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -33,8 +33,8 @@
 // maxTallies bounds the tallies of one pool: a few versions on some routes.
 const maxTallies = 256
 
-// of returns the tally of a version on a route. Beyond maxTallies it is one that no report has.
-func (o *outcomes) of(version, route string) *tally {
+// tallyFor returns the tally tallyFor a version on a route. Beyond maxTallies it is one that no report has.
+func (o *outcomes) tallyFor(version, route string) *tally {
 	key := tallyKey{version, route}
 	if t := o.tallies[key]; t != nil {
 		return t
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -327,7 +327,7 @@
 	}
 	t := tried{version: k.Version, why: why, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
-		t.tally = r.outcomes.of(k.Version, req.route.Name)
+		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
 		t.tally.changed = true
 		t.expected = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
