--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -93,8 +93,8 @@
 	return out, t.obeyed(now)
 }
 
-// barredHere returns the targets that an earlier leader has barred and the newest list has not.
-func (t *table) barredHere() []protocol.Barred {
+// locallyBarred returns the targets that an earlier leader has barred and the newest list has not.
+func (t *table) locallyBarred() []protocol.Barred {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var barred []protocol.Barred
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -190,10 +190,10 @@
 		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.leaseShares()
 		is.Equal(obeyed(), uint64(0)) // the leader before has barred the target
-		is.Equal(x.g.table.barredHere(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
+		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
 		x.rollouts(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(2))
-		is.Equal(len(x.g.table.barredHere()), 0)
+		is.Equal(len(x.g.table.locallyBarred()), 0)
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
 }
 
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -237,7 +237,7 @@
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
 		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
-		u.Barred = w.g.table.barredHere()
+		u.Barred = w.g.table.locallyBarred()
 		w.g.suspicions.report(w.g.now(), &u)
 		if err := l.Send(ctx, u); err != nil {
 			return // receive fails as well, and logs it
