--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -207,17 +207,17 @@
 	mistrustFor = 2 * time.Second // that the target gets nothing from this gateway
 )
 
-// mistrust is this gateway's own count of bad answers, so that it stops sending to a bad target
+// breaker is this gateway's own count of bad answers, so that it stops sending to a bad target
 // before the leader has added up the reports. The zero value has counted none.
-type mistrust struct {
+type breaker struct {
 	target, old int // bad answers in a row
 	until       time.Duration
 }
 
-func (m mistrust) holds(now time.Duration) bool { return now < m.until }
+func (m breaker) holds(now time.Duration) bool { return now < m.until }
 
 // with returns the mistrust after one more answer.
-func (m mistrust) with(now time.Duration, target, bad bool) mistrust {
+func (m breaker) with(now time.Duration, target, bad bool) breaker {
 	row := &m.old
 	if target {
 		row = &m.target
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -248,14 +248,14 @@
 // TestOwnMistrust: bad answers in a row stop the target here at once, for a while.
 func TestOwnMistrust(t *testing.T) {
 	is := is.New(t)
-	m := mistrust{}
+	m := breaker{}
 	for range badInARow {
 		is.True(!m.holds(time.Second))
 		m = m.with(time.Second, true, true)
 	}
 	is.True(m.holds(time.Second))
 	is.True(!m.holds(time.Second + mistrustFor))
-	m = mistrust{}.with(0, false, true) // the old version's are bad as well
+	m = breaker{}.with(0, false, true) // the old version's are bad as well
 	for range 2 * badInARow {
 		m = m.with(time.Second, true, true)
 	}
