--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -115,7 +115,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.mistrust.holds(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.moving(now))) {
 			return 0
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	c.changed = true
 	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.mistrust = r.mistrust.with(g.now(), a.tried.target, v != outlier.Answered)
+		r.breaker = r.breaker.with(g.now(), a.tried.target, v != outlier.Answered)
 	}
 }
 
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -58,7 +58,7 @@
 	barredHere bool               // an earlier leader barred the target, and the list does not
 	oldListed  bool               // a server of the old version is listed, in a hall in service
 	outcomes   outcomes
-	mistrust   breaker
+	breaker    breaker
 	unreached  unreached
 }
 
@@ -112,7 +112,7 @@
 		next.Barred = append(slices.Clone(next.Barred), next.Target)
 	}
 	if next.Attempt != r.Attempt {
-		r.outcomes, r.mistrust, r.unreached = outcomes{}, breaker{}, unreached{}
+		r.outcomes, r.breaker, r.unreached = outcomes{}, breaker{}, unreached{}
 	}
 	same := next.Attempt == r.Attempt && next.Target == r.Target && next.Share == r.Share && next.Final == r.Final &&
 		slices.Equal(next.Barred, r.Barred) && slices.Equal(next.Replaced, r.Replaced)
@@ -238,7 +238,7 @@
 			o.second, o.otherwise = targetVersion, byRetry
 		}
 		return o
-	case r.mistrust.holds(now):
+	case r.breaker.holds(now):
 		return order{first: oldVersion, why: byOwn}
 	case r.moving(now) && lot(req.random) >= r.moved(now):
 		return order{first: oldVersion, why: byRest}
