--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -105,8 +105,8 @@
 	a.classifier.Update(a.now(), list, late, short)
 }
 
-// setMost bounds what this gateway may give to one account, in tokens a second.
-func (a *accounts) setMost(rate float64) {
+// setMaxRate bounds what this gateway may give to one account, in tokens a second.
+func (a *accounts) setMaxRate(rate float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.classifier.SetMaxAccountRate(rate)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -199,7 +199,7 @@
 		w.replicas = m.Members
 		if !m.Unknown {
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
-			w.g.accounts.setMost(m.Most)
+			w.g.accounts.setMaxRate(m.Most)
 		}
 		w.g.table.updateLoads(w.g.now(), w.counted, m.Loads)
 		w.g.grantAll()
