--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -133,9 +133,9 @@
 	return u
 }
 
-// unreadOf estimates what is asked on connections that were not taken: one request on each, of the accounts
+// estimateUnread estimates what is asked on connections that were not taken: one request on each, of the accounts
 // and sizes that were read meanwhile, read requests that demanded so much. Nothing is known if none was.
-func unreadOf(demands []protocol.Demand, untaken, read int) []protocol.Demand {
+func estimateUnread(demands []protocol.Demand, untaken, read int) []protocol.Demand {
 	if untaken == 0 || read == 0 {
 		return nil
 	}
--- a/gateway/queued_test.go
+++ b/gateway/queued_test.go
@@ -14,7 +14,7 @@
 func TestUnreadIsLikeWhatIsRead(t *testing.T) {
 	is := is.New(t)
 	read := []protocol.Demand{{Account: "a", Tokens: 900}, {Account: "b", Tokens: 300}}
-	is.Equal(unreadOf(read, 8, 4), []protocol.Demand{{Account: "a", Tokens: 1800}, {Account: "b", Tokens: 600}})
-	is.Equal(unreadOf(read, 0, 4), nil)
-	is.Equal(unreadOf(nil, 8, 0), nil) // nothing was read, so nothing is known
+	is.Equal(estimateUnread(read, 8, 4), []protocol.Demand{{Account: "a", Tokens: 1800}, {Account: "b", Tokens: 600}})
+	is.Equal(estimateUnread(read, 0, 4), nil)
+	is.Equal(estimateUnread(nil, 8, 0), nil) // nothing was read, so nothing is known
 }
