--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,7 +95,7 @@
 	paced   atomic.Bool
 	allowed atomic.Int64 // to be taken until the next tick
 	taken   atomic.Int64 // since the last tick
-	queued  queued
+	queued  acceptBacklog
 
 	retriesMu sync.Mutex // a leaf; guards retries
 	retries   map[string]*retry.Window
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -12,33 +12,33 @@
 // This file defines queued, the lock around what is known of connections that the gateway has not
 // taken. The rule is in coordination/overload.
 
-// queued is the callers' connections in the kernel's queue. The zero value is ready.
-type queued struct {
+// acceptBacklog is the callers' connections in the kernel's queue. The zero value is ready.
+type acceptBacklog struct {
 	mu       sync.Mutex // a leaf
 	arrivals overload.Arrivals
 }
 
 // begin forgets what was seen: the queue is looked at only while connections are paced.
-func (q *queued) begin() {
+func (q *acceptBacklog) begin() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = overload.Arrivals{}
 }
 
-func (q *queued) took() {
+func (q *acceptBacklog) took() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = q.arrivals.WithAccepted()
 }
 
-func (q *queued) look(now time.Duration, waiting, most int) {
+func (q *acceptBacklog) look(now time.Duration, waiting, most int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = q.arrivals.WithSample(now, waiting, most)
 }
 
 // untaken returns how many connections came since the last call and were not taken.
-func (q *queued) untaken(now time.Duration) (n int) {
+func (q *acceptBacklog) untaken(now time.Duration) (n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n, q.arrivals = q.arrivals.Unaccepted(now)
