--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -92,10 +92,10 @@
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
 	// Callers' connections, see [overload.Pace].
-	paced   atomic.Bool
-	allowed atomic.Int64 // to be taken until the next tick
-	taken   atomic.Int64 // since the last tick
-	queued  acceptBacklog
+	paced         atomic.Bool
+	allowed       atomic.Int64 // to be taken until the next tick
+	taken         atomic.Int64 // since the last tick
+	acceptBacklog acceptBacklog
 
 	retriesMu sync.Mutex // a leaf; guards retries
 	retries   map[string]*retry.Window
@@ -158,13 +158,13 @@
 	}
 	g.taken.Add(1)
 	if g.paced.Load() {
-		g.queued.took()
+		g.acceptBacklog.took()
 	}
 	return true
 }
 
 // ObserveQueue takes how many connections of callers wait that were not taken, and how many can.
-func (g *Gateway) ObserveQueue(waiting, most int) { g.queued.look(g.now(), waiting, most) }
+func (g *Gateway) ObserveQueue(waiting, most int) { g.acceptBacklog.look(g.now(), waiting, most) }
 
 // ConnectionsPaced reports whether connections of callers are kept waiting.
 func (g *Gateway) ConnectionsPaced() bool { return g.paced.Load() }
@@ -220,7 +220,7 @@
 	g.allowed.Store(int64(n))
 	g.paced.Store(bounded)
 	if bounded != old.Bounded() {
-		g.queued.begin()
+		g.acceptBacklog.begin()
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
 			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -231,7 +231,7 @@
 	for range w.reportTimes(ctx) {
 		seq++
 		u := w.g.accounts.takeReport()
-		untaken := w.g.queued.untaken(w.g.now())
+		untaken := w.g.acceptBacklog.untaken(w.g.now())
 		w.g.stats.untaken.Add(untaken)
 		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.read.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
