--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -220,7 +220,7 @@
 	g.allowed.Store(int64(n))
 	g.paced.Store(bounded)
 	if bounded != old.Bounded() {
-		g.acceptBacklog.begin()
+		g.acceptBacklog.reset()
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
 			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
 	}
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -18,8 +18,8 @@
 	arrivals overload.Arrivals
 }
 
-// begin forgets what was seen: the queue is looked at only while connections are paced.
-func (q *acceptBacklog) begin() {
+// reset forgets what was seen: the queue is looked at only while connections are paced.
+func (q *acceptBacklog) reset() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = overload.Arrivals{}
