--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -158,7 +158,7 @@
 	}
 	g.taken.Add(1)
 	if g.paced.Load() {
-		g.acceptBacklog.took()
+		g.acceptBacklog.addAccepted()
 	}
 	return true
 }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -25,7 +25,7 @@
 	q.arrivals = overload.Arrivals{}
 }
 
-func (q *acceptBacklog) took() {
+func (q *acceptBacklog) addAccepted() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = q.arrivals.WithAccepted()
