--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -164,7 +164,7 @@
 }
 
 // ObserveQueue takes how many connections of callers wait that were not taken, and how many can.
-func (g *Gateway) ObserveQueue(waiting, most int) { g.acceptBacklog.look(g.now(), waiting, most) }
+func (g *Gateway) ObserveQueue(waiting, most int) { g.acceptBacklog.observe(g.now(), waiting, most) }
 
 // ConnectionsPaced reports whether connections of callers are kept waiting.
 func (g *Gateway) ConnectionsPaced() bool { return g.paced.Load() }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -31,7 +31,7 @@
 	q.arrivals = q.arrivals.WithAccepted()
 }
 
-func (q *acceptBacklog) look(now time.Duration, waiting, most int) {
+func (q *acceptBacklog) observe(now time.Duration, waiting, most int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.arrivals = q.arrivals.WithSample(now, waiting, most)
