--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -30,19 +30,21 @@
 	mostLogged = 64
 )
 
-// ends gathers the requests whose connections broke, by backend server.
-type ends struct {
+// endDetector gathers the requests whose connections broke, by backend server.
+type endDetector struct {
 	g *Gateway
 
 	mu   sync.Mutex                        // a leaf
 	lost map[string][]quarantine.TimedLoss // of servers that are being tried
 }
 
-func newEnds(g *Gateway) *ends { return &ends{g: g, lost: map[string][]quarantine.TimedLoss{}} }
+func newEnds(g *Gateway) *endDetector {
+	return &endDetector{g: g, lost: map[string][]quarantine.TimedLoss{}}
+}
 
 // add takes a request whose connection broke while it ran, and begins to find out whether its
 // server has ended.
-func (e *ends) add(h quarantine.TimedLoss) {
+func (e *endDetector) add(h quarantine.TimedLoss) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	_, tried := e.lost[h.Server]
@@ -53,7 +55,7 @@
 }
 
 // forget forgets a request that got a whole answer before its lost attempt was found to be an end.
-func (e *ends) forget(k quarantine.Key) {
+func (e *endDetector) forget(k quarantine.Key) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for server, lost := range e.lost {
@@ -62,7 +64,7 @@
 }
 
 // try tries whether a server has ended.
-func (e *ends) try(pool, server, address string) {
+func (e *endDetector) try(pool, server, address string) {
 	if !sleep.For(e.g.ctx, endGathers) {
 		return
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -79,7 +79,7 @@
 	accounts   *accounts
 	tokens     *tokens
 	stats      *stats
-	ends       *ends
+	ends       *endDetector
 	suspicions *suspicions
 	meter      *link.Meter
 	seq        atomic.Uint64
