--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -198,7 +198,7 @@
 // lost takes an attempt whose connection broke while the request ran.
 func (c *call) lost(a *assignment) {
 	now := c.g.now()
-	c.g.ends.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
+	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
 		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, Ran: now - a.startedAt, Again: c.losses > 0,
 		Serving: c.g.table.othersServe(c.pool.Name, a.serverID),
 	}})
@@ -210,6 +210,6 @@
 	if !c.listed && c.losses == 0 {
 		return
 	}
-	c.g.ends.forget(c.key())
+	c.g.endDetector.forget(c.key())
 	c.g.suspicions.clear(c.key())
 }
