--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -38,7 +38,7 @@
 	lost map[string][]quarantine.TimedLoss // of servers that are being tried
 }
 
-func newEnds(g *Gateway) *endDetector {
+func newEndDetector(g *Gateway) *endDetector {
 	return &endDetector{g: g, lost: map[string][]quarantine.TimedLoss{}}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -118,7 +118,7 @@
 	g.table = newTable(cfg.Identity.Name, cfg.Hall, g.now)
 	g.table.setSite(cfg.Region, cfg.Topology, cfg.LinkRate)
 	g.accounts = newAccounts(g.now)
-	g.endDetector, g.suspicions = newEnds(g), newSuspicions()
+	g.endDetector, g.suspicions = newEndDetector(g), newSuspicions()
 	g.SetSeeds(cfg.Seeds)
 	g.gateways.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
