--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -77,7 +77,7 @@
 	seeds       atomic.Pointer[[]string]
 	table       *table
 	accounts    *accounts
-	tokens      *tokens
+	tokens      *tokenCounters
 	stats       *stats
 	endDetector *endDetector
 	suspicions  *suspicions
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -35,7 +35,7 @@
 	end     string
 }
 
-type tokens struct {
+type tokenCounters struct {
 	set *vm.Set
 
 	mu       sync.Mutex // a leaf; guards all below
@@ -43,12 +43,12 @@
 	second   map[tokenKey]int // since the last line of the log
 }
 
-func newTokens(set *vm.Set) *tokens {
-	return &tokens{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
+func newTokens(set *vm.Set) *tokenCounters {
+	return &tokenCounters{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
 }
 
 // add counts tokens of one request.
-func (t *tokens) add(account string, class entitlement.Class, end string, n float64) {
+func (t *tokenCounters) add(account string, class entitlement.Class, end string, n float64) {
 	key := tokenKey{account, class, end}
 	t.mu.Lock()
 	c := t.counters[key]
@@ -63,7 +63,7 @@
 }
 
 // takeSecond returns and clears the sums since the last call.
-func (t *tokens) takeSecond() map[tokenKey]int {
+func (t *tokenCounters) takeSecond() map[tokenKey]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sums := t.second
