--- a/gateway/call.go
+++ b/gateway/call.go
@@ -188,7 +188,7 @@
 // countTokens counts what became of the request's tokens.
 func (c *call) countTokens(end string) {
 	if c.pool.Engine {
-		c.g.tokens.add(c.account.Name, c.class, end, c.cost)
+		c.g.tokenCounters.add(c.account.Name, c.class, end, c.cost)
 	}
 }
 
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -122,7 +122,7 @@
 func (g *Gateway) logTokens() {
 	for range sleep.Every(g.ctx, tokensPeriod) {
 		logged := 0
-		for _, a := range byAccount(g.tokens.takeSecond()) {
+		for _, a := range byAccount(g.tokenCounters.takeSecond()) {
 			if len(a.refused) == 0 || logged == loggedAccounts {
 				continue
 			}
