--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -113,7 +113,7 @@
 	}
 	g := &Gateway{
 		cfg: cfg, began: cfg.Clock(), ctx: ctx, stop: stop,
-		tokenCounters: newTokens(cfg.Metrics), stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retries: map[string]*retry.Window{},
+		tokenCounters: newTokenCounters(cfg.Metrics), stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retries: map[string]*retry.Window{},
 	}
 	g.table = newTable(cfg.Identity.Name, cfg.Hall, g.now)
 	g.table.setSite(cfg.Region, cfg.Topology, cfg.LinkRate)
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -43,7 +43,7 @@
 	second   map[tokenKey]int // since the last line of the log
 }
 
-func newTokens(set *vm.Set) *tokenCounters {
+func newTokenCounters(set *vm.Set) *tokenCounters {
 	return &tokenCounters{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
 }
 
