--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -37,9 +37,9 @@
 	receivedBytes int               // bytes that came from another region
 }
 
-// countFirstPart counts that the first part of an answer has come, so that the prompt
+// recordFirstPart counts that the first part of an answer has come, so that the prompt
 // has been read.
-func (g *Gateway) countFirstPart(a *assignment, engine bool) {
+func (g *Gateway) recordFirstPart(a *assignment, engine bool) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
 	if a.answering {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
 	}
-	r.c.g.countFirstPart(a, r.c.pool.Engine)
+	r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == maxPlain {
 		return r.large(answer, held)
@@ -168,7 +168,7 @@
 func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
 	if !a.answering {
-		r.c.g.countFirstPart(a, r.c.pool.Engine)
+		r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	}
 	if !r.headWritten {
 		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
