--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -24,7 +24,7 @@
 type outcome struct {
 	execution retry.Execution
 	cause     string          // for the log
-	blame     outlier.Verdict // on the backend server
+	verdict   outlier.Verdict // on the backend server
 	// held is the whole answer of a failure (retry.HasRun), which is given to
 	// the caller if nothing better comes.
 	held        *heldAnswer
@@ -46,14 +46,14 @@
 	answered := out.execution == retry.Answered
 	silent := c.stall.stop() || forward.Silent(out.err)
 	if silent && !answered && c.r.Context().Err() == nil {
-		out.blame, out.cause = c.g.silentBlame(a), "silent"
+		out.verdict, out.cause = c.g.silentBlame(a), "silent"
 	} else if ctx.Err() != nil && !answered {
-		out.blame = outlier.NoVerdict // the caller left, or the time is over
+		out.verdict = outlier.NoVerdict // the caller left, or the time is over
 		if c.r.Context().Err() == nil && !a.answering && a.connOpenedAt > 0 && a.connOpenedAt < a.startedAt {
 			c.g.silentBlame(a) // nobody is blamed, but its other connections may be silent too
 		}
 	}
-	if out.execution == retry.MayHaveRun && out.blame == outlier.Lost && ctx.Err() == nil {
+	if out.execution == retry.MayHaveRun && out.verdict == outlier.Lost && ctx.Err() == nil {
 		c.lost(a)
 		out.lost = true
 	}
@@ -63,7 +63,7 @@
 		sent = 0
 	}
 	c.g.settleLink(a, sent)
-	if c.g.release(a, out.blame) {
+	if c.g.release(a, out.verdict) {
 		c.g.stats.count("suspected", "pool", c.pool.Name)
 		c.g.cfg.Log.StateChange("backend suspected", slog.String("backend", a.serverID), slog.String("cause", out.cause))
 	}
@@ -95,12 +95,12 @@
 // answered relays an answer, unless it is none to this request.
 func (c *call) answered(ctx context.Context, a *assignment, answer *forward.Answer, head AnswerHead) outcome {
 	if head.ID != c.head.ID {
-		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", blame: outlier.Faulty, err: errCrossed}
+		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", verdict: outlier.Faulty, err: errCrossed}
 	}
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	switch {
 	case success && !head.Signed:
-		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", blame: outlier.Faulty, err: errUnsealed}
+		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
 		return c.relay.stream(ctx, a, answer)
 	}
@@ -124,14 +124,14 @@
 	}
 	var not forward.NotRun
 	if !errors.As(err, &not) {
-		return outcome{execution: retry.MayHaveRun, cause: "lost", blame: outlier.Lost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "lost", verdict: outlier.Lost, err: err}
 	}
 	if forward.Unwanted(not.Err) {
-		return outcome{execution: retry.NotSent, cause: c.unwantedCause(), blame: outlier.NoVerdict, err: err}
+		return outcome{execution: retry.NotSent, cause: c.unwantedCause(), verdict: outlier.NoVerdict, err: err}
 	}
 	if !not.Refused {
 		a.unreached = true
-		return outcome{execution: retry.NotSent, cause: "unreachable", blame: c.unreachableBlame(), err: err}
+		return outcome{execution: retry.NotSent, cause: "unreachable", verdict: c.unreachableBlame(), err: err}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(not.Status, not.Header)
 	c.g.heed(a, head)
@@ -152,11 +152,11 @@
 func (c *call) refused(head AnswerHead, err error) outcome {
 	switch {
 	case head.ID != "" && head.ID != c.head.ID:
-		return outcome{execution: retry.MayHaveRun, cause: "crossed refusal", blame: outlier.Faulty, err: errCrossed}
+		return outcome{execution: retry.MayHaveRun, cause: "crossed refusal", verdict: outlier.Faulty, err: errCrossed}
 	case head.Misdirected:
-		return outcome{execution: retry.Refused, cause: "misplaced", blame: outlier.NoVerdict, misdirected: true, err: err}
+		return outcome{execution: retry.Refused, cause: "misplaced", verdict: outlier.NoVerdict, misdirected: true, err: err}
 	}
-	return outcome{execution: retry.Refused, cause: "refused", blame: outlier.Refused, err: err}
+	return outcome{execution: retry.Refused, cause: "refused", verdict: outlier.Refused, err: err}
 }
 
 // unreachableBlame is what a backend server that could not be connected to is blamed
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -53,7 +53,7 @@
 func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
-		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 	}
 	r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
@@ -62,7 +62,7 @@
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
-		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: err}
+		return outcome{execution: retry.HasRun, cause: "server error", verdict: outlier.Faulty, held: held, err: err}
 	}
 	r.give(held)
 	return outcome{execution: retry.Answered}
@@ -78,13 +78,13 @@
 	case errors.As(err, new(writeFailed)):
 		return callerGone(err)
 	}
-	return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+	return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 }
 
 // callerGone is the outcome of an attempt whose answer could not be written to the
 // caller.
 func callerGone(err error) outcome {
-	return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: err}
+	return outcome{execution: retry.MayHaveRun, cause: "caller gone", verdict: outlier.NoVerdict, err: err}
 }
 
 // callerWriter writes to the caller and fails with [writeFailed], so that a copy's error
@@ -145,7 +145,7 @@
 			werr := r.pass(a, answer, buffer[:n], flusher)
 			switch {
 			case werr == errTooLarge:
-				return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Faulty, err: werr}
+				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: werr}
 			case werr != nil:
 				return callerGone(werr)
 			}
@@ -158,7 +158,7 @@
 			err = ctx.Err()
 		}
 		if err != nil {
-			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: err}
+			return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Lost, err: err}
 		}
 	}
 }
@@ -186,7 +186,7 @@
 		r.partial = r.partial[:0]
 	}
 	if len(r.partial) > 0 {
-		return outcome{execution: retry.MayHaveRun, cause: "stream cut off", blame: outlier.Lost, err: errShort}
+		return outcome{execution: retry.MayHaveRun, cause: "stream cut off", verdict: outlier.Lost, err: errShort}
 	}
 	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
