--- a/coordination/entitlement/rates.go
+++ b/coordination/entitlement/rates.go
@@ -15,7 +15,7 @@
 	Level, Extra    int64 // of the named rate, and of what the engines make
 	Started, Missed int64
 	Hold            int64          // bound of Extra by an account that gets too little; 0: none now
-	Busy            float64        // part of the engines that run something; 0: not known
+	BusyFraction    float64        // part of the engines that run something; 0: not known
 	Accounts        []AccountRates // the largest demands first
 }
 
@@ -29,7 +29,7 @@
 // Rates returns the averages, with up to most of the accounts.
 func (d *Demand) Rates(most int) Rates {
 	r := Rates{
-		Level: int64(d.level), Extra: int64(d.extra), Started: int64(d.started.average), Missed: int64(d.missed.average), Busy: d.busy,
+		Level: int64(d.level), Extra: int64(d.extra), Started: int64(d.started.average), Missed: int64(d.missed.average), BusyFraction: d.busy,
 		Hold: d.holding(),
 	}
 	for name, a := range d.accounts {
