--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -16,7 +16,7 @@
 // A [Register] is a state machine driven by a replicated log. It reads no
 // clock: commands carry the time of the leader that proposed them, and the
 // register's own time is the highest seen, so that every replica forgets the
-// same claims at the same place of the log. A claim is forgotten [Window]
+// same claims at the same place of the log. A claim is forgotten [RetentionMillis]
 // after it was settled; a resend later than that runs again. A claim that is
 // still running is not forgotten.
 package claim
@@ -31,9 +31,9 @@
 
 // This file defines Register and its commands.
 
-// Window is how long a settled claim is remembered, in milliseconds: a day, as docs/CALLERS.md
+// RetentionMillis is how long a settled claim is remembered, in milliseconds: a day, as docs/CALLERS.md
 // promises. A remembered claim takes 311 B (BenchmarkClaimMemory).
-const Window = 24 * 60 * 60 * 1000
+const RetentionMillis = 24 * 60 * 60 * 1000
 
 // MaxAnswer is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
 const MaxAnswer = 16 << 10
@@ -177,7 +177,7 @@
 func (r *Register) forgetOld() {
 	for el := r.settled.Front(); el != nil; el = r.settled.Front() {
 		e := el.Value.(*entry)
-		if r.millis-e.Settled < Window {
+		if r.millis-e.Settled < RetentionMillis {
 			return
 		}
 		r.remove(e)
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -86,10 +86,10 @@
 	at(claimOf(r1, "runs", 7, 1), 0)
 	at(claimOf(r1, "ends", 7, 1), 0)
 	at(settleOf(r1, "ends", 1, protocol.ClaimRan, ""), 1000)
-	is.Equal(at(claimOf(r2, "ends", 7, 2), Window+999), protocol.ClaimRan)
+	is.Equal(at(claimOf(r2, "ends", 7, 2), RetentionMillis+999), protocol.ClaimRan)
 	is.Equal(at(claimOf(r2, "ends", 7, 2), 5), protocol.ClaimRan) // a clock that went back changes nothing
-	is.Equal(at(claimOf(r2, "ends", 7, 2), Window+1000), protocol.ClaimGranted)
-	is.Equal(at(claimOf(r2, "runs", 7, 2), 9*Window), protocol.ClaimRunning) // never while it runs
+	is.Equal(at(claimOf(r2, "ends", 7, 2), RetentionMillis+1000), protocol.ClaimGranted)
+	is.Equal(at(claimOf(r2, "runs", 7, 2), 9*RetentionMillis), protocol.ClaimRunning) // never while it runs
 	is.Equal(r.Len(), 2)
 }
 
