--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -35,8 +35,8 @@
 // promises. A remembered claim takes 311 B (BenchmarkClaimMemory).
 const RetentionMillis = 24 * 60 * 60 * 1000
 
-// MaxAnswer is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
-const MaxAnswer = 16 << 10
+// MaxAnswerBytes is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
+const MaxAnswerBytes = 16 << 10
 
 // MaxKey bounds an idempotency key, in bytes (docs/CALLERS.md).
 const MaxKey = 255
@@ -143,7 +143,7 @@
 	case s.State == protocol.ClaimReleased:
 		r.remove(e)
 		r.notify(e, s.State)
-	case s.Answer != nil && len(s.Answer.Body) <= MaxAnswer:
+	case s.Answer != nil && len(s.Answer.Body) <= MaxAnswerBytes:
 		r.finish(e, s.State, s.Answer)
 	default:
 		r.finish(e, s.State, nil)
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -73,7 +73,7 @@
 	is := is.New(t)
 	r := New()
 	r.Apply(claimOf(r1, "k", 7, 1))
-	r.Apply(settleOf(r1, "k", 1, protocol.ClaimRan, string(make([]byte, MaxAnswer+1))))
+	r.Apply(settleOf(r1, "k", 1, protocol.ClaimRan, string(make([]byte, MaxAnswerBytes+1))))
 	got := r.Apply(claimOf(r2, "k", 7, 1))
 	is.Equal(got.State, protocol.ClaimRan)
 	is.True(got.Answer == nil)
--- a/router/relay.go
+++ b/router/relay.go
@@ -180,7 +180,7 @@
 	r.out += int64(len(b))
 	if r.call.keyed != nil && !r.tooBig {
 		r.keep = append(r.keep, b...)
-		if len(r.keep) > claim.MaxAnswer {
+		if len(r.keep) > claim.MaxAnswerBytes {
 			r.keep, r.tooBig = nil, true
 		}
 	}
