--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -38,8 +38,8 @@
 // MaxAnswerBytes is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
 const MaxAnswerBytes = 16 << 10
 
-// MaxKey bounds an idempotency key, in bytes (docs/CALLERS.md).
-const MaxKey = 255
+// MaxKeyBytes bounds an idempotency key, in bytes (docs/CALLERS.md).
+const MaxKeyBytes = 255
 
 // Holder is a process that may hold claims.
 type Holder struct {
--- a/router/callers.go
+++ b/router/callers.go
@@ -227,7 +227,7 @@
 		return nil, failHeader.With(repeatHeader + " must be safe or never")
 	}
 	key := req.Header.Get(keyHeader)
-	if len(key) > claim.MaxKey {
+	if len(key) > claim.MaxKeyBytes {
 		return nil, failHeader.With(keyHeader + " is longer than 255 bytes")
 	}
 	if key != "" {
