--- a/control/control.go
+++ b/control/control.go
@@ -86,7 +86,7 @@
 	c.dispatcher = newDispatcher(c)
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
-	c.register.Settlement = c.watchers.settled
+	c.register.OnSettled = c.watchers.settled
 	addressOf := func(name string) string { return cfg.Replicas[name] }
 	c.mesh = mesh.New(ctx, cfg.Identity, addressOf, link.NewMeter(cfg.Metrics))
 	if err := c.startGroups(); err != nil {
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -79,8 +79,8 @@
 	millis  int64 // highest time of a command so far, Unix time in milliseconds
 	entries map[name]*entry
 	settled list.List // entries in the order of their settling
-	// Settlement, if set, is called whenever a claim is no longer running.
-	Settlement func(account, key string, c protocol.Claimed)
+	// OnSettled, if set, is called whenever a claim is no longer running.
+	OnSettled func(account, key string, c protocol.Claimed)
 }
 
 // New returns an empty register.
@@ -169,8 +169,8 @@
 }
 
 func (r *Register) notify(e *entry, state protocol.ClaimState) {
-	if r.Settlement != nil {
-		r.Settlement(e.Account, e.Key, protocol.Claimed{State: state, Answer: e.Answer})
+	if r.OnSettled != nil {
+		r.OnSettled(e.Account, e.Key, protocol.Claimed{State: state, Answer: e.Answer})
 	}
 }
 
