--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -104,8 +104,8 @@
 	return protocol.Claimed{}
 }
 
-// Peek returns the state and answer of a claim without making one.
-func (r *Register) Peek(account, key string) (protocol.Claimed, bool) {
+// Lookup returns the state and answer of a claim without making one.
+func (r *Register) Lookup(account, key string) (protocol.Claimed, bool) {
 	e := r.entries[name{account, key}]
 	if e == nil {
 		return protocol.Claimed{}, false
--- a/coordination/claim/example_test.go
+++ b/coordination/claim/example_test.go
@@ -25,7 +25,7 @@
 	again := r.Apply(claim.Command{Millis: 3000, Holder: claim.Holder{Router: "r2", Boot: 1}, Claim: &c})
 	fmt.Println(again.State == protocol.ClaimRan, string(again.Answer.Body))
 
-	seen, ok := r.Peek("hotel", "k1") // without a claim
+	seen, ok := r.Lookup("hotel", "k1") // without a claim
 	fmt.Println(ok, seen.State == protocol.ClaimRan)
 	// Output:
 	// true
