--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -55,7 +55,7 @@
 		p.holder.Recall(v.Recall)
 	}
 	for _, a := range v.Accounts {
-		p.queue.SetTime(a.Account, v.Floor+a.Ahead, reports)
+		p.queue.SetVirtualTime(a.Account, v.Floor+a.Ahead, reports)
 	}
 }
 
--- a/coordination/share/doc.go
+++ b/coordination/share/doc.go
@@ -24,7 +24,7 @@
 // Virtual times are fleet-wide: the package owns this router's copy of them,
 // and relies on the allocator (coordination/slots) for the sums, and on protocol
 // for the form in which they travel.
-// [Queue.SetTime] takes the allocator's sum and adds what this router has
+// [Queue.SetVirtualTime] takes the allocator's sum and adds what this router has
 // charged since; [Queue.TakeChanges] reports what the allocator lacks.
 //
 // Deficit round robin was rejected: it needs the cost before the start, or
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -17,9 +17,9 @@
 	time float64
 }
 
-// SetTime takes the fleet-wide virtual time of an account, which includes
+// SetVirtualTime takes the fleet-wide virtual time of an account, which includes
 // this router's reports up to number seq, and adds what came after.
-func (q *Queue) SetTime(name string, time float64, seq uint64) {
+func (q *Queue) SetVirtualTime(name string, time float64, seq uint64) {
 	a := q.accounts[name]
 	if a == nil {
 		return
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -193,7 +193,7 @@
 					flying = flying[1:]
 					arrived++
 				}
-				q.SetTime("a", allocator, arrived)
+				q.SetVirtualTime("a", allocator, arrived)
 			}
 		}
 		flying = append(flying, q.TakeChanges(seq+1)...)
@@ -201,7 +201,7 @@
 			allocator += c.Service / 2
 			arrived++
 		}
-		q.SetTime("a", allocator, arrived)
+		q.SetVirtualTime("a", allocator, arrived)
 		if d := q.accounts["a"].time - allocator; d > 0.1 || d < -0.1 { // what rounding holds back
 			t.Fatalf("router has %v, allocator %v", q.accounts["a"].time, allocator)
 		}
