--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -84,7 +84,7 @@
 	}
 	p.view = slots.FleetView{}
 	lift := p.queue.Lift()
-	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.Times()}
+	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.VirtualTimes()}
 }
 
 // BeginSession begins a session: reports are numbered from 1 again, and slots that
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -41,9 +41,9 @@
 // Lift returns the highest value that SetLift took.
 func (q *Queue) Lift() float64 { return q.lift }
 
-// Times returns how far the virtual times are above the lift, without what was
+// VirtualTimes returns how far the virtual times are above the lift, without what was
 // not reported yet, of all accounts that have any, in the order of names.
-func (q *Queue) Times() []protocol.AccountView {
+func (q *Queue) VirtualTimes() []protocol.AccountView {
 	var out []protocol.AccountView
 	for _, name := range sortedNames(q.accounts) {
 		a := q.accounts[name]
