--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -150,7 +150,7 @@
 func (p *Pool) Expire(now time.Duration) []*Work { return works(p.queue.Expire(now)) }
 
 // Drop takes out all waiting work.
-func (p *Pool) Drop() []*Work { return works(p.queue.Drop()) }
+func (p *Pool) Drop() []*Work { return works(p.queue.DropAll()) }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return p.queue.Waiting() }
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -120,8 +120,8 @@
 	return dropped
 }
 
-// Drop removes and returns everything that waits, in the order of accounts.
-func (q *Queue) Drop() []*Ticket {
+// DropAll removes and returns everything that waits, in the order of accounts.
+func (q *Queue) DropAll() []*Ticket {
 	var dropped []*Ticket
 	for _, name := range sortedNames(q.accounts) {
 		dropped = append(dropped, q.drop(q.accounts[name])...)
