--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -26,7 +26,7 @@
 	switch {
 	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
 		return Urgent
-	case p.queue.Changed() || p.holder.Idle() != p.idle:
+	case p.queue.HasChanges() || p.holder.Idle() != p.idle:
 		return Routine
 	}
 	return NothingNew
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -98,8 +98,8 @@
 	return out
 }
 
-// Changed reports whether TakeChanges would return anything.
-func (q *Queue) Changed() bool { return len(q.changed) > 0 }
+// HasChanges reports whether TakeChanges would return anything.
+func (q *Queue) HasChanges() bool { return len(q.changed) > 0 }
 
 // Unreported reports whether some account has waiting work that the allocator
 // lacks, so that no slot will come for it: at least twice as much waits as was
