--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -24,7 +24,7 @@
 // Urgency returns whether there is something to report.
 func (p *Pool) Urgency() Urgency {
 	switch {
-	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
+	case p.holder.HasReturned() || p.queue.HasUnreportedWork() || len(p.suspects) > 0:
 		return Urgent
 	case p.queue.HasChanges() || p.holder.Idle() != p.idle:
 		return Routine
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -101,12 +101,12 @@
 // HasChanges reports whether TakeChanges would return anything.
 func (q *Queue) HasChanges() bool { return len(q.changed) > 0 }
 
-// Unreported reports whether some account has waiting work that the allocator
+// HasUnreportedWork reports whether some account has waiting work that the allocator
 // lacks, so that no slot will come for it: at least twice as much waits as was
 // reported. Reporting every request would cost a message each while much waits;
 // reporting only when the allocator counts none would let the second of two
 // requests wait for the next full report.
-func (q *Queue) Unreported() bool {
+func (q *Queue) HasUnreportedWork() bool {
 	for _, a := range q.changed {
 		if a.waiting > 0 && a.waiting >= 2*a.reported {
 			return true
