--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -130,7 +130,7 @@
 	p.accounts[a.Name] = true
 }
 
-// Push adds work to the queue. The error is [share.Full] or
+// Push adds work to the queue. The error is [share.QueueFullError] or
 // [share.NoAccount].
 func (p *Pool) Push(w *Work) error {
 	t, err := p.queue.Push(share.Request{
--- a/coordination/share/errors.go
+++ b/coordination/share/errors.go
@@ -7,16 +7,16 @@
 // This file defines why a request is not queued. In both cases it has not
 // run.
 
-// Full refuses a request because a limit on waiting work is reached. Max is in
+// QueueFullError refuses a request because a limit on waiting work is reached. Max is in
 // requests or bytes, depending on Limit.
-type Full struct {
+type QueueFullError struct {
 	Account string
 	Limit   string // which limit, for the message
 	Max     int64
 }
 
 // Error names the account and the limit.
-func (e Full) Error() string {
+func (e QueueFullError) Error() string {
 	return fmt.Sprintf("queue full for account %s: %s is at its limit of %d", e.Account, e.Limit, e.Max)
 }
 
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -140,7 +140,7 @@
 }
 
 // Push adds a request. An account that becomes backlogged is lifted. The error
-// is [Full] or [NoAccount].
+// is [QueueFullError] or [NoAccount].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
@@ -165,13 +165,13 @@
 func (q *Queue) checkRoom(a *account, bytes int64) error {
 	switch {
 	case a.limits.Waiting > 0 && a.waiting >= a.limits.Waiting:
-		return Full{Account: a.name, Limit: "waiting requests of the account", Max: int64(a.limits.Waiting)}
+		return QueueFullError{Account: a.name, Limit: "waiting requests of the account", Max: int64(a.limits.Waiting)}
 	case a.limits.Bytes > 0 && a.bytes+bytes > a.limits.Bytes:
-		return Full{Account: a.name, Limit: "waiting bytes of the account", Max: a.limits.Bytes}
+		return QueueFullError{Account: a.name, Limit: "waiting bytes of the account", Max: a.limits.Bytes}
 	case q.total.Waiting > 0 && q.waiting >= q.total.Waiting:
-		return Full{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.total.Waiting)}
+		return QueueFullError{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.total.Waiting)}
 	case q.total.Bytes > 0 && q.bytes+bytes > q.total.Bytes:
-		return Full{Account: a.name, Limit: "waiting bytes of the router", Max: q.total.Bytes}
+		return QueueFullError{Account: a.name, Limit: "waiting bytes of the router", Max: q.total.Bytes}
 	}
 	return nil
 }
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -111,7 +111,7 @@
 					is.Equal(i, len(tt.push)-1)
 				}
 			}
-			var full Full
+			var full QueueFullError
 			is.Equal(errors.As(err, &full), tt.want != "")
 			is.Equal(full.Limit, tt.want)
 		})
