--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -131,7 +131,7 @@
 }
 
 // Push adds work to the queue. The error is [share.QueueFullError] or
-// [share.NoAccount].
+// [share.UnknownAccountError].
 func (p *Pool) Push(w *Work) error {
 	t, err := p.queue.Push(share.Request{
 		Account: w.Account, Flow: w.Flow, Bytes: w.Bytes, Deadline: w.Deadline, Value: w,
--- a/coordination/share/errors.go
+++ b/coordination/share/errors.go
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("queue full for account %s: %s is at its limit of %d", e.Account, e.Limit, e.Max)
 }
 
-// NoAccount refuses a request of an account that does not exist.
-type NoAccount struct{ Account string }
+// UnknownAccountError refuses a request of an account that does not exist.
+type UnknownAccountError struct{ Account string }
 
 // Error names the account.
-func (e NoAccount) Error() string { return "no account " + e.Account }
+func (e UnknownAccountError) Error() string { return "no account " + e.Account }
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -140,11 +140,11 @@
 }
 
 // Push adds a request. An account that becomes backlogged is lifted. The error
-// is [QueueFullError] or [NoAccount].
+// is [QueueFullError] or [UnknownAccountError].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
-		return nil, NoAccount{Account: r.Account}
+		return nil, UnknownAccountError{Account: r.Account}
 	}
 	if err := q.checkRoom(a, r.Bytes); err != nil {
 		return nil, err
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -117,7 +117,7 @@
 		})
 	}
 	_, err := NewQueue(Limits{}).Push(Request{Account: "x"})
-	if !errors.As(err, new(NoAccount)) {
+	if !errors.As(err, new(UnknownAccountError)) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -102,7 +102,7 @@
 		return nil, failNoServer
 	}
 	if err := p.pool.Push(w.work); err != nil {
-		if errors.As(err, new(share.NoAccount)) {
+		if errors.As(err, new(share.UnknownAccountError)) {
 			return nil, failKey
 		}
 		return nil, failFull.With(err.Error())
