--- a/coordination/share/cost.go
+++ b/coordination/share/cost.go
@@ -9,10 +9,10 @@
 
 // Usage is what one request consumed.
 type Usage struct {
-	Input  int     // prompt tokens that the engine computed
-	Cached int     // prompt tokens that it took from its cache
-	Output int     // tokens generated
-	Time   float64 // seconds that a plain service was busy
+	Input       int     // prompt tokens that the engine computed
+	Cached      int     // prompt tokens that it took from its cache
+	Output      int     // tokens generated
+	BusySeconds float64 // seconds that a plain service was busy
 }
 
 // Weights turn usage into cost. The unit is one output token of an engine, or
@@ -32,7 +32,7 @@
 // Cost returns the cost of u.
 func (w Weights) Cost(u Usage) float64 {
 	return w.Request + w.Input*float64(u.Input) + w.Cached*float64(u.Cached) +
-		w.Output*float64(u.Output) + w.Second*u.Time
+		w.Output*float64(u.Output) + w.Second*u.BusySeconds
 }
 
 // Estimator averages what requests of one account and class cost. Memory is
--- a/router/relay.go
+++ b/router/relay.go
@@ -200,7 +200,7 @@
 
 // cost is the cost reached so far.
 func (r *relay) cost() float64 {
-	u := share.Usage{Time: (r.router.now() - r.began).Seconds()}
+	u := share.Usage{BusySeconds: (r.router.now() - r.began).Seconds()}
 	if r.call.engine {
 		u = r.usage()
 	}
