--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -61,7 +61,7 @@
 }
 
 const (
-	fresh   = slots.ViewLife
+	fresh   = slots.MaxViewAge
 	faulted = 4 * time.Second // a lease and its margin
 )
 
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -21,10 +21,10 @@
 	Return               // give the slot back
 )
 
-// ViewLife is how long a router acts on a view of the fleet. An older one is ignored: a slot in use is
+// MaxViewAge is how long a router acts on a view of the fleet. An older one is ignored: a slot in use is
 // better than a slot returned with no allocator to grant it. The fairness bound counts on views being
 // at most that old.
-const ViewLife = time.Second
+const MaxViewAge = time.Second
 
 // FleetView is what the allocator last sent of one pool. The zero value is a
 // view of a pool that is not short of slots.
@@ -48,7 +48,7 @@
 // account that goes next here, or +Inf when nothing waits here; granted is
 // [Holder.Granted].
 func Decide(now time.Duration, best float64, granted bool, f FleetView) Action {
-	wanted := f.Short && now-f.At <= ViewLife
+	wanted := f.Short && now-f.At <= MaxViewAge
 	switch {
 	case math.IsInf(best, 1) && wanted:
 		return Return
--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -28,7 +28,7 @@
 var DefaultPace = Pace{Short: 5 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
 // StretchMost is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
-// [ViewLife].
+// [MaxViewAge].
 const StretchMost = 4
 
 // Pacer decides when a coalesced message may go. The zero value sends at
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -21,7 +21,7 @@
 	const now = 10 * time.Second
 	view := slots.FleetView{Short: true, Floor: 100, Slack: 10, Rate: 50, At: now}
 	stale := view
-	stale.At = now - slots.ViewLife - 1
+	stale.At = now - slots.MaxViewAge - 1
 	aged := view
 	aged.At = now - 200*time.Millisecond // the floor has risen by 10 since
 	enough := view
