--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -315,7 +315,7 @@
 		return nil
 	}
 	now := d.now()
-	if early := d.allocated + slots.TurnGap - now; early > 0 {
+	if early := d.allocated + slots.MinAllocationInterval - now; early > 0 {
 		return time.After(early)
 	}
 	d.allocated = now
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -33,7 +33,7 @@
 func (f *fleet) wakeAllocator() {
 	if !f.loop {
 		f.loop = true
-		f.at(max(f.now, f.lastTurn+slots.TurnGap), func() { f.loop = false; f.turn() })
+		f.at(max(f.now, f.lastTurn+slots.MinAllocationInterval), func() { f.loop = false; f.turn() })
 	}
 }
 
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -12,10 +12,10 @@
 // behind first, at the router where most of its work waits, on the server with
 // the largest free part.
 
-// TurnGap is the shortest time between two allocations: what arrives in between is taken together,
+// MinAllocationInterval is the shortest time between two allocations: what arrives in between is taken together,
 // since an allocation looks at every session and the allocator's work would grow with the square of
 // the fleet (BenchmarkScale).
-const TurnGap = time.Millisecond
+const MinAllocationInterval = time.Millisecond
 
 // candidatesLooked is how many routers, and how many servers, a grant is chosen among: other ones each
 // time, so that its cost does not grow with the fleet.
