--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -27,9 +27,9 @@
 // BenchmarkFleet/linen compares paces (docs/design/fair-sharing.md).
 var DefaultPace = Pace{Short: 5 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
-// StretchMost is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
+// MaxStretch is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
 // [MaxViewAge].
-const StretchMost = 4
+const MaxStretch = 4
 
 // Pacer decides when a coalesced message may go. The zero value sends at
 // once, always.
@@ -54,7 +54,7 @@
 	if !p.sent {
 		return 0
 	}
-	return max(p.lastFull+p.Long, min(p.earned(0), p.lastFull+StretchMost*p.Long))
+	return max(p.lastFull+p.Long, min(p.earned(0), p.lastFull+MaxStretch*p.Long))
 }
 
 // earned returns when the debt is down to what is allowed.
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -42,7 +42,7 @@
 
 // idleAllowed is how long a slot may be free while work waits: an interval of
 // full messages as far as it can be stretched, and the way there and back.
-const idleAllowed = slots.StretchMost*250*time.Millisecond + 50*time.Millisecond
+const idleAllowed = slots.MaxStretch*250*time.Millisecond + 50*time.Millisecond
 
 func randomShape(t *rapid.T) (s shape, faulty, partitioned bool) {
 	s = linen()
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -315,5 +315,5 @@
 	p.Sent(0, 400, false)
 	is.Equal(p.DueUrgent(), 300*time.Millisecond) // when the debt is down to the burst
 	p.Sent(0, 9000, false)
-	is.Equal(p.DueFull(), slots.StretchMost*250*time.Millisecond) // but never later than that
+	is.Equal(p.DueFull(), slots.MaxStretch*250*time.Millisecond) // but never later than that
 }
