--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -263,7 +263,7 @@
 	var servers []slots.Server
 	for _, s := range cfg.Servers() {
 		servers = append(servers, slots.Server{
-			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Extra: extra(s, over), Serving: s.Mark == config.Serving,
+			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Overcommit: extra(s, over), Serving: s.Mark == config.Serving,
 		})
 	}
 	var accounts []slots.Account
--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -14,11 +14,11 @@
 
 // Server is the allocator's configuration of a backend server.
 type Server struct {
-	Name    string
-	Pool    string
-	Slots   int
-	Extra   int // slots granted beyond, which wait in the server's own queue
-	Serving bool
+	Name       string
+	Pool       string
+	Slots      int
+	Overcommit int // slots granted beyond, which wait in the server's own queue
+	Serving    bool
 }
 
 // Account is the allocator's configuration of a client account.
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -19,7 +19,7 @@
 	var servers []slots.Server
 	for _, name := range sortedKeys(f.servers) {
 		s := f.servers[name]
-		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Extra: f.shape.pools[s.pool].extra(), Serving: true})
+		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Overcommit: f.shape.pools[s.pool].extra(), Serving: true})
 	}
 	var accounts []slots.Account
 	for _, a := range f.shape.accounts {
--- a/coordination/slots/fleetpool.go
+++ b/coordination/slots/fleetpool.go
@@ -46,7 +46,7 @@
 	if !s.Serving {
 		return 0
 	}
-	return max(s.Slots+s.Extra-s.granted, 0)
+	return max(s.Slots+s.Overcommit-s.granted, 0)
 }
 
 // routerPool is one pool at one router.
--- a/coordination/slots/ledger.go
+++ b/coordination/slots/ledger.go
@@ -17,7 +17,7 @@
 	if srv == nil || n <= 0 {
 		return
 	}
-	n = min(n, srv.Slots+srv.Extra)
+	n = min(n, srv.Slots+srv.Overcommit)
 	srv.granted += n
 	s.held[name] += n
 	s.pool(srv.pool).addHeld(n)
