--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -17,15 +17,15 @@
 // Pace is how often messages go one way between the allocator and one router,
 // and how many bytes they may take.
 type Pace struct {
-	UrgentInterval, Long time.Duration // least gaps: before an urgent message, between full ones
-	Budget               float64       // bytes a second; 0 is no budget
-	Burst                float64       // bytes by which urgent messages may overdraw it
+	UrgentInterval, FullInterval time.Duration // least gaps: before an urgent message, between full ones
+	Budget                       float64       // bytes a second; 0 is no budget
+	Burst                        float64       // bytes by which urgent messages may overdraw it
 }
 
 // DefaultPace sends what is urgent every 5 ms and the rest every 250 ms, and
 // stretches that under 2,000 bytes a second.
 // BenchmarkFleet/linen compares paces (docs/design/fair-sharing.md).
-var DefaultPace = Pace{UrgentInterval: 5 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
+var DefaultPace = Pace{UrgentInterval: 5 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
 // MaxStretch is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
 // [MaxViewAge].
@@ -54,7 +54,7 @@
 	if !p.sent {
 		return 0
 	}
-	return max(p.lastFull+p.Long, min(p.earned(0), p.lastFull+MaxStretch*p.Long))
+	return max(p.lastFull+p.FullInterval, min(p.earned(0), p.lastFull+MaxStretch*p.FullInterval))
 }
 
 // earned returns when the debt is down to what is allowed.
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -307,7 +307,7 @@
 
 func TestPacer(t *testing.T) {
 	is := is.New(t)
-	p := slots.Pacer{Pace: slots.Pace{UrgentInterval: 2 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 1000, Burst: 500}}
+	p := slots.Pacer{Pace: slots.Pace{UrgentInterval: 2 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 1000, Burst: 500}}
 	is.Equal(p.DueFull(), time.Duration(0))
 	p.Sent(0, 400, true)
 	is.Equal(p.DueUrgent(), 2*time.Millisecond) // inside the burst
