--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -130,7 +130,7 @@
 	}
 	r.reports++
 	n := r.send(report, func(a *slots.Allocator) { a.Report(r.f.now, r.name, report) })
-	r.pacer.Sent(r.f.now, n, true)
+	r.pacer.RecordSent(r.f.now, n, true)
 }
 
 // send carries a message to the allocator, if the link is still open when
--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -65,8 +65,8 @@
 	return p.last + time.Duration((p.debt-allowed)/p.Budget*float64(time.Second))
 }
 
-// Sent counts a message that went at time now.
-func (p *Pacer) Sent(now time.Duration, bytes int, full bool) {
+// RecordSent counts a message that went at time now.
+func (p *Pacer) RecordSent(now time.Duration, bytes int, full bool) {
 	p.debt = max(p.debt-p.Budget*(now-p.last).Seconds(), 0) + float64(bytes)
 	p.last, p.sent = now, true
 	if full {
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -309,11 +309,11 @@
 	is := is.New(t)
 	p := slots.Pacer{Pace: slots.Pace{UrgentInterval: 2 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 1000, Burst: 500}}
 	is.Equal(p.DueFull(), time.Duration(0))
-	p.Sent(0, 400, true)
+	p.RecordSent(0, 400, true)
 	is.Equal(p.DueUrgent(), 2*time.Millisecond) // inside the burst
 	is.Equal(p.DueFull(), 400*time.Millisecond) // when 400 bytes are earned
-	p.Sent(0, 400, false)
+	p.RecordSent(0, 400, false)
 	is.Equal(p.DueUrgent(), 300*time.Millisecond) // when the debt is down to the burst
-	p.Sent(0, 9000, false)
+	p.RecordSent(0, 9000, false)
 	is.Equal(p.DueFull(), slots.MaxStretch*250*time.Millisecond) // but never later than that
 }
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -70,7 +70,7 @@
 // Sent counts the size of a view that went out.
 func (a *Allocator) Sent(now time.Duration, o Outgoing, bytes int) {
 	if s := a.sessions[o.Router]; s != nil {
-		s.pacer.Sent(now, bytes, o.full)
+		s.pacer.RecordSent(now, bytes, o.full)
 	}
 }
 
--- a/router/report.go
+++ b/router/report.go
@@ -76,7 +76,7 @@
 	}
 	s.out.Send(report)
 	b, _ := protocol.Encode(report) // an error ends the session in the outbox, and the pacer with it
-	p.Sent(l.r.now(), len(b), true)
+	p.RecordSent(l.r.now(), len(b), true)
 }
 
 // buildReport takes what is new from every pool and reports whether there was
