--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -324,7 +324,7 @@
 		if s := d.sessions[o.Router]; s != nil {
 			s.out.Send(o.View)
 		}
-		d.alloc.Sent(now, o, viewSize(o.View))
+		d.alloc.RecordSent(now, o, viewSize(o.View))
 	}
 	next, ok := d.alloc.NextView()
 	if !ok {
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -49,7 +49,7 @@
 	f.cpu += time.Since(began)
 	for _, o := range views {
 		r := f.byName[o.Router]
-		f.alloc.Sent(f.now, o, r.count(o.View))
+		f.alloc.RecordSent(f.now, o, r.count(o.View))
 		link := r.link
 		f.after(f.shape.latency, func() {
 			if r.link == link && !r.cut {
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -82,7 +82,7 @@
 		for _, h := range o.View.Granted {
 			out[o.Router] += h.Slots
 		}
-		a.Sent(now, o, 1)
+		a.RecordSent(now, o, 1)
 	}
 	return out
 }
@@ -273,7 +273,7 @@
 		for _, p := range o.View.Pools {
 			out[o.Router] = p
 		}
-		a.Sent(now, o, 1)
+		a.RecordSent(now, o, 1)
 	}
 	return out
 }
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -67,8 +67,8 @@
 	return next, next != never
 }
 
-// Sent counts the size of a view that went out.
-func (a *Allocator) Sent(now time.Duration, o Outgoing, bytes int) {
+// RecordSent counts the size of a view that went out.
+func (a *Allocator) RecordSent(now time.Duration, o Outgoing, bytes int) {
 	if s := a.sessions[o.Router]; s != nil {
 		s.pacer.RecordSent(now, bytes, o.full)
 	}
