--- a/control/session.go
+++ b/control/session.go
@@ -97,7 +97,7 @@
 	}
 	now := d.now()
 	void := !d.alloc.TakingOver(now) && !d.alloc.Knows(h.Router, h.Boot)
-	reports, known := d.alloc.Open(now, h)
+	reports, known := d.alloc.OpenSession(now, h)
 	s.revision = h.Revision
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -190,7 +190,7 @@
 			return
 		}
 		void := !f.alloc.TakingOver(f.now) && !f.alloc.Knows(r.name, r.boot)
-		reports, known := f.alloc.Open(f.now, hello)
+		reports, known := f.alloc.OpenSession(f.now, hello)
 		w := protocol.Welcome{Epoch: f.alloc.Epoch(), Known: known, Reports: reports, Void: void}
 		f.wakeAllocator()
 		r.count(w)
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -16,8 +16,8 @@
 	ends := map[string]func(a *Allocator){
 		"link breaks":        func(a *Allocator) { a.Unlink("r", 1) },
 		"lease runs out":     func(a *Allocator) { a.End("r") },
-		"session replaced":   func(a *Allocator) { a.Open(0, protocol.Hello{Router: "r", Boot: 1}) },
-		"another process":    func(a *Allocator) { a.Open(0, protocol.Hello{Router: "r", Boot: 2}) },
+		"session replaced":   func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
+		"another process":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
 		"goodbye with work":  func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
 		"account is removed": func(a *Allocator) { a.configureAccounts(nil) },
 	}
@@ -27,7 +27,7 @@
 				is := is.New(t)
 				a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
 				a.Configure([]Server{{Name: "s", Pool: "p", Slots: 2, Serving: true}}, []Account{{Name: "a", Share: 1}})
-				a.Open(0, protocol.Hello{Router: "r", Boot: 1})
+				a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1})
 				a.Report(0, "r", protocol.Report{Pools: []protocol.PoolReport{{
 					Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Waiting: 5, Running: 1}},
 				}}})
@@ -71,13 +71,13 @@
 		"lease runs out":       func(a *Allocator) { a.End("r1") },
 		"link breaks, unsent":  func(a *Allocator) { a.Unlink("r1", 1) },
 		"servers come and go":  func(a *Allocator) { a.End("r1"); a.Configure(servers[3:], accounts) },
-		"session is replaced":  func(a *Allocator) { a.Open(0, protocol.Hello{Router: "r1", Boot: 1}) },
+		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
 		"account and its work": func(a *Allocator) { a.End("r1"); a.Configure(servers, accounts[3:]) },
 	}
 	run := func(end func(a *Allocator), hello protocol.Hello) (free []string) {
 		a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
 		a.Configure(servers, accounts)
-		a.Open(0, hello)
+		a.OpenSession(0, hello)
 		a.Report(0, "r1", report)
 		a.Allocate(0)
 		end(a)
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -58,14 +58,14 @@
 	return len(a.expected) > 0 && now < a.takeoverEnds
 }
 
-// Open takes a router's new session. A session of the same process replaces
+// OpenSession takes a router's new session. A session of the same process replaces
 // the earlier one. After a restart the slots of the earlier process stay
 // taken until its lease has run out, because a new process is no proof that
 // the old one has stopped.
 //
 // It returns the number of reports of the earlier session that are in the
 // counters, and whether the allocator had that session.
-func (a *Allocator) Open(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
+func (a *Allocator) OpenSession(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
 	if old := a.sessions[h.Router]; old != nil {
 		if old.boot == h.Boot {
 			reports, known = old.reports, true
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -90,8 +90,8 @@
 func TestGrantsWhatWaits(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
-	a.Open(0, protocol.Hello{Router: "r2", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
 	a.Report(0, "r1", waits("a", 5))
 	a.Report(0, "r2", waits("b", 1))
 	is.Equal(granted(a, 0), map[string]int{"r1": 1, "r2": 1}) // one each, not two to the longer queue
@@ -101,7 +101,7 @@
 func TestLeavingServerIsNotGranted(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	configure(a, false)
 	a.Report(0, "r1", waits("a", 5))
 	is.Equal(len(granted(a, 0)), 0)
@@ -117,20 +117,20 @@
 		{"no router has reported", func(*slots.Allocator) {}, lease.Length, 0},
 		{"the lease and its margin have passed", func(*slots.Allocator) {}, lease.Length + lease.Margin, 2},
 		{"it reported that it holds none", func(a *slots.Allocator) {
-			a.Open(0, protocol.Hello{Router: "old", Boot: 9})
+			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9})
 		}, 0, 2},
 		{"it reported that it holds one", func(a *slots.Allocator) {
-			a.Open(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 		}, 0, 1},
 		{"another process of its name reported", func(a *slots.Allocator) {
-			a.Open(0, protocol.Hello{Router: "old", Boot: 10})
+			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 10})
 		}, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := bench(slots.Process{Router: "old", Boot: 9})
-			a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+			a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 			a.Report(0, "r1", waits("a", 5))
 			tt.do(a)
 			a.Renew(tt.at, "r1")
@@ -142,10 +142,10 @@
 func TestRestartedRouterKeepsItsOldSlotsTaken(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.Report(0, "r1", waits("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
-	a.Open(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // no proof that boot 1 has stopped
+	a.OpenSession(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // no proof that boot 1 has stopped
 	a.Report(time.Second, "r1", waits("a", 2))
 	is.Equal(len(granted(a, time.Second)), 0)
 	is.Equal(len(a.Tick(lease.Length+lease.Margin)), 1)
@@ -155,11 +155,11 @@
 func TestReconnectedRouterIsNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.Report(0, "r1", waits("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
 	a.Unlink("r1", 1)
-	reports, known := a.Open(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	is.True(known)
 	is.Equal(reports, uint64(1))
 	a.Report(1, "r1", waits("a", 5))
@@ -169,8 +169,8 @@
 func TestNonsenseIsBounded(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
-	a.Open(0, protocol.Hello{Router: "r2", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
+	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
 	a.Report(0, "r2", protocol.Report{Returned: []protocol.Held{{Server: "s", Slots: 100}, {Server: "s", Slots: -4}}})
 	a.Report(0, "r2", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: -3, Accounts: []protocol.AccountReport{
 		{Account: "a", Waiting: -1}, {Account: "b", Waiting: 1, Service: math.NaN()}, {Account: "?", Waiting: 9},
@@ -186,7 +186,7 @@
 func TestIdleTimeEarnsNoCreditAndPaysNoDebt(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	serve := func(account string, waiting int, service float64) {
 		a.Report(0, "r1", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: []protocol.AccountReport{
 			{Account: account, Waiting: waiting, Service: service},
@@ -214,9 +214,9 @@
 func TestRecallFindsFreeSlotsElsewhere(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
+	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
 	a.Report(0, "rich", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
-	a.Open(0, protocol.Hello{Router: "poor", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
 	a.Report(0, "poor", waits("a", 1))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one request waits, so one slot is recalled, not both
@@ -225,9 +225,9 @@
 func TestFreeSlotElsewhereIsRecalledForARouterWithSlots(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	a.Report(0, "idle", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 1}}})
-	a.Open(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	a.Report(0, "busy", waits("a", 3))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // it is free there and wanted here
@@ -236,8 +236,8 @@
 func TestRouterWithoutAnySlotIsGivenOneInUse(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
-	a.Open(0, protocol.Hello{Router: "poor", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
+	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
 	a.Report(0, "poor", waits("a", 3))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one, for a router that has none; not three
@@ -248,7 +248,7 @@
 func TestShortnessIsSent(t *testing.T) {
 	is := is.New(t)
 	a := bench()
-	a.Open(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.Report(0, "r1", waits("a", 2))
 	a.Allocate(0)
 	is.True(!viewsOf(a, 0)["r1"].Short) // two wait, two slots
