--- a/control/session.go
+++ b/control/session.go
@@ -130,6 +130,6 @@
 	}
 	delete(d.sessions, s.holder.Router)
 	if d.alloc != nil {
-		d.alloc.Unlink(s.holder.Router, s.holder.Boot)
+		d.alloc.Disconnect(s.holder.Router, s.holder.Boot)
 	}
 }
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	if f.alloc != nil {
-		f.alloc.Unlink(r.name, r.boot)
+		f.alloc.Disconnect(r.name, r.boot)
 	}
 	r.boots()
 	if f.policy == fleetFair {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -235,7 +235,7 @@
 	r.linked = false
 	r.link++
 	if r.f.alloc != nil {
-		r.f.alloc.Unlink(r.name, r.boot)
+		r.f.alloc.Disconnect(r.name, r.boot)
 	}
 	for i, p := range r.pools {
 		p.Disconnected()
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -14,7 +14,7 @@
 // grant's way: the account must not stay charged for slots that never arrive.
 func TestNothingStaysOnItsWayToAVanishedRouter(t *testing.T) {
 	ends := map[string]func(a *Allocator){
-		"link breaks":        func(a *Allocator) { a.Unlink("r", 1) },
+		"link breaks":        func(a *Allocator) { a.Disconnect("r", 1) },
 		"lease runs out":     func(a *Allocator) { a.End("r") },
 		"session replaced":   func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
 		"another process":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
@@ -69,7 +69,7 @@
 	report := protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: waiting}}}
 	ends := map[string]func(a *Allocator){
 		"lease runs out":       func(a *Allocator) { a.End("r1") },
-		"link breaks, unsent":  func(a *Allocator) { a.Unlink("r1", 1) },
+		"link breaks, unsent":  func(a *Allocator) { a.Disconnect("r1", 1) },
 		"servers come and go":  func(a *Allocator) { a.End("r1"); a.Configure(servers[3:], accounts) },
 		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
 		"account and its work": func(a *Allocator) { a.End("r1"); a.Configure(servers, accounts[3:]) },
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// Unlink marks a router's link as broken. What it holds stays taken until
+// Disconnect marks a router's link as broken. What it holds stays taken until
 // its lease has run out; slots that were granted and not sent come back.
-func (a *Allocator) Unlink(router string, boot uint64) {
+func (a *Allocator) Disconnect(router string, boot uint64) {
 	s := a.sessions[router]
 	if s == nil || s.boot != boot {
 		return
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -158,7 +158,7 @@
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.Report(0, "r1", waits("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
-	a.Unlink("r1", 1)
+	a.Disconnect("r1", 1)
 	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	is.True(known)
 	is.Equal(reports, uint64(1))
