--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -15,7 +15,7 @@
 func TestNothingStaysOnItsWayToAVanishedRouter(t *testing.T) {
 	ends := map[string]func(a *Allocator){
 		"link breaks":        func(a *Allocator) { a.Disconnect("r", 1) },
-		"lease runs out":     func(a *Allocator) { a.End("r") },
+		"lease runs out":     func(a *Allocator) { a.EndSession("r") },
 		"session replaced":   func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
 		"another process":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
 		"goodbye with work":  func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
@@ -68,11 +68,11 @@
 	}
 	report := protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: waiting}}}
 	ends := map[string]func(a *Allocator){
-		"lease runs out":       func(a *Allocator) { a.End("r1") },
+		"lease runs out":       func(a *Allocator) { a.EndSession("r1") },
 		"link breaks, unsent":  func(a *Allocator) { a.Disconnect("r1", 1) },
-		"servers come and go":  func(a *Allocator) { a.End("r1"); a.Configure(servers[3:], accounts) },
+		"servers come and go":  func(a *Allocator) { a.EndSession("r1"); a.Configure(servers[3:], accounts) },
 		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
-		"account and its work": func(a *Allocator) { a.End("r1"); a.Configure(servers, accounts[3:]) },
+		"account and its work": func(a *Allocator) { a.EndSession("r1"); a.Configure(servers, accounts[3:]) },
 	}
 	run := func(end func(a *Allocator), hello protocol.Hello) (free []string) {
 		a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
--- a/coordination/slots/report.go
+++ b/coordination/slots/report.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if r.Goodbye {
-		a.End(router)
+		a.EndSession(router)
 	}
 }
 
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -150,8 +150,8 @@
 	a.forgetWaiting(s)
 }
 
-// End forgets a router that holds nothing any more, or whose lease ran out.
-func (a *Allocator) End(router string) {
+// EndSession forgets a router that holds nothing any more, or whose lease ran out.
+func (a *Allocator) EndSession(router string) {
 	s := a.sessions[router]
 	if s == nil {
 		return
@@ -168,7 +168,7 @@
 	for _, s := range a.order {
 		if now >= s.renewed+a.lease.total() {
 			ended = append(ended, s.router)
-			a.End(s.router)
+			a.EndSession(s.router)
 		}
 	}
 	if now >= a.takeoverEnds {
