--- a/control/session.go
+++ b/control/session.go
@@ -96,7 +96,7 @@
 		old.out.Close()
 	}
 	now := d.now()
-	void := !d.alloc.TakingOver(now) && !d.alloc.Knows(h.Router, h.Boot)
+	void := !d.alloc.TakingOver(now) && !d.alloc.HasSession(h.Router, h.Boot)
 	reports, known := d.alloc.OpenSession(now, h)
 	s.revision = h.Revision
 	d.sessions[h.Router] = s
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -189,7 +189,7 @@
 			r.unlink()
 			return
 		}
-		void := !f.alloc.TakingOver(f.now) && !f.alloc.Knows(r.name, r.boot)
+		void := !f.alloc.TakingOver(f.now) && !f.alloc.HasSession(r.name, r.boot)
 		reports, known := f.alloc.OpenSession(f.now, hello)
 		w := protocol.Welcome{Epoch: f.alloc.Epoch(), Known: known, Reports: reports, Void: void}
 		f.wakeAllocator()
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -122,8 +122,8 @@
 	a.sessions[s.router] = s
 }
 
-// Knows reports whether the process's lease has not run out here.
-func (a *Allocator) Knows(router string, boot uint64) bool {
+// HasSession reports whether the process's lease has not run out here.
+func (a *Allocator) HasSession(router string, boot uint64) bool {
 	s := a.sessions[router]
 	return s != nil && s.boot == boot
 }
