--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -211,7 +211,7 @@
 		d.endEpoch()
 		return
 	}
-	for _, name := range d.alloc.Tick(d.now()) {
+	for _, name := range d.alloc.ExpireSessions(d.now()) {
 		d.c.cfg.Log.Info("lease of router ran out", "router", name)
 	}
 	d.endExpired()
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -322,7 +322,7 @@
 		r.tick()
 	}
 	if f.alloc != nil {
-		f.alloc.Tick(f.now)
+		f.alloc.ExpireSessions(f.now)
 		f.turn()
 	}
 }
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -161,9 +161,9 @@
 	a.sortSessions()
 }
 
-// Tick ends the sessions whose lease and margin have passed and returns their
+// ExpireSessions ends the sessions whose lease and margin have passed and returns their
 // routers' names.
-func (a *Allocator) Tick(now time.Duration) []string {
+func (a *Allocator) ExpireSessions(now time.Duration) []string {
 	var ended []string
 	for _, s := range a.order {
 		if now >= s.renewed+a.lease.total() {
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -148,7 +148,7 @@
 	a.OpenSession(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // no proof that boot 1 has stopped
 	a.Report(time.Second, "r1", waits("a", 2))
 	is.Equal(len(granted(a, time.Second)), 0)
-	is.Equal(len(a.Tick(lease.Length+lease.Margin)), 1)
+	is.Equal(len(a.ExpireSessions(lease.Length+lease.Margin)), 1)
 	is.Equal(granted(a, lease.Length+lease.Margin)["r1"], 2)
 }
 
