--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -162,7 +162,7 @@
 	var started []Start
 	for leased {
 		next, virtual := p.queue.Next()
-		switch slots.Decide(now, virtual, p.holder.Granted(), p.view) {
+		switch slots.Decide(now, virtual, p.holder.HasUnusedGrant(), p.view) {
 		case slots.Keep:
 			return started
 		case slots.Return:
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -46,7 +46,7 @@
 
 // Decide returns what to do with a free slot. best is the virtual time of the
 // account that goes next here, or +Inf when nothing waits here; granted is
-// [Holder.Granted].
+// [Holder.HasUnusedGrant].
 func Decide(now time.Duration, best float64, granted bool, f FleetView) Action {
 	wanted := f.Short && now-f.At <= MaxViewAge
 	switch {
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -49,12 +49,12 @@
 	h.granted = max(h.granted-1, 0)
 }
 
-// Granted reports whether a granted slot is still unused. The allocator's
+// HasUnusedGrant reports whether a granted slot is still unused. The allocator's
 // counters are newer than the router's view, so its grant is used without
 // looking at the floor again. (Looking again was tried: a floor that had just
 // passed sent the slot back, and allocator and router returned it to each
 // other.)
-func (h *Holder) Granted() bool { return h.granted > 0 }
+func (h *Holder) HasUnusedGrant() bool { return h.granted > 0 }
 
 // Done ends the use of a slot, which is free again unless the lease has run out
 // since its start.
