--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -66,7 +66,7 @@
 // Settings.Linger.
 func (p *Pool) Linger(now time.Duration) {
 	if p.Waiting() == 0 {
-		p.holder.ReturnLingering(now, p.cfg.Linger)
+		p.holder.ReturnIdleAfter(now, p.cfg.Linger)
 	}
 }
 
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -149,8 +149,8 @@
 	}
 }
 
-// ReturnLingering gives back every free slot once none was used for linger.
-func (h *Holder) ReturnLingering(now, linger time.Duration) {
+// ReturnIdleAfter gives back every free slot once none was used for linger.
+func (h *Holder) ReturnIdleAfter(now, linger time.Duration) {
 	if now-h.idleSince >= linger {
 		h.ReturnIdle()
 	}
