--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -14,8 +14,8 @@
 // This file defines the views that the allocator sends to each router, and when
 // (the pace is in pacer.go).
 
-// Outgoing is a view that is due.
-type Outgoing struct {
+// OutgoingView is a view that is due.
+type OutgoingView struct {
 	Router string
 	View   protocol.View
 	full   bool
@@ -24,8 +24,8 @@
 // Views returns the views that are due now, in the order of router names. The
 // caller reports the size of each with Sent. Grants and recalls go soon and
 // alone; the virtual times wait for a full view.
-func (a *Allocator) Views(now time.Duration) []Outgoing {
-	var out []Outgoing
+func (a *Allocator) Views(now time.Duration) []OutgoingView {
+	var out []OutgoingView
 	for _, s := range a.order {
 		if !s.linked || now < s.due() {
 			continue
@@ -35,7 +35,7 @@
 		s.urgent = false
 		s.wantView = s.wantView && !full
 		if worth {
-			out = append(out, Outgoing{Router: s.router, View: v, full: full})
+			out = append(out, OutgoingView{Router: s.router, View: v, full: full})
 		}
 	}
 	return out
@@ -68,7 +68,7 @@
 }
 
 // RecordSent counts the size of a view that went out.
-func (a *Allocator) RecordSent(now time.Duration, o Outgoing, bytes int) {
+func (a *Allocator) RecordSent(now time.Duration, o OutgoingView, bytes int) {
 	if s := a.sessions[o.Router]; s != nil {
 		s.pacer.RecordSent(now, bytes, o.full)
 	}
