--- a/control/metrics.go
+++ b/control/metrics.go
@@ -89,15 +89,15 @@
 	low, high := map[string]float64{}, map[string]float64{}
 	for _, st := range s.standings {
 		labels := fmt.Sprintf("{pool=%q,account=%q}", st.Pool, accounts[st.Account])
-		metrics.WriteGaugeFloat64(w, "badgerspoke_normalised_service"+labels, st.Time)
+		metrics.WriteGaugeFloat64(w, "badgerspoke_normalised_service"+labels, st.VirtualTime)
 		metrics.WriteGaugeUint64(w, "badgerspoke_waiting"+labels, uint64(st.Waiting))
 		if st.Waiting == 0 {
 			continue
 		}
 		if _, seen := low[st.Pool]; !seen {
-			low[st.Pool], high[st.Pool] = st.Time, st.Time
+			low[st.Pool], high[st.Pool] = st.VirtualTime, st.VirtualTime
 		}
-		low[st.Pool], high[st.Pool] = min(low[st.Pool], st.Time), max(high[st.Pool], st.Time)
+		low[st.Pool], high[st.Pool] = min(low[st.Pool], st.VirtualTime), max(high[st.Pool], st.VirtualTime)
 	}
 	for pool := range low {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf("badgerspoke_gap{pool=%q}", pool), high[pool]-low[pool])
--- a/control/status.go
+++ b/control/status.go
@@ -89,11 +89,11 @@
 		})
 	}
 	for _, st := range d.alloc.Standings() {
-		if st.Time == 0 && st.Waiting == 0 {
+		if st.VirtualTime == 0 && st.Waiting == 0 {
 			continue
 		}
 		out.Standings = append(out.Standings, &operatorv1.Standing{
-			Pool: st.Pool, Account: accounts[st.Account], Share: st.Share, NormalisedService: st.Time, Waiting: uint32(st.Waiting),
+			Pool: st.Pool, Account: accounts[st.Account], Share: st.Share, NormalisedService: st.VirtualTime, Waiting: uint32(st.Waiting),
 		})
 	}
 	return out
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -196,7 +196,7 @@
 	time := func(account string) float64 {
 		for _, s := range a.Standings() {
 			if s.Account == account {
-				return s.Time
+				return s.VirtualTime
 			}
 		}
 		return -1
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -13,11 +13,11 @@
 
 // Standing is one account in one pool.
 type Standing struct {
-	Pool    string
-	Account string
-	Share   float64
-	Time    float64 // virtual time
-	Waiting int     // requests
+	Pool        string
+	Account     string
+	Share       float64
+	VirtualTime float64 // virtual time
+	Waiting     int     // requests
 }
 
 // Standings returns every account of every pool in order.
@@ -27,7 +27,7 @@
 		p := a.pools[pn]
 		for _, an := range slices.Sorted(maps.Keys(p.accounts)) {
 			acc := p.accounts[an]
-			st := Standing{Pool: pn, Account: an, Share: acc.share, Time: acc.time}
+			st := Standing{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.time}
 			for _, w := range acc.places {
 				st.Waiting += w.reported
 			}
