--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -49,7 +49,7 @@
 // ApplyView takes the allocator's view of this pool, which includes this
 // router's reports up to number reports.
 func (p *Pool) ApplyView(now time.Duration, v protocol.PoolView, reports uint64) {
-	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, At: now}
+	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, ReceivedAt: now}
 	p.queue.SetLift(v.Lift)
 	if v.Recall > 0 {
 		p.holder.Recall(v.Recall)
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -29,11 +29,11 @@
 // FleetView is what the allocator last sent of one pool. The zero value is a
 // view of a pool that is not short of slots.
 type FleetView struct {
-	Short bool          // more work waits in the fleet than slots are free
-	Floor float64       // lowest virtual time with work waiting in the fleet
-	Slack float64       // virtual time above the floor up to which slots are used again
-	Rate  float64       // how fast the floor rises, virtual time a second
-	At    time.Duration // when the view was received
+	Short      bool          // more work waits in the fleet than slots are free
+	Floor      float64       // lowest virtual time with work waiting in the fleet
+	Slack      float64       // virtual time above the floor up to which slots are used again
+	Rate       float64       // how fast the floor rises, virtual time a second
+	ReceivedAt time.Duration // when the view was received
 }
 
 // limit is the virtual time up to which a slot may be used again. The floor
@@ -41,14 +41,14 @@
 // share of the rise as being ahead and gave back every slot between two views
 // (docs/design/fair-sharing.md has the figures).
 func (f FleetView) limit(now time.Duration) float64 {
-	return f.Floor + f.Rate*(now-f.At).Seconds() + f.Slack
+	return f.Floor + f.Rate*(now-f.ReceivedAt).Seconds() + f.Slack
 }
 
 // Decide returns what to do with a free slot. best is the virtual time of the
 // account that goes next here, or +Inf when nothing waits here; granted is
 // [Holder.HasUnusedGrant].
 func Decide(now time.Duration, best float64, granted bool, f FleetView) Action {
-	wanted := f.Short && now-f.At <= MaxViewAge
+	wanted := f.Short && now-f.ReceivedAt <= MaxViewAge
 	switch {
 	case math.IsInf(best, 1) && wanted:
 		return Return
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -19,11 +19,11 @@
 
 func TestDecide(t *testing.T) {
 	const now = 10 * time.Second
-	view := slots.FleetView{Short: true, Floor: 100, Slack: 10, Rate: 50, At: now}
+	view := slots.FleetView{Short: true, Floor: 100, Slack: 10, Rate: 50, ReceivedAt: now}
 	stale := view
-	stale.At = now - slots.MaxViewAge - 1
+	stale.ReceivedAt = now - slots.MaxViewAge - 1
 	aged := view
-	aged.At = now - 200*time.Millisecond // the floor has risen by 10 since
+	aged.ReceivedAt = now - 200*time.Millisecond // the floor has risen by 10 since
 	enough := view
 	enough.Short = false
 	tests := []struct {
