--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -25,8 +25,8 @@
 	hints   map[Hint]int // entries that have it
 }
 
-// With returns the list with some entries added or changed, and others gone.
-func (l List) With(set []Entry, gone []Key) List {
+// WithChanges returns the list with some entries added or changed, and others gone.
+func (l List) WithChanges(set []Entry, gone []Key) List {
 	next := List{entries: maps.Clone(l.entries), hints: maps.Clone(l.hints)}
 	if next.entries == nil {
 		next = List{entries: map[Key]Entry{}, hints: map[Hint]int{}}
@@ -70,7 +70,7 @@
 			gone = append(gone, k)
 		}
 	}
-	return l.With(set, gone)
+	return l.WithChanges(set, gone)
 }
 
 // Empty reports whether nothing is listed.
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -45,7 +45,7 @@
 	for _, e := range condemned {
 		h.evidence.seen.Know(e)
 	}
-	h.evidence.list, h.evidence.revision = quarantine.List{}.With(condemned, nil), h.d.state.condemnedRevision()
+	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
 // takeLosses takes what a gateway or a relay reports of ends.
@@ -167,7 +167,7 @@
 	if len(set)+len(gone) == 0 {
 		return
 	}
-	h.evidence.list = h.evidence.list.With(set, gone)
+	h.evidence.list = h.evidence.list.WithChanges(set, gone)
 	h.sendAll(quarantineMessage(set, gone))
 }
 
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -276,7 +276,7 @@
 	}{{"empty", nil}, {"others", others}, {"same but for the body", append(others[1:], same)}} {
 		b.Run(tt.name, func(b *testing.B) {
 			g := &Gateway{suspicions: newSuspicions()}
-			l := quarantine.List{}.With(tt.list, nil)
+			l := quarantine.List{}.WithChanges(tt.list, nil)
 			g.suspicions.list.Store(&l)
 			g.suspicions.told.Store(true)
 			r := httptest.NewRequest(http.MethodPost, "/again/", nil)
