--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Take returns the list after a message of the leader. Entries without a key are passed over.
-func (l List) Take(m protocol.Quarantine) List {
+// Apply returns the list after a message of the leader. Entries without a key are passed over.
+func (l List) Apply(m protocol.Quarantine) List {
 	if m.Whole {
 		l = List{}
 	}
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -209,7 +209,7 @@
 
 // takeQuarantine takes the leader's list, and passes it on.
 func (r *relay) takeQuarantine(m protocol.Quarantine) {
-	r.quarantine = r.quarantine.Take(m)
+	r.quarantine = r.quarantine.Apply(m)
 	r.h.sendAll(m)
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -102,7 +102,7 @@
 
 // take takes the leader's list. What is not listed any more was cleared elsewhere.
 func (s *suspicions) take(m protocol.Quarantine) {
-	l := s.list.Load().Take(m)
+	l := s.list.Load().Apply(m)
 	s.list.Store(&l)
 	s.told.Store(true)
 	s.mu.Lock()
