--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -76,8 +76,8 @@
 // Empty reports whether nothing is listed.
 func (l List) Empty() bool { return len(l.entries) == 0 }
 
-// MayHave reports whether an entry has a hint: if not, a request's key need not be made.
-func (l List) MayHave(h Hint) bool { return l.hints[h] > 0 }
+// HasHint reports whether an entry has a hint: if not, a request's key need not be made.
+func (l List) HasHint(h Hint) bool { return l.hints[h] > 0 }
 
 // Find returns a key's entry, or false if it is not listed.
 func (l List) Find(k Key) (Entry, bool) {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -87,7 +87,7 @@
 // find returns what is known against a request, or false if that is nothing. key is called only
 // if something may be known.
 func (s *suspicions) find(hint quarantine.Hint, key func() quarantine.Key) (quarantine.Entry, bool) {
-	if l := s.list.Load(); l.MayHave(hint) {
+	if l := s.list.Load(); l.HasHint(hint) {
 		if e, listed := l.Find(key()); listed {
 			return e, true
 		}
