--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -92,9 +92,9 @@
 // shares them with another one.
 func (e Entry) Undecided() bool { return !e.Condemned && e.Ends >= fewestEnds }
 
-// Decision is how long a request that is undecided waits for what becomes of it. Settle, and the
+// DecisionWait is how long a request that is undecided waits for what becomes of it. Settle, and the
 // messages before and after it.
-const Decision = Settle + 100*time.Millisecond
+const DecisionWait = Settle + 100*time.Millisecond
 
 // MayTryAgain reports whether a request whose attempt has just been lost may be tried once more:
 // not after three ends in a row, those that the list knows and the losses of this arrival.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -181,7 +181,7 @@
 // awaitDecision waits until the request is condemned, cleared, or has waited for long enough. It
 // reports false if the caller has left.
 func (c *call) awaitDecision(hint quarantine.Hint) bool {
-	for until := c.g.now() + quarantine.Decision; c.suspicion.Undecided() && c.g.now() < until; {
+	for until := c.g.now() + quarantine.DecisionWait; c.suspicion.Undecided() && c.g.now() < until; {
 		if !sleep.For(c.r.Context(), decisionPoll) {
 			return false
 		}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -110,8 +110,8 @@
 			}
 			r := x.request("/again/deadly")
 			is.Equal(r.status == 400, condemned)
-			is.Equal(r.took >= quarantine.Decision, !condemned)
-			is.True(r.took <= quarantine.Decision+50*time.Millisecond)
+			is.Equal(r.took >= quarantine.DecisionWait, !condemned)
+			is.True(r.took <= quarantine.DecisionWait+50*time.Millisecond)
 		}, answers(200, "done", 0))
 	}
 }
