--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -96,6 +96,6 @@
 // messages before and after it.
 const DecisionWait = Settle + 100*time.Millisecond
 
-// MayTryAgain reports whether a request whose attempt has just been lost may be tried once more:
+// MayRetry reports whether a request whose attempt has just been lost may be tried once more:
 // not after three ends in a row, those that the list knows and the losses of this arrival.
-func (e Entry) MayTryAgain(losses int) bool { return e.Ends+losses < fewestEnds }
+func (e Entry) MayRetry(losses int) bool { return e.Ends+losses < fewestEnds }
