--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -222,8 +222,8 @@
 // Clear takes a whole answer to a request: it has ended nothing.
 func (v *Evidence) Clear(k Key) { v.forget(k) }
 
-// Know takes a request that was condemned before, by evidence that is not here.
-func (v *Evidence) Know(e Entry) {
+// AddCondemned takes a request that was condemned before, by evidence that is not here.
+func (v *Evidence) AddCondemned(e Entry) {
 	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Ends)}}
 }
 
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -247,7 +247,7 @@
 	is.True(kept)
 	v = NewEvidence(Settle)
 	for i := range mostSuspects { // what is condemned takes no room
-		v.Know(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
+		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
 	}
 	add("late", "one", "s5", 4*time.Second)
 	add("late", "two", "s5", 4*time.Second)
@@ -347,7 +347,7 @@
 			case 0:
 				v.Clear(key)
 			case 1:
-				v.Know(Entry{Key: key, Ends: 3, Condemned: true})
+				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
 			case 2, 3:
 				for _, verdict := range v.Judge(now, nine) {
 					if len(verdict.Servers) < fewestEnds || verdict.Chance > chanceAllowed {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -43,7 +43,7 @@
 	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemned()
 	for _, e := range condemned {
-		h.evidence.seen.Know(e)
+		h.evidence.seen.AddCondemned(e)
 	}
 	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
