--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -259,9 +259,9 @@
 // Empty reports whether nothing is known against any request.
 func (v *Evidence) Empty() bool { return len(v.suspects) == 0 }
 
-// Known returns the losses of all suspects and condemned requests, oldest first: what another
+// Losses returns the losses of all suspects and condemned requests, oldest first: what another
 // Evidence needs to know as much.
-func (v *Evidence) Known() (all []TimedLoss) {
+func (v *Evidence) Losses() (all []TimedLoss) {
 	for _, s := range v.suspects {
 		for _, h := range s.losses {
 			all = append(all, h.TimedLoss)
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -201,7 +201,7 @@
 	}
 	e, _ := s.v.Find(keyNamed("deadly"))
 	is.Equal(e.Ends, 3)
-	is.Equal(len(s.v.Known()), 3)
+	is.Equal(len(s.v.Losses()), 3)
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 	s.v.Clear(keyNamed("deadly"))
 	s.now += memory
@@ -361,8 +361,8 @@
 					Ran: time.Duration(rng.IntN(3000)) * time.Millisecond, Again: rng.IntN(4) == 0, Serving: rng.IntN(3) > 0,
 				}})
 			}
-			if len(v.Known()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
-				t.Fatalf("seed %d: %d losses of %d suspects", seed, len(v.Known()), len(v.Suspects()))
+			if len(v.Losses()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
+				t.Fatalf("seed %d: %d losses of %d suspects", seed, len(v.Losses()), len(v.Suspects()))
 			}
 		}
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -118,7 +118,7 @@
 func (s *suspicions) beginSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losses, s.cleared = s.seen.Known(), nil
+	s.losses, s.cleared = s.seen.Losses(), nil
 }
 
 // report adds to a report what is to be told.
