--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -37,7 +37,7 @@
 // condemned lets a time pass and returns whether some requests are condemned then.
 func (s *script) condemned(after time.Duration, names ...string) (all []bool) {
 	s.now += after
-	s.v.Judge(s.now, nine)
+	s.v.Evaluate(s.now, nine)
 	for _, name := range names {
 		e, _ := s.v.Find(keyNamed(name))
 		all = append(all, e.Condemned)
@@ -328,7 +328,7 @@
 		v.Add(o.at, *o.h)
 		if o.at-judged >= 100*time.Millisecond {
 			judged = o.at
-			condemned += len(v.Judge(o.at, func(string) int { return servers }))
+			condemned += len(v.Evaluate(o.at, func(string) int { return servers }))
 		}
 	}
 	return lost, requests, condemned
@@ -349,7 +349,7 @@
 			case 1:
 				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
 			case 2, 3:
-				for _, verdict := range v.Judge(now, nine) {
+				for _, verdict := range v.Evaluate(now, nine) {
 					if len(verdict.Servers) < fewestEnds || verdict.Chance > chanceAllowed {
 						t.Fatalf("seed %d: %+v", seed, verdict)
 					}
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -26,9 +26,9 @@
 	shortRate = 10 * time.Second
 )
 
-// Judge condemns the requests that the evidence is now enough for, and returns them ordered by
+// Evaluate condemns the requests that the evidence is now enough for, and returns them ordered by
 // key. servers is how many servers a pool has.
-func (v *Evidence) Judge(now time.Duration, servers func(pool string) int) (all []Verdict) {
+func (v *Evidence) Evaluate(now time.Duration, servers func(pool string) int) (all []Verdict) {
 	v.expire(now)
 	for k, s := range v.suspects {
 		if verdict, condemned := v.judge(now, k, s, servers); condemned {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -147,7 +147,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Judge(now, servers)
+	return s.seen.Evaluate(now, servers)
 }
 
 // judgeAlone condemns requests while the gateway is out of touch.
