--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -103,7 +103,7 @@
 	s := newScript()
 	for i := range 3 {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), Ran: 2 * time.Millisecond, Again: true, Serving: true,
+			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), Ran: 2 * time.Millisecond, Retry: true, Serving: true,
 		}})
 		s.now += 3 * time.Millisecond
 	}
@@ -310,7 +310,7 @@
 			end := ends[server][next]
 			all = append(all, occurrence{at: end, key: key, h: &TimedLoss{At: end, Loss: Loss{
 				Key: key, Account: "a", Pool: "p", Server: fmt.Sprint(server), Address: fmt.Sprint(server),
-				Ran: end - begin, Again: n%2 == 1, Serving: true,
+				Ran: end - begin, Retry: n%2 == 1, Serving: true,
 			}}})
 			if begin = end + time.Millisecond; n == 1 {
 				begin += 500 * time.Millisecond
@@ -358,7 +358,7 @@
 				server := fmt.Sprint(rng.IntN(6))
 				v.Add(now, TimedLoss{At: now - time.Duration(rng.IntN(900))*time.Second, Loss: Loss{
 					Key: key, Account: fmt.Sprint(rng.IntN(3)), Pool: "p", Server: server, Address: server,
-					Ran: time.Duration(rng.IntN(3000)) * time.Millisecond, Again: rng.IntN(4) == 0, Serving: rng.IntN(3) > 0,
+					Ran: time.Duration(rng.IntN(3000)) * time.Millisecond, Retry: rng.IntN(4) == 0, Serving: rng.IntN(3) > 0,
 				}})
 			}
 			if len(v.Losses()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
