--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -51,7 +51,7 @@
 	Pool    string
 	Server  string // its identifier
 	Address string
-	Ran     time.Duration // from its sending to the end
+	RunTime time.Duration // from its sending to the end
 	Retry   bool          // another attempt of the same arrival was lost before this one began
 	// Serving is whether other servers of the pool gave whole answers lately. While none do, that a
 	// request had none says nothing.
@@ -170,7 +170,7 @@
 
 // after reports whether the run of a loss began after the end of another one.
 func (h keptLoss) after(before keptLoss) bool {
-	return h.Retry || h.At-before.At >= max(h.Ran/2, apart)
+	return h.Retry || h.At-before.At >= max(h.RunTime/2, apart)
 }
 
 // makeRoom drops a suspect if there are too many, of the account or in all: the one with the
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -130,5 +130,5 @@
 	}
 	of := float64(max(servers(h.Pool), 1))
 	rate := max(float64(long)/longRate.Seconds(), float64(short)/shortRate.Seconds())/of + float64(here)/longRate.Seconds()
-	return min(rate*max(h.Ran, shortestRun).Seconds(), 1)
+	return min(rate*max(h.RunTime, shortestRun).Seconds(), 1)
 }
