--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -53,9 +53,9 @@
 	Address string
 	RunTime time.Duration // from its sending to the end
 	Retry   bool          // another attempt of the same arrival was lost before this one began
-	// Serving is whether other servers of the pool gave whole answers lately. While none do, that a
+	// PoolAnswering is whether other servers of the pool gave whole answers lately. While none do, that a
 	// request had none says nothing.
-	Serving bool
+	PoolAnswering bool
 }
 
 // TimedLoss is a loss and when the server ended.
@@ -127,7 +127,7 @@
 		e.keys[h.Key], e.explained = true, true
 		return
 	}
-	if !h.Serving {
+	if !h.PoolAnswering {
 		return
 	}
 	e.keys[h.Key] = true
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -29,7 +29,7 @@
 func (s *script) end(server string, ran time.Duration, names ...string) {
 	for _, name := range names {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, RunTime: ran, Serving: true,
+			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, RunTime: ran, PoolAnswering: true,
 		}})
 	}
 }
@@ -103,7 +103,7 @@
 	s := newScript()
 	for i := range 3 {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 2 * time.Millisecond, Retry: true, Serving: true,
+			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 2 * time.Millisecond, Retry: true, PoolAnswering: true,
 		}})
 		s.now += 3 * time.Millisecond
 	}
@@ -192,7 +192,7 @@
 	var all []TimedLoss
 	for i := range 3 {
 		all = append(all, TimedLoss{At: time.Duration(i) * time.Second, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 100 * time.Millisecond, Serving: true,
+			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 100 * time.Millisecond, PoolAnswering: true,
 		}})
 	}
 	slices.Reverse(all)
@@ -226,7 +226,7 @@
 	is := is.New(t)
 	v := NewEvidence(Settle)
 	add := func(account, name, server string, at time.Duration) {
-		v.Add(at, TimedLoss{At: at, Loss: Loss{Key: keyNamed(account + name), Account: account, Server: server, RunTime: time.Millisecond, Serving: true}})
+		v.Add(at, TimedLoss{At: at, Loss: Loss{Key: keyNamed(account + name), Account: account, Server: server, RunTime: time.Millisecond, PoolAnswering: true}})
 	}
 	add("quiet", "one", "s1", 0)
 	add("loud", "twice", "s1", 0)
@@ -310,7 +310,7 @@
 			end := ends[server][next]
 			all = append(all, occurrence{at: end, key: key, h: &TimedLoss{At: end, Loss: Loss{
 				Key: key, Account: "a", Pool: "p", Server: fmt.Sprint(server), Address: fmt.Sprint(server),
-				RunTime: end - begin, Retry: n%2 == 1, Serving: true,
+				RunTime: end - begin, Retry: n%2 == 1, PoolAnswering: true,
 			}}})
 			if begin = end + time.Millisecond; n == 1 {
 				begin += 500 * time.Millisecond
@@ -358,7 +358,7 @@
 				server := fmt.Sprint(rng.IntN(6))
 				v.Add(now, TimedLoss{At: now - time.Duration(rng.IntN(900))*time.Second, Loss: Loss{
 					Key: key, Account: fmt.Sprint(rng.IntN(3)), Pool: "p", Server: server, Address: server,
-					RunTime: time.Duration(rng.IntN(3000)) * time.Millisecond, Retry: rng.IntN(4) == 0, Serving: rng.IntN(3) > 0,
+					RunTime: time.Duration(rng.IntN(3000)) * time.Millisecond, Retry: rng.IntN(4) == 0, PoolAnswering: rng.IntN(3) > 0,
 				}})
 			}
 			if len(v.Losses()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -130,7 +130,7 @@
 		u.Losses = append(u.Losses, protocol.Loss{
 			Key: h.Key[:], Hint: uint32(h.Hint), Account: h.Account, Pool: h.Pool, Server: h.Server, Address: h.Address,
 			Ran: uint32(h.RunTime.Milliseconds()), Age: uint32((now - h.At).Milliseconds()), Again: h.Retry,
-			Serving: h.Serving,
+			Serving: h.PoolAnswering,
 		})
 	}
 	s.losses = s.losses[n:]
@@ -200,7 +200,7 @@
 	now := c.g.now()
 	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
 		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, RunTime: now - a.startedAt, Retry: c.losses > 0,
-		Serving: c.g.table.othersServe(c.pool.Name, a.serverID),
+		PoolAnswering: c.g.table.othersServe(c.pool.Name, a.serverID),
 	}})
 	c.losses++
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -139,7 +139,7 @@
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
 			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
-				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, Serving: true,
+				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
 			}})
 			x.servers.stop(at)
 			time.Sleep(time.Second)
