--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -66,12 +66,12 @@
 
 // Verdict is a request that is condemned.
 type Verdict struct {
-	Key     Key
-	Hint    Hint
-	Account string
-	Pool    string
-	Servers []string // that ended under it, oldest first
-	Chance  float64  // that a request that ends nothing has such a record
+	Key         Key
+	Hint        Hint
+	Account     string
+	Pool        string
+	Servers     []string // that ended under it, oldest first
+	Probability float64  // that a request that ends nothing has such a record
 }
 
 // Evidence is what is known of ends. The zero value is not ready; see [NewEvidence].
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -350,7 +350,7 @@
 				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
 			case 2, 3:
 				for _, verdict := range v.Evaluate(now, nine) {
-					if len(verdict.Servers) < fewestEnds || verdict.Chance > chanceAllowed {
+					if len(verdict.Servers) < fewestEnds || verdict.Probability > chanceAllowed {
 						t.Fatalf("seed %d: %+v", seed, verdict)
 					}
 				}
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -65,9 +65,9 @@
 		verdict.Servers = append(verdict.Servers, h.Server)
 		chances = append(chances, v.chance(now, k, h, servers))
 	}
-	verdict.Chance = combined(chances)
+	verdict.Probability = combined(chances)
 	alone := len(record) >= mostEnds || !v.shared(k, record)
-	return verdict, alone && verdict.Chance <= chanceAllowed
+	return verdict, alone && verdict.Probability <= chanceAllowed
 }
 
 // combined returns the chance that the product of as many chances is as small by itself (R. A.
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -92,7 +92,7 @@
 	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.LenOf) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
-			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Chance))
+			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
 		v.unlogged[verdict.Key] = document.Condemned{
 			Key: verdict.Key[:], Hint: uint32(verdict.Hint), Account: verdict.Account, Pool: verdict.Pool, Servers: verdict.Servers,
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -154,7 +154,7 @@
 func (g *Gateway) judgeAlone() {
 	for _, v := range g.suspicions.judge(g.now(), g.table.poolSize) {
 		g.cfg.Log.StateChange("request condemned", slog.String("key", v.Key.String()), slog.String("tenant", v.Account),
-			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Chance))
+			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Probability))
 	}
 }
 
