--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -29,9 +29,9 @@
 	// two periods of reports, in which all that ran there is known, and one in which gateways
 	// learn of suspects and report answers.
 	Settle = 250 * time.Millisecond
-	// SettleFar is Settle where reports pass a relay, which holds them for up to 300 ms and is
+	// SettleViaRelay is Settle where reports pass a relay, which holds them for up to 300 ms and is
 	// 30 ms away.
-	SettleFar = 700 * time.Millisecond
+	SettleViaRelay = 700 * time.Millisecond
 	// mostSuspects bounds the suspects. The places of 16 large engines.
 	mostSuspects = 1024
 	// mostOfAccount bounds those of one account. The places of two.
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -38,7 +38,7 @@
 func (h *hub) beginEvidence() {
 	settle := quarantine.Settle
 	if h.d.several() {
-		settle = quarantine.SettleFar
+		settle = quarantine.SettleViaRelay
 	}
 	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemned()
