--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -25,10 +25,10 @@
 	// apart is the least time between two ends of which the second one's run counts as begun after the
 	// first. What reports of gateways differ by.
 	apart = 25 * time.Millisecond
-	// Settle is how long after an end no request is condemned for it, in a fleet of one region:
+	// SettleTime is how long after an end no request is condemned for it, in a fleet of one region:
 	// two periods of reports, in which all that ran there is known, and one in which gateways
 	// learn of suspects and report answers.
-	Settle = 250 * time.Millisecond
+	SettleTime = 250 * time.Millisecond
 	// SettleViaRelay is Settle where reports pass a relay, which holds them for up to 300 ms and is
 	// 30 ms away.
 	SettleViaRelay = 700 * time.Millisecond
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -23,7 +23,7 @@
 	now time.Duration
 }
 
-func newScript() *script { return &script{v: NewEvidence(Settle), now: time.Minute} }
+func newScript() *script { return &script{v: NewEvidence(SettleTime), now: time.Minute} }
 
 // end ends a server under requests that ran for a time.
 func (s *script) end(server string, ran time.Duration, names ...string) {
@@ -53,7 +53,7 @@
 		is.Equal(s.condemned(time.Second, "deadly"), []bool{false})
 		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly", fmt.Sprint("other ", i))
 	}
-	is.Equal(s.condemned(Settle-1, "deadly"), []bool{false})
+	is.Equal(s.condemned(SettleTime-1, "deadly"), []bool{false})
 	is.Equal(s.condemned(1, "deadly", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
 	e, _ := s.v.Find(keyNamed("other 0"))
 	is.Equal(e.Ends, 0) // the end is explained
@@ -66,7 +66,7 @@
 	s := newScript()
 	for i := range 5 {
 		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly")
-		is.Equal(s.condemned(Settle*4/5, "deadly"), []bool{i >= 3})
+		is.Equal(s.condemned(SettleTime*4/5, "deadly"), []bool{i >= 3})
 	}
 }
 
@@ -224,7 +224,7 @@
 // ends stays.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	v := NewEvidence(Settle)
+	v := NewEvidence(SettleTime)
 	add := func(account, name, server string, at time.Duration) {
 		v.Add(at, TimedLoss{At: at, Loss: Loss{Key: keyNamed(account + name), Account: account, Server: server, RunTime: time.Millisecond, PoolAnswering: true}})
 	}
@@ -245,7 +245,7 @@
 	is.Equal(len(v.suspects), mostSuspects)
 	_, kept = v.Find(keyNamed("quietone"))
 	is.True(kept)
-	v = NewEvidence(Settle)
+	v = NewEvidence(SettleTime)
 	for i := range mostSuspects { // what is condemned takes no room
 		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
 	}
@@ -318,7 +318,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b occurrence) int { return cmp.Compare(a.at, b.at) })
-	v := NewEvidence(Settle)
+	v := NewEvidence(SettleTime)
 	judged := time.Duration(0)
 	for _, o := range all {
 		if o.h == nil {
@@ -339,7 +339,7 @@
 func TestAnyEvidence(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		v, now := NewEvidence(Settle), time.Hour
+		v, now := NewEvidence(SettleTime), time.Hour
 		for range 400 {
 			now += time.Duration(rng.IntN(400)) * time.Millisecond
 			key := keyNamed(fmt.Sprint(rng.IntN(12)))
--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -94,7 +94,7 @@
 
 // DecisionWait is how long a request that is undecided waits for what becomes of it. Settle, and the
 // messages before and after it.
-const DecisionWait = Settle + 100*time.Millisecond
+const DecisionWait = SettleTime + 100*time.Millisecond
 
 // MayRetry reports whether a request whose attempt has just been lost may be tried once more:
 // not after three ends in a row, those that the list knows and the losses of this arrival.
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -36,7 +36,7 @@
 }
 
 func (h *hub) beginEvidence() {
-	settle := quarantine.Settle
+	settle := quarantine.SettleTime
 	if h.d.several() {
 		settle = quarantine.SettleViaRelay
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -40,7 +40,7 @@
 }
 
 func newSuspicions() *suspicions {
-	s := &suspicions{seen: quarantine.NewEvidence(quarantine.Settle), unreported: make(chan struct{}, 1)}
+	s := &suspicions{seen: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
 	s.list.Store(&quarantine.List{})
 	return s
 }
