--- a/coordination/registry/busy.go
+++ b/coordination/registry/busy.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// LenOf returns the number of backend servers of a pool.
-func (r *Registry) LenOf(pool string) (n int) {
+// PoolSize returns the number of backend servers of a pool.
+func (r *Registry) PoolSize(pool string) (n int) {
 	for at, servers := range r.counts {
 		if at.pool == pool {
 			n += servers
--- a/coordination/registry/busy_test.go
+++ b/coordination/registry/busy_test.go
@@ -35,7 +35,7 @@
 		announce(i, "large", fmt.Sprint("h", i%2), 1, uint32(i/8))
 		announce(20+i, "plain", "h0", 1, 1)
 	}
-	is.Equal(r.LenOf("large"), 10)
+	is.Equal(r.PoolSize("large"), 10)
 	is.Equal(r.Busy(loads, byPool), 0.2)
 	is.Equal(r.Busy(loads, func(pool, hall string) string {
 		if pool == "plain" {
@@ -51,5 +51,5 @@
 	is.Equal(r.Busy(loads, byPool), 1.0/9)
 	announce(0, "plain", "h0", 2, 0)
 	is.Equal(r.Busy(loads, byPool), 1.0/8)
-	is.Equal([]int{r.LenOf("large"), r.LenOf("plain"), r.LenOf("small")}, []int{8, 11, 0})
+	is.Equal([]int{r.PoolSize("large"), r.PoolSize("plain"), r.PoolSize("small")}, []int{8, 11, 0})
 }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -89,7 +89,7 @@
 // stepEvidence condemns what the evidence is enough for, and sends gateways what has changed.
 func (h *hub) stepEvidence() {
 	v := &h.evidence
-	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.LenOf) {
+	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
 			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
