--- a/coordination/registry/busy.go
+++ b/coordination/registry/busy.go
@@ -27,10 +27,10 @@
 	return n
 }
 
-// Busy returns the part of the servers of a group that run something by the sums over all gateways, of the group
+// MaxBusyShare returns the part of the servers of a group that run something by the sums over all gateways, of the group
 // in which it is largest; 1 without any group. group names the one of a pool's servers in a data hall, "" is none.
 // It costs O(loads), not O(servers).
-func (r *Registry) Busy(loads []protocol.ServerLoad, group func(pool, hall string) string) (part float64) {
+func (r *Registry) MaxBusyShare(loads []protocol.ServerLoad, group func(pool, hall string) string) (part float64) {
 	all, busy := map[string]int{}, map[string]int{}
 	for at, servers := range r.counts {
 		all[group(at.pool, at.hall)] += servers
--- a/coordination/registry/busy_test.go
+++ b/coordination/registry/busy_test.go
@@ -30,26 +30,26 @@
 		}
 		return pool
 	}
-	is.Equal(r.Busy(nil, byPool), 1.0)
+	is.Equal(r.MaxBusyShare(nil, byPool), 1.0)
 	for i := range 10 {
 		announce(i, "large", fmt.Sprint("h", i%2), 1, uint32(i/8))
 		announce(20+i, "plain", "h0", 1, 1)
 	}
 	is.Equal(r.PoolSize("large"), 10)
-	is.Equal(r.Busy(loads, byPool), 0.2)
-	is.Equal(r.Busy(loads, func(pool, hall string) string {
+	is.Equal(r.MaxBusyShare(loads, byPool), 0.2)
+	is.Equal(r.MaxBusyShare(loads, func(pool, hall string) string {
 		if pool == "plain" {
 			return ""
 		}
 		return hall
 	}), 0.2)
 	announce(40, "small", "h0", 1, 1)
-	is.Equal(r.Busy(loads, byPool), 1.0)
+	is.Equal(r.MaxBusyShare(loads, byPool), 1.0)
 	r.Remove("s40")
-	is.Equal(r.Busy(loads, byPool), 0.2)
+	is.Equal(r.MaxBusyShare(loads, byPool), 0.2)
 	r.Remove("s8")
-	is.Equal(r.Busy(loads, byPool), 1.0/9)
+	is.Equal(r.MaxBusyShare(loads, byPool), 1.0/9)
 	announce(0, "plain", "h0", 2, 0)
-	is.Equal(r.Busy(loads, byPool), 1.0/8)
+	is.Equal(r.MaxBusyShare(loads, byPool), 1.0/8)
 	is.Equal([]int{r.PoolSize("large"), r.PoolSize("plain"), r.PoolSize("small")}, []int{8, 11, 0})
 }
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -154,7 +154,7 @@
 			l.usage.add(s, protocol.Usage{Changes: true, Loads: l.loads(registry.SumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
 		}
 		l.usage.sum()
-		l.usage.demand.SetBusyFraction(l.registry.Busy(l.usage.total, func(pool, _ string) string { return pool }))
+		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
 		l.usage.demand.Recompute(l.now, 5e6)
 		if _, err := protocol.Encode(protocol.Fleet{
 			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.BudgetOf(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -19,7 +19,7 @@
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
 	h.usage.sum()
-	h.usage.demand.SetBusyFraction(h.registry.Busy(h.usage.total, h.engineGroup(held.Document)))
+	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
 	if now < h.fleetDue || len(h.sessions) == 0 {
