--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -66,10 +66,10 @@
 	return &protocol.Cold{Left: c.until - now, Shares: c.shares}
 }
 
-// ServersReturn makes the backend servers of halls that are in service again count as cold
+// PresumeCold makes the backend servers of halls that are in service again count as cold
 // until they have announced themselves, and returns them. Only pools whose servers have a
 // rate while cold are concerned.
-func (r *Registry) ServersReturn(now time.Duration, halls []string, rates map[string]float64) Change {
+func (r *Registry) PresumeCold(now time.Duration, halls []string, rates map[string]float64) Change {
 	var change Change
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[id]
