--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -74,7 +74,7 @@
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[id]
 		if slices.Contains(halls, e.Hall) && rates[e.Pool] > 0 {
-			e.cold = e.cold.withSuspect(now, r.Suspicion())
+			e.cold = e.cold.withSuspect(now, r.PresumedColdTime())
 			r.coldUntil = max(r.coldUntil, e.cold.until)
 			change.Set = append(change.Set, e.server(now))
 		}
@@ -101,8 +101,8 @@
 	return change
 }
 
-// Suspicion is how long the backend servers of a hall that was put back count as cold.
-func (r *Registry) Suspicion() time.Duration { return suspectFor * r.interval }
+// PresumedColdTime is how long the backend servers of a hall that was put back count as cold.
+func (r *Registry) PresumedColdTime() time.Duration { return suspectFor * r.interval }
 
 // AnyCold reports whether a backend server may be cold: a list says for how long, and is right
 // only when it is made.
