--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -82,10 +82,10 @@
 	return change
 }
 
-// DivideCold divides the rates of cold backend servers, by pool in requests a second, among
+// DivideColdRates divides the rates of cold backend servers, by pool in requests a second, among
 // gateways, and returns the servers that were divided now. A leader divides nothing before
 // the shares of the one before it have run out.
-func (r *Registry) DivideCold(now time.Duration, gateways []string, rates map[string]float64) Change {
+func (r *Registry) DivideColdRates(now time.Duration, gateways []string, rates map[string]float64) Change {
 	var change Change
 	if now-r.leaderSince < coldstart.Lease || len(gateways) == 0 {
 		return change
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -207,7 +207,7 @@
 		return
 	}
 	names := slices.Sorted(maps.Keys(h.gateways()))
-	change := h.registry.DivideCold(now, names, h.d.state.coldRates())
+	change := h.registry.DivideColdRates(now, names, h.d.state.coldRates())
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
