--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -101,7 +101,7 @@
 func (c *Copy) set(now time.Duration, s protocol.Server) (own protocol.Server, changed bool) {
 	before, listed := c.servers[s.ID]
 	theirs := s.Handle
-	s.Handle = c.handles.Of(lifeOf(s.Registration))
+	s.Handle = c.handles.Assign(lifeOf(s.Registration))
 	c.own[theirs], c.theirs[s.Handle] = s.Handle, theirs
 	same := listed && before.Registration == s.Registration && s.Cold == nil && now >= before.coldUntil
 	if !same {
--- a/coordination/registry/handles.go
+++ b/coordination/registry/handles.go
@@ -26,8 +26,8 @@
 // before its process started again.
 func (h *Handles) Space() uint64 { return h.space }
 
-// Of returns the handle of a life, a new one if it has none.
-func (h *Handles) Of(id string) uint32 {
+// Assign returns the handle of a life, a new one if it has none.
+func (h *Handles) Assign(id string) uint32 {
 	if handle, ok := h.byID[id]; ok {
 		return handle
 	}
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -243,7 +243,7 @@
 // add adds a backend server.
 func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
 	gone := r.occupy(s)
-	e := &entry{Server: protocol.Server{Registration: s, Handle: r.handles.Of(s.ID)}, seq: seq, lastSeen: now}
+	e := &entry{Server: protocol.Server{Registration: s, Handle: r.handles.Assign(s.ID)}, seq: seq, lastSeen: now}
 	r.servers[s.ID], r.byHandle[e.Handle] = e, s.ID
 	r.count(s, 1)
 	name, _ := protocol.SplitLife(s.ID)
