--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -130,7 +130,7 @@
 	if e, ok := c.servers[id]; ok {
 		delete(c.servers, id)
 		delete(c.byAddress, e.Address)
-		c.handles.Forget(lifeOf(e.Registration))
+		c.handles.Release(lifeOf(e.Registration))
 	}
 }
 
--- a/coordination/registry/handles.go
+++ b/coordination/registry/handles.go
@@ -36,5 +36,5 @@
 	return h.last
 }
 
-// Forget forgets a life that gateways were told is gone.
-func (h *Handles) Forget(id string) { delete(h.byID, id) }
+// Release forgets a life that gateways were told is gone.
+func (h *Handles) Release(id string) { delete(h.byID, id) }
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -264,7 +264,7 @@
 		r.count(e.Registration, -1)
 		delete(r.servers, id)
 		delete(r.byHandle, e.Handle)
-		r.handles.Forget(id)
+		r.handles.Release(id)
 		if r.byAddress[e.Address] == id {
 			delete(r.byAddress, e.Address)
 		}
@@ -318,7 +318,7 @@
 func (r *Registry) Missing(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
-		r.handles.Forget(id)
+		r.handles.Release(id)
 	}
 	return missing
 }
