--- a/coordination/registry/replicaof.go
+++ b/coordination/registry/replicaof.go
@@ -14,10 +14,10 @@
 
 // This file defines which replica serves a gateway, where several do.
 
-// ReplicaOf returns which of some replicas is to serve a gateway, "" if there is none but those to
+// SelectReplica returns which of some replicas is to serve a gateway, "" if there is none but those to
 // avoid. Those of its data hall go first. Each is given an equal part of the gateways, and one that
 // ends moves only its own.
-func ReplicaOf(places []protocol.Place, hall, gateway string, avoid []string) string {
+func SelectReplica(places []protocol.Place, hall, gateway string, avoid []string) string {
 	places = slices.DeleteFunc(slices.Clone(places), func(p protocol.Place) bool { return slices.Contains(avoid, p.Address) })
 	if StandsIn(places, hall) {
 		places = slices.DeleteFunc(places, func(p protocol.Place) bool { return p.Hall != hall })
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -91,7 +91,7 @@
 	if r.places == nil && mayWait {
 		return soon{}
 	}
-	place := registry.ReplicaOf(r.places, w.Hall, w.Gateway, w.Avoid)
+	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	foreign := w.Hall != h.d.cfg.Hall && registry.StandsIn(r.places, w.Hall)
 	if place != "" && place != h.d.Address() && (!w.Named || foreign) {
 		return served{by: place}
@@ -114,7 +114,7 @@
 		return nil
 	}
 	places := h.places(w.Region)
-	if place := registry.ReplicaOf(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
+	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.StandsIn(places, w.Hall) {
 			return soon{} // its hall's relay may just be coming
 		}
@@ -140,7 +140,7 @@
 		return false
 	}
 	places := h.placesFor(w.Region)
-	return registry.ReplicaOf(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.ReplicaOf(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
+	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
 }
 
 // moveHome sends gateways that another replica is to serve to it, where there is one now.
@@ -155,7 +155,7 @@
 			places[s.region] = h.placesFor(s.region)
 		}
 		there := places[s.region]
-		place := registry.ReplicaOf(there, h.hallOf(s.hall), s.gateway, nil)
+		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
 		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.movesAt(len(there)) {
 			h.dismiss(s, place)
 			moved++
