--- a/coordination/registry/replicaof.go
+++ b/coordination/registry/replicaof.go
@@ -19,7 +19,7 @@
 // ends moves only its own.
 func SelectReplica(places []protocol.Place, hall, gateway string, avoid []string) string {
 	places = slices.DeleteFunc(slices.Clone(places), func(p protocol.Place) bool { return slices.Contains(avoid, p.Address) })
-	if StandsIn(places, hall) {
+	if AnyInHall(places, hall) {
 		places = slices.DeleteFunc(places, func(p protocol.Place) bool { return p.Hall != hall })
 	}
 	if len(places) == 0 {
@@ -30,8 +30,8 @@
 	}).Address
 }
 
-// StandsIn reports whether one of some replicas stands in a data hall that is named.
-func StandsIn(places []protocol.Place, hall string) bool {
+// AnyInHall reports whether one of some replicas stands in a data hall that is named.
+func AnyInHall(places []protocol.Place, hall string) bool {
 	return hall != "" && slices.ContainsFunc(places, func(p protocol.Place) bool { return p.Hall == hall })
 }
 
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -92,7 +92,7 @@
 		return soon{}
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
-	foreign := w.Hall != h.d.cfg.Hall && registry.StandsIn(r.places, w.Hall)
+	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
 	if place != "" && place != h.d.Address() && (!w.Named || foreign) {
 		return served{by: place}
 	}
@@ -115,7 +115,7 @@
 	}
 	places := h.places(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
-		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.StandsIn(places, w.Hall) {
+		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return soon{} // its hall's relay may just be coming
 		}
 		return served{by: place}
@@ -174,8 +174,8 @@
 	case s.avoided:
 		return now-s.opened >= directStay
 	case h.relay != nil && s.named:
-		return now-s.opened >= directStay || (abroad && registry.StandsIn(places, hall))
-	case h.relay == nil && hall != "" && !registry.StandsIn(places, hall):
+		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
+	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
 		return now-h.spreadAt >= relayWait
 	}
 	return true
