--- a/coordination/registry/lives.go
+++ b/coordination/registry/lives.go
@@ -26,8 +26,8 @@
 	return nameA == nameB
 }
 
-// Newest returns the listed life of a server by its name, "" if there is none.
-func (r *Registry) Newest(name string) string { return r.byName[name] }
+// NewestLife returns the listed life of a server by its name, "" if there is none.
+func (r *Registry) NewestLife(name string) string { return r.byName[name] }
 
 // Lists reports whether a life of a server is listed.
 func (r *Registry) Lists(name string) bool { return r.byName[name] != "" }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -261,8 +261,8 @@
 		switch {
 		case h.term == 0:
 			return Unavailable{}
-		case h.registry.Newest(name) != "":
-			id = h.registry.Newest(name)
+		case h.registry.NewestLife(name) != "":
+			id = h.registry.NewestLife(name)
 		}
 		return nil
 	})
