--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -55,7 +55,7 @@
 // CopyOf returns a copy of what a registry lists, as of a leader whose term ends.
 func CopyOf(now time.Duration, r *Registry, term uint64, hallsOut []string, hallChanges uint64) Copy {
 	c := NewCopy(r.handles)
-	list := protocol.Servers{Set: r.List(now)}.Sent(r.Lists).Set
+	list := protocol.Servers{Set: r.List(now)}.Sent(r.IsListed).Set
 	c.Take(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
 	return c
 }
--- a/coordination/registry/lives.go
+++ b/coordination/registry/lives.go
@@ -29,8 +29,8 @@
 // NewestLife returns the listed life of a server by its name, "" if there is none.
 func (r *Registry) NewestLife(name string) string { return r.byName[name] }
 
-// Lists reports whether a life of a server is listed.
-func (r *Registry) Lists(name string) bool { return r.byName[name] != "" }
+// IsListed reports whether a life of a server is listed.
+func (r *Registry) IsListed(name string) bool { return r.byName[name] != "" }
 
 // earlierLife reports whether an unlisted identifier is of a life that another one has succeeded.
 func (r *Registry) earlierLife(now time.Duration, id string) bool {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -79,7 +79,7 @@
 		m.Unlisted, h.missing = h.registry.Missing(h.missing), nil
 	}
 	h.pending, h.list = registry.Change{}, nil
-	h.sendServers(m.Sent(h.registry.Lists))
+	h.sendServers(m.Sent(h.registry.IsListed))
 }
 
 // sendAll sends a message to every session.
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -40,7 +40,7 @@
 		Term: h.term, Space: h.handles.Space(), Whole: true, Complete: h.complete,
 		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.several() || h.spreads(),
-	}.Sent(h.registry.Lists)
+	}.Sent(h.registry.IsListed)
 	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // lives were in the order before
 	return m
 }
