--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -45,8 +45,8 @@
 // Wait returns how long the next list has to wait; 0 if it may go now.
 func (p *ListPace) Wait(now time.Duration) time.Duration { return max(p.free-listAhead-now, 0) }
 
-// Part returns how many servers' entries of a whole list may go out in one message: what listAhead carries.
-func (p *ListPace) Part() int {
+// PartSize returns how many servers' entries of a whole list may go out in one message: what listAhead carries.
+func (p *ListPace) PartSize() int {
 	if p.rate == 0 {
 		return math.MaxInt
 	}
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -44,7 +44,7 @@
 // sendList sends a session the whole list now, or as many servers of it as may go at once, after those that
 // it has been sent. done is whether it has all.
 func (h *hub) sendList(s *session) (done, ok bool) {
-	m, last := registry.ListPart(h.wholeList().servers, s.listed, h.listPace.Part())
+	m, last := registry.ListPart(h.wholeList().servers, s.listed, h.listPace.PartSize())
 	list, ok := h.encodeList(m)
 	if !ok {
 		return false, false
