--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -53,8 +53,8 @@
 	return max(int(p.rate*listAhead.Seconds()/p.entryBytes()), 1)
 }
 
-// Lists returns how many lists of some servers go out in a time; 0 if the pace is not known.
-func (p *ListPace) Lists(d time.Duration, servers int) float64 {
+// ListsWithin returns how many lists of some servers go out in a time; 0 if the pace is not known.
+func (p *ListPace) ListsWithin(d time.Duration, servers int) float64 {
 	return p.rate * d.Seconds() / max(p.listBytes(servers), 1)
 }
 
