--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -58,8 +58,8 @@
 	return p.rate * d.Seconds() / max(p.listBytes(servers), 1)
 }
 
-// Takes returns after which time some lists of servers have gone out, if nothing else goes before them.
-func (p *ListPace) Takes(now time.Duration, lists, servers int) time.Duration {
+// TimeToSend returns after which time some lists of servers have gone out, if nothing else goes before them.
+func (p *ListPace) TimeToSend(now time.Duration, lists, servers int) time.Duration {
 	if p.rate == 0 {
 		return 0
 	}
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -28,9 +28,9 @@
 		is.True(float64(sent) >= due)
 	}
 	is.Equal(pace.ListsWithin(time.Second, 10_000), rate/2/750_000.0)
-	is.Equal(pace.Takes(now+time.Second, 3, 10_000), 36*time.Millisecond)
+	is.Equal(pace.TimeToSend(now+time.Second, 3, 10_000), 36*time.Millisecond)
 	unknown := registry.NewListPace(0)
-	is.Equal(unknown.Takes(now, 3, 10_000), time.Duration(0))
+	is.Equal(unknown.TimeToSend(now, 3, 10_000), time.Duration(0))
 	unknown.Sent(now, size)
 	is.Equal(unknown.Wait(now), time.Duration(0))
 }
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -81,7 +81,7 @@
 			relays++
 		}
 	}
-	return h.listPace.Takes(h.d.replica.Now(), relays, h.listed()) < relayWait/2
+	return h.listPace.TimeToSend(h.d.replica.Now(), relays, h.listed()) < relayWait/2
 }
 
 // pushPlaces tells the relays who serves gateways, if that has changed, so that each sends a
