--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -66,9 +66,9 @@
 	return p.Wait(now) + time.Duration(float64(lists)*p.listBytes(servers)/p.rate*float64(time.Second))
 }
 
-// Servers returns how many servers' entries may go now to each of some sessions: one at least once
+// EntryAllowance returns how many servers' entries may go now to each of some sessions: one at least once
 // the link is free, however slow it is.
-func (p *ListPace) Servers(now time.Duration, sessions int) int {
+func (p *ListPace) EntryAllowance(now time.Duration, sessions int) int {
 	if p.rate == 0 || sessions == 0 {
 		return math.MaxInt
 	}
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -44,7 +44,7 @@
 		pace := registry.NewListPace(rate / 2)
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
-			n := pace.Servers(now, sessions)
+			n := pace.EntryAllowance(now, sessions)
 			pace.Sent(now, n*bytes*sessions)
 			sent += n
 		}
@@ -63,7 +63,7 @@
 		pace := registry.NewListPace(rate)
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
-			n := pace.Servers(now, sessions)
+			n := pace.EntryAllowance(now, sessions)
 			pace.SentEntries(now, n*bytes, n, sessions)
 			sent += n
 		}
--- a/directory/joins.go
+++ b/directory/joins.go
@@ -30,7 +30,7 @@
 		return
 	}
 	now, others := h.d.replica.Now(), max(len(h.leadership.Load().voters)-1, 1)
-	n := min(len(h.unlogged), h.joinPace.Servers(now, others))
+	n := min(len(h.unlogged), h.joinPace.EntryAllowance(now, others))
 	if n == 0 {
 		return
 	}
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -32,7 +32,7 @@
 	if h.relayWaits() {
 		n = 0
 	}
-	n = min(n, h.listPace.Servers(h.d.replica.Now(), len(h.sessions)))
+	n = min(n, h.listPace.EntryAllowance(h.d.replica.Now(), len(h.sessions)))
 	set, h.held.Set = h.held.Set[:n:n], h.held.Set[n:]
 	return set
 }
