--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -80,8 +80,8 @@
 	return n
 }
 
-// Sent counts bytes of lists, or of changes of them, that are sent now.
-func (p *ListPace) Sent(now time.Duration, size int) {
+// RecordSent counts bytes of lists, or of changes of them, that are sent now.
+func (p *ListPace) RecordSent(now time.Duration, size int) {
 	if p.rate > 0 {
 		p.free = max(p.free, now) + time.Duration(float64(size)/p.rate*float64(time.Second))
 	}
@@ -92,7 +92,7 @@
 	if servers >= entriesMeasured {
 		p.entry = min(max(float64(size)/float64(servers), serverBytes/entrySpread), serverBytes*entrySpread)
 	}
-	p.Sent(now, size*sessions)
+	p.RecordSent(now, size*sessions)
 }
 
 // entryBytes is the size of a server's entry: names are longer in one fleet than in another.
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -20,7 +20,7 @@
 	sent, now := 0, time.Second
 	for ; now < 2*time.Second; now += time.Millisecond {
 		for pace.Wait(now) == 0 {
-			pace.Sent(now, size)
+			pace.RecordSent(now, size)
 			sent += size
 		}
 		due := rate / 2 * (now - time.Second).Seconds()
@@ -31,7 +31,7 @@
 	is.Equal(pace.TimeToSend(now+time.Second, 3, 10_000), 36*time.Millisecond)
 	unknown := registry.NewListPace(0)
 	is.Equal(unknown.TimeToSend(now, 3, 10_000), time.Duration(0))
-	unknown.Sent(now, size)
+	unknown.RecordSent(now, size)
 	is.Equal(unknown.Wait(now), time.Duration(0))
 }
 
@@ -45,7 +45,7 @@
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
 			n := pace.EntryAllowance(now, sessions)
-			pace.Sent(now, n*bytes*sessions)
+			pace.RecordSent(now, n*bytes*sessions)
 			sent += n
 		}
 		due := rate / 2 * 30 / (bytes * sessions) // servers
--- a/directory/joins.go
+++ b/directory/joins.go
@@ -36,7 +36,7 @@
 	}
 	c := command{Join: h.unlogged[:n:n]}
 	h.unlogged, h.joining = h.unlogged[n:], true
-	h.joinPace.Sent(now, others*int(registry.ListBytes(n)))
+	h.joinPace.RecordSent(now, others*int(registry.ListBytes(n)))
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, joinTimeout)
 		defer cancel()
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -50,7 +50,7 @@
 		return false, false
 	}
 	s.out.Send(list)
-	h.listPace.Sent(h.d.replica.Now(), list.Size())
+	h.listPace.RecordSent(h.d.replica.Now(), list.Size())
 	if !last {
 		s.listed = m.Set[len(m.Set)-1].ID
 		return false, true
@@ -87,7 +87,7 @@
 		}
 		s.out.Send(h.encoded)
 		s.number = h.encoded.Number
-		h.listPace.Sent(h.d.replica.Now(), len(h.encoded.Data))
+		h.listPace.RecordSent(h.d.replica.Now(), len(h.encoded.Data))
 	}
 }
 
