--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// SentEntries counts a message with some servers' entries, which is sent to some sessions now.
-func (p *ListPace) SentEntries(now time.Duration, size, servers, sessions int) {
+// RecordEntries counts a message with some servers' entries, which is sent to some sessions now.
+func (p *ListPace) RecordEntries(now time.Duration, size, servers, sessions int) {
 	if servers >= entriesMeasured {
 		p.entry = min(max(float64(size)/float64(servers), serverBytes/entrySpread), serverBytes*entrySpread)
 	}
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -64,7 +64,7 @@
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
 			n := pace.EntryAllowance(now, sessions)
-			pace.SentEntries(now, n*bytes, n, sessions)
+			pace.RecordEntries(now, n*bytes, n, sessions)
 			sent += n
 		}
 		due := rate * 30 / float64(bytes*sessions) // servers
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -74,5 +74,5 @@
 	for _, s := range all {
 		s.out.Send(encoded)
 	}
-	h.listPace.SentEntries(h.d.replica.Now(), encoded.Size(), len(m.Set), len(all))
+	h.listPace.RecordEntries(h.d.replica.Now(), encoded.Size(), len(m.Set), len(all))
 }
