--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -88,9 +88,9 @@
 // Empty reports whether nothing changed.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Gone) == 0 }
 
-// Then returns both changes as one, a later one of a backend server in place of the
+// Merge returns both changes as one, a later one of a backend server in place of the
 // earlier.
-func (c Change) Then(next Change) Change {
+func (c Change) Merge(next Change) Change {
 	switch {
 	case next.Empty():
 		return c
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -205,11 +205,11 @@
 	is := is.New(t)
 	a, b := protocol.Server{Registration: protocol.Registration{ID: "a"}}, protocol.Server{Registration: protocol.Registration{ID: "b"}}
 	moved := protocol.Server{Registration: protocol.Registration{ID: "a", Address: "x"}}
-	c := Change{}.Then(Change{Set: []protocol.Server{a, b}}).Then(Change{Set: []protocol.Server{moved}, Gone: []string{"b", "c"}})
+	c := Change{}.Merge(Change{Set: []protocol.Server{a, b}}).Merge(Change{Set: []protocol.Server{moved}, Gone: []string{"b", "c"}})
 	is.Equal(c, Change{Set: []protocol.Server{moved}, Gone: []string{"b", "c"}})
-	c = c.Then(Change{Set: []protocol.Server{b}, Gone: []string{"a"}})
+	c = c.Merge(Change{Set: []protocol.Server{b}, Gone: []string{"a"}})
 	is.Equal(c, Change{Set: []protocol.Server{b}, Gone: []string{"c", "a"}})
-	is.Equal(c.Then(Change{}), c)
+	is.Equal(c.Merge(Change{}), c)
 }
 
 // TestFleetBudget: a link keeps to its budget and all links of a leader to theirs, whatever
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -184,7 +184,7 @@
 		return
 	}
 	now := h.d.replica.Now()
-	h.pending = h.pending.Then(h.registry.ExpireSilent(now))
+	h.pending = h.pending.Merge(h.registry.ExpireSilent(now))
 	h.divideCold(now)
 	completed := !h.complete && h.registry.Complete(now)
 	if completed {
@@ -212,7 +212,7 @@
 		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
-	h.pending = h.pending.Then(change)
+	h.pending = h.pending.Merge(change)
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
@@ -224,7 +224,7 @@
 		h.registry.Remove(id)
 	}
 	if len(departures) > 0 {
-		h.pending = h.pending.Then(registry.Change{Gone: departures})
+		h.pending = h.pending.Merge(registry.Change{Gone: departures})
 		h.pushChanges(false)
 	}
 }
@@ -285,6 +285,6 @@
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
 		h.unlogged = append(h.unlogged, s.Registration.Sent())
 	}
-	h.pending = h.pending.Then(change)
+	h.pending = h.pending.Merge(change)
 	return nil
 }
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -16,7 +16,7 @@
 // which the link has no room now.
 func (h *hub) sendServers(m protocol.Servers) {
 	h.sendTo(m, true)
-	h.held = h.held.Then(registry.Change{Set: m.Set, Gone: m.Gone})
+	h.held = h.held.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
 	h.held.Gone, m.Set = nil, nil
 	news := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.hallsTold || m.Term != h.termTold
 	h.hallsTold, h.termTold = m.HallChanges, m.Term
