--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -296,9 +296,9 @@
 	return now-r.leaderSince >= completeAfter*r.interval
 }
 
-// Since returns the servers that gateways lack which have a copy's, and the lives that the copy has
+// Diff returns the servers that gateways lack which have a copy's, and the lives that the copy has
 // and this registry does not: they may announce themselves yet.
-func (r *Registry) Since(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
+func (r *Registry) Diff(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
 	for _, s := range r.List(now) {
 		e, listed := c.servers[s.Sent().ID]
 		if !listed || e.Registration != s.Sent() || s.Cold != nil || now < e.coldUntil {
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -51,7 +51,7 @@
 func (h *hub) adoptGateways(r *relay) {
 	now := h.d.replica.Now()
 	h.feed = r.feed
-	set, missing := h.registry.Since(now, &r.list)
+	set, missing := h.registry.Diff(now, &r.list)
 	h.missing = missing
 	m := h.listHead()
 	m.Set = set
