--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -314,8 +314,8 @@
 	return set, missing
 }
 
-// Missing forgets and returns those of some lives that are not listed.
-func (r *Registry) Missing(lives []string) []string {
+// ForgetUnlisted forgets and returns those of some lives that are not listed.
+func (r *Registry) ForgetUnlisted(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
 		r.handles.Release(id)
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -76,7 +76,7 @@
 		HallsOut: out, HallChanges: changes,
 	}
 	if h.complete && len(h.missing) > 0 {
-		m.Unlisted, h.missing = h.registry.Missing(h.missing), nil
+		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
 	}
 	h.pending, h.list = registry.Change{}, nil
 	h.sendServers(m.Sent(h.registry.IsListed))
