--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -56,13 +56,13 @@
 func CopyOf(now time.Duration, r *Registry, term uint64, hallsOut []string, hallChanges uint64) Copy {
 	c := NewCopy(r.handles)
 	list := protocol.Servers{Set: r.List(now)}.Sent(r.IsListed).Set
-	c.Take(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
+	c.Apply(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
 	return c
 }
 
-// Take takes a message of the leader, and returns what the gateways that have this copy are to be
+// Apply takes a message of the leader, and returns what the gateways that have this copy are to be
 // sent.
-func (c *Copy) Take(now time.Duration, m protocol.Servers) protocol.Servers {
+func (c *Copy) Apply(now time.Duration, m protocol.Servers) protocol.Servers {
 	if m.Whole {
 		c.begin()
 	}
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -62,21 +62,21 @@
 		fresh, kept := NewCopy(NewHandles(1)), NewCopy(NewHandles(2))
 		before := l.list
 		before.Term, before.Set = 1, append(slices.Clone(before.Set), protocol.Server{Handle: 1000, Registration: protocol.Registration{ID: "left", Address: "10.9.9.9:80"}})
-		kept.Take(0, before)
+		kept.Apply(0, before)
 		passed := 0
 		for after, last := "", false; !last; {
 			var m protocol.Servers
 			m, last = ListPart(l.list, after, 1+l.rng.IntN(9))
-			fresh.Take(0, m)
+			fresh.Apply(0, m)
 			is.True(kept.Len() >= 41)
-			passed += len(kept.Take(0, m).Set)
+			passed += len(kept.Apply(0, m).Set)
 			if last {
 				break
 			}
 			after = m.Set[len(m.Set)-1].ID
 			between := l.change()
-			fresh.Take(0, between)
-			kept.Take(0, between)
+			fresh.Apply(0, between)
+			kept.Apply(0, between)
 		}
 		is.Equal(passed, 0) // the list itself says nothing that kept has not from before or from the changes
 		for _, c := range []*Copy{&fresh, &kept} {
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -136,7 +136,7 @@
 	}
 	handles := NewHandles(7)
 	c, space := NewCopy(handles), handles.Space()
-	c.Take(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
+	c.Apply(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
 	is.Equal(c.Term(), uint64(3))
 	is.True(c.AnyCold(time.Second))
 	is.Equal(c.Whole(time.Second), protocol.Servers{
@@ -151,7 +151,7 @@
 	_, ok = c.Handle(0, protocol.Registration{ID: "a", Pool: "q", Address: "1"})
 	is.True(!ok) // it has changed
 
-	c.Take(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
+	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
 	is.Equal(c.Whole(5*time.Second), protocol.Servers{
 		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // a's address is c's
@@ -168,7 +168,7 @@
 	}
 	handles := NewHandles(7)
 	c := NewCopy(handles)
-	first := c.Take(0, protocol.Servers{Term: 3, Whole: true, Complete: true, Set: []protocol.Server{
+	first := c.Apply(0, protocol.Servers{Term: 3, Whole: true, Complete: true, Set: []protocol.Server{
 		server("a", "1", 31), server("b", "2", 32), server("c", "3", 33), server("d", "4", 34),
 	}})
 	is.Equal(len(first.Set), 4)
@@ -178,7 +178,7 @@
 	}
 	is.Equal(c.Theirs([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
 
-	next := c.Take(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
+	next := c.Apply(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
 		server("a", "1", 43), server("b", "5", 42), server("e", "6", 41),
 	}})
 	is.Equal(next.Term, uint64(4))
@@ -192,10 +192,10 @@
 	is.True(ok)
 	is.Equal(handle, uint32(43))
 
-	done := c.Take(2*time.Second, protocol.Servers{Term: 4, Complete: true})
+	done := c.Apply(2*time.Second, protocol.Servers{Term: 4, Complete: true})
 	is.Equal(done.Unlisted, []string{"c"})
 	is.Equal(c.Len(), 3)
-	again := c.Take(3*time.Second, protocol.Servers{Term: 4, Set: []protocol.Server{server("c", "3", 44)}})
+	again := c.Apply(3*time.Second, protocol.Servers{Term: 4, Set: []protocol.Server{server("c", "3", 44)}})
 	is.True(again.Set[0].Handle > 5) // none is used twice
 }
 
