--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -75,7 +75,7 @@
 	}
 	c.gone = append(c.gone, m.Gone...)
 	c.gone = c.gone[max(len(c.gone)-goneKept, 0):]
-	passed := c.Head()
+	passed := c.Header()
 	passed.Gone, passed.Complete = m.Gone, m.Complete
 	for _, s := range m.Set {
 		if own, changed := c.set(now, s); changed || !m.Whole && !m.Part {
@@ -153,15 +153,15 @@
 // Len returns the number of servers.
 func (c *Copy) Len() int { return len(c.servers) }
 
-// Head returns a list without servers, which says whose handles come and which halls are out of
+// Header returns a list without servers, which says whose handles come and which halls are out of
 // service.
-func (c *Copy) Head() protocol.Servers {
+func (c *Copy) Header() protocol.Servers {
 	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
 
 // Whole returns the message with which a gateway's session opens. It costs O(n log n).
 func (c *Copy) Whole(now time.Duration) protocol.Servers {
-	m := c.Head()
+	m := c.Header()
 	m.Whole, m.Complete, m.Gone = true, c.complete, slices.Clone(c.gone)
 	m.Set = make([]protocol.Server, 0, len(c.servers))
 	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -70,7 +70,7 @@
 // are out of service.
 func (h *hub) listHead() protocol.Servers {
 	if h.relay != nil {
-		return h.relay.list.Head()
+		return h.relay.list.Header()
 	}
 	out, changes := h.d.state.HallsOut()
 	return protocol.Servers{Term: h.term, Space: h.handles.Space(), HallsOut: out, HallChanges: changes}
