--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -159,8 +159,8 @@
 	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
 
-// Whole returns the message with which a gateway's session opens. It costs O(n log n).
-func (c *Copy) Whole(now time.Duration) protocol.Servers {
+// WholeList returns the message with which a gateway's session opens. It costs O(n log n).
+func (c *Copy) WholeList(now time.Duration) protocol.Servers {
 	m := c.Header()
 	m.Whole, m.Complete, m.Gone = true, c.complete, slices.Clone(c.gone)
 	m.Set = make([]protocol.Server, 0, len(c.servers))
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -80,8 +80,8 @@
 		}
 		is.Equal(passed, 0) // the list itself says nothing that kept has not from before or from the changes
 		for _, c := range []*Copy{&fresh, &kept} {
-			is.Equal(registrations(c.Whole(0).Set), registrations(l.list.Set))
-			is.True(c.Whole(0).Complete)
+			is.Equal(registrations(c.WholeList(0).Set), registrations(l.list.Set))
+			is.True(c.WholeList(0).Complete)
 		}
 	}
 }
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -139,7 +139,7 @@
 	c.Apply(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
 	is.Equal(c.Term(), uint64(3))
 	is.True(c.AnyCold(time.Second))
-	is.Equal(c.Whole(time.Second), protocol.Servers{
+	is.Equal(c.WholeList(time.Second), protocol.Servers{
 		Term: 3, Space: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
@@ -153,7 +153,7 @@
 
 	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
-	is.Equal(c.Whole(5*time.Second), protocol.Servers{
+	is.Equal(c.WholeList(5*time.Second), protocol.Servers{
 		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // a's address is c's
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -26,7 +26,7 @@
 	now := h.d.replica.Now()
 	switch {
 	case h.relay != nil && (h.list == nil || h.relay.list.AnyCold(now)):
-		h.list = &wholeList{servers: h.relay.list.Whole(now)}
+		h.list = &wholeList{servers: h.relay.list.WholeList(now)}
 	case h.relay == nil && (h.list == nil || h.registry.AnyCold(now)):
 		h.list = &wholeList{servers: h.ledList()}
 	}
