--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -193,9 +193,9 @@
 	return theirs, ok && known && e.Registration == r && now >= e.coldUntil
 }
 
-// Own returns loads under the leader's handles under those of this replica, less those of servers
+// WithOwnHandles returns loads under the leader's handles under those of this replica, less those of servers
 // that it does not have.
-func (c *Copy) Own(loads []protocol.ServerLoad) []protocol.ServerLoad {
+func (c *Copy) WithOwnHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
 	return translated(loads, c.own)
 }
 
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -186,7 +186,7 @@
 	is.Equal(next.Gone, []string{"d"})
 	is.True(!next.Whole && !next.Complete)
 	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // what has changed, and what is new
-	is.Equal(c.Own([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
+	is.Equal(c.WithOwnHandles([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
 	is.Equal(c.Len(), 4) // c may announce itself yet
 	handle, ok := c.Handle(time.Second, server("a", "1", 0).Registration)
 	is.True(ok)
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -204,7 +204,7 @@
 	case protocol.Counted:
 		r.sums.Counted(m.Seq)
 	case protocol.Fleet:
-		registry.ApplyLoads(r.loads, r.list.Own(m.Loads))
+		registry.ApplyLoads(r.loads, r.list.WithOwnHandles(m.Loads))
 		m.Loads = nil
 		r.fleet, r.fleetNew = &m, true
 		r.pushFleet()
