--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -199,9 +199,9 @@
 	return translated(loads, c.own)
 }
 
-// Theirs returns loads under the handles of this replica under those of the leader, less those of
+// WithLeaderHandles returns loads under the handles of this replica under those of the leader, less those of
 // servers that the leader has not listed.
-func (c *Copy) Theirs(loads []protocol.ServerLoad) []protocol.ServerLoad {
+func (c *Copy) WithLeaderHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
 	return translated(loads, c.theirs)
 }
 
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -176,7 +176,7 @@
 	for _, s := range first.Set {
 		own[s.ID] = s.Handle
 	}
-	is.Equal(c.Theirs([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
+	is.Equal(c.WithLeaderHandles([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
 
 	next := c.Apply(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
 		server("a", "1", 43), server("b", "5", 42), server("e", "6", 41),
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -256,7 +256,7 @@
 		return
 	}
 	report := r.takeLosses(r.sums.Next())
-	report.Loads = r.list.Theirs(report.Loads)
+	report.Loads = r.list.WithLeaderHandles(report.Loads)
 	if m, ok := r.h.encode(report); ok {
 		r.sumDue = now + registry.SumPause(m.Size())
 		r.out.Send(m)
