--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -279,8 +279,8 @@
 	return a.Sent == b.Sent && a.Answered == b.Answered && a.Failed == b.Failed && slices.Equal(a.Paces, b.Paces)
 }
 
-// TakeRollouts takes the leader's list of rollouts, and forgets the outcomes of others.
-func (s *Sums) TakeRollouts(m protocol.Rollouts) {
+// ApplyRollouts takes the leader's list of rollouts, and forgets the outcomes of others.
+func (s *Sums) ApplyRollouts(m protocol.Rollouts) {
 	s.listed = m.Seq
 	attempts := map[string]uint64{}
 	for _, r := range m.List {
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	var s Sums
 	s.Restart(1)
-	s.TakeRollouts(protocol.Rollouts{Seq: 3})
+	s.ApplyRollouts(protocol.Rollouts{Seq: 3})
 	is.Equal(s.Next().Obeyed, uint64(3))
 	s.Open("earlier version", false)
 	is.Equal(s.Next().Obeyed, uint64(3))
@@ -119,7 +119,7 @@
 	is.Equal(s.Next().Outcomes, []protocol.Outcomes{{Pool: "p", Attempt: 2, Version: "v2", Route: "r"}})
 	s.Open("g2", true)
 	s.Add("g2", protocol.Usage{Seq: 1, Outcomes: []protocol.Outcomes{count(7, 0, 3)}})
-	s.TakeRollouts(protocol.Rollouts{List: []protocol.Rollout{{Pool: "p", Attempt: 3}}})
+	s.ApplyRollouts(protocol.Rollouts{List: []protocol.Rollout{{Pool: "p", Attempt: 3}}})
 	is.Equal(len(s.Next().Outcomes), 0)
 }
 
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -195,7 +195,7 @@
 		r.h.sendServers(r.list.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
-		r.sums.TakeRollouts(m)
+		r.sums.ApplyRollouts(m)
 		r.h.sendAll(m)
 	case protocol.Quarantine:
 		r.takeQuarantine(m)
