--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -303,9 +303,9 @@
 	s.sent = slices.DeleteFunc(s.sent, func(sent sentSum) bool { return sent.seq <= seq })
 }
 
-// CountedOf returns the number of a gateway's newest report that is in the leader's sums, 0 for
+// CountedReport returns the number of a gateway's newest report that is in the leader's sums, 0 for
 // none of its session.
-func (s *Sums) CountedOf(gateway string) uint64 { return s.counted.gateways[gateway] }
+func (s *Sums) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
 
 // AddLoads adds loads to sums by handle.
 func AddLoads(sums map[uint32]protocol.ServerLoad, loads []protocol.ServerLoad) {
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -50,16 +50,16 @@
 	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // once
 
 	s.Counted(1)
-	is.Equal([]uint64{s.CountedOf("g1"), s.CountedOf("g2")}, []uint64{1, 0})
+	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
 	s.Counted(2)
-	is.Equal([]uint64{s.CountedOf("g1"), s.CountedOf("g2")}, []uint64{2, 2})
+	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{2, 2})
 	s.Counted(9) // of no report
-	is.Equal(s.CountedOf("g1"), uint64(2))
+	is.Equal(s.CountedReport("g1"), uint64(2))
 
 	s.Open("g1", false) // comes back: its reports have other numbers, and it obeys nothing
-	is.Equal(s.CountedOf("g1"), uint64(0))
+	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Counted(3)
-	is.Equal(s.CountedOf("g1"), uint64(0))
+	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Close("g2")
 	m = s.Next()
 	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // nothing runs any more
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -222,7 +222,7 @@
 	if sent := r.feed.Sent(); r.fleet != nil && len(sent) > 0 {
 		m := *r.fleet
 		m.Loads = sent
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
@@ -238,7 +238,7 @@
 func (r *relay) tick() {
 	if r.out == nil {
 		for s := range r.h.sessions { // a relay that is silent is left
-			s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+			s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		}
 		return
 	}
@@ -278,7 +278,7 @@
 	}
 	r.fleetNew, r.fleetDue = false, now+budget.Pause(m.Size(), links)
 	for s := range r.h.sessions {
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
