--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -190,7 +190,7 @@
 	}
 	m.Number, m.Obeyed = s.least()
 	m.Barred = s.barred()
-	m.Loads = s.feed.Next(OrderedLoads(loads), SumLoads)
+	m.Loads = s.feed.Next(SortedLoads(loads), SumLoads)
 	m.Outcomes = s.changedOutcomes()
 	m.Demands, m.Served, m.Late = byAccount(s.gathered.demands), byAccount(s.gathered.served), byAccount(s.gathered.late)
 	m.Unread = byAccount(s.gathered.unread)
@@ -328,7 +328,7 @@
 	}
 }
 
-// OrderedLoads returns sums in the order of their handles.
-func OrderedLoads(sums map[uint32]protocol.ServerLoad) []protocol.ServerLoad {
+// SortedLoads returns sums in the order of their handles.
+func SortedLoads(sums map[uint32]protocol.ServerLoad) []protocol.ServerLoad {
 	return slices.SortedFunc(maps.Values(sums), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -271,7 +271,7 @@
 	}
 	fleet := *r.fleet
 	budget, links := r.h.fleetBudget(fleet.Gateways)
-	fleet.Loads = r.feed.Next(registry.OrderedLoads(r.loads), budget.Loads(links))
+	fleet.Loads = r.feed.Next(registry.SortedLoads(r.loads), budget.Loads(links))
 	m, ok := r.h.encode(fleet)
 	if !ok {
 		return
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -27,7 +27,7 @@
 	_, known := u.loads[s]
 	if m.Changes {
 		registry.ApplyLoads(s.loads, m.Loads)
-		m.Loads = registry.OrderedLoads(s.loads)
+		m.Loads = registry.SortedLoads(s.loads)
 	}
 	u.loads[s] = m.Loads
 	s.counted = m.Seq
@@ -44,5 +44,5 @@
 	for _, loads := range u.loads {
 		registry.AddLoads(sums, loads)
 	}
-	u.total = registry.OrderedLoads(sums)
+	u.total = registry.SortedLoads(sums)
 }
