--- a/coordination/registry/pace.go
+++ b/coordination/registry/pace.go
@@ -41,9 +41,9 @@
 // FleetBudget is the bytes a second of Fleet messages on all links that share it.
 type FleetBudget float64
 
-// BudgetOf returns the budget of one sender on a link of some bytes a second, 0 if that is not
+// NewFleetBudget returns the budget of one sender on a link of some bytes a second, 0 if that is not
 // known: of its own where sessions are spread, else that of all senders together.
-func BudgetOf(spread bool, linkRate float64) FleetBudget {
+func NewFleetBudget(spread bool, linkRate float64) FleetBudget {
 	total := float64(fleetTotal)
 	if spread {
 		total = senderTotal
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -144,7 +144,7 @@
 		4 << 10:         450 * time.Millisecond,
 		fleetBudget * 9: 550 * time.Millisecond,
 	} {
-		is.New(t).Equal(BudgetOf(false, 0).Pause(size, 45), want)
+		is.New(t).Equal(NewFleetBudget(false, 0).Pause(size, 45), want)
 	}
 }
 
@@ -217,13 +217,13 @@
 func TestFleetBudget(t *testing.T) {
 	is := is.New(t)
 	for _, links := range []int{0, 1, 62, 128, 300, 1600} {
-		size := BudgetOf(false, 0).Loads(links)*loadBytes*10/9 + 1
-		rate := float64(size) / (BudgetOf(false, 0).Pause(size, links) + FleetPeriod/2).Seconds() // bytes a second
+		size := NewFleetBudget(false, 0).Loads(links)*loadBytes*10/9 + 1
+		rate := float64(size) / (NewFleetBudget(false, 0).Pause(size, links) + FleetPeriod/2).Seconds() // bytes a second
 		is.True(rate <= 1.01*fleetBudget)
 		is.True(rate*float64(links) <= 1.01*fleetTotal)
 	}
-	is.Equal(BudgetOf(false, 0).Loads(62), 442)
-	is.Equal(BudgetOf(false, 0).Loads(300), 188)
+	is.Equal(NewFleetBudget(false, 0).Loads(62), 442)
+	is.Equal(NewFleetBudget(false, 0).Loads(300), 188)
 }
 
 // TestSpreadSendersHaveBudgetsOfTheirOwn: where sessions are spread, what a gateway is sent depends
@@ -232,11 +232,11 @@
 func TestSpreadSendersHaveBudgetsOfTheirOwn(t *testing.T) {
 	is := is.New(t)
 	const gigabit = 125e6
-	is.Equal(BudgetOf(false, gigabit).Loads(985), 57)
-	is.Equal(BudgetOf(true, gigabit).Loads(99), 142)
-	is.Equal(BudgetOf(true, gigabit).Loads(197), 71) // twice the gateways on as many replicas
-	size := BudgetOf(true, gigabit).Loads(99) * loadBytes
-	rate := float64(99*size) / (BudgetOf(true, gigabit).Pause(size, 99) + FleetPeriod/2).Seconds()
+	is.Equal(NewFleetBudget(false, gigabit).Loads(985), 57)
+	is.Equal(NewFleetBudget(true, gigabit).Loads(99), 142)
+	is.Equal(NewFleetBudget(true, gigabit).Loads(197), 71) // twice the gateways on as many replicas
+	size := NewFleetBudget(true, gigabit).Loads(99) * loadBytes
+	rate := float64(99*size) / (NewFleetBudget(true, gigabit).Pause(size, 99) + FleetPeriod/2).Seconds()
 	is.True(rate <= 1.01*senderTotal)
-	is.Equal(BudgetOf(true, 455_000), FleetBudget(45_500))
+	is.Equal(NewFleetBudget(true, 455_000), FleetBudget(45_500))
 }
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -35,7 +35,7 @@
 					sums[i] = protocol.ServerLoad{Handle: uint32(i + 1), Requests: 30 + n%9, Tokens: 20_000 + n%999}
 				}
 				m, err := protocol.Encode(protocol.Fleet{
-					Gateways: size.gateways, Loads: feed.Next(sums, registry.BudgetOf(false, 0).Loads(size.gateways)), Entitlements: entitlements,
+					Gateways: size.gateways, Loads: feed.Next(sums, registry.NewFleetBudget(false, 0).Loads(size.gateways)), Entitlements: entitlements,
 				})
 				if err != nil {
 					b.Fatal(err)
@@ -157,7 +157,7 @@
 		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
 		l.usage.demand.Recompute(l.now, 5e6)
 		if _, err := protocol.Encode(protocol.Fleet{
-			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.BudgetOf(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
+			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.NewFleetBudget(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
 			Entitlements: l.usage.demand.Entitlements(),
 		}); err != nil {
 			b.Fatal(err)
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -59,7 +59,7 @@
 	if !h.spreads() {
 		links = max(links, gateways)
 	}
-	return registry.BudgetOf(h.spreads(), h.d.cfg.LinkRate), links
+	return registry.NewFleetBudget(h.spreads(), h.d.cfg.LinkRate), links
 }
 
 // fleetMessage returns a message with these sums.
