--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -26,9 +26,9 @@
 	sumsKept = 32
 )
 
-// SumLoads is how many changed loads one report has at most, ten bytes each: half of what the
+// MaxSumLoads is how many changed loads one report has at most, ten bytes each: half of what the
 // budget allows in the longest pause, since accounts need the rest.
-const SumLoads = int(sumBudget*sumLongest/time.Second) / 2 / loadBytes
+const MaxSumLoads = int(sumBudget*sumLongest/time.Second) / 2 / loadBytes
 
 // SumPause returns how long a relay waits after a report of a size in bytes. It is less by half
 // a period because the caller looks once a period.
@@ -190,7 +190,7 @@
 	}
 	m.Number, m.Obeyed = s.least()
 	m.Barred = s.barred()
-	m.Loads = s.feed.Next(SortedLoads(loads), SumLoads)
+	m.Loads = s.feed.Next(SortedLoads(loads), MaxSumLoads)
 	m.Outcomes = s.changedOutcomes()
 	m.Demands, m.Served, m.Late = byAccount(s.gathered.demands), byAccount(s.gathered.served), byAccount(s.gathered.late)
 	m.Unread = byAccount(s.gathered.unread)
