--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -307,7 +307,7 @@
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: dial},
-		Seeds:    x.seeds, Headers: noHeaders{}, Server: forward.New(forward.Settings{Dialer: x.net.Box(ip)}),
+		Seeds:    x.seeds, Headers: noHeaders{}, Transport: forward.New(forward.Settings{Dialer: x.net.Box(ip)}),
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(),
 		Retries: retry.Limits{Window: time.Second}, Random: x.random, Log: log, Metrics: set,
 	})
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -80,9 +80,9 @@
 	g.table.mu.Unlock()
 	switch {
 	case dropAll:
-		g.cfg.Server.DropAllIdle()
+		g.cfg.Transport.DropAllIdle()
 	case drop:
-		g.cfg.Server.DropIdle(a.address)
+		g.cfg.Transport.DropIdle(a.address)
 	default:
 		return v
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -75,7 +75,7 @@
 }
 
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
-	answer, err := c.g.cfg.Server.Send(ctx, a.address, c.outgoing(a))
+	answer, err := c.g.cfg.Transport.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
 		return c.sendFailed(a, err)
 	}
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -70,7 +70,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.g.ctx, endTry)
 	defer cancel()
-	refuses := e.g.cfg.Server.Refuses(ctx, address)
+	refuses := e.g.cfg.Transport.Refuses(ctx, address)
 	e.mu.Lock()
 	lost := e.lost[server]
 	delete(e.lost, server)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -47,11 +47,11 @@
 	Topology topology.Topology // of the fleet
 	// LinkRate is the capacity of the link between two regions one way, in bytes a second; 0 is
 	// [place.DefaultLinkRate].
-	LinkRate float64
-	Seeds    []string // fleet addresses of directory replicas
-	Headers  HeaderCodec
-	Server   Server
-	Retries  retry.Limits
+	LinkRate  float64
+	Seeds     []string // fleet addresses of directory replicas
+	Headers   HeaderCodec
+	Transport Server
+	Retries   retry.Limits
 	// Grace is how long a stopping process has.
 	Grace time.Duration
 	// Bodies bounds the bytes of all requests' bodies together.
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -65,7 +65,7 @@
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
-		Seeds: cfg.Seeds, Headers: headers, Server: client,
+		Seeds: cfg.Seeds, Headers: headers, Transport: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
 		Random: rand.Uint64, Waited: newScheduling().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
