--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -77,7 +77,7 @@
 }
 
 // loaded starts a gateway that gets a request in each period, and sends to a.
-func (x *fleet) loaded(ip string, a gateway.Server, period time.Duration) *gateway.Gateway {
+func (x *fleet) loaded(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
 	return x.loadedBy(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
 			asking.Go(func() { x.request(g, "r") })
@@ -86,7 +86,7 @@
 }
 
 // loadedBy starts a gateway that gets the requests of ask, which ends with its context.
-func (x *fleet) loadedBy(ip string, headers gateway.HeaderCodec, a gateway.Server, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
+func (x *fleet) loadedBy(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -54,7 +54,7 @@
 }
 
 // evenly starts gateways with a request in each period.
-func (x *fleet) evenly(server gateway.Server, period time.Duration) func(ip string) {
+func (x *fleet) evenly(server gateway.Transport, period time.Duration) func(ip string) {
 	return func(ip string) { x.loaded(ip, server, period) }
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,8 +26,8 @@
 // This file defines Gateway: its settings, its start, the watch over its processor, and
 // its stop.
 
-// Server sends calls to backend servers. [forward.Client] is one.
-type Server interface {
+// Transport sends calls to backend servers. [forward.Client] is one.
+type Transport interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 	// DropIdle closes the idle connections to an address.
 	DropIdle(address string)
@@ -37,7 +37,7 @@
 	Refuses(ctx context.Context, address string) bool
 }
 
-var _ Server = (*forward.Client)(nil)
+var _ Transport = (*forward.Client)(nil)
 
 // Settings of a gateway.
 type Settings struct {
@@ -50,7 +50,7 @@
 	LinkRate  float64
 	Seeds     []string // fleet addresses of directory replicas
 	Headers   HeaderCodec
-	Transport Server
+	Transport Transport
 	Retries   retry.Limits
 	// Grace is how long a stopping process has.
 	Grace time.Duration
