--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -57,9 +57,9 @@
 	// Bodies bounds the bytes of all requests' bodies together.
 	Bodies int64
 	Random func() uint64 // called by many goroutines at once
-	// Waited returns how long what was ready to run in this process has waited for the
+	// ProcessorWait returns how long what was ready to run in this process has waited for the
 	// processor, since the last call; nil is unknown.
-	Waited func() time.Duration
+	ProcessorWait func() time.Duration
 	// Clock is a monotonic clock that goes on while the box is suspended; nil is Go's, which does
 	// not.
 	Clock   func() time.Duration
@@ -104,8 +104,8 @@
 // Start runs a gateway until Stop.
 func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
-	if cfg.Waited == nil {
-		cfg.Waited = func() time.Duration { return 0 }
+	if cfg.ProcessorWait == nil {
+		cfg.ProcessorWait = func() time.Duration { return 0 }
 	}
 	if cfg.Clock == nil {
 		start := time.Now()
@@ -202,7 +202,7 @@
 	var pace overload.Pace
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
 		old := g.overload.Load()
-		d := old.Tick(g.now(), g.cfg.Waited())
+		d := old.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
 		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.taken.Swap(0))), d.Delay)
 		if d.High != old.High {
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -67,7 +67,7 @@
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
-		Random: rand.Uint64, Waited: newScheduling().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
+		Random: rand.Uint64, ProcessorWait: newScheduling().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
 	callers, err := b.listenToCallers(running, g)
 	if err != nil {
