--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -110,7 +110,7 @@
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
 			Seeds:    seeds, Headers: idHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
-			Grace: time.Second, Bodies: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
+			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.request(g, "early")
 		x.put(7)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -93,7 +93,7 @@
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
 		Seeds:    x.seeds, Headers: headers, Transport: a, Region: x.regions[ip], Topology: x.topology(), Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
-		Grace: time.Second, Bodies: 1 << 20, Random: x.random, Log: log, Metrics: set,
+		Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: x.random, Log: log, Metrics: set,
 	})
 	var asking sync.WaitGroup
 	asking.Go(func() { ask(ctx, &asking, g) })
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -207,7 +207,7 @@
 	if c.r.ContentLength > limit {
 		return Refusal{Cause: BodyTooLarge}
 	}
-	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.Bodies {
+	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.MaxTotalBodyBytes {
 		c.countMissed(true)
 		return Refusal{Cause: Overloaded, RetryAfter: retry.ShortDelay}
 	}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -225,7 +225,7 @@
 		x.g = Start(t.Context(), Settings{
 			Identity: link.Identity{Name: "g"}, Hall: "z", Headers: testHeaders{}, Transport: x.servers,
 			Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: 10 * time.Second}, Grace: 8 * time.Second,
-			Bodies: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
+			MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 			Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 		})
 		defer func() {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -54,9 +54,9 @@
 	Retries   retry.Limits
 	// Grace is how long a stopping process has.
 	Grace time.Duration
-	// Bodies bounds the bytes of all requests' bodies together.
-	Bodies int64
-	Random func() uint64 // called by many goroutines at once
+	// MaxTotalBodyBytes bounds the bytes of all requests' bodies together.
+	MaxTotalBodyBytes int64
+	Random            func() uint64 // called by many goroutines at once
 	// ProcessorWait returns how long what was ready to run in this process has waited for the
 	// processor, since the last call; nil is unknown.
 	ProcessorWait func() time.Duration
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -66,7 +66,7 @@
 	g := gateway.Start(running, gateway.Settings{
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
-		Retries: cfg.Retries, Grace: cfg.Grace, Bodies: int64(bodiesPart * float64(cfg.Memory)),
+		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodiesPart * float64(cfg.Memory)),
 		Random: rand.Uint64, ProcessorWait: newScheduling().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
 	callers, err := b.listenToCallers(running, g)
