--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -69,25 +69,25 @@
 
 // Gateway is a running gateway. It is the handler of callers' requests.
 type Gateway struct {
-	cfg           Settings
-	began         time.Duration // by the clock
-	ctx           context.Context
-	stop          context.CancelFunc
-	routes        atomic.Pointer[routes] // nil before the first document
-	seeds         atomic.Pointer[[]string]
-	table         *table
-	accounts      *accounts
-	tokenCounters *tokenCounters
-	stats         *stats
-	endDetector   *endDetector
-	suspicions    *suspicions
-	meter         *link.Meter
-	seq           atomic.Uint64
-	gateways      atomic.Int64 // gateways in the fleet, as last reported
-	calls         atomic.Int64 // requests being served
-	read          atomic.Int64 // requests since the last report
-	bodies        atomic.Int64 // bytes of their bodies
-	stopped       atomic.Int64 // when the stop began, by now(); 0 before
+	cfg                 Settings
+	began               time.Duration // by the clock
+	ctx                 context.Context
+	stop                context.CancelFunc
+	routes              atomic.Pointer[routes] // nil before the first document
+	seeds               atomic.Pointer[[]string]
+	table               *table
+	accounts            *accounts
+	tokenCounters       *tokenCounters
+	stats               *stats
+	endDetector         *endDetector
+	suspicions          *suspicions
+	meter               *link.Meter
+	seq                 atomic.Uint64
+	gateways            atomic.Int64 // gateways in the fleet, as last reported
+	calls               atomic.Int64 // requests being served
+	requestsSinceReport atomic.Int64 // requests since the last report
+	bodies              atomic.Int64 // bytes of their bodies
+	stopped             atomic.Int64 // when the stop began, by now(); 0 before
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -233,7 +233,7 @@
 		u := w.g.accounts.takeReport()
 		untaken := w.g.acceptBacklog.untaken(w.g.now())
 		w.g.stats.untaken.Add(untaken)
-		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.read.Swap(0)))
+		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
 		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
