--- a/gateway/call.go
+++ b/gateway/call.go
@@ -59,9 +59,9 @@
 
 // ServeHTTP serves one caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.calls.Add(1)
+	g.inFlight.Add(1)
 	g.requestsSinceReport.Add(1)
-	defer g.calls.Add(-1)
+	defer g.inFlight.Add(-1)
 	c := &call{g: g, w: w, r: r, arrived: g.now(), head: g.cfg.Headers.DecodeRequest(r)}
 	if g.stopping() > 0 {
 		w.Header().Set("Connection", "close")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -84,7 +84,7 @@
 	meter               *link.Meter
 	seq                 atomic.Uint64
 	gateways            atomic.Int64 // gateways in the fleet, as last reported
-	calls               atomic.Int64 // requests being served
+	inFlight            atomic.Int64 // requests being served
 	requestsSinceReport atomic.Int64 // requests since the last report
 	bodies              atomic.Int64 // bytes of their bodies
 	stopped             atomic.Int64 // when the stop began, by now(); 0 before
@@ -207,7 +207,7 @@
 		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.taken.Swap(0))), d.Delay)
 		if d.High != old.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
-				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 		}
 		g.judgeAlone()
 		g.grantAll()
@@ -222,7 +222,7 @@
 	if bounded != old.Bounded() {
 		g.acceptBacklog.reset()
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
-			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 	}
 	return p
 }
@@ -264,9 +264,9 @@
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
 	for range sleep.Every(ctx, stopPoll) {
-		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.calls.Load()) {
+		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.inFlight.Load()) {
 		case drain.CutOff:
-			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
+			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.inFlight.Load()))
 			return
 		case drain.End:
 			return
