--- a/gateway/call.go
+++ b/gateway/call.go
@@ -66,7 +66,7 @@
 	if g.stopping() > 0 {
 		w.Header().Set("Connection", "close")
 	}
-	defer func() { g.bodies.Add(-int64(len(c.body))) }()
+	defer func() { g.bodyBytes.Add(-int64(len(c.body))) }()
 	err := c.admit()
 	if err == nil {
 		err = c.serve()
@@ -207,7 +207,7 @@
 	if c.r.ContentLength > limit {
 		return Refusal{Cause: BodyTooLarge}
 	}
-	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.MaxTotalBodyBytes {
+	if c.g.bodyBytes.Load()+max(c.r.ContentLength, 0) > c.g.cfg.MaxTotalBodyBytes {
 		c.countMissed(true)
 		return Refusal{Cause: Overloaded, RetryAfter: retry.ShortDelay}
 	}
@@ -216,7 +216,7 @@
 	body, err := readAll(io.LimitReader(c.r.Body, limit+1), c.r.ContentLength)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{}) // the same
 	c.body = body
-	c.g.bodies.Add(int64(len(body)))
+	c.g.bodyBytes.Add(int64(len(body)))
 	switch {
 	case err != nil:
 		return Refusal{Cause: BodyBroken}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -86,7 +86,7 @@
 	gateways            atomic.Int64 // gateways in the fleet, as last reported
 	inFlight            atomic.Int64 // requests being served
 	requestsSinceReport atomic.Int64 // requests since the last report
-	bodies              atomic.Int64 // bytes of their bodies
+	bodyBytes           atomic.Int64 // bytes of their bodies
 	stopped             atomic.Int64 // when the stop began, by now(); 0 before
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
