--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -107,7 +107,7 @@
 		Retries: retry.Limits{Window: time.Second}, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 		Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 	})
-	g.gateways.Store(1)
+	g.gatewayCount.Store(1)
 	d := testDocument()
 	d.Pools[0].Connections = 10 * benchStream
 	g.apply(d)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -233,7 +233,7 @@
 			x.g.cfg.Log.Close()
 			synctest.Wait()
 		}()
-		x.g.gateways.Store(1)
+		x.g.gatewayCount.Store(1)
 		x.g.apply(testDocument())
 		x.announceServers("plain", behaviours...)
 		f(x)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -83,7 +83,7 @@
 	suspicions          *suspicions
 	meter               *link.Meter
 	seq                 atomic.Uint64
-	gateways            atomic.Int64 // gateways in the fleet, as last reported
+	gatewayCount        atomic.Int64 // gateways in the fleet, as last reported
 	inFlight            atomic.Int64 // requests being served
 	requestsSinceReport atomic.Int64 // requests since the last report
 	bodyBytes           atomic.Int64 // bytes of their bodies
@@ -120,7 +120,7 @@
 	g.accounts = newAccounts(g.now)
 	g.endDetector, g.suspicions = newEndDetector(g), newSuspicions()
 	g.SetSeeds(cfg.Seeds)
-	g.gateways.Store(retry.AssumedGateways)
+	g.gatewayCount.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
 	g.allowed.Store(int64(overload.Pace{}.Allowance()))
@@ -231,7 +231,7 @@
 func (g *Gateway) takeRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.window(pool).Retry(g.now(), int(g.gateways.Load()))
+	return g.window(pool).Retry(g.now(), int(g.gatewayCount.Load()))
 }
 
 // countRequest counts a request that earns its pool retries.
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -53,7 +53,7 @@
 func TestConnectionsAreShared(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.gateways.Store(45) // of 100 connections, two are this gateway's
+		x.g.gatewayCount.Store(45) // of 100 connections, two are this gateway's
 		var group sync.WaitGroup
 		for range 2 {
 			group.Go(func() { x.request("/once/x") })
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -279,7 +279,7 @@
 		p := t.pool(a.entry.Pool)
 		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.receivedBytes)-p.expectedAnswer())
 	}
-	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
+	t.link.Spend(g.now(), t.site.share(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -19,7 +19,7 @@
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
 		},
 		pool: c.pool, route: c.route, prompt: c.head.Prompt,
-		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gateways.Load()), random: c.g.random(),
+		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gatewayCount.Load()), random: c.g.random(),
 		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), waitingSince: c.g.now(),
 	}
 	if c.route.Objective > 0 {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -195,7 +195,7 @@
 	case protocol.Counted:
 		w.counted = m.Seq
 	case protocol.Fleet:
-		w.g.gateways.Store(int64(max(m.Gateways, 1)))
+		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
 		if !m.Unknown {
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -50,7 +50,7 @@
 		time.Sleep(100 * time.Millisecond)
 		w.handle(protocol.Fleet{Gateways: 3, Unknown: true})
 		is.Equal(part(), float32(0.5))
-		is.Equal(x.g.gateways.Load(), int64(3)) // the rest of the message counts
+		is.Equal(x.g.gatewayCount.Load(), int64(3)) // the rest of the message counts
 		w.handle(protocol.Fleet{Gateways: 3})
 		is.Equal(part(), float32(1))
 	})
