--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -80,7 +80,7 @@
 		return c.sendFailed(a, err)
 	}
 	defer answer.Body.Close()
-	a.connOpenedAt = c.g.since(answer.Opened)
+	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
 	c.g.observeWay(a)
 	if a.leaveReason != place.Stay {
 		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
@@ -120,7 +120,7 @@
 func (c *call) sendFailed(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
-		a.connOpenedAt = c.g.since(unknown.Opened)
+		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
 	}
 	var not forward.NotRun
 	if !errors.As(err, &not) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -136,8 +136,8 @@
 // now is the gateway's monotonic clock. It is never 0.
 func (g *Gateway) now() time.Duration { return g.cfg.Clock() - g.began + 1 }
 
-// since is a time by the gateway's monotonic clock; 0 for the zero time.
-func (g *Gateway) since(t time.Time) time.Duration {
+// monotonicTime is a time by the gateway's monotonic clock; 0 for the zero time.
+func (g *Gateway) monotonicTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
