--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -182,7 +182,7 @@
 	allowed, fromBudget := policy.Again(out.execution)
 	// Each further attempt of a request that was at three ends might cost one more server.
 	allowed = allowed && c.suspicion.MayRetry(c.losses)
-	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
+	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
 	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
 	if again {
 		return true, nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -227,8 +227,8 @@
 	return p
 }
 
-// takeRetry takes one more attempt out of the fleet's budget, if it allows one.
-func (g *Gateway) takeRetry(pool string) bool {
+// allowRetry takes one more attempt out of the fleet's budget, if it allows one.
+func (g *Gateway) allowRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
 	return g.window(pool).Retry(g.now(), int(g.gatewayCount.Load()))
