--- a/gateway/call.go
+++ b/gateway/call.go
@@ -119,7 +119,7 @@
 	if c.account, known = c.rs.account(c.route, c.head.Key); !known {
 		return Refusal{Cause: UnknownKey}
 	}
-	c.pool = c.rs.pools[pickPool(c.route, c.g.random())]
+	c.pool = c.rs.pools[pickPool(c.route, c.g.randomFraction())]
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	}
 	if !c.g.overload.Load().Admits(c.class) {
 		c.countMissed(true)
-		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left(), c.g.random())}
+		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left(), c.g.randomFraction())}
 	}
 	if c.pool.Engine && !c.g.accounts.admits(c.account.Name, c.class) {
 		return Refusal{Cause: BeyondShare, RetryAfter: c.afterShare()}
@@ -163,7 +163,7 @@
 func (c *call) afterShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
 	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.left()}
-	return share.After(c.g.random())
+	return share.After(c.g.randomFraction())
 }
 
 // countStarted counts the request when it gets its first backend server. An attempt that
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -251,8 +251,8 @@
 	return w
 }
 
-// random returns a number from 0 to 1.
-func (g *Gateway) random() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
+// randomFraction returns a number from 0 to 1.
+func (g *Gateway) randomFraction() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
 
 // stopPoll is how often a stopping gateway looks whether it may end.
 const stopPoll = 20 * time.Millisecond
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -19,7 +19,7 @@
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
 		},
 		pool: c.pool, route: c.route, prompt: c.head.Prompt,
-		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gatewayCount.Load()), random: c.g.random(),
+		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gatewayCount.Load()), random: c.g.randomFraction(),
 		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), waitingSince: c.g.now(),
 	}
 	if c.route.Objective > 0 {
@@ -64,7 +64,7 @@
 		case len(c.shortage.halls) > 0:
 			return Refusal{Cause: HallsOut, RetryAfter: retry.LongDelay}
 		case c.shortage.backingOff:
-			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.left(), c.g.random())}
+			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.left(), c.g.randomFraction())}
 		}
 	}
 	allTried := c.g.table.reachable(req) <= len(c.avoid)
