--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -44,8 +44,8 @@
 	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
 }
 
-// part is the servers of a pool in one region, ordered by identifier.
-type part struct {
+// regionServers is the servers of a pool in one region, ordered by identifier.
+type regionServers struct {
 	region  string
 	servers []*knownServer
 }
@@ -65,12 +65,12 @@
 		return
 	}
 	if len(p.parts) == 0 {
-		p.parts = []part{{region: t.site.region}}
+		p.parts = []regionServers{{region: t.site.region}}
 	}
-	i := slices.IndexFunc(p.parts, func(x part) bool { return x.region == k.region })
+	i := slices.IndexFunc(p.parts, func(x regionServers) bool { return x.region == k.region })
 	if i < 0 {
 		i = len(p.parts)
-		p.parts = append(p.parts, part{region: k.region})
+		p.parts = append(p.parts, regionServers{region: k.region})
 	}
 	p.parts[i].servers = insert(p.parts[i].servers, k)
 }
@@ -169,9 +169,9 @@
 
 // farParts returns the pool's servers of other regions, the nearest first; those in no known
 // region come last.
-func (t *table) farParts(p *pool) []part {
+func (t *table) farParts(p *pool) []regionServers {
 	far := slices.Clone(p.parts[1:])
-	slices.SortStableFunc(far, func(a, b part) int {
+	slices.SortStableFunc(far, func(a, b regionServers) int {
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
 		}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -75,8 +75,8 @@
 
 // pool is the backend servers of one name with what waits for them.
 type pool struct {
-	servers  []*knownServer // ordered by identifier
-	parts    []part         // the same by region, the gateway's own first; empty without a far side
+	servers  []*knownServer  // ordered by identifier
+	parts    []regionServers // the same by region, the gateway's own first; empty without a far side
 	waiting  []*waiter
 	placer   place.RoomPlacer
 	failures outlier.PoolRate
