--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -58,8 +58,8 @@
 
 func compareID(k *knownServer, id string) int { return strings.Compare(k.ID, id) }
 
-// joinPart adds a server to the part of its region, where the gateway has a far side.
-func (t *table) joinPart(p *pool, k *knownServer) {
+// addToRegion adds a server to the part of its region, where the gateway has a far side.
+func (t *table) addToRegion(p *pool, k *knownServer) {
 	k.region = t.site.topology.Region(k.Hall)
 	if !t.site.hasFarSide() {
 		return
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -248,7 +248,7 @@
 		t.leaveAddress(k)
 		if k.Hall != s.Hall {
 			t.pool(k.Pool).leavePart(k)
-			defer t.joinPart(t.pool(k.Pool), k)
+			defer t.addToRegion(t.pool(k.Pool), k)
 		}
 		k.Server, k.list, k.unlisted = s, t.lists, false
 		t.setCold(k)
@@ -266,7 +266,7 @@
 	p := t.pool(s.Pool)
 	p.servers = insert(p.servers, k)
 	p.ranks.Add(k.ID)
-	t.joinPart(p, k)
+	t.addToRegion(p, k)
 	return true
 }
 
