--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -75,8 +75,8 @@
 	p.parts[i].servers = insert(p.parts[i].servers, k)
 }
 
-// leavePart drops a server from the part of its region.
-func (p *pool) leavePart(k *knownServer) {
+// removeFromRegion drops a server from the part of its region.
+func (p *pool) removeFromRegion(k *knownServer) {
 	for i, x := range p.parts {
 		if x.region == k.region {
 			p.parts[i].servers = slices.DeleteFunc(x.servers, func(o *knownServer) bool { return o == k })
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -247,7 +247,7 @@
 	if k != nil && k.Pool == s.Pool {
 		t.leaveAddress(k)
 		if k.Hall != s.Hall {
-			t.pool(k.Pool).leavePart(k)
+			t.pool(k.Pool).removeFromRegion(k)
 			defer t.addToRegion(t.pool(k.Pool), k)
 		}
 		k.Server, k.list, k.unlisted = s, t.lists, false
@@ -294,7 +294,7 @@
 	delete(p.paced, k)
 	delete(p.busy, k)
 	k.left = true
-	p.leavePart(k)
+	p.removeFromRegion(k)
 	return true
 }
 
