--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -50,8 +50,8 @@
 	servers []*knownServer
 }
 
-// insert adds a server in the order of identifiers.
-func insert(servers []*knownServer, k *knownServer) []*knownServer {
+// insertServer adds a server in the order of identifiers.
+func insertServer(servers []*knownServer, k *knownServer) []*knownServer {
 	i, _ := slices.BinarySearchFunc(servers, k.ID, compareID)
 	return slices.Insert(servers, i, k)
 }
@@ -72,7 +72,7 @@
 		i = len(p.parts)
 		p.parts = append(p.parts, regionServers{region: k.region})
 	}
-	p.parts[i].servers = insert(p.parts[i].servers, k)
+	p.parts[i].servers = insertServer(p.parts[i].servers, k)
 }
 
 // removeFromRegion drops a server from the part of its region.
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -264,7 +264,7 @@
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
 	p := t.pool(s.Pool)
-	p.servers = insert(p.servers, k)
+	p.servers = insertServer(p.servers, k)
 	p.ranks.Add(k.ID)
 	t.addToRegion(p, k)
 	return true
