--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -59,7 +59,7 @@
 	age        time.Duration // of what is known of other gateways' requests
 	halls      []string      // out of service, where all servers of the pool are
 	homes      Cause         // why its homes let nothing serve it, if so
-	stayed     stayed        // what kept it in its region, if it had a reason to leave
+	stayed     stayReason    // what kept it in its region, if it had a reason to leave
 	backingOff bool          // all asked for more backoff than it waits
 	backoff    time.Duration // until one takes requests again, if so
 }
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -87,18 +87,18 @@
 // departure is why a choice leaves the gateway's region, or what kept it there.
 type departure struct {
 	why    place.LeaveReason // place.Stay: it does not
-	stayed stayed
+	stayed stayReason
 }
 
-// stayed is what kept a request in its region that had a reason to leave it.
-type stayed string
+// stayReason is what kept a request in its region that had a reason to leave it.
+type stayReason string
 
 // What keeps a request in its region.
 const (
-	stayedForClass stayed = "class" // beyond its account's share
-	stayedForTime  stayed = "time"  // the way takes longer than its objective leaves
-	stayedForLink  stayed = "link"  // the budget lacks the bytes, or the link looks full
-	stayedForRoom  stayed = "room"  // no other region has room either
+	stayedForClass stayReason = "class" // beyond its account's share
+	stayedForTime  stayReason = "time"  // the way takes longer than its objective leaves
+	stayedForLink  stayReason = "link"  // the budget lacks the bytes, or the link looks full
+	stayedForRoom  stayReason = "room"  // no other region has room either
 )
 
 // choose returns the backend server that suits the request best, as an index of the pool's
@@ -128,7 +128,7 @@
 // chooseFar returns the server of the nearest other region that may have the request, or else
 // one that it would wait for, and what kept it from going. Ejected ones are looked at unless
 // its own region has some. The caller holds mu.
-func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayed) {
+func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
 	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	must := why == place.NoServer
 	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: must}
