--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -93,14 +93,14 @@
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayed: left.stayed, backingOff: backingOff, backoff: backoff,
+			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayed: left.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
-			stayed: left.stayed,
+			stayed: left.stayReason,
 		}, true
 	}
 	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -86,8 +86,8 @@
 
 // departure is why a choice leaves the gateway's region, or what kept it there.
 type departure struct {
-	why    place.LeaveReason // place.Stay: it does not
-	stayed stayReason
+	why        place.LeaveReason // place.Stay: it does not
+	stayReason stayReason
 }
 
 // stayReason is what kept a request in its region that had a reason to leave it.
@@ -120,9 +120,9 @@
 	}
 	far, kept := t.chooseFar(p, now, req, why, c.Index >= 0)
 	if kept == "" || c.Index < 0 || (why == place.NoServer && far.Index >= 0 && kept == stayedForRoom) {
-		return far, departure{why: why, stayed: kept}
+		return far, departure{why: why, stayReason: kept}
 	}
-	return c, departure{stayed: kept}
+	return c, departure{stayReason: kept}
 }
 
 // chooseFar returns the server of the nearest other region that may have the request, or else
@@ -216,7 +216,7 @@
 	}
 	far, kept := t.chooseFar(p, now, req, why, false)
 	if kept != "" {
-		return place.Choice{Index: -1}, departure{stayed: kept}
+		return place.Choice{Index: -1}, departure{stayReason: kept}
 	}
 	return far, departure{why: why}
 }
