--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -59,7 +59,7 @@
 	age        time.Duration // of what is known of other gateways' requests
 	halls      []string      // out of service, where all servers of the pool are
 	homes      Cause         // why its homes let nothing serve it, if so
-	stayed     stayReason    // what kept it in its region, if it had a reason to leave
+	stayReason stayReason    // what kept it in its region, if it had a reason to leave
 	backingOff bool          // all asked for more backoff than it waits
 	backoff    time.Duration // until one takes requests again, if so
 }
@@ -93,14 +93,14 @@
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayed: left.stayReason, backingOff: backingOff, backoff: backoff,
+			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayReason: left.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
-			stayed: left.stayReason,
+			stayReason: left.stayReason,
 		}, true
 	}
 	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -328,7 +328,7 @@
 		}
 		homes, bound = a.homes.regions, a.homes.bound
 	}
-	if kept := c.shortage.stayed; kept != "" {
+	if kept := c.shortage.stayReason; kept != "" {
 		attrs = append(attrs, slog.String("stayed", string(kept)))
 	}
 	if bound {
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -51,8 +51,8 @@
 	if !policy.TimeLeft && c.r.Context().Err() != nil {
 		return callerLeft{}
 	}
-	if c.shortage.stayed != "" {
-		c.g.stats.count("region_stayed", "why", string(c.shortage.stayed))
+	if c.shortage.stayReason != "" {
+		c.g.stats.count("region_stayed", "why", string(c.shortage.stayReason))
 	}
 	if policy.TimeLeft && c.counts.Arrived == 0 && c.shortage.homes == "" {
 		c.countMissed(false)
