--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -103,7 +103,7 @@
 			stayReason: left.stayReason,
 		}, true
 	}
-	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
+	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
 }
 
 // allOut returns the data halls that are out of service, if all servers of the pool that the
@@ -132,7 +132,7 @@
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.depart(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
 		}
 	}
 	return nil
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -255,8 +255,8 @@
 	return p.answerBytes
 }
 
-// depart notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
-func (t *table) depart(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
+// recordDestination notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
+func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
 	a.region, a.leaveReason, a.homes = a.entry.region, left.why, req.homes
 	if left.why == place.Stay {
 		return a
