--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -81,7 +81,7 @@
 	}
 	defer answer.Body.Close()
 	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
-	c.g.observeWay(a)
+	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
 		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -290,9 +290,9 @@
 	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.receivedBytes)
 }
 
-// observeWay learns the round trip to another region of a connection that was opened for an
+// observeRoundTrip learns the round trip to another region of a connection that was opened for an
 // attempt there. A gateway that is late itself would take its own lateness for the link's.
-func (g *Gateway) observeWay(a *assignment) {
+func (g *Gateway) observeRoundTrip(a *assignment) {
 	if a.leaveReason == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
 		return
 	}
