--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -83,7 +83,7 @@
 	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
 	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
-		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
+		answer.Body = countingBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	c.g.heed(a, head)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -301,14 +301,14 @@
 	g.table.link.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
-// countedBody counts the bytes of an answer that comes over the link.
-type countedBody struct {
+// countingBody counts the bytes of an answer that comes over the link.
+type countingBody struct {
 	io.ReadCloser
 	n *int
 }
 
 // Read implements [io.Reader].
-func (b countedBody) Read(p []byte) (int, error) {
+func (b countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	*b.n += n
 	return n, err
