--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -115,7 +115,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.isRamping(now))) {
 			return 0
 		}
 	}
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -21,12 +21,12 @@
 	p.take(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
 	p.take(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 	r := p.rollout
-	is.True(!r.moving(10 * time.Second))
+	is.True(!r.isRamping(10 * time.Second))
 	r.engine = true
 	p.take(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
-	is.True(r.moving(10*time.Second + switchTime/2))
+	is.True(r.isRamping(10*time.Second + switchTime/2))
 	is.Equal(r.moved(10*time.Second+switchTime/2), 0.5)
-	is.True(!r.moving(10*time.Second + switchTime))
+	is.True(!r.isRamping(10*time.Second + switchTime))
 }
 
 // TestFinalShareStays: once complete is about to be said, the target has all requests without a
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -240,7 +240,7 @@
 		return o
 	case r.breaker.holds(now):
 		return order{first: oldVersion, why: byOwn}
-	case r.moving(now) && lot(req.random) >= r.moved(now):
+	case r.isRamping(now) && lot(req.random) >= r.moved(now):
 		return order{first: oldVersion, why: byRest}
 	case r.switched:
 		return order{first: targetVersion, why: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
@@ -264,8 +264,8 @@
 	})
 }
 
-// moving reports whether requests still move to the target after the switch.
-func (r *poolRollout) moving(now time.Duration) bool {
+// isRamping reports whether requests still move to the target after the switch.
+func (r *poolRollout) isRamping(now time.Duration) bool {
 	return r.switched && r.engine && now < r.fullFrom
 }
 
