--- a/gateway/table.go
+++ b/gateway/table.go
@@ -67,7 +67,7 @@
 	hallChanges     uint64          // as of which
 	coldSharesUntil time.Duration   // until when this gateway's shares of cold servers are in force
 
-	rollouts    rolloutList      // the newest held
+	rollouts    rolloutListID    // the newest held
 	sharesUntil time.Duration    // until when its shares are in force
 	link        place.LinkBudget // between this gateway's region and others
 	homes       homesIndex       // of the document in force
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -45,8 +45,8 @@
 // anyVersion is a server of a pool without a rollout, or any that is not replaced.
 const anyVersion = oldVersion | trialVersion | targetVersion
 
-// rolloutList names a list of rollouts.
-type rolloutList struct{ term, seq uint64 }
+// rolloutListID names a list of rollouts.
+type rolloutListID struct{ term, seq uint64 }
 
 // poolRollout is a pool's rollouts, as the directory's newest list has them.
 type poolRollout struct {
@@ -80,7 +80,7 @@
 func (t *table) updateRollouts(m protocol.Rollouts) (changed []protocol.Rollout) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := rolloutList{m.Term, m.Seq}
+	list := rolloutListID{m.Term, m.Seq}
 	if list.term < t.rollouts.term || (list.term == t.rollouts.term && list.seq <= t.rollouts.seq) {
 		return nil
 	}
