--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -18,12 +18,12 @@
 func TestRequestsMoveToEngines(t *testing.T) {
 	is := is.New(t)
 	p := &pool{}
-	p.take(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
-	p.take(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+	p.applyRollout(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
+	p.applyRollout(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 	r := p.rollout
 	is.True(!r.isRamping(10 * time.Second))
 	r.engine = true
-	p.take(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
+	p.applyRollout(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
 	is.True(r.isRamping(10*time.Second + switchTime/2))
 	is.Equal(r.moved(10*time.Second+switchTime/2), 0.5)
 	is.True(!r.isRamping(10*time.Second + switchTime))
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -86,7 +86,7 @@
 	}
 	t.rollouts = list
 	for _, next := range m.List {
-		if t.pool(next.Pool).take(t.now(), next) {
+		if t.pool(next.Pool).applyRollout(t.now(), next) {
 			changed = append(changed, next)
 		}
 	}
@@ -94,8 +94,8 @@
 	return changed
 }
 
-// take takes the pool's rollout from a list and reports whether it differs from the one held.
-func (p *pool) take(now time.Duration, next protocol.Rollout) bool {
+// applyRollout takes the pool's rollout from a list and reports whether it differs from the one held.
+func (p *pool) applyRollout(now time.Duration, next protocol.Rollout) bool {
 	r := p.rollout
 	if r == nil {
 		r = &poolRollout{unreached: unreached{}}
