--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -45,7 +45,7 @@
 	}
 	t.setNotice(now, server, after)
 	if after.Leaving() && !before.Leaving() {
-		t.sortVersions()
+		t.classifyVersions()
 	}
 	return before, after
 }
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -186,7 +186,7 @@
 	if m.Complete && t.marked != t.lists {
 		t.markUnlisted()
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return joined, left
 }
 
@@ -320,7 +320,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remove(id)
-	t.sortVersions()
+	t.classifyVersions()
 }
 
 // size returns how many backend servers are known.
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -90,7 +90,7 @@
 			changed = append(changed, next)
 		}
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return changed
 }
 
@@ -127,9 +127,9 @@
 	return !same
 }
 
-// sortVersions notes the kind of version of each server in pools that had a rollout, so that no
+// classifyVersions notes the kind of version of each server in pools that had a rollout, so that no
 // choice has to compare names. The caller holds mu.
-func (t *table) sortVersions() {
+func (t *table) classifyVersions() {
 	for _, p := range t.pools {
 		if p.rollout != nil {
 			t.sortVersionsOf(p)
