--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -180,11 +180,11 @@
 	switch {
 	case v == outlier.Answered:
 		if r.unreached.answered(g.now(), a.serverID) {
-			g.table.sortVersionsOf(p)
+			g.table.classifyPoolVersions(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
 		r.unreached.add(g.now(), a.serverID, a.tried.tally)
-		g.table.sortVersionsOf(p)
+		g.table.classifyPoolVersions(p)
 		return true
 	}
 	return false
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -132,13 +132,13 @@
 func (t *table) classifyVersions() {
 	for _, p := range t.pools {
 		if p.rollout != nil {
-			t.sortVersionsOf(p)
+			t.classifyPoolVersions(p)
 		}
 	}
 }
 
-// sortVersionsOf is sortVersions for one pool, which had a rollout. The caller holds mu.
-func (t *table) sortVersionsOf(p *pool) {
+// classifyPoolVersions is sortVersions for one pool, which had a rollout. The caller holds mu.
+func (t *table) classifyPoolVersions(p *pool) {
 	r := p.rollout
 	other := slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return !slices.Contains(r.Barred, k.Version) && !slices.Contains(r.Replaced, k.Version)
