--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -72,7 +72,7 @@
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
 	order := t.order(p, now, &req)
-	a, full, found := t.acquireOf(p, now, req, order.first, order.why)
+	a, full, found := t.acquireOf(p, now, req, order.first, order.firstReason)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
 	if a != nil || order.second == 0 || (order.ifNone && usable) {
 		return a, full
@@ -132,7 +132,7 @@
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.otherwise}[i]), now, &req, left)
 		}
 	}
 	return nil
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -196,9 +196,9 @@
 
 // order is which versions a request may go to, one after the other.
 type order struct {
-	first, second  versions // second may be none
-	ifNone         bool     // second only if first has no candidate at all, not for want of room
-	why, otherwise string   // why the request goes there, for the log
+	first, second          versions // second may be none
+	ifNone                 bool     // second only if first has no candidate at all, not for want of room
+	firstReason, otherwise string   // why the request goes there, for the log
 }
 
 // Why a request went to a version.
@@ -227,29 +227,29 @@
 	}
 	switch {
 	case r == nil || !r.underWay():
-		return order{first: anyVersion, why: byNone}
+		return order{first: anyVersion, firstReason: byNone}
 	case !t.oldReachable(p, req):
-		return order{first: anyVersion, why: byOldGone}
+		return order{first: anyVersion, firstReason: byOldGone}
 	case r.Final:
-		return order{first: targetVersion, why: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
 	case now >= t.sharesUntil:
-		o := order{first: oldVersion, why: byLease}
+		o := order{first: oldVersion, firstReason: byLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
 			o.second, o.otherwise = targetVersion, byRetry
 		}
 		return o
 	case r.breaker.holds(now):
-		return order{first: oldVersion, why: byOwn}
+		return order{first: oldVersion, firstReason: byOwn}
 	case r.isRamping(now) && lot(req.random) >= r.moved(now):
-		return order{first: oldVersion, why: byRest}
+		return order{first: oldVersion, firstReason: byRest}
 	case r.switched:
-		return order{first: targetVersion, why: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
 	case len(req.avoid) > 0:
-		return order{first: oldVersion, why: byRetry}
+		return order{first: oldVersion, firstReason: byRetry}
 	case lot(req.random) < r.share(req.route.Name):
-		return order{first: trialVersion, why: byShare, second: oldVersion, otherwise: byRoom}
+		return order{first: trialVersion, firstReason: byShare, second: oldVersion, otherwise: byRoom}
 	}
-	return order{first: oldVersion, why: byRest}
+	return order{first: oldVersion, firstReason: byRest}
 }
 
 // oldReachable reports whether a server of the old version is listed where the request may be
