--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -77,7 +77,7 @@
 	if a != nil || order.second == 0 || (order.ifNone && usable) {
 		return a, full
 	}
-	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.otherwise)
+	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.secondReason)
 	if a == nil && found && !foundOther {
 		return nil, full
 	}
@@ -132,7 +132,7 @@
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.otherwise}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.secondReason}[i]), now, &req, left)
 		}
 	}
 	return nil
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -196,9 +196,9 @@
 
 // order is which versions a request may go to, one after the other.
 type order struct {
-	first, second          versions // second may be none
-	ifNone                 bool     // second only if first has no candidate at all, not for want of room
-	firstReason, otherwise string   // why the request goes there, for the log
+	first, second             versions // second may be none
+	ifNone                    bool     // second only if first has no candidate at all, not for want of room
+	firstReason, secondReason string   // why the request goes there, for the log
 }
 
 // Why a request went to a version.
@@ -231,11 +231,11 @@
 	case !t.oldReachable(p, req):
 		return order{first: anyVersion, firstReason: byOldGone}
 	case r.Final:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, secondReason: byNoUse}
 	case now >= t.sharesUntil:
 		o := order{first: oldVersion, firstReason: byLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
-			o.second, o.otherwise = targetVersion, byRetry
+			o.second, o.secondReason = targetVersion, byRetry
 		}
 		return o
 	case r.breaker.holds(now):
@@ -243,11 +243,11 @@
 	case r.isRamping(now) && lot(req.random) >= r.moved(now):
 		return order{first: oldVersion, firstReason: byRest}
 	case r.switched:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, secondReason: byNoUse}
 	case len(req.avoid) > 0:
 		return order{first: oldVersion, firstReason: byRetry}
 	case lot(req.random) < r.share(req.route.Name):
-		return order{first: trialVersion, firstReason: byShare, second: oldVersion, otherwise: byRoom}
+		return order{first: trialVersion, firstReason: byShare, second: oldVersion, secondReason: byRoom}
 	}
 	return order{first: oldVersion, firstReason: byRest}
 }
