--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -74,7 +74,7 @@
 	order := t.order(p, now, &req)
 	a, full, found := t.acquireOf(p, now, req, order.first, order.firstReason)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
-	if a != nil || order.second == 0 || (order.ifNone && usable) {
+	if a != nil || order.second == 0 || (order.onlyIfNone && usable) {
 		return a, full
 	}
 	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.secondReason)
@@ -128,7 +128,7 @@
 	order := t.order(p, now, &req)
 	for i, among := range []versions{order.first, order.second} {
 		req.versions = among
-		if among == 0 || (i > 0 && order.ifNone && t.anyUsable(p, now, &req, order.first)) {
+		if among == 0 || (i > 0 && order.onlyIfNone && t.anyUsable(p, now, &req, order.first)) {
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -197,7 +197,7 @@
 // order is which versions a request may go to, one after the other.
 type order struct {
 	first, second             versions // second may be none
-	ifNone                    bool     // second only if first has no candidate at all, not for want of room
+	onlyIfNone                bool     // second only if first has no candidate at all, not for want of room
 	firstReason, secondReason string   // why the request goes there, for the log
 }
 
@@ -231,7 +231,7 @@
 	case !t.oldReachable(p, req):
 		return order{first: anyVersion, firstReason: byOldGone}
 	case r.Final:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, secondReason: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case now >= t.sharesUntil:
 		o := order{first: oldVersion, firstReason: byLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
@@ -243,7 +243,7 @@
 	case r.isRamping(now) && lot(req.random) >= r.moved(now):
 		return order{first: oldVersion, firstReason: byRest}
 	case r.switched:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, ifNone: true, secondReason: byNoUse}
+		return order{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case len(req.avoid) > 0:
 		return order{first: oldVersion, firstReason: byRetry}
 	case lot(req.random) < r.share(req.route.Name):
