--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -194,8 +194,8 @@
 	return target[:min(n, len(target))]
 }
 
-// order is which versions a request may go to, one after the other.
-type order struct {
+// versionOrder is which versions a request may go to, one after the other.
+type versionOrder struct {
 	first, second             versions // second may be none
 	onlyIfNone                bool     // second only if first has no candidate at all, not for want of room
 	firstReason, secondReason string   // why the request goes there, for the log
@@ -220,36 +220,36 @@
 const lotParts = float64(1 << 24)
 
 // order returns which versions a request may go to. The caller holds mu.
-func (t *table) order(p *pool, now time.Duration, req *requirements) order {
+func (t *table) order(p *pool, now time.Duration, req *requirements) versionOrder {
 	r := p.rollout
 	if r != nil {
 		r.engine = req.pool.Engine
 	}
 	switch {
 	case r == nil || !r.underWay():
-		return order{first: anyVersion, firstReason: byNone}
+		return versionOrder{first: anyVersion, firstReason: byNone}
 	case !t.oldReachable(p, req):
-		return order{first: anyVersion, firstReason: byOldGone}
+		return versionOrder{first: anyVersion, firstReason: byOldGone}
 	case r.Final:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case now >= t.sharesUntil:
-		o := order{first: oldVersion, firstReason: byLease}
+		o := versionOrder{first: oldVersion, firstReason: byLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
 			o.second, o.secondReason = targetVersion, byRetry
 		}
 		return o
 	case r.breaker.holds(now):
-		return order{first: oldVersion, firstReason: byOwn}
+		return versionOrder{first: oldVersion, firstReason: byOwn}
 	case r.isRamping(now) && lot(req.random) >= r.moved(now):
-		return order{first: oldVersion, firstReason: byRest}
+		return versionOrder{first: oldVersion, firstReason: byRest}
 	case r.switched:
-		return order{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case len(req.avoid) > 0:
-		return order{first: oldVersion, firstReason: byRetry}
+		return versionOrder{first: oldVersion, firstReason: byRetry}
 	case lot(req.random) < r.share(req.route.Name):
-		return order{first: trialVersion, firstReason: byShare, second: oldVersion, secondReason: byRoom}
+		return versionOrder{first: trialVersion, firstReason: byShare, second: oldVersion, secondReason: byRoom}
 	}
-	return order{first: oldVersion, firstReason: byRest}
+	return versionOrder{first: oldVersion, firstReason: byRest}
 }
 
 // oldReachable reports whether a server of the old version is listed where the request may be
