--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -71,7 +71,7 @@
 // nil and why. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
+	order := t.versionOrder(p, now, &req)
 	a, full, found := t.acquireOf(p, now, req, order.first, order.firstReason)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
 	if a != nil || order.second == 0 || (order.onlyIfNone && usable) {
@@ -125,7 +125,7 @@
 // that have room, or nil. The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
+	order := t.versionOrder(p, now, &req)
 	for i, among := range []versions{order.first, order.second} {
 		req.versions = among
 		if among == 0 || (i > 0 && order.onlyIfNone && t.anyUsable(p, now, &req, order.first)) {
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -219,8 +219,8 @@
 // any number of servers.
 const lotParts = float64(1 << 24)
 
-// order returns which versions a request may go to. The caller holds mu.
-func (t *table) order(p *pool, now time.Duration, req *requirements) versionOrder {
+// versionOrder returns which versions a request may go to. The caller holds mu.
+func (t *table) versionOrder(p *pool, now time.Duration, req *requirements) versionOrder {
 	r := p.rollout
 	if r != nil {
 		r.engine = req.pool.Engine
