--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -71,13 +71,13 @@
 // nil and why. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
-	order := t.versionOrder(p, now, &req)
-	a, full, found := t.acquireOf(p, now, req, order.first, order.firstReason)
+	versionOrder := t.versionOrder(p, now, &req)
+	a, full, found := t.acquireOf(p, now, req, versionOrder.first, versionOrder.firstReason)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
-	if a != nil || order.second == 0 || (order.onlyIfNone && usable) {
+	if a != nil || versionOrder.second == 0 || (versionOrder.onlyIfNone && usable) {
 		return a, full
 	}
-	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.secondReason)
+	a, other, foundOther := t.acquireOf(p, now, req, versionOrder.second, versionOrder.secondReason)
 	if a == nil && found && !foundOther {
 		return nil, full
 	}
