--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -125,14 +125,14 @@
 // that have room, or nil. The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
-	order := t.versionOrder(p, now, &req)
-	for i, among := range []versions{order.first, order.second} {
+	versionOrder := t.versionOrder(p, now, &req)
+	for i, among := range []versions{versionOrder.first, versionOrder.second} {
 		req.versions = among
-		if among == 0 || (i > 0 && order.onlyIfNone && t.anyUsable(p, now, &req, order.first)) {
+		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.secondReason}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, left)
 		}
 	}
 	return nil
