--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -152,7 +152,7 @@
 	leased := now < t.coldSharesUntil
 	// The only server of a region is not the only one of its pool, which may have a request again.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
-	among := t.versionsFor(p, req)
+	among := t.candidateVersions(p, req)
 	p.viewed = p.viewed[:0]
 	for _, k := range servers {
 		p.viewed = append(p.viewed, t.viewOf(k, now, req, viewing{leased: leased, among: among, alone: alone}))
@@ -209,7 +209,7 @@
 
 // viewOfSome is view of the pool's servers with some identifiers. The caller holds mu.
 func (t *table) viewOfSome(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := viewing{leased: now < t.coldSharesUntil, among: t.versionsFor(p, req)}
+	v := viewing{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
 	p.viewed = p.viewed[:0]
 	for _, id := range ids {
 		p.viewed = append(p.viewed, t.viewOf(t.servers[id], now, req, v))
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -294,10 +294,10 @@
 	})
 }
 
-// versionsFor returns the versions that a choice is among. Where a request's homes have servers
+// candidateVersions returns the versions that a choice is among. Where a request's homes have servers
 // in service of replaced versions alone, those serve it for as long as they are there. The caller
 // holds mu.
-func (t *table) versionsFor(p *pool, req *requirements) versions {
+func (t *table) candidateVersions(p *pool, req *requirements) versions {
 	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
 		return req.versions
 	}
