--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -30,7 +30,7 @@
 	// run is refused at once instead: another gateway's servers may take it.
 	outlast time.Duration
 
-	versions versions // the servers' versions that the choice under way is among
+	versions versionSet // the servers' versions that the choice under way is among
 
 	accountHomes      []string      // by the document with which the request was taken
 	homes             homes         // by the document in force at the last choice
@@ -86,7 +86,7 @@
 
 // acquireOf is acquire among some versions, and reports whether there was a candidate. why is for
 // the log. The caller holds mu.
-func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, full shortage, found bool) {
+func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versionSet, why string) (a *assignment, full shortage, found bool) {
 	req.versions = among
 	choice, left := t.choose(p, now, &req)
 	switch {
@@ -126,7 +126,7 @@
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
 	versionOrder := t.versionOrder(p, now, &req)
-	for i, among := range []versions{versionOrder.first, versionOrder.second} {
+	for i, among := range []versionSet{versionOrder.first, versionOrder.second} {
 		req.versions = among
 		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
@@ -162,9 +162,9 @@
 
 // viewing is what is the same for all servers of a view.
 type viewing struct {
-	leased bool     // shares of cold servers are in force
-	among  versions // that the choice is among
-	alone  bool     // the only one of its region, of several in the pool
+	leased bool       // shares of cold servers are in force
+	among  versionSet // that the choice is among
+	alone  bool       // the only one of its region, of several in the pool
 }
 
 // viewOf returns what is known of one server. The caller holds mu.
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -32,7 +32,7 @@
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
-	versions   versions            // its version, as the pool's rollout has it
+	versions   versionSet          // its version, as the pool's rollout has it
 	list       uint64              // number of the last whole list that had it, itself or by a change since
 	unlisted   bool                // a complete list of the directory lacked it
 	left       bool                // the pool
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -31,15 +31,15 @@
 // (TestGoodVersionUnderAFlood).
 const switchTime = 600 * time.Millisecond
 
-// versions is a set of kinds of server, by their version.
-type versions uint8
+// versionSet is a set of kinds of server, by their version.
+type versionSet uint8
 
 // The kinds. A server that is barred is of none.
 const (
-	oldVersion      versions = 1 << iota // any but the target
-	trialVersion                         // those of the target that a trial goes to
-	targetVersion                        // all of the target
-	replacedVersion                      // replaced by another that is listed
+	oldVersion      versionSet = 1 << iota // any but the target
+	trialVersion                           // those of the target that a trial goes to
+	targetVersion                          // all of the target
+	replacedVersion                        // replaced by another that is listed
 )
 
 // anyVersion is a server of a pool without a rollout, or any that is not replaced.
@@ -196,9 +196,9 @@
 
 // versionOrder is which versions a request may go to, one after the other.
 type versionOrder struct {
-	first, second             versions // second may be none
-	onlyIfNone                bool     // second only if first has no candidate at all, not for want of room
-	firstReason, secondReason string   // why the request goes there, for the log
+	first, second             versionSet // second may be none
+	onlyIfNone                bool       // second only if first has no candidate at all, not for want of room
+	firstReason, secondReason string     // why the request goes there, for the log
 }
 
 // Why a request went to a version.
@@ -287,7 +287,7 @@
 
 // anyUsable reports whether a server of some versions may have the request now. The caller holds
 // mu.
-func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versions) bool {
+func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
 	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return k.versions&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
@@ -297,7 +297,7 @@
 // candidateVersions returns the versions that a choice is among. Where a request's homes have servers
 // in service of replaced versions alone, those serve it for as long as they are there. The caller
 // holds mu.
-func (t *table) candidateVersions(p *pool, req *requirements) versions {
+func (t *table) candidateVersions(p *pool, req *requirements) versionSet {
 	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
 		return req.versions
 	}
