--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -30,7 +30,7 @@
 	// run is refused at once instead: another gateway's servers may take it.
 	outlast time.Duration
 
-	versions versionSet // the servers' versions that the choice under way is among
+	versionSet versionSet // the servers' versions that the choice under way is among
 
 	accountHomes      []string      // by the document with which the request was taken
 	homes             homes         // by the document in force at the last choice
@@ -87,7 +87,7 @@
 // acquireOf is acquire among some versions, and reports whether there was a candidate. why is for
 // the log. The caller holds mu.
 func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versionSet, why string) (a *assignment, full shortage, found bool) {
-	req.versions = among
+	req.versionSet = among
 	choice, left := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
@@ -127,7 +127,7 @@
 	p := t.pool(req.pool.Name)
 	versionOrder := t.versionOrder(p, now, &req)
 	for i, among := range []versionSet{versionOrder.first, versionOrder.second} {
-		req.versions = among
+		req.versionSet = among
 		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
 		}
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -299,14 +299,14 @@
 // holds mu.
 func (t *table) candidateVersions(p *pool, req *requirements) versionSet {
 	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
-		return req.versions
+		return req.versionSet
 	}
 	if slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return k.versions&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
 	}) {
-		return req.versions
+		return req.versionSet
 	}
-	return req.versions | replacedVersion
+	return req.versionSet | replacedVersion
 }
 
 // tried is what an attempt counts for, while its pool has a rollout.
