--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -182,7 +182,7 @@
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
-	case t.hallsOut[k.Hall], v.among&k.versions == 0, !t.mayBeServedAt(req, k):
+	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.mayBeServedAt(req, k):
 		return true
 	}
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -199,7 +199,7 @@
 			is.Equal(calls.Load(), int64(1)) // one of the two, whichever the trial began with
 			targets := 0
 			for _, k := range x.g.table.servers {
-				if k.versions&trialVersion != 0 {
+				if k.versionSet&trialVersion != 0 {
 					is.True(!k.notice.Leaving())
 					targets++
 				}
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -194,7 +194,7 @@
 func (p *pool) targets() int {
 	n := 0
 	for _, k := range p.servers {
-		if k.versions&targetVersion != 0 {
+		if k.versionSet&targetVersion != 0 {
 			n++
 		}
 	}
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -45,7 +45,7 @@
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 		trials := map[string]int{}
 		for _, k := range x.g.table.servers {
-			if k.versions&trialVersion != 0 {
+			if k.versionSet&trialVersion != 0 {
 				trials[k.region]++
 			}
 		}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -32,7 +32,7 @@
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
-	versions   versionSet          // its version, as the pool's rollout has it
+	versionSet versionSet          // its version, as the pool's rollout has it
 	list       uint64              // number of the last whole list that had it, itself or by a change since
 	unlisted   bool                // a complete list of the directory lacked it
 	left       bool                // the pool
@@ -259,7 +259,7 @@
 	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, list: t.lists, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, list: t.lists, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -146,24 +146,24 @@
 	var target []*knownServer
 	r.oldListed = false
 	for _, k := range p.servers {
-		k.versions = 0
+		k.versionSet = 0
 		switch {
 		case slices.Contains(r.Barred, k.Version):
 		case r.Target != "" && k.Version == r.Target:
-			k.versions = targetVersion
+			k.versionSet = targetVersion
 			if t.inService(k) {
 				target = append(target, k)
 			}
 		case other && slices.Contains(r.Replaced, k.Version):
-			k.versions = replacedVersion
+			k.versionSet = replacedVersion
 		default:
-			k.versions = oldVersion
+			k.versionSet = oldVersion
 			r.oldListed = r.oldListed || t.inService(k) && !k.unlisted
 		}
 	}
 	for _, group := range t.trialGroups(r.unreached.others(target)) {
 		for _, k := range trialServers(group, r.Share) {
-			k.versions |= trialVersion
+			k.versionSet |= trialVersion
 		}
 	}
 }
@@ -260,7 +260,7 @@
 		return p.rollout.oldListed
 	}
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&oldVersion != 0 && t.inService(k) && !k.unlisted && h.may(k.region)
+		return k.versionSet&oldVersion != 0 && t.inService(k) && !k.unlisted && h.may(k.region)
 	})
 }
 
@@ -290,7 +290,7 @@
 func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
 	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
+		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
 	})
 }
 
@@ -302,7 +302,7 @@
 		return req.versionSet
 	}
 	if slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
+		return k.versionSet&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
 	}) {
 		return req.versionSet
 	}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -278,7 +278,7 @@
 		table.updateRollouts(protocol.Rollouts{Term: 1, Seq: 1, List: []protocol.Rollout{{Pool: "p", Attempt: 1, Target: "v2", Share: share}}})
 		ids := map[string]bool{}
 		for _, k := range table.servers {
-			if k.versions&trialVersion != 0 {
+			if k.versionSet&trialVersion != 0 {
 				ids[k.ID] = true
 			}
 		}
