--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -315,7 +315,7 @@
 	attempt  uint64 // of the pool's rollouts
 	version  string
 	target   bool
-	why      string
+	reason   string
 	expected time.Duration // until the first part of the answer
 }
 
@@ -325,7 +325,7 @@
 	if r == nil {
 		return tried{}
 	}
-	t := tried{version: k.Version, why: why, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
+	t := tried{version: k.Version, reason: why, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
@@ -337,8 +337,8 @@
 
 // logAttrs are the attributes of a request's last line.
 func (t *tried) logAttrs() []slog.Attr {
-	if t.why == "" && t.version == "" {
+	if t.reason == "" && t.version == "" {
 		return nil
 	}
-	return []slog.Attr{slog.String("version", t.version), slog.String("version_for", t.why)}
+	return []slog.Attr{slog.String("version", t.version), slog.String("version_for", t.reason)}
 }
