--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -320,12 +320,12 @@
 }
 
 // begin counts an attempt that begins.
-func (p *pool) begin(k *knownServer, req *requirements, choice place.Choice, why string) tried {
+func (p *pool) begin(k *knownServer, req *requirements, choice place.Choice, reason string) tried {
 	r := p.rollout
 	if r == nil {
 		return tried{}
 	}
-	t := tried{version: k.Version, reason: why, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
+	t := tried{version: k.Version, reason: reason, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
