--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -166,7 +166,7 @@
 	}
 	c.changed = true
 	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.breaker = r.breaker.with(g.now(), a.tried.target, v != outlier.Answered)
+		r.breaker = r.breaker.with(g.now(), a.tried.isTarget, v != outlier.Answered)
 	}
 }
 
@@ -174,7 +174,7 @@
 // the attempt is not counted for that. The caller holds mu.
 func (g *Gateway) countUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.tried.target || r.Attempt != a.tried.attempt {
+	if !a.tried.isTarget || r.Attempt != a.tried.attempt {
 		return false
 	}
 	switch {
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -35,7 +35,7 @@
 		return
 	}
 	version := otherVersion
-	if t.target {
+	if t.isTarget {
 		version = t.version
 	}
 	key := counterKey{"version_requests", pool, version}
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -314,7 +314,7 @@
 	tally    *tally // nil: not counted
 	attempt  uint64 // of the pool's rollouts
 	version  string
-	target   bool
+	isTarget bool
 	reason   string
 	expected time.Duration // until the first part of the answer
 }
@@ -325,7 +325,7 @@
 	if r == nil {
 		return tried{}
 	}
-	t := tried{version: k.Version, reason: reason, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
+	t := tried{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
