--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -157,8 +157,8 @@
 		c.failed++
 	case outlier.NoVerdict:
 		took := g.now() - a.startedAt
-		if !a.answering && took > a.tried.expected && !g.overload.Load().Late(g.now()) {
-			a.countPace(g.now(), float64(took)/float64(a.tried.expected))
+		if !a.answering && took > a.tried.expectedFirst && !g.overload.Load().Late(g.now()) {
+			a.countPace(g.now(), float64(took)/float64(a.tried.expectedFirst))
 		}
 		return
 	default:
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -311,12 +311,12 @@
 
 // tried is what an attempt counts for, while its pool has a rollout.
 type tried struct {
-	tally    *tally // nil: not counted
-	attempt  uint64 // of the pool's rollouts
-	version  string
-	isTarget bool
-	reason   string
-	expected time.Duration // until the first part of the answer
+	tally         *tally // nil: not counted
+	attempt       uint64 // of the pool's rollouts
+	version       string
+	isTarget      bool
+	reason        string
+	expectedFirst time.Duration // until the first part of the answer
 }
 
 // begin counts an attempt that begins.
@@ -330,7 +330,7 @@
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
 		t.tally.changed = true
-		t.expected = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
+		t.expectedFirst = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
 	}
 	return t
 }
