--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -319,8 +319,8 @@
 	expectedFirst time.Duration // until the first part of the answer
 }
 
-// begin counts an attempt that begins.
-func (p *pool) begin(k *knownServer, req *requirements, choice place.Choice, reason string) tried {
+// beginAttempt counts an attempt that begins.
+func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) tried {
 	r := p.rollout
 	if r == nil {
 		return tried{}
