--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -30,7 +30,7 @@
 
 // countVersion counts an attempt in a pool that has a rollout under way, by its version. The
 // names of targets come from operators.
-func (s *stats) countVersion(pool string, t *tried) {
+func (s *stats) countVersion(pool string, t *versionAttempt) {
 	if t.tally == nil {
 		return
 	}
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -309,8 +309,8 @@
 	return req.versionSet | replacedVersion
 }
 
-// tried is what an attempt counts for, while its pool has a rollout.
-type tried struct {
+// versionAttempt is what an attempt counts for, while its pool has a rollout.
+type versionAttempt struct {
 	tally         *tally // nil: not counted
 	attempt       uint64 // of the pool's rollouts
 	version       string
@@ -320,12 +320,12 @@
 }
 
 // beginAttempt counts an attempt that begins.
-func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) tried {
+func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) versionAttempt {
 	r := p.rollout
 	if r == nil {
-		return tried{}
+		return versionAttempt{}
 	}
-	t := tried{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
+	t := versionAttempt{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
@@ -336,7 +336,7 @@
 }
 
 // logAttrs are the attributes of a request's last line.
-func (t *tried) logAttrs() []slog.Attr {
+func (t *versionAttempt) logAttrs() []slog.Attr {
 	if t.reason == "" && t.version == "" {
 		return nil
 	}
