--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -14,20 +14,20 @@
 
 // assignment is a backend server given to one attempt of a request.
 type assignment struct {
-	entry        *knownServer
-	serverID     string
-	address      string
-	tokens       int // that it has to read
-	startedAt    time.Duration
-	tokensAhead  int            // tokens in front when it began
-	expected     time.Duration  // from its beginning to the first part of the answer
-	untilFirst   time.Duration  // from its beginning to the first part of the answer; 0 before
-	connOpenedAt time.Duration  // the connection; 0: it got none
-	trial        bool           // of an ejected server
-	tried        versionAttempt // what it counts for, in a pool that had a rollout
-	answering    bool           // a part of the answer has come
-	unreached    bool           // it got no connection
-	ended        bool
+	entry          *knownServer
+	serverID       string
+	address        string
+	tokens         int // that it has to read
+	startedAt      time.Duration
+	tokensAhead    int            // tokens in front when it began
+	expected       time.Duration  // from its beginning to the first part of the answer
+	untilFirst     time.Duration  // from its beginning to the first part of the answer; 0 before
+	connOpenedAt   time.Duration  // the connection; 0: it got none
+	trial          bool           // of an ejected server
+	versionAttempt versionAttempt // what it counts for, in a pool that had a rollout
+	answering      bool           // a part of the answer has come
+	unreached      bool           // it got no connection
+	ended          bool
 
 	region        string            // where the server stood when it began
 	leaveReason   place.LeaveReason // why it goes to another region; place.Stay: it does not
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -258,7 +258,7 @@
 			return callerLeft{}
 		}
 		c.assigned = a
-		c.g.stats.countVersion(c.pool.Name, &a.tried)
+		c.g.stats.countVersion(c.pool.Name, &a.versionAttempt)
 		out := c.attempt(ctx, a)
 		if out.execution == retry.Answered {
 			if c.relay.success() {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -236,7 +236,7 @@
 	return &assignment{
 		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
 		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
-		trial: k.health.Sent(now), tried: p.beginAttempt(k, req, choice, why),
+		trial: k.health.Sent(now), versionAttempt: p.beginAttempt(k, req, choice, why),
 	}
 }
 
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -109,7 +109,7 @@
 		attrs = append(attrs, slog.String("backend", a.serverID), slog.Int("tokens_ahead", a.tokensAhead),
 			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
 			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.untilFirst), milliseconds("expected_ms", a.expected))
-		attrs = append(attrs, a.tried.logAttrs()...)
+		attrs = append(attrs, a.versionAttempt.logAttrs()...)
 	}
 	attrs = append(attrs, c.regionAttrs()...)
 	if r := c.relay; r != nil && r.passed > 0 {
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -137,7 +137,7 @@
 // countPace counts how long an answer took to begin. Answers of cold servers do not count: they are
 // slow whatever their version is. The caller holds mu.
 func (a *assignment) countPace(now time.Duration, ratio float64) {
-	if c := a.tried.tally; c != nil && !a.entry.cold.Cold(now) {
+	if c := a.versionAttempt.tally; c != nil && !a.entry.cold.Cold(now) {
 		c.paces[rollout.PaceBucket(ratio)]++
 		c.changed = true
 	}
@@ -146,7 +146,7 @@
 // countOutcome counts how an attempt ended. One that had brought nothing when its time was
 // over took that time at least. The caller holds mu.
 func (g *Gateway) countOutcome(p *pool, a *assignment, v outlier.Verdict) {
-	c := a.tried.tally
+	c := a.versionAttempt.tally
 	if c == nil || g.countUnreached(p, a, v) {
 		return
 	}
@@ -157,16 +157,16 @@
 		c.failed++
 	case outlier.NoVerdict:
 		took := g.now() - a.startedAt
-		if !a.answering && took > a.tried.expectedFirst && !g.overload.Load().Late(g.now()) {
-			a.countPace(g.now(), float64(took)/float64(a.tried.expectedFirst))
+		if !a.answering && took > a.versionAttempt.expectedFirst && !g.overload.Load().Late(g.now()) {
+			a.countPace(g.now(), float64(took)/float64(a.versionAttempt.expectedFirst))
 		}
 		return
 	default:
 		return
 	}
 	c.changed = true
-	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.breaker = r.breaker.with(g.now(), a.tried.isTarget, v != outlier.Answered)
+	if r := p.rollout; r.Attempt == a.versionAttempt.attempt {
+		r.breaker = r.breaker.with(g.now(), a.versionAttempt.isTarget, v != outlier.Answered)
 	}
 }
 
@@ -174,7 +174,7 @@
 // the attempt is not counted for that. The caller holds mu.
 func (g *Gateway) countUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.tried.isTarget || r.Attempt != a.tried.attempt {
+	if !a.versionAttempt.isTarget || r.Attempt != a.versionAttempt.attempt {
 		return false
 	}
 	switch {
@@ -183,7 +183,7 @@
 			g.table.classifyPoolVersions(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
-		r.unreached.add(g.now(), a.serverID, a.tried.tally)
+		r.unreached.add(g.now(), a.serverID, a.versionAttempt.tally)
 		g.table.classifyPoolVersions(p)
 		return true
 	}
