--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -90,8 +90,8 @@
 	return HomesWithoutServer
 }
 
-// reachable returns how many servers of a pool the request's homes allow.
-func (t *table) reachable(req *requirements) int {
+// countReachable returns how many servers of a pool the request's homes allow.
+func (t *table) countReachable(req *requirements) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, h := t.pool(req.pool.Name), t.homes.of(req)
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -67,7 +67,7 @@
 			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.left(), c.g.randomFraction())}
 		}
 	}
-	allTried := c.g.table.reachable(req) <= len(c.avoid)
+	allTried := c.g.table.countReachable(req) <= len(c.avoid)
 	return c.refusal(policy.WithoutServer(c.class, allTried))
 }
 
