--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -114,7 +114,7 @@
 	attrs = append(attrs, c.regionAttrs()...)
 	if r := c.relay; r != nil && r.writes > 0 {
 		attrs = append(attrs, slog.Int("pieces", r.writes), slog.String("last_event", r.lastEventID),
-			milliseconds("quiet_ms", c.g.now()-r.passedAt), milliseconds("longest_gap_ms", r.longestGap))
+			milliseconds("quiet_ms", c.g.now()-r.lastWriteAt), milliseconds("longest_gap_ms", r.longestGap))
 	}
 	return attrs
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -35,10 +35,10 @@
 	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
-	writes     int // writes to the caller
-	passedAt   time.Duration
-	longestGap time.Duration // between two of them
-	extended   time.Duration // when the write deadline was last moved
+	writes      int // writes to the caller
+	lastWriteAt time.Duration
+	longestGap  time.Duration // between two of them
+	extended    time.Duration // when the write deadline was last moved
 }
 
 // heldAnswer is a whole plain answer.
@@ -223,10 +223,10 @@
 	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
 	now := r.c.g.now()
 	if r.writes > 0 {
-		r.longestGap = max(r.longestGap, now-r.passedAt)
+		r.longestGap = max(r.longestGap, now-r.lastWriteAt)
 	}
 	r.writes++
-	r.passedAt = now
+	r.lastWriteAt = now
 	return nil
 }
 
