--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -191,7 +191,7 @@
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
 	case retry.EndServerError:
-		c.relay.give(out.held)
+		c.relay.writeHeld(out.held)
 		return false, nil
 	default:
 		return false, c.refusal(ending)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -64,7 +64,7 @@
 		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
 		return outcome{execution: retry.HasRun, cause: "server error", verdict: outlier.Faulty, held: held, err: err}
 	}
-	r.give(held)
+	r.writeHeld(held)
 	return outcome{execution: retry.Answered}
 }
 
@@ -106,8 +106,8 @@
 // Error names the cause.
 func (e writeFailed) Error() string { return e.err.Error() }
 
-// give writes a whole answer to the caller.
-func (r *relay) give(h *heldAnswer) {
+// writeHeld writes a whole answer to the caller.
+func (r *relay) writeHeld(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
 	_, _ = r.c.w.Write(h.body) // it fails if the caller has gone, and net/http ends the connection
 }
