--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -104,7 +104,7 @@
 	case success && c.route.Kind == document.Stream:
 		return c.relay.stream(ctx, a, answer)
 	}
-	return c.relay.plain(a, answer)
+	return c.relay.relayPlain(a, answer)
 }
 
 // outgoing is the request as a backend server gets it.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -48,9 +48,9 @@
 	body   []byte
 }
 
-// plain takes a plain answer: a success goes to the caller once it is whole, a
+// relayPlain takes a relayPlain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
-func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
+func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
