--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -102,7 +102,7 @@
 	case success && !head.Signed:
 		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
-		return c.relay.stream(ctx, a, answer)
+		return c.relay.relayStream(ctx, a, answer)
 	}
 	return c.relay.relayPlain(a, answer)
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -134,8 +134,8 @@
 	return r.status >= http.StatusOK && r.status < http.StatusMultipleChoices
 }
 
-// stream passes events on as they come, each once it is whole.
-func (r *relay) stream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
+// relayStream passes events on as they come, each once it is whole.
+func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
