--- a/gateway/call.go
+++ b/gateway/call.go
@@ -261,7 +261,7 @@
 		c.g.stats.countVersion(c.pool.Name, &a.versionAttempt)
 		out := c.attempt(ctx, a)
 		if out.execution == retry.Answered {
-			if c.relay.success() {
+			if c.relay.succeeded() {
 				c.clearSuspicion()
 			}
 			return nil
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -129,8 +129,8 @@
 	r.c.w.WriteHeader(status)
 }
 
-// success reports whether the caller was given a success.
-func (r *relay) success() bool {
+// succeeded reports whether the caller was given a succeeded.
+func (r *relay) succeeded() bool {
 	return r.status >= http.StatusOK && r.status < http.StatusMultipleChoices
 }
 
