--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -59,7 +59,7 @@
 					is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_refused_total{cause="`+tt.error+`"} 10`))
 					return
 				}
-				is.Equal(x.servedIn(tt.served+"1"), 10)
+				is.Equal(x.arrivalsIn(tt.served+"1"), 10)
 			})
 		})
 	}
@@ -90,7 +90,7 @@
 			is.Equal(x.servers.count(), 0)
 			x.at("plain", 2, answers(200, "ok", time.Millisecond), hall)
 			is.Equal(x.request("/again/x").status, 200)
-			is.Equal(x.servedIn(hall), 1)
+			is.Equal(x.arrivalsIn(hall), 1)
 		})
 	}
 }
@@ -104,12 +104,12 @@
 		x.at("plain", 2, fails(forward.NotRun{Err: io.EOF}), "s1")
 		x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "nowhere")
 		is.Equal(x.request("/again/x", "Patience", "1000").status, 503)
-		is.Equal(x.servedIn("n")+x.servedIn("nowhere"), 0)
+		is.Equal(x.arrivalsIn("n")+x.arrivalsIn("nowhere"), 0)
 		x.at("plain", 2, streams(piece{text: event(1)}, piece{err: io.ErrUnexpectedEOF}), "s1")
 		before := x.servers.count()
 		x.request("/resume/x", "Patience", "1000")
-		is.Equal(x.servedIn("n")+x.servedIn("nowhere"), 0)
-		is.Equal(x.servedIn("s1"), before+2)
+		is.Equal(x.arrivalsIn("n")+x.arrivalsIn("nowhere"), 0)
+		is.Equal(x.arrivalsIn("s1"), before+2)
 		is.Equal(x.servers.arrivals[before+1].Header.Get("After"), "1") // it was taken up
 	})
 }
@@ -126,7 +126,7 @@
 		var running, waiting reply
 		group.Go(func() { running = x.request("/again/x") })
 		time.Sleep(10 * time.Millisecond)
-		is.Equal(x.servedIn("n1"), 1)
+		is.Equal(x.arrivalsIn("n1"), 1)
 		x.full(true, "n1", "s1")
 		group.Go(func() { waiting = x.request("/again/x", "Patience", "1000") })
 		time.Sleep(10 * time.Millisecond)
@@ -137,19 +137,19 @@
 		x.full(false, "s1")
 		group.Wait()
 		is.Equal([]int{running.status, waiting.status}, []int{200, 200})
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 
 		x.at("plain", 1, func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			x.g.apply(homesDocument(x.g.DocumentNumber()+1, []string{"north"}, nil))
 			return nil, forward.NotRun{Err: io.EOF}
 		}, "s1")
 		is.Equal(x.request("/again/x").status, 200) // the first attempt in the south, the second by the newer document
-		is.Equal(x.servedIn("s1"), 2)
-		is.Equal(x.servedIn("n1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
+		is.Equal(x.arrivalsIn("n1"), 2)
 		x.g.apply(homesDocument(20, nil, nil))
 		x.gone("plain", 1, "n1")
 		is.Equal(x.request("/again/x").status, 503) // the south fails still, but may be asked
-		is.Equal(x.servedIn("s1"), 3)
+		is.Equal(x.arrivalsIn("s1"), 3)
 	})
 }
 
@@ -172,7 +172,7 @@
 		is.Equal(x.request("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
 		x.at("plain", 1, ok, "n1")
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.servedIn("n1"), 1)
+		is.Equal(x.arrivalsIn("n1"), 1)
 	})
 }
 
@@ -202,7 +202,7 @@
 		r = x.request("/again/x", "Patience", "1000")
 		is.Equal(r.status, 200)
 		is.True(r.took > 200*time.Millisecond)
-		is.Equal(x.servedIn("s1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
 	})
 }
 
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -38,7 +38,7 @@
 			x.g.table.mu.Unlock()
 			x.at("plain", 1, tt.does, "s1")
 			x.request("/once/x", "Patience", "1000")
-			is.True(x.servedIn("s1") > 0)
+			is.True(x.arrivalsIn("s1") > 0)
 			admits := func(bytes float64) bool {
 				share := x.g.table.site.share(1)
 				return x.g.table.link.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Required: true})
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// servedIn counts what arrived in a hall's servers, whose names begin with its name.
-func (x *fixture) servedIn(prefix string) (n int) {
+// arrivalsIn counts what arrived in a hall's servers, whose names begin with its name.
+func (x *fixture) arrivalsIn(prefix string) (n int) {
 	x.servers.mu.Lock()
 	defer x.servers.mu.Unlock()
 	for _, call := range x.servers.arrivals {
@@ -113,8 +113,8 @@
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
 			is.Equal(x.request("/again/x").status, 200)
 		}
-		is.Equal(x.servedIn("n1")+x.servedIn("n2"), 400)
-		is.True(x.servedIn("n2-plain") > 60) // and spread over both halls
+		is.Equal(x.arrivalsIn("n1")+x.arrivalsIn("n2"), 400)
+		is.True(x.arrivalsIn("n2-plain") > 60) // and spread over both halls
 		x.gone("engines", 6, "s1", "s2", "nowhere")
 		for i := range 200 { // a prompt's engine is the same whatever there is elsewhere
 			before := x.servers.arrivals[2*i].Header.Get("Backend")
@@ -138,15 +138,15 @@
 			for range 20 {
 				is.Equal(x.request(path, "Shared", "a").status, 200)
 			}
-			is.Equal(x.servedIn("s1"), 20)
+			is.Equal(x.arrivalsIn("s1"), 20)
 			x.gone(pool, 2, "s1")
 			is.Equal(x.request(path).status, 200)
-			is.Equal(x.servedIn("nowhere"), 1)
+			is.Equal(x.arrivalsIn("nowhere"), 1)
 			x.at(pool, 2, ok, "n2", "s1")
 			for range 20 {
 				is.Equal(x.request(path).status, 200)
 			}
-			is.Equal(x.servedIn("n2"), 20)
+			is.Equal(x.arrivalsIn("n2"), 20)
 			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 20`))
 			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="south",to="north"} `+fmt.Sprint(20*len(event(1)))))
 		})
@@ -168,7 +168,7 @@
 		x.at("plain", 2, ok, "n1", "s1")
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1"}, HallChanges: 1})
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1", "s1"}, HallChanges: 2})
 		r := x.request("/again/x")
 		is.Equal(r.status, 503)
@@ -182,7 +182,7 @@
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.servedIn("n1"), 0) // both are ejected
+		is.Equal(x.arrivalsIn("n1"), 0) // both are ejected
 		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
 		for range 40 {
 			x.request("/again/x")
@@ -207,10 +207,10 @@
 			return x.request("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
 		}
 		is.Equal(ask().status, 200)
-		is.Equal(x.servedIn("n1"), 1)
+		is.Equal(x.arrivalsIn("n1"), 1)
 		x.full(true, "n1")
 		is.Equal(ask().status, 200)
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 		is.True(strings.Contains(x.metrics(), `why="no-room"} 1`))
 
 		x.full(true, "n1", "s1")
@@ -222,7 +222,7 @@
 		x.full(false, "s1")
 		group.Wait()
 		is.Equal(later.status, 200)
-		is.Equal(x.servedIn("s1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
 
 		x.full(true, "n1")
 		setLink := func(link place.LinkBudget) {
@@ -240,7 +240,7 @@
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, nil, false)
 		ask()
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="class"} 1`))
-		is.Equal(x.servedIn("s1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
 	})
 }
 
@@ -277,10 +277,10 @@
 			group.Wait()
 			is.Equal(r.status, 200)
 			if home != "" {
-				is.Equal(x.servedIn(best), 2)
+				is.Equal(x.arrivalsIn(best), 2)
 				return
 			}
-			is.Equal(x.servedIn("s1"), 1)
+			is.Equal(x.arrivalsIn("s1"), 1)
 			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // with the tick after it
 			is.True(strings.Contains(x.metrics(), `why="waited"} 1`))
 		})
@@ -315,7 +315,7 @@
 			})
 		}
 		group.Wait()
-		over := 20_000 * (x.servedIn("s1") + x.servedIn("s2"))
+		over := 20_000 * (x.arrivalsIn("s1") + x.arrivalsIn("s2"))
 		x.t.Logf("%.2f of the link, %d refused", float64(over)/span.Seconds()/rate, refused)
 		is.True(over > 0)
 		is.True(float64(over) < 0.35*rate*(span.Seconds()+1)) // one region's part, and a full bucket at first
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -53,7 +53,7 @@
 		x.leaseShares()
 		x.g.cfg.Random = func() uint64 { return 1 } // lots are always low
 		is.Equal(x.served("/once/x", 20), map[string]int{"new": 20})
-		is.Equal(x.servedIn("n2"), 20)
+		is.Equal(x.arrivalsIn("n2"), 20)
 	})
 }
 
@@ -138,7 +138,7 @@
 		x.twoRegions()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
 		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
-		is.True(x.servedIn("s1") > 0)
+		is.True(x.arrivalsIn("s1") > 0)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
 	})
 }
@@ -189,8 +189,8 @@
 	t.servers[best].othersLoad, t.othersAt = place.Work{Tokens: 30_000}, t.now()
 	t.mu.Unlock()
 	is.Equal(ask().status, 200)
-	is.Equal(x.servedIn(best), 1)
-	is.Equal(x.servedIn(region), 2)
+	is.Equal(x.arrivalsIn(best), 1)
+	is.Equal(x.arrivalsIn(region), 2)
 }
 
 // TestEjectedRegionComesAfterOneWithoutRoom: what must leave waits for a healthy server of a region
@@ -212,9 +212,9 @@
 		is.Equal(x.servers.count(), 0)
 		x.full(false, "w1")
 		is.Equal(x.request("/once/x").status, 200)
-		is.Equal(x.servedIn("w1"), 1)
+		is.Equal(x.arrivalsIn("w1"), 1)
 		x.gone("plain", 1, "w1")
 		is.Equal(x.request("/once/x").status, 200) // better an ejected one than none
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 	})
 }
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -70,13 +70,13 @@
 				x.rollouts(1, 1, tt.list)
 				x.leaseShares()
 				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
-				is.Equal(x.servedIn("s1"), 40)
+				is.Equal(x.arrivalsIn("s1"), 40)
 				is.Equal(x.askAtOnce("/once/x", 10), 10)
-				is.Equal(x.servedIn("s"), 40)
-				is.True(tt.name == "trial" || x.servedIn("n2") == 10)
+				is.Equal(x.arrivalsIn("s"), 40)
+				is.True(tt.name == "trial" || x.arrivalsIn("n2") == 10)
 				x.gone("plain", 2, "s1")
 				is.Equal(x.request("/again/x", "Patience", "2000").body, "{\"error\":\"homes-without-server\"}\n")
-				is.Equal(x.servedIn("n"), 10)
+				is.Equal(x.arrivalsIn("n"), 10)
 			})
 		})
 	}
