--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -40,7 +40,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.twoRegions()
+				x.joinNorthRegion()
 				x.g.apply(homesDocument(4, tt.route, tt.account))
 				x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 				for range 10 {
@@ -71,7 +71,7 @@
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, []string{home}, nil))
 			x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 			hall := home[:1] + "1"
@@ -99,7 +99,7 @@
 func TestRepeatsKeepToTheHomes(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
 		x.at("plain", 2, fails(forward.NotRun{Err: io.EOF}), "s1")
 		x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "nowhere")
@@ -119,7 +119,7 @@
 func TestHomesGivenLater(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("plain", 1, answers(200, "ok", 200*time.Millisecond), "n1")
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		var group sync.WaitGroup
@@ -181,7 +181,7 @@
 func TestHomeBeyondTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "s1")
 		t := x.g.table
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -32,7 +32,7 @@
 	} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.table.mu.Lock()
 			x.g.table.site.linkRate = 1 // nothing comes back by itself
 			x.g.table.mu.Unlock()
@@ -54,7 +54,7 @@
 func TestOnlyServerOfARegionIsNotAskedAgain(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		x.g.table.mu.Lock()
@@ -69,7 +69,7 @@
 func TestWayIsNotLearnedFrom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		ago, late := time.Minute, time.Duration(0)
 		x.at("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(10 * time.Millisecond)
@@ -116,7 +116,7 @@
 func TestHomesAreNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false)
 		x.at("engines", 1, streams(piece{text: event(1)}), "n1")
 		x.full(true, "n1")
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -24,8 +24,8 @@
 // This file tests where a gateway of the region "north" sends requests while there are servers
 // in "south" and in halls of no known region as well.
 
-// twoRegions lets the gateway stand in a hall of "north".
-func (x *fixture) twoRegions() {
+// joinNorthRegion lets the gateway stand in a hall of "north".
+func (x *fixture) joinNorthRegion() {
 	fleet, err := topology.New(map[string]string{"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"})
 	is.New(x.t).NoErr(err)
 	x.g.table.mu.Lock()
@@ -106,7 +106,7 @@
 func TestIdleFleetStaysInItsRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
 		for i := range 200 {
@@ -130,7 +130,7 @@
 	for _, path := range []string{"/again/x", "/engine/x"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			pool := map[string]string{"/again/x": "plain", "/engine/x": "engines"}[path]
 			ok := streams(piece{text: event(1)})
 			x.at(pool, 2, ok, "n1", "nowhere", "s1")
@@ -163,7 +163,7 @@
 func TestRegionOutOfServiceOrEjected(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		ok := answers(200, "ok", time.Millisecond)
 		x.at("plain", 2, ok, "n1", "s1")
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1"}, HallChanges: 1})
@@ -201,7 +201,7 @@
 func TestNoRoomInTheRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
 		ask := func(header ...string) reply {
 			return x.request("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
@@ -251,7 +251,7 @@
 	for _, home := range []string{"", "north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			if home != "" {
 				x.g.apply(homesDocument(4, nil, []string{home}))
 			}
@@ -293,7 +293,7 @@
 func TestFloodStaysWithinTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		const rate = 1e6
 		x.g.table.mu.Lock()
 		x.g.table.site.linkRate = rate
@@ -328,7 +328,7 @@
 func TestConnectionsTellOfTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		opening := 40 * time.Millisecond
 		x.at("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(opening)
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -39,7 +39,7 @@
 func TestTrialInEachRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.versionAt("old", 4, "n1", "s1", "nowhere")
 		x.versionAt("new", 4, "n2", "s2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
@@ -62,7 +62,7 @@
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.versionAt("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
 			x.versionAt("new", 2, home[:1]+"2")
@@ -82,7 +82,7 @@
 func TestLinkKeepsFromTheTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.versionAt("old", 2, "n1")
 		x.versionAt("new", 2, "s1")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
@@ -101,7 +101,7 @@
 func TestHomeServesWhatItsAccountIsOwed(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
 			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
@@ -115,7 +115,7 @@
 func TestServerMovesToAnotherRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
 		done := make(chan reply)
 		go func() { done <- x.request("/again/x") }()
@@ -135,7 +135,7 @@
 func TestWhatWasNotSentIsNotCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
 		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
 		is.True(x.arrivalsIn("s1") > 0)
@@ -158,7 +158,7 @@
 // account's share covers while the target stands elsewhere, also those that suit it less.
 func TestHomeOfTheOldVersionAfterTheSwitch(t *testing.T) {
 	withGateway(t, func(x *fixture) {
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
 		x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
@@ -198,7 +198,7 @@
 func TestEjectedRegionComesAfterOneWithoutRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
 		t := x.g.table
 		t.mu.Lock()
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -17,7 +17,7 @@
 // rollsInTheNorth is a pool with both versions in the north and the old one alone in the south,
 // which is the home of route "again".
 func (x *fixture) rollsInTheNorth() {
-	x.twoRegions()
+	x.joinNorthRegion()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
 	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
 	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n2")
