--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -208,7 +208,7 @@
 	var calls atomic.Int64
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.leaseShares()
 		x.request("/once/1", "Patience", "800")
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -177,7 +177,7 @@
 		var calls atomic.Int64
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.versionsOf("v1", "v2")
+			x.setVersions("v1", "v2")
 			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
 			for range 5 {
 				x.leaseShares()
@@ -190,7 +190,7 @@
 		var calls atomic.Int64
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.versionsOf("v1", "v2", "v2")
+			x.setVersions("v1", "v2", "v2")
 			for i := range 3 {
 				x.rollouts(1, uint64(i+1), protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5, Routes: []protocol.RouteShare{{Route: "once", Share: 1}}})
 				x.leaseShares()
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -34,7 +34,7 @@
 func TestFinalShareStays(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10}) // no report was counted
 		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
@@ -53,7 +53,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		x.leaseShares()
 		x.served("/once/1", 100)
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -20,8 +20,8 @@
 
 // This file tests which versions a gateway sends to, and what it counts.
 
-// versionsOf announces servers p0, p1, … of pool "plain" with versions.
-func (x *fixture) versionsOf(versions ...string) {
+// setVersions announces servers p0, p1, … of pool "plain" with versions.
+func (x *fixture) setVersions(versions ...string) {
 	m := protocol.Servers{Term: 1}
 	for i, v := range versions {
 		s := x.g.table.servers[fmt.Sprint("p", i)].Server
@@ -72,7 +72,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100}) // no report was counted
 		x.leaseShares()
@@ -98,7 +98,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
 		x.leaseShares()
 		is.Equal(x.served("/once/1", 100)["new"], 10)
@@ -112,7 +112,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.leaseShares()
 		asked := func() map[string]int { return x.served("/once/1", 10) }
 		all := map[string]int{"old": 10}
@@ -139,12 +139,12 @@
 func TestReplacedVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		x.rollouts(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
-		x.versionsOf("v1", "v3") // one that no rollout is about is used
+		x.setVersions("v1", "v3") // one that no rollout is about is used
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
@@ -153,7 +153,7 @@
 func TestLastOldServerTurnsOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
 		x.leaseShares()
 		x.g.table.removeMisdirected("p0")
@@ -170,7 +170,7 @@
 			_, seq := x.g.table.takeOutcomes(x.g.now())
 			return seq
 		}
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(obeyed(), uint64(0)) // no report was counted
 		x.leaseShares()
@@ -201,7 +201,7 @@
 func TestRetryGoesToTheOldVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2", "v2", "v2") // lots are always low
+		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
 		x.leaseShares()
 		is.Equal(x.served("/again/1", 3), map[string]int{"old": 3})
@@ -228,7 +228,7 @@
 		x.g.cfg.Log = decision.New(&text, slog.LevelInfo, decision.DefaultBudget, metrics.NewSet())
 		defer old.Close()
 		x.request("/once/1")
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
 		x.request("/once/1")
 		x.leaseShares()
@@ -300,7 +300,7 @@
 func TestTargetWithoutUse(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.leaseShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
@@ -316,7 +316,7 @@
 func TestColdTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		s := x.g.table.servers["p1"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
@@ -336,7 +336,7 @@
 func TestOutcomesAreTotals(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.leaseShares()
 		x.served("/once/1", 2)
