--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -180,7 +180,7 @@
 			x.setVersions("v1", "v2")
 			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
 			for range 5 {
-				x.leaseShares()
+				x.renewShares()
 				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
 			is.Equal(calls.Load(), int64(1))
@@ -193,7 +193,7 @@
 			x.setVersions("v1", "v2", "v2")
 			for i := range 3 {
 				x.rollouts(1, uint64(i+1), protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5, Routes: []protocol.RouteShare{{Route: "once", Share: 1}}})
-				x.leaseShares()
+				x.renewShares()
 				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
 			is.Equal(calls.Load(), int64(1)) // one of the two, whichever the trial began with
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -50,7 +50,7 @@
 			}
 		}
 		is.Equal(trials, map[string]int{"north": 1, "south": 1})
-		x.leaseShares()
+		x.renewShares()
 		x.g.cfg.Random = func() uint64 { return 1 } // lots are always low
 		is.Equal(x.served("/once/x", 20), map[string]int{"new": 20})
 		is.Equal(x.arrivalsIn("n2"), 20)
@@ -69,7 +69,7 @@
 			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 			for _, leased := range []bool{false, true} {
 				if leased {
-					x.leaseShares()
+					x.renewShares()
 				}
 				is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 			}
@@ -86,12 +86,12 @@
 		x.versionAt("old", 2, "n1")
 		x.versionAt("new", 2, "s1")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
 		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"old": 10})
 	})
 }
@@ -172,7 +172,7 @@
 		x.g.table.updateRollouts(protocol.Rollouts{Term: 1, Seq: 1, List: []protocol.Rollout{
 			{Pool: "engines", Attempt: 1, Target: "new", Share: 1},
 		}})
-		x.leaseShares()
+		x.renewShares()
 		x.askWithBestFull("n")
 	})
 }
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -55,7 +55,7 @@
 		x.draw()
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
-		x.leaseShares()
+		x.renewShares()
 		x.served("/once/1", 100)
 		x.g.table.takeOutcomes(x.g.now())
 		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -68,7 +68,7 @@
 				is := is.New(x.t)
 				x.rollsInTheNorth()
 				x.rollouts(1, 1, tt.list)
-				x.leaseShares()
+				x.renewShares()
 				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
 				is.Equal(x.arrivalsIn("s1"), 40)
 				is.Equal(x.askAtOnce("/once/x", 10), 10)
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -29,7 +29,7 @@
 // askEach asks some times, with pauses in which no ejection ends.
 func (x *fixture) askEach(times int) {
 	for range times {
-		x.leaseShares()
+		x.renewShares()
 		x.request("/again/1", "Patience", "800")
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -37,8 +37,8 @@
 	x.g.table.updateRollouts(protocol.Rollouts{Term: term, Seq: seq, List: []protocol.Rollout{r}})
 }
 
-// leaseShares has the leader count a report that is sent now.
-func (x *fixture) leaseShares() {
+// renewShares has the leader count a report that is sent now.
+func (x *fixture) renewShares() {
 	x.reports++
 	x.g.table.takeReport(x.reports)
 	x.g.table.updateLoads(x.g.now(), x.reports, nil)
@@ -75,17 +75,17 @@
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100}) // no report was counted
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		time.Sleep(sharesLease)
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.updateLoads(x.g.now(), 1, nil) // what comes late, as to a gateway that was frozen
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		x.g.table.endShares() // the session ended
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
-		x.leaseShares()
+		x.renewShares()
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // another began
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
@@ -100,7 +100,7 @@
 		x.draw()
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100)["new"], 10)
 		is.Equal(x.served("/again/1", 100)["new"], 50)
 	}, oldAndNew...)
@@ -113,7 +113,7 @@
 		is := is.New(x.t)
 		x.draw()
 		x.setVersions("v1", "v2")
-		x.leaseShares()
+		x.renewShares()
 		asked := func() map[string]int { return x.served("/once/1", 10) }
 		all := map[string]int{"old": 10}
 		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
@@ -155,7 +155,7 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
-		x.leaseShares()
+		x.renewShares()
 		x.g.table.removeMisdirected("p0")
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
@@ -173,22 +173,22 @@
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(obeyed(), uint64(0)) // no report was counted
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
 		time.Sleep(sharesLease)
 		is.Equal(obeyed(), uint64(0))
-		x.leaseShares()
+		x.renewShares()
 		x.served("/once/1", badInARow)
 		is.Equal(obeyed(), uint64(0)) // bad answers in a row
 		time.Sleep(mistrustFor)
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
 		x.rollouts(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(8))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true})
 		is.Equal(obeyed(), uint64(0)) // it is the number of another term
 		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(obeyed(), uint64(0)) // the leader before has barred the target
 		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
 		x.rollouts(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
@@ -203,7 +203,7 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/again/1", 3), map[string]int{"old": 3})
 		var sent, failed uint64
 		outcomes, obeyed := x.g.table.takeOutcomes(x.g.now())
@@ -231,7 +231,7 @@
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
 		x.request("/once/1")
-		x.leaseShares()
+		x.renewShares()
 		x.request("/once/1")
 		x.g.cfg.Log.Close()
 		is.Equal(strings.Count(text.String(), `"answered"`), 3)
@@ -302,7 +302,7 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		s := x.g.table.servers["p1"].Server
 		s.Hall = "y"
@@ -321,7 +321,7 @@
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 2, "old": 8})
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(outcomes[1].Version, "v2")
@@ -338,7 +338,7 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.renewShares()
 		x.served("/once/1", 2)
 		first, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(len(first), 1)
@@ -348,7 +348,7 @@
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{x.g.table.servers["p0"].Server, x.g.table.servers["p1"].Server}})
 		again, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(again, first)
-		x.leaseShares()
+		x.renewShares()
 		x.servers.behaviours[x.g.table.servers["p1"].Address] = hangs
 		is.Equal(x.request("/once/1", "Patience", "800").status, 504)
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
