--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -209,7 +209,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
 		x.request("/once/1", "Patience", "800")
 		is.Equal(calls.Load(), int64(1))
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -178,7 +178,7 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.setVersions("v1", "v2")
-			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
+			x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0})
 			for range 5 {
 				x.renewShares()
 				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
@@ -192,7 +192,7 @@
 			is := is.New(x.t)
 			x.setVersions("v1", "v2", "v2")
 			for i := range 3 {
-				x.rollouts(1, uint64(i+1), protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5, Routes: []protocol.RouteShare{{Route: "once", Share: 1}}})
+				x.sendRollout(1, uint64(i+1), protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5, Routes: []protocol.RouteShare{{Route: "once", Share: 1}}})
 				x.renewShares()
 				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -42,7 +42,7 @@
 		x.joinNorthRegion()
 		x.versionAt("old", 4, "n1", "s1", "nowhere")
 		x.versionAt("new", 4, "n2", "s2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 		trials := map[string]int{}
 		for _, k := range x.g.table.servers {
 			if k.versionSet&trialVersion != 0 {
@@ -66,7 +66,7 @@
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.versionAt("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
 			x.versionAt("new", 2, home[:1]+"2")
-			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
+			x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 			for _, leased := range []bool{false, true} {
 				if leased {
 					x.renewShares()
@@ -85,7 +85,7 @@
 		x.joinNorthRegion()
 		x.versionAt("old", 2, "n1")
 		x.versionAt("new", 2, "s1")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
 		x.renewShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -35,13 +35,13 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10}) // no report was counted
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		x.g.table.endShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2"}) // of a leader that did not say complete
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2"}) // of a leader that did not say complete
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
 	}, oldAndNew...)
 }
@@ -54,13 +54,13 @@
 		is := is.New(x.t)
 		x.draw()
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		x.renewShares()
 		x.served("/once/1", 100)
 		x.g.table.takeOutcomes(x.g.now())
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true}) // the next leader's session
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
 		var sent uint64
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		for _, o := range outcomes {
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -67,7 +67,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.rollsInTheNorth()
-				x.rollouts(1, 1, tt.list)
+				x.sendRollout(1, 1, tt.list)
 				x.renewShares()
 				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
 				is.Equal(x.arrivalsIn("s1"), 40)
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -52,7 +52,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				x.setVersions([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
-				x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+				x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 				x.askEach(20)
 				is.New(x.t).Equal(x.failedAtTarget() > 0, tt.counts)
 			}, append([]behaviour{old}, tt.target...)...)
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -31,8 +31,8 @@
 	x.g.table.update(m)
 }
 
-// rollouts sends the list of a number with one rollout.
-func (x *fixture) rollouts(term, seq uint64, r protocol.Rollout) {
+// sendRollout sends the list of a number with one rollout.
+func (x *fixture) sendRollout(term, seq uint64, r protocol.Rollout) {
 	r.Pool = "plain"
 	x.g.table.updateRollouts(protocol.Rollouts{Term: term, Seq: seq, List: []protocol.Rollout{r}})
 }
@@ -73,7 +73,7 @@
 		is := is.New(x.t)
 		x.draw()
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100}) // no report was counted
 		x.renewShares()
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
@@ -99,7 +99,7 @@
 		is := is.New(x.t)
 		x.draw()
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
 		x.renewShares()
 		is.Equal(x.served("/once/1", 100)["new"], 10)
 		is.Equal(x.served("/again/1", 100)["new"], 50)
@@ -116,21 +116,21 @@
 		x.renewShares()
 		asked := func() map[string]int { return x.served("/once/1", 10) }
 		all := map[string]int{"old": 10}
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(asked(), all)
-		x.rollouts(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // an older leader's
+		x.sendRollout(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // an older leader's
 		is.Equal(asked(), all)
-		x.rollouts(1, 10, protocol.Rollout{Attempt: 1})
+		x.sendRollout(1, 10, protocol.Rollout{Attempt: 1})
 		is.Equal(asked(), all)
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1}) // not newer
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1}) // not newer
 		is.Equal(asked(), all)
-		x.rollouts(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // does not know the verdict
+		x.sendRollout(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // does not know the verdict
 		is.Equal(asked(), all)
-		x.rollouts(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
+		x.sendRollout(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
 		is.Equal(asked(), all)
 		x.g.table.update(protocol.Servers{Term: 3, Gone: []string{"p0"}})
 		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // also where there is no other
-		x.rollouts(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
+		x.sendRollout(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
 		is.Equal(asked(), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
@@ -140,9 +140,9 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
 		x.setVersions("v1", "v3") // one that no rollout is about is used
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
@@ -154,7 +154,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
 		x.renewShares()
 		x.g.table.removeMisdirected("p0")
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
@@ -171,7 +171,7 @@
 			return seq
 		}
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(obeyed(), uint64(0)) // no report was counted
 		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
@@ -183,15 +183,15 @@
 		time.Sleep(mistrustFor)
 		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
-		x.rollouts(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(8))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true})
 		is.Equal(obeyed(), uint64(0)) // it is the number of another term
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
 		is.Equal(obeyed(), uint64(0)) // the leader before has barred the target
 		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
-		x.rollouts(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
+		x.sendRollout(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(2))
 		is.Equal(len(x.g.table.locallyBarred()), 0)
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
@@ -202,7 +202,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
 		x.renewShares()
 		is.Equal(x.served("/again/1", 3), map[string]int{"old": 3})
 		var sent, failed uint64
@@ -229,7 +229,7 @@
 		defer old.Close()
 		x.request("/once/1")
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
 		x.request("/once/1")
 		x.renewShares()
 		x.request("/once/1")
@@ -301,7 +301,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		s := x.g.table.servers["p1"].Server
@@ -320,7 +320,7 @@
 		s := x.g.table.servers["p1"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
 		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 2, "old": 8})
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
@@ -337,7 +337,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
 		x.served("/once/1", 2)
 		first, _ := x.g.table.takeOutcomes(x.g.now())
