--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -63,8 +63,8 @@
 	x.g.table.update(m)
 }
 
-// gone removes servers of a pool in halls.
-func (x *fixture) gone(pool string, each int, halls ...string) {
+// withdraw removes servers of a pool in halls.
+func (x *fixture) withdraw(pool string, each int, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
@@ -115,7 +115,7 @@
 		}
 		is.Equal(x.arrivalsIn("n1")+x.arrivalsIn("n2"), 400)
 		is.True(x.arrivalsIn("n2-plain") > 60) // and spread over both halls
-		x.gone("engines", 6, "s1", "s2", "nowhere")
+		x.withdraw("engines", 6, "s1", "s2", "nowhere")
 		for i := range 200 { // a prompt's engine is the same whatever there is elsewhere
 			before := x.servers.arrivals[2*i].Header.Get("Backend")
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
@@ -134,12 +134,12 @@
 			pool := map[string]string{"/again/x": "plain", "/engine/x": "engines"}[path]
 			ok := streams(piece{text: event(1)})
 			x.at(pool, 2, ok, "n1", "nowhere", "s1")
-			x.gone(pool, 2, "n1")
+			x.withdraw(pool, 2, "n1")
 			for range 20 {
 				is.Equal(x.request(path, "Shared", "a").status, 200)
 			}
 			is.Equal(x.arrivalsIn("s1"), 20)
-			x.gone(pool, 2, "s1")
+			x.withdraw(pool, 2, "s1")
 			is.Equal(x.request(path).status, 200)
 			is.Equal(x.arrivalsIn("nowhere"), 1)
 			x.at(pool, 2, ok, "n2", "s1")
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -213,7 +213,7 @@
 		x.full(false, "w1")
 		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.arrivalsIn("w1"), 1)
-		x.gone("plain", 1, "w1")
+		x.withdraw("plain", 1, "w1")
 		is.Equal(x.request("/once/x").status, 200) // better an ejected one than none
 		is.Equal(x.arrivalsIn("s1"), 1)
 	})
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -74,7 +74,7 @@
 				is.Equal(x.askAtOnce("/once/x", 10), 10)
 				is.Equal(x.arrivalsIn("s"), 40)
 				is.True(tt.name == "trial" || x.arrivalsIn("n2") == 10)
-				x.gone("plain", 2, "s1")
+				x.withdraw("plain", 2, "s1")
 				is.Equal(x.request("/again/x", "Patience", "2000").body, "{\"error\":\"homes-without-server\"}\n")
 				is.Equal(x.arrivalsIn("n"), 10)
 			})
