--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -53,7 +53,7 @@
 // fails, and the traffic between halls. It only applies if the hall has several servers, since halls
 // differ in the load of their callers. It does not follow the servers' load: that is reported too late
 // for short requests, so all gateways of a hall would leave and return at the same time. On a day when a
-// hall with one server has most of the callers, a quarter of a route's traffic would then be lost
+// hall with one server has most of the callers, a quarter of what a route should serve would be lost
 // (docs/design/shifted-work.md).
 const (
 	ownHallWeight     = 4.0 // multiple of the capacity of its servers
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -127,7 +127,7 @@
 	p.accounts[a.Name] = true
 }
 
-// Push adds work to the queue. The error is [share.Full] or [share.NoAccount].
+// Push adds work to the queue. The error is [share.QueueFullError] or [share.UnknownAccountError].
 func (p *Pool) Push(w *Work) error {
 	t, err := p.queue.Push(share.Request{
 		Account: w.Account, Flow: w.Flow, Bytes: w.Bytes, Deadline: w.Deadline, Value: w,
@@ -146,7 +146,7 @@
 func (p *Pool) Expire(now time.Duration) []*Work { return workOf(p.queue.Expire(now)) }
 
 // Drop removes and returns all waiting work.
-func (p *Pool) Drop() []*Work { return workOf(p.queue.Drop()) }
+func (p *Pool) Drop() []*Work { return workOf(p.queue.DropAll()) }
 
 // Waiting returns the number of waiting requests.
 func (p *Pool) Waiting() int { return p.queue.Waiting() }
@@ -157,7 +157,7 @@
 	var started []Start
 	for leased {
 		next, virtual := p.queue.Next()
-		switch slots.Decide(now, virtual, p.holder.Granted(), p.view) {
+		switch slots.Decide(now, virtual, p.holder.HasUnusedGrant(), p.view) {
 		case slots.Keep:
 			return started
 		case slots.Return:
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -25,13 +25,13 @@
 	// apart is the least time between two ends of which the second one's run counts as begun after the
 	// first. What reports of gateways differ by.
 	apart = 25 * time.Millisecond
-	// Settle is how long after an end no request is condemned for it, in a fleet of one region:
+	// SettleTime is how long after an end no request is condemned for it, in a fleet of one region:
 	// two periods of reports, in which all that ran there is known, and one in which gateways
 	// learn of suspects and report answers.
-	Settle = 250 * time.Millisecond
-	// SettleFar is Settle where reports pass a relay, which holds them for up to 300 ms and is
+	SettleTime = 250 * time.Millisecond
+	// SettleViaRelay is Settle where reports pass a relay, which holds them for up to 300 ms and is
 	// 30 ms away.
-	SettleFar = 700 * time.Millisecond
+	SettleViaRelay = 700 * time.Millisecond
 	// mostSuspects bounds the suspects. The places of 16 large engines.
 	mostSuspects = 1024
 	// mostOfAccount bounds those of one account. The places of two.
@@ -51,11 +51,11 @@
 	Pool    string
 	Server  string // its identifier
 	Address string
-	Ran     time.Duration // from its sending to the end
-	Again   bool          // another attempt of the same arrival was lost before this one began
-	// Serving is whether other servers of the pool gave whole answers lately. While none do, that a
+	RunTime time.Duration // from its sending to the end
+	Retry   bool          // another attempt of the same arrival was lost before this one began
+	// PoolAnswering is whether other servers of the pool gave whole answers lately. While none do, that a
 	// request had none says nothing.
-	Serving bool
+	PoolAnswering bool
 }
 
 // TimedLoss is a loss and when the server ended.
@@ -66,12 +66,12 @@
 
 // Verdict is a request that is condemned.
 type Verdict struct {
-	Key     Key
-	Hint    Hint
-	Account string
-	Pool    string
-	Servers []string // that ended under it, oldest first
-	Chance  float64  // that a request that ends nothing has such a record
+	Key         Key
+	Hint        Hint
+	Account     string
+	Pool        string
+	Servers     []string // that ended under it, oldest first
+	Probability float64  // that a request that ends nothing has such a record
 }
 
 // Evidence is what is known of ends. The zero value is not ready; see [NewEvidence].
@@ -127,7 +127,7 @@
 		e.keys[h.Key], e.explained = true, true
 		return
 	}
-	if !h.Serving {
+	if !h.PoolAnswering {
 		return
 	}
 	e.keys[h.Key] = true
@@ -170,7 +170,7 @@
 
 // after reports whether the run of a loss began after the end of another one.
 func (h keptLoss) after(before keptLoss) bool {
-	return h.Again || h.At-before.At >= max(h.Ran/2, apart)
+	return h.Retry || h.At-before.At >= max(h.RunTime/2, apart)
 }
 
 // makeRoom drops a suspect if there are too many, of the account or in all: the one with the
@@ -222,8 +222,8 @@
 // Clear takes a whole answer to a request: it has ended nothing.
 func (v *Evidence) Clear(k Key) { v.forget(k) }
 
-// Know takes a request that was condemned before, by evidence that is not here.
-func (v *Evidence) Know(e Entry) {
+// AddCondemned takes a request that was condemned before, by evidence that is not here.
+func (v *Evidence) AddCondemned(e Entry) {
 	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Ends)}}
 }
 
@@ -259,9 +259,9 @@
 // Empty reports whether nothing is known against any request.
 func (v *Evidence) Empty() bool { return len(v.suspects) == 0 }
 
-// Known returns the losses of all suspects and condemned requests, oldest first: what another
+// Losses returns the losses of all suspects and condemned requests, oldest first: what another
 // Evidence needs to know as much.
-func (v *Evidence) Known() (all []TimedLoss) {
+func (v *Evidence) Losses() (all []TimedLoss) {
 	for _, s := range v.suspects {
 		for _, h := range s.losses {
 			all = append(all, h.TimedLoss)
--- a/coordination/registry/busy.go
+++ b/coordination/registry/busy.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// LenOf returns the number of backend servers of a pool.
-func (r *Registry) LenOf(pool string) (n int) {
+// PoolSize returns the number of backend servers of a pool.
+func (r *Registry) PoolSize(pool string) (n int) {
 	for at, servers := range r.counts {
 		if at.pool == pool {
 			n += servers
@@ -27,10 +27,10 @@
 	return n
 }
 
-// Busy returns the part of the servers of a group that run something by the sums over all gateways, of the group
+// MaxBusyShare returns the part of the servers of a group that run something by the sums over all gateways, of the group
 // in which it is largest; 1 without any group. group names the one of a pool's servers in a data hall, "" is none.
 // It costs O(loads), not O(servers).
-func (r *Registry) Busy(loads []protocol.ServerLoad, group func(pool, hall string) string) (part float64) {
+func (r *Registry) MaxBusyShare(loads []protocol.ServerLoad, group func(pool, hall string) string) (part float64) {
 	all, busy := map[string]int{}, map[string]int{}
 	for at, servers := range r.counts {
 		all[group(at.pool, at.hall)] += servers
--- a/coordination/registry/handles.go
+++ b/coordination/registry/handles.go
@@ -26,8 +26,8 @@
 // before its process started again.
 func (h *Handles) Space() uint64 { return h.space }
 
-// Of returns the handle of a life, a new one if it has none.
-func (h *Handles) Of(id string) uint32 {
+// Assign returns the handle of a life, a new one if it has none.
+func (h *Handles) Assign(id string) uint32 {
 	if handle, ok := h.byID[id]; ok {
 		return handle
 	}
@@ -36,5 +36,5 @@
 	return h.last
 }
 
-// Forget forgets a life that gateways were told is gone.
-func (h *Handles) Forget(id string) { delete(h.byID, id) }
+// Release forgets a life that gateways were told is gone.
+func (h *Handles) Release(id string) { delete(h.byID, id) }
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -88,9 +88,9 @@
 // Empty reports whether nothing changed.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Gone) == 0 }
 
-// Then returns both changes as one, a later one of a backend server in place of the
+// Merge returns both changes as one, a later one of a backend server in place of the
 // earlier.
-func (c Change) Then(next Change) Change {
+func (c Change) Merge(next Change) Change {
 	switch {
 	case next.Empty():
 		return c
@@ -243,7 +243,7 @@
 // add adds a backend server.
 func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
 	gone := r.occupy(s)
-	e := &entry{Server: protocol.Server{Registration: s, Handle: r.handles.Of(s.ID)}, seq: seq, lastSeen: now}
+	e := &entry{Server: protocol.Server{Registration: s, Handle: r.handles.Assign(s.ID)}, seq: seq, lastSeen: now}
 	r.servers[s.ID], r.byHandle[e.Handle] = e, s.ID
 	r.count(s, 1)
 	name, _ := protocol.SplitLife(s.ID)
@@ -264,7 +264,7 @@
 		r.count(e.Registration, -1)
 		delete(r.servers, id)
 		delete(r.byHandle, e.Handle)
-		r.handles.Forget(id)
+		r.handles.Release(id)
 		if r.byAddress[e.Address] == id {
 			delete(r.byAddress, e.Address)
 		}
@@ -296,9 +296,9 @@
 	return now-r.leaderSince >= completeAfter*r.interval
 }
 
-// Since returns the servers that gateways lack which have a copy's, and the lives that the copy has
+// Diff returns the servers that gateways lack which have a copy's, and the lives that the copy has
 // and this registry does not: they may announce themselves yet.
-func (r *Registry) Since(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
+func (r *Registry) Diff(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
 	for _, s := range r.List(now) {
 		e, listed := c.servers[s.Sent().ID]
 		if !listed || e.Registration != s.Sent() || s.Cold != nil || now < e.coldUntil {
@@ -314,11 +314,11 @@
 	return set, missing
 }
 
-// Missing forgets and returns those of some lives that are not listed.
-func (r *Registry) Missing(lives []string) []string {
+// ForgetUnlisted forgets and returns those of some lives that are not listed.
+func (r *Registry) ForgetUnlisted(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
-		r.handles.Forget(id)
+		r.handles.Release(id)
 	}
 	return missing
 }
--- a/coordination/registry/replicaof.go
+++ b/coordination/registry/replicaof.go
@@ -14,12 +14,12 @@
 
 // This file defines which replica serves a gateway, where several do.
 
-// ReplicaOf returns which of some replicas is to serve a gateway, "" if there is none but those to
+// SelectReplica returns which of some replicas is to serve a gateway, "" if there is none but those to
 // avoid. Those of its data hall go first. Each is given an equal part of the gateways, and one that
 // ends moves only its own.
-func ReplicaOf(places []protocol.Place, hall, gateway string, avoid []string) string {
+func SelectReplica(places []protocol.Place, hall, gateway string, avoid []string) string {
 	places = slices.DeleteFunc(slices.Clone(places), func(p protocol.Place) bool { return slices.Contains(avoid, p.Address) })
-	if StandsIn(places, hall) {
+	if AnyInHall(places, hall) {
 		places = slices.DeleteFunc(places, func(p protocol.Place) bool { return p.Hall != hall })
 	}
 	if len(places) == 0 {
@@ -30,8 +30,8 @@
 	}).Address
 }
 
-// StandsIn reports whether one of some replicas stands in a data hall that is named.
-func StandsIn(places []protocol.Place, hall string) bool {
+// AnyInHall reports whether one of some replicas stands in a data hall that is named.
+func AnyInHall(places []protocol.Place, hall string) bool {
 	return hall != "" && slices.ContainsFunc(places, func(p protocol.Place) bool { return p.Hall == hall })
 }
 
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -120,8 +120,8 @@
 	return dropped
 }
 
-// Drop removes and returns everything that waits, in the order of accounts.
-func (q *Queue) Drop() []*Ticket {
+// DropAll removes and returns everything that waits, in the order of accounts.
+func (q *Queue) DropAll() []*Ticket {
 	var dropped []*Ticket
 	for _, name := range sortedNames(q.accounts) {
 		dropped = append(dropped, q.drop(q.accounts[name])...)
@@ -140,11 +140,11 @@
 }
 
 // Push adds a request. An account that becomes backlogged is lifted. The error
-// is [Full] or [NoAccount].
+// is [QueueFullError] or [UnknownAccountError].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
-		return nil, NoAccount{Account: r.Account}
+		return nil, UnknownAccountError{Account: r.Account}
 	}
 	if err := q.checkRoom(a, r.Bytes); err != nil {
 		return nil, err
@@ -165,13 +165,13 @@
 func (q *Queue) checkRoom(a *account, bytes int64) error {
 	switch {
 	case a.limits.Waiting > 0 && a.waiting >= a.limits.Waiting:
-		return Full{Account: a.name, Limit: "waiting requests of the account", Max: int64(a.limits.Waiting)}
+		return QueueFullError{Account: a.name, Limit: "waiting requests of the account", Max: int64(a.limits.Waiting)}
 	case a.limits.Bytes > 0 && a.bytes+bytes > a.limits.Bytes:
-		return Full{Account: a.name, Limit: "waiting bytes of the account", Max: a.limits.Bytes}
+		return QueueFullError{Account: a.name, Limit: "waiting bytes of the account", Max: a.limits.Bytes}
 	case q.total.Waiting > 0 && q.waiting >= q.total.Waiting:
-		return Full{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.total.Waiting)}
+		return QueueFullError{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.total.Waiting)}
 	case q.total.Bytes > 0 && q.bytes+bytes > q.total.Bytes:
-		return Full{Account: a.name, Limit: "waiting bytes of the router", Max: q.total.Bytes}
+		return QueueFullError{Account: a.name, Limit: "waiting bytes of the router", Max: q.total.Bytes}
 	}
 	return nil
 }
--- a/coordination/share/report.go
+++ b/coordination/share/report.go
@@ -17,9 +17,9 @@
 	time float64
 }
 
-// SetTime takes the fleet-wide virtual time of an account, which includes
+// SetVirtualTime takes the fleet-wide virtual time of an account, which includes
 // this router's reports up to number seq, and adds what came after.
-func (q *Queue) SetTime(name string, time float64, seq uint64) {
+func (q *Queue) SetVirtualTime(name string, time float64, seq uint64) {
 	a := q.accounts[name]
 	if a == nil {
 		return
@@ -41,9 +41,9 @@
 // Lift returns the highest value that SetLift took.
 func (q *Queue) Lift() float64 { return q.lift }
 
-// Times returns how far the virtual times are above the lift, without what was
+// VirtualTimes returns how far the virtual times are above the lift, without what was
 // not reported yet, of all accounts that have any, in the order of names.
-func (q *Queue) Times() []protocol.AccountView {
+func (q *Queue) VirtualTimes() []protocol.AccountView {
 	var out []protocol.AccountView
 	for _, name := range sortedNames(q.accounts) {
 		a := q.accounts[name]
@@ -98,15 +98,15 @@
 	return out
 }
 
-// Changed reports whether TakeChanges would return anything.
-func (q *Queue) Changed() bool { return len(q.changed) > 0 }
+// HasChanges reports whether TakeChanges would return anything.
+func (q *Queue) HasChanges() bool { return len(q.changed) > 0 }
 
-// Unreported reports whether some account has waiting work that the allocator
+// HasUnreportedWork reports whether some account has waiting work that the allocator
 // lacks, so that no slot will come for it: at least twice as much waits as was
 // reported. Reporting every request would cost a message each while much waits;
 // reporting only when the allocator counts none would let the second of two
 // requests wait for the next full report.
-func (q *Queue) Unreported() bool {
+func (q *Queue) HasUnreportedWork() bool {
 	for _, a := range q.changed {
 		if a.waiting > 0 && a.waiting >= 2*a.reported {
 			return true
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -19,7 +19,7 @@
 	var servers []slots.Server
 	for _, name := range sortedKeys(f.servers) {
 		s := f.servers[name]
-		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Extra: f.shape.pools[s.pool].extra(), Serving: true})
+		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Overcommit: f.shape.pools[s.pool].extra(), Serving: true})
 	}
 	var accounts []slots.Account
 	for _, a := range f.shape.accounts {
@@ -33,7 +33,7 @@
 func (f *fleet) wakeAllocator() {
 	if !f.loop {
 		f.loop = true
-		f.at(max(f.now, f.lastTurn+slots.TurnGap), func() { f.loop = false; f.turn() })
+		f.at(max(f.now, f.lastTurn+slots.MinAllocationInterval), func() { f.loop = false; f.turn() })
 	}
 }
 
@@ -49,7 +49,7 @@
 	f.cpu += time.Since(began)
 	for _, o := range views {
 		r := f.byName[o.Router]
-		f.alloc.Sent(f.now, o, r.count(o.View))
+		f.alloc.RecordSent(f.now, o, r.count(o.View))
 		link := r.link
 		f.after(f.shape.latency, func() {
 			if r.link == link && !r.cut {
--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -17,19 +17,19 @@
 // Pace is how often messages go one way between the allocator and one router,
 // and how many bytes they may take.
 type Pace struct {
-	Short, Long time.Duration // least gaps: before an urgent message, between full ones
-	Budget      float64       // bytes a second; 0 is no budget
-	Burst       float64       // bytes by which urgent messages may overdraw it
+	UrgentInterval, FullInterval time.Duration // least gaps: before an urgent message, between full ones
+	Budget                       float64       // bytes a second; 0 is no budget
+	Burst                        float64       // bytes by which urgent messages may overdraw it
 }
 
 // DefaultPace sends what is urgent every 5 ms and the rest every 250 ms, and
 // stretches that under 2,000 bytes a second.
 // BenchmarkFleet/linen compares paces (docs/design/fair-sharing.md).
-var DefaultPace = Pace{Short: 5 * time.Millisecond, Long: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
+var DefaultPace = Pace{UrgentInterval: 5 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
-// StretchMost is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
-// [ViewLife].
-const StretchMost = 4
+// MaxStretch is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
+// [MaxViewAge].
+const MaxStretch = 4
 
 // Pacer decides when a coalesced message may go. The zero value sends at
 // once, always.
@@ -46,7 +46,7 @@
 	if !p.sent {
 		return 0
 	}
-	return max(p.last+p.Short, p.earned(p.Burst))
+	return max(p.last+p.UrgentInterval, p.earned(p.Burst))
 }
 
 // DueFull returns the earliest time at which a full message may go.
@@ -54,7 +54,7 @@
 	if !p.sent {
 		return 0
 	}
-	return max(p.lastFull+p.Long, min(p.earned(0), p.lastFull+StretchMost*p.Long))
+	return max(p.lastFull+p.FullInterval, min(p.earned(0), p.lastFull+MaxStretch*p.FullInterval))
 }
 
 // earned returns when the debt is down to what is allowed.
@@ -65,8 +65,8 @@
 	return p.last + time.Duration((p.debt-allowed)/p.Budget*float64(time.Second))
 }
 
-// Sent counts a message that went at time now.
-func (p *Pacer) Sent(now time.Duration, bytes int, full bool) {
+// RecordSent counts a message that went at time now.
+func (p *Pacer) RecordSent(now time.Duration, bytes int, full bool) {
 	p.debt = max(p.debt-p.Budget*(now-p.last).Seconds(), 0) + float64(bytes)
 	p.last, p.sent = now, true
 	if full {
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -35,7 +35,7 @@
 					sums[i] = protocol.ServerLoad{Handle: uint32(i + 1), Requests: 30 + n%9, Tokens: 20_000 + n%999}
 				}
 				m, err := protocol.Encode(protocol.Fleet{
-					Gateways: size.gateways, Loads: feed.Next(sums, registry.BudgetOf(false, 0).Loads(size.gateways)), Entitlements: entitlements,
+					Gateways: size.gateways, Loads: feed.Next(sums, registry.NewFleetBudget(false, 0).Loads(size.gateways)), Entitlements: entitlements,
 				})
 				if err != nil {
 					b.Fatal(err)
@@ -151,13 +151,13 @@
 			l.usage.add(s, protocol.Usage{Loads: l.loads(3, i+tick), Demands: l.accounts[:3], Served: l.accounts[:3], Started: 6000})
 		}
 		for i, s := range l.relays {
-			l.usage.add(s, protocol.Usage{Changes: true, Loads: l.loads(registry.SumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
+			l.usage.add(s, protocol.Usage{Changes: true, Loads: l.loads(registry.MaxSumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
 		}
 		l.usage.sum()
-		l.usage.demand.SetBusyFraction(l.registry.Busy(l.usage.total, func(pool, _ string) string { return pool }))
+		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
 		l.usage.demand.Recompute(l.now, 5e6)
 		if _, err := protocol.Encode(protocol.Fleet{
-			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.BudgetOf(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
+			Gateways: len(l.gateways), Loads: l.feed.Next(l.usage.total, registry.NewFleetBudget(true, 125e6).Loads(len(l.gateways)+len(l.relays))),
 			Entitlements: l.usage.demand.Entitlements(),
 		}); err != nil {
 			b.Fatal(err)
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -184,7 +184,7 @@
 		return
 	}
 	now := h.d.replica.Now()
-	h.pending = h.pending.Then(h.registry.ExpireSilent(now))
+	h.pending = h.pending.Merge(h.registry.ExpireSilent(now))
 	h.divideCold(now)
 	completed := !h.complete && h.registry.Complete(now)
 	if completed {
@@ -207,12 +207,12 @@
 		return
 	}
 	names := slices.Sorted(maps.Keys(h.gateways()))
-	change := h.registry.DivideCold(now, names, h.d.state.coldRates())
+	change := h.registry.DivideColdRates(now, names, h.d.state.coldRates())
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
-	h.pending = h.pending.Then(change)
+	h.pending = h.pending.Merge(change)
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
@@ -224,7 +224,7 @@
 		h.registry.Remove(id)
 	}
 	if len(departures) > 0 {
-		h.pending = h.pending.Then(registry.Change{Gone: departures})
+		h.pending = h.pending.Merge(registry.Change{Gone: departures})
 		h.pushChanges(false)
 	}
 }
@@ -261,8 +261,8 @@
 		switch {
 		case h.term == 0:
 			return Unavailable{}
-		case h.registry.Newest(name) != "":
-			id = h.registry.Newest(name)
+		case h.registry.NewestLife(name) != "":
+			id = h.registry.NewestLife(name)
 		}
 		return nil
 	})
@@ -285,6 +285,6 @@
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
 		h.unlogged = append(h.unlogged, s.Registration.Sent())
 	}
-	h.pending = h.pending.Then(change)
+	h.pending = h.pending.Merge(change)
 	return nil
 }
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -51,7 +51,7 @@
 func (h *hub) adoptGateways(r *relay) {
 	now := h.d.replica.Now()
 	h.feed = r.feed
-	set, missing := h.registry.Since(now, &r.list)
+	set, missing := h.registry.Diff(now, &r.list)
 	h.missing = missing
 	m := h.listHead()
 	m.Set = set
@@ -60,7 +60,7 @@
 		h.sendRollouts(s)
 		h.sendQuarantine(s)
 	}
-	h.sendServers(m.Sent(h.registry.Lists))
+	h.sendServers(m.Sent(h.registry.IsListed))
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateways kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
 		slog.Int("missing", len(missing)))
@@ -70,7 +70,7 @@
 // are out of service.
 func (h *hub) listHead() protocol.Servers {
 	if h.relay != nil {
-		return h.relay.list.Head()
+		return h.relay.list.Header()
 	}
 	out, changes := h.d.state.HallsOut()
 	return protocol.Servers{Term: h.term, Space: h.handles.Space(), HallsOut: out, HallChanges: changes}
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -19,7 +19,7 @@
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
 	h.usage.sum()
-	h.usage.demand.SetBusyFraction(h.registry.Busy(h.usage.total, h.engineGroup(held.Document)))
+	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
 	if now < h.fleetDue || len(h.sessions) == 0 {
@@ -59,7 +59,7 @@
 	if !h.spreads() {
 		links = max(links, gateways)
 	}
-	return registry.BudgetOf(h.spreads(), h.d.cfg.LinkRate), links
+	return registry.NewFleetBudget(h.spreads(), h.d.cfg.LinkRate), links
 }
 
 // fleetMessage returns a message with these sums.
@@ -86,6 +86,6 @@
 	h.sharesLogged = now
 	r := h.usage.demand.Rates(loggedAccounts)
 	h.d.cfg.Log.StateChange("shares", slog.Int64("level", r.Level), slog.Int64("extra_level", r.Extra),
-		slog.Int64("started", r.Started), slog.Int64("missed", r.Missed), slog.Int64("hold", r.Hold), slog.Float64("engines_busy", r.Busy), slog.Bool("short", h.usage.demand.Contended()),
+		slog.Int64("started", r.Started), slog.Int64("missed", r.Missed), slog.Int64("hold", r.Hold), slog.Float64("engines_busy", r.BusyFraction), slog.Bool("short", h.usage.demand.Contended()),
 		slog.Any("accounts", r.Accounts))
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -59,14 +59,14 @@
 
 // ServeHTTP serves one caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.calls.Add(1)
-	g.read.Add(1)
-	defer g.calls.Add(-1)
+	g.inFlight.Add(1)
+	g.requestsSinceReport.Add(1)
+	defer g.inFlight.Add(-1)
 	c := &call{g: g, w: w, r: r, arrived: g.now(), head: g.cfg.Headers.DecodeRequest(r)}
 	if g.stopping() > 0 {
 		w.Header().Set("Connection", "close")
 	}
-	defer func() { g.bodies.Add(-int64(len(c.body))) }()
+	defer func() { g.bodyBytes.Add(-int64(len(c.body))) }()
 	err := c.admit()
 	if err == nil {
 		err = c.serve()
@@ -119,7 +119,7 @@
 	if c.account, known = c.rs.account(c.route, c.head.Key); !known {
 		return Refusal{Cause: UnknownKey}
 	}
-	c.pool = c.rs.pools[pickPool(c.route, c.g.random())]
+	c.pool = c.rs.pools[pickPool(c.route, c.g.randomFraction())]
 	return nil
 }
 
@@ -146,7 +146,7 @@
 	}
 	if !c.g.overload.Load().Admits(c.class) {
 		c.countMissed(true)
-		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left(), c.g.random())}
+		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left(), c.g.randomFraction())}
 	}
 	if c.pool.Engine && !c.g.accounts.admits(c.account.Name, c.class) {
 		return Refusal{Cause: BeyondShare, RetryAfter: c.afterShare()}
@@ -163,7 +163,7 @@
 func (c *call) afterShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
 	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.left()}
-	return share.After(c.g.random())
+	return share.After(c.g.randomFraction())
 }
 
 // countStarted counts the request when it gets its first backend server. An attempt that
@@ -188,7 +188,7 @@
 // countTokens counts what became of the request's tokens.
 func (c *call) countTokens(end string) {
 	if c.pool.Engine {
-		c.g.tokens.add(c.account.Name, c.class, end, c.cost)
+		c.g.tokenCounters.add(c.account.Name, c.class, end, c.cost)
 	}
 }
 
@@ -207,7 +207,7 @@
 	if c.r.ContentLength > limit {
 		return Refusal{Cause: BodyTooLarge}
 	}
-	if c.g.bodies.Load()+max(c.r.ContentLength, 0) > c.g.cfg.Bodies {
+	if c.g.bodyBytes.Load()+max(c.r.ContentLength, 0) > c.g.cfg.MaxTotalBodyBytes {
 		c.countMissed(true)
 		return Refusal{Cause: Overloaded, RetryAfter: retry.ShortDelay}
 	}
@@ -216,7 +216,7 @@
 	body, err := readAll(io.LimitReader(c.r.Body, limit+1), c.r.ContentLength)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{}) // the same
 	c.body = body
-	c.g.bodies.Add(int64(len(body)))
+	c.g.bodyBytes.Add(int64(len(body)))
 	switch {
 	case err != nil:
 		return Refusal{Cause: BodyBroken}
@@ -258,11 +258,11 @@
 			return callerLeft{}
 		}
 		c.assigned = a
-		c.g.stats.countVersion(c.pool.Name, &a.tried)
+		c.g.stats.countVersion(c.pool.Name, &a.versionAttempt)
 		out := c.attempt(ctx, a)
 		if out.execution == retry.Answered {
-			if c.relay.success() {
-				c.clear()
+			if c.relay.succeeded() {
+				c.clearSuspicion()
 			}
 			return nil
 		}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -30,7 +30,7 @@
 	// run is refused at once instead: another gateway's servers may take it.
 	outlast time.Duration
 
-	versions versions // the servers' versions that the choice under way is among
+	versionSet versionSet // the servers' versions that the choice under way is among
 
 	accountHomes      []string      // by the document with which the request was taken
 	homes             homes         // by the document in force at the last choice
@@ -59,7 +59,7 @@
 	age        time.Duration // of what is known of other gateways' requests
 	halls      []string      // out of service, where all servers of the pool are
 	homes      Cause         // why its homes let nothing serve it, if so
-	stayed     stayed        // what kept it in its region, if it had a reason to leave
+	stayReason stayReason    // what kept it in its region, if it had a reason to leave
 	backingOff bool          // all asked for more backoff than it waits
 	backoff    time.Duration // until one takes requests again, if so
 }
@@ -71,13 +71,13 @@
 // nil and why. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
-	a, full, found := t.acquireOf(p, now, req, order.first, order.why)
+	versionOrder := t.versionOrder(p, now, &req)
+	a, full, found := t.acquireOf(p, now, req, versionOrder.first, versionOrder.firstReason)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
-	if a != nil || order.second == 0 || (order.ifNone && usable) {
+	if a != nil || versionOrder.second == 0 || (versionOrder.onlyIfNone && usable) {
 		return a, full
 	}
-	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.otherwise)
+	a, other, foundOther := t.acquireOf(p, now, req, versionOrder.second, versionOrder.secondReason)
 	if a == nil && found && !foundOther {
 		return nil, full
 	}
@@ -86,24 +86,24 @@
 
 // acquireOf is acquire among some versions, and reports whether there was a candidate. why is for
 // the log. The caller holds mu.
-func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, full shortage, found bool) {
-	req.versions = among
+func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versionSet, why string) (a *assignment, full shortage, found bool) {
+	req.versionSet = among
 	choice, left := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayed: left.stayed, backingOff: backingOff, backoff: backoff,
+			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayReason: left.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
-			stayed: left.stayed,
+			stayReason: left.stayReason,
 		}, true
 	}
-	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
+	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
 }
 
 // allOut returns the data halls that are out of service, if all servers of the pool that the
@@ -125,14 +125,14 @@
 // that have room, or nil. The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
-	for i, among := range []versions{order.first, order.second} {
-		req.versions = among
-		if among == 0 || (i > 0 && order.ifNone && t.anyUsable(p, now, &req, order.first)) {
+	versionOrder := t.versionOrder(p, now, &req)
+	for i, among := range []versionSet{versionOrder.first, versionOrder.second} {
+		req.versionSet = among
+		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.depart(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, left)
 		}
 	}
 	return nil
@@ -149,10 +149,10 @@
 // candidates returns what is known of some of the pool's servers, for one choice. The caller holds
 // mu.
 func (t *table) candidates(p *pool, servers []*knownServer, now time.Duration, req *requirements) []place.Server {
-	leased := now < t.leased
+	leased := now < t.coldSharesUntil
 	// The only server of a region is not the only one of its pool, which may have a request again.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
-	among := t.versionsFor(p, req)
+	among := t.candidateVersions(p, req)
 	p.viewed = p.viewed[:0]
 	for _, k := range servers {
 		p.viewed = append(p.viewed, t.viewOf(k, now, req, viewing{leased: leased, among: among, alone: alone}))
@@ -162,16 +162,16 @@
 
 // viewing is what is the same for all servers of a view.
 type viewing struct {
-	leased bool     // shares of cold servers are in force
-	among  versions // that the choice is among
-	alone  bool     // the only one of its region, of several in the pool
+	leased bool       // shares of cold servers are in force
+	among  versionSet // that the choice is among
+	alone  bool       // the only one of its region, of several in the pool
 }
 
 // viewOf returns what is known of one server. The caller holds mu.
 func (t *table) viewOf(k *knownServer, now time.Duration, req *requirements, v viewing) place.Server {
 	return place.Server{
 		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersAt,
-		RecentPeak: k.lately.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
+		RecentPeak: k.peakLoad.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
 }
@@ -182,7 +182,7 @@
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
-	case t.hallsOut[k.Hall], v.among&k.versions == 0, !t.mayBeServedAt(req, k):
+	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.mayBeServedAt(req, k):
 		return true
 	}
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
@@ -209,7 +209,7 @@
 
 // viewOfSome is view of the pool's servers with some identifiers. The caller holds mu.
 func (t *table) viewOfSome(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := viewing{leased: now < t.leased, among: t.versionsFor(p, req)}
+	v := viewing{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
 	p.viewed = p.viewed[:0]
 	for _, id := range ids {
 		p.viewed = append(p.viewed, t.viewOf(t.servers[id], now, req, v))
@@ -236,7 +236,7 @@
 	return &assignment{
 		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
 		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
-		trial: k.health.Sent(now), tried: p.begin(k, req, choice, why),
+		trial: k.health.Sent(now), versionAttempt: p.beginAttempt(k, req, choice, why),
 	}
 }
 
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -35,7 +35,7 @@
 	for _, l := range loads {
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.totalLoad = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
-			k.lately = k.lately.With(now, k.totalLoad)
+			k.peakLoad = k.peakLoad.With(now, k.totalLoad)
 			t.unequal = append(t.unequal, k)
 		}
 	}
@@ -46,7 +46,7 @@
 	for _, r := range t.reports {
 		if r.seq == counted {
 			t.subtract(r.loads)
-			t.leased = max(t.leased, r.at+coldstart.Lease)
+			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.Lease)
 			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
 		}
 	}
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -33,8 +33,8 @@
 // maxTallies bounds the tallies of one pool: a few versions on some routes.
 const maxTallies = 256
 
-// of returns the tally of a version on a route. Beyond maxTallies it is one that no report has.
-func (o *outcomes) of(version, route string) *tally {
+// tallyFor returns the tally tallyFor a version on a route. Beyond maxTallies it is one that no report has.
+func (o *outcomes) tallyFor(version, route string) *tally {
 	key := tallyKey{version, route}
 	if t := o.tallies[key]; t != nil {
 		return t
@@ -93,8 +93,8 @@
 	return out, t.obeyed(now)
 }
 
-// barredHere returns the targets that an earlier leader has barred and the newest list has not.
-func (t *table) barredHere() []protocol.Barred {
+// locallyBarred returns the targets that an earlier leader has barred and the newest list has not.
+func (t *table) locallyBarred() []protocol.Barred {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var barred []protocol.Barred
@@ -115,7 +115,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.mistrust.holds(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.isRamping(now))) {
 			return 0
 		}
 	}
@@ -137,7 +137,7 @@
 // countPace counts how long an answer took to begin. Answers of cold servers do not count: they are
 // slow whatever their version is. The caller holds mu.
 func (a *assignment) countPace(now time.Duration, ratio float64) {
-	if c := a.tried.tally; c != nil && !a.entry.cold.Cold(now) {
+	if c := a.versionAttempt.tally; c != nil && !a.entry.cold.Cold(now) {
 		c.paces[rollout.PaceBucket(ratio)]++
 		c.changed = true
 	}
@@ -146,7 +146,7 @@
 // countOutcome counts how an attempt ended. One that had brought nothing when its time was
 // over took that time at least. The caller holds mu.
 func (g *Gateway) countOutcome(p *pool, a *assignment, v outlier.Verdict) {
-	c := a.tried.tally
+	c := a.versionAttempt.tally
 	if c == nil || g.countUnreached(p, a, v) {
 		return
 	}
@@ -157,16 +157,16 @@
 		c.failed++
 	case outlier.NoVerdict:
 		took := g.now() - a.startedAt
-		if !a.answering && took > a.tried.expected && !g.overload.Load().Late(g.now()) {
-			a.countPace(g.now(), float64(took)/float64(a.tried.expected))
+		if !a.answering && took > a.versionAttempt.expectedFirst && !g.overload.Load().Late(g.now()) {
+			a.countPace(g.now(), float64(took)/float64(a.versionAttempt.expectedFirst))
 		}
 		return
 	default:
 		return
 	}
 	c.changed = true
-	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.mistrust = r.mistrust.with(g.now(), a.tried.target, v != outlier.Answered)
+	if r := p.rollout; r.Attempt == a.versionAttempt.attempt {
+		r.breaker = r.breaker.with(g.now(), a.versionAttempt.isTarget, v != outlier.Answered)
 	}
 }
 
@@ -174,17 +174,17 @@
 // the attempt is not counted for that. The caller holds mu.
 func (g *Gateway) countUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.tried.target || r.Attempt != a.tried.attempt {
+	if !a.versionAttempt.isTarget || r.Attempt != a.versionAttempt.attempt {
 		return false
 	}
 	switch {
 	case v == outlier.Answered:
-		if r.unreached.answered(g.now(), a.serverID) {
-			g.table.sortVersionsOf(p)
+		if r.unreached.recordAnswer(g.now(), a.serverID) {
+			g.table.classifyPoolVersions(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
-		r.unreached.add(g.now(), a.serverID, a.tried.tally)
-		g.table.sortVersionsOf(p)
+		r.unreached.add(g.now(), a.serverID, a.versionAttempt.tally)
+		g.table.classifyPoolVersions(p)
 		return true
 	}
 	return false
@@ -194,7 +194,7 @@
 func (p *pool) targets() int {
 	n := 0
 	for _, k := range p.servers {
-		if k.versions&targetVersion != 0 {
+		if k.versionSet&targetVersion != 0 {
 			n++
 		}
 	}
@@ -207,17 +207,17 @@
 	mistrustFor = 2 * time.Second // that the target gets nothing from this gateway
 )
 
-// mistrust is this gateway's own count of bad answers, so that it stops sending to a bad target
+// breaker is this gateway's own count of bad answers, so that it stops sending to a bad target
 // before the leader has added up the reports. The zero value has counted none.
-type mistrust struct {
+type breaker struct {
 	target, old int // bad answers in a row
 	until       time.Duration
 }
 
-func (m mistrust) holds(now time.Duration) bool { return now < m.until }
+func (m breaker) holds(now time.Duration) bool { return now < m.until }
 
 // with returns the mistrust after one more answer.
-func (m mistrust) with(now time.Duration, target, bad bool) mistrust {
+func (m breaker) with(now time.Duration, target, bad bool) breaker {
 	row := &m.old
 	if target {
 		row = &m.target
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -110,8 +110,8 @@
 			}
 			r := x.request("/again/deadly")
 			is.Equal(r.status == 400, condemned)
-			is.Equal(r.took >= quarantine.Decision, !condemned)
-			is.True(r.took <= quarantine.Decision+50*time.Millisecond)
+			is.Equal(r.took >= quarantine.DecisionWait, !condemned)
+			is.True(r.took <= quarantine.DecisionWait+50*time.Millisecond)
 		}, answers(200, "done", 0))
 	}
 }
@@ -138,8 +138,8 @@
 		time.Sleep(time.Second)                        // and it shows that they go on
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
-			x.g.ends.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
-				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, Ran: 50 * time.Millisecond, Serving: true,
+			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
+				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
 			}})
 			x.servers.stop(at)
 			time.Sleep(time.Second)
@@ -166,6 +166,6 @@
 		for range attemptsKept {
 			x.request("/again/")
 		}
-		is.True(x.g.table.serves("plain", "another"))
+		is.True(x.g.table.othersServe("plain", "another"))
 	}, answers(200, "done", time.Millisecond))
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -35,10 +35,10 @@
 	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
-	passed     int // writes to the caller
-	passedAt   time.Duration
-	longestGap time.Duration // between two of them
-	extended   time.Duration // when the write deadline was last moved
+	writes      int // writes to the caller
+	lastWriteAt time.Duration
+	longestGap  time.Duration // between two of them
+	extended    time.Duration // when the write deadline was last moved
 }
 
 // heldAnswer is a whole plain answer.
@@ -48,23 +48,23 @@
 	body   []byte
 }
 
-// plain takes a plain answer: a success goes to the caller once it is whole, a
+// relayPlain takes a relayPlain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
-func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
+func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
-		return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 	}
-	r.c.g.countFirstPart(a, r.c.pool.Engine)
+	r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
 	if len(body) == maxPlain {
 		return r.large(answer, held)
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
-		return outcome{execution: retry.HasRun, cause: "server error", blame: outlier.Faulty, held: held, err: err}
+		return outcome{execution: retry.HasRun, cause: "server error", verdict: outlier.Faulty, held: held, err: err}
 	}
-	r.give(held)
+	r.writeHeld(held)
 	return outcome{execution: retry.Answered}
 }
 
@@ -78,13 +78,13 @@
 	case errors.As(err, new(writeFailed)):
 		return callerGone(err)
 	}
-	return outcome{execution: retry.MayHaveRun, cause: "cut off", blame: outlier.Lost, err: err}
+	return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 }
 
 // callerGone is the outcome of an attempt whose answer could not be written to the
 // caller.
 func callerGone(err error) outcome {
-	return outcome{execution: retry.MayHaveRun, cause: "caller gone", blame: outlier.NoVerdict, err: err}
+	return outcome{execution: retry.MayHaveRun, cause: "caller gone", verdict: outlier.NoVerdict, err: err}
 }
 
 // callerWriter writes to the caller and fails with [writeFailed], so that a copy's error
@@ -106,8 +106,8 @@
 // Error names the cause.
 func (e writeFailed) Error() string { return e.err.Error() }
 
-// give writes a whole answer to the caller.
-func (r *relay) give(h *heldAnswer) {
+// writeHeld writes a whole answer to the caller.
+func (r *relay) writeHeld(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
 	_, _ = r.c.w.Write(h.body) // it fails if the caller has gone, and net/http ends the connection
 }
@@ -129,13 +129,13 @@
 	r.c.w.WriteHeader(status)
 }
 
-// success reports whether the caller was given a success.
-func (r *relay) success() bool {
+// succeeded reports whether the caller was given a succeeded.
+func (r *relay) succeeded() bool {
 	return r.status >= http.StatusOK && r.status < http.StatusMultipleChoices
 }
 
-// stream passes events on as they come, each once it is whole.
-func (r *relay) stream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
+// relayStream passes events on as they come, each once it is whole.
+func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
@@ -145,7 +145,7 @@
 			werr := r.pass(a, answer, buffer[:n], flusher)
 			switch {
 			case werr == errTooLarge:
-				return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Faulty, err: werr}
+				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: werr}
 			case werr != nil:
 				return callerGone(werr)
 			}
@@ -158,7 +158,7 @@
 			err = ctx.Err()
 		}
 		if err != nil {
-			return outcome{execution: retry.MayHaveRun, cause: "stream broken", blame: outlier.Lost, err: err}
+			return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Lost, err: err}
 		}
 	}
 }
@@ -168,7 +168,7 @@
 func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
 	if !a.answering {
-		r.c.g.countFirstPart(a, r.c.pool.Engine)
+		r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	}
 	if !r.headWritten {
 		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
@@ -186,7 +186,7 @@
 		r.partial = r.partial[:0]
 	}
 	if len(r.partial) > 0 {
-		return outcome{execution: retry.MayHaveRun, cause: "stream cut off", blame: outlier.Lost, err: errShort}
+		return outcome{execution: retry.MayHaveRun, cause: "stream cut off", verdict: outlier.Lost, err: errShort}
 	}
 	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
@@ -222,11 +222,11 @@
 	}
 	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
 	now := r.c.g.now()
-	if r.passed > 0 {
-		r.longestGap = max(r.longestGap, now-r.passedAt)
+	if r.writes > 0 {
+		r.longestGap = max(r.longestGap, now-r.lastWriteAt)
 	}
-	r.passed++
-	r.passedAt = now
+	r.writes++
+	r.lastWriteAt = now
 	return nil
 }
 
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -28,11 +28,11 @@
 	ownLoad    place.Work // running there from this gateway; prompts count until their first event
 	totalLoad  place.Work // the same of all gateways, as the leader last sent it
 	othersLoad place.Work // of all but this gateway, as of the table's othersAt
-	lately     place.Peak // of all
+	peakLoad   place.Peak // of all
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
-	versions   versions            // its version, as the pool's rollout has it
+	versionSet versionSet          // its version, as the pool's rollout has it
 	list       uint64              // number of the last whole list that had it, itself or by a change since
 	unlisted   bool                // a complete list of the directory lacked it
 	left       bool                // the pool
@@ -44,18 +44,18 @@
 	site    site
 	now     func() time.Duration // the gateway's clock
 
-	mu       sync.Mutex
-	servers  map[string]*knownServer
-	byHandle map[uint32]*knownServer
-	at       map[string]*knownServer // by address
-	pools    map[string]*pool
-	term     uint64
-	space    uint64 // of the handles
-	lists    uint64 // whole lists taken
-	marked   uint64 // the list that was complete when servers were last marked as unlisted
-	outage   outlier.Outage
-	reports  []report // of this session, newest last
-	othersAt time.Duration
+	mu        sync.Mutex
+	servers   map[string]*knownServer
+	byHandle  map[uint32]*knownServer
+	byAddress map[string]*knownServer // by address
+	pools     map[string]*pool
+	term      uint64
+	space     uint64 // of the handles
+	lists     uint64 // whole lists taken
+	marked    uint64 // the list that was complete when servers were last marked as unlisted
+	outage    outlier.Outage
+	reports   []report // of this session, newest last
+	othersAt  time.Duration
 	// unequal are the servers whose others may differ from all: what this gateway reported is in the
 	// one and not in the other.
 	unequal []*knownServer
@@ -63,11 +63,11 @@
 	// unlistedNotices are those of servers that are not listed now.
 	unlistedNotices map[string]unlistedNotice
 
-	hallsOut    map[string]bool // data halls whose servers get nothing
-	hallChanges uint64          // as of which
-	leased      time.Duration   // until when this gateway's shares of cold servers are in force
+	hallsOut        map[string]bool // data halls whose servers get nothing
+	hallChanges     uint64          // as of which
+	coldSharesUntil time.Duration   // until when this gateway's shares of cold servers are in force
 
-	rollouts    rolloutList      // the newest held
+	rollouts    rolloutListID    // the newest held
 	sharesUntil time.Duration    // until when its shares are in force
 	link        place.LinkBudget // between this gateway's region and others
 	homes       homesIndex       // of the document in force
@@ -75,8 +75,8 @@
 
 // pool is the backend servers of one name with what waits for them.
 type pool struct {
-	servers  []*knownServer // ordered by identifier
-	parts    []part         // the same by region, the gateway's own first; empty without a far side
+	servers  []*knownServer  // ordered by identifier
+	parts    []regionServers // the same by region, the gateway's own first; empty without a far side
 	waiting  []*waiter
 	placer   place.RoomPlacer
 	failures outlier.PoolRate
@@ -114,9 +114,9 @@
 	p.ended = append(p.ended, attemptEnd{server: server, answered: answered})
 }
 
-// serves reports whether other servers of a pool than one gave whole answers lately, as far as
+// othersServe reports whether other servers of a pool than one gave whole answers lately, as far as
 // this gateway has seen; true if it has seen nothing.
-func (t *table) serves(name, but string) bool {
+func (t *table) othersServe(name, but string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answered, all := 0, 0
@@ -135,7 +135,7 @@
 func newTable(gateway, hall string, now func() time.Duration) *table {
 	return &table{
 		gateway: gateway, hall: hall, now: now, servers: map[string]*knownServer{}, byHandle: map[uint32]*knownServer{},
-		at: map[string]*knownServer{}, pools: map[string]*pool{}, unlistedNotices: map[string]unlistedNotice{},
+		byAddress: map[string]*knownServer{}, pools: map[string]*pool{}, unlistedNotices: map[string]unlistedNotice{},
 	}
 }
 
@@ -186,7 +186,7 @@
 	if m.Complete && t.marked != t.lists {
 		t.markUnlisted()
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return joined, left
 }
 
@@ -200,8 +200,8 @@
 	}
 }
 
-// followed returns the term of the leader of whom the gateway last heard.
-func (t *table) followed() uint64 {
+// leaderTerm returns the term of the leader of whom the gateway last heard.
+func (t *table) leaderTerm() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.term
@@ -247,26 +247,26 @@
 	if k != nil && k.Pool == s.Pool {
 		t.leaveAddress(k)
 		if k.Hall != s.Hall {
-			t.pool(k.Pool).leavePart(k)
-			defer t.joinPart(t.pool(k.Pool), k)
+			t.pool(k.Pool).removeFromRegion(k)
+			defer t.addToRegion(t.pool(k.Pool), k)
 		}
 		k.Server, k.list, k.unlisted = s, t.lists, false
 		t.setCold(k)
-		t.byHandle[s.Handle], t.at[s.Address] = k, k
+		t.byHandle[s.Handle], t.byAddress[s.Address] = k, k
 		return false
 	}
 	t.remove(s.ID)
-	if other := t.at[s.Address]; other != nil {
+	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, list: t.lists, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, list: t.lists, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
-	t.servers[s.ID], t.byHandle[s.Handle], t.at[s.Address] = k, k, k
+	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
 	p := t.pool(s.Pool)
-	p.servers = insert(p.servers, k)
+	p.servers = insertServer(p.servers, k)
 	p.ranks.Add(k.ID)
-	t.joinPart(p, k)
+	t.addToRegion(p, k)
 	return true
 }
 
@@ -294,14 +294,14 @@
 	delete(p.paced, k)
 	delete(p.busy, k)
 	k.left = true
-	p.leavePart(k)
+	p.removeFromRegion(k)
 	return true
 }
 
 // leaveAddress forgets that a backend server is at its address, unless another one is.
 func (t *table) leaveAddress(k *knownServer) {
-	if t.at[k.Address] == k {
-		delete(t.at, k.Address)
+	if t.byAddress[k.Address] == k {
+		delete(t.byAddress, k.Address)
 	}
 }
 
@@ -320,7 +320,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remove(id)
-	t.sortVersions()
+	t.classifyVersions()
 }
 
 // size returns how many backend servers are known.
@@ -330,8 +330,8 @@
 	return len(t.servers)
 }
 
-// sizeOf returns how many backend servers of a pool are known.
-func (t *table) sizeOf(pool string) int {
+// poolSize returns how many backend servers of a pool are known.
+func (t *table) poolSize(pool string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.pool(pool).servers)
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -35,7 +35,7 @@
 	end     string
 }
 
-type tokens struct {
+type tokenCounters struct {
 	set *vm.Set
 
 	mu       sync.Mutex // a leaf; guards all below
@@ -43,12 +43,12 @@
 	second   map[tokenKey]int // since the last line of the log
 }
 
-func newTokens(set *vm.Set) *tokens {
-	return &tokens{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
+func newTokenCounters(set *vm.Set) *tokenCounters {
+	return &tokenCounters{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
 }
 
 // add counts tokens of one request.
-func (t *tokens) add(account string, class entitlement.Class, end string, n float64) {
+func (t *tokenCounters) add(account string, class entitlement.Class, end string, n float64) {
 	key := tokenKey{account, class, end}
 	t.mu.Lock()
 	c := t.counters[key]
@@ -63,7 +63,7 @@
 }
 
 // takeSecond returns and clears the sums since the last call.
-func (t *tokens) takeSecond() map[tokenKey]int {
+func (t *tokenCounters) takeSecond() map[tokenKey]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sums := t.second
@@ -122,7 +122,7 @@
 func (g *Gateway) logTokens() {
 	for range sleep.Every(g.ctx, tokensPeriod) {
 		logged := 0
-		for _, a := range byAccount(g.tokens.takeSecond()) {
+		for _, a := range byAccount(g.tokenCounters.takeSecond()) {
 			if len(a.refused) == 0 || logged == loggedAccounts {
 				continue
 			}
@@ -162,6 +162,6 @@
 	metrics.Read(samples)
 	value := func(i int) uint64 { return samples[i].Value.Uint64() }
 	g.cfg.Log.StateChange("process load", milliseconds("delay_ms", g.overload.Load().Delay),
-		slog.Int64("requests", g.calls.Load()), slog.Int64("bodies_bytes", g.bodies.Load()),
+		slog.Int64("requests", g.inFlight.Load()), slog.Int64("bodies_bytes", g.bodyBytes.Load()),
 		slog.Uint64("memory_bytes", value(0)-value(1)), slog.Uint64("goroutines", value(2)), slog.Uint64("collections", value(3)))
 }
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -29,7 +29,7 @@
 // askEach asks some times, with pauses in which no ejection ends.
 func (x *fixture) askEach(times int) {
 	for range times {
-		x.leaseShares()
+		x.renewShares()
 		x.request("/again/1", "Patience", "800")
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -51,8 +51,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
-				x.versionsOf([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
-				x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+				x.setVersions([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
+				x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 				x.askEach(20)
 				is.New(x.t).Equal(x.failedAtTarget() > 0, tt.counts)
 			}, append([]behaviour{old}, tt.target...)...)
@@ -67,11 +67,11 @@
 	c := &tally{}
 	u := unreached{}
 	u.add(time.Second, "a", c)
-	u.answered(time.Second+unreachedAnswers, "a")
+	u.recordAnswer(time.Second+unreachedAnswers, "a")
 	is.Equal(c.failed, uint64(0))
 	u.add(5*time.Second, "a", c)
 	u.add(5*time.Second, "a", c)
-	u.answered(5*time.Second+unreachedAnswers/2, "a")
+	u.recordAnswer(5*time.Second+unreachedAnswers/2, "a")
 	is.Equal(c.failed, uint64(2))
 	is.True(c.changed)
 	u.add(6*time.Second, "a", c)
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -31,22 +31,22 @@
 // (TestGoodVersionUnderAFlood).
 const switchTime = 600 * time.Millisecond
 
-// versions is a set of kinds of server, by their version.
-type versions uint8
+// versionSet is a set of kinds of server, by their version.
+type versionSet uint8
 
 // The kinds. A server that is barred is of none.
 const (
-	oldVersion      versions = 1 << iota // any but the target
-	trialVersion                         // those of the target that a trial goes to
-	targetVersion                        // all of the target
-	replacedVersion                      // replaced by another that is listed
+	oldVersion      versionSet = 1 << iota // any but the target
+	trialVersion                           // those of the target that a trial goes to
+	targetVersion                          // all of the target
+	replacedVersion                        // replaced by another that is listed
 )
 
 // anyVersion is a server of a pool without a rollout, or any that is not replaced.
 const anyVersion = oldVersion | trialVersion | targetVersion
 
-// rolloutList names a list of rollouts.
-type rolloutList struct{ term, seq uint64 }
+// rolloutListID names a list of rollouts.
+type rolloutListID struct{ term, seq uint64 }
 
 // poolRollout is a pool's rollouts, as the directory's newest list has them.
 type poolRollout struct {
@@ -58,7 +58,7 @@
 	barredHere bool               // an earlier leader barred the target, and the list does not
 	oldListed  bool               // a server of the old version is listed, in a hall in service
 	outcomes   outcomes
-	mistrust   mistrust
+	breaker    breaker
 	unreached  unreached
 }
 
@@ -80,22 +80,22 @@
 func (t *table) updateRollouts(m protocol.Rollouts) (changed []protocol.Rollout) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := rolloutList{m.Term, m.Seq}
+	list := rolloutListID{m.Term, m.Seq}
 	if list.term < t.rollouts.term || (list.term == t.rollouts.term && list.seq <= t.rollouts.seq) {
 		return nil
 	}
 	t.rollouts = list
 	for _, next := range m.List {
-		if t.pool(next.Pool).take(t.now(), next) {
+		if t.pool(next.Pool).applyRollout(t.now(), next) {
 			changed = append(changed, next)
 		}
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return changed
 }
 
-// take takes the pool's rollout from a list and reports whether it differs from the one held.
-func (p *pool) take(now time.Duration, next protocol.Rollout) bool {
+// applyRollout takes the pool's rollout from a list and reports whether it differs from the one held.
+func (p *pool) applyRollout(now time.Duration, next protocol.Rollout) bool {
 	r := p.rollout
 	if r == nil {
 		r = &poolRollout{unreached: unreached{}}
@@ -112,7 +112,7 @@
 		next.Barred = append(slices.Clone(next.Barred), next.Target)
 	}
 	if next.Attempt != r.Attempt {
-		r.outcomes, r.mistrust, r.unreached = outcomes{}, mistrust{}, unreached{}
+		r.outcomes, r.breaker, r.unreached = outcomes{}, breaker{}, unreached{}
 	}
 	same := next.Attempt == r.Attempt && next.Target == r.Target && next.Share == r.Share && next.Final == r.Final &&
 		slices.Equal(next.Barred, r.Barred) && slices.Equal(next.Replaced, r.Replaced)
@@ -127,18 +127,18 @@
 	return !same
 }
 
-// sortVersions notes the kind of version of each server in pools that had a rollout, so that no
+// classifyVersions notes the kind of version of each server in pools that had a rollout, so that no
 // choice has to compare names. The caller holds mu.
-func (t *table) sortVersions() {
+func (t *table) classifyVersions() {
 	for _, p := range t.pools {
 		if p.rollout != nil {
-			t.sortVersionsOf(p)
+			t.classifyPoolVersions(p)
 		}
 	}
 }
 
-// sortVersionsOf is sortVersions for one pool, which had a rollout. The caller holds mu.
-func (t *table) sortVersionsOf(p *pool) {
+// classifyPoolVersions is sortVersions for one pool, which had a rollout. The caller holds mu.
+func (t *table) classifyPoolVersions(p *pool) {
 	r := p.rollout
 	other := slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return !slices.Contains(r.Barred, k.Version) && !slices.Contains(r.Replaced, k.Version)
@@ -146,24 +146,24 @@
 	var target []*knownServer
 	r.oldListed = false
 	for _, k := range p.servers {
-		k.versions = 0
+		k.versionSet = 0
 		switch {
 		case slices.Contains(r.Barred, k.Version):
 		case r.Target != "" && k.Version == r.Target:
-			k.versions = targetVersion
+			k.versionSet = targetVersion
 			if t.inService(k) {
 				target = append(target, k)
 			}
 		case other && slices.Contains(r.Replaced, k.Version):
-			k.versions = replacedVersion
+			k.versionSet = replacedVersion
 		default:
-			k.versions = oldVersion
+			k.versionSet = oldVersion
 			r.oldListed = r.oldListed || t.inService(k) && !k.unlisted
 		}
 	}
 	for _, group := range t.trialGroups(r.unreached.others(target)) {
 		for _, k := range trialServers(group, r.Share) {
-			k.versions |= trialVersion
+			k.versionSet |= trialVersion
 		}
 	}
 }
@@ -194,11 +194,11 @@
 	return target[:min(n, len(target))]
 }
 
-// order is which versions a request may go to, one after the other.
-type order struct {
-	first, second  versions // second may be none
-	ifNone         bool     // second only if first has no candidate at all, not for want of room
-	why, otherwise string   // why the request goes there, for the log
+// versionOrder is which versions a request may go to, one after the other.
+type versionOrder struct {
+	first, second             versionSet // second may be none
+	onlyIfNone                bool       // second only if first has no candidate at all, not for want of room
+	firstReason, secondReason string     // why the request goes there, for the log
 }
 
 // Why a request went to a version.
@@ -219,37 +219,37 @@
 // any number of servers.
 const lotParts = float64(1 << 24)
 
-// order returns which versions a request may go to. The caller holds mu.
-func (t *table) order(p *pool, now time.Duration, req *requirements) order {
+// versionOrder returns which versions a request may go to. The caller holds mu.
+func (t *table) versionOrder(p *pool, now time.Duration, req *requirements) versionOrder {
 	r := p.rollout
 	if r != nil {
 		r.engine = req.pool.Engine
 	}
 	switch {
 	case r == nil || !r.underWay():
-		return order{first: anyVersion, why: byNone}
+		return versionOrder{first: anyVersion, firstReason: byNone}
 	case !t.oldReachable(p, req):
-		return order{first: anyVersion, why: byOldGone}
+		return versionOrder{first: anyVersion, firstReason: byOldGone}
 	case r.Final:
-		return order{first: targetVersion, why: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case now >= t.sharesUntil:
-		o := order{first: oldVersion, why: byLease}
+		o := versionOrder{first: oldVersion, firstReason: byLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
-			o.second, o.otherwise = targetVersion, byRetry
+			o.second, o.secondReason = targetVersion, byRetry
 		}
 		return o
-	case r.mistrust.holds(now):
-		return order{first: oldVersion, why: byOwn}
-	case r.moving(now) && lot(req.random) >= r.moved(now):
-		return order{first: oldVersion, why: byRest}
+	case r.breaker.holds(now):
+		return versionOrder{first: oldVersion, firstReason: byOwn}
+	case r.isRamping(now) && lot(req.random) >= r.moved(now):
+		return versionOrder{first: oldVersion, firstReason: byRest}
 	case r.switched:
-		return order{first: targetVersion, why: byAll, second: oldVersion, ifNone: true, otherwise: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
 	case len(req.avoid) > 0:
-		return order{first: oldVersion, why: byRetry}
+		return versionOrder{first: oldVersion, firstReason: byRetry}
 	case lot(req.random) < r.share(req.route.Name):
-		return order{first: trialVersion, why: byShare, second: oldVersion, otherwise: byRoom}
+		return versionOrder{first: trialVersion, firstReason: byShare, second: oldVersion, secondReason: byRoom}
 	}
-	return order{first: oldVersion, why: byRest}
+	return versionOrder{first: oldVersion, firstReason: byRest}
 }
 
 // oldReachable reports whether a server of the old version is listed where the request may be
@@ -260,12 +260,12 @@
 		return p.rollout.oldListed
 	}
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&oldVersion != 0 && t.inService(k) && !k.unlisted && h.may(k.region)
+		return k.versionSet&oldVersion != 0 && t.inService(k) && !k.unlisted && h.may(k.region)
 	})
 }
 
-// moving reports whether requests still move to the target after the switch.
-func (r *poolRollout) moving(now time.Duration) bool {
+// isRamping reports whether requests still move to the target after the switch.
+func (r *poolRollout) isRamping(now time.Duration) bool {
 	return r.switched && r.engine && now < r.fullFrom
 }
 
@@ -287,58 +287,58 @@
 
 // anyUsable reports whether a server of some versions may have the request now. The caller holds
 // mu.
-func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versions) bool {
-	leased := now < t.leased
+func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
+	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
+		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
 	})
 }
 
-// versionsFor returns the versions that a choice is among. Where a request's homes have servers
+// candidateVersions returns the versions that a choice is among. Where a request's homes have servers
 // in service of replaced versions alone, those serve it for as long as they are there. The caller
 // holds mu.
-func (t *table) versionsFor(p *pool, req *requirements) versions {
+func (t *table) candidateVersions(p *pool, req *requirements) versionSet {
 	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
-		return req.versions
+		return req.versionSet
 	}
 	if slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versions&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
+		return k.versionSet&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
 	}) {
-		return req.versions
+		return req.versionSet
 	}
-	return req.versions | replacedVersion
+	return req.versionSet | replacedVersion
 }
 
-// tried is what an attempt counts for, while its pool has a rollout.
-type tried struct {
-	tally    *tally // nil: not counted
-	attempt  uint64 // of the pool's rollouts
-	version  string
-	target   bool
-	why      string
-	expected time.Duration // until the first part of the answer
+// versionAttempt is what an attempt counts for, while its pool has a rollout.
+type versionAttempt struct {
+	tally         *tally // nil: not counted
+	attempt       uint64 // of the pool's rollouts
+	version       string
+	isTarget      bool
+	reason        string
+	expectedFirst time.Duration // until the first part of the answer
 }
 
-// begin counts an attempt that begins.
-func (p *pool) begin(k *knownServer, req *requirements, choice place.Choice, why string) tried {
+// beginAttempt counts an attempt that begins.
+func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) versionAttempt {
 	r := p.rollout
 	if r == nil {
-		return tried{}
+		return versionAttempt{}
 	}
-	t := tried{version: k.Version, why: why, attempt: r.Attempt, target: r.Target != "" && k.Version == r.Target}
+	t := versionAttempt{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
-		t.tally = r.outcomes.of(k.Version, req.route.Name)
+		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
 		t.tally.changed = true
-		t.expected = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
+		t.expectedFirst = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
 	}
 	return t
 }
 
 // logAttrs are the attributes of a request's last line.
-func (t *tried) logAttrs() []slog.Attr {
-	if t.why == "" && t.version == "" {
+func (t *versionAttempt) logAttrs() []slog.Attr {
+	if t.reason == "" && t.version == "" {
 		return nil
 	}
-	return []slog.Attr{slog.String("version", t.version), slog.String("version_for", t.why)}
+	return []slog.Attr{slog.String("version", t.version), slog.String("version_for", t.reason)}
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -195,11 +195,11 @@
 	case protocol.Counted:
 		w.counted = m.Seq
 	case protocol.Fleet:
-		w.g.gateways.Store(int64(max(m.Gateways, 1)))
+		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
 		if !m.Unknown {
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
-			w.g.accounts.setMost(m.Most)
+			w.g.accounts.setMaxRate(m.Most)
 		}
 		w.g.table.updateLoads(w.g.now(), w.counted, m.Loads)
 		w.g.grantAll()
@@ -231,13 +231,13 @@
 	for range w.reportTimes(ctx) {
 		seq++
 		u := w.g.accounts.takeReport()
-		untaken := w.g.queued.untaken(w.g.now())
+		untaken := w.g.acceptBacklog.untaken(w.g.now())
 		w.g.stats.untaken.Add(untaken)
-		u.Unread = unreadOf(u.Demands, untaken, int(w.g.read.Swap(0)))
+		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
-		u.Term = w.g.table.followed() // before what is obeyed, which may be of the next leader
+		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
-		u.Barred = w.g.table.barredHere()
+		u.Barred = w.g.table.locallyBarred()
 		w.g.suspicions.report(w.g.now(), &u)
 		if err := l.Send(ctx, u); err != nil {
 			return // receive fails as well, and logs it
--- a/router/relay.go
+++ b/router/relay.go
@@ -180,7 +180,7 @@
 	r.out += int64(len(b))
 	if r.call.keyed != nil && !r.tooBig {
 		r.keep = append(r.keep, b...)
-		if len(r.keep) > claim.MaxAnswer {
+		if len(r.keep) > claim.MaxAnswerBytes {
 			r.keep, r.tooBig = nil, true
 		}
 	}
@@ -200,7 +200,7 @@
 
 // cost is the cost reached so far.
 func (r *relay) cost() float64 {
-	u := share.Usage{Time: (r.router.now() - r.began).Seconds()}
+	u := share.Usage{BusySeconds: (r.router.now() - r.began).Seconds()}
 	if r.call.engine {
 		u = r.usage()
 	}
