--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -75,7 +75,7 @@
 // not cold.
 type Allowance struct {
 	coldUntil  time.Duration // end of the cold period
-	opensAt    time.Duration // when a gateway without a share may send without limit
+	opensAt    time.Duration // when the limit ends for this gateway
 	share      int           // requests a second
 	startTimes []time.Duration
 }
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -6,7 +6,7 @@
 
 // This file defines Consecutive, the routers' rule: consecutive failures.
 
-// Bounds of a router's ejections.
+// Limits of a router's ejections.
 const (
 	failuresToEject = 3 // consecutive
 	shortestEject   = time.Second
--- a/coordination/overload/pace_test.go
+++ b/coordination/overload/pace_test.go
@@ -18,10 +18,10 @@
 		is := is.New(t)
 		const cost = 2 * time.Millisecond
 		d, p := New(time.Second), Pace{}
-		now, backlog, taken, most := time.Second, time.Duration(0), 0, time.Duration(0)
+		now, backlog, accepted, most := time.Second, time.Duration(0), 0, time.Duration(0)
 		fire := func(offered int) {
 			came := min(offered/int(time.Second/TickPeriod), p.Allowance())
-			taken += came
+			accepted += came
 			backlog = max(backlog+time.Duration(came)*cost-TickPeriod, 0)
 			now += TickPeriod + min(backlog, time.Second)
 			d = d.Tick(now, 0)
@@ -31,12 +31,12 @@
 			fire(offered)
 		}
 		is.True(p.Bounded())
-		taken = 0
+		accepted = 0
 		for range 200 {
 			fire(offered)
 			most = max(most, backlog)
 		}
-		is.True(taken >= 200 && taken <= 200*12) // 10 per tick can be handled
+		is.True(accepted >= 200 && accepted <= 200*12) // 10 per tick can be handled
 		is.True(most < 500*time.Millisecond)
 		for range 300 {
 			fire(100)
@@ -57,19 +57,19 @@
 		is := is.New(t)
 		d, p := New(time.Second), Pace{}
 		var backlog, relays, longest time.Duration
-		fires, taken := time.Second+TickPeriod, 0
+		fires, accepted := time.Second+TickPeriod, 0
 		for now := time.Second; now < 10*time.Second; now += TickPeriod {
 			if now >= fires {
 				d = d.Tick(max(fires, now-TickPeriod), 0)
-				p = p.Next(now, d.Delay, taken)
-				fires, taken = max(fires, now-TickPeriod)+TickPeriod+backlog, 0
+				p = p.Next(now, d.Delay, accepted)
+				fires, accepted = max(fires, now-TickPeriod)+TickPeriod+backlog, 0
 			}
 			offered := usual
 			if now >= 6*time.Second {
 				offered = 3000
 			}
-			for range min(offered/int(time.Second/TickPeriod), p.Allowance()-taken) {
-				taken++
+			for range min(offered/int(time.Second/TickPeriod), p.Allowance()-accepted) {
+				accepted++
 				backlog += refuse
 				if d.Admits(entitlement.Entitled) {
 					relays += serve
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -108,8 +108,8 @@
 	return max(scale(r.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
 }
 
-// AfterOverload returns the same for a caller refused because the gateway's processor is overloaded.
-// Requests within their account's share may return soon, since most other gateways have capacity.
+// AfterOverload returns when a caller refused because the gateway's processor is overloaded should try
+// again. Requests within their account's share may return soon, since most other gateways have capacity.
 func AfterOverload(class entitlement.Class, left time.Duration, random float64) time.Duration {
 	if class <= entitlement.Entitled {
 		return ShortDelay
