--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -51,7 +51,7 @@
 		{"all but one are closed, and that one is full", func(i int, s *Server) { fill(s); s.Closed = i != 2 }, NoRoom},
 		{"all are closed", func(_ int, s *Server) { s.Closed = true }, NoServer},
 		{"all are ejected", func(_ int, s *Server) { s.Health = outlier.Ejected }, NoServer},
-		{"all had it", func(_ int, s *Server) { s.Avoid = true }, NoServer},
+		{"all have failed it", func(_ int, s *Server) { s.Avoid = true }, NoServer},
 	} {
 		for _, engine := range []bool{true, false} {
 			t.Run(fmt.Sprint(tt.name, " engine ", engine), func(t *testing.T) {
