--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -42,7 +42,7 @@
 				is := is.New(x.t)
 				x.joinNorthRegion()
 				x.g.apply(homesDocument(4, tt.route, tt.account))
-				x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
+				x.announce("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 				for range 10 {
 					r := x.request("/again/x", "Patience", "1000")
 					if tt.served != "" {
@@ -73,7 +73,7 @@
 			is := is.New(x.t)
 			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, []string{home}, nil))
-			x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
+			x.announce("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 			hall := home[:1] + "1"
 			x.full(true, hall)
 			r := x.request("/again/x", "Patience", "1000")
@@ -88,7 +88,7 @@
 			is.Equal(r.body, "{\"error\":\"homes-without-server\"}\n")
 			is.Equal(r.took, time.Duration(0))
 			is.Equal(x.servers.count(), 0)
-			x.at("plain", 2, answers(200, "ok", time.Millisecond), hall)
+			x.announce("plain", 2, answers(200, "ok", time.Millisecond), hall)
 			is.Equal(x.request("/again/x").status, 200)
 			is.Equal(x.arrivalsIn(hall), 1)
 		})
@@ -101,11 +101,11 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
-		x.at("plain", 2, fails(forward.NotRun{Err: io.EOF}), "s1")
-		x.at("plain", 2, answers(200, "ok", time.Millisecond), "n1", "nowhere")
+		x.announce("plain", 2, fails(forward.NotRun{Err: io.EOF}), "s1")
+		x.announce("plain", 2, answers(200, "ok", time.Millisecond), "n1", "nowhere")
 		is.Equal(x.request("/again/x", "Patience", "1000").status, 503)
 		is.Equal(x.arrivalsIn("n")+x.arrivalsIn("nowhere"), 0)
-		x.at("plain", 2, streams(piece{text: event(1)}, piece{err: io.ErrUnexpectedEOF}), "s1")
+		x.announce("plain", 2, streams(piece{text: event(1)}, piece{err: io.ErrUnexpectedEOF}), "s1")
 		before := x.servers.count()
 		x.request("/resume/x", "Patience", "1000")
 		is.Equal(x.arrivalsIn("n")+x.arrivalsIn("nowhere"), 0)
@@ -120,8 +120,8 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("plain", 1, answers(200, "ok", 200*time.Millisecond), "n1")
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
+		x.announce("plain", 1, answers(200, "ok", 200*time.Millisecond), "n1")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		var group sync.WaitGroup
 		var running, waiting reply
 		group.Go(func() { running = x.request("/again/x") })
@@ -139,7 +139,7 @@
 		is.Equal([]int{running.status, waiting.status}, []int{200, 200})
 		is.Equal(x.arrivalsIn("s1"), 1)
 
-		x.at("plain", 1, func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 			x.g.apply(homesDocument(x.g.DocumentNumber()+1, []string{"north"}, nil))
 			return nil, forward.NotRun{Err: io.EOF}
 		}, "s1")
@@ -159,7 +159,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		ok := answers(200, "ok", time.Millisecond)
-		x.at("plain", 1, ok, "n1")
+		x.announce("plain", 1, ok, "n1")
 		x.g.apply(homesDocument(4, []string{"north"}, nil))
 		is.Equal(x.request("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
 		fleet, err := topology.New(map[string]string{"n1": "north"})
@@ -168,9 +168,9 @@
 		x.g.table.setSite("north", fleet, 0)
 		x.g.table.mu.Unlock()
 		x.withdraw("plain", 1, "n1")
-		x.at("plain", 1, ok, "nowhere")
+		x.announce("plain", 1, ok, "nowhere")
 		is.Equal(x.request("/again/x").body, "{\"error\":\"homes-without-server\"}\n")
-		x.at("plain", 1, ok, "n1")
+		x.announce("plain", 1, ok, "n1")
 		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.arrivalsIn("n1"), 1)
 	})
@@ -183,7 +183,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "s1")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "n1", "s1")
 		t := x.g.table
 		spend := func(seconds float64) { // of the budget's rate
 			t.mu.Lock()
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -36,7 +36,7 @@
 			x.g.table.mu.Lock()
 			x.g.table.site.linkRate = 1 // nothing comes back by itself
 			x.g.table.mu.Unlock()
-			x.at("plain", 1, tt.does, "s1")
+			x.announce("plain", 1, tt.does, "s1")
 			x.request("/once/x", "Patience", "1000")
 			is.True(x.arrivalsIn("s1") > 0)
 			admits := func(bytes float64) bool {
@@ -55,8 +55,8 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1")
+		x.announce("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		x.g.table.mu.Lock()
 		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
@@ -71,7 +71,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		ago, late := time.Minute, time.Duration(0)
-		x.at("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(10 * time.Millisecond)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			a.Opened = time.Now().Add(-ago)
@@ -118,7 +118,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false)
-		x.at("engines", 1, streams(piece{text: event(1)}), "n1")
+		x.announce("engines", 1, streams(piece{text: event(1)}), "n1")
 		x.full(true, "n1")
 		is.Equal(x.request("/engine/x", "Tokens", "500", "Patience", "1000").status, 503)
 		is.True(x.g.accounts.takeReport().Missed > 0)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -47,8 +47,8 @@
 	return protocol.Server{Registration: protocol.Registration{ID: id, Pool: pool, Address: id, Hall: hall, Slots: 4}}
 }
 
-// at announces servers of a pool in halls, each with the behaviour.
-func (x *fixture) at(pool string, each int, does behaviour, halls ...string) {
+// announce announces servers of a pool in halls, each with the behaviour.
+func (x *fixture) announce(pool string, each int, does behaviour, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	x.servers.mu.Lock()
 	for _, hall := range halls {
@@ -107,8 +107,8 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
+		x.announce("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
 		for i := range 200 {
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
 			is.Equal(x.request("/again/x").status, 200)
@@ -133,7 +133,7 @@
 			x.joinNorthRegion()
 			pool := map[string]string{"/again/x": "plain", "/engine/x": "engines"}[path]
 			ok := streams(piece{text: event(1)})
-			x.at(pool, 2, ok, "n1", "nowhere", "s1")
+			x.announce(pool, 2, ok, "n1", "nowhere", "s1")
 			x.withdraw(pool, 2, "n1")
 			for range 20 {
 				is.Equal(x.request(path, "Shared", "a").status, 200)
@@ -142,7 +142,7 @@
 			x.withdraw(pool, 2, "s1")
 			is.Equal(x.request(path).status, 200)
 			is.Equal(x.arrivalsIn("nowhere"), 1)
-			x.at(pool, 2, ok, "n2", "s1")
+			x.announce(pool, 2, ok, "n2", "s1")
 			for range 20 {
 				is.Equal(x.request(path).status, 200)
 			}
@@ -165,7 +165,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		ok := answers(200, "ok", time.Millisecond)
-		x.at("plain", 2, ok, "n1", "s1")
+		x.announce("plain", 2, ok, "n1", "s1")
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1"}, HallChanges: 1})
 		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.arrivalsIn("s1"), 1)
@@ -174,7 +174,7 @@
 		is.Equal(r.status, 503)
 		is.Equal(r.body, "{\"error\":\"halls-out\"}\n")
 		x.g.table.update(protocol.Servers{Term: 1, HallChanges: 3})
-		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "n1")
+		x.announce("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "n1")
 		for range 40 {
 			x.request("/again/x")
 		}
@@ -183,7 +183,7 @@
 		x.servers.mu.Unlock()
 		is.Equal(x.request("/again/x").status, 200)
 		is.Equal(x.arrivalsIn("n1"), 0) // both are ejected
-		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
+		x.announce("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
 		for range 40 {
 			x.request("/again/x")
 		}
@@ -202,7 +202,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
+		x.announce("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
 		ask := func(header ...string) reply {
 			return x.request("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
 		}
@@ -255,7 +255,7 @@
 			if home != "" {
 				x.g.apply(homesDocument(4, nil, []string{home}))
 			}
-			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+			x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 			ask := func() reply { return x.request("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
 			is.Equal(ask().status, 200)
 			best := x.servers.arrivals[0].Header.Get("Backend")
@@ -298,7 +298,7 @@
 		x.g.table.mu.Lock()
 		x.g.table.site.linkRate = rate
 		x.g.table.mu.Unlock()
-		x.at("plain", 1, answers(200, strings.Repeat("x", 10_000), 60*time.Millisecond), "n1", "s1", "s2")
+		x.announce("plain", 1, answers(200, strings.Repeat("x", 10_000), 60*time.Millisecond), "n1", "s1", "s2")
 		const span = 5 * time.Second
 		var group sync.WaitGroup
 		refused := 0
@@ -330,7 +330,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		opening := 40 * time.Millisecond
-		x.at("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(opening)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			if a != nil {
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -22,7 +22,7 @@
 
 // versionAt announces servers of pool "plain" in a hall that run a version, which they answer.
 func (x *fixture) versionAt(version string, each int, halls ...string) {
-	x.at("plain", each, answers(200, version, time.Millisecond), halls...)
+	x.announce("plain", each, answers(200, version, time.Millisecond), halls...)
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
@@ -104,7 +104,7 @@
 			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
-			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+			x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 			x.askWithBestFull(home[:1])
 		})
 	}
@@ -116,7 +116,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
+		x.announce("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
 		done := make(chan reply)
 		go func() { done <- x.request("/again/x") }()
 		time.Sleep(10 * time.Millisecond)
@@ -136,7 +136,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
+		x.announce("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
 		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
 		is.True(x.arrivalsIn("s1") > 0)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
@@ -161,7 +161,7 @@
 		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
-		x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+		x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 		m := protocol.Servers{Term: 1}
 		for i := range 4 {
 			s := x.g.table.servers[known("engines", "s1", i).ID].Server
@@ -199,7 +199,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
 		t := x.g.table
 		t.mu.Lock()
 		k := t.servers[known("plain", "s1", 0).ID]
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -19,8 +19,8 @@
 func (x *fixture) rollsInTheNorth() {
 	x.joinNorthRegion()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
-	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
-	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n2")
+	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
+	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n2")
 	m := protocol.Servers{Term: 1}
 	for _, k := range x.g.table.servers {
 		s := k.Server
