--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -49,7 +49,7 @@
 				pl.Report(s, Load{Running: 8, Waiting: 8, At: 10 * time.Second})
 			}
 		}, "s3"},
-		{"not to one that is out", func(pl *SlotPlacer, _ []FreeServer) {
+		{"not to an ejected server", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Health.SetSize(4)
 			pl.Index.Sent("s2", p)
 			for pl.Health.Usable(10*time.Second, "s2") {
@@ -57,7 +57,7 @@
 			}
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
-		{"a doubtful cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
+		{"an uncertain cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Index.Take("s2", Event{Seq: 1})
 			pl.Index.Take("s2", Event{Seq: 3, Stored: p}) // event 2 was lost
 			pl.Index.Sent("s1", p[:10])
@@ -86,7 +86,7 @@
 		is.Equal(a, b)
 		spread[a] = true
 	}
-	is.Equal(len(spread), 6) // and not all on one server
+	is.Equal(len(spread), 6) // they are spread over all servers
 }
 
 func TestOldLoadReportFades(t *testing.T) {
@@ -94,7 +94,7 @@
 	pl := NewSlotPlacer(10)
 	c := FreeServer{Server: "s0", Slots: 8}
 	pl.Report("s0", Load{Running: 8, At: 0})
-	pl.Report("s0", Load{Running: 0, At: -time.Second}) // older, dropped
+	pl.Report("s0", Load{Running: 0, At: -time.Second}) // dropped as older
 	is.Equal(pl.load(0, c), 1.0)
 	is.Equal(pl.load(loadHalfLife, c), 0.5)
 }
@@ -105,18 +105,18 @@
 	p := prompt(4, "map sheet 12")
 	x.Take("s", Event{Seq: 5, Stored: p})
 	is.Equal(x.Benefit("s", p), 4.0)
-	x.Take("s", Event{Seq: 5, Evicted: p}) // twice
+	x.Take("s", Event{Seq: 5, Evicted: p}) // duplicate
 	is.Equal(x.Benefit("s", p), 4.0)
 	x.Take("s", Event{Seq: 6, Evicted: p[2:]})
 	is.Equal(x.Benefit("s", p), 2.0)
-	x.Take("s", Event{Seq: 9}) // a gap
+	x.Take("s", Event{Seq: 9}) // gap in the sequence
 	is.Equal(x.Benefit("s", p), 1.0)
 	x.Take("s", Event{Seq: 10, Cleared: true, Stored: p[:1]})
-	is.Equal(x.Benefit("s", p), 1.0) // known again
+	is.Equal(x.Benefit("s", p), 1.0) // certain again
 }
 
-// TestIndexIsBounded sends and evicts at random: the index never holds more
-// than its bound, nor a block without a server.
+// TestIndexIsBounded applies random operations. The index must never exceed its bound or hold a block
+// without a server.
 func TestIndexIsBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		x := NewIndex(20)
@@ -135,7 +135,7 @@
 				t.Fatalf("%d blocks, %d in order", x.Len(), x.order.Len())
 			}
 			for b, el := range x.byBlock {
-				if n := len(el.Value.(*placed).servers); n == 0 || n > serversPerBlock {
+				if n := len(el.Value.(*cachedBlock).servers); n == 0 || n > serversPerBlock {
 					t.Fatalf("block %v has %d servers", b, n)
 				}
 			}
