--- a/decision/decision.go
+++ b/decision/decision.go
@@ -56,7 +56,7 @@
 	second   atomic.Int64 // Unix time
 	routines atomic.Int64 // lines, dropped ones included
 	failures atomic.Int64
-	missed   atomic.Int64 // lines dropped, whatever their class
+	droppedInSecond   atomic.Int64 // lines dropped, whatever their class
 
 	closing sync.Once
 	closed  chan struct{} // by Close
@@ -138,13 +138,13 @@
 	}
 	l.routines.Store(0)
 	l.failures.Store(0)
-	if missed := l.missed.Swap(0); missed > 0 {
+	if missed := l.droppedInSecond.Swap(0); missed > 0 {
 		l.slog.Warn("log lines dropped", "lines", missed)
 	}
 }
 
 func (l *Log) countDropped() {
-	l.missed.Add(1)
+	l.droppedInSecond.Add(1)
 	l.dropped.Inc()
 }
 
@@ -174,18 +174,18 @@
 	for {
 		select {
 		case line := <-l.queue:
-			_, _ = w.Write(l.gather(line)) // see above
+			_, _ = w.Write(l.appendQueued(line)) // see above
 		case <-l.closed:
 			for len(l.queue) > 0 {
-				_, _ = w.Write(l.gather(<-l.queue)) // see above
+				_, _ = w.Write(l.appendQueued(<-l.queue)) // see above
 			}
 			return
 		}
 	}
 }
 
-// gather appends lines that are queued already.
-func (l *Log) gather(lines []byte) []byte {
+// appendQueued appends lines that are queued already.
+func (l *Log) appendQueued(lines []byte) []byte {
 	for len(lines) < maxWrite {
 		select {
 		case next := <-l.queue:
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -35,10 +35,10 @@
 	return strings.Split(strings.TrimSpace(s.b.String()), "\n")
 }
 
-// stuck never takes a byte.
-type stuck struct{ release chan struct{} }
+// blockedWriter never takes a byte.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(b []byte) (int, error) {
+func (s blockedWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
@@ -93,7 +93,7 @@
 func TestStuckReaderDelaysNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := stuck{release: make(chan struct{})}
+		w := blockedWriter{release: make(chan struct{})}
 		set := metrics.NewSet()
 		l := New(w, slog.LevelInfo, DefaultBudget, set)
 		before := time.Now()
--- a/decision/explain.go
+++ b/decision/explain.go
@@ -26,15 +26,15 @@
 	Fields map[string]any
 }
 
-// leadTime is how long before a request's first line changes of state are shown.
-const leadTime = 10 * time.Second
+// stateChangeWindow is how long before a request's first line changes of state are shown.
+const stateChangeWindow = 10 * time.Second
 
 // maxScan bounds a line of a log that is read, in bytes. Longer than maxLine, since files may hold
 // lines of other programs.
 const maxScan = 1 << 20
 
-// meanings explain the cause of a refusal and name what to look at next.
-var meanings = map[string]string{
+// causeExplanations explain the cause of a refusal and name what to look at next.
+var causeExplanations = map[string]string{
 	"no-document":          "the gateway had not heard the first document: see 'directory found' and 'directory lost' on that node",
 	"no-route":             "no route of the document in force has that host and path: compare 'document' with what the operator put",
 	"unknown-key":          "no tenant of the document in force has that key",
@@ -107,8 +107,8 @@
 		if l.Time.After(last) || l.Fields["request"] == request {
 			continue
 		}
-		around := !l.Time.Before(first.Add(-leadTime)) && boxes[l.Box] && l.Fields["request"] == nil && l.concerns(servers)
-		if around || l.tellsOf(keys) {
+		around := !l.Time.Before(first.Add(-stateChangeWindow)) && boxes[l.Box] && l.Fields["request"] == nil && l.mayConcern(servers)
+		if around || l.namesAnyKey(keys) {
 			own = append(own, l)
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 	for _, l := range own {
 		cause, _ := l.Fields["cause"].(string) // none has no meaning
-		if meaning := meanings[cause]; l.Event == "refused" && meaning != "" {
+		if meaning := causeExplanations[cause]; l.Event == "refused" && meaning != "" {
 			fmt.Fprintf(w, "%s: %s\n", cause, meaning)
 		}
 	}
@@ -136,9 +136,9 @@
 	return keys
 }
 
-// tellsOf reports whether the line tells of a request with one of these keys: that it failed, what
+// namesAnyKey reports whether the line tells of a request with one of these keys: that it failed, what
 // servers ended under it, or what was decided of it.
-func (l Line) tellsOf(keys map[string]bool) bool {
+func (l Line) namesAnyKey(keys map[string]bool) bool {
 	if key, ok := l.Fields["key"].(string); ok {
 		return keys[key]
 	}
@@ -164,9 +164,9 @@
 	return own, boxes, servers
 }
 
-// concerns reports whether a change of state may explain a request that was sent
+// mayConcern reports whether a change of state may explain a request that was sent
 // to these backend servers: one about another backend server does not.
-func (l Line) concerns(servers map[string]bool) bool {
+func (l Line) mayConcern(servers map[string]bool) bool {
 	if b, ok := l.Fields["backend"].(string); ok {
 		return servers[b]
 	}
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -22,16 +22,16 @@
 	classifier *entitlement.Classifier
 	served     entitlement.RecentService
 	// Tokens since the last report.
-	demanded map[string]uint64 // by account
-	late     map[string]uint64 // the part of it that came back late
-	began    map[string]int64  // the same of what started; negative: to be taken from what starts next
-	missed   uint64
+	demandedTokens map[string]uint64 // by account
+	lateTokens     map[string]uint64 // the part of it that came back late
+	startedTokens    map[string]int64  // the same of what started; negative: to be taken from what starts next
+	missedTokens   uint64
 }
 
 func newAccounts(now func() time.Duration) *accounts {
 	return &accounts{
-		now: now, classifier: entitlement.NewClassifier(), served: entitlement.RecentService{}, demanded: map[string]uint64{},
-		late: map[string]uint64{}, began: map[string]int64{},
+		now: now, classifier: entitlement.NewClassifier(), served: entitlement.RecentService{}, demandedTokens: map[string]uint64{},
+		lateTokens: map[string]uint64{}, startedTokens: map[string]int64{},
 	}
 }
 
@@ -40,9 +40,9 @@
 func (a *accounts) classify(account string, cost float64, late bool) entitlement.Class {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.demanded[account] += uint64(cost)
+	a.demandedTokens[account] += uint64(cost)
 	if late {
-		a.late[account] += uint64(cost)
+		a.lateTokens[account] += uint64(cost)
 	}
 	return a.classifier.Classify(a.now(), account, cost, late)
 }
@@ -67,7 +67,7 @@
 	defer a.mu.Unlock()
 	a.served.Add(a.now(), account, cost)
 	a.classifier.RecordStart(a.now(), account, cost)
-	a.began[account] += int64(cost)
+	a.startedTokens[account] += int64(cost)
 }
 
 // countNotServed takes back a request that was counted as started and got nothing of an
@@ -76,7 +76,7 @@
 func (a *accounts) countNotServed(account string, cost float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.began[account] -= int64(cost)
+	a.startedTokens[account] -= int64(cost)
 }
 
 // countMissed counts a request that got no backend server: it found no room on engines, or, if the
@@ -87,7 +87,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.missed += uint64(cost)
+	a.missedTokens += uint64(cost)
 }
 
 // compareWaiting orders waiting requests.
@@ -125,11 +125,11 @@
 func (a *accounts) takeReport() protocol.Usage {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	u := protocol.Usage{Demands: takeTokens(a.demanded), Late: takeTokens(a.late), Served: takeTokens(a.began), Missed: a.missed}
+	u := protocol.Usage{Demands: takeTokens(a.demandedTokens), Late: takeTokens(a.lateTokens), Served: takeTokens(a.startedTokens), Missed: a.missedTokens}
 	for _, s := range u.Served {
 		u.Started += s.Tokens // a report that starts something says for whom, see [entitlement.Demand]
 	}
-	a.missed = 0
+	a.missedTokens = 0
 	return u
 }
 
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -17,11 +17,11 @@
 	entry        *knownServer
 	serverID     string
 	address      string
-	tokens       int // that it has to read
+	tokensToRead       int // that it has to read
 	startedAt    time.Duration
 	tokensAhead  int           // tokens in front when it began
-	expected     time.Duration // from its beginning to the first part of the answer
-	untilFirst   time.Duration // from its beginning to the first part of the answer; 0 before
+	expectedFirst     time.Duration // from its beginning to the first part of the answer
+	timeToFirst   time.Duration // from its beginning to the first part of the answer; 0 before
 	connOpenedAt time.Duration // the connection; 0: it got none
 	trial        bool          // of an ejected server
 	tried        tried         // what it counts for, in a pool that had a rollout
@@ -46,21 +46,21 @@
 		return
 	}
 	a.answering = true
-	a.untilFirst = g.now() - a.startedAt
-	a.entry.ownLoad.Tokens -= a.tokens
+	a.timeToFirst = g.now() - a.startedAt
+	a.entry.ownLoad.Tokens -= a.tokensToRead
 	p := g.table.pool(a.entry.Pool)
 	// A gateway that is late itself would take its own lateness for the servers'.
 	if !g.overload.Load().Late(g.now()) {
-		ratio := p.placer.ObserveTimeToFirst(engine, a.tokens+a.tokensAhead, max(a.untilFirst-a.roundTrip, 0))
+		ratio := p.placer.ObserveTimeToFirst(engine, a.tokensToRead+a.tokensAhead, max(a.timeToFirst-a.roundTrip, 0))
 		a.entry.pace.Observe(ratio)
-		p.notePace(a.entry)
+		p.markPaced(a.entry)
 		a.countPace(g.now(), ratio)
 	}
 }
 
-// notePace notes that a server has a pace, unless it has left the pool. The caller holds mu.
-func (p *pool) notePace(k *knownServer) {
-	if !k.pace.Reliable() || k.left {
+// markPaced notes that a server has a pace, unless it has left the pool. The caller holds mu.
+func (p *pool) markPaced(k *knownServer) {
+	if !k.pace.Reliable() || k.removed {
 		return
 	}
 	if p.paced == nil {
@@ -69,10 +69,10 @@
 	p.paced[k] = true
 }
 
-// silentBlame returns the verdict for an attempt that ended because nothing came from
+// silentVerdict returns the verdict for an attempt that ended because nothing came from
 // its backend server, and has the next requests try new connections if that is a kept
 // connection's fault.
-func (g *Gateway) silentBlame(a *assignment) outlier.Verdict {
+func (g *Gateway) silentVerdict(a *assignment) outlier.Verdict {
 	now := g.now()
 	g.table.mu.Lock()
 	v, drop := a.entry.doubt.ObserveSilence(now, a.startedAt, a.connOpenedAt)
@@ -103,7 +103,7 @@
 	k := a.entry
 	k.ownLoad.Requests--
 	if !a.answering {
-		k.ownLoad.Tokens -= a.tokens
+		k.ownLoad.Tokens -= a.tokensToRead
 	}
 	p := g.table.pool(k.Pool)
 	if k.ownLoad.Requests == 0 {
@@ -112,7 +112,7 @@
 	// What reached nobody, or was refused, says nothing of whether the pool answers: while a server
 	// is down, such attempts would soon be all that is kept.
 	if !a.unreached && v != outlier.Refused {
-		p.noteEnd(k.ID, v == outlier.Answered)
+		p.recordEnd(k.ID, v == outlier.Answered)
 	}
 	g.countOutcome(p, a, v)
 	if v == outlier.Refused || v == outlier.Answered {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -30,7 +30,7 @@
 	held        *heldAnswer
 	misdirected bool  // another backend server has the address
 	err         error // nil after retry.Answered only
-	lost        bool  // its connection broke while it ran
+	connectionBroke        bool  // its connection broke while it ran
 	// What the answer said, if one came.
 	status  int
 	backoff time.Duration // for which the backend server wants nothing more
@@ -46,16 +46,16 @@
 	answered := out.execution == retry.Answered
 	silent := c.stall.stop() || forward.Silent(out.err)
 	if silent && !answered && c.r.Context().Err() == nil {
-		out.verdict, out.cause = c.g.silentBlame(a), "silent"
+		out.verdict, out.cause = c.g.silentVerdict(a), "silent"
 	} else if ctx.Err() != nil && !answered {
 		out.verdict = outlier.NoVerdict // the caller left, or the time is over
 		if c.r.Context().Err() == nil && !a.answering && a.connOpenedAt > 0 && a.connOpenedAt < a.startedAt {
-			c.g.silentBlame(a) // nobody is blamed, but its other connections may be silent too
+			c.g.silentVerdict(a) // nobody is blamed, but its other connections may be silent too
 		}
 	}
 	if out.execution == retry.MayHaveRun && out.verdict == outlier.Lost && ctx.Err() == nil {
 		c.lost(a)
-		out.lost = true
+		out.connectionBroke = true
 	}
 	c.counts = c.counts.With(out.execution)
 	sent := len(c.body) + headerBytes(c.r)
@@ -86,7 +86,7 @@
 		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
-	c.g.heed(a, head)
+	c.g.applyNotice(a, head)
 	out := c.answered(ctx, a, answer, head)
 	out.status, out.backoff, out.leaving = answer.Status, head.Backoff, head.Leaving
 	return out
@@ -109,7 +109,7 @@
 
 // outgoing is the request as a backend server gets it.
 func (c *call) outgoing(a *assignment) forward.Call {
-	f := Forwarding{Timeout: c.left(), Server: a.serverID, Account: c.account.Name, LastEventID: c.relay.lastEventID}
+	f := Forwarding{Timeout: c.timeLeft(), Server: a.serverID, Account: c.account.Name, LastEventID: c.relay.lastEventID}
 	return forward.Call{
 		Method: c.r.Method, Path: c.r.RequestURI, Host: c.r.Host,
 		Header: c.g.cfg.Headers.ForwardHeader(c.r.Header, f), Body: c.body,
@@ -131,10 +131,10 @@
 	}
 	if !not.Refused {
 		a.unreached = true
-		return outcome{execution: retry.NotSent, cause: "unreachable", verdict: c.unreachableBlame(), err: err}
+		return outcome{execution: retry.NotSent, cause: "unreachable", verdict: c.unreachableVerdict(), err: err}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(not.Status, not.Header)
-	c.g.heed(a, head)
+	c.g.applyNotice(a, head)
 	out := c.refused(head, err)
 	out.status, out.backoff, out.leaving = not.Status, head.Backoff, head.Leaving
 	return out
@@ -159,20 +159,20 @@
 	return outcome{execution: retry.Refused, cause: "refused", verdict: outlier.Refused, err: err}
 }
 
-// unreachableBlame is what a backend server that could not be connected to is blamed
+// unreachableVerdict is what a backend server that could not be connected to is blamed
 // for: nothing by a gateway that is late itself, whose own processor may have
 // let the time for it run out. Else a flood at one gateway would cost it one
 // backend server after the other.
-func (c *call) unreachableBlame() outlier.Verdict {
+func (c *call) unreachableVerdict() outlier.Verdict {
 	if c.g.overload.Load().Late(c.g.now()) {
 		return outlier.NoVerdict
 	}
 	return outlier.Lost
 }
 
-// next carries out what follows a failed attempt: to try again, or to end the
+// handleFailure carries out what follows a failed attempt: to try again, or to end the
 // request, with an error unless a held answer was given.
-func (c *call) next(ctx context.Context, a *assignment, out outcome) (again bool, err error) {
+func (c *call) handleFailure(ctx context.Context, a *assignment, out outcome) (again bool, err error) {
 	c.g.stats.count("attempts_failed", "cause", out.cause)
 	if c.r.Context().Err() != nil {
 		return false, callerLeft{}
@@ -216,7 +216,7 @@
 	if out.leaving {
 		attrs = append(attrs, slog.Bool("leaving", true))
 	}
-	if out.lost {
+	if out.connectionBroke {
 		attrs = append(attrs, slog.String("key", c.key().String()))
 	}
 	return attrs
@@ -224,11 +224,11 @@
 
 // key identifies the request beyond this arrival. It is made when it is first needed.
 func (c *call) key() quarantine.Key {
-	if c.made == nil {
+	if c.cachedKey == nil {
 		key := quarantine.KeyOf(c.account.Name, c.r.Method, c.r.Host, c.r.RequestURI, c.body)
-		c.made = &key
+		c.cachedKey = &key
 	}
-	return *c.made
+	return *c.cachedKey
 }
 
 // Faults of an answer.
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -20,8 +20,8 @@
 // This file tests what a gateway sends to a backend server that has turned it away and asked
 // for backoff.
 
-// askingForBackoff refuses every call, asks for backoff, and counts.
-func askingForBackoff(backoff time.Duration, calls *atomic.Int64) behaviour {
+// refusesWithBackoff refuses every call, asks for backoff, and counts.
+func refusesWithBackoff(backoff time.Duration, calls *atomic.Int64) behaviour {
 	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		calls.Add(1)
 		h := http.Header{"Id": call.Header["Id"], "Backoff": {backoff.String()}}
@@ -52,7 +52,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.announceServers(tt.pool, askingForBackoff(backoff, &calls), tt.other, tt.other)
+				x.announceServers(tt.pool, refusesWithBackoff(backoff, &calls), tt.other, tt.other)
 				for calls.Load() == 0 {
 					x.request(tt.path, "Patience", "2000")
 					time.Sleep(time.Millisecond)
@@ -82,7 +82,7 @@
 				is := is.New(x.t)
 				path := map[string]string{"plain": "/once/1", "engines": "/engine/1"}[pool]
 				var calls atomic.Int64
-				x.announceServers(pool, askingForBackoff(2*time.Second, &calls), askingForBackoff(3*time.Second, &calls))
+				x.announceServers(pool, refusesWithBackoff(2*time.Second, &calls), refusesWithBackoff(3*time.Second, &calls))
 				for range 10 {
 					x.request(path, "Patience", "9000")
 				}
@@ -105,7 +105,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		refusal := askingForBackoff(3*time.Second, &calls)
+		refusal := refusesWithBackoff(3*time.Second, &calls)
 		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(100 * time.Millisecond)
 			return refusal(ctx, call)
@@ -131,7 +131,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.announceServers("plain", fails(forward.Unknown{Err: errReset}), askingForBackoff(backoff, &calls))
+				x.announceServers("plain", fails(forward.Unknown{Err: errReset}), refusesWithBackoff(backoff, &calls))
 				for calls.Load() == 0 {
 					x.request("/once/1", "Patience", "2000")
 				}
@@ -152,7 +152,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls, sent atomic.Int64
-		refusal := askingForBackoff(3*time.Second, &calls)
+		refusal := refusesWithBackoff(3*time.Second, &calls)
 		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			if sent.Add(1) == 1 {
 				return refusal(ctx, call)
@@ -180,7 +180,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.announceServers("plain", askingForBackoff(3*time.Second, &calls))
+		x.announceServers("plain", refusesWithBackoff(3*time.Second, &calls))
 		ask := func() int64 {
 			x.request("/once/1", "Patience", "2000")
 			return calls.Load()
@@ -217,7 +217,7 @@
 		is.Equal(x.request("/once/1", "Patience", "800").status, 503)
 		is.Equal(calls.Load(), int64(1))
 		is.Equal(x.servers.count(), 1)
-	}, answers(200, "old", time.Millisecond), askingForBackoff(3*time.Second, &calls))
+	}, answers(200, "old", time.Millisecond), refusesWithBackoff(3*time.Second, &calls))
 }
 
 // TestBackoffOfAnAnswerThatRan: a 503 asks for backoff whether it has run the request or not.
@@ -245,7 +245,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.announceServers("plain", askingForBackoff(3*time.Second, &calls), answers(200, "ok", 300*time.Millisecond))
+		x.announceServers("plain", refusesWithBackoff(3*time.Second, &calls), answers(200, "ok", 300*time.Millisecond))
 		done := make(chan reply, 100)
 		for i := range 100 {
 			go func() {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -283,7 +283,7 @@
 			r.Host = "host"
 			c := &call{g: g, r: r, body: body, account: document.Account{Name: "t"}}
 			for b.Loop() {
-				c.made = nil
+				c.cachedKey = nil
 				if err := c.checkQuarantine(); err != nil {
 					b.Fatal(err)
 				}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -51,11 +51,11 @@
 	suspicion quarantine.Entry
 	listed    bool            // suspicion is one
 	losses    int             // of its attempts, those whose connections broke
-	made      *quarantine.Key // nil: it was not needed yet, see [call.key]
+	cachedKey      *quarantine.Key // nil: it was not needed yet, see [call.key]
 }
 
-// defaultBody bounds a body when the document does not, in bytes.
-const defaultBody = 4 << 20
+// defaultMaxBodyBytes bounds a body when the document does not, in bytes.
+const defaultMaxBodyBytes = 4 << 20
 
 // ServeHTTP serves one caller's request.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -141,12 +141,12 @@
 	c.cost = entitlement.Cost(c.head.Prompt.Tokens(), c.head.Prompt.Output)
 	c.class = entitlement.Entitled
 	if c.pool.Engine {
-		c.class = c.g.accounts.classify(c.account.Name, c.cost, c.late())
+		c.class = c.g.accounts.classify(c.account.Name, c.cost, c.isPastObjective())
 		c.countTokens(tokensDemanded)
 	}
 	if !c.g.overload.Load().Admits(c.class) {
 		c.countMissed(true)
-		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.left(), c.g.random())}
+		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.timeLeft(), c.g.random())}
 	}
 	if c.pool.Engine && !c.g.accounts.admits(c.account.Name, c.class) {
 		return Refusal{Cause: BeyondShare, RetryAfter: c.afterShare()}
@@ -154,15 +154,15 @@
 	return nil
 }
 
-// late reports whether the request came back after its objective, so that no answer can
+// isPastObjective reports whether the request came back after its objective, so that no answer can
 // be in time.
-func (c *call) late() bool { return c.route.Objective > 0 && c.spent >= c.route.Objective }
+func (c *call) isPastObjective() bool { return c.route.Objective > 0 && c.spent >= c.route.Objective }
 
 // afterShare is when the caller should come back with a request that its account's share does not
 // cover.
 func (c *call) afterShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
-	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.left()}
+	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
 	return share.After(c.g.random())
 }
 
@@ -192,8 +192,8 @@
 	}
 }
 
-// left is the time until the deadline; it may be negative.
-func (c *call) left() time.Duration { return c.deadline - c.g.now() }
+// timeLeft is the time until the deadline; it may be negative.
+func (c *call) timeLeft() time.Duration { return c.deadline - c.g.now() }
 
 // readBody reads the body within the bounds of one body and of all together.
 func (c *call) readBody() error {
@@ -202,7 +202,7 @@
 	}
 	limit := c.rs.document.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if c.r.ContentLength > limit {
 		return Refusal{Cause: BodyTooLarge}
@@ -212,7 +212,7 @@
 		return Refusal{Cause: Overloaded, RetryAfter: retry.ShortDelay}
 	}
 	// A writer without deadlines is no error: the server's own still bound the read.
-	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.left()))
+	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(c.timeLeft()))
 	body, err := readAll(io.LimitReader(c.r.Body, limit+1), c.r.ContentLength)
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Time{}) // the same
 	c.body = body
@@ -240,12 +240,12 @@
 // nothing more may be tried. The error is a [Refusal], a [brokenAnswer] or a
 // [callerLeft].
 func (c *call) serve() error {
-	ctx, cancel := context.WithTimeout(c.r.Context(), c.left())
+	ctx, cancel := context.WithTimeout(c.r.Context(), c.timeLeft())
 	defer cancel()
 	c.avoid = map[string]bool{}
 	c.relay = &relay{c: c}
 	for {
-		a, err := c.takeServer(ctx)
+		a, err := c.acquireServer(ctx)
 		if err != nil && c.relay.headWritten {
 			return brokenAnswer{err: err} // after the head no other answer can follow
 		}
@@ -266,7 +266,7 @@
 			}
 			return nil
 		}
-		if again, err := c.next(ctx, a, out); !again {
+		if again, err := c.handleFailure(ctx, a, out); !again {
 			return err
 		}
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -26,9 +26,9 @@
 	avoid      map[string]bool // backend servers that had the request already
 	gateways   int
 	random     float64 // from 0 to 1
-	// outlast is how long a backoff of all servers may be for the request to wait for its end. What has not
+	// maxBackoff is how long a backoff of all servers may be for the request to wait for its end. What has not
 	// run is refused at once instead: another gateway's servers may take it.
-	outlast time.Duration
+	maxBackoff time.Duration
 
 	versions versions // the servers' versions that the choice under way is among
 
@@ -52,64 +52,64 @@
 type shortage struct {
 	serverID   string
 	bound      place.Bound
-	requests   int
-	tokens     int
+	serverRequests   int
+	serverTokens     int
 	slowness   float64
 	learned    place.Learned
-	age        time.Duration // of what is known of other gateways' requests
-	halls      []string      // out of service, where all servers of the pool are
-	homes      Cause         // why its homes let nothing serve it, if so
+	loadAge        time.Duration // of what is known of other gateways' requests
+	hallsOut      []string      // out of service, where all servers of the pool are
+	homesCause      Cause         // why its homes let nothing serve it, if so
 	stayed     stayed        // what kept it in its region, if it had a reason to leave
 	backingOff bool          // all asked for more backoff than it waits
 	backoff    time.Duration // until one takes requests again, if so
 }
 
 // final reports whether waiting is of no use.
-func (s *shortage) final() bool { return len(s.halls) > 0 || s.homes != "" || s.backingOff }
+func (s *shortage) final() bool { return len(s.hallsOut) > 0 || s.homesCause != "" || s.backingOff }
 
 // acquire returns the backend server that suits the request best if it has room, or
 // nil and why. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
 	order := t.order(p, now, &req)
-	a, full, found := t.acquireOf(p, now, req, order.first, order.why)
+	a, full, found := t.acquireAmong(p, now, req, order.first, order.why)
 	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
 	if a != nil || order.second == 0 || (order.ifNone && usable) {
 		return a, full
 	}
-	a, other, foundOther := t.acquireOf(p, now, req, order.second, order.otherwise)
+	a, other, foundOther := t.acquireAmong(p, now, req, order.second, order.otherwise)
 	if a == nil && found && !foundOther {
 		return nil, full
 	}
 	return a, other
 }
 
-// acquireOf is acquire among some versions, and reports whether there was a candidate. why is for
+// acquireAmong is acquire among some versions, and reports whether there was a candidate. why is for
 // the log. The caller holds mu.
-func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, full shortage, found bool) {
+func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, full shortage, found bool) {
 	req.versions = among
 	choice, left := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayed: left.stayed, backingOff: backingOff, backoff: backoff,
+			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayed: left.stayed, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
-			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
-			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
+			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
+			slowness: choice.Slowness, learned: p.placer.Learned(), loadAge: now - t.othersUpdatedAt,
 			stayed: left.stayed,
 		}, true
 	}
 	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
 }
 
-// allOut returns the data halls that are out of service, if all servers of the pool that the
+// blockingHalls returns the data halls that are out of service, if all servers of the pool that the
 // request's homes allow are in them: then nothing can be served until an operator puts one
 // back. The caller holds mu.
-func (t *table) allOut(p *pool, req *requirements) []string {
+func (t *table) blockingHalls(p *pool, req *requirements) []string {
 	if len(t.hallsOut) == 0 || len(p.servers) == 0 {
 		return nil
 	}
@@ -153,24 +153,24 @@
 	// The only server of a region is not the only one of its pool, which may have a request again.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
 	among := t.versionsFor(p, req)
-	p.viewed = p.viewed[:0]
+	p.candidateBuf = p.candidateBuf[:0]
 	for _, k := range servers {
-		p.viewed = append(p.viewed, t.viewOf(k, now, req, viewing{leased: leased, among: among, alone: alone}))
+		p.candidateBuf = append(p.candidateBuf, t.candidate(k, now, req, candidateContext{leased: leased, among: among, alone: alone}))
 	}
-	return p.viewed
+	return p.candidateBuf
 }
 
-// viewing is what is the same for all servers of a view.
-type viewing struct {
+// candidateContext is what is the same for all servers of a view.
+type candidateContext struct {
 	leased bool     // shares of cold servers are in force
 	among  versions // that the choice is among
 	alone  bool     // the only one of its region, of several in the pool
 }
 
-// viewOf returns what is known of one server. The caller holds mu.
-func (t *table) viewOf(k *knownServer, now time.Duration, req *requirements, v viewing) place.Server {
+// candidate returns what is known of one server. The caller holds mu.
+func (t *table) candidate(k *knownServer, now time.Duration, req *requirements, v candidateContext) place.Server {
 	return place.Server{
-		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersAt,
+		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersUpdatedAt,
 		RecentPeak: k.peakLoad.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
@@ -178,7 +178,7 @@
 
 // closed reports whether a server gets nothing of the request now, whatever else there is. The caller
 // holds mu.
-func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v viewing) bool {
+func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v candidateContext) bool {
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
@@ -200,21 +200,21 @@
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
-	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.viewOfSome(p, ids, now, req), p.typicalPace())
+	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalPace())
 	if ok {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, ids[c.Index], compareID)
 	}
 	return c, ok
 }
 
-// viewOfSome is view of the pool's servers with some identifiers. The caller holds mu.
-func (t *table) viewOfSome(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := viewing{leased: now < t.coldSharesUntil, among: t.versionsFor(p, req)}
-	p.viewed = p.viewed[:0]
+// candidatesByID is view of the pool's servers with some identifiers. The caller holds mu.
+func (t *table) candidatesByID(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
+	v := candidateContext{leased: now < t.coldSharesUntil, among: t.versionsFor(p, req)}
+	p.candidateBuf = p.candidateBuf[:0]
 	for _, id := range ids {
-		p.viewed = append(p.viewed, t.viewOf(t.servers[id], now, req, v))
+		p.candidateBuf = append(p.candidateBuf, t.candidate(t.servers[id], now, req, v))
 	}
-	return p.viewed
+	return p.candidateBuf
 }
 
 // typicalPace returns the median pace of the pool's servers. It costs O(servers that answered).
@@ -234,8 +234,8 @@
 	p.markBusy(k)
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
-		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
-		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
+		entry: k, serverID: k.ID, address: k.Address, tokensToRead: choice.Read, startedAt: now,
+		tokensAhead: choice.Before.Tokens, expectedFirst: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
 		trial: k.health.Sent(now), tried: p.begin(k, req, choice, why),
 	}
 }
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -19,15 +19,15 @@
 // A server that has ended refuses new connections, so the gateway tries one.
 
 const (
-	// endGathers is how long after the first broken connection to a server the gateway tries a
+	// endProbeDelay is how long after the first broken connection to a server the gateway tries a
 	// new one: its others break meanwhile. In the logs of servers that ended, those of up to 34
 	// requests broke within 5 ms.
-	endGathers = 20 * time.Millisecond
-	// endTry bounds that try. As for a connection that carries a request.
-	endTry = 350 * time.Millisecond
-	// mostLogged is how many keys the log line of an end has. With all 64 requests of a large
+	endProbeDelay = 20 * time.Millisecond
+	// endProbeTimeout bounds that try. As for a connection that carries a request.
+	endProbeTimeout = 350 * time.Millisecond
+	// maxLoggedKeys is how many keys the log line of an end has. With all 64 requests of a large
 	// engine it stays under the length at which lines are dropped.
-	mostLogged = 64
+	maxLoggedKeys = 64
 )
 
 // endDetector gathers the requests whose connections broke, by backend server.
@@ -35,11 +35,11 @@
 	g *Gateway
 
 	mu   sync.Mutex                        // a leaf
-	lost map[string][]quarantine.TimedLoss // of servers that are being tried
+	pendingLosses map[string][]quarantine.TimedLoss // of servers that are being tried
 }
 
 func newEndDetector(g *Gateway) *endDetector {
-	return &endDetector{g: g, lost: map[string][]quarantine.TimedLoss{}}
+	return &endDetector{g: g, pendingLosses: map[string][]quarantine.TimedLoss{}}
 }
 
 // add takes a request whose connection broke while it ran, and begins to find out whether its
@@ -47,10 +47,10 @@
 func (e *endDetector) add(h quarantine.TimedLoss) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, tried := e.lost[h.Server]
-	e.lost[h.Server] = append(e.lost[h.Server], h)
+	_, tried := e.pendingLosses[h.Server]
+	e.pendingLosses[h.Server] = append(e.pendingLosses[h.Server], h)
 	if !tried {
-		go e.try(h.Pool, h.Server, h.Address)
+		go e.probe(h.Pool, h.Server, h.Address)
 	}
 }
 
@@ -58,22 +58,22 @@
 func (e *endDetector) forget(k quarantine.Key) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for server, lost := range e.lost {
-		e.lost[server] = slices.DeleteFunc(lost, func(h quarantine.TimedLoss) bool { return h.Key == k })
+	for server, lost := range e.pendingLosses {
+		e.pendingLosses[server] = slices.DeleteFunc(lost, func(h quarantine.TimedLoss) bool { return h.Key == k })
 	}
 }
 
-// try tries whether a server has ended.
-func (e *endDetector) try(pool, server, address string) {
-	if !sleep.For(e.g.ctx, endGathers) {
+// probe tries whether a server has ended.
+func (e *endDetector) probe(pool, server, address string) {
+	if !sleep.For(e.g.ctx, endProbeDelay) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(e.g.ctx, endTry)
+	ctx, cancel := context.WithTimeout(e.g.ctx, endProbeTimeout)
 	defer cancel()
 	refuses := e.g.cfg.Server.Refuses(ctx, address)
 	e.mu.Lock()
-	lost := e.lost[server]
-	delete(e.lost, server)
+	lost := e.pendingLosses[server]
+	delete(e.pendingLosses, server)
 	e.mu.Unlock()
 	if !refuses {
 		return
@@ -81,7 +81,7 @@
 	e.g.stats.count("backends_ended", "pool", pool)
 	e.g.suspicions.add(e.g.now(), lost)
 	var keys []string
-	for _, h := range lost[:min(len(lost), mostLogged)] {
+	for _, h := range lost[:min(len(lost), maxLoggedKeys)] {
 		keys = append(keys, h.Key.String())
 	}
 	e.g.cfg.Log.StateChange("backend ended", slog.String("backend", server), slog.String("pool", pool),
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -30,7 +30,7 @@
 	BeyondShare       Cause = "beyond-share"       // no room beyond the account's share - retry.After
 	NoServer          Cause = "no-backend"         // none is known or could be reached - retry.After
 	NoBudget          Cause = "no-retry-budget"    // refused by a server, too many retries lately - retry.After
-	NotRunThere       Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
+	RefusedByBackends       Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
 	MayHaveRun        Cause = "may-have-run"       // an answer was lost, a second run is not allowed
 	TooLate           Cause = "too-late"           // no answer can come before its deadline
 	HallsOut          Cause = "halls-out"          // all its servers are in halls out of service - retry.Later
@@ -44,8 +44,8 @@
 	Quarantined Cause = "quarantined"
 )
 
-// ownAnswer is how a gateway answers for one cause.
-type ownAnswer struct {
+// errorResponse is how a gateway answers for one cause.
+type errorResponse struct {
 	status int
 	// notRun promises that the request has not run and never will; only then the
 	// answer carries Retry-After.
@@ -55,8 +55,8 @@
 	closes bool
 }
 
-// causes are the answers of all causes: status, notRun, closes.
-var causes = map[Cause]ownAnswer{
+// responsesByCause are the answers of all responsesByCause: status, notRun, closes.
+var responsesByCause = map[Cause]errorResponse{
 	NoDocument:        {http.StatusServiceUnavailable, true, true},
 	Stopping:          {http.StatusServiceUnavailable, true, true},
 	ProcessorOverload: {http.StatusServiceUnavailable, true, true},
@@ -64,7 +64,7 @@
 	BeyondShare:       {http.StatusTooManyRequests, true, false},
 	NoServer:          {http.StatusServiceUnavailable, true, true},
 	NoBudget:          {http.StatusServiceUnavailable, true, true},
-	NotRunThere:       {http.StatusServiceUnavailable, true, true},
+	RefusedByBackends:       {http.StatusServiceUnavailable, true, true},
 	HallsOut:          {http.StatusServiceUnavailable, true, false},
 	BackingOff:        {http.StatusServiceUnavailable, true, true}, // another gateway's servers may take it
 	TooLate:           {http.StatusServiceUnavailable, true, false},
@@ -83,10 +83,10 @@
 	Quarantined: {http.StatusBadRequest, false, false},
 }
 
-// endings are the causes for the policy's endings, but for retry.EndBroken and
+// causesByEnding are the causes for the policy's causesByEnding, but for retry.EndBroken and
 // retry.EndHeld, which are no answers of the gateway's own.
-var endings = map[retry.Ending]Cause{
-	retry.EndTimedOut: TimedOut, retry.EndMayHaveRun: MayHaveRun, retry.EndNoBudget: NoBudget, retry.EndRefused: NotRunThere,
+var causesByEnding = map[retry.Ending]Cause{
+	retry.EndTimedOut: TimedOut, retry.EndMayHaveRun: MayHaveRun, retry.EndNoBudget: NoBudget, retry.EndRefused: RefusedByBackends,
 	retry.EndNoServer: NoServer, retry.EndBeyondShare: BeyondShare, retry.EndOverloaded: Overloaded,
 }
 
@@ -100,7 +100,7 @@
 func (r Refusal) Error() string { return "gateway refused the request: " + string(r.Cause) }
 
 // Status returns the HTTP status.
-func (r Refusal) Status() int { return causes[r.Cause].status }
+func (r Refusal) Status() int { return responsesByCause[r.Cause].status }
 
 // write answers the request. Nothing of an answer may have been written.
 func (r Refusal) write(w http.ResponseWriter) {
@@ -110,7 +110,7 @@
 	if r.RetryAfter > 0 {
 		h.Set("Retry-After", fmt.Sprintf("%.3f", r.RetryAfter.Seconds()))
 	}
-	if causes[r.Cause].closes {
+	if responsesByCause[r.Cause].closes {
 		h.Set("Connection", "close")
 	}
 	w.WriteHeader(r.Status())
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -98,17 +98,17 @@
 	}
 	if s := c.shortage; s.serverID != "" {
 		attrs = append(attrs, slog.String("full", s.serverID), slog.String("full_for", s.bound.String()),
-			slog.Int("full_requests", s.requests), slog.Int("full_tokens", s.tokens), slog.Float64("slowness", s.slowness),
+			slog.Int("full_requests", s.serverRequests), slog.Int("full_tokens", s.serverTokens), slog.Float64("slowness", s.slowness),
 			slog.Float64("tokens_a_ms", s.learned.Rate), slog.Float64("per_slot", s.learned.PerSlot),
-			milliseconds("seen_ms_ago", s.age))
+			milliseconds("seen_ms_ago", s.loadAge))
 	}
 	if out, changes := c.g.table.halls(); len(out) > 0 {
 		attrs = append(attrs, slog.Any("halls_out", out), slog.Uint64("hall_changes", changes))
 	}
 	if a := c.assigned; a != nil {
 		attrs = append(attrs, slog.String("backend", a.serverID), slog.Int("tokens_ahead", a.tokensAhead),
-			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
-			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.untilFirst), milliseconds("expected_ms", a.expected))
+			slog.Int("tokens_read", a.tokensToRead), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
+			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.timeToFirst), milliseconds("expected_ms", a.expectedFirst))
 		attrs = append(attrs, a.tried.logAttrs()...)
 	}
 	attrs = append(attrs, c.regionAttrs()...)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -77,7 +77,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.inOrder(tt.does)
+				x.announceInOrder(tt.does)
 				got := x.request("/" + tt.route + "/x")
 				is.Equal(got.status, tt.status)
 				is.True(strings.Contains(got.body, tt.body))
@@ -91,9 +91,9 @@
 	}
 }
 
-// inOrder announces as many backend servers as there are behaviours; whichever is
+// announceInOrder announces as many backend servers as there are behaviours; whichever is
 // asked first does the first, and so on.
-func (x *fixture) inOrder(does []behaviour) {
+func (x *fixture) announceInOrder(does []behaviour) {
 	var mu sync.Mutex
 	next := 0
 	each := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
@@ -200,7 +200,7 @@
 func TestLeftOverTime(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{hangs, answers(200, "fine", 0)})
+		x.announceInOrder([]behaviour{hangs, answers(200, "fine", 0)})
 		x.request("/again/x", "Patience", "9000")
 		is.Equal(x.servers.arrivals[0].Header.Get("Left"), "3000") // the route's
 		is.Equal(x.servers.arrivals[1].Header.Get("Left"), "2000") // after 2.5 objectives
@@ -241,7 +241,7 @@
 func TestMisplacedBackendIsDropped(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{refuses(http.StatusMisdirectedRequest), answers(200, "fine", 0)})
+		x.announceInOrder([]behaviour{refuses(http.StatusMisdirectedRequest), answers(200, "fine", 0)})
 		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.g.table.size(), 1)
 	})
@@ -288,7 +288,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 10
-		x.inOrder([]behaviour{answers(500, "broken", 0), answers(500, "broken", 0)})
+		x.announceInOrder([]behaviour{answers(500, "broken", 0), answers(500, "broken", 0)})
 		for range 100 {
 			x.request("/again/x")
 		}
@@ -303,7 +303,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 0
-		x.inOrder([]behaviour{refuses(503), refuses(503)})
+		x.announceInOrder([]behaviour{refuses(503), refuses(503)})
 		got := x.request("/once/x")
 		is.Equal(got.status, 503)
 		is.True(strings.Contains(got.body, "no-retry-budget"))
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -20,7 +20,7 @@
 
 func TestGoldenRefusals(t *testing.T) {
 	var got strings.Builder
-	for _, cause := range slices.Sorted(maps.Keys(causes)) {
+	for _, cause := range slices.Sorted(maps.Keys(responsesByCause)) {
 		for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
 			w := httptest.NewRecorder()
 			Refusal{cause, after}.write(w)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -152,8 +152,8 @@
 		time.AfterFunc(50*time.Millisecond, func() {
 			another := x.g.table.servers["p0"].Server
 			another.ID, another.Address = "p1", "10.0.5.1:80"
-			x.servers.behaviours[another.Address] = askingForBackoff(3*time.Second, &calls)
-			x.g.takeNew(another)
+			x.servers.behaviours[another.Address] = refusesWithBackoff(3*time.Second, &calls)
+			x.g.addServer(another)
 		})
 		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
 		is.Equal(calls.Load(), int64(2)) // the new one had it
@@ -163,8 +163,8 @@
 	})
 }
 
-// takeNew takes a server that the directory has added.
-func (g *Gateway) takeNew(s protocol.Server) {
+// addServer takes a server that the directory has added.
+func (g *Gateway) addServer(s protocol.Server) {
 	g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 	g.grantAll()
 }
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -15,12 +15,12 @@
 // This file defines what a gateway reports to run on backend servers, and what it takes of the sums
 // over all gateways.
 
-// reportsKept is how many of the last reports are kept, to be taken from the sums that hold them. 3.2
+// maxReports is how many of the last reports are kept, to be taken from the sums that hold them. 3.2
 // s, above every delay with which sums are used.
-const reportsKept = 32
+const maxReports = 32
 
-// report is what was reported to run here, under its number.
-type report struct {
+// loadReport is what was reported to run here, under its number.
+type loadReport struct {
 	seq   uint64
 	at    time.Duration
 	loads []protocol.ServerLoad
@@ -36,30 +36,30 @@
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.totalLoad = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
 			k.peakLoad = k.peakLoad.With(now, k.totalLoad)
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
-	for _, k := range t.unequal {
+	for _, k := range t.staleOthers {
 		k.othersLoad = k.totalLoad
 	}
-	t.othersAt, t.unequal = now, t.unequal[:0]
+	t.othersUpdatedAt, t.staleOthers = now, t.staleOthers[:0]
 	for _, r := range t.reports {
 		if r.seq == counted {
-			t.subtract(r.loads)
+			t.subtractOwn(r.loads)
 			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.Lease)
 			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
 		}
 	}
 }
 
-// subtract takes what this gateway reported from what runs on all.
-func (t *table) subtract(own []protocol.ServerLoad) {
+// subtractOwn takes what this gateway reported from what runs on all.
+func (t *table) subtractOwn(own []protocol.ServerLoad) {
 	for _, l := range own {
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.othersLoad = place.Work{
 				Requests: max(k.totalLoad.Requests-int(l.Requests), 0), Tokens: max(k.totalLoad.Tokens-int(l.Tokens), 0),
 			}
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
 }
@@ -68,14 +68,14 @@
 func (t *table) takeReport(seq uint64) []protocol.ServerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	loads := t.loads()
-	t.reports = append(t.reports, report{seq: seq, at: t.now(), loads: loads})
-	t.reports = t.reports[max(len(t.reports)-reportsKept, 0):]
+	loads := t.ownLoads()
+	t.reports = append(t.reports, loadReport{seq: seq, at: t.now(), loads: loads})
+	t.reports = t.reports[max(len(t.reports)-maxReports, 0):]
 	return loads
 }
 
-// loads returns what runs on this gateway. The caller holds mu.
-func (t *table) loads() []protocol.ServerLoad {
+// ownLoads returns what runs on this gateway. The caller holds mu.
+func (t *table) ownLoads() []protocol.ServerLoad {
 	var out []protocol.ServerLoad
 	for _, p := range t.pools {
 		for k := range p.busy {
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -13,13 +13,13 @@
 // This file defines how the gateway heeds what backend servers say of further requests. The rules
 // are in coordination/backpressure.
 
-// heed takes what the backend server of an attempt says of further requests. An answer from another
+// applyNotice takes what the backend server of an attempt says of further requests. An answer from another
 // server at its address says nothing of it.
-func (g *Gateway) heed(a *assignment, head AnswerHead) {
+func (g *Gateway) applyNotice(a *assignment, head AnswerHead) {
 	if head.Misdirected || (head.Backoff <= 0 && !head.Leaving) {
 		return
 	}
-	before, after := g.table.heed(a.serverID, head)
+	before, after := g.table.recordNotice(a.serverID, head)
 	if head.Backoff > 0 {
 		g.stats.count("backoffs", "pool", a.entry.Pool)
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-// heed takes what a backend server says, and returns what it had said before and has said now.
-func (t *table) heed(server string, head AnswerHead) (before, after backpressure.Notice) {
+// recordNotice takes what a backend server says, and returns what it had said before and has said now.
+func (t *table) recordNotice(server string, head AnswerHead) (before, after backpressure.Notice) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
@@ -101,7 +101,7 @@
 			continue
 		}
 		left := k.notice.BackoffLeft(now)
-		if left <= req.outlast && !req.avoid[k.ID] {
+		if left <= req.maxBackoff && !req.avoid[k.ID] {
 			return 0, false
 		}
 		soonest = min(soonest, left)
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -90,7 +90,7 @@
 	slices.SortFunc(out, func(a, b protocol.Outcomes) int {
 		return cmp.Or(strings.Compare(a.Pool, b.Pool), strings.Compare(a.Version, b.Version), strings.Compare(a.Route, b.Route))
 	})
-	return out, t.obeyed(now)
+	return out, t.obeyedList(now)
 }
 
 // locallyBarred returns the targets that an earlier leader has barred and the newest list has not.
@@ -107,15 +107,15 @@
 	return barred
 }
 
-// obeyed returns the number of the newest list that is obeyed. None is while shares are not in
+// obeyedList returns the number of the newest list that is obeyedList. None is while shares are not in
 // force, while the list is of an earlier leader, or while this gateway sends a target less than the list gives it: the old servers are
 // needed here then. The caller holds mu.
-func (t *table) obeyed(now time.Duration) uint64 {
+func (t *table) obeyedList(now time.Duration) uint64 {
 	if now >= t.sharesUntil || t.rollouts.term != t.term {
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.isOpen(now) || r.moving(now))) {
 			return 0
 		}
 	}
@@ -147,7 +147,7 @@
 // over took that time at least. The caller holds mu.
 func (g *Gateway) countOutcome(p *pool, a *assignment, v outlier.Verdict) {
 	c := a.tried.tally
-	if c == nil || g.countUnreached(p, a, v) {
+	if c == nil || g.recordUnreached(p, a, v) {
 		return
 	}
 	switch v {
@@ -166,13 +166,13 @@
 	}
 	c.changed = true
 	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.breaker = r.breaker.with(g.now(), a.tried.target, v != outlier.Answered)
+		r.breaker = r.breaker.withAnswer(g.now(), a.tried.target, v != outlier.Answered)
 	}
 }
 
-// countUnreached notes which of several servers of a target cannot be reached, and reports whether
+// recordUnreached notes which of several servers of a target cannot be reached, and reports whether
 // the attempt is not counted for that. The caller holds mu.
-func (g *Gateway) countUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
+func (g *Gateway) recordUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
 	if !a.tried.target || r.Attempt != a.tried.attempt {
 		return false
@@ -182,7 +182,7 @@
 		if r.unreached.answered(g.now(), a.serverID) {
 			g.table.sortVersionsOf(p)
 		}
-	case v == outlier.Lost && a.unreached && p.targets() > 1:
+	case v == outlier.Lost && a.unreached && p.targetCount() > 1:
 		r.unreached.add(g.now(), a.serverID, a.tried.tally)
 		g.table.sortVersionsOf(p)
 		return true
@@ -190,8 +190,8 @@
 	return false
 }
 
-// targets returns how many servers the target has. The caller holds mu.
-func (p *pool) targets() int {
+// targetCount returns how many servers the target has. The caller holds mu.
+func (p *pool) targetCount() int {
 	n := 0
 	for _, k := range p.servers {
 		if k.versions&targetVersion != 0 {
@@ -203,32 +203,32 @@
 
 // Bounds of mistrust.
 const (
-	badInARow   = 4               // of the target's answers; a version that fails 20 % has 4 once in 600
-	mistrustFor = 2 * time.Second // that the target gets nothing from this gateway
+	breakerThreshold   = 4               // of the target's answers; a version that fails 20 % has 4 once in 600
+	breakerOpenTime = 2 * time.Second // that the target gets nothing from this gateway
 )
 
 // breaker is this gateway's own count of bad answers, so that it stops sending to a bad target
 // before the leader has added up the reports. The zero value has counted none.
 type breaker struct {
-	target, old int // bad answers in a row
-	until       time.Duration
+	targetFailures, oldFailures int // bad answers in a row
+	openUntil       time.Duration
 }
 
-func (m breaker) holds(now time.Duration) bool { return now < m.until }
+func (m breaker) isOpen(now time.Duration) bool { return now < m.openUntil }
 
-// with returns the mistrust after one more answer.
-func (m breaker) with(now time.Duration, target, bad bool) breaker {
-	row := &m.old
+// withAnswer returns the mistrust after one more answer.
+func (m breaker) withAnswer(now time.Duration, target, bad bool) breaker {
+	row := &m.oldFailures
 	if target {
-		row = &m.target
+		row = &m.targetFailures
 	}
 	if !bad {
 		*row = 0
 		return m
 	}
 	*row++
-	if m.target >= badInARow && m.old == 0 {
-		m.target, m.until = 0, now+mistrustFor
+	if m.targetFailures >= breakerThreshold && m.oldFailures == 0 {
+		m.targetFailures, m.openUntil = 0, now+breakerOpenTime
 	}
 	return m
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -163,7 +163,7 @@
 			is.Equal(x.request("/again/").status, 200)
 		}
 		x.servers.stop("10.0.5.0:80")
-		for range attemptsKept {
+		for range maxRecentEnds {
 			x.request("/again/")
 		}
 		is.True(x.g.table.othersServe("plain", "another"))
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -37,7 +37,7 @@
 	p := t.pool(req.pool.Name)
 	var a *assignment
 	var full shortage
-	if full.homes = t.homesRefusal(p, &req); !full.final() && !g.outranked(p, req) {
+	if full.homesCause = t.homesRefusal(p, &req); !full.final() && !g.outranked(p, req) {
 		a, full = t.acquire(g.now(), req)
 	}
 	if a != nil || patience <= 0 || full.final() {
@@ -55,13 +55,13 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	}
-	return g.leave(ctx, p, waiting)
+	return g.stopWaiting(ctx, p, waiting)
 }
 
-// leave takes a request out of the queue; it may just have got a backend server. A
+// stopWaiting takes a request out of the queue; it may just have got a backend server. A
 // request that its account's share covers takes any server with room rather than be
 // refused.
-func (g *Gateway) leave(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
+func (g *Gateway) stopWaiting(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
 	p.waiting = slices.DeleteFunc(p.waiting, func(o *waiter) bool { return o == wt })
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -81,7 +81,7 @@
 	defer t.mu.Unlock()
 	for _, k := range t.servers {
 		if slices.Contains(halls, k.Hall) {
-			k.othersLoad, t.othersAt = place.Work{}, t.now()
+			k.othersLoad, t.othersUpdatedAt = place.Work{}, t.now()
 			if is {
 				k.othersLoad = place.Work{Requests: 100, Tokens: 100_000}
 			}
@@ -262,7 +262,7 @@
 			is.True(home != "south" || strings.HasPrefix(best, "s1"))
 			t := x.g.table
 			t.mu.Lock()
-			t.servers[best].othersLoad, t.othersAt = place.Work{Tokens: 30_000}, t.now()
+			t.servers[best].othersLoad, t.othersUpdatedAt = place.Work{Tokens: 30_000}, t.now()
 			t.mu.Unlock()
 			var r reply
 			var group sync.WaitGroup
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -186,7 +186,7 @@
 	best := x.servers.arrivals[0].Header.Get("Backend")
 	t := x.g.table
 	t.mu.Lock()
-	t.servers[best].othersLoad, t.othersAt = place.Work{Tokens: 30_000}, t.now()
+	t.servers[best].othersLoad, t.othersUpdatedAt = place.Work{Tokens: 30_000}, t.now()
 	t.mu.Unlock()
 	is.Equal(ask().status, 200)
 	is.Equal(x.servedIn(best), 1)
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -116,10 +116,10 @@
 		is.Equal(others(77, sum)[0], place.Work{Requests: 10, Tokens: 4000})          // a report that is not known
 		table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{one.Server, two.Server}})
 		is.Equal(others(0)[0], place.Work{}) // a new session begins without sums
-		for n := range uint64(2 * reportsKept) {
+		for n := range uint64(2 * maxReports) {
 			table.takeReport(n)
 		}
-		is.Equal(len(table.reports), reportsKept)
+		is.Equal(len(table.reports), maxReports)
 	})
 }
 
@@ -169,15 +169,15 @@
 		is := is.New(x.t)
 		unreachable := fails(forward.NotRun{Err: errReset})
 		x.announceServers("engines", unreachable, unreachable, streams(piece{text: event(1)}))
-		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedFor(x, 2)).status, 200)
+		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedPartKeptLastBy(x, 2)).status, 200)
 		is.Equal(x.servers.count(), 3)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(700+sharedTokens))
 	})
 }
 
-// sharedFor names a shared part that the engine of that number keeps last: a request with it
+// sharedPartKeptLastBy names a shared part that the engine of that number keeps last: a request with it
 // goes to the others first.
-func sharedFor(x *fixture, last int) string {
+func sharedPartKeptLastBy(x *fixture, last int) string {
 	var servers []place.Server
 	for i := range 3 {
 		servers = append(servers, place.Server{ID: fmt.Sprintf("e%d", i), Slots: 4, SameHall: true})
@@ -224,7 +224,7 @@
 		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
 		is.Equal(x.servers.count(), 0)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(0))
-		is.Equal(len(x.g.table.loads()), 0) // and takes no room
+		is.Equal(len(x.g.table.ownLoads()), 0) // and takes no room
 		ctx = WithCallerLeft(x.t.Context(), func() bool { return false })
 		is.Equal(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").status, 200)
 	})
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -65,7 +65,7 @@
 func TestBrokenStreamIsTakenUp(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
+		x.announceInOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 		is.True(!got.cut)
@@ -78,7 +78,7 @@
 func TestStreamThatEndsInsideAnEventIsBroken(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(6, 3, io.EOF), resuming(6, 0, nil)})
+		x.announceInOrder([]behaviour{resuming(6, 3, io.EOF), resuming(6, 0, nil)})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(6))
 	})
@@ -89,7 +89,7 @@
 func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
+		x.announceInOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
 		got := x.request("/stream/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
@@ -102,7 +102,7 @@
 func TestBrokenStreamWithNobodyLeftIsCut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
+		x.announceInOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(got.cut)
@@ -122,7 +122,7 @@
 func TestStreamBreaksAgain(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
+		x.announceInOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(4))
 		is.True(got.cut) // two backend servers are all that the route allows
@@ -137,7 +137,7 @@
 	}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{silent, resuming(4, 0, nil)})
+		x.announceInOrder([]behaviour{silent, resuming(4, 0, nil)})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(4))
 		is.True(got.took < 700*time.Millisecond)
@@ -159,7 +159,7 @@
 	}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.inOrder([]behaviour{resuming(3, 1, errReset), resumed})
+		x.announceInOrder([]behaviour{resuming(3, 1, errReset), resumed})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(3))
 		is.True(!got.cut)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -33,9 +33,9 @@
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
 	versions   versions            // its version, as the pool's rollout has it
-	list       uint64              // number of the last whole list that had it, itself or by a change since
+	lastList       uint64              // number of the last whole list that had it, itself or by a change since
 	unlisted   bool                // a complete list of the directory lacked it
-	left       bool                // the pool
+	removed       bool                // the pool
 }
 
 type table struct {
@@ -50,15 +50,15 @@
 	byAddress map[string]*knownServer // by address
 	pools     map[string]*pool
 	term      uint64
-	space     uint64 // of the handles
-	lists     uint64 // whole lists taken
-	marked    uint64 // the list that was complete when servers were last marked as unlisted
+	handleSpace     uint64 // of the handles
+	listCount     uint64 // whole lists taken
+	markedList    uint64 // the list that was complete when servers were last marked as unlisted
 	outage    outlier.Outage
-	reports   []report // of this session, newest last
-	othersAt  time.Duration
-	// unequal are the servers whose others may differ from all: what this gateway reported is in the
+	reports   []loadReport // of this session, newest last
+	othersUpdatedAt  time.Duration
+	// staleOthers are the servers whose others may differ from all: what this gateway reported is in the
 	// one and not in the other.
-	unequal []*knownServer
+	staleOthers []*knownServer
 
 	// unlistedNotices are those of servers that are not listed now.
 	unlistedNotices map[string]unlistedNotice
@@ -80,7 +80,7 @@
 	waiting  []*waiter
 	placer   place.RoomPlacer
 	failures outlier.PoolRate
-	viewed   []place.Server // the last view; kept for its memory
+	candidateBuf   []place.Server // the last view; kept for its memory
 	ranks    place.Ranks
 	paced    map[*knownServer]bool // those whose pace counts
 	busy     map[*knownServer]bool // those that this gateway has requests on, and some that had
@@ -88,7 +88,7 @@
 
 	answerBytes float64 // that an answer from another region brings; 0 is unknown
 
-	ended []attemptEnd // the last ones, oldest first
+	recentEnds []attemptEnd // the last ones, oldest first
 }
 
 // attemptEnd is how an attempt ended: with a whole answer, or without.
@@ -98,20 +98,20 @@
 }
 
 const (
-	// attemptsKept is how many of a pool's last attempts tell whether it serves. The places of one
+	// maxRecentEnds is how many of a pool's last attempts tell whether it serves. The places of one
 	// large engine.
-	attemptsKept = 64
-	// servingPart is how many of them one must have been answered of. Is so while three of four
+	maxRecentEnds = 64
+	// servingRatio is how many of them one must have been answered of. Is so while three of four
 	// callers leave early, and is not in an outage.
-	servingPart = 8
+	servingRatio = 8
 )
 
-// noteEnd keeps how an attempt ended. The caller holds mu.
-func (p *pool) noteEnd(server string, answered bool) {
-	if len(p.ended) == attemptsKept {
-		p.ended = p.ended[1:]
+// recordEnd keeps how an attempt ended. The caller holds mu.
+func (p *pool) recordEnd(server string, answered bool) {
+	if len(p.recentEnds) == maxRecentEnds {
+		p.recentEnds = p.recentEnds[1:]
 	}
-	p.ended = append(p.ended, attemptEnd{server: server, answered: answered})
+	p.recentEnds = append(p.recentEnds, attemptEnd{server: server, answered: answered})
 }
 
 // othersServe reports whether other servers of a pool than one gave whole answers lately, as far as
@@ -120,7 +120,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answered, all := 0, 0
-	for _, e := range t.pool(name).ended {
+	for _, e := range t.pool(name).recentEnds {
 		if e.server == but {
 			continue
 		}
@@ -129,7 +129,7 @@
 			answered++
 		}
 	}
-	return answered*servingPart >= all
+	return answered*servingRatio >= all
 }
 
 func newTable(gateway, hall string, now func() time.Duration) *table {
@@ -155,10 +155,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m.Term != t.term {
-		t.followTerm(m.Term)
+		t.startTerm(m.Term)
 	}
-	if space := cmp.Or(m.Space, m.Term); space != t.space {
-		t.space = space
+	if space := cmp.Or(m.Space, m.Term); space != t.handleSpace {
+		t.handleSpace = space
 		clear(t.byHandle)
 		for _, k := range t.servers {
 			k.Handle = 0
@@ -173,26 +173,26 @@
 		}
 	}
 	for _, s := range m.Set {
-		if t.set(s) {
+		if t.upsert(s) {
 			joined = append(joined, s.ID)
 		}
 	}
 	t.setHalls(m)
 	for _, id := range m.Unlisted {
 		if k := t.servers[id]; k != nil {
-			k.list, k.unlisted = 0, true
+			k.lastList, k.unlisted = 0, true
 		}
 	}
-	if m.Complete && t.marked != t.lists {
+	if m.Complete && t.markedList != t.listCount {
 		t.markUnlisted()
 	}
 	t.sortVersions()
 	return joined, left
 }
 
-// followTerm takes that another leader leads, to which all that was seen of rollouts is to be
+// startTerm takes that another leader leads, to which all that was seen of rollouts is to be
 // reported again. The caller holds mu.
-func (t *table) followTerm(term uint64) {
+func (t *table) startTerm(term uint64) {
 	t.term = term
 	t.beginOutcomes()
 	for _, k := range t.servers {
@@ -230,27 +230,27 @@
 // beginSession forgets what was sent in the session before: a whole list opens one, and
 // all sums and numbers of reports begin anew. The caller holds mu.
 func (t *table) beginSession() {
-	t.lists++
+	t.listCount++
 	t.reports = nil
 	t.beginOutcomes()
 	for _, k := range t.servers {
 		if k.totalLoad != (place.Work{}) {
 			k.totalLoad = place.Work{}
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
 }
 
-// set adds or changes a backend server and reports whether it is new.
-func (t *table) set(s protocol.Server) bool {
+// upsert adds or changes a backend server and reports whether it is new.
+func (t *table) upsert(s protocol.Server) bool {
 	k := t.servers[s.ID]
 	if k != nil && k.Pool == s.Pool {
-		t.leaveAddress(k)
+		t.releaseAddress(k)
 		if k.Hall != s.Hall {
 			t.pool(k.Pool).leavePart(k)
 			defer t.joinPart(t.pool(k.Pool), k)
 		}
-		k.Server, k.list, k.unlisted = s, t.lists, false
+		k.Server, k.lastList, k.unlisted = s, t.listCount, false
 		t.setCold(k)
 		t.byHandle[s.Handle], t.byAddress[s.Address] = k, k
 		return false
@@ -259,7 +259,7 @@
 	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, list: t.lists, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, lastList: t.listCount, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
@@ -287,19 +287,19 @@
 	delete(t.servers, id)
 	t.setNotice(t.now(), id, k.notice)
 	delete(t.byHandle, k.Handle)
-	t.leaveAddress(k)
+	t.releaseAddress(k)
 	p := t.pool(k.Pool)
 	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	p.ranks.Remove(k.ID)
 	delete(p.paced, k)
 	delete(p.busy, k)
-	k.left = true
+	k.removed = true
 	p.leavePart(k)
 	return true
 }
 
-// leaveAddress forgets that a backend server is at its address, unless another one is.
-func (t *table) leaveAddress(k *knownServer) {
+// releaseAddress forgets that a backend server is at its address, unless another one is.
+func (t *table) releaseAddress(k *knownServer) {
 	if t.byAddress[k.Address] == k {
 		delete(t.byAddress, k.Address)
 	}
@@ -309,9 +309,9 @@
 // has: they are used only as long as they answer. Once for each list is enough: what is set later
 // is listed, and Unlisted names others. The caller holds mu.
 func (t *table) markUnlisted() {
-	t.marked = t.lists
+	t.markedList = t.listCount
 	for _, k := range t.servers {
-		k.unlisted = k.list != t.lists
+		k.unlisted = k.lastList != t.listCount
 	}
 }
 
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -11,9 +11,9 @@
 
 // This file defines how a call gets a backend server for its next attempt, and how it ends without one.
 
-// takeServer waits for a backend server. The error is a [Refusal] or a
+// acquireServer waits for a backend server. The error is a [Refusal] or a
 // [callerLeft].
-func (c *call) takeServer(ctx context.Context) (*assignment, error) {
+func (c *call) acquireServer(ctx context.Context) (*assignment, error) {
 	req := requirements{
 		WaitingRequest: entitlement.WaitingRequest{
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
@@ -34,19 +34,19 @@
 	}
 	patience := retry.QueueTimeout(waiting)
 	if c.counts.Runs > 0 {
-		req.outlast = patience
+		req.maxBackoff = patience
 	}
 	var a *assignment
 	if a, c.shortage = c.g.awaitServer(ctx, req, patience); a != nil {
 		c.countStarted()
 		return a, nil
 	}
-	return nil, c.withoutServer(ctx, &req)
+	return nil, c.noServerError(ctx, &req)
 }
 
-// withoutServer is the end of a request that got no backend server. What its homes let nothing
+// noServerError is the end of a request that got no backend server. What its homes let nothing
 // serve does not count as missed: no engine lacks for it.
-func (c *call) withoutServer(ctx context.Context, req *requirements) error {
+func (c *call) noServerError(ctx context.Context, req *requirements) error {
 	policy := c.policy(ctx)
 	if !policy.TimeLeft && c.r.Context().Err() != nil {
 		return callerLeft{}
@@ -54,17 +54,17 @@
 	if c.shortage.stayed != "" {
 		c.g.stats.count("region_stayed", "why", string(c.shortage.stayed))
 	}
-	if policy.TimeLeft && c.counts.Arrived == 0 && c.shortage.homes == "" {
+	if policy.TimeLeft && c.counts.Arrived == 0 && c.shortage.homesCause == "" {
 		c.countMissed(false)
 	}
 	if policy.TimeLeft && c.counts.Runs == 0 {
 		switch {
-		case c.shortage.homes != "":
-			return Refusal{Cause: c.shortage.homes, RetryAfter: retry.LongDelay}
-		case len(c.shortage.halls) > 0:
+		case c.shortage.homesCause != "":
+			return Refusal{Cause: c.shortage.homesCause, RetryAfter: retry.LongDelay}
+		case len(c.shortage.hallsOut) > 0:
 			return Refusal{Cause: HallsOut, RetryAfter: retry.LongDelay}
 		case c.shortage.backingOff:
-			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.left(), c.g.random())}
+			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.timeLeft(), c.g.random())}
 		}
 	}
 	allTried := c.g.table.reachable(req) <= len(c.avoid)
@@ -74,7 +74,7 @@
 // waiting is what decides how long the request may wait for a server.
 func (c *call) waiting() retry.QueuedRequest {
 	return retry.QueuedRequest{
-		Route: c.route, Class: c.class, Runs: c.counts.Runs, Spent: c.spent, Waited: c.g.now() - c.arrived, Left: c.left(),
+		Route: c.route, Class: c.class, Runs: c.counts.Runs, Spent: c.spent, Waited: c.g.now() - c.arrived, Left: c.timeLeft(),
 		Expected: c.g.table.expectedFirst(c.pool, c.head.Prompt),
 	}
 }
@@ -86,12 +86,12 @@
 
 // refusal is the gateway's own answer for an ending.
 func (c *call) refusal(e retry.Ending) error {
-	cause := endings[e]
+	cause := causesByEnding[e]
 	switch {
-	case !causes[cause].notRun:
+	case !responsesByCause[cause].notRun:
 		return Refusal{Cause: cause}
 	case cause == BeyondShare:
 		return Refusal{Cause: cause, RetryAfter: c.afterShare()}
 	}
-	return Refusal{Cause: cause, RetryAfter: retry.After(c.left())}
+	return Refusal{Cause: cause, RetryAfter: retry.After(c.timeLeft())}
 }
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -14,9 +14,9 @@
 
 // This file tests rollouts together with homes: servers of the target stand in one region only.
 
-// rollsInTheNorth is a pool with both versions in the north and the old one alone in the south,
+// rolloutInTheNorth is a pool with both versions in the north and the old one alone in the south,
 // which is the home of route "again".
-func (x *fixture) rollsInTheNorth() {
+func (x *fixture) rolloutInTheNorth() {
 	x.twoRegions()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
 	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
@@ -33,8 +33,8 @@
 	x.g.table.update(m)
 }
 
-// askAtOnce asks a route some times at once and returns how many were served.
-func (x *fixture) askAtOnce(path string, times int) (served int) {
+// requestConcurrently asks a route some times at once and returns how many were served.
+func (x *fixture) requestConcurrently(path string, times int) (served int) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	for range times {
@@ -66,12 +66,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.rollsInTheNorth()
+				x.rolloutInTheNorth()
 				x.rollouts(1, 1, tt.list)
 				x.leaseShares()
-				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
+				is.Equal(x.requestConcurrently("/again/x", 40), 40) // more than the home has room for at once
 				is.Equal(x.servedIn("s1"), 40)
-				is.Equal(x.askAtOnce("/once/x", 10), 10)
+				is.Equal(x.requestConcurrently("/once/x", 10), 10)
 				is.Equal(x.servedIn("s"), 40)
 				is.True(tt.name == "trial" || x.servedIn("n2") == 10)
 				x.gone("plain", 2, "s1")
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -40,11 +40,11 @@
 
 	mu       sync.Mutex // a leaf; guards all below
 	counters map[tokenKey]*vm.Counter
-	second   map[tokenKey]int // since the last line of the log
+	sinceLogged   map[tokenKey]int // since the last line of the log
 }
 
 func newTokenCounters(set *vm.Set) *tokenCounters {
-	return &tokenCounters{set: set, counters: map[tokenKey]*vm.Counter{}, second: map[tokenKey]int{}}
+	return &tokenCounters{set: set, counters: map[tokenKey]*vm.Counter{}, sinceLogged: map[tokenKey]int{}}
 }
 
 // add counts tokens of one request.
@@ -57,17 +57,17 @@
 			account, class, end))
 		t.counters[key] = c
 	}
-	t.second[key] += int(n)
+	t.sinceLogged[key] += int(n)
 	t.mu.Unlock()
 	c.Add(int(n))
 }
 
-// takeSecond returns and clears the sums since the last call.
-func (t *tokenCounters) takeSecond() map[tokenKey]int {
+// takeSums returns and clears the sums since the last call.
+func (t *tokenCounters) takeSums() map[tokenKey]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sums := t.second
-	t.second = make(map[tokenKey]int, len(sums))
+	sums := t.sinceLogged
+	t.sinceLogged = make(map[tokenKey]int, len(sums))
 	return sums
 }
 
@@ -122,7 +122,7 @@
 func (g *Gateway) logTokens() {
 	for range sleep.Every(g.ctx, tokensPeriod) {
 		logged := 0
-		for _, a := range byAccount(g.tokenCounters.takeSecond()) {
+		for _, a := range byAccount(g.tokenCounters.takeSums()) {
 			if len(a.refused) == 0 || logged == loggedAccounts {
 				continue
 			}
--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -28,7 +28,7 @@
 		}
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
 		x.request("/engine/x", "Tokens", "700", "Key", "other")
-		sorted := byAccount(x.g.tokenCounters.takeSecond())
+		sorted := byAccount(x.g.tokenCounters.takeSums())
 		is.Equal(len(sorted), 2)
 		is.Equal(sorted[0].account, "u") // refused within its share
 		is.Equal(sorted[0].withinShare, 700)
@@ -36,7 +36,7 @@
 		is.Equal(sorted[1].demanded, 500_000)
 		is.Equal(sorted[1].begun+sorted[1].refused[string(BeyondShare)], 500_000)
 		is.Equal(sorted[1].withinShare, 0)
-		is.Equal(len(x.g.tokenCounters.takeSecond()), 0)
+		is.Equal(len(x.g.tokenCounters.takeSums()), 0)
 		var text bytes.Buffer
 		x.g.cfg.Metrics.WritePrometheus(&text)
 		is.True(strings.Contains(text.String(), `badgerspoke_gateway_tokens_total{tenant="u",standing="covered",end="processor-pressure"} 700`))
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -238,7 +238,7 @@
 			o.second, o.otherwise = targetVersion, byRetry
 		}
 		return o
-	case r.breaker.holds(now):
+	case r.breaker.isOpen(now):
 		return order{first: oldVersion, why: byOwn}
 	case r.moving(now) && lot(req.random) >= r.moved(now):
 		return order{first: oldVersion, why: byRest}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -178,9 +178,9 @@
 		time.Sleep(sharesLease)
 		is.Equal(obeyed(), uint64(0))
 		x.leaseShares()
-		x.served("/once/1", badInARow)
+		x.served("/once/1", breakerThreshold)
 		is.Equal(obeyed(), uint64(0)) // bad answers in a row
-		time.Sleep(mistrustFor)
+		time.Sleep(breakerOpenTime)
 		x.leaseShares()
 		is.Equal(obeyed(), uint64(7))
 		x.rollouts(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
@@ -249,17 +249,17 @@
 func TestOwnMistrust(t *testing.T) {
 	is := is.New(t)
 	m := breaker{}
-	for range badInARow {
-		is.True(!m.holds(time.Second))
-		m = m.with(time.Second, true, true)
+	for range breakerThreshold {
+		is.True(!m.isOpen(time.Second))
+		m = m.withAnswer(time.Second, true, true)
 	}
-	is.True(m.holds(time.Second))
-	is.True(!m.holds(time.Second + mistrustFor))
-	m = breaker{}.with(0, false, true) // the old version's are bad as well
-	for range 2 * badInARow {
-		m = m.with(time.Second, true, true)
+	is.True(m.isOpen(time.Second))
+	is.True(!m.isOpen(time.Second + breakerOpenTime))
+	m = breaker{}.withAnswer(0, false, true) // the old version's are bad as well
+	for range 2 * breakerThreshold {
+		m = m.withAnswer(time.Second, true, true)
 	}
-	is.True(!m.holds(time.Second))
+	is.True(!m.isOpen(time.Second))
 }
 
 // TestTrialServers: as many as the share is of all or one more, the same at every gateway, and all once the
