--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -54,7 +54,7 @@
 		}
 	}
 	if out.execution == retry.MayHaveRun && out.verdict == outlier.Lost && ctx.Err() == nil {
-		c.lost(a)
+		c.recordLoss(a)
 		out.lost = true
 	}
 	c.counts = c.counts.With(out.execution)
