--- a/gateway/call.go
+++ b/gateway/call.go
@@ -262,7 +262,7 @@
 		out := c.attempt(ctx, a)
 		if out.execution == retry.Answered {
 			if c.relay.success() {
-				c.clear()
+				c.clearSuspicion()
 			}
 			return nil
 		}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -205,8 +205,8 @@
 	c.losses++
 }
 
-// clear reports a whole answer, if anything is known against the request.
-func (c *call) clear() {
+// clearSuspicion reports a whole answer, if anything is known against the request.
+func (c *call) clearSuspicion() {
 	if !c.listed && c.losses == 0 {
 		return
 	}
