--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// spent returns how long ago a caller certainly asked first that will still wait for left;
+// timeSpent returns how long ago a caller certainly asked first that will still wait for left;
 // asksFirst is whether callers of its account are not told to come back.
-func (rs *routes) spent(route string, now, left time.Duration, asksFirst bool) time.Duration {
+func (rs *routes) timeSpent(route string, now, left time.Duration, asksFirst bool) time.Duration {
 	rs.callers.mu.Lock()
 	defer rs.callers.mu.Unlock()
 	p := rs.callers.patience[route]
