--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -179,7 +179,7 @@
 	}
 	switch {
 	case v == outlier.Answered:
-		if r.unreached.answered(g.now(), a.serverID) {
+		if r.unreached.recordAnswer(g.now(), a.serverID) {
 			g.table.sortVersionsOf(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// answered takes an answer of a server and reports whether it could not be reached before.
-func (u unreached) answered(now time.Duration, server string) bool {
+// recordAnswer takes an answer of a server and reports whether it could not be reached before.
+func (u unreached) recordAnswer(now time.Duration, server string) bool {
 	g := u[server]
 	if g == nil {
 		return false
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -67,11 +67,11 @@
 	c := &tally{}
 	u := unreached{}
 	u.add(time.Second, "a", c)
-	u.answered(time.Second+unreachedAnswers, "a")
+	u.recordAnswer(time.Second+unreachedAnswers, "a")
 	is.Equal(c.failed, uint64(0))
 	u.add(5*time.Second, "a", c)
 	u.add(5*time.Second, "a", c)
-	u.answered(5*time.Second+unreachedAnswers/2, "a")
+	u.recordAnswer(5*time.Second+unreachedAnswers/2, "a")
 	is.Equal(c.failed, uint64(2))
 	is.True(c.changed)
 	u.add(6*time.Second, "a", c)
