--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -20,9 +20,9 @@
 	maxUnreached = 16
 )
 
-// unreached is, by the servers of a target that could not be reached, the attempts at them that
+// unreachedServers is, by the servers of a target that could not be reached, the attempts at them that
 // are not counted as failed. The zero value has none. It is guarded by table.mu.
-type unreached map[string]*gone
+type unreachedServers map[string]*gone
 
 // gone is the attempts at one server that could not be reached.
 type gone struct {
@@ -32,7 +32,7 @@
 
 // add takes an attempt at a server that could not be reached. Once it is not the only one, all
 // that waited are counted.
-func (u unreached) add(now time.Duration, server string, c *tally) {
+func (u unreachedServers) add(now time.Duration, server string, c *tally) {
 	g := u[server]
 	if g == nil {
 		g = &gone{}
@@ -59,7 +59,7 @@
 }
 
 // recordAnswer takes an answer of a server and reports whether it could not be reached before.
-func (u unreached) recordAnswer(now time.Duration, server string) bool {
+func (u unreachedServers) recordAnswer(now time.Duration, server string) bool {
 	g := u[server]
 	if g == nil {
 		return false
@@ -73,7 +73,7 @@
 
 // others returns the servers that could be reached, or all if there is none: a trial goes on with
 // another server.
-func (u unreached) others(servers []*knownServer) []*knownServer {
+func (u unreachedServers) others(servers []*knownServer) []*knownServer {
 	if len(u) == 0 {
 		return servers
 	}
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -65,7 +65,7 @@
 func TestUnreachedThatAnswers(t *testing.T) {
 	is := is.New(t)
 	c := &tally{}
-	u := unreached{}
+	u := unreachedServers{}
 	u.add(time.Second, "a", c)
 	u.recordAnswer(time.Second+unreachedAnswers, "a")
 	is.Equal(c.failed, uint64(0))
@@ -79,7 +79,7 @@
 	is.Equal(c.failed, uint64(2))
 	u.add(7*time.Second+unreachedFor, "a", c)
 	is.Equal(c.failed, uint64(4))
-	u = unreached{}
+	u = unreachedServers{}
 	for range 2 * maxUnreached {
 		u.add(time.Second, "a", c)
 	}
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -59,7 +59,7 @@
 	oldListed  bool               // a server of the old version is listed, in a hall in service
 	outcomes   outcomes
 	breaker    breaker
-	unreached  unreached
+	unreached  unreachedServers
 }
 
 // underWay reports whether there is a target that may have requests.
@@ -98,7 +98,7 @@
 func (p *pool) take(now time.Duration, next protocol.Rollout) bool {
 	r := p.rollout
 	if r == nil {
-		r = &poolRollout{unreached: unreached{}}
+		r = &poolRollout{unreached: unreachedServers{}}
 		p.rollout = r
 	}
 	if next.Attempt < r.Attempt {
@@ -112,7 +112,7 @@
 		next.Barred = append(slices.Clone(next.Barred), next.Target)
 	}
 	if next.Attempt != r.Attempt {
-		r.outcomes, r.breaker, r.unreached = outcomes{}, breaker{}, unreached{}
+		r.outcomes, r.breaker, r.unreached = outcomes{}, breaker{}, unreachedServers{}
 	}
 	same := next.Attempt == r.Attempt && next.Target == r.Target && next.Share == r.Share && next.Final == r.Final &&
 		slices.Equal(next.Barred, r.Barred) && slices.Equal(next.Replaced, r.Replaced)
