--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -112,8 +112,8 @@
 		attrs = append(attrs, a.tried.logAttrs()...)
 	}
 	attrs = append(attrs, c.regionAttrs()...)
-	if r := c.relay; r != nil && r.passed > 0 {
-		attrs = append(attrs, slog.Int("pieces", r.passed), slog.String("last_event", r.lastEventID),
+	if r := c.relay; r != nil && r.writes > 0 {
+		attrs = append(attrs, slog.Int("pieces", r.writes), slog.String("last_event", r.lastEventID),
 			milliseconds("quiet_ms", c.g.now()-r.passedAt), milliseconds("longest_gap_ms", r.longestGap))
 	}
 	return attrs
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -35,7 +35,7 @@
 	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
-	passed     int // writes to the caller
+	writes     int // writes to the caller
 	passedAt   time.Duration
 	longestGap time.Duration // between two of them
 	extended   time.Duration // when the write deadline was last moved
@@ -222,10 +222,10 @@
 	}
 	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
 	now := r.c.g.now()
-	if r.passed > 0 {
+	if r.writes > 0 {
 		r.longestGap = max(r.longestGap, now-r.passedAt)
 	}
-	r.passed++
+	r.writes++
 	r.passedAt = now
 	return nil
 }
