--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -211,7 +211,7 @@
 		d.endEpoch()
 		return
 	}
-	for _, name := range d.alloc.Tick(d.now()) {
+	for _, name := range d.alloc.ExpireSessions(d.now()) {
 		d.c.cfg.Log.Info("lease of router ran out", "router", name)
 	}
 	d.endExpired()
@@ -263,7 +263,7 @@
 	var servers []slots.Server
 	for _, s := range cfg.Servers() {
 		servers = append(servers, slots.Server{
-			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Extra: extra(s, over), Serving: s.Mark == config.Serving,
+			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Overcommit: extra(s, over), Serving: s.Mark == config.Serving,
 		})
 	}
 	var accounts []slots.Account
@@ -315,7 +315,7 @@
 		return nil
 	}
 	now := d.now()
-	if early := d.allocated + slots.TurnGap - now; early > 0 {
+	if early := d.allocated + slots.MinAllocationInterval - now; early > 0 {
 		return time.After(early)
 	}
 	d.allocated = now
@@ -324,7 +324,7 @@
 		if s := d.sessions[o.Router]; s != nil {
 			s.out.Send(o.View)
 		}
-		d.alloc.Sent(now, o, viewSize(o.View))
+		d.alloc.RecordSent(now, o, viewSize(o.View))
 	}
 	next, ok := d.alloc.NextView()
 	if !ok {
--- a/control/session.go
+++ b/control/session.go
@@ -96,8 +96,8 @@
 		old.out.Close()
 	}
 	now := d.now()
-	void := !d.alloc.TakingOver(now) && !d.alloc.Knows(h.Router, h.Boot)
-	reports, known := d.alloc.Open(now, h)
+	void := !d.alloc.TakingOver(now) && !d.alloc.HasSession(h.Router, h.Boot)
+	reports, known := d.alloc.OpenSession(now, h)
 	s.revision = h.Revision
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
@@ -130,6 +130,6 @@
 	}
 	delete(d.sessions, s.holder.Router)
 	if d.alloc != nil {
-		d.alloc.Unlink(s.holder.Router, s.holder.Boot)
+		d.alloc.Disconnect(s.holder.Router, s.holder.Boot)
 	}
 }
--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -16,7 +16,7 @@
 // A [Register] is a state machine driven by a replicated log. It reads no
 // clock: commands carry the time of the leader that proposed them, and the
 // register's own time is the highest seen, so that every replica forgets the
-// same claims at the same place of the log. A claim is forgotten [Window]
+// same claims at the same place of the log. A claim is forgotten [RetentionMillis]
 // after it was settled; a resend later than that runs again. A claim that is
 // still running is not forgotten.
 package claim
@@ -31,15 +31,15 @@
 
 // This file defines Register and its commands.
 
-// Window is how long a settled claim is remembered, in milliseconds: a day, as docs/CALLERS.md
+// RetentionMillis is how long a settled claim is remembered, in milliseconds: a day, as docs/CALLERS.md
 // promises. A remembered claim takes 311 B (BenchmarkClaimMemory).
-const Window = 24 * 60 * 60 * 1000
+const RetentionMillis = 24 * 60 * 60 * 1000
 
-// MaxAnswer is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
-const MaxAnswer = 16 << 10
+// MaxAnswerBytes is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
+const MaxAnswerBytes = 16 << 10
 
-// MaxKey bounds an idempotency key, in bytes (docs/CALLERS.md).
-const MaxKey = 255
+// MaxKeyBytes bounds an idempotency key, in bytes (docs/CALLERS.md).
+const MaxKeyBytes = 255
 
 // Holder is a process that may hold claims.
 type Holder struct {
@@ -79,8 +79,8 @@
 	millis  int64 // highest time of a command so far, Unix time in milliseconds
 	entries map[name]*entry
 	settled list.List // entries in the order of their settling
-	// Settlement, if set, is called whenever a claim is no longer running.
-	Settlement func(account, key string, c protocol.Claimed)
+	// OnSettled, if set, is called whenever a claim is no longer running.
+	OnSettled func(account, key string, c protocol.Claimed)
 }
 
 // New returns an empty register.
@@ -104,8 +104,8 @@
 	return protocol.Claimed{}
 }
 
-// Peek returns the state and answer of a claim without making one.
-func (r *Register) Peek(account, key string) (protocol.Claimed, bool) {
+// Lookup returns the state and answer of a claim without making one.
+func (r *Register) Lookup(account, key string) (protocol.Claimed, bool) {
 	e := r.entries[name{account, key}]
 	if e == nil {
 		return protocol.Claimed{}, false
@@ -143,7 +143,7 @@
 	case s.State == protocol.ClaimReleased:
 		r.remove(e)
 		r.notify(e, s.State)
-	case s.Answer != nil && len(s.Answer.Body) <= MaxAnswer:
+	case s.Answer != nil && len(s.Answer.Body) <= MaxAnswerBytes:
 		r.finish(e, s.State, s.Answer)
 	default:
 		r.finish(e, s.State, nil)
@@ -169,15 +169,15 @@
 }
 
 func (r *Register) notify(e *entry, state protocol.ClaimState) {
-	if r.Settlement != nil {
-		r.Settlement(e.Account, e.Key, protocol.Claimed{State: state, Answer: e.Answer})
+	if r.OnSettled != nil {
+		r.OnSettled(e.Account, e.Key, protocol.Claimed{State: state, Answer: e.Answer})
 	}
 }
 
 func (r *Register) forgetOld() {
 	for el := r.settled.Front(); el != nil; el = r.settled.Front() {
 		e := el.Value.(*entry)
-		if r.millis-e.Settled < Window {
+		if r.millis-e.Settled < RetentionMillis {
 			return
 		}
 		r.remove(e)
--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -24,9 +24,9 @@
 // Urgency returns whether there is something to report.
 func (p *Pool) Urgency() Urgency {
 	switch {
-	case p.holder.HasReturned() || p.queue.Unreported() || len(p.suspects) > 0:
+	case p.holder.HasReturned() || p.queue.HasUnreportedWork() || len(p.suspects) > 0:
 		return Urgent
-	case p.queue.Changed() || p.holder.Idle() != p.idle:
+	case p.queue.HasChanges() || p.holder.Idle() != p.idle:
 		return Routine
 	}
 	return NothingNew
@@ -49,13 +49,13 @@
 // ApplyView takes the allocator's view of this pool, which includes this
 // router's reports up to number reports.
 func (p *Pool) ApplyView(now time.Duration, v protocol.PoolView, reports uint64) {
-	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, At: now}
+	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, ReceivedAt: now}
 	p.queue.SetLift(v.Lift)
 	if v.Recall > 0 {
 		p.holder.Recall(v.Recall)
 	}
 	for _, a := range v.Accounts {
-		p.queue.SetTime(a.Account, v.Floor+a.Ahead, reports)
+		p.queue.SetVirtualTime(a.Account, v.Floor+a.Ahead, reports)
 	}
 }
 
@@ -66,7 +66,7 @@
 // Settings.Linger.
 func (p *Pool) Linger(now time.Duration) {
 	if p.Waiting() == 0 {
-		p.holder.ReturnLingering(now, p.cfg.Linger)
+		p.holder.ReturnIdleAfter(now, p.cfg.Linger)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	p.view = slots.FleetView{}
 	lift := p.queue.Lift()
-	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.Times()}
+	return p.holder.Held(), protocol.PoolView{Pool: p.name, Floor: lift, Lift: lift, Accounts: p.queue.VirtualTimes()}
 }
 
 // BeginSession begins a session: reports are numbered from 1 again, and slots that
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -23,13 +23,13 @@
 	now time.Duration
 }
 
-func newScript() *script { return &script{v: NewEvidence(Settle), now: time.Minute} }
+func newScript() *script { return &script{v: NewEvidence(SettleTime), now: time.Minute} }
 
 // end ends a server under requests that ran for a time.
 func (s *script) end(server string, ran time.Duration, names ...string) {
 	for _, name := range names {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, Ran: ran, Serving: true,
+			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, RunTime: ran, PoolAnswering: true,
 		}})
 	}
 }
@@ -37,7 +37,7 @@
 // condemned lets a time pass and returns whether some requests are condemned then.
 func (s *script) condemned(after time.Duration, names ...string) (all []bool) {
 	s.now += after
-	s.v.Judge(s.now, nine)
+	s.v.Evaluate(s.now, nine)
 	for _, name := range names {
 		e, _ := s.v.Find(keyNamed(name))
 		all = append(all, e.Condemned)
@@ -53,7 +53,7 @@
 		is.Equal(s.condemned(time.Second, "deadly"), []bool{false})
 		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly", fmt.Sprint("other ", i))
 	}
-	is.Equal(s.condemned(Settle-1, "deadly"), []bool{false})
+	is.Equal(s.condemned(SettleTime-1, "deadly"), []bool{false})
 	is.Equal(s.condemned(1, "deadly", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
 	e, _ := s.v.Find(keyNamed("other 0"))
 	is.Equal(e.Ends, 0) // the end is explained
@@ -66,7 +66,7 @@
 	s := newScript()
 	for i := range 5 {
 		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly")
-		is.Equal(s.condemned(Settle*4/5, "deadly"), []bool{i >= 3})
+		is.Equal(s.condemned(SettleTime*4/5, "deadly"), []bool{i >= 3})
 	}
 }
 
@@ -103,7 +103,7 @@
 	s := newScript()
 	for i := range 3 {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), Ran: 2 * time.Millisecond, Again: true, Serving: true,
+			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 2 * time.Millisecond, Retry: true, PoolAnswering: true,
 		}})
 		s.now += 3 * time.Millisecond
 	}
@@ -165,7 +165,7 @@
 	is := is.New(t)
 	s := newScript()
 	for i := range 20 {
-		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("hot"), Pool: "p", Server: fmt.Sprint("s", i), Ran: time.Second}})
+		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("hot"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: time.Second}})
 		is.Equal(s.condemned(time.Second, "hot"), []bool{false})
 	}
 }
@@ -177,7 +177,7 @@
 	s := newScript()
 	for i := range 3 {
 		server := fmt.Sprint("s", i)
-		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("unserved"), Pool: "p", Server: server, Ran: time.Second}})
+		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("unserved"), Pool: "p", Server: server, RunTime: time.Second}})
 		s.end(server, 100*time.Millisecond, "deadly")
 		s.now += time.Second
 	}
@@ -192,7 +192,7 @@
 	var all []TimedLoss
 	for i := range 3 {
 		all = append(all, TimedLoss{At: time.Duration(i) * time.Second, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), Ran: 100 * time.Millisecond, Serving: true,
+			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 100 * time.Millisecond, PoolAnswering: true,
 		}})
 	}
 	slices.Reverse(all)
@@ -201,7 +201,7 @@
 	}
 	e, _ := s.v.Find(keyNamed("deadly"))
 	is.Equal(e.Ends, 3)
-	is.Equal(len(s.v.Known()), 3)
+	is.Equal(len(s.v.Losses()), 3)
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 	s.v.Clear(keyNamed("deadly"))
 	s.now += memory
@@ -224,9 +224,9 @@
 // ends stays.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	v := NewEvidence(Settle)
+	v := NewEvidence(SettleTime)
 	add := func(account, name, server string, at time.Duration) {
-		v.Add(at, TimedLoss{At: at, Loss: Loss{Key: keyNamed(account + name), Account: account, Server: server, Ran: time.Millisecond, Serving: true}})
+		v.Add(at, TimedLoss{At: at, Loss: Loss{Key: keyNamed(account + name), Account: account, Server: server, RunTime: time.Millisecond, PoolAnswering: true}})
 	}
 	add("quiet", "one", "s1", 0)
 	add("loud", "twice", "s1", 0)
@@ -245,9 +245,9 @@
 	is.Equal(len(v.suspects), mostSuspects)
 	_, kept = v.Find(keyNamed("quietone"))
 	is.True(kept)
-	v = NewEvidence(Settle)
+	v = NewEvidence(SettleTime)
 	for i := range mostSuspects { // what is condemned takes no room
-		v.Know(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
+		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
 	}
 	add("late", "one", "s5", 4*time.Second)
 	add("late", "two", "s5", 4*time.Second)
@@ -310,7 +310,7 @@
 			end := ends[server][next]
 			all = append(all, occurrence{at: end, key: key, h: &TimedLoss{At: end, Loss: Loss{
 				Key: key, Account: "a", Pool: "p", Server: fmt.Sprint(server), Address: fmt.Sprint(server),
-				Ran: end - begin, Again: n%2 == 1, Serving: true,
+				RunTime: end - begin, Retry: n%2 == 1, PoolAnswering: true,
 			}}})
 			if begin = end + time.Millisecond; n == 1 {
 				begin += 500 * time.Millisecond
@@ -318,7 +318,7 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b occurrence) int { return cmp.Compare(a.at, b.at) })
-	v := NewEvidence(Settle)
+	v := NewEvidence(SettleTime)
 	judged := time.Duration(0)
 	for _, o := range all {
 		if o.h == nil {
@@ -328,7 +328,7 @@
 		v.Add(o.at, *o.h)
 		if o.at-judged >= 100*time.Millisecond {
 			judged = o.at
-			condemned += len(v.Judge(o.at, func(string) int { return servers }))
+			condemned += len(v.Evaluate(o.at, func(string) int { return servers }))
 		}
 	}
 	return lost, requests, condemned
@@ -339,7 +339,7 @@
 func TestAnyEvidence(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
-		v, now := NewEvidence(Settle), time.Hour
+		v, now := NewEvidence(SettleTime), time.Hour
 		for range 400 {
 			now += time.Duration(rng.IntN(400)) * time.Millisecond
 			key := keyNamed(fmt.Sprint(rng.IntN(12)))
@@ -347,10 +347,10 @@
 			case 0:
 				v.Clear(key)
 			case 1:
-				v.Know(Entry{Key: key, Ends: 3, Condemned: true})
+				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
 			case 2, 3:
-				for _, verdict := range v.Judge(now, nine) {
-					if len(verdict.Servers) < fewestEnds || verdict.Chance > chanceAllowed {
+				for _, verdict := range v.Evaluate(now, nine) {
+					if len(verdict.Servers) < fewestEnds || verdict.Probability > chanceAllowed {
 						t.Fatalf("seed %d: %+v", seed, verdict)
 					}
 				}
@@ -358,11 +358,11 @@
 				server := fmt.Sprint(rng.IntN(6))
 				v.Add(now, TimedLoss{At: now - time.Duration(rng.IntN(900))*time.Second, Loss: Loss{
 					Key: key, Account: fmt.Sprint(rng.IntN(3)), Pool: "p", Server: server, Address: server,
-					Ran: time.Duration(rng.IntN(3000)) * time.Millisecond, Again: rng.IntN(4) == 0, Serving: rng.IntN(3) > 0,
+					RunTime: time.Duration(rng.IntN(3000)) * time.Millisecond, Retry: rng.IntN(4) == 0, PoolAnswering: rng.IntN(3) > 0,
 				}})
 			}
-			if len(v.Known()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
-				t.Fatalf("seed %d: %d losses of %d suspects", seed, len(v.Known()), len(v.Suspects()))
+			if len(v.Losses()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
+				t.Fatalf("seed %d: %d losses of %d suspects", seed, len(v.Losses()), len(v.Suspects()))
 			}
 		}
 	}
--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -25,8 +25,8 @@
 	hints   map[Hint]int // entries that have it
 }
 
-// With returns the list with some entries added or changed, and others gone.
-func (l List) With(set []Entry, gone []Key) List {
+// WithChanges returns the list with some entries added or changed, and others gone.
+func (l List) WithChanges(set []Entry, gone []Key) List {
 	next := List{entries: maps.Clone(l.entries), hints: maps.Clone(l.hints)}
 	if next.entries == nil {
 		next = List{entries: map[Key]Entry{}, hints: map[Hint]int{}}
@@ -53,8 +53,8 @@
 	}
 }
 
-// Take returns the list after a message of the leader. Entries without a key are passed over.
-func (l List) Take(m protocol.Quarantine) List {
+// Apply returns the list after a message of the leader. Entries without a key are passed over.
+func (l List) Apply(m protocol.Quarantine) List {
 	if m.Whole {
 		l = List{}
 	}
@@ -70,14 +70,14 @@
 			gone = append(gone, k)
 		}
 	}
-	return l.With(set, gone)
+	return l.WithChanges(set, gone)
 }
 
 // Empty reports whether nothing is listed.
 func (l List) Empty() bool { return len(l.entries) == 0 }
 
-// MayHave reports whether an entry has a hint: if not, a request's key need not be made.
-func (l List) MayHave(h Hint) bool { return l.hints[h] > 0 }
+// HasHint reports whether an entry has a hint: if not, a request's key need not be made.
+func (l List) HasHint(h Hint) bool { return l.hints[h] > 0 }
 
 // Find returns a key's entry, or false if it is not listed.
 func (l List) Find(k Key) (Entry, bool) {
@@ -92,10 +92,10 @@
 // shares them with another one.
 func (e Entry) Undecided() bool { return !e.Condemned && e.Ends >= fewestEnds }
 
-// Decision is how long a request that is undecided waits for what becomes of it. Settle, and the
+// DecisionWait is how long a request that is undecided waits for what becomes of it. Settle, and the
 // messages before and after it.
-const Decision = Settle + 100*time.Millisecond
+const DecisionWait = SettleTime + 100*time.Millisecond
 
-// MayTryAgain reports whether a request whose attempt has just been lost may be tried once more:
+// MayRetry reports whether a request whose attempt has just been lost may be tried once more:
 // not after three ends in a row, those that the list knows and the losses of this arrival.
-func (e Entry) MayTryAgain(losses int) bool { return e.Ends+losses < fewestEnds }
+func (e Entry) MayRetry(losses int) bool { return e.Ends+losses < fewestEnds }
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -26,9 +26,9 @@
 	shortRate = 10 * time.Second
 )
 
-// Judge condemns the requests that the evidence is now enough for, and returns them ordered by
+// Evaluate condemns the requests that the evidence is now enough for, and returns them ordered by
 // key. servers is how many servers a pool has.
-func (v *Evidence) Judge(now time.Duration, servers func(pool string) int) (all []Verdict) {
+func (v *Evidence) Evaluate(now time.Duration, servers func(pool string) int) (all []Verdict) {
 	v.expire(now)
 	for k, s := range v.suspects {
 		if verdict, condemned := v.judge(now, k, s, servers); condemned {
@@ -65,9 +65,9 @@
 		verdict.Servers = append(verdict.Servers, h.Server)
 		chances = append(chances, v.chance(now, k, h, servers))
 	}
-	verdict.Chance = combined(chances)
+	verdict.Probability = combined(chances)
 	alone := len(record) >= mostEnds || !v.shared(k, record)
-	return verdict, alone && verdict.Chance <= chanceAllowed
+	return verdict, alone && verdict.Probability <= chanceAllowed
 }
 
 // combined returns the chance that the product of as many chances is as small by itself (R. A.
@@ -130,5 +130,5 @@
 	}
 	of := float64(max(servers(h.Pool), 1))
 	rate := max(float64(long)/longRate.Seconds(), float64(short)/shortRate.Seconds())/of + float64(here)/longRate.Seconds()
-	return min(rate*max(h.Ran, shortestRun).Seconds(), 1)
+	return min(rate*max(h.RunTime, shortestRun).Seconds(), 1)
 }
--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -66,15 +66,15 @@
 	return &protocol.Cold{Left: c.until - now, Shares: c.shares}
 }
 
-// ServersReturn makes the backend servers of halls that are in service again count as cold
+// PresumeCold makes the backend servers of halls that are in service again count as cold
 // until they have announced themselves, and returns them. Only pools whose servers have a
 // rate while cold are concerned.
-func (r *Registry) ServersReturn(now time.Duration, halls []string, rates map[string]float64) Change {
+func (r *Registry) PresumeCold(now time.Duration, halls []string, rates map[string]float64) Change {
 	var change Change
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[id]
 		if slices.Contains(halls, e.Hall) && rates[e.Pool] > 0 {
-			e.cold = e.cold.withSuspect(now, r.Suspicion())
+			e.cold = e.cold.withSuspect(now, r.PresumedColdTime())
 			r.coldUntil = max(r.coldUntil, e.cold.until)
 			change.Set = append(change.Set, e.server(now))
 		}
@@ -82,10 +82,10 @@
 	return change
 }
 
-// DivideCold divides the rates of cold backend servers, by pool in requests a second, among
+// DivideColdRates divides the rates of cold backend servers, by pool in requests a second, among
 // gateways, and returns the servers that were divided now. A leader divides nothing before
 // the shares of the one before it have run out.
-func (r *Registry) DivideCold(now time.Duration, gateways []string, rates map[string]float64) Change {
+func (r *Registry) DivideColdRates(now time.Duration, gateways []string, rates map[string]float64) Change {
 	var change Change
 	if now-r.leaderSince < coldstart.Lease || len(gateways) == 0 {
 		return change
@@ -101,8 +101,8 @@
 	return change
 }
 
-// Suspicion is how long the backend servers of a hall that was put back count as cold.
-func (r *Registry) Suspicion() time.Duration { return suspectFor * r.interval }
+// PresumedColdTime is how long the backend servers of a hall that was put back count as cold.
+func (r *Registry) PresumedColdTime() time.Duration { return suspectFor * r.interval }
 
 // AnyCold reports whether a backend server may be cold: a list says for how long, and is right
 // only when it is made.
--- a/coordination/share/errors.go
+++ b/coordination/share/errors.go
@@ -7,21 +7,21 @@
 // This file defines why a request is not queued. In both cases it has not
 // run.
 
-// Full refuses a request because a limit on waiting work is reached. Max is in
+// QueueFullError refuses a request because a limit on waiting work is reached. Max is in
 // requests or bytes, depending on Limit.
-type Full struct {
+type QueueFullError struct {
 	Account string
 	Limit   string // which limit, for the message
 	Max     int64
 }
 
 // Error names the account and the limit.
-func (e Full) Error() string {
+func (e QueueFullError) Error() string {
 	return fmt.Sprintf("queue full for account %s: %s is at its limit of %d", e.Account, e.Limit, e.Max)
 }
 
-// NoAccount refuses a request of an account that does not exist.
-type NoAccount struct{ Account string }
+// UnknownAccountError refuses a request of an account that does not exist.
+type UnknownAccountError struct{ Account string }
 
 // Error names the account.
-func (e NoAccount) Error() string { return "no account " + e.Account }
+func (e UnknownAccountError) Error() string { return "no account " + e.Account }
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -61,7 +61,7 @@
 }
 
 const (
-	fresh   = slots.ViewLife
+	fresh   = slots.MaxViewAge
 	faulted = 4 * time.Second // a lease and its margin
 )
 
@@ -142,7 +142,7 @@
 		}
 	}
 	if f.alloc != nil {
-		f.alloc.Unlink(r.name, r.boot)
+		f.alloc.Disconnect(r.name, r.boot)
 	}
 	r.boots()
 	if f.policy == fleetFair {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -130,7 +130,7 @@
 	}
 	r.reports++
 	n := r.send(report, func(a *slots.Allocator) { a.Report(r.f.now, r.name, report) })
-	r.pacer.Sent(r.f.now, n, true)
+	r.pacer.RecordSent(r.f.now, n, true)
 }
 
 // send carries a message to the allocator, if the link is still open when
@@ -189,8 +189,8 @@
 			r.unlink()
 			return
 		}
-		void := !f.alloc.TakingOver(f.now) && !f.alloc.Knows(r.name, r.boot)
-		reports, known := f.alloc.Open(f.now, hello)
+		void := !f.alloc.TakingOver(f.now) && !f.alloc.HasSession(r.name, r.boot)
+		reports, known := f.alloc.OpenSession(f.now, hello)
 		w := protocol.Welcome{Epoch: f.alloc.Epoch(), Known: known, Reports: reports, Void: void}
 		f.wakeAllocator()
 		r.count(w)
@@ -235,7 +235,7 @@
 	r.linked = false
 	r.link++
 	if r.f.alloc != nil {
-		r.f.alloc.Unlink(r.name, r.boot)
+		r.f.alloc.Disconnect(r.name, r.boot)
 	}
 	for i, p := range r.pools {
 		p.Disconnected()
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -58,14 +58,14 @@
 	return len(a.expected) > 0 && now < a.takeoverEnds
 }
 
-// Open takes a router's new session. A session of the same process replaces
+// OpenSession takes a router's new session. A session of the same process replaces
 // the earlier one. After a restart the slots of the earlier process stay
 // taken until its lease has run out, because a new process is no proof that
 // the old one has stopped.
 //
 // It returns the number of reports of the earlier session that are in the
 // counters, and whether the allocator had that session.
-func (a *Allocator) Open(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
+func (a *Allocator) OpenSession(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
 	if old := a.sessions[h.Router]; old != nil {
 		if old.boot == h.Boot {
 			reports, known = old.reports, true
@@ -122,8 +122,8 @@
 	a.sessions[s.router] = s
 }
 
-// Knows reports whether the process's lease has not run out here.
-func (a *Allocator) Knows(router string, boot uint64) bool {
+// HasSession reports whether the process's lease has not run out here.
+func (a *Allocator) HasSession(router string, boot uint64) bool {
 	s := a.sessions[router]
 	return s != nil && s.boot == boot
 }
@@ -135,9 +135,9 @@
 	}
 }
 
-// Unlink marks a router's link as broken. What it holds stays taken until
+// Disconnect marks a router's link as broken. What it holds stays taken until
 // its lease has run out; slots that were granted and not sent come back.
-func (a *Allocator) Unlink(router string, boot uint64) {
+func (a *Allocator) Disconnect(router string, boot uint64) {
 	s := a.sessions[router]
 	if s == nil || s.boot != boot {
 		return
@@ -150,8 +150,8 @@
 	a.forgetWaiting(s)
 }
 
-// End forgets a router that holds nothing any more, or whose lease ran out.
-func (a *Allocator) End(router string) {
+// EndSession forgets a router that holds nothing any more, or whose lease ran out.
+func (a *Allocator) EndSession(router string) {
 	s := a.sessions[router]
 	if s == nil {
 		return
@@ -161,14 +161,14 @@
 	a.sortSessions()
 }
 
-// Tick ends the sessions whose lease and margin have passed and returns their
+// ExpireSessions ends the sessions whose lease and margin have passed and returns their
 // routers' names.
-func (a *Allocator) Tick(now time.Duration) []string {
+func (a *Allocator) ExpireSessions(now time.Duration) []string {
 	var ended []string
 	for _, s := range a.order {
 		if now >= s.renewed+a.lease.total() {
 			ended = append(ended, s.router)
-			a.End(s.router)
+			a.EndSession(s.router)
 		}
 	}
 	if now >= a.takeoverEnds {
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -16,7 +16,7 @@
 // which the link has no room now.
 func (h *hub) sendServers(m protocol.Servers) {
 	h.sendTo(m, true)
-	h.held = h.held.Then(registry.Change{Set: m.Set, Gone: m.Gone})
+	h.held = h.held.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
 	h.held.Gone, m.Set = nil, nil
 	news := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.hallsTold || m.Term != h.termTold
 	h.hallsTold, h.termTold = m.HallChanges, m.Term
@@ -32,7 +32,7 @@
 	if h.relayWaits() {
 		n = 0
 	}
-	n = min(n, h.listPace.Servers(h.d.replica.Now(), len(h.sessions)))
+	n = min(n, h.listPace.EntryAllowance(h.d.replica.Now(), len(h.sessions)))
 	set, h.held.Set = h.held.Set[:n:n], h.held.Set[n:]
 	return set
 }
@@ -74,5 +74,5 @@
 	for _, s := range all {
 		s.out.Send(encoded)
 	}
-	h.listPace.SentEntries(h.d.replica.Now(), encoded.Size(), len(m.Set), len(all))
+	h.listPace.RecordEntries(h.d.replica.Now(), encoded.Size(), len(m.Set), len(all))
 }
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -44,13 +44,13 @@
 // sendList sends a session the whole list now, or as many servers of it as may go at once, after those that
 // it has been sent. done is whether it has all.
 func (h *hub) sendList(s *session) (done, ok bool) {
-	m, last := registry.ListPart(h.wholeList().servers, s.listed, h.listPace.Part())
+	m, last := registry.ListPart(h.wholeList().servers, s.listed, h.listPace.PartSize())
 	list, ok := h.encodeList(m)
 	if !ok {
 		return false, false
 	}
 	s.out.Send(list)
-	h.listPace.Sent(h.d.replica.Now(), list.Size())
+	h.listPace.RecordSent(h.d.replica.Now(), list.Size())
 	if !last {
 		s.listed = m.Set[len(m.Set)-1].ID
 		return false, true
@@ -87,7 +87,7 @@
 		}
 		s.out.Send(h.encoded)
 		s.number = h.encoded.Number
-		h.listPace.Sent(h.d.replica.Now(), len(h.encoded.Data))
+		h.listPace.RecordSent(h.d.replica.Now(), len(h.encoded.Data))
 	}
 }
 
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -192,10 +192,10 @@
 	switch m := m.(type) {
 	case protocol.Servers:
 		r.h.list = nil
-		r.h.sendServers(r.list.Take(r.h.d.replica.Now(), m))
+		r.h.sendServers(r.list.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
-		r.sums.TakeRollouts(m)
+		r.sums.ApplyRollouts(m)
 		r.h.sendAll(m)
 	case protocol.Quarantine:
 		r.takeQuarantine(m)
@@ -204,7 +204,7 @@
 	case protocol.Counted:
 		r.sums.Counted(m.Seq)
 	case protocol.Fleet:
-		registry.ApplyLoads(r.loads, r.list.Own(m.Loads))
+		registry.ApplyLoads(r.loads, r.list.WithOwnHandles(m.Loads))
 		m.Loads = nil
 		r.fleet, r.fleetNew = &m, true
 		r.pushFleet()
@@ -222,7 +222,7 @@
 	if sent := r.feed.Sent(); r.fleet != nil && len(sent) > 0 {
 		m := *r.fleet
 		m.Loads = sent
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
@@ -238,7 +238,7 @@
 func (r *relay) tick() {
 	if r.out == nil {
 		for s := range r.h.sessions { // a relay that is silent is left
-			s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+			s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		}
 		return
 	}
@@ -256,7 +256,7 @@
 		return
 	}
 	report := r.takeLosses(r.sums.Next())
-	report.Loads = r.list.Theirs(report.Loads)
+	report.Loads = r.list.WithLeaderHandles(report.Loads)
 	if m, ok := r.h.encode(report); ok {
 		r.sumDue = now + registry.SumPause(m.Size())
 		r.out.Send(m)
@@ -271,14 +271,14 @@
 	}
 	fleet := *r.fleet
 	budget, links := r.h.fleetBudget(fleet.Gateways)
-	fleet.Loads = r.feed.Next(registry.OrderedLoads(r.loads), budget.Loads(links))
+	fleet.Loads = r.feed.Next(registry.SortedLoads(r.loads), budget.Loads(links))
 	m, ok := r.h.encode(fleet)
 	if !ok {
 		return
 	}
 	r.fleetNew, r.fleetDue = false, now+budget.Pause(m.Size(), links)
 	for s := range r.h.sessions {
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedOf(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
