--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -77,7 +77,7 @@
 }
 
 // loaded starts a gateway that gets a request in each period, and sends to a.
-func (x *fleet) loaded(ip string, a gateway.Server, period time.Duration) *gateway.Gateway {
+func (x *fleet) loaded(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
 	return x.loadedBy(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
 			asking.Go(func() { x.request(g, "r") })
@@ -86,14 +86,14 @@
 }
 
 // loadedBy starts a gateway that gets the requests of ask, which ends with its context.
-func (x *fleet) loadedBy(ip string, headers gateway.HeaderCodec, a gateway.Server, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
+func (x *fleet) loadedBy(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Headers: headers, Server: a, Region: x.regions[ip], Topology: x.topology(), Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
-		Grace: time.Second, Bodies: 1 << 20, Random: x.random, Log: log, Metrics: set,
+		Seeds:    x.seeds, Headers: headers, Transport: a, Region: x.regions[ip], Topology: x.topology(), Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+		Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: x.random, Log: log, Metrics: set,
 	})
 	var asking sync.WaitGroup
 	asking.Go(func() { ask(ctx, &asking, g) })
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -81,9 +81,9 @@
 	g.table.mu.Unlock()
 	switch {
 	case dropAll:
-		g.cfg.Server.DropAllIdle()
+		g.cfg.Transport.DropAllIdle()
 	case drop:
-		g.cfg.Server.DropIdle(a.address)
+		g.cfg.Transport.DropIdle(a.address)
 	default:
 		return v
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -59,7 +59,7 @@
 	loadAge        time.Duration // age of the data on other gateways' load
 	hallsOut       []string      // halls out of service, if they hold all servers of the pool
 	homesCause     Cause         // set if the homes exclude every server
-	stayed         stayed        // why the request stayed in its region, if it had a reason to leave
+	stayReason     stayReason    // why the request stayed in its region, if it had a reason to leave
 	backingOff     bool          // every server asked for a longer backoff than the request waits
 	backoff        time.Duration // until the first server accepts requests again; set with backingOff
 }
@@ -93,17 +93,17 @@
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayed: left.stayed, backingOff: backingOff, backoff: backoff,
+			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayReason: left.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), loadAge: now - t.othersUpdatedAt,
-			stayed: left.stayed,
+			stayReason: left.stayReason,
 		}, true
 	}
-	return t.depart(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
+	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
 }
 
 // blockingHalls returns the halls that are out of service if they hold all servers of the pool that
@@ -132,7 +132,7 @@
 			continue
 		}
 		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.depart(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
 		}
 	}
 	return nil
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -74,8 +74,8 @@
 
 // pool holds the backend servers of a pool and the requests waiting for them.
 type pool struct {
-	servers      []*knownServer // ordered by ID
-	parts        []part         // servers by region, the gateway's own region first; empty without a far side
+	servers      []*knownServer  // ordered by ID
+	parts        []regionServers // servers by region, the gateway's own region first; empty without a far side
 	waiting      []*waiter
 	placer       place.RoomPlacer
 	failures     outlier.PoolRate
@@ -247,8 +247,8 @@
 	if k != nil && k.Pool == s.Pool {
 		t.releaseAddress(k)
 		if k.Hall != s.Hall {
-			t.pool(k.Pool).leavePart(k)
-			defer t.joinPart(t.pool(k.Pool), k)
+			t.pool(k.Pool).removeFromRegion(k)
+			defer t.addToRegion(t.pool(k.Pool), k)
 		}
 		k.Server, k.lastList, k.unlisted = s, t.listCount, false
 		t.setCold(k)
@@ -264,9 +264,9 @@
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
 	p := t.pool(s.Pool)
-	p.servers = insert(p.servers, k)
+	p.servers = insertServer(p.servers, k)
 	p.ranks.Add(k.ID)
-	t.joinPart(p, k)
+	t.addToRegion(p, k)
 	return true
 }
 
@@ -294,7 +294,7 @@
 	delete(p.paced, k)
 	delete(p.busy, k)
 	k.removed = true
-	p.leavePart(k)
+	p.removeFromRegion(k)
 	return true
 }
 
