--- a/gateway/call.go
+++ b/gateway/call.go
@@ -24,7 +24,7 @@
 	g        *Gateway
 	w        http.ResponseWriter
 	r        *http.Request
-	arrived  time.Duration // on the gateway's clock
+	arrived  time.Duration
 	deadline time.Duration // end of the caller's or the route's timeout, whichever is earlier
 
 	// Properties of the request.
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -46,7 +46,7 @@
 	mu              sync.Mutex
 	servers         map[string]*knownServer
 	byHandle        map[uint32]*knownServer
-	byAddress       map[string]*knownServer
+	byAddress       map[string]*knownServer // keyed by HOST:PORT
 	pools           map[string]*pool
 	term            uint64
 	handleSpace     uint64 // ID of the space in which handles are valid
