--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package decision writes the log that explains what a process decided: one
-// JSON line for each decision about a request and each change of state. [Explain]
-// finds one request's life in the logs of many processes.
+// Package decision writes the decision log: one JSON line for each decision about a request and each
+// change of state of the process. [Explain] collects the lines about one request from the logs of
+// many processes.
 //
-// The model: lines go to a bounded queue that one goroutine writes out, so a
-// slow reader of the log never delays a request. Lines have a class. Routine
-// outcomes ([Log.Routine]) get a small part of the line budget of a second,
-// failures and refusals ([Log.Failure]) a large one; changes of state
-// ([Log.StateChange]), of which there are few, are dropped only when the queue
-// is full. Dropped lines are counted, and their number is logged once a second.
+// Lines pass through a bounded queue that one goroutine writes out, so that a slow reader of the log
+// never delays a request. Each line has a class. Routine outcomes ([Log.Routine]) get a small part of
+// the line budget per second, failures and refusals ([Log.Failure]) a large one. Changes of state
+// ([Log.StateChange]) are rare and dropped only if the queue is full. Dropped lines are counted, and
+// their number is logged once a second.
 //
-// It owns the queue and the counts; it relies on a writer, usually standard
-// output. It has no lock: counts are atomic, and a line at the border of two
-// seconds may be counted in either.
+// The package owns the queue and the counts; lines go to an [io.Writer], usually standard output.
+// There is no lock: counts are atomic, and a line at the boundary of two seconds may count toward
+// either.
 package decision
 
 import (
@@ -28,23 +27,23 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Budget bounds the lines of one second by class.
+// Budget limits the lines per second in each class.
 type Budget struct {
 	Routine int
 	Failure int
 }
 
-// DefaultBudget is for a box with a small part of a core: at most about 30 KB a second.
+// DefaultBudget suits a box with a small part of a core: at most about 30 KB per second.
 var DefaultBudget = Budget{Routine: 20, Failure: 80}
 
-// Bounds of the memory and of the writes.
+// Limits on memory and writes.
 const (
-	queueDepth = 1024        // lines: ten seconds of the default budget
-	maxLine    = 4096        // bytes; a longer line is dropped
-	maxWrite   = 4 * maxLine // bytes, about, written with one call
+	queueDepth = 1024        // lines; ten seconds of the default budget
+	maxLine    = 4096        // bytes; longer lines are dropped
+	maxWrite   = 4 * maxLine // approximate bytes per write
 )
 
-// Log is a bounded log. It is safe for concurrent use.
+// Log is a decision log with bounded memory and output. It is safe for concurrent use.
 type Log struct {
 	slog    *slog.Logger
 	budget  Budget
@@ -52,15 +51,15 @@
 	dropped *metrics.Counter
 	lines   *metrics.Counter
 
-	// Of the present second.
+	// State of the current second.
 	second          atomic.Int64 // Unix time
-	routines        atomic.Int64 // lines, dropped ones included
+	routines        atomic.Int64 // lines, including dropped ones
 	failures        atomic.Int64
-	droppedInSecond atomic.Int64 // lines dropped, whatever their class
+	droppedInSecond atomic.Int64 // lines dropped in any class
 
 	closing sync.Once
-	closed  chan struct{} // by Close
-	written chan struct{} // closed when the queue is empty and the writer has ended
+	closed  chan struct{} // closed by Close
+	written chan struct{} // closed when the queue is empty and the writer goroutine has ended
 }
 
 // New returns a log that writes to w until Close.
@@ -75,51 +74,47 @@
 	return l
 }
 
-// StateChange logs a change of the process's state: its start, its stop, a
-// dependency lost or regained, another document, leader or backend server.
+// StateChange logs a change of the process's state, such as its start or stop, a dependency lost or
+// regained, or a new document, leader or backend server.
 func (l *Log) StateChange(event string, attrs ...slog.Attr) {
 	l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs...)
 }
 
-// Failure logs a decision after which a request was refused, failed or sent
-// again.
+// Failure logs a decision by which a request was refused, failed or retried.
 func (l *Log) Failure(event string, attrs ...slog.Attr) {
 	l.FailureFunc(event, func() []slog.Attr { return attrs })
 }
 
-// FailureFunc is Failure with attributes that are made only if the line is
-// written: under a flood of refusals most lines are not.
+// FailureFunc is like Failure, but calls attrs only if the line is written. Most lines are dropped
+// under a flood of refusals.
 func (l *Log) FailureFunc(event string, attrs func() []slog.Attr) {
 	if l.allow(&l.failures, l.budget.Failure) {
 		l.slog.LogAttrs(context.Background(), slog.LevelWarn, event, attrs()...)
 	}
 }
 
-// Routine logs a decision of a request that went well.
+// Routine logs a decision of a successful request.
 func (l *Log) Routine(event string, attrs ...slog.Attr) {
 	l.RoutineFunc(event, func() []slog.Attr { return attrs })
 }
 
-// RoutineFunc is Routine with attributes that are made only if the line is
-// written.
+// RoutineFunc is like Routine, but calls attrs only if the line is written.
 func (l *Log) RoutineFunc(event string, attrs func() []slog.Attr) {
 	if l.allow(&l.routines, l.budget.Routine) {
 		l.slog.LogAttrs(context.Background(), slog.LevelInfo, event, attrs()...)
 	}
 }
 
-// Slog returns the log for packages that take a slog.Logger. Its lines count as
-// changes of state.
+// Slog returns the log as a slog.Logger. Its lines are treated as changes of state.
 func (l *Log) Slog() *slog.Logger { return l.slog }
 
-// Close writes out what is queued and ends the log. It waits for the writer.
+// Close writes out the queue and ends the log. It waits for the writer.
 func (l *Log) Close() {
 	l.closing.Do(func() { close(l.closed) })
 	<-l.written
 }
 
-// allow reports whether the second's budget has room for one more line, and
-// counts it.
+// allow reports whether the current second's budget has room for another line, and counts the line.
 func (l *Log) allow(count *atomic.Int64, budget int) bool {
 	l.startSecond()
 	if count.Add(1) > int64(budget) {
@@ -129,7 +124,7 @@
 	return true
 }
 
-// startSecond begins a new second's budget.
+// startSecond resets the budget if a new second has begun.
 func (l *Log) startSecond() {
 	now := time.Now().Unix()
 	before := l.second.Load()
@@ -148,7 +143,7 @@
 	l.dropped.Inc()
 }
 
-// queueWriter takes whole lines from the JSON handler.
+// queueWriter receives complete lines from the JSON handler and queues them.
 type queueWriter Log
 
 // Write implements [io.Writer].
@@ -167,8 +162,8 @@
 	return len(line), nil
 }
 
-// write writes queued lines, several with one call when they are there. Errors
-// are dropped: there is nowhere else to log, and a process serves without its log.
+// write writes out queued lines, several per call if available. Write errors are ignored: there is
+// nowhere else to log them, and the process continues without its log.
 func (l *Log) write(w io.Writer) {
 	defer close(l.written)
 	for {
@@ -184,7 +179,7 @@
 	}
 }
 
-// appendQueued appends lines that are queued already.
+// appendQueued appends lines that are already in the queue.
 func (l *Log) appendQueued(lines []byte) []byte {
 	for len(lines) < maxWrite {
 		select {
--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 )
 
-// sink collects what is written.
+// sink collects the written lines.
 type sink struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -35,7 +35,7 @@
 	return strings.Split(strings.TrimSpace(s.b.String()), "\n")
 }
 
-// blockedWriter never takes a byte.
+// blockedWriter blocks every write until it is released.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write(b []byte) (int, error) {
@@ -57,8 +57,8 @@
 	is.Equal(line["request"], "r1")
 }
 
-// TestBudget floods the log for three seconds: routine lines are thinned
-// first, changes of state never, and dropped lines are logged and counted.
+// TestBudget floods the log for three seconds. Routine lines must be dropped first and changes of
+// state never, and dropped lines must be logged and counted.
 func TestBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,7 +89,8 @@
 	})
 }
 
-// TestStuckReaderDelaysNobody writes far more than fits while nobody reads.
+// TestStuckReaderDelaysNobody fills the queue several times over while the writer is blocked.
+// Logging must not block.
 func TestStuckReaderDelaysNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -100,7 +101,7 @@
 		for range 3 * queueDepth {
 			l.StateChange("leading")
 		}
-		is.Equal(time.Since(before), time.Duration(0)) // nothing waited
+		is.Equal(time.Since(before), time.Duration(0)) // no call blocked
 		is.True(set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total").Get() > queueDepth)
 		close(w.release)
 		l.Close()
@@ -119,21 +120,21 @@
 	is.Equal(set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total").Get(), uint64(1))
 }
 
-// TestFactsOfDroppedLinesAreNotMade: what would not be written costs nothing.
+// TestFactsOfDroppedLinesAreNotMade checks that attributes of dropped lines are not computed.
 func TestFactsOfDroppedLinesAreNotMade(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := New(io.Discard, slog.LevelInfo, Budget{Routine: 2, Failure: 3}, metrics.NewSet())
 		defer l.Close()
-		made := 0
-		facts := func() []slog.Attr { made++; return nil }
+		calls := 0
+		attrs := func() []slog.Attr { calls++; return nil }
 		for range 10 {
-			l.RoutineFunc("answered", facts)
+			l.RoutineFunc("answered", attrs)
 		}
-		is.Equal(made, 2)
+		is.Equal(calls, 2)
 		for range 10 {
-			l.FailureFunc("refused", facts)
+			l.FailureFunc("refused", attrs)
 		}
-		is.Equal(made, 5)
+		is.Equal(calls, 5)
 	})
 }
--- a/decision/explain.go
+++ b/decision/explain.go
@@ -14,26 +14,27 @@
 	"time"
 )
 
-// This file defines Explain, which finds the life of one request in the logs
-// of many processes. Operators keep logs: lines of earlier versions stay
-// readable, so names of events and fields that a log once had stay here.
+// This file defines Explain, which collects the lines about one request from the logs of many
+// processes. Operators keep logs, so lines of earlier versions must stay readable: events and
+// fields that a log once contained are still handled here.
 
 // Line is one line of a decision log.
 type Line struct {
 	Time   time.Time
-	Box    string // the last word before the JSON object; empty without one
+	Box    string // last word before the JSON object; empty without one
 	Event  string
 	Fields map[string]any
 }
 
-// stateChangeWindow is how long before a request's first line changes of state are shown.
+// stateChangeWindow is the time before a request's first line from which changes of state are
+// shown.
 const stateChangeWindow = 10 * time.Second
 
-// maxScan bounds a line of a log that is read, in bytes. Longer than maxLine, since files may hold
-// lines of other programs.
+// maxScan bounds the length of a line that is read, in bytes. It exceeds maxLine, because files may
+// contain lines of other programs.
 const maxScan = 1 << 20
 
-// causeExplanations explain the cause of a refusal and name what to look at next.
+// causeExplanations explains the cause of a refusal and names what to look at next.
 var causeExplanations = map[string]string{
 	"no-document":          "the gateway had not heard the first document: see 'directory found' and 'directory lost' on that node",
 	"no-route":             "no route of the document in force has that host and path: compare 'document' with what the operator put",
@@ -54,8 +55,8 @@
 	"stopping":             "the gateway was being stopped: see 'stopping' on that node",
 }
 
-// ReadLines reads the lines of a log. Lines of other programs are ignored. The
-// error is of r, or of a line longer than 1 MiB.
+// ReadLines reads the lines of a log and ignores lines of other programs. It returns an error if r
+// fails or a line is longer than 1 MiB.
 func ReadLines(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -77,7 +78,7 @@
 	if json.Unmarshal(text[at:], &fields) != nil {
 		return Line{}, false
 	}
-	event, _ := fields["msg"].(string) // without either it is another program's line
+	event, _ := fields["msg"].(string) // without either field, the line belongs to another program
 	when, _ := fields["time"].(string)
 	parsed, err := time.Parse(time.RFC3339Nano, when)
 	if err != nil || event == "" {
@@ -93,9 +94,9 @@
 	return l, true
 }
 
-// Explain writes the lines of a request in order, with the changes of state of its
-// processes around it, those that tell of the same request under other identifiers, and
-// what the cause of its refusal means. It reports whether the request was found.
+// Explain writes the lines about a request in order, together with surrounding changes of state of
+// the processes involved, lines about the same request under other IDs, and an explanation of why
+// it was refused. It reports whether the request was found.
 func Explain(w io.Writer, lines []Line, request string) bool {
 	own, boxes, servers := requestLines(lines, request)
 	if len(own) == 0 {
@@ -125,7 +126,7 @@
 	return true
 }
 
-// keysOf returns the keys that lines name, by which a request is known under any identifier.
+// keysOf returns the quarantine keys in the lines. A key identifies a request under any ID.
 func keysOf(lines []Line) map[string]bool {
 	keys := map[string]bool{}
 	for _, l := range lines {
@@ -136,18 +137,17 @@
 	return keys
 }
 
-// namesAnyKey reports whether the line tells of a request with one of these keys: that it failed, what
-// servers ended under it, or what was decided of it.
+// namesAnyKey reports whether the line is about a request with one of the keys: its failure, a
+// backend server that ended while running it, or a quarantine decision about it.
 func (l Line) namesAnyKey(keys map[string]bool) bool {
 	if key, ok := l.Fields["key"].(string); ok {
 		return keys[key]
 	}
-	ran, _ := l.Fields["keys"].([]any) // null when empty
-	return slices.ContainsFunc(ran, func(key any) bool { name, ok := key.(string); return ok && keys[name] })
+	keysField, _ := l.Fields["keys"].([]any) // null when empty
+	return slices.ContainsFunc(keysField, func(key any) bool { name, ok := key.(string); return ok && keys[name] })
 }
 
-// requestLines returns a request's own lines in order, and which boxes and backend
-// servers they name.
+// requestLines returns a request's own lines in order, and the boxes and backend servers they name.
 func requestLines(lines []Line, request string) (own []Line, boxes, servers map[string]bool) {
 	boxes, servers = map[string]bool{}, map[string]bool{}
 	for _, l := range lines {
@@ -164,8 +164,8 @@
 	return own, boxes, servers
 }
 
-// mayConcern reports whether a change of state may explain a request that was sent
-// to these backend servers: one about another backend server does not.
+// mayConcern reports whether a change of state may explain a request that was sent to these backend
+// servers. Changes that concern only other backend servers do not.
 func (l Line) mayConcern(servers map[string]bool) bool {
 	if b, ok := l.Fields["backend"].(string); ok {
 		return servers[b]
@@ -188,14 +188,13 @@
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 }
 
-// String returns the line for a person: time, box, event, and the fields in the
-// order of their names.
+// String formats the line for reading: time, box, event, and the fields sorted by name.
 func (l Line) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.Time.Format("15:04:05.000"), l.Box, l.Event)
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		if name == "keys" {
-			continue // of all that ran there, 33 bytes each
+			continue // the keys of all requests on a server, 33 bytes each
 		}
 		fmt.Fprintf(&b, " %s=%v", name, l.Fields[name])
 	}
--- a/decision/explain_test.go
+++ b/decision/explain_test.go
@@ -49,8 +49,8 @@
 c1 {"time":"2026-09-26T04:20:55.1Z","level":"INFO","msg":"request released","key":"aa","why":"ordered"}
 `
 
-// TestExplainQuarantined: what the same request did before, at other gateways and under other
-// identifiers, is part of why it was refused.
+// TestExplainQuarantined checks that the explanation of a quarantined request includes its history
+// at other gateways and under other IDs.
 func TestExplainQuarantined(t *testing.T) {
 	is := is.New(t)
 	lines, err := ReadLines(strings.NewReader(quarantineLog))
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -14,23 +14,22 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file explains requests of a recorded log, recorded.log, and compares the
-// text with testdata/golden, which pins outward names. The log was written by
-// a gateway, g1, and a directory replica, d1, in virtual time. It is not
-// written anew: operators keep such logs, and they stay readable when lines
-// get other words. Run with -update to write the explanation anew.
+// This file explains requests of recorded logs and compares the text with testdata/golden, which
+// pins external names. The log recorded.log was written by a gateway, g1, and a directory replica,
+// d1, in virtual time. It is never regenerated: operators keep such logs, and they must stay readable
+// when the wording of lines changes. Run with -update to regenerate the explanation.
 
 func TestGoldenExplain(t *testing.T) {
 	explainRecorded(t, "recorded.log", "explained.txt", "early", "done", "broken", "lost", "refused", "hangs", "unreachable", "late")
 }
 
-// TestGoldenExplainRegions: a gateway with servers in two regions, of which its own is full from the second
-// request on and both from the third, and with homes from the fourth on.
+// TestGoldenExplainRegions uses a log of a gateway with servers in two regions. Its own region is
+// full from the second request on and both regions from the third; homes apply from the fourth on.
 func TestGoldenExplainRegions(t *testing.T) {
 	explainRecorded(t, "regions.log", "explained-regions.txt", "near", "over", "full", "homed", "none", "west")
 }
 
-// explainRecorded explains requests of a recorded log and compares the text with the pinned one.
+// explainRecorded explains requests of a recorded log and compares the text with the golden file.
 func explainRecorded(t *testing.T, recorded, explained string, requests ...string) {
 	t.Helper()
 	is := is.New(t)
@@ -46,8 +45,8 @@
 	golden.Text(t, explained, got.String())
 }
 
-// TestGoldenExplainRollout explains requests of a log that was recorded during a rollout, with
-// lines of its leader and of one gateway: which version served each, and why.
+// TestGoldenExplainRollout uses a log recorded during a rollout, with lines of its leader and of
+// one gateway. The explanation must show which version served each request, and why.
 func TestGoldenExplainRollout(t *testing.T) {
 	is := is.New(t)
 	log, err := os.ReadFile(filepath.Join("testdata", "golden", "recorded-rollout.log"))
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -121,21 +121,21 @@
 	if errors.As(err, &unknown) {
 		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
 	}
-	var not forward.NotRun
-	if !errors.As(err, &not) {
+	var notRun forward.NotRun
+	if !errors.As(err, &notRun) {
 		return outcome{execution: retry.MayHaveRun, cause: "lost", verdict: outlier.Lost, err: err}
 	}
-	if forward.Unwanted(not.Err) {
+	if forward.Unwanted(notRun.Err) {
 		return outcome{execution: retry.NotSent, cause: c.unwantedCause(), verdict: outlier.NoVerdict, err: err}
 	}
-	if !not.Refused {
+	if !notRun.Refused {
 		a.unreached = true
 		return outcome{execution: retry.NotSent, cause: "unreachable", verdict: c.unreachableVerdict(), err: err}
 	}
-	head := c.g.cfg.Headers.DecodeAnswer(not.Status, not.Header)
+	head := c.g.cfg.Headers.DecodeAnswer(notRun.Status, notRun.Header)
 	c.g.applyNotice(a, head)
 	out := c.refused(head, err)
-	out.status, out.backoff, out.leaving = not.Status, head.Backoff, head.Leaving
+	out.status, out.backoff, out.leaving = notRun.Status, head.Backoff, head.Leaving
 	return out
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -72,38 +72,38 @@
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
 	order := t.order(p, now, &req)
-	a, full, found := t.acquireAmong(p, now, req, order.first, order.why)
-	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not re-enable the old version
+	a, shortfall, found := t.acquireAmong(p, now, req, order.first, order.why)
+	usable := found && shortfall.bound != place.RegionLink || shortfall.backingOff // a backoff does not re-enable the old version
 	if a != nil || order.second == 0 || (order.ifNone && usable) {
-		return a, full
+		return a, shortfall
 	}
 	a, other, foundOther := t.acquireAmong(p, now, req, order.second, order.otherwise)
 	if a == nil && found && !foundOther {
-		return nil, full
+		return nil, shortfall
 	}
 	return a, other
 }
 
 // acquireAmong is acquire limited to some versions. It also reports whether there was a candidate.
 // why is recorded in the log. The caller holds mu.
-func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, full shortage, found bool) {
+func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, shortfall shortage, found bool) {
 	req.versions = among
-	choice, left := t.choose(p, now, &req)
+	choice, leave := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayReason: left.stayReason, backingOff: backingOff, backoff: backoff,
+			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayReason: leave.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
 			slowness: choice.Slowness, learned: p.placer.Learned(), loadAge: now - t.othersUpdatedAt,
-			stayReason: left.stayReason,
+			stayReason: leave.stayReason,
 		}, true
 	}
-	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
+	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, leave), shortage{}, true
 }
 
 // blockingHalls returns the halls that are out of service if they hold all servers of the pool that
@@ -131,8 +131,8 @@
 		if among == 0 || (i > 0 && order.ifNone && t.anyUsable(p, now, &req, order.first)) {
 			continue
 		}
-		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, left)
+		if choice, leave := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, leave)
 		}
 	}
 	return nil
--- a/gateway/ends.go
+++ b/gateway/ends.go
@@ -45,13 +45,13 @@
 }
 
 // add records a request whose connection broke while it ran, and starts probing its server.
-func (e *endDetector) add(h quarantine.TimedLoss) {
+func (e *endDetector) add(loss quarantine.TimedLoss) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_, tried := e.pendingLosses[h.Server]
-	e.pendingLosses[h.Server] = append(e.pendingLosses[h.Server], h)
-	if !tried {
-		go e.probe(h.Pool, h.Server, h.Address)
+	_, probing := e.pendingLosses[loss.Server]
+	e.pendingLosses[loss.Server] = append(e.pendingLosses[loss.Server], loss)
+	if !probing {
+		go e.probe(loss.Pool, loss.Server, loss.Address)
 	}
 }
 
@@ -61,7 +61,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for server, lost := range e.pendingLosses {
-		e.pendingLosses[server] = slices.DeleteFunc(lost, func(h quarantine.TimedLoss) bool { return h.Key == k })
+		e.pendingLosses[server] = slices.DeleteFunc(lost, func(loss quarantine.TimedLoss) bool { return loss.Key == k })
 	}
 }
 
@@ -83,8 +83,8 @@
 	e.g.stats.count("backends_ended", "pool", pool)
 	e.g.suspicions.add(e.g.now(), lost)
 	var keys []string
-	for _, h := range lost[:min(len(lost), maxLoggedKeys)] {
-		keys = append(keys, h.Key.String())
+	for _, loss := range lost[:min(len(lost), maxLoggedKeys)] {
+		keys = append(keys, loss.Key.String())
 	}
 	e.g.cfg.Log.StateChange("backend ended", slog.String("backend", server), slog.String("pool", pool),
 		slog.Int("requests", len(lost)), slog.Any("keys", keys))
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -50,7 +50,7 @@
 		c.g.accounts.countNotServed(c.account.Name, c.cost)
 	}
 	var refusal Refusal
-	var cut brokenAnswer
+	var broken brokenAnswer
 	switch {
 	case err == nil:
 		c.g.stats.count("answered", "route", c.route.Name)
@@ -64,9 +64,9 @@
 				slog.Int("status", refusal.Status()), milliseconds("after_ms", refusal.RetryAfter))
 		})
 		refusal.write(c.w)
-	case errors.As(err, &cut):
+	case errors.As(err, &broken):
 		c.g.stats.count("broken", "route", c.route.Name)
-		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", cut.err.Error()))...)
+		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", broken.err.Error()))...)
 		panic(http.ErrAbortHandler)
 	default:
 		c.g.stats.count("left", "route", c.route.Name)
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -36,15 +36,15 @@
 	t.mu.Lock()
 	p := t.pool(req.pool.Name)
 	var a *assignment
-	var full shortage
-	if full.homesCause = t.homesRefusal(p, &req); !full.final() && !g.outranked(p, req) {
-		a, full = t.acquire(g.now(), req)
+	var shortfall shortage
+	if shortfall.homesCause = t.homesRefusal(p, &req); !shortfall.final() && !g.outranked(p, req) {
+		a, shortfall = t.acquire(g.now(), req)
 	}
-	if a != nil || patience <= 0 || full.final() {
+	if a != nil || patience <= 0 || shortfall.final() {
 		t.mu.Unlock()
-		return a, full
+		return a, shortfall
 	}
-	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: full}
+	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: shortfall}
 	p.waiting = append(p.waiting, waiting)
 	t.mu.Unlock()
 	timer := time.NewTimer(patience)
@@ -96,11 +96,11 @@
 	})
 	now := g.now()
 	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
-		a, full := g.table.acquire(now, wt.requirements)
+		a, shortfall := g.table.acquire(now, wt.requirements)
 		if a == nil {
-			wt.shortage = full
+			wt.shortage = shortfall
 		}
-		if a == nil && !full.backingOff {
+		if a == nil && !shortfall.backingOff {
 			return false
 		}
 		wt.granted <- a
