--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -17,10 +17,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what a gateway sends to a backend server that has turned it away and asked
-// for backoff.
+// This file tests which requests a gateway sends to a backend server that refused one and asked for
+// backoff.
 
-// refusesWithBackoff refuses every call, asks for backoff, and counts.
+// refusesWithBackoff refuses every call, asks for backoff, and counts the calls.
 func refusesWithBackoff(backoff time.Duration, calls *atomic.Int64) behaviour {
 	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		calls.Add(1)
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestServerAskingForBackoffGetsNothing: neither a first attempt, nor another one, nor a stream that is
-// taken up goes to a server in the time that it asked for, and it gets requests again after it.
+// TestServerAskingForBackoffGetsNothing checks that neither first attempts, nor retries, nor
+// resumed streams go to a server during its backoff, and that it gets requests again afterwards.
 func TestServerAskingForBackoffGetsNothing(t *testing.T) {
 	const backoff = 3 * time.Second
 	whole := streams(piece{event(1) + event(2), 0, io.EOF})
@@ -40,13 +40,13 @@
 		path  string
 		other behaviour // of the other servers
 	}{
-		{"first attempts of what may run once", "plain", "/once/1", answers(200, "ok", time.Millisecond)},
-		{"first attempts of what may run again", "plain", "/again/1", answers(200, "ok", time.Millisecond)},
-		{"first attempts of streams at engines", "engines", "/engine/1", whole},
-		{"another attempt after a failure", "plain", "/again/1", answers(500, "broken", time.Millisecond)},
-		{"another attempt after a refusal", "plain", "/once/1", refuses(503)},
-		{"another attempt after a lost answer", "engines", "/engine/1", fails(forward.Unknown{Err: errReset})},
-		{"a stream that is taken up", "plain", "/resume/1", streams(piece{event(1), 0, errReset})},
+		{"first attempts that may run once", "plain", "/once/1", answers(200, "ok", time.Millisecond)},
+		{"first attempts that may be repeated", "plain", "/again/1", answers(200, "ok", time.Millisecond)},
+		{"first attempts of streams on engines", "engines", "/engine/1", whole},
+		{"retry after a failure", "plain", "/again/1", answers(500, "broken", time.Millisecond)},
+		{"retry after a refusal", "plain", "/once/1", refuses(503)},
+		{"retry after a lost answer", "engines", "/engine/1", fails(forward.Unknown{Err: errReset})},
+		{"resumed stream", "plain", "/resume/1", streams(piece{event(1), 0, errReset})},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
@@ -58,23 +58,23 @@
 					time.Sleep(time.Millisecond)
 				}
 				asked := x.g.now()
-				for x.g.now() < asked+backoff-300*time.Millisecond { // longer than any of them takes
+				for x.g.now() < asked+backoff-300*time.Millisecond { // a request takes less than 300 ms
 					x.request(tt.path, "Patience", "2000")
 					time.Sleep(10 * time.Millisecond)
 				}
-				is.Equal(calls.Load(), int64(1)) // within the time that it asked for
+				is.Equal(calls.Load(), int64(1)) // during the backoff
 				time.Sleep(asked + backoff - x.g.now())
 				for range 40 {
 					x.request(tt.path, "Patience", "2000")
 				}
-				is.True(calls.Load() > 1) // after it
+				is.True(calls.Load() > 1) // after the backoff
 			})
 		})
 	}
 }
 
-// TestAllServersBackedOff: what nothing serves for now is refused at once, as not run, and comes back when
-// the first server takes requests again.
+// TestAllServersBackedOff checks that a request is refused at once, as not run, while all servers
+// are in backoff. Retry-After is the time until the first server accepts requests again.
 func TestAllServersBackedOff(t *testing.T) {
 	for _, pool := range []string{"plain", "engines"} {
 		t.Run(pool, func(t *testing.T) {
@@ -100,7 +100,8 @@
 	}
 }
 
-// TestLastServerAsksForBackoffWhileOthersWait: what waits is refused at once as well.
+// TestLastServerAsksForBackoffWhileOthersWait checks that waiting requests are refused at once when
+// the only server asks for backoff.
 func TestLastServerAsksForBackoffWhileOthersWait(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -119,12 +120,12 @@
 			is.Equal(r.status, 503)
 			is.True(r.took <= 100*time.Millisecond)
 		}
-		is.Equal(calls.Load(), int64(8)) // what it had room for when it asked
+		is.Equal(calls.Load(), int64(8)) // the requests it had room for
 	})
 }
 
-// TestMayHaveRunOutlastsAShortBackoff: what cannot be told that it has not run waits for a server while
-// there is hope.
+// TestMayHaveRunOutlastsAShortBackoff checks that a request that may have run waits for the end of
+// a backoff if that comes early enough. It cannot be refused as not run.
 func TestMayHaveRunOutlastsAShortBackoff(t *testing.T) {
 	for backoff, status := range map[time.Duration]int{300 * time.Millisecond: 200, 2 * time.Second: 502} {
 		t.Run(backoff.String(), func(t *testing.T) {
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestConnectionThatOpensAfterTheRefusal: a call that waited for its connection when the server asked for
-// backoff is not sent, and goes elsewhere.
+// TestConnectionThatOpensAfterTheRefusal checks that a call still waiting for its connection when
+// the server asks for backoff is not sent, and goes to another server.
 func TestConnectionThatOpensAfterTheRefusal(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -157,7 +158,7 @@
 			if sent.Add(1) == 1 {
 				return refusal(ctx, call)
 			}
-			time.Sleep(50 * time.Millisecond) // opens a connection
+			time.Sleep(50 * time.Millisecond) // time to open a connection
 			if call.Unwanted() {
 				return nil, forward.NotRun{Err: errors.WithStack(forward.ErrUnwanted)}
 			}
@@ -175,35 +176,37 @@
 	})
 }
 
-// TestBackoffOfAnotherLife: it ends with the server, not with what the directory lists.
+// TestBackoffOfAnotherLife checks that a backoff lasts until the server process ends, even if the
+// directory removes the server from its list and adds it again.
 func TestBackoffOfAnotherLife(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.announceServers("plain", refusesWithBackoff(3*time.Second, &calls))
-		ask := func() int64 {
+		request := func() int64 {
 			x.request("/once/1", "Patience", "2000")
 			return calls.Load()
 		}
-		is.Equal(ask(), int64(1))
+		is.Equal(request(), int64(1))
 		listed := x.g.table.servers["p0"].Server
 		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{listed}})
-		is.Equal(ask(), int64(1))
+		is.Equal(request(), int64(1))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true, Complete: true, Set: []protocol.Server{listed}})
-		is.Equal(ask(), int64(1))
+		is.Equal(request(), int64(1))
 		listed.ID = "p0-again"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
-		is.Equal(ask(), int64(2))
+		is.Equal(request(), int64(2))
 		time.Sleep(4 * time.Second)
-		is.Equal(ask(), int64(3))
+		is.Equal(request(), int64(3))
 		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-again"}})
-		is.Equal(len(x.g.table.unlistedNotices), 1) // what is over is not kept
+		is.Equal(len(x.g.table.unlistedNotices), 1) // the expired notice is dropped
 	})
 }
 
-// TestBackoffBringsNoOldVersionBack: what a rollout has moved to another version is refused while all
-// servers of that version backoff.
+// TestBackoffBringsNoOldVersionBack checks that after a rollout has switched all requests to a
+// version, they are refused while all servers of that version are in backoff, rather than sent to
+// the old version.
 func TestBackoffBringsNoOldVersionBack(t *testing.T) {
 	var calls atomic.Int64
 	withGateway(t, func(x *fixture) {
@@ -220,7 +223,8 @@
 	}, answers(200, "old", time.Millisecond), refusesWithBackoff(3*time.Second, &calls))
 }
 
-// TestBackoffOfAnAnswerThatRan: a 503 asks for backoff whether it has run the request or not.
+// TestBackoffOfAnAnswerThatRan checks that the backoff in a 503 answer applies even if the request
+// has run.
 func TestBackoffOfAnAnswerThatRan(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -239,8 +243,8 @@
 	})
 }
 
-// TestWaitingRequestsGoToNoBackedOffServer: what waited for room when the server asked is not given to it
-// as the other servers fill up.
+// TestWaitingRequestsGoToNoBackedOffServer checks that requests waiting for room are not assigned
+// to a server in backoff when the other servers fill up.
 func TestWaitingRequestsGoToNoBackedOffServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -12,13 +12,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests how a gateway tells the end of a server from a broken connection.
+// This file tests how the gateway distinguishes the end of a server from a broken connection.
 
-// broken breaks each connection after the request has been sent.
+// broken is a server that breaks each connection after the request has been sent.
 var broken = fails(forward.Unknown{Err: io.EOF})
 
-// TestEndOfAServer: a server that breaks a connection and then refuses new ones has ended; one
-// that takes new ones has not.
+// TestEndOfAServer checks that a server counts as ended if it breaks a connection and then refuses
+// new ones, but not if it accepts new ones.
 func TestEndOfAServer(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// stop ends the server at an address.
+// stop makes the server at an address refuse connections.
 func (f *fakeServers) stop(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/golden_test.go
+++ b/gateway/golden_test.go
@@ -14,9 +14,8 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file writes the gateway's own answers down, as callers see them, and
-// compares them with testdata/golden, which pins outward names. Run with
-// -update to write them anew.
+// This file compares the gateway's own error responses, as callers see them, with testdata/golden,
+// which pins external names. Run with -update to regenerate the golden file.
 
 func TestGoldenRefusals(t *testing.T) {
 	var got strings.Builder
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -17,9 +17,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what a gateway sends to a backend server that has said in an answer that it leaves.
+// This file tests which requests a gateway sends to a backend server that has announced in an
+// answer that it is leaving.
 
-// leaving does what a behaviour does, says that it leaves, and counts.
+// leaving wraps a behaviour, announces in each answer that the server is leaving, and counts the
+// calls.
 func leaving(does behaviour, calls *atomic.Int64) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		calls.Add(1)
@@ -34,8 +36,8 @@
 	}
 }
 
-// TestServerSaidThatItLeaves: from the head of any answer that says so it gets nothing more: neither a
-// first attempt, nor another one, nor a stream that is taken up.
+// TestServerSaidThatItLeaves checks that a server gets no more requests once the head of any answer
+// has announced that it is leaving: no first attempts, no retries and no resumed streams.
 func TestServerSaidThatItLeaves(t *testing.T) {
 	ok := answers(200, "ok", time.Millisecond)
 	whole := streams(piece{event(1) + event(2), 0, io.EOF})
@@ -45,17 +47,17 @@
 		path     string
 		leaves   behaviour
 		other    behaviour // of the other servers
-		attempts bool      // more than one for each request
+		attempts bool      // more than one attempt per request
 	}{
 		{"with a success", "plain", "/once/1", ok, ok, false},
-		{"with a failure of its own", "plain", "/again/1", answers(500, "broken", 0), ok, true},
+		{"with its own failure", "plain", "/again/1", answers(500, "broken", 0), ok, true},
 		{"with a client error", "plain", "/once/1", answers(404, "nothing", 0), ok, false},
 		{"with a refusal", "plain", "/once/1", refuses(503), ok, true},
 		{"with a refusal for another reason", "engines", "/engine/1", refuses(429), whole, true},
 		{"with a stream", "engines", "/engine/1", whole, whole, false},
 		{"with a stream that breaks", "plain", "/resume/1", streams(piece{event(1), 0, errReset}), whole, true},
 		{"while the others fail", "plain", "/again/1", ok, answers(500, "broken", 0), true},
-		{"while the others break off", "plain", "/resume/1", whole, streams(piece{event(1), 0, errReset}), true},
+		{"while streams of the others break", "plain", "/resume/1", whole, streams(piece{event(1), 0, errReset}), true},
 		{"while answers of the others are lost", "engines", "/engine/1", whole, fails(forward.Unknown{Err: errReset}), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -76,8 +78,8 @@
 	}
 }
 
-// TestWaitingRequestsGoToNoLeavingServer: what waited for room when the server said that it leaves is not
-// given to it, though a stream of it goes on.
+// TestWaitingRequestsGoToNoLeavingServer checks that requests waiting for room are not assigned to
+// a server that is leaving, even while streams on it continue.
 func TestWaitingRequestsGoToNoLeavingServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -95,23 +97,23 @@
 				served++
 			}
 		}
-		is.Equal(int64(served), calls.Load()) // what ran there ends in peace
-		is.True(served <= 5)                  // what it had room for before it said so
+		is.Equal(int64(served), calls.Load()) // requests running there are completed
+		is.True(served <= 5)                  // the requests it had room for before the announcement
 	})
 }
 
-// TestLeavingServerIsListedAgain: what it said holds for its life, whatever the directory lists, and not
-// for the next one.
+// TestLeavingServerIsListedAgain checks that the announcement holds until the server process ends,
+// whatever the directory lists, and does not apply to its successor.
 func TestLeavingServerIsListedAgain(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
 		x.announceServers("plain", leaving(answers(200, "ok", time.Millisecond), &calls))
-		ask := func() int64 {
+		request := func() int64 {
 			x.request("/once/1", "Patience", "500")
 			return calls.Load()
 		}
-		is.Equal(ask(), int64(1))
+		is.Equal(request(), int64(1))
 		listed := x.g.table.servers["p0"].Server
 		for _, m := range []protocol.Servers{
 			{Term: 1, Set: []protocol.Server{listed}},
@@ -121,24 +123,24 @@
 		} {
 			x.g.table.update(m)
 			time.Sleep(5 * time.Second)
-			is.Equal(ask(), int64(1))
+			is.Equal(request(), int64(1))
 		}
 		listed.ID = "p0-again"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
-		is.Equal(ask(), int64(2))
+		is.Equal(request(), int64(2))
 		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-again"}})
 		is.Equal(len(x.g.table.unlistedNotices), 2)
 		time.Sleep(backpressure.LongestBackoff + time.Minute)
 		listed.ID = "p0-more"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
-		is.Equal(ask(), int64(3))
+		is.Equal(request(), int64(3))
 		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-more"}})
-		is.Equal(len(x.g.table.unlistedNotices), 1) // none is kept for good
+		is.Equal(len(x.g.table.unlistedNotices), 1) // expired notices are dropped
 	})
 }
 
-// TestAllServersLeave: a request waits for another one as where none is listed, and the last ones that
-// serve backed off from are told apart from those that leave.
+// TestAllServersLeave checks that a request waits for a new server if all listed ones are leaving.
+// If the remaining ones are in backoff instead, it is refused at once.
 func TestAllServersLeave(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -156,21 +158,21 @@
 			x.g.addServer(another)
 		})
 		is.Equal(x.request("/once/1", "Patience", "2000").status, 503)
-		is.Equal(calls.Load(), int64(2)) // the new one had it
+		is.Equal(calls.Load(), int64(2)) // the new server got the request
 		r = x.request("/once/1", "Patience", "2000")
 		is.Equal(r.body, "{\"error\":\"backing-off\"}\n")
 		is.Equal(r.took, time.Duration(0))
 	})
 }
 
-// addServer takes a server that the directory has added.
+// addServer adds a server as a message of the directory does.
 func (g *Gateway) addServer(s protocol.Server) {
 	g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 	g.grantAll()
 }
 
-// TestLeavingServersOfAVersion: an old version whose servers all leave is gone, and a trial goes to servers
-// of the target that stay.
+// TestLeavingServersOfAVersion checks that an old version counts as gone if all its servers are
+// leaving, and that a trial uses servers of the target that are not leaving.
 func TestLeavingServersOfAVersion(t *testing.T) {
 	ok := answers(200, "ok", time.Millisecond)
 	t.Run("old", func(t *testing.T) {
@@ -196,7 +198,7 @@
 				x.leaseShares()
 				is.Equal(x.request("/once/1", "Patience", "800").status, 200)
 			}
-			is.Equal(calls.Load(), int64(1)) // one of the two, whichever the trial began with
+			is.Equal(calls.Load(), int64(1)) // the first server of the trial, which may be either
 			targets := 0
 			for _, k := range x.g.table.servers {
 				if k.versions&trialVersion != 0 {
@@ -209,7 +211,7 @@
 	})
 }
 
-// leavingFirst is leaving for the first call that counts, and the behaviour alone after it.
+// leavingFirst is like leaving, but only the first of the counted calls announces it.
 func leavingFirst(does behaviour, calls *atomic.Int64) behaviour {
 	leaves := leaving(does, calls)
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -17,8 +17,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// setOverload changes what the gateway knows of its delay, beside the ticking
-// goroutine.
+// setOverload changes the gateway's overload state. The tick goroutine may update it at the same
+// time.
 func (x *fixture) setOverload(set func(d *overload.Detector)) {
 	for {
 		old := x.g.overload.Load()
@@ -44,14 +44,14 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestUnderPressureCallersGoElsewhere: not ready long enough to be seen twice
-// by a balancer that asks every second.
+// TestUnderPressureCallersGoElsewhere checks that an overloaded gateway is not ready for long
+// enough that a load balancer probing once a second sees it twice.
 func TestUnderPressureCallersGoElsewhere(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.True(x.g.Ready())
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayBeyond })
-		time.Sleep(overload.TickPeriod + time.Millisecond) // the tick sees it, and then no delay any more
+		time.Sleep(overload.TickPeriod + time.Millisecond) // one tick detects the delay, the next ones see none
 		for range 2 {
 			is.True(!x.g.Ready())
 			time.Sleep(time.Second)
@@ -61,8 +61,8 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestRefusalsUnderPressureAreMissed: what is within a share and refused for
-// the processor is told to the leader like what finds no engine.
+// TestRefusalsUnderPressureAreMissed checks that requests within a share that are refused because
+// of processor overload are reported to the leader as missed, like requests that find no engine.
 func TestRefusalsUnderPressureAreMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -74,7 +74,7 @@
 	})
 }
 
-// untouchedBody fails a test when it is read.
+// untouchedBody is a request body that fails the test when it is read.
 type untouchedBody struct{ t *testing.T }
 
 func (b untouchedBody) Read([]byte) (int, error) {
@@ -82,8 +82,8 @@
 	return 0, io.EOF
 }
 
-// TestFloodIsRefusedWithoutItsBody: what is beyond its account's share is
-// refused by its head alone, while another account is served.
+// TestFloodIsRefusedWithoutItsBody checks that a request beyond its account's share is refused
+// without reading its body, while another account is served.
 func TestFloodIsRefusedWithoutItsBody(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -101,8 +101,8 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLateGatewayBlamesNobody cannot connect to its only backend server: one that is
-// late itself trusts the backend server as before.
+// TestLateGatewayBlamesNobody makes the only backend server unreachable. A gateway with a high
+// scheduling delay must not eject it, because its own delay may have used up the connect timeout.
 func TestLateGatewayBlamesNobody(t *testing.T) {
 	for _, tt := range []struct {
 		level   time.Duration
@@ -123,9 +123,9 @@
 	}
 }
 
-// TestLateGatewayLearnsNothing: what a gateway that is late itself sees of engines' pace
-// says nothing of them. It would count them as slow, and so as full, and refuse its
-// callers while they are idle.
+// TestLateGatewayLearnsNothing checks that a gateway with a high scheduling delay does not learn
+// the engines' pace. Otherwise it would attribute its own delay to them, treat idle engines as
+// full, and refuse its callers.
 func TestLateGatewayLearnsNothing(t *testing.T) {
 	for _, tt := range []struct {
 		level  time.Duration
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -14,10 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests in which order waiting requests go, and what bounds them.
+// This file tests the order of waiting requests and the limits on them.
 
-// TestWaitingGoInOrder fills the only backend server; of three that wait, the one of
-// the account that was served least goes first, whenever it came.
+// TestWaitingGoInOrder fills the only backend server and lets three requests wait. The one from the
+// account that received the least service must go first, whatever the order of arrival.
 func TestWaitingGoInOrder(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -43,17 +43,17 @@
 		}
 		x.g.accounts.countStarted("t", 1000)
 		group.Wait()
-		// Two connections are the least that a gateway takes.
+		// A gateway uses at least two connections.
 		is.Equal(strings.Join(order, ""), "abdc")
 	}, answers(200, "fine", 0))
 }
 
-// TestConnectionsAreShared: a backend server's connections are divided by the
-// gateways.
+// TestConnectionsAreShared checks that the gateways divide a backend server's connections among
+// them.
 func TestConnectionsAreShared(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.g.gatewayCount.Store(45) // of 100 connections, two are this gateway's
+		x.g.gatewayCount.Store(45) // this gateway gets two of 100 connections
 		var group sync.WaitGroup
 		for range 2 {
 			group.Go(func() { x.request("/once/x") })
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -64,27 +64,27 @@
 		x.announceServers("engines", streams(piece{text: event(1)}))
 		beyond := []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}
 		x.g.accounts.update(beyond, nil, true)
-		ask := func(patience, key string) reply {
+		request := func(patience, key string) reply {
 			return x.request("/engine/x", "Tokens", "100", "Patience", patience, "Key", key)
 		}
 		for wait := 2600; wait <= 3000; wait += 20 {
-			is.Equal(ask(strconv.Itoa(wait), "other").status, 200)
+			is.Equal(request(strconv.Itoa(wait), "other").status, 200)
 		}
 		x.g.accounts.takeReport()
-		is.Equal(ask("3000", "key").status, 200)
-		is.Equal(ask("2600", "key").status, 429) // half of what is in time, and this is in time
-		refused := ask("1800", "key")
+		is.Equal(request("3000", "key").status, 200)
+		is.Equal(request("2600", "key").status, 429) // half of what is in time, and this is in time
+		refused := request("1800", "key")
 		is.Equal(refused.status, 429)
 		after, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
 		is.NoErr(err)
 		is.True(after > 0.4 && after < 0.6) // of 1.8 s
-		is.Equal(ask("1800", "other").status, 200)
+		is.Equal(request("1800", "other").status, 200)
 		u := x.g.accounts.takeReport()
 		is.Equal(u.Demands, []protocol.Demand{{Account: "t", Tokens: 300}, {Account: "u", Tokens: 100}})
 		is.Equal(u.Late, []protocol.Demand{{Account: "t", Tokens: 100}, {Account: "u", Tokens: 100}})
 
 		x.g.accounts.update(beyond, []protocol.Entitlement{{Account: "t", Part: 1, Extra: 1}}, true)
-		is.Equal(ask("1800", "key").status, 200)
+		is.Equal(request("1800", "key").status, 200)
 		is.Equal(x.g.accounts.takeReport().Late, []protocol.Demand{{Account: "t", Tokens: 100}})
 	})
 }
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -12,10 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests rollouts together with homes: servers of the target stand in one region only.
+// This file tests rollouts together with homes, where only one region has servers of the target
+// version.
 
-// rolloutInTheNorth is a pool with both versions in the north and the old one alone in the south,
-// which is the home of route "again".
+// rolloutInTheNorth sets up a pool with both versions in the north and only the old one in the
+// south, which is the home of route "again".
 func (x *fixture) rolloutInTheNorth() {
 	x.twoRegions()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
@@ -33,7 +34,7 @@
 	x.g.table.update(m)
 }
 
-// requestConcurrently asks a route some times at once and returns how many were served.
+// requestConcurrently sends a number of concurrent requests and returns how many were served.
 func (x *fixture) requestConcurrently(path string, times int) (served int) {
 	var mu sync.Mutex
 	var asking sync.WaitGroup
@@ -51,9 +52,10 @@
 	return served
 }
 
-// TestHomeWithoutTheTarget: a route whose home has no server of the target never leaves its home,
-// and is served there by the old version, also where it has to wait: in the trial, after the
-// switch, and when the old version is replaced, for as long as it is there.
+// TestHomeWithoutTheTarget checks that requests of a route whose home has no server of the target
+// stay in that home. The old version serves them there, after a wait if necessary: during the
+// trial, after the switch, and after the old version was replaced, for as long as its servers
+// exist.
 func TestHomeWithoutTheTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -69,7 +71,7 @@
 				x.rolloutInTheNorth()
 				x.rollouts(1, 1, tt.list)
 				x.leaseShares()
-				is.Equal(x.requestConcurrently("/again/x", 40), 40) // more than the home has room for at once
+				is.Equal(x.requestConcurrently("/again/x", 40), 40) // more than the home has room for
 				is.Equal(x.servedIn("s1"), 40)
 				is.Equal(x.requestConcurrently("/once/x", 10), 10)
 				is.Equal(x.servedIn("s"), 40)
--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -14,10 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests the sums of what became of each account's tokens.
+// This file tests the token totals per account.
 
-// TestTokensAreCounted: what an account demands is begun or refused for a cause,
-// whatever lines of single requests are dropped.
+// TestTokensAreCounted checks that all demanded tokens are counted as begun or refused for a cause,
+// even if log lines of single requests are dropped.
 func TestTokensAreCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -43,8 +43,8 @@
 	})
 }
 
-// TestAccountsAreOrdered: who was refused within a share comes first, then the largest
-// demand.
+// TestAccountsAreOrdered checks that accounts refused within their share come first, then those
+// with the largest demand.
 func TestAccountsAreOrdered(t *testing.T) {
 	is := is.New(t)
 	sums := map[tokenKey]int{
