--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -57,13 +57,13 @@
 					x.request(tt.path, "Patience", "2000")
 					time.Sleep(time.Millisecond)
 				}
-				asked := x.g.now()
-				for x.g.now() < asked+backoff-300*time.Millisecond { // a request takes less than 300 ms
+				backoffStart := x.g.now()
+				for x.g.now() < backoffStart+backoff-300*time.Millisecond { // a request takes less than 300 ms
 					x.request(tt.path, "Patience", "2000")
 					time.Sleep(10 * time.Millisecond)
 				}
 				is.Equal(calls.Load(), int64(1)) // during the backoff
-				time.Sleep(asked + backoff - x.g.now())
+				time.Sleep(backoffStart + backoff - x.g.now())
 				for range 40 {
 					x.request(tt.path, "Patience", "2000")
 				}
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -28,13 +28,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines fixture, one gateway in a bubble of virtual time before
-// backend servers that are functions, with a header codec of its own.
+// This file defines fixture, a gateway in a synctest bubble with virtual time. Its backend servers
+// are functions, and it has its own header codec.
 
-// sharedTokens are the tokens of the part that the header Shared names.
+// sharedTokens is the size of the prompt part named by the Shared header.
 const sharedTokens = 3000
 
-// testHeaders uses headers that no deployment has.
+// testHeaders is a codec with header names that no deployment uses.
 type testHeaders struct{}
 
 func (testHeaders) DecodeRequest(r *http.Request) RequestHead {
@@ -72,10 +72,10 @@
 
 func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
 
-// behaviour is what a backend server does with one call.
+// behaviour is a backend server's handling of a call.
 type behaviour func(ctx context.Context, call forward.Call) (*forward.Answer, error)
 
-// fakeServers counts what arrives where.
+// fakeServers implements Server with behaviours and records the calls.
 type fakeServers struct {
 	mu         sync.Mutex
 	behaviours map[string]behaviour // by address
@@ -102,7 +102,7 @@
 
 func (f *fakeServers) DropAllIdle() { f.DropIdle("all") }
 
-// Refuses implements Server: nothing listens where nothing is announced.
+// Refuses implements Server. Addresses without a behaviour refuse connections.
 func (f *fakeServers) Refuses(_ context.Context, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,12 +115,12 @@
 	return len(f.arrivals)
 }
 
-// answerHeader returns the head of an answer to a call.
+// answerHeader returns the header of an answer to a call.
 func answerHeader(call forward.Call) http.Header {
 	return http.Header{"Id": call.Header["Id"], "Sealed": {"yes"}}
 }
 
-// answers answers with a body after a while.
+// answers returns an answer with a body after a delay.
 func answers(status int, body string, after time.Duration) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if !sleep.For(ctx, after) {
@@ -132,18 +132,18 @@
 	}
 }
 
-// fails fails every call alike.
+// fails fails every call with the same error.
 func fails(err error) behaviour {
 	return func(context.Context, forward.Call) (*forward.Answer, error) { return nil, err }
 }
 
-// hangs takes the call and never answers.
+// hangs accepts the call and never answers.
 func hangs(ctx context.Context, _ forward.Call) (*forward.Answer, error) {
 	<-ctx.Done()
 	return nil, forward.Unknown{Err: ctx.Err()}
 }
 
-// refuses says that the call has not run.
+// refuses refuses every call as not run.
 func refuses(status int) behaviour {
 	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
 		h := http.Header{"Id": call.Header["Id"], "Not-Run": {"1"}}
@@ -151,14 +151,14 @@
 	}
 }
 
-// piece is a part of a stream.
+// piece is a part of a streamed body.
 type piece struct {
 	text  string
 	after time.Duration
-	err   error // ends the stream; io.EOF is a whole one
+	err   error // ends the stream; io.EOF if it is complete
 }
 
-// streams sends pieces; a call that names an event begins after it.
+// streams answers with a stream of pieces.
 func streams(pieces ...piece) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return &forward.Answer{
@@ -188,12 +188,12 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", id, id) }
 
-// fixture is one gateway.
+// fixture is a gateway under test.
 type fixture struct {
 	t       *testing.T
 	g       *Gateway
 	servers *fakeServers
-	reports uint64 // counted by the leader
+	reports uint64 // reports counted by the leader
 }
 
 func testDocument() document.Document {
@@ -216,8 +216,8 @@
 	}
 }
 
-// withGateway runs f with a gateway that knows backend servers b0, b1, … of the pool
-// "plain", by their behaviours, and none of the directory.
+// withGateway runs f with a gateway in a synctest bubble. Its pool "plain" has the backend servers
+// p0, p1, … with the given behaviours. There is no directory.
 func withGateway(t *testing.T, f func(x *fixture), behaviours ...behaviour) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
@@ -240,7 +240,7 @@
 	})
 }
 
-// announceServers announces backend servers with behaviours.
+// announceServers adds backend servers with the given behaviours to a pool.
 func (x *fixture) announceServers(pool string, behaviours ...behaviour) {
 	m := protocol.Servers{Term: 1}
 	for i, d := range behaviours {
@@ -253,12 +253,12 @@
 	x.g.table.update(m)
 }
 
-// reply is what a caller got.
+// reply is the response received by a caller.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	cut    bool // the connection was closed, without an answer or in its middle
+	cut    bool // the connection was closed without a complete answer
 	took   time.Duration
 }
 
@@ -290,7 +290,7 @@
 	return out
 }
 
-// monotonic returns a clock that begins now.
+// monotonic returns a clock that starts at zero.
 func monotonic() func() time.Duration {
 	began := time.Now()
 	return func() time.Duration { return time.Since(began) }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -20,12 +20,12 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what callers get, by what backend servers do.
+// This file tests what callers receive, depending on how backend servers behave.
 
 var errReset = errors.New("connection reset")
 
-// TestOutcomes is the table of failures: what a caller is told, and how often
-// the request arrived at a backend server.
+// TestOutcomes lists failures with the response to the caller and the number of times the request
+// arrived at a backend server.
 func TestOutcomes(t *testing.T) {
 	unreachable := fails(forward.NotRun{Err: errReset})
 	lostAnswer := fails(forward.Unknown{Err: errReset})
@@ -45,65 +45,65 @@
 		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: 4, Body: body}, nil
 	}
 	for _, tt := range []struct {
-		name     string
-		route    string
-		does     []behaviour // of the backend servers, in the order in which they are asked
-		status   int
-		body     string // part of it
-		arrivals int
+		name       string
+		route      string
+		behaviours []behaviour // of the backend servers, in the order of the attempts
+		status     int
+		body       string // substring
+		arrivals   int
 	}{
 		{"answered", "once", []behaviour{ok, ok}, 200, "fine", 1},
-		{"unreachable is tried elsewhere", "once", []behaviour{unreachable, ok}, 200, "fine", 2},
-		{"nobody reachable has not run", "once", []behaviour{unreachable, unreachable}, 503, "no-backend", 2},
-		{"a lost answer may have run", "once", []behaviour{lostAnswer, ok}, 502, "may-have-run", 1},
-		{"a lost answer is repeated where that is allowed", "again", []behaviour{lostAnswer, ok}, 200, "fine", 2},
-		{"twice lost may have run", "again", []behaviour{lostAnswer, lostAnswer, ok}, 502, "may-have-run", 2},
-		{"refused there has not run", "once", []behaviour{refuses(503), refuses(503), refuses(503)}, 503, "refused-by-backend", 3},
-		{"refused there, then fine", "once", []behaviour{refuses(503), ok}, 200, "fine", 2},
-		{"refused after it may have run", "again", []behaviour{lostAnswer, refuses(503), refuses(503)}, 502, "may-have-run", 3},
-		{"an own failure is passed on", "once", []behaviour{answers(500, "broken", 0), ok}, 500, "broken", 1},
-		{"an own failure is repeated where that is allowed", "again", []behaviour{answers(500, "broken", 0), ok}, 200, "fine", 2},
-		{"two own failures: the last is passed on", "again", []behaviour{answers(500, "a", 0), answers(500, "b", 0), ok}, 500, "b", 2},
-		{"a client error is final", "again", []behaviour{answers(404, "nothing", 0), ok}, 404, "nothing", 1},
-		{"a crossed answer may have run", "once", []behaviour{crossed, ok}, 502, "may-have-run", 1},
-		{"a crossed answer is repeated", "again", []behaviour{crossed, ok}, 200, "fine", 2},
-		{"an unsealed success is none", "once", []behaviour{unsealed, ok}, 502, "may-have-run", 1},
-		{"a cut answer is none", "once", []behaviour{cutOff, ok}, 502, "may-have-run", 1},
-		{"a cut answer is repeated", "again", []behaviour{cutOff, ok}, 200, "fine", 2},
-		{"an answer that never comes", "once", []behaviour{hangs, ok}, 504, "timed-out", 1},
-		{"a silent backend is left for another", "again", []behaviour{hangs, ok}, 200, "fine", 2},
-		{"no backend at all", "once", nil, 503, "no-backend", 0},
+		{"unreachable, then another server", "once", []behaviour{unreachable, ok}, 200, "fine", 2},
+		{"no server reachable: not run", "once", []behaviour{unreachable, unreachable}, 503, "no-backend", 2},
+		{"lost answer: may have run", "once", []behaviour{lostAnswer, ok}, 502, "may-have-run", 1},
+		{"lost answer: repeated where allowed", "again", []behaviour{lostAnswer, ok}, 200, "fine", 2},
+		{"lost twice: may have run", "again", []behaviour{lostAnswer, lostAnswer, ok}, 502, "may-have-run", 2},
+		{"refused: not run", "once", []behaviour{refuses(503), refuses(503), refuses(503)}, 503, "refused-by-backend", 3},
+		{"refused, then answered", "once", []behaviour{refuses(503), ok}, 200, "fine", 2},
+		{"refused after a lost answer: may have run", "again", []behaviour{lostAnswer, refuses(503), refuses(503)}, 502, "may-have-run", 3},
+		{"server error is passed on", "once", []behaviour{answers(500, "broken", 0), ok}, 500, "broken", 1},
+		{"server error: repeated where allowed", "again", []behaviour{answers(500, "broken", 0), ok}, 200, "fine", 2},
+		{"two server errors: the last is passed on", "again", []behaviour{answers(500, "a", 0), answers(500, "b", 0), ok}, 500, "b", 2},
+		{"client error is final", "again", []behaviour{answers(404, "nothing", 0), ok}, 404, "nothing", 1},
+		{"answer to another request: may have run", "once", []behaviour{crossed, ok}, 502, "may-have-run", 1},
+		{"answer to another request: repeated", "again", []behaviour{crossed, ok}, 200, "fine", 2},
+		{"unsealed success: may have run", "once", []behaviour{unsealed, ok}, 502, "may-have-run", 1},
+		{"truncated answer: may have run", "once", []behaviour{cutOff, ok}, 502, "may-have-run", 1},
+		{"truncated answer: repeated", "again", []behaviour{cutOff, ok}, 200, "fine", 2},
+		{"no answer: timeout", "once", []behaviour{hangs, ok}, 504, "timed-out", 1},
+		{"silent backend, then another server", "again", []behaviour{hangs, ok}, 200, "fine", 2},
+		{"no backend", "once", nil, 503, "no-backend", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.announceInOrder(tt.does)
+				x.announceInOrder(tt.behaviours)
 				got := x.request("/" + tt.route + "/x")
 				is.Equal(got.status, tt.status)
 				is.True(strings.Contains(got.body, tt.body))
 				is.Equal(x.servers.count(), tt.arrivals)
 				is.True(!got.cut)
 				if promise := got.status == 503 || got.status == 429; promise {
-					is.True(got.header.Get("Retry-After") != "") // says when to come back
+					is.True(got.header.Get("Retry-After") != "") // a refusal promises that the request has not run
 				}
 			})
 		})
 	}
 }
 
-// announceInOrder announces as many backend servers as there are behaviours; whichever is
-// asked first does the first, and so on.
-func (x *fixture) announceInOrder(does []behaviour) {
+// announceInOrder adds as many backend servers as there are behaviours. The first attempt meets the
+// first behaviour, whichever server it goes to, and so on.
+func (x *fixture) announceInOrder(behaviours []behaviour) {
 	var mu sync.Mutex
 	next := 0
 	each := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		mu.Lock()
-		d := does[min(next, len(does)-1)]
+		d := behaviours[min(next, len(behaviours)-1)]
 		next++
 		mu.Unlock()
 		return d(ctx, call)
 	}
-	all := make([]behaviour, len(does))
+	all := make([]behaviour, len(behaviours))
 	for i := range all {
 		all[i] = each
 	}
@@ -118,7 +118,7 @@
 		status int
 	}{
 		{"no route", "/nowhere/x", nil, 404},
-		{"another host", "/once/x", []string{"Host", "x"}, 200}, // the header is not the host
+		{"another host", "/once/x", []string{"Host", "x"}, 200}, // the Host header field is not the host
 		{"unknown key", "/once/x", []string{"Key", "wrong"}, 401},
 		{"no key", "/once/x", []string{"Key", ""}, 401},
 		{"known", "/once/x", nil, 200},
@@ -152,12 +152,13 @@
 		x.g.apply(d)
 		is.Equal(x.request("/once/x", "Pad", pad).status, 200)
 		is.Equal(x.request("/once/x", "Pad", pad+"x").status, 431)
-		is.Equal(x.request("/nowhere/x", "Pad", pad+"x").status, 431) // before anything else
-		is.Equal(x.servers.count(), 2)                                // it was not sent on
+		is.Equal(x.request("/nowhere/x", "Pad", pad+"x").status, 431) // checked before the route
+		is.Equal(x.servers.count(), 2)                                // nothing was forwarded
 	}, answers(200, "fine", 0))
 }
 
-// TestBeforeTheFirstDocument refuses as not run, never as unknown.
+// TestBeforeTheFirstDocument checks that a gateway without a document refuses requests as not run,
+// not as unknown.
 func TestBeforeTheFirstDocument(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -178,7 +179,7 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestWhatTheBackendGets checks the head that goes out.
+// TestWhatTheBackendGets checks the forwarded request head and body.
 func TestWhatTheBackendGets(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -195,14 +196,14 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLeftOverTime checks that a second backend server is told what is left, and that
-// the route's time bounds a caller's patience.
+// TestLeftOverTime checks that a second backend server receives the remaining time, and that the
+// route's timeout limits the caller's.
 func TestLeftOverTime(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{hangs, answers(200, "fine", 0)})
 		x.request("/again/x", "Patience", "9000")
-		is.Equal(x.servers.arrivals[0].Header.Get("Left"), "3000") // the route's
+		is.Equal(x.servers.arrivals[0].Header.Get("Left"), "3000") // the route's timeout
 		is.Equal(x.servers.arrivals[1].Header.Get("Left"), "2000") // after 2.5 objectives
 	})
 }
@@ -216,8 +217,8 @@
 	}, hangs)
 }
 
-// TestLeavingCallerCancels checks that a backend server stops working for a caller
-// that has gone.
+// TestLeavingCallerCancels checks that the call to the backend server is canceled when the caller
+// leaves.
 func TestLeavingCallerCancels(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -232,12 +233,12 @@
 		got := x.requestWith(ctx, "POST", "/again/x", "")
 		is.True(got.cut)
 		is.Equal(stoppedAt.Sub(began), 300*time.Millisecond)
-		is.Equal(x.servers.count(), 1) // not asked again for nobody
+		is.Equal(x.servers.count(), 1) // no retry without a caller
 	}, hangs)
 }
 
-// TestMisplacedBackendIsDropped: another backend server has the address; the request
-// has not run and goes on, and the list loses the entry.
+// TestMisplacedBackendIsDropped checks that if another backend server has taken over an address,
+// the request, which has not run, goes to another server, and the table drops the entry.
 func TestMisplacedBackendIsDropped(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -255,16 +256,16 @@
 			is.Equal(x.request("/once/x").status, 200)
 		}
 		wasted := x.servers.count() - 12
-		is.True(wasted <= 3) // then it was left alone
+		is.True(wasted <= 3) // then it was ejected
 		x.servers.behaviours["10.0.5.0:80"] = answers(200, "fine", 0)
 		time.Sleep(outlier.ShortestWait)
-		is.Equal(x.request("/again/x").status, 200) // one that may be repeated tries it
+		is.Equal(x.request("/again/x").status, 200) // a repeatable request may try an ejected server
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	})
 }
 
-// TestOnceIsNoTrial checks that a request that may not be repeated never tries
-// a suspected backend server while another one is there.
+// TestOnceIsNoTrial checks that a request that may not be repeated never goes to an ejected backend
+// server while another one is available.
 func TestOnceIsNoTrial(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -283,7 +284,7 @@
 	})
 }
 
-// TestRetryBudget lets every backend server fail: repeats stop at the budget.
+// TestRetryBudget checks that retries stop at the budget if every backend server fails.
 func TestRetryBudget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -297,8 +298,8 @@
 	})
 }
 
-// TestSpentBudgetIsSaid: the request was refused there and might have gone
-// elsewhere.
+// TestSpentBudgetIsSaid checks the refusal of a request that another server might have accepted,
+// but for the retry budget.
 func TestSpentBudgetIsSaid(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -311,8 +312,8 @@
 	})
 }
 
-// TestDoubtfulBackendIsDroppedOnceItFails: a complete list lacks it; it is used
-// as long as it answers, and no longer.
+// TestDoubtfulBackendIsDroppedOnceItFails checks that a backend server missing from a complete list
+// is used only as long as it answers.
 func TestDoubtfulBackendIsDroppedOnceItFails(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -324,7 +325,7 @@
 		}
 		is.Equal(x.g.Servers(), []string{"p0", "p1"})
 		x.servers.behaviours["10.0.5.0:80"] = fails(forward.NotRun{Err: errReset})
-		x.g.table.servers["p1"].ownLoad.Requests = 1 // so that the other is asked
+		x.g.table.servers["p1"].ownLoad.Requests = 1 // so that p0 is preferred
 		for range 4 {
 			is.Equal(x.request("/again/x").status, 200)
 		}
@@ -332,7 +333,7 @@
 	})
 }
 
-// TestStop checks the parts of a planned stop.
+// TestStop checks the phases of a planned stop.
 func TestStop(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -346,19 +347,19 @@
 		time.Sleep(time.Second)
 		is.True(!x.g.Ready())
 		early := x.request("/once/x")
-		is.Equal(early.status, 200) // the balancer has not noticed yet
+		is.Equal(early.status, 200) // the load balancer has not noticed yet
 		is.Equal(early.header.Get("Connection"), "close")
 		time.Sleep(900 * time.Millisecond)
 		group.Go(func() { x.request("/once/x") }) // keeps the gateway from ending early
 		time.Sleep(800 * time.Millisecond)        // after a third of the grace
 		late := x.request("/once/x", "Patience", "2900")
-		is.Equal(late.status, 200) // ends in time, however long it takes
+		is.Equal(late.status, 200) // its deadline is within the grace period
 		later := x.request("/once/x", "Patience", "10000")
 		is.Equal(later.status, 503)
 		is.True(strings.Contains(later.body, "stopping"))
 		group.Wait()
 		is.Equal(long.status, 200)
-		is.True(<-ended < 6*time.Second) // nothing was left to do
+		is.True(<-ended < 6*time.Second) // the gateway ends with its last request
 	}, answers(200, "fine", 900*time.Millisecond))
 }
 
@@ -387,7 +388,7 @@
 			is.Equal(s, 200)
 		}
 		for _, k := range x.g.table.servers {
-			is.Equal(k.ownLoad.Requests, 0) // every assignment came back
+			is.Equal(k.ownLoad.Requests, 0) // every assignment was released
 			is.Equal(k.ownLoad.Tokens, 0)
 		}
 	}, answers(200, "a", 20*time.Millisecond), answers(200, "b", 20*time.Millisecond))
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -22,10 +22,10 @@
 
 // leaving wraps a behaviour, announces in each answer that the server is leaving, and counts the
 // calls.
-func leaving(does behaviour, calls *atomic.Int64) behaviour {
+func leaving(inner behaviour, calls *atomic.Int64) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		calls.Add(1)
-		answer, err := does(ctx, call)
+		answer, err := inner(ctx, call)
 		if answer != nil {
 			answer.Header.Set("Leaving", "yes")
 		}
@@ -212,12 +212,12 @@
 }
 
 // leavingFirst is like leaving, but only the first of the counted calls announces it.
-func leavingFirst(does behaviour, calls *atomic.Int64) behaviour {
-	leaves := leaving(does, calls)
+func leavingFirst(inner behaviour, calls *atomic.Int64) behaviour {
+	leaves := leaving(inner, calls)
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if calls.Load() == 0 {
 			return leaves(ctx, call)
 		}
-		return does(ctx, call)
+		return inner(ctx, call)
 	}
 }
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -20,10 +20,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests who gets room on backend servers, and who waits or is refused.
+// This file tests how room on backend servers is divided, and which requests wait or are refused.
 
-// TestRoomIsShared holds every slot; one request too many waits for its part
-// of the objective and is refused, and one that finds room in time is served.
+// TestRoomIsShared occupies every slot. One more request waits for its part of the objective and is
+// refused; a later one that finds room in time is served.
 func TestRoomIsShared(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -34,30 +34,30 @@
 		time.Sleep(10 * time.Millisecond)
 		refused := x.request("/once/x")
 		is.Equal(refused.status, 503)
-		is.Equal(refused.took, 230*time.Millisecond) // until it could not be answered in time any more
+		is.Equal(refused.took, 230*time.Millisecond) // when an answer in time became impossible
 		is.True(refused.header.Get("Retry-After") != "")
-		time.Sleep(200 * time.Millisecond) // the eight end at 500 ms
+		time.Sleep(200 * time.Millisecond) // the eight requests end at 500 ms
 		served := x.request("/once/x")
 		is.Equal(served.status, 200)
 		group.Wait()
 	}, answers(200, "fine", 500*time.Millisecond))
 }
 
-// TestOthersLoadCounts checks that what runs on other gateways takes room.
+// TestOthersLoadCounts checks that load from other gateways reduces the room on a server.
 func TestOthersLoadCounts(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 50, Requests: 8}})
 		is.Equal(x.request("/once/x").status, 503)
-		time.Sleep(place.MaxOthersAge) // nobody says so any more
+		time.Sleep(place.MaxOthersAge) // the load totals expire
 		is.Equal(x.request("/once/x").status, 200)
 	}, answers(200, "fine", 0))
 }
 
-// TestWhatComesBackLateGoesLast: a caller that has less time left than any that asks first
-// on its route asked before. Of an account beyond its share it has what the others leave; of
-// one within its share it is served like any, and shows how long callers wait. Both are
-// reported.
+// TestWhatComesBackLateGoesLast checks how requests are treated whose callers have less time left
+// than any first attempt on their route, which shows that they are retries. Those of an account
+// beyond its share get only the capacity that others leave. Those of an account within its share
+// are served normally and show how long callers wait. Both are reported as late.
 func TestWhatComesBackLateGoesLast(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -72,7 +72,7 @@
 		}
 		x.g.accounts.takeReport()
 		is.Equal(request("3000", "key").status, 200)
-		is.Equal(request("2600", "key").status, 429) // half of what is in time, and this is in time
+		is.Equal(request("2600", "key").status, 429) // half of the requests in time are served; this one is in time
 		refused := request("1800", "key")
 		is.Equal(refused.status, 429)
 		after, err := strconv.ParseFloat(refused.header.Get("Retry-After"), 64)
@@ -89,8 +89,9 @@
 	})
 }
 
-// TestOthersAreTheSumLessThisGateway: sums hold a report of this gateway, not always the
-// last one, and only those that have changed come.
+// TestOthersAreTheSumLessThisGateway checks that the load of other gateways is the total minus this
+// gateway's own report. Totals may include an older report than the last one, and only changed
+// totals are sent.
 func TestOthersAreTheSumLessThisGateway(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -109,13 +110,13 @@
 		table.takeReport(2)
 		sum := protocol.ServerLoad{Handle: one.Handle, Requests: 10, Tokens: 4000}
 		is.Equal(others(1, sum), [2]place.Work{{Requests: 8, Tokens: 3700}, {}})
-		is.Equal(others(2), [2]place.Work{{Requests: 7, Tokens: 3500}, {}}) // the sum is the same
+		is.Equal(others(2), [2]place.Work{{Requests: 7, Tokens: 3500}, {}}) // the total has not changed
 		is.Equal(others(2, protocol.ServerLoad{Handle: two.Handle, Requests: 1, Tokens: 9}),
 			[2]place.Work{{Requests: 7, Tokens: 3500}, {Requests: 1, Tokens: 9}})
 		is.Equal(others(2, protocol.ServerLoad{Handle: one.Handle})[0], place.Work{}) // never negative
-		is.Equal(others(77, sum)[0], place.Work{Requests: 10, Tokens: 4000})          // a report that is not known
+		is.Equal(others(77, sum)[0], place.Work{Requests: 10, Tokens: 4000})          // the report is unknown
 		table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{one.Server, two.Server}})
-		is.Equal(others(0)[0], place.Work{}) // a new session begins without sums
+		is.Equal(others(0)[0], place.Work{}) // a new session begins without totals
 		for n := range uint64(2 * maxReports) {
 			table.takeReport(n)
 		}
@@ -123,9 +124,9 @@
 	})
 }
 
-// TestBeyondTheShareWaitsForIdleEngines gives an account a tenth of what it asks:
-// while the engine has something to read, nine in ten are refused with 429 and
-// the other account's requests are served.
+// TestBeyondTheShareWaitsForIdleEngines gives an account a tenth of its demand. While the engine
+// has a backlog, nine in ten of its requests are refused with 429, and the other account's requests
+// are served.
 func TestBeyondTheShareWaitsForIdleEngines(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -147,8 +148,8 @@
 	})
 }
 
-// TestNobodyWaitsWhileEnginesAreIdle: beyond its share, but nothing else is
-// there to do.
+// TestNobodyWaitsWhileEnginesAreIdle checks that requests beyond a share are served at once if
+// engines are idle.
 func TestNobodyWaitsWhileEnginesAreIdle(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -162,7 +163,7 @@
 	})
 }
 
-// TestStartIsCountedOnce: an attempt that reaches nobody does not make the next one
+// TestStartIsCountedOnce checks that another attempt after an unreachable server does not count as
 // another start.
 func TestStartIsCountedOnce(t *testing.T) {
 	withGateway(t, func(x *fixture) {
@@ -175,8 +176,8 @@
 	})
 }
 
-// sharedPartKeptLastBy names a shared part that the engine of that number keeps last: a request with it
-// goes to the others first.
+// sharedPartKeptLastBy returns the name of a shared part for which the engine of that number ranks
+// last, so that a request with it goes to the other engines first.
 func sharedPartKeptLastBy(x *fixture, last int) string {
 	var servers []place.Server
 	for i := range 3 {
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestWhatGetsNoAnswerIsNotServed: a request that no engine could be reached for, and
-// one whose caller leaves first, are taken back from what was started.
+// TestWhatGetsNoAnswerIsNotServed checks that requests are deducted from the started ones if no
+// engine was reachable or the caller left before the answer.
 func TestWhatGetsNoAnswerIsNotServed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -214,8 +215,8 @@
 	})
 }
 
-// TestNothingRunsForACallerThatHasLeft: a caller that closed its connection before its request
-// was read, which net/http may notice later, costs no attempt.
+// TestNothingRunsForACallerThatHasLeft checks that no attempt is made for a caller that closed its
+// connection before its request was read. net/http may notice that later.
 func TestNothingRunsForACallerThatHasLeft(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -224,19 +225,19 @@
 		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
 		is.Equal(x.servers.count(), 0)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(0))
-		is.Equal(len(x.g.table.ownLoads()), 0) // and takes no room
+		is.Equal(len(x.g.table.ownLoads()), 0) // and it takes no room
 		ctx = WithCallerLeft(x.t.Context(), func() bool { return false })
 		is.Equal(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").status, 200)
 	})
 }
 
-// TestReportSaysWhoWasServed: whatever is taken back, a report whose requests have started
-// says for which accounts; the leader takes one that does not for an older gateway's.
+// TestReportSaysWhoWasServed checks that a report with started tokens names their accounts, even
+// after deductions. The leader would take a report that doesn't for one of an older gateway.
 func TestReportSaysWhoWasServed(t *testing.T) {
 	is := is.New(t)
 	a := newAccounts(func() time.Duration { return time.Second })
 	a.countStarted("a", 100)
-	a.countNotServed("b", 40) // started with an earlier report
+	a.countNotServed("b", 40) // started in an earlier report
 	u := a.takeReport()
 	is.Equal(u.Started, uint64(100))
 	is.Equal(u.Served, []protocol.Demand{{Account: "a", Tokens: 100}})
@@ -250,8 +251,8 @@
 	is.Equal(u.Served, []protocol.Demand{{Account: "b", Tokens: 20}})
 }
 
-// TestRefusalsOfThisGatewayAreMissed: what is refused for the memory of bodies, or because
-// the gateway stops, is missed like what finds no engine.
+// TestRefusalsOfThisGatewayAreMissed checks that requests refused for lack of memory for bodies, or
+// because the gateway is stopping, count as missed, like requests that find no engine.
 func TestRefusalsOfThisGatewayAreMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -266,8 +267,8 @@
 	})
 }
 
-// TestExtraWithoutRoomIsNotMissed: a request beyond the named shares that no engine has room for says
-// nothing of shares; one that this gateway has no memory for does.
+// TestExtraWithoutRoomIsNotMissed checks that a request beyond the named shares does not count as
+// missed if no engine has room, but does if this gateway lacks memory.
 func TestExtraWithoutRoomIsNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -282,8 +283,8 @@
 	})
 }
 
-// TestOnlyBackendIsUnreachable: a request does not go to the same dead address
-// for as long as its caller waits.
+// TestOnlyBackendIsUnreachable checks that the attempts at a single dead address are limited,
+// however long the caller waits.
 func TestOnlyBackendIsUnreachable(t *testing.T) {
 	refusing := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		time.Sleep(time.Millisecond)
@@ -298,9 +299,9 @@
 	}, refusing)
 }
 
-// TestCoveredTenantIsServedElsewhere: the engine that keeps a prompt's shared
-// parts has no room. Who asks for more than a share waits and is refused;
-// others go to another engine in the end.
+// TestCoveredTenantIsServedElsewhere fills the engine that holds a prompt's shared parts. Requests
+// of an account beyond its share wait and are refused; those of other accounts go to another engine
+// in the end.
 func TestCoveredTenantIsServedElsewhere(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -315,7 +316,7 @@
 
 		refused := x.request("/engine/x", "Tokens", "100", "Shared", "a")
 		is.Equal(refused.status, 503)
-		is.Equal(refused.took, 224*time.Millisecond) // until it could not be answered in time any more
+		is.Equal(refused.took, 224*time.Millisecond) // when an answer in time became impossible
 		got := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(got.status, 200)
 		is.Equal(got.took, 224*time.Millisecond)
@@ -323,9 +324,8 @@
 	})
 }
 
-// TestCoveredTenantHasMoreRoom: an engine that begins to read after a third of
-// the objective takes a request of an account that its share covers, at once, and
-// none of one that asks for more.
+// TestCoveredTenantHasMoreRoom checks that an engine whose backlog takes a third of the objective
+// accepts requests of an account within its share at once, and none of an account beyond it.
 func TestCoveredTenantHasMoreRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -339,8 +339,8 @@
 	})
 }
 
-// TestShortFleetLetsNobodyBeyond: engines are idle here, but somebody within a
-// share waits elsewhere.
+// TestShortFleetLetsNobodyBeyond checks that requests beyond the extra share are refused although
+// engines are idle here, because requests within a share wait elsewhere in the fleet.
 func TestShortFleetLetsNobodyBeyond(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -352,10 +352,10 @@
 				served++
 			}
 		}
-		is.True(served >= 19 && served <= 21) // the extra share, and no more
+		is.True(served >= 19 && served <= 21) // only the extra share
 		u := x.g.accounts.takeReport()
 		is.Equal(u.Started, uint64(served*1000))
 		is.Equal(u.Served, []protocol.Demand{{Account: "t", Tokens: u.Started}})
-		is.Equal(u.Missed, uint64(0)) // what is beyond every share is not missed
+		is.Equal(u.Missed, uint64(0)) // requests beyond every share do not count as missed
 	})
 }
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -37,9 +37,9 @@
 // requestConcurrently sends a number of concurrent requests and returns how many were served.
 func (x *fixture) requestConcurrently(path string, times int) (served int) {
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var group sync.WaitGroup
 	for range times {
-		asking.Go(func() {
+		group.Go(func() {
 			r := x.request(path, "Patience", "2000")
 			mu.Lock()
 			defer mu.Unlock()
@@ -48,7 +48,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	group.Wait()
 	return served
 }
 
