--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -15,20 +15,20 @@
 
 // assignment is a backend server assigned to one attempt of a request.
 type assignment struct {
-	entry         *knownServer
-	serverID      string
-	address       string
-	tokensToRead  int // prompt tokens not in the server's cache
-	startedAt     time.Duration
-	tokensAhead   int           // tokens queued on the server at the start
-	expectedFirst time.Duration // expected time to the first part of the answer
-	timeToFirst   time.Duration // actual time to the first part of the answer; zero before it
-	connOpenedAt  time.Duration // zero if no connection was established
-	trial         bool          // of an ejected server
-	tried         tried         // how it counts in the pool's rollout
-	answering     bool          // the first part of the answer was received
-	unreached     bool          // no connection was established
-	ended         bool
+	entry          *knownServer
+	serverID       string
+	address        string
+	tokensToRead   int // prompt tokens not in the server's cache
+	startedAt      time.Duration
+	tokensAhead    int            // tokens queued on the server at the start
+	expectedFirst  time.Duration  // expected time to the first part of the answer
+	timeToFirst    time.Duration  // actual time to the first part of the answer; zero before it
+	connOpenedAt   time.Duration  // zero if no connection was established
+	trial          bool           // of an ejected server
+	versionAttempt versionAttempt // how it counts in the pool's rollout
+	answering      bool           // the first part of the answer was received
+	unreached      bool           // no connection was established
+	ended          bool
 
 	region        string            // of the server, at the start
 	leaveReason   place.LeaveReason // why the request goes to another region; place.Stay if it does not
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if out.execution == retry.MayHaveRun && out.verdict == outlier.Lost && ctx.Err() == nil {
-		c.recordLoss(a)
+		c.lost(a)
 		out.connectionBroke = true
 	}
 	c.counts = c.counts.With(out.execution)
@@ -80,9 +80,9 @@
 	}
 	defer answer.Body.Close()
 	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
-	c.g.observeWay(a)
+	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
-		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
+		answer.Body = countingBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	c.g.applyNotice(a, head)
@@ -101,9 +101,9 @@
 	case success && !head.Signed:
 		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
-		return c.relay.stream(ctx, a, answer)
+		return c.relay.relayStream(ctx, a, answer)
 	}
-	return c.relay.plain(a, answer)
+	return c.relay.relayPlain(a, answer)
 }
 
 // outgoing returns the request in the form sent to a backend server.
@@ -190,7 +190,7 @@
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
 	case retry.EndServerError:
-		c.relay.give(out.held)
+		c.relay.writeHeld(out.held)
 		return false, nil
 	default:
 		return false, c.refusal(ending)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -30,7 +30,7 @@
 	// has not run is refused at once instead, because the servers of another gateway may accept it.
 	maxBackoff time.Duration
 
-	versions versions // server versions that the current selection is limited to
+	versionSet versionSet // server versions that the current selection is limited to
 
 	accountHomes      []string      // from the document under which the request was admitted
 	homes             homes         // from the document in force at the last selection
@@ -71,13 +71,13 @@
 // the reason. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
-	a, shortfall, found := t.acquireAmong(p, now, req, order.first, order.why)
+	versionOrder := t.versionOrder(p, now, &req)
+	a, shortfall, found := t.acquireAmong(p, now, req, versionOrder.first, versionOrder.firstReason)
 	usable := found && shortfall.bound != place.RegionLink || shortfall.backingOff // a backoff does not re-enable the old version
-	if a != nil || order.second == 0 || (order.ifNone && usable) {
+	if a != nil || versionOrder.second == 0 || (versionOrder.onlyIfNone && usable) {
 		return a, shortfall
 	}
-	a, other, foundOther := t.acquireAmong(p, now, req, order.second, order.otherwise)
+	a, other, foundOther := t.acquireAmong(p, now, req, versionOrder.second, versionOrder.secondReason)
 	if a == nil && found && !foundOther {
 		return nil, shortfall
 	}
@@ -86,8 +86,8 @@
 
 // acquireAmong is acquire limited to some versions. It also reports whether there was a candidate.
 // why is recorded in the log. The caller holds mu.
-func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versions, why string) (a *assignment, shortfall shortage, found bool) {
-	req.versions = among
+func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versionSet, why string) (a *assignment, shortfall shortage, found bool) {
+	req.versionSet = among
 	choice, leave := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
@@ -125,14 +125,14 @@
 // The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
-	order := t.order(p, now, &req)
-	for i, among := range []versions{order.first, order.second} {
-		req.versions = among
-		if among == 0 || (i > 0 && order.ifNone && t.anyUsable(p, now, &req, order.first)) {
+	versionOrder := t.versionOrder(p, now, &req)
+	for i, among := range []versionSet{versionOrder.first, versionOrder.second} {
+		req.versionSet = among
+		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
 		}
 		if choice, leave := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{order.why, order.otherwise}[i]), now, &req, leave)
+			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, leave)
 		}
 	}
 	return nil
@@ -152,7 +152,7 @@
 	// A pool's only server may be retried. The only server of a region may not, if the pool has
 	// servers elsewhere.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
-	among := t.versionsFor(p, req)
+	among := t.candidateVersions(p, req)
 	p.candidateBuf = p.candidateBuf[:0]
 	for _, k := range servers {
 		p.candidateBuf = append(p.candidateBuf, t.candidate(k, now, req, candidateContext{leased: leased, among: among, alone: alone}))
@@ -162,9 +162,9 @@
 
 // candidateContext holds the values that are the same for all candidates of a selection.
 type candidateContext struct {
-	leased bool     // shares of cold servers are in force
-	among  versions // versions that the selection is limited to
-	alone  bool     // the only server of its region, in a pool that has others
+	leased bool       // shares of cold servers are in force
+	among  versionSet // versions that the selection is limited to
+	alone  bool       // the only server of its region, in a pool that has others
 }
 
 // candidate returns the state of one server for a selection. The caller holds mu.
@@ -182,7 +182,7 @@
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
-	case t.hallsOut[k.Hall], v.among&k.versions == 0, !t.mayBeServedAt(req, k):
+	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.mayBeServedAt(req, k):
 		return true
 	}
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
@@ -209,7 +209,7 @@
 
 // candidatesByID is candidates for the servers with the given IDs. The caller holds mu.
 func (t *table) candidatesByID(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := candidateContext{leased: now < t.coldSharesUntil, among: t.versionsFor(p, req)}
+	v := candidateContext{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
 	p.candidateBuf = p.candidateBuf[:0]
 	for _, id := range ids {
 		p.candidateBuf = append(p.candidateBuf, t.candidate(t.servers[id], now, req, v))
@@ -237,7 +237,7 @@
 	return &assignment{
 		entry: k, serverID: k.ID, address: k.Address, tokensToRead: choice.Read, startedAt: now,
 		tokensAhead: choice.Before.Tokens, expectedFirst: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
-		trial: k.health.Sent(now), tried: p.begin(k, req, choice, why),
+		trial: k.health.Sent(now), versionAttempt: p.beginAttempt(k, req, choice, why),
 	}
 }
 
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -45,7 +45,7 @@
 	}
 	t.setNotice(now, server, after)
 	if after.Leaving() && !before.Leaving() {
-		t.sortVersions()
+		t.classifyVersions()
 	}
 	return before, after
 }
@@ -98,7 +98,7 @@
 func (t *table) allBackingOff(p *pool, now time.Duration, req *requirements) (soonest time.Duration, all bool) {
 	soonest = backpressure.LongestBackoff
 	for _, k := range p.servers {
-		if !t.inService(k) || k.versions&req.versions == 0 || !t.mayBeServedAt(req, k) {
+		if !t.inService(k) || k.versionSet&req.versionSet == 0 || !t.mayBeServedAt(req, k) {
 			continue
 		}
 		left := k.notice.BackoffLeft(now)
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -118,7 +118,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.isOpen(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.isOpen(now) || r.isRamping(now))) {
 			return 0
 		}
 	}
@@ -140,7 +140,7 @@
 // countPace counts the time until an answer began, relative to its expectation. Answers of cold
 // servers are not counted, because they are slow whatever their version. The caller holds mu.
 func (a *assignment) countPace(now time.Duration, ratio float64) {
-	if c := a.tried.tally; c != nil && !a.entry.cold.Cold(now) {
+	if c := a.versionAttempt.tally; c != nil && !a.entry.cold.Cold(now) {
 		c.paces[rollout.PaceBucket(ratio)]++
 		c.changed = true
 	}
@@ -149,7 +149,7 @@
 // countOutcome counts how an attempt ended. An attempt that timed out before its first part counts
 // with the elapsed time as its pace. The caller holds mu.
 func (g *Gateway) countOutcome(p *pool, a *assignment, v outlier.Verdict) {
-	c := a.tried.tally
+	c := a.versionAttempt.tally
 	if c == nil || g.recordUnreached(p, a, v) {
 		return
 	}
@@ -160,16 +160,16 @@
 		c.failed++
 	case outlier.NoVerdict:
 		took := g.now() - a.startedAt
-		if !a.answering && took > a.tried.expected && !g.overload.Load().Late(g.now()) {
-			a.countPace(g.now(), float64(took)/float64(a.tried.expected))
+		if !a.answering && took > a.versionAttempt.expectedFirst && !g.overload.Load().Late(g.now()) {
+			a.countPace(g.now(), float64(took)/float64(a.versionAttempt.expectedFirst))
 		}
 		return
 	default:
 		return
 	}
 	c.changed = true
-	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.breaker = r.breaker.withAnswer(g.now(), a.tried.target, v != outlier.Answered)
+	if r := p.rollout; r.Attempt == a.versionAttempt.attempt {
+		r.breaker = r.breaker.withAnswer(g.now(), a.versionAttempt.isTarget, v != outlier.Answered)
 	}
 }
 
@@ -177,17 +177,17 @@
 // reports whether the attempt is not to be counted as failed. The caller holds mu.
 func (g *Gateway) recordUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.tried.target || r.Attempt != a.tried.attempt {
+	if !a.versionAttempt.isTarget || r.Attempt != a.versionAttempt.attempt {
 		return false
 	}
 	switch {
 	case v == outlier.Answered:
 		if r.unreached.recordAnswer(g.now(), a.serverID) {
-			g.table.sortVersionsOf(p)
+			g.table.classifyPoolVersions(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targetCount() > 1:
-		r.unreached.add(g.now(), a.serverID, a.tried.tally)
-		g.table.sortVersionsOf(p)
+		r.unreached.add(g.now(), a.serverID, a.versionAttempt.tally)
+		g.table.classifyPoolVersions(p)
 		return true
 	}
 	return false
@@ -197,7 +197,7 @@
 func (p *pool) targetCount() int {
 	n := 0
 	for _, k := range p.servers {
-		if k.versions&targetVersion != 0 {
+		if k.versionSet&targetVersion != 0 {
 			n++
 		}
 	}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -31,7 +31,7 @@
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // last notice of backoff or leaving
 	region     string              // region of its hall; empty if no setting assigns one
-	versions   versions            // kinds of its version in the pool's rollout
+	versionSet versionSet          // kinds of its version in the pool's rollout
 	lastList   uint64              // number of the last complete list that held it, itself or by a later change
 	unlisted   bool                // missing from a complete list of the directory
 	removed    bool                // no longer in the pool
@@ -66,7 +66,7 @@
 	hallChanges     uint64          // version of hallsOut
 	coldSharesUntil time.Duration   // expiry of this gateway's shares of cold servers
 
-	rollouts    rolloutList      // newest list received
+	rollouts    rolloutListID    // newest list received
 	sharesUntil time.Duration    // expiry of the rollout shares
 	link        place.LinkBudget // between this gateway's region and the others
 	homes       homesIndex       // of the document in force
@@ -186,7 +186,7 @@
 	if m.Complete && t.markedList != t.listCount {
 		t.markUnlisted()
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return joined, left
 }
 
@@ -259,7 +259,7 @@
 	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, lastList: t.listCount, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, lastList: t.listCount, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
@@ -321,7 +321,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remove(id)
-	t.sortVersions()
+	t.classifyVersions()
 }
 
 // size returns the number of known backend servers.
