--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -13,20 +13,20 @@
 func TestFailureRate(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		pool    float64 // the pool's own rate
+		pool    float64 // failure rate of the pool
 		ends    []Verdict
 		ejected bool
 	}{
 		{"lost in a row", 0, []Verdict{Lost, Lost, Lost}, true},
-		{"lost, answered between", 0, slices.Repeat([]Verdict{Lost, Answered, Answered, Answered, Answered, Answered}, 3), false},
+		{"lost, with answers in between", 0, slices.Repeat([]Verdict{Lost, Answered, Answered, Answered, Answered, Answered}, 3), false},
 		{"too few samples", 0, []Verdict{Faulty, Faulty, Faulty}, false},
 		{"faulty answers", 0, []Verdict{Faulty, Faulty, Faulty, Faulty}, true},
 		{"faulty answers in a pool that fails alike", 0.5, []Verdict{Faulty, Faulty, Faulty, Faulty}, false},
 		{"full, refuses half", 0, slices.Repeat([]Verdict{Answered, Refused}, 10), false},
-		{"ends that are none of its doing", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
+		{"results without a verdict", 0, slices.Repeat([]Verdict{NoVerdict}, 10), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p, s, ejected := PoolRate{failing: tt.pool}, FailureRate{}, false
+			p, s, ejected := PoolRate{rate: tt.pool}, FailureRate{}, false
 			for _, v := range tt.ends {
 				ejected = p.Record(time.Second, &s, v, false) || ejected
 			}
@@ -35,9 +35,8 @@
 	}
 }
 
-// TestTrial ejects a server and tries it: each failed trial doubles the wait up
-// to the longest, a trial without a verdict lets another request try, and an
-// answer ends the ejection.
+// TestTrial ejects a server and tries it repeatedly. A failed trial doubles the next ejection up to the
+// maximum, a trial without a verdict allows another one, and an answer ends the ejection.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
 	var p PoolRate
@@ -51,7 +50,7 @@
 		is.Equal(s.State(now+wait-1), Ejected)
 		now += wait
 		is.True(s.Sent(now))
-		is.True(!s.Sent(now)) // one at a time
+		is.True(!s.Sent(now)) // one trial at a time
 		is.Equal(s.State(now), Ejected)
 		p.Record(now, &s, NoVerdict, true)
 		is.True(s.Sent(now))
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -14,52 +14,52 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file plays a small pool of plain servers before many gateways, each of which sees a
-// small part of the requests and what the others sent as of some 100 ms ago.
+// This file models a small pool of plain servers behind many gateways. Each gateway sends a small part of
+// the requests and receives reports of the others' load that are some 100 ms old.
 
-// chooser is one way to choose a server: it gets what a gateway knows.
-type chooser func(rng *rand.Rand, servers []Server) Choice
+// strategy chooses a server, given the state that a gateway has.
+type strategy func(rng *rand.Rand, servers []Server) Choice
 
-// smallPool is the pool that is played.
+// smallPool holds the parameters of the model.
 type smallPool struct {
-	gateways int
-	servers  int
-	slots    int
-	queue    int // requests that a server holds beyond its slots; it refuses more
-	work     time.Duration
-	rate     float64 // requests a second
-	period   time.Duration
-	slow     float64   // how many times slower the last server is
-	halls    []float64 // the parts of the requests that come through each hall; servers stand in them in turn
+	gateways   int
+	servers    int
+	slots      int
+	queue      int // requests that a server queues beyond its slots before it refuses more
+	work       time.Duration
+	rate       float64 // requests a second
+	period     time.Duration
+	slowFactor float64   // factor by which the last server is slower
+	halls      []float64 // fraction of the requests by data hall; servers are assigned to halls round robin
 }
 
-// end is the end of a request at a server.
-type end struct {
+// completion is the end of a request at a server.
+type completion struct {
 	at              time.Duration
 	gateway, server int
 }
 
-type ends []end
+type completions []completion
 
-func (e ends) Len() int           { return len(e) }
-func (e ends) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e ends) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *ends) Push(x any)        { *e = append(*e, x.(end)) }
-func (e *ends) Pop() any {
+func (e completions) Len() int           { return len(e) }
+func (e completions) Less(i, j int) bool { return e[i].at < e[j].at }
+func (e completions) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *completions) Push(x any)        { *e = append(*e, x.(completion)) }
+func (e *completions) Pop() any {
 	old := *e
 	last := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return last
 }
 
-// outcomes of a play.
-type outcomes struct {
+// poolResult is the result of a run.
+type poolResult struct {
 	p50, p99 time.Duration
-	lost     float64 // part that a server refused or that found no room
+	lost     float64 // fraction of requests that were refused or found no capacity
 }
 
-// play sends requests for a minute.
-func (p smallPool) play(choose chooser) outcomes {
+// play sends requests for one minute.
+func (p smallPool) play(choose strategy) poolResult {
 	rng := rand.New(rand.NewPCG(7, 8))
 	own := make([][]Work, p.gateways) // by gateway and server
 	paces := make([][]Pace, p.gateways)
@@ -71,17 +71,17 @@
 	for g := range ownReported {
 		ownReported[g] = make([]int, p.servers)
 	}
-	free := make([][]time.Duration, p.servers) // when each slot is free
+	free := make([][]time.Duration, p.servers) // when each slot becomes free
 	for s := range free {
 		free[s] = make([]time.Duration, p.slots)
 	}
-	var pending ends
+	var pending completions
 	var took []time.Duration
 	asked, lost := 0, 0
 	nextReport := time.Duration(0)
 	for now := time.Duration(0); now < time.Minute; now += time.Duration(rng.ExpFloat64() / p.rate * float64(time.Second)) {
 		for len(pending) > 0 && pending[0].at <= now {
-			e := heap.Pop(&pending).(end)
+			e := heap.Pop(&pending).(completion)
 			own[e.gateway][e.server].Requests--
 			running[e.server]--
 		}
@@ -109,23 +109,23 @@
 		}
 		s := c.Index
 		work := time.Duration((0.5 + rng.Float64()) * float64(p.work))
-		if s == p.servers-1 && p.slow > 0 {
-			work = time.Duration(p.slow * float64(work))
+		if s == p.servers-1 && p.slowFactor > 0 {
+			work = time.Duration(p.slowFactor * float64(work))
 		}
 		slot := slices.Index(free[s], slices.Min(free[s]))
 		free[s][slot] = max(free[s][slot], now) + work
 		ended := free[s][slot]
 		running[s]++
 		own[g][s].Requests++
-		heap.Push(&pending, end{at: ended, gateway: g, server: s})
+		heap.Push(&pending, completion{at: ended, gateway: g, server: s})
 		took = append(took, ended-now)
 		paces[g][s].Observe(float64(ended-now) / float64(p.work))
 	}
 	slices.Sort(took)
-	return outcomes{p50: took[len(took)/2], p99: took[len(took)*99/100], lost: float64(lost) / float64(asked)}
+	return poolResult{p50: took[len(took)/2], p99: took[len(took)*99/100], lost: float64(lost) / float64(asked)}
 }
 
-// drawHall returns the hall through which a request comes.
+// drawHall returns the data hall that a request arrives in.
 func (p smallPool) drawHall(rng *rand.Rand) int {
 	at := rng.Float64()
 	for hall, part := range p.halls {
@@ -136,7 +136,7 @@
 	return 0
 }
 
-// leastLoaded is the cheapest by what is known, whatever its age.
+// leastLoaded chooses the cheapest server by the reported load, however old the report is.
 func leastLoaded(_ *rand.Rand, servers []Server) Choice {
 	p := &RoomPlacer{}
 	r := Request{}
@@ -148,64 +148,63 @@
 	return Choice{Index: best.index, Bound: p.bound(r, best), Read: read}
 }
 
-// anyone is any server by lot.
-func anyone(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
+// anyServer chooses any server at random.
+func anyServer(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
 
-// betterOfTwo is the less loaded of two by lot.
+// betterOfTwo chooses the less loaded of two random servers.
 func betterOfTwo(rng *rand.Rand, servers []Server) Choice {
 	a, b := rng.IntN(len(servers)), rng.IntN(len(servers)-1)
 	if b >= a {
 		b++
 	}
-	if la, lb := servers[a].fromAll(), servers[b].fromAll(); lb.Requests < la.Requests {
+	if la, lb := servers[a].totalWork(), servers[b].totalWork(); lb.Requests < la.Requests {
 		a = b
 	}
 	return Choice{Index: a}
 }
 
-// kept is what RoomPlacer does.
-func kept(rng *rand.Rand, servers []Server) Choice {
+// placerChoice chooses as RoomPlacer does.
+func placerChoice(rng *rand.Rand, servers []Server) Choice {
 	return new(RoomPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
-// TestSmallPool compares ways to spread a load of 330 requests a second of 30 ms over three
-// servers of six places, before 62 gateways: p50 is 30 ms where nothing waits.
+// TestSmallPool compares strategies for 330 requests a second of 30 ms each, on three servers with six
+// slots behind 62 gateways. The median is 30 ms if no request waits.
 func TestSmallPool(t *testing.T) {
 	is := is.New(t)
 	load := smallPool{gateways: 62, servers: 3, slots: 6, queue: 6, work: 30 * time.Millisecond, rate: 330, period: 300 * time.Millisecond}
 	slow := load
-	slow.slow, slow.rate = 3, 250
+	slow.slowFactor, slow.rate = 3, 250
 	few, long, halls, uneven := load, load, load, load
 	large := load
 	large.servers, large.rate, large.halls = 15, 5*load.rate, []float64{0.5, 0.3, 0.2}
 	halls.halls, uneven.halls = []float64{0.34, 0.33, 0.33}, []float64{0.6, 0.25, 0.15}
 	few.gateways = 3
 	long.work, long.rate = time.Second, 10
-	results := map[string]outcomes{}
+	results := map[string]poolResult{}
 	for _, tt := range []struct {
 		name string
 		pool smallPool
 	}{{"62 gateways", load}, {"one server is 3 times slower", slow}, {"3 gateways", few}, {"requests of 1 s", long}, {"three halls", halls}, {"uneven halls", uneven}, {"uneven halls of five servers", large}} {
 		for _, way := range []struct {
 			name string
-			c    chooser
-		}{{"least loaded", leastLoaded}, {"by lot", anyone}, {"better of two", betterOfTwo}, {"kept", kept}} {
+			c    strategy
+		}{{"least loaded", leastLoaded}, {"random", anyServer}, {"better of two", betterOfTwo}, {"placer", placerChoice}} {
 			o := tt.pool.play(way.c)
 			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, way.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
 			results[tt.name+" "+way.name] = o
 		}
 	}
-	is.True(results["62 gateways kept"].lost < 0.01)
-	is.True(results["62 gateways kept"].p50 < 35*time.Millisecond)
-	is.True(results["three halls kept"].lost < 0.01)
-	is.True(results["uneven halls kept"].lost < 0.01)
-	is.True(results["uneven halls of five servers kept"].lost < 0.01)
-	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways kept"].lost)
+	is.True(results["62 gateways placer"].lost < 0.01)
+	is.True(results["62 gateways placer"].p50 < 35*time.Millisecond)
+	is.True(results["three halls placer"].lost < 0.01)
+	is.True(results["uneven halls placer"].lost < 0.01)
+	is.True(results["uneven halls of five servers placer"].lost < 0.01)
+	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways placer"].lost)
 }
 
-// offPool plays the first ten seconds of gateways, 300 requests a second, before servers of
-// which some are off, and returns the part of requests that is lost there. A gateway ejects a
-// server after three requests in a row were lost, for 1.5 s.
+// offPool sends 300 requests a second for ten seconds to servers of which some are down, and returns the
+// fraction of requests that are lost. A gateway ejects a server for 1.5 s after three consecutive losses.
 func offPool(gateways, servers int, off func(s int) bool, view func(g, s int, v *Server, lostInARow int)) float64 {
 	rng := rand.New(rand.NewPCG(5, 6))
 	health := make([][]outlier.FailureRate, gateways)
@@ -213,7 +212,7 @@
 	for g := range health {
 		health[g] = make([]outlier.FailureRate, servers)
 	}
-	asked, gone := 0, 0
+	asked, lost := 0, 0
 	for now := time.Duration(0); now < 10*time.Second; now += time.Second / 300 {
 		g := rng.IntN(gateways)
 		seen := make([]Server, servers)
@@ -226,30 +225,31 @@
 		verdict, trial := outlier.Answered, health[g][c.Index].Sent(now)
 		if off(c.Index) {
 			verdict = outlier.Lost
-			gone++
+			lost++
 		}
 		pool[g].Record(now, &health[g][c.Index], verdict, trial)
 	}
-	return float64(gone) / float64(asked)
+	return float64(lost) / float64(asked)
 }
 
-// TestServersThatAreOff: 4 of 14 servers are off, before 62 gateways.
+// TestServersThatAreOff checks that lossPenalty reduces the losses of 62 gateways when 4 of 14 servers
+// are down.
 func TestServersThatAreOff(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s < 4 }
-	kept := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
+	penalized := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
 	without := offPool(62, 14, off, func(int, int, *Server, int) {})
-	t.Logf("lost %.3f, without the weight %.3f", kept, without)
-	is.True(kept < 0.75*without)
+	t.Logf("lost %.3f, without the penalty %.3f", penalized, without)
+	is.True(penalized < 0.75*without)
 }
 
-// TestHallIsPreferred: the five servers of one of three halls are off, and its gateways with
-// them; what the other 41 gateways lose.
+// TestHallIsPreferred takes down one of three data halls with its five servers and its gateways. The
+// preference for the own hall must reduce the losses of the remaining 41 gateways.
 func TestHallIsPreferred(t *testing.T) {
 	is := is.New(t)
 	off := func(s int) bool { return s%3 == 2 }
-	kept := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
+	preferring := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
 	without := offPool(41, 15, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
-	t.Logf("lost %.3f, without the preference %.3f", kept, without)
-	is.True(kept < 0.85*without)
+	t.Logf("lost %.3f, without the preference %.3f", preferring, without)
+	is.True(preferring < 0.85*without)
 }
