--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -28,7 +28,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
-		for range 8 { // plainRoom x 4 slots
+		for range 8 { // two requests on each of 4 slots
 			group.Go(func() { x.request("/once/x") })
 		}
 		time.Sleep(10 * time.Millisecond)
