--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -24,7 +24,7 @@
 	changed                bool // since the last report
 }
 
-// outcomes holds the tallies of one attempt of a pool's rollout. The zero value is empty.
+// outcomes holds the tallies of one rollout attempt of a pool. The zero value is empty.
 type outcomes struct {
 	tallies map[tallyKey]*tally
 }
