--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -52,9 +52,9 @@
 	return t
 }
 
-// beginOutcomes marks all tallies as changed, so that the first report of a session includes them.
+// reportAllOutcomes marks all tallies as changed, so that the first report of a session includes them.
 // Shares apply again once the leader has counted a report. The caller holds mu.
-func (t *table) beginOutcomes() {
+func (t *table) reportAllOutcomes() {
 	t.sharesUntil = 0
 	for _, p := range t.pools {
 		if p.rollout == nil {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -195,7 +195,7 @@
 // again. The caller holds mu.
 func (t *table) startTerm(term uint64) {
 	t.term = term
-	t.beginOutcomes()
+	t.reportAllOutcomes()
 	for _, k := range t.servers {
 		k.cold = k.cold.WithoutShare() // the leader that renewed the share has been replaced
 	}
@@ -233,7 +233,7 @@
 func (t *table) beginSession() {
 	t.listCount++
 	t.reports = nil
-	t.beginOutcomes()
+	t.reportAllOutcomes()
 	for _, k := range t.servers {
 		if k.totalLoad != (place.Work{}) {
 			k.totalLoad = place.Work{}
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -16,7 +16,7 @@
 
 // failedAtTarget returns how many attempts at the target were reported as failed.
 func (x *fixture) failedAtTarget() (failed uint64) {
-	x.g.table.beginOutcomes() // all are reported
+	x.g.table.reportAllOutcomes() // all are reported
 	outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 	for _, o := range outcomes {
 		if o.Version == "v2" {
