--- a/gateway/tokens_test.go
+++ b/gateway/tokens_test.go
@@ -14,10 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests the sums of what became of each account's tokens.
+// This file tests the token totals per account.
 
-// TestTokensAreCounted: what an account demands is begun or refused for a cause,
-// whatever lines of single requests are dropped.
+// TestTokensAreCounted checks that all demanded tokens are counted as begun or refused for a cause,
+// even if log lines of single requests are dropped.
 func TestTokensAreCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -28,7 +28,7 @@
 		}
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
 		x.request("/engine/x", "Tokens", "700", "Key", "other")
-		sorted := byAccount(x.g.tokenCounters.takeSecond())
+		sorted := byAccount(x.g.tokenCounters.takeSums())
 		is.Equal(len(sorted), 2)
 		is.Equal(sorted[0].account, "u") // refused within its share
 		is.Equal(sorted[0].withinShare, 700)
@@ -36,15 +36,15 @@
 		is.Equal(sorted[1].demanded, 500_000)
 		is.Equal(sorted[1].begun+sorted[1].refused[string(BeyondShare)], 500_000)
 		is.Equal(sorted[1].withinShare, 0)
-		is.Equal(len(x.g.tokenCounters.takeSecond()), 0)
+		is.Equal(len(x.g.tokenCounters.takeSums()), 0)
 		var text bytes.Buffer
 		x.g.cfg.Metrics.WritePrometheus(&text)
 		is.True(strings.Contains(text.String(), `badgerspoke_gateway_tokens_total{tenant="u",standing="covered",end="processor-pressure"} 700`))
 	})
 }
 
-// TestAccountsAreOrdered: who was refused within a share comes first, then the largest
-// demand.
+// TestAccountsAreOrdered checks that accounts refused within their share come first, then those
+// with the largest demand.
 func TestAccountsAreOrdered(t *testing.T) {
 	is := is.New(t)
 	sums := map[tokenKey]int{
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -238,7 +238,7 @@
 			o.second, o.secondReason = targetVersion, byRetry
 		}
 		return o
-	case r.breaker.holds(now):
+	case r.breaker.isOpen(now):
 		return versionOrder{first: oldVersion, firstReason: byOwn}
 	case r.isRamping(now) && lot(req.random) >= r.moved(now):
 		return versionOrder{first: oldVersion, firstReason: byRest}
