--- a/directory/directory.go
+++ b/directory/directory.go
@@ -119,7 +119,7 @@
 		case protocol.Announce:
 			d.hub.serveAnnouncer(ctx, l, first)
 		case protocol.RolloutOrder:
-			d.serveOrder(ctx, l, first)
+			d.serveRolloutOrder(ctx, l, first)
 		case protocol.QuarantineOrder:
 			d.serveQuarantineOrder(ctx, l, first)
 		}
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -20,10 +20,10 @@
 // hundred.
 const commandTimeout = 2 * time.Second
 
-// serveOrder answers an operator's command on a link that its first message has opened. An operator
+// serveRolloutOrder answers an operator's command on a link that its first message has opened. An operator
 // that gets no answer sends the order again. An order of one that waits no longer is passed over:
 // it was held up on the way.
-func (d *Directory) serveOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
+func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
