--- a/directory/regions.go
+++ b/directory/regions.go
@@ -27,11 +27,11 @@
 	movesAtOnce = 8
 )
 
-// served refuses a gateway because another replica is to serve it.
-type served struct{ by string } // fleet address
+// servedElsewhere refuses a gateway because another replica is to serve it.
+type servedElsewhere struct{ by string } // fleet address
 
 // Error names the replica.
-func (e served) Error() string { return "the gateway is to be served by " + e.by }
+func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
 
 // soon refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
 type soon struct{}
@@ -94,7 +94,7 @@
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
 	if place != "" && place != h.d.Address() && (!w.Named || foreign) {
-		return served{by: place}
+		return servedElsewhere{by: place}
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	}
 	if w.Relay {
 		if !h.relayed(w.Region) {
-			return served{by: h.d.Address()}
+			return servedElsewhere{by: h.d.Address()}
 		}
 		return nil
 	}
@@ -118,7 +118,7 @@
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return soon{} // its hall's relay may just be coming
 		}
-		return served{by: place}
+		return servedElsewhere{by: place}
 	} else if place != "" {
 		return nil
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		leadership := h.leadership.Load()
 		m := protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.voters}
-		var elsewhere served
+		var elsewhere servedElsewhere
 		if errors.As(err, &elsewhere) {
 			m.Leader = elsewhere.by
 		}
