--- a/directory/regions.go
+++ b/directory/regions.go
@@ -33,11 +33,11 @@
 // Error names the replica.
 func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
 
-// soon refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
-type soon struct{}
+// notYetServing refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
+type notYetServing struct{}
 
 // Error implements error.
-func (soon) Error() string { return "it shows in a moment who serves the gateway" }
+func (notYetServing) Error() string { return "it shows in a moment who serves the gateway" }
 
 // several reports whether the fleet has regions of which this replica knows its own.
 func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions() }
@@ -77,7 +77,7 @@
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
 		return h.mayPassOn(r, w, mayWait)
 	case mayWait && !h.isRelayRefused():
-		return soon{}
+		return notYetServing{}
 	}
 	return Unavailable{}
 }
@@ -89,7 +89,7 @@
 		return nil
 	}
 	if r.places == nil && mayWait {
-		return soon{}
+		return notYetServing{}
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
@@ -116,14 +116,14 @@
 	places := h.places(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
-			return soon{} // its hall's relay may just be coming
+			return notYetServing{} // its hall's relay may just be coming
 		}
 		return servedElsewhere{by: place}
 	} else if place != "" {
 		return nil
 	}
 	if mayWait && h.young() && !h.avoids(w) {
-		return soon{}
+		return notYetServing{}
 	}
 	return nil
 }
