--- a/directory/directory.go
+++ b/directory/directory.go
@@ -87,7 +87,7 @@
 	d.hub = newHub(d)
 	d.announcer = newAnnouncer(d)
 	d.meter = link.NewMeter(cfg.Metrics)
-	if d.several() {
+	if d.hasMultipleRegions() {
 		d.meter = d.meter.WithRegions(d.regionOf)
 	}
 	d.state = newReplicated(cfg.OrderWindow, cfg.Rollouts.RepeatWindow, d.hub.stateChanged)
--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -27,7 +27,7 @@
 }
 
 // canRelay reports whether a leader may want this replica as a relay.
-func (h *hub) canRelay() bool { return h.d.several() || h.isSpread() }
+func (h *hub) canRelay() bool { return h.d.hasMultipleRegions() || h.isSpread() }
 
 // isRelayRefused reports whether the leader of this term needs no relay here, as it is now.
 func (h *hub) isRelayRefused() bool {
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -99,7 +99,7 @@
 // voterRegion returns the region of a replica, "" if it has not named one: it does when it
 // offers itself as a relay, in a fleet with several regions.
 func (d *Directory) voterRegion(name string) string {
-	if !d.several() { // they name none, so that this one's would differ from all
+	if !d.hasMultipleRegions() { // they name none, so that this one's would differ from all
 		return ""
 	}
 	if name == d.Address() {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -37,7 +37,7 @@
 
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
-	if h.d.several() {
+	if h.d.hasMultipleRegions() {
 		settle = quarantine.SettleViaRelay
 	}
 	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -39,8 +39,10 @@
 // Error implements error.
 func (notYetServing) Error() string { return "it shows in a moment who serves the gateway" }
 
-// several reports whether the fleet has regions of which this replica knows its own.
-func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions() }
+// hasMultipleRegions reports whether the fleet has regions of which this replica knows its own.
+func (d *Directory) hasMultipleRegions() bool {
+	return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions()
+}
 
 // unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
@@ -62,7 +64,7 @@
 
 // far reports whether a region that a node named is known to be another one.
 func (h *hub) far(region string) bool {
-	return h.d.several() && region != "" && region != h.d.cfg.Region
+	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
 // mayServe returns nil if this replica is to serve a node, else as [hub.open] does.
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -38,7 +38,7 @@
 		h.spreadSince = now
 	}
 	wanted := h.spread.Decide(now, spread, len(h.gateways()), h.registry.Len(), h.d.cfg.LinkRate)
-	if wanted == spread || h.spreading || h.d.several() {
+	if wanted == spread || h.spreading || h.d.hasMultipleRegions() {
 		return
 	}
 	h.spreading = true
