--- a/directory/regions.go
+++ b/directory/regions.go
@@ -22,9 +22,9 @@
 	// one again. A gateway that reaches none is without the directory for the time of one dial or two
 	// each time.
 	directStay = 15 * time.Second
-	// movesAtOnce is the number of gateways that a replica sends to others in a tick, at the least:
+	// minMovesPerTick is the number of gateways that a replica sends to others in a tick, at the least:
 	// each is sent the whole list there.
-	movesAtOnce = 8
+	minMovesPerTick = 8
 )
 
 // servedElsewhere refuses a gateway because another replica is to serve it.
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -104,7 +104,7 @@
 // as these can send their lists to meanwhile, if their links are as this one.
 func (h *hub) maxMoves(replicas int) int {
 	lists := h.listPace.ListsWithin(registry.FleetPeriod, h.listed())
-	return max(int(lists*float64(replicas-1)), movesAtOnce)
+	return max(int(lists*float64(replicas-1)), minMovesPerTick)
 }
 
 // listed returns how many servers this replica lists.
