--- a/directory/place_internal_test.go
+++ b/directory/place_internal_test.go
@@ -63,7 +63,7 @@
 		regions, err := topology.New(c.halls)
 		is.NoErr(err)
 		d := &Directory{cfg: Settings{Identity: link.Identity{Name: "a"}, Region: "n", Topology: regions}}
-		d.noteRegion("b", "s")
+		d.recordRegion("b", "s")
 		is.Equal(d.voterRegion("a"), c.own)
 		is.Equal(d.voterRegion("b"), c.far)
 		is.Equal(d.voterRegion("c"), "")
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -47,8 +47,8 @@
 // unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
 
-// noteRegion keeps the region that a node names.
-func (d *Directory) noteRegion(node, region string) {
+// recordRegion keeps the region that a node names.
+func (d *Directory) recordRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
 		d.nodeRegions.Store(node, region)
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -104,7 +104,7 @@
 
 // serve runs one gateway's session until its link ends.
 func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
-	h.d.noteRegion(l.Peer(), w.Region)
+	h.d.recordRegion(l.Peer(), w.Region)
 	s, err := h.admit(ctx, l, w)
 	if err != nil {
 		leadership := h.leadership.Load()
