--- a/directory/regions.go
+++ b/directory/regions.go
@@ -62,8 +62,8 @@
 	return unknownRegion
 }
 
-// far reports whether a region that a node named is known to be another one.
-func (h *hub) far(region string) bool {
+// isOtherRegion reports whether a region that a node named is known to be another one.
+func (h *hub) isOtherRegion(region string) bool {
 	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
@@ -134,7 +134,7 @@
 func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
-func (h *hub) relayed(region string) bool { return h.far(region) || h.isSpread() }
+func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
 // avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
 func (h *hub) avoids(w protocol.Watch) bool {
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -60,7 +60,7 @@
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
-	if h.isSpread() && !h.far(region) {
+	if h.isSpread() && !h.isOtherRegion(region) {
 		all = append(all, protocol.Place{Address: h.d.Address(), Hall: h.d.cfg.Hall})
 	}
 	return all
