--- a/directory/regions.go
+++ b/directory/regions.go
@@ -67,8 +67,8 @@
 	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
-// mayServe returns nil if this replica is to serve a node, else as [hub.open] does.
-func (h *hub) mayServe(w protocol.Watch, mayWait bool) error {
+// checkServes returns nil if this replica is to serve a node, else as [hub.open] does.
+func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -173,7 +173,7 @@
 	if w.Gateway != l.Peer() {
 		return nil, Unavailable{}
 	}
-	if err := h.mayServe(w, mayWait); err != nil {
+	if err := h.checkServes(w, mayWait); err != nil {
 		return nil, err
 	}
 	h.closeOthers(w.Gateway)
