--- a/directory/regions.go
+++ b/directory/regions.go
@@ -124,7 +124,7 @@
 	} else if place != "" {
 		return nil
 	}
-	if mayWait && h.young() && !h.avoids(w) {
+	if mayWait && h.young() && !h.avoidsPreferred(w) {
 		return notYetServing{}
 	}
 	return nil
@@ -136,8 +136,8 @@
 // relayed reports whether gateways of a region are served by relays.
 func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
-// avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
-func (h *hub) avoids(w protocol.Watch) bool {
+// avoidsPreferred reports whether a gateway has replicas to serve it that it is not to be sent to now.
+func (h *hub) avoidsPreferred(w protocol.Watch) bool {
 	if !h.relayed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -179,7 +179,7 @@
 	h.closeOthers(w.Gateway)
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
-		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoids(w),
+		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
