--- a/directory/hub.go
+++ b/directory/hub.go
@@ -178,7 +178,7 @@
 	h.sendHeld()
 	if h.relay != nil {
 		h.relay.tick()
-		h.moveHome()
+		h.moveMisplacedSessions()
 	}
 	if h.term == 0 {
 		return
@@ -197,7 +197,7 @@
 	h.pushFleet()
 	h.decideSpread(now)
 	h.pushPlaces()
-	h.moveHome()
+	h.moveMisplacedSessions()
 	h.checkPlacement(now)
 }
 
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -145,8 +145,8 @@
 	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
 }
 
-// moveHome sends gateways that another replica is to serve to it, where there is one now.
-func (h *hub) moveHome() {
+// moveMisplacedSessions sends gateways that another replica is to serve to it, where there is one now.
+func (h *hub) moveMisplacedSessions() {
 	moved := 0
 	places := map[string][]protocol.Place{}
 	for s := range h.sessions {
