--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -39,7 +39,7 @@
 func (h *hub) followLeader(leader string, term uint64) {
 	ctx, cancel := context.WithCancel(h.d.ctx)
 	defer cancel()
-	dialing, dialed := context.WithTimeout(ctx, relayDial)
+	dialing, dialed := context.WithTimeout(ctx, relayDialTimeout)
 	l, err := link.Dial(dialing, leader, h.d.cfg.Identity, h.d.meter)
 	dialed()
 	if err != nil {
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -25,8 +25,8 @@
 	// relayPoll is how often a replica looks whether it should open a session with the leader, and how
 	// long it waits after one that failed. A dial between regions takes longer.
 	relayPoll = 50 * time.Millisecond
-	// relayDial is the time for one connection to the leader. As for a gateway.
-	relayDial = 700 * time.Millisecond
+	// relayDialTimeout is the time for one connection to the leader. As for a gateway.
+	relayDialTimeout = 700 * time.Millisecond
 	// relayGrace is how long a relay keeps its gateways without the leader: an election, twice.
 	relayGrace = 3 * time.Second
 	// spreadGrace is the same where sessions are spread: a replica that is cut off from the others,
