--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -22,7 +22,7 @@
 		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRelayRefused() {
 			h.followLeader(l.leader, l.term)
 		}
-		sleep.For(h.d.ctx, relayPoll) // the loop looks whether ctx has ended
+		sleep.For(h.d.ctx, relayPollInterval) // the loop looks whether ctx has ended
 	}
 }
 
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -22,9 +22,9 @@
 // they stay (lasting.go).
 
 const (
-	// relayPoll is how often a replica looks whether it should open a session with the leader, and how
+	// relayPollInterval is how often a replica looks whether it should open a session with the leader, and how
 	// long it waits after one that failed. A dial between regions takes longer.
-	relayPoll = 50 * time.Millisecond
+	relayPollInterval = 50 * time.Millisecond
 	// relayDialTimeout is the time for one connection to the leader. As for a gateway.
 	relayDialTimeout = 700 * time.Millisecond
 	// relayGrace is how long a relay keeps its gateways without the leader: an election, twice.
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -159,7 +159,7 @@
 	until := time.Now().Add(relayWait)
 	for {
 		err = h.do(ctx, func() (err error) { s, err = h.open(l, w, time.Now().Before(until)); return err })
-		if !errors.As(err, new(notYetServing)) || !sleep.For(ctx, relayPoll) {
+		if !errors.As(err, new(notYetServing)) || !sleep.For(ctx, relayPollInterval) {
 			return s, err
 		}
 	}
