--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -65,7 +65,7 @@
 			}
 		case protocol.Servers:
 			if m.Relays {
-				h.passOn(ctx, l, leader, m, before)
+				h.relayFrom(ctx, l, leader, m, before)
 			} else { // it takes this replica for a gateway
 				h.doWithout(leader, term)
 			}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -59,9 +59,9 @@
 	cleared    [][]byte   // keys, the same
 }
 
-// passOn takes what the leader sends until the session ends: the first list, what came before it,
+// relayFrom takes what the leader sends until the session ends: the first list, what came before it,
 // and all that follows.
-func (h *hub) passOn(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
+func (h *hub) relayFrom(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
 	var r *relay
 	if err := h.do(ctx, func() (err error) { r, err = h.beginRelay(l, leader, first, before); return err }); err != nil {
 		return
