--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -26,7 +26,7 @@
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
-			h.dismiss(s, to)
+			h.redirectSession(s, to)
 		}
 	}
 }
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -159,7 +159,7 @@
 		there := places[s.region]
 		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
 		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
-			h.dismiss(s, place)
+			h.redirectSession(s, place)
 			moved++
 		}
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -168,7 +168,7 @@
 	}
 	h.d.cfg.Log.StateChange("relaying no more", slog.Uint64("term", h.relay.list.Term()), slog.Int("gateways", len(h.sessions)))
 	for s := range h.sessions {
-		h.dismiss(s, to)
+		h.redirectSession(s, to)
 	}
 	if h.relay.out != nil {
 		h.relay.out.Close()
@@ -176,8 +176,8 @@
 	h.relay, h.list, h.heldServers = nil, nil, registry.Change{}
 }
 
-// dismiss ends a gateway's session and names the replica to go to.
-func (h *hub) dismiss(s *session, to string) {
+// redirectSession ends a gateway's session and names the replica to go to.
+func (h *hub) redirectSession(s *session, to string) {
 	h.closeSession(s)
 	s.out.Send(protocol.WatchRedirect{Leader: to, Members: h.leadership.Load().voters})
 	go func() {
