--- a/directory/relay.go
+++ b/directory/relay.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// opened takes a gateway whose session opens.
-func (r *relay) opened(s *session) {
+// addGateway takes a gateway whose session opens.
+func (r *relay) addGateway(s *session) {
 	r.sums.Open(s.gateway, s.supportsRollouts)
 	r.changed = true
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -184,7 +184,7 @@
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
-		h.relay.opened(s)
+		h.relay.addGateway(s)
 	}
 	h.sendRollouts(s) // first, or the new servers would be used by load until it comes
 	h.sendQuarantine(s)
