--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -36,7 +36,7 @@
 	out, changes := h.d.state.HallsOut()
 	r := &relay{
 		h: h, list: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
-		lost: h.d.replica.Now(), places: h.placesSent,
+		lostAt: h.d.replica.Now(), places: h.placesSent,
 	}
 	r.quarantine = h.evidence.list
 	h.endTermBoundSessions("")
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -39,7 +39,7 @@
 type relay struct {
 	h       *hub
 	out     *link.Outbox // to the leader; nil while it is lost
-	lost    time.Duration
+	lostAt  time.Duration
 	list    registry.Copy
 	sums    registry.Sums
 	changed bool // the gateways, since the leader was sent them
@@ -127,7 +127,7 @@
 		return
 	}
 	r.out.Close()
-	r.out, r.lost = nil, r.h.d.replica.Now()
+	r.out, r.lostAt = nil, r.h.d.replica.Now()
 	r.h.d.cfg.Log.StateChange("leader lost", slog.Uint64("term", r.list.Term()), slog.Int("gateways", len(r.h.sessions)))
 }
 
@@ -139,7 +139,7 @@
 	case r == nil:
 	case r.out != nil && l.term > r.list.Term():
 		r.lose(r.out)
-	case r.out == nil && h.d.replica.Now()-r.lost > h.grace():
+	case r.out == nil && h.d.replica.Now()-r.lostAt > h.grace():
 		h.endRelay(h.elsewhere())
 	}
 }
