--- a/directory/relay.go
+++ b/directory/relay.go
@@ -37,13 +37,13 @@
 
 // relay is what a replica passes on. All runs in the hub's goroutine.
 type relay struct {
-	h       *hub
-	out     *link.Outbox // to the leader; nil while it is lost
-	lostAt  time.Duration
-	list    registry.Copy
-	sums    registry.Sums
-	changed bool // the gateways, since the leader was sent them
-	sumDue  time.Duration
+	h               *hub
+	out             *link.Outbox // to the leader; nil while it is lost
+	lostAt          time.Duration
+	list            registry.Copy
+	sums            registry.Sums
+	gatewaysChanged bool // the gateways, since the leader was sent them
+	sumDue          time.Duration
 
 	loads    map[uint32]protocol.ServerLoad // sums of the leader, by handle
 	feed     registry.Feed                  // what the gateways were sent of them
@@ -99,7 +99,7 @@
 		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
-	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
+	r.out, r.gatewaysChanged, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetNew = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
 	for _, m := range before {
@@ -214,7 +214,7 @@
 // addGateway takes a gateway whose session opens.
 func (r *relay) addGateway(s *session) {
 	r.sums.Open(s.gateway, s.supportsRollouts)
-	r.changed = true
+	r.gatewaysChanged = true
 }
 
 // sendSums sends a gateway, after its list, what the others were sent.
@@ -243,8 +243,8 @@
 		return
 	}
 	r.pushFleet()
-	if r.changed {
-		r.changed = false
+	if r.gatewaysChanged {
+		r.gatewaysChanged = false
 		var m protocol.Behind
 		for s := range r.h.sessions {
 			m.Gateways = append(m.Gateways, s.gateways()...)
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -221,7 +221,7 @@
 	h.d.cfg.Log.StateChange("gateway lost", slog.String("gateway", s.gateway))
 	if h.relay != nil {
 		h.relay.sums.Close(s.gateway)
-		h.relay.changed = true
+		h.relay.gatewaysChanged = true
 		return
 	}
 	h.usage.forget(s)
