--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -264,7 +264,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		is.Equal(x.rolled().State, document.RolloutComplete)
-		end := time.Now().Add(reach)
+		end := time.Now().Add(propagationTime)
 		time.Sleep(2 * time.Second)
 		target, _ := a.since("10.0.3.1:80", end)
 		old, _ := a.since("10.0.3.2:80", end)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -18,8 +18,8 @@
 
 // This file tests whole rollouts: a leader, gateways under load, and servers of two versions.
 
-// reach is how long a list takes to all gateways in touch, and what is on its way to arrive.
-const reach = 100 * time.Millisecond
+// propagationTime is how long a list takes to all gateways in touch, and what is on its way to arrive.
+const propagationTime = 100 * time.Millisecond
 
 // faults are what happens to the fleet in the middle of a rollout, some time after the order.
 var faults = []struct {
@@ -76,7 +76,7 @@
 							is.True(after < 10*time.Second)
 						}
 						time.Sleep(3 * time.Second)
-						target, old := v.after(end.Add(reach))
+						target, old := v.after(end.Add(propagationTime))
 						x.t.Logf("complete after %v", after)
 						is.Equal(old, 0)
 						is.True(target > 300)
@@ -97,7 +97,7 @@
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
 			time.Sleep(3 * time.Second)
-			target, old := v.after(end.Add(reach))
+			target, old := v.after(end.Add(propagationTime))
 			is.Equal(old, 0)
 			is.True(target > 300)
 		})
@@ -158,7 +158,7 @@
 							is.Equal(state, document.RolloutRolledBack)
 							is.True(after <= rolloutTime)
 							time.Sleep(4 * time.Second)
-							target, old := v.after(end.Add(reach))
+							target, old := v.after(end.Add(propagationTime))
 							sent, room, late := v.exposed()
 							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, room)
 							is.Equal(target, 0)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -105,9 +105,9 @@
 					is.Equal(h.failed["home"], 0)
 					v.mu.Unlock()
 					if test.fails == nil {
-						is.Equal(at("any", "b1", end.Add(reach))+at("any", "b2", end.Add(reach))+at("any", "b3", end.Add(reach)), 0)
+						is.Equal(at("any", "b1", end.Add(propagationTime))+at("any", "b2", end.Add(propagationTime))+at("any", "b3", end.Add(propagationTime)), 0)
 					} else {
-						is.Equal(at("any", "b4", end.Add(reach))+at("any", "b5", end.Add(reach))+at("any", "b6", end.Add(reach)), 0)
+						is.Equal(at("any", "b4", end.Add(propagationTime))+at("any", "b5", end.Add(propagationTime))+at("any", "b6", end.Add(propagationTime)), 0)
 						is.True(leastRoom(v) >= 0)
 					}
 				})
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -138,7 +138,7 @@
 const contact = 3 * time.Second
 
 // lease is how long a gateway's share lasts after its leader is lost, and what is on its way.
-const lease = 2*time.Second + reach
+const lease = 2*time.Second + propagationTime
 
 // cutOff cuts the south off for 4 s, and checks how the rollout ends.
 func cutOff(x *fleet, v *versioned, r *regional, want document.RolloutState) {
@@ -171,10 +171,10 @@
 		left = []int{1, 2, 3}
 	}
 	for _, n := range left {
-		inTouch, _ := r.reached.since(north+address(fmt.Sprint("b", n)), end.Add(reach))
+		inTouch, _ := r.reached.since(north+address(fmt.Sprint("b", n)), end.Add(propagationTime))
 		is.Equal(inTouch, 0)
 	}
-	both := end.Add(reach)
+	both := end.Add(propagationTime)
 	if inTouch := joined.Add(contact); inTouch.After(both) {
 		both = inTouch
 	}
@@ -193,7 +193,7 @@
 			is.Equal(state, document.RolloutComplete)
 			is.True(after < 10*time.Second)
 			time.Sleep(2 * time.Second)
-			is.Equal(r.sinceAll(end.Add(reach), 1, 2, 3), 0)
+			is.Equal(r.sinceAll(end.Add(propagationTime), 1, 2, 3), 0)
 			is.True(r.sinceAll(end, 6) > 50)
 		})
 	})
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -65,10 +65,10 @@
 						time.Sleep(3 * time.Second)
 						for n, hall := range test.halls {
 							if hall == "hall-a" {
-								is.Equal(c.sinceAll(out.Add(reach), n), 0)
+								is.Equal(c.sinceAll(out.Add(propagationTime), n), 0)
 							}
 						}
-						target, old := v.after(end.Add(reach))
+						target, old := v.after(end.Add(propagationTime))
 						is.True(max(target, old) > 300)
 						is.Equal(min(target, old), 0)
 						is.True(test.fails == nil || leastRoom(v) >= 0)
@@ -98,13 +98,13 @@
 			x.orderHall(halls[tried[0]], true)
 			out := time.Now()
 			time.Sleep(2 * time.Second)
-			target, _ := v.after(out.Add(reach))
+			target, _ := v.after(out.Add(propagationTime))
 			is.True(target > 0)
 			state, after := x.ended(v)
 			is.Equal(state, document.RolloutComplete)
 			is.True(after <= rolloutTime)
 			time.Sleep(2 * time.Second)
-			is.Equal(c.sinceAll(out.Add(reach), tried...), 0)
+			is.Equal(c.sinceAll(out.Add(propagationTime), tried...), 0)
 		})
 	})
 }
