--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -52,14 +52,14 @@
 	{"connections silent", func(x *fleet, _ *versioned) { x.net.Silence() }},
 }
 
-// steps are when it happens: in the trial, about the switch, and before complete is said.
-var steps = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
+// faultTimes are when it happens: in the trial, about the switch, and before complete is said.
+var faultTimes = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
 
 // TestGoodVersionCompletes: in time, whatever fails meanwhile; from then on nothing reaches an
 // old server, since they may stop at once.
 func TestGoodVersionCompletes(t *testing.T) {
 	for _, fault := range faults {
-		for _, at := range steps {
+		for _, at := range faultTimes {
 			t.Run(fmt.Sprint(fault.name, " ", at), func(t *testing.T) {
 				t.Parallel()
 				inFleet(t, 5, func(x *fleet) {
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -110,7 +110,7 @@
 		leader string // where it stands
 		at     []time.Duration
 	}{
-		{"good", nil, document.RolloutComplete, north, steps},
+		{"good", nil, document.RolloutComplete, north, faultTimes},
 		{"good", nil, document.RolloutComplete, south, []time.Duration{0}},
 		{"20 %", fails20, document.RolloutRolledBack, north, []time.Duration{500 * time.Millisecond, 2 * time.Second}},
 		{"20 %", fails20, document.RolloutRolledBack, south, []time.Duration{500 * time.Millisecond}},
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -44,9 +44,9 @@
 		state document.RolloutState
 		at    []time.Duration // when it is taken out
 	}{
-		{"good", mixedHalls, nil, document.RolloutComplete, steps},
+		{"good", mixedHalls, nil, document.RolloutComplete, faultTimes},
 		{"bad", mixedHalls, bad, document.RolloutRolledBack, []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second}},
-		{"without a server left", apartHalls, nil, document.RolloutRolledBack, steps},
+		{"without a server left", apartHalls, nil, document.RolloutRolledBack, faultTimes},
 	} {
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " ", at), func(t *testing.T) {
