--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -22,7 +22,7 @@
 		x.leadIn(north)
 		x.put(1)
 		is.NoErr(x.announce("b1", false))
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 		relay := x.relays(south)[0]
 		relay.kill()
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -21,8 +21,8 @@
 // This file tests operators' orders about rollouts. Their times are long, so that no schedule
 // ends one while a test runs.
 
-// to is an order to move pool p to a version.
-func to(target string) rollout.Order {
+// orderTo is an order orderTo move pool p orderTo a version.
+func orderTo(target string) rollout.Order {
 	return rollout.Order{Pool: "p", Target: target, Duration: 24 * time.Hour}
 }
 
@@ -60,21 +60,21 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l, ctx := x.mustLead(), x.t.Context()
-		is.Equal(l.d.StartRollout(ctx, to("v2")), error(directory.UnknownPool{Pool: "p"}))
-		is.True(errors.As(l.d.StartRollout(ctx, to("")), new(rollout.InvalidOrder)))
+		is.Equal(l.d.StartRollout(ctx, orderTo("v2")), error(directory.UnknownPool{Pool: "p"}))
+		is.True(errors.As(l.d.StartRollout(ctx, orderTo("")), new(rollout.InvalidOrder)))
 		_, err := l.d.Rollout(ctx, "p")
 		is.Equal(err, error(directory.NoRollout{Pool: "p"}))
 		is.Equal(l.d.AbortRollout(ctx, "p", 1), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.announce("b1", false))
-		time.Sleep(time.Second)                   // it is in the log
-		is.NoErr(l.d.StartRollout(ctx, to("v2"))) // no document names the pool, but a server
+		time.Sleep(time.Second)                        // it is in the log
+		is.NoErr(l.d.StartRollout(ctx, orderTo("v2"))) // no document names the pool, but a server
 		is.Equal(x.rolled(), document.Rollout{
 			Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 		})
 		for ip, n := range x.nodes {
 			if ip != l.ip {
 				elsewhere := error(directory.NotLeader{Leader: l.ip + ":7400"})
-				is.Equal(n.d.StartRollout(ctx, to("v2")), elsewhere)
+				is.Equal(n.d.StartRollout(ctx, orderTo("v2")), elsewhere)
 				is.Equal(n.d.AbortRollout(ctx, "p", 1), elsewhere)
 				_, err := n.d.Rollout(ctx, "p")
 				is.Equal(err, elsewhere)
@@ -88,8 +88,8 @@
 	inFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
-		other := to("v2")
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		other := orderTo("v2")
 		other.Pool = "q"
 		is.Equal(x.orderRollout(other), error(directory.UnknownPool{Pool: "q"}))
 	})
@@ -108,22 +108,22 @@
 			is.Equal(r.Target, target)
 			is.Equal(r.State, state)
 		}
-		is.NoErr(x.orderRollout(to("v2")))
-		shorter := to("v2")
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		shorter := orderTo("v2")
 		shorter.Duration = time.Hour
 		is.NoErr(x.orderRollout(shorter)) // a copy
 		is.Equal(x.rolled().Duration, 24*time.Hour)
-		is.Equal(x.orderRollout(to("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
+		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // again
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
-		is.NoErr(x.orderRollout(to("v2"))) // a copy after the end
+		is.NoErr(x.orderRollout(orderTo("v2"))) // a copy after the end
 		attempt(1, "v2", document.RolloutRolledBack)
 		is.Equal(x.rolled().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
 		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
@@ -136,17 +136,17 @@
 		})
 		is.NoErr(err)
 		is.True(changed)
-		is.NoErr(x.orderRollout(to("v2"))) // it has the requests
+		is.NoErr(x.orderRollout(orderTo("v2"))) // it has the requests
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutComplete)
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
-		is.NoErr(x.orderRollout(to("v3")))
+		is.NoErr(x.orderRollout(orderTo("v3")))
 		attempt(3, "v3", document.RolloutUnderWay)
 
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2"))) // that has had the requests all the while
+		is.NoErr(x.orderRollout(orderTo("v2"))) // that has had the requests all the while
 		time.Sleep(time.Second)
 		attempt(4, "v2", document.RolloutComplete)
 		is.Equal(x.rolled().Barred, []string{"v3"})
@@ -185,12 +185,12 @@
 				is := is.New(x.t)
 				x.put(1)
 				for n := uint64(1); n <= 3; n++ {
-					is.NoErr(x.orderRollout(to("v2")))
+					is.NoErr(x.orderRollout(orderTo("v2")))
 					lose(x)
 					r := x.rolled()
 					is.Equal(r.Attempt, n)
 					is.Equal(r.State, document.RolloutUnderWay)
-					is.NoErr(x.orderRollout(to("v2")))
+					is.NoErr(x.orderRollout(orderTo("v2")))
 					is.Equal(x.rolled().Attempt, n)
 					time.Sleep(8 * time.Second) // the lost ones have caught up
 					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
@@ -210,10 +210,10 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 		x.mustLead().kill()
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.Equal(x.rolled().State, document.RolloutRolledBack)
 		is.Equal(x.rolled().Attempt, uint64(1))
 	})
@@ -232,9 +232,9 @@
 			for _, target := range []string{"v2", "v3"} {
 				for _, n := range x.nodes {
 					ordering.Go(func() {
-						err := n.d.StartRollout(x.t.Context(), to(target))
+						err := n.d.StartRollout(x.t.Context(), orderTo(target))
 						if errors.As(err, new(directory.NotLeader)) {
-							err = x.orderRollout(to(target)) // where the answer points
+							err = x.orderRollout(orderTo(target)) // where the answer points
 						}
 						mu.Lock()
 						defer mu.Unlock()
@@ -266,7 +266,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		old := x.mustLead()
 		x.net.Cut(old.ip)
 		time.Sleep(3 * time.Second)
@@ -274,7 +274,7 @@
 			x.t.Helper()
 			ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 			defer cancel()
-			is.True(errors.As(old.d.StartRollout(ctx, to("v2")), new(directory.Unavailable)))
+			is.True(errors.As(old.d.StartRollout(ctx, orderTo("v2")), new(directory.Unavailable)))
 			is.True(errors.As(old.d.AbortRollout(ctx, "p", 1), new(directory.Unavailable)))
 			_, err := old.d.Rollout(ctx, "p")
 			is.True(errors.As(err, new(directory.Unavailable)))
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -206,7 +206,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		l := x.mustLead()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -50,14 +50,14 @@
 				x.put(1)
 				slow := x.mustLead()
 				slow.disk.SyncTime(takes)
-				after, refused := x.ordered(to("v2"))
+				after, refused := x.ordered(orderTo("v2"))
 				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.mustLead() != slow)
 				is.True(after < exposure.RepeatWindow)
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 				}
 				is.Equal(x.rolled(), once)
-				_, _ = x.ordered(to("v2"))
+				_, _ = x.ordered(orderTo("v2"))
 				slow.disk.SyncTime(0)
 				time.Sleep(takes)
 				is.Equal(x.rolled().Attempt, uint64(1))
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -91,7 +91,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		for _, err := range []error{n.d.StartRollout(ctx, to("v2")), n.d.StartRollout(ctx, to("v3")), n.d.AbortRollout(ctx, "p", 1)} {
+		for _, err := range []error{n.d.StartRollout(ctx, orderTo("v2")), n.d.StartRollout(ctx, orderTo("v3")), n.d.AbortRollout(ctx, "p", 1)} {
 			is.True(errors.As(err, new(directory.Unavailable)) || errors.As(err, new(directory.NotLeader)))
 		}
 		cancel()
