--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -260,10 +260,10 @@
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 		time.Sleep(500 * time.Millisecond)
 		life.Store(2)
-		for began := time.Now(); x.rolled().State == document.RolloutUnderWay && time.Since(began) < rolloutTime; {
+		for began := time.Now(); x.newestRollout().State == document.RolloutUnderWay && time.Since(began) < rolloutTime; {
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.Equal(x.rolled().State, document.RolloutComplete)
+		is.Equal(x.newestRollout().State, document.RolloutComplete)
 		end := time.Now().Add(propagationTime)
 		time.Sleep(2 * time.Second)
 		target, _ := a.since("10.0.3.1:80", end)
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -39,7 +39,7 @@
 					})
 					var state document.RolloutState
 					for began := time.Now(); time.Since(began) < rolloutTime; time.Sleep(20 * time.Millisecond) {
-						if state = x.rolled().State; state != document.RolloutUnderWay {
+						if state = x.newestRollout().State; state != document.RolloutUnderWay {
 							break
 						}
 					}
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -26,8 +26,8 @@
 	return rollout.Order{Pool: "p", Target: target, Duration: 24 * time.Hour}
 }
 
-// rolled returns the newest rollout of pool p by whoever leads.
-func (x *fleet) rolled() document.Rollout {
+// newestRollout returns the newest rollout of pool p by whoever leads.
+func (x *fleet) newestRollout() document.Rollout {
 	for range 1000 {
 		r, err := x.mustLead().d.Rollout(x.t.Context(), "p")
 		switch {
@@ -68,7 +68,7 @@
 		is.NoErr(x.announce("b1", false))
 		time.Sleep(time.Second)                        // it is in the log
 		is.NoErr(l.d.StartRollout(ctx, orderTo("v2"))) // no document names the pool, but a server
-		is.Equal(x.rolled(), document.Rollout{
+		is.Equal(x.newestRollout(), document.Rollout{
 			Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 		})
 		for ip, n := range x.nodes {
@@ -103,7 +103,7 @@
 		x.put(1)
 		attempt := func(n uint64, target string, state document.RolloutState) {
 			x.t.Helper()
-			r := x.rolled()
+			r := x.newestRollout()
 			is.Equal(r.Attempt, n)
 			is.Equal(r.Target, target)
 			is.Equal(r.State, state)
@@ -112,7 +112,7 @@
 		shorter := orderTo("v2")
 		shorter.Duration = time.Hour
 		is.NoErr(x.orderRollout(shorter)) // a copy
-		is.Equal(x.rolled().Duration, 24*time.Hour)
+		is.Equal(x.newestRollout().Duration, 24*time.Hour)
 		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
@@ -121,7 +121,7 @@
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.orderRollout(orderTo("v2"))) // a copy after the end
 		attempt(1, "v2", document.RolloutRolledBack)
-		is.Equal(x.rolled().Barred, []string{"v2"})
+		is.Equal(x.newestRollout().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
@@ -130,7 +130,7 @@
 		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
 		attempt(2, "v2", document.RolloutUnderWay)
 
-		newest := x.rolled()
+		newest := x.newestRollout()
 		changed, err := x.mustLead().d.ChangeRollout(x.t.Context(), document.RolloutChange{
 			Pool: "p", Target: "v2", State: document.RolloutComplete, After: newest.Changes, Elapsed: newest.Elapsed, Replaced: []string{"v1"},
 		})
@@ -149,7 +149,7 @@
 		is.NoErr(x.orderRollout(orderTo("v2"))) // that has had the requests all the while
 		time.Sleep(time.Second)
 		attempt(4, "v2", document.RolloutComplete)
-		is.Equal(x.rolled().Barred, []string{"v3"})
+		is.Equal(x.newestRollout().Barred, []string{"v3"})
 	})
 }
 
@@ -187,16 +187,16 @@
 				for n := uint64(1); n <= 3; n++ {
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					lose(x)
-					r := x.rolled()
+					r := x.newestRollout()
 					is.Equal(r.Attempt, n)
 					is.Equal(r.State, document.RolloutUnderWay)
 					is.NoErr(x.orderRollout(orderTo("v2")))
-					is.Equal(x.rolled().Attempt, n)
+					is.Equal(x.newestRollout().Attempt, n)
 					time.Sleep(8 * time.Second) // the lost ones have caught up
 					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
 					lose(x)
-					is.Equal(x.rolled().State, document.RolloutRolledBack)
-					is.Equal(x.rolled().Barred, []string{"v2"})
+					is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+					is.Equal(x.newestRollout().Barred, []string{"v2"})
 					time.Sleep(8 * time.Second)
 				}
 			})
@@ -214,8 +214,8 @@
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 		x.mustLead().kill()
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		is.Equal(x.rolled().State, document.RolloutRolledBack)
-		is.Equal(x.rolled().Attempt, uint64(1))
+		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+		is.Equal(x.newestRollout().Attempt, uint64(1))
 	})
 }
 
@@ -244,7 +244,7 @@
 			}
 		}
 		ordering.Wait()
-		r := x.rolled()
+		r := x.newestRollout()
 		is.Equal(r.Attempt, uint64(1))
 		is.Equal(r.Changes, uint64(1))
 		for target, errs := range answers {
@@ -288,8 +288,8 @@
 		refused()
 		x.net.Join(old.ip)
 		time.Sleep(2 * time.Second)
-		is.Equal(x.rolled().State, document.RolloutRolledBack)
-		is.Equal(x.rolled().Changes, uint64(2))
+		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+		is.Equal(x.newestRollout().Changes, uint64(2))
 	})
 }
 
@@ -360,7 +360,7 @@
 		is.NoErr(gone.Send(x.t.Context(), protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}))
 		gone.Close()
 		time.Sleep(5 * time.Second)
-		is.Equal(x.rolled(), document.Rollout{})
+		is.Equal(x.newestRollout(), document.Rollout{})
 	})
 }
 
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -56,18 +56,18 @@
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 				}
-				is.Equal(x.rolled(), once)
+				is.Equal(x.newestRollout(), once)
 				_, _ = x.ordered(orderTo("v2"))
 				slow.disk.SyncTime(0)
 				time.Sleep(takes)
-				is.Equal(x.rolled().Attempt, uint64(1))
+				is.Equal(x.newestRollout().Attempt, uint64(1))
 				is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 				x.losePower()
 				for _, ip := range x.order {
 					x.start(ip, false)
 				}
-				is.Equal(x.rolled().State, document.RolloutRolledBack)
-				is.Equal(x.rolled().Attempt, uint64(1))
+				is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+				is.Equal(x.newestRollout().Attempt, uint64(1))
 			})
 		})
 	}
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -200,7 +200,7 @@
 // ended waits for the rollout's end and returns it, and how long after the order it was.
 func (x *fleet) ended(v *versioned) (state document.RolloutState, after time.Duration) {
 	for time.Since(v.ordered) < 2*rolloutTime {
-		if state = x.rolled().State; state != document.RolloutUnderWay {
+		if state = x.newestRollout().State; state != document.RolloutUnderWay {
 			return state, time.Since(v.ordered)
 		}
 		time.Sleep(20 * time.Millisecond)
