--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -26,7 +26,7 @@
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
@@ -92,7 +92,7 @@
 		t.Run(at.String(), func(t *testing.T) {
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					time.Sleep(at)
 					x.mustLead().kill()
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -24,32 +24,32 @@
 // faults are what happens to the fleet in the middle of a rollout, some time after the order.
 var faults = []struct {
 	name string
-	do   func(x *fleet, v *versioned)
+	do   func(x *fleet, v *versionedServers)
 }{
-	{"none", func(*fleet, *versioned) {}},
-	{"leader killed", func(x *fleet, _ *versioned) { x.mustLead().kill() }},
-	{"leader cut off", func(x *fleet, _ *versioned) {
+	{"none", func(*fleet, *versionedServers) {}},
+	{"leader killed", func(x *fleet, _ *versionedServers) { x.mustLead().kill() }},
+	{"leader cut off", func(x *fleet, _ *versionedServers) {
 		l := x.mustLead().ip
 		x.net.Cut(l)
 		time.Sleep(3 * time.Second)
 		x.net.Join(l)
 	}},
-	{"gateway cut off", func(x *fleet, _ *versioned) {
+	{"gateway cut off", func(x *fleet, _ *versionedServers) {
 		x.net.Cut(rolloutGateway(0))
 		time.Sleep(3 * time.Second)
 		x.net.Join(rolloutGateway(0))
 	}},
-	{"gateway started again", func(x *fleet, v *versioned) {
+	{"gateway started again", func(x *fleet, v *versionedServers) {
 		x.gateways[rolloutGateway(0)].kill()
 		x.loaded(rolloutGateway(0), v, rolloutPeriod)
 	}},
-	{"power of the directory lost", func(x *fleet, _ *versioned) {
+	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
 		for _, ip := range x.order {
 			x.start(ip, false)
 		}
 	}},
-	{"connections silent", func(x *fleet, _ *versioned) { x.net.Silence() }},
+	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
 }
 
 // faultTimes are when it happens: in the trial, about the switch, and before complete is said.
@@ -64,7 +64,7 @@
 				t.Parallel()
 				inFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versioned{}
+					v := &versionedServers{}
 					x.rolling(v, func() {
 						time.Sleep(at)
 						fault.do(x, v)
@@ -91,7 +91,7 @@
 func TestUnnamedVersion(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{unnamed: true}
+		v := &versionedServers{unnamed: true}
 		x.rolling(v, func() {
 			state, _ := x.ended(v)
 			end := time.Now()
@@ -112,7 +112,7 @@
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
 				inFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versioned{gone: at, allGone: all}
+					v := &versionedServers{gone: at, allGone: all}
 					x.rolling(v, func() {
 						state, after := x.ended(v)
 						sent, room, _ := v.exposed()
@@ -149,7 +149,7 @@
 					t.Parallel()
 					inFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
-						v := &versioned{fails: version.fails}
+						v := &versionedServers{fails: version.fails}
 						x.rolling(v, func() {
 							time.Sleep(at)
 							fault.do(x, v)
@@ -177,7 +177,7 @@
 func TestRolloutBytes(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{}
+		v := &versionedServers{}
 		x.rolling(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
@@ -229,7 +229,7 @@
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -29,8 +29,8 @@
 
 // coldLeft returns for how long a server is cold.
 func (c *coldStarting) coldLeft(n int) time.Duration {
-	c.versioned.mu.Lock()
-	defer c.versioned.mu.Unlock()
+	c.versionedServers.mu.Lock()
+	defer c.versionedServers.mu.Unlock()
 	if n < 4 || n%2 == 1 || c.ordered.IsZero() {
 		return 0
 	}
@@ -50,7 +50,7 @@
 	if !sleep.For(ctx, 80*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
-	answer, err := c.versioned.Send(ctx, at, call)
+	answer, err := c.versionedServers.Send(ctx, at, call)
 	if lately > coldRate && err == nil {
 		answer.Status = 500
 	}
@@ -75,7 +75,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{fails: test.fails}
+				v := &versionedServers{fails: test.fails}
 				c := &coldStarting{counted: newCounted(v)}
 				x.rollingIn(v, scene{document: coldHeld(1, coldRate), load: x.evenly(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -32,7 +32,7 @@
 }
 
 // rollingIn does what rolling does, in a scene.
-func (x *fleet) rollingIn(v *versioned, s scene, f func()) {
+func (x *fleet) rollingIn(v *versionedServers, s scene, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.mustLead().d.Put(x.t.Context(), s.document))
 	stop := x.keeping(s.announce)
@@ -59,7 +59,7 @@
 }
 
 // leastRoom returns the least that the bound left, at any moment.
-func leastRoom(v *versioned) float64 {
+func leastRoom(v *versionedServers) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.room
@@ -106,17 +106,17 @@
 
 // counted counts what reaches each server of a versioned.
 type counted struct {
-	*versioned
+	*versionedServers
 	reached *arrivals
 }
 
-func newCounted(v *versioned) counted {
-	return counted{versioned: v, reached: &arrivals{at: map[string][]time.Time{}}}
+func newCounted(v *versionedServers) counted {
+	return counted{versionedServers: v, reached: &arrivals{at: map[string][]time.Time{}}}
 }
 
 func (c counted) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	c.reached.note(at)
-	return c.versioned.Send(ctx, at, call)
+	return c.versionedServers.Send(ctx, at, call)
 }
 
 // sinceAll returns how many requests came to some servers, by their numbers, after a time.
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -54,7 +54,7 @@
 
 // engines read one prompt after the other, each by itself, and answer then.
 type engines struct {
-	*versioned
+	*versionedServers
 	x *fleet
 
 	mu     sync.Mutex
@@ -115,8 +115,8 @@
 
 // flooded reports whether the flood has begun.
 func (e *engines) flooded() bool {
-	e.versioned.mu.Lock()
-	defer e.versioned.mu.Unlock()
+	e.versionedServers.mu.Lock()
+	defer e.versionedServers.mu.Unlock()
 	return !e.ordered.IsZero() && time.Since(e.ordered) >= floodFrom
 }
 
@@ -132,9 +132,9 @@
 
 // flood runs a rollout, or none, and the flood in it, and returns the least part of what a
 // covered account asked for that it was served in time.
-func flood(t *testing.T, v *versioned, rolls bool, f func(x *fleet)) (least float64) {
+func flood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
 	inFleet(t, 5, func(x *fleet) {
-		e := &engines{versioned: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
+		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
 			x.loadedBy(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 				for _, account := range coveredAccounts {
@@ -172,20 +172,20 @@
 // TestGoodVersionUnderAFlood: an account asks for seven times its share from the trial on. That
 // rolls no good version back, and accounts within their shares are served as without a rollout.
 func TestGoodVersionUnderAFlood(t *testing.T) {
-	without := flood(t, &versioned{}, false, func(*fleet) {})
-	v := &versioned{}
+	without := flood(t, &versionedServers{}, false, func(*fleet) {})
+	v := &versionedServers{}
 	with := flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutComplete) })
 	is.New(t).True(with >= without-noise)
 }
 
 // TestBadVersionUnderAFlood: it gets no more than its bound.
 func TestBadVersionUnderAFlood(t *testing.T) {
-	v := &versioned{fails: func(time.Duration) float64 { return 0.2 }}
+	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
 	flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutRolledBack) })
 	is.New(t).True(leastRoom(v) >= 0)
 }
 
-func mustEnd(x *fleet, v *versioned, want document.RolloutState) {
+func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
 	is := is.New(x.t)
 	state, after := x.ended(v)
 	x.t.Logf("ended after %v", after)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -53,8 +53,8 @@
 
 // countFailed counts what fails from the order on.
 func (h routeServers) countFailed(route string) {
-	h.versioned.mu.Lock()
-	defer h.versioned.mu.Unlock()
+	h.versionedServers.mu.Lock()
+	defer h.versionedServers.mu.Unlock()
 	if !h.ordered.IsZero() {
 		h.failed[route]++
 	}
@@ -77,7 +77,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			inRegions(t, 1_000_000, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{fails: test.fails}
+				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
 				r := &regional{counted: newCounted(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -69,7 +69,7 @@
 }
 
 // rollingOver is a rollout with two gateways in the north and one in the south.
-func (x *fleet) rollingOver(v *versioned, d document.Held, halls [7]string, f func(r *regional)) {
+func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
 	r := &regional{counted: newCounted(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
@@ -120,7 +120,7 @@
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
 				inRegions(t, 1_000_000, func(x *fleet) {
-					v := &versioned{fails: test.fails}
+					v := &versionedServers{fails: test.fails}
 					x.rollingOver(v, held(1), bothHalls, func(r *regional) {
 						time.Sleep(at)
 						x.leadAfter(test.leader, 0)
@@ -141,7 +141,7 @@
 const lease = 2*time.Second + propagationTime
 
 // cutOff cuts the south off for 4 s, and checks how the rollout ends.
-func cutOff(x *fleet, v *versioned, r *regional, want document.RolloutState) {
+func cutOff(x *fleet, v *versionedServers, r *regional, want document.RolloutState) {
 	is := is.New(x.t)
 	cut := time.Now()
 	joined := cut.Add(4 * time.Second)
@@ -186,7 +186,7 @@
 func TestRolloutOverTwoRegions(t *testing.T) {
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{}
+		v := &versionedServers{}
 		x.rollingOver(v, held(1), bothHalls, func(r *regional) {
 			state, after := x.ended(v)
 			end := time.Now()
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -16,7 +16,7 @@
 // This file tests rollouts together with data halls that are taken out of service.
 
 // inHalls is a rollout of which each server stands in a hall.
-func (x *fleet) inHalls(v *versioned, halls [7]string, period time.Duration, f func(c counted)) {
+func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c counted)) {
 	c := newCounted(v)
 	x.rollingIn(v, scene{document: held(1), load: x.evenly(c, period), announce: func() {
 		for n := 1; n < len(halls); n++ {
@@ -52,7 +52,7 @@
 			t.Run(fmt.Sprint(test.name, " ", at), func(t *testing.T) {
 				inFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versioned{fails: test.fails}
+					v := &versionedServers{fails: test.fails}
 					x.inHalls(v, test.halls, rolloutPeriod, func(c counted) {
 						time.Sleep(at)
 						x.orderHall("hall-a", true)
@@ -84,7 +84,7 @@
 func TestTrialsHallIsTakenOut(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{}
+		v := &versionedServers{}
 		halls := [7]string{1: "hall-1", 2: "hall-1", 3: "hall-1", 4: "hall-4", 5: "hall-5", 6: "hall-6"}
 		x.inHalls(v, halls, rolloutPeriod, func(c counted) {
 			time.Sleep(3 * time.Second)
@@ -114,7 +114,7 @@
 func TestHallOfAQuietPoolsTarget(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{}
+		v := &versionedServers{}
 		x.inHalls(v, apartHalls, 3*time.Second, func(c counted) {
 			time.Sleep(time.Second)
 			x.orderHall("hall-a", true)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -30,9 +30,9 @@
 	rolloutPeriod = 20 * time.Millisecond // between two requests of a gateway
 )
 
-// versioned is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
+// versionedServers is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
 // answer after 20 ms; the target's fail a part.
-type versioned struct {
+type versionedServers struct {
 	unnamed bool // the old servers name no version
 	fails   func(sinceOrder time.Duration) float64
 	// gone is after which time since the order servers of the target cannot be reached: the one
@@ -51,13 +51,13 @@
 	fifty   time.Time
 }
 
-func (v *versioned) DropIdle(string) {}
-func (v *versioned) DropAllIdle()    {}
+func (v *versionedServers) DropIdle(string) {}
+func (v *versionedServers) DropAllIdle()    {}
 
-func (*versioned) Refuses(context.Context, string) bool { return false }
+func (*versionedServers) Refuses(context.Context, string) bool { return false }
 
 // arrive counts an arrival and returns whether it fails.
-func (v *versioned) arrive(address string) (fails bool) {
+func (v *versionedServers) arrive(address string) (fails bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
@@ -79,7 +79,7 @@
 
 var address4 = address("b4")
 
-func (v *versioned) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := v.arrive(at)
 	if v.hasGone(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
@@ -95,13 +95,13 @@
 	return answer, nil
 }
 
-func (v *versioned) hasGone(address string) bool {
+func (v *versionedServers) hasGone(address string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.gone > 0 && !v.ordered.IsZero() && time.Since(v.ordered) >= v.gone && address >= address4 && (v.allGone || address == v.first)
 }
 
-func (v *versioned) countBad() {
+func (v *versionedServers) countBad() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.bad++; v.bad == 50 {
@@ -111,7 +111,7 @@
 
 // exposed returns how many requests the target had, the least that the bound left, and how long
 // after its 50th bad answer the last came, 0 if there was none.
-func (v *versioned) exposed() (sent int, room float64, late time.Duration) {
+func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.fifty.IsZero() {
@@ -121,7 +121,7 @@
 }
 
 // after counts the arrivals at both versions after a time.
-func (v *versioned) after(from time.Time) (target, old int) {
+func (v *versionedServers) after(from time.Time) (target, old int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	count := func(times []time.Time) (n int) {
@@ -136,7 +136,7 @@
 }
 
 // rolling is a fleet with gateways under load and a rollout to the target that begins now.
-func (x *fleet) rolling(v *versioned, f func()) {
+func (x *fleet) rolling(v *versionedServers, f func()) {
 	is := is.New(x.t)
 	x.put(1)
 	stop := x.keepVersions(v)
@@ -159,7 +159,7 @@
 
 // keepVersions announces the servers of both versions in each interval, until stop. Before the
 // order the target's do not run.
-func (x *fleet) keepVersions(v *versioned) (stop func()) {
+func (x *fleet) keepVersions(v *versionedServers) (stop func()) {
 	versions := []string{"v1", "v2"}
 	if v.unnamed {
 		versions[0] = ""
@@ -198,7 +198,7 @@
 }
 
 // ended waits for the rollout's end and returns it, and how long after the order it was.
-func (x *fleet) ended(v *versioned) (state document.RolloutState, after time.Duration) {
+func (x *fleet) ended(v *versionedServers) (state document.RolloutState, after time.Duration) {
 	for time.Since(v.ordered) < 2*rolloutTime {
 		if state = x.newestRollout().State; state != document.RolloutUnderWay {
 			return state, time.Since(v.ordered)
