--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -31,10 +31,10 @@
 func (c *coldStarting) coldLeft(n int) time.Duration {
 	c.versionedServers.mu.Lock()
 	defer c.versionedServers.mu.Unlock()
-	if n < 4 || n%2 == 1 || c.ordered.IsZero() {
+	if n < 4 || n%2 == 1 || c.orderedAt.IsZero() {
 		return 0
 	}
-	return max(coldTime-time.Since(c.ordered), 0)
+	return max(coldTime-time.Since(c.orderedAt), 0)
 }
 
 func (c *coldStarting) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
@@ -85,9 +85,9 @@
 					state, after := x.ended(v)
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
-					time.Sleep(coldTime - time.Since(v.ordered))
+					time.Sleep(coldTime - time.Since(v.orderedAt))
 					for n := 4; n <= 9; n += 2 {
-						all, most := c.reached.since(address(fmt.Sprint("b", n)), v.ordered)
+						all, most := c.reached.since(address(fmt.Sprint("b", n)), v.orderedAt)
 						x.t.Logf("ended after %v; cold server b%d got %d, %d in one second", after, n, all, most)
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -48,7 +48,7 @@
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	}
 	v.mu.Lock()
-	v.ordered = time.Now()
+	v.orderedAt = time.Now()
 	v.mu.Unlock()
 	f()
 }
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -117,7 +117,7 @@
 func (e *engines) flooded() bool {
 	e.versionedServers.mu.Lock()
 	defer e.versionedServers.mu.Unlock()
-	return !e.ordered.IsZero() && time.Since(e.ordered) >= floodFrom
+	return !e.orderedAt.IsZero() && time.Since(e.orderedAt) >= floodFrom
 }
 
 func enginesHeld() document.Held {
@@ -152,7 +152,7 @@
 		}}
 		x.rollingIn(v, s, func() {
 			f(x)
-			time.Sleep(rolloutTime - time.Since(v.ordered))
+			time.Sleep(rolloutTime - time.Since(v.orderedAt))
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			least = 1
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -55,7 +55,7 @@
 func (h routeServers) countFailed(route string) {
 	h.versionedServers.mu.Lock()
 	defer h.versionedServers.mu.Unlock()
-	if !h.ordered.IsZero() {
+	if !h.orderedAt.IsZero() {
 		h.failed[route]++
 	}
 }
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -155,7 +155,7 @@
 	x.mustRefuse(south)
 	state, after := x.ended(v)
 	end := time.Now()
-	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.ordered), after, leastRoom(v))
+	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, leastRoom(v))
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
 	time.Sleep(max(time.Until(joined), 0) + contact + time.Second)
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -90,7 +90,7 @@
 			time.Sleep(3 * time.Second)
 			var tried []int
 			for n := 4; n <= 6; n++ {
-				if c.sinceAll(v.ordered, n) > 0 {
+				if c.sinceAll(v.orderedAt, n) > 0 {
 					tried = append(tried, n)
 				}
 			}
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -40,15 +40,15 @@
 	gone    time.Duration
 	allGone bool
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	ordered time.Time
-	target  []time.Time // arrivals at it
-	old     []time.Time
-	first   string  // server of the target that had a request
-	room    float64 // the least that the bound left, at any moment
-	bad     int     // answers of the target
-	fifty   time.Time
+	mu        sync.Mutex
+	rng       *rand.Rand
+	orderedAt time.Time
+	target    []time.Time // arrivals at it
+	old       []time.Time
+	first     string  // server of the target that had a request
+	room      float64 // the least that the bound left, at any moment
+	bad       int     // answers of the target
+	fifty     time.Time
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -61,7 +61,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	if v.ordered.IsZero() {
+	if v.orderedAt.IsZero() {
 		return false
 	}
 	if address < address4 {
@@ -74,7 +74,7 @@
 	}
 	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
 	v.room = min(v.room, exposure.Share*of+exposure.Slack-sent)
-	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.ordered))
+	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
 var address4 = address("b4")
@@ -98,7 +98,7 @@
 func (v *versionedServers) hasGone(address string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gone > 0 && !v.ordered.IsZero() && time.Since(v.ordered) >= v.gone && address >= address4 && (v.allGone || address == v.first)
+	return v.gone > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.gone && address >= address4 && (v.allGone || address == v.first)
 }
 
 func (v *versionedServers) countBad() {
@@ -150,7 +150,7 @@
 	v.mu.Unlock()
 	is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	v.mu.Lock()
-	v.ordered = time.Now()
+	v.orderedAt = time.Now()
 	v.mu.Unlock()
 	f()
 }
@@ -199,11 +199,11 @@
 
 // ended waits for the rollout's end and returns it, and how long after the order it was.
 func (x *fleet) ended(v *versionedServers) (state document.RolloutState, after time.Duration) {
-	for time.Since(v.ordered) < 2*rolloutTime {
+	for time.Since(v.orderedAt) < 2*rolloutTime {
 		if state = x.newestRollout().State; state != document.RolloutUnderWay {
-			return state, time.Since(v.ordered)
+			return state, time.Since(v.orderedAt)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return state, time.Since(v.ordered)
+	return state, time.Since(v.orderedAt)
 }
