--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -42,7 +42,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.room = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
 	v.mu.Unlock()
 	if !s.without {
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
@@ -62,7 +62,7 @@
 func leastRoom(v *versionedServers) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.room
+	return v.minHeadroom
 }
 
 // keeping calls announce in each interval, until stop.
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -40,15 +40,15 @@
 	gone    time.Duration
 	allGone bool
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	orderedAt time.Time
-	target    []time.Time // arrivals at it
-	old       []time.Time
-	first     string  // server of the target that had a request
-	room      float64 // the least that the bound left, at any moment
-	bad       int     // answers of the target
-	fifty     time.Time
+	mu          sync.Mutex
+	rng         *rand.Rand
+	orderedAt   time.Time
+	target      []time.Time // arrivals at it
+	old         []time.Time
+	first       string  // server of the target that had a request
+	minHeadroom float64 // the least that the bound left, at any moment
+	bad         int     // answers of the target
+	fifty       time.Time
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -73,7 +73,7 @@
 		v.first = address
 	}
 	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
-	v.room = min(v.room, exposure.Share*of+exposure.Slack-sent)
+	v.minHeadroom = min(v.minHeadroom, exposure.Share*of+exposure.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
@@ -117,7 +117,7 @@
 	if !v.fifty.IsZero() {
 		late = v.target[len(v.target)-1].Sub(v.fifty)
 	}
-	return len(v.target), v.room, late
+	return len(v.target), v.minHeadroom, late
 }
 
 // after counts the arrivals at both versions after a time.
@@ -146,7 +146,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.room = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
 	v.mu.Unlock()
 	is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	v.mu.Lock()
