--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -64,7 +64,7 @@
 }
 
 func (e *engines) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	fails := e.arrive(at)
+	fails := e.recordArrival(at)
 	e.mu.Lock()
 	now := time.Now()
 	until := now
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -56,8 +56,8 @@
 
 func (*versionedServers) Refuses(context.Context, string) bool { return false }
 
-// arrive counts an arrival and returns whether it fails.
-func (v *versionedServers) arrive(address string) (fails bool) {
+// recordArrival counts an arrival and returns whether it fails.
+func (v *versionedServers) recordArrival(address string) (fails bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
@@ -80,7 +80,7 @@
 var address4 = address("b4")
 
 func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	fails := v.arrive(at)
+	fails := v.recordArrival(at)
 	if v.hasGone(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 	}
