--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -68,7 +68,7 @@
 								is.Equal(c.sinceAll(out.Add(propagationTime), n), 0)
 							}
 						}
-						target, old := v.after(end.Add(propagationTime))
+						target, old := v.arrivalsAfter(end.Add(propagationTime))
 						is.True(max(target, old) > 300)
 						is.Equal(min(target, old), 0)
 						is.True(test.fails == nil || leastRoom(v) >= 0)
@@ -98,7 +98,7 @@
 			x.orderHall(halls[tried[0]], true)
 			out := time.Now()
 			time.Sleep(2 * time.Second)
-			target, _ := v.after(out.Add(propagationTime))
+			target, _ := v.arrivalsAfter(out.Add(propagationTime))
 			is.True(target > 0)
 			state, after := x.ended(v)
 			is.Equal(state, document.RolloutComplete)
@@ -123,7 +123,7 @@
 			is.True(after <= rolloutTime)
 			end := time.Now()
 			time.Sleep(8 * time.Second)
-			_, old := v.after(end)
+			_, old := v.arrivalsAfter(end)
 			is.True(old > 4)
 		})
 	})
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -120,8 +120,8 @@
 	return len(v.target), v.minHeadroom, late
 }
 
-// after counts the arrivals at both versions after a time.
-func (v *versionedServers) after(from time.Time) (target, old int) {
+// arrivalsAfter counts the arrivals at both versions arrivalsAfter a time.
+func (v *versionedServers) arrivalsAfter(from time.Time) (target, old int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	count := func(times []time.Time) (n int) {
