--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -32,7 +32,7 @@
 					var session sync.WaitGroup
 					var waited time.Duration
 					session.Go(func() { waited = x.untilComplete(ctx, obeys) })
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					session.Wait()
 					cancel()
 					is.Equal(state, document.RolloutComplete)
@@ -96,7 +96,7 @@
 				x.rolling(v, func() {
 					time.Sleep(at)
 					x.mustLead().kill()
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					x.t.Logf("complete after %v", after)
 					is.Equal(state, document.RolloutComplete)
 					is.True(after < at+goesOn)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -68,7 +68,7 @@
 					x.rolling(v, func() {
 						time.Sleep(at)
 						fault.do(x, v)
-						state, after := x.ended(v)
+						state, after := x.awaitRolloutEnd(v)
 						end := time.Now()
 						is.Equal(state, document.RolloutComplete)
 						is.True(after <= rolloutTime)
@@ -93,7 +93,7 @@
 		is := is.New(x.t)
 		v := &versionedServers{unnamed: true}
 		x.rolling(v, func() {
-			state, _ := x.ended(v)
+			state, _ := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
 			time.Sleep(3 * time.Second)
@@ -114,7 +114,7 @@
 					is := is.New(x.t)
 					v := &versionedServers{gone: at, allGone: all}
 					x.rolling(v, func() {
-						state, after := x.ended(v)
+						state, after := x.awaitRolloutEnd(v)
 						sent, room, _ := v.exposed()
 						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
 						is.Equal(state == document.RolloutRolledBack, all)
@@ -153,7 +153,7 @@
 						x.rolling(v, func() {
 							time.Sleep(at)
 							fault.do(x, v)
-							state, after := x.ended(v)
+							state, after := x.awaitRolloutEnd(v)
 							end := time.Now()
 							is.Equal(state, document.RolloutRolledBack)
 							is.True(after <= rolloutTime)
@@ -186,7 +186,7 @@
 			time.Sleep(4 * time.Second)
 			sentThen, reportsThen := n.count("out", "usage")
 			gotThen, listsThen := n.count("in", "rollouts")
-			_, after := x.ended(v)
+			_, after := x.awaitRolloutEnd(v)
 			time.Sleep(rolloutTime - after)
 			sentEnd, reportsEnd := n.count("out", "usage")
 			time.Sleep(4 * time.Second)
@@ -234,7 +234,7 @@
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
 					session.Go(func() { x.busyAtOld(ctx, obeys) })
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					cancel()
 					session.Wait()
 					is.Equal(state, document.RolloutComplete)
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -82,7 +82,7 @@
 						x.announceAs(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
 				}}, func() {
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(coldTime - time.Since(v.orderedAt))
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -187,7 +187,7 @@
 
 func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
 	is := is.New(x.t)
-	state, after := x.ended(v)
+	state, after := x.awaitRolloutEnd(v)
 	x.t.Logf("ended after %v", after)
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -87,7 +87,7 @@
 					h.from = from{r, region}
 					x.loadedBy(ip, idHeaders{}, h, h.ask)
 				}}, func() {
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
 					x.t.Logf("ended after %v, %.0f below the bound at least", after, leastRoom(v))
 					is.Equal(state, test.state)
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -153,7 +153,7 @@
 	})
 	time.Sleep(time.Second)
 	x.mustRefuse(south)
-	state, after := x.ended(v)
+	state, after := x.awaitRolloutEnd(v)
 	end := time.Now()
 	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, leastRoom(v))
 	is.Equal(state, want)
@@ -188,7 +188,7 @@
 		is := is.New(x.t)
 		v := &versionedServers{}
 		x.rollingOver(v, held(1), bothHalls, func(r *regional) {
-			state, after := x.ended(v)
+			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
 			is.True(after < 10*time.Second)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -197,8 +197,8 @@
 	})
 }
 
-// ended waits for the rollout's end and returns it, and how long after the order it was.
-func (x *fleet) ended(v *versionedServers) (state document.RolloutState, after time.Duration) {
+// awaitRolloutEnd waits for the rollout's end and returns it, and how long after the order it was.
+func (x *fleet) awaitRolloutEnd(v *versionedServers) (state document.RolloutState, after time.Duration) {
 	for time.Since(v.orderedAt) < 2*rolloutTime {
 		if state = x.newestRollout().State; state != document.RolloutUnderWay {
 			return state, time.Since(v.orderedAt)
