--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -45,7 +45,7 @@
 	if !cold {
 		return c.counted.Send(ctx, at, call)
 	}
-	c.reached.note(at)
+	c.reached.record(at)
 	_, lately := c.reached.since(at, time.Now().Add(-time.Second))
 	if !sleep.For(ctx, 80*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -115,7 +115,7 @@
 }
 
 func (c counted) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	c.reached.note(at)
+	c.reached.record(at)
 	return c.versionedServers.Send(ctx, at, call)
 }
 
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -29,7 +29,7 @@
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	h.reached.note(call.Header.Get("Id") + at)
+	h.reached.record(call.Header.Get("Id") + at)
 	return h.from.Send(ctx, at, call)
 }
 
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -38,7 +38,7 @@
 }
 
 func (f from) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	f.reached.note(f.region + at)
+	f.reached.record(f.region + at)
 	for n, hall := range f.halls {
 		if f.cut.Load() && at == address(fmt.Sprint("b", n)) && hall != f.region {
 			return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
