--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -55,9 +55,9 @@
 	a.at[address] = append(a.at[address], time.Now())
 }
 
-// since returns how many requests came to an address after a time, and the most of them
+// countSince returns how many requests came to an address after a time, and the most of them
 // in one second.
-func (a *arrivals) since(address string, from time.Time) (all, most int) {
+func (a *arrivals) countSince(address string, from time.Time) (all, most int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var times []time.Time
@@ -183,14 +183,14 @@
 		}
 		time.Sleep(4 * time.Second)
 		for _, id := range []string{"b1", "b2"} {
-			n, _ := a.since(address(id), out)
+			n, _ := a.countSince(address(id), out)
 			is.Equal(n, 0)
 		}
-		n, _ := a.since(address("b3"), out)
+		n, _ := a.countSince(address("b3"), out)
 		is.True(n > 100)
 		x.orderHall("hall-a", false)
 		time.Sleep(2 * time.Second)
-		n, _ = a.since(address("b1"), out)
+		n, _ = a.countSince(address("b1"), out)
 		is.True(n > 10)
 	})
 }
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -122,7 +122,7 @@
 // sinceAll returns how many requests came to some servers, by their numbers, after a time.
 func (c counted) sinceAll(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
-		all, _ := c.reached.since(address(fmt.Sprint("b", i)), from)
+		all, _ := c.reached.countSince(address(fmt.Sprint("b", i)), from)
 		n += all
 	}
 	return n
