--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -37,7 +37,7 @@
 		stop := x.keepAnnounced(halls)
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 12 {
-			x.loaded(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
+			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		stop()
@@ -78,7 +78,7 @@
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 6 {
-			x.loaded(fmt.Sprintf("10.0.2.%d", i+1), a, 10*time.Millisecond)
+			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 10*time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		x.orderHall("hall-a", true)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -76,8 +76,8 @@
 	return len(times), most
 }
 
-// loaded starts a gateway that gets a request in each period, and sends to a.
-func (x *fleet) loaded(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
+// startLoadedGateway starts a gateway that gets a request in each period, and sends to a.
+func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
 	return x.loadedBy(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
 			asking.Go(func() { x.request(g, "r") })
@@ -165,7 +165,7 @@
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 3 {
-			x.loaded(fmt.Sprintf("10.0.2.%d", i+1), a, 50*time.Millisecond)
+			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 50*time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		x.orderHall("hall-a", true)
@@ -174,8 +174,8 @@
 		time.Sleep(time.Second)
 		x.mustLead().kill()
 		x.gateways["10.0.2.1"].kill()
-		x.loaded("10.0.2.1", a, 50*time.Millisecond)
-		x.loaded("10.0.2.4", a, 50*time.Millisecond)
+		x.startLoadedGateway("10.0.2.1", a, 50*time.Millisecond)
+		x.startLoadedGateway("10.0.2.4", a, 50*time.Millisecond)
 		time.Sleep(4 * time.Second)
 		x.losePower() // of what is left of the directory
 		for _, ip := range x.order {
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -98,8 +98,8 @@
 					earlier.born = 0
 				}
 				a := &arrivals{at: map[string][]time.Time{}}
-				x.loaded("10.0.2.1", a, 20*time.Millisecond)
-				x.loaded("10.0.2.2", a, 20*time.Millisecond)
+				x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
+				x.startLoadedGateway("10.0.2.2", a, 20*time.Millisecond)
 				earlier.beat(3)
 				all, _ := a.countSince(earlier.at, time.Time{})
 				is.True(all > 50)
@@ -136,7 +136,7 @@
 		x.put(1)
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
-		x.loaded("10.0.2.1", a, 20*time.Millisecond)
+		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
 		earlier.beat(3)
 		later := &life{x: x, born: 1_790_000_009_000, at: "10.0.4.1:80"}
@@ -203,7 +203,7 @@
 		is := is.New(t)
 		x.put(1)
 		a := &arrivals{at: map[string][]time.Time{}}
-		x.loaded("10.0.2.1", a, 20*time.Millisecond)
+		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		announce := func(name string, born, seq uint64, at, hall string) {
 			is.NoErr(x.mustLead().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: protocol.LifeID(name, born), Pool: "p", Address: at, Hall: hall, Slots: 4,
@@ -254,7 +254,7 @@
 		})
 		defer stop()
 		for i := range 3 {
-			x.loaded(rolloutGateway(i), a, rolloutPeriod)
+			x.startLoadedGateway(rolloutGateway(i), a, rolloutPeriod)
 		}
 		time.Sleep(3 * time.Second)
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -41,7 +41,7 @@
 	}},
 	{"gateway started again", func(x *fleet, v *versionedServers) {
 		x.gateways[rolloutGateway(0)].kill()
-		x.loaded(rolloutGateway(0), v, rolloutPeriod)
+		x.startLoadedGateway(rolloutGateway(0), v, rolloutPeriod)
 	}},
 	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -55,7 +55,7 @@
 
 // evenly starts gateways with a request in each period.
 func (x *fleet) evenly(server gateway.Transport, period time.Duration) func(ip string) {
-	return func(ip string) { x.loaded(ip, server, period) }
+	return func(ip string) { x.startLoadedGateway(ip, server, period) }
 }
 
 // leastRoom returns the least that the bound left, at any moment.
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -74,7 +74,7 @@
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
-		x.loaded(ip, from{r, regions[ip]}, rolloutPeriod)
+		x.startLoadedGateway(ip, from{r, regions[ip]}, rolloutPeriod)
 	}
 	x.rollingIn(v, scene{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -142,7 +142,7 @@
 	stop := x.keepVersions(v)
 	defer stop()
 	for i := range 3 {
-		x.loaded(rolloutGateway(i), v, rolloutPeriod)
+		x.startLoadedGateway(rolloutGateway(i), v, rolloutPeriod)
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
