--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -78,15 +78,15 @@
 
 // startLoadedGateway starts a gateway that gets a request in each period, and sends to a.
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
-	return x.loadedBy(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	return x.startGatewayWithLoad(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
 			asking.Go(func() { x.request(g, "r") })
 		}
 	})
 }
 
-// loadedBy starts a gateway that gets the requests of ask, which ends with its context.
-func (x *fleet) loadedBy(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
+// startGatewayWithLoad starts a gateway that gets the requests of ask, which ends with its context.
+func (x *fleet) startGatewayWithLoad(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -136,7 +136,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
-			x.loadedBy(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 				for _, account := range coveredAccounts {
 					asking.Go(func() { e.ask(ctx, asking, g, account, coveredLoad, func() bool { return true }) })
 				}
