--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -20,7 +20,7 @@
 func TestDisksAndAllPowerAreLost(t *testing.T) {
 	inFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			is.NoErr(x.mustLead().d.Put(x.t.Context(), mortalDocument(2, document.Repeatable)))
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -58,8 +58,8 @@
 	ended chan struct{}
 }
 
-// mortal returns n servers.
-func (x *fleet) mortal(n int, run time.Duration) *mortals {
+// startCrashingServers returns n servers.
+func (x *fleet) startCrashingServers(n int, run time.Duration) *mortals {
 	m := &mortals{x: x, run: run, processes: map[string]*process{}, sent: map[string][]time.Time{}}
 	for i := range n {
 		m.start(address(fmt.Sprint("b", i+1)))
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -103,7 +103,7 @@
 			t.Parallel()
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(10, 100*time.Millisecond)
+				m := x.startCrashingServers(10, 100*time.Millisecond)
 				if fault.m != nil {
 					fault.m(m)
 				}
@@ -129,7 +129,7 @@
 func TestManyDeadlyRequests(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(12, 100*time.Millisecond)
+		m := x.startCrashingServers(12, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			for n := range 8 {
 				c.repeat(fmt.Sprint("deadly ", n), deadlyPeriod, 2*time.Second)
@@ -155,7 +155,7 @@
 func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			other := make(chan bool)
 			go func() {
@@ -188,7 +188,7 @@
 			t.Parallel()
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(servers, tt.run)
+				m := x.startCrashingServers(servers, tt.run)
 				x.among(m, 4, func(c *callers) {
 					for n := range 20 {
 						var at []string
@@ -216,7 +216,7 @@
 func TestConnectionsThatBreak(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 5*time.Second)
@@ -233,7 +233,7 @@
 func TestRefusalOfDeadlyRequest(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			for _, n := range x.gateways {
@@ -255,7 +255,7 @@
 		for i := range 4 {
 			x.place(gatewayIP(i), []string{north, south}[i%2])
 		}
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{north, south}
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 6*time.Second)
@@ -277,7 +277,7 @@
 func TestReleaseOfACondemnedRequest(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			l := x.mustLead().d
@@ -318,7 +318,7 @@
 		for i := range 4 {
 			x.place(gatewayIP(i), south)
 		}
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{south}
 		x.among(m, 4, func(c *callers) {
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -23,7 +23,7 @@
 			t.Parallel()
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(6, 250*time.Millisecond)
+				m := x.startCrashingServers(6, 250*time.Millisecond)
 				m.target = 4
 				x.among(m, 4, func(c *callers) {
 					is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -30,7 +30,7 @@
 func TestRequestThatEndsServers(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
 			_, late := m.deadly("deadly")
