--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -51,7 +51,7 @@
 			clear(c.of)
 			c.mu.Unlock()
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			sent, _ := m.deadly("deadly")
+			sent, _ := m.countDeadly("deadly")
 			is.Equal(sent, 3)
 			others, _ := c.served("other")
 			is.True(others > 0.99)
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -244,9 +244,9 @@
 	m.sent[body] = append(m.sent[body], time.Now())
 }
 
-// deadly returns how often a deadly request was begun, and how often later than the contact time
+// countDeadly returns how often a countDeadly request was begun, and how often later than the contact time
 // after it had ended the third server.
-func (m *mortals) deadly(body string) (sent, late int) {
+func (m *mortals) countDeadly(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, at := range m.sent[body] {
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -112,7 +112,7 @@
 						time.AfterFunc(fault.after, func() { fault.do(x, m, c) })
 					}
 					c.repeat("deadly", deadlyPeriod, 14*time.Second)
-					sent, late := m.deadly("deadly")
+					sent, late := m.countDeadly("deadly")
 					others, refused := c.served("other")
 					t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 					is.True(sent <= fault.most)
@@ -139,7 +139,7 @@
 			}
 			most := 0
 			for n := range 8 {
-				sent, late := m.deadly(fmt.Sprint("deadly ", n))
+				sent, late := m.countDeadly(fmt.Sprint("deadly ", n))
 				most = max(most, sent)
 				is.True(late <= 3)
 			}
@@ -164,8 +164,8 @@
 			}()
 			c.repeat("deadly a", deadlyPeriod, 8*time.Second)
 			<-other
-			a, lateA := m.deadly("deadly a")
-			b, lateB := m.deadly("deadly b")
+			a, lateA := m.countDeadly("deadly a")
+			b, lateB := m.countDeadly("deadly b")
 			t.Logf("begun %d and %d times, %d servers ended", a, b, m.ended())
 			is.True(a <= 6 && b <= 6)
 			is.True(lateA <= 3 && lateB <= 3)
@@ -220,7 +220,7 @@
 		m.resets = true
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 5*time.Second)
-			sent, _ := m.deadly("deadly")
+			sent, _ := m.countDeadly("deadly")
 			_, refused := c.served("deadly")
 			is.Equal(sent, 40)
 			is.Equal(refused, 0)
@@ -259,7 +259,7 @@
 		m.halls = []string{north, south}
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 6*time.Second)
-			sent, late := m.deadly("deadly")
+			sent, late := m.countDeadly("deadly")
 			others, refused := c.served("other")
 			t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 			is.True(sent <= 6)
@@ -296,10 +296,10 @@
 				}
 			}
 			time.Sleep(time.Second)
-			sent, _ := m.deadly("deadly")
+			sent, _ := m.countDeadly("deadly")
 			is.Equal(sent, 3)
 			c.repeat("deadly", deadlyPeriod, 3*time.Second)
-			sent, _ = m.deadly("deadly")
+			sent, _ = m.countDeadly("deadly")
 			t.Logf("begun %d times", sent)
 			is.True(sent >= 6 && sent <= 8)
 			condemned, err = l.Condemned()
@@ -323,7 +323,7 @@
 		x.among(m, 4, func(c *callers) {
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
 			c.repeat("deadly", deadlyPeriod, 8*time.Second)
-			sent, late := m.deadly("deadly")
+			sent, late := m.countDeadly("deadly")
 			_, refused := c.served("other")
 			t.Logf("begun %d times, %d late", sent, late)
 			is.True(sent <= 8)
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -43,7 +43,7 @@
 							break
 						}
 					}
-					sent, _ := m.deadly("deadly")
+					sent, _ := m.countDeadly("deadly")
 					t.Logf("begun %d times", sent)
 					is.Equal(state, document.RolloutComplete)
 				})
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -33,7 +33,7 @@
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
-			_, late := m.deadly("deadly")
+			_, late := m.countDeadly("deadly")
 			ended := m.ended()
 			others, refusedOthers := c.served("other")
 			hot, refusedHot := c.served("hot")
