--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -23,7 +23,7 @@
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.among(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			is.NoErr(x.mustLead().d.Put(x.t.Context(), mortalDocument(2, document.Repeatable)))
+			is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
 			is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "s1"))
 			for i := range 4 {
 				x.gateways[gatewayIP(i)].kill()
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -264,8 +264,8 @@
 	return len(m.ends)
 }
 
-// mortalDocument has one route, which allows a second attempt.
-func mortalDocument(number uint64, kind document.Kind) document.Held {
+// retryDocument has one route, which allows a second attempt.
+func retryDocument(number uint64, kind document.Kind) document.Held {
 	h := held(number)
 	r := &h.Document.Routes[0]
 	r.Kind, r.MaxAttempts, r.Timeout = kind, 2, 2*time.Second
@@ -289,7 +289,7 @@
 	if m.streams {
 		kind = document.Stream
 	}
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), mortalDocument(1, kind)))
+	is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(1, kind)))
 	stop := x.keeping(m.announce)
 	defer stop()
 	c := &callers{x: x, of: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
