--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -21,7 +21,7 @@
 	inFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
 			is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "s1"))
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -281,9 +281,9 @@
 	gateways map[string]*gateway.Gateway
 }
 
-// among runs f in a fleet with servers, gateways, and callers that ask each of them for something
+// withCallers runs f in a fleet with servers, gateways, and callers that ask each of them for something
 // else each time, and all for the same once in a while.
-func (x *fleet) among(m *mortals, gateways int, f func(c *callers)) {
+func (x *fleet) withCallers(m *mortals, gateways int, f func(c *callers)) {
 	is := is.New(x.t)
 	kind := document.Repeatable
 	if m.streams {
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -107,7 +107,7 @@
 				if fault.m != nil {
 					fault.m(m)
 				}
-				x.among(m, 4, func(c *callers) {
+				x.withCallers(m, 4, func(c *callers) {
 					if fault.do != nil {
 						time.AfterFunc(fault.after, func() { fault.do(x, m, c) })
 					}
@@ -130,7 +130,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(12, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			for n := range 8 {
 				c.repeat(fmt.Sprint("deadly ", n), deadlyPeriod, 2*time.Second)
 			}
@@ -156,7 +156,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			other := make(chan bool)
 			go func() {
 				c.repeat("deadly b", deadlyPeriod, 8*time.Second)
@@ -189,7 +189,7 @@
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(servers, tt.run)
-				x.among(m, 4, func(c *callers) {
+				x.withCallers(m, 4, func(c *callers) {
 					for n := range 20 {
 						var at []string
 						for i := range together {
@@ -218,7 +218,7 @@
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 5*time.Second)
 			sent, _ := m.countDeadly("deadly")
 			_, refused := c.served("deadly")
@@ -234,7 +234,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			for _, n := range x.gateways {
 				began := time.Now()
@@ -257,7 +257,7 @@
 		}
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{north, south}
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 6*time.Second)
 			sent, late := m.countDeadly("deadly")
 			others, refused := c.served("other")
@@ -278,7 +278,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			l := x.mustLead().d
 			condemned, err := l.Condemned()
@@ -320,7 +320,7 @@
 		}
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{south}
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
 			c.repeat("deadly", deadlyPeriod, 8*time.Second)
 			sent, late := m.countDeadly("deadly")
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -25,7 +25,7 @@
 				is := is.New(t)
 				m := x.startCrashingServers(6, 250*time.Millisecond)
 				m.target = 4
-				x.among(m, 4, func(c *callers) {
+				x.withCallers(m, 4, func(c *callers) {
 					is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 					m.mu.Lock()
 					m.ordered = true
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -31,7 +31,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
 			_, late := m.countDeadly("deadly")
 			ended := m.ended()
