--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -48,7 +48,7 @@
 			}
 			time.Sleep(3*time.Second - time.Since(began))
 			c.mu.Lock()
-			clear(c.of)
+			clear(c.answers)
 			c.mu.Unlock()
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			sent, _ := m.countDeadly("deadly")
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -277,7 +277,7 @@
 	x        *fleet
 	n        int // requests, for identifiers
 	mu       sync.Mutex
-	of       map[string]map[int]int // by kind of request, answers by status
+	answers  map[string]map[int]int // by kind of request, answers by status
 	gateways map[string]*gateway.Gateway
 }
 
@@ -292,13 +292,13 @@
 	is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(1, kind)))
 	stop := x.keeping(m.announce)
 	defer stop()
-	c := &callers{x: x, of: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
+	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
 	for i := range gateways {
 		c.gateway(m, gatewayIP(i))
 	}
 	time.Sleep(3 * time.Second)
 	c.mu.Lock()
-	clear(c.of)
+	clear(c.answers)
 	c.mu.Unlock()
 	f(c)
 }
@@ -358,10 +358,10 @@
 	g.ServeHTTP(w, r)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.of[kind] == nil {
-		c.of[kind] = map[int]int{}
+	if c.answers[kind] == nil {
+		c.answers[kind] = map[int]int{}
 	}
-	c.of[kind][w.Code]++
+	c.answers[kind][w.Code]++
 	return w.Code
 }
 
@@ -387,8 +387,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := 0
-	for _, n := range c.of[kind] {
+	for _, n := range c.answers[kind] {
 		all += n
 	}
-	return float64(c.of[kind][http.StatusOK]) / float64(max(all, 1)), c.of[kind][http.StatusBadRequest]
+	return float64(c.answers[kind][http.StatusOK]) / float64(max(all, 1)), c.answers[kind][http.StatusBadRequest]
 }
