--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -53,7 +53,7 @@
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			sent, _ := m.countDeadly("deadly")
 			is.Equal(sent, 3)
-			others, _ := c.served("other")
+			others, _ := c.answeredShare("other")
 			is.True(others > 0.99)
 			for _, n := range x.gateways {
 				is.True(!slices.Contains(n.g.Servers(), "s1")) // it has left
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -381,9 +381,9 @@
 	}
 }
 
-// served returns the part of the requests of a kind that were answered, and how many were refused
+// answeredShare returns the part of the requests of a kind that were answered, and how many were refused
 // for what they are.
-func (c *callers) served(kind string) (part float64, refused int) {
+func (c *callers) answeredShare(kind string) (part float64, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := 0
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -113,7 +113,7 @@
 					}
 					c.repeat("deadly", deadlyPeriod, 14*time.Second)
 					sent, late := m.countDeadly("deadly")
-					others, refused := c.served("other")
+					others, refused := c.answeredShare("other")
 					t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 					is.True(sent <= fault.most)
 					is.True(late <= 3)
@@ -143,7 +143,7 @@
 				most = max(most, sent)
 				is.True(late <= 3)
 			}
-			others, refused := c.served("other")
+			others, refused := c.answeredShare("other")
 			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.ended(), others)
 			is.True(most <= 6)
 			is.Equal(refused, 0)
@@ -199,8 +199,8 @@
 						time.Sleep(400 * time.Millisecond)
 					}
 					time.Sleep(2 * time.Second)
-					others, refusedOthers := c.served("other")
-					hot, refusedHot := c.served("hot")
+					others, refusedOthers := c.answeredShare("other")
+					hot, refusedHot := c.answeredShare("hot")
 					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.ended(), others, hot)
 					is.Equal(refusedOthers+refusedHot, 0)
 					is.True(m.ended() > 10)
@@ -221,7 +221,7 @@
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 5*time.Second)
 			sent, _ := m.countDeadly("deadly")
-			_, refused := c.served("deadly")
+			_, refused := c.answeredShare("deadly")
 			is.Equal(sent, 40)
 			is.Equal(refused, 0)
 		})
@@ -260,7 +260,7 @@
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 6*time.Second)
 			sent, late := m.countDeadly("deadly")
-			others, refused := c.served("other")
+			others, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 			is.True(sent <= 6)
 			is.Equal(late, 0)
@@ -324,7 +324,7 @@
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
 			c.repeat("deadly", deadlyPeriod, 8*time.Second)
 			sent, late := m.countDeadly("deadly")
-			_, refused := c.served("other")
+			_, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late", sent, late)
 			is.True(sent <= 8)
 			is.Equal(late, 0)
