--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -32,7 +32,7 @@
 			})
 		}
 		var ids []string
-		for i, ip := range x.order {
+		for i, ip := range x.ips {
 			id := fmt.Sprint("b", i+1)
 			ids = append(ids, id)
 			is.NoErr(announceAt(x.nodes[ip], id))
@@ -43,7 +43,7 @@
 		x.mustLead().kill()
 		next := x.mustLead()
 		time.Sleep(time.Second)
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			n := x.nodes[ip]
 			if n.d == nil || n == next {
 				continue
@@ -71,7 +71,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		var want []protocol.Registration
-		for i, ip := range x.order {
+		for i, ip := range x.ips {
 			id := fmt.Sprint("b", i+1)
 			r := protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4, Version: fmt.Sprint("v", i)}
 			is.NoErr(x.nodes[ip].d.Announce(x.t.Context(), registry.Announcement{Registration: r, Seq: 1}))
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -29,10 +29,10 @@
 				x.gateways[gatewayIP(i)].kill()
 			}
 			x.losePower()
-			for _, ip := range x.order[:2] {
+			for _, ip := range x.ips[:2] {
 				x.replaceDisk(ip)
 			}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				x.start(ip, false)
 			}
 			began := time.Now()
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -110,7 +110,7 @@
 			x.put(round)
 			is.NoErr(x.announce("b1", false))
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				x.start(ip, false)
 			}
 			h, err := x.mustLead().d.Read(x.t.Context())
@@ -128,14 +128,14 @@
 		for round := uint64(1); round <= 4; round++ {
 			x.put(round)
 			lost := []string{x.mustLead().ip}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost = append(lost, ip)
 					break
 				}
 			}
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
@@ -175,7 +175,7 @@
 			for _, ip := range followers[2:] {
 				x.net.Join(ip)
 			}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
@@ -290,7 +290,7 @@
 		is.NoErr(x.announce("b1", true))
 		time.Sleep(time.Second)
 		x.losePower()
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			x.start(ip, false)
 		}
 		g := x.gateway("10.0.2.1")
@@ -341,7 +341,7 @@
 		x.put(1)
 		x.nodes["10.0.1.5"].kill()
 		delete(x.nodes, "10.0.1.5")
-		x.order = slices.DeleteFunc(x.order, func(ip string) bool { return ip == "10.0.1.5" })
+		x.ips = slices.DeleteFunc(x.ips, func(ip string) bool { return ip == "10.0.1.5" })
 		x.add("10.0.1.9", false)
 		time.Sleep(4 * time.Second)
 		x.nodes["10.0.1.1"].kill()
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -56,7 +56,7 @@
 	rng      *rand.Rand
 	seeds    []string
 	nodes    map[string]*directoryNode // by IP
-	order    []string
+	ips      []string
 	gateways map[string]*gatewayNode
 	beats    map[string]uint64               // announcements made, by backend server
 	wanted   int                             // replicas that vote
@@ -128,7 +128,7 @@
 func (x *fleet) add(ip string, first bool) {
 	x.nodes[ip] = &directoryNode{ip: ip, disk: fakedisk.New(x.random()), clock: x.clocks[ip]}
 	x.nodes[ip].disk.SyncTime(x.syncTime)
-	x.order = append(x.order, ip)
+	x.ips = append(x.ips, ip)
 	x.start(ip, first)
 }
 
@@ -187,7 +187,7 @@
 // close ends everything. Cut links are joined first: the library lets dials go
 // on in the background.
 func (x *fleet) close() {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.net.Join(ip)
 	}
 	for _, region := range x.regions {
@@ -208,7 +208,7 @@
 
 // leader returns the replica that leads, or nil.
 func (x *fleet) leader() *directoryNode {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		if n := x.nodes[ip]; n.d != nil && n.d.Leads() {
 			return n
 		}
@@ -259,7 +259,7 @@
 // put sends a document to replicas in turn until one acknowledges it.
 func (x *fleet) put(number uint64) {
 	for range 200 {
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			n := x.nodes[ip]
 			if n.d == nil {
 				continue
@@ -329,10 +329,10 @@
 // losePower ends every replica at once; disks keep what was synced before. The disks go
 // first, because to end a process takes time, in which another one could still sync.
 func (x *fleet) losePower() {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.nodes[ip].disk.Crash()
 	}
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.nodes[ip].kill()
 	}
 }
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -103,7 +103,7 @@
 		})
 		is.New(t).NoErr(err)
 		stop := x.serve(seeds[0], d)
-		x.nodes["10.0.1.1"], x.order = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
+		x.nodes["10.0.1.1"], x.ips = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
 		x.mustLead()
 		gatewayLog, gatewaySet, gatewayText := start()
 		running, end := context.WithCancel(context.Background())
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -59,7 +59,7 @@
 						is.NoErr(err)
 						is.Equal(len(halls) == 1, round%2 == 0)
 						time.Sleep(10 * time.Second)
-						for _, ip := range x.order { // those that were away have caught up
+						for _, ip := range x.ips { // those that were away have caught up
 							is.True(x.nodes[ip].d.Formed())
 						}
 					}
@@ -72,7 +72,7 @@
 // hallOfLeader returns the leader and others, size in all.
 func (x *fleet) hallOfLeader(size int) []string {
 	hall := []string{x.mustLead().ip}
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		if ip != hall[0] && len(hall) < size {
 			hall = append(hall, ip)
 		}
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -178,7 +178,7 @@
 		x.startLoadedGateway("10.0.2.4", a, 50*time.Millisecond)
 		time.Sleep(4 * time.Second)
 		x.losePower() // of what is left of the directory
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			x.start(ip, false)
 		}
 		time.Sleep(4 * time.Second)
@@ -222,12 +222,12 @@
 			leader := x.mustLead().ip
 			x.losePower()
 			lost := []string{leader}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != leader && len(lost) < 2 {
 					lost = append(lost, ip)
 				}
 			}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip == lost[0] || ip == lost[1] {
 					x.replaceDisk(ip)
 				}
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -18,7 +18,7 @@
 func (x *fleet) acknowledgedAfter(number uint64, first int) time.Duration {
 	began := time.Now()
 	for i := first; time.Since(began) < 20*time.Second; i++ {
-		n := x.nodes[x.order[i%len(x.order)]]
+		n := x.nodes[x.ips[i%len(x.ips)]]
 		if n.d == nil {
 			continue // refused at once
 		}
@@ -70,14 +70,14 @@
 		is := is.New(x.t)
 		changes, number := 0, uint64(0)
 		for round := range 5 {
-			for _, ip := range x.order[:3] { // what stands in the north
+			for _, ip := range x.ips[:3] { // what stands in the north
 				x.nodes[ip].kill()
-				if round%2 == 0 && ip == x.order[0] {
+				if round%2 == 0 && ip == x.ips[0] {
 					x.start(ip, false)
 				}
 			}
 			time.Sleep(2 * time.Second)
-			for _, ip := range x.order[:3] {
+			for _, ip := range x.ips[:3] {
 				if x.nodes[ip].d == nil {
 					x.start(ip, false)
 				}
@@ -136,10 +136,10 @@
 		is := is.New(x.t)
 		x.leadIn(south)
 		leader, other := x.mustLead(), x.relays(south)[0]
-		x.nodes[x.order[1]].kill()
-		x.nodes[x.order[2]].kill()
+		x.nodes[x.ips[1]].kill()
+		x.nodes[x.ips[2]].kill()
 		defer x.net.Reunite() // also when the test fails, or dials would wait for ever
-		x.net.Isolate(x.order[0], other.ip)
+		x.net.Isolate(x.ips[0], other.ip)
 		time.Sleep(5 * time.Second)
 		const sample, again = 20 * time.Millisecond, 10 * time.Second
 		losses, last := 0, -again
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -82,7 +82,7 @@
 
 // relays returns the replicas of a region, without the leader.
 func (x *fleet) relays(region string) (all []*directoryNode) {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		if n := x.nodes[ip]; x.regions[ip] == region && n.d != nil && !n.d.Leads() {
 			all = append(all, n)
 		}
@@ -110,7 +110,7 @@
 
 // addresses returns the fleet addresses of all replicas.
 func (x *fleet) addresses() (all []string) {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		all = append(all, ip+":7400")
 	}
 	return all
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -130,7 +130,7 @@
 			g.kill()
 		}
 		time.Sleep(3 * time.Second)
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			x.start(ip, false)
 		}
 		for ip := range x.gateways {
@@ -170,8 +170,8 @@
 
 // announceAnywhere tries the replicas in turn until one takes an announcement.
 func (x *fleet) announceAnywhere(ctx context.Context, i int, seq uint64) {
-	for try := i; try < i+2*len(x.order) && ctx.Err() == nil; try++ {
-		n := x.nodes[x.order[try%len(x.order)]]
+	for try := i; try < i+2*len(x.ips) && ctx.Err() == nil; try++ {
+		n := x.nodes[x.ips[try%len(x.ips)]]
 		if d := n.up.Load(); d != nil {
 			trying, cancel := context.WithTimeout(ctx, time.Second)
 			err := d.Announce(trying, manyServer(i, seq))
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -61,7 +61,7 @@
 			name: "power of the directory is lost", after: time.Second, most: 3,
 			do: func(x *fleet, _ *mortals, _ *callers) {
 				x.losePower()
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.start(ip, false)
 				}
 			},
@@ -73,7 +73,7 @@
 					x.gateways[gatewayIP(i)].kill()
 				}
 				x.losePower()
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.start(ip, false)
 				}
 				for i := range 4 {
@@ -88,11 +88,11 @@
 		{
 			name: "no gateway reaches the directory", most: 16, // three ends at each, and the second attempt of the first try
 			do: func(x *fleet, _ *mortals, _ *callers) {
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.net.Cut(ip)
 				}
 				time.AfterFunc(12*time.Second, func() {
-					for _, ip := range x.order {
+					for _, ip := range x.ips {
 						x.net.Join(ip)
 					}
 				})
@@ -290,7 +290,7 @@
 			is.True(ok)
 			is.NoErr(l.Release(x.t.Context(), k))
 			is.Equal(l.Release(x.t.Context(), k), error(directory.NotCondemned{Key: k.String()}))
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if d := x.nodes[ip].d; !d.Leads() {
 					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.mustLead().ip + ":7400"}))
 				}
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -161,21 +161,21 @@
 		"its disk":   func(x *fleet) { l := x.mustLead(); l.kill(); x.replaceDisk(l.ip); x.mustLead(); x.start(l.ip, false) },
 		"all power": func(x *fleet) {
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				x.start(ip, false)
 			}
 		},
 		"all power and two disks": func(x *fleet) {
 			lost := []string{x.mustLead().ip, ""}
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost[1] = ip
 				}
 			}
 			x.replaceDisk(lost[0])
 			x.replaceDisk(lost[1])
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				x.start(ip, false)
 			}
 		},
@@ -337,7 +337,7 @@
 				is.Equal(answer.Leader, l.ip+":7400")
 			}
 		}
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			if ip != l.ip {
 				x.net.Cut(ip)
 			}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -45,7 +45,7 @@
 	}},
 	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			x.start(ip, false)
 		}
 	}},
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -45,7 +45,7 @@
 // served returns how many gateways have a session, and how many of them one with a replica of their
 // own hall.
 func (c *crowd) served() (all, atHome int) {
-	for _, ip := range c.order {
+	for _, ip := range c.ips {
 		if c.nodes[ip].d == nil {
 			continue
 		}
@@ -103,12 +103,12 @@
 		number := uint64(1)
 		for _, leads := range []bool{false, true} {
 			var ip string
-			for _, ip = range c.order {
+			for _, ip = range c.ips {
 				if c.nodes[ip].d.Leads() == leads {
 					break
 				}
 			}
-			for _, other := range c.order {
+			for _, other := range c.ips {
 				if other != ip {
 					c.net.Part(ip, other)
 				}
@@ -132,7 +132,7 @@
 		is := is.New(c.t)
 		time.Sleep(4 * time.Second)
 		var cutOff []string
-		for _, ip := range c.order {
+		for _, ip := range c.ips {
 			if n := c.nodes[ip]; !n.d.Leads() {
 				names, err := n.d.Serves(c.t.Context())
 				is.NoErr(err)
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -63,7 +63,7 @@
 				is.Equal(x.newestRollout().Attempt, uint64(1))
 				is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 				x.losePower()
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.start(ip, false)
 				}
 				is.Equal(x.newestRollout().State, document.RolloutRolledBack)
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -85,7 +85,7 @@
 // mustRefuse checks that no replica of a region that is cut off acknowledges an order.
 func (x *fleet) mustRefuse(region string) {
 	is := is.New(x.t)
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		n := x.nodes[ip]
 		if x.regions[ip] != region {
 			continue
