--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -24,11 +24,11 @@
 		x.put(1)
 		g := x.gateway("10.0.2.1")
 		announceAt := func(n *directoryNode, id string) error {
-			x.beats[id]++
+			x.announceSeqs[id]++
 			ctx, cancel := context.WithTimeout(x.t.Context(), 900*time.Millisecond)
 			defer cancel()
 			return n.d.Announce(ctx, registry.Announcement{
-				Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4}, Seq: x.beats[id],
+				Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4}, Seq: x.announceSeqs[id],
 			})
 		}
 		var ids []string
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -50,23 +50,23 @@
 var fleetKey = []byte("a key that all nodes share")
 
 type fleet struct {
-	t        *testing.T
-	net      *fakenet.Network
-	rngMu    sync.Mutex
-	rng      *rand.Rand
-	seeds    []string
-	nodes    map[string]*directoryNode // by IP
-	ips      []string
-	gateways map[string]*gatewayNode
-	beats    map[string]uint64               // announcements made, by backend server
-	wanted   int                             // replicas that vote
-	regions  map[string]string               // by IP; without any, there is one
-	syncTime time.Duration                   // of each disk
-	clocks   map[string]func() time.Duration // by IP; without one, the bubble's
-	tuning   replica.Tuning                  // of each replica
-	linkRate float64                         // of each replica's box, bytes a second; 0 is not known
-	halls    map[string]string               // by IP; without any, none is named
-	mu       sync.Mutex                      // for the nodes' d, which are read while replicas end and start
+	t            *testing.T
+	net          *fakenet.Network
+	rngMu        sync.Mutex
+	rng          *rand.Rand
+	seeds        []string
+	nodes        map[string]*directoryNode // by IP
+	ips          []string
+	gateways     map[string]*gatewayNode
+	announceSeqs map[string]uint64               // announcements made, by backend server
+	wanted       int                             // replicas that vote
+	regions      map[string]string               // by IP; without any, there is one
+	syncTime     time.Duration                   // of each disk
+	clocks       map[string]func() time.Duration // by IP; without one, the bubble's
+	tuning       replica.Tuning                  // of each replica
+	linkRate     float64                         // of each replica's box, bytes a second; 0 is not known
+	halls        map[string]string               // by IP; without any, none is named
+	mu           sync.Mutex                      // for the nodes' d, which are read while replicas end and start
 }
 
 // directoryNode is one replica and what survives its restarts.
@@ -101,7 +101,7 @@
 		x := &fleet{
 			wanted: wanted,
 			t:      t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, uint64(n))),
-			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, beats: map[string]uint64{},
+			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, announceSeqs: map[string]uint64{},
 		}
 		for i := range min(n, 3) {
 			x.seeds = append(x.seeds, fleetAddress(i))
@@ -281,12 +281,12 @@
 
 // announce lets a backend server announce itself at the leader.
 func (x *fleet) announce(id string, leaving bool) error {
-	x.beats[id]++
+	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
 	return x.mustLead().d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4},
-		Leaving:      leaving, Seq: x.beats[id],
+		Leaving:      leaving, Seq: x.announceSeqs[id],
 	})
 }
 
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -103,12 +103,12 @@
 
 // announceIn lets a backend server of a hall announce itself, cold for some more time.
 func (x *fleet) announceIn(id, hall string, cold time.Duration) error {
-	x.beats[id]++
+	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
 	return x.mustLead().d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Hall: hall, Slots: 4},
-		Seq:          x.beats[id], ColdLeft: cold,
+		Seq:          x.announceSeqs[id], ColdLeft: cold,
 	})
 }
 
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -99,8 +99,8 @@
 	if _, err := d.Rollout(ctx, "p"); err != nil && a.Version == "v2" {
 		return
 	}
-	x.beats[a.ID]++
-	a.Seq = x.beats[a.ID]
+	x.announceSeqs[a.ID]++
+	a.Seq = x.announceSeqs[a.ID]
 	_ = d.Announce(ctx, a) // whoever does not lead any more refuses it
 }
 
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -190,10 +190,10 @@
 	if _, err := d.Rollout(ctx, "p"); err != nil && version == "v2" {
 		return
 	}
-	x.beats[id]++
+	x.announceSeqs[id]++
 	// Whoever does not lead any more refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.beats[id],
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
 }
 
