--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -342,7 +342,7 @@
 		x.nodes["10.0.1.5"].kill()
 		delete(x.nodes, "10.0.1.5")
 		x.ips = slices.DeleteFunc(x.ips, func(ip string) bool { return ip == "10.0.1.5" })
-		x.add("10.0.1.9", false)
+		x.addReplica("10.0.1.9", false)
 		time.Sleep(4 * time.Second)
 		x.nodes["10.0.1.1"].kill()
 		x.nodes["10.0.1.2"].kill()
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -109,7 +109,7 @@
 		defer x.close()
 		prepare(x)
 		for i := range n {
-			x.add(fmt.Sprintf("10.0.1.%d", i+1), true)
+			x.addReplica(fmt.Sprintf("10.0.1.%d", i+1), true)
 		}
 		x.mustLead()
 		time.Sleep(2 * time.Second)
@@ -125,7 +125,7 @@
 	return x.rng.Uint64()
 }
 
-func (x *fleet) add(ip string, first bool) {
+func (x *fleet) addReplica(ip string, first bool) {
 	x.nodes[ip] = &directoryNode{ip: ip, disk: fakedisk.New(x.random()), clock: x.clocks[ip]}
 	x.nodes[ip].disk.SyncTime(x.syncTime)
 	x.ips = append(x.ips, ip)
