--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -33,7 +33,7 @@
 				x.replaceDisk(ip)
 			}
 			for _, ip := range x.ips {
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			began := time.Now()
 			l := x.mustLead().d
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -111,7 +111,7 @@
 			is.NoErr(x.announce("b1", false))
 			x.losePower()
 			for _, ip := range x.ips {
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			h, err := x.mustLead().d.Read(x.t.Context())
 			is.NoErr(err)
@@ -139,7 +139,7 @@
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			h, err := x.mustLead().d.Read(x.t.Context())
 			is.NoErr(err)
@@ -179,7 +179,7 @@
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			g := x.gateway("10.0.2.1")
 			h, err := x.mustLead().d.Read(x.t.Context())
@@ -246,7 +246,7 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			is.True(time.Since(acked) < 1500*time.Millisecond)
-			x.start(l.ip, false)
+			x.startReplica(l.ip, false)
 			time.Sleep(2 * time.Second)
 			number += 100 * number
 		}
@@ -291,7 +291,7 @@
 		time.Sleep(time.Second)
 		x.losePower()
 		for _, ip := range x.ips {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 		g := x.gateway("10.0.2.1")
 		time.Sleep(3 * time.Second)
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -129,14 +129,14 @@
 	x.nodes[ip] = &directoryNode{ip: ip, disk: fakedisk.New(x.random()), clock: x.clocks[ip]}
 	x.nodes[ip].disk.SyncTime(x.syncTime)
 	x.ips = append(x.ips, ip)
-	x.start(ip, first)
+	x.startReplica(ip, first)
 }
 
 func (x *fleet) log(set *metrics.Set) *decision.Log {
 	return decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set)
 }
 
-func (x *fleet) start(ip string, first bool) {
+func (x *fleet) startReplica(ip string, first bool) {
 	n := x.nodes[ip]
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -100,7 +100,7 @@
 		if how == "cut" {
 			x.net.Join(ip)
 		} else {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 	}
 }
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -179,7 +179,7 @@
 		time.Sleep(4 * time.Second)
 		x.losePower() // of what is left of the directory
 		for _, ip := range x.ips {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 		time.Sleep(4 * time.Second)
 		for _, id := range []string{"b1", "b2"} {
@@ -231,7 +231,7 @@
 				if ip == lost[0] || ip == lost[1] {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			halls, _ := x.mustLead().d.HallsOut(x.t.Context())
 			is.Equal(len(halls) == 1, out)
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -52,7 +52,7 @@
 					old := x.mustLead()
 					old.kill()
 					longest = max(longest, x.acknowledgedAfter(uint64(round+1), round))
-					x.start(old.ip, false)
+					x.startReplica(old.ip, false)
 					time.Sleep(10 * time.Second)
 				}
 				x.t.Logf("%d gateways in each region: acknowledged after %v at worst", gateways, longest)
@@ -73,13 +73,13 @@
 			for _, ip := range x.ips[:3] { // what stands in the north
 				x.nodes[ip].kill()
 				if round%2 == 0 && ip == x.ips[0] {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 			}
 			time.Sleep(2 * time.Second)
 			for _, ip := range x.ips[:3] {
 				if x.nodes[ip].d == nil {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 			}
 			number++
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -84,7 +84,7 @@
 		{name: "power of the directory is lost", at: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
 			x.losePower()
 			for _, ip := range x.ips {
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 		}},
 	} {
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -102,7 +102,7 @@
 		}
 		n.kill()
 		x.mustLead()
-		x.start(n.ip, false)
+		x.startReplica(n.ip, false)
 		time.Sleep(pause)
 	}
 	x.t.Fatalf("nobody in the %s leads", region)
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -131,7 +131,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		for _, ip := range x.ips {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 		for ip := range x.gateways {
 			x.gateway(ip)
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -122,7 +122,7 @@
 		took := x.mustFollow(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2500*time.Millisecond)
-		x.start(relays[0].ip, false)
+		x.startReplica(relays[0].ip, false)
 		time.Sleep(20 * time.Second)
 		leader := x.mustLead()
 		before := leader.sent("fleet")
@@ -175,7 +175,7 @@
 			took := x.mustFollow(round+2, append(near, far...)...)
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
-			x.start(old.ip, false)
+			x.startReplica(old.ip, false)
 			time.Sleep(20 * time.Second) // also one that had lost the only relay is back there
 			leader := x.mustLead()
 			before := leader.sent("fleet")
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -27,7 +27,7 @@
 		relay := x.relays(south)[0]
 		relay.kill()
 		time.Sleep(time.Second)
-		x.start(relay.ip, false)
+		x.startReplica(relay.ip, false)
 		time.Sleep(3 * time.Second)
 
 		x.place("10.0.2.1", south)
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -228,7 +228,7 @@
 		time.Sleep(100 * time.Millisecond)
 		x.t.Logf("sums after the end of a relay after %v", mustSum(x, 1111, all...))
 		is.Equal(all[3].by(), a)
-		x.start(relays[1].ip, false)
+		x.startReplica(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
 
 		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -62,7 +62,7 @@
 			do: func(x *fleet, _ *mortals, _ *callers) {
 				x.losePower()
 				for _, ip := range x.ips {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 			},
 		},
@@ -74,7 +74,7 @@
 				}
 				x.losePower()
 				for _, ip := range x.ips {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 				for i := range 4 {
 					c.gateway(m, gatewayIP(i))
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -157,12 +157,18 @@
 // was acknowledged, and right after its end was. A copy of the order changes nothing then.
 func TestAcknowledgedRolloutOutlives(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
-		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.start(l.ip, false) },
-		"its disk":   func(x *fleet) { l := x.mustLead(); l.kill(); x.replaceDisk(l.ip); x.mustLead(); x.start(l.ip, false) },
+		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.startReplica(l.ip, false) },
+		"its disk": func(x *fleet) {
+			l := x.mustLead()
+			l.kill()
+			x.replaceDisk(l.ip)
+			x.mustLead()
+			x.startReplica(l.ip, false)
+		},
 		"all power": func(x *fleet) {
 			x.losePower()
 			for _, ip := range x.ips {
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 		},
 		"all power and two disks": func(x *fleet) {
@@ -176,7 +182,7 @@
 			x.replaceDisk(lost[0])
 			x.replaceDisk(lost[1])
 			for _, ip := range x.ips {
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 		},
 	} {
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -46,7 +46,7 @@
 	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
 		for _, ip := range x.ips {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 	}},
 	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -86,8 +86,8 @@
 		settled(4*time.Second, hallGateways)
 		c.nodes["10.0.1.5"].kill()
 		settled(4*time.Second, hallGateways*2/3)
-		c.start("10.0.1.2", false)
-		c.start("10.0.1.5", false)
+		c.startReplica("10.0.1.2", false)
+		c.startReplica("10.0.1.5", false)
 		settled(20*time.Second, hallGateways)
 	})
 }
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -64,7 +64,7 @@
 				is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
 				x.losePower()
 				for _, ip := range x.ips {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 				is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 				is.Equal(x.newestRollout().Attempt, uint64(1))
