--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -40,8 +40,8 @@
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(g.Servers(), ids)
 
-		x.mustLead().kill()
-		next := x.mustLead()
+		x.awaitLeader().kill()
+		next := x.awaitLeader()
 		time.Sleep(time.Second)
 		for _, ip := range x.ips {
 			n := x.nodes[ip]
@@ -78,7 +78,7 @@
 			want = append(want, r)
 		}
 		time.Sleep(time.Second)
-		x.mustLead().kill()
-		is.Equal(x.mustLead().d.Joined(), want)
+		x.awaitLeader().kill()
+		is.Equal(x.awaitLeader().d.Joined(), want)
 	})
 }
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -29,7 +29,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
 		halls := map[string]string{}
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
@@ -46,8 +46,8 @@
 			is.NoErr(x.announceIn(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
 		time.Sleep(2500 * time.Millisecond)
-		x.mustLead().kill()
-		next := x.mustLead()
+		x.awaitLeader().kill()
+		next := x.awaitLeader()
 		for i := range 21 {
 			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
 				_ = x.announceIn(fmt.Sprint("b", i+11), "hall-b", left)
@@ -72,7 +72,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -23,8 +23,8 @@
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
-			is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "s1"))
+			is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
+			is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "s1"))
 			for i := range 4 {
 				x.gateways[gatewayIP(i)].kill()
 			}
@@ -36,7 +36,7 @@
 				x.startReplica(ip, false)
 			}
 			began := time.Now()
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			read, err := l.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(read.Document.Number, uint64(2))
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -22,7 +22,7 @@
 func TestPutAndRead(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead().d
+		l := x.awaitLeader().d
 		_, err := l.Read(x.t.Context())
 		is.True(errors.As(err, new(directory.NoDocument)))
 		is.NoErr(l.Put(x.t.Context(), held(7)))
@@ -37,7 +37,7 @@
 func TestInvalidDocumentChangesNothing(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead().d
+		l := x.awaitLeader().d
 		is.NoErr(l.Put(x.t.Context(), held(7)))
 		bad := held(8)
 		bad.Document.Routes[0].Timeout = 0
@@ -53,7 +53,7 @@
 func TestFollowersNameTheLeader(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		for ip, n := range x.nodes {
 			if n == l {
 				continue
@@ -73,7 +73,7 @@
 func TestCutOffLeaderNeverReadsOld(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		old := x.mustLead()
+		old := x.awaitLeader()
 		x.put(1)
 		x.net.Cut(old.ip)
 		acknowledged := false
@@ -95,7 +95,7 @@
 		is.True(acknowledged)
 		x.net.Join(old.ip)
 		time.Sleep(2 * time.Second)
-		h, err := x.mustLead().d.Read(x.t.Context())
+		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(h.Document.Number, uint64(2))
 	})
@@ -113,7 +113,7 @@
 			for _, ip := range x.ips {
 				x.startReplica(ip, false)
 			}
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 		}
@@ -127,7 +127,7 @@
 		is := is.New(x.t)
 		for round := uint64(1); round <= 4; round++ {
 			x.put(round)
-			lost := []string{x.mustLead().ip}
+			lost := []string{x.awaitLeader().ip}
 			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost = append(lost, ip)
@@ -141,7 +141,7 @@
 				}
 				x.startReplica(ip, false)
 			}
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 			time.Sleep(4 * time.Second) // the lost ones have caught up
@@ -157,7 +157,7 @@
 		is := is.New(x.t)
 		x.gateway("10.0.2.1")
 		for round := uint64(1); round <= 8; round++ {
-			leader := x.mustLead()
+			leader := x.awaitLeader()
 			voters := x.voters()
 			is.Equal(len(voters), 5)
 			followers := slices.DeleteFunc(voters, func(ip string) bool { return ip == leader.ip })
@@ -182,7 +182,7 @@
 				x.startReplica(ip, false)
 			}
 			g := x.gateway("10.0.2.1")
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 			time.Sleep(8 * time.Second) // the lost ones have caught up
@@ -206,7 +206,7 @@
 		is.NoErr(x.announce("b1", false)) // a late announcement is acknowledged
 		time.Sleep(time.Second)
 		is.Equal(g.Servers(), []string{"b2"})
-		x.mustLead().kill() // and a new leader knows
+		x.awaitLeader().kill() // and a new leader knows
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(2 * time.Second)
@@ -216,7 +216,7 @@
 
 func TestInvalidAnnouncementIsRefused(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
-		err := x.mustLead().d.Announce(x.t.Context(), registry.Announcement{
+		err := x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{
 			Registration: protocol.Registration{ID: "b1", Pool: "p", Address: "nowhere"},
 		})
 		is.New(x.t).True(errors.As(err, new(registry.Invalid)))
@@ -238,7 +238,7 @@
 			for _, g := range x.gateways {
 				is.Equal(g.g.DocumentNumber(), number)
 			}
-			l := x.mustLead()
+			l := x.awaitLeader()
 			l.kill()
 			x.put(number + 100*number) // through the next leader
 			acked := time.Now()
@@ -270,7 +270,7 @@
 		x.put(1)
 		is.NoErr(x.announce("b1", false))
 		time.Sleep(100 * time.Millisecond)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		l.kill()
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
@@ -309,7 +309,7 @@
 		x.put(1)
 		time.Sleep(time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
-		old := x.mustLead()
+		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(2 * time.Second)
 		x.put(2)
@@ -326,7 +326,7 @@
 		x.put(1)
 		x.net.Cut("10.0.1.1")
 		x.net.Cut("10.0.1.2")
-		x.mustLead()
+		x.awaitLeader()
 		g := x.gateway("10.0.2.1")
 		time.Sleep(5 * time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
@@ -347,7 +347,7 @@
 		x.nodes["10.0.1.1"].kill()
 		x.nodes["10.0.1.2"].kill()
 		x.put(2)
-		h, err := x.mustLead().d.Read(x.t.Context())
+		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(h.Document.Number, uint64(2))
 	})
@@ -359,7 +359,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		l.disk.Room(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
@@ -374,7 +374,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.put(1)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		began := time.Now()
 		l.d.Stop(x.t.Context())
 		is.True(time.Since(began) < 500*time.Millisecond)
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -50,7 +50,7 @@
 func (x *fleet) untilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
@@ -95,7 +95,7 @@
 				v := &versionedServers{}
 				x.rolling(v, func() {
 					time.Sleep(at)
-					x.mustLead().kill()
+					x.awaitLeader().kill()
 					state, after := x.awaitRolloutEnd(v)
 					x.t.Logf("complete after %v", after)
 					is.Equal(state, document.RolloutComplete)
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -64,7 +64,7 @@
 	c.come(firstGateways)
 	is.True(c.knowAll(time.Minute))
 	time.Sleep(3 * time.Second)
-	c.mustLead().kill()
+	c.awaitLeader().kill()
 	time.Sleep(3 * time.Second)
 	led := c.termsLed()
 	c.documentsInTime()
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -111,7 +111,7 @@
 		for i := range n {
 			x.addReplica(fmt.Sprintf("10.0.1.%d", i+1), true)
 		}
-		x.mustLead()
+		x.awaitLeader()
 		time.Sleep(2 * time.Second)
 		f(x)
 	})
@@ -229,13 +229,13 @@
 // voters returns the replicas that vote, as the leader knows them.
 func (x *fleet) voters() []string {
 	var ips []string
-	for _, name := range x.mustLead().d.Voters() {
+	for _, name := range x.awaitLeader().d.Voters() {
 		ips = append(ips, strings.TrimSuffix(name, ":7400"))
 	}
 	return ips
 }
 
-func (x *fleet) mustLead() *directoryNode {
+func (x *fleet) awaitLeader() *directoryNode {
 	for range 1000 {
 		if n := x.leader(); n != nil {
 			return n
@@ -284,7 +284,7 @@
 	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
-	return x.mustLead().d.Announce(ctx, registry.Announcement{
+	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4},
 		Leaving:      leaving, Seq: x.announceSeqs[id],
 	})
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -104,7 +104,7 @@
 		is.New(t).NoErr(err)
 		stop := x.serve(seeds[0], d)
 		x.nodes["10.0.1.1"], x.ips = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
-		x.mustLead()
+		x.awaitLeader()
 		gatewayLog, gatewaySet, gatewayText := start()
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -40,7 +40,7 @@
 						}
 						began := time.Now()
 						if how != "wiped with one more disk" {
-							x.mustLead()
+							x.awaitLeader()
 							leads := time.Since(began)
 							x.put(uint64(2*round + 2))
 							x.t.Logf("a leader after %v, a document after %v", leads, time.Since(began))
@@ -49,13 +49,13 @@
 						}
 						time.Sleep(3 * time.Second)
 						x.returnHall(hall, how)
-						h, err := x.mustLead().d.Read(x.t.Context())
+						h, err := x.awaitLeader().d.Read(x.t.Context())
 						for err != nil {
 							time.Sleep(50 * time.Millisecond)
-							h, err = x.mustLead().d.Read(x.t.Context())
+							h, err = x.awaitLeader().d.Read(x.t.Context())
 						}
 						is.True(h.Document.Number >= uint64(2*round+1))
-						halls, err := x.mustLead().d.HallsOut(x.t.Context())
+						halls, err := x.awaitLeader().d.HallsOut(x.t.Context())
 						is.NoErr(err)
 						is.Equal(len(halls) == 1, round%2 == 0)
 						time.Sleep(10 * time.Second)
@@ -71,7 +71,7 @@
 
 // hallOfLeader returns the leader and others, size in all.
 func (x *fleet) hallOfLeader(size int) []string {
-	hall := []string{x.mustLead().ip}
+	hall := []string{x.awaitLeader().ip}
 	for _, ip := range x.ips {
 		if ip != hall[0] && len(hall) < size {
 			hall = append(hall, ip)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -106,7 +106,7 @@
 	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
-	return x.mustLead().d.Announce(ctx, registry.Announcement{
+	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Hall: hall, Slots: 4},
 		Seq:          x.announceSeqs[id], ColdLeft: cold,
 	})
@@ -115,7 +115,7 @@
 // orderHall gives an order about a hall to whoever leads until it is acknowledged.
 func (x *fleet) orderHall(hall string, out bool) {
 	for range 1000 {
-		d := x.mustLead().d
+		d := x.awaitLeader().d
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		err := d.PutHallBack
 		if out {
@@ -134,7 +134,7 @@
 func TestHallOrdersAreChecked(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "nowhere"), error(directory.UnknownHall{Hall: "nowhere"}))
 		is.Equal(l.d.TakeHallOut(x.t.Context(), ""), error(directory.UnknownHall{}))
 		is.NoErr(l.d.PutHallBack(x.t.Context(), "nowhere")) // it is as the order asks
@@ -172,7 +172,7 @@
 		time.Sleep(200 * time.Millisecond)
 		out := time.Now()
 		time.Sleep(time.Second)
-		x.mustLead().kill()
+		x.awaitLeader().kill()
 		x.gateways["10.0.2.1"].kill()
 		x.startLoadedGateway("10.0.2.1", a, 50*time.Millisecond)
 		x.startLoadedGateway("10.0.2.4", a, 50*time.Millisecond)
@@ -219,7 +219,7 @@
 		for round := range 6 {
 			out := round%2 == 0
 			x.orderHall("hall-a", out)
-			leader := x.mustLead().ip
+			leader := x.awaitLeader().ip
 			x.losePower()
 			lost := []string{leader}
 			for _, ip := range x.ips {
@@ -233,7 +233,7 @@
 				}
 				x.startReplica(ip, false)
 			}
-			halls, _ := x.mustLead().d.HallsOut(x.t.Context())
+			halls, _ := x.awaitLeader().d.HallsOut(x.t.Context())
 			is.Equal(len(halls) == 1, out)
 			time.Sleep(8 * time.Second) // the lost ones have caught up, and no order may be a copy
 		}
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -49,7 +49,7 @@
 				time.Sleep(10 * time.Second)
 				longest := time.Duration(0)
 				for round := range rounds {
-					old := x.mustLead()
+					old := x.awaitLeader()
 					old.kill()
 					longest = max(longest, x.acknowledgedAfter(uint64(round+1), round))
 					x.startReplica(old.ip, false)
@@ -84,13 +84,13 @@
 			}
 			number++
 			is.True(x.acknowledgedAfter(number, round) < 2*time.Second)
-			last := x.mustLead().ip
+			last := x.awaitLeader().ip
 			changes = 0
 			longest := time.Duration(0)
 			for began := time.Now(); time.Since(began) < 12*time.Second; time.Sleep(200 * time.Millisecond) {
 				number++
 				longest = max(longest, x.acknowledgedAfter(number, int(number)))
-				if l := x.mustLead().ip; l != last {
+				if l := x.awaitLeader().ip; l != last {
 					last, changes = l, changes+1
 				}
 			}
@@ -113,15 +113,15 @@
 		for number := range uint64(10) {
 			x.put(number + 1)
 		}
-		old := x.mustLead()
+		old := x.awaitLeader()
 		old.disk.SyncTime(150 * time.Millisecond)
 		for number := range uint64(30) {
 			x.put(number + 11)
 			time.Sleep(200 * time.Millisecond)
 		}
-		is.True(x.mustLead() != old)
+		is.True(x.awaitLeader() != old)
 		time.Sleep(20 * time.Second)
-		is.True(x.mustLead() != old)
+		is.True(x.awaitLeader() != old)
 		began := time.Now()
 		x.put(100)
 		is.True(time.Since(began) < 100*time.Millisecond)
@@ -135,7 +135,7 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(south)
-		leader, other := x.mustLead(), x.relays(south)[0]
+		leader, other := x.awaitLeader(), x.relays(south)[0]
 		x.nodes[x.ips[1]].kill()
 		x.nodes[x.ips[2]].kill()
 		defer x.net.Reunite() // also when the test fails, or dials would wait for ever
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -41,7 +41,7 @@
 	l.x.t.Helper()
 	ctx, cancel := context.WithTimeout(l.x.t.Context(), time.Second)
 	defer cancel()
-	if err := l.x.mustLead().d.Announce(ctx, l.announcement(leaving)); err != nil {
+	if err := l.x.awaitLeader().d.Announce(ctx, l.announcement(leaving)); err != nil {
 		l.x.t.Fatal(err)
 	}
 }
@@ -70,15 +70,15 @@
 		{name: "after a life that said no start", at: "10.0.4.1:80", unborn: true},
 		{name: "after it drained", at: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
 		{name: "after it took leave by its name", ends: func(l *life) {
-			if err := l.x.mustLead().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
+			if err := l.x.awaitLeader().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
 				l.x.t.Fatal(err)
 			}
 		}},
 		{name: "late announcements", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(false) }},
 		{name: "a late departure", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(true) }},
 		{name: "the leader is killed", at: "10.0.4.1:80", meanwhile: func(x *fleet, earlier *life) {
-			x.mustLead().kill()
-			x.mustLead()
+			x.awaitLeader().kill()
+			x.awaitLeader()
 			earlier.announce(false)
 		}},
 		{name: "power of the directory is lost", at: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
@@ -160,7 +160,7 @@
 		x.put(1)
 		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
 		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-		session, err := link.Dial(x.t.Context(), x.mustLead().ip+":7400", id, nil)
+		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name}))
@@ -205,7 +205,7 @@
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		announce := func(name string, born, seq uint64, at, hall string) {
-			is.NoErr(x.mustLead().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
+			is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: protocol.LifeID(name, born), Pool: "p", Address: at, Hall: hall, Slots: 4,
 			}, Seq: seq}))
 		}
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -289,7 +289,7 @@
 	if m.streams {
 		kind = document.Stream
 	}
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(1, kind)))
+	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(1, kind)))
 	stop := x.keeping(m.announce)
 	defer stop()
 	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -69,7 +69,7 @@
 func (x *fleet) announceMany(n int) {
 	is := is.New(x.t)
 	for i := range n {
-		is.NoErr(x.mustLead().d.Announce(x.t.Context(), manyServer(i, 1)))
+		is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), manyServer(i, 1)))
 	}
 }
 
@@ -96,12 +96,12 @@
 // leadAfter kills leaders until one in a region leads, with a pause after each start.
 func (x *fleet) leadAfter(region string, pause time.Duration) {
 	for range 20 {
-		n := x.mustLead()
+		n := x.awaitLeader()
 		if x.regions[n.ip] == region {
 			return
 		}
 		n.kill()
-		x.mustLead()
+		x.awaitLeader()
 		x.startReplica(n.ip, false)
 		time.Sleep(pause)
 	}
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -59,7 +59,7 @@
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
 		fleets := leader.sent("fleet") - before
@@ -124,7 +124,7 @@
 		is.True(took < 2500*time.Millisecond)
 		x.startReplica(relays[0].ip, false)
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
 		is.True(leader.sent("fleet")-before <= 9*101) // eight gateways, and the relay
@@ -155,7 +155,7 @@
 		is.True(took < 2*time.Second)
 		x.net.Reunite()
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(5 * time.Second)
 		is.True(leader.sent("fleet")-before < 10*51+10) // eight gateways, and two relays
@@ -170,14 +170,14 @@
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		for round := range uint64(6) {
-			old := x.mustLead()
+			old := x.awaitLeader()
 			old.kill()
 			took := x.mustFollow(round+2, append(near, far...)...)
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
 			x.startReplica(old.ip, false)
 			time.Sleep(20 * time.Second) // also one that had lost the only relay is back there
-			leader := x.mustLead()
+			leader := x.awaitLeader()
 			before := leader.sent("fleet")
 			time.Sleep(5 * time.Second)
 			served := 8 + len(x.relays(map[string]string{north: south, south: north}[x.regions[leader.ip]]))
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -23,7 +23,7 @@
 		x.put(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
 		relay := x.relays(south)[0]
 		relay.kill()
 		time.Sleep(time.Second)
@@ -66,7 +66,7 @@
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, Region: south}))
 		time.Sleep(500 * time.Millisecond)
-		names, err := x.mustLead().d.UnawareOfVersions(x.t.Context())
+		names, err := x.awaitLeader().d.UnawareOfVersions(x.t.Context())
 		is.NoErr(err)
 		is.Equal(names, []string{id.Name})
 	})
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -231,10 +231,10 @@
 		x.startReplica(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
 
-		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
+		is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
 		time.Sleep(300 * time.Millisecond)
 		term, handle := all[0].seen()
-		x.mustLead().kill()
+		x.awaitLeader().kill()
 		began := time.Now()
 		for _, r := range all {
 			for now, _ := r.seen(); now == term; now, _ = r.seen() {
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -35,11 +35,11 @@
 		{name: "servers keep their identifiers", m: func(m *mortals) { m.keepIDs = true }, most: 3},
 		{
 			name: "the leader is killed after two ends", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *mortals, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "the leader is killed after it was condemned", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *mortals, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "a gateway that was at the first ends is killed", after: 200 * time.Millisecond, most: 5,
@@ -280,7 +280,7 @@
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			condemned, err := l.Condemned()
 			is.NoErr(err)
 			is.Equal(len(condemned), 1)
@@ -292,7 +292,7 @@
 			is.Equal(l.Release(x.t.Context(), k), error(directory.NotCondemned{Key: k.String()}))
 			for _, ip := range x.ips {
 				if d := x.nodes[ip].d; !d.Leads() {
-					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.mustLead().ip + ":7400"}))
+					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.awaitLeader().ip + ":7400"}))
 				}
 			}
 			time.Sleep(time.Second)
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -29,7 +29,7 @@
 // newestRollout returns the newest rollout of pool p by whoever leads.
 func (x *fleet) newestRollout() document.Rollout {
 	for range 1000 {
-		r, err := x.mustLead().d.Rollout(x.t.Context(), "p")
+		r, err := x.awaitLeader().d.Rollout(x.t.Context(), "p")
 		switch {
 		case err == nil:
 			return r
@@ -46,7 +46,7 @@
 func (x *fleet) orderRollout(o rollout.Order) error {
 	for range 1000 {
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := x.mustLead().d.StartRollout(ctx, o)
+		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if !errors.As(err, new(directory.Unavailable)) && !errors.As(err, new(directory.NotLeader)) {
 			return err
@@ -59,7 +59,7 @@
 func TestRolloutOrdersAreChecked(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l, ctx := x.mustLead(), x.t.Context()
+		l, ctx := x.awaitLeader(), x.t.Context()
 		is.Equal(l.d.StartRollout(ctx, orderTo("v2")), error(directory.UnknownPool{Pool: "p"}))
 		is.True(errors.As(l.d.StartRollout(ctx, orderTo("")), new(rollout.InvalidOrder)))
 		_, err := l.d.Rollout(ctx, "p")
@@ -116,22 +116,22 @@
 		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // again
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1)) // again
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.orderRollout(orderTo("v2"))) // a copy after the end
 		attempt(1, "v2", document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
 		attempt(2, "v2", document.RolloutUnderWay)
 
 		newest := x.newestRollout()
-		changed, err := x.mustLead().d.ChangeRollout(x.t.Context(), document.RolloutChange{
+		changed, err := x.awaitLeader().d.ChangeRollout(x.t.Context(), document.RolloutChange{
 			Pool: "p", Target: "v2", State: document.RolloutComplete, After: newest.Changes, Elapsed: newest.Elapsed, Replaced: []string{"v1"},
 		})
 		is.NoErr(err)
@@ -140,11 +140,11 @@
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutComplete)
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
 		is.NoErr(x.orderRollout(orderTo("v3")))
 		attempt(3, "v3", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2"))) // that has had the requests all the while
 		time.Sleep(time.Second)
@@ -157,12 +157,12 @@
 // was acknowledged, and right after its end was. A copy of the order changes nothing then.
 func TestAcknowledgedRolloutOutlives(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
-		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.startReplica(l.ip, false) },
+		"the leader": func(x *fleet) { l := x.awaitLeader(); l.kill(); x.awaitLeader(); x.startReplica(l.ip, false) },
 		"its disk": func(x *fleet) {
-			l := x.mustLead()
+			l := x.awaitLeader()
 			l.kill()
 			x.replaceDisk(l.ip)
-			x.mustLead()
+			x.awaitLeader()
 			x.startReplica(l.ip, false)
 		},
 		"all power": func(x *fleet) {
@@ -172,7 +172,7 @@
 			}
 		},
 		"all power and two disks": func(x *fleet) {
-			lost := []string{x.mustLead().ip, ""}
+			lost := []string{x.awaitLeader().ip, ""}
 			x.losePower()
 			for _, ip := range x.ips {
 				if ip != lost[0] {
@@ -199,7 +199,7 @@
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					is.Equal(x.newestRollout().Attempt, n)
 					time.Sleep(8 * time.Second) // the lost ones have caught up
-					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
+					is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", n))
 					lose(x)
 					is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 					is.Equal(x.newestRollout().Barred, []string{"v2"})
@@ -217,8 +217,8 @@
 		is := is.New(x.t)
 		x.put(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		x.mustLead().kill()
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		x.awaitLeader().kill()
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Attempt, uint64(1))
@@ -273,7 +273,7 @@
 		is := is.New(x.t)
 		x.put(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		old := x.mustLead()
+		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(3 * time.Second)
 		refused := func() {
@@ -318,7 +318,7 @@
 func TestCommandsAboutRollouts(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
 		is.Equal(x.command(l, start).Outcome, protocol.OrderRefused) // no such pool
 		x.put(1)
@@ -358,7 +358,7 @@
 func TestCommandThatHasGone(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		x.put(1)
 		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
@@ -375,7 +375,7 @@
 func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
 	inFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		for i, knows := range []bool{true, false} {
 			name := []string{"10.0.2.1:7400", "10.0.2.2:7400"}[i]
 			id := link.Identity{Name: name, Key: fleetKey, Dial: x.net.Box(name[:8]).DialContext}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -27,9 +27,9 @@
 	do   func(x *fleet, v *versionedServers)
 }{
 	{"none", func(*fleet, *versionedServers) {}},
-	{"leader killed", func(x *fleet, _ *versionedServers) { x.mustLead().kill() }},
+	{"leader killed", func(x *fleet, _ *versionedServers) { x.awaitLeader().kill() }},
 	{"leader cut off", func(x *fleet, _ *versionedServers) {
-		l := x.mustLead().ip
+		l := x.awaitLeader().ip
 		x.net.Cut(l)
 		time.Sleep(3 * time.Second)
 		x.net.Join(l)
@@ -207,7 +207,7 @@
 		is := is.New(x.t)
 		x.put(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		l := x.mustLead()
+		l := x.awaitLeader()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
@@ -250,7 +250,7 @@
 func (x *fleet) busyAtOld(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -54,7 +54,7 @@
 			x.gateway(fmt.Sprintf("10.0.2.%d", i+1))
 		}
 		time.Sleep(time.Second)
-		leader := x.mustLead().d
+		leader := x.awaitLeader().d
 		var announcing sync.WaitGroup
 		for i := range servers {
 			announcing.Go(func() {
@@ -84,7 +84,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const servers, gateways = 1500, 10
-		leader := x.mustLead().d
+		leader := x.awaitLeader().d
 		for i := range servers {
 			is.NoErr(leader.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: fmt.Sprintf("b%d", i), Pool: "p", Address: fmt.Sprintf("10.1.%d.%d:80", i/200, i%200), Slots: 4,
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -68,7 +68,7 @@
 			}, func(x *fleet) {
 				is := is.New(t)
 				x.put(1)
-				old := x.mustLead()
+				old := x.awaitLeader()
 				clocks[old.ip].sleep()
 				x.net.Cut(old.ip)
 				began := time.Now()
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -26,7 +26,7 @@
 	is := is.New(x.t)
 	for began := time.Now(); time.Since(began) < 20*time.Second; {
 		ctx, cancel := context.WithTimeout(x.t.Context(), callTime)
-		err := x.mustLead().d.StartRollout(ctx, o)
+		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if err == nil {
 			return time.Since(began), refused
@@ -48,10 +48,10 @@
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				x.put(1)
-				slow := x.mustLead()
+				slow := x.awaitLeader()
 				slow.disk.SyncTime(takes)
 				after, refused := x.ordered(orderTo("v2"))
-				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.mustLead() != slow)
+				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.awaitLeader() != slow)
 				is.True(after < exposure.RepeatWindow)
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
@@ -61,7 +61,7 @@
 				slow.disk.SyncTime(0)
 				time.Sleep(takes)
 				is.Equal(x.newestRollout().Attempt, uint64(1))
-				is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
+				is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
 				x.losePower()
 				for _, ip := range x.ips {
 					x.startReplica(ip, false)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -34,7 +34,7 @@
 // rollingIn does what rolling does, in a scene.
 func (x *fleet) rollingIn(v *versionedServers, s scene, f func()) {
 	is := is.New(x.t)
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), s.document))
+	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
 	stop := x.keeping(s.announce)
 	defer stop()
 	for i := range 3 {
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -210,7 +210,7 @@
 	is.True(c.knowAll(time.Minute))
 	time.Sleep(3 * time.Second)
 	before := c.listBytes()
-	c.mustLead().kill()
+	c.awaitLeader().kill()
 	time.Sleep(3 * time.Second)
 	led := c.termsLed()
 	c.documentsInTime()
