--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// leading returns the directory that leads, or nil; any goroutine may call it.
-func (x *fleet) leading() *directory.Directory {
+// leaderDirectory returns the directory that leads, or nil; any goroutine may call it.
+func (x *fleet) leaderDirectory() *directory.Directory {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if n := x.leader(); n != nil {
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -237,7 +237,7 @@
 		life.Store(1)
 		seqs := map[string]uint64{}
 		stop := x.keeping(func() {
-			d := x.leading()
+			d := x.leaderDirectory()
 			if d == nil {
 				return
 			}
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -106,7 +106,7 @@
 
 // announce announces all servers that run.
 func (m *mortals) announce() {
-	d := m.x.leading()
+	d := m.x.leaderDirectory()
 	if d == nil {
 		return
 	}
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -90,7 +90,7 @@
 // announceAs announces a server of the target only once a rollout is under way: without one it
 // would get its part of the requests.
 func (x *fleet) announceAs(a registry.Announcement) {
-	d := x.leading()
+	d := x.leaderDirectory()
 	if d == nil {
 		return
 	}
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -49,7 +49,7 @@
 
 // announce announces the servers that reach the leader.
 func (r *regional) announce() {
-	l := r.x.leading()
+	l := r.x.leaderDirectory()
 	if l == nil {
 		return
 	}
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -181,7 +181,7 @@
 // announceVersion announces a server of the target only once a rollout is under way: without
 // one it would get its part of the requests.
 func (x *fleet) announceVersion(id, version string) {
-	d := x.leading()
+	d := x.leaderDirectory()
 	if d == nil {
 		return
 	}
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -61,7 +61,7 @@
 	var announcing sync.WaitGroup
 	for i := range c.servers {
 		announcing.Go(func() {
-			if d := c.leading(); d != nil {
+			if d := c.leaderDirectory(); d != nil {
 				_ = d.Announce(c.t.Context(), manyServer(i, seq)) // a later one makes up for it
 			}
 		})
@@ -189,7 +189,7 @@
 		go func() {
 			time.Sleep(time.Duration(i) * d / time.Duration(c.servers))
 			for range 5 {
-				if l := c.leading(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
+				if l := c.leaderDirectory(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
 					return
 				}
 				time.Sleep(interval)
