--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -76,7 +76,7 @@
 	d       *directory.Directory
 	metrics *metrics.Set
 	kill    context.CancelFunc
-	up      atomic.Pointer[directory.Directory] // d, for other goroutines
+	current atomic.Pointer[directory.Directory] // d, for other goroutines
 	clock   func() time.Duration                // nil: the bubble's
 }
 
@@ -152,7 +152,7 @@
 	}
 	stop := x.serve(ip+":7400", d)
 	n.metrics = set
-	n.up.Store(d)
+	n.current.Store(d)
 	x.set(n, d)
 	n.kill = func() {
 		stop()
@@ -160,7 +160,7 @@
 		cancel()
 		<-d.Done()
 		log.Close()
-		n.up.Store(nil)
+		n.current.Store(nil)
 		x.set(n, nil)
 	}
 }
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -172,7 +172,7 @@
 func (x *fleet) announceAnywhere(ctx context.Context, i int, seq uint64) {
 	for try := i; try < i+2*len(x.ips) && ctx.Err() == nil; try++ {
 		n := x.nodes[x.ips[try%len(x.ips)]]
-		if d := n.up.Load(); d != nil {
+		if d := n.current.Load(); d != nil {
 			trying, cancel := context.WithTimeout(ctx, time.Second)
 			err := d.Announce(trying, manyServer(i, seq))
 			cancel()
