--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -21,7 +21,7 @@
 func TestAnyReplicaTakesAnnouncements(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		g := x.gateway("10.0.2.1")
 		announceAt := func(n *directoryNode, id string) error {
 			x.announceSeqs[id]++
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -74,7 +74,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		old := x.awaitLeader()
-		x.put(1)
+		x.putDocument(1)
 		x.net.Cut(old.ip)
 		acknowledged := false
 		for range 400 {
@@ -107,7 +107,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 5; round++ {
-			x.put(round)
+			x.putDocument(round)
 			is.NoErr(x.announce("b1", false))
 			x.losePower()
 			for _, ip := range x.ips {
@@ -126,7 +126,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 4; round++ {
-			x.put(round)
+			x.putDocument(round)
 			lost := []string{x.awaitLeader().ip}
 			for _, ip := range x.ips {
 				if ip != lost[0] {
@@ -167,7 +167,7 @@
 			}
 			slow := x.nodes[followers[1]].disk // the only one left with it: nothing may be acknowledged before its sync
 			slow.SyncTime(50 * time.Millisecond)
-			x.put(round)
+			x.putDocument(round)
 			slow.SyncTime(0)
 			lost := []string{leader.ip, followers[0]}
 			x.losePower()
@@ -195,7 +195,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(100 * time.Millisecond)
@@ -233,14 +233,14 @@
 		}
 		time.Sleep(time.Second)
 		for number := uint64(1); number <= 4; number++ {
-			x.put(number)
+			x.putDocument(number)
 			time.Sleep(50 * time.Millisecond)
 			for _, g := range x.gateways {
 				is.Equal(g.g.DocumentNumber(), number)
 			}
 			l := x.awaitLeader()
 			l.kill()
-			x.put(number + 100*number) // through the next leader
+			x.putDocument(number + 100*number) // through the next leader
 			acked := time.Now()
 			for !allAt(x, number+100*number) {
 				time.Sleep(10 * time.Millisecond)
@@ -267,7 +267,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		time.Sleep(100 * time.Millisecond)
 		l := x.awaitLeader()
@@ -284,7 +284,7 @@
 func TestBackendsOutliveAllPower(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		is.NoErr(x.announce("b1", true))
@@ -306,13 +306,13 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
 		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(2 * time.Second)
-		x.put(2)
+		x.putDocument(2)
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(g.DocumentNumber(), uint64(2))
 	})
@@ -323,7 +323,7 @@
 func TestGatewayWithCutSeeds(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		x.net.Cut("10.0.1.1")
 		x.net.Cut("10.0.1.2")
 		x.awaitLeader()
@@ -338,7 +338,7 @@
 func TestReplacedMachine(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		x.nodes["10.0.1.5"].kill()
 		delete(x.nodes, "10.0.1.5")
 		x.ips = slices.DeleteFunc(x.ips, func(ip string) bool { return ip == "10.0.1.5" })
@@ -346,7 +346,7 @@
 		time.Sleep(4 * time.Second)
 		x.nodes["10.0.1.1"].kill()
 		x.nodes["10.0.1.2"].kill()
-		x.put(2)
+		x.putDocument(2)
 		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(h.Document.Number, uint64(2))
@@ -358,7 +358,7 @@
 func TestFullDiskStopsTheReplica(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		l := x.awaitLeader()
 		l.disk.Room(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
@@ -366,14 +366,14 @@
 		is.True(l.d.Put(ctx, held(2)) != nil)
 		<-l.d.Done()
 		is.True(l.d.Err() != nil)
-		x.put(3)
+		x.putDocument(3)
 	})
 }
 
 func TestStopHandsOver(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		l := x.awaitLeader()
 		began := time.Now()
 		l.d.Stop(x.t.Context())
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -32,7 +32,7 @@
 	}, func(x *fleet) {
 		c := &crowd{fleet: x, servers: firstServers}
 		c.announceAll(1)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(2 * time.Second)
 		f(c)
 	})
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -256,8 +256,8 @@
 	return document.Held{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
 }
 
-// put sends a document to replicas in turn until one acknowledges it.
-func (x *fleet) put(number uint64) {
+// putDocument sends a document to replicas in turn until one acknowledges it.
+func (x *fleet) putDocument(number uint64) {
 	for range 200 {
 		for _, ip := range x.ips {
 			n := x.nodes[ip]
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -113,7 +113,7 @@
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.request(g, "early")
-		x.put(7)
+		x.putDocument(7)
 		for range 3 {
 			is.New(t).NoErr(x.announce("b1", false))
 			time.Sleep(interval)
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -29,7 +29,7 @@
 					time.Sleep(time.Second)
 					for round := range 2 {
 						is.Equal(len(x.voters()), n)
-						x.put(uint64(2*round + 1))
+						x.putDocument(uint64(2*round + 1))
 						x.orderHall("hall-a", round%2 == 0)
 						hall := x.hallOfLeader((n + 2) / 3)
 						if how == "wiped with one more disk" { // the hall's disks are back after the power
@@ -42,7 +42,7 @@
 						if how != "wiped with one more disk" {
 							x.awaitLeader()
 							leads := time.Since(began)
-							x.put(uint64(2*round + 2))
+							x.putDocument(uint64(2*round + 2))
 							x.t.Logf("a leader after %v, a document after %v", leads, time.Since(began))
 							is.True(leads < 3*time.Second)
 							is.True(time.Since(began) < 4*time.Second)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -159,7 +159,7 @@
 func TestHallOutGetsNothing(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-a", "b3": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -111,19 +111,19 @@
 			n.disk.SyncTime(5 * time.Millisecond)
 		}
 		for number := range uint64(10) {
-			x.put(number + 1)
+			x.putDocument(number + 1)
 		}
 		old := x.awaitLeader()
 		old.disk.SyncTime(150 * time.Millisecond)
 		for number := range uint64(30) {
-			x.put(number + 11)
+			x.putDocument(number + 11)
 			time.Sleep(200 * time.Millisecond)
 		}
 		is.True(x.awaitLeader() != old)
 		time.Sleep(20 * time.Second)
 		is.True(x.awaitLeader() != old)
 		began := time.Now()
-		x.put(100)
+		x.putDocument(100)
 		is.True(time.Since(began) < 100*time.Millisecond)
 	})
 }
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -92,7 +92,7 @@
 			t.Parallel()
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				x.put(1)
+				x.putDocument(1)
 				earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
 				if tt.unborn {
 					earlier.born = 0
@@ -133,7 +133,7 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
@@ -157,7 +157,7 @@
 func TestVersionsWithoutLives(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
 		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
 		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
@@ -201,7 +201,7 @@
 func TestLifeInAHallOutOfService(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		announce := func(name string, born, seq uint64, at, hall string) {
@@ -231,7 +231,7 @@
 func TestLifeOfAnotherVersion(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
 		var life atomic.Uint64 // of b1, which runs the version of this number
 		life.Store(1)
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -33,7 +33,7 @@
 			before := x.net.Crossed(north, south) + x.net.Crossed(south, north)
 			time.Sleep(measured)
 			crossed[gateways] = x.net.Crossed(north, south) + x.net.Crossed(south, north) - before
-			x.put(1)
+			x.putDocument(1)
 			began := time.Now()
 			for _, g := range all {
 				for g.DocumentNumber() < 1 {
@@ -122,7 +122,7 @@
 		stop := x.keepAnnouncing(servers)
 		x.gatewaysIn(north, gateways)
 		x.gatewaysIn(south, gateways)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(10 * time.Second)
 		x.losePower()
 		for _, g := range x.gateways {
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -21,7 +21,7 @@
 		x.leadIn(north)
 		x.announceMany(servers)
 		near, far := x.gatewaysIn(north, gateways), x.gatewaysIn(south, gateways)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(3 * time.Second)
 		f(x, near, far)
 	})
@@ -30,7 +30,7 @@
 // mustFollow waits until all gateways have a document that is put now, and returns how long it
 // takes.
 func (x *fleet) mustFollow(number uint64, all ...*gateway.Gateway) time.Duration {
-	x.put(number)
+	x.putDocument(number)
 	began := time.Now()
 	for _, g := range all {
 		for g.DocumentNumber() < number {
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -20,7 +20,7 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
@@ -57,7 +57,7 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(2 * time.Second) // the relays have their sessions
 		x.place("10.0.2.1", south)
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -87,7 +87,7 @@
 func TestDocumentNamesPools(t *testing.T) {
 	inFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		other := orderTo("v2")
 		other.Pool = "q"
@@ -100,7 +100,7 @@
 func TestOneRolloutAtATime(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		attempt := func(n uint64, target string, state document.RolloutState) {
 			x.t.Helper()
 			r := x.newestRollout()
@@ -189,7 +189,7 @@
 		t.Run(how, func(t *testing.T) {
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				x.put(1)
+				x.putDocument(1)
 				for n := uint64(1); n <= 3; n++ {
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					lose(x)
@@ -215,7 +215,7 @@
 func TestCopyReachesTheNextLeader(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
 		x.awaitLeader().kill()
@@ -230,7 +230,7 @@
 func TestOrdersAtOnce(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		var mu sync.Mutex
 		answers := map[string][]error{}
 		var ordering sync.WaitGroup
@@ -271,7 +271,7 @@
 func TestMinorityRefusesRollouts(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		old := x.awaitLeader()
 		x.net.Cut(old.ip)
@@ -321,7 +321,7 @@
 		l := x.awaitLeader()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
 		is.Equal(x.command(l, start).Outcome, protocol.OrderRefused) // no such pool
-		x.put(1)
+		x.putDocument(1)
 		is.Equal(x.command(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
 		is.Equal(x.command(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
 		answer := x.command(l, start)
@@ -359,7 +359,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
-		x.put(1)
+		x.putDocument(1)
 		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -205,7 +205,7 @@
 func TestRolloutsComeFirst(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		l := x.awaitLeader()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -26,12 +26,12 @@
 		is := is.New(x.t)
 		gateways := []*gateway.Gateway{x.gateway("10.0.2.1"), x.gateway("10.0.2.2")}
 		is.NoErr(x.announce("b1", false))
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(time.Second)
 		for n := range uint64(3) {
 			x.net.Silence()
 			began := time.Now()
-			x.put(n + 2)
+			x.putDocument(n + 2)
 			for _, g := range gateways {
 				for g.DocumentNumber() < n+2 {
 					time.Sleep(10 * time.Millisecond)
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -32,7 +32,7 @@
 		}
 	}, func(x *fleet) {
 		c := &crowd{fleet: x, servers: 500}
-		x.put(1)
+		x.putDocument(1)
 		c.come(hallGateways)
 		time.Sleep(time.Second)
 		c.announceWithin(time.Second)
@@ -77,7 +77,7 @@
 			is.Equal(all, hallGateways)
 			is.Equal(home, wantHome)
 			number++
-			c.put(number)
+			c.putDocument(number)
 			is.True(c.inForce(number, 5*time.Second) < time.Second)
 			is.True(c.knowAll(10 * time.Second))
 		}
@@ -114,7 +114,7 @@
 				}
 			}
 			number++
-			c.put(number)
+			c.putDocument(number)
 			took := c.inForce(number, 10*time.Second)
 			c.t.Logf("in force after %v, with the leader cut off: %v", took, leads)
 			is.True(took <= 3500*time.Millisecond)
@@ -153,7 +153,7 @@
 			return n
 		}
 		before := opened()
-		c.put(2)
+		c.putDocument(2)
 		is.True(c.inForce(2, 5*time.Second) < time.Second)
 		time.Sleep(9 * time.Second)
 		c.t.Logf("%d gateways opened %d sessions in 10 s", len(cutOff), opened()-before)
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -67,7 +67,7 @@
 				}
 			}, func(x *fleet) {
 				is := is.New(t)
-				x.put(1)
+				x.putDocument(1)
 				old := x.awaitLeader()
 				clocks[old.ip].sleep()
 				x.net.Cut(old.ip)
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -47,7 +47,7 @@
 		t.Run(takes.String(), func(t *testing.T) {
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				x.put(1)
+				x.putDocument(1)
 				slow := x.awaitLeader()
 				slow.disk.SyncTime(takes)
 				after, refused := x.ordered(orderTo("v2"))
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -138,7 +138,7 @@
 // rolling is a fleet with gateways under load and a rollout to the target that begins now.
 func (x *fleet) rolling(v *versionedServers, f func()) {
 	is := is.New(x.t)
-	x.put(1)
+	x.putDocument(1)
 	stop := x.keepVersions(v)
 	defer stop()
 	for i := range 3 {
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -51,7 +51,7 @@
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
 		}
 	}, func(x *fleet) {
-		x.put(1)
+		x.putDocument(1)
 		f(&crowd{fleet: x, servers: n.servers})
 	})
 }
@@ -107,7 +107,7 @@
 func (c *crowd) documentsInTime() {
 	is := is.New(c.t)
 	for number := uint64(2); number < 6; number++ {
-		c.put(number)
+		c.putDocument(number)
 		took := c.inForce(number, 5*time.Second)
 		c.t.Logf("document %d in force after %v, %d gateways know all servers, terms led %d", number, took, c.known(), c.termsLed())
 		is.True(took < time.Second)
