--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -315,9 +315,9 @@
 	return g
 }
 
-// count returns the bytes and messages of a kind that a gateway has received ("in") or
+// controlTraffic returns the bytes and messages of a kind that a gateway has received ("in") or
 // sent ("out").
-func (n *gatewayNode) count(direction, kind string) (bytes, messages uint64) {
+func (n *gatewayNode) controlTraffic(direction, kind string) (bytes, messages uint64) {
 	labels := fmt.Sprintf("{direction=%q,kind=%q}", direction, kind)
 	return n.metrics.GetOrCreateCounter("badgerspoke_control_bytes_total" + labels).Get(),
 		n.metrics.GetOrCreateCounter("badgerspoke_control_messages_total" + labels).Get()
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -181,16 +181,16 @@
 		x.rolling(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
-			sent, reports := n.count("out", "usage")
-			got, lists := n.count("in", "rollouts")
+			sent, reports := n.controlTraffic("out", "usage")
+			got, lists := n.controlTraffic("in", "rollouts")
 			time.Sleep(4 * time.Second)
-			sentThen, reportsThen := n.count("out", "usage")
-			gotThen, listsThen := n.count("in", "rollouts")
+			sentThen, reportsThen := n.controlTraffic("out", "usage")
+			gotThen, listsThen := n.controlTraffic("in", "rollouts")
 			_, after := x.awaitRolloutEnd(v)
 			time.Sleep(rolloutTime - after)
-			sentEnd, reportsEnd := n.count("out", "usage")
+			sentEnd, reportsEnd := n.controlTraffic("out", "usage")
 			time.Sleep(4 * time.Second)
-			sentLast, reportsLast := n.count("out", "usage")
+			sentLast, reportsLast := n.controlTraffic("out", "usage")
 			under, without := (sentThen-sent)/(reportsThen-reports), (sentLast-sentEnd)/(reportsLast-reportsEnd)
 			x.t.Logf("a report has %d bytes under way and %d without; %d lists in 4 s, %d bytes each",
 				under, without, listsThen-lists, (gotThen-got)/max(listsThen-lists, 1))
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -68,9 +68,9 @@
 		time.Sleep(500 * time.Millisecond)
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
-			_, sessions := n.count("out", "watch")
+			_, sessions := n.controlTraffic("out", "watch")
 			is.True(sessions <= 3) // until the leader was found
-			bytes, messages := n.count("in", "backends")
+			bytes, messages := n.controlTraffic("in", "backends")
 			is.True(messages < 30)
 			is.True(bytes < 100*servers) // one registration is about 50
 		}
@@ -98,7 +98,7 @@
 		time.Sleep(8 * time.Second)
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
-			_, sessions := n.count("out", "watch")
+			_, sessions := n.controlTraffic("out", "watch")
 			is.True(sessions <= 3) // until the leader was found
 		}
 	})
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -147,7 +147,7 @@
 		time.Sleep(4 * time.Second)
 		opened := func() (n uint64) {
 			for _, ip := range cutOff {
-				_, watches := c.fleet.gateways[ip].count("out", "watch")
+				_, watches := c.fleet.gateways[ip].controlTraffic("out", "watch")
 				n += watches
 			}
 			return n
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -230,7 +230,7 @@
 // listBytes returns how many bytes of lists each gateway was sent.
 func (c *crowd) listBytes() (all []uint64) {
 	for i := range c.gateways {
-		bytes, _ := c.fleet.gateways[fmt.Sprintf("10.0.2.%d", i+1)].count("in", "backends")
+		bytes, _ := c.fleet.gateways[fmt.Sprintf("10.0.2.%d", i+1)].controlTraffic("in", "backends")
 		all = append(all, bytes)
 	}
 	return all
