--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -25,10 +25,10 @@
 
 // scene is what a rollout runs in.
 type scene struct {
-	document document.Held
-	load     func(gateway string) // starts it, and its requests
-	announce func()               // of the servers, once in each interval
-	without  bool                 // no rollout is ordered
+	document  document.Held
+	load      func(gateway string) // starts it, and its requests
+	announce  func()               // of the servers, once in each interval
+	noRollout bool                 // no rollout is ordered
 }
 
 // rollingIn does what rolling does, in a scene.
@@ -44,7 +44,7 @@
 	v.mu.Lock()
 	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
 	v.mu.Unlock()
-	if !s.without {
+	if !s.noRollout {
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	}
 	v.mu.Lock()
