--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -31,8 +31,8 @@
 	noRollout bool                 // no rollout is ordered
 }
 
-// rollingIn does what rolling does, in a scene.
-func (x *fleet) rollingIn(v *versionedServers, s scene, f func()) {
+// runScenario does what rolling does, in a scene.
+func (x *fleet) runScenario(v *versionedServers, s scene, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
 	stop := x.keeping(s.announce)
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -150,7 +150,7 @@
 				x.announceAs(registry.Announcement{Registration: r})
 			}
 		}}
-		x.rollingIn(v, s, func() {
+		x.runScenario(v, s, func() {
 			f(x)
 			time.Sleep(rolloutTime - time.Since(v.orderedAt))
 			e.mu.Lock()
