--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -53,8 +53,8 @@
 	f()
 }
 
-// evenly starts gateways with a request in each period.
-func (x *fleet) evenly(server gateway.Transport, period time.Duration) func(ip string) {
+// steadyLoad starts gateways with a request in each period.
+func (x *fleet) steadyLoad(server gateway.Transport, period time.Duration) func(ip string) {
 	return func(ip string) { x.startLoadedGateway(ip, server, period) }
 }
 
