--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -236,7 +236,7 @@
 		var life atomic.Uint64 // of b1, which runs the version of this number
 		life.Store(1)
 		seqs := map[string]uint64{}
-		stop := x.keeping(func() {
+		stop := x.announceRepeatedly(func() {
 			d := x.leaderDirectory()
 			if d == nil {
 				return
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -290,7 +290,7 @@
 		kind = document.Stream
 	}
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(1, kind)))
-	stop := x.keeping(m.announce)
+	stop := x.announceRepeatedly(m.announce)
 	defer stop()
 	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
 	for i := range gateways {
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -35,7 +35,7 @@
 func (x *fleet) runScenario(v *versionedServers, s scene, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
-	stop := x.keeping(s.announce)
+	stop := x.announceRepeatedly(s.announce)
 	defer stop()
 	for i := range 3 {
 		s.load(rolloutGateway(i))
@@ -65,8 +65,8 @@
 	return v.minHeadroom
 }
 
-// keeping calls announce in each interval, until stop.
-func (x *fleet) keeping(announce func()) (stop func()) {
+// announceRepeatedly calls announce in each interval, until stop.
+func (x *fleet) announceRepeatedly(announce func()) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
