--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -79,7 +79,7 @@
 				c := &coldStarting{counted: newCounted(v)}
 				x.runScenario(v, scene{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
-						x.announceAs(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
+						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -87,9 +87,9 @@
 	return protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}
 }
 
-// announceAs announces a server of the target only once a rollout is under way: without one it
+// announceVersioned announces a server of the target only once a rollout is under way: without one it
 // would get its part of the requests.
-func (x *fleet) announceAs(a registry.Announcement) {
+func (x *fleet) announceVersioned(a registry.Announcement) {
 	d := x.leaderDirectory()
 	if d == nil {
 		return
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -147,7 +147,7 @@
 			for n := range 6 {
 				r := versionedServer(n + 1)
 				r.Slots = engineSlots
-				x.announceAs(registry.Announcement{Registration: r})
+				x.announceVersioned(registry.Announcement{Registration: r})
 			}
 		}}
 		x.runScenario(v, s, func() {
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -58,7 +58,7 @@
 		s := versionedServer(n)
 		s.Hall = r.halls[n]
 		if r.halls[n] != "" && (!r.cut.Load() || r.halls[n] == region) {
-			r.x.announceAs(registry.Announcement{Registration: s})
+			r.x.announceVersioned(registry.Announcement{Registration: s})
 		}
 	}
 }
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -22,7 +22,7 @@
 		for n := 1; n < len(halls); n++ {
 			r := versionedServer(n)
 			r.Hall = halls[n]
-			x.announceAs(registry.Announcement{Registration: r})
+			x.announceVersioned(registry.Announcement{Registration: r})
 		}
 	}}, func() { f(c) })
 }
