--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -45,8 +45,8 @@
 	if !cold {
 		return c.counted.Send(ctx, at, call)
 	}
-	c.reached.record(at)
-	_, lately := c.reached.countSince(at, time.Now().Add(-time.Second))
+	c.arrivalLog.record(at)
+	_, lately := c.arrivalLog.countSince(at, time.Now().Add(-time.Second))
 	if !sleep.For(ctx, 80*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
@@ -87,7 +87,7 @@
 					is.True(after <= rolloutTime)
 					time.Sleep(coldTime - time.Since(v.orderedAt))
 					for n := 4; n <= 9; n += 2 {
-						all, most := c.reached.countSince(address(fmt.Sprint("b", n)), v.orderedAt)
+						all, most := c.arrivalLog.countSince(address(fmt.Sprint("b", n)), v.orderedAt)
 						x.t.Logf("ended after %v; cold server b%d got %d, %d in one second", after, n, all, most)
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -107,22 +107,22 @@
 // counted counts what reaches each server of a versioned.
 type counted struct {
 	*versionedServers
-	reached *arrivals
+	arrivalLog *arrivals
 }
 
 func newCounted(v *versionedServers) counted {
-	return counted{versionedServers: v, reached: &arrivals{at: map[string][]time.Time{}}}
+	return counted{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
 }
 
 func (c counted) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	c.reached.record(at)
+	c.arrivalLog.record(at)
 	return c.versionedServers.Send(ctx, at, call)
 }
 
 // sinceAll returns how many requests came to some servers, by their numbers, after a time.
 func (c counted) sinceAll(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
-		all, _ := c.reached.countSince(address(fmt.Sprint("b", i)), from)
+		all, _ := c.arrivalLog.countSince(address(fmt.Sprint("b", i)), from)
 		n += all
 	}
 	return n
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -29,7 +29,7 @@
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	h.reached.record(call.Header.Get("Id") + at)
+	h.arrivalLog.record(call.Header.Get("Id") + at)
 	return h.from.Send(ctx, at, call)
 }
 
@@ -94,7 +94,7 @@
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
 					at := func(route, server string, from time.Time) int {
-						n, _ := r.reached.countSince(route+address(server), from)
+						n, _ := r.arrivalLog.countSince(route+address(server), from)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
