--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -119,8 +119,8 @@
 	return c.versionedServers.Send(ctx, at, call)
 }
 
-// sinceAll returns how many requests came to some servers, by their numbers, after a time.
-func (c counted) sinceAll(from time.Time, servers ...int) (n int) {
+// requestsSince returns how many requests came to some servers, by their numbers, after a time.
+func (c counted) requestsSince(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
 		all, _ := c.arrivalLog.countSince(address(fmt.Sprint("b", i)), from)
 		n += all
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -65,7 +65,7 @@
 
 // among counts what reached some servers between two moments.
 func (r *regional) among(begin, end time.Time, servers ...int) int {
-	return r.sinceAll(begin, servers...) - r.sinceAll(end, servers...)
+	return r.requestsSince(begin, servers...) - r.requestsSince(end, servers...)
 }
 
 // rollingOver is a rollout with two gateways in the north and one in the south.
@@ -178,7 +178,7 @@
 	if inTouch := joined.Add(contact); inTouch.After(both) {
 		both = inTouch
 	}
-	is.Equal(r.sinceAll(both, left...), 0)
+	is.Equal(r.requestsSince(both, left...), 0)
 }
 
 // TestRolloutOverTwoRegions: once complete is said, no gateway sends to old servers, wherever it
@@ -193,8 +193,8 @@
 			is.Equal(state, document.RolloutComplete)
 			is.True(after < 10*time.Second)
 			time.Sleep(2 * time.Second)
-			is.Equal(r.sinceAll(end.Add(propagationTime), 1, 2, 3), 0)
-			is.True(r.sinceAll(end, 6) > 50)
+			is.Equal(r.requestsSince(end.Add(propagationTime), 1, 2, 3), 0)
+			is.True(r.requestsSince(end, 6) > 50)
 		})
 	})
 }
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -65,7 +65,7 @@
 						time.Sleep(3 * time.Second)
 						for n, hall := range test.halls {
 							if hall == "hall-a" {
-								is.Equal(c.sinceAll(out.Add(propagationTime), n), 0)
+								is.Equal(c.requestsSince(out.Add(propagationTime), n), 0)
 							}
 						}
 						target, old := v.arrivalsAfter(end.Add(propagationTime))
@@ -90,7 +90,7 @@
 			time.Sleep(3 * time.Second)
 			var tried []int
 			for n := 4; n <= 6; n++ {
-				if c.sinceAll(v.orderedAt, n) > 0 {
+				if c.requestsSince(v.orderedAt, n) > 0 {
 					tried = append(tried, n)
 				}
 			}
@@ -104,7 +104,7 @@
 			is.Equal(state, document.RolloutComplete)
 			is.True(after <= rolloutTime)
 			time.Sleep(2 * time.Second)
-			is.Equal(c.sinceAll(out.Add(propagationTime), tried...), 0)
+			is.Equal(c.requestsSince(out.Add(propagationTime), tried...), 0)
 		})
 	})
 }
