--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -112,14 +112,14 @@
 			Seeds:    seeds, Headers: idHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
-		x.request(g, "early")
+		x.sendRequest(g, "early")
 		x.putDocument(7)
 		for range 3 {
 			is.New(t).NoErr(x.announce("b1", false))
 			time.Sleep(interval)
 		}
 		for _, id := range []string{"done", "lost", "refused", "hangs", "unreachable"} {
-			x.request(g, id)
+			x.sendRequest(g, id)
 			time.Sleep(interval / 2)
 			synctest.Wait()
 		}
@@ -147,8 +147,8 @@
 	return out
 }
 
-// request sends a request with an identifier.
-func (x *fleet) request(g *gateway.Gateway, id string) {
+// sendRequest sends a sendRequest with an identifier.
+func (x *fleet) sendRequest(g *gateway.Gateway, id string) {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/", strings.NewReader("a body"))
 	r.Host = "h"
 	r.Header.Set("Id", id)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -80,7 +80,7 @@
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
 	return x.startGatewayWithLoad(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
-			asking.Go(func() { x.request(g, "r") })
+			asking.Go(func() { x.sendRequest(g, "r") })
 		}
 	})
 }
