--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -39,9 +39,9 @@
 // virtual time, on a network and disks in memory.
 
 const (
-	latency  = 1500 * time.Microsecond
-	interval = time.Second // between announcements
-	voters   = 5
+	networkLatency = 1500 * time.Microsecond
+	interval       = time.Second // between announcements
+	voters         = 5
 )
 
 // exposure bounds what a bad version may get.
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		x := &fleet{
 			wanted: wanted,
-			t:      t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, uint64(n))),
+			t:      t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, uint64(n))),
 			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, announceSeqs: map[string]uint64{},
 		}
 		for i := range min(n, 3) {
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -87,7 +87,7 @@
 // and is marked as leaving.
 func record(t *testing.T) (out told) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &fleet{t: t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, announceSeqs: map[string]uint64{}}
+		x := &fleet{t: t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, announceSeqs: map[string]uint64{}}
 		start := func() (*decision.Log, *metrics.Set, *bytes.Buffer) {
 			var to bytes.Buffer
 			set := metrics.NewSet()
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -166,7 +166,7 @@
 
 // Refuses implements gateway.Server.
 func (m *mortals) Refuses(ctx context.Context, at string) bool {
-	return sleep.For(ctx, latency) && !m.at(at).up
+	return sleep.For(ctx, networkLatency) && !m.at(at).up
 }
 
 func (m *mortals) at(at string) process {
@@ -177,7 +177,7 @@
 
 // Send implements gateway.Server.
 func (m *mortals) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	if !sleep.For(ctx, latency) {
+	if !sleep.For(ctx, networkLatency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
 	}
 	p := m.at(at)
