--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -85,7 +85,7 @@
 		time.Sleep(2 * time.Second)
 		back := time.Now()
 		x.orderHall("hall-a", false)
-		time.Sleep(2*interval - 50*time.Millisecond)
+		time.Sleep(2*announceInterval - 50*time.Millisecond)
 		all, most := a.countSince(address("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -39,9 +39,9 @@
 // virtual time, on a network and disks in memory.
 
 const (
-	networkLatency = 1500 * time.Microsecond
-	interval       = time.Second // between announcements
-	voters         = 5
+	networkLatency   = 1500 * time.Microsecond
+	announceInterval = time.Second // between announcements
+	voters           = 5
 )
 
 // exposure bounds what a bad version may get.
@@ -143,7 +143,7 @@
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: interval, Rollouts: exposure,
+		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: announceInterval, Rollouts: exposure,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
 	})
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -99,7 +99,7 @@
 		disk := fakedisk.New(1)
 		d, err := directory.Start(ctx, directory.Settings{
 			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.Box("10.0.1.1").DialContext},
-			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, Interval: interval, Random: x.random, Log: directoryLog, Metrics: directorySet,
+			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, Interval: announceInterval, Random: x.random, Log: directoryLog, Metrics: directorySet,
 		})
 		is.New(t).NoErr(err)
 		stop := x.serve(seeds[0], d)
@@ -116,18 +116,18 @@
 		x.putDocument(7)
 		for range 3 {
 			is.New(t).NoErr(x.announce("b1", false))
-			time.Sleep(interval)
+			time.Sleep(announceInterval)
 		}
 		for _, id := range []string{"done", "lost", "refused", "hangs", "unreachable"} {
 			x.sendRequest(g, id)
-			time.Sleep(interval / 2)
+			time.Sleep(announceInterval / 2)
 			synctest.Wait()
 		}
 		is.New(t).NoErr(d.StartRollout(t.Context(), rollout.Order{Pool: "p", Target: "v2", Duration: time.Hour}))
-		time.Sleep(interval) // for the leader to see it begin
+		time.Sleep(announceInterval) // for the leader to see it begin
 		is.New(t).NoErr(d.AbortRollout(t.Context(), "p", 1))
 		is.New(t).NoErr(x.announce("b1", true))
-		time.Sleep(5 * interval)
+		time.Sleep(5 * announceInterval)
 		stop()
 		x.net.Kill("10.0.1.1")
 		time.Sleep(5 * time.Second)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			for _, id := range slices.Sorted(maps.Keys(halls)) {
 				_ = x.announceIn(id, halls[id], 0) // whoever does not lead any more refuses it
 			}
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -50,7 +50,7 @@
 func (l *life) beat(times int) {
 	for range times {
 		l.announce(false)
-		time.Sleep(interval)
+		time.Sleep(announceInterval)
 	}
 }
 
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -87,10 +87,10 @@
 		var announcing sync.WaitGroup
 		for i := range servers {
 			announcing.Go(func() {
-				time.Sleep(time.Duration(i) * interval / servers)
+				time.Sleep(time.Duration(i) * announceInterval / servers)
 				for seq := uint64(1); ctx.Err() == nil; seq++ {
 					is.NoErr(relays[i%2].d.Announce(x.t.Context(), manyServer(i, seq)))
-					sleep.For(ctx, interval)
+					sleep.For(ctx, announceInterval)
 				}
 			})
 		}
@@ -158,10 +158,10 @@
 	var announcing sync.WaitGroup
 	for i := range servers {
 		announcing.Go(func() {
-			sleep.For(ctx, time.Duration(i)*interval/time.Duration(servers))
+			sleep.For(ctx, time.Duration(i)*announceInterval/time.Duration(servers))
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				x.announceAnywhere(ctx, i, seq)
-				sleep.For(ctx, interval)
+				sleep.For(ctx, announceInterval)
 			}
 		})
 	}
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			announce()
 		}
 	})
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -167,7 +167,7 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			for i := range 6 {
 				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(address(id)) {
 					x.announceVersion(id, versions[i/3])
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -192,7 +192,7 @@
 				if l := c.leaderDirectory(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
 					return
 				}
-				time.Sleep(interval)
+				time.Sleep(announceInterval)
 			}
 		}()
 	}
