--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -44,8 +44,8 @@
 	voters           = 5
 )
 
-// exposure bounds what a bad version may get.
-var exposure = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
+// rolloutBounds bounds what a bad version may get.
+var rolloutBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
 
 var fleetKey = []byte("a key that all nodes share")
 
@@ -143,7 +143,7 @@
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: announceInterval, Rollouts: exposure,
+		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: announceInterval, Rollouts: rolloutBounds,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
 	})
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -164,7 +164,7 @@
 							is.Equal(target, 0)
 							is.True(old > 400)
 							is.True(room >= 0)
-							is.True(late < exposure.RollbackTime)
+							is.True(late < rolloutBounds.RollbackTime)
 						})
 					})
 				})
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -52,7 +52,7 @@
 				slow.disk.SyncTime(takes)
 				after, refused := x.ordered(orderTo("v2"))
 				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.awaitLeader() != slow)
-				is.True(after < exposure.RepeatWindow)
+				is.True(after < rolloutBounds.RepeatWindow)
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 				}
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -42,7 +42,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), rolloutBounds.Slack
 	v.mu.Unlock()
 	if !s.noRollout {
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -73,7 +73,7 @@
 		v.first = address
 	}
 	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
-	v.minHeadroom = min(v.minHeadroom, exposure.Share*of+exposure.Slack-sent)
+	v.minHeadroom = min(v.minHeadroom, rolloutBounds.Share*of+rolloutBounds.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
@@ -146,7 +146,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), rolloutBounds.Slack
 	v.mu.Unlock()
 	is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	v.mu.Lock()
