--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -19,7 +19,7 @@
 // does not lead reaches the gateways as well, also after the leader is lost; a replica
 // that cannot reach the leader says so within the time that the backend server waits.
 func TestAnyReplicaTakesAnnouncements(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		g := x.gateway("10.0.2.1")
@@ -68,7 +68,7 @@
 // TestVersionsReachTheLog: the version of a backend server is known to the next leader, at
 // whichever replica the server announced itself.
 func TestVersionsReachTheLog(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		var want []protocol.Registration
 		for i, ip := range x.ips {
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -26,7 +26,7 @@
 // they would get most, and loses the leader meanwhile. No cold server gets more than its
 // rate in any second, and together they get a good part of what they bear.
 func TestColdHallGetsWhatItBears(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
 		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
@@ -69,7 +69,7 @@
 
 // TestHallThatReturnsIsTakenForCold: its servers may have become cold while nobody saw it.
 func TestHallThatReturnsIsTakenForCold(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
 		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -18,7 +18,7 @@
 // gateways too, right after changes were acknowledged. Nothing acknowledged is lost, and all is
 // served again.
 func TestDisksAndAllPowerAreLost(t *testing.T) {
-	inFleet(t, voters, func(x *fleet) {
+	withFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -20,7 +20,7 @@
 // This file tests what operators, backend servers and gateways may rely on.
 
 func TestPutAndRead(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader().d
 		_, err := l.Read(x.t.Context())
@@ -35,7 +35,7 @@
 }
 
 func TestInvalidDocumentChangesNothing(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader().d
 		is.NoErr(l.Put(x.t.Context(), held(7)))
@@ -51,7 +51,7 @@
 }
 
 func TestFollowersNameTheLeader(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		for ip, n := range x.nodes {
@@ -71,7 +71,7 @@
 // accept a newer document. The old leader must not answer with the older one,
 // at any moment.
 func TestCutOffLeaderNeverReadsOld(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		old := x.awaitLeader()
 		x.putDocument(1)
@@ -104,7 +104,7 @@
 // TestAcknowledgedSurvivesPowerLoss crashes every disk right after an
 // acknowledgement.
 func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 5; round++ {
 			x.putDocument(round)
@@ -123,7 +123,7 @@
 // TestTwoDisksLostAfterAcknowledgement wipes two of five right after an
 // acknowledgement, the leader among them, while the others lose power.
 func TestTwoDisksLostAfterAcknowledgement(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 4; round++ {
 			x.putDocument(round)
@@ -153,7 +153,7 @@
 // followers alone; the leader and one of them lose their disks while every other machine
 // loses power, replicas that do not vote and gateways too. What is left of it is one disk.
 func TestOneHolderOutlivesAllPower(t *testing.T) {
-	inFleet(t, 7, func(x *fleet) { // five vote
+	withFleet(t, 7, func(x *fleet) { // five vote
 		is := is.New(x.t)
 		x.gateway("10.0.2.1")
 		for round := uint64(1); round <= 8; round++ {
@@ -192,7 +192,7 @@
 }
 
 func TestDepartureIsForGood(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
 		x.putDocument(1)
@@ -215,7 +215,7 @@
 }
 
 func TestInvalidAnnouncementIsRefused(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		err := x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{
 			Registration: protocol.Registration{ID: "b1", Pool: "p", Address: "nowhere"},
 		})
@@ -226,7 +226,7 @@
 // TestGatewayFollows checks that a document is in force at every gateway soon
 // after its acknowledgement, also while leaders die.
 func TestGatewayFollows(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for _, ip := range []string{"10.0.2.1", "10.0.2.2", "10.0.2.3"} {
 			x.gateway(ip)
@@ -264,7 +264,7 @@
 
 // TestGatewayKeepsBackendsOverANewLeader: a new leader knows nobody at first.
 func TestGatewayKeepsBackendsOverANewLeader(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
 		x.putDocument(1)
@@ -282,7 +282,7 @@
 // TestBackendsOutliveAllPower: after every machine has lost power, gateways
 // know the backend servers again before these have spoken.
 func TestBackendsOutliveAllPower(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
@@ -303,7 +303,7 @@
 // TestGatewayWhoseLeaderIsCutOff: the link to a leader that is cut off in
 // silence stays open; the gateway must notice and find the next leader.
 func TestGatewayWhoseLeaderIsCutOff(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
 		x.putDocument(1)
@@ -321,7 +321,7 @@
 // TestGatewayWithCutSeeds starts a gateway whose seeds are all cut off but
 // one, which does not lead.
 func TestGatewayWithCutSeeds(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		x.net.Cut("10.0.1.1")
@@ -336,7 +336,7 @@
 // TestReplacedMachine takes a replica away for good; an empty one at another
 // address takes its place, and then the group bears two more losses.
 func TestReplacedMachine(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		x.nodes["10.0.1.5"].kill()
@@ -356,7 +356,7 @@
 // TestFullDiskStopsTheReplica: what cannot be written is not acknowledged, and
 // the others go on.
 func TestFullDiskStopsTheReplica(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		l := x.awaitLeader()
@@ -371,7 +371,7 @@
 }
 
 func TestStopHandsOver(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		l := x.awaitLeader()
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -24,7 +24,7 @@
 func TestCompleteIsAnnounced(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.rolling(v, func() {
@@ -90,7 +90,7 @@
 func TestSwitchOutlivesTheLeader(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.rolling(v, func() {
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -87,8 +87,8 @@
 	kill    context.CancelFunc
 }
 
-// inFleet runs f with n directory replicas that have formed their group.
-func inFleet(t *testing.T, n int, f func(x *fleet)) { inFleetOf(t, n, voters, f) }
+// withFleet runs f with n directory replicas that have formed their group.
+func withFleet(t *testing.T, n int, f func(x *fleet)) { inFleetOf(t, n, voters, f) }
 
 // inFleetOf does the same with a number of replicas that vote.
 func inFleetOf(t *testing.T, n, wanted int, f func(x *fleet)) {
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -132,7 +132,7 @@
 }
 
 func TestHallOrdersAreChecked(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "nowhere"), error(directory.UnknownHall{Hall: "nowhere"}))
@@ -157,7 +157,7 @@
 // TestHallOutGetsNothing takes a hall out under load, while gateways come, restart and lose
 // the leader: nothing reaches its servers, until it is put back.
 func TestHallOutGetsNothing(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-a", "b3": "hall-b"}
@@ -212,7 +212,7 @@
 // TestOrderOfAHallIsForGood loses all power, and two of five disks, right after orders
 // were acknowledged.
 func TestOrderOfAHallIsForGood(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		is.NoErr(x.announceIn("b1", "hall-a", 0))
 		time.Sleep(time.Second)
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -105,7 +105,7 @@
 // TestLeaderWithASlowDisk: a leader whose disk has become slow hands over to one whose has not.
 func TestLeaderWithASlowDisk(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		for _, n := range x.nodes {
 			n.disk.SyncTime(5 * time.Millisecond)
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -90,7 +90,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				x.putDocument(1)
 				earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
@@ -155,7 +155,7 @@
 // TestVersionsWithoutLives: a gateway that takes the name for the identifier, as versions before
 // did, has the server that is listed under it, and none once that has departed.
 func TestVersionsWithoutLives(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
 		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
@@ -199,7 +199,7 @@
 // TestLifeInAHallOutOfService: a server that starts again in a hall that is out of service gets
 // nothing, and one that starts again in another hall does.
 func TestLifeInAHallOutOfService(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
@@ -229,7 +229,7 @@
 // TestLifeOfAnotherVersion: a server of the old version that starts again with a rollout's target
 // belongs to that from then on.
 func TestLifeOfAnotherVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -101,7 +101,7 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(10, 100*time.Millisecond)
 				if fault.m != nil {
@@ -127,7 +127,7 @@
 // TestManyDeadlyRequests: a new one each second ends three servers each, and does not
 // make room for those that were condemned before.
 func TestManyDeadlyRequests(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(12, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -153,7 +153,7 @@
 
 // TestTwoDeadlyRequestsAtOnce: each is stopped, though both are at some ends together.
 func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -186,7 +186,7 @@
 		servers, together := tt.servers, tt.together
 		t.Run(fmt.Sprintf("%d of %d %v", together, servers, tt.run), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(servers, tt.run)
 				x.withCallers(m, 4, func(c *callers) {
@@ -214,7 +214,7 @@
 // TestConnectionsThatBreak: a request whose connection breaks each time, while its server goes on,
 // ends nothing and is tried each time.
 func TestConnectionsThatBreak(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
@@ -231,7 +231,7 @@
 // TestRefusalOfDeadlyRequest: its caller gets an answer at once that tells it not to come back, and
 // what it asks for besides is served.
 func TestRefusalOfDeadlyRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -275,7 +275,7 @@
 // TestReleaseOfACondemnedRequest: an operator lists it and lets it go again; it is condemned again
 // after three more ends.
 func TestReleaseOfACondemnedRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -21,7 +21,7 @@
 	for _, at := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(6, 250*time.Millisecond)
 				m.target = 4
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -28,7 +28,7 @@
 // three are begun later than the contact time after the third end; it is stopped after four ends
 // at the most, and what else is asked for is served.
 func TestRequestThatEndsServers(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestRolloutOrdersAreChecked(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l, ctx := x.awaitLeader(), x.t.Context()
 		is.Equal(l.d.StartRollout(ctx, orderTo("v2")), error(directory.UnknownPool{Pool: "p"}))
@@ -85,7 +85,7 @@
 
 // TestDocumentNamesPools: the servers of a pool need not be there yet.
 func TestDocumentNamesPools(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
@@ -98,7 +98,7 @@
 // TestOneRolloutAtATime gives orders while one is under way, after its end, and after the time
 // for which orders are repeated.
 func TestOneRolloutAtATime(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		attempt := func(n uint64, target string, state document.RolloutState) {
@@ -187,7 +187,7 @@
 		},
 	} {
 		t.Run(how, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				x.putDocument(1)
 				for n := uint64(1); n <= 3; n++ {
@@ -213,7 +213,7 @@
 // TestCopyReachesTheNextLeader: an order is taken and its rollout rolled back, and the leader is
 // lost. The next one, to which the order never came, takes a repeat for a copy.
 func TestCopyReachesTheNextLeader(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
@@ -228,7 +228,7 @@
 // TestOrdersAtOnce gives many orders at once: copies of two, for two versions, at every replica.
 // One rollout begins, and what was acknowledged is what is under way.
 func TestOrdersAtOnce(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		var mu sync.Mutex
@@ -269,7 +269,7 @@
 // TestMinorityRefusesRollouts: a leader that is cut off acknowledges nothing and reads nothing
 // old, while the others go on.
 func TestMinorityRefusesRollouts(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
@@ -316,7 +316,7 @@
 
 // TestCommandsAboutRollouts gives orders on fleet links, at the leader and elsewhere.
 func TestCommandsAboutRollouts(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
@@ -356,7 +356,7 @@
 
 // TestCommandThatHasGone: an order that comes when its command has closed the link changes nothing.
 func TestCommandThatHasGone(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		x.putDocument(1)
@@ -373,7 +373,7 @@
 // TestOrderNamesGatewaysWithoutRollouts: a gateway says whether its version knows rollouts when
 // it opens its session.
 func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		for i, knows := range []bool{true, false} {
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -62,7 +62,7 @@
 		for _, at := range faultTimes {
 			t.Run(fmt.Sprint(fault.name, " ", at), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, 5, func(x *fleet) {
+				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{}
 					x.rolling(v, func() {
@@ -89,7 +89,7 @@
 
 // TestUnnamedVersion: as any other; servers that name none are replaced as well.
 func TestUnnamedVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{unnamed: true}
 		x.rolling(v, func() {
@@ -110,7 +110,7 @@
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
-				inFleet(t, 3, func(x *fleet) {
+				withFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{gone: at, allGone: all}
 					x.rolling(v, func() {
@@ -147,7 +147,7 @@
 			for _, at := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 4500 * time.Millisecond} {
 				t.Run(fmt.Sprint(version.name, " ", fault.name, " ", at), func(t *testing.T) {
 					t.Parallel()
-					inFleet(t, 5, func(x *fleet) {
+					withFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
 						v := &versionedServers{fails: version.fails}
 						x.rolling(v, func() {
@@ -175,7 +175,7 @@
 
 // TestRolloutBytes measures what a rollout adds to a gateway's session, in the trial.
 func TestRolloutBytes(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		x.rolling(v, func() {
@@ -203,7 +203,7 @@
 // TestRolloutsComeFirst: a gateway that has just started knows what is barred before it knows
 // any server.
 func TestRolloutsComeFirst(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
@@ -227,7 +227,7 @@
 func TestCompleteWaits(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.rolling(v, func() {
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -22,7 +22,7 @@
 // work. The group elects, takes a document and brings it to its gateways on new ones. That
 // the leader ends silent sessions (registry.ReportSilence) is not seen here.
 func TestConnectionsFallSilent(t *testing.T) {
-	inFleet(t, voters, func(x *fleet) {
+	withFleet(t, voters, func(x *fleet) {
 		is := is.New(x.t)
 		gateways := []*gateway.Gateway{x.gateway("10.0.2.1"), x.gateway("10.0.2.2")}
 		is.NoErr(x.announce("b1", false))
@@ -47,7 +47,7 @@
 // queue holds messages, before many gateways. No session is lost, every gateway knows all
 // soon, and it was sent a list or two, not one for each server.
 func TestManyAnnounceAtOnce(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const gateways, servers = 30, 1200
 		for i := range gateways {
@@ -81,7 +81,7 @@
 // link, so that the whole list takes each of them several times longer than the silence
 // after which a leader is left. None leaves it, or all would come back for ever.
 func TestFleetReturnsOverASlowLink(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const servers, gateways = 1500, 10
 		leader := x.awaitLeader().d
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -73,7 +73,7 @@
 func TestRolloutToColdServers(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				c := &coldStarting{counted: newCounted(v)}
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -45,7 +45,7 @@
 func TestOrderOnASlowDisk(t *testing.T) {
 	for _, takes := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
 		t.Run(takes.String(), func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				x.putDocument(1)
 				slow := x.awaitLeader()
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -133,7 +133,7 @@
 // flood runs a rollout, or none, and the flood in it, and returns the least part of what a
 // covered account asked for that it was served in time.
 func flood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
 			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -50,7 +50,7 @@
 	} {
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " ", at), func(t *testing.T) {
-				inFleet(t, 5, func(x *fleet) {
+				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{fails: test.fails}
 					x.inHalls(v, test.halls, rolloutPeriod, func(c counted) {
@@ -82,7 +82,7 @@
 // TestTrialsHallIsTakenOut: all of the target's servers that the trial goes to stand in the hall;
 // others take their place.
 func TestTrialsHallIsTakenOut(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		halls := [7]string{1: "hall-1", 2: "hall-1", 3: "hall-1", 4: "hall-4", 5: "hall-5", 6: "hall-6"}
@@ -112,7 +112,7 @@
 // TestHallOfAQuietPoolsTarget: so few requests come that they may all go to an untried version;
 // but none of its servers may have any, and the old ones must not stop.
 func TestHallOfAQuietPoolsTarget(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		x.inHalls(v, apartHalls, 3*time.Second, func(c counted) {
