--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -88,10 +88,10 @@
 }
 
 // withFleet runs f with n directory replicas that have formed their group.
-func withFleet(t *testing.T, n int, f func(x *fleet)) { inFleetOf(t, n, voters, f) }
+func withFleet(t *testing.T, n int, f func(x *fleet)) { withFleetVoters(t, n, voters, f) }
 
-// inFleetOf does the same with a number of replicas that vote.
-func inFleetOf(t *testing.T, n, wanted int, f func(x *fleet)) {
+// withFleetVoters does the same with a number of replicas that vote.
+func withFleetVoters(t *testing.T, n, wanted int, f func(x *fleet)) {
 	inFleetWith(t, n, wanted, func(*fleet) {}, f)
 }
 
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -21,7 +21,7 @@
 	for _, n := range []int{3, 5, 7} {
 		for _, how := range []string{"cut", "killed", "wiped", "wiped with one more disk"} {
 			t.Run(fmt.Sprintf("%d replicas %s", n, how), func(t *testing.T) {
-				inFleetOf(t, n, votersOfHalls, func(x *fleet) {
+				withFleetVoters(t, n, votersOfHalls, func(x *fleet) {
 					is := is.New(x.t)
 					time.Sleep(3 * time.Second) // all vote
 					is.Equal(len(x.voters()), n)
