--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -24,7 +24,7 @@
 func inFirstCrowd(t *testing.T, take time.Duration, f func(c *crowd)) {
 	t.Parallel()
 	rate := int(firstGateways * 75 * firstServers / take.Seconds())
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = float64(rate)
 		for i := range voters {
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), rate)
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -92,11 +92,11 @@
 
 // withFleetVoters does the same with a number of replicas that vote.
 func withFleetVoters(t *testing.T, n, wanted int, f func(x *fleet)) {
-	inFleetWith(t, n, wanted, func(*fleet) {}, f)
+	withPreparedFleet(t, n, wanted, func(*fleet) {}, f)
 }
 
-// inFleetWith does the same after prepare, before which nothing runs.
-func inFleetWith(t *testing.T, n, wanted int, prepare, f func(x *fleet)) {
+// withPreparedFleet does the same after prepare, before which nothing runs.
+func withPreparedFleet(t *testing.T, n, wanted int, prepare, f func(x *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &fleet{
 			wanted: wanted,
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -26,7 +26,7 @@
 
 // inRegions runs f in two regions with a link of some bytes a second each way.
 func inRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
 		x.syncTime = 5 * time.Millisecond
 		x.tuning = replica.Tuning{Election: 400 * time.Millisecond, Heartbeat: 80 * time.Millisecond} // as a process has it
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -21,7 +21,7 @@
 // inHalls runs f with two replicas in each of three halls, and gateways in all of them, in a fleet
 // that is large for their links.
 func inHalls(t *testing.T, f func(c *crowd)) {
-	inFleetWith(t, hallReplicas, voters, func(x *fleet) {
+	withPreparedFleet(t, hallReplicas, voters, func(x *fleet) {
 		x.linkRate, x.halls = crowdLink, map[string]string{}
 		for i := range hallReplicas {
 			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallNamed(i)
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -58,7 +58,7 @@
 	for _, goesAlong := range []bool{true, false} {
 		t.Run(fmt.Sprint("the clock goes along: ", goesAlong), func(t *testing.T) {
 			clocks := map[string]*boxClock{}
-			inFleetWith(t, 3, voters, func(x *fleet) {
+			withPreparedFleet(t, 3, voters, func(x *fleet) {
 				x.clocks = map[string]func() time.Duration{}
 				for i := range 3 {
 					ip := fmt.Sprintf("10.0.1.%d", i+1)
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -45,7 +45,7 @@
 
 // inCrowd runs f with replicas whose links have that rate.
 func inCrowd(t *testing.T, n size, f func(c *crowd)) {
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = crowdLink
 		for i := range voters {
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
