--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -17,7 +17,7 @@
 
 // coldHeld is a document whose pool states what cold servers bear.
 func coldHeld(number uint64, rate float64) document.Held {
-	h := held(number)
+	h := testDocument(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -25,9 +25,9 @@
 		l := x.awaitLeader().d
 		_, err := l.Read(x.t.Context())
 		is.True(errors.As(err, new(directory.NoDocument)))
-		is.NoErr(l.Put(x.t.Context(), held(7)))
-		is.NoErr(l.Put(x.t.Context(), held(7))) // again
-		is.NoErr(l.Put(x.t.Context(), held(3))) // an older one comes late
+		is.NoErr(l.Put(x.t.Context(), testDocument(7)))
+		is.NoErr(l.Put(x.t.Context(), testDocument(7))) // again
+		is.NoErr(l.Put(x.t.Context(), testDocument(3))) // an older one comes late
 		h, err := l.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(string(h.Source), "source of 7")
@@ -38,11 +38,11 @@
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader().d
-		is.NoErr(l.Put(x.t.Context(), held(7)))
-		bad := held(8)
+		is.NoErr(l.Put(x.t.Context(), testDocument(7)))
+		bad := testDocument(8)
 		bad.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), bad), new(document.Invalid)))
-		old := held(6)
+		old := testDocument(6)
 		old.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), old), new(document.Invalid))) // refused even when it changes nothing
 		h, _ := l.Read(x.t.Context())
@@ -60,7 +60,7 @@
 			}
 			_, err := n.d.Read(x.t.Context())
 			is.Equal(err, error(directory.NotLeader{Leader: l.ip + ":7400"}))
-			is.Equal(n.d.Put(x.t.Context(), held(1)), error(directory.NotLeader{Leader: l.ip + ":7400"}))
+			is.Equal(n.d.Put(x.t.Context(), testDocument(1)), error(directory.NotLeader{Leader: l.ip + ":7400"}))
 			is.Equal(n.d.Withdraw(x.t.Context(), "b1"), error(directory.NotLeader{Leader: l.ip + ":7400"}))
 			_ = ip
 		}
@@ -82,7 +82,7 @@
 			if !acknowledged {
 				for _, n := range x.nodes {
 					if n != old && n.d.Leads() {
-						is.NoErr(n.d.Put(x.t.Context(), held(2)))
+						is.NoErr(n.d.Put(x.t.Context(), testDocument(2)))
 						acknowledged = true
 					}
 				}
@@ -363,7 +363,7 @@
 		l.disk.Room(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
-		is.True(l.d.Put(ctx, held(2)) != nil)
+		is.True(l.d.Put(ctx, testDocument(2)) != nil)
 		<-l.d.Done()
 		is.True(l.d.Err() != nil)
 		x.putDocument(3)
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -246,7 +246,7 @@
 	return nil
 }
 
-func held(number uint64) document.Held {
+func testDocument(number uint64) document.Held {
 	d := document.Document{
 		Number: number, Pools: []document.Pool{{Name: "p"}},
 		Routes: []document.Route{{
@@ -265,7 +265,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-			err := n.d.Put(ctx, held(number))
+			err := n.d.Put(ctx, testDocument(number))
 			cancel()
 			if err == nil {
 				return
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -23,7 +23,7 @@
 			continue // refused at once
 		}
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := n.d.Put(ctx, held(number))
+		err := n.d.Put(ctx, testDocument(number))
 		cancel()
 		if err == nil {
 			return time.Since(began)
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -266,7 +266,7 @@
 
 // retryDocument has one route, which allows a second attempt.
 func retryDocument(number uint64, kind document.Kind) document.Held {
-	h := held(number)
+	h := testDocument(number)
 	r := &h.Document.Routes[0]
 	r.Kind, r.MaxAttempts, r.Timeout = kind, 2, 2*time.Second
 	return h
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -75,7 +75,7 @@
 				for number := uint64(0); number < 2 && time.Since(began) < suspended; time.Sleep(50 * time.Millisecond) {
 					for ip, n := range x.nodes {
 						if ip != old.ip && n.d.Leads() {
-							is.NoErr(n.d.Put(x.t.Context(), held(2)))
+							is.NoErr(n.d.Put(x.t.Context(), testDocument(2)))
 							number = 2
 						}
 					}
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -121,7 +121,7 @@
 }
 
 func enginesHeld() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	h.Document.Pools[0].Engine = true
 	h.Document.Routes[0].Timeout, h.Document.Routes[0].Objective = 2*time.Second, time.Second
 	for _, name := range append(coveredAccounts, floods) {
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -62,7 +62,7 @@
 
 // homeHeld has route "any", and route "home" whose home is the south.
 func homeHeld() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
 	h.Document.Routes = append(h.Document.Routes, home)
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -121,7 +121,7 @@
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
 				inRegions(t, 1_000_000, func(x *fleet) {
 					v := &versionedServers{fails: test.fails}
-					x.rollingOver(v, held(1), bothHalls, func(r *regional) {
+					x.rollingOver(v, testDocument(1), bothHalls, func(r *regional) {
 						time.Sleep(at)
 						x.leadAfter(test.leader, 0)
 						cutOff(x, v, r, test.state)
@@ -187,7 +187,7 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.rollingOver(v, held(1), bothHalls, func(r *regional) {
+		x.rollingOver(v, testDocument(1), bothHalls, func(r *regional) {
 			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
