--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -28,7 +28,7 @@
 			ctx, cancel := context.WithTimeout(x.t.Context(), 900*time.Millisecond)
 			defer cancel()
 			return n.d.Announce(ctx, registry.Announcement{
-				Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4}, Seq: x.announceSeqs[id],
+				Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4}, Seq: x.announceSeqs[id],
 			})
 		}
 		var ids []string
@@ -73,7 +73,7 @@
 		var want []protocol.Registration
 		for i, ip := range x.ips {
 			id := fmt.Sprint("b", i+1)
-			r := protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4, Version: fmt.Sprint("v", i)}
+			r := protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4, Version: fmt.Sprint("v", i)}
 			is.NoErr(x.nodes[ip].d.Announce(x.t.Context(), registry.Announcement{Registration: r, Seq: 1}))
 			want = append(want, r)
 		}
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -57,7 +57,7 @@
 		synctest.Wait()
 		sum := 0
 		for i := range 21 {
-			all, most := a.countSince(address(fmt.Sprint("b", i+11)), back)
+			all, most := a.countSince(serverAddress(fmt.Sprint("b", i+11)), back)
 			is.True(most <= rate)
 			sum += all
 		}
@@ -86,11 +86,11 @@
 		back := time.Now()
 		x.orderHall("hall-a", false)
 		time.Sleep(2*announceInterval - 50*time.Millisecond)
-		all, most := a.countSince(address("b1"), back)
+		all, most := a.countSince(serverAddress("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
 		time.Sleep(3 * time.Second) // it announces that it is warm
-		_, most = a.countSince(address("b1"), back)
+		_, most = a.countSince(serverAddress("b1"), back)
 		is.True(most > 2*rate)
 	})
 }
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -285,13 +285,13 @@
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
 	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4},
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4},
 		Leaving:      leaving, Seq: x.announceSeqs[id],
 	})
 }
 
-// address of a backend server, by its identifier b1, b2, ….
-func address(id string) string { return "10.0.3." + id[1:] + ":80" }
+// serverAddress of a backend server, by its identifier b1, b2, ….
+func serverAddress(id string) string { return "10.0.3." + id[1:] + ":80" }
 
 // noHeaders is for gateways that get no requests.
 type noHeaders struct{ gateway.HeaderCodec }
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -107,7 +107,7 @@
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
 	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Hall: hall, Slots: 4},
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Hall: hall, Slots: 4},
 		Seq:          x.announceSeqs[id], ColdLeft: cold,
 	})
 }
@@ -183,14 +183,14 @@
 		}
 		time.Sleep(4 * time.Second)
 		for _, id := range []string{"b1", "b2"} {
-			n, _ := a.countSince(address(id), out)
+			n, _ := a.countSince(serverAddress(id), out)
 			is.Equal(n, 0)
 		}
-		n, _ := a.countSince(address("b3"), out)
+		n, _ := a.countSince(serverAddress("b3"), out)
 		is.True(n > 100)
 		x.orderHall("hall-a", false)
 		time.Sleep(2 * time.Second)
-		n, _ = a.countSince(address("b1"), out)
+		n, _ = a.countSince(serverAddress("b1"), out)
 		is.True(n > 10)
 	})
 }
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -62,7 +62,7 @@
 func (x *fleet) startCrashingServers(n int, run time.Duration) *mortals {
 	m := &mortals{x: x, run: run, processes: map[string]*process{}, sent: map[string][]time.Time{}}
 	for i := range n {
-		m.start(address(fmt.Sprint("b", i+1)))
+		m.start(serverAddress(fmt.Sprint("b", i+1)))
 	}
 	return m
 }
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -193,7 +193,7 @@
 					for n := range 20 {
 						var at []string
 						for i := range together {
-							at = append(at, address(fmt.Sprint("b", 1+(n*together+i)%servers)))
+							at = append(at, serverAddress(fmt.Sprint("b", 1+(n*together+i)%servers)))
 						}
 						m.end(at...)
 						time.Sleep(400 * time.Millisecond)
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -40,7 +40,7 @@
 func (c *coldStarting) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
-		cold = cold || at == address(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
+		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
 	}
 	if !cold {
 		return c.counted.Send(ctx, at, call)
@@ -87,7 +87,7 @@
 					is.True(after <= rolloutTime)
 					time.Sleep(coldTime - time.Since(v.orderedAt))
 					for n := 4; n <= 9; n += 2 {
-						all, most := c.arrivalLog.countSince(address(fmt.Sprint("b", n)), v.orderedAt)
+						all, most := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", n)), v.orderedAt)
 						x.t.Logf("ended after %v; cold server b%d got %d, %d in one second", after, n, all, most)
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -84,7 +84,7 @@
 	if n > 3 {
 		version = "v2"
 	}
-	return protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}
+	return protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}
 }
 
 // announceVersioned announces a server of the target only once a rollout is under way: without one it
@@ -122,7 +122,7 @@
 // requestsSince returns how many requests came to some servers, by their numbers, after a time.
 func (c counted) requestsSince(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
-		all, _ := c.arrivalLog.countSince(address(fmt.Sprint("b", i)), from)
+		all, _ := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", i)), from)
 		n += all
 	}
 	return n
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -94,7 +94,7 @@
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
 					at := func(route, server string, from time.Time) int {
-						n, _ := r.arrivalLog.countSince(route+address(server), from)
+						n, _ := r.arrivalLog.countSince(route+serverAddress(server), from)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -40,7 +40,7 @@
 func (f from) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	f.arrivalLog.record(f.region + at)
 	for n, hall := range f.halls {
-		if f.cut.Load() && at == address(fmt.Sprint("b", n)) && hall != f.region {
+		if f.cut.Load() && at == serverAddress(fmt.Sprint("b", n)) && hall != f.region {
 			return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 		}
 	}
@@ -162,8 +162,8 @@
 	is.True(r.among(cut, joined, 1, 2, 4, 5) > 100)
 	is.True(r.among(cut, joined, 3, 6) > 100)
 	for _, n := range []int{4, 5, 6} { // without a leader nobody has a share
-		unled, _ := r.arrivalLog.countSince(south+address(fmt.Sprint("b", n)), cut.Add(lease))
-		ledAgain, _ := r.arrivalLog.countSince(south+address(fmt.Sprint("b", n)), joined)
+		unled, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), cut.Add(lease))
+		ledAgain, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), joined)
 		is.Equal(unled, ledAgain)
 	}
 	left := []int{4, 5, 6}
@@ -171,7 +171,7 @@
 		left = []int{1, 2, 3}
 	}
 	for _, n := range left {
-		inTouch, _ := r.arrivalLog.countSince(north+address(fmt.Sprint("b", n)), end.Add(propagationTime))
+		inTouch, _ := r.arrivalLog.countSince(north+serverAddress(fmt.Sprint("b", n)), end.Add(propagationTime))
 		is.Equal(inTouch, 0)
 	}
 	both := end.Add(propagationTime)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -77,7 +77,7 @@
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
-var address4 = address("b4")
+var address4 = serverAddress("b4")
 
 func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := v.recordArrival(at)
@@ -169,7 +169,7 @@
 	running.Go(func() {
 		for range sleep.Every(ctx, announceInterval) {
 			for i := range 6 {
-				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(address(id)) {
+				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(serverAddress(id)) {
 					x.announceVersion(id, versions[i/3])
 				}
 			}
@@ -193,7 +193,7 @@
 	x.announceSeqs[id]++
 	// Whoever does not lead any more refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
 }
 
