--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -77,7 +77,7 @@
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				c := &coldStarting{counted: newCounted(v)}
-				x.runScenario(v, scene{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
+				x.runScenario(v, rolloutScenario{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
 						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -23,8 +23,8 @@
 // This file defines rollouts that meet something else: servers with halls, cold servers, other
 // loads.
 
-// scene is what a rollout runs in.
-type scene struct {
+// rolloutScenario is what a rollout runs in.
+type rolloutScenario struct {
 	document  document.Held
 	load      func(gateway string) // starts it, and its requests
 	announce  func()               // of the servers, once in each interval
@@ -32,7 +32,7 @@
 }
 
 // runScenario does what rolling does, in a scene.
-func (x *fleet) runScenario(v *versionedServers, s scene, f func()) {
+func (x *fleet) runScenario(v *versionedServers, s rolloutScenario, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
 	stop := x.announceRepeatedly(s.announce)
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -143,7 +143,7 @@
 				e.ask(ctx, asking, g, floods, floodLoad, e.flooded)
 			})
 		}
-		s := scene{document: enginesHeld(), load: load, noRollout: !rolls, announce: func() {
+		s := rolloutScenario{document: enginesHeld(), load: load, noRollout: !rolls, announce: func() {
 			for n := range 6 {
 				r := versionedServer(n + 1)
 				r.Slots = engineSlots
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -76,7 +76,7 @@
 		x.place(ip, regions[ip])
 		x.startLoadedGateway(ip, from{r, regions[ip]}, rolloutPeriod)
 	}
-	x.runScenario(v, scene{document: d, load: load, announce: r.announce}, func() { f(r) })
+	x.runScenario(v, rolloutScenario{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
 
 // bothHalls has servers of both versions in both regions.
