--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -92,7 +92,7 @@
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
 					}
-					is.True(test.fails == nil || leastRoom(v) >= 0)
+					is.True(test.fails == nil || minHeadroom(v) >= 0)
 				})
 			})
 		})
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -58,8 +58,8 @@
 	return func(ip string) { x.startLoadedGateway(ip, server, period) }
 }
 
-// leastRoom returns the least that the bound left, at any moment.
-func leastRoom(v *versionedServers) float64 {
+// minHeadroom returns the least that the bound left, at any moment.
+func minHeadroom(v *versionedServers) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.minHeadroom
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -159,7 +159,7 @@
 			for _, account := range coveredAccounts {
 				least = min(least, float64(e.served[account])/float64(e.asked[account]))
 			}
-			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, leastRoom(v))
+			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, minHeadroom(v))
 		})
 	})
 	return least
@@ -182,7 +182,7 @@
 func TestBadVersionUnderAFlood(t *testing.T) {
 	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
 	flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutRolledBack) })
-	is.New(t).True(leastRoom(v) >= 0)
+	is.New(t).True(minHeadroom(v) >= 0)
 }
 
 func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -89,7 +89,7 @@
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
-					x.t.Logf("ended after %v, %.0f below the bound at least", after, leastRoom(v))
+					x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
@@ -108,7 +108,7 @@
 						is.Equal(at("any", "b1", end.Add(propagationTime))+at("any", "b2", end.Add(propagationTime))+at("any", "b3", end.Add(propagationTime)), 0)
 					} else {
 						is.Equal(at("any", "b4", end.Add(propagationTime))+at("any", "b5", end.Add(propagationTime))+at("any", "b6", end.Add(propagationTime)), 0)
-						is.True(leastRoom(v) >= 0)
+						is.True(minHeadroom(v) >= 0)
 					}
 				})
 			})
