--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -25,7 +25,7 @@
 
 // coldStarting is servers b1 to b9, the target's from b4 on. From the order on those of even
 // numbers are cold: they answer five times slower, and fail what is above their rate.
-type coldStarting struct{ counted }
+type coldStarting struct{ countedServers }
 
 // coldLeft returns for how long a server is cold.
 func (c *coldStarting) coldLeft(n int) time.Duration {
@@ -43,7 +43,7 @@
 		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
 	}
 	if !cold {
-		return c.counted.Send(ctx, at, call)
+		return c.countedServers.Send(ctx, at, call)
 	}
 	c.arrivalLog.record(at)
 	_, lately := c.arrivalLog.countSince(at, time.Now().Add(-time.Second))
@@ -76,7 +76,7 @@
 			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
-				c := &coldStarting{counted: newCounted(v)}
+				c := &coldStarting{countedServers: newCounted(v)}
 				x.runScenario(v, rolloutScenario{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
 						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -104,23 +104,23 @@
 	_ = d.Announce(ctx, a) // whoever does not lead any more refuses it
 }
 
-// counted counts what reaches each server of a versioned.
-type counted struct {
+// countedServers counts what reaches each server of a versioned.
+type countedServers struct {
 	*versionedServers
 	arrivalLog *arrivals
 }
 
-func newCounted(v *versionedServers) counted {
-	return counted{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
+func newCounted(v *versionedServers) countedServers {
+	return countedServers{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
 }
 
-func (c counted) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (c countedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	c.arrivalLog.record(at)
 	return c.versionedServers.Send(ctx, at, call)
 }
 
 // requestsSince returns how many requests came to some servers, by their numbers, after a time.
-func (c counted) requestsSince(from time.Time, servers ...int) (n int) {
+func (c countedServers) requestsSince(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
 		all, _ := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", i)), from)
 		n += all
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -25,7 +25,7 @@
 
 // regional is servers in two regions, each in the hall of its region's name.
 type regional struct {
-	counted
+	countedServers
 	x     *fleet
 	halls [7]string // by the number of the server
 	cut   atomic.Bool
@@ -44,7 +44,7 @@
 			return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 		}
 	}
-	return f.counted.Send(ctx, at, call)
+	return f.countedServers.Send(ctx, at, call)
 }
 
 // announce announces the servers that reach the leader.
@@ -70,7 +70,7 @@
 
 // rollingOver is a rollout with two gateways in the north and one in the south.
 func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
-	r := &regional{counted: newCounted(v), x: x, halls: halls}
+	r := &regional{countedServers: newCounted(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -16,7 +16,7 @@
 // This file tests rollouts together with data halls that are taken out of service.
 
 // inHalls is a rollout of which each server stands in a hall.
-func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c counted)) {
+func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c countedServers)) {
 	c := newCounted(v)
 	x.runScenario(v, rolloutScenario{document: testDocument(1), load: x.steadyLoad(c, period), announce: func() {
 		for n := 1; n < len(halls); n++ {
@@ -53,7 +53,7 @@
 				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{fails: test.fails}
-					x.inHalls(v, test.halls, rolloutPeriod, func(c counted) {
+					x.inHalls(v, test.halls, rolloutPeriod, func(c countedServers) {
 						time.Sleep(at)
 						x.orderHall("hall-a", true)
 						out := time.Now()
@@ -86,7 +86,7 @@
 		is := is.New(x.t)
 		v := &versionedServers{}
 		halls := [7]string{1: "hall-1", 2: "hall-1", 3: "hall-1", 4: "hall-4", 5: "hall-5", 6: "hall-6"}
-		x.inHalls(v, halls, rolloutPeriod, func(c counted) {
+		x.inHalls(v, halls, rolloutPeriod, func(c countedServers) {
 			time.Sleep(3 * time.Second)
 			var tried []int
 			for n := 4; n <= 6; n++ {
@@ -115,7 +115,7 @@
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.inHalls(v, apartHalls, 3*time.Second, func(c counted) {
+		x.inHalls(v, apartHalls, 3*time.Second, func(c countedServers) {
 			time.Sleep(time.Second)
 			x.orderHall("hall-a", true)
 			state, after := x.awaitRolloutEnd(v)
