--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -76,7 +76,7 @@
 			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
-				c := &coldStarting{countedServers: newCounted(v)}
+				c := &coldStarting{countedServers: newCountedServers(v)}
 				x.runScenario(v, rolloutScenario{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
 						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -110,7 +110,7 @@
 	arrivalLog *arrivals
 }
 
-func newCounted(v *versionedServers) countedServers {
+func newCountedServers(v *versionedServers) countedServers {
 	return countedServers{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
 }
 
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -79,7 +79,7 @@
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
-				r := &regional{countedServers: newCounted(v), x: x, halls: halls}
+				r := &regional{countedServers: newCountedServers(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
 				x.runScenario(v, rolloutScenario{document: homeHeld(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -70,7 +70,7 @@
 
 // rollingOver is a rollout with two gateways in the north and one in the south.
 func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
-	r := &regional{countedServers: newCounted(v), x: x, halls: halls}
+	r := &regional{countedServers: newCountedServers(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -17,7 +17,7 @@
 
 // inHalls is a rollout of which each server stands in a hall.
 func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c countedServers)) {
-	c := newCounted(v)
+	c := newCountedServers(v)
 	x.runScenario(v, rolloutScenario{document: testDocument(1), load: x.steadyLoad(c, period), announce: func() {
 		for n := 1; n < len(halls); n++ {
 			r := versionedServer(n)
