--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -41,17 +41,17 @@
 // testdata/golden, which pins outward names. Run with -update to write them
 // anew.
 
-// idHeaders reads a request's identifier.
-type idHeaders struct{}
+// testHeaders reads a request's identifier.
+type testHeaders struct{}
 
-func (idHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
+func (testHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
 	return gateway.RequestHead{ID: r.Header.Get("Id"), Timeout: 300 * time.Millisecond}
 }
-func (idHeaders) ForwardHeader(from http.Header, _ gateway.Forwarding) http.Header {
+func (testHeaders) ForwardHeader(from http.Header, _ gateway.Forwarding) http.Header {
 	return from.Clone()
 }
-func (idHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
-func (idHeaders) DecodeAnswer(_ int, h http.Header) gateway.AnswerHead {
+func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
+func (testHeaders) DecodeAnswer(_ int, h http.Header) gateway.AnswerHead {
 	return gateway.AnswerHead{ID: h.Get("Id"), Signed: true}
 }
 
@@ -109,7 +109,7 @@
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
-			Seeds:    seeds, Headers: idHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Seeds:    seeds, Headers: testHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.sendRequest(g, "early")
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -78,7 +78,7 @@
 
 // startLoadedGateway starts a gateway that gets a request in each period, and sends to a.
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
-	return x.startGatewayWithLoad(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	return x.startGatewayWithLoad(ip, testHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
 			asking.Go(func() { x.sendRequest(g, "r") })
 		}
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -313,7 +313,7 @@
 
 // gateway starts a gateway with callers of its own.
 func (c *callers) gateway(m *mortals, ip string) {
-	g := c.x.startGatewayWithLoad(ip, idHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
 				asking.Go(func() { c.ask(g, "hot", http.MethodGet, "") })
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -40,7 +40,7 @@
 const floods = "f"
 
 // accountHeaders read what a request costs, and whose it is.
-type accountHeaders struct{ idHeaders }
+type accountHeaders struct{ testHeaders }
 
 func (accountHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
 	return gateway.RequestHead{
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -85,7 +85,7 @@
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
 					h.from = from{r, region}
-					x.startGatewayWithLoad(ip, idHeaders{}, h, h.ask)
+					x.startGatewayWithLoad(ip, testHeaders{}, h, h.ask)
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
