--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -9,24 +9,23 @@
 	"time"
 )
 
-// This file defines evidence, the test that tells a bad version: its answers against those of
-// the old version in the same time, route by route.
+// This file defines detector, which compares the answers of the target with those of the old
+// version in the same time, route by route, to detect a bad version.
 //
-// The test is a cumulative sum of log likelihood ratios (Page's test), because a version may
-// turn bad at any moment: what was good before does not count against what is seen now. One
-// sum is kept for each kind of bad answer, each excess of bad answers that is looked for, and
-// each route; and one more over all routes, each compared with its own old answers, because
-// the target gets another mix of routes than the old version does.
+// It computes a cumulative sum (CUSUM, Page's test) of log likelihood ratios, because a version may
+// turn bad at any moment: earlier good answers must not outweigh new bad ones. There is one sum for
+// each kind of bad answer, each tested excess and each route. Another sum covers all routes, each
+// compared with its own old answers, because the mix of routes differs between the versions.
 
-// PaceBuckets is the number of half octaves in which paces are counted.
+// PaceBuckets is the number of buckets, half an octave each, in which paces are counted.
 const PaceBuckets = 32
 
-// paceUnit is the bucket of a pace of 1, so that 2^-8 to 2^8 have their own: plain answers are
-// compared with 50 ms, whatever their pool usually needs.
+// paceUnit is the bucket of a pace of 1. Paces from 2^-8 to 2^8 have buckets of their own, since
+// answers of plain services are compared with 50 ms, whatever is usual in their pool.
 const paceUnit = PaceBuckets / 2
 
-// PaceBucket returns the bucket of a pace: how long an answer took to begin, as a ratio to
-// what was expected.
+// PaceBucket returns the bucket of a pace, the ratio of the time to the first byte of an answer to
+// the expected time.
 func PaceBucket(ratio float64) int {
 	if ratio <= 0 {
 		return 0
@@ -34,17 +33,17 @@
 	return min(max(int(math.Floor(2*math.Log2(ratio)))+paceUnit, 0), PaceBuckets-1)
 }
 
-// Tally counts how the attempts at one version ended on one route.
+// Tally counts the outcomes of the attempts at one version on one route.
 type Tally struct {
 	Sent, Answered, Failed uint64
 	Paces                  [PaceBuckets]uint64
 }
 
-// known returns how many attempts something is known of. A stream counts once it has begun,
-// since its end may be later than the deadline.
-func (t *Tally) known() uint64 { return max(t.Answered+t.Failed, t.paced()) }
+// outcomesKnown returns the number of attempts with a known outcome. A stream counts once it has
+// begun, since it may end after the deadline.
+func (t *Tally) outcomesKnown() uint64 { return max(t.Answered+t.Failed, t.pacesCounted()) }
 
-func (t *Tally) paced() uint64 {
+func (t *Tally) pacesCounted() uint64 {
 	n := uint64(0)
 	for _, c := range t.Paces {
 		n += c
@@ -52,8 +51,8 @@
 	return n
 }
 
-// above returns how many paces are in buckets above one.
-func (t *Tally) above(bucket int) uint64 {
+// pacesAbove returns the number of paces in the buckets above the given one.
+func (t *Tally) pacesAbove(bucket int) uint64 {
 	n := uint64(0)
 	for _, c := range t.Paces[min(bucket+1, PaceBuckets):] {
 		n += c
@@ -61,114 +60,112 @@
 	return n
 }
 
-// RouteTallies is the tallies of both versions on one route, as totals since the rollout began.
+// RouteTallies holds the tallies of both versions on one route, as totals since the rollout began.
 type RouteTallies struct{ Target, Old Tally }
 
-// Parameters of the test. The error rates that follow are measured by TestFalseAlarms and
-// TestBadVersions.
+// Parameters of the test. TestFalseAlarms and TestBadVersions check the resulting error rates.
 const (
-	// alarm is the sum at which a version is bad, ln(1/error) with an error of 1 in 99,000 for
-	// each of the sums, of which a rollout has some dozens.
-	alarm = 11.5
-	// leastBad is the least part of bad answers that the old version is taken to have: an excess over
-	// none at all would make one failure a verdict.
-	leastBad = 0.005
-	// leastBadAlone is the same where the old version gets nothing any more, so that trouble that hits
-	// all is less easily taken for the version's.
-	leastBadAlone = 0.02
-	// leastSlow is the least part of slow answers that the old version is taken to have: their bound
-	// is drawn from its own answers, which may be few.
-	leastSlow = 0.05
-	// mostBad is the largest part of bad answers that it is taken to have: from 1 on there would be no
-	// excess.
-	mostBad = 0.95
-	// recentPrior is the weight of all the old version's answers in the averages over recentTimes, in
-	// answers.
+	// alarmSum is the CUSUM value at which a version counts as bad. It is ln(1/error) with an error
+	// of 1 in 99,000 for each sum; a rollout has some dozens of sums.
+	alarmSum = 11.5
+	// minBadRate is the smallest rate of bad answers assumed of the old version. Compared with a
+	// rate of 0, a single failure would be proof.
+	minBadRate = 0.005
+	// minBadRateAlone replaces minBadRate once the old version gets no requests. The larger value
+	// makes it less likely that trouble affecting both versions is attributed to the target.
+	minBadRateAlone = 0.02
+	// minSlowRate is the smallest rate of slow answers assumed of the old version. The limit for a
+	// slow answer is derived from its answers, which may be few.
+	minSlowRate = 0.05
+	// maxBadRate is the largest rate assumed. A rate of 1 would leave no room for an excess.
+	maxBadRate = 0.95
+	// recentPrior is the weight, in answers, of the overall rate within the recent averages.
 	recentPrior = 4.0
-	// usualPart is the part of the old version's answers that may be slower than usual.
-	usualPart = 0.05
-	// slowMargin is the number of half octaves between the pace that usualPart gives and the one
-	// above which an answer is slow. With 1, 3 times slower was seen in 56 instead of 74 of 80
-	// rollouts at 10 requests a second (docs/DECISIONS.md).
-	slowMargin = 0
-	// fewestOld is from how many paces on the old version's are known.
-	fewestOld = 20
+	// slowFraction is the part of the old version's answers that may count as slow.
+	slowFraction = 0.05
+	// slowMarginBuckets is added to the bucket that slowFraction gives. With 1, a version that is 3
+	// times slower is detected in 56 instead of 74 of 80 rollouts at 10 requests a second
+	// (docs/DECISIONS.md).
+	slowMarginBuckets = 0
+	// minOldPaces is the number of the old version's paces from which slow answers are defined.
+	minOldPaces = 20
 )
 
-// recentTimes are over how long the old version's newest answers are averaged. Trouble that
-// hits both versions shows there at the same time: with 1 s alone, trouble on both rolled 134
-// of 1,000 good versions back, 900 requests a second (trial).
-var recentTimes = [...]time.Duration{250 * time.Millisecond, time.Second}
+// recentTimeConstants are the time constants of the averages over the old version's recent answers.
+// Trouble that affects both versions must show there at the same time as in the target's answers.
+// With 1 s alone, such trouble rolls back 134 of 1,000 good versions at 900 requests a second.
+var recentTimeConstants = [...]time.Duration{250 * time.Millisecond, time.Second}
 
-// The excesses of bad answers over the old version's part that are looked for. Of slow ones
-// small excesses are left alone: an empty cache or another mix of prompts brings them.
+// The tested excesses of bad answers over the old version's rate. Small excesses of slow answers
+// are not tested, because an empty cache or another mix of prompts causes them.
 var (
 	failedExcesses = [...]float64{0.05, 0.2, 0.6}
 	slowExcesses   = [...]float64{0.2, 0.6}
 )
 
-// counts is bad answers of all.
-type counts struct{ bad, all float64 }
+// counts is a number of bad answers and of all answers.
+type counts struct{ bad, total float64 }
 
-func (c counts) plus(o counts) counts { return counts{c.bad + o.bad, c.all + o.all} }
+func (c counts) plus(o counts) counts { return counts{c.bad + o.bad, c.total + o.total} }
 
-func (c counts) times(f float64) counts { return counts{c.bad * f, c.all * f} }
+func (c counts) scaled(f float64) counts { return counts{c.bad * f, c.total * f} }
 
-// rate is the old version's part of bad answers for one kind: over all its answers, and over
-// the newest, averaged over each of recentTimes.
-type rate struct {
-	ever   counts
-	recent [len(recentTimes)]counts
+// badRate is the old version's rate of bad answers of one kind: over all its answers, and as an
+// average over its recent answers for each of recentTimeConstants.
+type badRate struct {
+	overall counts
+	recent  [len(recentTimeConstants)]counts
 }
 
-// next takes the old version's totals and its newest answers. While it gets none, what was
-// newest stays so.
-func (r rate) next(passed time.Duration, ever, old counts) rate {
-	r.ever = ever
-	if old.all == 0 {
+// update records the old version's totals and its newest answers. While there are no new answers,
+// the recent averages do not decay.
+func (r badRate) update(passed time.Duration, overall, recent counts) badRate {
+	r.overall = overall
+	if recent.total == 0 {
 		return r
 	}
-	for i, over := range recentTimes {
-		kept := math.Exp(-passed.Seconds() / over.Seconds())
-		r.recent[i] = r.recent[i].times(kept).plus(old)
+	for i, timeConstant := range recentTimeConstants {
+		decay := math.Exp(-passed.Seconds() / timeConstant.Seconds())
+		r.recent[i] = r.recent[i].scaled(decay).plus(recent)
 	}
 	return r
 }
 
-// expected returns the part of bad answers that a version as good as the old one may have.
-func (r rate) expected(least float64) float64 {
-	ever := (r.ever.bad + 0.5) / (r.ever.all + 1) // Jeffreys' prior: half an answer of each kind
-	p := max(ever, least)
+// expected returns the rate of bad answers to allow a version that is as good as the old one.
+func (r badRate) expected(minRate float64) float64 {
+	overall := (r.overall.bad + 0.5) / (r.overall.total + 1) // Jeffreys' prior: half an answer of each kind
+	p := max(overall, minRate)
 	for _, c := range r.recent {
-		p = max(p, (c.bad+recentPrior*ever)/(c.all+recentPrior))
+		p = max(p, (c.bad+recentPrior*overall)/(c.total+recentPrior))
 	}
-	return min(p, mostBad)
+	return min(p, maxBadRate)
 }
 
-// newest returns the part of bad answers among the newest. On all routes together there are
-// enough to see trouble that hits all at once, of which a single route shows a few.
-func (r rate) newest() float64 {
+// recentRate returns the rate of bad answers among the recent ones. Summed over all routes it
+// detects trouble that affects all of them, of which a single route shows only a few answers.
+func (r badRate) recentRate() float64 {
 	p := 0.0
 	for _, c := range r.recent {
-		p = max(p, c.bad/(c.all+recentPrior))
+		p = max(p, c.bad/(c.total+recentPrior))
 	}
-	return min(p, mostBad)
+	return min(p, maxBadRate)
 }
 
-// gain returns the log likelihood ratio of answers for an excess over an expected part.
-func gain(c counts, expected, excess float64) float64 {
+// logLikelihoodRatio returns the log likelihood ratio of the hypothesis that the rate of bad
+// answers exceeds the expected one.
+func logLikelihoodRatio(c counts, expected, excess float64) float64 {
 	p := expected + excess*(1-expected)
-	return c.bad*math.Log(p/expected) + (c.all-c.bad)*math.Log((1-p)/(1-expected))
+	return c.bad*math.Log(p/expected) + (c.total-c.bad)*math.Log((1-p)/(1-expected))
 }
 
-// sums are Page's sums, by kind and excess.
+// sums holds the CUSUM values by kind of bad answer and tested excess.
 type sums struct {
 	failed [len(failedExcesses)]float64
 	slow   [len(slowExcesses)]float64
 }
 
-// add returns the gains of two routes together.
-func (s sums) add(g sums) sums {
+// plusGains returns the sum of two gains, without a lower limit.
+func (s sums) plusGains(g sums) sums {
 	for i := range s.failed {
 		s.failed[i] += g.failed[i]
 	}
@@ -178,7 +175,7 @@
 	return s
 }
 
-// plus returns the sums after more gains; a sum does not fall below none.
+// plus returns the CUSUM values after further gains. No value falls below 0.
 func (s sums) plus(g sums) sums {
 	for i := range s.failed {
 		s.failed[i] = max(s.failed[i]+g.failed[i], 0)
@@ -189,139 +186,141 @@
 	return s
 }
 
-// most returns the largest sum, and whether it is of failures.
-func (s sums) most() (sum float64, failures bool) {
+// largest returns the largest value, and whether it belongs to failures.
+func (s sums) largest() (sum float64, failures bool) {
 	failed, slow := slices.Max(s.failed[:]), slices.Max(s.slow[:])
 	return max(failed, slow), failed >= slow
 }
 
-// trace is what is known of one route.
-type trace struct {
-	seen         RouteTallies // totals as of the last step
-	failed, slow rate         // of the old version
+// routeState is the state of the test for one route.
+type routeState struct {
+	totals       RouteTallies // as of the last step
+	failed, slow badRate      // of the old version
 	sums         sums
 
-	// Of the last step.
-	usual       int // the bucket above which an answer is slow, -1 if too little is known
-	target, old fresh
-	ever        fresh // all of the old version's answers
+	// Of the last step:
+	slowAbove         int // bucket above which an answer is slow; -1 without enough data
+	newTarget, newOld badCounts
+	oldOverall        badCounts // all of the old version's answers
 }
 
-// evidence is what is known of a target against the old version. The zero value knows
-// nothing.
-type evidence struct {
-	routes       map[string]*trace
-	failed, slow rate // of the old version on all routes
+// detector accumulates the evidence against the target. The zero value is ready to use.
+type detector struct {
+	routes       map[string]*routeState
+	failed, slow badRate // of the old version on all routes
 	overall      sums
 }
 
-// Evidence are what a decision rests on, for the log.
+// Evidence summarizes the evidence behind a decision, for the log.
 type Evidence struct {
-	Route         string  // the worst; empty: all together
-	Sum           float64 // Page's sum; alarm is bad
-	FromFailures  bool    // it is of failures, else of slow answers
-	Failed        uint64  // of Known answers of the target on all routes
+	Route         string  // route with the largest sum; empty for all routes together
+	Sum           float64 // CUSUM value; alarmSum means bad
+	FromFailures  bool    // whether the sum is of failures rather than of slow answers
+	Failed        uint64  // failed answers of the target on all routes
 	KnownOutcomes uint64
 }
 
-// step takes the totals by route; passed is the time since the last step.
-func (e *evidence) step(passed time.Duration, totals map[string]*RouteTallies, alone bool) {
-	if e.routes == nil {
-		e.routes = map[string]*trace{}
+// step updates the sums with the totals by route; passed is the time since the last step.
+// targetAlone is whether the old version gets no requests any more.
+func (d *detector) step(passed time.Duration, totals map[string]*RouteTallies, targetAlone bool) {
+	if d.routes == nil {
+		d.routes = map[string]*routeState{}
 	}
-	least := leastBad
-	if alone {
-		least = leastBadAlone
+	minRate := minBadRate
+	if targetAlone {
+		minRate = minBadRateAlone
 	}
-	var ever, old fresh
+	var oldOverall, newOld badCounts
 	for _, route := range slices.Sorted(maps.Keys(totals)) {
-		t := e.routes[route]
+		t := d.routes[route]
 		if t == nil {
-			t = &trace{}
-			e.routes[route] = t
+			t = &routeState{}
+			d.routes[route] = t
 		}
-		t.take(passed, *totals[route])
-		ever, old = ever.plus(t.ever), old.plus(t.old)
+		t.record(passed, *totals[route])
+		oldOverall, newOld = oldOverall.plus(t.oldOverall), newOld.plus(t.newOld)
 	}
-	e.failed = e.failed.next(passed, ever.failed, old.failed)
-	e.slow = e.slow.next(passed, ever.slow, old.slow)
+	d.failed = d.failed.update(passed, oldOverall.failed, newOld.failed)
+	d.slow = d.slow.update(passed, oldOverall.slow, newOld.slow)
 	var all sums
-	for _, t := range e.routes {
-		g := t.gains(least, e.failed.newest(), e.slow.newest())
+	for _, t := range d.routes {
+		g := t.gains(minRate, d.failed.recentRate(), d.slow.recentRate())
 		t.sums = t.sums.plus(g)
-		all = all.add(g)
+		all = all.plusGains(g)
 	}
-	e.overall = e.overall.plus(all)
+	d.overall = d.overall.plus(all)
 }
 
-// take takes one route's totals.
-func (t *trace) take(passed time.Duration, now RouteTallies) {
-	t.usual = usualPace(&now.Old)
-	t.target, t.old = newest(&t.seen.Target, &now.Target, t.usual), newest(&t.seen.Old, &now.Old, t.usual)
-	t.ever = newest(&Tally{}, &now.Old, t.usual)
-	t.seen = now
-	t.failed = t.failed.next(passed, t.ever.failed, t.old.failed)
-	t.slow = t.slow.next(passed, t.ever.slow, t.old.slow)
+// record records the totals of a route.
+func (t *routeState) record(passed time.Duration, totals RouteTallies) {
+	t.slowAbove = slowPaceBucket(&totals.Old)
+	t.newTarget, t.newOld = countsBetween(&t.totals.Target, &totals.Target, t.slowAbove), countsBetween(&t.totals.Old, &totals.Old, t.slowAbove)
+	t.oldOverall = countsBetween(&Tally{}, &totals.Old, t.slowAbove)
+	t.totals = totals
+	t.failed = t.failed.update(passed, t.oldOverall.failed, t.newOld.failed)
+	t.slow = t.slow.update(passed, t.oldOverall.slow, t.newOld.slow)
 }
 
-// gains returns what the route's newest answers gain, if the old version's newest on all
-// routes are as bad as failed and slow.
-func (t *trace) gains(least, failed, slow float64) (g sums) {
-	expected := max(t.failed.expected(least), failed)
+// gains returns the log likelihood ratios of the route's newest answers. failed and slow are the
+// old version's recent rates over all routes.
+func (t *routeState) gains(minRate, failed, slow float64) (g sums) {
+	expected := max(t.failed.expected(minRate), failed)
 	for i, excess := range failedExcesses {
-		g.failed[i] = gain(t.target.failed, expected, excess)
+		g.failed[i] = logLikelihoodRatio(t.newTarget.failed, expected, excess)
 	}
-	if t.usual < 0 {
+	if t.slowAbove < 0 {
 		return g
 	}
-	expected = max(t.slow.expected(max(least, leastSlow)), slow)
+	expected = max(t.slow.expected(max(minRate, minSlowRate)), slow)
 	for i, excess := range slowExcesses {
-		g.slow[i] = gain(t.target.slow, expected, excess)
+		g.slow[i] = logLikelihoodRatio(t.newTarget.slow, expected, excess)
 	}
 	return g
 }
 
-// usualPace returns the bucket above which an answer is slow, -1 if too little is known.
-func usualPace(old *Tally) int {
-	n := old.paced()
-	if n < fewestOld {
+// slowPaceBucket returns the bucket above which an answer is slow, or -1 without enough data.
+func slowPaceBucket(old *Tally) int {
+	n := old.pacesCounted()
+	if n < minOldPaces {
 		return -1
 	}
 	bucket := 0
-	for float64(old.above(bucket)) > usualPart*float64(n) {
+	for float64(old.pacesAbove(bucket)) > slowFraction*float64(n) {
 		bucket++
 	}
-	return bucket + slowMargin
+	return bucket + slowMarginBuckets
 }
 
-// fresh is the answers between two totals.
-type fresh struct{ failed, slow counts }
+// badCounts counts the answers between two totals by kind of bad answer.
+type badCounts struct{ failed, slow counts }
 
-func (f fresh) plus(o fresh) fresh { return fresh{f.failed.plus(o.failed), f.slow.plus(o.slow)} }
+func (f badCounts) plus(o badCounts) badCounts {
+	return badCounts{f.failed.plus(o.failed), f.slow.plus(o.slow)}
+}
 
-// newest returns the answers between two totals; those in buckets above usual are slow. A
-// total that has fallen, because what one gateway sent was lost, gives none.
-func newest(before, now *Tally, usual int) (f fresh) {
-	f.failed = counts{bad: rise(before.Failed, now.Failed), all: rise(before.known(), now.known())}
-	f.failed.all = max(f.failed.all, f.failed.bad)
-	if usual >= 0 {
-		f.slow = counts{bad: rise(before.above(usual), now.above(usual)), all: rise(before.paced(), now.paced())}
-		f.slow.all = max(f.slow.all, f.slow.bad)
+// countsBetween returns the answers between two totals. Answers in buckets above slowAbove are
+// slow. A total that has fallen, because a gateway's report was lost, counts as 0.
+func countsBetween(earlier, later *Tally, slowAbove int) (f badCounts) {
+	f.failed = counts{bad: increase(earlier.Failed, later.Failed), total: increase(earlier.outcomesKnown(), later.outcomesKnown())}
+	f.failed.total = max(f.failed.total, f.failed.bad)
+	if slowAbove >= 0 {
+		f.slow = counts{bad: increase(earlier.pacesAbove(slowAbove), later.pacesAbove(slowAbove)), total: increase(earlier.pacesCounted(), later.pacesCounted())}
+		f.slow.total = max(f.slow.total, f.slow.bad)
 	}
 	return f
 }
 
-func rise(before, now uint64) float64 { return float64(max(now, before) - before) }
+func increase(before, after uint64) float64 { return float64(max(after, before) - before) }
 
-// worst returns the grounds with the largest sum.
-func (e *evidence) worst() Evidence {
+// worst returns the evidence with the largest sum.
+func (d *detector) worst() Evidence {
 	var g Evidence
-	g.Sum, g.FromFailures = e.overall.most()
-	for _, route := range slices.Sorted(maps.Keys(e.routes)) {
-		t := e.routes[route]
-		g.Failed += t.seen.Target.Failed
-		g.KnownOutcomes += t.seen.Target.known()
-		if sum, failures := t.sums.most(); sum > g.Sum {
+	g.Sum, g.FromFailures = d.overall.largest()
+	for _, route := range slices.Sorted(maps.Keys(d.routes)) {
+		t := d.routes[route]
+		g.Failed += t.totals.Target.Failed
+		g.KnownOutcomes += t.totals.Target.outcomesKnown()
+		if sum, failures := t.sums.largest(); sum > g.Sum {
 			g.Route, g.Sum, g.FromFailures = route, sum, failures
 		}
 	}
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -12,69 +12,69 @@
 
 // This file defines Orders, which decides what an operator's order does.
 //
-// An order has no number. Its sender repeats it, at any replica, until one acknowledges it,
-// and for a limited time only (Orders.Window); copies of it may be on their way when it is
-// acknowledged. A rollout ends by itself, so a copy may also come after the end.
+// An order has no number. Its sender repeats it, at any replica, for a limited time (Orders.Window)
+// or until one acknowledges it. Copies may still be in transit then. Since a rollout ends by
+// itself, a copy may also arrive after the end.
 //
-// Ways weighed, by what a copy does that arrives after its rollout was rolled back:
-//   - a new attempt: a bad version gets requests again, for an order that nobody gave;
-//   - refused as unclear for the window, as orders about halls are: a sender whose
-//     acknowledgement was lost repeats it until the window has passed, and begins a new attempt;
-//   - acknowledged without an effect for the window (kept): a new order for a version that
-//     was rolled back, given within the window of the last that was acknowledged, changes
-//     nothing. The state that operators read says that the version was rolled back.
+// A copy that arrives after its rollout was rolled back could be handled in these ways:
+//   - Begin a new attempt: a bad version gets requests again although nobody ordered it.
+//   - Refuse it as ambiguous within the window, as for orders about halls: a sender that lost the
+//     acknowledgement repeats the order until the window has passed and begins a new attempt.
+//   - Acknowledge it without an effect within the window (used here): a new order for a version that
+//     was rolled back changes nothing within the window of the last acknowledged order. Operators can
+//     read in the rollout's state that the version was rolled back.
 //
-// What was acknowledged without an effect, only the leader that did it remembers. If another
-// one follows within the window, a copy of such an order may begin a rollout there. So may one
-// of an order whose rollout was complete and followed by another within the window, at a
-// replica that knows of it by a snapshot only.
+// Only the leader that acknowledges an order without an effect remembers it. If another leader
+// follows within the window, a copy of such an order may begin a rollout there. The same applies to
+// a copy of an order whose rollout completed and was followed by another one within the window, at
+// a replica that learned of it from a snapshot only.
 //
-// An order for the version that is under way is acknowledged whatever its time is, and the
-// time of the first stays: one who repeats an order with the time that is left means the same
-// deadline, and by its order of arrival a late copy would move it.
+// An order for the version that is under way is acknowledged whatever its duration, and the first
+// order's deadline stays. A sender that repeats an order with the remaining time means the same
+// deadline, and a late copy must not move it.
 //
-// Orders is immutable; it reads no clock. now is any one monotonic clock.
+// Orders is immutable and reads no clock. now is the time of any monotonic clock.
 
-// Order asks that a pool's requests move to a version of its backend servers.
+// Order requests that a pool's requests move to a version of its backend servers.
 type Order struct {
 	Pool     string
 	Target   string        // version
 	Duration time.Duration // from the order to the deadline
 }
 
-// longestRollout bounds the time of an order. What is to take longer is a mistake of the unit.
-const longestRollout = 30 * 24 * time.Hour
+// maxDuration bounds Order.Duration. A longer one is most likely an error in the unit.
+const maxDuration = 30 * 24 * time.Hour
 
-// InvalidOrder refuses an order. Nothing was changed.
+// InvalidOrder is the error for an order that fails [Order.Check].
 type InvalidOrder struct{ What string }
 
-// Error names what is wrong.
+// Error returns the reason.
 func (e InvalidOrder) Error() string { return "invalid rollout order: " + e.What }
 
-// Check returns [InvalidOrder], or nil.
+// Check returns an [InvalidOrder] error if a field is missing or out of range.
 func (o Order) Check() error {
 	switch {
 	case o.Pool == "" || len(o.Pool) > document.MaxVersionName:
 		return InvalidOrder{What: fmt.Sprintf("the pool's name has %d bytes", len(o.Pool))}
 	case o.Target == "" || len(o.Target) > document.MaxVersionName:
 		return InvalidOrder{What: fmt.Sprintf("the version's name has %d bytes", len(o.Target))}
-	case o.Duration <= 0 || o.Duration > longestRollout:
+	case o.Duration <= 0 || o.Duration > maxDuration:
 		return InvalidOrder{What: fmt.Sprintf("the time is %v", o.Duration)}
 	}
 	return nil
 }
 
-// Verdict is what is to be done about an order.
+// Verdict is the result of an order.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accept         Verdict = iota // it begins a rollout
-	AlreadyApplied                // it is a copy, or the version has the requests: nothing changes
-	Conflict                      // another version is under way
+	Accept         Verdict = iota // the order begins a rollout
+	AlreadyApplied                // a copy, or the version already has the requests: nothing changes
+	Conflict                      // a rollout of another version is under way
 )
 
-// String names the verdict, for logs.
+// String returns the verdict's name in logs.
 func (v Verdict) String() string {
 	switch v {
 	case Accept:
@@ -87,89 +87,90 @@
 	return "unknown"
 }
 
-// Windows.
+// Windows in which senders repeat an order.
 const (
-	// DefaultWindow is for deployments that state none.
+	// DefaultWindow applies if a deployment configures none.
 	DefaultWindow = 5 * time.Second
-	// MinWindow is the shortest, whatever a deployment states: the command line repeats an
-	// order for as long.
+	// MinWindow is the shortest window, whatever a deployment configures: the command line repeats
+	// an order for this time.
 	MinWindow = 4 * time.Second
 )
 
-// Orders is when the last orders for each version of a pool were taken and acknowledged. The zero
-// value has taken none, and its window is DefaultWindow.
+// Orders holds the times of the last accepted and acknowledged orders by pool and version. The zero
+// value is empty, with a window of DefaultWindow.
 type Orders struct {
-	Window time.Duration // for which senders repeat an order, LeastWindow at least; 0 is DefaultWindow
+	Window time.Duration // for which senders repeat an order, at least MinWindow; 0 means DefaultWindow
 
-	taken map[version]ordered // when an order began a rollout
-	again map[version]ordered // when one was last acknowledged that began none
+	accepted     map[version]orderTime // by version: orders that began a rollout
+	acknowledged map[version]orderTime // by version: last acknowledged orders that began none
 }
 
-// version is one version of one pool's backend servers.
+// version identifies a version of a pool's backend servers.
 type version struct{ pool, name string }
 
-// ordered is when an order came, and of one that began a rollout the pool's attempt that it
-// began, or one after it.
-type ordered struct {
+// orderTime is when an order arrived. attempt is set if it began a rollout: it is the number of the
+// pool's attempt that it began, or of a later one.
+type orderTime struct {
 	at      time.Duration
 	attempt uint64
 }
 
-// WithRollout returns the orders after a change that made a pool's newest rollout what it is.
+// WithRollout returns the orders after a change to a pool's newest rollout.
 func (o Orders) WithRollout(now time.Duration, newest document.Rollout) Orders {
-	taken := o.withinWindow(now, o.taken)
-	taken[version{newest.Pool, newest.Target}] = o.begun(now, newest)
-	return Orders{Window: o.Window, taken: taken, again: o.again}
+	accepted := o.withinWindow(now, o.accepted)
+	accepted[version{newest.Pool, newest.Target}] = o.orderedAt(now, newest)
+	return Orders{Window: o.Window, accepted: accepted, acknowledged: o.acknowledged}
 }
 
-// WithSnapshot returns the orders after a snapshot was read, which holds the newest rollout of
-// each pool, in place of changes that did not come. When a version that was rolled back before
-// that was ordered, it does not say: perhaps a moment ago, unless no attempt between the one that
-// is known here and the newest could be of that version.
+// WithSnapshot returns the orders after a snapshot replaced a part of the log. A snapshot holds the
+// newest rollout of each pool and the versions that were rolled back, but not when these were
+// ordered. They are taken to be ordered now, unless no attempt between the recorded one and the
+// newest can have been of that version.
 func (o Orders) WithSnapshot(now time.Duration, newest []document.Rollout) Orders {
-	taken := o.withinWindow(now, o.taken)
+	accepted := o.withinWindow(now, o.accepted)
 	for _, r := range newest {
 		for _, barred := range r.Barred {
 			key := version{r.Pool, barred}
-			if earlier, known := o.taken[key]; !known || r.Attempt > earlier.attempt+1 {
-				taken[key] = ordered{at: now, attempt: max(r.Attempt, 1) - 1}
+			if earlier, known := o.accepted[key]; !known || r.Attempt > earlier.attempt+1 {
+				accepted[key] = orderTime{at: now, attempt: max(r.Attempt, 1) - 1}
 			}
 		}
-		taken[version{r.Pool, r.Target}] = o.begun(now, r)
+		accepted[version{r.Pool, r.Target}] = o.orderedAt(now, r)
 	}
-	return Orders{Window: o.Window, taken: taken, again: o.again}
+	return Orders{Window: o.Window, accepted: accepted, acknowledged: o.acknowledged}
 }
 
-// begun returns when a pool's newest rollout was ordered: no later than its elapsed time says,
-// which may be too little, nor than this attempt is known here.
-func (o Orders) begun(now time.Duration, newest document.Rollout) ordered {
+// orderedAt returns when a pool's newest rollout was ordered. It is the earlier of the time that
+// follows from the rollout's elapsed time, which may be too short, and the time recorded for this
+// attempt.
+func (o Orders) orderedAt(now time.Duration, newest document.Rollout) orderTime {
 	at := now - newest.Elapsed
-	if earlier, known := o.taken[version{newest.Pool, newest.Target}]; known && earlier.attempt == newest.Attempt {
+	if earlier, known := o.accepted[version{newest.Pool, newest.Target}]; known && earlier.attempt == newest.Attempt {
 		at = min(at, earlier.at)
 	}
-	return ordered{at: at, attempt: newest.Attempt}
+	return orderTime{at: at, attempt: newest.Attempt}
 }
 
-// WithRepeat returns the orders after one that was acknowledged and began nothing.
+// WithRepeat returns the orders after one was acknowledged that began nothing.
 func (o Orders) WithRepeat(now time.Duration, order Order) Orders {
-	again := o.withinWindow(now, o.again)
-	again[version{order.Pool, order.Target}] = ordered{at: now}
-	return Orders{Window: o.Window, taken: o.taken, again: again}
+	acknowledged := o.withinWindow(now, o.acknowledged)
+	acknowledged[version{order.Pool, order.Target}] = orderTime{at: now}
+	return Orders{Window: o.Window, accepted: o.accepted, acknowledged: acknowledged}
 }
 
-// withinWindow returns a copy of what is remembered, without what is older than the window.
-func (o Orders) withinWindow(now time.Duration, of map[version]ordered) map[version]ordered {
-	out := map[version]ordered{}
-	maps.Copy(out, of)
-	maps.DeleteFunc(out, func(_ version, order ordered) bool { return now-order.at > o.window() })
-	return out
+// withinWindow returns a copy of times without those older than the window.
+func (o Orders) withinWindow(now time.Duration, times map[version]orderTime) map[version]orderTime {
+	recent := map[version]orderTime{}
+	maps.Copy(recent, times)
+	maps.DeleteFunc(recent, func(_ version, order orderTime) bool { return now-order.at > o.effectiveWindow() })
+	return recent
 }
 
-// Decide returns what is to be done about an order that arrives now, and the change that does
-// it. newest is the pool's newest rollout, or zero.
+// Decide returns the verdict on an order that arrives now, and the change that carries it out.
+// newest is the pool's newest rollout, or the zero value.
 func (o Orders) Decide(now time.Duration, order Order, newest document.Rollout) (Verdict, document.RolloutChange) {
 	same := order.Target == newest.Target
-	isCopy := o.takenLately(now, order)
+	isCopy := o.isRecentCopy(now, order)
 	switch {
 	case same && (newest.State == document.RolloutUnderWay || newest.State == document.RolloutComplete), isCopy:
 		return AlreadyApplied, document.RolloutChange{}
@@ -181,23 +182,22 @@
 	}
 }
 
-// takenLately reports whether an equal order was taken or acknowledged within the window.
-func (o Orders) takenLately(now time.Duration, order Order) bool {
+// isRecentCopy reports whether an equal order was accepted or acknowledged within the window.
+func (o Orders) isRecentCopy(now time.Duration, order Order) bool {
 	key := version{order.Pool, order.Target}
-	first, taken := o.taken[key]
-	last, repeated := o.again[key]
-	return taken && now-first.at <= o.window() || repeated && now-last.at <= o.window()
+	first, isAccepted := o.accepted[key]
+	last, isAcknowledged := o.acknowledged[key]
+	return isAccepted && now-first.at <= o.effectiveWindow() || isAcknowledged && now-last.at <= o.effectiveWindow()
 }
 
-func (o Orders) window() time.Duration {
+func (o Orders) effectiveWindow() time.Duration {
 	if o.Window <= 0 {
 		return DefaultWindow
 	}
 	return max(o.Window, MinWindow)
 }
 
-// Abort returns the change that ends a rollout under way as rolled back, or false if it is not
-// under way.
+// Abort returns the change that ends a rollout as rolled back, or false if it is not under way.
 func Abort(newest document.Rollout) (document.RolloutChange, bool) {
 	return document.RolloutChange{
 		Pool: newest.Pool, Target: newest.Target, State: document.RolloutRolledBack, After: newest.Changes, Elapsed: newest.Elapsed,
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what is decided about operators' orders.
+// This file tests the decisions on operators' orders.
 
 func order(target string) Order { return Order{Pool: "p", Target: target, Duration: time.Minute} }
 
@@ -22,12 +22,12 @@
 	long := strings.Repeat("v", document.MaxVersionName+1)
 	for _, tt := range []struct {
 		order Order
-		fits  bool
+		valid bool
 	}{
 		{order("v2"), true},
 		{Order{Pool: "p", Target: long[1:], Duration: 1}, true},
-		{Order{Pool: "p", Target: "v2", Duration: longestRollout}, true},
-		{Order{Pool: "p", Target: "v2", Duration: longestRollout + 1}, false},
+		{Order{Pool: "p", Target: "v2", Duration: maxDuration}, true},
+		{Order{Pool: "p", Target: "v2", Duration: maxDuration + 1}, false},
 		{Order{Pool: "p", Target: "v2"}, false},
 		{Order{Pool: "p", Target: "v2", Duration: -1}, false},
 		{Order{Pool: "p", Target: "", Duration: 1}, false},
@@ -36,19 +36,19 @@
 		{Order{Pool: long, Target: "v2", Duration: 1}, false},
 	} {
 		err := tt.order.Check()
-		is.New(t).Equal(err == nil, tt.fits)
+		is.New(t).Equal(err == nil, tt.valid)
 		is.New(t).True(err == nil || errors.As(err, new(InvalidOrder)))
 	}
 }
 
 func TestDecideOrder(t *testing.T) {
 	const window = 5 * time.Second
-	underWay, complete, back := document.RolloutUnderWay, document.RolloutComplete, document.RolloutRolledBack
+	underWay, complete, rolledBack := document.RolloutUnderWay, document.RolloutComplete, document.RolloutRolledBack
 	for _, tt := range []struct {
 		name   string
-		newest document.RolloutState // of v2, ordered at 0
+		newest document.RolloutState // state of the newest rollout, of v2 and ordered at 0; 0 for none
 		target string
-		after  time.Duration // since the order
+		after  time.Duration // time since the order
 		want   Verdict
 	}{
 		{"a copy of what is under way", underWay, "v2", time.Second, AlreadyApplied},
@@ -58,9 +58,9 @@
 		{"a copy after the end", complete, "v2", time.Second, AlreadyApplied},
 		{"what has the requests", complete, "v2", time.Hour, AlreadyApplied},
 		{"the next version", complete, "v3", time.Second, Accept},
-		{"a copy of what was rolled back", back, "v2", window, AlreadyApplied},
-		{"a new attempt", back, "v2", window + 1, Accept},
-		{"another version than what was rolled back", back, "v3", time.Second, Accept},
+		{"a copy of what was rolled back", rolledBack, "v2", window, AlreadyApplied},
+		{"a new attempt", rolledBack, "v2", window + 1, Accept},
+		{"another version than what was rolled back", rolledBack, "v3", time.Second, Accept},
 		{"the first of a pool", 0, "v2", 0, Accept},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestCopyWhileAnotherIsUnderWay: a copy is acknowledged, as its order was, and moves nothing.
+// TestCopyWhileAnotherIsUnderWay: a copy is acknowledged like its order, and changes nothing.
 func TestCopyWhileAnotherIsUnderWay(t *testing.T) {
 	is := is.New(t)
 	orders := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay})
@@ -90,14 +90,14 @@
 	verdict, _ := orders.Decide(3*time.Second, order("v2"), next)
 	is.Equal(verdict, AlreadyApplied)
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), next)
-	is.Equal(verdict, Conflict) // it is an order of its own
+	is.Equal(verdict, Conflict) // after the window it counts as a new order
 	other := Order{Pool: "q", Target: "v2", Duration: time.Minute}
 	verdict, _ = orders.Decide(3*time.Second, other, document.Rollout{})
-	is.Equal(verdict, Accept) // of another pool
+	is.Equal(verdict, Accept) // another pool
 }
 
-// TestOrdersKnowTheAgeOfARollout: a replica that reads the log or a snapshot takes no order
-// for younger than the log says, nor for older.
+// TestOrdersKnowTheAgeOfARollout: a replica that reads the log or a snapshot computes the age of an
+// order from the recorded elapsed time, and takes it for neither younger nor older.
 func TestOrdersKnowTheAgeOfARollout(t *testing.T) {
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 3 * time.Second}
@@ -107,12 +107,12 @@
 	is.Equal(verdict, Accept)
 	began := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay, Attempt: 1}
 	orders := Orders{}.WithRollout(0, began).WithRollout(time.Second, document.Rollout{
-		Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 1, // too little
+		Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 1, // too short
 	})
 	verdict, _ = orders.Decide(DefaultWindow+1, order("v2"), back)
 	is.Equal(verdict, Accept)
 	ended := began
-	ended.State = document.RolloutRolledBack // before any time was noted
+	ended.State = document.RolloutRolledBack // before any elapsed time was recorded
 	verdict, _ = Orders{}.WithRollout(0, began).WithRollout(time.Minute, ended).Decide(time.Minute, order("v2"), ended)
 	is.Equal(verdict, Accept)
 	began.Attempt = 2
@@ -121,7 +121,8 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestWindowHasALeast: the command line repeats for LeastWindow, whatever the deployment states.
+// TestWindowHasALeast: the window is at least MinWindow, for which the command line repeats an
+// order.
 func TestWindowHasALeast(t *testing.T) {
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1}
@@ -134,7 +135,7 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestRepeatsAreRemembered: an order that was acknowledged and began nothing has copies too.
+// TestRepeatsAreRemembered: an acknowledged order that began nothing may have late copies too.
 func TestRepeatsAreRemembered(t *testing.T) {
 	is := is.New(t)
 	complete := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutComplete, Elapsed: time.Hour}
@@ -147,8 +148,8 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotsSayLittle: of a version that was rolled back before the newest rollout, a
-// snapshot does not say when; a replica that ran meanwhile knows it.
+// TestSnapshotsSayLittle: a snapshot does not hold when a version was ordered that was rolled back
+// before the newest rollout. A replica that observed the order itself keeps its time.
 func TestSnapshotsSayLittle(t *testing.T) {
 	is := is.New(t)
 	newest := []document.Rollout{{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2", "v3"}, Elapsed: time.Hour}}
@@ -164,8 +165,8 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotsSkipAttempts: what a replica remembers of earlier attempts says nothing of those
-// that it did not see.
+// TestSnapshotsSkipAttempts: the times that a replica recorded for earlier attempts do not apply to
+// attempts that it did not observe.
 func TestSnapshotsSkipAttempts(t *testing.T) {
 	is := is.New(t)
 	first := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
@@ -176,12 +177,12 @@
 	orders := first.WithSnapshot(time.Minute, []document.Rollout{next})
 	verdict, _ = orders.Decide(time.Minute+DefaultWindow, order("v2"), next)
 	is.Equal(verdict, AlreadyApplied)
-	same := orders.WithSnapshot(time.Minute+time.Second, []document.Rollout{next}) // that has nothing new
+	same := orders.WithSnapshot(time.Minute+time.Second, []document.Rollout{next}) // nothing new
 	verdict, _ = same.Decide(time.Minute+DefaultWindow+1, order("v2"), next)
 	is.Equal(verdict, Accept)
 }
 
-// TestLargestSnapshot reads as much as a snapshot may hold; that must not take the square of it.
+// TestLargestSnapshot: a snapshot of the largest size is read in less than quadratic time.
 func TestLargestSnapshot(t *testing.T) {
 	var barred []string
 	for v := range document.MaxVersions {
@@ -194,16 +195,16 @@
 		})
 	}
 	orders := Orders{}.WithSnapshot(0, newest)
-	is.New(t).Equal(len(orders.taken), document.MaxRollouts*(document.MaxVersions+1))
+	is.New(t).Equal(len(orders.accepted), document.MaxRollouts*(document.MaxVersions+1))
 }
 
 func TestAbort(t *testing.T) {
 	is := is.New(t)
 	r := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay, Changes: 3, Elapsed: time.Second}
-	change, may := Abort(r)
-	is.True(may)
+	change, ok := Abort(r)
+	is.True(ok)
 	is.Equal(change, document.RolloutChange{Pool: "p", Target: "v2", State: document.RolloutRolledBack, After: 3, Elapsed: time.Second})
 	r.State = document.RolloutComplete
-	_, may = Abort(r)
-	is.True(!may)
+	_, ok = Abort(r)
+	is.True(!ok)
 }
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -9,351 +9,360 @@
 	"time"
 )
 
-// This file defines Schedule, which share of a pool's requests its rollout's target gets when,
-// and when the rollout ends.
+// This file defines Schedule, which decides the share of a pool's requests that a rollout's target
+// gets over time, and when the rollout ends.
 
-// Parts of the time between the order and its deadline, weighed in docs/design/rollouts.md.
+// Points between the order and its deadline, as fractions of the duration. docs/design/rollouts.md
+// describes the alternatives.
 const (
-	// trialPart is when the target gets all requests if it is good: what turns bad after some
-	// seconds is seen before, and 1 s of all requests and the end of what runs on the old
-	// servers still fit in.
-	trialPart = 0.6
-	// latestPart is when it is decided at the latest whether it gets them.
-	latestPart = 0.78
-	// completePart is when a rollout that has switched is complete at the latest: the log takes
-	// some 100 ms, and a new leader may have to come first.
-	completePart = 0.88
+	// trialFraction is when a good target gets all requests. A target that turns bad after some
+	// seconds is detected before this point, and the time after it suffices for 1 s at full load
+	// and for the old servers to drain.
+	trialFraction = 0.6
+	// decideByFraction is the latest point at which to decide whether the target gets all requests.
+	decideByFraction = 0.78
+	// completeByFraction is the latest point at which a switched rollout is complete. The rest
+	// covers the log entry, some 100 ms, and the election of a new leader.
+	completeByFraction = 0.88
 )
 
-// fullTime is for how long the target must have had all requests before a rollout is complete: what
-// only all of them show is seen in some 100 ms.
-const fullTime = time.Second
+// fullExposureTime is how long the target must have had all requests before a rollout is complete.
+// A fault that shows only under full load is detected within some 100 ms.
+const fullExposureTime = time.Second
 
-// fullOfRest is the same as a part of what is left until the deadline at the switch, where that is
-// less.
-const fullOfRest = 0.5
+// fullExposureFraction bounds fullExposureTime, as a fraction of the time between the switch and
+// the deadline.
+const fullExposureFraction = 0.5
 
-// stopTime is how long it takes from a switch until the leader has seen that the target is bad
-// and the gateways send it nothing any more: an answer, a report (registry.ReportPeriod), a
-// step of the leader, two ways on the network. Chosen, with the delays of those.
-const stopTime = 450 * time.Millisecond
+// reactionTime is the time from a switch to a bad target until gateways stop sending to it. It
+// consists of an answer, a report (registry.ReportPeriod), a step of the leader and two network
+// delays.
+const reactionTime = 450 * time.Millisecond
 
-// The trial.
+// Parameters of the trial, and of the decision to switch.
 const (
-	// trialOfBound is the share in the trial, as a part of Bounds.Share: 0.04 of 0.1.
-	trialOfBound = 0.4
-	// leastOfBound is the least share, as a part of Bounds.Share.
-	leastOfBound = 0.2
-	// mostShare is the most, where few requests come, so that the old version gets as many to compare
-	// with.
-	mostShare = 0.5
-	// enoughSent is how many requests in a trial are enough on each route: 5 % of failures are
-	// seen in 150 to 300 answers (TestBadVersions).
-	enoughSent = 300
-	// neededSent is how many requests on each route a trial gets even if no reserve is left for
-	// what only the switch shows: without evidence the switch is the larger risk.
-	neededSent = 17
-	// usedBudget is the part of what the bound allows that a trial plans to use.
-	usedBudget = 0.85
-	// enoughKnown is how many good answers make a route good: after 16 without a failure one
-	// that fails 20 % of them is out of the question by 35 to 1.
-	enoughKnown = 16
-	// suspicion is Page's sum from which a switch waits: about one failure.
-	suspicion = 3.5
-	// suspicionLate is the sum from which there is no switch at the latest moment, by
-	// TestFalseAlarms.
-	suspicionLate = 8
-	// fewestKnown is how many answers on a route are enough at the latest moment: with 8, 7 of
-	// 2,000 good versions were rolled back (docs/design/rollouts.md).
-	fewestKnown = 4
-	// fewestPart is the part of a route's requests whose answers are enough then, if that is less than
-	// fewestKnown.
-	fewestPart = 0.1
-	// leastUsed is the part of all requests that the target must have had from the switch on. In the
-	// least time until the end, the switch reaches gateways and is reported for some half of them.
-	leastUsed = 0.1
-	// rareSent is the number of requests up to which a route may stay untried.
-	rareSent = 10
+	// trialBoundFraction is the share in the trial as a fraction of Bounds.Share: 0.04 of 0.1.
+	trialBoundFraction = 0.4
+	// minBoundFraction is the smallest share as a fraction of Bounds.Share.
+	minBoundFraction = 0.2
+	// maxTrialShare is the largest share of a trial. It applies at low request rates and leaves the
+	// old version as many requests to compare with.
+	maxTrialShare = 0.5
+	// targetSamples is the number of requests that a trial aims for on each route. A failure rate
+	// of 5 % is detected within 150 to 300 answers (TestBadVersions).
+	targetSamples = 300
+	// minSamples is the number of requests that a trial gets on each route even if that leaves no
+	// reserve for faults that show only after the switch. Switching without evidence is the larger
+	// risk.
+	minSamples = 17
+	// budgetFraction is the part of the allowed requests to the target that a trial plans to use.
+	budgetFraction = 0.85
+	// minOutcomes is the number of known outcomes required on each route. 16 answers without a
+	// failure rule out a failure rate of 20 % with odds of 35 to 1.
+	minOutcomes = 16
+	// suspicionSum is the CUSUM value at which a switch is postponed: about one failure.
+	suspicionSum = 3.5
+	// lateSuspicionSum is the CUSUM value at which a rollout is not switched at decideByFraction.
+	// TestFalseAlarms checks the false alarms that result.
+	lateSuspicionSum = 8
+	// lateMinOutcomes replaces minOutcomes at decideByFraction. With 8, 7 of 2,000 good versions
+	// are rolled back (docs/design/rollouts.md).
+	lateMinOutcomes = 4
+	// lateMinFraction replaces lateMinOutcomes on routes where this fraction of the requests is
+	// smaller.
+	lateMinFraction = 0.1
+	// minUsedFraction is the smallest part of the requests since the switch that the target must
+	// have served. In the shortest time before the end, the switch reaches the gateways and is
+	// reported for about half of the requests.
+	minUsedFraction = 0.1
+	// untestedRouteLimit is the number of requests up to which a route may remain untested.
+	untestedRouteLimit = 10
 )
 
-// The rate of requests.
+// Parameters of the request rate's moving average.
 const (
-	// rateTime is over how long it is averaged.
-	rateTime = time.Second
-	// leastWeight is the weight in seconds from which the average is known.
-	leastWeight = 0.25
+	// rateTimeConstant is the time constant of the average.
+	rateTimeConstant = time.Second
+	// minRateWeight is the weight, in seconds, below which the average is not used.
+	minRateWeight = 0.25
 )
 
-// Action is what becomes of a rollout under way. The zero value is no end.
+// Action is what the leader does with a rollout under way. The zero value lets it continue.
 type Action uint8
 
-// The endings.
+// The actions.
 const (
 	Continue Action = iota
-	Complete        // the old servers may stop
-	RollBack        // the target's servers get nothing any more
+	Complete        // end the rollout; the old servers may stop
+	RollBack        // end the rollout; the target's servers get no more requests
 )
 
-// Observation is what the leader knows at one moment.
+// Observation is the state of a rollout as the leader observes it at one moment.
 type Observation struct {
-	Elapsed time.Duration // since the order, at least
+	Elapsed time.Duration // since the order; a lower bound
 	// Totals are the outcomes by route since the rollout began.
 	Totals map[string]*RouteTallies
-	// RoutesWithoutTarget are the routes whose homes have no server of the target: they cannot try it.
+	// RoutesWithoutTarget are the routes that cannot use the target: none of its servers is in
+	// their homes.
 	RoutesWithoutTarget map[string]bool
-	// ReportsComplete is whether all gateways in touch have reported, or have had the time.
+	// ReportsComplete is whether every connected gateway has reported or has had the time to.
 	ReportsComplete bool
-	// OldIdle is whether all gateways obey the switch and nothing runs on the old servers.
+	// OldIdle is whether all gateways have applied the switch and nothing runs on the old servers.
 	OldIdle bool
-	// TargetListed is whether a server of the target is listed, in a data hall in service.
+	// TargetListed is whether a server of the target is listed in a data hall in service.
 	TargetListed bool
 }
 
-// Decision is what is to be done until the next step.
+// Decision is the result of a step, valid until the next one.
 type Decision struct {
 	Action   Action
-	Share    float64            // of all requests
-	Routes   map[string]float64 // by route, where it is not Share
+	Share    float64            // of the pool's requests
+	Routes   map[string]float64 // by route, where it differs from Share
 	Reason   string             // for the log
 	Evidence Evidence
-	Sent     uint64 // to the target
-	Total    uint64 // requests of the pool
+	Sent     uint64 // requests to the target
+	Total    uint64 // requests to the pool
 }
 
-// hardly is the part by which a share may differ from the one that gateways were sent before they are
-// sent another: every message goes to every gateway.
-const hardly = 0.2
+// shareTolerance is the relative change of a share below which gateways are not sent the new one:
+// each message goes to every gateway.
+const shareTolerance = 0.2
 
-// Differs reports whether gateways have to be sent d's shares in place of those of before.
+// Differs reports whether the shares of d differ enough from those of before to be sent to the
+// gateways.
 func (d Decision) Differs(before Decision) bool {
-	if differ(d.Share, before.Share) || len(d.Routes) != len(before.Routes) {
+	if sharesDiffer(d.Share, before.Share) || len(d.Routes) != len(before.Routes) {
 		return true
 	}
 	for route, share := range d.Routes {
-		if differ(share, before.Routes[route]) {
+		if sharesDiffer(share, before.Routes[route]) {
 			return true
 		}
 	}
 	return false
 }
 
-func differ(a, b float64) bool { return math.Abs(a-b) > hardly*b || (a == 1) != (b == 1) }
+func sharesDiffer(a, b float64) bool { return math.Abs(a-b) > shareTolerance*b || (a == 1) != (b == 1) }
 
-// Schedule is one rollout under way. It is used by one goroutine.
+// Schedule is the state of one rollout under way. It is not safe for concurrent use.
 type Schedule struct {
 	Duration time.Duration
 	Bounds   Bounds
 
-	evidence evidence
-	last     time.Duration // of the last step
-	switched time.Duration // when the target got all requests; 0: not yet
-	before   use           // as of the switch
-	resumed  bool          // an earlier leader switched, and before is not known yet
-	rate     rateMeter
-	decided  Decision // the last one
+	detector           detector
+	lastStep           time.Duration // time of the last step, since the order
+	switchedAt         time.Duration // when the target got all requests; 0 before that
+	usageAtSwitch      usage         // counts at the switch
+	resumedAfterSwitch bool          // an earlier leader switched, and usageAtSwitch is not set yet
+	rate               rateMeter
+	lastDecision       Decision // of the last step
 }
 
-// use is how many requests the target had, and how many there were, on routes that can try it.
-type use struct{ sent, of uint64 }
+// usage counts the requests to the target, and all requests, on the routes that can use the target.
+type usage struct{ sent, total uint64 }
 
-func (o Observation) use() (u use) {
+func (o Observation) usage() (u usage) {
 	for route, p := range o.Totals {
 		if !o.RoutesWithoutTarget[route] {
 			u.sent += p.Target.Sent
-			u.of += p.Target.Sent + p.Old.Sent
+			u.total += p.Target.Sent + p.Old.Sent
 		}
 	}
 	return u
 }
 
-// rateMeter averages the rate of requests.
+// rateMeter is an exponential moving average of the request rate.
 type rateMeter struct {
-	sent    uint64
-	since   time.Duration // that count
-	weight  float64       // seconds
-	counted float64       // requests in that weight
-	begun   bool
+	sent             uint64
+	sinceCount       time.Duration // time since sent was last updated
+	weightSeconds    float64       // after decay
+	weightedRequests float64       // requests counted with that weight
+	started          bool
 }
 
-// step takes the requests so far. A count that has fallen, because a relay's gateways report
-// elsewhere, says nothing until they do.
+// step records the total number of requests. A total falls while the gateways of a lost relay have
+// not reported elsewhere yet; it is ignored until it has recovered.
 func (m *rateMeter) step(passed time.Duration, sent uint64) {
-	m.since += passed
-	if m.begun && sent < m.sent {
+	m.sinceCount += passed
+	if m.started && sent < m.sent {
 		return
 	}
-	if m.begun {
-		kept := math.Exp(-m.since.Seconds() / rateTime.Seconds())
-		m.weight = m.weight*kept + m.since.Seconds()
-		m.counted = m.counted*kept + rise(m.sent, sent)
+	if m.started {
+		decay := math.Exp(-m.sinceCount.Seconds() / rateTimeConstant.Seconds())
+		m.weightSeconds = m.weightSeconds*decay + m.sinceCount.Seconds()
+		m.weightedRequests = m.weightedRequests*decay + increase(m.sent, sent)
 	}
-	m.begun, m.sent, m.since = true, sent, 0
+	m.started, m.sent, m.sinceCount = true, sent, 0
 }
 
-// perSecond returns the rate, and whether it is known.
+// perSecond returns the rate, and whether there is enough data for it.
 func (m *rateMeter) perSecond() (rate float64, known bool) {
-	if m.weight < leastWeight {
+	if m.weightSeconds < minRateWeight {
 		return 0, false
 	}
-	return m.counted / m.weight, true
+	return m.weightedRequests / m.weightSeconds, true
 }
 
-// Resume goes on with a rollout whose target an earlier leader gave all requests, at some time
-// since the order. Begun anew it would wait: what the target had is above the bound of a trial.
-func (s *Schedule) Resume(switched time.Duration) { s.switched, s.resumed = switched, true }
+// Resume continues a rollout that an earlier leader switched, at the given time since the order. A
+// new trial could not send to the target, which has already had more requests than a trial allows.
+func (s *Schedule) Resume(switched time.Duration) {
+	s.switchedAt, s.resumedAfterSwitch = switched, true
+}
 
 // Switched reports whether the target was given all requests.
-func (s *Schedule) Switched() bool { return s.switched > 0 }
+func (s *Schedule) Switched() bool { return s.switchedAt > 0 }
 
-// Step takes what is known now and returns what is to be done.
+// Step evaluates an observation and returns the decision.
 func (s *Schedule) Step(o Observation) Decision {
-	passed := max(o.Elapsed-s.last, 0)
-	s.last = o.Elapsed
+	passed := max(o.Elapsed-s.lastStep, 0)
+	s.lastStep = o.Elapsed
 	d := Decision{}
 	for _, p := range o.Totals {
 		d.Sent += p.Target.Sent
 		d.Total += p.Target.Sent + p.Old.Sent
 	}
-	d.Sent = max(d.Sent, s.decided.Sent) // what a relay's totals take with them was sent all the same
+	d.Sent = max(d.Sent, s.lastDecision.Sent) // a lost relay's totals are missing, but its requests were sent
 	if !o.ReportsComplete {
-		s.rate = rateMeter{} // what comes now was sent at any time
+		s.rate = rateMeter{} // late reports cover an unknown time
 	}
 	s.rate.step(passed, d.Total)
-	s.evidence.step(passed, o.Totals, s.Switched())
-	d.Evidence = s.evidence.worst()
+	s.detector.step(passed, o.Totals, s.Switched())
+	d.Evidence = s.detector.worst()
 	switch {
-	case d.Evidence.Sum >= alarm:
+	case d.Evidence.Sum >= alarmSum:
 		d.Action, d.Reason = RollBack, "bad answers"
 	case !o.ReportsComplete:
 		d.Reason = "reports are awaited"
 	case s.Switched():
-		s.finish(o, &d)
+		s.stepAfterSwitch(o, &d)
 	default:
-		s.try(o, &d)
+		s.stepBeforeSwitch(o, &d)
 	}
-	s.decided = d
+	s.lastDecision = d
 	return d
 }
 
-// finish decides after the switch.
-func (s *Schedule) finish(o Observation, d *Decision) {
+// stepAfterSwitch decides whether a switched rollout ends.
+func (s *Schedule) stepAfterSwitch(o Observation, d *Decision) {
 	d.Share = 1
-	if s.resumed {
-		s.before, s.resumed = o.use(), false
+	if s.resumedAfterSwitch {
+		s.usageAtSwitch, s.resumedAfterSwitch = o.usage(), false
 	}
-	rest := float64(s.Duration - s.switched)
-	full := o.Elapsed-s.switched >= min(fullTime, time.Duration(fullOfRest*rest))
+	remaining := float64(s.Duration - s.switchedAt)
+	longEnough := o.Elapsed-s.switchedAt >= min(fullExposureTime, time.Duration(fullExposureFraction*remaining))
 	switch {
-	case full && o.Elapsed >= s.at(completePart) && (!o.TargetListed || s.unused(o)):
+	case longEnough && o.Elapsed >= s.timeAt(completeByFraction) && (!o.TargetListed || s.targetUnused(o)):
 		d.Action, d.Reason = RollBack, "the target gets no requests"
-	case full && o.Elapsed >= s.at(completePart):
+	case longEnough && o.Elapsed >= s.timeAt(completeByFraction):
 		d.Action, d.Reason = Complete, "the time is nearly over"
-	case full && o.OldIdle && o.TargetListed && d.Evidence.Sum < suspicion:
+	case longEnough && o.OldIdle && o.TargetListed && d.Evidence.Sum < suspicionSum:
 		d.Action, d.Reason = Complete, "nothing runs on the old servers"
 	default:
 		d.Reason = "all requests"
 	}
 }
 
-// unused reports whether hardly anything has gone to the target since the switch, though requests
-// came: what has no room, or cannot be used, cannot take the old servers' place.
-func (s *Schedule) unused(o Observation) bool {
-	now := o.use()
-	sent, of := rise(s.before.sent, now.sent), rise(s.before.of, now.of)
-	return of >= enoughKnown && sent < leastUsed*of
+// targetUnused reports whether the target served almost none of the requests since the switch. A
+// target without capacity, or one that cannot be reached, must not replace the old servers.
+func (s *Schedule) targetUnused(o Observation) bool {
+	current := o.usage()
+	sent, total := increase(s.usageAtSwitch.sent, current.sent), increase(s.usageAtSwitch.total, current.total)
+	return total >= minOutcomes && sent < minUsedFraction*total
 }
 
-func (s *Schedule) at(part float64) time.Duration {
+func (s *Schedule) timeAt(part float64) time.Duration {
 	return time.Duration(part * float64(s.Duration))
 }
 
-// try decides before the switch.
-func (s *Schedule) try(o Observation, d *Decision) {
-	rate, known := s.rate.perSecond()
-	good := s.good(o, d)
-	late := o.Elapsed >= s.at(latestPart)
-	reserve := s.allowed(d.Total)-float64(d.Sent) >= rate*stopTime.Seconds()
-	few := known && d.Evidence.Sum < suspicionLate && s.fits(rate, o.Elapsed, d)
+// stepBeforeSwitch decides whether to switch, to continue the trial or to roll back.
+func (s *Schedule) stepBeforeSwitch(o Observation, d *Decision) {
+	rate, rateKnown := s.rate.perSecond()
+	good := s.enoughGoodOutcomes(o, d)
+	late := o.Elapsed >= s.timeAt(decideByFraction)
+	hasReserve := s.allowedTargetRequests(d.Total)-float64(d.Sent) >= rate*reactionTime.Seconds()
+	remainderAllowed := rateKnown && d.Evidence.Sum < lateSuspicionSum && s.remainderFits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
 		d.Action, d.Reason = RollBack, "no server of the target"
-	case late && !known:
+	case late && !rateKnown:
 		d.Reason = "the rate is not known yet"
-	case o.Elapsed >= s.at(trialPart) && o.TargetListed && good && (reserve || late):
-		s.switchAll(o, d, "good answers")
-	case late && few:
-		s.switchAll(o, d, "few requests, and nothing speaks against it")
+	case o.Elapsed >= s.timeAt(trialFraction) && o.TargetListed && good && (hasReserve || late):
+		s.switchToTarget(o, d, "good answers")
+	case late && remainderAllowed:
+		s.switchToTarget(o, d, "few requests, and nothing speaks against it")
 	case late:
 		d.Action, d.Reason = RollBack, "too little is known in time"
 	default:
-		s.share(o, d, rate, known)
+		s.setTrialShare(o, d, rate, rateKnown)
 	}
 }
 
-func (s *Schedule) switchAll(o Observation, d *Decision, why string) {
-	s.switched = max(o.Elapsed, 1)
+func (s *Schedule) switchToTarget(o Observation, d *Decision, why string) {
+	s.switchedAt = max(o.Elapsed, 1)
 	d.Share, d.Reason = 1, why
-	s.before = o.use()
+	s.usageAtSwitch = o.usage()
 }
 
-// allowed returns how many requests a bad version may have had of as many in all.
-func (s *Schedule) allowed(of uint64) float64 {
+// allowedTargetRequests returns how many of a number of requests may go to a bad version.
+func (s *Schedule) allowedTargetRequests(total uint64) float64 {
 	b := s.Bounds.orDefault()
-	return b.Share*float64(of) + b.Slack
+	return b.Share*float64(total) + b.Slack
 }
 
-// fits reports whether all requests until the deadline may go to a bad version.
-func (s *Schedule) fits(rate float64, elapsed time.Duration, d *Decision) bool {
-	rest := rate * max(s.Duration-elapsed, 0).Seconds()
-	return float64(d.Sent)+rest <= s.allowed(d.Total+uint64(rest))
+// remainderFits reports whether the bounds allow all requests until the deadline to go to a bad
+// version.
+func (s *Schedule) remainderFits(rate float64, elapsed time.Duration, d *Decision) bool {
+	remaining := rate * max(s.Duration-elapsed, 0).Seconds()
+	return float64(d.Sent)+remaining <= s.allowedTargetRequests(d.Total+uint64(remaining))
 }
 
-// good reports whether each route that can try the target has enough answers of it, and no sum is
-// suspicious.
-func (s *Schedule) good(o Observation, d *Decision) bool {
-	late := o.Elapsed >= s.at(latestPart)
-	if d.Evidence.Sum >= suspicion && !late || d.Evidence.Sum >= suspicionLate || d.Evidence.KnownOutcomes < enoughKnown {
+// enoughGoodOutcomes reports whether every route that can use the target has enough known outcomes,
+// and no CUSUM value is suspicious.
+func (s *Schedule) enoughGoodOutcomes(o Observation, d *Decision) bool {
+	late := o.Elapsed >= s.timeAt(decideByFraction)
+	if d.Evidence.Sum >= suspicionSum && !late || d.Evidence.Sum >= lateSuspicionSum || d.Evidence.KnownOutcomes < minOutcomes {
 		return false
 	}
 	for route, p := range o.Totals {
 		if o.RoutesWithoutTarget[route] {
 			continue
 		}
-		all := float64(p.Target.Sent + p.Old.Sent)
-		needed := float64(enoughKnown)
+		sent := float64(p.Target.Sent + p.Old.Sent)
+		needed := float64(minOutcomes)
 		if late {
-			needed = min(fewestKnown, fewestPart*all)
+			needed = min(lateMinOutcomes, lateMinFraction*sent)
 		}
-		if all > rareSent && float64(p.Target.known()) < needed {
+		if sent > untestedRouteLimit && float64(p.Target.outcomesKnown()) < needed {
 			return false
 		}
 	}
 	return true
 }
 
-// share sets the shares of a trial.
-func (s *Schedule) share(o Observation, d *Decision, rate float64, known bool) {
+// setTrialShare sets the shares of the next step of a trial.
+func (s *Schedule) setTrialShare(o Observation, d *Decision, rate float64, rateKnown bool) {
 	bound := s.Bounds.orDefault().Share
-	d.Share, d.Reason = math.Round(1000*trialOfBound*bound)/1000, "trial"
-	if !known || rate == 0 {
+	d.Share, d.Reason = math.Round(1000*trialBoundFraction*bound)/1000, "trial"
+	if !rateKnown || rate == 0 {
 		return
 	}
-	until := max(s.at(trialPart)-o.Elapsed, stopTime).Seconds()
-	allowed := usedBudget * s.allowed(d.Total+uint64(rate*until))
-	budget := max(allowed-usedBudget*rate*stopTime.Seconds(), min(allowed, float64(neededSent*len(o.Totals))))
-	wanted := max(d.Share, float64(enoughSent*len(o.Totals))/(float64(d.Total)+rate*until))
-	d.Share = max(min((budget-float64(d.Sent))/(rate*until), wanted, mostShare), leastOfBound*bound)
-	if float64(d.Sent)+d.Share*rate*stopTime.Seconds() > s.allowed(d.Total) {
+	untilSwitch := max(s.timeAt(trialFraction)-o.Elapsed, reactionTime).Seconds()
+	allowed := budgetFraction * s.allowedTargetRequests(d.Total+uint64(rate*untilSwitch))
+	budget := max(allowed-budgetFraction*rate*reactionTime.Seconds(), min(allowed, float64(minSamples*len(o.Totals))))
+	wantedShare := max(d.Share, float64(targetSamples*len(o.Totals))/(float64(d.Total)+rate*untilSwitch))
+	d.Share = max(min((budget-float64(d.Sent))/(rate*untilSwitch), wantedShare, maxTrialShare), minBoundFraction*bound)
+	if float64(d.Sent)+d.Share*rate*reactionTime.Seconds() > s.allowedTargetRequests(d.Total) {
 		d.Share, d.Reason = 0, "the bound is used up"
 		return
 	}
-	d.Share = math.Round(1000*d.Share) / 1000 // as it is logged
-	d.Routes = divide(o.Totals, d.Share)
+	d.Share = math.Round(1000*d.Share) / 1000 // as logged
+	d.Routes = divideShare(o.Totals, d.Share)
 }
 
-// divide gives each route as many requests as the others where the share of all allows it, so
-// that a route with few is tried as well. No route gets more than mostShare.
-func divide(totals map[string]*RouteTallies, share float64) map[string]float64 {
+// divideShare converts the overall share into shares by route. Each route gets the same number of
+// requests where possible, so that routes with little traffic are tested too, but no share exceeds
+// maxTrialShare.
+func divideShare(totals map[string]*RouteTallies, share float64) map[string]float64 {
 	if len(totals) < 2 {
 		return nil
 	}
@@ -368,14 +377,14 @@
 		}
 		return 0
 	})
-	left := 0.0
+	remaining := 0.0
 	for _, r := range routes {
-		left += share * sent(r)
+		remaining += share * sent(r)
 	}
 	shares := map[string]float64{}
 	for i, r := range routes {
-		part := min(left/float64(len(routes)-i), mostShare*sent(r))
-		left -= part
+		part := min(remaining/float64(len(routes)-i), maxTrialShare*sent(r))
+		remaining -= part
 		if sent(r) > 0 {
 			shares[r] = part / sent(r)
 		}
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -10,15 +10,15 @@
 	"github.com/matryer/is"
 )
 
-// This file tests what a schedule does where little is known.
+// This file tests a schedule with little or no evidence.
 
-// seen runs a schedule of 10 s on its own steps until it ends, with observe's view of each, and
-// returns all decisions.
-func seen(observe func(at time.Duration, d Decision) Observation) (all []Decision) {
-	return seenWithin(Bounds{Share: 0.1, Slack: 50}, observe)
+// runSchedule steps a schedule of 10 s with the observations of observe until it ends, and returns
+// all decisions.
+func runSchedule(observe func(at time.Duration, d Decision) Observation) (all []Decision) {
+	return runScheduleWithin(Bounds{Share: 0.1, Slack: 50}, observe)
 }
 
-func seenWithin(b Bounds, observe func(at time.Duration, d Decision) Observation) (all []Decision) {
+func runScheduleWithin(b Bounds, observe func(at time.Duration, d Decision) Observation) (all []Decision) {
 	s := &Schedule{Duration: 10 * time.Second, Bounds: b}
 	var d Decision
 	for at := time.Duration(0); at < 20*time.Second && d.Action == Continue; at += 100 * time.Millisecond {
@@ -30,18 +30,18 @@
 	return all
 }
 
-// TestNoRequests: a pool without any is moved, since the bound holds whatever comes.
+// TestNoRequests: a pool without requests is switched, since the bound holds in any case.
 func TestNoRequests(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(time.Duration, Decision) Observation {
+	all := runSchedule(func(time.Duration, Decision) Observation {
 		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true}
 	})
 	is.Equal(all[len(all)-1].Action, Complete)
 	is.True(len(all) < 96) // 9.5 s
 }
 
-// TestBoundsByDefault: settings that state none have the default ones; a share without requests
-// besides, or those without a share, stay as they are.
+// TestBoundsByDefault: bounds that set neither share nor slack get both defaults; bounds that set
+// one of them stay unchanged.
 func TestBoundsByDefault(t *testing.T) {
 	is := is.New(t)
 	observe := func(at time.Duration, d Decision) Observation {
@@ -54,19 +54,20 @@
 			"r": {Target: Tally{Sent: target, Answered: target}, Old: Tally{Sent: n - target, Answered: n - target}},
 		}}
 	}
-	all := seenWithin(Bounds{}, observe)
+	all := runScheduleWithin(Bounds{}, observe)
 	is.Equal(all[len(all)-1].Action, Complete)
-	is.Equal(all, seenWithin(Bounds{Share: DefaultShare, Slack: DefaultSlack}, observe))
+	is.Equal(all, runScheduleWithin(Bounds{Share: DefaultShare, Slack: DefaultSlack}, observe))
 	for _, b := range []Bounds{{Share: 0.2}, {Slack: 9}} {
 		is.Equal(b.orDefault(), b)
 	}
 }
 
-// TestNoServerOfTheTarget: what nothing can serve is not switched to, with or without requests.
+// TestNoServerOfTheTarget: without a server of the target there is no switch, with or without
+// requests.
 func TestNoServerOfTheTarget(t *testing.T) {
 	is := is.New(t)
 	for _, perStep := range []uint64{0, 1, 15} {
-		all := seen(func(at time.Duration, _ Decision) Observation {
+		all := runSchedule(func(at time.Duration, _ Decision) Observation {
 			n := perStep * uint64(at/(100*time.Millisecond))
 			return Observation{ReportsComplete: true, Totals: map[string]*RouteTallies{"r": {Old: Tally{Sent: n, Answered: n}}}}
 		})
@@ -77,10 +78,11 @@
 	}
 }
 
-// TestTooLittleIsKnown: many requests, of which the target gets none, for want of room, say.
+// TestTooLittleIsKnown: a rollout is rolled back if the target gets none of many requests, for
+// example for lack of capacity.
 func TestTooLittleIsKnown(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(at time.Duration, _ Decision) Observation {
+	all := runSchedule(func(at time.Duration, _ Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
 		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
@@ -88,8 +90,8 @@
 	is.Equal(all[len(all)-1].Reason, "too little is known in time")
 }
 
-// TestNewLeaderWaits: nothing goes to the target before the gateways have reported; what they
-// report then was sent at any time, and counts, but not for the rate.
+// TestNewLeaderWaits: the target gets no requests before the gateways have reported to a new
+// leader. The first reports cover an unknown time; they count as evidence, but not for the rate.
 func TestNewLeaderWaits(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
@@ -104,15 +106,16 @@
 		rate, _ := s.rate.perSecond()
 		is.Equal(rate, 0.0)
 	}
-	is.Equal(d.Share, 1.0) // the evidence is that of the leader before
+	is.Equal(d.Share, 1.0) // based on the evidence of the earlier leader
 	is.Equal(d.Sent, uint64(40))
 }
 
-// TestBoundIsUsedUp: after a leader whose switch was not over, say: nothing more in the trial.
+// TestBoundIsUsedUp: when the target has had too many requests, for example because a leader failed
+// during the switch, the trial sends it no more.
 func TestBoundIsUsedUp(t *testing.T) {
 	is := is.New(t)
 	target, old := uint64(300), uint64(0)
-	all := seen(func(_ time.Duration, d Decision) Observation {
+	all := runSchedule(func(_ time.Duration, d Decision) Observation {
 		if d.Share == 1 {
 			target += 15
 		} else {
@@ -124,17 +127,17 @@
 	})
 	is.Equal(all[40].Share, 0.0)
 	is.Equal(all[40].Reason, "the bound is used up")
-	is.Equal(all[len(all)-1].Action, Complete) // at the latest, it is good by what was seen
+	is.Equal(all[len(all)-1].Action, Complete) // switched at the latest moment, by the good answers so far
 }
 
-// TestTargetUnusedAfterTheSwitch: while its servers have gone, or get nothing, the old ones may not
-// be told to stop, even if nothing runs there just now.
+// TestTargetUnusedAfterTheSwitch: while the target's servers are gone or get no requests, the
+// rollout does not complete, even if the old servers are idle.
 func TestTargetUnusedAfterTheSwitch(t *testing.T) {
 	for _, listed := range []bool{false, true} {
 		for _, idle := range []bool{false, true} {
 			is := is.New(t)
 			var switched uint64
-			all := seen(func(at time.Duration, d Decision) Observation {
+			all := runSchedule(func(at time.Duration, d Decision) Observation {
 				n := 15 * uint64(at/(100*time.Millisecond))
 				target := n / 20
 				if d.Share == 1 && switched == 0 {
@@ -153,8 +156,8 @@
 	}
 }
 
-// TestTotalsThatFall: while a relay's gateways report to nobody, what the target was sent is not
-// given again, and the rate stays as it was.
+// TestTotalsThatFall: while a relay's gateways report to nobody, the totals fall. The decision
+// still counts all requests sent, and the rate does not change.
 func TestTotalsThatFall(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
@@ -174,8 +177,8 @@
 	}
 }
 
-// TestLateLeaderMeasuresFirst: one that comes when it has to be decided knows the rate before it
-// says that too little is known; of a pool without requests nothing has to be.
+// TestLateLeaderMeasuresFirst: a leader that starts after the latest moment to decide measures the
+// rate before it rolls back. A pool without requests then completes.
 func TestLateLeaderMeasuresFirst(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
@@ -186,11 +189,10 @@
 	is.Equal(d.Action, Complete)
 }
 
-// TestRouteMustBeTried: no switch before the latest moment while a route has had nothing, and
-// then none either.
+// TestRouteMustBeTried: there is no switch while the target has served no request of a route.
 func TestRouteMustBeTried(t *testing.T) {
 	is := is.New(t)
-	all := seen(func(at time.Duration, _ Decision) Observation {
+	all := runSchedule(func(at time.Duration, _ Decision) Observation {
 		n := uint64(at / (100 * time.Millisecond))
 		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{
 			"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
@@ -203,7 +205,7 @@
 	}
 }
 
-// TestPaceBuckets: half octaves, with the ends of the scale.
+// TestPaceBuckets checks the half octaves and both ends of the scale.
 func TestPaceBuckets(t *testing.T) {
 	is := is.New(t)
 	is.Equal(PaceBucket(1), PaceBuckets/2)
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/together_test.go
@@ -9,11 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// This file tests the schedule together with homes.
+// This file tests the schedule with routes that cannot use the target.
 
-// TestRouteKeptAwayIsNotAwaited: a route that cannot try the target holds up neither the switch
-// nor the end, which its requests at old servers put off until the time is nearly over. Where no
-// route can, too little is known.
+// TestRouteKeptAwayIsNotAwaited: a route whose homes have no server of the target delays neither
+// the switch nor the end of a rollout. If no route can use the target, there is too little evidence
+// for a switch.
 func TestRouteKeptAwayIsNotAwaited(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -27,8 +27,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			var switched uint64 // requests of a route until then
-			all := seen(func(at time.Duration, d Decision) Observation {
+			var switched uint64 // number of steps before the switch
+			all := runSchedule(func(at time.Duration, d Decision) Observation {
 				n := uint64(at / (100 * time.Millisecond))
 				o := Observation{ReportsComplete: true, TargetListed: true, RoutesWithoutTarget: test.keptAway, Totals: map[string]*RouteTallies{
 					"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
@@ -40,7 +40,7 @@
 				if d.Share == 1 && switched == 0 {
 					switched = n
 				}
-				if after := n - switched; switched > 0 && after > 0 { // the target has all that can go there
+				if after := n - switched; switched > 0 && after > 0 { // the target gets all requests of route a
 					o.Totals["a"].Target = Tally{Sent: switched + 15*after, Answered: switched + 15*after}
 					o.Totals["a"].Old = Tally{Sent: 14 * switched, Answered: 14 * switched}
 				}
