--- a/coordination/registry/busy.go
+++ b/coordination/registry/busy.go
@@ -4,14 +4,14 @@
 
 import "github.com/badgerspoke/badgerspoke/protocol"
 
-// This file defines how many backend servers stand where, and how many of them run something.
+// This file defines the number of backend servers by location, and the share of them that is busy.
 
-// stand is where servers stand that count together.
-type stand struct{ pool, hall string }
+// location is a pool and a data hall whose servers are counted together.
+type location struct{ pool, hall string }
 
-// count counts a server that comes, 1, or goes, -1.
-func (r *Registry) count(s protocol.Registration, n int) {
-	at := stand{s.Pool, s.Hall}
+// adjustCount adds n to the number of servers at the location of s.
+func (r *Registry) adjustCount(s protocol.Registration, n int) {
+	at := location{s.Pool, s.Hall}
 	if r.counts[at] += n; r.counts[at] == 0 {
 		delete(r.counts, at)
 	}
@@ -27,25 +27,25 @@
 	return n
 }
 
-// MaxBusyShare returns the part of the servers of a group that run something by the sums over all gateways, of the group
-// in which it is largest; 1 without any group. group names the one of a pool's servers in a data hall, "" is none.
-// It costs O(loads), not O(servers).
-func (r *Registry) MaxBusyShare(loads []protocol.ServerLoad, group func(pool, hall string) string) (part float64) {
-	all, busy := map[string]int{}, map[string]int{}
+// MaxBusyShare returns the share of busy servers in the group where it is largest, or 1 without any
+// group. loads are the sums over all gateways. group returns the group of a pool's servers in a
+// data hall, or "" for none. The cost is linear in the number of loads, not in that of servers.
+func (r *Registry) MaxBusyShare(loads []protocol.ServerLoad, group func(pool, hall string) string) (share float64) {
+	total, busy := map[string]int{}, map[string]int{}
 	for at, servers := range r.counts {
-		all[group(at.pool, at.hall)] += servers
+		total[group(at.pool, at.hall)] += servers
 	}
 	for _, l := range loads {
 		if e := r.servers[r.byHandle[l.Handle]]; e != nil && l.Requests > 0 {
 			busy[group(e.Pool, e.Hall)]++
 		}
 	}
-	delete(all, "")
-	if len(all) == 0 {
+	delete(total, "")
+	if len(total) == 0 {
 		return 1
 	}
-	for name, servers := range all {
-		part = max(part, float64(busy[name])/float64(servers))
+	for name, servers := range total {
+		share = max(share, float64(busy[name])/float64(servers))
 	}
-	return part
+	return share
 }
--- a/coordination/registry/busy_test.go
+++ b/coordination/registry/busy_test.go
@@ -12,8 +12,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestBusy: the part that runs something is that of the group in which it is largest, of those that are asked
-// for; servers that leave, or change their pool, count where they are.
+// TestBusy: the result is the busy share of the group where it is largest, among the groups asked
+// for. Servers that leave or change their pool are counted where they are.
 func TestBusy(t *testing.T) {
 	is := is.New(t)
 	r := New(0, time.Second, NewHandles(1))
--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -11,80 +11,81 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines which backend servers are cold, and who may send to them meanwhile.
+// This file defines which backend servers are cold, and how their request rate is divided among the
+// gateways meanwhile.
 
-// longestCold bounds what an announcement may say. A model is loaded in minutes.
-const longestCold = time.Hour
+// maxColdTime bounds the announced cold time. Loading a model takes minutes.
+const maxColdTime = time.Hour
 
-// coldJitter is by how much later the end of a cold time may be announced than before without being
-// another one: the network and the announcer's own delay.
+// coldJitter is the difference up to which a later announced end is still the same cold time. It
+// covers the delays of the network and of the announcer.
 const coldJitter = 500 * time.Millisecond
 
-// suspectFor is how long a backend server whose hall was put back into service counts as
-// cold whatever it announces, in intervals: one that has become cold meanwhile may not have
-// announced it yet, and one announcement may be late.
-const suspectFor = 2
+// presumedColdIntervals is the number of announcement intervals for which a backend server counts
+// as cold after its hall was put back into service. A server that became cold meanwhile may not
+// have announced it yet, and one announcement may be late.
+const presumedColdIntervals = 2
 
-// coldness is one backend server's cold time and who may send to it. The zero value is not
-// cold. It is immutable.
-type coldness struct {
-	until   time.Duration
-	suspect time.Duration // it counts as cold until then, whatever it announces
-	shares  []protocol.ColdShare
-	divided bool // shares are those of this cold time
+// coldState is a backend server's cold time and the division of its request rate. The zero value is
+// not cold. It is immutable.
+type coldState struct {
+	until         time.Duration
+	presumedUntil time.Duration // it counts as cold until then, whatever it announces
+	shares        []protocol.ColdShare
+	divided       bool // shares belong to the present cold time
 }
 
-// withAnnounced returns the coldness after an announcement.
-func (c coldness) withAnnounced(now, left time.Duration) coldness {
-	until := now + left
+// withAnnounced returns the state after an announcement of the remaining cold time.
+func (c coldState) withAnnounced(now, remaining time.Duration) coldState {
+	until := now + remaining
 	switch {
-	case left > 0 && until > c.until+coldJitter:
-		if now >= c.until { // another cold time
+	case remaining > 0 && until > c.until+coldJitter:
+		if now >= c.until { // a new cold time
 			c.shares, c.divided = nil, false
 		}
 		c.until = until
-	case left == 0 && now >= c.suspect:
+	case remaining == 0 && now >= c.presumedUntil:
 		c.until = min(c.until, now)
 	}
 	return c
 }
 
-// withSuspect returns the coldness of a server that may have become cold unseen.
-func (c coldness) withSuspect(now, lasts time.Duration) coldness {
-	c.suspect = now + lasts
-	if c.suspect > c.until {
-		c.until, c.shares, c.divided = c.suspect, nil, false
+// withPresumed returns the state of a server that may have become cold unnoticed.
+func (c coldState) withPresumed(now, duration time.Duration) coldState {
+	c.presumedUntil = now + duration
+	if c.presumedUntil > c.until {
+		c.until, c.shares, c.divided = c.presumedUntil, nil, false
 	}
 	return c
 }
 
-// sent returns the coldness as gateways are sent it, nil if the server is not cold.
-func (c coldness) sent(now time.Duration) *protocol.Cold {
+// forGateways returns the state as it is sent to gateways, or nil if the server is not cold.
+func (c coldState) forGateways(now time.Duration) *protocol.Cold {
 	if now >= c.until {
 		return nil
 	}
 	return &protocol.Cold{Left: c.until - now, Shares: c.shares}
 }
 
-// PresumeCold makes the backend servers of halls that are in service again count as cold
-// until they have announced themselves, and returns them. Only pools whose servers have a
-// rate while cold are concerned.
+// PresumeCold marks the backend servers of halls that are back in service as cold for
+// PresumedColdTime, and returns them. Only servers of pools with a rate for cold servers are
+// affected.
 func (r *Registry) PresumeCold(now time.Duration, halls []string, rates map[string]float64) Change {
 	var change Change
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
 		e := r.servers[id]
 		if slices.Contains(halls, e.Hall) && rates[e.Pool] > 0 {
-			e.cold = e.cold.withSuspect(now, r.PresumedColdTime())
+			e.cold = e.cold.withPresumed(now, r.PresumedColdTime())
 			r.coldUntil = max(r.coldUntil, e.cold.until)
-			change.Set = append(change.Set, e.server(now))
+			change.Set = append(change.Set, e.toServer(now))
 		}
 	}
 	return change
 }
 
-// DivideColdRates divides the rates of cold backend servers, by pool in requests a second, among
-// gateways, and returns the servers that were divided now. A leader divides nothing before
-// the shares of the one before it have run out.
+// DivideColdRates divides the rates of cold backend servers among the gateways, and returns the
+// servers whose rates it divided. rates are in requests per second by pool. A new leader divides
+// nothing until the shares of its predecessor have expired.
 func (r *Registry) DivideColdRates(now time.Duration, gateways []string, rates map[string]float64) Change {
 	var change Change
 	if now-r.leaderSince < coldstart.Lease || len(gateways) == 0 {
@@ -96,14 +97,15 @@
 			continue
 		}
 		e.cold.shares, e.cold.divided = coldstart.Divide(id, gateways, rates[e.Pool]), true
-		change.Set = append(change.Set, e.server(now))
+		change.Set = append(change.Set, e.toServer(now))
 	}
 	return change
 }
 
-// PresumedColdTime is how long the backend servers of a hall that was put back count as cold.
-func (r *Registry) PresumedColdTime() time.Duration { return suspectFor * r.interval }
+// PresumedColdTime returns how long the backend servers of a hall count as cold after it was put
+// back into service.
+func (r *Registry) PresumedColdTime() time.Duration { return presumedColdIntervals * r.interval }
 
-// AnyCold reports whether a backend server may be cold: a list says for how long, and is right
-// only when it is made.
+// AnyCold reports whether a backend server may be cold. A list that holds a cold server contains
+// its remaining time and must not be reused later.
 func (r *Registry) AnyCold(now time.Duration) bool { return now < r.coldUntil }
--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -10,49 +10,49 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Copy, the leader's list as a replica has it that passes it on.
+// This file defines Copy, a replica's copy of the leader's list, which it passes on to gateways.
 //
-// A copy outlives its leader. When the next one sends its whole list, the gateways are passed only
-// what differs: their servers have the same handles, which are this replica's own.
+// A copy outlives its leader. When the next leader sends its whole list, only the differences are
+// passed on to gateways: the servers keep their handles, which this replica assigned.
 
-// goneKept is the number of newest departures that a copy keeps for those who are sent all of it: a
-// list that is not complete does not show what must be dropped. As many as the leader sends itself
-// (listedDepartures of package directory).
-const goneKept = 256
+// maxGone is the number of newest departures that a copy keeps for whole lists: an incomplete list
+// does not show which servers are gone. The leader sends as many itself (listedDepartures of
+// package directory).
+const maxGone = 256
 
-// Copy is the list of backend servers as leaders have sent it.
+// Copy is the list of backend servers as received from leaders.
 type Copy struct {
 	handles     *Handles
 	term        uint64
 	complete    bool
-	session     uint64            // counts the whole lists that were taken
-	servers     map[string]copied // by the name in the registration as sent
-	byAddress   map[string]string // the same by address
-	gone        []string          // newest last
+	session     uint64                  // number of whole lists received
+	servers     map[string]copiedServer // by the identifier in the registration as sent
+	byAddress   map[string]string       // identifiers by address
+	gone        []string                // departures, newest last
 	hallsOut    []string
 	hallChanges uint64
 	coldUntil   time.Duration // no server is cold from then on
 
-	own    map[uint32]uint32 // handle by the leader's
-	theirs map[uint32]uint32 // the leader's by handle
+	ownHandles    map[uint32]uint32 // this replica's handles by the leader's
+	leaderHandles map[uint32]uint32 // the leader's handles by this replica's
 }
 
-// copied is one server, with this replica's handle.
-type copied struct {
+// copiedServer is a server with this replica's handle.
+type copiedServer struct {
 	protocol.Server
 	coldUntil time.Duration // by this box's clock
-	session   uint64        // in which the leader had it
+	session   uint64        // last session in which the leader listed it
 }
 
-// NewCopy returns an empty copy, whose servers get their handles from some.
+// NewCopy returns an empty copy. handles assigns the servers' handles.
 func NewCopy(handles *Handles) Copy {
 	return Copy{
-		handles: handles, servers: map[string]copied{}, byAddress: map[string]string{},
-		own: map[uint32]uint32{}, theirs: map[uint32]uint32{},
+		handles: handles, servers: map[string]copiedServer{}, byAddress: map[string]string{},
+		ownHandles: map[uint32]uint32{}, leaderHandles: map[uint32]uint32{},
 	}
 }
 
-// CopyOf returns a copy of what a registry lists, as of a leader whose term ends.
+// CopyOf returns a copy of a registry's list when its leader's term ends.
 func CopyOf(now time.Duration, r *Registry, term uint64, hallsOut []string, hallChanges uint64) Copy {
 	c := NewCopy(r.handles)
 	list := protocol.Servers{Set: r.List(now)}.Sent(r.IsListed).Set
@@ -60,11 +60,11 @@
 	return c
 }
 
-// Apply takes a message of the leader, and returns what the gateways that have this copy are to be
-// sent.
+// Apply applies a message of the leader, and returns the message for the gateways that have this
+// copy.
 func (c *Copy) Apply(now time.Duration, m protocol.Servers) protocol.Servers {
 	if m.Whole {
-		c.begin()
+		c.beginSession()
 	}
 	c.term, c.complete = m.Term, c.complete || m.Complete
 	if m.HallChanges > c.hallChanges {
@@ -74,11 +74,11 @@
 		c.drop(id)
 	}
 	c.gone = append(c.gone, m.Gone...)
-	c.gone = c.gone[max(len(c.gone)-goneKept, 0):]
+	c.gone = c.gone[max(len(c.gone)-maxGone, 0):]
 	passed := c.Header()
 	passed.Gone, passed.Complete = m.Gone, m.Complete
 	for _, s := range m.Set {
-		if own, changed := c.set(now, s); changed || !m.Whole && !m.Part {
+		if own, changed := c.setServer(now, s); changed || !m.Whole && !m.Part {
 			passed.Set = append(passed.Set, own)
 		}
 	}
@@ -88,21 +88,21 @@
 	return passed
 }
 
-// begin begins the session with a leader, whose handles are others.
-func (c *Copy) begin() {
+// beginSession starts the session with a leader, which uses other handles.
+func (c *Copy) beginSession() {
 	c.session++
 	c.complete, c.gone = false, nil
-	clear(c.own)
-	clear(c.theirs)
+	clear(c.ownHandles)
+	clear(c.leaderHandles)
 }
 
-// set adds or changes a server, which replaces another one at its address. It returns the server
-// with its handle here, and whether it was listed otherwise or not at all.
-func (c *Copy) set(now time.Duration, s protocol.Server) (own protocol.Server, changed bool) {
+// setServer adds or changes a server, and removes any other one at its address. It returns the
+// server with this replica's handle, and whether the entry is new or different.
+func (c *Copy) setServer(now time.Duration, s protocol.Server) (own protocol.Server, changed bool) {
 	before, listed := c.servers[s.ID]
-	theirs := s.Handle
+	leaderHandle := s.Handle
 	s.Handle = c.handles.Assign(lifeOf(s.Registration))
-	c.own[theirs], c.theirs[s.Handle] = s.Handle, theirs
+	c.ownHandles[leaderHandle], c.leaderHandles[s.Handle] = s.Handle, leaderHandle
 	same := listed && before.Registration == s.Registration && s.Cold == nil && now >= before.coldUntil
 	if !same {
 		if listed && before.Handle == s.Handle {
@@ -114,7 +114,7 @@
 			c.drop(other)
 		}
 	}
-	e := copied{Server: s, session: c.session}
+	e := copiedServer{Server: s, session: c.session}
 	if s.Cold != nil {
 		e.coldUntil = now + s.Cold.Left
 		c.coldUntil = max(c.coldUntil, e.coldUntil)
@@ -123,7 +123,7 @@
 	return s, !same
 }
 
-// lifeOf returns the identifier of the life that a registration as sent is of.
+// lifeOf returns the identifier of the life to which a registration as sent belongs.
 func lifeOf(r protocol.Registration) string { return r.Received().ID }
 
 func (c *Copy) drop(id string) {
@@ -134,8 +134,8 @@
 	}
 }
 
-// dropUnlisted drops the servers that the leader's list, which is complete, lacks, and returns
-// their lives' identifiers in order.
+// dropUnlisted drops the servers that the leader's complete list lacks, and returns the identifiers
+// of their lives in order.
 func (c *Copy) dropUnlisted() (lives []string) {
 	for id, e := range c.servers {
 		if e.session != c.session {
@@ -147,31 +147,31 @@
 	return lives
 }
 
-// Term returns the term of the leader whose list it is.
+// Term returns the term of the leader that sent the list.
 func (c *Copy) Term() uint64 { return c.term }
 
 // Len returns the number of servers.
 func (c *Copy) Len() int { return len(c.servers) }
 
-// Header returns a list without servers, which says whose handles come and which halls are out of
+// Header returns a list without servers, which names the space of the handles and the halls out of
 // service.
 func (c *Copy) Header() protocol.Servers {
 	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
 
-// WholeList returns the message with which a gateway's session opens. It costs O(n log n).
+// WholeList returns the first message of a gateway's session. It costs O(n log n).
 func (c *Copy) WholeList(now time.Duration) protocol.Servers {
 	m := c.Header()
 	m.Whole, m.Complete, m.Gone = true, c.complete, slices.Clone(c.gone)
 	m.Set = make([]protocol.Server, 0, len(c.servers))
 	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
-		m.Set = append(m.Set, c.servers[id].server(now))
+		m.Set = append(m.Set, c.servers[id].toServer(now))
 	}
 	return m
 }
 
-// server returns a server as it is sent now.
-func (e copied) server(now time.Duration) protocol.Server {
+// toServer returns the server as it is sent now.
+func (e copiedServer) toServer(now time.Duration) protocol.Server {
 	s := e.Server
 	if s.Cold != nil {
 		s.Cold = &protocol.Cold{Left: e.coldUntil - now, Shares: s.Cold.Shares}
@@ -182,30 +182,31 @@
 	return s
 }
 
-// AnyCold reports whether a server may be cold: a list says for how long.
+// AnyCold reports whether a server may be cold. A list that holds a cold server contains its
+// remaining time.
 func (c *Copy) AnyCold(now time.Duration) bool { return now < c.coldUntil }
 
-// Handle returns the leader's handle of a server that is listed exactly as registered and is not
-// cold, and whether there is one.
+// Handle returns the leader's handle of a server, and false if the server is cold or not listed
+// exactly as registered.
 func (c *Copy) Handle(now time.Duration, r protocol.Registration) (uint32, bool) {
 	e, ok := c.servers[r.ID]
-	theirs, known := c.theirs[e.Handle]
-	return theirs, ok && known && e.Registration == r && now >= e.coldUntil
+	leaderHandle, hasHandle := c.leaderHandles[e.Handle]
+	return leaderHandle, ok && hasHandle && e.Registration == r && now >= e.coldUntil
 }
 
-// WithOwnHandles returns loads under the leader's handles under those of this replica, less those of servers
-// that it does not have.
+// WithOwnHandles replaces the leader's handles in loads by this replica's. Loads of servers that it
+// does not list are dropped.
 func (c *Copy) WithOwnHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
-	return translated(loads, c.own)
+	return translateHandles(loads, c.ownHandles)
 }
 
-// WithLeaderHandles returns loads under the handles of this replica under those of the leader, less those of
-// servers that the leader has not listed.
+// WithLeaderHandles replaces this replica's handles in loads by the leader's. Loads of servers that
+// the leader has not listed are dropped.
 func (c *Copy) WithLeaderHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
-	return translated(loads, c.theirs)
+	return translateHandles(loads, c.leaderHandles)
 }
 
-func translated(loads []protocol.ServerLoad, handles map[uint32]uint32) []protocol.ServerLoad {
+func translateHandles(loads []protocol.ServerLoad, handles map[uint32]uint32) []protocol.ServerLoad {
 	var out []protocol.ServerLoad
 	for _, l := range loads {
 		if handle, ok := handles[l.Handle]; ok {
--- a/coordination/registry/feed.go
+++ b/coordination/registry/feed.go
@@ -10,48 +10,45 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Feed, which of the sums of what runs on backend servers the gateways
-// are sent next.
+// This file defines Feed, which selects the backend servers' load sums to send to gateways next.
 
 // loadBytes is the size of one sum in a Fleet message.
 const loadBytes = 10
 
-// requestWeight is what a request more or less counts against tokens that are more or less, when not
-// all that has changed fits. A short prompt.
+// requestWeight is the weight in tokens of a difference of one request, when not all changed sums
+// fit into a message: a short prompt.
 const requestWeight = 500
 
-// Feed is what the gateways were sent of the sums. All are sent the same: a message for
-// each would cost the leader gateways times servers, ten times a second. The zero value
-// has sent nothing.
+// Feed records the sums that the gateways were sent. All gateways are sent the same ones: messages
+// of their own would cost the leader the number of gateways times that of servers, ten times a
+// second. The zero value has sent nothing.
 type Feed struct {
-	sent map[uint32]protocol.ServerLoad // by handle, nothing idle
+	sent map[uint32]protocol.ServerLoad // by handle, without idle servers
 }
 
-// Next returns the sums that differ from what was sent, ordered by handle; the most of
-// them that are asked for, those with the largest differences, if there are more. A
-// server that runs nothing any more comes with zeros. sums holds each server that runs
-// something once. It costs O(n log n).
-func (f *Feed) Next(sums []protocol.ServerLoad, most int) []protocol.ServerLoad {
-	changed := f.differences(sums)
-	if len(changed) > most {
+// Next returns the sums that differ from those sent, ordered by handle. If there are more than
+// limit, it returns those with the largest differences. A server that has become idle has zeros.
+// sums holds each busy server once. The cost is O(n log n).
+func (f *Feed) Next(sums []protocol.ServerLoad, limit int) []protocol.ServerLoad {
+	changed := f.changedSums(sums)
+	if len(changed) > limit {
 		slices.SortFunc(changed, func(a, b protocol.ServerLoad) int {
-			return cmp.Or(cmp.Compare(f.difference(b), f.difference(a)), cmp.Compare(a.Handle, b.Handle))
+			return cmp.Or(cmp.Compare(f.weightedDifference(b), f.weightedDifference(a)), cmp.Compare(a.Handle, b.Handle))
 		})
-		changed = changed[:most]
+		changed = changed[:limit]
 	}
-	f.take(changed)
+	f.recordSent(changed)
 	slices.SortFunc(changed, func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 	return changed
 }
 
-// Sent returns all that was sent and is not idle, ordered by handle: what a new session
-// begins with.
+// Sent returns all sums sent that are not idle, ordered by handle. A new session begins with them.
 func (f *Feed) Sent() []protocol.ServerLoad {
 	return slices.SortedFunc(maps.Values(f.sent), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
 
-// differences returns the sums that differ from what was sent, in no order.
-func (f *Feed) differences(sums []protocol.ServerLoad) []protocol.ServerLoad {
+// changedSums returns the sums that differ from those sent, in no particular order.
+func (f *Feed) changedSums(sums []protocol.ServerLoad) []protocol.ServerLoad {
 	var changed []protocol.ServerLoad
 	running := make(map[uint32]bool, len(sums))
 	for _, l := range sums {
@@ -68,16 +65,16 @@
 	return changed
 }
 
-// difference weighs how far a sum is from what was sent.
-func (f *Feed) difference(l protocol.ServerLoad) uint64 {
+// weightedDifference returns the size of the difference between a sum and the one sent.
+func (f *Feed) weightedDifference(l protocol.ServerLoad) uint64 {
 	was := f.sent[l.Handle]
-	return requestWeight*distance(l.Requests, was.Requests) + distance(l.Tokens, was.Tokens)
+	return requestWeight*absDiff(l.Requests, was.Requests) + absDiff(l.Tokens, was.Tokens)
 }
 
-func distance(a, b uint32) uint64 { return uint64(max(a, b) - min(a, b)) }
+func absDiff(a, b uint32) uint64 { return uint64(max(a, b) - min(a, b)) }
 
-// take records what is sent.
-func (f *Feed) take(changed []protocol.ServerLoad) {
+// recordSent records the sums that are sent.
+func (f *Feed) recordSent(changed []protocol.ServerLoad) {
 	if f.sent == nil {
 		f.sent = map[uint32]protocol.ServerLoad{}
 	}
--- a/coordination/registry/feed_test.go
+++ b/coordination/registry/feed_test.go
@@ -22,26 +22,26 @@
 	is.Equal(len(f.Next([]protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)}, 9)), 0)
 	is.Equal(f.Next([]protocol.ServerLoad{load(1, 3, 10)}, 9), []protocol.ServerLoad{load(1, 3, 10), load(2, 0, 0)})
 	is.Equal(f.Sent(), []protocol.ServerLoad{load(1, 3, 10)})
-	// The largest differences first, the rest next time.
+	// The largest differences come first, the rest next time.
 	sums := []protocol.ServerLoad{load(1, 3, 20), load(3, 9, 0), load(4, 0, 8000)}
 	is.Equal(f.Next(sums, 2), []protocol.ServerLoad{load(3, 9, 0), load(4, 0, 8000)})
 	is.Equal(f.Next(sums, 2), []protocol.ServerLoad{load(1, 3, 20)})
 	is.Equal(f.Sent(), sums)
 }
 
-// TestFeedCatchesUp lets sums change at random, more of them than fit: whoever takes all
-// that is sent has the sums once they rest, and a session that opens then has the same.
+// TestFeedCatchesUp changes sums at random, more of them than fit into a message. A receiver of all
+// messages has the same sums once they stop changing, and so has a session that opens then.
 func TestFeedCatchesUp(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var f Feed
-	taken := map[uint32]protocol.ServerLoad{}
+	received := map[uint32]protocol.ServerLoad{}
 	sums := []protocol.ServerLoad{}
 	send := func() int {
 		sent := f.Next(sums, 20)
 		is.True(len(sent) <= 20)
 		for _, l := range sent {
-			taken[l.Handle] = l
+			received[l.Handle] = l
 		}
 		return len(sent)
 	}
@@ -58,6 +58,6 @@
 	}
 	is.Equal(f.Sent(), sums)
 	for _, l := range sums {
-		is.Equal(taken[l.Handle], l)
+		is.Equal(received[l.Handle], l)
 	}
 }
--- a/coordination/registry/handles.go
+++ b/coordination/registry/handles.go
@@ -2,31 +2,32 @@
 
 package registry
 
-// This file defines Handles, the short numbers of backend servers.
+// This file defines Handles, which assigns short numbers to backend servers.
 
-// Handles numbers the lives of backend servers for all that one replica sends to gateways. A number
-// outlives the leader: who leads, and whose list a replica passes on, may change, and gateways keep
-// what they have. Numbers of one leader's term had every gateway read the whole list again after
-// each change of leaders, 740 KB each with 9,998 servers. No number is used twice, and 0 is none.
+// Handles assigns numbers to the lives of backend servers in all messages from one replica to
+// gateways. A life is one run of a server's process. Numbers outlive a leader's term, so that
+// gateways keep their lists when the leader changes. If numbers belonged to a term, every gateway
+// would read the whole list again after each change, 740 KB with 9,998 servers. No number is used
+// twice, and 0 is none.
 type Handles struct {
 	space uint64
 	byID  map[string]uint32
 	last  uint32
 }
 
-// spaceMark is set in the number of every space, so that none is a leader's term.
+// spaceMark is set in the number of every space, so that none equals a leader's term.
 const spaceMark = 1 << 63
 
-// NewHandles returns no handles, in a space with a random number.
+// NewHandles returns an empty set of handles in a space with a random number.
 func NewHandles(random uint64) *Handles {
 	return &Handles{space: random | spaceMark, byID: map[string]uint32{}}
 }
 
-// Space returns the number that tells these handles from those of other replicas, and of this one
-// before its process started again.
+// Space returns the number that distinguishes these handles from those of other replicas and of
+// earlier processes of this replica.
 func (h *Handles) Space() uint64 { return h.space }
 
-// Assign returns the handle of a life, a new one if it has none.
+// Assign returns the handle of a life, and assigns a new one if it has none.
 func (h *Handles) Assign(id string) uint32 {
 	if handle, ok := h.byID[id]; ok {
 		return handle
@@ -36,5 +37,5 @@
 	return h.last
 }
 
-// Release forgets a life that gateways were told is gone.
+// Release removes a life that gateways were told is gone.
 func (h *Handles) Release(id string) { delete(h.byID, id) }
--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -7,58 +7,63 @@
 	"time"
 )
 
-// This file defines ListPace, how many whole lists a box sends at once.
+// This file defines ListPace, which limits the rate at which a box sends whole lists.
 //
-// A whole list grows with the fleet's backend servers, and those who ask for one with its gateways.
-// All of them at once are what a link carries in many election timeouts. Whatever keeps a leader
-// waits behind them, so it ends; and the next one is asked for the same lists. So lists go out at a
-// pace that leaves a part of the link to all else, whoever asks for them and whenever.
+// The size of a list grows with the number of backend servers, and the number of requests for one
+// with the number of gateways. Sending all of them at once would occupy the link for many election
+// timeouts. A leader's other messages would wait behind them, so it would lose its leadership, and
+// its successor would get the same requests. The pace therefore leaves a part of the link to all
+// other messages.
 
 const (
-	// listAhead is the time for which lists may be ahead of their pace: what comes behind them on the
-	// link waits for half of it, an eighth of a heartbeat's period and a sixteenth of an election
-	// timeout at 80 and 400 ms.
-	listAhead = 20 * time.Millisecond
-	// changesAhead is the same for changes of lists, which go to all sessions at once, each period of
-	// Fleet messages: in smaller pieces they are as many bytes and more messages, and the loop of a
-	// leader of 985 sessions that sent some each 10 ms was 109 ms late. A heartbeat waits for half of
-	// it at the most.
-	changesAhead = FleetPeriod
+	// maxListLead is how far lists may be sent ahead of their pace. A message behind them on the
+	// link waits for half of it, which is an eighth of a heartbeat period of 80 ms and a sixteenth
+	// of an election timeout of 400 ms at most.
+	maxListLead = 20 * time.Millisecond
+	// maxChangeLead is the same for changes of lists, which go to all sessions at once in each
+	// period of Fleet messages. A heartbeat waits for half of it at most. Smaller pieces add up to
+	// as many bytes in more messages: with one every 10 ms, the event loop of a leader with 985
+	// sessions was 109 ms late.
+	maxChangeLead = FleetPeriod
 )
 
-// Measuring the size of an entry.
+// Limits of the measured size of an entry.
 const (
-	entriesMeasured = 10 // servers in a message at the least: in a smaller one the rest of it counts too much
-	entrySpread     = 4  // it counts as between serverBytes divided and multiplied by this
+	minMeasuredEntries = 10 // per message; in smaller ones the other fields distort the size
+	maxEntryDeviation  = 4  // factor by which the size may differ from defaultEntryBytes
 )
 
-// ListPace admits whole lists at the pace that a box's link bears. The zero value admits all.
+// ListPace limits whole lists to a rate that a box's link can carry. The zero value admits all.
 type ListPace struct {
-	rate  float64       // bytes a second that lists may take; 0 is not bounded
-	free  time.Duration // when the link has carried what was admitted, at that rate
-	entry float64       // bytes of a server's entry, as last sent; 0: none was
+	rate               float64       // bytes per second for lists; 0 means unlimited
+	freeAt             time.Duration // when the link has carried all admitted lists at that rate
+	measuredEntryBytes float64       // measured size of a server's entry; 0 before the first measurement
 }
 
-// NewListPace returns the pace of some bytes a second, which are a part of a link's; 0 is not known, and not paced.
+// NewListPace returns a pace in bytes per second, which is a part of the link's rate. 0 means that
+// the rate is not known and lists are not paced.
 func NewListPace(rate float64) ListPace { return ListPace{rate: rate} }
 
-// Wait returns how long the next list has to wait; 0 if it may go now.
-func (p *ListPace) Wait(now time.Duration) time.Duration { return max(p.free-listAhead-now, 0) }
+// Wait returns how long the next list has to wait, or 0 if it may be sent now.
+func (p *ListPace) Wait(now time.Duration) time.Duration { return max(p.freeAt-maxListLead-now, 0) }
 
-// PartSize returns how many servers' entries of a whole list may go out in one message: what listAhead carries.
+// PartSize returns how many entries of a whole list may go out in one message: what the link
+// carries in maxListLead.
 func (p *ListPace) PartSize() int {
 	if p.rate == 0 {
 		return math.MaxInt
 	}
-	return max(int(p.rate*listAhead.Seconds()/p.entryBytes()), 1)
+	return max(int(p.rate*maxListLead.Seconds()/p.entryBytes()), 1)
 }
 
-// ListsWithin returns how many lists of some servers go out in a time; 0 if the pace is not known.
+// ListsWithin returns how many lists of the given size are sent in a time, or 0 if the rate is not
+// known.
 func (p *ListPace) ListsWithin(d time.Duration, servers int) float64 {
 	return p.rate * d.Seconds() / max(p.listBytes(servers), 1)
 }
 
-// TimeToSend returns after which time some lists of servers have gone out, if nothing else goes before them.
+// TimeToSend returns how long it takes to send a number of lists of the given size, if nothing else
+// is sent before them.
 func (p *ListPace) TimeToSend(now time.Duration, lists, servers int) time.Duration {
 	if p.rate == 0 {
 		return 0
@@ -66,42 +71,44 @@
 	return p.Wait(now) + time.Duration(float64(lists)*p.listBytes(servers)/p.rate*float64(time.Second))
 }
 
-// EntryAllowance returns how many servers' entries may go now to each of some sessions: one at least once
-// the link is free, however slow it is.
+// EntryAllowance returns how many servers' entries may be sent now to each of a number of sessions.
+// Once the link is free it is at least one, however slow the link is.
 func (p *ListPace) EntryAllowance(now time.Duration, sessions int) int {
 	if p.rate == 0 || sessions == 0 {
 		return math.MaxInt
 	}
-	room := p.rate * (changesAhead - max(p.free-now, 0)).Seconds()
-	n := max(int(room/(p.entryBytes()*float64(sessions))), 0)
-	if n == 0 && now >= p.free {
+	allowance := p.rate * (maxChangeLead - max(p.freeAt-now, 0)).Seconds()
+	n := max(int(allowance/(p.entryBytes()*float64(sessions))), 0)
+	if n == 0 && now >= p.freeAt {
 		return 1
 	}
 	return n
 }
 
-// RecordSent counts bytes of lists, or of changes of them, that are sent now.
+// RecordSent records that lists, or changes of them, of a size in bytes are sent now.
 func (p *ListPace) RecordSent(now time.Duration, size int) {
 	if p.rate > 0 {
-		p.free = max(p.free, now) + time.Duration(float64(size)/p.rate*float64(time.Second))
+		p.freeAt = max(p.freeAt, now) + time.Duration(float64(size)/p.rate*float64(time.Second))
 	}
 }
 
-// RecordEntries counts a message with some servers' entries, which is sent to some sessions now.
+// RecordEntries records that a message with a number of servers' entries is sent now to a number of
+// sessions.
 func (p *ListPace) RecordEntries(now time.Duration, size, servers, sessions int) {
-	if servers >= entriesMeasured {
-		p.entry = min(max(float64(size)/float64(servers), serverBytes/entrySpread), serverBytes*entrySpread)
+	if servers >= minMeasuredEntries {
+		p.measuredEntryBytes = min(max(float64(size)/float64(servers), defaultEntryBytes/maxEntryDeviation), defaultEntryBytes*maxEntryDeviation)
 	}
 	p.RecordSent(now, size*sessions)
 }
 
-// entryBytes is the size of a server's entry: names are longer in one fleet than in another.
+// entryBytes returns the size of a server's entry, which depends on the length of the names in the
+// fleet.
 func (p *ListPace) entryBytes() float64 {
-	if p.entry == 0 {
-		return serverBytes
+	if p.measuredEntryBytes == 0 {
+		return defaultEntryBytes
 	}
-	return p.entry
+	return p.measuredEntryBytes
 }
 
-// listBytes is the size of a list of some servers, in bytes.
+// listBytes returns the size of a list in bytes.
 func (p *ListPace) listBytes(servers int) float64 { return p.entryBytes() * float64(servers) }
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -11,11 +11,11 @@
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 )
 
-// TestListsKeepToTheirPace: lists for many who ask at once take half of a link, and never more of
-// it ahead than a list and 20 ms; a link that is not known is not paced.
+// TestListsKeepToTheirPace: lists for many simultaneous requests take half of a link, and are never
+// ahead of that by more than a list and 20 ms. A link of unknown rate is not paced.
 func TestListsKeepToTheirPace(t *testing.T) {
 	is := is.New(t)
-	const rate, size = 125e6, 740_000 // a gigabit
+	const rate, size = 125e6, 740_000 // 1 Gbit/s
 	pace := registry.NewListPace(rate / 2)
 	sent, now := 0, time.Second
 	for ; now < 2*time.Second; now += time.Millisecond {
@@ -35,8 +35,8 @@
 	is.Equal(unknown.Wait(now), time.Duration(0))
 }
 
-// TestChangesOfListsKeepToTheirPace: entries of servers for many sessions go out at the same pace, in
-// one message each period.
+// TestChangesOfListsKeepToTheirPace: entries of servers for many sessions go out at the same pace,
+// in one message per period.
 func TestChangesOfListsKeepToTheirPace(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{125e6, 3e6} {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestEntriesAreMeasured: entries of another size than the usual one keep to the pace as well, none is taken for longer
-// than it is.
+// TestEntriesAreMeasured: entries that are larger or smaller than defaultEntryBytes keep to the
+// pace too, because their size is measured.
 func TestEntriesAreMeasured(t *testing.T) {
 	is := is.New(t)
 	const rate, sessions = 4e6, 20
--- a/coordination/registry/listpart.go
+++ b/coordination/registry/listpart.go
@@ -11,26 +11,26 @@
 
 // This file defines the parts of a whole list.
 //
-// One message may be no larger than what ListPace lets out at once, or what keeps the leader waits behind it: a
-// list of 112 KB is 0.6 s of a link of 1.6 Mbit/s, an election timeout and a half. A link of a gigabit carries
-// the list of 16,000 servers at once.
+// A message is limited to what ListPace admits at once, because the leader's other messages wait
+// behind it on the link: 112 KB take 0.6 s at 1.6 Mbit/s, one and a half election timeouts. At 1
+// Gbit/s a list of 16,000 servers fits into one message.
 
-// ListPart returns the servers of a whole list, which is ordered by name, that go out after the one that was the
-// last of the part before, some at most. After "" it is the first part, and the list itself if that is all of it.
-// last is whether the part ends the list. A list may have changed since the part before, if the receiver is sent
-// the changes.
-func ListPart(list protocol.Servers, after string, most int) (part protocol.Servers, last bool) {
+// ListPart returns the next part of a whole list that is ordered by name: at most limit servers
+// after the one named after. If after is empty it returns the first part, or the whole list if that
+// fits. last is whether the part is the last one. The list may change between two parts if the
+// receiver is sent the changes.
+func ListPart(list protocol.Servers, after string, limit int) (part protocol.Servers, last bool) {
 	part = list
 	if after != "" {
-		from, found := slices.BinarySearchFunc(list.Set, after, func(s protocol.Server, name string) int { return strings.Compare(s.ID, name) })
+		start, found := slices.BinarySearchFunc(list.Set, after, func(s protocol.Server, name string) int { return strings.Compare(s.ID, name) })
 		if found {
-			from++
+			start++
 		}
-		part.Set, part.Gone = list.Set[from:], nil
+		part.Set, part.Gone = list.Set[start:], nil
 		part.Whole, part.Part = false, true
 	}
-	if last = len(part.Set) <= most; !last {
-		part.Set, part.Complete = part.Set[:most], false
+	if last = len(part.Set) <= limit; !last {
+		part.Set, part.Complete = part.Set[:limit], false
 	}
 	return part, last
 }
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -14,16 +14,16 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// partedList is a leader's list that changes while it goes out in parts.
-type partedList struct {
+// partedList is a leader's list that changes while it is sent in parts.
+type changingList struct {
 	rng  *rand.Rand
 	list protocol.Servers
 	next uint32
 }
 
-// listOf returns the complete list of some servers, with the handles of a leader.
-func listOf(rng *rand.Rand, servers int) *partedList {
-	l := &partedList{rng: rng, list: protocol.Servers{Term: 2, Space: 7, Whole: true, Complete: true}}
+// listOf returns a complete list of random servers with a leader's handles.
+func listOf(rng *rand.Rand, servers int) *changingList {
+	l := &changingList{rng: rng, list: protocol.Servers{Term: 2, Space: 7, Whole: true, Complete: true}}
 	for range servers {
 		l.add()
 	}
@@ -31,7 +31,7 @@
 }
 
 // add lists a new server and returns it.
-func (l *partedList) add() protocol.Server {
+func (l *changingList) add() protocol.Server {
 	l.next++
 	s := protocol.Server{Handle: l.next, Registration: protocol.Registration{
 		ID: fmt.Sprintf("s%d-%d", l.rng.IntN(1000), l.next), Pool: "p", Address: fmt.Sprintf("10.0.%d.%d:80", l.next/250, l.next%250),
@@ -41,8 +41,9 @@
 	return s
 }
 
-// change removes a server, changes one and adds one, and returns the message for who has a part.
-func (l *partedList) change() protocol.Servers {
+// change removes a server, changes one and adds one, and returns the message for receivers of a
+// part.
+func (l *changingList) change() protocol.Servers {
 	gone := l.rng.IntN(len(l.list.Set))
 	m := protocol.Servers{Term: l.list.Term, Space: l.list.Space, Gone: []string{l.list.Set[gone].ID}}
 	l.list.Set = slices.Delete(slices.Clone(l.list.Set), gone, gone+1)
@@ -53,40 +54,41 @@
 	return m
 }
 
-// TestListInParts: who takes the parts of a list, and the changes between them, has the list; who had it
-// from an earlier leader passes on only what differs, and drops nothing before the list has ended.
+// TestListInParts: a receiver of all parts of a list, and of the changes between them, has the
+// list. One that had the list of an earlier leader passes on only the differences, and drops
+// nothing before the list is complete.
 func TestListInParts(t *testing.T) {
 	is := is.New(t)
 	for seed := range uint64(200) {
 		l := listOf(rand.New(rand.NewPCG(seed, 1)), 40)
-		fresh, kept := NewCopy(NewHandles(1)), NewCopy(NewHandles(2))
+		fresh, outlived := NewCopy(NewHandles(1)), NewCopy(NewHandles(2))
 		before := l.list
 		before.Term, before.Set = 1, append(slices.Clone(before.Set), protocol.Server{Handle: 1000, Registration: protocol.Registration{ID: "left", Address: "10.9.9.9:80"}})
-		kept.Apply(0, before)
+		outlived.Apply(0, before)
 		passed := 0
 		for after, last := "", false; !last; {
 			var m protocol.Servers
 			m, last = ListPart(l.list, after, 1+l.rng.IntN(9))
 			fresh.Apply(0, m)
-			is.True(kept.Len() >= 41)
-			passed += len(kept.Apply(0, m).Set)
+			is.True(outlived.Len() >= 41)
+			passed += len(outlived.Apply(0, m).Set)
 			if last {
 				break
 			}
 			after = m.Set[len(m.Set)-1].ID
 			between := l.change()
 			fresh.Apply(0, between)
-			kept.Apply(0, between)
+			outlived.Apply(0, between)
 		}
-		is.Equal(passed, 0) // the list itself says nothing that kept has not from before or from the changes
-		for _, c := range []*Copy{&fresh, &kept} {
+		is.Equal(passed, 0) // the copy has all of it, from the earlier leader or from the changes
+		for _, c := range []*Copy{&fresh, &outlived} {
 			is.Equal(registrations(c.WholeList(0).Set), registrations(l.list.Set))
 			is.True(c.WholeList(0).Complete)
 		}
 	}
 }
 
-// TestListAtOnce: a list that goes out at once is one message, as it was.
+// TestListAtOnce: a list that fits into one message is sent unchanged.
 func TestListAtOnce(t *testing.T) {
 	is := is.New(t)
 	l := listOf(rand.New(rand.NewPCG(1, 1)), 40)
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -1,31 +1,33 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package registry keeps which backend servers have announced themselves. It decides
-// who owns an address, who is forgotten, when the list is complete, and the pace of the
-// gateways' sessions with the leader.
+// Package registry holds the announced backend servers. It decides which server owns an address,
+// when a silent server is removed, when the list is complete, and at what pace gateways and the
+// leader exchange messages.
 //
-// The model: soft state on the leader. A backend server announces itself once in each
-// interval, under an identifier that is new at each of its starts; one that falls
-// silent is not removed soon but replaced when another announces the same address.
-// Announcements may be seconds late, also beyond the end of their sender. So of two
-// identifiers at one address the one with the smaller number is taken for the later
-// start: each start numbers its announcements from 1, and both announce at one interval.
-// Ways weighed: the later arrival wins (a late announcement takes the address from the
-// live server until that announces itself again); departures logged
-// for whoever is replaced (a wrong one would be for good); the replaced identifiers
-// kept for a while (one that was wrongly replaced must be able to come back, and a new
-// leader does not have them).
+// The registry is soft state on the leader. A backend server announces itself once per interval,
+// under an identifier that is new at each start. A silent server is not removed soon, but replaced
+// when another one announces the same address. Announcements may arrive seconds late, even after
+// the sender's end. Therefore, of two identifiers at one address, the one with the smaller sequence
+// number counts as the later start: each start numbers its announcements from 1, and all announce
+// at the same interval.
 //
-// Where gateways are served by a relay in place of the leader, it has the leader's list as a
-// Copy, and adds up its gateways' reports in Sums.
+// Alternatives considered:
+//   - The later arrival wins: a late announcement takes the address from the live server until that
+//     announces itself again.
+//   - The departure of a replaced server is logged: a wrong one could not be undone.
+//   - Replaced identifiers are kept for a while: a server that was wrongly replaced must be able to
+//     come back, and a new leader does not have them.
 //
-// Departures are not soft: the caller keeps them in a replicated log and passes on only
-// the announcements of backend servers that have not departed. A new leader starts from
-// the registrations in the log and is complete once all had the time to announce
+// A relay that serves gateways in place of the leader holds the leader's list as a Copy, and adds
+// up its gateways' reports in Sums.
+//
+// Departures are not soft state: the caller keeps them in a replicated log, and passes on
+// announcements only of backend servers that have not departed. A new leader starts from the
+// registrations in the log. Its list is complete once all servers had the time to announce
 // themselves.
 //
-// Nothing here is safe for concurrent use, and nothing reads a clock: now is the
-// replica's monotonic time.
+// Nothing here is safe for concurrent use, and nothing reads a clock: now is the replica's
+// monotonic time.
 package registry
 
 import (
@@ -41,21 +43,21 @@
 
 // This file defines Registry, the table of announced backend servers.
 
-// Announcement is what a backend server reports about itself.
+// Announcement is a backend server's report about itself.
 type Announcement struct {
 	protocol.Registration
 	Leaving  bool
-	Seq      uint64        // rises with each announcement of one ID
-	ColdLeft time.Duration // for which it still bears few requests
+	Seq      uint64        // increases with each announcement of one ID
+	ColdLeft time.Duration // remaining time in which it can serve only few requests
 }
 
-// Invalid refuses an announcement. Nothing was changed.
+// Invalid is the error for an announcement that fails [Announcement.Check].
 type Invalid struct{ What string }
 
-// Error names what is wrong.
+// Error returns the reason.
 func (e Invalid) Error() string { return "invalid announcement: " + e.What }
 
-// Check returns [Invalid], or nil.
+// Check returns an [Invalid] error if a field is missing or out of range.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
 		return Invalid{What: "no identifier or no pool"}
@@ -73,13 +75,13 @@
 	if a.Slots < 0 {
 		return Invalid{What: fmt.Sprintf("%d slots", a.Slots)}
 	}
-	if a.ColdLeft < 0 || a.ColdLeft > longestCold {
+	if a.ColdLeft < 0 || a.ColdLeft > maxColdTime {
 		return Invalid{What: fmt.Sprintf("cold for %v", a.ColdLeft)}
 	}
 	return nil
 }
 
-// Change is what an announcement or a departure changed.
+// Change is the effect of an announcement or a departure on the list.
 type Change struct {
 	Set  []protocol.Server // new or changed
 	Gone []string          // identifiers
@@ -88,8 +90,7 @@
 // Empty reports whether nothing changed.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Gone) == 0 }
 
-// Merge returns both changes as one, a later one of a backend server in place of the
-// earlier.
+// Merge returns both changes as one. Of two changes to one backend server, the later one counts.
 func (c Change) Merge(next Change) Change {
 	switch {
 	case next.Empty():
@@ -111,57 +112,57 @@
 
 // Registry is the table of announced backend servers.
 type Registry struct {
-	leaderSince time.Duration
-	interval    time.Duration // between two announcements of one backend server
-	servers     map[string]*entry
-	byAddress   map[string]string // identifier by address
-	byHandle    map[uint32]string // the same by handle
-	byName      map[string]string // the same of the newest life, by the server's name
-	handles     *Handles
-	coldUntil   time.Duration   // no server is cold from then on
-	counts      map[stand]int   // servers by pool and data hall
-	succeeded   map[string]bool // earlier lives, of servers that have announced a later one
-	oldest      []string        // the same, oldest first
+	leaderSince    time.Duration
+	interval       time.Duration // between two announcements of one backend server
+	servers        map[string]*entry
+	byAddress      map[string]string // identifiers by address
+	byHandle       map[uint32]string // identifiers by handle
+	byName         map[string]string // identifiers of the newest lives by server name
+	handles        *Handles
+	coldUntil      time.Duration    // no server is cold from then on
+	counts         map[location]int // number of servers
+	succeeded      map[string]bool  // identifiers of replaced lives
+	succeededOrder []string         // the same, oldest first
 }
 
 type entry struct {
 	protocol.Server
 	seq      uint64        // of the last announcement; 0 if restored
-	lastSeen time.Duration // time of the last announcement, or of the restoring
-	cold     coldness
+	lastSeen time.Duration // when it was last announced or restored
+	cold     coldState
 }
 
-// completeAfter is how long a leader waits, in announcement intervals, before it takes its list for
-// complete: one announcement may be late and one lost.
-const completeAfter = 3
+// completeAfterIntervals is how long a new leader waits before its list counts as complete, in
+// announcement intervals: one announcement may be late and one lost.
+const completeAfterIntervals = 3
 
-// forgetAfter is the silence, in announcement intervals, after which a backend server is forgotten. It
-// is long because gateways see sooner whether the server answers; this bound only keeps the table from
-// growing.
-const forgetAfter = 40
+// expireAfterIntervals is the silence after which a backend server is removed, in announcement
+// intervals. It is long because gateways detect a dead server sooner; the limit only bounds the
+// size of the table.
+const expireAfterIntervals = 40
 
-// Which of two backend servers has an address.
+// Parameters that decide which of two backend servers owns an address.
 const (
-	// firstNumbers are of a backend server that has just started: one announcement may have got no
-	// answer.
-	firstNumbers = 2
-	// aliveFor is how long a backend server counts as alive after an announcement, in intervals: one
-	// may be late.
-	aliveFor = 2
+	// maxInitialSeq is the largest sequence number of a server that has just started: one
+	// announcement may have got no answer.
+	maxInitialSeq = 2
+	// aliveIntervals is how long a backend server counts as alive after an announcement, in
+	// announcement intervals: one may be late.
+	aliveIntervals = 2
 )
 
-// New returns an empty registry of a replica that leads from now on. Its servers get their handles
-// from some.
+// New returns an empty registry of a replica that leads from now on. handles assigns the servers'
+// handles.
 func New(now, interval time.Duration, handles *Handles) *Registry {
 	return &Registry{
 		leaderSince: now, interval: interval, handles: handles,
 		servers: map[string]*entry{}, byAddress: map[string]string{}, byHandle: map[uint32]string{}, byName: map[string]string{},
-		counts: map[stand]int{}, succeeded: map[string]bool{},
+		counts: map[location]int{}, succeeded: map[string]bool{},
 	}
 }
 
-// Restore adds a backend server that announced itself to an earlier leader. Any
-// announcement to this one goes before it.
+// Restore adds a backend server that announced itself to an earlier leader. It has no effect if a
+// server with its identifier, address or name is listed.
 func (r *Registry) Restore(now time.Duration, s protocol.Registration) {
 	name, _ := protocol.SplitLife(s.ID)
 	if r.servers[s.ID] == nil && r.byAddress[s.Address] == "" && r.byName[name] == "" {
@@ -169,31 +170,31 @@
 	}
 }
 
-// Announce takes an announcement of a backend server that has not departed. A late
-// one changes nothing: one with a number that is not above the last, and one of a backend
-// server whose address another one has that started later.
+// Announce applies an announcement of a backend server that has not departed. A late one changes
+// nothing: its sequence number is not above the last one, or its address belongs to a server that
+// started later.
 func (r *Registry) Announce(now time.Duration, a Announcement) Change {
 	e := r.servers[a.ID]
-	if e == nil && (r.earlierLife(now, a.ID) || r.outlived(now, a)) {
+	if e == nil && (r.isEarlierLife(now, a.ID) || r.isSuperseded(now, a)) {
 		return Change{}
 	}
 	if e == nil {
-		before := r.succeed(a.ID)
+		before := r.replaceEarlierLife(a.ID)
 		change := r.add(now, a.Registration, a.Seq)
 		change.Gone = append(before, change.Gone...)
 		e = r.servers[a.ID]
 		e.cold = e.cold.withAnnounced(now, a.ColdLeft)
 		r.coldUntil = max(r.coldUntil, e.cold.until)
-		change.Set[0] = e.server(now)
+		change.Set[0] = e.toServer(now)
 		return change
 	}
 	if a.Seq <= e.seq {
 		return Change{}
 	}
 	before, coldBefore := e.Registration, e.cold
-	r.count(e.Registration, -1)
+	r.adjustCount(e.Registration, -1)
 	e.Registration, e.seq, e.lastSeen = a.Registration, a.Seq, now
-	r.count(e.Registration, 1)
+	r.adjustCount(e.Registration, 1)
 	e.cold = e.cold.withAnnounced(now, a.ColdLeft)
 	r.coldUntil = max(r.coldUntil, e.cold.until)
 	if before == a.Registration && e.cold.until == coldBefore.until {
@@ -202,13 +203,13 @@
 	var gone []string
 	if before.Address != a.Address {
 		delete(r.byAddress, before.Address)
-		gone = r.occupy(a.Registration)
+		gone = r.claimAddress(a.Registration)
 	}
-	return Change{Set: []protocol.Server{e.server(now)}, Gone: gone}
+	return Change{Set: []protocol.Server{e.toServer(now)}, Gone: gone}
 }
 
-// Again returns the announcement of a listed backend server that has not changed and is not
-// cold. ok is false if no server has the handle any more.
+// Again returns the full announcement of a listed backend server that has not
+// changed and is not cold. ok is false if no server has the handle.
 func (r *Registry) Again(m protocol.AnnouncedAgain) (a Announcement, ok bool) {
 	id, ok := r.byHandle[m.Handle]
 	if !ok {
@@ -217,21 +218,19 @@
 	return Announcement{Registration: r.servers[id].Registration, Seq: m.Seq}, true
 }
 
-// outlived reports whether the announcement of an unlisted backend server is of one that
-// ended before the present one at its address started. One that was listed by an earlier
-// leader and has not announced itself here has no number yet, and counts as the later
-// start for as long as it may be alive.
-func (r *Registry) outlived(now time.Duration, a Announcement) bool {
+// isSuperseded reports whether an unlisted backend server ended before the present one at its
+// address started. A server that was listed by an earlier leader and has not announced itself here
+// has no sequence number yet. It counts as the later start for as long as it may be alive.
+func (r *Registry) isSuperseded(now time.Duration, a Announcement) bool {
 	present := r.servers[r.byAddress[a.Address]]
-	if present != nil && sameName(present.ID, a.ID) {
-		return false // which is the later one is known
+	if present != nil && sameServer(present.ID, a.ID) {
+		return false // two lives of one server are ordered by their start
 	}
-	return present != nil && now-present.lastSeen <= aliveFor*r.interval && a.Seq > max(present.seq, firstNumbers)
+	return present != nil && now-present.lastSeen <= aliveIntervals*r.interval && a.Seq > max(present.seq, maxInitialSeq)
 }
 
-// occupy gives a backend server its address, and removes and returns any other one
-// there.
-func (r *Registry) occupy(s protocol.Registration) (gone []string) {
+// claimAddress gives a backend server its address, and removes and returns any other server there.
+func (r *Registry) claimAddress(s protocol.Registration) (gone []string) {
 	if old, taken := r.byAddress[s.Address]; taken {
 		r.Remove(old)
 		gone = append(gone, old)
@@ -242,26 +241,26 @@
 
 // add adds a backend server.
 func (r *Registry) add(now time.Duration, s protocol.Registration, seq uint64) Change {
-	gone := r.occupy(s)
+	gone := r.claimAddress(s)
 	e := &entry{Server: protocol.Server{Registration: s, Handle: r.handles.Assign(s.ID)}, seq: seq, lastSeen: now}
 	r.servers[s.ID], r.byHandle[e.Handle] = e, s.ID
-	r.count(s, 1)
+	r.adjustCount(s, 1)
 	name, _ := protocol.SplitLife(s.ID)
 	r.byName[name] = s.ID
-	return Change{Set: []protocol.Server{e.server(now)}, Gone: gone}
+	return Change{Set: []protocol.Server{e.toServer(now)}, Gone: gone}
 }
 
-// server returns the entry as gateways are sent it.
-func (e *entry) server(now time.Duration) protocol.Server {
+// toServer returns the entry as it is sent to gateways.
+func (e *entry) toServer(now time.Duration) protocol.Server {
 	s := e.Server
-	s.Cold = e.cold.sent(now)
+	s.Cold = e.cold.forGateways(now)
 	return s
 }
 
 // Remove removes a backend server that has departed.
 func (r *Registry) Remove(id string) {
 	if e := r.servers[id]; e != nil {
-		r.count(e.Registration, -1)
+		r.adjustCount(e.Registration, -1)
 		delete(r.servers, id)
 		delete(r.byHandle, e.Handle)
 		r.handles.Release(id)
@@ -274,12 +273,11 @@
 	}
 }
 
-// ExpireSilent removes backend servers that have been silent for more than
-// forgetAfter intervals.
+// ExpireSilent removes backend servers that have been silent for more than expireAfterIntervals.
 func (r *Registry) ExpireSilent(now time.Duration) Change {
 	var change Change
 	for id, e := range r.servers {
-		if now-e.lastSeen > forgetAfter*r.interval {
+		if now-e.lastSeen > expireAfterIntervals*r.interval {
 			change.Gone = append(change.Gone, id)
 		}
 	}
@@ -290,14 +288,13 @@
 	return change
 }
 
-// Complete reports whether every backend server that runs has had the time to
-// announce itself here.
+// Complete reports whether every running backend server has had the time to announce itself here.
 func (r *Registry) Complete(now time.Duration) bool {
-	return now-r.leaderSince >= completeAfter*r.interval
+	return now-r.leaderSince >= completeAfterIntervals*r.interval
 }
 
-// Diff returns the servers that gateways lack which have a copy's, and the lives that the copy has
-// and this registry does not: they may announce themselves yet.
+// Diff returns the servers that gateways with the list of c lack, and the lives that c has and this
+// registry does not: these may still announce themselves.
 func (r *Registry) Diff(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
 	for _, s := range r.List(now) {
 		e, listed := c.servers[s.Sent().ID]
@@ -314,7 +311,7 @@
 	return set, missing
 }
 
-// ForgetUnlisted forgets and returns those of some lives that are not listed.
+// ForgetUnlisted releases the handles of those lives that are not listed, and returns them.
 func (r *Registry) ForgetUnlisted(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
@@ -326,11 +323,11 @@
 // Len returns the number of backend servers.
 func (r *Registry) Len() int { return len(r.servers) }
 
-// List returns all backend servers, ordered by identifier, as gateways are sent them.
+// List returns all backend servers as they are sent to gateways, ordered by identifier.
 func (r *Registry) List(now time.Duration) []protocol.Server {
 	list := make([]protocol.Server, 0, len(r.servers))
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
-		list = append(list, r.servers[id].server(now))
+		list = append(list, r.servers[id].toServer(now))
 	}
 	return list
 }
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -79,13 +79,13 @@
 	change := r.Announce(interval, other)
 	is.Equal(change.Gone, []string{"old"})
 	is.Equal(ids(r.List(0)), []string{"new"})
-	r.Remove("old") // the old one's departure comes after
+	r.Remove("old") // the departure of the replaced one arrives later
 	is.Equal(ids(r.List(0)), []string{"new"})
 	is.Equal(r.Announce(interval, announcement("x", "10.0.0.1:80", 1)).Gone, []string{"new"})
 }
 
-// TestServerMovesToAnotherAddress: one identifier announces another address. The old
-// address is free for others, and the new one is taken from whoever had it.
+// TestServerMovesToAnotherAddress: when a server announces another address, its old address becomes
+// free for others, and the new one is taken from the server that had it.
 func TestServerMovesToAnotherAddress(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
@@ -94,7 +94,7 @@
 	change := r.Announce(interval, announcement("a", "10.0.0.2:80", 2))
 	is.Equal(ids(change.Set), []string{"a"})
 	is.Equal(change.Gone, []string{"b"})
-	is.Equal(len(r.Announce(interval, announcement("c", "10.0.0.1:80", 1)).Gone), 0) // where a was
+	is.Equal(len(r.Announce(interval, announcement("c", "10.0.0.1:80", 1)).Gone), 0) // the old address of a
 	is.Equal(ids(r.List(0)), []string{"a", "c"})
 	is.Equal(r.Announce(interval, announcement("d", "10.0.0.2:80", 1)).Gone, []string{"a"})
 	is.Equal(ids(r.List(0)), []string{"c", "d"})
@@ -116,7 +116,7 @@
 	r.Announce(0, announcement("b", "10.0.0.2:80", 1))
 	is.True(r.ExpireSilent(10 * interval).Empty()) // callers may still reach it
 	r.Announce(10*interval, announcement("b", "10.0.0.2:80", 2))
-	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"a"})
+	is.Equal(r.ExpireSilent((expireAfterIntervals+1)*interval).Gone, []string{"a"})
 }
 
 func TestCompleteOnceEverybodyCouldSpeak(t *testing.T) {
@@ -133,16 +133,16 @@
 	r.Restore(0, announcement("old", "10.0.0.1:80", 9).Registration) // its address is taken
 	r.Restore(0, announcement("a", "10.0.0.2:80", 9).Registration)
 	is.Equal(ids(r.List(0)), []string{"a", "new"})
-	is.True(r.Announce(interval, announcement("a", "10.0.0.2:80", 1)).Empty()) // speaks, whatever its number was
-	is.Equal(r.ExpireSilent((forgetAfter+1)*interval).Gone, []string{"new"})
+	is.True(r.Announce(interval, announcement("a", "10.0.0.2:80", 1)).Empty()) // any sequence number is accepted after a restore
+	is.Equal(r.ExpireSilent((expireAfterIntervals+1)*interval).Gone, []string{"new"})
 }
 
 func TestFleetPause(t *testing.T) {
 	for size, want := range map[int]time.Duration{
-		0:               50 * time.Millisecond,
-		133:             50 * time.Millisecond, // 15 backend servers
-		4 << 10:         450 * time.Millisecond,
-		fleetBudget * 9: 550 * time.Millisecond,
+		0:                      50 * time.Millisecond,
+		133:                    50 * time.Millisecond, // the size of 15 backend servers
+		4 << 10:                450 * time.Millisecond,
+		linkBytesPerSecond * 9: 550 * time.Millisecond,
 	} {
 		is.New(t).Equal(NewFleetBudget(false, 0).Pause(size, 45), want)
 	}
@@ -151,56 +151,57 @@
 func TestRedialPause(t *testing.T) {
 	is := is.New(t)
 	is.Equal(RedialPause(1), redialPause)
-	is.Equal(RedialPause(redialsAtOnce), redialPause) // an election or two take that long
-	is.Equal(RedialPause(redialsAtOnce+1), redialLongest)
-	is.True(fleetLongest < SilenceLimit) // a leader with little to send is not left
+	is.Equal(RedialPause(fastRedials), redialPause) // the length of one or two elections
+	is.Equal(RedialPause(fastRedials+1), slowRedialPause)
+	is.True(maxFleetPeriod < SilenceLimit) // a leader with little to send is not taken for silent
 }
 
-// TestLateAnnouncementOfADeadServer: at one address "a" has crashed and "b" has started;
-// an announcement of "a" was held up on its way.
+// TestLateAnnouncementOfADeadServer: at one address "a" has crashed and "b" has started. A delayed
+// announcement of "a" must not replace "b".
 func TestLateAnnouncementOfADeadServer(t *testing.T) {
 	const address = "10.0.0.1:80"
-	crashed := func(r *Registry) {
+	announceTwenty := func(r *Registry) {
 		for n := range uint64(20) {
 			r.Announce(time.Duration(n)*interval, announcement("a", address, n+1))
 		}
 	}
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
-	crashed(r)
+	announceTwenty(r)
 	is.Equal(r.Announce(21*interval, announcement("b", address, 1)).Gone, []string{"a"})
 	is.True(r.Announce(21*interval+1, announcement("a", address, 21)).Empty())
 	is.True(r.Announce(22*interval, announcement("b", address, 2)).Empty())
 	is.True(r.Announce(24*interval, announcement("a", address, 22)).Empty())
 	is.Equal(ids(r.List(0)), []string{"b"})
 
-	// A third one starts: its number is the smallest.
+	// A third server starts: it has the smallest number.
 	is.Equal(r.Announce(24*interval, announcement("c", address, 1)).Gone, []string{"b"})
-	// Its address goes to a fourth, whose first announcements got no answer.
+	// The address moves to a fourth server, whose first announcements were not answered.
 	is.True(r.Announce(24*interval, announcement("d", address, 4)).Empty())
-	is.Equal(r.Announce((24+aliveFor)*interval+1, announcement("d", address, 7)).Gone, []string{"c"}) // c is silent
+	is.Equal(r.Announce((24+aliveIntervals)*interval+1, announcement("d", address, 7)).Gone, []string{"c"}) // c has been silent for too long
 
-	// A new leader that has "b" from the log, and "a" from nowhere.
+	// A new leader has "b" from the log, but not "a".
 	r = New(0, interval, NewHandles(1))
 	r.Restore(0, announcement("b", address, 0).Registration)
 	is.True(r.Announce(interval/2, announcement("a", address, 22)).Empty())
 	is.True(r.Announce(interval, announcement("b", address, 3)).Empty())
 	is.Equal(ids(r.List(0)), []string{"b"})
 
-	// One that has nothing from the log takes whoever comes first, and corrects itself.
+	// A leader without registrations from the log lists the first one to announce itself, and
+	// corrects that.
 	r = New(0, interval, NewHandles(1))
 	is.Equal(ids(r.Announce(0, announcement("a", address, 22)).Set), []string{"a"})
 	is.Equal(r.Announce(interval, announcement("b", address, 3)).Gone, []string{"a"})
 	is.True(r.Announce(interval, announcement("a", address, 23)).Empty())
 
-	// One that was wrongly kept out is listed once the other is silent.
+	// A server that was wrongly refused is listed once the other one is silent.
 	r = New(0, interval, NewHandles(1))
 	r.Announce(0, announcement("a", address, 1))
 	is.True(r.Announce(interval, announcement("b", address, 9)).Empty())
-	is.Equal(r.Announce(aliveFor*interval+1, announcement("b", address, 10)).Gone, []string{"a"})
+	is.Equal(r.Announce(aliveIntervals*interval+1, announcement("b", address, 10)).Gone, []string{"a"})
 }
 
-// TestChangesAreGathered: of one server the later change counts.
+// TestChangesAreGathered: of two changes to one server, the later one counts.
 func TestChangesAreGathered(t *testing.T) {
 	is := is.New(t)
 	a, b := protocol.Server{Registration: protocol.Registration{ID: "a"}}, protocol.Server{Registration: protocol.Registration{ID: "b"}}
@@ -212,31 +213,31 @@
 	is.Equal(c.Merge(Change{}), c)
 }
 
-// TestFleetBudget: a link keeps to its budget and all links of a leader to theirs, whatever
+// TestFleetBudget: each link and all links of a leader together stay within their budgets, whatever
 // the number of gateways.
 func TestFleetBudget(t *testing.T) {
 	is := is.New(t)
 	for _, links := range []int{0, 1, 62, 128, 300, 1600} {
 		size := NewFleetBudget(false, 0).Loads(links)*loadBytes*10/9 + 1
-		rate := float64(size) / (NewFleetBudget(false, 0).Pause(size, links) + FleetPeriod/2).Seconds() // bytes a second
-		is.True(rate <= 1.01*fleetBudget)
-		is.True(rate*float64(links) <= 1.01*fleetTotal)
+		rate := float64(size) / (NewFleetBudget(false, 0).Pause(size, links) + FleetPeriod/2).Seconds() // bytes per second
+		is.True(rate <= 1.01*linkBytesPerSecond)
+		is.True(rate*float64(links) <= 1.01*totalBytesPerSecond)
 	}
 	is.Equal(NewFleetBudget(false, 0).Loads(62), 442)
 	is.Equal(NewFleetBudget(false, 0).Loads(300), 188)
 }
 
-// TestSpreadSendersHaveBudgetsOfTheirOwn: where sessions are spread, what a gateway is sent depends
-// on the gateways of its replica, not on the fleet, and a replica keeps to 256 KiB/s; on a slow link
-// to a tenth of it.
+// TestSpreadSendersHaveBudgetsOfTheirOwn: where sessions are spread, the budget of a gateway
+// depends on the number of gateways at its replica, not on the fleet. A replica stays within 256
+// KiB/s, and on a slow link within a tenth of its rate.
 func TestSpreadSendersHaveBudgetsOfTheirOwn(t *testing.T) {
 	is := is.New(t)
 	const gigabit = 125e6
 	is.Equal(NewFleetBudget(false, gigabit).Loads(985), 57)
 	is.Equal(NewFleetBudget(true, gigabit).Loads(99), 142)
-	is.Equal(NewFleetBudget(true, gigabit).Loads(197), 71) // twice the gateways on as many replicas
+	is.Equal(NewFleetBudget(true, gigabit).Loads(197), 71) // twice the gateways at one replica
 	size := NewFleetBudget(true, gigabit).Loads(99) * loadBytes
 	rate := float64(99*size) / (NewFleetBudget(true, gigabit).Pause(size, 99) + FleetPeriod/2).Seconds()
-	is.True(rate <= 1.01*senderTotal)
+	is.True(rate <= 1.01*senderBytesPerSecond)
 	is.Equal(NewFleetBudget(true, 455_000), FleetBudget(45_500))
 }
--- a/coordination/registry/replicaof.go
+++ b/coordination/registry/replicaof.go
@@ -12,11 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines which replica serves a gateway, where several do.
+// This file defines which replica serves a gateway when sessions are spread.
 
-// SelectReplica returns which of some replicas is to serve a gateway, "" if there is none but those to
-// avoid. Those of its data hall go first. Each is given an equal part of the gateways, and one that
-// ends moves only its own.
+// SelectReplica returns the address of the replica that serves a gateway, or "" if all are to be
+// avoided. Replicas in the gateway's data hall are preferred. Rendezvous hashing gives each replica
+// an equal part of the gateways, and only the gateways of a replica that is gone move to another.
 func SelectReplica(places []protocol.Place, hall, gateway string, avoid []string) string {
 	places = slices.DeleteFunc(slices.Clone(places), func(p protocol.Place) bool { return slices.Contains(avoid, p.Address) })
 	if AnyInHall(places, hall) {
@@ -30,15 +30,15 @@
 	}).Address
 }
 
-// AnyInHall reports whether one of some replicas stands in a data hall that is named.
+// AnyInHall reports whether one of the replicas is in the data hall, if that is named.
 func AnyInHall(places []protocol.Place, hall string) bool {
 	return hall != "" && slices.ContainsFunc(places, func(p protocol.Place) bool { return p.Hall == hall })
 }
 
-// weight is a replica's weight for a gateway: the largest serves it. Replicas of two versions have to agree, so
-// it does not change.
+// weight is a replica's weight for a gateway, which is served by the replica with the largest one.
+// It must not change, since replicas of different versions have to agree.
 func weight(gateway, replica string) uint64 {
 	hash := fnv.New64a()
-	_, _ = io.WriteString(hash, gateway+" "+replica) // a hash takes all
+	_, _ = io.WriteString(hash, gateway+" "+replica) // a hash returns no error
 	return mix.Bits(hash.Sum64())
 }
--- a/coordination/registry/spread.go
+++ b/coordination/registry/spread.go
@@ -4,51 +4,52 @@
 
 import "time"
 
-// This file defines Spread, whether one replica can serve all gateways.
+// This file defines Spread, which decides whether the gateways' sessions are spread over all
+// replicas.
 //
-// What a leader sends all its gateways at once, when they come back or when it is new, is gateways
-// times servers. Below a tenth of a second of its link it serves them itself, which is a hop
-// shorter. Above, each replica serves a part of them, and the leader sends once to each replica what
-// all gateways get.
+// When gateways reconnect, or a leader is new, the number of list entries to send at once is the
+// number of gateways times the number of servers. If that takes the leader's link less than a tenth
+// of a second, the leader serves all gateways itself, which saves a hop. Otherwise each replica
+// serves some of them, and the leader sends each list once to each replica.
 
 const (
-	// spreadFrom is how long the lists of all gateways may take a leader's link: a quarter of an
+	// maxListTime is how long the lists of all gateways may take a leader's link: a quarter of an
 	// election timeout.
-	spreadFrom = 100 * time.Millisecond
-	// spreadPart is the part of that below which sessions are gathered again: the number of those that
-	// come and go must not decide.
-	spreadPart = 0.25
-	// spreadStays is for how long it must have been so. Longer than it takes a fleet that has lost
-	// power to come back.
-	spreadStays = 5 * time.Minute
-	// serverBytes is a server's part of a list, in bytes (docs/CAPACITY.md).
-	serverBytes = 75
+	maxListTime = 100 * time.Millisecond
+	// gatherFraction is the fraction of maxListTime below which sessions return to the leader. The
+	// gap between the two limits provides hysteresis against gateways that come and go.
+	gatherFraction = 0.25
+	// gatherDelay is how long the lists must have been below that fraction. It is longer than the
+	// recovery of a fleet from a power loss.
+	gatherDelay = 5 * time.Minute
+	// defaultEntryBytes is the size of a server's entry in a list, in bytes (docs/CAPACITY.md).
+	defaultEntryBytes = 75
 )
 
-// Spread decides whether gateways' sessions are spread over the replicas. The zero value has seen
-// nothing.
+// Spread decides whether gateways' sessions are spread over the replicas. The zero value is ready
+// to use.
 type Spread struct {
-	fewSince time.Duration // 0: not few
+	smallSince time.Duration // when the lists fell below gatherFraction; 0 while they are above
 }
 
-// Decide returns whether the sessions are to be spread, now that they are so or not, on a leader's
-// link of some bytes a second; without a rate they stay as they are.
+// Decide returns whether the sessions are to be spread. spread is the present state, and linkRate
+// is the rate of the leader's link in bytes per second; if it is 0, the state does not change.
 func (s *Spread) Decide(now time.Duration, spread bool, gateways, servers int, linkRate float64) bool {
 	if linkRate <= 0 {
 		return spread
 	}
-	takes := time.Duration(float64(gateways) * ListBytes(servers) / linkRate * float64(time.Second))
+	sendTime := time.Duration(float64(gateways) * ListBytes(servers) / linkRate * float64(time.Second))
 	switch {
 	case !spread:
-		s.fewSince = 0
-		return takes > spreadFrom
-	case float64(takes) >= spreadPart*float64(spreadFrom):
-		s.fewSince = 0
-	case s.fewSince == 0:
-		s.fewSince = now
+		s.smallSince = 0
+		return sendTime > maxListTime
+	case float64(sendTime) >= gatherFraction*float64(maxListTime):
+		s.smallSince = 0
+	case s.smallSince == 0:
+		s.smallSince = now
 	}
-	return s.fewSince == 0 || now-s.fewSince < spreadStays
+	return s.smallSince == 0 || now-s.smallSince < gatherDelay
 }
 
-// ListBytes returns the size of a list of some servers, in bytes.
-func ListBytes(servers int) float64 { return serverBytes * float64(servers) }
+// ListBytes returns the expected size of a list in bytes.
+func ListBytes(servers int) float64 { return defaultEntryBytes * float64(servers) }
--- a/coordination/registry/spread_test.go
+++ b/coordination/registry/spread_test.go
@@ -12,7 +12,8 @@
 )
 
 // TestSpreadIsSteady: sessions are spread when the lists of all gateways take the leader's link for
-// longer than a tenth of a second, and stay so while gateways are away for less than five minutes.
+// longer than a tenth of a second. They stay spread while gateways are away for less than five
+// minutes.
 func TestSpreadIsSteady(t *testing.T) {
 	is := is.New(t)
 	const gigabit = 125e6
@@ -20,10 +21,10 @@
 	is.True(!s.Decide(0, false, 295, 171, gigabit))
 	is.True(s.Decide(0, false, 290, 3000, gigabit))
 	is.True(s.Decide(0, false, 985, 9998, gigabit))
-	is.True(!s.Decide(0, false, 985, 9998, 0)) // the link's rate is not known
+	is.True(!s.Decide(0, false, 985, 9998, 0)) // the rate of the link is not known
 	is.True(s.Decide(time.Second, true, 0, 9998, gigabit))
 	is.True(s.Decide(4*time.Minute, true, 0, 9998, gigabit))
-	is.True(s.Decide(4*time.Minute+time.Second, true, 985, 9998, gigabit)) // they are back
+	is.True(s.Decide(4*time.Minute+time.Second, true, 985, 9998, gigabit)) // the gateways are back
 	is.True(s.Decide(5*time.Minute, true, 0, 9998, gigabit))
 	is.True(s.Decide(9*time.Minute, true, 0, 9998, gigabit))
 	is.True(!s.Decide(11*time.Minute, true, 0, 9998, gigabit))
--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -11,75 +11,75 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Sums, the reports of several gateways as one, and its pace.
+// This file defines Sums, which merges the reports of several gateways into one, and its pace.
 
-// Pace of a relay's reports to the leader.
+// Limits of a relay's reports to the leader.
 const (
-	// sumBudget is the bytes a second of one relay's reports: with fleetBudget down, two relays
-	// of a region take two thirds of the 50 KB/s to which the fleet's own messages between two
-	// regions are to keep (docs/CAPACITY.md).
-	sumBudget = 8 << 10
-	// sumLongest is the longest time between two reports: a third of RelaySilence.
-	sumLongest = 300 * time.Millisecond
-	// sumsKept is how many of the last reports are kept, to know which the leader has counted:
-	// 3.2 s of them at the least, above every silence that a session survives.
-	sumsKept = 32
+	// sumBytesPerSecond bounds one relay's reports. Together with linkBytesPerSecond in the other
+	// direction, two relays of a region take two thirds of the 50 KB/s allowed for the fleet's own
+	// messages between two regions (docs/CAPACITY.md).
+	sumBytesPerSecond = 8 << 10
+	// maxSumPeriod is the longest time between two reports: a third of RelaySilence.
+	maxSumPeriod = 300 * time.Millisecond
+	// maxSentSums is the number of latest reports that are kept to identify the one that the leader
+	// has counted. They cover at least 3.2 s, longer than any silence that a session survives.
+	maxSentSums = 32
 )
 
-// MaxSumLoads is how many changed loads one report has at most, ten bytes each: half of what the
-// budget allows in the longest pause, since accounts need the rest.
-const MaxSumLoads = int(sumBudget*sumLongest/time.Second) / 2 / loadBytes
+// MaxSumLoads is the largest number of changed loads in a report, at ten bytes each. They take half
+// of the bytes allowed in maxSumPeriod, since accounts need the rest.
+const MaxSumLoads = int(sumBytesPerSecond*maxSumPeriod/time.Second) / 2 / loadBytes
 
-// SumPause returns how long a relay waits after a report of a size in bytes. It is less by half
-// a period because the caller looks once a period.
+// SumPause returns how long a relay waits after a report of a size in bytes. Half a period is
+// subtracted because the caller checks once per period.
 func SumPause(size int) time.Duration {
-	byBudget := time.Duration(size) * time.Second / sumBudget
-	return min(max(byBudget, ReportPeriod), sumLongest) - ReportPeriod/2
+	byBudget := time.Duration(size) * time.Second / sumBytesPerSecond
+	return min(max(byBudget, ReportPeriod), maxSumPeriod) - ReportPeriod/2
 }
 
-// RelaySilence is the silence of a relay after which the leader ends its session. It is as long
-// as for a leader: what a relay reported counts for a whole region, and its gateways have left
-// it by then and report elsewhere.
+// RelaySilence is the silence of a relay after which the leader ends its session. It equals the
+// limit for a leader: a relay's reports count for a whole region, and by then its gateways have
+// left it and report elsewhere.
 const RelaySilence = SilenceLimit
 
-// Sums adds up what the gateways behind one relay report. The zero value has no gateways. It is
-// used by one goroutine.
+// Sums adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
+// for concurrent use.
 type Sums struct {
-	term     uint64 // of the leader
-	gateways map[string]behind
-	gathered gathered
-	totals   map[outcomeKey]protocol.Outcomes // as last sent
-	feed     Feed
-	seq      uint64
-	sent     []sentSum // of this session with the leader, newest last
-	counted  sentSum
-	listed   uint64 // Seq of the newest rollouts of this session with the leader
+	term          uint64 // of the leader
+	gateways      map[string]gatewayReport
+	pendingCounts pendingCounts
+	totals        map[outcomeKey]protocol.Outcomes // as last sent
+	feed          Feed
+	seq           uint64
+	sent          []sentSum // in this session with the leader, newest last
+	counted       sentSum
+	listedSeq     uint64 // Seq of the newest list of rollouts in this session with the leader
 }
 
-// behind is what one gateway last reported.
-type behind struct {
-	obeys    bool // it obeys rollouts
-	reported bool
-	seq      uint64
-	loads    []protocol.ServerLoad
-	outcomes map[outcomeKey]protocol.Outcomes
-	number   uint64 // of its document
-	obeyed   uint64 // the newest rollouts that the last report obeyed
-	before   uint64 // and the report before it, whose list is older than the last one's loads
-	barred   []protocol.Barred
+// gatewayReport is the latest report of one gateway.
+type gatewayReport struct {
+	obeys          bool // whether it applies rollouts
+	reported       bool
+	seq            uint64
+	loads          []protocol.ServerLoad
+	outcomes       map[outcomeKey]protocol.Outcomes
+	number         uint64 // number of its document
+	lastObeyed     uint64 // newest list of rollouts applied, by the latest report
+	previousObeyed uint64 // the same by the report before: the loads of a report may have begun under an older list
+	barred         []protocol.Barred
 }
 
-// gathered is what was demanded and given since the last report to the leader.
-type gathered struct {
-	demands, served, late, unread map[string]uint64 // tokens by account
+// pendingCounts holds the counts since the last report to the leader.
+type pendingCounts struct {
+	demands, served, late, unread map[string]uint64 // in tokens by account
 	started, missed               uint64
 }
 
-func newGathered() gathered {
-	return gathered{demands: map[string]uint64{}, served: map[string]uint64{}, late: map[string]uint64{}, unread: map[string]uint64{}}
+func newPendingCounts() pendingCounts {
+	return pendingCounts{demands: map[string]uint64{}, served: map[string]uint64{}, late: map[string]uint64{}, unread: map[string]uint64{}}
 }
 
-// sentSum is which report of each gateway is in a report to the leader.
+// sentSum records which report of each gateway is included in a report to the leader.
 type sentSum struct {
 	seq      uint64
 	gateways map[string]uint64
@@ -94,49 +94,49 @@
 	return outcomeKey{pool: o.Pool, version: o.Version, route: o.Route, attempt: o.Attempt}
 }
 
-// Restart begins a session with the leader of a term: the first report has all that runs, and nothing that
-// was demanded before, which an earlier leader may have counted.
+// Restart begins a session with the leader of a term. The first report contains all that runs, but
+// no demand from before, which an earlier leader may have counted.
 func (s *Sums) Restart(term uint64) {
 	for name, g := range s.gateways {
-		if s.term != term { // what was obeyed is of the lists of the leader before
-			g.before, g.obeyed = 0, 0
+		if s.term != term { // the numbers belong to lists of the earlier leader
+			g.previousObeyed, g.lastObeyed = 0, 0
 			s.gateways[name] = g
 		}
 	}
-	*s = Sums{gateways: s.gateways, gathered: newGathered(), term: term}
+	*s = Sums{gateways: s.gateways, pendingCounts: newPendingCounts(), term: term}
 }
 
-// Open begins the session of a gateway, whose reports are numbered anew. obeys is whether it
-// obeys rollouts.
+// Open begins the session of a gateway, whose reports are numbered from 1 again. obeys is whether
+// it applies rollouts.
 func (s *Sums) Open(gateway string, obeys bool) {
 	if s.gateways == nil {
-		s.gateways, s.gathered = map[string]behind{}, newGathered()
+		s.gateways, s.pendingCounts = map[string]gatewayReport{}, newPendingCounts()
 	}
-	s.gateways[gateway] = behind{obeys: obeys}
+	s.gateways[gateway] = gatewayReport{obeys: obeys}
 	delete(s.counted.gateways, gateway)
 	for _, sent := range s.sent {
 		delete(sent.gateways, gateway)
 	}
 }
 
-// Close ends the session of a gateway, with all that it reported.
+// Close ends the session of a gateway and drops its reports.
 func (s *Sums) Close(gateway string) { delete(s.gateways, gateway) }
 
-// Add takes a gateway's report. Its first one may cover any time, so only what runs there and
-// the totals count.
+// Add adds a gateway's report. Since the first one of a session may cover any time, only its loads
+// and totals count.
 func (s *Sums) Add(gateway string, m protocol.Usage) {
 	g, open := s.gateways[gateway]
 	if !open {
 		return
 	}
 	if g.reported {
-		s.gathered.add(m)
+		s.pendingCounts.add(m)
 	}
 	g.reported, g.seq, g.loads, g.number, g.barred = true, m.Seq, m.Loads, m.Number, m.Barred
 	if m.Term != 0 && m.Term != s.term {
 		m.Obeyed = 0
 	}
-	g.before, g.obeyed = g.obeyed, m.Obeyed
+	g.previousObeyed, g.lastObeyed = g.lastObeyed, m.Obeyed
 	if len(m.Outcomes) > 0 {
 		g.outcomes = maps.Clone(g.outcomes)
 		if g.outcomes == nil {
@@ -149,7 +149,7 @@
 	s.gateways[gateway] = g
 }
 
-func (g *gathered) add(m protocol.Usage) {
+func (g *pendingCounts) add(m protocol.Usage) {
 	g.started += m.Started
 	g.missed += m.Missed
 	for _, d := range m.Demands {
@@ -166,7 +166,7 @@
 	}
 }
 
-// byAccount returns counts in the order of the accounts.
+// byAccount returns the counts ordered by account.
 func byAccount(counts map[string]uint64) []protocol.Demand {
 	var all []protocol.Demand
 	for _, account := range slices.Sorted(maps.Keys(counts)) {
@@ -175,8 +175,8 @@
 	return all
 }
 
-// Next returns the next report to the leader. It costs O(n log n) for all that the gateways
-// reported.
+// Next returns the next report to the leader. It costs O(n log n) in the size of the gateways'
+// reports.
 func (s *Sums) Next() protocol.Usage {
 	s.seq++
 	sent := sentSum{seq: s.seq, gateways: make(map[string]uint64, len(s.gateways))}
@@ -188,21 +188,21 @@
 			AddLoads(loads, g.loads)
 		}
 	}
-	m.Number, m.Obeyed = s.least()
-	m.Barred = s.barred()
+	m.Number, m.Obeyed = s.minimums()
+	m.Barred = s.mergedBarred()
 	m.Loads = s.feed.Next(SortedLoads(loads), MaxSumLoads)
 	m.Outcomes = s.changedOutcomes()
-	m.Demands, m.Served, m.Late = byAccount(s.gathered.demands), byAccount(s.gathered.served), byAccount(s.gathered.late)
-	m.Unread = byAccount(s.gathered.unread)
-	m.Started, m.Missed = s.gathered.started, s.gathered.missed
-	s.gathered = newGathered()
+	m.Demands, m.Served, m.Late = byAccount(s.pendingCounts.demands), byAccount(s.pendingCounts.served), byAccount(s.pendingCounts.late)
+	m.Unread = byAccount(s.pendingCounts.unread)
+	m.Started, m.Missed = s.pendingCounts.started, s.pendingCounts.missed
+	s.pendingCounts = newPendingCounts()
 	s.sent = append(s.sent, sent)
-	s.sent = s.sent[max(len(s.sent)-sumsKept, 0):]
+	s.sent = s.sent[max(len(s.sent)-maxSentSums, 0):]
 	return m
 }
 
-// barred returns what any gateway has barred, each once.
-func (s *Sums) barred() []protocol.Barred {
+// mergedBarred returns the versions barred at any gateway, without duplicates.
+func (s *Sums) mergedBarred() []protocol.Barred {
 	var all []protocol.Barred
 	for _, g := range s.gateways {
 		all = append(all, g.barred...)
@@ -213,22 +213,22 @@
 	return slices.Compact(all)
 }
 
-// least returns the smallest number of a document in force at a gateway, and of the rollouts
-// under which what runs at one was begun; without a gateway that obeys any, of those that are
-// known here.
-func (s *Sums) least() (number, obeyed uint64) {
+// minimums returns the smallest number of a document in force at a gateway, and the smallest number
+// of a list of rollouts under which running requests may have begun. Without a gateway that applies
+// rollouts, the latter is the newest list received here.
+func (s *Sums) minimums() (number, obeyed uint64) {
 	var numbers, obeys []uint64
 	for _, g := range s.gateways {
 		numbers = append(numbers, g.number)
 		if g.obeys {
-			obeys = append(obeys, g.before)
+			obeys = append(obeys, g.previousObeyed)
 		}
 	}
 	if len(numbers) > 0 {
 		number = slices.Min(numbers)
 	}
 	if len(obeys) == 0 {
-		return number, s.listed
+		return number, s.listedSeq
 	}
 	return number, slices.Min(obeys)
 }
@@ -238,7 +238,7 @@
 	totals := map[outcomeKey]protocol.Outcomes{}
 	for _, g := range s.gateways {
 		for k, o := range g.outcomes {
-			totals[k] = plus(totals[k], o)
+			totals[k] = addOutcomes(totals[k], o)
 		}
 	}
 	var changed []protocol.Outcomes
@@ -259,8 +259,8 @@
 	return changed
 }
 
-// plus returns the sum of two counts under the second's key.
-func plus(a, b protocol.Outcomes) protocol.Outcomes {
+// addOutcomes returns the sum of two counts under the second one's key.
+func addOutcomes(a, b protocol.Outcomes) protocol.Outcomes {
 	b.Sent, b.Answered, b.Failed = a.Sent+b.Sent, a.Answered+b.Answered, a.Failed+b.Failed
 	paces := make([]uint32, max(len(a.Paces), len(b.Paces)))
 	for i := range a.Paces {
@@ -279,9 +279,9 @@
 	return a.Sent == b.Sent && a.Answered == b.Answered && a.Failed == b.Failed && slices.Equal(a.Paces, b.Paces)
 }
 
-// ApplyRollouts takes the leader's list of rollouts, and forgets the outcomes of others.
+// ApplyRollouts records the leader's list of rollouts, and drops the outcomes of others.
 func (s *Sums) ApplyRollouts(m protocol.Rollouts) {
-	s.listed = m.Seq
+	s.listedSeq = m.Seq
 	attempts := map[string]uint64{}
 	for _, r := range m.List {
 		attempts[r.Pool] = r.Attempt
@@ -293,7 +293,7 @@
 	maps.DeleteFunc(s.totals, old)
 }
 
-// Counted takes the number of the newest report that is in the leader's sums.
+// Counted records the number of the newest report that the leader's sums include.
 func (s *Sums) Counted(seq uint64) {
 	for _, sent := range s.sent {
 		if sent.seq == seq {
@@ -303,8 +303,8 @@
 	s.sent = slices.DeleteFunc(s.sent, func(sent sentSum) bool { return sent.seq <= seq })
 }
 
-// CountedReport returns the number of a gateway's newest report that is in the leader's sums, 0 for
-// none of its session.
+// CountedReport returns the number of a gateway's newest report that the leader's sums include, or
+// 0 if they include none of its session.
 func (s *Sums) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
 
 // AddLoads adds loads to sums by handle.
@@ -317,7 +317,7 @@
 	}
 }
 
-// ApplyLoads puts changed sums in place of earlier ones; what runs nothing is dropped.
+// ApplyLoads replaces sums by changed ones, and drops those of idle servers.
 func ApplyLoads(sums map[uint32]protocol.ServerLoad, changed []protocol.ServerLoad) {
 	for _, l := range changed {
 		if l.Requests == 0 && l.Tokens == 0 {
@@ -328,7 +328,7 @@
 	}
 }
 
-// SortedLoads returns sums in the order of their handles.
+// SortedLoads returns the sums ordered by handle.
 func SortedLoads(sums map[uint32]protocol.ServerLoad) []protocol.ServerLoad {
 	return slices.SortedFunc(maps.Values(sums), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -11,72 +11,72 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests what a relay keeps: the leader's list and the reports of its gateways.
+// This file tests the state of a relay: the leader's list and the reports of its gateways.
 
-func runs(handle, requests uint32) protocol.ServerLoad {
+func loadOf(handle, requests uint32) protocol.ServerLoad {
 	return protocol.ServerLoad{Handle: handle, Requests: requests, Tokens: 10 * requests}
 }
 
-// TestSumsCountOnce: what gateways demand is reported once, their first reports in nothing but
-// what runs, and the leader's count of a report is one of each gateway's.
+// TestSumsCountOnce: the demand of a gateway is reported once, of its first report only the loads
+// count, and the leader's count of a report is mapped to a report of each gateway.
 func TestSumsCountOnce(t *testing.T) {
 	is := is.New(t)
 	var s Sums
 	s.Restart(1)
 	s.Open("g1", true)
 	s.Open("g2", true)
-	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{runs(7, 2)}, Started: 1000, Obeyed: 4, Demands: []protocol.Demand{{Account: "a", Tokens: 1000}}})
+	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 1000, Obeyed: 4, Demands: []protocol.Demand{{Account: "a", Tokens: 1000}}})
 	m := s.Next()
-	is.Equal(m.Loads, []protocol.ServerLoad{runs(7, 2)})
-	is.Equal(m.Started, uint64(0)) // of any time
+	is.Equal(m.Loads, []protocol.ServerLoad{loadOf(7, 2)})
+	is.Equal(m.Started, uint64(0)) // the first report covers an unknown time
 	is.Equal(len(m.Demands), 0)
 
 	s.Add("g1", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{runs(7, 2)}, Started: 5, Missed: 6, Number: 3, Obeyed: 4,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 5, Missed: 6, Number: 3, Obeyed: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 7}}, Served: []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}}, Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{runs(7, 1), runs(8, 1)}, Number: 2, Obeyed: 5})
+	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 1), loadOf(8, 1)}, Number: 2, Obeyed: 5})
 	s.Add("g2", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{runs(7, 1)}, Started: 10, Number: 2, Obeyed: 5,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 1)}, Started: 10, Number: 2, Obeyed: 5,
 		Demands: []protocol.Demand{{Account: "b", Tokens: 1}, {Account: "a", Tokens: 100}},
 	})
 	m = s.Next()
 	is.Equal(m, protocol.Usage{
-		Seq: 2, Changes: true, Loads: []protocol.ServerLoad{runs(7, 3)}, Started: 15, Missed: 6, Number: 2, Obeyed: 4,
+		Seq: 2, Changes: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, Obeyed: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 107}, {Account: "b", Tokens: 1}},
 		Served:  []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}},
 		Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // once
+	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // reported once
 
 	s.Counted(1)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
 	s.Counted(2)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{2, 2})
-	s.Counted(9) // of no report
+	s.Counted(9) // no such report
 	is.Equal(s.CountedReport("g1"), uint64(2))
 
-	s.Open("g1", false) // comes back: its reports have other numbers, and it obeys nothing
+	s.Open("g1", false) // a new session: its reports are numbered again, and it does not apply rollouts
 	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Counted(3)
 	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Close("g2")
 	m = s.Next()
-	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // nothing runs any more
-	s.Add("g2", protocol.Usage{Seq: 3, Loads: []protocol.ServerLoad{runs(7, 3)}})
-	is.Equal(len(s.Next().Loads), 0) // late
+	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // nothing runs there any more
+	s.Add("g2", protocol.Usage{Seq: 3, Loads: []protocol.ServerLoad{loadOf(7, 3)}})
+	is.Equal(len(s.Next().Loads), 0) // the session has ended
 
-	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{runs(9, 1)}})
+	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(9, 1)}})
 	s.Next()
 	s.Restart(1)
 	m = s.Next()
 	is.Equal(m.Seq, uint64(1))
-	is.Equal(m.Loads, []protocol.ServerLoad{runs(9, 1)}) // all of it, to another leader
+	is.Equal(m.Loads, []protocol.ServerLoad{loadOf(9, 1)}) // all loads, since the leader may be another one
 }
 
-// TestSumsObey: a relay obeys the list that all its gateways obeyed one report before their last,
-// since a report's loads are older than its list; one that has just opened obeys none. Without a
-// gateway that obeys rollouts it is the list that the relay has.
+// TestSumsObey: a relay reports the oldest list that its gateways had applied one report before
+// their last, since a report's loads may be older than its list. A gateway that has just opened
+// counts with none. Without a gateway that applies rollouts, the relay reports its own list.
 func TestSumsObey(t *testing.T) {
 	is := is.New(t)
 	var s Sums
@@ -88,16 +88,16 @@
 	s.Open("g", true)
 	is.Equal(s.Next().Obeyed, uint64(0))
 	s.Add("g", protocol.Usage{Seq: 1, Obeyed: 3})
-	is.Equal(s.Next().Obeyed, uint64(0)) // what ran may be older
+	is.Equal(s.Next().Obeyed, uint64(0)) // the loads may be older
 	is.Equal(s.Next().Obeyed, uint64(0))
 	s.Add("g", protocol.Usage{Seq: 2, Obeyed: 4})
 	is.Equal(s.Next().Obeyed, uint64(3))
 	s.Close("g")
 	s.Restart(1)
-	is.Equal(s.Next().Obeyed, uint64(0)) // another leader's lists
+	is.Equal(s.Next().Obeyed, uint64(0)) // the numbers belong to the earlier leader
 }
 
-// TestSumsOfOutcomes: totals over the gateways that a relay has, sent when they change.
+// TestSumsOfOutcomes: a relay sends the totals over its gateways when they change.
 func TestSumsOfOutcomes(t *testing.T) {
 	is := is.New(t)
 	var s Sums
@@ -123,8 +123,8 @@
 	is.Equal(len(s.Next().Outcomes), 0)
 }
 
-// TestCopy: a copy of the list is what the leader has, and what is cold is so for as long as
-// it was when the leader sent it.
+// TestCopy: a copy equals the leader's list, and a cold server stays cold for the time that
+// remained when the leader sent it.
 func TestCopy(t *testing.T) {
 	is := is.New(t)
 	server := func(id, address string, handle uint32, cold time.Duration) protocol.Server {
@@ -154,13 +154,14 @@
 	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
 	is.Equal(c.WholeList(5*time.Second), protocol.Servers{
-		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // a's address is c's
+		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // c took the address of a
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
 }
 
-// TestCopyOutlivesItsLeader: of the whole list of another leader, whose handles are others, gateways
-// are sent only what differs. What it lacks stays until its list is complete, and is told then.
+// TestCopyOutlivesItsLeader: when another leader, with other handles, sends its whole list,
+// gateways are sent only the differences. Servers that it lacks stay until the list is complete,
+// and are then reported as unlisted.
 func TestCopyOutlivesItsLeader(t *testing.T) {
 	is := is.New(t)
 	server := func(id, address string, handle uint32) protocol.Server {
@@ -185,9 +186,9 @@
 	is.Equal(next.Space, first.Space)
 	is.Equal(next.Gone, []string{"d"})
 	is.True(!next.Whole && !next.Complete)
-	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // what has changed, and what is new
+	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // changed and new servers
 	is.Equal(c.WithOwnHandles([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
-	is.Equal(c.Len(), 4) // c may announce itself yet
+	is.Equal(c.Len(), 4) // c may still announce itself
 	handle, ok := c.Handle(time.Second, server("a", "1", 0).Registration)
 	is.True(ok)
 	is.Equal(handle, uint32(43))
@@ -196,10 +197,10 @@
 	is.Equal(done.Unlisted, []string{"c"})
 	is.Equal(c.Len(), 3)
 	again := c.Apply(3*time.Second, protocol.Servers{Term: 4, Set: []protocol.Server{server("c", "3", 44)}})
-	is.True(again.Set[0].Handle > 5) // none is used twice
+	is.True(again.Set[0].Handle > 5) // no handle is used twice
 }
 
-// TestSumPause: reports come ten times a second and at least every 300 ms.
+// TestSumPause: reports are sent at most ten times a second and at least every 300 ms.
 func TestSumPause(t *testing.T) {
 	is := is.New(t)
 	is.Equal(SumPause(10), ReportPeriod-ReportPeriod/2)
--- a/coordination/registry/versions.go
+++ b/coordination/registry/versions.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// This file defines what the registry knows of the versions of a pool's backend servers.
+// This file defines queries about the versions of a pool's backend servers.
 
 // Versions returns the versions of a pool's backend servers by handle.
 func (r *Registry) Versions(pool string) map[uint32]string {
