--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -75,15 +75,15 @@
 }
 
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
-	answer, err := c.g.cfg.Server.Send(ctx, a.address, c.outgoing(a))
+	answer, err := c.g.cfg.Transport.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
 		return c.sendFailed(a, err)
 	}
 	defer answer.Body.Close()
-	a.connOpenedAt = c.g.since(answer.Opened)
-	c.g.observeWay(a)
+	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
+	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
-		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
+		answer.Body = countingBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	c.g.heed(a, head)
@@ -120,7 +120,7 @@
 func (c *call) sendFailed(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
-		a.connOpenedAt = c.g.since(unknown.Opened)
+		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
 	}
 	var not forward.NotRun
 	if !errors.As(err, &not) {
@@ -182,7 +182,7 @@
 	allowed, fromBudget := policy.Again(out.execution)
 	// Each further attempt of a request that was at three ends might cost one more server.
 	allowed = allowed && c.suspicion.MayRetry(c.losses)
-	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
+	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
 	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
 	if again {
 		return true, nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -26,8 +26,8 @@
 // This file defines Gateway: its settings, its start, the watch over its processor, and
 // its stop.
 
-// Server sends calls to backend servers. [forward.Client] is one.
-type Server interface {
+// Transport sends calls to backend servers. [forward.Client] is one.
+type Transport interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 	// DropIdle closes the idle connections to an address.
 	DropIdle(address string)
@@ -37,7 +37,7 @@
 	Refuses(ctx context.Context, address string) bool
 }
 
-var _ Server = (*forward.Client)(nil)
+var _ Transport = (*forward.Client)(nil)
 
 // Settings of a gateway.
 type Settings struct {
@@ -47,19 +47,19 @@
 	Topology topology.Topology // of the fleet
 	// LinkRate is the capacity of the link between two regions one way, in bytes a second; 0 is
 	// [place.DefaultLinkRate].
-	LinkRate float64
-	Seeds    []string // fleet addresses of directory replicas
-	Headers  HeaderCodec
-	Server   Server
-	Retries  retry.Limits
+	LinkRate  float64
+	Seeds     []string // fleet addresses of directory replicas
+	Headers   HeaderCodec
+	Transport Transport
+	Retries   retry.Limits
 	// Grace is how long a stopping process has.
 	Grace time.Duration
-	// Bodies bounds the bytes of all requests' bodies together.
-	Bodies int64
-	Random func() uint64 // called by many goroutines at once
-	// Waited returns how long what was ready to run in this process has waited for the
+	// MaxTotalBodyBytes bounds the bytes of all requests' bodies together.
+	MaxTotalBodyBytes int64
+	Random            func() uint64 // called by many goroutines at once
+	// ProcessorWait returns how long what was ready to run in this process has waited for the
 	// processor, since the last call; nil is unknown.
-	Waited func() time.Duration
+	ProcessorWait func() time.Duration
 	// Clock is a monotonic clock that goes on while the box is suspended; nil is Go's, which does
 	// not.
 	Clock   func() time.Duration
@@ -69,25 +69,25 @@
 
 // Gateway is a running gateway. It is the handler of callers' requests.
 type Gateway struct {
-	cfg           Settings
-	began         time.Duration // by the clock
-	ctx           context.Context
-	stop          context.CancelFunc
-	routes        atomic.Pointer[routes] // nil before the first document
-	seeds         atomic.Pointer[[]string]
-	table         *table
-	accounts      *accounts
-	tokenCounters *tokenCounters
-	stats         *stats
-	endDetector   *endDetector
-	suspicions    *suspicions
-	meter         *link.Meter
-	seq           atomic.Uint64
-	gateways      atomic.Int64 // gateways in the fleet, as last reported
-	calls         atomic.Int64 // requests being served
-	read          atomic.Int64 // requests since the last report
-	bodies        atomic.Int64 // bytes of their bodies
-	stopped       atomic.Int64 // when the stop began, by now(); 0 before
+	cfg                 Settings
+	began               time.Duration // by the clock
+	ctx                 context.Context
+	stop                context.CancelFunc
+	routes              atomic.Pointer[routes] // nil before the first document
+	seeds               atomic.Pointer[[]string]
+	table               *table
+	accounts            *accounts
+	tokenCounters       *tokenCounters
+	stats               *stats
+	endDetector         *endDetector
+	suspicions          *suspicions
+	meter               *link.Meter
+	seq                 atomic.Uint64
+	gatewayCount        atomic.Int64 // gateways in the fleet, as last reported
+	inFlight            atomic.Int64 // requests being served
+	requestsSinceReport atomic.Int64 // requests since the last report
+	bodyBytes           atomic.Int64 // bytes of their bodies
+	stopped             atomic.Int64 // when the stop began, by now(); 0 before
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
@@ -104,8 +104,8 @@
 // Start runs a gateway until Stop.
 func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
-	if cfg.Waited == nil {
-		cfg.Waited = func() time.Duration { return 0 }
+	if cfg.ProcessorWait == nil {
+		cfg.ProcessorWait = func() time.Duration { return 0 }
 	}
 	if cfg.Clock == nil {
 		start := time.Now()
@@ -120,7 +120,7 @@
 	g.accounts = newAccounts(g.now)
 	g.endDetector, g.suspicions = newEndDetector(g), newSuspicions()
 	g.SetSeeds(cfg.Seeds)
-	g.gateways.Store(retry.AssumedGateways)
+	g.gatewayCount.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
 	g.allowed.Store(int64(overload.Pace{}.Allowance()))
@@ -136,8 +136,8 @@
 // now is the gateway's monotonic clock. It is never 0.
 func (g *Gateway) now() time.Duration { return g.cfg.Clock() - g.began + 1 }
 
-// since is a time by the gateway's monotonic clock; 0 for the zero time.
-func (g *Gateway) since(t time.Time) time.Duration {
+// monotonicTime is a time by the gateway's monotonic clock; 0 for the zero time.
+func (g *Gateway) monotonicTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
 	}
@@ -202,12 +202,12 @@
 	var pace overload.Pace
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
 		old := g.overload.Load()
-		d := old.Tick(g.now(), g.cfg.Waited())
+		d := old.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
 		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.taken.Swap(0))), d.Delay)
 		if d.High != old.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
-				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 		}
 		g.judgeAlone()
 		g.grantAll()
@@ -222,16 +222,16 @@
 	if bounded != old.Bounded() {
 		g.acceptBacklog.reset()
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
-			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.calls.Load()))
+			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 	}
 	return p
 }
 
-// takeRetry takes one more attempt out of the fleet's budget, if it allows one.
-func (g *Gateway) takeRetry(pool string) bool {
+// allowRetry takes one more attempt out of the fleet's budget, if it allows one.
+func (g *Gateway) allowRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.window(pool).Retry(g.now(), int(g.gateways.Load()))
+	return g.window(pool).Retry(g.now(), int(g.gatewayCount.Load()))
 }
 
 // countRequest counts a request that earns its pool retries.
@@ -251,8 +251,8 @@
 	return w
 }
 
-// random returns a number from 0 to 1.
-func (g *Gateway) random() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
+// randomFraction returns a number from 0 to 1.
+func (g *Gateway) randomFraction() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
 
 // stopPoll is how often a stopping gateway looks whether it may end.
 const stopPoll = 20 * time.Millisecond
@@ -264,9 +264,9 @@
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
 	for range sleep.Every(ctx, stopPoll) {
-		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.calls.Load()) {
+		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.inFlight.Load()) {
 		case drain.CutOff:
-			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.calls.Load()))
+			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.inFlight.Load()))
 			return
 		case drain.End:
 			return
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -115,7 +115,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.moving(now))) {
+		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.holds(now) || r.isRamping(now))) {
 			return 0
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	c.changed = true
 	if r := p.rollout; r.Attempt == a.tried.attempt {
-		r.breaker = r.breaker.with(g.now(), a.tried.target, v != outlier.Answered)
+		r.breaker = r.breaker.with(g.now(), a.tried.isTarget, v != outlier.Answered)
 	}
 }
 
@@ -174,17 +174,17 @@
 // the attempt is not counted for that. The caller holds mu.
 func (g *Gateway) countUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.tried.target || r.Attempt != a.tried.attempt {
+	if !a.tried.isTarget || r.Attempt != a.tried.attempt {
 		return false
 	}
 	switch {
 	case v == outlier.Answered:
 		if r.unreached.answered(g.now(), a.serverID) {
-			g.table.sortVersionsOf(p)
+			g.table.classifyPoolVersions(p)
 		}
 	case v == outlier.Lost && a.unreached && p.targets() > 1:
 		r.unreached.add(g.now(), a.serverID, a.tried.tally)
-		g.table.sortVersionsOf(p)
+		g.table.classifyPoolVersions(p)
 		return true
 	}
 	return false
@@ -194,7 +194,7 @@
 func (p *pool) targets() int {
 	n := 0
 	for _, k := range p.servers {
-		if k.versions&targetVersion != 0 {
+		if k.versionSet&targetVersion != 0 {
 			n++
 		}
 	}
