--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,30 +1,33 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine decides which requests are not sent to backend servers any more, because
-// servers end under them.
+// Package quarantine detects requests that make backend servers fail, so that they are no longer
+// sent to any server.
 //
-// Callers draw a new identifier for each try, so a request that comes again is known by what it
-// is, its [Key]. When a server ends, each request that ran there is a suspect, and most of them
-// are innocent. [Evidence] keeps at which ends in a row a key was, without a whole answer in
-// between, and condemns it when three things hold:
+// Callers use a new identifier for each attempt, so a repeated request is recognized by its
+// content, its [Key]. When a server fails, each request that was running there is a suspect, and
+// most suspects are innocent. [Evidence] records the consecutive failures at which a key was
+// running, without a complete answer in between. It condemns the key if three conditions hold:
 //
-//   - it was at three ends, each of a run that began after the end before, while other servers
-//     of the pool gave answers;
-//   - a request that ends nothing has such a record with a chance of one in a million at the
-//     most, as often as servers end by themselves and as long as its runs took;
-//   - no other suspect was at all of these ends. Else either may be the cause, and the next end
-//     tells them apart. What was at an end together with a condemned request is cleared of it.
+//   - It was running at three failures, each time in a run that began after the previous failure,
+//     while other servers of the pool were answering.
+//   - The probability that an innocent request has such a record is at most one in a million, given
+//     how often servers fail by themselves and how long the runs took.
+//   - No other suspect was running at all of these failures. Otherwise either may be the cause, and
+//     the next failure distinguishes them. A failure at which a condemned request was running no
+//     longer counts against others.
 //
-// A whole answer clears a key at once, so a key that is asked for all the time is never
-// condemned for being everywhere. [List] is what gateways hold: condemned keys, which they
-// refuse, and suspects, whose answers they report.
+// A complete answer clears a key at once, so a key that is requested all the time is never
+// condemned for being everywhere. Gateways hold a [List] of condemned keys, which they refuse, and
+// of suspects, whose answers they report.
 //
-// Weighed, and not taken: a count of ends alone (of 230 requests that ran at 16 servers that
-// ended by themselves, one was at three ends); to try a suspect once more alone, which costs
-// one more server and all that runs there; to condemn by the time from a request's begin to the
-// end, which a server's queue decides.
+// Alternatives considered:
+//   - Counting failures alone: of 230 requests that ran at 16 servers failing by themselves, one was
+//     running at three failures.
+//   - Trying a suspect once more alone: this costs one more server and all requests running there.
+//   - Condemning by the time from a request's start to the failure: this depends on the server's
+//     queue.
 //
-// All is pure: times are arguments, by one monotonic clock. Nothing is safe for concurrent use,
-// but a List is immutable. The package relies on its caller to tell the end of a server from a
+// The package is pure: times are arguments of one monotonic clock. Nothing is safe for concurrent
+// use, except that a List is immutable. The caller must distinguish the failure of a server from a
 // broken connection.
 package quarantine
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -8,221 +8,225 @@
 	"time"
 )
 
-// This file defines Evidence, which requests ran at servers when those ended.
+// This file defines Evidence, which records the requests that were running at servers when those
+// failed.
 
 const (
-	// fewestEnds is the least number of ends before a request is condemned. Of the same request
-	// no more than three are to be sent once the fleet knows.
-	fewestEnds = 3
-	// mostEnds is the number of ends from which a request is condemned though another one was at
-	// all of them as well: three later than the third is what the fleet's users bear.
-	mostEnds = 6
-	// memory is how long an end counts. A request that comes so rarely ends a server in five minutes.
-	memory = 10 * time.Minute
-	// sameEnd is how far apart the ends of one server are that count as one: different gateways see it
-	// at different times. Below the time in which a server starts.
-	sameEnd = time.Second
-	// apart is the least time between two ends of which the second one's run counts as begun after the
-	// first. What reports of gateways differ by.
-	apart = 25 * time.Millisecond
-	// SettleTime is how long after an end no request is condemned for it, in a fleet of one region:
-	// two periods of reports, in which all that ran there is known, and one in which gateways
-	// learn of suspects and report answers.
+	// minFailures is the number of failures from which a request may be condemned. A request should
+	// not be sent more than three times once the fleet has recorded its failures.
+	minFailures = 3
+	// decisiveFailures is the number of failures from which a request is condemned even if another
+	// one was running at all of them. Users then bear at most three failures after the third.
+	decisiveFailures = 6
+	// retention is how long a failure counts. A request that comes more rarely makes one server
+	// fail in five minutes.
+	retention = 10 * time.Minute
+	// sameFailure is the interval within which reports of a server's failure refer to the same one.
+	// Gateways detect it at different times. It is shorter than the start of a server.
+	sameFailure = time.Second
+	// minGap is the shortest time between two failures for which the run lost at the second counts
+	// as begun after the first. It covers the differences between gateways' reports.
+	minGap = 25 * time.Millisecond
+	// SettleTime is how long after a failure no request is condemned for it, in a fleet of one
+	// region. It covers two report periods, after which all requests that were running are
+	// recorded, and one in which gateways learn of suspects and report answers.
 	SettleTime = 250 * time.Millisecond
-	// SettleViaRelay is Settle where reports pass a relay, which holds them for up to 300 ms and is
-	// 30 ms away.
+	// SettleViaRelay replaces SettleTime where reports pass through a relay, which holds them for
+	// up to 300 ms and is 30 ms away.
 	SettleViaRelay = 700 * time.Millisecond
-	// mostSuspects bounds the suspects. The places of 16 large engines.
-	mostSuspects = 1024
-	// mostOfAccount bounds those of one account. The places of two.
-	mostOfAccount = 128
-	// mostEnded is the number of servers whose ends are kept. A data hall's of the largest fleet.
-	mostEnded = 4096
-	// mostOfServer is how many ends of one of them are kept, the newest. More than a request is
-	// condemned for.
-	mostOfServer = 16
+	// maxSuspects bounds the suspects: the slots of 16 large engines.
+	maxSuspects = 1024
+	// maxSuspectsPerAccount bounds the suspects of one account: the slots of two large engines.
+	maxSuspectsPerAccount = 128
+	// maxServers is the number of servers whose failures are kept: those of a data hall of the
+	// largest fleet.
+	maxServers = 4096
+	// maxFailuresPerServer is the number of newest failures kept for a server. It is larger than
+	// the number for which a request is condemned.
+	maxFailuresPerServer = 16
 )
 
-// Loss is a request that ran at a backend server when that ended.
+// Loss is a request that was running at a backend server when that failed.
 type Loss struct {
 	Key     Key
 	Hint    Hint
 	Account string
 	Pool    string
-	Server  string // its identifier
+	Server  string // identifier
 	Address string
-	RunTime time.Duration // from its sending to the end
-	Retry   bool          // another attempt of the same arrival was lost before this one began
-	// PoolAnswering is whether other servers of the pool gave whole answers lately. While none do, that a
-	// request had none says nothing.
+	RunTime time.Duration // from sending the request to the failure
+	Retry   bool          // an earlier attempt since the request's arrival was lost before this one began
+	// PoolAnswering is whether other servers of the pool gave complete answers recently. While none
+	// do, a missing answer is no evidence against a request.
 	PoolAnswering bool
 }
 
-// TimedLoss is a loss and when the server ended.
+// TimedLoss is a loss and the time of the server's failure.
 type TimedLoss struct {
 	Loss
 	At time.Duration
 }
 
-// Verdict is a request that is condemned.
+// Verdict is the condemnation of a request.
 type Verdict struct {
 	Key         Key
 	Hint        Hint
 	Account     string
 	Pool        string
-	Servers     []string // that ended under it, oldest first
-	Probability float64  // that a request that ends nothing has such a record
+	Servers     []string // that failed while running it, oldest first
+	Probability float64  // that an innocent request has such a record
 }
 
-// Evidence is what is known of ends. The zero value is not ready; see [NewEvidence].
+// Evidence holds the recorded failures and suspects. Use [NewEvidence] to create one.
 type Evidence struct {
 	settle   time.Duration
-	ends     map[string][]*end // by server, oldest first
+	failures map[string][]*failure // by server, oldest first
 	suspects map[Key]*suspect
 	changed  bool
 }
 
-// end is one end of a server.
-type end struct {
+// failure is one failure of a server.
+type failure struct {
 	server, pool, address string
 	at                    time.Duration
-	keys                  map[Key]bool // suspects and condemned requests that ran there
-	explained             bool         // a condemned request ran there
+	keys                  map[Key]bool // suspects and condemned requests that were running there
+	explained             bool         // a condemned request was running there
 }
 
-// suspect is a key that no whole answer has cleared since the first of its ends.
+// suspect is a key that no complete answer has cleared since its first loss.
 type suspect struct {
-	losses  []keptLoss // in a row, oldest first
-	account string
-	hint    Hint
-	newest  time.Duration // when the last loss came
-	verdict *Verdict      // nil: it is not condemned
+	losses       []recordedLoss // consecutive losses, oldest first
+	account      string
+	hint         Hint
+	lastReported time.Duration // when the last loss was reported
+	verdict      *Verdict      // nil unless condemned
 }
 
-// keptLoss is a loss, the end that it is of, and when it came.
-type keptLoss struct {
+// recordedLoss is a loss, the failure it belongs to, and the time of the report.
+type recordedLoss struct {
 	TimedLoss
-	end  *end
-	came time.Duration
+	failure  *failure
+	reported time.Duration
 }
 
-// NewEvidence returns evidence that knows of nothing, and condemns nothing for an end before
-// settle is over.
+// NewEvidence returns empty evidence. A request is not condemned for a failure until settle has
+// passed since its report.
 func NewEvidence(settle time.Duration) *Evidence {
-	return &Evidence{settle: settle, ends: map[string][]*end{}, suspects: map[Key]*suspect{}}
+	return &Evidence{settle: settle, failures: map[string][]*failure{}, suspects: map[Key]*suspect{}}
 }
 
-// Add takes a loss, whose server ended at a time that is not after now. One that is known changes
+// Add records a loss, whose time must not be after now. A loss that is already recorded changes
 // nothing.
-func (v *Evidence) Add(now time.Duration, h TimedLoss) {
-	if now-h.At > memory || (len(v.ends) >= mostEnded && v.ends[h.Server] == nil) {
+func (v *Evidence) Add(now time.Duration, loss TimedLoss) {
+	if now-loss.At > retention || (len(v.failures) >= maxServers && v.failures[loss.Server] == nil) {
 		return
 	}
-	e := v.endOf(h)
-	if e.keys[h.Key] {
+	f := v.failureOf(loss)
+	if f.keys[loss.Key] {
 		return
 	}
-	s := v.suspects[h.Key]
+	s := v.suspects[loss.Key]
 	if s != nil && s.verdict != nil {
-		e.keys[h.Key], e.explained = true, true
+		f.keys[loss.Key], f.explained = true, true
 		return
 	}
-	if !h.PoolAnswering {
+	if !loss.PoolAnswering {
 		return
 	}
-	e.keys[h.Key] = true
+	f.keys[loss.Key] = true
 	if s == nil {
-		s = &suspect{account: h.Account, hint: h.Hint}
-		v.makeRoom(h.Account)
-		v.suspects[h.Key] = s
+		s = &suspect{account: loss.Account, hint: loss.Hint}
+		v.makeRoom(loss.Account)
+		v.suspects[loss.Key] = s
 	}
-	s.add(keptLoss{TimedLoss: h, end: e, came: now})
-	s.newest = now
+	s.add(recordedLoss{TimedLoss: loss, failure: f, reported: now})
+	s.lastReported = now
 	v.changed = true
 }
 
-// endOf returns the end that a loss is of, a new one if need be.
-func (v *Evidence) endOf(h TimedLoss) *end {
-	for _, e := range v.ends[h.Server] {
-		if (e.at - h.At).Abs() <= sameEnd {
-			return e
+// failureOf returns the failure to which a loss belongs, and adds it if it is new.
+func (v *Evidence) failureOf(loss TimedLoss) *failure {
+	for _, f := range v.failures[loss.Server] {
+		if (f.at - loss.At).Abs() <= sameFailure {
+			return f
 		}
 	}
-	e := &end{server: h.Server, pool: h.Pool, address: h.Address, at: h.At, keys: map[Key]bool{}}
-	of := append(v.ends[h.Server], e)
-	v.ends[h.Server] = of[max(len(of)-mostOfServer, 0):]
-	return e
+	f := &failure{server: loss.Server, pool: loss.Pool, address: loss.Address, at: loss.At, keys: map[Key]bool{}}
+	failures := append(v.failures[loss.Server], f)
+	v.failures[loss.Server] = failures[max(len(failures)-maxFailuresPerServer, 0):]
+	return f
 }
 
-// add keeps a loss in its place, and of all only those in a row: of runs that went on side by
-// side, as when a whole data hall ends, the first to end counts.
-func (s *suspect) add(h keptLoss) {
-	at, _ := slices.BinarySearchFunc(s.losses, h, func(a, b keptLoss) int { return int(a.At - b.At) })
-	s.losses = slices.Insert(s.losses, at, h)
-	inRow := s.losses[:1]
+// add inserts a loss in order and keeps only consecutive ones: of runs that overlap, for example
+// when a whole data hall fails, only the first loss counts.
+func (s *suspect) add(loss recordedLoss) {
+	at, _ := slices.BinarySearchFunc(s.losses, loss, func(a, b recordedLoss) int { return int(a.At - b.At) })
+	s.losses = slices.Insert(s.losses, at, loss)
+	consecutive := s.losses[:1]
 	for _, next := range s.losses[1:] {
-		if next.after(inRow[len(inRow)-1]) {
-			inRow = append(inRow, next)
+		if next.after(consecutive[len(consecutive)-1]) {
+			consecutive = append(consecutive, next)
 		}
 	}
-	s.losses = inRow[max(len(inRow)-2*mostEnds, 0):]
+	s.losses = consecutive[max(len(consecutive)-2*decisiveFailures, 0):]
 }
 
-// after reports whether the run of a loss began after the end of another one.
-func (h keptLoss) after(before keptLoss) bool {
-	return h.Retry || h.At-before.At >= max(h.RunTime/2, apart)
+// after reports whether the run of l began after the failure of before.
+func (l recordedLoss) after(before recordedLoss) bool {
+	return l.Retry || l.At-before.At >= max(l.RunTime/2, minGap)
 }
 
-// makeRoom drops a suspect if there are too many, of the account or in all: the one with the
-// fewest ends and of these the oldest, of the account with the most suspects.
+// makeRoom drops a suspect if the account has too many, or if there are too many in total. In the
+// latter case it is one of the account with the most suspects. The suspect with the fewest losses
+// is dropped, and among equals the oldest.
 func (v *Evidence) makeRoom(account string) {
-	of, all := map[string]int{}, 0
+	perAccount, total := map[string]int{}, 0
 	for _, s := range v.suspects {
 		if s.verdict == nil {
-			of[s.account]++
-			all++
+			perAccount[s.account]++
+			total++
 		}
 	}
-	from := account
+	target := account
 	switch {
-	case of[account] >= mostOfAccount:
-	case all < mostSuspects:
+	case perAccount[account] >= maxSuspectsPerAccount:
+	case total < maxSuspects:
 		return
 	default:
-		from = most(of)
+		target = largestAccount(perAccount)
 	}
-	var weakest Key
-	var found *suspect
+	var weakestKey Key
+	var weakest *suspect
 	for k, s := range v.suspects {
-		if s.account == from && s.verdict == nil && (found == nil || s.weaker(found)) {
-			weakest, found = k, s
+		if s.account == target && s.verdict == nil && (weakest == nil || s.weaker(weakest)) {
+			weakestKey, weakest = k, s
 		}
 	}
-	v.forget(weakest)
+	v.forget(weakestKey)
 }
 
-// most returns the account that has the most, of several the first by name.
-func most(of map[string]int) (account string) {
-	for _, a := range slices.Sorted(maps.Keys(of)) {
-		if of[a] > of[account] {
-			account = a
+// largestAccount returns the account with the highest count, and among equals the first by name.
+func largestAccount(counts map[string]int) (account string) {
+	for _, name := range slices.Sorted(maps.Keys(counts)) {
+		if counts[name] > counts[account] {
+			account = name
 		}
 	}
 	return account
 }
 
-// weaker reports whether a suspect goes before another one when there is no room.
+// weaker reports whether a suspect is dropped before another one.
 func (s *suspect) weaker(o *suspect) bool {
 	if len(s.losses) != len(o.losses) {
 		return len(s.losses) < len(o.losses)
 	}
-	return s.newest < o.newest
+	return s.lastReported < o.lastReported
 }
 
-// Clear takes a whole answer to a request: it has ended nothing.
+// Clear records a complete answer to a request, which is no longer a suspect.
 func (v *Evidence) Clear(k Key) { v.forget(k) }
 
-// AddCondemned takes a request that was condemned before, by evidence that is not here.
+// AddCondemned adds a request that was condemned by other evidence.
 func (v *Evidence) AddCondemned(e Entry) {
 	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Ends)}}
 }
@@ -233,45 +237,45 @@
 	}
 	delete(v.suspects, k)
 	v.changed = true
-	for _, of := range v.ends {
-		for _, e := range of {
-			delete(e.keys, k)
+	for _, failures := range v.failures {
+		for _, f := range failures {
+			delete(f.keys, k)
 		}
 	}
 }
 
-// expire forgets what is older than memory.
+// expire removes failures and losses that are older than the retention.
 func (v *Evidence) expire(now time.Duration) {
-	old := func(e *end) bool { return now-e.at > memory }
-	for server, of := range v.ends {
-		if v.ends[server] = slices.DeleteFunc(of, old); len(v.ends[server]) == 0 {
-			delete(v.ends, server)
+	old := func(f *failure) bool { return now-f.at > retention }
+	for server, failures := range v.failures {
+		if v.failures[server] = slices.DeleteFunc(failures, old); len(v.failures[server]) == 0 {
+			delete(v.failures, server)
 		}
 	}
 	for k, s := range v.suspects {
-		s.losses = slices.DeleteFunc(s.losses, func(h keptLoss) bool { return old(h.end) })
+		s.losses = slices.DeleteFunc(s.losses, func(loss recordedLoss) bool { return old(loss.failure) })
 		if len(s.losses) == 0 && s.verdict == nil {
 			v.forget(k)
 		}
 	}
 }
 
-// Empty reports whether nothing is known against any request.
+// Empty reports whether there are neither suspects nor condemned requests.
 func (v *Evidence) Empty() bool { return len(v.suspects) == 0 }
 
-// Losses returns the losses of all suspects and condemned requests, oldest first: what another
-// Evidence needs to know as much.
+// Losses returns the losses of all suspects and condemned requests, oldest first. Adding them to
+// another Evidence reproduces this one.
 func (v *Evidence) Losses() (all []TimedLoss) {
 	for _, s := range v.suspects {
-		for _, h := range s.losses {
-			all = append(all, h.TimedLoss)
+		for _, loss := range s.losses {
+			all = append(all, loss.TimedLoss)
 		}
 	}
 	slices.SortFunc(all, func(a, b TimedLoss) int { return int(a.At - b.At) })
 	return all
 }
 
-// Suspects returns the suspects as gateways are sent them, and what is condemned here.
+// Suspects returns the suspects and condemned requests as they are sent to gateways.
 func (v *Evidence) Suspects() map[Key]Entry {
 	all := make(map[Key]Entry, len(v.suspects))
 	for k := range v.suspects {
@@ -292,10 +296,10 @@
 	return Entry{Key: k, Hint: s.hint, Ends: s.unexplained()}, true
 }
 
-// unexplained returns at how many ends in a row the suspect was that nothing else explains.
+// unexplained returns the number of consecutive failures at which no condemned request was running.
 func (s *suspect) unexplained() (n int) {
-	for _, h := range s.losses {
-		if !h.end.explained {
+	for _, loss := range s.losses {
+		if !loss.failure.explained {
 			n++
 		}
 	}
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -17,7 +17,7 @@
 
 func nine(string) int { return 9 }
 
-// script is evidence that is given losses and answers at times.
+// script feeds evidence with losses and answers over time.
 type script struct {
 	v   *Evidence
 	now time.Duration
@@ -25,8 +25,8 @@
 
 func newScript() *script { return &script{v: NewEvidence(SettleTime), now: time.Minute} }
 
-// end ends a server under requests that ran for a time.
-func (s *script) end(server string, ran time.Duration, names ...string) {
+// fail makes a server fail while running requests for a time.
+func (s *script) fail(server string, ran time.Duration, names ...string) {
 	for _, name := range names {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
 			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, RunTime: ran, PoolAnswering: true,
@@ -34,7 +34,7 @@
 	}
 }
 
-// condemned lets a time pass and returns whether some requests are condemned then.
+// condemned advances the clock and returns whether each of the requests is condemned then.
 func (s *script) condemned(after time.Duration, names ...string) (all []bool) {
 	s.now += after
 	s.v.Evaluate(s.now, nine)
@@ -45,37 +45,37 @@
 	return all
 }
 
-// TestThreeEndsInARow: condemns once the third end has settled, and not before.
+// TestThreeEndsInARow: a request is condemned once the third failure has settled, and not before.
 func TestThreeEndsInARow(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 3 {
 		is.Equal(s.condemned(time.Second, "deadly"), []bool{false})
-		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly", fmt.Sprint("other ", i))
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "deadly", fmt.Sprint("other ", i))
 	}
 	is.Equal(s.condemned(SettleTime-1, "deadly"), []bool{false})
 	is.Equal(s.condemned(1, "deadly", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
 	e, _ := s.v.Find(keyNamed("other 0"))
-	is.Equal(e.Ends, 0) // the end is explained
+	is.Equal(e.Ends, 0) // the failure is explained
 }
 
-// TestEndlessRepeats: a request that comes again faster than its ends settle is condemned for those
-// that have.
+// TestEndlessRepeats: a request that is repeated before its failures settle is condemned for the
+// settled ones.
 func TestEndlessRepeats(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 5 {
-		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "deadly")
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "deadly")
 		is.Equal(s.condemned(SettleTime*4/5, "deadly"), []bool{i >= 3})
 	}
 }
 
-// TestAnswerClears: what was answered begins anew, also when it was condemned.
+// TestAnswerClears: after a complete answer the count starts again, even for a condemned request.
 func TestAnswerClears(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 9 {
-		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "hot")
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "hot")
 		is.Equal(s.condemned(time.Second, "hot"), []bool{i%3 == 2})
 		if i%3 == 2 {
 			s.v.Clear(keyNamed("hot"))
@@ -84,12 +84,12 @@
 	}
 }
 
-// TestSideBySide: runs that went on side by side count once, however many servers end.
+// TestSideBySide: overlapping runs count once, however many servers fail.
 func TestSideBySide(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 20 {
-		s.end(fmt.Sprint("s", i), 300*time.Millisecond, "hot")
+		s.fail(fmt.Sprint("s", i), 300*time.Millisecond, "hot")
 		s.now += 2 * time.Millisecond
 	}
 	is.Equal(s.condemned(time.Second, "hot"), []bool{false})
@@ -97,7 +97,7 @@
 	is.Equal(e.Ends, 1)
 }
 
-// TestSecondAttempt: one that was lost after the first of its arrival counts, however soon.
+// TestSecondAttempt: a second attempt counts however soon it follows the first one.
 func TestSecondAttempt(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
@@ -110,57 +110,57 @@
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 }
 
-// TestTwoAtAllEnds: which of two requests is the cause shows at the next end; the other one is
-// cleared of all of them.
+// TestTwoAtAllEnds: of two requests at the same failures, the next failure shows the cause. The
+// other one is cleared.
 func TestTwoAtAllEnds(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 4 {
 		is.Equal(s.condemned(time.Second, "deadly", "unlucky"), []bool{false, false})
-		s.end(fmt.Sprint("s", i), 100*time.Millisecond, []string{"deadly", "unlucky"}[:min(4-i, 2)]...)
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, []string{"deadly", "unlucky"}[:min(4-i, 2)]...)
 	}
 	is.Equal(s.condemned(time.Second, "deadly", "unlucky"), []bool{true, false})
 	e, _ := s.v.Find(keyNamed("unlucky"))
 	is.Equal(e.Ends, 0)
 }
 
-// TestTwoThatNeverPart: both are stopped after six ends.
+// TestTwoThatNeverPart: two requests at the same six failures are both condemned.
 func TestTwoThatNeverPart(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
-	for i := range mostEnds {
+	for i := range decisiveFailures {
 		is.Equal(s.condemned(time.Second, "one", "two"), []bool{false, false})
-		s.end(fmt.Sprint("s", i), 100*time.Millisecond, "one", "two")
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "one", "two")
 	}
 	is.Equal(s.condemned(time.Second, "one", "two"), []bool{true, true})
 }
 
-// TestServersThatEndByThemselves: the more of them do, and the longer a request ran, the more ends
-// it takes.
+// TestServersThatEndByThemselves: the more often servers fail by themselves and the longer a
+// request runs, the more failures it takes to condemn it.
 func TestServersThatEndByThemselves(t *testing.T) {
 	for _, tt := range []struct {
-		byThemselves int // in the last seconds, one in each
-		ran          time.Duration
-		ends         int
+		unrelated int // in the last seconds, one per second
+		runTime   time.Duration
+		failures  int
 	}{{0, 100 * time.Millisecond, 3}, {0, 4 * time.Second, 5}, {4, 100 * time.Millisecond, 4}, {4, time.Second, 6}, {18, 100 * time.Millisecond, 5}, {18, time.Second, 10}} {
 		s := newScript()
-		for i := range tt.byThemselves {
-			s.end(fmt.Sprint("by itself ", i), 100*time.Millisecond, fmt.Sprint("other ", i))
+		for i := range tt.unrelated {
+			s.fail(fmt.Sprint("by itself ", i), 100*time.Millisecond, fmt.Sprint("other ", i))
 			s.now += time.Second
 		}
-		ends := 0
-		for condemned := false; !condemned && ends < 20; ends++ {
-			s.now += tt.ran
-			s.end(fmt.Sprint("s", ends), tt.ran, "deadly")
+		failures := 0
+		for condemned := false; !condemned && failures < 20; failures++ {
+			s.now += tt.runTime
+			s.fail(fmt.Sprint("s", failures), tt.runTime, "deadly")
 			condemned = s.condemned(time.Second, "deadly")[0]
 		}
-		if ends != tt.ends {
-			t.Errorf("%+v: condemned after %d ends", tt, ends)
+		if failures != tt.failures {
+			t.Errorf("%+v: condemned after %d failures", tt, failures)
 		}
 	}
 }
 
-// TestOutage: while nothing is answered, nobody is suspected.
+// TestOutage: while no server of the pool answers, no request is suspected.
 func TestOutage(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
@@ -170,22 +170,22 @@
 	}
 }
 
-// TestSomeGatewaysAreServed: what a gateway lost that saw no answers is not suspected, and keeps
-// nothing else from being condemned.
+// TestSomeGatewaysAreServed: requests lost at a gateway that saw no answers are not suspected, and
+// do not keep others from being condemned.
 func TestSomeGatewaysAreServed(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for i := range 3 {
 		server := fmt.Sprint("s", i)
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("unserved"), Pool: "p", Server: server, RunTime: time.Second}})
-		s.end(server, 100*time.Millisecond, "deadly")
+		s.fail(server, 100*time.Millisecond, "deadly")
 		s.now += time.Second
 	}
 	is.Equal(s.condemned(time.Second, "deadly", "unserved"), []bool{true, false})
 }
 
-// TestLateAndTwice: losses count once, in the order of the ends, whatever the order in which they
-// come, and not at all when they are old.
+// TestLateAndTwice: each loss counts once and in the order of the failures, whatever the order of
+// the reports. Old losses do not count.
 func TestLateAndTwice(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
@@ -196,32 +196,32 @@
 		}})
 	}
 	slices.Reverse(all)
-	for _, h := range append(all, all...) {
-		s.v.Add(s.now, h)
+	for _, loss := range append(all, all...) {
+		s.v.Add(s.now, loss)
 	}
 	e, _ := s.v.Find(keyNamed("deadly"))
 	is.Equal(e.Ends, 3)
 	is.Equal(len(s.v.Losses()), 3)
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 	s.v.Clear(keyNamed("deadly"))
-	s.now += memory
+	s.now += retention
 	s.v.Add(s.now, all[0])
 	is.True(s.v.Empty())
 }
 
-// TestOneServerAgain: each end of one server counts, also when it keeps its identifier.
+// TestOneServerAgain: each failure of a server counts, even if the server keeps its identifier.
 func TestOneServerAgain(t *testing.T) {
 	is := is.New(t)
 	s := newScript()
 	for range 3 {
-		s.end("s", 100*time.Millisecond, "deadly")
+		s.fail("s", 100*time.Millisecond, "deadly")
 		s.now += 2 * time.Second
 	}
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 }
 
-// TestBounds: many suspects of one account do not push out those of others, and what was at more
-// ends stays.
+// TestBounds: many suspects of one account do not displace those of others, and suspects with more
+// losses are kept.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
 	v := NewEvidence(SettleTime)
@@ -231,22 +231,22 @@
 	add("quiet", "one", "s1", 0)
 	add("loud", "twice", "s1", 0)
 	add("loud", "twice", "s2", time.Second)
-	for i := range 3 * mostOfAccount {
+	for i := range 3 * maxSuspectsPerAccount {
 		add("loud", fmt.Sprint(i), "s3", 2*time.Second)
 	}
-	is.Equal(len(v.suspects), mostOfAccount+1)
-	_, kept := v.Find(keyNamed("loudtwice"))
-	is.True(kept)
+	is.Equal(len(v.suspects), maxSuspectsPerAccount+1)
+	_, found := v.Find(keyNamed("loudtwice"))
+	is.True(found)
 	for a := range 20 {
-		for i := range mostOfAccount {
+		for i := range maxSuspectsPerAccount {
 			add(fmt.Sprint("account ", a), fmt.Sprint(i), "s4", 3*time.Second)
 		}
 	}
-	is.Equal(len(v.suspects), mostSuspects)
-	_, kept = v.Find(keyNamed("quietone"))
-	is.True(kept)
+	is.Equal(len(v.suspects), maxSuspects)
+	_, found = v.Find(keyNamed("quietone"))
+	is.True(found)
 	v = NewEvidence(SettleTime)
-	for i := range mostSuspects { // what is condemned takes no room
+	for i := range maxSuspects { // condemned requests do not count towards the limit
 		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
 	}
 	add("late", "one", "s5", 4*time.Second)
@@ -256,42 +256,42 @@
 	is.True(one && two)
 }
 
-// TestChanceOfInnocents plays requests that end nothing, in pools whose servers end by themselves
-// up to every ten seconds each, and counts the condemned.
+// TestChanceOfInnocents: no request is condemned in pools whose servers fail by themselves, each up
+// to every ten seconds.
 func TestChanceOfInnocents(t *testing.T) {
 	for _, tt := range []struct {
-		servers int
-		between time.Duration // two ends of one server
-		run     time.Duration // on average
+		servers      int
+		meanInterval time.Duration // mean time between two failures of a server
+		run          time.Duration // mean run time
 	}{
 		{3, 10 * time.Second, time.Second}, {9, 10 * time.Second, time.Second}, {9, time.Minute, 3 * time.Second},
 		{60, 30 * time.Second, time.Second}, {3, time.Minute, 100 * time.Millisecond},
 	} {
-		t.Run(fmt.Sprintf("%d servers, %v, %v", tt.servers, tt.between, tt.run), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d servers, %v, %v", tt.servers, tt.meanInterval, tt.run), func(t *testing.T) {
 			is := is.New(t)
-			losses, requests, condemned := playInnocents(tt.servers, tt.between, tt.run)
+			losses, requests, condemned := playInnocents(tt.servers, tt.meanInterval, tt.run)
 			t.Logf("%d requests, %d runs lost, %d condemned", requests, losses, condemned)
 			is.Equal(condemned, 0)
 		})
 	}
 }
 
-// occurrence is a loss, or without one a whole answer.
+// occurrence is a loss, or a complete answer if h is nil.
 type occurrence struct {
-	at  time.Duration
-	key Key
-	h   *TimedLoss
+	at   time.Duration
+	key  Key
+	loss *TimedLoss
 }
 
-// playInnocents returns how many runs were lost of how many requests, and how many of these were
-// condemned. Each has two attempts, and its caller comes back once.
-func playInnocents(servers int, between, run time.Duration) (lost, requests, condemned int) {
+// playInnocents returns the number of lost runs, of requests, and of condemned requests. Each
+// request has two attempts, and its caller repeats it once.
+func playInnocents(servers int, meanInterval, run time.Duration) (lost, requests, condemned int) {
 	const length = 20 * time.Minute
 	rng := rand.New(rand.NewPCG(1, uint64(servers)))
 	exponential := func(mean time.Duration) time.Duration { return time.Duration(rng.ExpFloat64() * float64(mean)) }
 	ends := make([][]time.Duration, servers)
 	for i := range ends {
-		for at := exponential(between); at < length+time.Minute; at += exponential(between) {
+		for at := exponential(meanInterval); at < length+time.Minute; at += exponential(meanInterval) {
 			ends[i] = append(ends[i], at)
 		}
 	}
@@ -308,7 +308,7 @@
 			}
 			lost++
 			end := ends[server][next]
-			all = append(all, occurrence{at: end, key: key, h: &TimedLoss{At: end, Loss: Loss{
+			all = append(all, occurrence{at: end, key: key, loss: &TimedLoss{At: end, Loss: Loss{
 				Key: key, Account: "a", Pool: "p", Server: fmt.Sprint(server), Address: fmt.Sprint(server),
 				RunTime: end - begin, Retry: n%2 == 1, PoolAnswering: true,
 			}}})
@@ -321,11 +321,11 @@
 	v := NewEvidence(SettleTime)
 	judged := time.Duration(0)
 	for _, o := range all {
-		if o.h == nil {
+		if o.loss == nil {
 			v.Clear(o.key)
 			continue
 		}
-		v.Add(o.at, *o.h)
+		v.Add(o.at, *o.loss)
 		if o.at-judged >= 100*time.Millisecond {
 			judged = o.at
 			condemned += len(v.Evaluate(o.at, func(string) int { return servers }))
@@ -334,8 +334,8 @@
 	return lost, requests, condemned
 }
 
-// TestAnyEvidence plays losses, answers, known verdicts and judgements in any order: bounds hold,
-// and nobody is condemned for fewer ends than three.
+// TestAnyEvidence applies losses, answers, known verdicts and evaluations in random order. The
+// limits hold, and no request is condemned for fewer than three failures.
 func TestAnyEvidence(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -350,7 +350,7 @@
 				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
 			case 2, 3:
 				for _, verdict := range v.Evaluate(now, nine) {
-					if len(verdict.Servers) < fewestEnds || verdict.Probability > chanceAllowed {
+					if len(verdict.Servers) < minFailures || verdict.Probability > maxProbability {
 						t.Fatalf("seed %d: %+v", seed, verdict)
 					}
 				}
@@ -361,7 +361,7 @@
 					RunTime: time.Duration(rng.IntN(3000)) * time.Millisecond, Retry: rng.IntN(4) == 0, PoolAnswering: rng.IntN(3) > 0,
 				}})
 			}
-			if len(v.Losses()) > 12*2*mostEnds || len(v.Suspects()) > 12 {
+			if len(v.Losses()) > 12*2*decisiveFailures || len(v.Suspects()) > 12 {
 				t.Fatalf("seed %d: %d losses of %d suspects", seed, len(v.Losses()), len(v.Suspects()))
 			}
 		}
--- a/coordination/quarantine/key_test.go
+++ b/coordination/quarantine/key_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// TestKey: each part of a request counts, and none runs into the next one.
+// TestKey: each part of a request changes its key, and parts are delimited from each other.
 func TestKey(t *testing.T) {
 	is := is.New(t)
 	k := KeyOf("a", "POST", "h", "/p", []byte("body"))
--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -9,23 +9,24 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines List, what a gateway holds of condemned requests and suspects.
+// This file defines List, the condemned requests and suspects that a gateway holds.
 
 // Entry is one request of a [List].
 type Entry struct {
 	Key       Key
 	Hint      Hint
-	Ends      int // at which it was in a row
+	Ends      int // consecutive server failures at which it was running
 	Condemned bool
 }
 
-// List is the condemned requests and the suspects. It is immutable. The zero value is empty.
+// List holds the condemned requests and the suspects. It is immutable. The zero value is empty.
 type List struct {
 	entries map[Key]Entry
-	hints   map[Hint]int // entries that have it
+	hints   map[Hint]int // number of entries by hint
 }
 
-// WithChanges returns the list with some entries added or changed, and others gone.
+// WithChanges returns the list with the entries of set added or replaced, and those of gone
+// removed.
 func (l List) WithChanges(set []Entry, gone []Key) List {
 	next := List{entries: maps.Clone(l.entries), hints: maps.Clone(l.hints)}
 	if next.entries == nil {
@@ -43,8 +44,8 @@
 }
 
 func (l List) remove(k Key) {
-	e, known := l.entries[k]
-	if !known {
+	e, listed := l.entries[k]
+	if !listed {
 		return
 	}
 	delete(l.entries, k)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Apply returns the list after a message of the leader. Entries without a key are passed over.
+// Apply returns the list after a message of the leader. Entries with a malformed key are ignored.
 func (l List) Apply(m protocol.Quarantine) List {
 	if m.Whole {
 		l = List{}
@@ -73,29 +74,30 @@
 	return l.WithChanges(set, gone)
 }
 
-// Empty reports whether nothing is listed.
+// Empty reports whether the list has no entries.
 func (l List) Empty() bool { return len(l.entries) == 0 }
 
-// HasHint reports whether an entry has a hint: if not, a request's key need not be made.
+// HasHint reports whether any entry has the hint. If not, the request's key need not be computed.
 func (l List) HasHint(h Hint) bool { return l.hints[h] > 0 }
 
 // Find returns a key's entry, or false if it is not listed.
 func (l List) Find(k Key) (Entry, bool) {
-	e, known := l.entries[k]
-	return e, known
+	e, listed := l.entries[k]
+	return e, listed
 }
 
-// Entries returns all entries; the map is not to be changed.
+// Entries returns all entries. The map must not be modified.
 func (l List) Entries() map[Key]Entry { return l.entries }
 
-// Undecided reports whether a request was at so many ends that it is about to be condemned, or
-// shares them with another one.
-func (e Entry) Undecided() bool { return !e.Condemned && e.Ends >= fewestEnds }
+// Undecided reports whether a request was running at so many failures that it is either about to be
+// condemned, or shares them with another request.
+func (e Entry) Undecided() bool { return !e.Condemned && e.Ends >= minFailures }
 
-// DecisionWait is how long a request that is undecided waits for what becomes of it. Settle, and the
-// messages before and after it.
+// DecisionWait is how long an undecided request waits for the decision. It covers SettleTime and
+// the messages before and after it.
 const DecisionWait = SettleTime + 100*time.Millisecond
 
-// MayRetry reports whether a request whose attempt has just been lost may be tried once more:
-// not after three ends in a row, those that the list knows and the losses of this arrival.
-func (e Entry) MayRetry(losses int) bool { return e.Ends+losses < fewestEnds }
+// MayRetry reports whether a request may be retried after an attempt was lost. losses is the number
+// of attempts lost since it arrived. Together with the failures in the list they must be fewer than
+// three.
+func (e Entry) MayRetry(losses int) bool { return e.Ends+losses < minFailures }
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -11,27 +11,26 @@
 // This file defines when a request is condemned.
 
 const (
-	// chanceAllowed is the chance with which a request that ends nothing may have a record for
-	// which it is condemned, where servers end independently of each other. Of 600,000 requests in
-	// five pools whose servers ended by themselves, each up to every 10 s, none was condemned
-	// (TestChanceOfInnocents); with 1e-6 for the product of the chances alone one was.
-	chanceAllowed = 1e-6
-	// shortestRun is the least time that a run counts as. Servers do not end at a rate that is known
-	// for shorter times.
-	shortestRun = 100 * time.Millisecond
-	// longRate is the time over which the rate is taken at which servers end by themselves now and
-	// then.
-	longRate = time.Minute
-	// shortRate is the time over which a series of them shows that has just begun.
-	shortRate = 10 * time.Second
+	// maxProbability is the largest probability that an innocent request has the record of a
+	// condemned one, if servers fail independently of each other. Of 600,000 requests in five pools
+	// whose servers failed by themselves, each up to every 10 s, none was condemned
+	// (TestChanceOfInnocents). With 1e-6 for the plain product of the probabilities, one was.
+	maxProbability = 1e-6
+	// minRunTime is the shortest time that a run counts as. For shorter times the rate of failures
+	// cannot be estimated.
+	minRunTime = 100 * time.Millisecond
+	// longWindow is the window of the failure rate when servers fail by themselves now and then.
+	longWindow = time.Minute
+	// shortWindow is the window that shows a series of failures that has just begun.
+	shortWindow = 10 * time.Second
 )
 
-// Evaluate condemns the requests that the evidence is now enough for, and returns them ordered by
-// key. servers is how many servers a pool has.
+// Evaluate condemns the requests for which there is enough evidence now, and returns them ordered
+// by key. servers returns the number of servers in a pool.
 func (v *Evidence) Evaluate(now time.Duration, servers func(pool string) int) (all []Verdict) {
 	v.expire(now)
 	for k, s := range v.suspects {
-		if verdict, condemned := v.judge(now, k, s, servers); condemned {
+		if verdict, condemned := v.evaluateSuspect(now, k, s, servers); condemned {
 			all = append(all, verdict)
 		}
 	}
@@ -42,66 +41,67 @@
 	return all
 }
 
-// condemn explains all ends at which a condemned request was.
+// condemn marks all failures at which a condemned request was running as explained.
 func (v *Evidence) condemn(verdict Verdict) {
 	v.suspects[verdict.Key].verdict = &verdict
 	v.changed = true
-	for _, of := range v.ends {
-		for _, e := range of {
-			e.explained = e.explained || e.keys[verdict.Key]
+	for _, failures := range v.failures {
+		for _, f := range failures {
+			f.explained = f.explained || f.keys[verdict.Key]
 		}
 	}
 }
 
-// judge returns the verdict on one suspect, if it is condemned.
-func (v *Evidence) judge(now time.Duration, k Key, s *suspect, servers func(pool string) int) (Verdict, bool) {
+// evaluateSuspect returns the verdict on a suspect, and whether it is condemned.
+func (v *Evidence) evaluateSuspect(now time.Duration, k Key, s *suspect, servers func(pool string) int) (Verdict, bool) {
 	record := s.settled(now - v.settle)
-	if s.verdict != nil || len(record) < fewestEnds {
+	if s.verdict != nil || len(record) < minFailures {
 		return Verdict{}, false
 	}
 	verdict := Verdict{Key: k, Hint: s.hint, Account: s.account, Pool: record[0].Pool}
-	var chances []float64
-	for _, h := range record {
-		verdict.Servers = append(verdict.Servers, h.Server)
-		chances = append(chances, v.chance(now, k, h, servers))
+	var probabilities []float64
+	for _, loss := range record {
+		verdict.Servers = append(verdict.Servers, loss.Server)
+		probabilities = append(probabilities, v.failureProbability(now, k, loss, servers))
 	}
-	verdict.Probability = combined(chances)
-	alone := len(record) >= mostEnds || !v.shared(k, record)
-	return verdict, alone && verdict.Probability <= chanceAllowed
+	verdict.Probability = combinedProbability(probabilities)
+	unambiguous := len(record) >= decisiveFailures || !v.isShared(k, record)
+	return verdict, unambiguous && verdict.Probability <= maxProbability
 }
 
-// combined returns the chance that the product of as many chances is as small by itself (R. A.
-// Fisher's method): a product of several is small more often than each of them.
-func combined(chances []float64) float64 {
+// combinedProbability returns the probability that the product of as many independent probabilities
+// is this small by chance (Fisher's method). A product of several is small more often than each of
+// them.
+func combinedProbability(probabilities []float64) float64 {
 	product := 1.0
-	for _, c := range chances {
-		product *= c
+	for _, p := range probabilities {
+		product *= p
 	}
 	if product == 0 {
 		return 0
 	}
 	term, sum := 1.0, 0.0
-	for i := range chances {
+	for i := range probabilities {
 		sum += term
 		term *= -math.Log(product) / float64(i+1)
 	}
 	return min(product*sum, 1)
 }
 
-// settled returns the losses that came until a time and that nothing else explains.
-func (s *suspect) settled(until time.Duration) (record []keptLoss) {
-	for _, h := range s.losses {
-		if h.came <= until && !h.end.explained {
-			record = append(record, h)
+// settled returns the unexplained losses reported by the given time.
+func (s *suspect) settled(until time.Duration) (record []recordedLoss) {
+	for _, loss := range s.losses {
+		if loss.reported <= until && !loss.failure.explained {
+			record = append(record, loss)
 		}
 	}
 	return record
 }
 
-// shared reports whether another suspect was at all ends of a suspect's record.
-func (v *Evidence) shared(k Key, record []keptLoss) bool {
-	for other := range record[0].end.keys {
-		atAll := !slices.ContainsFunc(record, func(h keptLoss) bool { return !h.end.keys[other] })
+// isShared reports whether another suspect was running at all failures of a suspect's record.
+func (v *Evidence) isShared(k Key, record []recordedLoss) bool {
+	for other := range record[0].failure.keys {
+		atAll := !slices.ContainsFunc(record, func(loss recordedLoss) bool { return !loss.failure.keys[other] })
 		if other != k && atAll && v.suspects[other].verdict == nil {
 			return true
 		}
@@ -109,26 +109,26 @@
 	return false
 }
 
-// chance returns the chance that a server that does not end for the request's sake ends within
-// its run, by the ends at which it was not.
-func (v *Evidence) chance(now time.Duration, k Key, h keptLoss, servers func(pool string) int) float64 {
-	long, short, here := 1, 0, 0 // one end more than was seen: none seen is not none
-	for _, of := range v.ends {
-		for _, e := range of {
-			age := now - e.at
-			if e.pool != h.Pool || e.explained || e.keys[k] || age > longRate {
+// failureProbability returns the probability that a server fails during the run for another reason.
+// It is estimated from the failures at which the request was not running.
+func (v *Evidence) failureProbability(now time.Duration, k Key, loss recordedLoss, servers func(pool string) int) float64 {
+	long, short, sameAddress := 1, 0, 0 // one more than observed, so that the rate is never 0
+	for _, failures := range v.failures {
+		for _, f := range failures {
+			age := now - f.at
+			if f.pool != loss.Pool || f.explained || f.keys[k] || age > longWindow {
 				continue
 			}
 			long++
-			if age <= shortRate {
+			if age <= shortWindow {
 				short++
 			}
-			if e.address == h.Address {
-				here++
+			if f.address == loss.Address {
+				sameAddress++
 			}
 		}
 	}
-	of := float64(max(servers(h.Pool), 1))
-	rate := max(float64(long)/longRate.Seconds(), float64(short)/shortRate.Seconds())/of + float64(here)/longRate.Seconds()
-	return min(rate*max(h.RunTime, shortestRun).Seconds(), 1)
+	poolSize := float64(max(servers(loss.Pool), 1))
+	rate := max(float64(long)/longWindow.Seconds(), float64(short)/shortWindow.Seconds())/poolSize + float64(sameAddress)/longWindow.Seconds()
+	return min(rate*max(loss.RunTime, minRunTime).Seconds(), 1)
 }
