--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -1,28 +1,28 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package evacuation decides about operators' orders that take a data hall out of service
-// or put it back.
+// Package evacuation decides on operators' orders that take a data hall out of service or put it
+// back.
 //
-// The model: an order has no number. Its sender repeats it, at any replica, until one
-// acknowledges it, and for a limited time only (Orders.Window); copies of it may be on
-// their way when it is acknowledged. An order that asks for what is, is acknowledged again.
-// One that asks for the opposite is a new order, or a late copy of the one before last:
-// nothing in it tells which. It is certainly new once the window has passed since an equal
-// order was taken. Until then it is refused as unclear, which changes nothing: the sender
-// of a new order repeats it for longer than that, and nobody waits for the answer to a copy.
+// An order has no number. Its sender repeats it, at any replica, for a limited time (Orders.Window)
+// or until one acknowledges it. Copies may still be in transit then. An order that matches the
+// hall's state is acknowledged again. One for the opposite state is either a new order or a late
+// copy of the order before last, which cannot be distinguished. It is certainly new once the window
+// has passed since an equal order was accepted. Until then it is refused as ambiguous and changes
+// nothing: the sender of a new order repeats it for longer than that, and no one waits for the
+// answer to a copy.
 //
-// Ways weighed, by what a copy does that arrives after the opposite order was acknowledged:
-//   - the order of arrival at the log: the copy takes a hall out that its operator has put
-//     back, for good, and a third of the fleet with it;
-//   - acknowledged without an effect for the window: harmless for copies, but a new order
-//     is acknowledged as well and not in force, which no operator can see;
-//   - refused as unclear for the window (kept): a new order that follows two others within
-//     the window is taken up to the window later.
+// A copy that arrives after the opposite order was acknowledged could be handled in these ways:
+//   - Apply it in the order of arrival: the copy takes a hall out of service, with a third of the
+//     fleet, that its operator has put back.
+//   - Acknowledge it without an effect within the window: this is harmless for copies, but a new
+//     order is acknowledged without being in force, which no operator can detect.
+//   - Refuse it as ambiguous within the window (used here): a new order that follows two others
+//     within the window is accepted up to the window later.
 //
-// A copy that is delayed by more than the window is not recognized here. Its sender has
-// closed the connection by then, and the caller of this package drops what comes from one.
+// A copy that is delayed by more than the window is not recognized here. By then its sender has
+// closed the connection, and the caller of this package drops orders from closed connections.
 //
-// Orders is immutable; it reads no clock. now is any one monotonic clock.
+// Orders is immutable and reads no clock. now is the time of any monotonic clock.
 package evacuation
 
 import (
@@ -31,58 +31,57 @@
 	"time"
 )
 
-// Verdict is what is to be done about an order.
+// Verdict is the result of an order.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Accept         Verdict = iota // it changes the hall's state
-	AlreadyApplied                // the hall is as it asks
-	Ambiguous                     // it may be a late copy, and changes nothing
+	Accept         Verdict = iota // the order changes the hall's state
+	AlreadyApplied                // the hall is in the requested state
+	Ambiguous                     // the order may be a late copy; nothing changes
 )
 
-// DefaultWindow is for deployments that state none.
+// DefaultWindow applies if a deployment configures none.
 const DefaultWindow = 5 * time.Second
 
-// Orders is when the last order of each kind was taken, by hall. The zero value has taken
-// none, and its window is DefaultWindow.
+// Orders holds the times of the last accepted orders by hall and kind. The zero value is empty,
+// with a window of DefaultWindow.
 type Orders struct {
-	Window time.Duration // for which senders repeat an order; 0 is DefaultWindow
+	Window time.Duration // for which senders repeat an order; 0 means DefaultWindow
 
-	taken map[order]time.Duration
+	accepted map[orderKey]time.Duration
 }
 
-// order is one kind of order for one hall.
-type order struct {
+// orderKey identifies a kind of order for a hall.
+type orderKey struct {
 	hall string
-	out  bool // to take it out of service
+	out  bool // out of service, else back into service
 }
 
-// WithTaken returns the orders with one that has been taken now.
+// WithTaken returns the orders after one was accepted now.
 func (o Orders) WithTaken(now time.Duration, hall string, out bool) Orders {
-	taken := maps.Clone(o.taken)
-	if taken == nil {
-		taken = map[order]time.Duration{}
+	accepted := maps.Clone(o.accepted)
+	if accepted == nil {
+		accepted = map[orderKey]time.Duration{}
 	}
-	taken[order{hall, out}] = now
-	return Orders{Window: o.Window, taken: taken}
+	accepted[orderKey{hall, out}] = now
+	return Orders{Window: o.Window, accepted: accepted}
 }
 
-// PutBackWithin returns the halls whose order to be put back was taken no longer than d ago,
+// PutBackWithin returns the halls for which an order to put them back was accepted at most d ago,
 // ordered by name.
 func (o Orders) PutBackWithin(now, d time.Duration) []string {
 	var halls []string
-	for ord, at := range o.taken {
-		if !ord.out && now-at <= d {
-			halls = append(halls, ord.hall)
+	for key, at := range o.accepted {
+		if !key.out && now-at <= d {
+			halls = append(halls, key.hall)
 		}
 	}
 	slices.Sort(halls)
 	return halls
 }
 
-// Decide returns what is to be done about an order that arrives now; isOut is the hall's
-// state.
+// Decide returns the verdict on an order that arrives now. isOut is the hall's state.
 func (o Orders) Decide(now time.Duration, hall string, out, isOut bool) Verdict {
 	if out == isOut {
 		return AlreadyApplied
@@ -91,7 +90,7 @@
 	if window <= 0 {
 		window = DefaultWindow
 	}
-	if at, before := o.taken[order{hall, out}]; before && now-at <= window {
+	if at, found := o.accepted[orderKey{hall, out}]; found && now-at <= window {
 		return Ambiguous
 	}
 	return Accept
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -29,7 +29,7 @@
 	currentOrder     int          // number of the order being given
 	begun            map[int]bool // numbers of the orders that began a rollout
 	lastBegan        time.Duration
-	inTransit        []transit
+	inTransit        []orderCopy
 	leaderFixedUntil time.Duration // the leader stays until then: it alone remembers an order that began nothing
 }
 
@@ -46,8 +46,8 @@
 	applied int
 }
 
-// transit is a copy of an order in transit to a replica.
-type transit struct {
+// orderCopy is a copy of an order in transit to a replica.
+type orderCopy struct {
 	arrives time.Duration
 	number  int
 	order   Order
@@ -142,15 +142,15 @@
 func (m *orderModel) send(number int, o Order, last time.Duration) {
 	for range 1 + m.rng.IntN(2) {
 		arrives := m.now + time.Duration(m.rng.Int64N(int64(last-m.now)))
-		m.inTransit = append(m.inTransit, transit{arrives: arrives, number: number, order: o, to: m.rng.IntN(3)})
+		m.inTransit = append(m.inTransit, orderCopy{arrives: arrives, number: number, order: o, to: m.rng.IntN(3)})
 	}
 }
 
 // deliver processes all copies that are due, and reports whether the sender received an
 // acknowledgement of the current order.
 func (m *orderModel) deliver() (acknowledged bool) {
-	due := func(f transit) bool { return f.arrives <= m.now }
-	arrived := slices.DeleteFunc(slices.Clone(m.inTransit), func(f transit) bool { return !due(f) })
+	due := func(f orderCopy) bool { return f.arrives <= m.now }
+	arrived := slices.DeleteFunc(slices.Clone(m.inTransit), func(f orderCopy) bool { return !due(f) })
 	m.inTransit = slices.DeleteFunc(m.inTransit, due)
 	var proposed []entry // all decided on the same state, as by two replicas that both believe to lead
 	for _, f := range arrived {
--- a/coordination/topology/topology.go
+++ b/coordination/topology/topology.go
@@ -1,12 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package topology describes where boxes and backend servers stand: a box in a data hall, a
-// data hall in a region.
+// Package topology maps data halls to regions. Boxes and backend servers are in data halls.
 //
-// The model: only the settings of a process say which region a data hall lies in. A hall that
-// they do not name lies in no known region: what stands there is far from everybody, and no
-// request with homes goes there. A fleet whose settings name one region or none has no far
-// side at all, and everything in it is near.
+// Only a process's settings define the region of a data hall. A hall that they do not name is in no
+// known region: it is far from all others, and no request with homes is sent there. If the settings
+// name at most one region, all halls are near to each other.
 //
 // A Topology is immutable and safe for concurrent use. The zero value names no region.
 package topology
@@ -19,19 +17,19 @@
 
 // This file defines Topology.
 
-// Topology is the region of each data hall.
+// Topology holds the region of each data hall.
 type Topology struct {
-	regions map[string]string // by hall
-	names   []string          // of the regions, ordered
+	regions map[string]string // by data hall
+	names   []string          // of the regions, sorted
 }
 
-// Invalid refuses a description that contradicts itself or lacks a name.
+// Invalid is the error for a data hall or a region without a name.
 type Invalid struct{ Hall, What string }
 
-// Error names the hall and what is wrong.
+// Error returns the data hall and the reason.
 func (e Invalid) Error() string { return fmt.Sprintf("data hall %q %s", e.Hall, e.What) }
 
-// New returns the topology with these regions, by data hall. The error is [Invalid].
+// New returns a topology with the given regions by data hall. The error is [Invalid].
 func New(regions map[string]string) (Topology, error) {
 	for _, hall := range slices.Sorted(maps.Keys(regions)) {
 		switch {
@@ -45,14 +43,14 @@
 	return Topology{regions: maps.Clone(regions), names: slices.Compact(names)}, nil
 }
 
-// Region returns the region of a data hall, or "" for one that is not named.
+// Region returns the region of a data hall, or "" if the settings do not name the hall.
 func (t Topology) Region(hall string) string { return t.regions[hall] }
 
-// Regions returns the names of all regions, ordered.
+// Regions returns the names of all regions, sorted.
 func (t Topology) Regions() []string { return slices.Clone(t.names) }
 
 // MultipleRegions reports whether there is more than one region.
 func (t Topology) MultipleRegions() bool { return len(t.names) > 1 }
 
-// Halls returns the names of all data halls, ordered.
+// Halls returns the names of all data halls, sorted.
 func (t Topology) Halls() []string { return slices.Sorted(maps.Keys(t.regions)) }
--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -8,14 +8,14 @@
 	"github.com/matryer/is"
 )
 
-// This file tests which region a data hall lies in, and what a topology refuses.
+// This file tests the regions of data halls, and invalid topologies.
 
 func TestTopology(t *testing.T) {
 	is := is.New(t)
 	regions := map[string]string{"north-a": "north", "south-a": "south", "north-b": "north"}
 	topology, err := New(regions)
 	is.NoErr(err)
-	regions["north-a"] = "elsewhere" // the caller's own map
+	regions["north-a"] = "elsewhere" // must not affect the topology
 	is.Equal(topology.Region("north-a"), "north")
 	is.Equal(topology.Region("never named"), "")
 	is.Equal(topology.Regions(), []string{"north", "south"})
