--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -18,8 +18,8 @@
 	// decisiveFailures is the number of failures from which a request is condemned even if another
 	// one was running at all of them. Users then bear at most three failures after the third.
 	decisiveFailures = 6
-	// retention is how long a failure counts. A request that comes more rarely makes one server
-	// fail in five minutes.
+	// retention is how long a failure counts. A request that is sent too rarely to be condemned
+	// makes a server fail at most every five minutes.
 	retention = 10 * time.Minute
 	// sameFailure is the interval within which reports of a server's failure refer to the same one.
 	// Gateways detect it at different times. It is shorter than the start of a server.
--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -75,7 +75,7 @@
 	// makes it less likely that trouble affecting both versions is attributed to the target.
 	minBadRateAlone = 0.02
 	// minSlowRate is the smallest rate of slow answers assumed of the old version. The limit for a
-	// slow answer is derived from its answers, which may be few.
+	// slow answer is derived from the old version's answers, which may be few.
 	minSlowRate = 0.05
 	// maxBadRate is the largest rate assumed. A rate of 1 would leave no room for an excess.
 	maxBadRate = 0.95
@@ -314,15 +314,15 @@
 
 // worst returns the evidence with the largest sum.
 func (d *detector) worst() Evidence {
-	var g Evidence
-	g.Sum, g.FromFailures = d.overall.largest()
+	var e Evidence
+	e.Sum, e.FromFailures = d.overall.largest()
 	for _, route := range slices.Sorted(maps.Keys(d.routes)) {
 		t := d.routes[route]
-		g.Failed += t.totals.Target.Failed
-		g.KnownOutcomes += t.totals.Target.outcomesKnown()
-		if sum, failures := t.sums.largest(); sum > g.Sum {
-			g.Route, g.Sum, g.FromFailures = route, sum, failures
+		e.Failed += t.totals.Target.Failed
+		e.KnownOutcomes += t.totals.Target.outcomesKnown()
+		if sum, failures := t.sums.largest(); sum > e.Sum {
+			e.Route, e.Sum, e.FromFailures = route, sum, failures
 		}
 	}
-	return g
+	return e
 }
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/model_test.go
@@ -59,9 +59,9 @@
 // badVersions lists the guarantees by version for 5 s, 12 s and 60 s, each at 10, 150 and 900
 // requests a second.
 var badVersions = []struct {
-	name string
-	does behaviour
-	want [9]guarantee
+	name    string
+	answers behaviour
+	want    [9]guarantee
 }{
 	{"fails 5", always(fails5), [9]guarantee{boundOnly, undetected, undetected, undetected, undetected, inEveryRun, undetected, inEveryRun, inEveryRun}},
 	{"fails 20", always(fails20), [9]guarantee{boundOnly, inMostRuns, inEveryRun, undetected, inEveryRun, inEveryRun, inMostRuns, inEveryRun, inEveryRun}},
@@ -85,7 +85,7 @@
 }
 
 // seedCount returns how many of n runs are made. Under the race detector it is a tenth: the runs
-// take ten times as long, and each uses a single goroutine.
+// take ten times as long, and a run in a single goroutine has no races to detect.
 func seedCount(n int) int {
 	if raced {
 		return max(n/10, 1)
@@ -111,17 +111,17 @@
 		for i, l := range loadCases {
 			t.Run(fmt.Sprintf("%s/%v/%v", bad.name, l.duration, l.rate), func(t *testing.T) {
 				t.Parallel()
-				runBadVersion(t, l, bad.does, bad.want[i])
+				runBadVersion(t, l, bad.answers, bad.want[i])
 			})
 		}
 	}
 }
 
-func runBadVersion(t *testing.T, l loadCase, does behaviour, want guarantee) {
+func runBadVersion(t *testing.T, l loadCase, answers behaviour, want guarantee) {
 	runs, passed, maxOverrun := 0, 0, 0.0
 	for _, p := range poolCases {
 		for seed := range seedCount(l.seeds) {
-			m := &poolModel{duration: l.duration, servers: p.servers, perSecond: l.rate, maxStream: p.stream, routes: threeRoutes, target: does, old: good}
+			m := &poolModel{duration: l.duration, servers: p.servers, perSecond: l.rate, maxStream: p.stream, routes: threeRoutes, target: answers, old: good}
 			r := m.run(uint64(seed))
 			runs++
 			maxOverrun = max(maxOverrun, r.overrun)
@@ -169,7 +169,7 @@
 func TestFalseAlarms(t *testing.T) {
 	for _, versions := range []struct {
 		name           string
-		does           behaviour
+		answers        behaviour
 		maxPerThousand float64 // rollouts rolled back
 	}{
 		{"no failures", good, 1}, {"1 %", always(quality{failureRate: 0.01}), 1}, {"5 %", always(fails5), 3},
@@ -182,7 +182,7 @@
 			rolledBack := map[string]int{}
 			for _, l := range []loadCase{{5 * time.Second, 150, 500}, {12 * time.Second, 10, 500}, {12 * time.Second, 150, 1000}} {
 				for seed := range seedCount(l.seeds) {
-					m := &poolModel{duration: l.duration, servers: 60, perSecond: l.rate, routes: threeRoutes, target: versions.does, old: versions.does}
+					m := &poolModel{duration: l.duration, servers: 60, perSecond: l.rate, routes: threeRoutes, target: versions.answers, old: versions.answers}
 					runs++
 					if r := m.run(uint64(seed + 1000)); r.ending == RollBack {
 						rolledBack[fmt.Sprint(l.duration, " ", l.rate, " ", r.reason)]++
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -149,26 +149,26 @@
 // deliver processes all copies that are due, and reports whether the sender received an
 // acknowledgement of the current order.
 func (m *orderModel) deliver() (acknowledged bool) {
-	due := func(f orderCopy) bool { return f.arrives <= m.now }
-	arrived := slices.DeleteFunc(slices.Clone(m.inTransit), func(f orderCopy) bool { return !due(f) })
+	due := func(c orderCopy) bool { return c.arrives <= m.now }
+	arrived := slices.DeleteFunc(slices.Clone(m.inTransit), func(c orderCopy) bool { return !due(c) })
 	m.inTransit = slices.DeleteFunc(m.inTransit, due)
 	var proposed []entry // all decided on the same state, as by two replicas that both believe to lead
-	for _, f := range arrived {
+	for _, c := range arrived {
 		r := m.applyLog(m.leader) // a follower redirects to the leader
 		newest, _ := r.store.Rollout("p")
-		verdict, change := r.orders.Decide(m.now+r.offset, f.order, newest)
+		verdict, change := r.orders.Decide(m.now+r.offset, c.order, newest)
 		switch verdict {
 		case Accept:
-			proposed = append(proposed, entry{change: change, order: f.number})
+			proposed = append(proposed, entry{change: change, order: c.number})
 		case AlreadyApplied:
-			r.orders = r.orders.WithRepeat(m.now+r.offset, f.order)
-			if !m.begun[f.number] {
+			r.orders = r.orders.WithRepeat(m.now+r.offset, c.order)
+			if !m.begun[c.number] {
 				m.leaderFixedUntil = m.now + modelWindow
 			}
-			acknowledged = acknowledged || f.number == m.currentOrder && m.rng.IntN(3) > 0 // some acknowledgements are lost
+			acknowledged = acknowledged || c.number == m.currentOrder && m.rng.IntN(3) > 0 // some acknowledgements are lost
 		case Conflict:
-			if f.number != m.currentOrder {
-				m.t.Errorf("at %v a copy of order %d is a conflict", m.now, f.number)
+			if c.number != m.currentOrder {
+				m.t.Errorf("at %v a copy of order %d is a conflict", m.now, c.number)
 			}
 		}
 	}
--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -52,7 +52,7 @@
 type event struct {
 	at      time.Duration
 	tally   *Tally
-	old     bool
+	onOld   bool
 	pace    int // bucket of the answer's pace, at its begin; -1 at a separate end
 	final   bool
 	failed  bool
@@ -181,12 +181,12 @@
 		p = &RouteTallies{}
 		m.totals[m.routeName(route)] = p
 	}
-	tally, does, load := &p.Old, m.old, 1.0
+	tally, answers, load := &p.Old, m.old, 1.0
 	if toTarget {
-		tally, does = &p.Target, m.target
+		tally, answers = &p.Target, m.target
 		load = share * float64(m.servers) / float64(max(int(math.Round(share*float64(m.servers))), 1))
 	}
-	q := does(now, route, load)
+	q := answers(now, route, load)
 	tally.Sent++
 	if !toTarget {
 		m.runningOld++
@@ -198,10 +198,10 @@
 	}
 	first := now + time.Duration(60*ratio*float64(time.Millisecond))
 	failed := m.rng.Float64() < q.failureRate
-	heap.Push(&m.pending, event{at: first, tally: tally, old: !toTarget, pace: PaceBucket(ratio), final: failed || m.maxStream == 0, failed: failed, wasSlow: q.slowdown > 2 && toTarget})
+	heap.Push(&m.pending, event{at: first, tally: tally, onOld: !toTarget, pace: PaceBucket(ratio), final: failed || m.maxStream == 0, failed: failed, wasSlow: q.slowdown > 2 && toTarget})
 	if !failed && m.maxStream > 0 {
 		lasts := time.Duration(m.rng.Float64() * float64(m.maxStream))
-		heap.Push(&m.pending, event{at: first + lasts, tally: tally, old: !toTarget, pace: -1, final: true})
+		heap.Push(&m.pending, event{at: first + lasts, tally: tally, onOld: !toTarget, pace: -1, final: true})
 	}
 }
 
@@ -213,10 +213,10 @@
 		if e.pace >= 0 {
 			e.tally.Paces[e.pace]++
 		}
-		if e.final && e.old {
+		if e.final && e.onOld {
 			m.runningOld--
 		}
-		if !e.old && (e.failed || e.wasSlow) {
+		if !e.onOld && (e.failed || e.wasSlow) {
 			bad++
 		}
 		switch {
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -15,10 +15,10 @@
 // Points between the order and its deadline, as fractions of the duration. docs/design/rollouts.md
 // describes the alternatives.
 const (
-	// trialFraction is when a good target gets all requests. A target that turns bad after some
+	// trialEndFraction is when a good target gets all requests. A target that turns bad after some
 	// seconds is detected before this point, and the time after it suffices for 1 s at full load
 	// and for the old servers to drain.
-	trialFraction = 0.6
+	trialEndFraction = 0.6
 	// decideByFraction is the latest point at which to decide whether the target gets all requests.
 	decideByFraction = 0.78
 	// completeByFraction is the latest point at which a switched rollout is complete. The rest
@@ -174,7 +174,7 @@
 // rateMeter is an exponential moving average of the request rate.
 type rateMeter struct {
 	sent             uint64
-	sinceCount       time.Duration // time since sent was last updated
+	sinceUpdate      time.Duration // time since sent was last updated
 	weightSeconds    float64       // after decay
 	weightedRequests float64       // requests counted with that weight
 	started          bool
@@ -183,16 +183,16 @@
 // step records the total number of requests. A total falls while the gateways of a lost relay have
 // not reported elsewhere yet; it is ignored until it has recovered.
 func (m *rateMeter) step(passed time.Duration, sent uint64) {
-	m.sinceCount += passed
+	m.sinceUpdate += passed
 	if m.started && sent < m.sent {
 		return
 	}
 	if m.started {
-		decay := math.Exp(-m.sinceCount.Seconds() / rateTimeConstant.Seconds())
-		m.weightSeconds = m.weightSeconds*decay + m.sinceCount.Seconds()
+		decay := math.Exp(-m.sinceUpdate.Seconds() / rateTimeConstant.Seconds())
+		m.weightSeconds = m.weightSeconds*decay + m.sinceUpdate.Seconds()
 		m.weightedRequests = m.weightedRequests*decay + increase(m.sent, sent)
 	}
-	m.started, m.sent, m.sinceCount = true, sent, 0
+	m.started, m.sent, m.sinceUpdate = true, sent, 0
 }
 
 // perSecond returns the rate, and whether there is enough data for it.
@@ -270,8 +270,8 @@
 	return total >= minOutcomes && sent < minUsedFraction*total
 }
 
-func (s *Schedule) timeAt(part float64) time.Duration {
-	return time.Duration(part * float64(s.Duration))
+func (s *Schedule) timeAt(fraction float64) time.Duration {
+	return time.Duration(fraction * float64(s.Duration))
 }
 
 // stepBeforeSwitch decides whether to switch, to continue the trial or to roll back.
@@ -286,7 +286,7 @@
 		d.Action, d.Reason = RollBack, "no server of the target"
 	case late && !rateKnown:
 		d.Reason = "the rate is not known yet"
-	case o.Elapsed >= s.timeAt(trialFraction) && o.TargetListed && good && (hasReserve || late):
+	case o.Elapsed >= s.timeAt(trialEndFraction) && o.TargetListed && good && (hasReserve || late):
 		s.switchToTarget(o, d, "good answers")
 	case late && remainderAllowed:
 		s.switchToTarget(o, d, "few requests, and nothing speaks against it")
@@ -297,9 +297,9 @@
 	}
 }
 
-func (s *Schedule) switchToTarget(o Observation, d *Decision, why string) {
+func (s *Schedule) switchToTarget(o Observation, d *Decision, reason string) {
 	s.switchedAt = max(o.Elapsed, 1)
-	d.Share, d.Reason = 1, why
+	d.Share, d.Reason = 1, reason
 	s.usageAtSwitch = o.usage()
 }
 
@@ -346,7 +346,7 @@
 	if !rateKnown || rate == 0 {
 		return
 	}
-	untilSwitch := max(s.timeAt(trialFraction)-o.Elapsed, reactionTime).Seconds()
+	untilSwitch := max(s.timeAt(trialEndFraction)-o.Elapsed, reactionTime).Seconds()
 	allowed := budgetFraction * s.allowedTargetRequests(d.Total+uint64(rate*untilSwitch))
 	budget := max(allowed-budgetFraction*rate*reactionTime.Seconds(), min(allowed, float64(minSamples*len(o.Totals))))
 	wantedShare := max(d.Share, float64(targetSamples*len(o.Totals))/(float64(d.Total)+rate*untilSwitch))
