--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -102,9 +102,9 @@
 	case success && !head.Signed:
 		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
-		return c.relay.stream(ctx, a, answer)
+		return c.relay.relayStream(ctx, a, answer)
 	}
-	return c.relay.plain(a, answer)
+	return c.relay.relayPlain(a, answer)
 }
 
 // outgoing is the request as a backend server gets it.
@@ -191,7 +191,7 @@
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
 	case retry.EndServerError:
-		c.relay.give(out.held)
+		c.relay.writeHeld(out.held)
 		return false, nil
 	default:
 		return false, c.refusal(ending)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -35,10 +35,10 @@
 	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
-	passed     int // writes to the caller
-	passedAt   time.Duration
-	longestGap time.Duration // between two of them
-	extended   time.Duration // when the write deadline was last moved
+	writes      int // writes to the caller
+	lastWriteAt time.Duration
+	longestGap  time.Duration // between two of them
+	extended    time.Duration // when the write deadline was last moved
 }
 
 // heldAnswer is a whole plain answer.
@@ -48,9 +48,9 @@
 	body   []byte
 }
 
-// plain takes a plain answer: a success goes to the caller once it is whole, a
+// relayPlain takes a relayPlain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
-func (r *relay) plain(a *assignment, answer *forward.Answer) outcome {
+func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
@@ -64,7 +64,7 @@
 		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
 		return outcome{execution: retry.HasRun, cause: "server error", verdict: outlier.Faulty, held: held, err: err}
 	}
-	r.give(held)
+	r.writeHeld(held)
 	return outcome{execution: retry.Answered}
 }
 
@@ -106,8 +106,8 @@
 // Error names the cause.
 func (e writeFailed) Error() string { return e.err.Error() }
 
-// give writes a whole answer to the caller.
-func (r *relay) give(h *heldAnswer) {
+// writeHeld writes a whole answer to the caller.
+func (r *relay) writeHeld(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
 	_, _ = r.c.w.Write(h.body) // it fails if the caller has gone, and net/http ends the connection
 }
@@ -129,13 +129,13 @@
 	r.c.w.WriteHeader(status)
 }
 
-// success reports whether the caller was given a success.
-func (r *relay) success() bool {
+// succeeded reports whether the caller was given a succeeded.
+func (r *relay) succeeded() bool {
 	return r.status >= http.StatusOK && r.status < http.StatusMultipleChoices
 }
 
-// stream passes events on as they come, each once it is whole.
-func (r *relay) stream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
+// relayStream passes events on as they come, each once it is whole.
+func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
@@ -222,11 +222,11 @@
 	}
 	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
 	now := r.c.g.now()
-	if r.passed > 0 {
-		r.longestGap = max(r.longestGap, now-r.passedAt)
+	if r.writes > 0 {
+		r.longestGap = max(r.longestGap, now-r.lastWriteAt)
 	}
-	r.passed++
-	r.passedAt = now
+	r.writes++
+	r.lastWriteAt = now
 	return nil
 }
 
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -309,34 +309,34 @@
 	return req.versionSet | replacedVersion
 }
 
-// tried is what an attempt counts for, while its pool has a rollout.
-type tried struct {
-	tally    *tally // nil: not counted
-	attempt  uint64 // of the pool's rollouts
-	version  string
-	isTarget bool
-	reason   string
-	expected time.Duration // until the first part of the answer
+// versionAttempt is what an attempt counts for, while its pool has a rollout.
+type versionAttempt struct {
+	tally         *tally // nil: not counted
+	attempt       uint64 // of the pool's rollouts
+	version       string
+	isTarget      bool
+	reason        string
+	expectedFirst time.Duration // until the first part of the answer
 }
 
-// begin counts an attempt that begins.
-func (p *pool) begin(k *knownServer, req *requirements, choice place.Choice, reason string) tried {
+// beginAttempt counts an attempt that begins.
+func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) versionAttempt {
 	r := p.rollout
 	if r == nil {
-		return tried{}
+		return versionAttempt{}
 	}
-	t := tried{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
+	t := versionAttempt{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
 		t.tally.changed = true
-		t.expected = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
+		t.expectedFirst = p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens)
 	}
 	return t
 }
 
 // logAttrs are the attributes of a request's last line.
-func (t *tried) logAttrs() []slog.Attr {
+func (t *versionAttempt) logAttrs() []slog.Attr {
 	if t.reason == "" && t.version == "" {
 		return nil
 	}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -20,8 +20,8 @@
 
 // This file tests which versions a gateway sends to, and what it counts.
 
-// versionsOf announces servers p0, p1, … of pool "plain" with versions.
-func (x *fixture) versionsOf(versions ...string) {
+// setVersions announces servers p0, p1, … of pool "plain" with versions.
+func (x *fixture) setVersions(versions ...string) {
 	m := protocol.Servers{Term: 1}
 	for i, v := range versions {
 		s := x.g.table.servers[fmt.Sprint("p", i)].Server
@@ -31,14 +31,14 @@
 	x.g.table.update(m)
 }
 
-// rollouts sends the list of a number with one rollout.
-func (x *fixture) rollouts(term, seq uint64, r protocol.Rollout) {
+// sendRollout sends the list of a number with one rollout.
+func (x *fixture) sendRollout(term, seq uint64, r protocol.Rollout) {
 	r.Pool = "plain"
 	x.g.table.updateRollouts(protocol.Rollouts{Term: term, Seq: seq, List: []protocol.Rollout{r}})
 }
 
-// leaseShares has the leader count a report that is sent now.
-func (x *fixture) leaseShares() {
+// renewShares has the leader count a report that is sent now.
+func (x *fixture) renewShares() {
 	x.reports++
 	x.g.table.takeReport(x.reports)
 	x.g.table.updateLoads(x.g.now(), x.reports, nil)
@@ -72,20 +72,20 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100}) // no report was counted
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		time.Sleep(sharesLease)
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.updateLoads(x.g.now(), 1, nil) // what comes late, as to a gateway that was frozen
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		x.g.table.endShares() // the session ended
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
-		x.leaseShares()
+		x.renewShares()
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // another began
 		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
@@ -98,9 +98,9 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
+		x.renewShares()
 		is.Equal(x.served("/once/1", 100)["new"], 10)
 		is.Equal(x.served("/again/1", 100)["new"], 50)
 	}, oldAndNew...)
@@ -112,25 +112,25 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.renewShares()
 		asked := func() map[string]int { return x.served("/once/1", 10) }
 		all := map[string]int{"old": 10}
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(asked(), all)
-		x.rollouts(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // an older leader's
+		x.sendRollout(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // an older leader's
 		is.Equal(asked(), all)
-		x.rollouts(1, 10, protocol.Rollout{Attempt: 1})
+		x.sendRollout(1, 10, protocol.Rollout{Attempt: 1})
 		is.Equal(asked(), all)
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1}) // not newer
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1}) // not newer
 		is.Equal(asked(), all)
-		x.rollouts(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // does not know the verdict
+		x.sendRollout(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // does not know the verdict
 		is.Equal(asked(), all)
-		x.rollouts(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
+		x.sendRollout(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
 		is.Equal(asked(), all)
 		x.g.table.update(protocol.Servers{Term: 3, Gone: []string{"p0"}})
 		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // also where there is no other
-		x.rollouts(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
+		x.sendRollout(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
 		is.Equal(asked(), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
@@ -139,12 +139,12 @@
 func TestReplacedVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
-		x.versionsOf("v1", "v3") // one that no rollout is about is used
+		x.setVersions("v1", "v3") // one that no rollout is about is used
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
@@ -153,9 +153,9 @@
 func TestLastOldServerTurnsOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
+		x.renewShares()
 		x.g.table.removeMisdirected("p0")
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
@@ -170,28 +170,28 @@
 			_, seq := x.g.table.takeOutcomes(x.g.now())
 			return seq
 		}
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(obeyed(), uint64(0)) // no report was counted
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
 		time.Sleep(sharesLease)
 		is.Equal(obeyed(), uint64(0))
-		x.leaseShares()
+		x.renewShares()
 		x.served("/once/1", badInARow)
 		is.Equal(obeyed(), uint64(0)) // bad answers in a row
 		time.Sleep(mistrustFor)
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
-		x.rollouts(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(8))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true})
 		is.Equal(obeyed(), uint64(0)) // it is the number of another term
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.renewShares()
 		is.Equal(obeyed(), uint64(0)) // the leader before has barred the target
 		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
-		x.rollouts(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
+		x.sendRollout(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(2))
 		is.Equal(len(x.g.table.locallyBarred()), 0)
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
@@ -201,9 +201,9 @@
 func TestRetryGoesToTheOldVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2", "v2", "v2") // lots are always low
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
-		x.leaseShares()
+		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
+		x.renewShares()
 		is.Equal(x.served("/again/1", 3), map[string]int{"old": 3})
 		var sent, failed uint64
 		outcomes, obeyed := x.g.table.takeOutcomes(x.g.now())
@@ -228,10 +228,10 @@
 		x.g.cfg.Log = decision.New(&text, slog.LevelInfo, decision.DefaultBudget, metrics.NewSet())
 		defer old.Close()
 		x.request("/once/1")
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.5})
 		x.request("/once/1")
-		x.leaseShares()
+		x.renewShares()
 		x.request("/once/1")
 		x.g.cfg.Log.Close()
 		is.Equal(strings.Count(text.String(), `"answered"`), 3)
@@ -300,9 +300,9 @@
 func TestTargetWithoutUse(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		s := x.g.table.servers["p1"].Server
 		s.Hall = "y"
@@ -316,12 +316,12 @@
 func TestColdTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
+		x.setVersions("v1", "v2")
 		s := x.g.table.servers["p1"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
-		x.leaseShares()
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
+		x.renewShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 2, "old": 8})
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(outcomes[1].Version, "v2")
@@ -336,9 +336,9 @@
 func TestOutcomesAreTotals(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.renewShares()
 		x.served("/once/1", 2)
 		first, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(len(first), 1)
@@ -348,7 +348,7 @@
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true, Set: []protocol.Server{x.g.table.servers["p0"].Server, x.g.table.servers["p1"].Server}})
 		again, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(again, first)
-		x.leaseShares()
+		x.renewShares()
 		x.servers.behaviours[x.g.table.servers["p1"].Address] = hangs
 		is.Equal(x.request("/once/1", "Patience", "800").status, 504)
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
