--- a/directory/directory.go
+++ b/directory/directory.go
@@ -233,10 +233,10 @@
 	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
 		return nil
 	}
-	return d.notLeader(leadership.leader)
+	return d.leadershipError(leadership.leader)
 }
 
-func (d *Directory) notLeader(leader string) error {
+func (d *Directory) leadershipError(leader string) error {
 	if leader == "" || leader == d.cfg.Identity.Name {
 		return Unavailable{}
 	}
@@ -259,7 +259,7 @@
 	var notLeader consensus.NotLeader
 	switch {
 	case errors.As(err, &notLeader):
-		return false, d.notLeader(notLeader.Leader.Name)
+		return false, d.leadershipError(notLeader.Leader.Name)
 	case err != nil:
 		return false, Unavailable{Err: err}
 	}
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -104,7 +104,7 @@
 	case err != nil:
 		return Unavailable{Err: err}
 	case !leads:
-		return d.notLeader(leader)
+		return d.leadershipError(leader)
 	case d.replica.Now() >= until: // the lease ran out while this goroutine waited
 		return Unavailable{}
 	}
