--- a/directory/directory.go
+++ b/directory/directory.go
@@ -173,7 +173,7 @@
 	if !d.names(a.Pool) {
 		return UnknownPool{Pool: a.Pool}
 	}
-	if err := d.leading(); errors.As(err, new(NotLeader)) {
+	if err := d.checkLeading(); errors.As(err, new(NotLeader)) {
 		return d.announcer.announce(ctx, a)
 	} else if err != nil {
 		return err
@@ -195,7 +195,7 @@
 // it returns nil, the departure is on the disks of a majority. The error is [NotLeader] or
 // [Unavailable].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
-	if err := d.leading(); err != nil {
+	if err := d.checkLeading(); err != nil {
 		return err
 	}
 	if _, born := protocol.SplitLife(id); born == 0 {
@@ -225,10 +225,10 @@
 func (d *Directory) Formed() bool { return d.hub.leadership.Load().formed }
 
 // Leads reports whether this replica leads now.
-func (d *Directory) Leads() bool { return d.leading() == nil }
+func (d *Directory) Leads() bool { return d.checkLeading() == nil }
 
-// leading returns nil at the leader, else [NotLeader] or [Unavailable].
-func (d *Directory) leading() error {
+// checkLeading returns nil at the leader, else [NotLeader] or [Unavailable].
+func (d *Directory) checkLeading() error {
 	leadership := d.hub.leadership.Load()
 	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
 		return nil
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -23,7 +23,7 @@
 // Condemned returns the requests that are sent to no backend server, oldest first. The error is
 // [NotLeader] or [Unavailable].
 func (d *Directory) Condemned() ([]document.Condemned, error) {
-	if err := d.leading(); err != nil {
+	if err := d.checkLeading(); err != nil {
 		return nil, err
 	}
 	return d.state.Condemned(), nil
@@ -32,7 +32,7 @@
 // Release lets a condemned request be sent to backend servers again. When it returns nil, that is
 // on the disks of a majority. The error is [NotCondemned], [NotLeader] or [Unavailable].
 func (d *Directory) Release(ctx context.Context, k quarantine.Key) error {
-	if err := d.leading(); err != nil {
+	if err := d.checkLeading(); err != nil {
 		return err
 	}
 	if err := d.hub.do(ctx, func() error { return d.hub.forgetKey(k) }); err != nil {
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -149,7 +149,7 @@
 		r.decision = r.schedule.Step(rollout.Observation{
 			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
 			RoutesWithoutTarget: h.keptAway(halls),
-			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
+			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.checkLeading() == nil,
 		})
 		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
 			h.logStep(now, r)
