--- a/directory/directory.go
+++ b/directory/directory.go
@@ -65,17 +65,17 @@
 
 // Directory is a running directory replica.
 type Directory struct {
-	cfg       Settings
-	ctx       context.Context
-	stop      context.CancelFunc
-	state     *Replicated
-	replica   *replica.Replica
-	mesh      *mesh.Mesh
-	meter     *link.Meter
-	hub       *hub
-	announcer *announcer
-	regions   sync.Map // region by fleet address, of nodes that have named one
-	running   sync.WaitGroup
+	cfg         Settings
+	ctx         context.Context
+	stop        context.CancelFunc
+	state       *Replicated
+	replica     *replica.Replica
+	mesh        *mesh.Mesh
+	meter       *link.Meter
+	hub         *hub
+	announcer   *announcer
+	nodeRegions sync.Map // region by fleet address, of nodes that have named one
+	running     sync.WaitGroup
 }
 
 // Start opens the data folder and joins or founds the group. It runs until
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -105,7 +105,7 @@
 	if name == d.Address() {
 		return d.cfg.Region
 	}
-	region, _ := d.regions.Load(name)
+	region, _ := d.nodeRegions.Load(name)
 	known, _ := region.(string)
 	return known
 }
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -48,13 +48,13 @@
 // noteRegion keeps the region that a node names.
 func (d *Directory) noteRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
-		d.regions.Store(node, region)
+		d.nodeRegions.Store(node, region)
 	}
 }
 
 // regionOf returns the region of a node, for metrics.
 func (d *Directory) regionOf(node string) string {
-	if region, ok := d.regions.Load(node); ok {
+	if region, ok := d.nodeRegions.Load(node); ok {
 		return region.(string)
 	}
 	return unknownRegion
