--- a/directory/hub.go
+++ b/directory/hub.go
@@ -49,20 +49,20 @@
 	leadership atomic.Pointer[leadership]
 
 	// Owned by run.
-	term        uint64 // 0 unless this replica leads
-	registry    *registry.Registry
-	departed    uint64                  // departures applied to the registry
-	complete    bool                    // the registry is, and the sessions were sent the whole list since
-	unlogged    []protocol.Registration // announced, not yet put into the log
-	joining     bool                    // some are being put into it
-	sessions    map[*session]bool
-	pending     registry.Change // not sent to the sessions yet
-	hallChanges uint64          // in the last halls that the sessions were sent
-	list        *wholeList      // for sessions that open; nil: to be made anew
-	usage       *usage
-	feed        registry.Feed
-	fleetDue    time.Duration     // of the next Fleet message
-	encoded     protocol.Document // newest document, encoded once
+	term          uint64 // 0 unless this replica leads
+	registry      *registry.Registry
+	departed      uint64                  // departures applied to the registry
+	complete      bool                    // the registry is, and the sessions were sent the whole list since
+	unloggedJoins []protocol.Registration // announced, not yet put into the log
+	joining       bool                    // some are being put into it
+	sessions      map[*session]bool
+	pending       registry.Change // not sent to the sessions yet
+	hallChanges   uint64          // in the last halls that the sessions were sent
+	list          *wholeList      // for sessions that open; nil: to be made anew
+	usage         *usage
+	feed          registry.Feed
+	fleetDue      time.Duration     // of the next Fleet message
+	encoded       protocol.Document // newest document, encoded once
 
 	rollouts     rollouts
 	evidence     evidence
@@ -283,7 +283,7 @@
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
-		h.unlogged = append(h.unlogged, s.Registration.Sent())
+		h.unloggedJoins = append(h.unloggedJoins, s.Registration.Sent())
 	}
 	h.pending = h.pending.Merge(change)
 	return nil
--- a/directory/joins.go
+++ b/directory/joins.go
@@ -30,12 +30,12 @@
 		return
 	}
 	now, others := h.d.replica.Now(), max(len(h.leadership.Load().voters)-1, 1)
-	n := min(len(h.unlogged), h.joinPace.EntryAllowance(now, others))
+	n := min(len(h.unloggedJoins), h.joinPace.EntryAllowance(now, others))
 	if n == 0 {
 		return
 	}
-	c := command{Join: h.unlogged[:n:n]}
-	h.unlogged, h.joining = h.unlogged[n:], true
+	c := command{Join: h.unloggedJoins[:n:n]}
+	h.unloggedJoins, h.joining = h.unloggedJoins[n:], true
 	h.joinPace.RecordSent(now, others*int(registry.ListBytes(n)))
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, joinTimeout)
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -57,7 +57,7 @@
 	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
 	h.departed = 0
 	h.complete = false
-	h.unlogged = nil
+	h.unloggedJoins = nil
 	for _, s := range h.d.state.Joined() {
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
