--- a/directory/halls.go
+++ b/directory/halls.go
@@ -130,7 +130,7 @@
 	h.hallChanges = changes
 	now := h.d.replica.Now()
 	returned := h.d.state.putBackWithin(h.registry.PresumedColdTime())
-	h.pending = h.pending.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
+	h.pendingChange = h.pendingChange.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
 	h.sendChanges()
 	h.d.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes),
 		slog.Any("returned", returned), slog.Int("gateways", len(h.gateways())), slog.Any("unaware", h.unawareOfHalls()))
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -56,7 +56,7 @@
 	unloggedJoins []protocol.Registration // announced, not yet put into the log
 	joining       bool                    // some are being put into it
 	sessions      map[*session]bool
-	pending       registry.Change // not sent to the sessions yet
+	pendingChange registry.Change // not sent to the sessions yet
 	hallChanges   uint64          // in the last halls that the sessions were sent
 	list          *wholeList      // for sessions that open; nil: to be made anew
 	usage         *usage
@@ -184,7 +184,7 @@
 		return
 	}
 	now := h.d.replica.Now()
-	h.pending = h.pending.Merge(h.registry.ExpireSilent(now))
+	h.pendingChange = h.pendingChange.Merge(h.registry.ExpireSilent(now))
 	h.divideCold(now)
 	completed := !h.complete && h.registry.Complete(now)
 	if completed {
@@ -212,7 +212,7 @@
 		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
-	h.pending = h.pending.Merge(change)
+	h.pendingChange = h.pendingChange.Merge(change)
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
@@ -224,7 +224,7 @@
 		h.registry.Remove(id)
 	}
 	if len(departures) > 0 {
-		h.pending = h.pending.Merge(registry.Change{Gone: departures})
+		h.pendingChange = h.pendingChange.Merge(registry.Change{Gone: departures})
 		h.pushChanges(false)
 	}
 }
@@ -285,6 +285,6 @@
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
 		h.unloggedJoins = append(h.unloggedJoins, s.Registration.Sent())
 	}
-	h.pending = h.pending.Merge(change)
+	h.pendingChange = h.pendingChange.Merge(change)
 	return nil
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -62,7 +62,7 @@
 // pushChanges sends what has changed in the registry since the last time to every
 // session, and with completed that the list is complete from now on.
 func (h *hub) pushChanges(completed bool) {
-	if h.pending.Empty() && !completed {
+	if h.pendingChange.Empty() && !completed {
 		return
 	}
 	h.sendChanges()
@@ -72,13 +72,13 @@
 func (h *hub) sendChanges() {
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
-		Term: h.term, Space: h.handles.Space(), Set: h.pending.Set, Gone: h.pending.Gone, Complete: h.complete,
+		Term: h.term, Space: h.handles.Space(), Set: h.pendingChange.Set, Gone: h.pendingChange.Gone, Complete: h.complete,
 		HallsOut: out, HallChanges: changes,
 	}
 	if h.complete && len(h.missing) > 0 {
 		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
 	}
-	h.pending, h.list = registry.Change{}, nil
+	h.pendingChange, h.list = registry.Change{}, nil
 	h.sendServers(m.Sent(h.registry.IsListed))
 }
 
