--- a/directory/halls.go
+++ b/directory/halls.go
@@ -124,10 +124,10 @@
 // in the same message that the backend servers of a hall that is back may be cold.
 func (h *hub) pushHalls() {
 	out, changes := h.d.state.HallsOut()
-	if changes == h.hallChanges {
+	if changes == h.sentHallChanges {
 		return
 	}
-	h.hallChanges = changes
+	h.sentHallChanges = changes
 	now := h.d.replica.Now()
 	returned := h.d.state.putBackWithin(h.registry.PresumedColdTime())
 	h.pendingChange = h.pendingChange.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -49,20 +49,20 @@
 	leadership atomic.Pointer[leadership]
 
 	// Owned by run.
-	term          uint64 // 0 unless this replica leads
-	registry      *registry.Registry
-	departed      uint64                  // departures applied to the registry
-	complete      bool                    // the registry is, and the sessions were sent the whole list since
-	unloggedJoins []protocol.Registration // announced, not yet put into the log
-	joining       bool                    // some are being put into it
-	sessions      map[*session]bool
-	pendingChange registry.Change // not sent to the sessions yet
-	hallChanges   uint64          // in the last halls that the sessions were sent
-	list          *wholeList      // for sessions that open; nil: to be made anew
-	usage         *usage
-	feed          registry.Feed
-	fleetDue      time.Duration     // of the next Fleet message
-	encoded       protocol.Document // newest document, encoded once
+	term            uint64 // 0 unless this replica leads
+	registry        *registry.Registry
+	departed        uint64                  // departures applied to the registry
+	complete        bool                    // the registry is, and the sessions were sent the whole list since
+	unloggedJoins   []protocol.Registration // announced, not yet put into the log
+	joining         bool                    // some are being put into it
+	sessions        map[*session]bool
+	pendingChange   registry.Change // not sent to the sessions yet
+	sentHallChanges uint64          // in the last halls that the sessions were sent
+	list            *wholeList      // for sessions that open; nil: to be made anew
+	usage           *usage
+	feed            registry.Feed
+	fleetDue        time.Duration     // of the next Fleet message
+	encoded         protocol.Document // newest document, encoded once
 
 	rollouts     rollouts
 	evidence     evidence
