--- a/directory/hub.go
+++ b/directory/hub.go
@@ -58,7 +58,7 @@
 	sessions        map[*session]bool
 	pendingChange   registry.Change // not sent to the sessions yet
 	sentHallChanges uint64          // in the last halls that the sessions were sent
-	list            *wholeList      // for sessions that open; nil: to be made anew
+	cachedList      *wholeList      // for sessions that open; nil: to be made anew
 	usage           *usage
 	feed            registry.Feed
 	fleetDue        time.Duration     // of the next Fleet message
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -40,7 +40,7 @@
 	}
 	r.quarantine = h.evidence.list
 	h.endOthers("")
-	h.relay, h.list = r, nil
+	h.relay, h.cachedList = r, nil
 	for s := range h.sessions {
 		r.sums.Open(s.gateway, s.knowsVersions)
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -96,7 +96,7 @@
 		h.followTerm()
 	}
 	if h.relay == nil {
-		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
+		h.relay, h.cachedList = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
 	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueue), true, 0
@@ -173,7 +173,7 @@
 	if h.relay.out != nil {
 		h.relay.out.Close()
 	}
-	h.relay, h.list, h.held = nil, nil, registry.Change{}
+	h.relay, h.cachedList, h.held = nil, nil, registry.Change{}
 }
 
 // dismiss ends a gateway's session and names the replica to go to.
@@ -191,7 +191,7 @@
 func (r *relay) take(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Servers:
-		r.h.list = nil
+		r.h.cachedList = nil
 		r.h.sendServers(r.list.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -78,7 +78,7 @@
 	if h.complete && len(h.missing) > 0 {
 		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
 	}
-	h.pendingChange, h.list = registry.Change{}, nil
+	h.pendingChange, h.cachedList = registry.Change{}, nil
 	h.sendServers(m.Sent(h.registry.IsListed))
 }
 
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -48,7 +48,7 @@
 		ctx, cancel := context.WithTimeout(h.d.ctx, spreadTimeout)
 		defer cancel()
 		_ = h.d.propose(ctx, command{Spread: &wanted}) // it is tried again
-		h.post(func() { h.spreading, h.list = false, nil })
+		h.post(func() { h.spreading, h.cachedList = false, nil })
 	}()
 }
 
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -62,7 +62,7 @@
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
 	h.usage, h.feed, h.fleetDue = newUsage(), registry.Feed{}, 0
-	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
+	h.pendingChange, h.cachedList, h.sentHallChanges = registry.Change{}, nil, 0
 	h.missing, h.placesSent, h.spreadAt = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
