--- a/directory/hub.go
+++ b/directory/hub.go
@@ -61,7 +61,7 @@
 	cachedList      *wholeList      // for sessions that open; nil: to be made anew
 	usage           *usage
 	feed            registry.Feed
-	fleetDue        time.Duration     // of the next Fleet message
+	nextFleetAt     time.Duration     // of the next Fleet message
 	encoded         protocol.Document // newest document, encoded once
 
 	rollouts     rollouts
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -22,7 +22,7 @@
 	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
-	if now < h.fleetDue || len(h.sessions) == 0 {
+	if now < h.nextFleetAt || len(h.sessions) == 0 {
 		return
 	}
 	budget, links := h.fleetBudget(len(h.gateways()))
@@ -30,7 +30,7 @@
 	if !ok {
 		return
 	}
-	h.fleetDue = now + budget.Pause(m.Size(), links)
+	h.nextFleetAt = now + budget.Pause(m.Size(), links)
 	for s := range h.sessions {
 		s.out.Send(protocol.Counted{Seq: s.counted})
 		s.out.Send(m)
