--- a/directory/hub.go
+++ b/directory/hub.go
@@ -62,7 +62,7 @@
 	usage           *usage
 	feed            registry.Feed
 	nextFleetAt     time.Duration     // of the next Fleet message
-	encoded         protocol.Document // newest document, encoded once
+	encodedDocument protocol.Document // newest document, encoded once
 
 	rollouts     rollouts
 	evidence     evidence
@@ -235,14 +235,14 @@
 	if !ok {
 		return
 	}
-	if h.encoded.Number != held.Document.Number || h.encoded.Data == nil {
+	if h.encodedDocument.Number != held.Document.Number || h.encodedDocument.Data == nil {
 		data, err := cbor.Marshal(held.Document)
 		if err != nil {
 			h.d.cfg.Log.StateChange("document cannot be encoded", slog.String("error", err.Error()))
 			return
 		}
-		h.encoded = protocol.Document{Number: held.Document.Number, Data: data}
-		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encoded.Number), slog.Int("bytes", len(data)))
+		h.encodedDocument = protocol.Document{Number: held.Document.Number, Data: data}
+		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encodedDocument.Number), slog.Int("bytes", len(data)))
 	}
 	h.sendDocuments()
 	h.awaitTurn()
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -78,16 +78,16 @@
 func (h *hub) sendDocuments() {
 	h.undocumented = false
 	for s := range h.sessions {
-		if s.relay || s.number >= h.encoded.Number {
+		if s.relay || s.number >= h.encodedDocument.Number {
 			continue
 		}
 		if h.listPace.Wait(h.d.replica.Now()) > 0 {
 			h.undocumented = true
 			return
 		}
-		s.out.Send(h.encoded)
-		s.number = h.encoded.Number
-		h.listPace.RecordSent(h.d.replica.Now(), len(h.encoded.Data))
+		s.out.Send(h.encodedDocument)
+		s.number = h.encodedDocument.Number
+		h.listPace.RecordSent(h.d.replica.Now(), len(h.encodedDocument.Data))
 	}
 }
 
