--- a/directory/hub.go
+++ b/directory/hub.go
@@ -66,7 +66,7 @@
 
 	rollouts     rollouts
 	evidence     evidence
-	ordered      map[orderKey]time.Duration // rollouts under way, in every term
+	orderTimes   map[orderKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration              // when
 
 	began    time.Duration // of the term
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -104,7 +104,7 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[orderKey{d.Pool, d.Attempt}]
+		r.Rollout, r.ordered = d, h.orderTimes[orderKey{d.Pool, d.Attempt}]
 	}
 }
 
@@ -129,11 +129,11 @@
 		}
 		key := orderKey{d.Pool, d.Attempt}
 		ordered[key] = now - d.Elapsed
-		if before, known := h.ordered[key]; known {
+		if before, known := h.orderTimes[key]; known {
 			ordered[key] = min(ordered[key], before)
 		}
 	}
-	h.ordered = ordered
+	h.orderTimes = ordered
 }
 
 // stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
