--- a/directory/hub.go
+++ b/directory/hub.go
@@ -69,10 +69,10 @@
 	orderTimes   map[orderKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration              // when
 
-	began    time.Duration // of the term
-	placeDue time.Duration // when to look next where the leader should stand, in any term
-	relay    *relay        // nil unless this replica passes on what the leader sends
-	refused  atomic.Pointer[refusal]
+	termBegan time.Duration // of the term
+	placeDue  time.Duration // when to look next where the leader should stand, in any term
+	relay     *relay        // nil unless this replica passes on what the leader sends
+	refused   atomic.Pointer[refusal]
 
 	handles    *registry.Handles // of all that this replica sends gateways
 	spread     registry.Spread
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -89,7 +89,7 @@
 
 // place hands the lead over if another replica should have it.
 func (h *hub) place(now time.Duration) {
-	if now < h.placeDue || now-h.began < placeSettled {
+	if now < h.placeDue || now-h.termBegan < placeSettled {
 		return
 	}
 	h.placeDue = now + placePeriod
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -129,7 +129,7 @@
 }
 
 // young reports whether relays may just be looking for this leader.
-func (h *hub) young() bool { return h.d.replica.Now()-h.began < relayWait }
+func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
 func (h *hub) relayed(region string) bool { return h.far(region) || h.spreads() }
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -53,7 +53,7 @@
 }
 
 func (h *hub) beginTerm(term uint64) {
-	h.term, h.began = term, h.d.replica.Now()
+	h.term, h.termBegan = term, h.d.replica.Now()
 	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
 	h.departed = 0
 	h.complete = false
