--- a/directory/hub.go
+++ b/directory/hub.go
@@ -74,12 +74,12 @@
 	relay     *relay        // nil unless this replica passes on what the leader sends
 	refused   atomic.Pointer[refusal]
 
-	handles    *registry.Handles // of all that this replica sends gateways
-	spread     registry.Spread
-	spreading  bool             // what was decided is being logged
-	spreadAt   time.Duration    // when this leader first saw that sessions are spread
-	placesSent []protocol.Place // to the relays
-	missing    []string         // lives that gateways have from the leader before, and this one has not
+	handles     *registry.Handles // of all that this replica sends gateways
+	spread      registry.Spread
+	spreading   bool             // what was decided is being logged
+	spreadSince time.Duration    // when this leader first saw that sessions are spread
+	placesSent  []protocol.Place // to the relays
+	missing     []string         // lives that gateways have from the leader before, and this one has not
 
 	listPace     registry.ListPace
 	joinPace     registry.ListPace // of what the log gets of servers
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -176,7 +176,7 @@
 	case h.relay != nil && s.named:
 		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
-		return now-h.spreadAt >= relayWait
+		return now-h.spreadSince >= relayWait
 	}
 	return true
 }
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -35,7 +35,7 @@
 func (h *hub) decideSpread(now time.Duration) {
 	spread := h.spreads()
 	if !spread {
-		h.spreadAt = now
+		h.spreadSince = now
 	}
 	wanted := h.spread.Decide(now, spread, len(h.gateways()), h.registry.Len(), h.d.cfg.LinkRate)
 	if wanted == spread || h.spreading || h.d.several() {
