--- a/directory/hub.go
+++ b/directory/hub.go
@@ -85,7 +85,7 @@
 	joinPace     registry.ListPace // of what the log gets of servers
 	listless     []*session        // that wait for the whole list, oldest first
 	undocumented bool              // some session lacks the newest document
-	held         registry.Change   // servers that gateways are still to be sent, as messages have them
+	heldServers  registry.Change   // servers that gateways are still to be sent, as messages have them
 	turn         *time.Timer       // of the next list, or of what is held
 	// hallsTold and termTold are of the last change of the list.
 	hallsTold, termTold uint64
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -16,8 +16,8 @@
 // which the link has no room now.
 func (h *hub) sendServers(m protocol.Servers) {
 	h.sendTo(m, true)
-	h.held = h.held.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
-	h.held.Gone, m.Set = nil, nil
+	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
+	h.heldServers.Gone, m.Set = nil, nil
 	news := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.hallsTold || m.Term != h.termTold
 	h.hallsTold, h.termTold = m.HallChanges, m.Term
 	if m.Set = h.admitted(); news || len(m.Set) > 0 {
@@ -28,12 +28,12 @@
 
 // admitted takes from what is held as many servers as may go to all gateways now.
 func (h *hub) admitted() (set []protocol.Server) {
-	n := len(h.held.Set)
+	n := len(h.heldServers.Set)
 	if h.relayWaits() {
 		n = 0
 	}
 	n = min(n, h.listPace.EntryAllowance(h.d.replica.Now(), len(h.sessions)))
-	set, h.held.Set = h.held.Set[:n:n], h.held.Set[n:]
+	set, h.heldServers.Set = h.heldServers.Set[:n:n], h.heldServers.Set[n:]
 	return set
 }
 
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -173,7 +173,7 @@
 	if h.relay.out != nil {
 		h.relay.out.Close()
 	}
-	h.relay, h.cachedList, h.held = nil, nil, registry.Change{}
+	h.relay, h.cachedList, h.heldServers = nil, nil, registry.Change{}
 }
 
 // dismiss ends a gateway's session and names the replica to go to.
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -83,7 +83,7 @@
 	if h.relay != nil {
 		return
 	}
-	h.held = registry.Change{}
+	h.heldServers = registry.Change{}
 	for s := range h.sessions {
 		s.out.Close()
 		delete(h.sessions, s)
