--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -239,13 +239,13 @@
 		if announcement.Check() != nil {
 			continue
 		}
-		if err := h.take(announcement); err != nil {
+		if err := h.applyAnnouncement(announcement); err != nil {
 			return err
 		}
 	}
 	for _, a := range m.Again {
 		if announcement, ok := h.registry.Again(a); ok {
-			if err := h.take(announcement); err != nil {
+			if err := h.applyAnnouncement(announcement); err != nil {
 				return err
 			}
 		}
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -250,7 +250,7 @@
 
 // announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	return h.do(ctx, func() error { return h.take(a) })
+	return h.do(ctx, func() error { return h.applyAnnouncement(a) })
 }
 
 // listedLife returns the identifier under which a server is listed that names itself alone: its own
@@ -269,8 +269,8 @@
 	return id, err
 }
 
-// take takes an announcement. The error is [Unavailable].
-func (h *hub) take(a registry.Announcement) error {
+// applyAnnouncement takes an announcement. The error is [Unavailable].
+func (h *hub) applyAnnouncement(a registry.Announcement) error {
 	switch {
 	case h.term == 0:
 		return Unavailable{}
