--- a/directory/halls.go
+++ b/directory/halls.go
@@ -85,7 +85,7 @@
 func (d *Directory) decideHall(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
 	var verdict evacuation.Verdict
 	var change document.HallChange
-	err := d.inspectLed(ctx, func() { verdict, change = d.state.order(hall, out) })
+	err := d.inspectLed(ctx, func() { verdict, change = d.state.decideHallOrder(hall, out) })
 	return verdict, change, err
 }
 
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -164,9 +164,9 @@
 	return rates
 }
 
-// order returns what is to be done about an operator's order for a data hall, and the
+// decideHallOrder returns what is to be done about an operator's decideHallOrder for a data hall, and the
 // change that does it.
-func (r *Replicated) order(hall string, out bool) (evacuation.Verdict, document.HallChange) {
+func (r *Replicated) decideHallOrder(hall string, out bool) (evacuation.Verdict, document.HallChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.store.HallState(hall)
