--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -131,9 +131,9 @@
 	return r.condemnedChanges
 }
 
-// orderRollout returns what is to be done about an operator's order, the change that does it,
+// decideRolloutOrder returns what is to be done about an operator's order, the change that does it,
 // and the pool's newest rollout. One that nothing is to be done about is remembered.
-func (r *Replicated) orderRollout(o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout) {
+func (r *Replicated) decideRolloutOrder(o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newest, _ := r.store.Rollout(o.Pool)
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -84,7 +84,7 @@
 	var verdict rollout.Verdict
 	var change document.RolloutChange
 	var newest document.Rollout
-	err := d.inspectLed(ctx, func() { verdict, change, newest = d.state.orderRollout(o) })
+	err := d.inspectLed(ctx, func() { verdict, change, newest = d.state.decideRolloutOrder(o) })
 	return verdict, change, newest, err
 }
 
