--- a/directory/halls.go
+++ b/directory/halls.go
@@ -129,7 +129,7 @@
 	}
 	h.sentHallChanges = changes
 	now := h.d.replica.Now()
-	returned := h.d.state.putBackWithin(h.registry.PresumedColdTime())
+	returned := h.d.state.hallsReturnedWithin(h.registry.PresumedColdTime())
 	h.pendingChange = h.pendingChange.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
 	h.sendChanges()
 	h.d.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes),
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -144,8 +144,8 @@
 	return verdict, change, newest
 }
 
-// putBackWithin returns the data halls that were put back into service lately.
-func (r *Replicated) putBackWithin(d time.Duration) []string {
+// hallsReturnedWithin returns the data halls that were put back into service lately.
+func (r *Replicated) hallsReturnedWithin(d time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.orders.PutBackWithin(r.now(), d)
