--- a/directory/relay.go
+++ b/directory/relay.go
@@ -99,7 +99,7 @@
 		h.relay, h.cachedList = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
-	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueue), true, 0
+	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetNew = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
 	for _, m := range before {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -26,9 +26,9 @@
 // sessions, each of which came back for the whole list (TestManyAnnounceAtOnce). What does
 // grow with it, lists and their changes, goes out at the pace of the link (lists.go).
 
-// sessionQueue is the number of messages that may wait for one gateway's link, at most ten of them a
+// sessionQueueSize is the number of messages that may wait for one gateway's link, at most ten of them a
 // second being Fleet messages.
-const sessionQueue = 256
+const sessionQueueSize = 256
 
 // listedDepartures is the number of newest departures that go out with a whole list; earlier ones show
 // in the first complete list.
@@ -178,7 +178,7 @@
 	}
 	h.closeOthers(w.Gateway)
 	s := &session{
-		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueue), number: w.Number, knowsHalls: w.KnowsHalls,
+		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
 		knowsVersions: w.KnowsVersions, boot: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, named: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
