--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -56,7 +56,7 @@
 	m := h.listHead()
 	m.Set = set
 	for s := range h.sessions {
-		s.counted = 0
+		s.countedSeq = 0
 		h.sendRollouts(s)
 		h.sendQuarantine(s)
 	}
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -68,7 +68,7 @@
 	if h.relay != nil {
 		h.relay.sendSums(s)
 	} else if sent := h.feed.Sent(); len(sent) > 0 {
-		s.out.Send(protocol.Counted{Seq: s.counted})
+		s.out.Send(protocol.Counted{Seq: s.countedSeq})
 		s.out.Send(h.fleetMessage(sent))
 	}
 }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -36,10 +36,10 @@
 
 // session is one gateway's link, or at the leader one relay's.
 type session struct {
-	gateway string // or the relay's fleet address
-	out     *link.Outbox
-	number  uint64 // of the newest document that the gateway has or was sent
-	counted uint64 // number of its last report in the sums
+	gateway    string // or the relay's fleet address
+	out        *link.Outbox
+	number     uint64 // of the newest document that the gateway has or was sent
+	countedSeq uint64 // number of its last report in the sums
 	// knowsHalls is whether the gateway's version obeys halls that are out of service.
 	knowsHalls    bool
 	knowsVersions bool   // the same of rollouts
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -32,7 +32,7 @@
 	}
 	h.nextFleetAt = now + budget.Pause(m.Size(), links)
 	for s := range h.sessions {
-		s.out.Send(protocol.Counted{Seq: s.counted})
+		s.out.Send(protocol.Counted{Seq: s.countedSeq})
 		s.out.Send(m)
 	}
 }
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -30,7 +30,7 @@
 		m.Loads = registry.SortedLoads(s.loads)
 	}
 	u.loads[s] = m.Loads
-	s.counted = m.Seq
+	s.countedSeq = m.Seq
 	if known {
 		u.demand.Add(m)
 	}
