--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -42,7 +42,7 @@
 	h.endOthers("")
 	h.relay, h.cachedList = r, nil
 	for s := range h.sessions {
-		r.sums.Open(s.gateway, s.knowsVersions)
+		r.sums.Open(s.gateway, s.supportsRollouts)
 	}
 }
 
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -171,7 +171,7 @@
 // before it has named its gateways, what runs there is not in the sums either.
 func TestRelayThatHasJustOpened(t *testing.T) {
 	is := is.New(t)
-	s := &session{gateway: "relay", relay: true, knowsVersions: true}
+	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // of a version that does not know rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
 	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -213,7 +213,7 @@
 
 // opened takes a gateway whose session opens.
 func (r *relay) opened(s *session) {
-	r.sums.Open(s.gateway, s.knowsVersions)
+	r.sums.Open(s.gateway, s.supportsRollouts)
 	r.changed = true
 }
 
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -228,7 +228,7 @@
 		return false
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].before < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].before < r.fullSeq {
 			return false
 		}
 	}
@@ -254,7 +254,7 @@
 		return true
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].last < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].last < r.finalSeq {
 			return false
 		}
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -41,17 +41,17 @@
 	number     uint64 // of the newest document that the gateway has or was sent
 	countedSeq uint64 // number of its last report in the sums
 	// knowsHalls is whether the gateway's version obeys halls that are out of service.
-	knowsHalls    bool
-	knowsVersions bool   // the same of rollouts
-	boot          uint64 // drawn at each start of the gateway
-	region        string // empty if it did not name one
-	opened        time.Duration
-	keepsHandles  bool // its gateway's version does, so that it outlives the leader
-	hall          string
-	named         bool   // another replica named this one to its gateway
-	knows         bool   // its gateway knows servers from before
-	listed        string // the last server of the list that it was sent in parts; empty: it has none, or all
-	avoided       bool   // its region had relays, and it none that it could reach
+	knowsHalls       bool
+	supportsRollouts bool   // the same of rollouts
+	boot             uint64 // drawn at each start of the gateway
+	region           string // empty if it did not name one
+	opened           time.Duration
+	keepsHandles     bool // its gateway's version does, so that it outlives the leader
+	hall             string
+	named            bool   // another replica named this one to its gateway
+	knows            bool   // its gateway knows servers from before
+	listed           string // the last server of the list that it was sent in parts; empty: it has none, or all
+	avoided          bool   // its region had relays, and it none that it could reach
 
 	// Of a relay's session alone.
 	relay  bool
@@ -179,7 +179,7 @@
 	h.closeOthers(w.Gateway)
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
-		knowsVersions: w.KnowsVersions, boot: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
+		supportsRollouts: w.KnowsVersions, boot: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, named: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
@@ -245,5 +245,5 @@
 	if s.relay {
 		return s.behind
 	}
-	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.knowsVersions}}
+	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.supportsRollouts}}
 }
