--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -57,21 +57,21 @@
 		t := r.totals["r"].Target
 		return []uint64{t.Sent, t.Answered, t.Failed, t.Paces[1]}
 	}
-	north := &session{gateway: "relay", boot: 1, relay: true}
+	north := &session{gateway: "relay", bootID: 1, relay: true}
 	report(north, 30, 4, 0, 9)
-	report(&session{gateway: "g", boot: 1}, 10, 1, 0, 3)
+	report(&session{gateway: "g", bootID: 1}, 10, 1, 0, 3)
 	is.Equal(total(), []uint64{40, 35, 5, 12})
 	h.forgetOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
-	again := &session{gateway: "relay", boot: 1, relay: true} // the same run, or another
-	report(again, 20, 3, 0, 6)                                // one of its gateways is not back yet
-	h.forgetOutcomes(north)                                   // the end of its link is noticed last
+	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
+	report(again, 20, 3, 0, 6)                                  // one of its gateways is not back yet
+	h.forgetOutcomes(north)                                     // the end of its link is noticed last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	report(again, 21, 1, 0, 3) // and goes to another relay
-	report(&session{gateway: "other relay", boot: 1, relay: true}, 10, 3, 0, 6)
+	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
-	gone := &session{gateway: "g", boot: 1}
+	gone := &session{gateway: "g", bootID: 1}
 	h.forgetOutcomes(gone) // a gateway's own stay
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
@@ -84,7 +84,7 @@
 	h := &hub{}
 	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
 	report := func(list ...protocol.Barred) {
-		h.addOutcomes(&session{gateway: "g", boot: 1}, protocol.Usage{Barred: list})
+		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
 	report(protocol.Barred{Pool: "p", Attempt: 1}, protocol.Barred{Pool: "q", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.Continue)
@@ -155,7 +155,7 @@
 func TestTotalsFall(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
-	silent, relay := reporter{relayed: &session{}}, reporter{relayed: &session{boot: 1}}
+	silent, relay := reporter{relayed: &session{}}, reporter{relayed: &session{bootID: 1}}
 	r.add(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
 	r.forget(silent)
 	r.noteForgotten(time.Second)
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -27,7 +27,7 @@
 	if s.relay {
 		return reporter{relayed: s}
 	}
-	return reporter{gateway: s.gateway, boot: s.boot}
+	return reporter{gateway: s.gateway, boot: s.bootID}
 }
 
 type outcomeKey struct{ version, route string }
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -43,7 +43,7 @@
 	// knowsHalls is whether the gateway's version obeys halls that are out of service.
 	knowsHalls       bool
 	supportsRollouts bool   // the same of rollouts
-	boot             uint64 // drawn at each start of the gateway
+	bootID           uint64 // drawn at each start of the gateway
 	region           string // empty if it did not name one
 	opened           time.Duration
 	keepsHandles     bool // its gateway's version does, so that it outlives the leader
@@ -179,7 +179,7 @@
 	h.closeOthers(w.Gateway)
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
-		supportsRollouts: w.KnowsVersions, boot: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
+		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, named: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
