--- a/directory/regions.go
+++ b/directory/regions.go
@@ -173,7 +173,7 @@
 	switch {
 	case s.avoided:
 		return now-s.opened >= directStay
-	case h.relay != nil && s.named:
+	case h.relay != nil && s.redirectedHere:
 		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
 		return now-h.spreadSince >= relayWait
