--- a/directory/regions.go
+++ b/directory/regions.go
@@ -171,7 +171,7 @@
 	hall := h.hallOf(s.hall)
 	abroad := hall != "" && hall != h.d.cfg.Hall
 	switch {
-	case s.avoided:
+	case s.avoidsRelays:
 		return now-s.opened >= directStay
 	case h.relay != nil && s.redirectedHere:
 		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -51,7 +51,7 @@
 	redirectedHere   bool   // another replica named this one to its gateway
 	knows            bool   // its gateway knows servers from before
 	listed           string // the last server of the list that it was sent in parts; empty: it has none, or all
-	avoided          bool   // its region had relays, and it none that it could reach
+	avoidsRelays     bool   // its region had relays, and it none that it could reach
 
 	// Of a relay's session alone.
 	relay  bool
@@ -179,7 +179,7 @@
 	h.closeOthers(w.Gateway)
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
-		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
+		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoids(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
