--- a/directory/export_test.go
+++ b/directory/export_test.go
@@ -30,7 +30,7 @@
 func (d *Directory) Serves(ctx context.Context) (names []string, err error) {
 	err = d.hub.do(ctx, func() error {
 		for s := range d.hub.sessions {
-			if !s.relay {
+			if !s.isRelay {
 				names = append(names, s.gateway)
 			}
 		}
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -22,7 +22,7 @@
 func (h *hub) endOthers(to string) {
 	for s := range h.sessions {
 		switch {
-		case s.relay:
+		case s.isRelay:
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -57,19 +57,19 @@
 		t := r.totals["r"].Target
 		return []uint64{t.Sent, t.Answered, t.Failed, t.Paces[1]}
 	}
-	north := &session{gateway: "relay", bootID: 1, relay: true}
+	north := &session{gateway: "relay", bootID: 1, isRelay: true}
 	report(north, 30, 4, 0, 9)
 	report(&session{gateway: "g", bootID: 1}, 10, 1, 0, 3)
 	is.Equal(total(), []uint64{40, 35, 5, 12})
 	h.forgetOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
-	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
-	report(again, 20, 3, 0, 6)                                  // one of its gateways is not back yet
-	h.forgetOutcomes(north)                                     // the end of its link is noticed last
+	again := &session{gateway: "relay", bootID: 1, isRelay: true} // the same run, or another
+	report(again, 20, 3, 0, 6)                                    // one of its gateways is not back yet
+	h.forgetOutcomes(north)                                       // the end of its link is noticed last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	report(again, 21, 1, 0, 3) // and goes to another relay
-	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
+	report(&session{gateway: "other relay", bootID: 1, isRelay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	gone := &session{gateway: "g", bootID: 1}
 	h.forgetOutcomes(gone) // a gateway's own stay
@@ -171,7 +171,7 @@
 // before it has named its gateways, what runs there is not in the sums either.
 func TestRelayThatHasJustOpened(t *testing.T) {
 	is := is.New(t)
-	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
+	s := &session{gateway: "relay", isRelay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // of a version that does not know rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
 	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -50,10 +50,10 @@
 // of the list it is not complete yet, or they would take the rest of it for servers that have gone.
 func (h *hub) sendTo(m protocol.Servers, relays bool) {
 	h.sendEach(m, func(s *session) bool {
-		return s.relay == relays && s.listed == "" && !(relays && slices.Contains(h.listless, s)) // its list will have it
+		return s.isRelay == relays && s.listed == "" && !(relays && slices.Contains(h.listless, s)) // its list will have it
 	})
 	m.Complete = false
-	h.sendEach(m, func(s *session) bool { return s.relay == relays && s.listed != "" })
+	h.sendEach(m, func(s *session) bool { return s.isRelay == relays && s.listed != "" })
 }
 
 // sendEach sends a change of the list to the sessions that are to have it, and counts its bytes.
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -26,7 +26,7 @@
 // returns false if the list cannot be encoded.
 func (h *hub) giveList(s *session) bool {
 	if len(h.listless) > 0 || h.listPace.Wait(h.d.replica.Now()) > 0 {
-		if !s.relay { // which takes the first list that it is sent for the whole one
+		if !s.isRelay { // which takes the first list that it is sent for the whole one
 			s.out.Send(h.listHead())
 		}
 		h.listless = append(h.listless, s)
@@ -57,7 +57,7 @@
 	}
 	s.listed = ""
 	h.sendSums(s)
-	if s.relay && len(h.placesSent) > 0 { // what comes before the list is not taken
+	if s.isRelay && len(h.placesSent) > 0 { // what comes before the list is not taken
 		s.out.Send(protocol.Places{List: h.placesSent})
 	}
 	return true, true
@@ -78,7 +78,7 @@
 func (h *hub) sendDocuments() {
 	h.undocumented = false
 	for s := range h.sessions {
-		if s.relay || s.number >= h.encodedDocument.Number {
+		if s.isRelay || s.number >= h.encodedDocument.Number {
 			continue
 		}
 		if h.listPace.Wait(h.d.replica.Now()) > 0 {
@@ -113,7 +113,7 @@
 }
 
 // isRelay reports whether a session is a relay's.
-func isRelay(s *session) bool { return s.relay }
+func isRelay(s *session) bool { return s.isRelay }
 
 // relayWaits reports whether a relay waits for the list: until it has it, the leader serves its
 // gateways as well.
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -24,7 +24,7 @@
 }
 
 func (s *session) reporter() reporter {
-	if s.relay {
+	if s.isRelay {
 		return reporter{relayed: s}
 	}
 	return reporter{gateway: s.gateway, boot: s.bootID}
@@ -97,7 +97,7 @@
 // target has had those requests.
 func (h *hub) forgetOutcomes(s *session) {
 	delete(h.rollouts.obeyed, s)
-	if !s.relay {
+	if !s.isRelay {
 		return
 	}
 	for _, r := range h.rollouts.underWay {
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -148,7 +148,7 @@
 	moved := 0
 	places := map[string][]protocol.Place{}
 	for s := range h.sessions {
-		if s.relay {
+		if s.isRelay {
 			continue
 		}
 		if _, known := places[s.region]; !known {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -53,10 +53,10 @@
 	listed           string // the last server of the list that it was sent in parts; empty: it has none, or all
 	avoidsRelays     bool   // its region had relays, and it none that it could reach
 
-	// Of a relay's session alone.
-	relay  bool
-	behind []protocol.BehindGateway
-	loads  map[uint32]protocol.ServerLoad // by handle, as last reported
+	// Of a isRelay's session alone.
+	isRelay bool
+	behind  []protocol.BehindGateway
+	loads   map[uint32]protocol.ServerLoad // by handle, as last reported
 }
 
 // pushChanges sends what has changed in the registry since the last time to every
@@ -120,7 +120,7 @@
 	defer s.out.Close()
 	defer h.post(func() { h.close(s) })
 	silence := registry.ReportSilence
-	if s.relay {
+	if s.isRelay {
 		silence = registry.RelaySilence
 	}
 	for {
@@ -180,7 +180,7 @@
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
 		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoids(w),
-		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
+		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, isRelay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
@@ -193,7 +193,7 @@
 		s.out.Close()
 		return nil, Unavailable{}
 	}
-	if s.relay {
+	if s.isRelay {
 		h.placesSent = nil // the new one lacks them
 		h.pushPlaces()
 	}
@@ -242,7 +242,7 @@
 
 // gateways returns the gateways that a session serves.
 func (s *session) gateways() []protocol.BehindGateway {
-	if s.relay {
+	if s.isRelay {
 		return s.behind
 	}
 	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.supportsRollouts}}
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -56,7 +56,7 @@
 // will have it soon, and where sessions are spread the leader itself.
 func (h *hub) places(region string) (all []protocol.Place) {
 	for s := range h.sessions {
-		if s.relay && s.region == region && h.hasListSoon(s) {
+		if s.isRelay && s.region == region && h.hasListSoon(s) {
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	relays := 0
 	for _, waiting := range h.listless[:ahead+1] {
-		if waiting.relay {
+		if waiting.isRelay {
 			relays++
 		}
 	}
@@ -94,7 +94,7 @@
 	}
 	h.placesSent = places
 	for s := range h.sessions {
-		if s.relay && s.region == h.d.cfg.Region {
+		if s.isRelay && s.region == h.d.cfg.Region {
 			s.out.Send(protocol.Places{List: places})
 		}
 	}
