--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -168,7 +168,7 @@
 		return
 	}
 	h.evidence.list = h.evidence.list.WithChanges(set, gone)
-	h.sendAll(quarantineMessage(set, gone))
+	h.broadcast(quarantineMessage(set, gone))
 }
 
 // quarantineMessage returns the message for a change of a list.
@@ -210,7 +210,7 @@
 // takeQuarantine takes the leader's list, and passes it on.
 func (r *relay) takeQuarantine(m protocol.Quarantine) {
 	r.quarantine = r.quarantine.Apply(m)
-	r.h.sendAll(m)
+	r.h.broadcast(m)
 }
 
 // keepLosses keeps what a gateway reports of ends until the next report to the leader.
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -196,7 +196,7 @@
 	case protocol.Rollouts:
 		r.rollouts = &m
 		r.sums.ApplyRollouts(m)
-		r.h.sendAll(m)
+		r.h.broadcast(m)
 	case protocol.Quarantine:
 		r.takeQuarantine(m)
 	case protocol.Places:
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -82,8 +82,8 @@
 	h.sendServers(m.Sent(h.registry.IsListed))
 }
 
-// sendAll sends a message to every session.
-func (h *hub) sendAll(m protocol.Message) {
+// broadcast sends a message to every session.
+func (h *hub) broadcast(m protocol.Message) {
 	encoded, ok := h.encode(m)
 	if !ok {
 		return
