--- a/directory/lists.go
+++ b/directory/lists.go
@@ -105,7 +105,7 @@
 			h.listless = slices.Delete(h.listless, next, next+1)
 		}
 		if !ok {
-			h.close(s)
+			h.closeSession(s)
 			s.out.Close()
 		}
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -178,7 +178,7 @@
 
 // dismiss ends a gateway's session and names the replica to go to.
 func (h *hub) dismiss(s *session, to string) {
-	h.close(s)
+	h.closeSession(s)
 	s.out.Send(protocol.WatchRedirect{Leader: to, Members: h.leadership.Load().voters})
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, link.WriteTimeout)
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -118,7 +118,7 @@
 		return
 	}
 	defer s.out.Close()
-	defer h.post(func() { h.close(s) })
+	defer h.post(func() { h.closeSession(s) })
 	silence := registry.ReportSilence
 	if s.isRelay {
 		silence = registry.RelaySilence
@@ -189,7 +189,7 @@
 	h.sendRollouts(s) // first, or the new servers would be used by load until it comes
 	h.sendQuarantine(s)
 	if !h.giveList(s) {
-		h.close(s)
+		h.closeSession(s)
 		s.out.Close()
 		return nil, Unavailable{}
 	}
@@ -207,13 +207,13 @@
 func (h *hub) closeOthers(gateway string) {
 	for old := range h.sessions {
 		if old.gateway == gateway {
-			h.close(old)
+			h.closeSession(old)
 			old.out.Close()
 		}
 	}
 }
 
-func (h *hub) close(s *session) {
+func (h *hub) closeSession(s *session) {
 	if !h.sessions[s] {
 		return
 	}
