--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -59,7 +59,7 @@
 		u.add(&session{gateway: fmt.Sprint(i)}, m)
 	}
 	for b.Loop() {
-		u.sum()
+		u.sumLoads()
 	}
 }
 
@@ -153,7 +153,7 @@
 		for i, s := range l.relays {
 			l.usage.add(s, protocol.Usage{Changes: true, Loads: l.loads(registry.MaxSumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
 		}
-		l.usage.sum()
+		l.usage.sumLoads()
 		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
 		l.usage.demand.Recompute(l.now, 5e6)
 		if _, err := protocol.Encode(protocol.Fleet{
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -233,7 +233,7 @@
 		}
 	}
 	versions := h.registry.Versions(r.Pool)
-	h.usage.sum()
+	h.usage.sumLoads()
 	return !slices.ContainsFunc(h.usage.total, func(l protocol.ServerLoad) bool {
 		v, known := versions[l.Handle]
 		return known && v != r.Target && l.Requests > 0
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -18,7 +18,7 @@
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
-	h.usage.sum()
+	h.usage.sumLoads()
 	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -38,8 +38,8 @@
 
 func (u *usage) forget(s *session) { delete(u.loads, s) }
 
-// sum adds up what runs on all gateways, by handle.
-func (u *usage) sum() {
+// sumLoads adds up what runs on all gateways, by handle.
+func (u *usage) sumLoads() {
 	sums := map[uint32]protocol.ServerLoad{}
 	for _, loads := range u.loads {
 		registry.AddLoads(sums, loads)
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -43,11 +43,11 @@
 	u.add(a, protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{{Handle: 1, Requests: 7, Tokens: 70}}})
 	u.add(a, protocol.Usage{Seq: 2, Loads: []protocol.ServerLoad{{Handle: 1, Requests: 2, Tokens: 10}}})
 	u.add(b, protocol.Usage{Seq: 9, Loads: []protocol.ServerLoad{{Handle: 1, Requests: 3, Tokens: 5}, {Handle: 2, Requests: 1}}})
-	u.sum()
+	u.sumLoads()
 	is.Equal(u.total, []protocol.ServerLoad{{Handle: 1, Requests: 5, Tokens: 15}, {Handle: 2, Requests: 1}})
 	is.Equal(a.countedSeq, uint64(2))
 	is.Equal(b.countedSeq, uint64(9))
 	u.forget(b)
-	u.sum()
+	u.sumLoads()
 	is.Equal(u.total, []protocol.ServerLoad{{Handle: 1, Requests: 2, Tokens: 10}})
 }
