--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -60,7 +60,7 @@
 		h.sendRollouts(s)
 		h.sendQuarantine(s)
 	}
-	h.sendServers(m.Sent(h.registry.IsListed))
+	h.sendServerChanges(m.Sent(h.registry.IsListed))
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateways kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
 		slog.Int("missing", len(missing)))
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -12,9 +12,9 @@
 // This file defines how sessions are sent what has changed in the list: relays all of it at once, gateways at
 // the pace of the box's link ([registry.ListPace]).
 
-// sendServers sends what has changed in the list: relays all of it, gateways all but the servers for
+// sendServerChanges sends what has changed in the list: relays all of it, gateways all but the servers for
 // which the link has no room now.
-func (h *hub) sendServers(m protocol.Servers) {
+func (h *hub) sendServerChanges(m protocol.Servers) {
 	h.sendTo(m, true)
 	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
 	h.heldServers.Gone, m.Set = nil, nil
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -192,7 +192,7 @@
 	switch m := m.(type) {
 	case protocol.Servers:
 		r.h.cachedList = nil
-		r.h.sendServers(r.list.Apply(r.h.d.replica.Now(), m))
+		r.h.sendServerChanges(r.list.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
 		r.sums.ApplyRollouts(m)
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -79,7 +79,7 @@
 		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
 	}
 	h.pendingChange, h.cachedList = registry.Change{}, nil
-	h.sendServers(m.Sent(h.registry.IsListed))
+	h.sendServerChanges(m.Sent(h.registry.IsListed))
 }
 
 // broadcast sends a message to every session.
