--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -16,10 +16,10 @@
 // Sessions that ended with the term had all gateways read the whole list again after each change
 // of leaders: gateways times servers, which is what a new leader bears least.
 
-// endOthers ends the sessions that do not outlive the leader: those of relays, and of gateways of
+// endTermBoundSessions ends the sessions that do not outlive the leader: those of relays, and of gateways of
 // versions that take handles for the leader's own. A gateway is told where to go, "" if that is
 // not known.
-func (h *hub) endOthers(to string) {
+func (h *hub) endTermBoundSessions(to string) {
 	for s := range h.sessions {
 		switch {
 		case s.isRelay:
@@ -39,7 +39,7 @@
 		lost: h.d.replica.Now(), places: h.placesSent,
 	}
 	r.quarantine = h.evidence.list
-	h.endOthers("")
+	h.endTermBoundSessions("")
 	h.relay, h.cachedList = r, nil
 	for s := range h.sessions {
 		r.sums.Open(s.gateway, s.supportsRollouts)
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -118,7 +118,7 @@
 		h.endRelay(h.d.Address())
 		return
 	}
-	h.endOthers(h.d.Address())
+	h.endTermBoundSessions(h.d.Address())
 }
 
 // lose ends the session with the leader whose outbox it is. The gateways stay for a while.
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -48,7 +48,7 @@
 	}
 	h.relay = nil
 	h.beginTerm(term)
-	h.endOthers(h.d.Address())
+	h.endTermBoundSessions(h.d.Address())
 	h.adoptGateways(before)
 }
 
