--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -19,15 +19,15 @@
 func (h *hub) findLeader() {
 	for h.d.ctx.Err() == nil {
 		l := h.leadership.Load()
-		if h.mayRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRefused() {
+		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRefused() {
 			h.followLeader(l.leader, l.term)
 		}
 		sleep.For(h.d.ctx, relayPoll) // the loop looks whether ctx has ended
 	}
 }
 
-// mayRelay reports whether a leader may want this replica as a relay.
-func (h *hub) mayRelay() bool { return h.d.several() || h.spreads() }
+// canRelay reports whether a leader may want this replica as a relay.
+func (h *hub) canRelay() bool { return h.d.several() || h.spreads() }
 
 // isRefused reports whether the leader of this term needs no relay here, as it is now.
 func (h *hub) isRefused() bool {
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -70,7 +70,7 @@
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
 	}
-	if w.Relay || !h.mayRelay() || w.Region != h.d.cfg.Region {
+	if w.Relay || !h.canRelay() || w.Region != h.d.cfg.Region {
 		return Unavailable{}
 	}
 	switch r := h.relay; {
