--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -19,7 +19,7 @@
 func (h *hub) findLeader() {
 	for h.d.ctx.Err() == nil {
 		l := h.leadership.Load()
-		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRefused() {
+		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRelayRefused() {
 			h.followLeader(l.leader, l.term)
 		}
 		sleep.For(h.d.ctx, relayPoll) // the loop looks whether ctx has ended
@@ -29,8 +29,8 @@
 // canRelay reports whether a leader may want this replica as a relay.
 func (h *hub) canRelay() bool { return h.d.several() || h.spreads() }
 
-// isRefused reports whether the leader of this term needs no relay here, as it is now.
-func (h *hub) isRefused() bool {
+// isRelayRefused reports whether the leader of this term needs no relay here, as it is now.
+func (h *hub) isRelayRefused() bool {
 	r := h.refused.Load()
 	return r != nil && *r == refusal{h.leadership.Load().term, h.spreads()}
 }
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -76,7 +76,7 @@
 	switch r := h.relay; {
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
 		return h.mayPassOn(r, w, mayWait)
-	case mayWait && !h.isRefused():
+	case mayWait && !h.isRelayRefused():
 		return soon{}
 	}
 	return Unavailable{}
