--- a/directory/hub.go
+++ b/directory/hub.go
@@ -198,7 +198,7 @@
 	h.decideSpread(now)
 	h.pushPlaces()
 	h.moveHome()
-	h.place(now)
+	h.checkPlacement(now)
 }
 
 // divideCold gives the rates of cold backend servers to gateways.
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -87,8 +87,8 @@
 	return "", ""
 }
 
-// place hands the lead over if another replica should have it.
-func (h *hub) place(now time.Duration) {
+// checkPlacement hands the lead over if another replica should have it.
+func (h *hub) checkPlacement(now time.Duration) {
 	if now < h.placeDue || now-h.termBegan < placeSettled {
 		return
 	}
