--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -27,12 +27,12 @@
 }
 
 // canRelay reports whether a leader may want this replica as a relay.
-func (h *hub) canRelay() bool { return h.d.several() || h.spreads() }
+func (h *hub) canRelay() bool { return h.d.several() || h.isSpread() }
 
 // isRelayRefused reports whether the leader of this term needs no relay here, as it is now.
 func (h *hub) isRelayRefused() bool {
 	r := h.refused.Load()
-	return r != nil && *r == refusal{h.leadership.Load().term, h.spreads()}
+	return r != nil && *r == refusal{h.leadership.Load().term, h.isSpread()}
 }
 
 // followLeader runs one session with the leader.
@@ -86,6 +86,6 @@
 
 // doWithout ends a relay that a leader does not serve in its term.
 func (h *hub) doWithout(leader string, term uint64) {
-	h.refused.Store(&refusal{term, h.spreads()})
+	h.refused.Store(&refusal{term, h.isSpread()})
 	h.post(func() { h.endRelay(leader) })
 }
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -85,7 +85,7 @@
 // mayPassOn is mayServe at a relay that has a leader. A gateway that another replica has named this one
 // to is served, unless one of its own data hall can: replicas may know of each other at other times.
 func (h *hub) mayPassOn(r *relay, w protocol.Watch, mayWait bool) error {
-	if !h.spreads() {
+	if !h.isSpread() {
 		return nil
 	}
 	if r.places == nil && mayWait {
@@ -132,7 +132,7 @@
 func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
-func (h *hub) relayed(region string) bool { return h.far(region) || h.spreads() }
+func (h *hub) relayed(region string) bool { return h.far(region) || h.isSpread() }
 
 // avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
 func (h *hub) avoids(w protocol.Watch) bool {
@@ -184,7 +184,7 @@
 // placesFor returns the replicas that may serve gateways of a region; none if that is not known.
 func (h *hub) placesFor(region string) []protocol.Place {
 	switch {
-	case h.relay != nil && h.relay.out != nil && h.spreads():
+	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
 	case h.relay == nil && h.relayed(region):
 		return h.places(region)
@@ -195,7 +195,7 @@
 // hallOf returns the data hall whose replicas go first for a gateway: its own, where sessions are
 // spread.
 func (h *hub) hallOf(hall string) string {
-	if h.spreads() {
+	if h.isSpread() {
 		return hall
 	}
 	return ""
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -114,7 +114,7 @@
 
 // followTerm goes on with the gateways whose sessions outlive the leader, and ends the others.
 func (h *hub) followTerm() {
-	if !h.spreads() {
+	if !h.isSpread() {
 		h.endRelay(h.d.Address())
 		return
 	}
@@ -147,7 +147,7 @@
 // elsewhere is where gateways go that a relay without a leader sends away: to it again, as soon as
 // it has one, in a region with few; to any other where sessions are spread.
 func (h *hub) elsewhere() string {
-	if h.spreads() {
+	if h.isSpread() {
 		return ""
 	}
 	return h.d.Address()
@@ -155,7 +155,7 @@
 
 // grace is how long a relay keeps its gateways without the leader.
 func (h *hub) grace() time.Duration {
-	if h.spreads() {
+	if h.isSpread() {
 		return spreadGrace
 	}
 	return relayGrace
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -25,15 +25,15 @@
 // the way to the leader); the number of gateways in the settings (none names it); a decision of
 // each replica by itself (they would disagree while the fleet starts).
 
-// spreads reports whether this region's gateways are served by several replicas.
-func (h *hub) spreads() bool { return h.d.state.Spread() }
+// isSpread reports whether this region's gateways are served by several replicas.
+func (h *hub) isSpread() bool { return h.d.state.Spread() }
 
 // spreadTimeout bounds one try to log whether sessions are spread; a later tick tries again.
 const spreadTimeout = time.Second
 
 // decideSpread puts into the log whether sessions are to be spread, if that changes.
 func (h *hub) decideSpread(now time.Duration) {
-	spread := h.spreads()
+	spread := h.isSpread()
 	if !spread {
 		h.spreadSince = now
 	}
@@ -60,7 +60,7 @@
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
-	if h.spreads() && !h.far(region) {
+	if h.isSpread() && !h.far(region) {
 		all = append(all, protocol.Place{Address: h.d.Address(), Hall: h.d.cfg.Hall})
 	}
 	return all
@@ -89,7 +89,7 @@
 func (h *hub) pushPlaces() {
 	places := h.places(h.d.cfg.Region)
 	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
-	if !h.spreads() || slices.Equal(places, h.placesSent) {
+	if !h.isSpread() || slices.Equal(places, h.placesSent) {
 		return
 	}
 	h.placesSent = places
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -56,10 +56,10 @@
 // it: all of the fleet's, or where sessions are spread its own.
 func (h *hub) fleetBudget(gateways int) (registry.FleetBudget, int) {
 	links := len(h.sessions)
-	if !h.spreads() {
+	if !h.isSpread() {
 		links = max(links, gateways)
 	}
-	return registry.NewFleetBudget(h.spreads(), h.d.cfg.LinkRate), links
+	return registry.NewFleetBudget(h.isSpread(), h.d.cfg.LinkRate), links
 }
 
 // fleetMessage returns a message with these sums.
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -38,7 +38,7 @@
 // takeLead begins a term. Where sessions are spread, the gateways that this replica served stay.
 func (h *hub) takeLead(term uint64) {
 	before := h.relay
-	if before == nil || !h.spreads() {
+	if before == nil || !h.isSpread() {
 		h.endRelay(h.d.Address())
 		h.beginTerm(term)
 		return
@@ -76,7 +76,7 @@
 	}
 	h.d.cfg.Log.StateChange("leading no more", slog.Uint64("term", h.term), slog.String("leader", h.leadership.Load().leader),
 		slog.Int("sessions", len(h.sessions)), slog.Int("events", len(h.events)))
-	if h.spreads() {
+	if h.isSpread() {
 		h.keepGateways()
 	}
 	h.term = 0
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -39,7 +39,7 @@
 	m := protocol.Servers{
 		Term: h.term, Space: h.handles.Space(), Whole: true, Complete: h.complete,
 		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
-		Relays: h.d.several() || h.spreads(),
+		Relays: h.d.several() || h.isSpread(),
 	}.Sent(h.registry.IsListed)
 	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // lives were in the order before
 	return m
