--- a/directory/regions.go
+++ b/directory/regions.go
@@ -113,7 +113,7 @@
 	if !h.relayed(w.Region) {
 		return nil
 	}
-	places := h.places(w.Region)
+	places := h.gatewayReplicas(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return soon{} // its hall's relay may just be coming
@@ -187,7 +187,7 @@
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
 	case h.relay == nil && h.relayed(region):
-		return h.places(region)
+		return h.gatewayReplicas(region)
 	}
 	return nil
 }
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -52,9 +52,9 @@
 	}()
 }
 
-// places returns the replicas that serve gateways of a region: the leader's relays there that have the list, or
+// gatewayReplicas returns the replicas that serve gateways of a region: the leader's relays there that have the list, or
 // will have it soon, and where sessions are spread the leader itself.
-func (h *hub) places(region string) (all []protocol.Place) {
+func (h *hub) gatewayReplicas(region string) (all []protocol.Place) {
 	for s := range h.sessions {
 		if s.isRelay && s.region == region && h.hasListSoon(s) {
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
@@ -87,7 +87,7 @@
 // pushPlaces tells the relays who serves gateways, if that has changed, so that each sends a
 // gateway that comes to it to the right one, and the leader is not asked.
 func (h *hub) pushPlaces() {
-	places := h.places(h.d.cfg.Region)
+	places := h.gatewayReplicas(h.d.cfg.Region)
 	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
 	if !h.isSpread() || slices.Equal(places, h.placesSent) {
 		return
