--- a/directory/regions.go
+++ b/directory/regions.go
@@ -156,7 +156,7 @@
 		}
 		there := places[s.region]
 		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.movesAt(len(there)) {
+		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
 			h.dismiss(s, place)
 			moved++
 		}
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// movesAt returns how many gateways may be moved in a tick, to the rest of some replicas: as many
+// maxMoves returns how many gateways may be moved in a tick, to the rest of some replicas: as many
 // as these can send their lists to meanwhile, if their links are as this one.
-func (h *hub) movesAt(replicas int) int {
+func (h *hub) maxMoves(replicas int) int {
 	lists := h.listPace.ListsWithin(registry.FleetPeriod, h.listed())
 	return max(int(lists*float64(replicas-1)), movesAtOnce)
 }
