--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -13,55 +13,55 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests when requests come back that their account's share does not cover, with a model
-// of one gateway, the leader and engines in virtual time. The shares are the real ones.
+// This file tests when refused requests beyond their account's share return, with a model of one
+// gateway, the leader and engines in virtual time. It uses the real shares.
 
-// Times and rates of the model.
+// Parameters of the model.
 const (
-	shareTick      = 10 * time.Millisecond
-	shareSettle    = 100 * time.Millisecond // between two reports, and two lists
-	shareWarm      = 3 * time.Second
-	shareEnd       = 33 * time.Second
-	shareRate      = 400_000.0 // tokens a second that the operator names
-	shareCost      = 1000.0    // tokens of a request
-	shareObjective = 400 * time.Millisecond
-	sharePatience  = 12 * time.Second
-	shareMade      = shareRate // tokens a second that the engines make
-	shareRoom      = 40_000.0  // tokens that may be in front of a request there: a quarter of the objective
+	shareTick       = 10 * time.Millisecond
+	shareSettle     = 100 * time.Millisecond // interval between usage reports, and between updates of the shares
+	shareWarm       = 3 * time.Second
+	shareEnd        = 33 * time.Second
+	shareRate       = 400_000.0 // capacity configured by the operator, in tokens a second
+	shareCost       = 1000.0    // tokens per request
+	shareObjective  = 400 * time.Millisecond
+	sharePatience   = 12 * time.Second
+	shareEngineRate = shareRate // capacity of the engines, in tokens a second
+	shareMaxAhead   = 40_000.0  // maximum tokens ahead of a request at the engines: a quarter of the objective
 )
 
-// sharedAccounts is two accounts that ask alike.
+// sharedAccounts models two accounts with the same load.
 type sharedAccounts struct {
-	rng        *rand.Rand
-	now        time.Duration
-	leader     *entitlement.Demand
-	classifier *entitlement.Classifier
-	report     protocol.Usage
-	later      map[time.Duration][]refusedOnce
-	busy       float64 // tokens that the engines have still to read
-	soon       bool    // requests come back as the rule says, or after a part of their time in any case
+	rng             *rand.Rand
+	now             time.Duration
+	leader          *entitlement.Demand
+	classifier      *entitlement.Classifier
+	report          protocol.Usage
+	returns         map[time.Duration][]returningRequest
+	backlog         float64 // tokens that the engines still have to read
+	withinObjective bool    // whether requests return within the objective, rather than always after a part of their remaining time
 
-	asked, inTime, served int // requests
+	submitted, inTime, served int // requests
 }
 
-// refusedOnce is a request that comes back.
-type refusedOnce struct {
+// returningRequest is a request that will return.
+type returningRequest struct {
 	account string
 	since   time.Duration
 }
 
-// play lets each account ask for so many times the level of its share.
+// play sends requests of both accounts at the given multiple of their shares.
 func (m *sharedAccounts) play(times float64) {
-	owed := 0.0
+	due := 0.0
 	for m.now = shareTick; m.now < shareEnd; m.now += shareTick {
-		m.busy = max(m.busy-shareMade*shareTick.Seconds(), 0)
-		for _, r := range m.later[m.now] {
-			m.ask(r, true)
+		m.backlog = max(m.backlog-shareEngineRate*shareTick.Seconds(), 0)
+		for _, r := range m.returns[m.now] {
+			m.submit(r, true)
 		}
-		delete(m.later, m.now)
-		for owed += times * shareRate / 2 * shareTick.Seconds() / shareCost; owed >= 1; owed-- {
-			m.ask(refusedOnce{"a", m.now}, false)
-			m.ask(refusedOnce{"b", m.now}, false)
+		delete(m.returns, m.now)
+		for due += times * shareRate / 2 * shareTick.Seconds() / shareCost; due >= 1; due-- {
+			m.submit(returningRequest{"a", m.now}, false)
+			m.submit(returningRequest{"b", m.now}, false)
 		}
 		if m.now%shareSettle == 0 {
 			m.leader.Add(m.report)
@@ -74,21 +74,21 @@
 	}
 }
 
-// ask lets a request be served or refused. Nobody knows that one came back: callers of other
-// patience ask as well, and a gateway that is new has seen few.
-func (m *sharedAccounts) ask(r refusedOnce, back bool) {
+// submit serves or refuses a request. Returns are not recognized as such, as on a new gateway or with
+// callers of differing patience.
+func (m *sharedAccounts) submit(r returningRequest, back bool) {
 	counts := m.now >= shareWarm
 	if counts && !back {
-		m.asked++
+		m.submitted++
 	}
 	tokens := []protocol.Demand{{Account: r.account, Tokens: shareCost}}
 	m.report.Demands = append(m.report.Demands, tokens...)
 	class := m.classifier.Classify(m.now, r.account, shareCost, false)
-	if class < entitlement.Beyond && m.busy >= shareRoom {
+	if class < entitlement.Beyond && m.backlog >= shareMaxAhead {
 		m.report.Missed += shareCost
 	}
-	if class < entitlement.Beyond && m.busy < shareRoom {
-		m.busy += shareCost
+	if class < entitlement.Beyond && m.backlog < shareMaxAhead {
+		m.backlog += shareCost
 		m.report.Served = append(m.report.Served, tokens...)
 		m.report.Started += shareCost
 		if counts {
@@ -104,33 +104,33 @@
 	}
 	e, _ := m.classifier.Entitlement(m.now, r.account)
 	share := UncoveredRequest{CoveredPart: float64(e.Extra), Left: sharePatience}
-	if m.soon {
+	if m.withinObjective {
 		share.Objective = shareObjective
 	}
 	when := (m.now + share.After(m.rng.Float64())).Truncate(shareTick)
-	m.later[when] = append(m.later[when], r)
+	m.returns[when] = append(m.returns[when], r)
 }
 
-// TestReturnsAreInTime: accounts that ask for somewhat more than their shares have as many requests
-// served as before, those that come back in time as well. After a third of their time half of what
-// is served would be late.
+// TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests return
+// within the objective, as many must be served as if they return after a third of their remaining time,
+// and far more of them in time.
 func TestReturnsAreInTime(t *testing.T) {
 	is := is.New(t)
-	play := func(times float64, soon bool) (inTime, served float64) {
+	play := func(times float64, withinObjective bool) (inTime, served float64) {
 		m := &sharedAccounts{
 			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemandEstimator(), classifier: entitlement.NewClassifier(),
-			later: map[time.Duration][]refusedOnce{}, soon: soon,
+			returns: map[time.Duration][]returningRequest{}, withinObjective: withinObjective,
 		}
 		m.play(times)
-		return float64(m.inTime) / float64(m.asked), float64(m.served) / float64(m.asked)
+		return float64(m.inTime) / float64(m.submitted), float64(m.served) / float64(m.submitted)
 	}
 	for _, times := range []float64{1.2, 1.4, 2, 5} {
 		inTime, served := play(times, true)
 		late, servedLate := play(times, false)
-		t.Logf("asks for %.1f of its share: in time %.2f of %.2f served; after a third of its time %.2f of %.2f", times, inTime, served, late, servedLate)
-		is.True(inTime >= 0.9/times)       // what the share covers is in time
-		is.True(served <= 1.1/times)       // and no more is given than it covers
-		is.True(served >= 0.95*servedLate) // nor less than to those that come back later
-		is.True(inTime >= late+0.1/times)  // which it is worth
+		t.Logf("demand of %.1f times the share: in time %.2f of %.2f served; %.2f of %.2f if returning after a third of the remaining time", times, inTime, served, late, servedLate)
+		is.True(inTime >= 0.9/times)       // requests covered by the share are in time
+		is.True(served <= 1.1/times)       // no more is served than the share covers
+		is.True(served >= 0.95*servedLate) // no fewer than if requests return later
+		is.True(inTime >= late+0.1/times)  // more in time than if requests return later
 	}
 }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -49,43 +49,43 @@
 	leadership atomic.Pointer[leadership]
 
 	// Owned by run.
-	term        uint64 // 0 unless this replica leads
-	registry    *registry.Registry
-	departed    uint64                  // departures applied to the registry
-	complete    bool                    // the registry is, and the sessions were sent the whole list since
-	unlogged    []protocol.Registration // announced, not yet put into the log
-	joining     bool                    // some are being put into it
-	sessions    map[*session]bool
-	pending     registry.Change // not sent to the sessions yet
-	hallChanges uint64          // in the last halls that the sessions were sent
-	list        *wholeList      // for sessions that open; nil: to be made anew
-	usage       *usage
-	feed        registry.Feed
-	fleetDue    time.Duration     // of the next Fleet message
-	encoded     protocol.Document // newest document, encoded once
+	term            uint64 // 0 unless this replica leads
+	registry        *registry.Registry
+	departed        uint64                  // departures applied to the registry
+	complete        bool                    // the registry is, and the sessions were sent the whole list since
+	unloggedJoins   []protocol.Registration // announced, not yet put into the log
+	joining         bool                    // some are being put into it
+	sessions        map[*session]bool
+	pendingChange   registry.Change // not sent to the sessions yet
+	sentHallChanges uint64          // in the last halls that the sessions were sent
+	cachedList      *wholeList      // for sessions that open; nil: to be made anew
+	usage           *usage
+	feed            registry.Feed
+	nextFleetAt     time.Duration     // of the next Fleet message
+	encodedDocument protocol.Document // newest document, encoded once
 
 	rollouts     rollouts
 	evidence     evidence
-	ordered      map[orderKey]time.Duration // rollouts under way, in every term
+	orderTimes   map[orderKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration              // when
 
-	began    time.Duration // of the term
-	placeDue time.Duration // when to look next where the leader should stand, in any term
-	relay    *relay        // nil unless this replica passes on what the leader sends
-	refused  atomic.Pointer[refusal]
+	termBegan time.Duration // of the term
+	placeDue  time.Duration // when to look next where the leader should stand, in any term
+	relay     *relay        // nil unless this replica passes on what the leader sends
+	refused   atomic.Pointer[refusal]
 
-	handles    *registry.Handles // of all that this replica sends gateways
-	spread     registry.Spread
-	spreading  bool             // what was decided is being logged
-	spreadAt   time.Duration    // when this leader first saw that sessions are spread
-	placesSent []protocol.Place // to the relays
-	missing    []string         // lives that gateways have from the leader before, and this one has not
+	handles     *registry.Handles // of all that this replica sends gateways
+	spread      registry.Spread
+	spreading   bool             // what was decided is being logged
+	spreadSince time.Duration    // when this leader first saw that sessions are spread
+	placesSent  []protocol.Place // to the relays
+	missing     []string         // lives that gateways have from the leader before, and this one has not
 
 	listPace     registry.ListPace
 	joinPace     registry.ListPace // of what the log gets of servers
 	listless     []*session        // that wait for the whole list, oldest first
 	undocumented bool              // some session lacks the newest document
-	held         registry.Change   // servers that gateways are still to be sent, as messages have them
+	heldServers  registry.Change   // servers that gateways are still to be sent, as messages have them
 	turn         *time.Timer       // of the next list, or of what is held
 	// hallsTold and termTold are of the last change of the list.
 	hallsTold, termTold uint64
@@ -184,7 +184,7 @@
 		return
 	}
 	now := h.d.replica.Now()
-	h.pending = h.pending.Merge(h.registry.ExpireSilent(now))
+	h.pendingChange = h.pendingChange.Merge(h.registry.ExpireSilent(now))
 	h.divideCold(now)
 	completed := !h.complete && h.registry.Complete(now)
 	if completed {
@@ -198,7 +198,7 @@
 	h.decideSpread(now)
 	h.pushPlaces()
 	h.moveHome()
-	h.place(now)
+	h.checkPlacement(now)
 }
 
 // divideCold gives the rates of cold backend servers to gateways.
@@ -212,7 +212,7 @@
 		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
-	h.pending = h.pending.Merge(change)
+	h.pendingChange = h.pendingChange.Merge(change)
 }
 
 // pushDepartures removes departed backend servers from the registry and sends their
@@ -224,7 +224,7 @@
 		h.registry.Remove(id)
 	}
 	if len(departures) > 0 {
-		h.pending = h.pending.Merge(registry.Change{Gone: departures})
+		h.pendingChange = h.pendingChange.Merge(registry.Change{Gone: departures})
 		h.pushChanges(false)
 	}
 }
@@ -235,14 +235,14 @@
 	if !ok {
 		return
 	}
-	if h.encoded.Number != held.Document.Number || h.encoded.Data == nil {
+	if h.encodedDocument.Number != held.Document.Number || h.encodedDocument.Data == nil {
 		data, err := cbor.Marshal(held.Document)
 		if err != nil {
 			h.d.cfg.Log.StateChange("document cannot be encoded", slog.String("error", err.Error()))
 			return
 		}
-		h.encoded = protocol.Document{Number: held.Document.Number, Data: data}
-		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encoded.Number), slog.Int("bytes", len(data)))
+		h.encodedDocument = protocol.Document{Number: held.Document.Number, Data: data}
+		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encodedDocument.Number), slog.Int("bytes", len(data)))
 	}
 	h.sendDocuments()
 	h.awaitTurn()
@@ -250,7 +250,7 @@
 
 // announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	return h.do(ctx, func() error { return h.take(a) })
+	return h.do(ctx, func() error { return h.applyAnnouncement(a) })
 }
 
 // listedLife returns the identifier under which a server is listed that names itself alone: its own
@@ -269,8 +269,8 @@
 	return id, err
 }
 
-// take takes an announcement. The error is [Unavailable].
-func (h *hub) take(a registry.Announcement) error {
+// applyAnnouncement takes an announcement. The error is [Unavailable].
+func (h *hub) applyAnnouncement(a registry.Announcement) error {
 	switch {
 	case h.term == 0:
 		return Unavailable{}
@@ -283,8 +283,8 @@
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
-		h.unlogged = append(h.unlogged, s.Registration.Sent())
+		h.unloggedJoins = append(h.unloggedJoins, s.Registration.Sent())
 	}
-	h.pending = h.pending.Merge(change)
+	h.pendingChange = h.pendingChange.Merge(change)
 	return nil
 }
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -16,13 +16,13 @@
 // Sessions that ended with the term had all gateways read the whole list again after each change
 // of leaders: gateways times servers, which is what a new leader bears least.
 
-// endOthers ends the sessions that do not outlive the leader: those of relays, and of gateways of
+// endTermBoundSessions ends the sessions that do not outlive the leader: those of relays, and of gateways of
 // versions that take handles for the leader's own. A gateway is told where to go, "" if that is
 // not known.
-func (h *hub) endOthers(to string) {
+func (h *hub) endTermBoundSessions(to string) {
 	for s := range h.sessions {
 		switch {
-		case s.relay:
+		case s.isRelay:
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
@@ -39,10 +39,10 @@
 		lost: h.d.replica.Now(), places: h.placesSent,
 	}
 	r.quarantine = h.evidence.list
-	h.endOthers("")
-	h.relay, h.list = r, nil
+	h.endTermBoundSessions("")
+	h.relay, h.cachedList = r, nil
 	for s := range h.sessions {
-		r.sums.Open(s.gateway, s.knowsVersions)
+		r.sums.Open(s.gateway, s.supportsRollouts)
 	}
 }
 
@@ -56,11 +56,11 @@
 	m := h.listHead()
 	m.Set = set
 	for s := range h.sessions {
-		s.counted = 0
+		s.countedSeq = 0
 		h.sendRollouts(s)
 		h.sendQuarantine(s)
 	}
-	h.sendServers(m.Sent(h.registry.IsListed))
+	h.sendServerChanges(m.Sent(h.registry.IsListed))
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateways kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
 		slog.Int("missing", len(missing)))
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -48,13 +48,13 @@
 // noteRegion keeps the region that a node names.
 func (d *Directory) noteRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
-		d.regions.Store(node, region)
+		d.nodeRegions.Store(node, region)
 	}
 }
 
 // regionOf returns the region of a node, for metrics.
 func (d *Directory) regionOf(node string) string {
-	if region, ok := d.regions.Load(node); ok {
+	if region, ok := d.nodeRegions.Load(node); ok {
 		return region.(string)
 	}
 	return unknownRegion
@@ -70,13 +70,13 @@
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
 	}
-	if w.Relay || !h.mayRelay() || w.Region != h.d.cfg.Region {
+	if w.Relay || !h.canRelay() || w.Region != h.d.cfg.Region {
 		return Unavailable{}
 	}
 	switch r := h.relay; {
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
 		return h.mayPassOn(r, w, mayWait)
-	case mayWait && !h.isRefused():
+	case mayWait && !h.isRelayRefused():
 		return soon{}
 	}
 	return Unavailable{}
@@ -85,7 +85,7 @@
 // mayPassOn is mayServe at a relay that has a leader. A gateway that another replica has named this one
 // to is served, unless one of its own data hall can: replicas may know of each other at other times.
 func (h *hub) mayPassOn(r *relay, w protocol.Watch, mayWait bool) error {
-	if !h.spreads() {
+	if !h.isSpread() {
 		return nil
 	}
 	if r.places == nil && mayWait {
@@ -113,7 +113,7 @@
 	if !h.relayed(w.Region) {
 		return nil
 	}
-	places := h.places(w.Region)
+	places := h.gatewayReplicas(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return soon{} // its hall's relay may just be coming
@@ -129,10 +129,10 @@
 }
 
 // young reports whether relays may just be looking for this leader.
-func (h *hub) young() bool { return h.d.replica.Now()-h.began < relayWait }
+func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
-func (h *hub) relayed(region string) bool { return h.far(region) || h.spreads() }
+func (h *hub) relayed(region string) bool { return h.far(region) || h.isSpread() }
 
 // avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
 func (h *hub) avoids(w protocol.Watch) bool {
@@ -148,7 +148,7 @@
 	moved := 0
 	places := map[string][]protocol.Place{}
 	for s := range h.sessions {
-		if s.relay {
+		if s.isRelay {
 			continue
 		}
 		if _, known := places[s.region]; !known {
@@ -156,7 +156,7 @@
 		}
 		there := places[s.region]
 		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.movesAt(len(there)) {
+		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
 			h.dismiss(s, place)
 			moved++
 		}
@@ -171,12 +171,12 @@
 	hall := h.hallOf(s.hall)
 	abroad := hall != "" && hall != h.d.cfg.Hall
 	switch {
-	case s.avoided:
+	case s.avoidsRelays:
 		return now-s.opened >= directStay
-	case h.relay != nil && s.named:
+	case h.relay != nil && s.redirectedHere:
 		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
-		return now-h.spreadAt >= relayWait
+		return now-h.spreadSince >= relayWait
 	}
 	return true
 }
@@ -184,10 +184,10 @@
 // placesFor returns the replicas that may serve gateways of a region; none if that is not known.
 func (h *hub) placesFor(region string) []protocol.Place {
 	switch {
-	case h.relay != nil && h.relay.out != nil && h.spreads():
+	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
 	case h.relay == nil && h.relayed(region):
-		return h.places(region)
+		return h.gatewayReplicas(region)
 	}
 	return nil
 }
@@ -195,7 +195,7 @@
 // hallOf returns the data hall whose replicas go first for a gateway: its own, where sessions are
 // spread.
 func (h *hub) hallOf(hall string) string {
-	if h.spreads() {
+	if h.isSpread() {
 		return hall
 	}
 	return ""
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -96,10 +96,10 @@
 		h.followTerm()
 	}
 	if h.relay == nil {
-		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
+		h.relay, h.cachedList = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
-	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueue), true, 0
+	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetNew = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
 	for _, m := range before {
@@ -114,11 +114,11 @@
 
 // followTerm goes on with the gateways whose sessions outlive the leader, and ends the others.
 func (h *hub) followTerm() {
-	if !h.spreads() {
+	if !h.isSpread() {
 		h.endRelay(h.d.Address())
 		return
 	}
-	h.endOthers(h.d.Address())
+	h.endTermBoundSessions(h.d.Address())
 }
 
 // lose ends the session with the leader whose outbox it is. The gateways stay for a while.
@@ -147,7 +147,7 @@
 // elsewhere is where gateways go that a relay without a leader sends away: to it again, as soon as
 // it has one, in a region with few; to any other where sessions are spread.
 func (h *hub) elsewhere() string {
-	if h.spreads() {
+	if h.isSpread() {
 		return ""
 	}
 	return h.d.Address()
@@ -155,7 +155,7 @@
 
 // grace is how long a relay keeps its gateways without the leader.
 func (h *hub) grace() time.Duration {
-	if h.spreads() {
+	if h.isSpread() {
 		return spreadGrace
 	}
 	return relayGrace
@@ -173,12 +173,12 @@
 	if h.relay.out != nil {
 		h.relay.out.Close()
 	}
-	h.relay, h.list, h.held = nil, nil, registry.Change{}
+	h.relay, h.cachedList, h.heldServers = nil, nil, registry.Change{}
 }
 
 // dismiss ends a gateway's session and names the replica to go to.
 func (h *hub) dismiss(s *session, to string) {
-	h.close(s)
+	h.closeSession(s)
 	s.out.Send(protocol.WatchRedirect{Leader: to, Members: h.leadership.Load().voters})
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, link.WriteTimeout)
@@ -191,12 +191,12 @@
 func (r *relay) take(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Servers:
-		r.h.list = nil
-		r.h.sendServers(r.list.Apply(r.h.d.replica.Now(), m))
+		r.h.cachedList = nil
+		r.h.sendServerChanges(r.list.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
 		r.sums.ApplyRollouts(m)
-		r.h.sendAll(m)
+		r.h.broadcast(m)
 	case protocol.Quarantine:
 		r.takeQuarantine(m)
 	case protocol.Places:
@@ -213,7 +213,7 @@
 
 // opened takes a gateway whose session opens.
 func (r *relay) opened(s *session) {
-	r.sums.Open(s.gateway, s.knowsVersions)
+	r.sums.Open(s.gateway, s.supportsRollouts)
 	r.changed = true
 }
 
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -104,7 +104,7 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[orderKey{d.Pool, d.Attempt}]
+		r.Rollout, r.ordered = d, h.orderTimes[orderKey{d.Pool, d.Attempt}]
 	}
 }
 
@@ -129,11 +129,11 @@
 		}
 		key := orderKey{d.Pool, d.Attempt}
 		ordered[key] = now - d.Elapsed
-		if before, known := h.ordered[key]; known {
+		if before, known := h.orderTimes[key]; known {
 			ordered[key] = min(ordered[key], before)
 		}
 	}
-	h.ordered = ordered
+	h.orderTimes = ordered
 }
 
 // stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
@@ -149,7 +149,7 @@
 		r.decision = r.schedule.Step(rollout.Observation{
 			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
 			RoutesWithoutTarget: h.keptAway(halls),
-			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.leading() == nil,
+			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.checkLeading() == nil,
 		})
 		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
 			h.logStep(now, r)
@@ -228,12 +228,12 @@
 		return false
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].before < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].before < r.fullSeq {
 			return false
 		}
 	}
 	versions := h.registry.Versions(r.Pool)
-	h.usage.sum()
+	h.usage.sumLoads()
 	return !slices.ContainsFunc(h.usage.total, func(l protocol.ServerLoad) bool {
 		v, known := versions[l.Handle]
 		return known && v != r.Target && l.Requests > 0
@@ -254,7 +254,7 @@
 		return true
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].last < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].last < r.finalSeq {
 			return false
 		}
 	}
