--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -51,17 +51,17 @@
 		after  time.Duration // time since the order
 		want   Verdict
 	}{
-		{"a copy of what is under way", underWay, "v2", time.Second, AlreadyApplied},
-		{"one long after", underWay, "v2", time.Hour, AlreadyApplied},
-		{"another version", underWay, "v3", time.Second, Conflict},
-		{"another version long after", underWay, "v3", time.Hour, Conflict},
-		{"a copy after the end", complete, "v2", time.Second, AlreadyApplied},
-		{"what has the requests", complete, "v2", time.Hour, AlreadyApplied},
-		{"the next version", complete, "v3", time.Second, Accept},
-		{"a copy of what was rolled back", rolledBack, "v2", window, AlreadyApplied},
-		{"a new attempt", rolledBack, "v2", window + 1, Accept},
-		{"another version than what was rolled back", rolledBack, "v3", time.Second, Accept},
-		{"the first of a pool", 0, "v2", 0, Accept},
+		{"copy of the order under way", underWay, "v2", time.Second, AlreadyApplied},
+		{"copy after an hour, under way", underWay, "v2", time.Hour, AlreadyApplied},
+		{"another version, under way", underWay, "v3", time.Second, Conflict},
+		{"another version after an hour, under way", underWay, "v3", time.Hour, Conflict},
+		{"copy after completion", complete, "v2", time.Second, AlreadyApplied},
+		{"completed version, after an hour", complete, "v2", time.Hour, AlreadyApplied},
+		{"next version after completion", complete, "v3", time.Second, Accept},
+		{"copy after a rollback, within the window", rolledBack, "v2", window, AlreadyApplied},
+		{"new attempt after the window", rolledBack, "v2", window + 1, Accept},
+		{"another version after a rollback", rolledBack, "v3", time.Second, Accept},
+		{"first order of a pool", 0, "v2", 0, Accept},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
