--- a/directory/hub.go
+++ b/directory/hub.go
@@ -58,7 +58,7 @@
 	sessions        map[*session]bool
 	pendingChange   registry.Change // not sent to the sessions yet
 	sentHallChanges uint64          // in the last halls that the sessions were sent
-	cachedList      *wholeList      // for sessions that open; nil: to be made anew
+	list            *wholeList      // for sessions that open; nil: to be made anew
 	usage           *usage
 	feed            registry.Feed
 	nextFleetAt     time.Duration     // of the next Fleet message
@@ -66,7 +66,7 @@
 
 	rollouts     rollouts
 	evidence     evidence
-	orderTimes   map[orderKey]time.Duration // rollouts under way, in every term
+	ordered      map[orderKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration              // when
 
 	termBegan time.Duration // of the term
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -22,7 +22,7 @@
 func (h *hub) endTermBoundSessions(to string) {
 	for s := range h.sessions {
 		switch {
-		case s.isRelay:
+		case s.relay:
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
@@ -40,7 +40,7 @@
 	}
 	r.quarantine = h.evidence.list
 	h.endTermBoundSessions("")
-	h.relay, h.cachedList = r, nil
+	h.relay, h.list = r, nil
 	for s := range h.sessions {
 		r.sums.Open(s.gateway, s.supportsRollouts)
 	}
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -48,15 +48,15 @@
 		ctx, cancel := context.WithTimeout(h.d.ctx, spreadTimeout)
 		defer cancel()
 		_ = h.d.propose(ctx, command{Spread: &wanted}) // it is tried again
-		h.post(func() { h.spreading, h.cachedList = false, nil })
+		h.post(func() { h.spreading, h.list = false, nil })
 	}()
 }
 
-// gatewayReplicas returns the replicas that serve gateways of a region: the leader's relays there that have the list, or
+// places returns the replicas that serve gateways of a region: the leader's relays there that have the list, or
 // will have it soon, and where sessions are spread the leader itself.
-func (h *hub) gatewayReplicas(region string) (all []protocol.Place) {
+func (h *hub) places(region string) (all []protocol.Place) {
 	for s := range h.sessions {
-		if s.isRelay && s.region == region && h.hasListSoon(s) {
+		if s.relay && s.region == region && h.hasListSoon(s) {
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
@@ -77,7 +77,7 @@
 	}
 	relays := 0
 	for _, waiting := range h.listless[:ahead+1] {
-		if waiting.isRelay {
+		if waiting.relay {
 			relays++
 		}
 	}
@@ -87,14 +87,14 @@
 // pushPlaces tells the relays who serves gateways, if that has changed, so that each sends a
 // gateway that comes to it to the right one, and the leader is not asked.
 func (h *hub) pushPlaces() {
-	places := h.gatewayReplicas(h.d.cfg.Region)
+	places := h.places(h.d.cfg.Region)
 	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
 	if !h.isSpread() || slices.Equal(places, h.placesSent) {
 		return
 	}
 	h.placesSent = places
 	for s := range h.sessions {
-		if s.isRelay && s.region == h.d.cfg.Region {
+		if s.relay && s.region == h.d.cfg.Region {
 			s.out.Send(protocol.Places{List: places})
 		}
 	}
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -12,23 +12,24 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what a gateway reports to run on backend servers, and what it takes of the sums
-// over all gateways.
+// This file defines the load that a gateway reports per backend server, and how it derives the load
+// of other gateways from the fleet's totals.
 
-// reportsKept is how many of the last reports are kept, to be taken from the sums that hold them. 3.2
-// s, above every delay with which sums are used.
-const reportsKept = 32
+// maxReports is the number of recent reports kept, to subtract them from the totals that include
+// them. It covers 3.2 s, longer than any delay with which totals are used.
+const maxReports = 32
 
-// report is what was reported to run here, under its number.
-type report struct {
+// loadReport is the load reported by this gateway under a sequence number.
+type loadReport struct {
 	seq   uint64
 	at    time.Duration
 	loads []protocol.ServerLoad
 }
 
-// updateLoads takes the sums over all gateways that have changed. They hold this
-// gateway's report of the number counted. It costs O(sums and own requests), not O(servers): ten times
-// a second a pass over 10,000 took 0.41 ms with the report's (BenchmarkTick).
+// updateLoads applies the changed totals over all gateways. They include this gateway's report
+// number counted. The cost is O(totals and own requests) rather than O(servers), because it runs
+// ten times a second: passes over 10,000 servers here and for the report take 0.41 ms
+// (BenchmarkTick).
 func (t *table) updateLoads(now time.Duration, counted uint64, loads []protocol.ServerLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,46 +37,46 @@
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.totalLoad = place.Work{Requests: int(l.Requests), Tokens: int(l.Tokens)}
 			k.peakLoad = k.peakLoad.With(now, k.totalLoad)
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
-	for _, k := range t.unequal {
+	for _, k := range t.staleOthers {
 		k.othersLoad = k.totalLoad
 	}
-	t.othersAt, t.unequal = now, t.unequal[:0]
+	t.othersUpdatedAt, t.staleOthers = now, t.staleOthers[:0]
 	for _, r := range t.reports {
 		if r.seq == counted {
-			t.subtract(r.loads)
+			t.subtractOwn(r.loads)
 			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.Lease)
 			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
 		}
 	}
 }
 
-// subtract takes what this gateway reported from what runs on all.
-func (t *table) subtract(own []protocol.ServerLoad) {
+// subtractOwn subtracts this gateway's reported load from the totals.
+func (t *table) subtractOwn(own []protocol.ServerLoad) {
 	for _, l := range own {
 		if k := t.byHandle[l.Handle]; k != nil {
 			k.othersLoad = place.Work{
 				Requests: max(k.totalLoad.Requests-int(l.Requests), 0), Tokens: max(k.totalLoad.Tokens-int(l.Tokens), 0),
 			}
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
 }
 
-// takeReport returns what runs on this gateway, for the report of a number, and keeps it.
+// takeReport returns this gateway's load for the report numbered seq, and keeps it.
 func (t *table) takeReport(seq uint64) []protocol.ServerLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	loads := t.loads()
-	t.reports = append(t.reports, report{seq: seq, at: t.now(), loads: loads})
-	t.reports = t.reports[max(len(t.reports)-reportsKept, 0):]
+	loads := t.ownLoads()
+	t.reports = append(t.reports, loadReport{seq: seq, at: t.now(), loads: loads})
+	t.reports = t.reports[max(len(t.reports)-maxReports, 0):]
 	return loads
 }
 
-// loads returns what runs on this gateway. The caller holds mu.
-func (t *table) loads() []protocol.ServerLoad {
+// ownLoads returns this gateway's load on each server. The caller holds mu.
+func (t *table) ownLoads() []protocol.ServerLoad {
 	var out []protocol.ServerLoad
 	for _, p := range t.pools {
 		for k := range p.busy {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -16,112 +16,113 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines table, the backend servers that the gateway has and what
-// runs on them.
+// This file defines table, which holds the backend servers known to the gateway and their load.
 
-// knownServer is one backend server as this gateway sees it.
+// knownServer is the table's entry for one backend server.
 type knownServer struct {
 	protocol.Server
 	health     outlier.FailureRate
-	doubt      outlier.ServerSilence
+	silence    outlier.ServerSilence
 	pace       place.Pace
-	ownLoad    place.Work // running there from this gateway; prompts count until their first event
-	totalLoad  place.Work // the same of all gateways, as the leader last sent it
-	othersLoad place.Work // of all but this gateway, as of the table's othersAt
-	peakLoad   place.Peak // of all
+	ownLoad    place.Work // from this gateway; prompts count until their first event
+	totalLoad  place.Work // from all gateways, as last sent by the leader
+	othersLoad place.Work // from all other gateways, as of table.othersUpdatedAt
+	peakLoad   place.Peak // recent peak of totalLoad
 	cold       coldstart.Allowance
-	notice     backpressure.Notice // what it said of further requests
-	region     string              // of its hall; empty if no setting names it
-	versionSet versionSet          // its version, as the pool's rollout has it
-	list       uint64              // number of the last whole list that had it, itself or by a change since
-	unlisted   bool                // a complete list of the directory lacked it
-	left       bool                // the pool
+	notice     backpressure.Notice // last notice of backoff or leaving
+	region     string              // region of its hall; empty if no setting assigns one
+	versionSet versionSet          // kinds of its version in the pool's rollout
+	lastList   uint64              // number of the last complete list that held it, itself or by a later change
+	unlisted   bool                // missing from a complete list of the directory
+	removed    bool                // no longer in the pool
 }
 
+// table holds the backend servers known to the gateway, by pool, with their load.
 type table struct {
-	gateway string // this one's name
+	gateway string // name of this gateway
 	hall    string
 	site    site
-	now     func() time.Duration // the gateway's clock
-
-	mu        sync.Mutex
-	servers   map[string]*knownServer
-	byHandle  map[uint32]*knownServer
-	byAddress map[string]*knownServer // by address
-	pools     map[string]*pool
-	term      uint64
-	space     uint64 // of the handles
-	lists     uint64 // whole lists taken
-	marked    uint64 // the list that was complete when servers were last marked as unlisted
-	outage    outlier.Outage
-	reports   []report // of this session, newest last
-	othersAt  time.Duration
-	// unequal are the servers whose others may differ from all: what this gateway reported is in the
-	// one and not in the other.
-	unequal []*knownServer
-
-	// unlistedNotices are those of servers that are not listed now.
+	now     func() time.Duration // gateway's clock
+
+	mu              sync.Mutex
+	servers         map[string]*knownServer
+	byHandle        map[uint32]*knownServer
+	byAddress       map[string]*knownServer // keyed by HOST:PORT
+	pools           map[string]*pool
+	term            uint64
+	handleSpace     uint64 // identifies the numbering that handles belong to
+	listCount       uint64 // number of whole lists received
+	markedList      uint64 // number of the list by which servers were last marked as unlisted
+	outage          outlier.Outage
+	reports         []loadReport // sent in this session, newest last
+	othersUpdatedAt time.Duration
+	// staleOthers holds the servers whose othersLoad may differ from totalLoad, because the load
+	// reported by this gateway was subtracted from one of them.
+	staleOthers []*knownServer
+
+	// unlistedNotices holds the notices of servers that are not listed at present.
 	unlistedNotices map[string]unlistedNotice
 
-	hallsOut        map[string]bool // data halls whose servers get nothing
-	hallChanges     uint64          // as of which
-	coldSharesUntil time.Duration   // until when this gateway's shares of cold servers are in force
+	hallsOut        map[string]bool // data halls out of service
+	hallChanges     uint64          // version of hallsOut
+	coldSharesUntil time.Duration   // expiry of this gateway's shares of cold servers
 
-	rollouts    rolloutListID    // the newest held
-	sharesUntil time.Duration    // until when its shares are in force
-	link        place.LinkBudget // between this gateway's region and others
+	rollouts    rolloutListID    // newest list received
+	sharesUntil time.Duration    // expiry of the rollout shares
+	link        place.LinkBudget // between this gateway's region and the others
 	homes       homesIndex       // of the document in force
 }
 
-// pool is the backend servers of one name with what waits for them.
+// pool holds the backend servers of a pool and the requests waiting for them.
 type pool struct {
-	servers  []*knownServer  // ordered by identifier
-	parts    []regionServers // the same by region, the gateway's own first; empty without a far side
-	waiting  []*waiter
-	placer   place.RoomPlacer
-	failures outlier.PoolRate
-	viewed   []place.Server // the last view; kept for its memory
-	ranks    place.Ranks
-	paced    map[*knownServer]bool // those whose pace counts
-	busy     map[*knownServer]bool // those that this gateway has requests on, and some that had
-	rollout  *poolRollout          // nil: the pool had none
-
-	answerBytes float64 // that an answer from another region brings; 0 is unknown
-
-	ended []attemptEnd // the last ones, oldest first
+	servers      []*knownServer  // ordered by ID
+	parts        []regionServers // servers by region, the gateway's own region first; empty without a far side
+	waiting      []*waiter
+	placer       place.RoomPlacer
+	failures     outlier.PoolRate
+	candidateBuf []place.Server // reused by every selection
+	ranks        place.Ranks
+	paced        map[*knownServer]bool // servers whose pace counts
+	busy         map[*knownServer]bool // servers with requests from this gateway, and some that had
+	rollout      *poolRollout          // nil if the pool never had one
+
+	answerBytes float64 // average size of an answer from another region; zero if unknown
+
+	recentEnds []attemptEnd // most recent attempts, oldest first
 }
 
-// attemptEnd is how an attempt ended: with a whole answer, or without.
+// attemptEnd records whether an attempt ended with a complete answer.
 type attemptEnd struct {
 	server   string
 	answered bool
 }
 
 const (
-	// attemptsKept is how many of a pool's last attempts tell whether it serves. The places of one
-	// large engine.
-	attemptsKept = 64
-	// servingPart is how many of them one must have been answered of. Is so while three of four
-	// callers leave early, and is not in an outage.
-	servingPart = 8
+	// maxRecentEnds is the number of a pool's most recent attempts that show whether it serves. It
+	// equals the number of slots of a large engine.
+	maxRecentEnds = 64
+	// servingRatio is the inverse of the fraction of recent attempts that must have been answered
+	// for a pool to count as serving. That holds even while three of four callers leave early, and
+	// does not hold in an outage.
+	servingRatio = 8
 )
 
-// noteEnd keeps how an attempt ended. The caller holds mu.
-func (p *pool) noteEnd(server string, answered bool) {
-	if len(p.ended) == attemptsKept {
-		p.ended = p.ended[1:]
+// recordEnd records how an attempt ended. The caller holds mu.
+func (p *pool) recordEnd(server string, answered bool) {
+	if len(p.recentEnds) == maxRecentEnds {
+		p.recentEnds = p.recentEnds[1:]
 	}
-	p.ended = append(p.ended, attemptEnd{server: server, answered: answered})
+	p.recentEnds = append(p.recentEnds, attemptEnd{server: server, answered: answered})
 }
 
-// othersServe reports whether other servers of a pool than one gave whole answers lately, as far as
-// this gateway has seen; true if it has seen nothing.
-func (t *table) othersServe(name, but string) bool {
+// othersServe reports whether servers of the pool other than the given one recently returned
+// complete answers to this gateway. It returns true if there were no attempts.
+func (t *table) othersServe(name, except string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answered, all := 0, 0
-	for _, e := range t.pool(name).ended {
-		if e.server == but {
+	for _, e := range t.pool(name).recentEnds {
+		if e.server == except {
 			continue
 		}
 		all++
@@ -129,7 +130,7 @@
 			answered++
 		}
 	}
-	return answered*servingPart >= all
+	return answered*servingRatio >= all
 }
 
 func newTable(gateway, hall string, now func() time.Duration) *table {
@@ -139,7 +140,7 @@
 	}
 }
 
-// pool returns a pool, new if need be. The caller holds mu.
+// pool returns a pool and creates it if needed. The caller holds mu.
 func (t *table) pool(name string) *pool {
 	p := t.pools[name]
 	if p == nil {
@@ -149,16 +150,16 @@
 	return p
 }
 
-// update takes a message of the directory and returns the identifiers of the backend
-// servers that joined and left by it.
+// update applies a message of the directory and returns the IDs of the backend servers that it
+// added and removed.
 func (t *table) update(m protocol.Servers) (joined, left []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m.Term != t.term {
-		t.followTerm(m.Term)
+		t.startTerm(m.Term)
 	}
-	if space := cmp.Or(m.Space, m.Term); space != t.space {
-		t.space = space
+	if space := cmp.Or(m.Space, m.Term); space != t.handleSpace {
+		t.handleSpace = space
 		clear(t.byHandle)
 		for _, k := range t.servers {
 			k.Handle = 0
@@ -173,41 +174,41 @@
 		}
 	}
 	for _, s := range m.Set {
-		if t.set(s) {
+		if t.upsert(s) {
 			joined = append(joined, s.ID)
 		}
 	}
 	t.setHalls(m)
 	for _, id := range m.Unlisted {
 		if k := t.servers[id]; k != nil {
-			k.list, k.unlisted = 0, true
+			k.lastList, k.unlisted = 0, true
 		}
 	}
-	if m.Complete && t.marked != t.lists {
+	if m.Complete && t.markedList != t.listCount {
 		t.markUnlisted()
 	}
 	t.classifyVersions()
 	return joined, left
 }
 
-// followTerm takes that another leader leads, to which all that was seen of rollouts is to be
-// reported again. The caller holds mu.
-func (t *table) followTerm(term uint64) {
+// startTerm switches to the term of a new leader. All rollout outcomes have to be reported to it
+// again. The caller holds mu.
+func (t *table) startTerm(term uint64) {
 	t.term = term
-	t.beginOutcomes()
+	t.reportAllOutcomes()
 	for _, k := range t.servers {
-		k.cold = k.cold.WithoutShare() // the leader that renewed it leads no more
+		k.cold = k.cold.WithoutShare() // the leader that renewed the share has been replaced
 	}
 }
 
-// leaderTerm returns the term of the leader of whom the gateway last heard.
+// leaderTerm returns the term of the leader that sent the last message.
 func (t *table) leaderTerm() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.term
 }
 
-// setHalls takes the data halls that are out of service, unless it has a newer list. The
+// setHalls applies a list of data halls out of service, unless the table holds a newer one. The
 // caller holds mu.
 func (t *table) setHalls(m protocol.Servers) {
 	if m.HallChanges <= t.hallChanges {
@@ -220,37 +221,37 @@
 	}
 }
 
-// halls returns the data halls that are out of service, in order, and as of which change.
+// halls returns the data halls that are out of service, in order, and the version of the list.
 func (t *table) halls() (out []string, changes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Sorted(maps.Keys(t.hallsOut)), t.hallChanges
 }
 
-// beginSession forgets what was sent in the session before: a whole list opens one, and
-// all sums and numbers of reports begin anew. The caller holds mu.
+// beginSession discards state of the previous session. A session begins with a whole list, and
+// totals and report numbers start anew. The caller holds mu.
 func (t *table) beginSession() {
-	t.lists++
+	t.listCount++
 	t.reports = nil
-	t.beginOutcomes()
+	t.reportAllOutcomes()
 	for _, k := range t.servers {
 		if k.totalLoad != (place.Work{}) {
 			k.totalLoad = place.Work{}
-			t.unequal = append(t.unequal, k)
+			t.staleOthers = append(t.staleOthers, k)
 		}
 	}
 }
 
-// set adds or changes a backend server and reports whether it is new.
-func (t *table) set(s protocol.Server) bool {
+// upsert adds or updates a backend server and reports whether it is new. The caller holds mu.
+func (t *table) upsert(s protocol.Server) bool {
 	k := t.servers[s.ID]
 	if k != nil && k.Pool == s.Pool {
-		t.leaveAddress(k)
+		t.releaseAddress(k)
 		if k.Hall != s.Hall {
 			t.pool(k.Pool).removeFromRegion(k)
 			defer t.addToRegion(t.pool(k.Pool), k)
 		}
-		k.Server, k.list, k.unlisted = s, t.lists, false
+		k.Server, k.lastList, k.unlisted = s, t.listCount, false
 		t.setCold(k)
 		t.byHandle[s.Handle], t.byAddress[s.Address] = k, k
 		return false
@@ -259,7 +260,7 @@
 	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, list: t.lists, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, lastList: t.listCount, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
@@ -270,15 +271,15 @@
 	return true
 }
 
-// setCold takes from the directory's entry that a backend server is cold. It ends being so
-// by itself: a new leader does not know yet which ones are.
+// setCold applies the directory's cold state of a backend server. The state expires by itself
+// rather than when an entry lacks it, because a new leader may not hold it yet.
 func (t *table) setCold(k *knownServer) {
 	if k.Cold != nil {
 		k.cold = k.cold.WithCold(t.now(), k.Cold.Left, k.ID, t.gateway, k.Cold.Shares)
 	}
 }
 
-// remove drops a backend server and reports whether it was known.
+// remove drops a backend server and reports whether the table held it. The caller holds mu.
 func (t *table) remove(id string) bool {
 	k := t.servers[id]
 	if k == nil {
@@ -287,35 +288,36 @@
 	delete(t.servers, id)
 	t.setNotice(t.now(), id, k.notice)
 	delete(t.byHandle, k.Handle)
-	t.leaveAddress(k)
+	t.releaseAddress(k)
 	p := t.pool(k.Pool)
 	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	p.ranks.Remove(k.ID)
 	delete(p.paced, k)
 	delete(p.busy, k)
-	k.left = true
+	k.removed = true
 	p.removeFromRegion(k)
 	return true
 }
 
-// leaveAddress forgets that a backend server is at its address, unless another one is.
-func (t *table) leaveAddress(k *knownServer) {
+// releaseAddress drops the mapping from a backend server's address, unless it points to another
+// server. The caller holds mu.
+func (t *table) releaseAddress(k *knownServer) {
 	if t.byAddress[k.Address] == k {
 		delete(t.byAddress, k.Address)
 	}
 }
 
-// markUnlisted marks backend servers that neither the last whole list nor a change since
-// has: they are used only as long as they answer. Once for each list is enough: what is set later
-// is listed, and Unlisted names others. The caller holds mu.
+// markUnlisted marks backend servers that are neither in the last whole list nor in a later change.
+// They are used only as long as they answer. Marking once per list is enough: servers added later
+// are listed, and Unlisted names the others. The caller holds mu.
 func (t *table) markUnlisted() {
-	t.marked = t.lists
+	t.markedList = t.listCount
 	for _, k := range t.servers {
-		k.unlisted = k.list != t.lists
+		k.unlisted = k.lastList != t.listCount
 	}
 }
 
-// removeMisdirected drops a backend server whose address belongs to another one now.
+// removeMisdirected drops a backend server whose address now belongs to another one.
 func (t *table) removeMisdirected(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -323,22 +325,21 @@
 	t.classifyVersions()
 }
 
-// size returns how many backend servers are known.
+// size returns the number of known backend servers.
 func (t *table) size() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.servers)
 }
 
-// poolSize returns how many backend servers of a pool are known.
+// poolSize returns the number of known backend servers of a pool.
 func (t *table) poolSize(pool string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.pool(pool).servers)
 }
 
-// Servers returns the identifiers of the backend servers that the gateway knows, in
-// order.
+// Servers returns the IDs of the backend servers known to the gateway, in order.
 func (g *Gateway) Servers() []string {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -12,11 +12,12 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests rollouts together with homes: servers of the target stand in one region only.
+// This file tests rollouts together with homes, where only one region has servers of the target
+// version.
 
-// rollsInTheNorth is a pool with both versions in the north and the old one alone in the south,
-// which is the home of route "again".
-func (x *fixture) rollsInTheNorth() {
+// rolloutInTheNorth sets up a pool with both versions in the north and only the old one in the
+// south, which is the home of route "again".
+func (x *fixture) rolloutInTheNorth() {
 	x.joinNorthRegion()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
 	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
@@ -33,12 +34,12 @@
 	x.g.table.update(m)
 }
 
-// askAtOnce asks a route some times at once and returns how many were served.
-func (x *fixture) askAtOnce(path string, times int) (served int) {
+// requestConcurrently sends a number of concurrent requests and returns how many were served.
+func (x *fixture) requestConcurrently(path string, times int) (served int) {
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var group sync.WaitGroup
 	for range times {
-		asking.Go(func() {
+		group.Go(func() {
 			r := x.request(path, "Patience", "2000")
 			mu.Lock()
 			defer mu.Unlock()
@@ -47,13 +48,14 @@
 			}
 		})
 	}
-	asking.Wait()
+	group.Wait()
 	return served
 }
 
-// TestHomeWithoutTheTarget: a route whose home has no server of the target never leaves its home,
-// and is served there by the old version, also where it has to wait: in the trial, after the
-// switch, and when the old version is replaced, for as long as it is there.
+// TestHomeWithoutTheTarget checks that requests of a route whose home has no server of the target
+// stay in that home. The old version serves them there, after a wait if necessary: during the
+// trial, after the switch, and after the old version was replaced, for as long as its servers
+// exist.
 func TestHomeWithoutTheTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -66,12 +68,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.rollsInTheNorth()
+				x.rolloutInTheNorth()
 				x.sendRollout(1, 1, tt.list)
 				x.renewShares()
-				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
+				is.Equal(x.requestConcurrently("/again/x", 40), 40) // more than the home has room for
 				is.Equal(x.arrivalsIn("s1"), 40)
-				is.Equal(x.askAtOnce("/once/x", 10), 10)
+				is.Equal(x.requestConcurrently("/once/x", 10), 10)
 				is.Equal(x.arrivalsIn("s"), 40)
 				is.True(tt.name == "trial" || x.arrivalsIn("n2") == 10)
 				x.withdraw("plain", 2, "s1")
