--- a/coordination/consensus/ending.go
+++ b/coordination/consensus/ending.go
@@ -13,8 +13,8 @@
 // Ending is how a replica's last lead ended. The zero value is of one that never led.
 type Ending struct {
 	Cause string // one of the causes below
-	// Quorum is how long before the end a majority had last confirmed the leader.
-	Quorum time.Duration
+	// SinceQuorum is how long before the end a majority had last confirmed the leader.
+	SinceQuorum time.Duration
 	// RoundTrip is what the last answers of a majority took, each at least: what waits behind
 	// other bytes on a link has a long one.
 	RoundTrip time.Duration
@@ -32,7 +32,7 @@
 // ended returns the end of this replica's lead now, for a cause.
 func (r *Replica) ended(why string) Ending {
 	took := func(p protocol.Peer) time.Duration { return r.peers[p].took }
-	return Ending{Cause: why, Quorum: r.now - r.lastQuorumContact(), RoundTrip: reachedByQuorum(r, took)}
+	return Ending{Cause: why, SinceQuorum: r.now - r.lastQuorumContact(), RoundTrip: reachedByQuorum(r, took)}
 }
 
 // endingNow returns why this replica does not act as leader now.
--- a/coordination/consensus/ending_test.go
+++ b/coordination/consensus/ending_test.go
@@ -21,12 +21,12 @@
 	}
 	ending := c.members[old].r.Status().Ending
 	is.Equal(ending.Cause, EndedByLease)
-	is.True(ending.Quorum >= testElection*9/10)
+	is.True(ending.SinceQuorum >= testElection*9/10)
 	is.True(ending.RoundTrip < testHeartbeat)
 	for c.members[old].r.role == Leader {
 		c.settle(testHeartbeat / 4)
 	}
 	ending = c.members[old].r.Status().Ending
 	is.Equal(ending.Cause, EndedWithoutQuorum)
-	is.True(ending.Quorum >= testElection)
+	is.True(ending.SinceQuorum >= testElection)
 }
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -324,7 +324,7 @@
 		log.Info("lead changed")
 		return
 	}
-	log.Info("lead changed", "why", s.Ending.Cause, "quorum_ms", s.Ending.Quorum.Milliseconds(),
+	log.Info("lead changed", "why", s.Ending.Cause, "quorum_ms", s.Ending.SinceQuorum.Milliseconds(),
 		"round_trip_ms", s.Ending.RoundTrip.Milliseconds(), "pause_ms", l.pause.Milliseconds(), "inputs", len(l.r.inputs))
 }
 
