--- a/coordination/consensus/ending_test.go
+++ b/coordination/consensus/ending_test.go
@@ -19,14 +19,14 @@
 	for c.members[old].r.Leads(c.now) {
 		c.settle(testHeartbeat / 4)
 	}
-	ending := c.members[old].r.Status().Ending
+	ending := c.members[old].r.Status().LeadershipEnd
 	is.Equal(ending.Cause, EndedByLease)
 	is.True(ending.SinceQuorum >= testElection*9/10)
 	is.True(ending.RoundTrip < testHeartbeat)
 	for c.members[old].r.role == Leader {
 		c.settle(testHeartbeat / 4)
 	}
-	ending = c.members[old].r.Status().Ending
+	ending = c.members[old].r.Status().LeadershipEnd
 	is.Equal(ending.Cause, EndedWithoutQuorum)
 	is.True(ending.SinceQuorum >= testElection)
 }
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -265,17 +265,17 @@
 
 // Status is the state of a group as one replica has it.
 type Status struct {
-	Group    uint64
-	Role     Role
-	Term     uint64
-	Leader   protocol.Peer // zero when none is known
-	Commit   uint64
-	Applied  uint64
-	Last     uint64 // index of the newest entry
-	First    uint64 // index of the snapshot
-	Members  protocol.Membership
-	LeaseEnd time.Duration // on the clock that the replica is given; 0 without a lease
-	Ending   Ending        // of this replica's last lead
+	Group         uint64
+	Role          Role
+	Term          uint64
+	Leader        protocol.Peer // zero when none is known
+	Commit        uint64
+	Applied       uint64
+	Last          uint64 // index of the newest entry
+	First         uint64 // index of the snapshot
+	Members       protocol.Membership
+	LeaseEnd      time.Duration // on the clock that the replica is given; 0 without a lease
+	LeadershipEnd Ending        // of this replica's last lead
 }
 
 // Status returns the current state.
@@ -283,7 +283,7 @@
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
-		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), Ending: r.endingNow(),
+		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.endingNow(),
 	}
 }
 
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -324,8 +324,8 @@
 		log.Info("lead changed")
 		return
 	}
-	log.Info("lead changed", "why", s.Ending.Cause, "quorum_ms", s.Ending.SinceQuorum.Milliseconds(),
-		"round_trip_ms", s.Ending.RoundTrip.Milliseconds(), "pause_ms", l.pause.Milliseconds(), "inputs", len(l.r.inputs))
+	log.Info("lead changed", "why", s.LeadershipEnd.Cause, "quorum_ms", s.LeadershipEnd.SinceQuorum.Milliseconds(),
+		"round_trip_ms", s.LeadershipEnd.RoundTrip.Milliseconds(), "pause_ms", l.pause.Milliseconds(), "inputs", len(l.r.inputs))
 }
 
 // compact replaces the log by a snapshot once it has grown to Tuning.CompactAt.
