--- a/coordination/consensus/ending.go
+++ b/coordination/consensus/ending.go
@@ -10,8 +10,8 @@
 
 // This file defines what a leader says of why it leads no more.
 
-// Ending is how a replica's last lead ended. The zero value is of one that never led.
-type Ending struct {
+// LeadershipEnd is how a replica's last lead ended. The zero value is of one that never led.
+type LeadershipEnd struct {
 	Cause string // one of the causes below
 	// SinceQuorum is how long before the end a majority had last confirmed the leader.
 	SinceQuorum time.Duration
@@ -30,13 +30,13 @@
 )
 
 // ended returns the end of this replica's lead now, for a cause.
-func (r *Replica) ended(why string) Ending {
+func (r *Replica) ended(why string) LeadershipEnd {
 	took := func(p protocol.Peer) time.Duration { return r.peers[p].took }
-	return Ending{Cause: why, SinceQuorum: r.now - r.lastQuorumContact(), RoundTrip: reachedByQuorum(r, took)}
+	return LeadershipEnd{Cause: why, SinceQuorum: r.now - r.lastQuorumContact(), RoundTrip: reachedByQuorum(r, took)}
 }
 
 // endingNow returns why this replica does not act as leader now.
-func (r *Replica) endingNow() Ending {
+func (r *Replica) endingNow() LeadershipEnd {
 	if r.role == Leader {
 		return r.ended(EndedByLease)
 	}
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -115,8 +115,8 @@
 	termStart   uint64 // index of this leader's no-op
 	transferTo  protocol.Peer
 	transferEnd time.Duration
-	leaseLost   bool   // leadership was offered to another in this term
-	ending      Ending // of this replica's last lead
+	leaseLost   bool          // leadership was offered to another in this term
+	ending      LeadershipEnd // of this replica's last lead
 
 	host     uint64 // group whose leader repairs this blank replica
 	incoming *incomingSnapshot
@@ -275,7 +275,7 @@
 	First         uint64 // index of the snapshot
 	Members       protocol.Membership
 	LeaseEnd      time.Duration // on the clock that the replica is given; 0 without a lease
-	LeadershipEnd Ending        // of this replica's last lead
+	LeadershipEnd LeadershipEnd // of this replica's last lead
 }
 
 // Status returns the current state.
