--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -246,9 +246,9 @@
 	}
 }
 
-// Follows reports, at the leader, whether another replica holds all of the log and has answered
+// FollowerProgress reports, at the leader, whether another replica holds all of the log and has answered
 // lately, and how long it takes to make entries durable; 0 if it has not said.
-func (r *Replica) Follows(p protocol.Peer) (ready bool, sync time.Duration) {
+func (r *Replica) FollowerProgress(p protocol.Peer) (ready bool, sync time.Duration) {
 	pr := r.peers[p]
 	if r.role != Leader || pr == nil {
 		return false, 0
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -122,7 +122,7 @@
 		}
 		var voters []voter
 		for _, p := range n.Status().Members.Voters {
-			ready, sync := n.Follows(p)
+			ready, sync := n.FollowerProgress(p)
 			voters = append(voters, voter{name: p.Name, region: d.voterRegion(p.Name), ready: ready, sync: sync})
 		}
 		if to, why = betterLeader(d.Address(), own, voters); to != "" {
