--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -135,7 +135,7 @@
 	m.formation = nil
 	m.r = New(Config{
 		Name: "g", Self: m.self(), Election: testElection, Heartbeat: testHeartbeat,
-		Rand: c.rng.Int64N, MaxAppend: 64, MaxPiece: 16, MaxInflight: 4,
+		Rand: c.rng.Int64N, MaxAppend: 64, MaxChunk: 16, MaxInflight: 4,
 		Admit: func(name string) bool { return slices.Contains(c.names, name) }, Voters: c.open,
 	}, c.now, d)
 }
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -30,7 +30,7 @@
 	Voters int
 	// Bounds on what is sent to one follower; 0 is the default.
 	MaxAppend   int // bytes of entries in one message, but at least one entry
-	MaxPiece    int // bytes of one piece of a snapshot
+	MaxChunk    int // bytes of one piece of a snapshot
 	MaxInflight int // unanswered appends
 }
 
@@ -44,7 +44,7 @@
 // withDefaults replaces what is zero.
 func (c Config) withDefaults() Config {
 	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
-	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxPiece)
+	c.MaxChunk = cmp.Or(c.MaxChunk, defaultMaxPiece)
 	c.MaxInflight = cmp.Or(c.MaxInflight, defaultMaxInflight)
 	return c
 }
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -34,7 +34,7 @@
 func (r *Replica) sendPiece(p protocol.Peer, pr *progress) {
 	out := pr.outgoing
 	data := out.snapshot.Data
-	end := min(out.offset+uint64(r.cfg.MaxPiece), uint64(len(data)))
+	end := min(out.offset+uint64(r.cfg.MaxChunk), uint64(len(data)))
 	piece := out.snapshot
 	piece.Data = data[out.offset:end]
 	pr.sent = r.now
