--- a/control/operators.go
+++ b/control/operators.go
@@ -293,7 +293,7 @@
 	return config.Server{
 		Name: s.GetName(), Pool: s.GetPool(), Address: s.GetAddress(), Kind: config.Kind(s.GetKind()),
 		Mark: mark, Slots: int(s.GetSlots()), Models: s.GetModels(), Adapters: s.GetAdapters(),
-		Version: s.GetVersion(), ChecksFence: s.GetChecksFence(), Never: s.GetNeverRepeat(),
+		Version: s.GetVersion(), ChecksFence: s.GetChecksFence(), NeverRepeat: s.GetNeverRepeat(),
 	}
 }
 
@@ -301,7 +301,7 @@
 	return &operatorv1.Server{
 		Name: s.Name, Pool: s.Pool, Address: s.Address, Kind: operatorv1.Kind(s.Kind),
 		Mark: operatorv1.Mark(s.Mark), Slots: uint32(s.Slots), Models: s.Models, Adapters: s.Adapters,
-		Version: s.Version, ChecksFence: s.ChecksFence, NeverRepeat: s.Never,
+		Version: s.Version, ChecksFence: s.ChecksFence, NeverRepeat: s.NeverRepeat,
 	}
 }
 
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -54,7 +54,7 @@
 		{"other models than its pool", []Op{{PutServer: &e1}, {PutServer: &other}}, []string{
 			"server e3: models: must be those of server e1 of the same pool",
 		}},
-		{"bad rule", []Op{{PutServer: &Server{Name: "s", Pool: "p", Address: "1.1.1.1:1", Kind: Service, Mark: Serving, Slots: 1, Never: []string{"POST"}}}},
+		{"bad rule", []Op{{PutServer: &Server{Name: "s", Pool: "p", Address: "1.1.1.1:1", Kind: Service, Mark: Serving, Slots: 1, NeverRepeat: []string{"POST"}}}},
 			[]string{`server s: never: must be "METHOD /path" or "* /path", not POST`}},
 	}
 	for _, tt := range tests {
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -26,7 +26,7 @@
 	goldenServer = Server{
 		Name: "engine-1", Pool: "llm", Address: "10.0.0.1:80", Kind: Engine, Mark: Serving, Slots: 16,
 		Models: []string{"m1", "m2"}, Adapters: []string{"a1", "a2"}, Version: "v3", ChecksFence: true,
-		Never: []string{"POST /pay", "* /send"}, ID: "2",
+		NeverRepeat: []string{"POST /pay", "* /send"}, ID: "2",
 	}
 	goldenService = Server{Name: "web-1", Pool: "web", Address: "10.0.0.2:80", Kind: Service, Mark: Joining, Slots: 1, ID: "3"}
 	goldenChanges = []Change{
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -129,9 +129,9 @@
 	Adapters    []string `cbor:"8,keyasint,omitempty"`
 	Version     string   `cbor:"9,keyasint,omitempty"`
 	ChecksFence bool     `cbor:"10,keyasint,omitempty"`
-	// Never holds "METHOD /path-prefix" of calls that may not be repeated.
-	Never []string `cbor:"11,keyasint,omitempty"`
-	ID    string   `cbor:"12,keyasint,omitempty"` // as Account.ID
+	// NeverRepeat holds "METHOD /path-prefix" of calls that may not be repeated.
+	NeverRepeat []string `cbor:"11,keyasint,omitempty"`
+	ID          string   `cbor:"12,keyasint,omitempty"` // as Account.ID
 }
 
 // WithMark returns the server with another mark.
@@ -140,7 +140,7 @@
 // MayNotRepeat reports whether by the server's configuration a call may run
 // at most once.
 func (s Server) MayNotRepeat(method, path string) bool {
-	for _, rule := range s.Never {
+	for _, rule := range s.NeverRepeat {
 		m, prefix, _ := strings.Cut(rule, " ")
 		if (m == "*" || m == method) && strings.HasPrefix(path, prefix) {
 			return true
@@ -168,7 +168,7 @@
 	if s.Kind == Engine && len(s.Models) == 0 {
 		found.add(subject, "models", "an engine serves at least one model")
 	}
-	for _, rule := range s.Never {
+	for _, rule := range s.NeverRepeat {
 		if _, prefix, ok := strings.Cut(rule, " "); !ok || !strings.HasPrefix(prefix, "/") {
 			found.add(subject, "never", `must be "METHOD /path" or "* /path", not `+rule)
 		}
