--- a/coordination/entitlement/balance.go
+++ b/coordination/entitlement/balance.go
@@ -4,40 +4,40 @@
 
 import "time"
 
-// This file defines balance, which compares what an account was due with what it was
-// given, so that its share makes up for the difference.
+// This file defines balance, which compares what an account was due with what it was served,
+// so that its share makes up for the difference.
 //
-// A part of a demand is a promise: the gateways where the account's callers meet may
-// have no processor or room for it, and an estimate that was wrong for a second has
-// already been acted on. Without the comparison neither is ever noticed.
+// The covered fraction of a demand is only a target: the gateways where the account's callers
+// arrive may lack the processor time or memory to serve it, and an estimate that was wrong
+// for a second has already taken effect. Neither shows without this comparison.
 
-// Constants of a balance. Chosen; TestWhoWaitsGetsHalf holds with them.
+// Constants of a balance.
 const (
-	balanceMemory = time.Second // time constant
-	balanceGain   = 3.0         // times the difference that the share is changed
-	factorLeast   = 0.5         // of the level: who is given less than half of it is treated unfairly too
-	owedPart      = 0.15        // of what is due, that may be missing without notice
-	factorMost    = 3.0         // of the level: where it cannot be given, asking for more does not help
+	balanceTimeConstant = time.Second // time constant of the averages
+	balanceGain         = 3.0         // share correction per unit of (due - served) / level
+	minFactor           = 0.5         // multiple of the level; less than half would itself be unfair
+	toleratedShortfall  = 0.15        // fraction of what is due that may be missing by chance
+	maxFactor           = 3.0         // multiple of the level; more does not help where gateways cannot serve it
 )
 
-// balance holds averages of what an account was due and was given, in tokens a second.
-type balance struct{ due, given float64 }
+// balance holds averages of what an account was due and was served, in tokens per second.
+type balance struct{ due, served float64 }
 
-// settle returns the balance after some more time at these rates.
-func (b balance) settle(elapsed time.Duration, due, given float64) balance {
+// update returns the balance after elapsed time at these rates.
+func (b balance) update(elapsed time.Duration, due, served float64) balance {
 	return balance{
-		due: decay(b.due, due, elapsed, balanceMemory), given: decay(b.given, given, elapsed, balanceMemory),
+		due: ewma(b.due, due, elapsed, balanceTimeConstant), served: ewma(b.served, served, elapsed, balanceTimeConstant),
 	}
 }
 
-// owed is what the account is given less than it is due, in tokens a second, beyond what
-// chance does.
-func (b balance) owed() float64 { return max((1-owedPart)*b.due-b.given, 0) }
+// shortfall returns how much less than due the account was served, in tokens per second,
+// beyond what chance explains.
+func (b balance) shortfall() float64 { return max((1-toleratedShortfall)*b.due-b.served, 0) }
 
-// factor is the part of the level that the account's share is now.
+// factor returns the account's current share as a multiple of the level.
 func (b balance) factor(level float64) float64 {
 	if level <= 0 {
 		return 1
 	}
-	return min(max(1+balanceGain*(b.due-b.given)/level, factorLeast), factorMost)
+	return min(max(1+balanceGain*(b.due-b.served)/level, minFactor), maxFactor)
 }
--- a/coordination/entitlement/bench_test.go
+++ b/coordination/entitlement/bench_test.go
@@ -10,9 +10,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// BenchmarkSettle adds the reports of 1,600 gateways with ten accounts each and finds the
-// shares of 5,800 accounts, of which a tenth demands more than its share: what a leader does
-// ten times a second.
+// BenchmarkSettle adds the reports of 1,600 gateways with ten accounts each and recomputes
+// the shares of 5,800 accounts, a tenth of which demand more than their share. A leader does
+// this ten times a second.
 func BenchmarkSettle(b *testing.B) {
 	const gateways, accounts, each = 1600, 5800, 10
 	reports := make([]protocol.Usage, gateways)
--- a/coordination/entitlement/bucket.go
+++ b/coordination/entitlement/bucket.go
@@ -4,30 +4,30 @@
 
 import "time"
 
-// This file defines bucket, a bound on what one account is given at one gateway.
+// This file defines bucket, a leaky bucket that limits what one gateway serves one account.
 
-// bucketSpan is how long an account that was given nothing may be given more than the rate: bursts of
-// an account that its share covers must pass.
-const bucketSpan = 500 * time.Millisecond
+// bucketBurst is the allowed burst, as time at the rate that drains the bucket. Bursts that
+// the account's share covers must pass.
+const bucketBurst = 500 * time.Millisecond
 
-// bucket is what an account was given beyond the rate that fills it, in tokens. It may
-// hold one request too much. The zero value is empty of debts.
+// bucket holds the tokens that an account was served and that its rate has not yet drained.
+// It may exceed the burst by one request. The zero value is an empty bucket.
 type bucket struct {
-	spent float64
-	at    time.Duration // when spent was right
+	debt      float64
+	updatedAt time.Duration // time of the last update of debt
 }
 
-// left is what is spent still, if rate tokens a second are forgiven.
-func (b bucket) left(now time.Duration, rate float64) float64 {
-	return max(b.spent-rate*(now-b.at).Seconds(), 0)
+// debtAt returns the debt that is left at time now when it drains at rate tokens per second.
+func (b bucket) debtAt(now time.Duration, rate float64) float64 {
+	return max(b.debt-rate*(now-b.updatedAt).Seconds(), 0)
 }
 
-// empty reports whether nothing more may be given now.
-func (b bucket) empty(now time.Duration, rate float64) bool {
-	return b.left(now, rate) >= rate*bucketSpan.Seconds()
+// exhausted reports whether nothing more may be served now.
+func (b bucket) exhausted(now time.Duration, rate float64) bool {
+	return b.debtAt(now, rate) >= rate*bucketBurst.Seconds()
 }
 
-// take returns the bucket after a request.
-func (b bucket) take(now time.Duration, rate, cost float64) bucket {
-	return bucket{spent: b.left(now, rate) + cost, at: now}
+// spend returns the bucket after a request.
+func (b bucket) spend(now time.Duration, rate, cost float64) bucket {
+	return bucket{debt: b.debtAt(now, rate) + cost, updatedAt: now}
 }
--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -8,122 +8,125 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Class, how a request compares with its account's share,
-// and Classifier, which finds it at one gateway.
+// This file defines Class, which relates a request to its account's share, and Classifier,
+// which assigns classes at one gateway.
 
-// Class is how a request compares with its account's fair share. Lower
-// classes go first.
+// Class relates a request to its account's fair share. Lower classes are served first.
 type Class uint8
 
 // The classes.
 const (
-	Covered  Class = iota // its account demands no more than its share, so nothing of it need wait
-	Entitled              // within the share of the rate that the operator names
-	Extra                 // within the share of what the engines make beyond it
-	Beyond                // neither: served where nothing else waits
+	Covered  Class = iota // the account demands no more than its share, so none of its requests need wait
+	Entitled              // within the account's share of the rate that the operator configured
+	Extra                 // within the account's share of the engines' output beyond that rate
+	Beyond                // beyond both shares; served only where nothing else waits
 )
 
-// String returns the class's name, as log lines carry it.
+// String returns the class's name as log lines carry it.
 func (c Class) String() string { return [...]string{"covered", "entitled", "extra", "beyond"}[c] }
 
-// CountsAsMissed reports whether a request of a class that is refused without a backend server counts as
-// missed: what is within the shares of the named rate always does, and what is within those of what
-// the engines make beyond it (Extra) only if the gateway lacked something. Extra begins where an
-// engine has next to nothing to read, so that it often finds no room: counted, it would hold the
-// levels near the named rate, and engines idle. What a gateway lacks shows in no other gateway, and
-// must not let others run away. What is beyond every share would keep itself out.
+// CountsAsMissed reports whether a request of class c that is refused without a backend
+// server counts as missed. Requests within shares of the configured rate always count.
+// Requests within shares of the output beyond it (Extra) count only if the gateway itself
+// lacked a resource: Extra starts where an engine has almost nothing queued, so engines often
+// refuse it, and counting those refusals would hold the levels near the configured rate and
+// leave engines idle. A gateway's own shortage is invisible to other gateways and must still
+// keep other accounts from running ahead. Requests beyond every share never count, because
+// their own refusals would then keep them out.
 func CountsAsMissed(c Class, gatewayLacks bool) bool {
 	return c <= Entitled || (c == Extra && gatewayLacks)
 }
 
-// staleAfter is the age at which the fleet's list is not used any more, so that shares outlast a
+// maxListAge is the age above which the fleet's list is ignored. It lets shares outlast a
 // change of leaders (docs/design/platform.md, "Which promises need the lease").
-const staleAfter = 10 * time.Second
+const maxListAge = 10 * time.Second
 
-// Bounds of what a gateway gives one account without news of the leader.
+// Limits on what a gateway serves one account while it receives nothing from the leader.
 const (
-	silentAfter = time.Second // lists come every 0.1 to 0.6 s
-	silentPart  = 0.5         // an account's callers are seen to meet at two or three gateways
+	leaderTimeout  = time.Second // lists normally arrive every 0.1 to 0.6 s
+	silentFraction = 0.5         // an account's callers often arrive at two or three gateways
 )
 
-// Classifier classes the requests that arrive at one gateway, by the fleet's
-// last list of accounts that demand more than their share.
+// Classifier assigns classes to the requests that arrive at one gateway, using the fleet's
+// latest list of accounts that demand more than their share.
 type Classifier struct {
-	listed  map[string]protocol.Entitlement
-	late    map[string]protocol.Entitlement // of what comes back late; of accounts in listed
-	short   bool                            // somewhere requests within their shares find no room
-	updated time.Duration                   // 0: there has been no list
-	markers map[string]*markers
-	most    float64 // tokens a second that one account may be given; 0: not bounded
-	given   map[string]bucket
+	listed    map[string]protocol.Entitlement
+	late      map[string]protocol.Entitlement // fractions of late retries, for accounts in listed
+	contended bool                            // requests beyond every share must wait
+	updatedAt time.Duration                   // 0: no list received yet
+	markers   map[string]*markers
+	maxRate   float64 // tokens per second for each account; 0 means unlimited
+	buckets   map[string]bucket
 }
 
-// markers of one account, for both levels: of what can be in time, and of what is late.
+// markers holds one account's markers for both levels, separately for requests that can still
+// be answered in time and for late retries.
 type markers struct{ entitled, extra, lateEntitled, lateExtra Marker }
 
 // NewClassifier returns a classifier without a list.
 func NewClassifier() *Classifier {
 	return &Classifier{
-		listed: map[string]protocol.Entitlement{}, late: map[string]protocol.Entitlement{}, markers: map[string]*markers{}, given: map[string]bucket{},
+		listed: map[string]protocol.Entitlement{}, late: map[string]protocol.Entitlement{}, markers: map[string]*markers{}, buckets: map[string]bucket{},
 	}
 }
 
-// Update replaces the list and the parts of what comes back late. short means that
-// somewhere in the fleet requests within their shares find no room.
-func (c *Classifier) Update(now time.Duration, list, late []protocol.Entitlement, short bool) {
-	c.updated = now
-	c.short = short
-	replace(c.listed, list)
-	replace(c.late, late)
+// Update replaces the list and the fractions for late retries. contended means that requests
+// beyond every share must wait ([DemandEstimator.Contended]).
+func (c *Classifier) Update(now time.Duration, list, late []protocol.Entitlement, contended bool) {
+	c.updatedAt = now
+	c.contended = contended
+	replaceEntries(c.listed, list)
+	replaceEntries(c.late, late)
 }
 
-func replace(byAccount map[string]protocol.Entitlement, list []protocol.Entitlement) {
+func replaceEntries(byAccount map[string]protocol.Entitlement, list []protocol.Entitlement) {
 	clear(byAccount)
 	for _, e := range list {
 		byAccount[e.Account] = e
 	}
 }
 
-// SetMaxAccountRate bounds what this gateway alone may give to one account, in tokens a second: what
-// the whole fleet may give it. It holds until the next call, also while no list
-// comes: an account whose callers meet at one gateway is bounded there however late the
-// leader knows of its flood, or this gateway of the leader. 0 does not bound.
-func (c *Classifier) SetMaxAccountRate(rate float64) { c.most = rate }
-
-// mostNow is the bound now. Without news of the leader it is less: other gateways may
-// give the account as much, and nobody adds that up.
-func (c *Classifier) mostNow(now time.Duration) float64 {
-	if now-c.updated > silentAfter {
-		return c.most * silentPart
+// SetMaxAccountRate limits what this gateway alone serves one account, in tokens per second,
+// to what the whole fleet may serve it. The limit holds until the next call, even while no
+// list arrives, so an account whose callers all arrive at one gateway is limited there even
+// if its flood has not reached the leader's estimate or the gateway has lost the leader. 0
+// means unlimited.
+func (c *Classifier) SetMaxAccountRate(rate float64) { c.maxRate = rate }
+
+// currentMaxRate returns the limit at time now. It is lower without contact to the leader,
+// because other gateways may serve the account as much and nothing limits the sum.
+func (c *Classifier) currentMaxRate(now time.Duration) float64 {
+	if now-c.updatedAt > leaderTimeout {
+		return c.maxRate * silentFraction
 	}
-	return c.most
+	return c.maxRate
 }
 
-// RecordStart counts a request that gets its first backend server.
+// RecordStart counts a request that is assigned its first backend server.
 func (c *Classifier) RecordStart(now time.Duration, account string, cost float64) {
-	if most := c.mostNow(now); most > 0 {
-		c.given[account] = c.given[account].take(now, most, cost)
+	if maxRate := c.currentMaxRate(now); maxRate > 0 {
+		c.buckets[account] = c.buckets[account].spend(now, maxRate, cost)
 	}
 }
 
-// fresh reports whether the list can be used.
-func (c *Classifier) fresh(now time.Duration) bool {
-	return c.updated != 0 && now-c.updated <= staleAfter
+// isFresh reports whether the list is recent enough to use.
+func (c *Classifier) isFresh(now time.Duration) bool {
+	return c.updatedAt != 0 && now-c.updatedAt <= maxListAge
 }
 
 // WithinShare reports whether a fresh list shows that the account demands no more than its
 // share.
 func (c *Classifier) WithinShare(now time.Duration, account string) bool {
 	_, listed := c.listed[account]
-	return c.fresh(now) && !listed
+	return c.isFresh(now) && !listed
 }
 
-// Classify returns the class of a request that costs that many tokens. Without
-// a fresh list all accounts are alike, and every request is Entitled. late is a request
-// that came back and cannot be in time any more: it has what the account's others leave of
-// the share, which still can.
+// Classify returns the class of a request with the given cost in tokens. Without a fresh list
+// all accounts are treated alike and every request is Entitled. late marks a retry that can
+// no longer be answered in time. Late retries are entitled to what the account's other
+// requests leave of the share.
 func (c *Classifier) Classify(now time.Duration, account string, cost float64, late bool) Class {
-	if !c.fresh(now) {
+	if !c.isFresh(now) {
 		return Entitled
 	}
 	e, listed := c.listed[account]
@@ -142,34 +145,35 @@
 	return classOf(e, cost, &m.entitled, &m.extra)
 }
 
-// classOf marks the parts of an entitlement.
+// classOf returns the class of a request under an entitlement, with the markers of its
+// levels.
 func classOf(e protocol.Entitlement, cost float64, entitled, extra *Marker) Class {
-	part := float64(e.Part)
-	if entitled.Mark(part, cost) {
+	fraction := float64(e.Part)
+	if entitled.Mark(fraction, cost) {
 		return Entitled
 	}
-	if extra.Mark((float64(e.Extra)-part)/(1-part), cost) { // of what the first level leaves
+	if extra.Mark((float64(e.Extra)-fraction)/(1-fraction), cost) { // fraction of what the first level leaves
 		return Extra
 	}
 	return Beyond
 }
 
-// Admits reports whether a request of that account and class may be served now. What is
-// beyond every share may not while the fleet is short: a gateway with an idle
-// engine cannot see who waits elsewhere. Nor may anything once this gateway alone has given
-// the account all that the fleet may.
+// Admits reports whether a request of that account and class may be served now. Requests
+// beyond every share may not while the fleet is contended, because a gateway with an idle
+// engine has no information about requests that wait elsewhere. No request may once this
+// gateway alone has served the account all that the fleet may.
 func (c *Classifier) Admits(now time.Duration, account string, class Class) bool {
-	if most := c.mostNow(now); most > 0 && c.given[account].empty(now, most) {
+	if maxRate := c.currentMaxRate(now); maxRate > 0 && c.buckets[account].exhausted(now, maxRate) {
 		return false
 	}
-	return class != Beyond || !c.short || !c.fresh(now)
+	return class != Beyond || !c.contended || !c.isFresh(now)
 }
 
-// Entitlement returns the list's entry of an account, and the list's age.
+// Entitlement returns the list's entry for an account, and the list's age.
 func (c *Classifier) Entitlement(now time.Duration, account string) (e protocol.Entitlement, age time.Duration) {
 	e, listed := c.listed[account]
 	if !listed {
 		e = protocol.Entitlement{Account: account, Part: 1, Extra: 1}
 	}
-	return e, now - c.updated
+	return e, now - c.updatedAt
 }
--- a/coordination/entitlement/class_test.go
+++ b/coordination/entitlement/class_test.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestStaleList: a list that is too old is as good as none.
+// TestStaleList: a list older than maxListAge is treated like no list.
 func TestStaleList(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
@@ -24,8 +24,8 @@
 		beyond     bool
 	}{
 		{time.Second, Beyond, Covered, false},
-		{time.Second + staleAfter, Beyond, Covered, false},
-		{time.Second + staleAfter + 1, Entitled, Entitled, true},
+		{time.Second + maxListAge, Beyond, Covered, false},
+		{time.Second + maxListAge + 1, Entitled, Entitled, true},
 	} {
 		is.Equal(c.Classify(tt.now, "big", 100, false), tt.big)
 		is.Equal(c.Classify(tt.now, "small", 100, false), tt.small)
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestClassesHoldTheirParts: a fifth entitled, three tenths extra, the rest beyond.
+// TestClassesHoldTheirParts: of one account's requests, a fifth is entitled, three tenths are
+// extra and the rest is beyond.
 func TestClassesHoldTheirParts(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
@@ -50,8 +51,8 @@
 	is.True(counts[Extra] >= 298 && counts[Extra] <= 302)
 }
 
-// TestOneGatewayGivesNoMore: what one gateway gives to one account is bounded, whatever the
-// list says of it, and to half without news of the leader.
+// TestOneGatewayGivesNoMore: a gateway limits what it serves one account whatever the list
+// says, and to half of that without contact to the leader.
 func TestOneGatewayGivesNoMore(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
@@ -66,10 +67,10 @@
 		}
 		return tokens
 	}
-	is.True(given(time.Second, 2*time.Second) <= 1000*(1+bucketSpan.Seconds())+100)
-	silent := given(2*time.Second, 6*time.Second) // since the first second
+	is.True(given(time.Second, 2*time.Second) <= 1000*(1+bucketBurst.Seconds())+100)
+	silent := given(2*time.Second, 6*time.Second) // no update since the first second
 	is.True(silent > 1500 && silent <= 2000)
 	c.Update(6*time.Second, nil, nil, false)
 	is.True(given(6*time.Second, 7*time.Second) >= 1000)
-	is.True(c.Admits(7*time.Second, "b", Covered)) // others are not bounded by it
+	is.True(c.Admits(7*time.Second, "b", Covered)) // other accounts have limits of their own
 }
--- a/coordination/entitlement/cost.go
+++ b/coordination/entitlement/cost.go
@@ -2,11 +2,13 @@
 
 package entitlement
 
-// This file defines Cost, what a request counts against its account's share.
+// This file defines Cost, which converts a request's token counts into its charge.
 
-// outputCost is what a token made costs, in tokens read.
-const outputCost = 2
+// outputTokenCost is the cost of one output token relative to an input token.
+const outputTokenCost = 2
 
-// Cost returns the cost of a request in tokens read, by the tokens that it
-// reads and the most that it makes.
-func Cost(read, made int) float64 { return float64(read + outputCost*made) }
+// Cost returns the cost of a request in input tokens, from the number of its input tokens and
+// its maximum number of output tokens.
+func Cost(inputTokens, maxOutputTokens int) float64 {
+	return float64(inputTokens + outputTokenCost*maxOutputTokens)
+}
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -14,116 +14,117 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines fleet, a model of many gateways, the leader and the engines in
-// virtual time. The decisions are the real ones of entitlement and overload; callers,
-// processors, engines and links are models of a few lines each.
+// This file defines fleet, a model of many gateways, the leader and the engines in virtual
+// time. The decisions are those of entitlement and overload; callers, processors, engines and
+// links are models of a few lines each.
 
 // Times and rates of the model.
 const (
-	step       = 20 * time.Millisecond
-	settleTime = 100 * time.Millisecond // between two reports of a gateway, and two lists
-	listDelay  = 120 * time.Millisecond // from a settlement until gateways have its list
-	named      = 2.3e6                  // tokens a second that the operator names
-	made       = 3.0e6                  // that the engines make, where they have not much idle
-	madeIdle   = 30e6                   // the same where most of them run nothing
-	objective  = 400 * time.Millisecond
-	refuseTime = 300 * time.Microsecond // of a gateway's processor: 60 µs, half of BenchmarkRefusal/kept, at a fifth of a core
-	serveTime  = 5 * time.Millisecond   // the same for a request that is served: 40 events of 26 µs
-	streamTime = 500 * time.Millisecond // over which its events are spread
-	patience   = time.Second            // after which a caller that was not read is gone
+	step              = 20 * time.Millisecond
+	recomputeInterval = 100 * time.Millisecond // interval of gateway reports and of lists
+	listDelay         = 120 * time.Millisecond // delay from a recomputation until gateways have its list
+	configuredRate    = 2.3e6                  // tokens per second, configured by the operator
+	engineRate        = 3.0e6                  // tokens per second that the engines produce with little idle capacity
+	idleEngineRate    = 30e6                   // tokens per second that they produce where most of them are idle
+	queueObjective    = 400 * time.Millisecond // engines' queue wait that admission aims for
+	refuseTime        = 300 * time.Microsecond // processor time per refusal: 60 µs, half of BenchmarkRefusal/kept, at a fifth of a core
+	serveTime         = 5 * time.Millisecond   // processor time per served request: 40 events of 26 µs
+	streamTime        = 500 * time.Millisecond // time over which its events are spread
+	callerTimeout     = time.Second            // time after which a caller whose request was not read disconnects
 )
 
-// roomParts are how much of the objective engines may be busy for, by class.
-var roomParts = [...]float64{0.45, 0.25, 0.1, 0}
+// admissionFractions holds, by class, the fraction of queueObjective that the engines'
+// backlog may reach while they still accept a request.
+var admissionFractions = [...]float64{0.45, 0.25, 0.1, 0}
 
-// modelAccount is one account's callers.
+// modelAccount is one account with its callers.
 type modelAccount struct {
-	name    string
-	usual   float64 // tokens a second
-	home    []int   // gateways where its callers meet: first tries, then second ones; nil: any
-	floods  []flood
-	demands float64 // of the present step, carried over
+	name          string
+	baseRate      float64 // tokens per second outside floods
+	homeGateways  []int   // gateways where its callers' first attempts and retries arrive; nil means any
+	floods        []flood
+	pendingTokens float64 // tokens still to be requested, carried over between steps
 }
 
-// mostTimes bounds floods that overlap: more requests than a gateway can refuse are no
+// maxFloodFactor limits overlapping floods: more requests than a gateway can refuse are not a
 // matter of shares.
-const mostTimes = 40
+const maxFloodFactor = 40
 
-// flood multiplies an account's demand for a while.
+// flood multiplies an account's demand during a period.
 type flood struct {
 	from, to time.Duration
-	times    float64
+	factor   float64
 }
 
 func (a *modelAccount) rate(now time.Duration) float64 {
-	rate := a.usual
+	rate := a.baseRate
 	for _, f := range a.floods {
 		if f.from <= now && now < f.to {
-			rate *= f.times
+			rate *= f.factor
 		}
 	}
-	return min(rate, mostTimes*a.usual)
+	return min(rate, maxFloodFactor*a.baseRate)
 }
 
-// modelGateway is one gateway: its classes, and how far its processor is behind.
+// modelGateway is one gateway with its classifier and the lag of its processor.
 type modelGateway struct {
-	classifier *entitlement.Classifier
-	detector   overload.Detector
-	pace       overload.Pace
-	taken      int // connections since the last firing of its timer
-	behind     time.Duration
-	relays     time.Duration // what is to be done for answers that stream
-	fires      time.Duration // when its timer does
-	report     protocol.Usage
-	queue      modelQueue
-	read       int // requests since the last report
-	demanded   map[string]uint64
-	served     map[string]uint64
+	classifier   *entitlement.Classifier
+	detector     overload.Detector
+	pace         overload.Pace
+	accepted     int // connections accepted since the timer last fired
+	lag          time.Duration
+	relayBacklog time.Duration // processor time still needed for streaming answers
+	timerDue     time.Duration // time at which the timer fires next
+	report       protocol.Usage
+	queue        modelQueue
+	requestsRead int // requests read since the last report
+	demanded     map[string]uint64
+	served       map[string]uint64
 }
 
-// try is one request of an account that comes to a gateway.
-type try struct {
+// attempt is one attempt at a request at a gateway.
+type attempt struct {
 	account *modelAccount
 	cost    float64
-	second  bool
-	at      time.Duration
+	isRetry bool
+	due     time.Duration
 }
 
-// window is one second of one account.
-type window struct {
-	asked, got float64
-	waited     bool
+// accountSecond holds one account's tokens in one second.
+type accountSecond struct {
+	requested, served float64
+	waited            bool
 }
 
-// fleet is all of it.
+// fleet is the whole model.
 type fleet struct {
-	rng      *rand.Rand
-	now      time.Duration
-	gateways []*modelGateway
-	accounts []*modelAccount
-	leader   *entitlement.Demand
-	changes  []time.Duration // of leaders
-	lists    []sentList
-	again    []try   // that come back later
-	made     float64 // tokens a second of the engines
-	busy     float64
-	taken    float64 // tokens given to engines since the last settlement
-	seconds  map[string][]window
+	rng           *rand.Rand
+	now           time.Duration
+	gateways      []*modelGateway
+	accounts      []*modelAccount
+	leader        *entitlement.DemandEstimator
+	leaderChanges []time.Duration // times at which the leader changes
+	lists         []sentList
+	retries       []attempt // retries that are due later
+	engineRate    float64   // tokens per second that the engines produce
+	engineBacklog float64
+	startedTokens float64 // tokens given to engines since the last recomputation
+	seconds       map[string][]accountSecond
 }
 
-// sentList is on its way to the gateways.
+// sentList is a list in transit to the gateways.
 type sentList struct {
-	due   time.Duration
-	list  []protocol.Entitlement
-	short bool
-	most  float64
-	known bool
+	due            time.Duration
+	list           []protocol.Entitlement
+	contended      bool
+	maxAccountRate float64
+	ready          bool
 }
 
 func newFleet(seed uint64, gateways int, accounts []*modelAccount) *fleet {
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Second, accounts: accounts, leader: entitlement.NewDemandEstimator(),
-		seconds: map[string][]window{}, made: made,
+		seconds: map[string][]accountSecond{}, engineRate: engineRate,
 	}
 	for range gateways {
 		f.gateways = append(f.gateways, &modelGateway{
@@ -134,28 +135,28 @@
 	return f
 }
 
-// run lets the fleet serve for a while.
+// run runs the model for a time span.
 func (f *fleet) run(span time.Duration) {
 	for end := f.now + span; f.now < end; f.now += step {
 		f.deliverLists()
 		for _, g := range f.gateways {
-			if f.now >= g.fires {
-				g.detector = g.detector.Tick(max(g.fires, f.now-step), 0)
-				g.pace = g.pace.Next(f.now, g.detector.Delay, g.taken)
-				g.taken = 0
-				g.fires = max(g.fires, f.now-step) + step + g.behind // the timer waits behind all other work
+			if f.now >= g.timerDue {
+				g.detector = g.detector.Tick(max(g.timerDue, f.now-step), 0)
+				g.pace = g.pace.Next(f.now, g.detector.Delay, g.accepted)
+				g.accepted = 0
+				g.timerDue = max(g.timerDue, f.now-step) + step + g.lag // the timer is delayed by queued work
 			}
-			relayed := g.relays * step / streamTime
-			g.relays -= relayed
-			g.behind = max(g.behind+relayed-step, 0)
+			relayed := g.relayBacklog * step / streamTime
+			g.relayBacklog -= relayed
+			g.lag = max(g.lag+relayed-step, 0)
 		}
-		f.busy = max(f.busy-f.made*step.Seconds(), 0)
+		f.engineBacklog = max(f.engineBacklog-f.engineRate*step.Seconds(), 0)
 		f.arrive()
 		for _, g := range f.gateways {
 			g.queue.step(f.now, g.pace.Bounded())
 		}
-		if f.now%settleTime == 0 {
-			f.settle()
+		if f.now%recomputeInterval == 0 {
+			f.recompute()
 		}
 	}
 }
@@ -163,23 +164,23 @@
 func (f *fleet) deliverLists() {
 	for len(f.lists) > 0 && f.lists[0].due <= f.now {
 		for _, g := range f.gateways {
-			if f.lists[0].known && g.behind <= patience {
-				g.classifier.Update(f.now, f.lists[0].list, nil, f.lists[0].short)
-				g.classifier.SetMaxAccountRate(f.lists[0].most)
+			if f.lists[0].ready && g.lag <= callerTimeout {
+				g.classifier.Update(f.now, f.lists[0].list, nil, f.lists[0].contended)
+				g.classifier.SetMaxAccountRate(f.lists[0].maxAccountRate)
 			}
 		}
 		f.lists = f.lists[1:]
 	}
 }
 
-// settle sends all reports to the leader, and its list on the way.
-func (f *fleet) settle() {
-	for len(f.changes) > 0 && f.changes[0] <= f.now {
+// recompute sends all reports to the leader and queues its list for delivery.
+func (f *fleet) recompute() {
+	for len(f.leaderChanges) > 0 && f.leaderChanges[0] <= f.now {
 		f.leader = entitlement.NewDemandEstimator()
-		f.changes = f.changes[1:]
+		f.leaderChanges = f.leaderChanges[1:]
 	}
 	for _, g := range f.gateways {
-		if g.behind > patience { // its session is lost, and what it would report until the next one
+		if g.lag > callerTimeout { // its session is lost, along with everything it would report until the next one
 			g.report = protocol.Usage{}
 			clear(g.demanded)
 			clear(g.served)
@@ -195,15 +196,15 @@
 		clear(g.demanded)
 		clear(g.served)
 	}
-	f.leader.SetBusyFraction(min(f.taken/(f.made*settleTime.Seconds()), 1)) // so many of the engines run something
-	f.taken = 0
-	f.leader.Recompute(f.now, named)
+	f.leader.SetBusyFraction(min(f.startedTokens/(f.engineRate*recomputeInterval.Seconds()), 1)) // fraction of engines that run something
+	f.startedTokens = 0
+	f.leader.Recompute(f.now, configuredRate)
 	f.lists = append(f.lists, sentList{
 		f.now + listDelay, f.leader.Entitlements(), f.leader.Contended(), f.leader.MaxAccountRate(), f.leader.Ready(),
 	})
 }
 
-// tokensOf returns tokens by account in the order of the names, so that every run is the same.
+// tokensOf returns the tokens by account, ordered by name so that runs are reproducible.
 func tokensOf(byAccount map[string]uint64) []protocol.Demand {
 	var out []protocol.Demand
 	for _, account := range slices.Sorted(maps.Keys(byAccount)) {
@@ -212,125 +213,126 @@
 	return out
 }
 
-// arrive lets the step's requests come, new ones and those that come back.
+// arrive submits the step's new requests and the retries that are due.
 func (f *fleet) arrive() {
 	for _, a := range f.accounts {
-		f.second(a) // there is one also of an account that asks for nothing
-		a.demands += a.rate(f.now) * step.Seconds()
-		for a.demands > 0 {
+		f.second(a) // creates the entry even if the account requests nothing
+		a.pendingTokens += a.rate(f.now) * step.Seconds()
+		for a.pendingTokens > 0 {
 			cost := 600 + f.rng.ExpFloat64()*2400
-			a.demands -= cost
-			f.second(a).asked += cost
-			f.ask(try{account: a, cost: cost})
+			a.pendingTokens -= cost
+			f.second(a).requested += cost
+			f.submit(attempt{account: a, cost: cost})
 		}
 	}
-	back := f.again
-	f.again = nil
-	for _, t := range back {
-		if t.at > f.now {
-			f.again = append(f.again, t)
+	retries := f.retries
+	f.retries = nil
+	for _, t := range retries {
+		if t.due > f.now {
+			f.retries = append(f.retries, t)
 			continue
 		}
-		f.ask(t)
+		f.submit(t)
 	}
 }
 
-// second is the present second of an account.
-func (f *fleet) second(a *modelAccount) *window {
+// second returns the current second of an account.
+func (f *fleet) second(a *modelAccount) *accountSecond {
 	n := int(f.now / time.Second)
 	for len(f.seconds[a.name]) <= n {
-		f.seconds[a.name] = append(f.seconds[a.name], window{})
+		f.seconds[a.name] = append(f.seconds[a.name], accountSecond{})
 	}
 	return &f.seconds[a.name][n]
 }
 
-// gateway is where a try comes: the account's own gateways, or any.
-func (f *fleet) gateway(t try) *modelGateway {
-	home := t.account.home
+// gateway returns the gateway at which an attempt arrives: one of the account's own, or any.
+func (f *fleet) gateway(t attempt) *modelGateway {
+	home := t.account.homeGateways
 	switch {
 	case len(home) == 0:
 		return f.gateways[f.rng.IntN(len(f.gateways))]
-	case t.second:
+	case t.isRetry:
 		return f.gateways[home[len(home)-1]]
 	}
 	return f.gateways[home[0]]
 }
 
-// ask lets a try be served or refused.
-func (f *fleet) ask(t try) {
+// submit serves or refuses an attempt.
+func (f *fleet) submit(t attempt) {
 	g := f.gateway(t)
-	if g.behind > patience {
-		f.refused(t, step) // it was not read, and its caller knows no better than to come again at once
+	if g.lag > callerTimeout {
+		f.refuse(t, step) // it was not read, and its caller retries at once
 		return
 	}
-	g.queue.came++
-	if g.taken >= g.pace.Allowance() {
-		f.refused(t, patience) // it was not let in
+	g.queue.arrived++
+	if g.accepted >= g.pace.Allowance() {
+		f.refuse(t, callerTimeout) // its connection was not accepted
 		return
 	}
-	g.taken++
-	g.queue.taken++
-	g.read++
-	g.behind += refuseTime
+	g.accepted++
+	g.queue.accepted++
+	g.requestsRead++
+	g.lag += refuseTime
 	g.demanded[t.account.name] += uint64(t.cost)
 	class := g.classifier.Classify(f.now, t.account.name, t.cost, false)
-	room := f.busy <= roomParts[class]*objective.Seconds()*f.made
+	room := f.engineBacklog <= admissionFractions[class]*queueObjective.Seconds()*f.engineRate
 	admits := g.detector.Admits(class)
 	if !admits || !g.classifier.Admits(f.now, t.account.name, class) || !room {
 		if entitlement.CountsAsMissed(class, !admits) {
 			g.report.Missed += uint64(t.cost)
 		}
-		f.refused(t, 100*time.Millisecond)
+		f.refuse(t, 100*time.Millisecond)
 		return
 	}
-	f.busy += t.cost
-	f.taken += t.cost
-	g.relays += serveTime
+	f.engineBacklog += t.cost
+	f.startedTokens += t.cost
+	g.relayBacklog += serveTime
 	g.served[t.account.name] += uint64(t.cost)
 	g.classifier.RecordStart(f.now, t.account.name, t.cost)
-	f.second(t.account).got += t.cost
+	f.second(t.account).served += t.cost
 }
 
-// refused lets the caller wait, and come back once.
-func (f *fleet) refused(t try, after time.Duration) {
+// refuse records the wait and schedules the caller's one retry.
+func (f *fleet) refuse(t attempt, after time.Duration) {
 	f.second(t.account).waited = true
-	if t.second {
+	if t.isRetry {
 		return
 	}
-	t.second, t.at = true, f.now+after
-	f.again = append(f.again, t)
+	t.isRetry, t.due = true, f.now+after
+	f.retries = append(f.retries, t)
 }
 
-// unfair is the worst six seconds of a run.
-type unfair struct {
-	part      float64 // of the least that the promise gives
-	account   string
-	from      int // second
-	asked     float64
-	got, owed float64
+// worstCase holds the six seconds of a run in which an account was served the smallest
+// fraction of its guarantee.
+type worstCase struct {
+	fraction           float64 // fraction of the guaranteed service
+	account            string
+	from               int // start, in seconds
+	requested          float64
+	served, guaranteed float64
 }
 
-// worst looks at all spans of six seconds for the account that waited in each of them
-// and got the least of what it was owed: half of what it asked or of what another
-// account got, whichever is less, second by second.
-func (f *fleet) worst() unfair {
+// worst returns, over all spans of six seconds, the account that waited in each second and
+// was served the smallest fraction of its guarantee: half of what it requested or of what
+// another account was served, whichever is less, second by second.
+func (f *fleet) worst() worstCase {
 	const span = 6
-	w := unfair{part: math.Inf(1)}
-	for from := 2; from+span <= int(f.now/time.Second); from++ { // the first second is not whole
+	w := worstCase{fraction: math.Inf(1)}
+	for from := 2; from+span <= int(f.now/time.Second); from++ { // the first second is incomplete
 		for _, a := range f.accounts {
-			sum, waited := unfair{account: a.name, from: from}, true
+			sum, waited := worstCase{account: a.name, from: from}, true
 			for _, s := range f.seconds[a.name][from : from+span] {
 				waited = waited && s.waited
-				sum.asked += s.asked
-				sum.got += s.got
+				sum.requested += s.requested
+				sum.served += s.served
 			}
 			if !waited {
 				continue
 			}
 			for _, other := range f.accounts {
-				sum.owed = max(sum.owed, f.owed(a, other, from, span))
+				sum.guaranteed = max(sum.guaranteed, f.guaranteed(a, other, from, span))
 			}
-			if sum.part = sum.got / sum.owed; sum.part < w.part {
+			if sum.fraction = sum.served / sum.guaranteed; sum.fraction < w.fraction {
 				w = sum
 			}
 		}
@@ -338,22 +340,22 @@
 	return w
 }
 
-// owed is half of what an account asked or another one got, whichever is less, second by
-// second.
-func (f *fleet) owed(a, other *modelAccount, from, span int) float64 {
+// guaranteed returns half of what account a requested or the other was served, whichever is
+// less, summed second by second.
+func (f *fleet) guaranteed(a, other *modelAccount, from, span int) float64 {
 	sum := 0.0
 	for second := from; second < from+span; second++ {
-		sum += 0.5 * min(f.seconds[a.name][second].asked, f.seconds[other.name][second].got)
+		sum += 0.5 * min(f.seconds[a.name][second].requested, f.seconds[other.name][second].served)
 	}
 	return sum
 }
 
-// served returns the tokens given a second.
-func (f *fleet) served() float64 {
+// servedRate returns the tokens served per second.
+func (f *fleet) servedRate() float64 {
 	total := 0.0
 	for _, name := range slices.Sorted(maps.Keys(f.seconds)) {
 		for _, s := range f.seconds[name] {
-			total += s.got
+			total += s.served
 		}
 	}
 	return total / (f.now - time.Second).Seconds()
--- a/coordination/entitlement/hold.go
+++ b/coordination/entitlement/hold.go
@@ -7,74 +7,77 @@
 	"time"
 )
 
-// This file defines hold, which bounds the level of what engines make beyond the named rate while
-// an account gets much less than it is due.
+// This file defines levelCap, which limits the level of the engines' output beyond the
+// configured rate while an account is served much less than it is due.
 //
-// What such an account lacks is not engines: those have room for the others. It is the processor,
-// the memory or the time of the gateways where its callers meet, and no level gives that. So that
-// nobody gets twice what it gets, the others are held near that. The sum of what is missed shows
-// it late and by the wrong measure: it lowers the level of all by the size of the lack, whoever
-// has it.
+// Such an account does not lack engines, which have room for the other accounts. It lacks
+// processor time or memory at the gateways where its callers arrive, which no level can
+// provide. The others are therefore held near what it is served, so that none is served twice
+// as much. The sum of missed requests reveals the shortage late and by the wrong measure: it
+// lowers the level for all accounts by the size of the shortage, whichever account has it.
 //
-// Most of what a late gateway lacks the processor for is on connections that it does not take.
-// Demand is averaged behind that, so that what is due would fall with what is given. The estimate
-// of it that gateways report counts here alone: in a share it would be a part of requests that
-// nobody has read, and in what engines make a lack that is none of theirs.
+// Most of an overloaded gateway's shortage shows as connections that it does not accept.
+// Demand is measured after acceptance, so the amount due would fall together with the amount
+// served. Gateways therefore report an estimate of the unaccepted demand, which is used only
+// here. In a share it would stand for requests that nobody has read, and in the target output
+// for a shortage that is not the engines'.
 
-// Constants of a hold.
+// Constants of a levelCap.
 const (
-	heldBelow = 0.8 // of what an account is due: who is given less holds the others
-	// heldBelowUnread is the same with what gateways have not read in what is due. It is an estimate, in
-	// which a caller that tries two gateways counts twice, and the promise is a half.
-	heldBelowUnread = 0.6
-	heldTimes       = 1.5 // times what that account is given
-	heldFrom        = 0.5 // of the level: the others take nothing from an account that demands less
-	// heldGrowth is by how much of itself a hold grows in a second. One that ended at once would
-	// come back as soon as the others got more.
-	heldGrowth = 0.4
+	minServedFraction = 0.8 // fraction of its due below which an account caps the others
+	// minServedFractionUnread applies where unread demand counts as due. That demand is an
+	// estimate in which a caller that tries two gateways counts twice, and the guarantee is
+	// one half.
+	minServedFractionUnread = 0.6
+	capMultiple             = 1.5 // multiple of what the underserved account is served
+	capMinDemand            = 0.5 // fraction of the level; accounts that demand less lose nothing to the others
+	// capGrowthPerSecond is the relative growth of a cap per second once no account causes
+	// it. A cap that ended at once would return as soon as the others were served more.
+	capGrowthPerSecond = 0.4
 )
 
-// hold is a bound of the level in tokens a second. 0 does not bound.
-type hold float64
+// levelCap is an upper bound of the level in tokens per second. 0 means unbounded.
+type levelCap float64
 
-// settle returns the hold after some more time. least is what the account is given that holds the
-// others, infinite without one; the hold is never below the level of the named rate.
-func (h hold) settle(elapsed time.Duration, least, level float64) hold {
-	if bound := hold(max(heldTimes*least, level)); h == 0 || bound < h {
+// update returns the cap after elapsed time. lowest is what the least served underserved
+// account is served, +Inf without one. The cap is never below level, the level of the
+// configured rate.
+func (c levelCap) update(elapsed time.Duration, lowest, level float64) levelCap {
+	if bound := levelCap(max(capMultiple*lowest, level)); c == 0 || bound < c {
 		return bound
 	}
-	return h * hold(1+heldGrowth*elapsed.Seconds())
+	return c * levelCap(1+capGrowthPerSecond*elapsed.Seconds())
 }
 
-// bound returns the level that is given, of one that the engines could make.
-func (h hold) bound(level float64) float64 {
-	if h == 0 {
+// apply returns the level to use, given the one that the engines could provide.
+func (c levelCap) apply(level float64) float64 {
+	if c == 0 {
 		return level
 	}
-	return min(level, float64(h))
+	return min(level, float64(c))
 }
 
-// holding returns the hold where it bounds the level now, else 0.
-func (d *Demand) holding() int64 {
-	if d.extra < float64(d.hold) {
+// activeCap returns the cap if it bounds the level now, else 0.
+func (d *DemandEstimator) activeCap() int64 {
+	if d.extraLevel < float64(d.extraCap) {
 		return 0
 	}
-	return int64(d.hold)
+	return int64(d.extraCap)
 }
 
-// leastGiven returns the least that any account is given of those that get much less than they are
-// due.
-func (d *Demand) leastGiven() float64 {
-	least := math.Inf(1)
+// lowestServed returns the lowest served rate among the underserved accounts, or +Inf without
+// one.
+func (d *DemandEstimator) lowestServed() float64 {
+	lowest := math.Inf(1)
 	for _, a := range d.accounts {
-		if a.demand.average+a.unread.average > heldFrom*d.level && a.lacks() {
-			least = min(least, a.balance.given)
+		if a.demand.average+a.unread.average > capMinDemand*d.level && a.isUnderserved() {
+			lowest = min(lowest, a.balance.served)
 		}
 	}
-	return least
+	return lowest
 }
 
-// lacks reports whether the account is given much less than it is due.
-func (a *account) lacks() bool {
-	return a.balance.given < heldBelow*a.balance.due || a.lack.given < heldBelowUnread*a.lack.due
+// isUnderserved reports whether the account is served much less than it is due.
+func (a *account) isUnderserved() bool {
+	return a.balance.served < minServedFraction*a.balance.due || a.balanceWithUnread.served < minServedFractionUnread*a.balanceWithUnread.due
 }
--- a/coordination/entitlement/level.go
+++ b/coordination/entitlement/level.go
@@ -4,13 +4,12 @@
 
 import "slices"
 
-// This file defines max-min fair shares of a rate: what each account is
-// entitled to when all demand more than there is.
+// This file computes max-min fair shares of a rate.
 
-// Level returns the highest demand that is covered in full for every account: the
-// sum of min(demand, level) is the capacity. Without a shortage it is the
-// largest demand. It costs O(n log n).
-func Level(demands []float64, capacity float64) float64 {
+// MaxMinLevel returns the max-min fair level: the largest demand that is covered in full for
+// every account, so that the sum of min(demand, level) equals the capacity. Without a
+// shortage it is the largest demand. It costs O(n log n).
+func MaxMinLevel(demands []float64, capacity float64) float64 {
 	sorted := slices.Sorted(slices.Values(demands))
 	left := capacity
 	for i, d := range sorted {
@@ -26,8 +25,8 @@
 	return sorted[len(sorted)-1]
 }
 
-// covered returns what a level gives to all of the demands together.
-func covered(demands []float64, level float64) float64 {
+// coveredSum returns the sum of what a level covers of each demand.
+func coveredSum(demands []float64, level float64) float64 {
 	sum := 0.0
 	for _, d := range demands {
 		sum += min(d, level)
@@ -35,8 +34,8 @@
 	return sum
 }
 
-// Part returns which part of a demand a level covers.
-func Part(demand, level float64) float64 {
+// CoveredFraction returns the fraction of a demand that a level covers.
+func CoveredFraction(demand, level float64) float64 {
 	if demand <= level {
 		return 1
 	}
--- a/coordination/entitlement/level_test.go
+++ b/coordination/entitlement/level_test.go
@@ -21,13 +21,13 @@
 	}{
 		{"nobody", nil, 10, 10},
 		{"no shortage", []float64{1, 2, 3}, 10, 3},
-		{"all want more", []float64{20, 30, 40}, 30, 10},
-		{"small ones are served whole", []float64{1, 2, 30, 40}, 23, 10},
+		{"all demand more", []float64{20, 30, 40}, 30, 10},
+		{"small demands are covered in full", []float64{1, 2, 30, 40}, 23, 10},
 		{"exactly enough", []float64{4, 6}, 10, 6},
-		{"nothing there", []float64{4, 6}, 0, 0},
+		{"no capacity", []float64{4, 6}, 0, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			is.New(t).Equal(Level(tt.demands, tt.capacity), tt.want)
+			is.New(t).Equal(MaxMinLevel(tt.demands, tt.capacity), tt.want)
 		})
 	}
 }
@@ -36,17 +36,17 @@
 	seeds.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 30).Draw(t, "demands")
 		capacity := rapid.Float64Range(1, 10000).Draw(t, "capacity")
-		level := Level(demands, capacity)
+		level := MaxMinLevel(demands, capacity)
 		served, asked := 0.0, 0.0
 		for _, d := range demands {
 			served += min(d, level)
 			asked += d
-			if got := Part(d, level) * d; math.Abs(got-min(d, level)) > 1e-6 {
-				t.Fatalf("part of %v at %v gives %v", d, level, got)
+			if got := CoveredFraction(d, level) * d; math.Abs(got-min(d, level)) > 1e-6 {
+				t.Fatalf("demand %v at level %v: covered fraction gives %v", d, level, got)
 			}
 		}
 		if want := min(asked, capacity); math.Abs(served-want) > 1e-6 {
-			t.Fatalf("served %v of %v", served, want)
+			t.Fatalf("level covers %v, want %v", served, want)
 		}
 	})
 }
--- a/coordination/entitlement/makes.go
+++ b/coordination/entitlement/makes.go
@@ -2,37 +2,44 @@
 
 package entitlement
 
-// This file defines what the engines may be asked to make, which nobody reports.
+// This file computes the target for the engines' output. Engines do not report their
+// capacity, so it is estimated from what they were given before.
 
-// missedWeight is how much of what is made beyond the named rate is held back
-// for what is missed within shares: some gateway cannot serve its part, and
-// what others get more than their share must not run away from that.
+// missedWeight is how many tokens of output beyond the configured rate are held back per
+// token missed within shares. A miss means that some gateway cannot serve its part, and
+// service beyond the shares elsewhere must not run ahead of it.
 const missedWeight = 3
 
-// probe is how much more than they made last the engines are asked to make: what they could
-// make is not reported, and while several accounts wait it is found this way alone.
-const probe = 1.25
+// probeFactor is how much more than their recent output the engines are given. Their capacity
+// is not reported, and while several accounts wait it is discovered only this way.
+const probeFactor = 1.25
 
-// idleUsed is how much of the time of engines that run nothing is counted on: some of them may be off.
-const idleUsed = 0.5
+// idleUtilization is the fraction of an idle engine's time that is counted as usable; some
+// idle engines may be switched off.
+const idleUtilization = 0.5
 
-// SetBusyFraction takes which part of the engines run something, of those that are the busiest; 0 is not known.
-func (d *Demand) SetBusyFraction(part float64) { d.busy = part }
+// SetBusyFraction sets the fraction of engines that run something, in the busiest group of
+// engines; 0 means unknown.
+func (d *DemandEstimator) SetBusyFraction(fraction float64) { d.busyFraction = fraction }
 
-// idle reports whether most engines run nothing.
-func (d *Demand) idle() bool { return d.busy > 0 && idleUsed/d.busy > probe }
+// mostlyIdle reports whether most engines run nothing.
+func (d *DemandEstimator) mostlyIdle() bool {
+	return d.busyFraction > 0 && idleUtilization/d.busyFraction > probeFactor
+}
 
-// makes is what the engines may be asked to make, in tokens a second: less than they made last
-// while any account is missed or owed something, else a little more, and where most of them run nothing what these
-// would make as well: nobody is missed for want of engines there. What is found a quarter at a time alone refuses accounts
-// a part of what they demand, for seconds after their demand has begun, beside engines that run nothing.
-func (d *Demand) makes() float64 {
-	lacking := d.missed.average + d.owed()
-	if lacking > shortPart*d.started.average {
+// targetOutput returns the output to request from the engines, in tokens per second. While
+// requests within shares are missed or an account is served less than it is due, it is below
+// the recent output; otherwise it is somewhat above it. Where most engines run nothing, it
+// includes the output that these would add, because no request is then missed for lack of
+// engines. Growing by probeFactor alone would refuse part of a risen demand for seconds while
+// engines are idle.
+func (d *DemandEstimator) targetOutput() float64 {
+	lacking := d.missed.average + d.totalShortfall()
+	if lacking > toleratedMissFraction*d.started.average {
 		return d.started.average - missedWeight*lacking
 	}
-	if d.idle() {
-		return idleUsed / d.busy * d.started.average
+	if d.mostlyIdle() {
+		return idleUtilization / d.busyFraction * d.started.average
 	}
-	return probe * d.started.average
+	return probeFactor * d.started.average
 }
--- a/coordination/entitlement/marker.go
+++ b/coordination/entitlement/marker.go
@@ -2,31 +2,32 @@
 
 package entitlement
 
-// This file defines Marker, which marks a part of an account's requests.
+// This file defines Marker, which marks a fraction of an account's requests.
 
-// Marker marks a given part of an account's requests, by cost, as entitled. The
-// zero value is ready.
+// Marker marks a given fraction of an account's requests, weighted by cost, as entitled. The
+// zero value is ready to use.
 //
-// Each request adds its part to a credit and, if that covers half of its cost,
-// is entitled and uses its cost. What large requests add and cannot use serves
-// small ones, so the part holds for the sum of the costs, and small requests
-// are entitled before large ones.
+// Each request adds its fraction of its cost to a credit. If the credit covers half of the
+// request's cost, the request is entitled and its cost is deducted. Credit that a large
+// request adds but cannot use serves small ones, so the fraction holds for the sum of the
+// costs and small requests are entitled before large ones.
 type Marker struct {
 	credit  float64
-	largest float64 // cost seen lately
+	largest float64 // decaying maximum of the costs, which bounds the credit
 }
 
-// largestMemory is the part of the largest cost that is left after a request: half after 34.
-const largestMemory = 0.98
+// largestDecay is the fraction of largest that remains after each request; it halves in 34
+// requests.
+const largestDecay = 0.98
 
-// Mark reports whether a request of that cost is within the part.
-func (m *Marker) Mark(part, cost float64) bool {
-	if part >= 1 {
+// Mark reports whether a request of that cost falls within the fraction.
+func (m *Marker) Mark(fraction, cost float64) bool {
+	if fraction >= 1 {
 		m.credit = 0
 		return true
 	}
-	m.largest = max(cost, largestMemory*m.largest)
-	m.credit = min(m.credit+part*cost, m.largest)
+	m.largest = max(cost, largestDecay*m.largest)
+	m.credit = min(m.credit+fraction*cost, m.largest)
 	if m.credit < cost/2 {
 		return false
 	}
--- a/coordination/entitlement/marker_test.go
+++ b/coordination/entitlement/marker_test.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-// TestMarkerMarksThePart checks that what is marked as entitled is the part of
-// the cost, within a few of the largest requests, whatever the sizes.
+// TestMarkerMarksThePart checks that the marked cost is the given fraction of the total cost,
+// within a few of the largest requests, for any mix of sizes.
 func TestMarkerMarksThePart(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		const largest = 50000
@@ -27,7 +27,7 @@
 			}
 		}
 		if entitled > part*all+2*largest || entitled < 0.9*part*all-2*largest {
-			t.Fatalf("%.0f of %.0f entitled, part %.2f", entitled, all, part)
+			t.Fatalf("%.0f of %.0f tokens entitled, want a fraction of %.2f", entitled, all, part)
 		}
 	})
 }
@@ -38,5 +38,5 @@
 	for range 10 {
 		is.True(m.Mark(1, 5))
 	}
-	is.True(!m.Mark(0.1, 5)) // no credit was saved up meanwhile
+	is.True(!m.Mark(0.1, 5)) // no credit accumulates at fraction 1
 }
--- a/coordination/entitlement/queue_test.go
+++ b/coordination/entitlement/queue_test.go
@@ -9,53 +9,56 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines modelQueue, the connections that wait at a gateway of the model, and what the gateway
-// tells the leader of them.
+// This file defines modelQueue, the accept queue of a gateway in the model, and the estimate
+// of unaccepted demand that the gateway reports to the leader.
 
-// modelQueue is the kernel's queue of a gateway, and what looks at it show while connections are paced.
+// modelQueue is the kernel's accept queue of a gateway and the samples of its length that are
+// taken while the gateway paces connections.
 type modelQueue struct {
 	arrivals overload.Arrivals
 	waiting  int
-	came     int // connections of this step
-	taken    int // of these
+	arrived  int // connections that arrived in this step
+	accepted int // connections accepted in this step
 }
 
 const (
-	queueMost = 64 // connections that it holds
-	looks     = 4  // in a step
+	queueCapacity  = 64 // capacity in connections
+	samplesPerStep = 4  // samples per step
 )
 
-// step plays the queue of one step: connections come evenly, and are taken at its begin.
+// step simulates the queue for one step. Connections arrive evenly and are accepted at the
+// start of the step.
 func (q *modelQueue) step(now time.Duration, paced bool) {
-	came, taken := q.came, q.taken
-	q.came, q.taken = 0, 0
+	arrived, accepted := q.arrived, q.accepted
+	q.arrived, q.accepted = 0, 0
 	if !paced {
 		q.arrivals, q.waiting = overload.Arrivals{}, 0
 		return
 	}
-	for range taken {
+	for range accepted {
 		q.arrivals = q.arrivals.WithAccepted()
 	}
-	q.waiting = max(q.waiting-taken, 0)
-	for i := range looks {
-		q.waiting = min(q.waiting+came*(i+1)/looks-came*i/looks, queueMost)
-		q.arrivals = q.arrivals.WithSample(now+time.Duration(i+1)*step/looks, q.waiting, queueMost)
+	q.waiting = max(q.waiting-accepted, 0)
+	for i := range samplesPerStep {
+		q.waiting = min(q.waiting+arrived*(i+1)/samplesPerStep-arrived*i/samplesPerStep, queueCapacity)
+		q.arrivals = q.arrivals.WithSample(now+time.Duration(i+1)*step/samplesPerStep, q.waiting, queueCapacity)
 	}
 }
 
-// untaken returns the estimate since the last call.
-func (q *modelQueue) untaken(now time.Duration) (n int) {
+// unaccepted returns the estimated number of unaccepted connections since the last call.
+func (q *modelQueue) unaccepted(now time.Duration) (n int) {
 	n, q.arrivals = q.arrivals.Unaccepted(now)
 	return n
 }
 
-// unread estimates what is asked on connections that were not taken, as gateways do.
+// unread estimates the demand on unaccepted connections as gateways do, in proportion to the
+// requests that were read.
 func (g *modelGateway) unread(now time.Duration) (unread []protocol.Demand) {
-	untaken, read := g.queue.untaken(now), g.read
-	g.read = 0
+	unaccepted, read := g.queue.unaccepted(now), g.requestsRead
+	g.requestsRead = 0
 	for _, d := range g.report.Demands {
-		if untaken > 0 && read > 0 {
-			unread = append(unread, protocol.Demand{Account: d.Account, Tokens: d.Tokens * uint64(untaken) / uint64(read)})
+		if unaccepted > 0 && read > 0 {
+			unread = append(unread, protocol.Demand{Account: d.Account, Tokens: d.Tokens * uint64(unaccepted) / uint64(read)})
 		}
 	}
 	return unread
--- a/coordination/entitlement/rate.go
+++ b/coordination/entitlement/rate.go
@@ -7,71 +7,73 @@
 	"time"
 )
 
-// This file defines rate, an average of tokens a second that is smooth while little
-// changes and quick when much does.
+// This file defines rate, an average in tokens per second that is smooth under small changes
+// and responsive to large ones.
 //
-// One average cannot be both. With a time constant of 1.5 s an account whose flood began
-// was given 2.6 times its share for three seconds, and one whose flood ended got
-// two thirds of it for as long (docs/incidents/fair-kmo-mapa-grown.md); a time constant of
-// 300 ms alone follows every burst. So the slow average holds, but never further from the
-// fast one than a factor.
+// One exponential moving average cannot be both. With a time constant of 1.5 s, an account
+// whose flood begins is served 2.6 times its share for three seconds, and one whose flood
+// ends is served two thirds of it for as long (docs/incidents/fair-kmo-mapa-grown.md). A time
+// constant of 300 ms alone follows every burst. The slow average is therefore used, but kept
+// within a constant factor of the fast one.
 
-// Time constants and bound of an average. The first two are chosen; that with them
-// TestWhoWaitsGetsHalf holds is measured, and that it does not with the slow one alone.
+// Time constants of an average and the bound of its ratio. The slow average alone violates
+// the guarantee that TestWhoWaitsGetsHalf checks.
 const (
-	slowMemory = 1500 * time.Millisecond // smooth: some hundred requests of an account at its share
-	fastMemory = 300 * time.Millisecond  // quick: three reports
-	// band is how far the slow average may be from the fast one: above what chance does.
-	// 45 requests of 300 ms at a share of 400,000 tokens a second have a standard deviation
-	// of a third of their sum.
-	band = 1.5
+	slowTimeConstant = 1500 * time.Millisecond // some hundred requests of an account at its share
+	fastTimeConstant = 300 * time.Millisecond  // three reports
+	// maxFastRatio is the largest factor between the slow and the fast average. It must
+	// exceed random variation: 45 requests in 300 ms at a share of 400,000 tokens per second
+	// have a standard deviation of a third of their sum.
+	maxFastRatio = 1.5
 )
 
-// leastSpan is how much time an average must hold to be taken for what it says; one
-// over a shorter time is taken for less. Floods are known that soon after a change of leaders.
-const leastSpan = 300 * time.Millisecond
+// minSpan is the shortest time that an average must cover to be used unscaled; a shorter one
+// is scaled down. It is also how soon a new leader detects floods.
+const minSpan = 300 * time.Millisecond
 
-// weights say how much of an average is filled, 0 to 1: all begin at nothing, at the
-// same time.
+// weights holds the filled fraction of the slow and fast averages, 0 to 1. All averages start
+// empty at the same time.
 type weights struct{ slow, fast float64 }
 
-// settle returns the weights after some more time.
-func (w weights) settle(elapsed time.Duration) weights {
+// update returns the weights after elapsed time.
+func (w weights) update(elapsed time.Duration) weights {
 	return weights{
-		slow: decay(w.slow, 1, elapsed, slowMemory), fast: decay(w.fast, 1, elapsed, fastMemory),
+		slow: ewma(w.slow, 1, elapsed, slowTimeConstant), fast: ewma(w.fast, 1, elapsed, fastTimeConstant),
 	}
 }
 
-// full reports whether averages hold leastSpan.
-func (w weights) full() bool { return w.slow >= filled(leastSpan, slowMemory) }
+// coversMinSpan reports whether the averages cover at least minSpan.
+func (w weights) coversMinSpan() bool { return w.slow >= filledFraction(minSpan, slowTimeConstant) }
 
-// filled is the weight of an average over a span.
-func filled(span, memory time.Duration) float64 { return 1 - math.Exp(-float64(span)/float64(memory)) }
+// filledFraction returns how much of an average is filled after a span of samples.
+func filledFraction(span, timeConstant time.Duration) float64 {
+	return 1 - math.Exp(-float64(span)/float64(timeConstant))
+}
 
-// decay moves an average towards a value.
-func decay(average, value float64, elapsed, memory time.Duration) float64 {
-	return average + filled(elapsed, memory)*(value-average)
+// ewma returns the exponential moving average after value was observed for the elapsed time.
+func ewma(average, value float64, elapsed, timeConstant time.Duration) float64 {
+	return average + filledFraction(elapsed, timeConstant)*(value-average)
 }
 
-// rate is an averaged rate of tokens.
+// rate is an averaged token rate.
 type rate struct {
-	tokens     float64 // since the last settlement
-	slow, fast float64 // tokens a second, to be divided by their weights
-	average    float64 // tokens a second
+	tokens     float64 // since the last update
+	slow, fast float64 // tokens per second, not yet divided by their weights
+	average    float64 // tokens per second
 }
 
-// settle takes the tokens of the time elapsed into the average. w are the weights after it.
-func (r *rate) settle(elapsed time.Duration, w weights) {
-	r.fast = decay(r.fast, r.tokens/elapsed.Seconds(), elapsed, fastMemory)
-	r.settleSteady(elapsed, w)
-	fast := r.fast / max(w.fast, filled(leastSpan, fastMemory))
-	r.average = min(max(r.average, fast/band), fast*band)
-	r.slow = r.average * max(w.slow, filled(leastSpan, slowMemory))
+// update folds the tokens of the elapsed time into the average. w holds the weights after it.
+func (r *rate) update(elapsed time.Duration, w weights) {
+	r.fast = ewma(r.fast, r.tokens/elapsed.Seconds(), elapsed, fastTimeConstant)
+	r.updateSlow(elapsed, w)
+	fast := r.fast / max(w.fast, filledFraction(minSpan, fastTimeConstant))
+	r.average = min(max(r.average, fast/maxFastRatio), fast*maxFastRatio)
+	r.slow = r.average * max(w.slow, filledFraction(minSpan, slowTimeConstant))
 }
 
-// settleSteady is settle with the slow average alone, for what need not be followed.
-func (r *rate) settleSteady(elapsed time.Duration, w weights) {
-	r.slow = decay(r.slow, r.tokens/elapsed.Seconds(), elapsed, slowMemory)
-	r.average = r.slow / max(w.slow, filled(leastSpan, slowMemory))
+// updateSlow updates the slow average alone, for rates that need no fast response.
+func (r *rate) updateSlow(elapsed time.Duration, w weights) {
+	r.slow = ewma(r.slow, r.tokens/elapsed.Seconds(), elapsed, slowTimeConstant)
+	r.average = r.slow / max(w.slow, filledFraction(minSpan, slowTimeConstant))
 	r.tokens = 0
 }
--- a/coordination/entitlement/rates.go
+++ b/coordination/entitlement/rates.go
@@ -7,37 +7,36 @@
 	"slices"
 )
 
-// This file defines Rates, what the leader logs of its estimate.
+// This file defines Rates, the averages that the leader logs.
 
-// Rates are the averages that the entitlements follow from, for the log, in tokens a
-// second.
+// Rates holds the averages behind the entitlements, in tokens per second, for the log.
 type Rates struct {
-	Level, Extra    int64 // of the named rate, and of what the engines make
+	Level, Extra    int64 // max-min levels of the configured rate and of the engines' output
 	Started, Missed int64
-	Hold            int64          // bound of Extra by an account that gets too little; 0: none now
-	BusyFraction    float64        // part of the engines that run something; 0: not known
-	Accounts        []AccountRates // the largest demands first
+	Hold            int64          // cap on Extra for an underserved account; 0 means none now
+	BusyFraction    float64        // fraction of engines that run something; 0 means unknown
+	Accounts        []AccountRates // sorted by descending demand
 }
 
-// AccountRates are the averages of one account.
+// AccountRates holds the averages of one account, in tokens per second.
 type AccountRates struct {
 	Account        string
 	Demand, Served int64
-	Unread         int64 // estimate of what gateways have not read of it
+	Unread         int64 // estimated demand on connections that gateways have not read
 }
 
-// Rates returns the averages, with up to most of the accounts.
-func (d *Demand) Rates(most int) Rates {
+// Rates returns the averages, with at most limit accounts.
+func (d *DemandEstimator) Rates(limit int) Rates {
 	r := Rates{
-		Level: int64(d.level), Extra: int64(d.extra), Started: int64(d.started.average), Missed: int64(d.missed.average), BusyFraction: d.busy,
-		Hold: d.holding(),
+		Level: int64(d.level), Extra: int64(d.extraLevel), Started: int64(d.started.average), Missed: int64(d.missed.average), BusyFraction: d.busyFraction,
+		Hold: d.activeCap(),
 	}
 	for name, a := range d.accounts {
-		r.Accounts = append(r.Accounts, AccountRates{Account: name, Demand: int64(a.demand.average), Served: int64(a.given.average), Unread: int64(a.unread.average)})
+		r.Accounts = append(r.Accounts, AccountRates{Account: name, Demand: int64(a.demand.average), Served: int64(a.served.average), Unread: int64(a.unread.average)})
 	}
 	slices.SortFunc(r.Accounts, func(a, b AccountRates) int {
 		return cmp.Or(cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Account, b.Account))
 	})
-	r.Accounts = r.Accounts[:min(most, len(r.Accounts))]
+	r.Accounts = r.Accounts[:min(limit, len(r.Accounts))]
 	return r
 }
--- a/coordination/entitlement/served.go
+++ b/coordination/entitlement/served.go
@@ -8,40 +8,40 @@
 	"time"
 )
 
-// This file defines Served, what accounts were served lately, and the order in
-// which waiting requests go.
+// This file defines RecentService, the service that accounts received recently, and the order
+// in which waiting requests are served.
 
-// servedMemory is the time constant with which service is forgotten.
-const servedMemory = 4 * time.Second
+// serviceTimeConstant is the time constant with which past service decays.
+const serviceTimeConstant = 4 * time.Second
 
-// RecentService holds for each account a decaying sum of the tokens that it was
-// served. An account that is not in it was served nothing.
-type RecentService map[string]servedSum
+// RecentService holds an exponentially decaying sum of the tokens that each account was
+// served. An account without an entry was served nothing.
+type RecentService map[string]serviceSum
 
-type servedSum struct {
-	tokens float64
-	at     time.Duration // when tokens was right
+type serviceSum struct {
+	tokens    float64
+	updatedAt time.Duration // time of the last update of tokens
 }
 
 // Add counts tokens that an account is served from now on.
 func (s RecentService) Add(now time.Duration, account string, tokens float64) {
-	s[account] = servedSum{tokens: s.recent(now, account) + tokens, at: now}
+	s[account] = serviceSum{tokens: s.recent(now, account) + tokens, updatedAt: now}
 }
 
 func (s RecentService) recent(now time.Duration, account string) float64 {
 	sum := s[account]
-	return sum.tokens * math.Exp(-float64(now-sum.at)/float64(servedMemory))
+	return sum.tokens * math.Exp(-float64(now-sum.updatedAt)/float64(serviceTimeConstant))
 }
 
-// WaitingRequest is what decides the place of a waiting request.
+// WaitingRequest holds the attributes that determine a waiting request's place in the order.
 type WaitingRequest struct {
 	Class    Class
-	Priority int // by [Priority]
+	Priority int // from [Priority]
 	Account  string
 }
 
-// Compare orders waiting requests: by class, then by priority, then the account
-// that was served least lately. Equal requests go in the order of their arrival.
+// Compare orders waiting requests by class, then by priority, then by the least recent
+// service of their accounts. Equal requests are served in arrival order.
 func (s RecentService) Compare(now time.Duration, a, b WaitingRequest) int {
 	if c := cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(a.Priority, b.Priority)); c != 0 {
 		return c
@@ -49,10 +49,10 @@
 	return cmp.Compare(s.recent(now, a.Account), s.recent(now, b.Account))
 }
 
-// priorityScale is above every priority of a route, so that the account's comes
-// first. Chosen; documents are not checked for it.
+// priorityScale exceeds every route priority, so that the account's priority dominates.
+// Documents are not validated against it.
 const priorityScale = 1000
 
-// Priority joins the priorities of a request's account and route. 0 is the most
-// urgent.
+// Priority combines the priorities of a request's account and route into one number. 0 is the
+// most urgent.
 func Priority(account, route int) int { return account*priorityScale + route }
--- a/coordination/entitlement/served_test.go
+++ b/coordination/entitlement/served_test.go
@@ -17,11 +17,11 @@
 		name          string
 		first, second WaitingRequest
 	}{
-		{"within the share before beyond the named one", WaitingRequest{Class: Entitled, Priority: 9}, WaitingRequest{Class: Extra}},
-		{"beyond the named share before beyond every one", WaitingRequest{Class: Extra, Priority: 9}, WaitingRequest{Class: Beyond}},
+		{"entitled before extra", WaitingRequest{Class: Entitled, Priority: 9}, WaitingRequest{Class: Extra}},
+		{"extra before beyond", WaitingRequest{Class: Extra, Priority: 9}, WaitingRequest{Class: Beyond}},
 		{"priority", WaitingRequest{Priority: 1, Account: "busy"}, WaitingRequest{Priority: 2, Account: "idle"}},
 		{"the account's priority before the route's", WaitingRequest{Priority: Priority(1, 9)}, WaitingRequest{Priority: Priority(2, 0)}},
-		{"the account that was served least", WaitingRequest{Account: "idle"}, WaitingRequest{Account: "busy"}},
+		{"the account with less recent service", WaitingRequest{Account: "idle"}, WaitingRequest{Account: "busy"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -36,6 +36,6 @@
 	is := is.New(t)
 	served := RecentService{}
 	served.Add(time.Second, "a", 1000)
-	served.Add(time.Second+servedMemory, "a", 500)
-	is.True(math.Abs(served.recent(time.Second+servedMemory, "a")-(1000/math.E+500)) < 1e-6)
+	served.Add(time.Second+serviceTimeConstant, "a", 500)
+	is.True(math.Abs(served.recent(time.Second+serviceTimeConstant, "a")-(1000/math.E+500)) < 1e-6)
 }
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -99,7 +99,7 @@
 	caches   [2 * sideEngines][]string // oldest first
 	events   sideEvents
 	waiting  []sideWaiter
-	leader   *entitlement.Demand
+	leader   *entitlement.DemandEstimator
 	classes  [2 * sideGateways]*entitlement.Classifier
 	usage    [2 * sideGateways]map[string][2]uint64 // demanded, served
 	missed   uint64
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -34,7 +34,7 @@
 type sharedAccounts struct {
 	rng        *rand.Rand
 	now        time.Duration
-	leader     *entitlement.Demand
+	leader     *entitlement.DemandEstimator
 	classifier *entitlement.Classifier
 	report     protocol.Usage
 	later      map[time.Duration][]refusedOnce
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -14,7 +14,7 @@
 type usage struct {
 	loads  map[*session][]protocol.ServerLoad // as last reported
 	total  []protocol.ServerLoad              // of all sessions, ordered by handle
-	demand *entitlement.Demand
+	demand *entitlement.DemandEstimator
 }
 
 func newUsage() *usage {
