--- a/coordination/share/example_test.go
+++ b/coordination/share/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 )
 
-// Two accounts wait; the one with three times the share gets three of four
-// requests.
+// Two accounts have waiting requests. The one with three times the share is served three of
+// four requests.
 func ExampleQueue() {
 	q := share.NewQueue(share.Limits{})
 	q.SetAccount("large", 3, share.Limits{})
@@ -30,8 +30,8 @@
 	// Output: large small large large large small large large
 }
 
-// An estimate is charged at the start, more when the request goes beyond it,
-// and the difference is settled at the end.
+// An estimate is charged at the start, more when the request exceeds it, and the difference
+// is settled at the end.
 func ExampleMeter() {
 	var m share.Meter
 	fmt.Println(m.Start(100), m.Progress(80), m.Progress(130), m.Finish(120))
--- a/coordination/share/flow.go
+++ b/coordination/share/flow.go
@@ -8,32 +8,32 @@
 	"github.com/badgerspoke/badgerspoke/internal/pq"
 )
 
-// This file defines flows, the first-in first-out lists of one user's requests
-// inside an account.
+// This file defines flows, the first-in, first-out lists of one user's requests within an
+// account.
 
-// maxFlows bounds the idle flows that one account is remembered for: users are named by callers, who
-// may name any number.
+// maxFlows limits the idle flows kept per account. Callers name the users and may name any
+// number of them.
 const maxFlows = 1024
 
-// flow is the waiting requests of one user or class of an account.
+// flow holds the waiting requests of one user or class of an account.
 type flow struct {
 	name    string
-	time    float64   // cost charged to the flow
-	tickets list.List // of *Ticket, oldest first
-	index   int       // in account.busy
+	cost    float64   // cost charged to the flow; its virtual time
+	tickets list.List // elements are *Ticket, oldest first
+	index   int       // index in account.busy
 }
 
-// oldest returns the ticket that goes next. The flow is not empty.
+// oldest returns the flow's first ticket. The flow must not be empty.
 func (f *flow) oldest() *Ticket { return f.tickets.Front().Value.(*Ticket) }
 
-// earlierFlow is a total order, so that a run can be repeated.
+// earlierFlow is a total order, which makes runs reproducible.
 func earlierFlow(a, b *flow) bool {
-	return a.time < b.time || (a.time == b.time && a.name < b.name)
+	return a.cost < b.cost || (a.cost == b.cost && a.name < b.name)
 }
 
-// link appends a ticket to its flow. A flow that was idle is raised to the
-// lowest of the others, so that idle time earns it no credit.
-func (q *Queue) link(t *Ticket) {
+// enqueue appends a ticket to its flow. A flow that was idle is raised to the lowest cost
+// among the busy flows, so that idle time earns no credit.
+func (q *Queue) enqueue(t *Ticket) {
 	a := t.account
 	f := a.flows[t.Flow]
 	if f == nil {
@@ -41,10 +41,10 @@
 		a.flows[t.Flow] = f
 	}
 	t.flow = f
-	t.place = f.tickets.PushBack(t)
+	t.element = f.tickets.PushBack(t)
 	if !a.busy.Has(f) {
 		if a.busy.Len() > 0 {
-			f.time = max(f.time, a.busy.Min().time)
+			f.cost = max(f.cost, a.busy.Min().cost)
 		}
 		a.busy.Set(f)
 	}
@@ -54,13 +54,12 @@
 	q.bytes += t.Bytes
 }
 
-// unlink removes a ticket from its flow. An empty flow is forgotten once no
-// other waits, or there are too many: until then its time is the memory of how
-// far it is ahead.
-func (q *Queue) unlink(t *Ticket) {
+// dequeue removes a ticket from its flow. An empty flow is kept, because its cost records how
+// far it is ahead, until no other flow waits or there are too many.
+func (q *Queue) dequeue(t *Ticket) {
 	a, f := t.account, t.flow
-	f.tickets.Remove(t.place)
-	t.place = nil
+	f.tickets.Remove(t.element)
+	t.element = nil
 	a.waiting--
 	a.bytes -= t.Bytes
 	q.waiting--
@@ -72,7 +71,7 @@
 	}
 	a.busy.Remove(f)
 	if a.busy.Len() == 0 {
-		clear(a.flows) // no flow is behind: the differences between flows end
+		clear(a.flows) // no flow is waiting, so leads over other flows are dropped
 	} else if len(a.flows) > maxFlows {
 		delete(a.flows, f.name)
 	}
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -12,84 +12,81 @@
 	"github.com/badgerspoke/badgerspoke/internal/pq"
 )
 
-// This file defines Queue, the waiting work of one pool on one router: how
-// requests come and leave, and which one goes next. What the queue exchanges
-// with the allocator is in report.go.
+// This file defines Queue, the waiting requests of one pool on one router: how they are added
+// and removed, and which is served next. The exchange with the allocator is in report.go.
 
-// Request is the part of a request that the queue works with.
+// Request holds the properties of a request that the queue uses.
 type Request struct {
 	Account  string
-	Flow     string // user or class inside the account; empty is a flow too
+	Flow     string // user or class within the account; empty is a flow too
 	Bytes    int64
-	Deadline time.Duration // when waiting ends; 0 is never
-	Value    any           // the caller's own
+	Deadline time.Duration // time when waiting ends; 0 means never
+	Value    any           // not interpreted
 }
 
-// Limits bound what one account, or all of a queue, may hold. Zero is no limit.
+// Limits bounds what one account, or a whole queue, may hold. Zero means unlimited.
 type Limits struct {
-	Waiting int   // requests
-	Bytes   int64 // of their bodies
-	Running int   // requests; of accounts only
+	Waiting int   // waiting requests
+	Bytes   int64 // bytes of their bodies
+	Running int   // running requests; for accounts only
 }
 
 // Ticket is one waiting request.
 type Ticket struct {
 	Request
-	account  *account
-	flow     *flow
-	place    *list.Element // in flow.tickets; nil once it does not wait any more
-	deadline int           // place in Queue.deadlines
-	seq      uint64
+	account       *account
+	flow          *flow
+	element       *list.Element // position in flow.tickets; nil once no longer waiting
+	deadlineIndex int           // index in Queue.deadlines
+	seq           uint64
 }
 
-// Queue orders waiting requests. Pushing, starting, charging and cancelling
-// cost O(log n) in the accounts of the queue, the flows of the account and
-// the requests with a deadline.
+// Queue orders waiting requests. Pushing, starting, charging and cancelling cost O(log n) in
+// the number of accounts, flows of the account and requests with a deadline.
 type Queue struct {
-	accounts  map[string]*account
-	ready     *pq.Queue[*account] // accounts with waiting work below their running limit
-	deadlines *pq.Queue[*Ticket]
-	pushed    uint64 // tickets so far
-	lift      float64
-	waiting   int
-	bytes     int64
-	total     Limits // of the router, over all accounts
-	changed   map[string]*account
+	accounts    map[string]*account
+	ready       *pq.Queue[*account] // accounts with waiting requests below their running limit
+	deadlines   *pq.Queue[*Ticket]
+	ticketCount uint64 // number of tickets created
+	lift        float64
+	waiting     int
+	bytes       int64
+	totalLimits Limits // of the router, over all accounts
+	changed     map[string]*account
 }
 
-// account is one account on this router.
+// account is the state of one account on this router.
 type account struct {
-	name    string
-	share   float64
-	limits  Limits
-	time    float64 // virtual time
-	flows   map[string]*flow
-	busy    *pq.Queue[*flow] // flows with waiting requests
-	waiting int
-	bytes   int64
-	running int
-	index   int // in Queue.ready
+	name        string
+	share       float64
+	limits      Limits
+	virtualTime float64 // fleet-wide cost divided by the share
+	flows       map[string]*flow
+	busy        *pq.Queue[*flow] // flows with waiting requests
+	waiting     int
+	bytes       int64
+	running     int
+	index       int // index in Queue.ready
 
-	unsent   float64    // cost charged since the last report
-	started  int        // requests started since the last report
-	reported int        // waiting requests in the last report, less those started since
-	sent     []sentPart // reported, not yet in a fleet-wide time
+	unreportedCost     float64      // cost charged since the last report
+	startedSinceReport int          // requests started since the last report
+	reportedWaiting    int          // waiting requests in the last report, less those started since
+	sentCharges        []sentCharge // reported charges not yet included in a fleet-wide virtual time
 }
 
-// NewQueue returns an empty queue with limits over all accounts.
-func NewQueue(total Limits) *Queue {
+// NewQueue returns an empty queue. totalLimits bounds all accounts together.
+func NewQueue(totalLimits Limits) *Queue {
 	return &Queue{
-		accounts: map[string]*account{}, total: total, changed: map[string]*account{},
+		accounts: map[string]*account{}, totalLimits: totalLimits, changed: map[string]*account{},
 		ready:     pq.New(earlierAccount, func(a *account) *int { return &a.index }),
-		deadlines: pq.New(earlierDeadline, func(t *Ticket) *int { return &t.deadline }),
+		deadlines: pq.New(earlierDeadline, func(t *Ticket) *int { return &t.deadlineIndex }),
 	}
 }
 
-// The orders are total, by name or number where times are equal, so that a run
-// can be repeated.
+// The orders are total, by name or number at equal times, which makes runs reproducible.
 
 func earlierAccount(a, b *account) bool {
-	return a.time < b.time || (a.time == b.time && a.name < b.name)
+	return a.virtualTime < b.virtualTime || (a.virtualTime == b.virtualTime && a.name < b.name)
 }
 
 func earlierDeadline(a, b *Ticket) bool {
@@ -100,7 +97,7 @@
 func (q *Queue) SetAccount(name string, share float64, l Limits) {
 	a := q.accounts[name]
 	if a == nil {
-		a = &account{name: name, flows: map[string]*flow{}, index: pq.Absent, time: q.lift}
+		a = &account{name: name, flows: map[string]*flow{}, index: pq.Absent, virtualTime: q.lift}
 		a.busy = pq.New(earlierFlow, func(f *flow) *int { return &f.index })
 		q.accounts[name] = a
 	}
@@ -108,28 +105,28 @@
 	q.reorder(a)
 }
 
-// RemoveAccount forgets an account and returns its waiting requests.
+// RemoveAccount removes an account and returns its waiting requests.
 func (q *Queue) RemoveAccount(name string) []*Ticket {
 	a := q.accounts[name]
 	if a == nil {
 		return nil
 	}
-	dropped := q.drop(a)
+	dropped := q.dropAccount(a)
 	delete(q.accounts, name)
 	delete(q.changed, name)
 	return dropped
 }
 
-// DropAll removes and returns everything that waits, in the order of accounts.
+// DropAll removes and returns all waiting requests, ordered by account name.
 func (q *Queue) DropAll() []*Ticket {
 	var dropped []*Ticket
 	for _, name := range sortedNames(q.accounts) {
-		dropped = append(dropped, q.drop(q.accounts[name])...)
+		dropped = append(dropped, q.dropAccount(q.accounts[name])...)
 	}
 	return dropped
 }
 
-func (q *Queue) drop(a *account) []*Ticket {
+func (q *Queue) dropAccount(a *account) []*Ticket {
 	var dropped []*Ticket
 	for a.waiting > 0 {
 		t := a.busy.Min().oldest()
@@ -139,50 +136,50 @@
 	return dropped
 }
 
-// Push adds a request. An account that becomes backlogged is lifted. The error
-// is [QueueFullError] or [UnknownAccountError].
+// Push adds a request. An account that becomes backlogged is raised to the lift. The error is
+// [QueueFullError] or [UnknownAccountError].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
 		return nil, UnknownAccountError{Account: r.Account}
 	}
-	if err := q.checkRoom(a, r.Bytes); err != nil {
+	if err := q.checkLimits(a, r.Bytes); err != nil {
 		return nil, err
 	}
 	if a.waiting == 0 && a.running == 0 {
-		a.time = max(a.time, q.lift)
+		a.virtualTime = max(a.virtualTime, q.lift)
 	}
-	q.pushed++
-	t := &Ticket{Request: r, account: a, deadline: pq.Absent, seq: q.pushed}
-	q.link(t)
+	q.ticketCount++
+	t := &Ticket{Request: r, account: a, deadlineIndex: pq.Absent, seq: q.ticketCount}
+	q.enqueue(t)
 	if r.Deadline > 0 {
 		q.deadlines.Set(t)
 	}
-	q.touch(a)
+	q.markChanged(a)
 	return t, nil
 }
 
-func (q *Queue) checkRoom(a *account, bytes int64) error {
+func (q *Queue) checkLimits(a *account, bytes int64) error {
 	switch {
 	case a.limits.Waiting > 0 && a.waiting >= a.limits.Waiting:
 		return QueueFullError{Account: a.name, Limit: "waiting requests of the account", Max: int64(a.limits.Waiting)}
 	case a.limits.Bytes > 0 && a.bytes+bytes > a.limits.Bytes:
 		return QueueFullError{Account: a.name, Limit: "waiting bytes of the account", Max: a.limits.Bytes}
-	case q.total.Waiting > 0 && q.waiting >= q.total.Waiting:
-		return QueueFullError{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.total.Waiting)}
-	case q.total.Bytes > 0 && q.bytes+bytes > q.total.Bytes:
-		return QueueFullError{Account: a.name, Limit: "waiting bytes of the router", Max: q.total.Bytes}
+	case q.totalLimits.Waiting > 0 && q.waiting >= q.totalLimits.Waiting:
+		return QueueFullError{Account: a.name, Limit: "waiting requests of the router", Max: int64(q.totalLimits.Waiting)}
+	case q.totalLimits.Bytes > 0 && q.bytes+bytes > q.totalLimits.Bytes:
+		return QueueFullError{Account: a.name, Limit: "waiting bytes of the router", Max: q.totalLimits.Bytes}
 	}
 	return nil
 }
 
-// Cancel removes a request that is still waiting and reports whether it was.
+// Cancel removes a request if it is still waiting, and reports whether it was.
 func (q *Queue) Cancel(t *Ticket) bool {
-	if t.place == nil {
+	if t.element == nil {
 		return false
 	}
-	q.unlink(t)
-	q.touch(t.account)
+	q.dequeue(t)
+	q.markChanged(t.account)
 	return true
 }
 
@@ -200,55 +197,55 @@
 // Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// Next returns the request that goes next and the virtual time of its account:
-// the oldest request of the flow that has received least, of the account with
-// the lowest virtual time among those below their running limit. If there is
-// none, it returns nil and +Inf.
-func (q *Queue) Next() (t *Ticket, time float64) {
+// Next returns the request to serve next and the virtual time of its account. Among accounts
+// below their running limit it selects the one with the lowest virtual time, and of that
+// account the oldest request of the flow that has received least. If there is none, it
+// returns nil and +Inf.
+func (q *Queue) Next() (t *Ticket, virtualTime float64) {
 	if q.ready.Len() == 0 {
 		return nil, math.Inf(1)
 	}
 	a := q.ready.Min()
-	return a.busy.Min().oldest(), a.time
+	return a.busy.Min().oldest(), a.virtualTime
 }
 
-// Start removes a waiting request to run it and charges the estimate.
+// Start removes a waiting request from the queue to run it, and charges the estimate.
 func (q *Queue) Start(t *Ticket, estimate float64) {
 	a := t.account
-	t.flow.time += estimate // before unlink, which reorders the flow
-	q.unlink(t)
+	t.flow.cost += estimate // before dequeue, which reorders the flow
+	q.dequeue(t)
 	a.running++
-	a.started++
-	a.reported--
+	a.startedSinceReport++
+	a.reportedWaiting--
 	q.Charge(a.name, estimate)
 }
 
 // Charge adds cost, which may be negative, to an account.
 func (q *Queue) Charge(name string, cost float64) {
 	if a := q.accounts[name]; a != nil {
-		a.time += cost / a.share
-		a.unsent += cost
-		q.touch(a)
+		a.virtualTime += cost / a.share
+		a.unreportedCost += cost
+		q.markChanged(a)
 	}
 }
 
-// Finish counts the end of a started request of the account.
+// Finish records the end of a started request of the account.
 func (q *Queue) Finish(name string) {
 	if a := q.accounts[name]; a != nil {
 		a.running = max(a.running-1, 0)
-		q.touch(a)
+		q.markChanged(a)
 	}
 }
 
-// touch marks the account as changed for the next report and reorders it.
-func (q *Queue) touch(a *account) {
+// markChanged marks the account as changed for the next report and reorders it.
+func (q *Queue) markChanged(a *account) {
 	if q.accounts[a.name] == a {
 		q.changed[a.name] = a
 	}
 	q.reorder(a)
 }
 
-// reorder puts the account where it belongs among those that may go next.
+// reorder updates the account's place among those that may be served next.
 func (q *Queue) reorder(a *account) {
 	if a.waiting > 0 && (a.limits.Running == 0 || a.running < a.limits.Running) {
 		q.ready.Set(a)
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -56,7 +56,7 @@
 	}
 	is.Equal(got["a"], 30)
 	is.Equal(got["b"], 10)
-	q.SetAccount("b", 3, Limits{}) // a change of share counts from now on
+	q.SetAccount("b", 3, Limits{}) // a change of share affects later charges only
 	clear(got)
 	for range 40 {
 		got[next(q, 10)]++
@@ -72,7 +72,7 @@
 	}
 	push(t, q, Request{Account: "a", Flow: "quiet", Value: "quiet"})
 	is.Equal(next(q, 5), "loud")
-	is.Equal(next(q, 5), "quiet") // not behind all of loud's
+	is.Equal(next(q, 5), "quiet") // not after all requests of loud
 }
 
 func TestFlowsAreBounded(t *testing.T) {
@@ -91,8 +91,8 @@
 		name  string
 		limit Limits
 		total Limits
-		push  []int64 // bytes
-		want  string  // the limit that the last one meets
+		push  []int64 // bytes per request
+		want  string  // the limit that the last request exceeds
 	}{
 		{"count of the account", Limits{Waiting: 2}, Limits{}, []int64{1, 1, 1}, "waiting requests of the account"},
 		{"bytes of the account", Limits{Bytes: 10}, Limits{}, []int64{6, 5}, "waiting bytes of the account"},
@@ -118,7 +118,7 @@
 	}
 	_, err := NewQueue(Limits{}).Push(Request{Account: "x"})
 	if !errors.As(err, new(UnknownAccountError)) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("pushing for an unknown account: got error %v", err)
 	}
 }
 
@@ -131,9 +131,9 @@
 	none, _ := q.Next()
 	is.Equal(none, nil)
 	q.Finish("a")
-	then, _ := q.Next()
-	is.Equal(then, second)
-	is.True(second.place != nil)
+	resumed, _ := q.Next()
+	is.Equal(resumed, second)
+	is.True(second.element != nil)
 }
 
 func TestDeadlinesAndCancelling(t *testing.T) {
@@ -144,10 +144,10 @@
 	never := push(t, q, Request{Account: "a"})
 	is.Equal(q.Expire(2*time.Second), []*Ticket{soon})
 	is.True(q.Cancel(late))
-	is.True(!q.Cancel(late)) // once
+	is.True(!q.Cancel(late)) // a second time
 	is.Equal(len(q.Expire(time.Hour)), 0)
 	is.Equal(q.Waiting(), 1)
-	is.True(never.place != nil)
+	is.True(never.element != nil)
 }
 
 func TestMeterSettlesWhatWasCharged(t *testing.T) {
@@ -159,25 +159,25 @@
 			cost += rapid.Float64Range(0, 500).Draw(t, "step")
 			total += m.Progress(cost)
 			if total < cost-1e-6 {
-				t.Fatalf("charged %v for %v", total, cost)
+				t.Fatalf("charged %v for a cost of %v so far", total, cost)
 			}
 		}
 		final := rapid.Float64Range(0, 3000).Draw(t, "final")
 		total += m.Finish(final)
 		if d := total - final; d > 1e-6 || d < -1e-6 {
-			t.Fatalf("charged %v in the end for %v", total, final)
+			t.Fatalf("charged %v in total for a final cost of %v", total, final)
 		}
 	})
 }
 
-// TestFleetTimesAddUp lets reports and fleet-wide times cross in every order:
-// after everything has arrived, the router's time is the allocator's.
+// TestFleetTimesAddUp interleaves reports and fleet-wide virtual times in random orders.
+// After all have arrived, the router's virtual time must equal the allocator's.
 func TestFleetTimesAddUp(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		q := queueOf(map[string]float64{"a": 2})
 		var arrived, seq uint64
 		allocator := 0.0
-		var flying []protocol.AccountReport
+		var inFlight []protocol.AccountReport
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
@@ -185,31 +185,30 @@
 			case 1:
 				if c := q.TakeChanges(seq + 1); len(c) > 0 {
 					seq++
-					flying = append(flying, c...)
+					inFlight = append(inFlight, c...)
 				}
 			case 2:
-				if len(flying) > 0 {
-					allocator += flying[0].Service / 2
-					flying = flying[1:]
+				if len(inFlight) > 0 {
+					allocator += inFlight[0].Service / 2
+					inFlight = inFlight[1:]
 					arrived++
 				}
 				q.SetVirtualTime("a", allocator, arrived)
 			}
 		}
-		flying = append(flying, q.TakeChanges(seq+1)...)
-		for _, c := range flying {
+		inFlight = append(inFlight, q.TakeChanges(seq+1)...)
+		for _, c := range inFlight {
 			allocator += c.Service / 2
 			arrived++
 		}
 		q.SetVirtualTime("a", allocator, arrived)
-		if d := q.accounts["a"].time - allocator; d > 0.1 || d < -0.1 { // what rounding holds back
-			t.Fatalf("router has %v, allocator %v", q.accounts["a"].time, allocator)
+		if d := q.accounts["a"].virtualTime - allocator; d > 0.1 || d < -0.1 { // the unreported remainder of rounding
+			t.Fatalf("router has virtual time %v, allocator %v", q.accounts["a"].virtualTime, allocator)
 		}
 	})
 }
 
-// BenchmarkQueue gives the cost of one operation with 5,800 accounts and
-// 100,000 waiting requests.
+// BenchmarkQueue measures single operations with 5,800 accounts and 100,000 waiting requests.
 func BenchmarkQueue(b *testing.B) {
 	q := NewQueue(Limits{})
 	const accounts, waiting = 5800, 100_000
