--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -1,24 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package claim keeps the register that makes a keyed request run at most
-// once in the whole fleet.
+// Package claim implements the register that makes a request with an idempotency key run at
+// most once in the whole fleet.
 //
-// The model: a request is named by its account and its idempotency key. Just
-// before a router dispatches it, the router claims the name; the register
-// grants each name once. The claim is settled with the outcome: ran (with the
-// answer when it is small), released (it did not run, so the name is
-// free again), or unknown. When a router's lease has run out, its unsettled claims
-// become unknown, and a resend gets that answer: the request may have run.
+// A request is named by its account and its idempotency key. Just before a router dispatches
+// it, the router claims the name, and the register grants each name once. The router settles
+// the claim with the outcome: ran (with the answer if it is small), released (the request did
+// not run, so the name is free again), or unknown. When a router's lease has expired, its
+// unsettled claims become unknown, and a resent request is answered that the original may
+// have run.
 //
-// The package owns the claims and their answers; package control proposes the
-// commands and orphans the claims of a router whose lease has run out.
+// The package owns the claims and their answers. Package control proposes the commands and
+// orphans the claims of a router whose lease has expired.
 //
-// A [Register] is a state machine driven by a replicated log. It reads no
-// clock: commands carry the time of the leader that proposed them, and the
-// register's own time is the highest seen, so that every replica forgets the
-// same claims at the same place of the log. A claim is forgotten [RetentionMillis]
-// after it was settled; a resend later than that runs again. A claim that is
-// still running is not forgotten.
+// A [Register] is a state machine driven by a replicated log. It reads no clock: commands
+// carry the time of the leader that proposed them, and the register's own time is the highest
+// one so far, so every replica drops the same claims at the same position of the log. A claim
+// is dropped [RetentionMillis] after it was settled; a request resent later runs again. A
+// claim that is still running is never dropped.
 package claim
 
 import (
@@ -31,17 +30,17 @@
 
 // This file defines Register and its commands.
 
-// RetentionMillis is how long a settled claim is remembered, in milliseconds: a day, as docs/CALLERS.md
-// promises. A remembered claim takes 311 B (BenchmarkClaimMemory).
+// RetentionMillis is how long a settled claim is kept, in milliseconds: one day, as
+// documented in docs/CALLERS.md. A claim takes 311 B of memory (BenchmarkClaimMemory).
 const RetentionMillis = 24 * 60 * 60 * 1000
 
-// MaxAnswerBytes is the largest answer that is kept, in bytes of its body (docs/CALLERS.md).
+// MaxAnswerBytes is the size of the largest answer body that is kept (docs/CALLERS.md).
 const MaxAnswerBytes = 16 << 10
 
-// MaxKeyBytes bounds an idempotency key, in bytes (docs/CALLERS.md).
+// MaxKeyBytes is the maximum length of an idempotency key (docs/CALLERS.md).
 const MaxKeyBytes = 255
 
-// Holder is a process that may hold claims.
+// Holder identifies a process that may hold claims.
 type Holder struct {
 	Router string `cbor:"1,keyasint"`
 	Boot   uint64 `cbor:"2,keyasint"`
@@ -57,8 +56,8 @@
 	Orphan bool `cbor:"5,keyasint,omitempty"`
 }
 
-// name identifies a keyed request.
-type name struct{ account, key string }
+// claimName identifies a request with an idempotency key.
+type claimName struct{ account, key string }
 
 // entry is one claim.
 type entry struct {
@@ -69,30 +68,30 @@
 	Attempt uint64              `cbor:"5,keyasint"`
 	State   protocol.ClaimState `cbor:"6,keyasint"` // ClaimRunning, ClaimRan or ClaimUnknown
 	Answer  *protocol.Answer    `cbor:"7,keyasint,omitempty"`
-	Settled int64               `cbor:"8,keyasint,omitempty"` // when, by Register.millis
+	Settled int64               `cbor:"8,keyasint,omitempty"` // time of settlement, by Register.millis
 
-	place *list.Element // in Register.settled
+	element *list.Element // position in Register.settled; nil while running
 }
 
 // Register is the state machine. It is not safe for concurrent use.
 type Register struct {
 	millis  int64 // highest time of a command so far, Unix time in milliseconds
-	entries map[name]*entry
-	settled list.List // entries in the order of their settling
-	// OnSettled, if set, is called whenever a claim is no longer running.
+	entries map[claimName]*entry
+	settled list.List // elements are *entry, in settlement order
+	// OnSettled, if set, is called whenever a claim stops running.
 	OnSettled func(account, key string, c protocol.Claimed)
 }
 
 // New returns an empty register.
-func New() *Register { return &Register{entries: map[name]*entry{}} }
+func New() *Register { return &Register{entries: map[claimName]*entry{}} }
 
-// Len returns the number of claims remembered.
+// Len returns the number of claims kept.
 func (r *Register) Len() int { return len(r.entries) }
 
 // Apply applies a command and returns the answer to its proposer.
 func (r *Register) Apply(c Command) protocol.Claimed {
 	r.millis = max(r.millis, c.Millis)
-	r.forgetOld()
+	r.dropExpired()
 	switch {
 	case c.Claim != nil:
 		return r.claim(c.Holder, *c.Claim)
@@ -106,7 +105,7 @@
 
 // Lookup returns the state and answer of a claim without making one.
 func (r *Register) Lookup(account, key string) (protocol.Claimed, bool) {
-	e := r.entries[name{account, key}]
+	e := r.entries[claimName{account, key}]
 	if e == nil {
 		return protocol.Claimed{}, false
 	}
@@ -114,7 +113,7 @@
 }
 
 func (r *Register) claim(h Holder, c protocol.Claim) protocol.Claimed {
-	n := name{c.Account, c.Key}
+	n := claimName{c.Account, c.Key}
 	e := r.entries[n]
 	if e == nil {
 		r.entries[n] = &entry{
@@ -127,15 +126,15 @@
 		return protocol.Claimed{Call: c.Call, State: protocol.ClaimMismatch}
 	}
 	if e.State == protocol.ClaimRunning && e.Holder == h && e.Attempt == c.Attempt {
-		return protocol.Claimed{Call: c.Call, State: protocol.ClaimGranted} // its first answer was lost
+		return protocol.Claimed{Call: c.Call, State: protocol.ClaimGranted} // a repeated command, because its first answer was lost
 	}
 	return protocol.Claimed{Call: c.Call, State: e.State, Answer: e.Answer}
 }
 
-// settle takes the outcome from the holder. A late outcome of a claim that
-// became unknown meanwhile replaces it, for the holder saw how the request ended.
+// settle records the outcome that the holder reports. A late outcome replaces the state
+// unknown, because the holder observed how the request ended.
 func (r *Register) settle(h Holder, s protocol.Settle) protocol.Claimed {
-	e := r.entries[name{s.Account, s.Key}]
+	e := r.entries[claimName{s.Account, s.Key}]
 	if e == nil || e.Holder != h || e.Attempt != s.Attempt || e.State == protocol.ClaimRan {
 		return protocol.Claimed{Call: s.Call, State: s.State}
 	}
@@ -144,9 +143,9 @@
 		r.remove(e)
 		r.notify(e, s.State)
 	case s.Answer != nil && len(s.Answer.Body) <= MaxAnswerBytes:
-		r.finish(e, s.State, s.Answer)
+		r.markSettled(e, s.State, s.Answer)
 	default:
-		r.finish(e, s.State, nil)
+		r.markSettled(e, s.State, nil)
 	}
 	return protocol.Claimed{Call: s.Call, State: s.State}
 }
@@ -154,17 +153,17 @@
 func (r *Register) orphan(h Holder) {
 	for _, e := range r.entries {
 		if e.Holder == h && e.State == protocol.ClaimRunning {
-			r.finish(e, protocol.ClaimUnknown, nil)
+			r.markSettled(e, protocol.ClaimUnknown, nil)
 		}
 	}
 }
 
-func (r *Register) finish(e *entry, state protocol.ClaimState, a *protocol.Answer) {
+func (r *Register) markSettled(e *entry, state protocol.ClaimState, a *protocol.Answer) {
 	e.State, e.Answer, e.Settled = state, a, r.millis
-	if e.place != nil {
-		r.settled.Remove(e.place)
+	if e.element != nil {
+		r.settled.Remove(e.element)
 	}
-	e.place = r.settled.PushBack(e)
+	e.element = r.settled.PushBack(e)
 	r.notify(e, state)
 }
 
@@ -174,7 +173,7 @@
 	}
 }
 
-func (r *Register) forgetOld() {
+func (r *Register) dropExpired() {
 	for el := r.settled.Front(); el != nil; el = r.settled.Front() {
 		e := el.Value.(*entry)
 		if r.millis-e.Settled < RetentionMillis {
@@ -185,15 +184,15 @@
 }
 
 func (r *Register) remove(e *entry) {
-	if e.place != nil {
-		r.settled.Remove(e.place)
-		e.place = nil
+	if e.element != nil {
+		r.settled.Remove(e.element)
+		e.element = nil
 	}
-	delete(r.entries, name{e.Account, e.Key})
+	delete(r.entries, claimName{e.Account, e.Key})
 }
 
-// image is the serialized form of a Register: settled entries in their order,
-// then running ones.
+// image is the serialized form of a Register: settled entries in settlement order, then
+// running ones.
 type image struct {
 	Millis  int64    `cbor:"1,keyasint"`
 	Entries []*entry `cbor:"2,keyasint"`
@@ -206,26 +205,26 @@
 		im.Entries = append(im.Entries, el.Value.(*entry))
 	}
 	for _, e := range r.entries {
-		if e.place == nil {
+		if e.element == nil {
 			im.Entries = append(im.Entries, e)
 		}
 	}
 	return cbor.Marshal(im)
 }
 
-// UnmarshalBinary replaces the register by the image.
+// UnmarshalBinary replaces the register's contents with those of the image.
 func (r *Register) UnmarshalBinary(b []byte) error {
 	var im image
 	if err := cbor.Unmarshal(b, &im); err != nil {
 		return err
 	}
 	r.millis = im.Millis
-	r.entries = make(map[name]*entry, len(im.Entries))
+	r.entries = make(map[claimName]*entry, len(im.Entries))
 	r.settled.Init()
 	for _, e := range im.Entries {
-		r.entries[name{e.Account, e.Key}] = e
+		r.entries[claimName{e.Account, e.Key}] = e
 		if e.State != protocol.ClaimRunning {
-			e.place = r.settled.PushBack(e)
+			e.element = r.settled.PushBack(e)
 		}
 	}
 	return nil
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -39,16 +39,16 @@
 		want   protocol.ClaimState
 	}{
 		{"first", nil, claimOf(r1, "k", 7, 1), protocol.ClaimGranted},
-		{"its answer was lost", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r1, "k", 7, 1), protocol.ClaimGranted},
-		{"again at the same router", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r1, "k", 7, 2), protocol.ClaimRunning},
+		{"repeated claim command", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r1, "k", 7, 1), protocol.ClaimGranted},
+		{"another attempt at the same router", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r1, "k", 7, 2), protocol.ClaimRunning},
 		{"at another router", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
 		{"another body", []Command{claimOf(r1, "k", 7, 1)}, claimOf(r2, "k", 8, 1), protocol.ClaimMismatch},
 		{"after it ran", []Command{claimOf(r1, "k", 7, 1), ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
-		{"its own resend after it ran", []Command{claimOf(r1, "k", 7, 1), ran}, claimOf(r1, "k", 7, 1), protocol.ClaimRan},
+		{"repeated claim command after it ran", []Command{claimOf(r1, "k", 7, 1), ran}, claimOf(r1, "k", 7, 1), protocol.ClaimRan},
 		{"after it did not run", []Command{claimOf(r1, "k", 7, 1), settleOf(r1, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimGranted},
-		{"its router's lease ran out", []Command{claimOf(r1, "k", 7, 1), orphan}, claimOf(r2, "k", 7, 1), protocol.ClaimUnknown},
-		{"its router's lease ran out, and it settled later", []Command{claimOf(r1, "k", 7, 1), orphan, ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
-		{"a stranger settles", []Command{claimOf(r1, "k", 7, 1), settleOf(r2, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
+		{"router's lease expired", []Command{claimOf(r1, "k", 7, 1), orphan}, claimOf(r2, "k", 7, 1), protocol.ClaimUnknown},
+		{"router's lease expired, settled later", []Command{claimOf(r1, "k", 7, 1), orphan, ran}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
+		{"another router settles", []Command{claimOf(r1, "k", 7, 1), settleOf(r2, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
 		{"another attempt settles", []Command{claimOf(r1, "k", 7, 1), settleOf(r1, "k", 9, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRunning},
 		{"released after it ran", []Command{claimOf(r1, "k", 7, 1), ran, settleOf(r1, "k", 1, protocol.ClaimReleased, "")}, claimOf(r2, "k", 7, 1), protocol.ClaimRan},
 	}
@@ -64,7 +64,7 @@
 			restored := New()
 			is.NoErr(restored.UnmarshalBinary(image))
 			is.Equal(r.Apply(tt.cmd).State, tt.want)
-			is.Equal(restored.Apply(tt.cmd).State, tt.want) // the same after a snapshot
+			is.Equal(restored.Apply(tt.cmd).State, tt.want) // the same result after restoring a snapshot
 		})
 	}
 }
@@ -87,14 +87,14 @@
 	at(claimOf(r1, "ends", 7, 1), 0)
 	at(settleOf(r1, "ends", 1, protocol.ClaimRan, ""), 1000)
 	is.Equal(at(claimOf(r2, "ends", 7, 2), RetentionMillis+999), protocol.ClaimRan)
-	is.Equal(at(claimOf(r2, "ends", 7, 2), 5), protocol.ClaimRan) // a clock that went back changes nothing
+	is.Equal(at(claimOf(r2, "ends", 7, 2), 5), protocol.ClaimRan) // a clock that moves backwards changes nothing
 	is.Equal(at(claimOf(r2, "ends", 7, 2), RetentionMillis+1000), protocol.ClaimGranted)
-	is.Equal(at(claimOf(r2, "runs", 7, 2), 9*RetentionMillis), protocol.ClaimRunning) // never while it runs
+	is.Equal(at(claimOf(r2, "runs", 7, 2), 9*RetentionMillis), protocol.ClaimRunning) // never dropped while running
 	is.Equal(r.Len(), 2)
 }
 
-// TestGrantedOnce runs random commands of three routers: between two releases
-// a key is granted to one attempt at most.
+// TestGrantedOnce runs random commands of three routers. Between two releases a key must be
+// granted to at most one attempt.
 func TestGrantedOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		r := New()
@@ -103,20 +103,20 @@
 			h := Holder{Router: fmt.Sprintf("r%d", rapid.IntRange(0, 2).Draw(t, "router")), Boot: uint64(rapid.IntRange(1, 2).Draw(t, "boot"))}
 			key := fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "key"))
 			attempt := uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))
-			who := fmt.Sprint(h, attempt)
+			claimant := fmt.Sprint(h, attempt)
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			default:
 				if r.Apply(claimOf(h, key, 7, attempt)).State == protocol.ClaimGranted {
-					if other := granted[key]; other != "" && other != who {
-						t.Fatalf("key %s was granted to %s and to %s", key, other, who)
+					if other := granted[key]; other != "" && other != claimant {
+						t.Fatalf("key %s was granted to %s and to %s", key, other, claimant)
 					}
-					granted[key] = who
+					granted[key] = claimant
 				}
 			case 3:
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimRan, ""))
 			case 4:
-				if granted[key] == who && r.entries[name{"a", key}].State != protocol.ClaimRan {
-					delete(granted, key) // it did not run
+				if granted[key] == claimant && r.entries[claimName{"a", key}].State != protocol.ClaimRan {
+					delete(granted, key) // released: the request did not run
 				}
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimReleased, ""))
 			case 5:
@@ -137,8 +137,8 @@
 	}
 }
 
-// BenchmarkClaimMemory gives the memory and the snapshot bytes of one
-// remembered claim with a short answer.
+// BenchmarkClaimMemory measures the memory and the snapshot bytes of one kept claim with a
+// short answer.
 func BenchmarkClaimMemory(b *testing.B) {
 	const n = 100_000
 	for b.Loop() {
--- a/coordination/claim/example_test.go
+++ b/coordination/claim/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// ExampleRegister claims a key at one router, and sends the request again at
-// another one after it ran.
+// ExampleRegister claims a key at one router and repeats the request at another one after it
+// ran.
 func ExampleRegister() {
 	r := claim.New()
 	first := claim.Holder{Router: "r1", Boot: 1}
@@ -25,7 +25,7 @@
 	again := r.Apply(claim.Command{Millis: 3000, Holder: claim.Holder{Router: "r2", Boot: 1}, Claim: &c})
 	fmt.Println(again.State == protocol.ClaimRan, string(again.Answer.Body))
 
-	seen, ok := r.Lookup("hotel", "k1") // without a claim
+	seen, ok := r.Lookup("hotel", "k1") // makes no claim
 	fmt.Println(ok, seen.State == protocol.ClaimRan)
 	// Output:
 	// true
--- a/coordination/claim/golden_test.go
+++ b/coordination/claim/golden_test.go
@@ -13,10 +13,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file pins the bytes of the register's commands and snapshot in
-// testdata/golden: they lie on disks and in the logs of running fleets. Run with
-// -update to write the files anew, which only a deliberate change of the stored
-// format justifies.
+// This file pins the encoding of the register's commands and snapshot in testdata/golden.
+// They are stored on disks and in the logs of running fleets. Running with -update rewrites
+// the files, which only a deliberate change of the stored format justifies.
 
 var (
 	goldenHolder   = Holder{Router: "router-1", Boot: 1<<64 - 2}
@@ -36,13 +35,13 @@
 	is.NoErr(err)
 	var got []Command
 	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "commands", b), &got))
-	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes give the same value
+	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes decode to the same value
 	golden.AllSet(t, "claim", goldenCommands[0].Claim)
 	golden.AllSet(t, "settle", goldenCommands[1].Settle)
 }
 
-// TestGoldenRegister holds only one running claim: the snapshot lists running
-// claims in no fixed order.
+// TestGoldenRegister uses a single running claim, because the snapshot lists running claims
+// in no fixed order.
 func TestGoldenRegister(t *testing.T) {
 	is := is.New(t)
 	r := New()
@@ -57,13 +56,13 @@
 	is.Equal(got.Len(), 3)
 	for n, e := range r.entries {
 		other := *got.entries[n]
-		is.Equal(other.place == nil, e.place == nil)
-		other.place = e.place
+		is.Equal(other.element == nil, e.element == nil)
+		other.element = e.element
 		is.Equal(other, *e)
 	}
 	var keys []string
 	for el := got.settled.Front(); el != nil; el = el.Next() {
 		keys = append(keys, el.Value.(*entry).Key)
 	}
-	is.Equal(keys, []string{"k1", "k2"}) // in the order of their settling
+	is.Equal(keys, []string{"k1", "k2"}) // in settlement order
 }
