--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -8,16 +8,15 @@
 	"time"
 )
 
-// This file defines Allocator and the configuration that it works with.
-// Sessions and leases are in session.go, reports in report.go, grants in
-// grant.go, recalls in recall.go, and what goes to the routers in view.go.
+// This file defines Allocator and its configuration. Sessions and leases are in session.go,
+// reports in report.go, grants in grant.go, recalls in recall.go, and views in view.go.
 
 // Server is the allocator's configuration of a backend server.
 type Server struct {
 	Name       string
 	Pool       string
 	Slots      int
-	Overcommit int // slots granted beyond, which wait in the server's own queue
+	Overcommit int // slots granted beyond Slots; their requests wait in the server's own queue
 	Serving    bool
 }
 
@@ -33,52 +32,52 @@
 	Boot   uint64
 }
 
-// Allocator hands out the slots of every pool to the routers.
+// Allocator grants the slots of every pool to the routers.
 type Allocator struct {
-	epoch        uint64
-	lease        Lease
-	pace         Pace
-	takeoverEnds time.Duration    // at the latest
-	expected     map[Process]bool // may hold slots, and have not reported them
-	pools        map[string]*fleetPool
-	servers      map[string]*server
-	shares       map[string]float64
-	sessions     map[string]*session
-	order        []*session // by router name
+	epoch          uint64
+	lease          Lease
+	pace           Pace
+	takeoverEnds   time.Duration    // latest end of the takeover
+	unreported     map[Process]bool // processes that may hold slots and have not reported them
+	pools          map[string]*fleetPool
+	servers        map[string]*server
+	shares         map[string]float64
+	sessions       map[string]*session
+	sortedSessions []*session // sorted by router name
 }
 
-// NewAllocator returns an allocator under an epoch. expected are the processes
-// that may hold slots of an earlier epoch.
+// NewAllocator returns an allocator for an epoch. expected lists the processes that may hold
+// slots of an earlier epoch.
 func NewAllocator(epoch uint64, now time.Duration, lease Lease, pace Pace, expected []Process) *Allocator {
 	a := &Allocator{
 		epoch: epoch, lease: lease, pace: pace, takeoverEnds: now + lease.total(),
-		expected: map[Process]bool{}, pools: map[string]*fleetPool{}, servers: map[string]*server{},
+		unreported: map[Process]bool{}, pools: map[string]*fleetPool{}, servers: map[string]*server{},
 		shares: map[string]float64{}, sessions: map[string]*session{},
 	}
 	for _, p := range expected {
-		a.expected[p] = true
+		a.unreported[p] = true
 	}
 	return a
 }
 
-// Epoch returns the epoch that the allocator works under.
+// Epoch returns the allocator's epoch.
 func (a *Allocator) Epoch() uint64 { return a.epoch }
 
-// Configure takes the backend servers and accounts of a configuration.
+// Configure applies the backend servers and accounts of a configuration.
 func (a *Allocator) Configure(servers []Server, accounts []Account) {
 	seen := map[string]bool{}
 	for _, b := range servers {
 		seen[b.Name] = true
 		s := a.servers[b.Name]
 		if s == nil {
-			s = &server{index: -1}
+			s = &server{freeIndex: -1}
 			a.servers[b.Name] = s
 		}
 		if s.pool != nil {
 			s.pool.removeFree(s)
 		}
 		s.Server, s.pool = b, a.pool(b.Pool)
-		s.pool.setFree(s)
+		s.pool.updateFree(s)
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.servers)) {
 		if s := a.servers[name]; !seen[name] {
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -11,18 +11,18 @@
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 )
 
-// This file defines the shapes that are measured and the benchmark that
-// measures them, each under the product's policy and both baselines.
+// This file defines the measured fleet configurations and the benchmark that runs each of
+// them under the product's policy and both baselines.
 
-// linen is Petrovi Linen: 9 boxes, 12 workers of a language model and 3 of a
-// plain service, ten accounts, three of them large with two thirds of their
-// work at one router.
+// linen is Petrovi Linen: 9 boxes, 12 workers of a language model and 3 of a plain service,
+// and ten accounts, three of which are large and send two thirds of their requests to one
+// router.
 func linen() shape {
 	return shape{
 		name: "linen", routers: 9, latency: 1500 * time.Microsecond, duration: 60 * time.Second,
 		pools: []poolShape{
-			{name: "llm", workers: 12, slots: 16, rate: 40, mean: 80, over: overcommit},
-			{name: "app", workers: 3, slots: 8, rate: 1000, mean: 60},
+			{name: "llm", workers: 12, slots: 16, rate: 40, meanCost: 80, overcommit: overcommit},
+			{name: "app", workers: 3, slots: 8, rate: 1000, meanCost: 60},
 		},
 		accounts: tenAccounts(1.6),
 	}
@@ -31,7 +31,7 @@
 // overcommit is the product's default.
 const overcommit = 0.125
 
-// viewer is the cadastral map viewer: 7 boxes, 9+3 workers.
+// viewer is the cadastral map viewer: 7 boxes, with 9 and 3 workers.
 func viewer() shape {
 	s := linen()
 	s.name, s.routers = "viewer", 7
@@ -39,57 +39,57 @@
 	return s
 }
 
-// tenAccounts are three large accounts that offer more than their share and
-// seven small ones that offer less.
+// tenAccounts returns three large accounts that request more than their share and seven small
+// ones that request less.
 func tenAccounts(large float64) []accountShape {
 	var out []accountShape
 	for i := range 10 {
-		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, home: 0.1, small: true}
+		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.1, small: true}
 		if i < 3 {
-			a.share, a.offered, a.home, a.small = 3, large, 2.0/3, false
+			a.share, a.offered, a.homeFraction, a.small = 3, large, 2.0/3, false
 		}
 		out = append(out, a)
 	}
 	return out
 }
 
-// variant changes a shape.
+// variant modifies a shape.
 type variant struct {
 	name      string
-	staleness time.Duration // age that views may reach
+	staleness time.Duration // maximum age of views
 	change    func(*shape)
 }
 
 const (
-	fresh   = slots.MaxViewAge
-	faulted = 4 * time.Second // a lease and its margin
+	freshViewAge = slots.MaxViewAge
+	faultViewAge = 4 * time.Second // the lease and its margin
 )
 
 var variants = []variant{
-	{"even", fresh, func(*shape) {}},
-	{"idle", fresh, func(s *shape) {
+	{"even", freshViewAge, func(*shape) {}},
+	{"idle", freshViewAge, func(s *shape) {
 		for i := range s.accounts {
 			s.accounts[i].offered = 0.5
 		}
 	}},
-	{"flood", fresh, func(s *shape) { s.accounts[0].offered, s.accounts[0].home = 8, 0 }},
-	{"onoff", fresh, func(s *shape) {
+	{"flood", freshViewAge, func(s *shape) { s.accounts[0].offered, s.accounts[0].homeFraction = 8, 0 }},
+	{"onoff", freshViewAge, func(s *shape) {
 		for i := 3; i < 6; i++ {
 			s.accounts[i].on, s.accounts[i].off, s.accounts[i].offered = time.Second, 2*time.Second, 6
 			s.accounts[i].small = false
 		}
 	}},
-	{"longtail", fresh, func(s *shape) { s.longTail = true; s.pools = s.pools[:1] }},
-	{"allocator-lost", faulted, func(s *shape) {
+	{"longtail", freshViewAge, func(s *shape) { s.longTail = true; s.pools = s.pools[:1] }},
+	{"allocator-lost", faultViewAge, func(s *shape) {
 		s.faults = []fault{{20 * time.Second, loseAllocator}}
 	}},
-	{"partition", faulted, func(s *shape) {
+	{"partition", faultViewAge, func(s *shape) {
 		s.faults = []fault{
 			{15 * time.Second, func(f *fleet) { f.cutOff(0) }},
-			{45 * time.Second, func(f *fleet) { f.routers[0].cut = false }},
+			{45 * time.Second, func(f *fleet) { f.routers[0].isPartitioned = false }},
 		}
 	}},
-	{"restart-half", faulted, func(s *shape) {
+	{"restart-half", faultViewAge, func(s *shape) {
 		s.faults = []fault{{20 * time.Second, func(f *fleet) {
 			for i := 0; i < len(f.routers); i += 2 {
 				f.restart(i)
@@ -98,7 +98,7 @@
 	}},
 }
 
-// loseAllocator ends the allocator; another one follows an election later.
+// loseAllocator removes the allocator. Another one starts after an election.
 func loseAllocator(f *fleet) {
 	if f.policy != fleetFair {
 		return
@@ -114,19 +114,19 @@
 	f.after(1500*time.Millisecond, func() { f.newAllocator(expected) })
 }
 
-// cutOff partitions a router in silence.
+// cutOff partitions a router without closing its connection.
 func (f *fleet) cutOff(i int) {
 	r := f.routers[i]
-	r.cut = true
+	r.isPartitioned = true
 	if f.policy != fleetFair {
 		return
 	}
-	f.after(testLease.Length, func() { // both sides notice by silence
+	f.after(testLease.Length, func() { // both sides detect the partition by missing messages
 		r.unlink()
 	})
 }
 
-// restart makes a router lose its state and cancels what it ran.
+// restart discards a router's state and cancels the requests that it was running.
 func (f *fleet) restart(i int) {
 	r := f.routers[i]
 	for p := range f.shape.pools {
@@ -144,7 +144,7 @@
 	if f.alloc != nil {
 		f.alloc.Disconnect(r.name, r.boot)
 	}
-	r.boots()
+	r.reset()
 	if f.policy == fleetFair {
 		f.after(500*time.Millisecond, r.connect)
 	}
@@ -155,7 +155,7 @@
 	req.ended = true
 	f.m.cancelled(req)
 	f.m.lost++
-	if req.serving {
+	if req.inBatch {
 		req.server.leave(f)
 		return
 	}
@@ -180,10 +180,10 @@
 }
 
 func report(b *testing.B, r results) {
-	b.ReportMetric(r.gapX, "gap-x")
+	b.ReportMetric(r.gapRatio, "gap-x")
 	b.ReportMetric(r.gap, "gap-tokens")
-	b.ReportMetric(r.util, "util-%")
-	for p, u := range r.utils {
+	b.ReportMetric(r.utilization, "util-%")
+	for p, u := range r.poolUtilization {
 		b.ReportMetric(u, fmt.Sprintf("util%d-%%", p))
 	}
 	b.ReportMetric(r.bytes, "ctrl-B/s/box")
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -7,56 +7,54 @@
 	"time"
 )
 
-// This file defines Decide, the router's rule for a free slot: is it used here
-// or given back. The slack that goes into it is computed by the allocator
-// (account.go).
+// This file defines Decide, the router's rule for whether a free slot is used or returned.
+// The allocator computes the slack that the rule uses (account.go).
 
-// Action is what to do with a free slot.
+// Action is the decision on a free slot.
 type Action uint8
 
 // The actions.
 const (
-	Keep   Action = iota // nothing to run here, and enough slots elsewhere
-	Use                  // start the account that goes next here
-	Return               // give the slot back
+	Keep   Action = iota // nothing to run here, and the pool is not short of slots
+	Use                  // start the next account's request
+	Return               // return the slot to the allocator
 )
 
-// MaxViewAge is how long a router acts on a view of the fleet. An older one is ignored: a slot in use is
-// better than a slot returned with no allocator to grant it. The fairness bound counts on views being
-// at most that old.
+// MaxViewAge is the age above which a router ignores a view of the fleet. Without recent
+// views there may be no allocator to grant a returned slot again, so the router keeps its
+// slots in use. The fairness bound assumes that views are at most that old.
 const MaxViewAge = time.Second
 
-// FleetView is what the allocator last sent of one pool. The zero value is a
-// view of a pool that is not short of slots.
+// FleetView is the state of one pool in the allocator's latest view. The zero value describes
+// a pool that is not short of slots.
 type FleetView struct {
-	Short      bool          // more work waits in the fleet than slots are free
-	Floor      float64       // lowest virtual time with work waiting in the fleet
-	Slack      float64       // virtual time above the floor up to which slots are used again
-	Rate       float64       // how fast the floor rises, virtual time a second
-	ReceivedAt time.Duration // when the view was received
+	Short      bool          // more requests wait in the fleet than slots are free
+	Floor      float64       // lowest virtual time among the fleet's backlogged accounts
+	Slack      float64       // how far above the floor slots are reused, in virtual time
+	Rate       float64       // rise of the floor, virtual time per second
+	ReceivedAt time.Duration // time of receipt
 }
 
-// limit is the virtual time up to which a slot may be used again. The floor
-// has risen since the view was sent; without the rate, a router counted its own
-// share of the rise as being ahead and gave back every slot between two views
-// (docs/design/fair-sharing.md has the figures).
+// limit returns the virtual time up to which a slot may be reused. It extrapolates the floor
+// since the view was sent. Without that, a router would count its own part of the floor's
+// rise as being ahead and return every slot between two views (docs/design/fair-sharing.md
+// has the figures).
 func (f FleetView) limit(now time.Duration) float64 {
 	return f.Floor + f.Rate*(now-f.ReceivedAt).Seconds() + f.Slack
 }
 
-// Decide returns what to do with a free slot. best is the virtual time of the
-// account that goes next here, or +Inf when nothing waits here; granted is
-// [Holder.HasUnusedGrant].
+// Decide returns what to do with a free slot. best is the virtual time of the next account
+// here, or +Inf if no request waits here. granted is [Holder.HasUnusedGrant].
 func Decide(now time.Duration, best float64, granted bool, f FleetView) Action {
-	wanted := f.Short && now-f.ReceivedAt <= MaxViewAge
+	needed := f.Short && now-f.ReceivedAt <= MaxViewAge
 	switch {
-	case math.IsInf(best, 1) && wanted:
+	case math.IsInf(best, 1) && needed:
 		return Return
 	case math.IsInf(best, 1):
-		return Keep // the allocator recalls what it needs
+		return Keep // the allocator recalls the slots that it needs
 	case granted:
 		return Use
-	case wanted && best > f.limit(now):
+	case needed && best > f.limit(now):
 		return Return
 	}
 	return Use
--- a/coordination/slots/example_test.go
+++ b/coordination/slots/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// A router reports waiting work and gets a slot with the next view.
+// A router reports waiting work and is granted a slot with the next view.
 func ExampleAllocator() {
 	a := slots.NewAllocator(1, 0, slots.DefaultLease, slots.Pace{}, nil)
 	a.Configure(
@@ -31,8 +31,8 @@
 	// Output: r1 s1 1
 }
 
-// A router uses a slot that it holds again, unless its next account is ahead of
-// the fleet's floor by more than the slack.
+// A router reuses a slot unless its next account is ahead of the fleet's floor by more than
+// the slack.
 func ExampleDecide() {
 	view := slots.FleetView{Short: true, Floor: 100, Slack: 10}
 	for _, best := range []float64{105, 120, math.Inf(1)} {
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -10,8 +10,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the allocator of the fixture, and the baselines that do
-// without one.
+// This file runs the allocator in the fixture, and the baselines that need none.
 
 func (f *fleet) newAllocator(expected []slots.Process) {
 	f.alloc = slots.NewAllocator(f.epoch, f.now, testLease, f.shape.pace, expected)
@@ -19,7 +18,7 @@
 	var servers []slots.Server
 	for _, name := range sortedKeys(f.servers) {
 		s := f.servers[name]
-		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Overcommit: f.shape.pools[s.pool].extra(), Serving: true})
+		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Overcommit: f.shape.pools[s.pool].overcommitted(), Serving: true})
 	}
 	var accounts []slots.Account
 	for _, a := range f.shape.accounts {
@@ -28,16 +27,15 @@
 	f.alloc.Configure(servers, accounts)
 }
 
-// wakeAllocator lets the allocator take a turn once everything that arrives
-// at this instant has arrived.
+// wakeAllocator schedules an allocation after everything that arrives at this instant.
 func (f *fleet) wakeAllocator() {
-	if !f.loop {
-		f.loop = true
-		f.at(max(f.now, f.lastTurn+slots.MinAllocationInterval), func() { f.loop = false; f.turn() })
+	if !f.turnScheduled {
+		f.turnScheduled = true
+		f.at(max(f.now, f.lastTurn+slots.MinAllocationInterval), func() { f.turnScheduled = false; f.runAllocator() })
 	}
 }
 
-func (f *fleet) turn() {
+func (f *fleet) runAllocator() {
 	if f.alloc == nil {
 		return
 	}
@@ -46,13 +44,13 @@
 	began := time.Now()
 	f.alloc.Allocate(f.now)
 	views := f.alloc.Views(f.now)
-	f.cpu += time.Since(began)
+	f.allocatorTime += time.Since(began)
 	for _, o := range views {
 		r := f.byName[o.Router]
 		f.alloc.RecordSent(f.now, o, r.count(o.View))
 		link := r.link
 		f.after(f.shape.latency, func() {
-			if r.link == link && !r.cut {
+			if r.link == link && !r.isPartitioned {
 				r.takeView(o.View)
 			}
 		})
@@ -63,8 +61,8 @@
 	}
 }
 
-// baselineDispatch uses every free slot at once, with no message and no
-// delay, which flatters the baselines.
+// baselineDispatch uses every free slot at once, without messages or delay. This favors the
+// baselines.
 func (f *fleet) baselineDispatch(p int) {
 	for _, srv := range f.byPool[f.shape.pools[p].name] {
 		for srv.running < srv.slots {
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -10,33 +10,33 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the routers of the fixture: coordination/pool on links that
-// take time and count bytes.
+// This file defines the fixture's routers: coordination/pool behind links with latency that
+// count bytes.
 
 type testRouter struct {
-	f        *fleet
-	name     string
-	boot     uint64
-	pools    []*pool.Pool
-	known    map[int]bool  // accounts that it has seen
-	lease    time.Duration // end
-	linked   bool
-	link     int // generation of the link
-	reports  uint64
-	viewSeq  uint64
-	pacer    slots.Pacer
-	due      time.Duration // of a scheduled report, 0 is none
-	bytes    int
-	messages int
-	cut      bool // cut off from the allocator
+	f             *fleet
+	name          string
+	boot          uint64
+	pools         []*pool.Pool
+	configured    map[int]bool  // accounts that were set in the pools
+	lease         time.Duration // end of the lease
+	linked        bool
+	link          int // generation of the link
+	reports       uint64
+	viewSeq       uint64
+	pacer         slots.Pacer
+	reportDue     time.Duration // time of the scheduled report; 0 means none
+	bytes         int
+	messages      int
+	isPartitioned bool // partitioned from the allocator
 }
 
-// boots makes a router start with no memory.
-func (r *testRouter) boots() {
+// reset starts the router without any state.
+func (r *testRouter) reset() {
 	r.boot = r.f.rng.Uint64() | 1
 	r.pools = nil
-	r.known = map[int]bool{}
-	r.linked, r.lease, r.reports, r.viewSeq, r.due = false, 0, 0, 0, 0
+	r.configured = map[int]bool{}
+	r.linked, r.lease, r.reports, r.viewSeq, r.reportDue = false, 0, 0, 0, 0
 	r.link++
 	r.pacer = slots.Pacer{Pace: r.f.shape.pace}
 	for _, ps := range r.f.shape.pools {
@@ -54,7 +54,7 @@
 	return r.f.policy != fleetFair || r.f.now < r.lease
 }
 
-func (r *testRouter) take(req *request) {
+func (r *testRouter) submit(req *request) {
 	if r.f.policy == fifo {
 		r.f.queue = append(r.f.queue, req)
 		r.f.baselineDispatch(req.pool)
@@ -65,8 +65,8 @@
 		return
 	}
 	a := r.f.shape.accounts[req.account]
-	if !r.known[req.account] { // lazily: thousands of accounts times thousands of routers
-		r.known[req.account] = true
+	if !r.configured[req.account] { // lazily, because a fleet may have thousands of accounts and of routers
+		r.configured[req.account] = true
 		for _, p := range r.pools {
 			p.SetAccount(pool.Account{Name: a.name, Share: a.share})
 		}
@@ -107,14 +107,14 @@
 
 func (r *testRouter) reportBy(at time.Duration) {
 	at = max(at, r.f.now)
-	if !r.linked || (r.due != 0 && r.due <= at) {
+	if !r.linked || (r.reportDue != 0 && r.reportDue <= at) {
 		return
 	}
-	r.due = at
+	r.reportDue = at
 	link := r.link
 	r.f.at(at, func() {
-		if r.link == link && r.due == at {
-			r.due = 0
+		if r.link == link && r.reportDue == at {
+			r.reportDue = 0
 			r.report()
 		}
 	})
@@ -133,16 +133,15 @@
 	r.pacer.RecordSent(r.f.now, n, true)
 }
 
-// send carries a message to the allocator, if the link is still open when
-// it arrives.
+// send delivers a message to the allocator if the link is still open when it arrives.
 func (r *testRouter) send(m protocol.Message, do func(*slots.Allocator)) int {
 	n := r.count(m)
 	link := r.link
 	r.f.after(r.f.shape.latency, func() {
-		if r.link == link && !r.cut && r.f.alloc != nil {
+		if r.link == link && !r.isPartitioned && r.f.alloc != nil {
 			began := time.Now()
 			do(r.f.alloc)
-			r.f.cpu += time.Since(began)
+			r.f.allocatorTime += time.Since(began)
 			r.f.wakeAllocator()
 		}
 	})
@@ -159,10 +158,10 @@
 	return len(b) + wsOverhead
 }
 
-// connect opens a session, as soon as there is an allocator to take it.
+// connect opens a session, retrying until there is an allocator.
 func (r *testRouter) connect() {
 	f := r.f
-	if r.linked || r.cut || f.alloc == nil {
+	if r.linked || r.isPartitioned || f.alloc == nil {
 		f.after(50*time.Millisecond+time.Duration(f.rng.Int64N(int64(50*time.Millisecond))), func() {
 			if !r.linked {
 				r.connect()
@@ -183,7 +182,7 @@
 	r.linked = true
 	f.after(f.shape.latency, func() {
 		if r.link != link {
-			return // another link has taken its place
+			return // another link has replaced this one
 		}
 		if f.alloc == nil {
 			r.unlink()
@@ -204,7 +203,7 @@
 
 func (r *testRouter) welcomed(w protocol.Welcome, sent time.Duration) {
 	r.lease = max(r.lease, sent+testLease.Length)
-	r.reports, r.viewSeq, r.due = 0, 0, 0
+	r.reports, r.viewSeq, r.reportDue = 0, 0, 0
 	for i, p := range r.pools {
 		p.BeginSession(w)
 		r.dispatch(i)
@@ -222,7 +221,7 @@
 		a.Renew(r.f.now, r.name)
 		r.count(protocol.Renewed{Seq: 1})
 		r.f.after(r.f.shape.latency, func() {
-			if r.link == link && !r.cut {
+			if r.link == link && !r.isPartitioned {
 				r.lease = max(r.lease, sent+testLease.Length)
 			}
 		})
@@ -230,7 +229,7 @@
 	r.f.after(testLease.Length/3, func() { r.renew(link) })
 }
 
-// unlink is what a router does when its link breaks.
+// unlink handles a broken link.
 func (r *testRouter) unlink() {
 	r.linked = false
 	r.link++
--- a/coordination/slots/fixture_same_test.go
+++ b/coordination/slots/fixture_same_test.go
@@ -8,11 +8,10 @@
 	"time"
 )
 
-// This file checks that the fixture plays a schedule the same each time, so
-// that a seed stands for one run.
+// This file checks that the fixture is deterministic, so that a seed identifies one run.
 
-// TestOneSeedIsOneRun restarts a router with requests in its servers' batches
-// and queues: the order in which they are cancelled is no draw.
+// TestOneSeedIsOneRun restarts a router with requests in its servers' batches and queues. The
+// order in which they are cancelled must not vary between runs.
 func TestOneSeedIsOneRun(t *testing.T) {
 	s := linen()
 	s.duration = 12 * time.Second
@@ -23,16 +22,16 @@
 	for at := 3 * time.Second; at < s.duration; at += 500 * time.Millisecond {
 		s.faults = append(s.faults, fault{at, func(f *fleet) { f.restart(0) }})
 	}
-	first := playedEvents(s)
+	first := eventCounts(s)
 	for range 20 {
-		if again := playedEvents(s); !slices.Equal(first, again) {
-			t.Fatal("one seed was played in two ways")
+		if again := eventCounts(s); !slices.Equal(first, again) {
+			t.Fatal("two runs of one seed differ")
 		}
 	}
 }
 
-// playedEvents returns after each 50 ms how many events there were until then.
-func playedEvents(s shape) []int {
+// eventCounts returns the number of events so far, every 50 ms.
+func eventCounts(s shape) []int {
 	f := newFleet(s, fleetFair, 1)
 	var counts []int
 	f.every(50*time.Millisecond, func() { counts = append(counts, f.seq) })
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -14,30 +14,29 @@
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 )
 
-// This file defines fleet, a test fixture: the real decisions of routers
-// (coordination/pool) and of the allocator, joined by links in memory that
-// take time and count bytes, in front of servers that only keep time. Time is
-// virtual: a heap of events.
+// This file defines fleet, a test fixture. It connects the real decisions of routers
+// (coordination/pool) and of the allocator by in-memory links that have latency and count
+// bytes, in front of servers that only keep time. Time is virtual, a heap of events.
 
-// policy is how slots find work.
+// policy determines how slots are assigned.
 type policy int
 
 const (
 	fleetFair  policy = iota // the product
-	fifo                     // baseline: one queue for the fleet, first come first served
-	perRouter                // baseline: fair queueing on each router, no exchange
+	fifo                     // baseline: one first-come, first-served queue for the fleet
+	perRouter                // baseline: fair queueing on each router without exchange
 	numPolicy  = 3
-	wsOverhead = 6 // bytes of a WebSocket frame's header, the mask included in half of them
+	wsOverhead = 6 // bytes of a WebSocket frame header; half of the frames carry a mask
 )
 
 func (p policy) String() string { return [...]string{"fleet", "fifo", "per-router"}[p] }
 
-// shape is a fleet and its load.
+// shape is the configuration of a fleet and its load.
 type shape struct {
 	name     string
 	routers  int
 	pools    []poolShape
-	latency  time.Duration // one way between boxes
+	latency  time.Duration // one-way latency between boxes
 	accounts []accountShape
 	duration time.Duration
 	faults   []fault
@@ -45,28 +44,29 @@
 	pace     slots.Pace
 }
 
-// poolShape is one pool: workers with slots that each do rate cost a second.
+// poolShape is the configuration of one pool: workers whose slots each serve rate units of
+// cost per second.
 type poolShape struct {
-	name    string
-	workers int
-	slots   int
-	rate    float64
-	mean    float64 // cost of a request
-	over    float64 // slots granted beyond, as a part of a server's
+	name       string
+	workers    int
+	slots      int
+	rate       float64
+	meanCost   float64 // mean cost of a request
+	overcommit float64 // overcommitted slots as a fraction of a server's slots
 }
 
-func (p poolShape) extra() int { return int(math.Ceil(p.over * float64(p.slots))) }
+func (p poolShape) overcommitted() int { return int(math.Ceil(p.overcommit * float64(p.slots))) }
 
-// accountShape is one account's load: offered is in parts of its fair share
-// of each pool, home the part of its work that comes to one router, and on/off
-// the times of its activity (0 is always on).
+// accountShape is the load of one account. offered is a multiple of its fair share of each
+// pool, homeFraction the fraction of its requests that arrive at one router, and on and off
+// the lengths of its active and idle periods; with on at 0 it is always active.
 type accountShape struct {
-	name    string
-	share   float64
-	offered float64
-	home    float64
-	on, off time.Duration
-	small   bool
+	name         string
+	share        float64
+	offered      float64
+	homeFraction float64
+	on, off      time.Duration
+	small        bool
 }
 
 type fault struct {
@@ -74,7 +74,7 @@
 	do func(*fleet)
 }
 
-// event is something that happens at a time.
+// event is an action at a virtual time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -98,26 +98,26 @@
 
 // fleet is a running fixture.
 type fleet struct {
-	shape    shape
-	policy   policy
-	rng      *rand.Rand
-	now      time.Duration
-	events   events
-	seq      int
-	alloc    *slots.Allocator // nil while there is none
-	epoch    uint64
-	routers  []*testRouter
-	byName   map[string]*testRouter
-	servers  map[string]*testServer
-	byPool   map[string][]*testServer
-	queue    []*request // of the baseline fifo, by pool in order
-	m        *measures
-	wakeAt   time.Duration
-	loop     bool // an allocator turn is scheduled
-	closed   bool // no more arrivals
-	turns    int
-	lastTurn time.Duration
-	cpu      time.Duration
+	shape         shape
+	policy        policy
+	rng           *rand.Rand
+	now           time.Duration
+	events        events
+	seq           int
+	alloc         *slots.Allocator // nil while there is none
+	epoch         uint64
+	routers       []*testRouter
+	byName        map[string]*testRouter
+	servers       map[string]*testServer
+	byPool        map[string][]*testServer
+	queue         []*request // waiting requests of the baseline fifo, in arrival order
+	m             *measures
+	wakeAt        time.Duration
+	turnScheduled bool // an allocation is scheduled
+	arrivalsEnded bool // no more requests arrive
+	turns         int
+	lastTurn      time.Duration
+	allocatorTime time.Duration
 }
 
 type testServer struct {
@@ -125,22 +125,22 @@
 	pool    int
 	slots   int
 	running int
-	queue   []*request // its own, of slots granted beyond what it runs
+	queue   []*request // requests on overcommitted slots
 }
 
 // request is one request from its arrival to its end.
 type request struct {
-	account int
-	pool    int
-	cost    float64
-	came    time.Duration
-	work    *pool.Work
-	began   time.Duration
-	router  *testRouter
-	boot    uint64
-	server  *testServer
-	serving bool // in the server's batch, not in its queue
-	ended   bool
+	account   int
+	pool      int
+	cost      float64
+	arrivedAt time.Duration
+	work      *pool.Work
+	startedAt time.Duration
+	router    *testRouter
+	boot      uint64
+	server    *testServer
+	inBatch   bool // in the server's batch rather than its queue
+	ended     bool
 }
 
 var testLease = slots.Lease{Length: 3 * time.Second, Margin: 400 * time.Millisecond}
@@ -165,7 +165,7 @@
 		r := &testRouter{f: f, name: fmt.Sprintf("r%04d", i)}
 		f.routers = append(f.routers, r)
 		f.byName[r.name] = r
-		r.boots()
+		r.reset()
 	}
 	if p == fleetFair {
 		f.newAllocator(nil)
@@ -174,7 +174,7 @@
 		}
 	}
 	for i := range s.accounts {
-		f.arrivals(i)
+		f.scheduleArrivals(i)
 	}
 	for _, ft := range s.faults {
 		f.at(ft.at, func() { ft.do(f) })
@@ -195,7 +195,7 @@
 	f.after(d, func() { do(); f.every(d, do) })
 }
 
-// run runs the fixture to its end.
+// run processes events until the configured duration has passed.
 func (f *fleet) run() *measures {
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(event)
@@ -208,8 +208,8 @@
 	return f.m
 }
 
-// arrivals schedules an account's requests in every pool.
-func (f *fleet) arrivals(account int) {
+// scheduleArrivals schedules an account's requests in every pool.
+func (f *fleet) scheduleArrivals(account int) {
 	total := 0.0
 	for _, a := range f.shape.accounts {
 		total += a.share
@@ -217,12 +217,12 @@
 	a := f.shape.accounts[account]
 	for p, ps := range f.shape.pools {
 		capacity := float64(ps.workers*ps.slots) * ps.rate
-		perSecond := a.offered * capacity * a.share / total / ps.mean
+		perSecond := a.offered * capacity * a.share / total / ps.meanCost
 		var next func()
 		next = func() {
 			gap := time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
 			f.after(gap, func() {
-				if f.closed {
+				if f.arrivalsEnded {
 					return
 				}
 				if a.on == 0 || f.now%(a.on+a.off) < a.on {
@@ -235,10 +235,10 @@
 	}
 }
 
-// arrive brings one request to a router that the balancer takes for ready.
+// arrive sends one request to a router that the load balancer considers ready.
 func (f *fleet) arrive(account, p int) {
 	r := f.routers[account%len(f.routers)]
-	if f.rng.Float64() >= f.shape.accounts[account].home || !r.ready() {
+	if f.rng.Float64() >= f.shape.accounts[account].homeFraction || !r.ready() {
 		for range 20 {
 			r = f.routers[f.rng.IntN(len(f.routers))]
 			if r.ready() {
@@ -246,13 +246,13 @@
 			}
 		}
 	}
-	req := &request{account: account, pool: p, cost: f.drawCost(f.shape.pools[p].mean), came: f.now, router: r, boot: r.boot}
+	req := &request{account: account, pool: p, cost: f.drawCost(f.shape.pools[p].meanCost), arrivedAt: f.now, router: r, boot: r.boot}
 	f.m.arrived(req)
-	r.take(req)
+	r.submit(req)
 }
 
-// drawCost is log-normal about the mean, or, with a long tail, spread evenly
-// over the powers of ten from 1 to 10,000 (mean about 1,085).
+// drawCost returns a random cost: log-normal around the mean or, with a long tail,
+// log-uniform from 1 to 10,000 (mean about 1,085) and scaled to the mean.
 func (f *fleet) drawCost(mean float64) float64 {
 	if f.shape.longTail {
 		return math.Pow(10, 4*f.rng.Float64()) * mean / 1085
@@ -261,7 +261,7 @@
 	return mean * math.Exp(sigma*f.rng.NormFloat64()-sigma*sigma/2)
 }
 
-// begin runs a request on a server until its cost is spent.
+// begin starts a request on a server, or queues it there if the batch is full.
 func (f *fleet) begin(req *request, srv *testServer) {
 	req.server = srv
 	f.m.started(req)
@@ -272,12 +272,12 @@
 	f.serve(req)
 }
 
-// serve takes a request into its server's batch.
+// serve adds a request to its server's batch.
 func (f *fleet) serve(req *request) {
 	srv := req.server
-	req.began, req.serving = f.now, true
+	req.startedAt, req.inBatch = f.now, true
 	srv.running++
-	f.after(f.whole(req), func() {
+	f.after(f.serviceTime(req), func() {
 		if req.ended {
 			return
 		}
@@ -289,23 +289,23 @@
 	req.router.charge(req)
 }
 
-// whole is how long a request runs.
-func (f *fleet) whole(req *request) time.Duration {
+// serviceTime returns how long a request runs.
+func (f *fleet) serviceTime(req *request) time.Duration {
 	return time.Duration(req.cost / f.shape.pools[req.pool].rate * float64(time.Second))
 }
 
-// charge charges streamed cost every 250 ms while the request runs.
+// charge reports the streamed cost every 250 ms while the request runs.
 func (r *testRouter) charge(req *request) {
 	r.f.after(250*time.Millisecond, func() {
 		if req.ended || r.f.policy == fifo {
 			return
 		}
-		r.pools[req.pool].Progress(req.work, (r.f.now-req.began).Seconds()*r.f.shape.pools[req.pool].rate)
+		r.pools[req.pool].Progress(req.work, (r.f.now-req.startedAt).Seconds()*r.f.shape.pools[req.pool].rate)
 		r.charge(req)
 	})
 }
 
-// leave frees a place in the batch for the next in the server's queue.
+// leave frees a place in the batch for the next request in the server's queue.
 func (s *testServer) leave(f *fleet) {
 	s.running--
 	for len(s.queue) > 0 && s.running < s.slots {
@@ -323,7 +323,7 @@
 	}
 	if f.alloc != nil {
 		f.alloc.ExpireSessions(f.now)
-		f.turn()
+		f.runAllocator()
 	}
 }
 
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// This file defines the rule who is granted a free slot: the account furthest
-// behind first, at the router where most of its work waits, on the server with
-// the largest free part.
+// This file defines the rule for granting free slots: first to the account that is furthest
+// behind, at the router where most of its requests wait, on the server with the largest
+// fraction of free slots.
 
-// MinAllocationInterval is the shortest time between two allocations: what arrives in between is taken together,
-// since an allocation looks at every session and the allocator's work would grow with the square of
-// the fleet (BenchmarkScale).
+// MinAllocationInterval is the minimum time between two allocations. Everything that arrives
+// in between is handled together: an allocation visits every session, so without the interval
+// the allocator's work would grow with the square of the fleet (BenchmarkScale).
 const MinAllocationInterval = time.Millisecond
 
-// candidatesLooked is how many routers, and how many servers, a grant is chosen among: other ones each
-// time, so that its cost does not grow with the fleet.
-const candidatesLooked = 8
+// candidateLimit is the number of routers, and of servers, that are compared for a grant.
+// Each search starts at other candidates, so the cost of a grant does not grow with the
+// fleet.
+const candidateLimit = 8
 
-// grant is one slot on its way to a router for the work of an account.
+// grant is a slot in flight to a router, for one request of an account.
 type grant struct {
-	seq     uint64 // of the view that carries it; 0 until sent
+	seq     uint64 // sequence number of the view that carries it; 0 until sent
 	pool    string
 	account string
 }
 
-// Allocate grants every free slot that work waits for. A grant costs O(log n)
-// in the accounts that wait.
+// Allocate grants every free slot that requests wait for. A grant costs O(log n) in the
+// number of backlogged accounts.
 func (a *Allocator) Allocate(now time.Duration) {
 	if a.TakingOver(now) {
 		return
@@ -40,92 +41,92 @@
 }
 
 func (a *Allocator) allocatePool(now time.Duration, p *fleetPool) {
-	var passed []*account // whose routers can reach no free server at present
-	for p.unmet.Len() > 0 && len(p.free) > 0 {
-		acc := p.unmet.Min()
-		w := acc.nextPlace()
-		if srv := p.freest(now, w.session); srv != nil {
+	var unreachable []*account // accounts whose routers can reach no free server at present
+	for p.backlogged.Len() > 0 && len(p.freeServers) > 0 {
+		acc := p.backlogged.Min()
+		w := acc.nextBacklog()
+		if srv := p.freestServer(now, w.session); srv != nil {
 			a.grant(p, w, srv)
 			continue
 		}
-		p.unmet.Remove(acc)
-		passed = append(passed, acc)
+		p.backlogged.Remove(acc)
+		unreachable = append(unreachable, acc)
 	}
-	for _, acc := range passed {
-		p.unmet.Set(acc)
+	for _, acc := range unreachable {
+		p.backlogged.Set(acc)
 	}
 	p.updateFloor()
-	short := p.unmet.Len() > 0 && p.recall(now)
-	p.measureRate(now)
+	short := p.backlogged.Len() > 0 && p.recall(now)
+	p.updateFloorRate(now)
 	p.setShort(now, short)
 }
 
-// nextPlace returns the router to grant to: the one where most of the
-// account's work waits, among candidatesLooked.
-func (a *account) nextPlace() *waitingAt {
-	var best *waitingAt
-	n := len(a.places)
-	for i := range min(n, candidatesLooked) {
-		w := a.places[(a.cursor+i)%n]
+// nextBacklog returns the backlog to grant to: the one with the most unmet requests among
+// candidateLimit routers.
+func (a *account) nextBacklog() *routerBacklog {
+	var best *routerBacklog
+	n := len(a.backlogs)
+	for i := range min(n, candidateLimit) {
+		w := a.backlogs[(a.backlogCursor+i)%n]
 		if best == nil || w.unmet() > best.unmet() {
 			best = w
 		}
 	}
-	a.cursor++
+	a.backlogCursor++
 	return best
 }
 
-// freest returns the server with the largest free part among candidatesLooked, or
-// nil when the router can reach none that is free.
-func (p *fleetPool) freest(now time.Duration, s *session) *server {
+// freestServer returns the server with the largest fraction of free slots among
+// candidateLimit servers, or nil if the router can reach no free one.
+func (p *fleetPool) freestServer(now time.Duration, s *session) *server {
 	var best *server
-	looked := 0
-	for i := range p.free {
-		srv := p.free[(p.cursor+i)%len(p.free)]
-		if s.suspect[srv.Name] > now {
+	compared := 0
+	for i := range p.freeServers {
+		srv := p.freeServers[(p.serverCursor+i)%len(p.freeServers)]
+		if s.suspectUntil[srv.Name] > now {
 			continue
 		}
-		if best == nil || srv.free()*best.Slots > best.free()*srv.Slots {
+		if best == nil || srv.freeSlots()*best.Slots > best.freeSlots()*srv.Slots {
 			best = srv
 		}
-		if looked++; looked == candidatesLooked {
+		if compared++; compared == candidateLimit {
 			break
 		}
 	}
-	p.cursor++
+	p.serverCursor++
 	return best
 }
 
-func (a *Allocator) grant(p *fleetPool, w *waitingAt, srv *server) {
+func (a *Allocator) grant(p *fleetPool, w *routerBacklog, srv *server) {
 	s := w.session
 	a.assign(s, srv.Name, 1)
-	s.granted[srv.Name]++
-	s.unacked = append(s.unacked, grant{pool: p.name, account: w.account.name})
-	s.urgent = true
-	w.onWay++
-	w.account.onWay++
-	p.update(w)
+	s.unsentGrants[srv.Name]++
+	s.unackedGrants = append(s.unackedGrants, grant{pool: p.name, account: w.account.name})
+	s.urgentPending = true
+	w.grantsInFlight++
+	w.account.grantsInFlight++
+	p.updateBacklog(w)
 }
 
-// acknowledge forgets the grants that a router has taken into account: what
-// it reports as waiting no longer includes what it started on them.
+// acknowledge removes the grants that a router has applied: the waiting requests in its
+// report no longer include those that it started on them.
 func (a *Allocator) acknowledge(s *session, seq uint64) {
-	s.unacked = slices.DeleteFunc(s.unacked, func(g grant) bool {
-		done := g.seq != 0 && g.seq <= seq
-		if done {
-			a.grantDone(s, g)
+	s.unackedGrants = slices.DeleteFunc(s.unackedGrants, func(g grant) bool {
+		applied := g.seq != 0 && g.seq <= seq
+		if applied {
+			a.finishGrant(s, g)
 		}
-		return done
+		return applied
 	})
 }
 
-// grantDone undoes what grant counted as on the way.
-func (a *Allocator) grantDone(s *session, g grant) {
-	w := s.waiting[waitingKey{g.pool, g.account}]
+// finishGrant removes a grant from the counts of grants in flight.
+func (a *Allocator) finishGrant(s *session, g grant) {
+	w := s.backlogs[backlogKey{g.pool, g.account}]
 	if w == nil {
 		return
 	}
-	w.onWay = max(w.onWay-1, 0)
-	w.account.onWay = max(w.account.onWay-1, 0)
-	a.pools[g.pool].update(w)
+	w.grantsInFlight = max(w.grantsInFlight-1, 0)
+	w.account.grantsInFlight = max(w.account.grantsInFlight-1, 0)
+	a.pools[g.pool].updateBacklog(w)
 }
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -12,21 +12,21 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Holder, the slots of one pool that a router holds, and how
-// they go back. What a free slot is used for is in decide.go.
+// This file defines Holder, the slots of one pool that a router holds, and how they are
+// returned. decide.go defines what a free slot is used for.
 
-// Holder is the slots of one pool held by one router.
+// Holder holds the slots of one pool at one router.
 type Holder struct {
-	servers   map[string]*heldServer
-	returned  map[string]int // by server, not reported yet
-	granted   int            // slots granted and not used since
-	owed      int            // slots recalled that were not free
-	idleSince time.Duration  // when a slot last came or became free
+	servers        map[string]*heldServer
+	returned       map[string]int // slots by server, not reported yet
+	unusedGrants   int            // granted slots that were not used yet
+	pendingRecalls int            // recalled slots that were not free
+	lastFreed      time.Duration  // time when a slot was last granted or became free
 }
 
 type heldServer struct {
 	held    int
-	running int // may exceed held after the lease ran out
+	running int // may exceed held after the lease has expired
 }
 
 func (s *heldServer) free() int { return max(s.held-s.running, 0) }
@@ -36,41 +36,39 @@
 	return &Holder{servers: map[string]*heldServer{}, returned: map[string]int{}}
 }
 
-// Grant adds slots of a backend server.
+// Grant adds n slots of a backend server.
 func (h *Holder) Grant(now time.Duration, server string, n int) {
 	h.server(server).held += max(n, 0)
-	h.granted += max(n, 0)
-	h.idleSince = now
+	h.unusedGrants += max(n, 0)
+	h.lastFreed = now
 }
 
 // Start uses one free slot of a server that FreeServers returned.
 func (h *Holder) Start(server string) {
 	h.server(server).running++
-	h.granted = max(h.granted-1, 0)
+	h.unusedGrants = max(h.unusedGrants-1, 0)
 }
 
-// HasUnusedGrant reports whether a granted slot is still unused. The allocator's
-// counters are newer than the router's view, so its grant is used without
-// looking at the floor again. (Looking again was tried: a floor that had just
-// passed sent the slot back, and allocator and router returned it to each
-// other.)
-func (h *Holder) HasUnusedGrant() bool { return h.granted > 0 }
+// HasUnusedGrant reports whether a granted slot is still unused. Such a slot is used without
+// comparing the virtual time with the floor, because the allocator's counters are newer than
+// the router's view. If the router did compare, a floor that had just risen would make it
+// return the slot, and the slot would bounce between allocator and router.
+func (h *Holder) HasUnusedGrant() bool { return h.unusedGrants > 0 }
 
-// Done ends the use of a slot, which is free again unless the lease has run out
-// since its start.
+// Done ends the use of a slot. The slot is free again unless the lease has expired since its
+// start.
 func (h *Holder) Done(now time.Duration, server string) {
 	s := h.server(server)
 	s.running = max(s.running-1, 0)
-	h.idleSince = now
-	if h.owed > 0 && s.free() > 0 {
+	h.lastFreed = now
+	if h.pendingRecalls > 0 && s.free() > 0 {
 		h.Return(server, 1)
-		h.owed--
+		h.pendingRecalls--
 	}
-	h.tidy(server)
+	h.removeIfEmpty(server)
 }
 
-// Running returns the number of requests running on a server through this
-// router.
+// Running returns the number of requests that this router runs on a server.
 func (h *Holder) Running(server string) int {
 	if s := h.servers[server]; s != nil {
 		return s.running
@@ -78,7 +76,7 @@
 	return 0
 }
 
-// FreeServers returns the servers with a free slot, ordered by name.
+// FreeServers returns the servers with a free slot, sorted by name.
 func (h *Holder) FreeServers() []string {
 	var names []string
 	for name, s := range h.servers {
@@ -99,7 +97,7 @@
 	return n
 }
 
-// Return gives back up to n free slots of a server.
+// Return returns up to n free slots of a server to the allocator.
 func (h *Holder) Return(server string, n int) {
 	s := h.servers[server]
 	if s == nil {
@@ -110,19 +108,19 @@
 	}
 	s.held -= n
 	h.returned[server] += n
-	h.granted = min(h.granted, h.Idle())
-	h.tidy(server)
+	h.unusedGrants = min(h.unusedGrants, h.Idle())
+	h.removeIfEmpty(server)
 }
 
-// Recall gives back n slots: free ones, from the server with most of them
-// first, then those that become free next.
+// Recall returns n slots: free ones first, starting at the server with most of them, then
+// those that become free next.
 func (h *Holder) Recall(n int) {
 	held := 0
 	for _, s := range h.servers {
 		held += s.held
 	}
-	h.owed = min(h.owed+n, held)
-	for ; h.owed > 0; h.owed-- {
+	h.pendingRecalls = min(h.pendingRecalls+n, held)
+	for ; h.pendingRecalls > 0; h.pendingRecalls-- {
 		names := h.FreeServers()
 		if len(names) == 0 {
 			return
@@ -133,7 +131,7 @@
 	}
 }
 
-// Usable returns the slots held of each server, in use or free.
+// Usable returns the number of slots held of each server, in use or free.
 func (h *Holder) Usable() map[string]int {
 	out := map[string]int{}
 	for name, s := range h.servers {
@@ -142,21 +140,21 @@
 	return out
 }
 
-// ReturnIdle gives back every free slot.
+// ReturnIdle returns every free slot.
 func (h *Holder) ReturnIdle() {
 	for _, name := range h.FreeServers() {
 		h.Return(name, math.MaxInt)
 	}
 }
 
-// ReturnIdleAfter gives back every free slot once none was used for linger.
+// ReturnIdleAfter returns every free slot if none was granted or became free for linger.
 func (h *Holder) ReturnIdleAfter(now, linger time.Duration) {
-	if now-h.idleSince >= linger {
+	if now-h.lastFreed >= linger {
 		h.ReturnIdle()
 	}
 }
 
-// TakeReturned returns and clears what was given back, ordered by name.
+// TakeReturned returns the slots that were returned, sorted by server name, and clears them.
 func (h *Holder) TakeReturned() []protocol.Held {
 	out := heldList(h.returned)
 	clear(h.returned)
@@ -166,22 +164,22 @@
 // HasReturned reports whether TakeReturned would return anything.
 func (h *Holder) HasReturned() bool { return len(h.returned) > 0 }
 
-// Expire voids the free slots and what was to be given back, once the lease
-// has run out. Running requests go on to their end.
+// Expire drops the free slots and unreported returns after the lease has expired. Running
+// requests continue to their end.
 func (h *Holder) Expire() {
 	clear(h.returned)
-	h.granted, h.owed = 0, 0
+	h.unusedGrants, h.pendingRecalls = 0, 0
 	for name, s := range h.servers {
 		s.held = s.running
-		h.tidy(name)
+		h.removeIfEmpty(name)
 	}
 }
 
-// Held returns what is held for a new session's Hello, ordered by name.
-// Slots about to be given back count as given back.
+// Held returns the slots to declare in a new session's Hello, sorted by server name.
+// It clears unreported returns and pending recalls, since the declared count supersedes them.
 func (h *Holder) Held() []protocol.Held {
 	clear(h.returned)
-	h.owed = 0
+	h.pendingRecalls = 0
 	counts := map[string]int{}
 	for name, s := range h.servers {
 		counts[name] = max(s.held, s.running)
@@ -198,14 +196,14 @@
 	return s
 }
 
-// tidy forgets a server of which nothing is held or used.
-func (h *Holder) tidy(name string) {
+// removeIfEmpty removes a server with no slots held or in use.
+func (h *Holder) removeIfEmpty(name string) {
 	if s := h.servers[name]; s != nil && s.held <= 0 && s.running == 0 {
 		delete(h.servers, name)
 	}
 }
 
-// heldList returns what is above zero, ordered by name.
+// heldList returns the positive counts, sorted by server name.
 func heldList(m map[string]int) []protocol.Held {
 	var out []protocol.Held
 	for _, name := range slices.Sorted(maps.Keys(m)) {
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -10,14 +10,14 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestNothingStaysOnItsWayToAVanishedRouter ends a session at each point of a
-// grant's way: the account must not stay charged for slots that never arrive.
+// TestNothingStaysOnItsWayToAVanishedRouter ends a session at each stage of a grant's
+// delivery. The account must not stay charged for slots that never arrive.
 func TestNothingStaysOnItsWayToAVanishedRouter(t *testing.T) {
 	ends := map[string]func(a *Allocator){
 		"link breaks":        func(a *Allocator) { a.Disconnect("r", 1) },
 		"lease runs out":     func(a *Allocator) { a.EndSession("r") },
 		"session replaced":   func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
-		"another process":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
+		"restarted process":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
 		"goodbye with work":  func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
 		"account is removed": func(a *Allocator) { a.configureAccounts(nil) },
 	}
@@ -37,23 +37,23 @@
 				}
 				end(a)
 				p := a.pools["p"]
-				is.Equal(p.waiting, 0)
-				is.Equal(p.slotless, 0)
-				is.Equal(p.recalling, 0)
-				is.Equal(p.unmet.Len(), 0)
+				is.Equal(p.unmetRequests, 0)
+				is.Equal(p.slotlessAccounts, 0)
+				is.Equal(p.recallsOutstanding, 0)
+				is.Equal(p.backlogged.Len(), 0)
 				if acc := p.accounts["a"]; acc != nil {
-					is.Equal(acc.onWay, 0)
+					is.Equal(acc.grantsInFlight, 0)
 					is.Equal(acc.running, 0)
-					is.Equal(len(acc.places), 0)
+					is.Equal(len(acc.backlogs), 0)
 				}
 			})
 		}
 	}
 }
 
-// TestEveryRunIsTheSame lets a session end while it holds slots of several
-// servers and has work of several accounts, then grants what came free: the
-// same steps give the same grants each time.
+// TestEveryRunIsTheSame ends a session that holds slots of several servers and has work of
+// several accounts, and checks the order of the free servers afterwards. If it depended on
+// map iteration, the same steps would lead to different grants.
 func TestEveryRunIsTheSame(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var servers []Server
@@ -70,9 +70,9 @@
 	ends := map[string]func(a *Allocator){
 		"lease runs out":       func(a *Allocator) { a.EndSession("r1") },
 		"link breaks, unsent":  func(a *Allocator) { a.Disconnect("r1", 1) },
-		"servers come and go":  func(a *Allocator) { a.EndSession("r1"); a.Configure(servers[3:], accounts) },
+		"servers are removed":  func(a *Allocator) { a.EndSession("r1"); a.Configure(servers[3:], accounts) },
 		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
-		"account and its work": func(a *Allocator) { a.EndSession("r1"); a.Configure(servers, accounts[3:]) },
+		"accounts are removed": func(a *Allocator) { a.EndSession("r1"); a.Configure(servers, accounts[3:]) },
 	}
 	run := func(end func(a *Allocator), hello protocol.Hello) (free []string) {
 		a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
@@ -81,7 +81,7 @@
 		a.Report(0, "r1", report)
 		a.Allocate(0)
 		end(a)
-		for _, s := range a.pools["p"].free {
+		for _, s := range a.pools["p"].freeServers {
 			free = append(free, s.Name)
 		}
 		return free
--- a/coordination/slots/pacer.go
+++ b/coordination/slots/pacer.go
@@ -4,72 +4,70 @@
 
 import "time"
 
-// This file defines Pacer, the rule of how often views and reports go: one for
-// each direction of a router's link, which it keeps inside its byte budget by
-// stretching the time between messages.
+// This file defines Pacer, which limits how often views and reports are sent. There is one
+// for each direction of a router's link; it keeps the link within its byte budget by
+// lengthening the interval between messages.
 //
-// Two sorts of message share the budget. Urgent ones are small (a slot, a
-// request that the allocator lacks) and may overdraw the budget by a burst;
-// full ones carry the counters and wait until the budget is earned, but not for
-// longer than [StretchMost] times their gap, as the fairness bound counts on
-// them.
+// Two kinds of message share the budget. Urgent ones are small (a slot, or a request that the
+// allocator has no count of) and may overdraw the budget by a burst. Full ones carry the
+// counters and wait until the budget is earned, but at most [MaxStretch] times their
+// interval, because the fairness bound depends on them.
 
-// Pace is how often messages go one way between the allocator and one router,
-// and how many bytes they may take.
+// Pace limits the messages in one direction between the allocator and one router.
 type Pace struct {
-	UrgentInterval, FullInterval time.Duration // least gaps: before an urgent message, between full ones
-	Budget                       float64       // bytes a second; 0 is no budget
-	Burst                        float64       // bytes by which urgent messages may overdraw it
+	UrgentInterval, FullInterval time.Duration // minimum intervals: before an urgent message, and between full ones
+	Budget                       float64       // bytes per second; 0 means unlimited
+	Burst                        float64       // bytes by which urgent messages may overdraw the budget
 }
 
-// DefaultPace sends what is urgent every 5 ms and the rest every 250 ms, and
-// stretches that under 2,000 bytes a second.
-// BenchmarkFleet/linen compares paces (docs/design/fair-sharing.md).
+// DefaultPace sends urgent messages at most every 5 ms and full ones every 250 ms, and
+// lengthens these intervals to stay under 2,000 bytes per second. BenchmarkFleet/linen
+// compares paces (docs/design/fair-sharing.md).
 var DefaultPace = Pace{UrgentInterval: 5 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 2000, Burst: 4000}
 
-// MaxStretch is how many times its usual gap a full message may be late: 1 s at DefaultPace, which is
-// [MaxViewAge].
+// MaxStretch is the largest factor by which a full message's interval is lengthened: 1 s at
+// DefaultPace, which is [MaxViewAge].
 const MaxStretch = 4
 
-// Pacer decides when a coalesced message may go. The zero value sends at
-// once, always.
+// Pacer decides when a coalesced message may be sent. The zero value always allows sending at
+// once.
 type Pacer struct {
 	Pace
-	debt     float64       // bytes sent and not yet earned, at time last
-	last     time.Duration // of any message
-	lastFull time.Duration
-	sent     bool
+	debt         float64       // bytes sent and not yet earned, as of lastSent
+	lastSent     time.Duration // time of the last message of either kind
+	lastFullSent time.Duration
+	hasSent      bool
 }
 
-// DueUrgent returns the earliest time at which an urgent message may go.
+// DueUrgent returns the earliest time at which an urgent message may be sent.
 func (p *Pacer) DueUrgent() time.Duration {
-	if !p.sent {
+	if !p.hasSent {
 		return 0
 	}
-	return max(p.last+p.UrgentInterval, p.earned(p.Burst))
+	return max(p.lastSent+p.UrgentInterval, p.earnedAt(p.Burst))
 }
 
-// DueFull returns the earliest time at which a full message may go.
+// DueFull returns the earliest time at which a full message may be sent.
 func (p *Pacer) DueFull() time.Duration {
-	if !p.sent {
+	if !p.hasSent {
 		return 0
 	}
-	return max(p.lastFull+p.FullInterval, min(p.earned(0), p.lastFull+MaxStretch*p.FullInterval))
+	return max(p.lastFullSent+p.FullInterval, min(p.earnedAt(0), p.lastFullSent+MaxStretch*p.FullInterval))
 }
 
-// earned returns when the debt is down to what is allowed.
-func (p *Pacer) earned(allowed float64) time.Duration {
+// earnedAt returns when the debt has fallen to the allowed amount.
+func (p *Pacer) earnedAt(allowed float64) time.Duration {
 	if p.Budget <= 0 || p.debt <= allowed {
 		return 0
 	}
-	return p.last + time.Duration((p.debt-allowed)/p.Budget*float64(time.Second))
+	return p.lastSent + time.Duration((p.debt-allowed)/p.Budget*float64(time.Second))
 }
 
-// RecordSent counts a message that went at time now.
+// RecordSent counts a message that was sent at time now.
 func (p *Pacer) RecordSent(now time.Duration, bytes int, full bool) {
-	p.debt = max(p.debt-p.Budget*(now-p.last).Seconds(), 0) + float64(bytes)
-	p.last, p.sent = now, true
+	p.debt = max(p.debt-p.Budget*(now-p.lastSent).Seconds(), 0) + float64(bytes)
+	p.lastSent, p.hasSent = now, true
 	if full {
-		p.lastFull = now
+		p.lastFullSent = now
 	}
 }
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -12,11 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-// This file checks the promises of the package comment over random fleets,
-// loads and faults: the gap stays inside the bound, no slot is granted twice,
-// no slot stays free for long while work waits, and every account is served.
+// This file checks the guarantees of the package comment over random fleets, loads and
+// faults: the gap stays within the bound, no slot is granted twice, no slot stays free for
+// long while requests wait, and every account is served.
 
-// TestPromisesOverRandomSchedules runs random fleets.
+// TestPromisesOverRandomSchedules checks the guarantees on random fleets.
 func TestPromisesOverRandomSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		s, faulty, partitioned := randomShape(t)
@@ -25,24 +25,24 @@
 		f.at(s.duration, f.drain)
 		f.shape.duration = time.Hour // drain sets the end
 		m := f.run()
-		staleness := fresh
+		staleness := freshViewAge
 		if faulty {
-			staleness = faulted
+			staleness = faultViewAge
 		}
 		r := m.results(staleness)
-		if r.gapX > 1 {
-			t.Fatalf("gap is %.2f times the bound", r.gapX)
+		if r.gapRatio > 1 {
+			t.Fatalf("gap is %.2f times the bound", r.gapRatio)
 		}
-		if !faulty && r.maxIdle > idleAllowed.Seconds() {
+		if !faulty && r.maxIdle > maxIdleTime.Seconds() {
 			t.Fatalf("a slot was free for %.2f s while work waited", r.maxIdle)
 		}
 		m.checkDrained(t)
 	})
 }
 
-// idleAllowed is how long a slot may be free while work waits: an interval of
-// full messages as far as it can be stretched, and the way there and back.
-const idleAllowed = slots.MaxStretch*250*time.Millisecond + 50*time.Millisecond
+// maxIdleTime is how long a slot may be free while requests wait: the longest interval of
+// full messages plus the round trip.
+const maxIdleTime = slots.MaxStretch*250*time.Millisecond + 50*time.Millisecond
 
 func randomShape(t *rapid.T) (s shape, faulty, partitioned bool) {
 	s = linen()
@@ -57,10 +57,10 @@
 	s.accounts = nil
 	for i := range n {
 		a := accountShape{
-			name:    string(rune('a' + i)),
-			share:   float64(rapid.IntRange(1, 5).Draw(t, "share")),
-			offered: float64(rapid.IntRange(1, 40).Draw(t, "offered")) / 10,
-			home:    float64(rapid.IntRange(0, 10).Draw(t, "home")) / 10,
+			name:         string(rune('a' + i)),
+			share:        float64(rapid.IntRange(1, 5).Draw(t, "share")),
+			offered:      float64(rapid.IntRange(1, 40).Draw(t, "offered")) / 10,
+			homeFraction: float64(rapid.IntRange(0, 10).Draw(t, "home")) / 10,
 		}
 		if rapid.IntRange(0, 3).Draw(t, "on and off") == 0 {
 			a.on, a.off = 300*time.Millisecond, 700*time.Millisecond
@@ -88,10 +88,10 @@
 		}}}, false
 	case 1:
 		return []fault{{at, func(f *fleet) {
-			if f.alloc != nil && !f.routers[router].cut {
+			if f.alloc != nil && !f.routers[router].isPartitioned {
 				f.cutOff(router)
 			}
-		}}, {at + 4*time.Second, func(f *fleet) { f.routers[router].cut = false }}}, true
+		}}, {at + 4*time.Second, func(f *fleet) { f.routers[router].isPartitioned = false }}}, true
 	case 2:
 		return []fault{{at, func(f *fleet) {
 			if f.alloc != nil {
@@ -99,16 +99,17 @@
 			}
 		}}}, false
 	}
-	return []fault{{at, func(f *fleet) { // a link breaks and comes back
+	return []fault{{at, func(f *fleet) { // a link breaks and is restored
 		if f.routers[router].linked {
 			f.routers[router].unlink()
 		}
 	}}}, false
 }
 
-// TestLongWorkIsDrained is a schedule that was drawn: 16 requests wait when the
-// arrivals end, and their work on the one slot is 77.2 s, where 16 of the mean
-// are 32 s. The slot is never free until the last of them starts.
+// TestLongWorkIsDrained runs a schedule in which 16 requests wait when the arrivals end and
+// take 77.2 s on the one slot, although 16 requests of mean cost take 32 s. The time allowed
+// for draining must follow the actual costs. The slot is never free until the last request
+// starts.
 func TestLongWorkIsDrained(t *testing.T) {
 	s := linen()
 	s.duration = 12 * time.Second
@@ -117,7 +118,7 @@
 	s.pools[0].workers, s.pools[0].slots = 1, 1
 	s.accounts = []accountShape{
 		{name: "a", share: 4, offered: 4},
-		{name: "b", share: 5, offered: 3.1, home: 1},
+		{name: "b", share: 5, offered: 3.1, homeFraction: 1},
 		{name: "c", share: 2, offered: 0.1, on: 300 * time.Millisecond, off: 700 * time.Millisecond},
 	}
 	s.faults = []fault{{time.Second, loseAllocator}}
@@ -134,12 +135,11 @@
 	}
 }
 
-// checkGrants checks that routers together never hold more slots of a server
-// than it has, counting those of routers whose lease runs. After a partition,
-// requests that run on past a lease are reported by the router when it is back,
-// and may then exceed the slots.
+// checkGrants checks that routers with a valid lease together never hold more slots of a
+// server than it has. After a partition, a router reports the requests that outlived its
+// lease when it is back, and these may exceed the slots.
 func (f *fleet) checkGrants(t *rapid.T, partitioned bool) {
-	extra := f.shape.pools[0].extra()
+	extra := f.shape.pools[0].overcommitted()
 	used := map[string]int{}
 	for _, r := range f.routers {
 		if f.now >= r.lease {
@@ -151,31 +151,30 @@
 	}
 	for name, n := range used {
 		if s := f.servers[name]; n > s.slots+extra && !partitioned {
-			t.Fatalf("%d slots of %s are held, it has %d", n, name, s.slots+extra)
+			t.Fatalf("routers hold %d slots of %s, which has %d", n, name, s.slots+extra)
 		}
 	}
 	for _, s := range f.servers {
 		if s.running > s.slots {
-			t.Fatalf("%s runs %d", s.name, s.running)
+			t.Fatalf("%s runs %d requests in %d slots", s.name, s.running, s.slots)
 		}
-		if in := s.running + len(s.queue); !partitioned && in > s.slots+extra {
-			t.Fatalf("%s was sent %d at once, %d slots", s.name, in, s.slots+extra)
+		if total := s.running + len(s.queue); !partitioned && total > s.slots+extra {
+			t.Fatalf("%s has %d requests, more than its %d slots", s.name, total, s.slots+extra)
 		}
 	}
 }
 
-// drain ends the arrivals and sets the end of the run to when all the work that
-// is there must have been granted: the time that it was drawn to take, on slots
-// that are never free while work waits, and twice that of a fault. Its mean
-// would not do: of a few requests with a long tail, all that is there may be
-// sixty times as much.
+// drain ends the arrivals and sets the end of the run to the time by which all remaining work
+// must have been granted: the time that it needs on slots that are never free while requests
+// wait, plus twice that of a fault. An estimate from the mean cost would be too short: a few
+// requests with a long tail may take sixty times as long.
 func (f *fleet) drain() {
-	f.closed = true
+	f.arrivalsEnded = true
 	ps := f.shape.pools[0]
-	f.shape.duration = f.now + f.m.left(0)/time.Duration(ps.workers*ps.slots) + 2*faulted
+	f.shape.duration = f.now + f.m.remainingWork(0)/time.Duration(ps.workers*ps.slots) + 2*faultViewAge
 }
 
-// checkDrained checks that everything that waited was granted at last.
+// checkDrained checks that all waiting requests were granted.
 func (m *measures) checkDrained(t rapid.TB) {
 	for a, n := range m.waiting[0] {
 		if n > 0 {
--- a/coordination/slots/recall.go
+++ b/coordination/slots/recall.go
@@ -4,51 +4,50 @@
 
 import "time"
 
-// This file defines the rule which slots are recalled from routers, and when a
-// pool counts as short of slots.
+// This file defines which slots are recalled from routers, and when a pool counts as short of
+// slots.
 
-// recallLife is how long the allocator counts on a recall. A slot in use may take longer to come back,
-// and is used then too.
-const recallLife = time.Second
+// recallTimeout is how long the allocator counts on a recalled slot. A slot in use may be
+// returned later, and can still be granted then.
+const recallTimeout = time.Second
 
-// recall recalls slots that work elsewhere waits for: free ones that routers
-// keep, as many as work waits for; and for a router that holds none at all, one
-// that is in use. Routers with a slot serve the account that is furthest behind
-// with the next that becomes free, so they need no recall. It reports whether
-// more work waits than there are free slots.
+// recall recalls slots for requests that wait elsewhere: as many free slots as requests wait
+// for, and for a router without any slot, one slot that is in use. Routers with a slot need
+// no recall, because they serve the account that is furthest behind with the next slot that
+// becomes free. recall reports whether more requests wait than slots are free.
 //
-// Recalling every free slot was tried first: one waiting request then left no
-// router with a slot, and every next request needed a grant.
+// It does not recall every free slot: one waiting request would then leave no router with a
+// slot, and every next request would need a grant.
 func (p *fleetPool) recall(now time.Duration) (short bool) {
-	need := p.waiting - p.recalling
-	slotless := p.slotless - p.recalling
+	unmet := p.unmetRequests - p.recallsOutstanding
+	slotlessUnmet := p.slotlessAccounts - p.recallsOutstanding
 	for _, r := range p.routers {
-		if need <= 0 || r.idle <= 0 || !r.session.linked {
+		if unmet <= 0 || r.reportedIdle <= 0 || !r.session.linked {
 			continue
 		}
-		n := min(r.idle, need)
-		r.idle -= n
-		need -= n
-		slotless -= n
+		n := min(r.reportedIdle, unmet)
+		r.reportedIdle -= n
+		unmet -= n
+		slotlessUnmet -= n
 		r.recallSlots(now, n)
 	}
-	for ; slotless > 0; slotless-- {
-		r := p.mostSpare()
+	for ; slotlessUnmet > 0; slotlessUnmet-- {
+		r := p.mostSpareRouter()
 		if r == nil {
 			break
 		}
 		r.recallSlots(now, 1)
 	}
-	return need > 0
+	return unmet > 0
 }
 
-// mostSpare returns the router that can best spare a slot, or nil if none has
-// more than one.
-func (p *fleetPool) mostSpare() *routerPool {
+// mostSpareRouter returns the router with the most slots to spare, or nil if none has more
+// than one.
+func (p *fleetPool) mostSpareRouter() *routerPool {
 	var best *routerPool
 	most := 1
 	for _, r := range p.routers {
-		if spare := r.held - r.recall - r.recalled; spare > most && r.session.linked {
+		if spare := r.held - r.recallsPending - r.recallsSent; spare > most && r.session.linked {
 			best, most = r, spare
 		}
 	}
@@ -57,21 +56,22 @@
 
 // recallSlots recalls n slots with the router's next view.
 func (r *routerPool) recallSlots(now time.Duration, n int) {
-	r.recall += n
-	r.recalledAt = now
-	r.pool.recalling += n
-	r.session.urgent = true
+	r.recallsPending += n
+	r.lastRecall = now
+	r.pool.recallsOutstanding += n
+	r.session.urgentPending = true
 }
 
-// recallDone no longer counts on n recalled slots: they came back, or will not.
-func (r *routerPool) recallDone(n int) {
-	n = min(n, r.recalled)
-	r.recalled -= n
-	r.pool.recalling -= n
+// finishRecalls removes n recalled slots from the outstanding ones, because they were
+// returned or will not be.
+func (r *routerPool) finishRecalls(n int) {
+	n = min(n, r.recallsSent)
+	r.recallsSent -= n
+	r.pool.recallsOutstanding -= n
 }
 
-// setShort records whether the pool is short of slots. Its routers get a full
-// view when that begins, while it lasts, and when it ends.
+// setShort records whether the pool is short of slots. Its routers are sent a full view when
+// a shortage begins, while it lasts, and when it ends.
 func (p *fleetPool) setShort(now time.Duration, short bool) {
 	changed := short != p.short
 	p.short = short
@@ -79,9 +79,9 @@
 		if !r.session.linked {
 			continue
 		}
-		r.session.wantView = r.session.wantView || short || changed
-		if r.recalled > 0 && now-r.recalledAt > recallLife {
-			r.recallDone(r.recalled)
+		r.session.viewPending = r.session.viewPending || short || changed
+		if r.recallsSent > 0 && now-r.lastRecall > recallTimeout {
+			r.finishRecalls(r.recallsSent)
 		}
 	}
 }
--- a/coordination/slots/scale_bench_test.go
+++ b/coordination/slots/scale_bench_test.go
@@ -11,25 +11,25 @@
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 )
 
-// This file measures what the fleet's exchange costs as the fleet grows, for
-// the slopes of docs/CAPACITY.md.
+// This file measures the cost of the fleet's message exchange as the fleet grows, for the
+// slopes in docs/CAPACITY.md.
 
-// large is a part of the fleet of two years from now: 1,600 routers with 94
-// requests a second each, in front of 4 pools. Requests are six times shorter
-// than they will be (2 s), so that the fixture fits the machine; slots change
-// hands six times as often for it. A tenth of the accounts is backlogged.
+// large is a part of the fleet projected for two years from now: 1,600 routers with 94
+// requests per second each, in front of 4 pools. Requests are six times shorter than
+// projected (2 s) so that the fixture fits the machine, so slots change hands six times as
+// often. A tenth of the accounts is backlogged.
 func large(routers, accounts int) shape {
 	s := shape{
 		name: "large", routers: routers, latency: 1500 * time.Microsecond, duration: 12 * time.Second,
 	}
 	s.pace = slots.DefaultPace
-	s.pace.Budget, s.pace.Burst = 4500, 9000 // of the 10 KB a second, both ways
+	s.pace.Budget, s.pace.Burst = 4500, 9000 // out of 10 KB per second in both directions
 	workers := routers * 10 / 16 / 4 * 10
 	for i := range 4 {
-		s.pools = append(s.pools, poolShape{name: fmt.Sprintf("m%d", i), workers: workers, slots: 30, rate: 110, mean: 220, over: overcommit})
+		s.pools = append(s.pools, poolShape{name: fmt.Sprintf("m%d", i), workers: workers, slots: 30, rate: 110, meanCost: 220, overcommit: overcommit})
 	}
 	for i := range accounts {
-		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, home: 0.5, small: true}
+		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.5, small: true}
 		if i%10 == 0 {
 			a.share, a.offered, a.small = 9, 1.6, false
 		}
@@ -43,13 +43,13 @@
 		b.Run(fmt.Sprintf("routers=%d/accounts=%d", c.routers, c.accounts), func(b *testing.B) {
 			for b.Loop() {
 				f := newFleet(large(c.routers, c.accounts), fleetFair, 1)
-				r := f.run().results(fresh)
+				r := f.run().results(freshViewAge)
 				b.ReportMetric(r.bytes, "ctrl-B/s/box")
 				b.ReportMetric(r.messages, "ctrl-msg/s/box")
 				b.ReportMetric(100*r.cpuShare, "allocator-%core")
 				b.ReportMetric(float64(r.ended)/f.now.Seconds(), "ended/s")
-				b.ReportMetric(r.util, "util-%")
-				b.ReportMetric(r.gapX, "gap-x")
+				b.ReportMetric(r.utilization, "util-%")
+				b.ReportMetric(r.gapRatio, "gap-x")
 				b.ReportMetric(r.p99, "p99-wait-s")
 				b.ReportMetric(float64(allocatorHeap(f))/float64(c.routers), "allocator-B/router")
 			}
@@ -57,7 +57,7 @@
 	}
 }
 
-// allocatorHeap is the memory that the allocator frees when it is dropped.
+// allocatorHeap returns the memory that is freed when the allocator is dropped.
 func allocatorHeap(f *fleet) int64 {
 	f.events = nil
 	with := heapInUse()
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -13,9 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file checks single decisions: what to do with a free slot, and what the
-// allocator makes of each kind of message, the late and nonsensical ones
-// included.
+// This file tests single decisions: what a router does with a free slot, and how the
+// allocator handles each kind of message, including late and invalid ones.
 
 func TestDecide(t *testing.T) {
 	const now = 10 * time.Second
@@ -39,11 +38,11 @@
 		{"ahead, but the floor has risen", 119, false, aged, slots.Use},
 		{"ahead of the risen floor", 121, false, aged, slots.Return},
 		{"ahead, but the slot was just granted", 500, true, view, slots.Use},
-		{"ahead, by an old view", 500, false, stale, slots.Use},
-		{"ahead, but there are slots enough", 500, false, enough, slots.Use},
-		{"nothing waits here, others wait", math.Inf(1), false, view, slots.Return},
-		{"nothing waits here, an old view", math.Inf(1), false, stale, slots.Keep},
-		{"nothing waits here, slots enough", math.Inf(1), false, enough, slots.Keep},
+		{"ahead, but the view is stale", 500, false, stale, slots.Use},
+		{"ahead, but the pool is not short", 500, false, enough, slots.Use},
+		{"nothing waits here, the pool is short", math.Inf(1), false, view, slots.Return},
+		{"nothing waits here, stale view", math.Inf(1), false, stale, slots.Keep},
+		{"nothing waits here, the pool is not short", math.Inf(1), false, enough, slots.Keep},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,9 +54,9 @@
 
 var lease = slots.Lease{Length: 3 * time.Second, Margin: 400 * time.Millisecond}
 
-// bench is an allocator with one pool of one server with two slots and two
+// newTestAllocator returns an allocator with one pool of one server with two slots, and two
 // accounts of equal share.
-func bench(expected ...slots.Process) *slots.Allocator {
+func newTestAllocator(expected ...slots.Process) *slots.Allocator {
 	a := slots.NewAllocator(5, 0, lease, slots.Pace{}, expected)
 	configure(a, true)
 	return a
@@ -68,13 +67,13 @@
 		[]slots.Account{{Name: "a", Share: 1}, {Name: "b", Share: 1}})
 }
 
-func waits(account string, n int) protocol.Report {
+func waitingReport(account string, n int) protocol.Report {
 	return protocol.Report{Pools: []protocol.PoolReport{{
 		Pool: "p", Accounts: []protocol.AccountReport{{Account: account, Waiting: n}},
 	}}}
 }
 
-// granted allocates and returns the slots granted to each router.
+// granted runs an allocation and returns the slots granted to each router.
 func granted(a *slots.Allocator, now time.Duration) map[string]int {
 	a.Allocate(now)
 	out := map[string]int{}
@@ -89,21 +88,21 @@
 
 func TestGrantsWhatWaits(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
-	a.Report(0, "r1", waits("a", 5))
-	a.Report(0, "r2", waits("b", 1))
-	is.Equal(granted(a, 0), map[string]int{"r1": 1, "r2": 1}) // one each, not two to the longer queue
-	is.Equal(len(granted(a, 0)), 0)                           // and never more than there are
+	a.Report(0, "r1", waitingReport("a", 5))
+	a.Report(0, "r2", waitingReport("b", 1))
+	is.Equal(granted(a, 0), map[string]int{"r1": 1, "r2": 1}) // one each, not two for the longer queue
+	is.Equal(len(granted(a, 0)), 0)                           // and no more than exist
 }
 
 func TestLeavingServerIsNotGranted(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	configure(a, false)
-	a.Report(0, "r1", waits("a", 5))
+	a.Report(0, "r1", waitingReport("a", 5))
 	is.Equal(len(granted(a, 0)), 0)
 }
 
@@ -116,22 +115,22 @@
 	}{
 		{"no router has reported", func(*slots.Allocator) {}, lease.Length, 0},
 		{"the lease and its margin have passed", func(*slots.Allocator) {}, lease.Length + lease.Margin, 2},
-		{"it reported that it holds none", func(a *slots.Allocator) {
+		{"the router reported that it holds none", func(a *slots.Allocator) {
 			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9})
 		}, 0, 2},
-		{"it reported that it holds one", func(a *slots.Allocator) {
+		{"the router reported that it holds one", func(a *slots.Allocator) {
 			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 		}, 0, 1},
-		{"another process of its name reported", func(a *slots.Allocator) {
+		{"another process of the same router reported", func(a *slots.Allocator) {
 			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 10})
 		}, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			a := bench(slots.Process{Router: "old", Boot: 9})
+			a := newTestAllocator(slots.Process{Router: "old", Boot: 9})
 			a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
-			a.Report(0, "r1", waits("a", 5))
+			a.Report(0, "r1", waitingReport("a", 5))
 			tt.do(a)
 			a.Renew(tt.at, "r1")
 			is.Equal(granted(a, tt.at)["r1"], tt.want)
@@ -141,12 +140,12 @@
 
 func TestRestartedRouterKeepsItsOldSlotsTaken(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
-	a.Report(0, "r1", waits("a", 2))
+	a.Report(0, "r1", waitingReport("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
-	a.OpenSession(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // no proof that boot 1 has stopped
-	a.Report(time.Second, "r1", waits("a", 2))
+	a.OpenSession(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // does not prove that boot 1 has stopped
+	a.Report(time.Second, "r1", waitingReport("a", 2))
 	is.Equal(len(granted(a, time.Second)), 0)
 	is.Equal(len(a.ExpireSessions(lease.Length+lease.Margin)), 1)
 	is.Equal(granted(a, lease.Length+lease.Margin)["r1"], 2)
@@ -154,38 +153,38 @@
 
 func TestReconnectedRouterIsNotCountedTwice(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
-	a.Report(0, "r1", waits("a", 2))
+	a.Report(0, "r1", waitingReport("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
 	a.Disconnect("r1", 1)
 	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	is.True(known)
 	is.Equal(reports, uint64(1))
-	a.Report(1, "r1", waits("a", 5))
-	is.Equal(granted(a, 1)["r1"], 1) // the other grant was lost on its way and is free again
+	a.Report(1, "r1", waitingReport("a", 5))
+	is.Equal(granted(a, 1)["r1"], 1) // the other grant was lost in transit and is free again
 }
 
 func TestNonsenseIsBounded(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
 	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
 	a.Report(0, "r2", protocol.Report{Returned: []protocol.Held{{Server: "s", Slots: 100}, {Server: "s", Slots: -4}}})
 	a.Report(0, "r2", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: -3, Accounts: []protocol.AccountReport{
 		{Account: "a", Waiting: -1}, {Account: "b", Waiting: 1, Service: math.NaN()}, {Account: "?", Waiting: 9},
 	}}, {Pool: "none"}}})
-	a.Report(0, "stranger", waits("a", 5))
+	a.Report(0, "stranger", waitingReport("a", 5))
 	is.Equal(len(granted(a, 0)), 0)
-	is.Equal(a.Occupancies()[0].Granted, 2) // not a thousand million
-	a.Report(0, "r2", waits("b", 1))
+	is.Equal(a.Occupancies()[0].Granted, 2) // not the 1<<30 that the router claims
+	a.Report(0, "r2", waitingReport("b", 1))
 	a.Report(0, "r1", protocol.Report{Returned: []protocol.Held{{Server: "s", Slots: 1 << 30}}})
 	is.Equal(granted(a, 0), map[string]int{"r2": 1})
 }
 
 func TestIdleTimeEarnsNoCreditAndPaysNoDebt(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
 	serve := func(account string, waiting int, service float64) {
 		a.Report(0, "r1", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: []protocol.AccountReport{
@@ -202,71 +201,71 @@
 		return -1
 	}
 	serve("a", 5, 0)
-	serve("a", 5, 1000) // a works alone while b is idle
+	serve("a", 5, 1000) // a is served alone while b is idle
 	serve("b", 1, 0)
-	is.Equal(time("b"), 1000.0) // b starts where a is, not 1,000 behind
+	is.Equal(time("b"), 1000.0) // b starts at a's virtual time, not 1,000 behind
 	serve("b", 0, 700)
 	serve("a", 5, 10)
 	serve("b", 1, 0)
-	is.Equal(time("b"), 1700.0) // and going idle did not pay what it is ahead
+	is.Equal(time("b"), 1700.0) // going idle did not reduce b's lead
 }
 
 func TestRecallFindsFreeSlotsElsewhere(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
 	a.Report(0, "rich", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
 	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
-	a.Report(0, "poor", waits("a", 1))
+	a.Report(0, "poor", waitingReport("a", 1))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one request waits, so one slot is recalled, not both
 }
 
 func TestFreeSlotElsewhereIsRecalledForARouterWithSlots(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
 	a.Report(0, "idle", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 1}}})
 	a.OpenSession(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.Held{{Server: "s", Slots: 1}}})
-	a.Report(0, "busy", waits("a", 3))
+	a.Report(0, "busy", waitingReport("a", 3))
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // it is free there and wanted here
+	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // free at one router and needed at the other
 }
 
 func TestRouterWithoutAnySlotIsGivenOneInUse(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
 	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
-	a.Report(0, "poor", waits("a", 3))
+	a.Report(0, "poor", waitingReport("a", 3))
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one, for a router that has none; not three
+	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one slot for a router that has none, not three
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["rich"].Recall, 0) // and not again while it is on its way
+	is.Equal(viewsOf(a, 0)["rich"].Recall, 0) // not recalled again while in flight
 }
 
 func TestShortnessIsSent(t *testing.T) {
 	is := is.New(t)
-	a := bench()
+	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
-	a.Report(0, "r1", waits("a", 2))
+	a.Report(0, "r1", waitingReport("a", 2))
 	a.Allocate(0)
-	is.True(!viewsOf(a, 0)["r1"].Short) // two wait, two slots
+	is.True(!viewsOf(a, 0)["r1"].Short) // two requests wait for two slots
 	a.Report(0, "r1", protocol.Report{ViewSeq: 1, Pools: []protocol.PoolReport{{
 		Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Waiting: 3, Running: 2}},
 	}}})
 	a.Allocate(0)
-	is.True(viewsOf(a, 0)["r1"].Short) // three more wait, and nothing is free
+	is.True(viewsOf(a, 0)["r1"].Short) // three more requests wait and no slot is free
 	a.Report(0, "r1", protocol.Report{ViewSeq: 2, Pools: []protocol.PoolReport{{
 		Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Running: 2}},
 	}}})
 	a.Allocate(0)
 	v, sent := viewsOf(a, 0)["r1"]
-	is.True(sent) // its end is sent too
+	is.True(sent) // the end of the shortage is sent too
 	is.True(!v.Short)
 }
 
-// viewsOf returns pool p in the views that are due, by router.
+// viewsOf returns the state of pool p in the due views, by router.
 func viewsOf(a *slots.Allocator, now time.Duration) map[string]protocol.PoolView {
 	out := map[string]protocol.PoolView{}
 	for _, o := range a.Views(now) {
@@ -284,7 +283,7 @@
 	h.Grant(0, "s", 3)
 	h.Start("s")
 	h.Start("s")
-	h.Recall(2) // one is free now, one will be
+	h.Recall(2) // one slot is free now, the other later
 	is.Equal(h.TakeReturned(), []protocol.Held{{Server: "s", Slots: 1}})
 	h.Done(0, "s")
 	is.Equal(h.TakeReturned(), []protocol.Held{{Server: "s", Slots: 1}})
@@ -300,7 +299,7 @@
 	h.Start("s")
 	h.Expire()
 	is.Equal(h.Idle(), 0)
-	is.Equal(h.Held(), []protocol.Held{{Server: "s", Slots: 1}}) // what runs is reported, lease or not
+	is.Equal(h.Held(), []protocol.Held{{Server: "s", Slots: 1}}) // running requests are reported even without a lease
 	h.Done(0, "s")
 	is.Equal(h.Idle(), 1)
 }
@@ -310,10 +309,10 @@
 	p := slots.Pacer{Pace: slots.Pace{UrgentInterval: 2 * time.Millisecond, FullInterval: 250 * time.Millisecond, Budget: 1000, Burst: 500}}
 	is.Equal(p.DueFull(), time.Duration(0))
 	p.RecordSent(0, 400, true)
-	is.Equal(p.DueUrgent(), 2*time.Millisecond) // inside the burst
+	is.Equal(p.DueUrgent(), 2*time.Millisecond) // within the burst
 	is.Equal(p.DueFull(), 400*time.Millisecond) // when 400 bytes are earned
 	p.RecordSent(0, 400, false)
 	is.Equal(p.DueUrgent(), 300*time.Millisecond) // when the debt is down to the burst
 	p.RecordSent(0, 9000, false)
-	is.Equal(p.DueFull(), slots.MaxStretch*250*time.Millisecond) // but never later than that
+	is.Equal(p.DueFull(), slots.MaxStretch*250*time.Millisecond) // no later than the maximum stretch
 }
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -8,28 +8,27 @@
 	"time"
 )
 
-// This file defines what the allocator shows of its tables, for status and
-// metrics.
+// This file exposes the allocator's state for status and metrics.
 
-// Standing is one account in one pool.
+// Standing is the state of one account in one pool.
 type Standing struct {
 	Pool        string
 	Account     string
 	Share       float64
-	VirtualTime float64 // virtual time
-	Waiting     int     // requests
+	VirtualTime float64 // cost received divided by the share
+	Waiting     int     // requests waiting on all routers
 }
 
-// Standings returns every account of every pool in order.
+// Standings returns every account of every pool, sorted by pool and account name.
 func (a *Allocator) Standings() []Standing {
 	var out []Standing
 	for _, pn := range slices.Sorted(maps.Keys(a.pools)) {
 		p := a.pools[pn]
 		for _, an := range slices.Sorted(maps.Keys(p.accounts)) {
 			acc := p.accounts[an]
-			st := Standing{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.time}
-			for _, w := range acc.places {
-				st.Waiting += w.reported
+			st := Standing{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.virtualTime}
+			for _, w := range acc.backlogs {
+				st.Waiting += w.waiting
 			}
 			out = append(out, st)
 		}
@@ -37,15 +36,15 @@
 	return out
 }
 
-// Occupancy is the slots of one server.
+// Occupancy is the number of slots of one server and how many are granted.
 type Occupancy struct {
 	Server  string
 	Pool    string
-	Slots   int // without those granted beyond
+	Slots   int // without overcommitted ones
 	Granted int
 }
 
-// Occupancies returns every server in order.
+// Occupancies returns every server, sorted by name.
 func (a *Allocator) Occupancies() []Occupancy {
 	var out []Occupancy
 	for _, name := range slices.Sorted(maps.Keys(a.servers)) {
@@ -55,31 +54,31 @@
 	return out
 }
 
-// RouterState is one session.
+// RouterState is the state of one session.
 type RouterState struct {
 	Router  string
 	Linked  bool
-	Renewed time.Duration // when the lease was last renewed
+	Renewed time.Duration // time of the last lease renewal
 	Held    int           // slots
 }
 
-// Routers returns every session in order.
+// Routers returns every session, sorted by router name.
 func (a *Allocator) Routers() []RouterState {
 	var out []RouterState
-	for _, s := range a.order {
+	for _, s := range a.sortedSessions {
 		held := 0
 		for _, n := range s.held {
 			held += n
 		}
-		out = append(out, RouterState{Router: s.router, Linked: s.linked, Renewed: s.renewed, Held: held})
+		out = append(out, RouterState{Router: s.router, Linked: s.linked, Renewed: s.renewedAt, Held: held})
 	}
 	return out
 }
 
-// Processes returns the processes whose lease has not run out.
+// Processes returns the processes whose lease has not expired.
 func (a *Allocator) Processes() []Process {
-	out := make([]Process, 0, len(a.order))
-	for _, s := range a.order {
+	out := make([]Process, 0, len(a.sortedSessions))
+	for _, s := range a.sortedSessions {
 		out = append(out, Process{Router: s.name, Boot: s.boot})
 	}
 	return out
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the views that the allocator sends to each router, and when
-// (the pace is in pacer.go).
+// This file builds the views that the allocator sends to each router and determines when they
+// are due (the pace is in pacer.go).
 
 // OutgoingView is a view that is due.
 type OutgoingView struct {
@@ -21,112 +21,112 @@
 	full   bool
 }
 
-// Views returns the views that are due now, in the order of router names. The
-// caller reports the size of each with Sent. Grants and recalls go soon and
-// alone; the virtual times wait for a full view.
+// Views returns the views that are due now, ordered by router name. The caller reports the
+// size of each with RecordSent. Grants and recalls are sent early, in views of their own;
+// virtual times wait for a full view.
 func (a *Allocator) Views(now time.Duration) []OutgoingView {
 	var out []OutgoingView
-	for _, s := range a.order {
-		if !s.linked || now < s.due() {
+	for _, s := range a.sortedSessions {
+		if !s.linked || now < s.dueAt() {
 			continue
 		}
-		full := s.wantView && now >= s.pacer.DueFull()
-		v, worth := a.buildView(s, full)
-		s.urgent = false
-		s.wantView = s.wantView && !full
-		if worth {
+		full := s.viewPending && now >= s.pacer.DueFull()
+		v, hasNews := a.buildView(s, full)
+		s.urgentPending = false
+		s.viewPending = s.viewPending && !full
+		if hasNews {
 			out = append(out, OutgoingView{Router: s.router, View: v, full: full})
 		}
 	}
 	return out
 }
 
-// never is the due time of a view that is not wanted.
-const never = time.Duration(math.MaxInt64)
+// noDueTime is the due time when no view is pending.
+const noDueTime = time.Duration(math.MaxInt64)
 
-// due returns when the session's next view may go.
-func (s *session) due() time.Duration {
-	next := never
-	if s.urgent {
+// dueAt returns when the session's next view may be sent.
+func (s *session) dueAt() time.Duration {
+	next := noDueTime
+	if s.urgentPending {
 		next = s.pacer.DueUrgent()
 	}
-	if s.wantView {
+	if s.viewPending {
 		next = min(next, s.pacer.DueFull())
 	}
 	return next
 }
 
-// NextView returns when the next view is due, or false when none is wanted.
+// NextView returns when the next view is due, or false if none is pending.
 func (a *Allocator) NextView() (time.Duration, bool) {
-	next := never
-	for _, s := range a.order {
+	next := noDueTime
+	for _, s := range a.sortedSessions {
 		if s.linked {
-			next = min(next, s.due())
+			next = min(next, s.dueAt())
 		}
 	}
-	return next, next != never
+	return next, next != noDueTime
 }
 
-// RecordSent counts the size of a view that went out.
+// RecordSent counts the size of a view that was sent.
 func (a *Allocator) RecordSent(now time.Duration, o OutgoingView, bytes int) {
 	if s := a.sessions[o.Router]; s != nil {
 		s.pacer.RecordSent(now, bytes, o.full)
 	}
 }
 
-// buildView returns the view for a router and whether it holds anything new.
+// buildView returns the view for a router and whether it contains anything new.
 func (a *Allocator) buildView(s *session, full bool) (protocol.View, bool) {
 	s.viewSeq++
-	v := protocol.View{Seq: s.viewSeq, ReportSeq: s.reports, Granted: heldList(s.granted)}
-	clear(s.granted)
-	for i := range s.unacked {
-		if s.unacked[i].seq == 0 {
-			s.unacked[i].seq = s.viewSeq
+	v := protocol.View{Seq: s.viewSeq, ReportSeq: s.reportsReceived, Granted: heldList(s.unsentGrants)}
+	clear(s.unsentGrants)
+	for i := range s.unackedGrants {
+		if s.unackedGrants[i].seq == 0 {
+			s.unackedGrants[i].seq = s.viewSeq
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.pools)) {
 		r := s.pools[name]
-		if !full && r.recall == 0 {
+		if !full && r.recallsPending == 0 {
 			continue
 		}
-		if pv, worth := r.view(full); worth {
+		if pv, hasNews := r.view(full); hasNews {
 			v.Pools = append(v.Pools, pv)
 		}
 	}
 	return v, len(v.Granted) > 0 || len(v.Pools) > 0
 }
 
-// view returns the state of the pool for a router; in a full view with the
-// accounts that wait there and whose virtual time moved. The router needs the
-// times of these to order its queue, and no others.
+// view returns the state of the pool for a router and whether it is worth sending. A full
+// view includes the accounts that wait at the router and whose virtual time changed, because
+// the router needs just these to order its queue.
 //
-// Slack, rate and each account's time above the floor are kept to 32-bit
-// precision, which halves their bytes on the link; unlike the virtual times
-// themselves, they do not lose precision as the fleet grows old.
+// Slack, rate and each account's time above the floor are rounded to 32-bit precision, which
+// halves their bytes on the link. Unlike absolute virtual times, these values do not lose
+// precision as the fleet grows old.
 func (r *routerPool) view(full bool) (protocol.PoolView, bool) {
 	p := r.pool
 	pv := protocol.PoolView{
-		Pool: p.name, Short: p.short, Floor: p.floor, Lift: p.lift, Recall: r.recall,
-		Slack: float64(float32(p.slack())), Rate: float64(float32(p.rate)),
+		Pool: p.name, Short: p.short, Floor: p.floor, Lift: p.lift, Recall: r.recallsPending,
+		Slack: float64(float32(p.slack())), Rate: float64(float32(p.floorRate)),
 	}
-	r.recalled += r.recall
-	r.recall = 0
+	r.recallsSent += r.recallsPending
+	r.recallsPending = 0
 	if !full {
 		return pv, true
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.accounts)) {
+	for _, name := range slices.Sorted(maps.Keys(r.sentTimes)) {
 		acc := p.accounts[name]
 		if acc == nil {
-			delete(r.accounts, name)
+			delete(r.sentTimes, name)
 			continue
 		}
-		if acc.time != r.accounts[name] {
-			r.accounts[name] = acc.time
-			ahead := float64(float32(acc.time - p.floor))
+		if acc.virtualTime != r.sentTimes[name] {
+			r.sentTimes[name] = acc.virtualTime
+			ahead := float64(float32(acc.virtualTime - p.floor))
 			pv.Accounts = append(pv.Accounts, protocol.AccountView{Account: name, Ahead: ahead})
 		}
 	}
-	worth := pv.Short || pv.Short != r.shortSent || len(pv.Accounts) > 0 || pv.Recall > 0
-	r.shortSent = pv.Short
-	return pv, worth
+	hasNews := pv.Short || pv.Short != r.lastSentShort || len(pv.Accounts) > 0 || pv.Recall > 0
+	r.lastSentShort = pv.Short
+	return pv, hasNews
 }
--- a/coordination/slots/viewer_test.go
+++ b/coordination/slots/viewer_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// This file checks the use of the slots of the smaller fleet, whose accounts all
-// offer less than their share.
+// This file checks the utilization of the smaller fleet, whose accounts all request less than
+// their share.
 
-// TestIdleFleetUsesItsSlotsWhileWorkWaits is BenchmarkFleet/viewer/idle/fleet with its
-// aim: of the slots that waiting work could use, at least 95 % are in use.
+// TestIdleFleetUsesItsSlotsWhileWorkWaits runs BenchmarkFleet/viewer/idle/fleet and checks
+// its target: of the slots that waiting requests could use, at least 95 % are in use.
 func TestIdleFleetUsesItsSlotsWhileWorkWaits(t *testing.T) {
 	s := viewer()
 	for _, v := range variants {
@@ -20,7 +20,7 @@
 			v.change(&s)
 		}
 	}
-	r := newFleet(s, fleetFair, 1).run().results(fresh)
-	t.Logf("%.2f %% of the slots are in use while work waits; by pool %.2f", r.util, r.utils)
-	is.New(t).True(r.util >= 95)
+	r := newFleet(s, fleetFair, 1).run().results(freshViewAge)
+	t.Logf("%.2f %% of the slots that waiting requests could use are in use; by pool %.2f", r.utilization, r.poolUtilization)
+	is.New(t).True(r.utilization >= 95)
 }
