--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -26,7 +26,7 @@
 	configuredRate    = 2.3e6                  // tokens per second, configured by the operator
 	engineRate        = 3.0e6                  // tokens per second that the engines produce with little idle capacity
 	idleEngineRate    = 30e6                   // tokens per second that they produce where most of them are idle
-	queueObjective    = 400 * time.Millisecond // engines' queue wait that admission aims for
+	queueObjective    = 400 * time.Millisecond
 	refuseTime        = 300 * time.Microsecond // processor time per refusal: 60 µs, half of BenchmarkRefusal/kept, at a fifth of a core
 	serveTime         = 5 * time.Millisecond   // processor time per served request: 40 events of 26 µs
 	streamTime        = 500 * time.Millisecond // time over which its events are spread
--- a/coordination/entitlement/promise_test.go
+++ b/coordination/entitlement/promise_test.go
@@ -34,7 +34,7 @@
 // TestWhoWaitsGetsHalf runs floods that begin, end and overlap, at all gateways and at two,
 // across a change of leaders, and then random floods.
 func TestWhoWaitsGetsHalf(t *testing.T) {
-	t.Run("fixed", func(t *testing.T) { fixedFloods(t, engineRate) })
+	t.Run("chosen", func(t *testing.T) { fixedFloods(t, engineRate) })
 	runSeeds(t, 20, cappedFloods, engineRate)
 }
 
@@ -68,7 +68,7 @@
 // TestWhoWaitsGetsHalfBesideIdleEngines runs the same where most engines run nothing, so that
 // an account lacks only processor time at its gateways.
 func TestWhoWaitsGetsHalfBesideIdleEngines(t *testing.T) {
-	t.Run("fixed", func(t *testing.T) { fixedFloods(t, idleEngineRate) })
+	t.Run("chosen", func(t *testing.T) { fixedFloods(t, idleEngineRate) })
 	runSeeds(t, 20, slices.Concat(cappedBesideIdle, unreadBesideIdle, burstsBesideIdle), idleEngineRate)
 }
 
--- a/coordination/entitlement/rates.go
+++ b/coordination/entitlement/rates.go
@@ -13,7 +13,7 @@
 type Rates struct {
 	Level, Extra    int64 // max-min levels of the configured rate and of the engines' output
 	Started, Missed int64
-	Hold            int64          // cap on Extra for an underserved account; 0 means none now
+	ExtraCap        int64          // cap on Extra for an underserved account; 0 means none now
 	BusyFraction    float64        // fraction of engines that run something; 0 means unknown
 	Accounts        []AccountRates // sorted by descending demand
 }
@@ -29,7 +29,7 @@
 func (d *DemandEstimator) Rates(limit int) Rates {
 	r := Rates{
 		Level: int64(d.level), Extra: int64(d.extraLevel), Started: int64(d.started.average), Missed: int64(d.missed.average), BusyFraction: d.busyFraction,
-		Hold: d.activeCap(),
+		ExtraCap: d.activeCap(),
 	}
 	for name, a := range d.accounts {
 		r.Accounts = append(r.Accounts, AccountRates{Account: name, Demand: int64(a.demand.average), Served: int64(a.served.average), Unread: int64(a.unread.average)})
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -86,6 +86,6 @@
 	h.sharesLogged = now
 	r := h.usage.demand.Rates(loggedAccounts)
 	h.d.cfg.Log.StateChange("shares", slog.Int64("level", r.Level), slog.Int64("extra_level", r.Extra),
-		slog.Int64("started", r.Started), slog.Int64("missed", r.Missed), slog.Int64("hold", r.Hold), slog.Float64("engines_busy", r.BusyFraction), slog.Bool("short", h.usage.demand.Contended()),
+		slog.Int64("started", r.Started), slog.Int64("missed", r.Missed), slog.Int64("hold", r.ExtraCap), slog.Float64("engines_busy", r.BusyFraction), slog.Bool("short", h.usage.demand.Contended()),
 		slog.Any("accounts", r.Accounts))
 }
