--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -55,14 +55,14 @@
 // CopyOf returns a copy of what a registry lists, as of a leader whose term ends.
 func CopyOf(now time.Duration, r *Registry, term uint64, hallsOut []string, hallChanges uint64) Copy {
 	c := NewCopy(r.handles)
-	list := protocol.Servers{Set: r.List(now)}.Sent(r.Lists).Set
-	c.Take(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
+	list := protocol.Servers{Set: r.List(now)}.Sent(r.IsListed).Set
+	c.Apply(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
 	return c
 }
 
-// Take takes a message of the leader, and returns what the gateways that have this copy are to be
+// Apply takes a message of the leader, and returns what the gateways that have this copy are to be
 // sent.
-func (c *Copy) Take(now time.Duration, m protocol.Servers) protocol.Servers {
+func (c *Copy) Apply(now time.Duration, m protocol.Servers) protocol.Servers {
 	if m.Whole {
 		c.begin()
 	}
@@ -75,7 +75,7 @@
 	}
 	c.gone = append(c.gone, m.Gone...)
 	c.gone = c.gone[max(len(c.gone)-goneKept, 0):]
-	passed := c.Head()
+	passed := c.Header()
 	passed.Gone, passed.Complete = m.Gone, m.Complete
 	for _, s := range m.Set {
 		if own, changed := c.set(now, s); changed || !m.Whole && !m.Part {
@@ -101,7 +101,7 @@
 func (c *Copy) set(now time.Duration, s protocol.Server) (own protocol.Server, changed bool) {
 	before, listed := c.servers[s.ID]
 	theirs := s.Handle
-	s.Handle = c.handles.Of(lifeOf(s.Registration))
+	s.Handle = c.handles.Assign(lifeOf(s.Registration))
 	c.own[theirs], c.theirs[s.Handle] = s.Handle, theirs
 	same := listed && before.Registration == s.Registration && s.Cold == nil && now >= before.coldUntil
 	if !same {
@@ -130,7 +130,7 @@
 	if e, ok := c.servers[id]; ok {
 		delete(c.servers, id)
 		delete(c.byAddress, e.Address)
-		c.handles.Forget(lifeOf(e.Registration))
+		c.handles.Release(lifeOf(e.Registration))
 	}
 }
 
@@ -153,15 +153,15 @@
 // Len returns the number of servers.
 func (c *Copy) Len() int { return len(c.servers) }
 
-// Head returns a list without servers, which says whose handles come and which halls are out of
+// Header returns a list without servers, which says whose handles come and which halls are out of
 // service.
-func (c *Copy) Head() protocol.Servers {
+func (c *Copy) Header() protocol.Servers {
 	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
 
-// Whole returns the message with which a gateway's session opens. It costs O(n log n).
-func (c *Copy) Whole(now time.Duration) protocol.Servers {
-	m := c.Head()
+// WholeList returns the message with which a gateway's session opens. It costs O(n log n).
+func (c *Copy) WholeList(now time.Duration) protocol.Servers {
+	m := c.Header()
 	m.Whole, m.Complete, m.Gone = true, c.complete, slices.Clone(c.gone)
 	m.Set = make([]protocol.Server, 0, len(c.servers))
 	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
@@ -193,15 +193,15 @@
 	return theirs, ok && known && e.Registration == r && now >= e.coldUntil
 }
 
-// Own returns loads under the leader's handles under those of this replica, less those of servers
+// WithOwnHandles returns loads under the leader's handles under those of this replica, less those of servers
 // that it does not have.
-func (c *Copy) Own(loads []protocol.ServerLoad) []protocol.ServerLoad {
+func (c *Copy) WithOwnHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
 	return translated(loads, c.own)
 }
 
-// Theirs returns loads under the handles of this replica under those of the leader, less those of
+// WithLeaderHandles returns loads under the handles of this replica under those of the leader, less those of
 // servers that the leader has not listed.
-func (c *Copy) Theirs(loads []protocol.ServerLoad) []protocol.ServerLoad {
+func (c *Copy) WithLeaderHandles(loads []protocol.ServerLoad) []protocol.ServerLoad {
 	return translated(loads, c.theirs)
 }
 
--- a/coordination/registry/listpace.go
+++ b/coordination/registry/listpace.go
@@ -45,30 +45,30 @@
 // Wait returns how long the next list has to wait; 0 if it may go now.
 func (p *ListPace) Wait(now time.Duration) time.Duration { return max(p.free-listAhead-now, 0) }
 
-// Part returns how many servers' entries of a whole list may go out in one message: what listAhead carries.
-func (p *ListPace) Part() int {
+// PartSize returns how many servers' entries of a whole list may go out in one message: what listAhead carries.
+func (p *ListPace) PartSize() int {
 	if p.rate == 0 {
 		return math.MaxInt
 	}
 	return max(int(p.rate*listAhead.Seconds()/p.entryBytes()), 1)
 }
 
-// Lists returns how many lists of some servers go out in a time; 0 if the pace is not known.
-func (p *ListPace) Lists(d time.Duration, servers int) float64 {
+// ListsWithin returns how many lists of some servers go out in a time; 0 if the pace is not known.
+func (p *ListPace) ListsWithin(d time.Duration, servers int) float64 {
 	return p.rate * d.Seconds() / max(p.listBytes(servers), 1)
 }
 
-// Takes returns after which time some lists of servers have gone out, if nothing else goes before them.
-func (p *ListPace) Takes(now time.Duration, lists, servers int) time.Duration {
+// TimeToSend returns after which time some lists of servers have gone out, if nothing else goes before them.
+func (p *ListPace) TimeToSend(now time.Duration, lists, servers int) time.Duration {
 	if p.rate == 0 {
 		return 0
 	}
 	return p.Wait(now) + time.Duration(float64(lists)*p.listBytes(servers)/p.rate*float64(time.Second))
 }
 
-// Servers returns how many servers' entries may go now to each of some sessions: one at least once
+// EntryAllowance returns how many servers' entries may go now to each of some sessions: one at least once
 // the link is free, however slow it is.
-func (p *ListPace) Servers(now time.Duration, sessions int) int {
+func (p *ListPace) EntryAllowance(now time.Duration, sessions int) int {
 	if p.rate == 0 || sessions == 0 {
 		return math.MaxInt
 	}
@@ -80,19 +80,19 @@
 	return n
 }
 
-// Sent counts bytes of lists, or of changes of them, that are sent now.
-func (p *ListPace) Sent(now time.Duration, size int) {
+// RecordSent counts bytes of lists, or of changes of them, that are sent now.
+func (p *ListPace) RecordSent(now time.Duration, size int) {
 	if p.rate > 0 {
 		p.free = max(p.free, now) + time.Duration(float64(size)/p.rate*float64(time.Second))
 	}
 }
 
-// SentEntries counts a message with some servers' entries, which is sent to some sessions now.
-func (p *ListPace) SentEntries(now time.Duration, size, servers, sessions int) {
+// RecordEntries counts a message with some servers' entries, which is sent to some sessions now.
+func (p *ListPace) RecordEntries(now time.Duration, size, servers, sessions int) {
 	if servers >= entriesMeasured {
 		p.entry = min(max(float64(size)/float64(servers), serverBytes/entrySpread), serverBytes*entrySpread)
 	}
-	p.Sent(now, size*sessions)
+	p.RecordSent(now, size*sessions)
 }
 
 // entryBytes is the size of a server's entry: names are longer in one fleet than in another.
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -20,18 +20,18 @@
 	sent, now := 0, time.Second
 	for ; now < 2*time.Second; now += time.Millisecond {
 		for pace.Wait(now) == 0 {
-			pace.Sent(now, size)
+			pace.RecordSent(now, size)
 			sent += size
 		}
 		due := rate / 2 * (now - time.Second).Seconds()
 		is.True(float64(sent) <= due+size+rate/2*0.020)
 		is.True(float64(sent) >= due)
 	}
-	is.Equal(pace.Lists(time.Second, 10_000), rate/2/750_000.0)
-	is.Equal(pace.Takes(now+time.Second, 3, 10_000), 36*time.Millisecond)
+	is.Equal(pace.ListsWithin(time.Second, 10_000), rate/2/750_000.0)
+	is.Equal(pace.TimeToSend(now+time.Second, 3, 10_000), 36*time.Millisecond)
 	unknown := registry.NewListPace(0)
-	is.Equal(unknown.Takes(now, 3, 10_000), time.Duration(0))
-	unknown.Sent(now, size)
+	is.Equal(unknown.TimeToSend(now, 3, 10_000), time.Duration(0))
+	unknown.RecordSent(now, size)
 	is.Equal(unknown.Wait(now), time.Duration(0))
 }
 
@@ -44,8 +44,8 @@
 		pace := registry.NewListPace(rate / 2)
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
-			n := pace.Servers(now, sessions)
-			pace.Sent(now, n*bytes*sessions)
+			n := pace.EntryAllowance(now, sessions)
+			pace.RecordSent(now, n*bytes*sessions)
 			sent += n
 		}
 		due := rate / 2 * 30 / (bytes * sessions) // servers
@@ -63,8 +63,8 @@
 		pace := registry.NewListPace(rate)
 		sent, now := 0, time.Second
 		for ; now < 31*time.Second; now += registry.FleetPeriod {
-			n := pace.Servers(now, sessions)
-			pace.SentEntries(now, n*bytes, n, sessions)
+			n := pace.EntryAllowance(now, sessions)
+			pace.RecordEntries(now, n*bytes, n, sessions)
 			sent += n
 		}
 		due := rate * 30 / float64(bytes*sessions) // servers
--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -26,9 +26,9 @@
 	sumsKept = 32
 )
 
-// SumLoads is how many changed loads one report has at most, ten bytes each: half of what the
+// MaxSumLoads is how many changed loads one report has at most, ten bytes each: half of what the
 // budget allows in the longest pause, since accounts need the rest.
-const SumLoads = int(sumBudget*sumLongest/time.Second) / 2 / loadBytes
+const MaxSumLoads = int(sumBudget*sumLongest/time.Second) / 2 / loadBytes
 
 // SumPause returns how long a relay waits after a report of a size in bytes. It is less by half
 // a period because the caller looks once a period.
@@ -190,7 +190,7 @@
 	}
 	m.Number, m.Obeyed = s.least()
 	m.Barred = s.barred()
-	m.Loads = s.feed.Next(OrderedLoads(loads), SumLoads)
+	m.Loads = s.feed.Next(SortedLoads(loads), MaxSumLoads)
 	m.Outcomes = s.changedOutcomes()
 	m.Demands, m.Served, m.Late = byAccount(s.gathered.demands), byAccount(s.gathered.served), byAccount(s.gathered.late)
 	m.Unread = byAccount(s.gathered.unread)
@@ -279,8 +279,8 @@
 	return a.Sent == b.Sent && a.Answered == b.Answered && a.Failed == b.Failed && slices.Equal(a.Paces, b.Paces)
 }
 
-// TakeRollouts takes the leader's list of rollouts, and forgets the outcomes of others.
-func (s *Sums) TakeRollouts(m protocol.Rollouts) {
+// ApplyRollouts takes the leader's list of rollouts, and forgets the outcomes of others.
+func (s *Sums) ApplyRollouts(m protocol.Rollouts) {
 	s.listed = m.Seq
 	attempts := map[string]uint64{}
 	for _, r := range m.List {
@@ -303,9 +303,9 @@
 	s.sent = slices.DeleteFunc(s.sent, func(sent sentSum) bool { return sent.seq <= seq })
 }
 
-// CountedOf returns the number of a gateway's newest report that is in the leader's sums, 0 for
+// CountedReport returns the number of a gateway's newest report that is in the leader's sums, 0 for
 // none of its session.
-func (s *Sums) CountedOf(gateway string) uint64 { return s.counted.gateways[gateway] }
+func (s *Sums) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
 
 // AddLoads adds loads to sums by handle.
 func AddLoads(sums map[uint32]protocol.ServerLoad, loads []protocol.ServerLoad) {
@@ -328,7 +328,7 @@
 	}
 }
 
-// OrderedLoads returns sums in the order of their handles.
-func OrderedLoads(sums map[uint32]protocol.ServerLoad) []protocol.ServerLoad {
+// SortedLoads returns sums in the order of their handles.
+func SortedLoads(sums map[uint32]protocol.ServerLoad) []protocol.ServerLoad {
 	return slices.SortedFunc(maps.Values(sums), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -50,16 +50,16 @@
 	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // once
 
 	s.Counted(1)
-	is.Equal([]uint64{s.CountedOf("g1"), s.CountedOf("g2")}, []uint64{1, 0})
+	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
 	s.Counted(2)
-	is.Equal([]uint64{s.CountedOf("g1"), s.CountedOf("g2")}, []uint64{2, 2})
+	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{2, 2})
 	s.Counted(9) // of no report
-	is.Equal(s.CountedOf("g1"), uint64(2))
+	is.Equal(s.CountedReport("g1"), uint64(2))
 
 	s.Open("g1", false) // comes back: its reports have other numbers, and it obeys nothing
-	is.Equal(s.CountedOf("g1"), uint64(0))
+	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Counted(3)
-	is.Equal(s.CountedOf("g1"), uint64(0))
+	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Close("g2")
 	m = s.Next()
 	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // nothing runs any more
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	var s Sums
 	s.Restart(1)
-	s.TakeRollouts(protocol.Rollouts{Seq: 3})
+	s.ApplyRollouts(protocol.Rollouts{Seq: 3})
 	is.Equal(s.Next().Obeyed, uint64(3))
 	s.Open("earlier version", false)
 	is.Equal(s.Next().Obeyed, uint64(3))
@@ -119,7 +119,7 @@
 	is.Equal(s.Next().Outcomes, []protocol.Outcomes{{Pool: "p", Attempt: 2, Version: "v2", Route: "r"}})
 	s.Open("g2", true)
 	s.Add("g2", protocol.Usage{Seq: 1, Outcomes: []protocol.Outcomes{count(7, 0, 3)}})
-	s.TakeRollouts(protocol.Rollouts{List: []protocol.Rollout{{Pool: "p", Attempt: 3}}})
+	s.ApplyRollouts(protocol.Rollouts{List: []protocol.Rollout{{Pool: "p", Attempt: 3}}})
 	is.Equal(len(s.Next().Outcomes), 0)
 }
 
@@ -136,10 +136,10 @@
 	}
 	handles := NewHandles(7)
 	c, space := NewCopy(handles), handles.Space()
-	c.Take(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
+	c.Apply(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
 	is.Equal(c.Term(), uint64(3))
 	is.True(c.AnyCold(time.Second))
-	is.Equal(c.Whole(time.Second), protocol.Servers{
+	is.Equal(c.WholeList(time.Second), protocol.Servers{
 		Term: 3, Space: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
@@ -151,9 +151,9 @@
 	_, ok = c.Handle(0, protocol.Registration{ID: "a", Pool: "q", Address: "1"})
 	is.True(!ok) // it has changed
 
-	c.Take(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
+	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
-	is.Equal(c.Whole(5*time.Second), protocol.Servers{
+	is.Equal(c.WholeList(5*time.Second), protocol.Servers{
 		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // a's address is c's
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
@@ -168,7 +168,7 @@
 	}
 	handles := NewHandles(7)
 	c := NewCopy(handles)
-	first := c.Take(0, protocol.Servers{Term: 3, Whole: true, Complete: true, Set: []protocol.Server{
+	first := c.Apply(0, protocol.Servers{Term: 3, Whole: true, Complete: true, Set: []protocol.Server{
 		server("a", "1", 31), server("b", "2", 32), server("c", "3", 33), server("d", "4", 34),
 	}})
 	is.Equal(len(first.Set), 4)
@@ -176,9 +176,9 @@
 	for _, s := range first.Set {
 		own[s.ID] = s.Handle
 	}
-	is.Equal(c.Theirs([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
+	is.Equal(c.WithLeaderHandles([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
 
-	next := c.Take(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
+	next := c.Apply(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
 		server("a", "1", 43), server("b", "5", 42), server("e", "6", 41),
 	}})
 	is.Equal(next.Term, uint64(4))
@@ -186,16 +186,16 @@
 	is.Equal(next.Gone, []string{"d"})
 	is.True(!next.Whole && !next.Complete)
 	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // what has changed, and what is new
-	is.Equal(c.Own([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
+	is.Equal(c.WithOwnHandles([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
 	is.Equal(c.Len(), 4) // c may announce itself yet
 	handle, ok := c.Handle(time.Second, server("a", "1", 0).Registration)
 	is.True(ok)
 	is.Equal(handle, uint32(43))
 
-	done := c.Take(2*time.Second, protocol.Servers{Term: 4, Complete: true})
+	done := c.Apply(2*time.Second, protocol.Servers{Term: 4, Complete: true})
 	is.Equal(done.Unlisted, []string{"c"})
 	is.Equal(c.Len(), 3)
-	again := c.Take(3*time.Second, protocol.Servers{Term: 4, Set: []protocol.Server{server("c", "3", 44)}})
+	again := c.Apply(3*time.Second, protocol.Servers{Term: 4, Set: []protocol.Server{server("c", "3", 44)}})
 	is.True(again.Set[0].Handle > 5) // none is used twice
 }
 
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -65,17 +65,17 @@
 
 // Directory is a running directory replica.
 type Directory struct {
-	cfg       Settings
-	ctx       context.Context
-	stop      context.CancelFunc
-	state     *Replicated
-	replica   *replica.Replica
-	mesh      *mesh.Mesh
-	meter     *link.Meter
-	hub       *hub
-	announcer *announcer
-	regions   sync.Map // region by fleet address, of nodes that have named one
-	running   sync.WaitGroup
+	cfg         Settings
+	ctx         context.Context
+	stop        context.CancelFunc
+	state       *Replicated
+	replica     *replica.Replica
+	mesh        *mesh.Mesh
+	meter       *link.Meter
+	hub         *hub
+	announcer   *announcer
+	nodeRegions sync.Map // region by fleet address, of nodes that have named one
+	running     sync.WaitGroup
 }
 
 // Start opens the data folder and joins or founds the group. It runs until
@@ -173,7 +173,7 @@
 	if !d.names(a.Pool) {
 		return UnknownPool{Pool: a.Pool}
 	}
-	if err := d.leading(); errors.As(err, new(NotLeader)) {
+	if err := d.checkLeading(); errors.As(err, new(NotLeader)) {
 		return d.announcer.announce(ctx, a)
 	} else if err != nil {
 		return err
@@ -195,7 +195,7 @@
 // it returns nil, the departure is on the disks of a majority. The error is [NotLeader] or
 // [Unavailable].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
-	if err := d.leading(); err != nil {
+	if err := d.checkLeading(); err != nil {
 		return err
 	}
 	if _, born := protocol.SplitLife(id); born == 0 {
@@ -225,18 +225,18 @@
 func (d *Directory) Formed() bool { return d.hub.leadership.Load().formed }
 
 // Leads reports whether this replica leads now.
-func (d *Directory) Leads() bool { return d.leading() == nil }
+func (d *Directory) Leads() bool { return d.checkLeading() == nil }
 
-// leading returns nil at the leader, else [NotLeader] or [Unavailable].
-func (d *Directory) leading() error {
+// checkLeading returns nil at the leader, else [NotLeader] or [Unavailable].
+func (d *Directory) checkLeading() error {
 	leadership := d.hub.leadership.Load()
 	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
 		return nil
 	}
-	return d.notLeader(leadership.leader)
+	return d.leadershipError(leadership.leader)
 }
 
-func (d *Directory) notLeader(leader string) error {
+func (d *Directory) leadershipError(leader string) error {
 	if leader == "" || leader == d.cfg.Identity.Name {
 		return Unavailable{}
 	}
@@ -259,7 +259,7 @@
 	var notLeader consensus.NotLeader
 	switch {
 	case errors.As(err, &notLeader):
-		return false, d.notLeader(notLeader.Leader.Name)
+		return false, d.leadershipError(notLeader.Leader.Name)
 	case err != nil:
 		return false, Unavailable{Err: err}
 	}
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -104,7 +104,7 @@
 	case err != nil:
 		return Unavailable{Err: err}
 	case !leads:
-		return d.notLeader(leader)
+		return d.leadershipError(leader)
 	case d.replica.Now() >= until: // the lease ran out while this goroutine waited
 		return Unavailable{}
 	}
@@ -124,13 +124,13 @@
 // in the same message that the backend servers of a hall that is back may be cold.
 func (h *hub) pushHalls() {
 	out, changes := h.d.state.HallsOut()
-	if changes == h.hallChanges {
+	if changes == h.sentHallChanges {
 		return
 	}
-	h.hallChanges = changes
+	h.sentHallChanges = changes
 	now := h.d.replica.Now()
-	returned := h.d.state.putBackWithin(h.registry.Suspicion())
-	h.pending = h.pending.Then(h.registry.ServersReturn(now, returned, h.d.state.coldRates()))
+	returned := h.d.state.putBackWithin(h.registry.PresumedColdTime())
+	h.pendingChange = h.pendingChange.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
 	h.sendChanges()
 	h.d.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes),
 		slog.Any("returned", returned), slog.Int("gateways", len(h.gateways())), slog.Any("unaware", h.unawareOfHalls()))
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -89,7 +89,7 @@
 
 // place hands the lead over if another replica should have it.
 func (h *hub) place(now time.Duration) {
-	if now < h.placeDue || now-h.began < placeSettled {
+	if now < h.placeDue || now-h.termBegan < placeSettled {
 		return
 	}
 	h.placeDue = now + placePeriod
@@ -105,7 +105,7 @@
 	if name == d.Address() {
 		return d.cfg.Region
 	}
-	region, _ := d.regions.Load(name)
+	region, _ := d.nodeRegions.Load(name)
 	known, _ := region.(string)
 	return known
 }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -36,16 +36,16 @@
 }
 
 func (h *hub) beginEvidence() {
-	settle := quarantine.Settle
+	settle := quarantine.SettleTime
 	if h.d.several() {
-		settle = quarantine.SettleFar
+		settle = quarantine.SettleViaRelay
 	}
 	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemned()
 	for _, e := range condemned {
-		h.evidence.seen.Know(e)
+		h.evidence.seen.AddCondemned(e)
 	}
-	h.evidence.list, h.evidence.revision = quarantine.List{}.With(condemned, nil), h.d.state.condemnedRevision()
+	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
 // takeLosses takes what a gateway or a relay reports of ends.
@@ -71,7 +71,7 @@
 	k, ok := quarantine.KeyFrom(l.Key)
 	return quarantine.TimedLoss{At: now - time.Duration(l.Age)*time.Millisecond, Loss: quarantine.Loss{
 		Key: k, Hint: quarantine.Hint(l.Hint), Account: l.Account, Pool: l.Pool, Server: l.Server, Address: l.Address,
-		Ran: time.Duration(l.Ran) * time.Millisecond, Again: l.Again, Serving: l.Serving,
+		RunTime: time.Duration(l.Ran) * time.Millisecond, Retry: l.Again, PoolAnswering: l.Serving,
 	}}, ok
 }
 
@@ -89,10 +89,10 @@
 // stepEvidence condemns what the evidence is enough for, and sends gateways what has changed.
 func (h *hub) stepEvidence() {
 	v := &h.evidence
-	for _, verdict := range v.seen.Judge(h.d.replica.Now(), h.registry.LenOf) {
+	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
-			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Chance))
+			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
 		v.unlogged[verdict.Key] = document.Condemned{
 			Key: verdict.Key[:], Hint: uint32(verdict.Hint), Account: verdict.Account, Pool: verdict.Pool, Servers: verdict.Servers,
 		}
@@ -167,7 +167,7 @@
 	if len(set)+len(gone) == 0 {
 		return
 	}
-	h.evidence.list = h.evidence.list.With(set, gone)
+	h.evidence.list = h.evidence.list.WithChanges(set, gone)
 	h.sendAll(quarantineMessage(set, gone))
 }
 
@@ -209,7 +209,7 @@
 
 // takeQuarantine takes the leader's list, and passes it on.
 func (r *relay) takeQuarantine(m protocol.Quarantine) {
-	r.quarantine = r.quarantine.Take(m)
+	r.quarantine = r.quarantine.Apply(m)
 	r.h.sendAll(m)
 }
 
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -19,10 +19,10 @@
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
 	h.usage.sum()
-	h.usage.demand.SetBusyFraction(h.registry.Busy(h.usage.total, h.engineGroup(held.Document)))
+	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
-	if now < h.fleetDue || len(h.sessions) == 0 {
+	if now < h.nextFleetAt || len(h.sessions) == 0 {
 		return
 	}
 	budget, links := h.fleetBudget(len(h.gateways()))
@@ -30,7 +30,7 @@
 	if !ok {
 		return
 	}
-	h.fleetDue = now + budget.Pause(m.Size(), links)
+	h.nextFleetAt = now + budget.Pause(m.Size(), links)
 	for s := range h.sessions {
 		s.out.Send(protocol.Counted{Seq: s.counted})
 		s.out.Send(m)
@@ -59,7 +59,7 @@
 	if !h.spreads() {
 		links = max(links, gateways)
 	}
-	return registry.BudgetOf(h.spreads(), h.d.cfg.LinkRate), links
+	return registry.NewFleetBudget(h.spreads(), h.d.cfg.LinkRate), links
 }
 
 // fleetMessage returns a message with these sums.
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -53,17 +53,17 @@
 }
 
 func (h *hub) beginTerm(term uint64) {
-	h.term, h.began = term, h.d.replica.Now()
+	h.term, h.termBegan = term, h.d.replica.Now()
 	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
 	h.departed = 0
 	h.complete = false
-	h.unlogged = nil
+	h.unloggedJoins = nil
 	for _, s := range h.d.state.Joined() {
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
-	h.usage, h.feed, h.fleetDue = newUsage(), registry.Feed{}, 0
-	h.pending, h.list, h.hallChanges = registry.Change{}, nil, 0
-	h.missing, h.placesSent, h.spreadAt = nil, nil, 0
+	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.Feed{}, 0
+	h.pendingChange, h.cachedList, h.sentHallChanges = registry.Change{}, nil, 0
+	h.missing, h.placesSent, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
 	h.d.cfg.Metrics.GetOrCreateCounter("badgerspoke_directory_terms_led_total").Inc()
@@ -83,7 +83,7 @@
 	if h.relay != nil {
 		return
 	}
-	h.held = registry.Change{}
+	h.heldServers = registry.Change{}
 	for s := range h.sessions {
 		s.out.Close()
 		delete(h.sessions, s)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -75,15 +75,15 @@
 }
 
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
-	answer, err := c.g.cfg.Server.Send(ctx, a.address, c.outgoing(a))
+	answer, err := c.g.cfg.Transport.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
 		return c.sendFailed(a, err)
 	}
 	defer answer.Body.Close()
-	a.connOpenedAt = c.g.since(answer.Opened)
-	c.g.observeWay(a)
+	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
+	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
-		answer.Body = countedBody{ReadCloser: answer.Body, n: &a.receivedBytes}
+		answer.Body = countingBody{ReadCloser: answer.Body, n: &a.receivedBytes}
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	c.g.heed(a, head)
@@ -102,9 +102,9 @@
 	case success && !head.Signed:
 		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
 	case success && c.route.Kind == document.Stream:
-		return c.relay.stream(ctx, a, answer)
+		return c.relay.relayStream(ctx, a, answer)
 	}
-	return c.relay.plain(a, answer)
+	return c.relay.relayPlain(a, answer)
 }
 
 // outgoing is the request as a backend server gets it.
@@ -120,7 +120,7 @@
 func (c *call) sendFailed(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
-		a.connOpenedAt = c.g.since(unknown.Opened)
+		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
 	}
 	var not forward.NotRun
 	if !errors.As(err, &not) {
@@ -181,8 +181,8 @@
 	policy := c.policy(ctx)
 	allowed, fromBudget := policy.Again(out.execution)
 	// Each further attempt of a request that was at three ends might cost one more server.
-	allowed = allowed && c.suspicion.MayTryAgain(c.losses)
-	again = allowed && (!fromBudget || c.g.takeRetry(c.pool.Name))
+	allowed = allowed && c.suspicion.MayRetry(c.losses)
+	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
 	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
 	if again {
 		return true, nil
@@ -191,7 +191,7 @@
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
 	case retry.EndServerError:
-		c.relay.give(out.held)
+		c.relay.writeHeld(out.held)
 		return false, nil
 	default:
 		return false, c.refusal(ending)
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -208,12 +208,12 @@
 	var calls atomic.Int64
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.renewShares()
 		x.request("/once/1", "Patience", "800")
 		is.Equal(calls.Load(), int64(1))
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.request("/once/1", "Patience", "800").status, 503)
 		is.Equal(calls.Load(), int64(1))
 		is.Equal(x.servers.count(), 1)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -40,7 +40,7 @@
 }
 
 func newSuspicions() *suspicions {
-	s := &suspicions{seen: quarantine.NewEvidence(quarantine.Settle), unreported: make(chan struct{}, 1)}
+	s := &suspicions{seen: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
 	s.list.Store(&quarantine.List{})
 	return s
 }
@@ -87,7 +87,7 @@
 // find returns what is known against a request, or false if that is nothing. key is called only
 // if something may be known.
 func (s *suspicions) find(hint quarantine.Hint, key func() quarantine.Key) (quarantine.Entry, bool) {
-	if l := s.list.Load(); l.MayHave(hint) {
+	if l := s.list.Load(); l.HasHint(hint) {
 		if e, listed := l.Find(key()); listed {
 			return e, true
 		}
@@ -102,7 +102,7 @@
 
 // take takes the leader's list. What is not listed any more was cleared elsewhere.
 func (s *suspicions) take(m protocol.Quarantine) {
-	l := s.list.Load().Take(m)
+	l := s.list.Load().Apply(m)
 	s.list.Store(&l)
 	s.told.Store(true)
 	s.mu.Lock()
@@ -118,7 +118,7 @@
 func (s *suspicions) beginSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losses, s.cleared = s.seen.Known(), nil
+	s.losses, s.cleared = s.seen.Losses(), nil
 }
 
 // report adds to a report what is to be told.
@@ -129,8 +129,8 @@
 	for _, h := range s.losses[:n] {
 		u.Losses = append(u.Losses, protocol.Loss{
 			Key: h.Key[:], Hint: uint32(h.Hint), Account: h.Account, Pool: h.Pool, Server: h.Server, Address: h.Address,
-			Ran: uint32(h.Ran.Milliseconds()), Age: uint32((now - h.At).Milliseconds()), Again: h.Again,
-			Serving: h.Serving,
+			Ran: uint32(h.RunTime.Milliseconds()), Age: uint32((now - h.At).Milliseconds()), Again: h.Retry,
+			Serving: h.PoolAnswering,
 		})
 	}
 	s.losses = s.losses[n:]
@@ -147,14 +147,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Judge(now, servers)
+	return s.seen.Evaluate(now, servers)
 }
 
 // judgeAlone condemns requests while the gateway is out of touch.
 func (g *Gateway) judgeAlone() {
 	for _, v := range g.suspicions.judge(g.now(), g.table.poolSize) {
 		g.cfg.Log.StateChange("request condemned", slog.String("key", v.Key.String()), slog.String("tenant", v.Account),
-			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Chance))
+			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Probability))
 	}
 }
 
@@ -181,7 +181,7 @@
 // awaitDecision waits until the request is condemned, cleared, or has waited for long enough. It
 // reports false if the caller has left.
 func (c *call) awaitDecision(hint quarantine.Hint) bool {
-	for until := c.g.now() + quarantine.Decision; c.suspicion.Undecided() && c.g.now() < until; {
+	for until := c.g.now() + quarantine.DecisionWait; c.suspicion.Undecided() && c.g.now() < until; {
 		if !sleep.For(c.r.Context(), decisionPoll) {
 			return false
 		}
@@ -199,14 +199,14 @@
 func (c *call) lost(a *assignment) {
 	now := c.g.now()
 	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
-		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, Ran: now - a.startedAt, Again: c.losses > 0,
-		Serving: c.g.table.othersServe(c.pool.Name, a.serverID),
+		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, RunTime: now - a.startedAt, Retry: c.losses > 0,
+		PoolAnswering: c.g.table.othersServe(c.pool.Name, a.serverID),
 	}})
 	c.losses++
 }
 
-// clear reports a whole answer, if anything is known against the request.
-func (c *call) clear() {
+// clearSuspicion reports a whole answer, if anything is known against the request.
+func (c *call) clearSuspicion() {
 	if !c.listed && c.losses == 0 {
 		return
 	}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -110,8 +110,8 @@
 			}
 			r := x.request("/again/deadly")
 			is.Equal(r.status == 400, condemned)
-			is.Equal(r.took >= quarantine.Decision, !condemned)
-			is.True(r.took <= quarantine.Decision+50*time.Millisecond)
+			is.Equal(r.took >= quarantine.DecisionWait, !condemned)
+			is.True(r.took <= quarantine.DecisionWait+50*time.Millisecond)
 		}, answers(200, "done", 0))
 	}
 }
@@ -139,7 +139,7 @@
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
 			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
-				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, Ran: 50 * time.Millisecond, Serving: true,
+				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
 			}})
 			x.servers.stop(at)
 			time.Sleep(time.Second)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -44,39 +44,39 @@
 	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
 }
 
-// part is the servers of a pool in one region, ordered by identifier.
-type part struct {
+// regionServers is the servers of a pool in one region, ordered by identifier.
+type regionServers struct {
 	region  string
 	servers []*knownServer
 }
 
-// insert adds a server in the order of identifiers.
-func insert(servers []*knownServer, k *knownServer) []*knownServer {
+// insertServer adds a server in the order of identifiers.
+func insertServer(servers []*knownServer, k *knownServer) []*knownServer {
 	i, _ := slices.BinarySearchFunc(servers, k.ID, compareID)
 	return slices.Insert(servers, i, k)
 }
 
 func compareID(k *knownServer, id string) int { return strings.Compare(k.ID, id) }
 
-// joinPart adds a server to the part of its region, where the gateway has a far side.
-func (t *table) joinPart(p *pool, k *knownServer) {
+// addToRegion adds a server to the part of its region, where the gateway has a far side.
+func (t *table) addToRegion(p *pool, k *knownServer) {
 	k.region = t.site.topology.Region(k.Hall)
 	if !t.site.hasFarSide() {
 		return
 	}
 	if len(p.parts) == 0 {
-		p.parts = []part{{region: t.site.region}}
+		p.parts = []regionServers{{region: t.site.region}}
 	}
-	i := slices.IndexFunc(p.parts, func(x part) bool { return x.region == k.region })
+	i := slices.IndexFunc(p.parts, func(x regionServers) bool { return x.region == k.region })
 	if i < 0 {
 		i = len(p.parts)
-		p.parts = append(p.parts, part{region: k.region})
+		p.parts = append(p.parts, regionServers{region: k.region})
 	}
-	p.parts[i].servers = insert(p.parts[i].servers, k)
+	p.parts[i].servers = insertServer(p.parts[i].servers, k)
 }
 
-// leavePart drops a server from the part of its region.
-func (p *pool) leavePart(k *knownServer) {
+// removeFromRegion drops a server from the part of its region.
+func (p *pool) removeFromRegion(k *knownServer) {
 	for i, x := range p.parts {
 		if x.region == k.region {
 			p.parts[i].servers = slices.DeleteFunc(x.servers, func(o *knownServer) bool { return o == k })
@@ -86,19 +86,19 @@
 
 // departure is why a choice leaves the gateway's region, or what kept it there.
 type departure struct {
-	why    place.LeaveReason // place.Stay: it does not
-	stayed stayed
+	why        place.LeaveReason // place.Stay: it does not
+	stayReason stayReason
 }
 
-// stayed is what kept a request in its region that had a reason to leave it.
-type stayed string
+// stayReason is what kept a request in its region that had a reason to leave it.
+type stayReason string
 
 // What keeps a request in its region.
 const (
-	stayedForClass stayed = "class" // beyond its account's share
-	stayedForTime  stayed = "time"  // the way takes longer than its objective leaves
-	stayedForLink  stayed = "link"  // the budget lacks the bytes, or the link looks full
-	stayedForRoom  stayed = "room"  // no other region has room either
+	stayedForClass stayReason = "class" // beyond its account's share
+	stayedForTime  stayReason = "time"  // the way takes longer than its objective leaves
+	stayedForLink  stayReason = "link"  // the budget lacks the bytes, or the link looks full
+	stayedForRoom  stayReason = "room"  // no other region has room either
 )
 
 // choose returns the backend server that suits the request best, as an index of the pool's
@@ -120,15 +120,15 @@
 	}
 	far, kept := t.chooseFar(p, now, req, why, c.Index >= 0)
 	if kept == "" || c.Index < 0 || (why == place.NoServer && far.Index >= 0 && kept == stayedForRoom) {
-		return far, departure{why: why, stayed: kept}
+		return far, departure{why: why, stayReason: kept}
 	}
-	return c, departure{stayed: kept}
+	return c, departure{stayReason: kept}
 }
 
 // chooseFar returns the server of the nearest other region that may have the request, or else
 // one that it would wait for, and what kept it from going. Ejected ones are looked at unless
 // its own region has some. The caller holds mu.
-func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayed) {
+func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
 	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	must := why == place.NoServer
 	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: must}
@@ -169,9 +169,9 @@
 
 // farParts returns the pool's servers of other regions, the nearest first; those in no known
 // region come last.
-func (t *table) farParts(p *pool) []part {
+func (t *table) farParts(p *pool) []regionServers {
 	far := slices.Clone(p.parts[1:])
-	slices.SortStableFunc(far, func(a, b part) int {
+	slices.SortStableFunc(far, func(a, b regionServers) int {
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
 		}
@@ -216,7 +216,7 @@
 	}
 	far, kept := t.chooseFar(p, now, req, why, false)
 	if kept != "" {
-		return place.Choice{Index: -1}, departure{stayed: kept}
+		return place.Choice{Index: -1}, departure{stayReason: kept}
 	}
 	return far, departure{why: why}
 }
@@ -255,8 +255,8 @@
 	return p.answerBytes
 }
 
-// depart notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
-func (t *table) depart(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
+// recordDestination notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
+func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
 	a.region, a.leaveReason, a.homes = a.entry.region, left.why, req.homes
 	if left.why == place.Stay {
 		return a
@@ -279,7 +279,7 @@
 		p := t.pool(a.entry.Pool)
 		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.receivedBytes)-p.expectedAnswer())
 	}
-	t.link.Spend(g.now(), t.site.share(int(g.gateways.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
+	t.link.Spend(g.now(), t.site.share(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
@@ -290,9 +290,9 @@
 	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.receivedBytes)
 }
 
-// observeWay learns the round trip to another region of a connection that was opened for an
+// observeRoundTrip learns the round trip to another region of a connection that was opened for an
 // attempt there. A gateway that is late itself would take its own lateness for the link's.
-func (g *Gateway) observeWay(a *assignment) {
+func (g *Gateway) observeRoundTrip(a *assignment) {
 	if a.leaveReason == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
 		return
 	}
@@ -301,14 +301,14 @@
 	g.table.link.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
-// countedBody counts the bytes of an answer that comes over the link.
-type countedBody struct {
+// countingBody counts the bytes of an answer that comes over the link.
+type countingBody struct {
 	io.ReadCloser
 	n *int
 }
 
 // Read implements [io.Reader].
-func (b countedBody) Read(p []byte) (int, error) {
+func (b countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	*b.n += n
 	return n, err
@@ -328,7 +328,7 @@
 		}
 		homes, bound = a.homes.regions, a.homes.bound
 	}
-	if kept := c.shortage.stayed; kept != "" {
+	if kept := c.shortage.stayReason; kept != "" {
 		attrs = append(attrs, slog.String("stayed", string(kept)))
 	}
 	if bound {
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -24,8 +24,8 @@
 // This file tests where a gateway of the region "north" sends requests while there are servers
 // in "south" and in halls of no known region as well.
 
-// twoRegions lets the gateway stand in a hall of "north".
-func (x *fixture) twoRegions() {
+// joinNorthRegion lets the gateway stand in a hall of "north".
+func (x *fixture) joinNorthRegion() {
 	fleet, err := topology.New(map[string]string{"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"})
 	is.New(x.t).NoErr(err)
 	x.g.table.mu.Lock()
@@ -47,8 +47,8 @@
 	return protocol.Server{Registration: protocol.Registration{ID: id, Pool: pool, Address: id, Hall: hall, Slots: 4}}
 }
 
-// at announces servers of a pool in halls, each with the behaviour.
-func (x *fixture) at(pool string, each int, does behaviour, halls ...string) {
+// announce announces servers of a pool in halls, each with the behaviour.
+func (x *fixture) announce(pool string, each int, does behaviour, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	x.servers.mu.Lock()
 	for _, hall := range halls {
@@ -63,8 +63,8 @@
 	x.g.table.update(m)
 }
 
-// gone removes servers of a pool in halls.
-func (x *fixture) gone(pool string, each int, halls ...string) {
+// withdraw removes servers of a pool in halls.
+func (x *fixture) withdraw(pool string, each int, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
@@ -89,8 +89,8 @@
 	}
 }
 
-// servedIn counts what arrived in a hall's servers, whose names begin with its name.
-func (x *fixture) servedIn(prefix string) (n int) {
+// arrivalsIn counts what arrived in a hall's servers, whose names begin with its name.
+func (x *fixture) arrivalsIn(prefix string) (n int) {
 	x.servers.mu.Lock()
 	defer x.servers.mu.Unlock()
 	for _, call := range x.servers.arrivals {
@@ -106,16 +106,16 @@
 func TestIdleFleetStaysInItsRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
-		x.at("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
+		x.joinNorthRegion()
+		x.announce("engines", 6, streams(piece{text: event(1)}), "n1", "n2", "s1", "s2", "nowhere")
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "n1", "n2", "s1", "s2", "nowhere")
 		for i := range 200 {
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
 			is.Equal(x.request("/again/x").status, 200)
 		}
-		is.Equal(x.servedIn("n1")+x.servedIn("n2"), 400)
-		is.True(x.servedIn("n2-plain") > 60) // and spread over both halls
-		x.gone("engines", 6, "s1", "s2", "nowhere")
+		is.Equal(x.arrivalsIn("n1")+x.arrivalsIn("n2"), 400)
+		is.True(x.arrivalsIn("n2-plain") > 60) // and spread over both halls
+		x.withdraw("engines", 6, "s1", "s2", "nowhere")
 		for i := range 200 { // a prompt's engine is the same whatever there is elsewhere
 			before := x.servers.arrivals[2*i].Header.Get("Backend")
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
@@ -130,23 +130,23 @@
 	for _, path := range []string{"/again/x", "/engine/x"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			pool := map[string]string{"/again/x": "plain", "/engine/x": "engines"}[path]
 			ok := streams(piece{text: event(1)})
-			x.at(pool, 2, ok, "n1", "nowhere", "s1")
-			x.gone(pool, 2, "n1")
+			x.announce(pool, 2, ok, "n1", "nowhere", "s1")
+			x.withdraw(pool, 2, "n1")
 			for range 20 {
 				is.Equal(x.request(path, "Shared", "a").status, 200)
 			}
-			is.Equal(x.servedIn("s1"), 20)
-			x.gone(pool, 2, "s1")
+			is.Equal(x.arrivalsIn("s1"), 20)
+			x.withdraw(pool, 2, "s1")
 			is.Equal(x.request(path).status, 200)
-			is.Equal(x.servedIn("nowhere"), 1)
-			x.at(pool, 2, ok, "n2", "s1")
+			is.Equal(x.arrivalsIn("nowhere"), 1)
+			x.announce(pool, 2, ok, "n2", "s1")
 			for range 20 {
 				is.Equal(x.request(path).status, 200)
 			}
-			is.Equal(x.servedIn("n2"), 20)
+			is.Equal(x.arrivalsIn("n2"), 20)
 			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 20`))
 			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="south",to="north"} `+fmt.Sprint(20*len(event(1)))))
 		})
@@ -163,18 +163,18 @@
 func TestRegionOutOfServiceOrEjected(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		ok := answers(200, "ok", time.Millisecond)
-		x.at("plain", 2, ok, "n1", "s1")
+		x.announce("plain", 2, ok, "n1", "s1")
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1"}, HallChanges: 1})
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 		x.g.table.update(protocol.Servers{Term: 1, HallsOut: []string{"n1", "s1"}, HallChanges: 2})
 		r := x.request("/again/x")
 		is.Equal(r.status, 503)
 		is.Equal(r.body, "{\"error\":\"halls-out\"}\n")
 		x.g.table.update(protocol.Servers{Term: 1, HallChanges: 3})
-		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "n1")
+		x.announce("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "n1")
 		for range 40 {
 			x.request("/again/x")
 		}
@@ -182,8 +182,8 @@
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.servedIn("n1"), 0) // both are ejected
-		x.at("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
+		is.Equal(x.arrivalsIn("n1"), 0) // both are ejected
+		x.announce("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
 		for range 40 {
 			x.request("/again/x")
 		}
@@ -201,16 +201,16 @@
 func TestNoRoomInTheRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
-		x.at("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
+		x.joinNorthRegion()
+		x.announce("engines", 2, streams(piece{text: event(1)}), "n1", "s1")
 		ask := func(header ...string) reply {
 			return x.request("/engine/x", append([]string{"Tokens", "500", "Patience", "1000"}, header...)...)
 		}
 		is.Equal(ask().status, 200)
-		is.Equal(x.servedIn("n1"), 1)
+		is.Equal(x.arrivalsIn("n1"), 1)
 		x.full(true, "n1")
 		is.Equal(ask().status, 200)
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 		is.True(strings.Contains(x.metrics(), `why="no-room"} 1`))
 
 		x.full(true, "n1", "s1")
@@ -222,7 +222,7 @@
 		x.full(false, "s1")
 		group.Wait()
 		is.Equal(later.status, 200)
-		is.Equal(x.servedIn("s1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
 
 		x.full(true, "n1")
 		setLink := func(link place.LinkBudget) {
@@ -240,7 +240,7 @@
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, nil, false)
 		ask()
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="class"} 1`))
-		is.Equal(x.servedIn("s1"), 2)
+		is.Equal(x.arrivalsIn("s1"), 2)
 	})
 }
 
@@ -251,11 +251,11 @@
 	for _, home := range []string{"", "north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			if home != "" {
 				x.g.apply(homesDocument(4, nil, []string{home}))
 			}
-			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+			x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 			ask := func() reply { return x.request("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
 			is.Equal(ask().status, 200)
 			best := x.servers.arrivals[0].Header.Get("Backend")
@@ -277,10 +277,10 @@
 			group.Wait()
 			is.Equal(r.status, 200)
 			if home != "" {
-				is.Equal(x.servedIn(best), 2)
+				is.Equal(x.arrivalsIn(best), 2)
 				return
 			}
-			is.Equal(x.servedIn("s1"), 1)
+			is.Equal(x.arrivalsIn("s1"), 1)
 			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // with the tick after it
 			is.True(strings.Contains(x.metrics(), `why="waited"} 1`))
 		})
@@ -293,12 +293,12 @@
 func TestFloodStaysWithinTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		const rate = 1e6
 		x.g.table.mu.Lock()
 		x.g.table.site.linkRate = rate
 		x.g.table.mu.Unlock()
-		x.at("plain", 1, answers(200, strings.Repeat("x", 10_000), 60*time.Millisecond), "n1", "s1", "s2")
+		x.announce("plain", 1, answers(200, strings.Repeat("x", 10_000), 60*time.Millisecond), "n1", "s1", "s2")
 		const span = 5 * time.Second
 		var group sync.WaitGroup
 		refused := 0
@@ -315,7 +315,7 @@
 			})
 		}
 		group.Wait()
-		over := 20_000 * (x.servedIn("s1") + x.servedIn("s2"))
+		over := 20_000 * (x.arrivalsIn("s1") + x.arrivalsIn("s2"))
 		x.t.Logf("%.2f of the link, %d refused", float64(over)/span.Seconds()/rate, refused)
 		is.True(over > 0)
 		is.True(float64(over) < 0.35*rate*(span.Seconds()+1)) // one region's part, and a full bucket at first
@@ -328,9 +328,9 @@
 func TestConnectionsTellOfTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		opening := 40 * time.Millisecond
-		x.at("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			time.Sleep(opening)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			if a != nil {
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -22,7 +22,7 @@
 
 // versionAt announces servers of pool "plain" in a hall that run a version, which they answer.
 func (x *fixture) versionAt(version string, each int, halls ...string) {
-	x.at("plain", each, answers(200, version, time.Millisecond), halls...)
+	x.announce("plain", each, answers(200, version, time.Millisecond), halls...)
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
@@ -39,21 +39,21 @@
 func TestTrialInEachRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.versionAt("old", 4, "n1", "s1", "nowhere")
 		x.versionAt("new", 4, "n2", "s2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 		trials := map[string]int{}
 		for _, k := range x.g.table.servers {
-			if k.versions&trialVersion != 0 {
+			if k.versionSet&trialVersion != 0 {
 				trials[k.region]++
 			}
 		}
 		is.Equal(trials, map[string]int{"north": 1, "south": 1})
-		x.leaseShares()
+		x.renewShares()
 		x.g.cfg.Random = func() uint64 { return 1 } // lots are always low
 		is.Equal(x.served("/once/x", 20), map[string]int{"new": 20})
-		is.Equal(x.servedIn("n2"), 20)
+		is.Equal(x.arrivalsIn("n2"), 20)
 	})
 }
 
@@ -62,14 +62,14 @@
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.versionAt("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
 			x.versionAt("new", 2, home[:1]+"2")
-			x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
+			x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 			for _, leased := range []bool{false, true} {
 				if leased {
-					x.leaseShares()
+					x.renewShares()
 				}
 				is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 			}
@@ -82,16 +82,16 @@
 func TestLinkKeepsFromTheTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.versionAt("old", 2, "n1")
 		x.versionAt("new", 2, "s1")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
-		x.leaseShares()
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
+		x.renewShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
 		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
-		x.leaseShares()
+		x.renewShares()
 		is.Equal(x.served("/once/x", 10), map[string]int{"old": 10})
 	})
 }
@@ -101,10 +101,10 @@
 func TestHomeServesWhatItsAccountIsOwed(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
-			x.twoRegions()
+			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
 			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
-			x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+			x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 			x.askWithBestFull(home[:1])
 		})
 	}
@@ -115,8 +115,8 @@
 func TestServerMovesToAnotherRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
-		x.at("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
+		x.joinNorthRegion()
+		x.announce("plain", 1, answers(200, "ok", 50*time.Millisecond), "s1")
 		done := make(chan reply)
 		go func() { done <- x.request("/again/x") }()
 		time.Sleep(10 * time.Millisecond)
@@ -135,10 +135,10 @@
 func TestWhatWasNotSentIsNotCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
-		x.at("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
+		x.joinNorthRegion()
+		x.announce("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
 		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
-		is.True(x.servedIn("s1") > 0)
+		is.True(x.arrivalsIn("s1") > 0)
 		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
 	})
 }
@@ -158,10 +158,10 @@
 // account's share covers while the target stands elsewhere, also those that suit it less.
 func TestHomeOfTheOldVersionAfterTheSwitch(t *testing.T) {
 	withGateway(t, func(x *fixture) {
-		x.twoRegions()
+		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
-		x.at("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
+		x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 		m := protocol.Servers{Term: 1}
 		for i := range 4 {
 			s := x.g.table.servers[known("engines", "s1", i).ID].Server
@@ -172,7 +172,7 @@
 		x.g.table.updateRollouts(protocol.Rollouts{Term: 1, Seq: 1, List: []protocol.Rollout{
 			{Pool: "engines", Attempt: 1, Target: "new", Share: 1},
 		}})
-		x.leaseShares()
+		x.renewShares()
 		x.askWithBestFull("n")
 	})
 }
@@ -189,8 +189,8 @@
 	t.servers[best].othersLoad, t.othersAt = place.Work{Tokens: 30_000}, t.now()
 	t.mu.Unlock()
 	is.Equal(ask().status, 200)
-	is.Equal(x.servedIn(best), 1)
-	is.Equal(x.servedIn(region), 2)
+	is.Equal(x.arrivalsIn(best), 1)
+	is.Equal(x.arrivalsIn(region), 2)
 }
 
 // TestEjectedRegionComesAfterOneWithoutRoom: what must leave waits for a healthy server of a region
@@ -198,8 +198,8 @@
 func TestEjectedRegionComesAfterOneWithoutRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.twoRegions()
-		x.at("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
+		x.joinNorthRegion()
+		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
 		t := x.g.table
 		t.mu.Lock()
 		k := t.servers[known("plain", "s1", 0).ID]
@@ -212,9 +212,9 @@
 		is.Equal(x.servers.count(), 0)
 		x.full(false, "w1")
 		is.Equal(x.request("/once/x").status, 200)
-		is.Equal(x.servedIn("w1"), 1)
-		x.gone("plain", 1, "w1")
+		is.Equal(x.arrivalsIn("w1"), 1)
+		x.withdraw("plain", 1, "w1")
 		is.Equal(x.request("/once/x").status, 200) // better an ejected one than none
-		is.Equal(x.servedIn("s1"), 1)
+		is.Equal(x.arrivalsIn("s1"), 1)
 	})
 }
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -18,15 +18,15 @@
 func TestRequestsMoveToEngines(t *testing.T) {
 	is := is.New(t)
 	p := &pool{}
-	p.take(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
-	p.take(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+	p.applyRollout(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
+	p.applyRollout(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 	r := p.rollout
-	is.True(!r.moving(10 * time.Second))
+	is.True(!r.isRamping(10 * time.Second))
 	r.engine = true
-	p.take(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
-	is.True(r.moving(10*time.Second + switchTime/2))
+	p.applyRollout(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
+	is.True(r.isRamping(10*time.Second + switchTime/2))
 	is.Equal(r.moved(10*time.Second+switchTime/2), 0.5)
-	is.True(!r.moving(10*time.Second + switchTime))
+	is.True(!r.isRamping(10*time.Second + switchTime))
 }
 
 // TestFinalShareStays: once complete is about to be said, the target has all requests without a
@@ -34,14 +34,14 @@
 func TestFinalShareStays(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10}) // no report was counted
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
 		x.g.table.endShares()
 		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2"}) // of a leader that did not say complete
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2"}) // of a leader that did not say complete
 		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
 	}, oldAndNew...)
 }
@@ -53,14 +53,14 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.draw()
-		x.versionsOf("v1", "v2")
-		x.rollouts(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
-		x.leaseShares()
+		x.setVersions("v1", "v2")
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
+		x.renewShares()
 		x.served("/once/1", 100)
 		x.g.table.takeOutcomes(x.g.now())
-		x.rollouts(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
+		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true}) // the next leader's session
-		x.rollouts(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
 		var sent uint64
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		for _, o := range outcomes {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -32,7 +32,7 @@
 	cold       coldstart.Allowance
 	notice     backpressure.Notice // what it said of further requests
 	region     string              // of its hall; empty if no setting names it
-	versions   versions            // its version, as the pool's rollout has it
+	versionSet versionSet          // its version, as the pool's rollout has it
 	list       uint64              // number of the last whole list that had it, itself or by a change since
 	unlisted   bool                // a complete list of the directory lacked it
 	left       bool                // the pool
@@ -67,7 +67,7 @@
 	hallChanges     uint64          // as of which
 	coldSharesUntil time.Duration   // until when this gateway's shares of cold servers are in force
 
-	rollouts    rolloutList      // the newest held
+	rollouts    rolloutListID    // the newest held
 	sharesUntil time.Duration    // until when its shares are in force
 	link        place.LinkBudget // between this gateway's region and others
 	homes       homesIndex       // of the document in force
@@ -75,8 +75,8 @@
 
 // pool is the backend servers of one name with what waits for them.
 type pool struct {
-	servers  []*knownServer // ordered by identifier
-	parts    []part         // the same by region, the gateway's own first; empty without a far side
+	servers  []*knownServer  // ordered by identifier
+	parts    []regionServers // the same by region, the gateway's own first; empty without a far side
 	waiting  []*waiter
 	placer   place.RoomPlacer
 	failures outlier.PoolRate
@@ -186,7 +186,7 @@
 	if m.Complete && t.marked != t.lists {
 		t.markUnlisted()
 	}
-	t.sortVersions()
+	t.classifyVersions()
 	return joined, left
 }
 
@@ -247,8 +247,8 @@
 	if k != nil && k.Pool == s.Pool {
 		t.leaveAddress(k)
 		if k.Hall != s.Hall {
-			t.pool(k.Pool).leavePart(k)
-			defer t.joinPart(t.pool(k.Pool), k)
+			t.pool(k.Pool).removeFromRegion(k)
+			defer t.addToRegion(t.pool(k.Pool), k)
 		}
 		k.Server, k.list, k.unlisted = s, t.lists, false
 		t.setCold(k)
@@ -259,14 +259,14 @@
 	if other := t.byAddress[s.Address]; other != nil {
 		t.remove(other.ID)
 	}
-	k = &knownServer{Server: s, list: t.lists, versions: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
+	k = &knownServer{Server: s, list: t.lists, versionSet: anyVersion, notice: t.unlistedNotices[s.ID].Notice}
 	delete(t.unlistedNotices, s.ID)
 	t.setCold(k)
 	t.servers[s.ID], t.byHandle[s.Handle], t.byAddress[s.Address] = k, k, k
 	p := t.pool(s.Pool)
-	p.servers = insert(p.servers, k)
+	p.servers = insertServer(p.servers, k)
 	p.ranks.Add(k.ID)
-	t.joinPart(p, k)
+	t.addToRegion(p, k)
 	return true
 }
 
@@ -294,7 +294,7 @@
 	delete(p.paced, k)
 	delete(p.busy, k)
 	k.left = true
-	p.leavePart(k)
+	p.removeFromRegion(k)
 	return true
 }
 
@@ -320,7 +320,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.remove(id)
-	t.sortVersions()
+	t.classifyVersions()
 }
 
 // size returns how many backend servers are known.
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -17,10 +17,10 @@
 // rollsInTheNorth is a pool with both versions in the north and the old one alone in the south,
 // which is the home of route "again".
 func (x *fixture) rollsInTheNorth() {
-	x.twoRegions()
+	x.joinNorthRegion()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
-	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
-	x.at("plain", 2, answers(200, "ok", 50*time.Millisecond), "n2")
+	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
+	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n2")
 	m := protocol.Servers{Term: 1}
 	for _, k := range x.g.table.servers {
 		s := k.Server
@@ -67,16 +67,16 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				x.rollsInTheNorth()
-				x.rollouts(1, 1, tt.list)
-				x.leaseShares()
+				x.sendRollout(1, 1, tt.list)
+				x.renewShares()
 				is.Equal(x.askAtOnce("/again/x", 40), 40) // more than the home has room for at once
-				is.Equal(x.servedIn("s1"), 40)
+				is.Equal(x.arrivalsIn("s1"), 40)
 				is.Equal(x.askAtOnce("/once/x", 10), 10)
-				is.Equal(x.servedIn("s"), 40)
-				is.True(tt.name == "trial" || x.servedIn("n2") == 10)
-				x.gone("plain", 2, "s1")
+				is.Equal(x.arrivalsIn("s"), 40)
+				is.True(tt.name == "trial" || x.arrivalsIn("n2") == 10)
+				x.withdraw("plain", 2, "s1")
 				is.Equal(x.request("/again/x", "Patience", "2000").body, "{\"error\":\"homes-without-server\"}\n")
-				is.Equal(x.servedIn("n"), 10)
+				is.Equal(x.arrivalsIn("n"), 10)
 			})
 		})
 	}
