--- a/coordination/entitlement/level_test.go
+++ b/coordination/entitlement/level_test.go
@@ -37,15 +37,15 @@
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 30).Draw(t, "demands")
 		capacity := rapid.Float64Range(1, 10000).Draw(t, "capacity")
 		level := MaxMinLevel(demands, capacity)
-		served, asked := 0.0, 0.0
+		served, total := 0.0, 0.0
 		for _, d := range demands {
 			served += min(d, level)
-			asked += d
+			total += d
 			if got := CoveredFraction(d, level) * d; math.Abs(got-min(d, level)) > 1e-6 {
 				t.Fatalf("demand %v at level %v: covered fraction gives %v", d, level, got)
 			}
 		}
-		if want := min(asked, capacity); math.Abs(served-want) > 1e-6 {
+		if want := min(total, capacity); math.Abs(served-want) > 1e-6 {
 			t.Fatalf("level covers %v, want %v", served, want)
 		}
 	})
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -121,7 +121,7 @@
 	if f.policy != fleetFair {
 		return
 	}
-	f.after(testLease.Length, func() { // both sides detect the partition by missing messages
+	f.after(testLease.Length, func() { // both sides detect the partition when messages stop arriving
 		r.unlink()
 	})
 }
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -34,7 +34,7 @@
 			t.Fatalf("gap is %.2f times the bound", r.gapRatio)
 		}
 		if !faulty && r.maxIdle > maxIdleTime.Seconds() {
-			t.Fatalf("a slot was free for %.2f s while work waited", r.maxIdle)
+			t.Fatalf("a slot was free for %.2f s while requests waited", r.maxIdle)
 		}
 		m.checkDrained(t)
 	})
@@ -131,7 +131,7 @@
 	m := f.run()
 	m.checkDrained(t)
 	if m.maxIdle > 0 {
-		t.Fatalf("the slot was free for %v while work waited", m.maxIdle)
+		t.Fatalf("the slot was free for %v while requests waited", m.maxIdle)
 	}
 }
 
