--- a/directory/hub.go
+++ b/directory/hub.go
@@ -64,7 +64,7 @@
 	nextFleetAt     time.Duration     // of the next Fleet message
 	encodedDocument protocol.Document // newest document, encoded once
 
-	rollouts     rollouts
+	rollouts     termRollouts
 	evidence     evidence
 	ordered      map[orderKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration              // when
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = termRollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
 		h.addOutcomes(s, protocol.Usage{Outcomes: []protocol.Outcomes{
 			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces},
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = termRollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
 	report := func(list ...protocol.Barred) {
 		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
@@ -174,7 +174,7 @@
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // of a version that does not know rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
-	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
+	h.rollouts = termRollouts{obeyed: map[*session]obedience{}}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2"})
 	r.fullSeq = 2
 	for _, want := range []bool{false, false, true} {
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -34,8 +34,8 @@
 // endTimeout bounds one try to put a change of a rollout into the log; the next step tries again.
 const endTimeout = time.Second
 
-// rollouts is the rollouts of one term.
-type rollouts struct {
+// termRollouts is the termRollouts of one term.
+type termRollouts struct {
 	began    time.Duration
 	underWay map[string]*leadRollout // by pool
 	obeyed   map[*session]obedience
@@ -65,7 +65,7 @@
 // beginRollouts begins a term with the rollouts that the log holds. Lists are numbered on: a
 // replica that finds itself leading again in one term would else send what gateways have passed.
 func (h *hub) beginRollouts() {
-	h.rollouts = rollouts{
+	h.rollouts = termRollouts{
 		seq: h.rollouts.seq, began: h.d.replica.Now(), underWay: map[string]*leadRollout{}, obeyed: map[*session]obedience{},
 	}
 }
