--- a/directory/hub.go
+++ b/directory/hub.go
@@ -66,8 +66,8 @@
 
 	rollouts     termRollouts
 	evidence     evidence
-	ordered      map[orderKey]time.Duration // rollouts under way, in every term
-	sharesLogged time.Duration              // when
+	ordered      map[attemptKey]time.Duration // rollouts under way, in every term
+	sharesLogged time.Duration                // when
 
 	termBegan time.Duration // of the term
 	placeDue  time.Duration // when to look next where the leader should stand, in any term
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -104,15 +104,15 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[orderKey{d.Pool, d.Attempt}]
+		r.Rollout, r.ordered = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
 	}
 }
 
 // elapsed returns the time since the order, at least.
 func (r *leadRollout) elapsed(now time.Duration) time.Duration { return now - r.ordered }
 
-// orderKey is one attempt of a pool's rollouts.
-type orderKey struct {
+// attemptKey is one attempt of a pool's rollouts.
+type attemptKey struct {
 	pool    string
 	attempt uint64
 }
@@ -122,12 +122,12 @@
 // replica leads or not, so that a new leader knows.
 func (h *hub) noteOrders() {
 	now := h.d.replica.Now()
-	ordered := map[orderKey]time.Duration{}
+	ordered := map[attemptKey]time.Duration{}
 	for _, d := range h.d.state.Rollouts() {
 		if d.State != document.RolloutUnderWay {
 			continue
 		}
-		key := orderKey{d.Pool, d.Attempt}
+		key := attemptKey{d.Pool, d.Attempt}
 		ordered[key] = now - d.Elapsed
 		if before, known := h.ordered[key]; known {
 			ordered[key] = min(ordered[key], before)
