--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -117,10 +117,10 @@
 	attempt uint64
 }
 
-// noteOrders notes by this replica's clock when rollouts under way were ordered at the latest:
+// recordOrderTimes notes by this replica's clock when rollouts under way were ordered at the latest:
 // what the log says of them may have been applied late, never early. It is called whether this
 // replica leads or not, so that a new leader knows.
-func (h *hub) noteOrders() {
+func (h *hub) recordOrderTimes() {
 	now := h.d.replica.Now()
 	ordered := map[attemptKey]time.Duration{}
 	for _, d := range h.d.state.Rollouts() {
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -14,7 +14,7 @@
 // syncLeadership begins or ends a term if the leader has changed, and sends on what
 // has been applied since.
 func (h *hub) syncLeadership() {
-	h.noteOrders()
+	h.recordOrderTimes()
 	l := h.leadership.Load()
 	switch {
 	case l.leads && h.term != l.term:
