--- a/directory/export_test.go
+++ b/directory/export_test.go
@@ -22,7 +22,7 @@
 
 // UnawareOfVersions returns the gateways that a line about an order names, for tests.
 func (d *Directory) UnawareOfVersions(ctx context.Context) (names []string, err error) {
-	err = d.hub.do(ctx, func() error { names = d.hub.unawareOfVersions(); return nil })
+	err = d.hub.do(ctx, func() error { names = d.hub.gatewaysWithoutRollouts(); return nil })
 	return names, err
 }
 
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -150,13 +150,13 @@
 	d.hub.post(func() {
 		d.cfg.Log.StateChange("rollout order", slog.String("pool", o.Pool), slog.String("target", o.Target),
 			slog.Float64("duration_s", o.Duration.Seconds()), slog.String("verdict", verdict), slog.Uint64("attempt", newest.Attempt),
-			slog.String("newest", newest.Target), slog.Int("gateways", len(d.hub.gateways())), slog.Any("unaware", d.hub.unawareOfVersions()))
+			slog.String("newest", newest.Target), slog.Int("gateways", len(d.hub.gateways())), slog.Any("unaware", d.hub.gatewaysWithoutRollouts()))
 	})
 }
 
-// unawareOfVersions returns the gateways whose version does not know rollouts, those behind
+// gatewaysWithoutRollouts returns the gateways whose version does not know rollouts, those behind
 // relays included.
-func (h *hub) unawareOfVersions() []string {
+func (h *hub) gatewaysWithoutRollouts() []string {
 	var names []string
 	for name, g := range h.gateways() {
 		if !g.KnowsVersions {
