--- a/directory/directory.go
+++ b/directory/directory.go
@@ -150,7 +150,7 @@
 func (d *Directory) Read(ctx context.Context) (document.Held, error) {
 	var held document.Held
 	var exists bool
-	err := d.inspectLed(ctx, func() { held, exists = d.state.Held() })
+	err := d.inspectAsLeader(ctx, func() { held, exists = d.state.Held() })
 	switch {
 	case err != nil:
 		return held, err
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -50,7 +50,7 @@
 // HallsOut returns the data halls that are out of service by the newest acknowledged state.
 // The error is [NotLeader] or [Unavailable].
 func (d *Directory) HallsOut(ctx context.Context) (out []string, err error) {
-	err = d.inspectLed(ctx, func() { out, _ = d.state.HallsOut() })
+	err = d.inspectAsLeader(ctx, func() { out, _ = d.state.HallsOut() })
 	return out, err
 }
 
@@ -85,13 +85,13 @@
 func (d *Directory) decideHall(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
 	var verdict evacuation.Verdict
 	var change document.HallChange
-	err := d.inspectLed(ctx, func() { verdict, change = d.state.decideHallOrder(hall, out) })
+	err := d.inspectAsLeader(ctx, func() { verdict, change = d.state.decideHallOrder(hall, out) })
 	return verdict, change, err
 }
 
-// inspectLed runs f while this replica leads, with all that was acknowledged applied. The
+// inspectAsLeader runs f while this replica leads, with all that was acknowledged applied. The
 // error is [NotLeader] or [Unavailable]; f may have run then.
-func (d *Directory) inspectLed(ctx context.Context, f func()) error {
+func (d *Directory) inspectAsLeader(ctx context.Context, f func()) error {
 	var leads bool
 	var leader string
 	var until time.Duration
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -84,7 +84,7 @@
 	var verdict rollout.Verdict
 	var change document.RolloutChange
 	var newest document.Rollout
-	err := d.inspectLed(ctx, func() { verdict, change, newest = d.state.decideRolloutOrder(o) })
+	err := d.inspectAsLeader(ctx, func() { verdict, change, newest = d.state.decideRolloutOrder(o) })
 	return verdict, change, newest, err
 }
 
@@ -93,7 +93,7 @@
 func (d *Directory) Rollout(ctx context.Context, pool string) (document.Rollout, error) {
 	var newest document.Rollout
 	var known bool
-	err := d.inspectLed(ctx, func() { newest, known = d.state.Rollout(pool) })
+	err := d.inspectAsLeader(ctx, func() { newest, known = d.state.Rollout(pool) })
 	switch {
 	case err != nil:
 		return document.Rollout{}, err
