--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -61,18 +61,18 @@
 	report(north, 30, 4, 0, 9)
 	report(&session{gateway: "g", bootID: 1}, 10, 1, 0, 3)
 	is.Equal(total(), []uint64{40, 35, 5, 12})
-	h.forgetOutcomes(north)
+	h.removeOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
 	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
 	report(again, 20, 3, 0, 6)                                  // one of its gateways is not back yet
-	h.forgetOutcomes(north)                                     // the end of its link is noticed last
+	h.removeOutcomes(north)                                     // the end of its link is noticed last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	report(again, 21, 1, 0, 3) // and goes to another relay
 	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	gone := &session{gateway: "g", bootID: 1}
-	h.forgetOutcomes(gone) // a gateway's own stay
+	h.removeOutcomes(gone) // a gateway's own stay
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
 
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -93,9 +93,9 @@
 	return 0
 }
 
-// forgetOutcomes forgets what a session that has ended obeys. What a gateway reported stays: the
+// removeOutcomes forgets what a session that has ended obeys. What a gateway reported stays: the
 // target has had those requests.
-func (h *hub) forgetOutcomes(s *session) {
+func (h *hub) removeOutcomes(s *session) {
 	delete(h.rollouts.obeyed, s)
 	if !s.relay {
 		return
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -225,7 +225,7 @@
 		return
 	}
 	h.usage.forget(s)
-	h.forgetOutcomes(s)
+	h.removeOutcomes(s)
 }
 
 // gateways returns all gateways of the fleet that have a session here or behind a relay, by
