--- a/directory/hub.go
+++ b/directory/hub.go
@@ -65,7 +65,7 @@
 	encodedDocument protocol.Document // newest document, encoded once
 
 	rollouts     termRollouts
-	evidence     evidence
+	evidence     termEvidence
 	ordered      map[attemptKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration                // when
 
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -26,8 +26,8 @@
 // tick tries again.
 const condemnTimeout = time.Second
 
-// evidence is what the leader of one term knows of ends.
-type evidence struct {
+// termEvidence is what the leader of one term knows of ends.
+type termEvidence struct {
 	seen     *quarantine.Evidence
 	list     quarantine.List // as gateways were last sent it
 	revision uint64          // of the condemned requests of the log, in list
@@ -40,7 +40,7 @@
 	if h.d.several() {
 		settle = quarantine.SettleViaRelay
 	}
-	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
+	h.evidence = termEvidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemned()
 	for _, e := range condemned {
 		h.evidence.seen.AddCondemned(e)
