--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -38,7 +38,7 @@
 		h: h, list: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
 		lost: h.d.replica.Now(), places: h.placesSent,
 	}
-	r.quarantine = h.evidence.list
+	r.quarantine = h.evidence.sentList
 	h.endTermBoundSessions("")
 	h.relay, h.list = r, nil
 	for s := range h.sessions {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -29,7 +29,7 @@
 // termEvidence is what the leader of one term knows of ends.
 type termEvidence struct {
 	seen     *quarantine.Evidence
-	list     quarantine.List // as gateways were last sent it
+	sentList quarantine.List // as gateways were last sent it
 	revision uint64          // of the condemned requests of the log, in list
 	unlogged map[quarantine.Key]document.Condemned
 	logging  bool
@@ -45,7 +45,7 @@
 	for _, e := range condemned {
 		h.evidence.seen.AddCondemned(e)
 	}
-	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
+	h.evidence.sentList, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
 // takeLosses takes what a gateway or a relay reports of ends.
@@ -80,7 +80,7 @@
 func (h *hub) clearKey(k quarantine.Key) {
 	h.evidence.seen.Clear(k)
 	delete(h.evidence.unlogged, k)
-	if e, listed := h.evidence.list.Find(k); listed && e.Condemned {
+	if e, listed := h.evidence.sentList.Find(k); listed && e.Condemned {
 		h.d.cfg.Log.StateChange("request released", slog.String("key", k.String()), slog.String("why", "answered"))
 		h.logCondemned(document.CondemnedChange{Release: k[:]})
 	}
@@ -155,11 +155,11 @@
 	var set []quarantine.Entry
 	var gone []quarantine.Key
 	for k, e := range now {
-		if before, listed := h.evidence.list.Find(k); !listed || before != e {
+		if before, listed := h.evidence.sentList.Find(k); !listed || before != e {
 			set = append(set, e)
 		}
 	}
-	for k := range h.evidence.list.Entries() {
+	for k := range h.evidence.sentList.Entries() {
 		if _, still := now[k]; !still {
 			gone = append(gone, k)
 		}
@@ -167,7 +167,7 @@
 	if len(set)+len(gone) == 0 {
 		return
 	}
-	h.evidence.list = h.evidence.list.WithChanges(set, gone)
+	h.evidence.sentList = h.evidence.sentList.WithChanges(set, gone)
 	h.broadcast(quarantineMessage(set, gone))
 }
 
@@ -200,7 +200,7 @@
 
 // sendQuarantine sends a gateway or a relay that opens a session the whole list.
 func (h *hub) sendQuarantine(s *session) {
-	l := h.evidence.list
+	l := h.evidence.sentList
 	if h.relay != nil {
 		l = h.relay.quarantine
 	}
