--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -48,8 +48,8 @@
 	h.evidence.sentList, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
-// takeLosses takes what a gateway or a relay reports of ends.
-func (h *hub) takeLosses(u protocol.Usage) {
+// addLosses takes what a gateway or a relay reports of ends.
+func (h *hub) addLosses(u protocol.Usage) {
 	now := h.d.replica.Now()
 	for _, l := range u.Losses {
 		if loss, ok := timedLoss(now, l); ok {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -146,7 +146,7 @@
 		}
 		h.usage.add(s, m)
 		h.addOutcomes(s, m)
-		h.takeLosses(m)
+		h.addLosses(m)
 	case protocol.Behind:
 		s.behind = m.Gateways
 	}
