--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -213,8 +213,8 @@
 	r.h.broadcast(m)
 }
 
-// keepLosses keeps what a gateway reports of ends until the next report to the leader.
-func (r *relay) keepLosses(u protocol.Usage) {
+// bufferLosses keeps what a gateway reports of ends until the next report to the leader.
+func (r *relay) bufferLosses(u protocol.Usage) {
 	now := r.h.d.replica.Now()
 	for _, l := range u.Losses {
 		r.losses = append(r.losses, agedLoss{Loss: l, came: now})
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -141,7 +141,7 @@
 	case protocol.Usage:
 		if h.relay != nil {
 			h.relay.sums.Add(s.gateway, m)
-			h.relay.keepLosses(m)
+			h.relay.bufferLosses(m)
 			return
 		}
 		h.usage.add(s, m)
