--- a/directory/directory.go
+++ b/directory/directory.go
@@ -119,7 +119,7 @@
 		case protocol.Announce:
 			d.hub.serveAnnouncer(ctx, l, first)
 		case protocol.RolloutOrder:
-			d.serveOrder(ctx, l, first)
+			d.serveRolloutOrder(ctx, l, first)
 		case protocol.QuarantineOrder:
 			d.serveQuarantineOrder(ctx, l, first)
 		}
@@ -150,7 +150,7 @@
 func (d *Directory) Read(ctx context.Context) (document.Held, error) {
 	var held document.Held
 	var exists bool
-	err := d.inspectLed(ctx, func() { held, exists = d.state.Held() })
+	err := d.inspectAsLeader(ctx, func() { held, exists = d.state.Held() })
 	switch {
 	case err != nil:
 		return held, err
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -58,16 +58,16 @@
 	sessions        map[*session]bool
 	pendingChange   registry.Change // not sent to the sessions yet
 	sentHallChanges uint64          // in the last halls that the sessions were sent
-	cachedList      *wholeList      // for sessions that open; nil: to be made anew
+	list            *wholeList      // for sessions that open; nil: to be made anew
 	usage           *usage
 	feed            registry.Feed
 	nextFleetAt     time.Duration     // of the next Fleet message
 	encodedDocument protocol.Document // newest document, encoded once
 
-	rollouts     rollouts
-	evidence     evidence
-	orderTimes   map[orderKey]time.Duration // rollouts under way, in every term
-	sharesLogged time.Duration              // when
+	rollouts     termRollouts
+	evidence     termEvidence
+	ordered      map[attemptKey]time.Duration // rollouts under way, in every term
+	sharesLogged time.Duration                // when
 
 	termBegan time.Duration // of the term
 	placeDue  time.Duration // when to look next where the leader should stand, in any term
@@ -198,7 +198,7 @@
 	h.decideSpread(now)
 	h.pushPlaces()
 	h.moveHome()
-	h.place(now)
+	h.checkPlacement(now)
 }
 
 // divideCold gives the rates of cold backend servers to gateways.
@@ -250,7 +250,7 @@
 
 // announce takes an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
-	return h.do(ctx, func() error { return h.take(a) })
+	return h.do(ctx, func() error { return h.applyAnnouncement(a) })
 }
 
 // listedLife returns the identifier under which a server is listed that names itself alone: its own
@@ -269,8 +269,8 @@
 	return id, err
 }
 
-// take takes an announcement. The error is [Unavailable].
-func (h *hub) take(a registry.Announcement) error {
+// applyAnnouncement takes an announcement. The error is [Unavailable].
+func (h *hub) applyAnnouncement(a registry.Announcement) error {
 	switch {
 	case h.term == 0:
 		return Unavailable{}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -26,9 +26,9 @@
 // sessions, each of which came back for the whole list (TestManyAnnounceAtOnce). What does
 // grow with it, lists and their changes, goes out at the pace of the link (lists.go).
 
-// sessionQueue is the number of messages that may wait for one gateway's link, at most ten of them a
+// sessionQueueSize is the number of messages that may wait for one gateway's link, at most ten of them a
 // second being Fleet messages.
-const sessionQueue = 256
+const sessionQueueSize = 256
 
 // listedDepartures is the number of newest departures that go out with a whole list; earlier ones show
 // in the first complete list.
@@ -36,22 +36,22 @@
 
 // session is one gateway's link, or at the leader one relay's.
 type session struct {
-	gateway string // or the relay's fleet address
-	out     *link.Outbox
-	number  uint64 // of the newest document that the gateway has or was sent
-	counted uint64 // number of its last report in the sums
+	gateway    string // or the relay's fleet address
+	out        *link.Outbox
+	number     uint64 // of the newest document that the gateway has or was sent
+	countedSeq uint64 // number of its last report in the sums
 	// knowsHalls is whether the gateway's version obeys halls that are out of service.
-	knowsHalls    bool
-	knowsVersions bool   // the same of rollouts
-	boot          uint64 // drawn at each start of the gateway
-	region        string // empty if it did not name one
-	opened        time.Duration
-	keepsHandles  bool // its gateway's version does, so that it outlives the leader
-	hall          string
-	named         bool   // another replica named this one to its gateway
-	knows         bool   // its gateway knows servers from before
-	listed        string // the last server of the list that it was sent in parts; empty: it has none, or all
-	avoided       bool   // its region had relays, and it none that it could reach
+	knowsHalls       bool
+	supportsRollouts bool   // the same of rollouts
+	bootID           uint64 // drawn at each start of the gateway
+	region           string // empty if it did not name one
+	opened           time.Duration
+	keepsHandles     bool // its gateway's version does, so that it outlives the leader
+	hall             string
+	redirectedHere   bool   // another replica named this one to its gateway
+	knows            bool   // its gateway knows servers from before
+	listed           string // the last server of the list that it was sent in parts; empty: it has none, or all
+	avoidsRelays     bool   // its region had relays, and it none that it could reach
 
 	// Of a relay's session alone.
 	relay  bool
@@ -78,12 +78,12 @@
 	if h.complete && len(h.missing) > 0 {
 		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
 	}
-	h.pendingChange, h.cachedList = registry.Change{}, nil
-	h.sendServers(m.Sent(h.registry.IsListed))
+	h.pendingChange, h.list = registry.Change{}, nil
+	h.sendServerChanges(m.Sent(h.registry.IsListed))
 }
 
-// sendAll sends a message to every session.
-func (h *hub) sendAll(m protocol.Message) {
+// broadcast sends a message to every session.
+func (h *hub) broadcast(m protocol.Message) {
 	encoded, ok := h.encode(m)
 	if !ok {
 		return
@@ -109,7 +109,7 @@
 	if err != nil {
 		leadership := h.leadership.Load()
 		m := protocol.WatchRedirect{Leader: leadership.leader, Members: leadership.voters}
-		var elsewhere served
+		var elsewhere servedElsewhere
 		if errors.As(err, &elsewhere) {
 			m.Leader = elsewhere.by
 		}
@@ -118,7 +118,7 @@
 		return
 	}
 	defer s.out.Close()
-	defer h.post(func() { h.close(s) })
+	defer h.post(func() { h.closeSession(s) })
 	silence := registry.ReportSilence
 	if s.relay {
 		silence = registry.RelaySilence
@@ -141,12 +141,12 @@
 	case protocol.Usage:
 		if h.relay != nil {
 			h.relay.sums.Add(s.gateway, m)
-			h.relay.keepLosses(m)
+			h.relay.bufferLosses(m)
 			return
 		}
 		h.usage.add(s, m)
 		h.addOutcomes(s, m)
-		h.takeLosses(m)
+		h.addLosses(m)
 	case protocol.Behind:
 		s.behind = m.Gateways
 	}
@@ -178,9 +178,9 @@
 	}
 	h.closeOthers(w.Gateway)
 	s := &session{
-		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueue), number: w.Number, knowsHalls: w.KnowsHalls,
-		knowsVersions: w.KnowsVersions, boot: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoided: h.avoids(w),
-		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, named: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
+		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
+		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoids(w),
+		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
@@ -189,7 +189,7 @@
 	h.sendRollouts(s) // first, or the new servers would be used by load until it comes
 	h.sendQuarantine(s)
 	if !h.giveList(s) {
-		h.close(s)
+		h.closeSession(s)
 		s.out.Close()
 		return nil, Unavailable{}
 	}
@@ -207,13 +207,13 @@
 func (h *hub) closeOthers(gateway string) {
 	for old := range h.sessions {
 		if old.gateway == gateway {
-			h.close(old)
+			h.closeSession(old)
 			old.out.Close()
 		}
 	}
 }
 
-func (h *hub) close(s *session) {
+func (h *hub) closeSession(s *session) {
 	if !h.sessions[s] {
 		return
 	}
@@ -225,7 +225,7 @@
 		return
 	}
 	h.usage.forget(s)
-	h.forgetOutcomes(s)
+	h.removeOutcomes(s)
 }
 
 // gateways returns all gateways of the fleet that have a session here or behind a relay, by
@@ -245,5 +245,5 @@
 	if s.relay {
 		return s.behind
 	}
-	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.knowsVersions}}
+	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.supportsRollouts}}
 }
