--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -18,25 +18,25 @@
 // gateways too, right after changes were acknowledged. Nothing acknowledged is lost, and all is
 // served again.
 func TestDisksAndAllPowerAreLost(t *testing.T) {
-	inFleet(t, voters, func(x *fleet) {
+	withFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(10, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			is.NoErr(x.mustLead().d.Put(x.t.Context(), mortalDocument(2, document.Repeatable)))
-			is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "s1"))
+			is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
+			is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "s1"))
 			for i := range 4 {
 				x.gateways[gatewayIP(i)].kill()
 			}
 			x.losePower()
-			for _, ip := range x.order[:2] {
+			for _, ip := range x.ips[:2] {
 				x.replaceDisk(ip)
 			}
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 			began := time.Now()
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			read, err := l.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(read.Document.Number, uint64(2))
@@ -48,12 +48,12 @@
 			}
 			time.Sleep(3*time.Second - time.Since(began))
 			c.mu.Lock()
-			clear(c.of)
+			clear(c.answers)
 			c.mu.Unlock()
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			sent, _ := m.deadly("deadly")
+			sent, _ := m.countDeadly("deadly")
 			is.Equal(sent, 3)
-			others, _ := c.served("other")
+			others, _ := c.answeredShare("other")
 			is.True(others > 0.99)
 			for _, n := range x.gateways {
 				is.True(!slices.Contains(n.g.Servers(), "s1")) // it has left
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -24,15 +24,15 @@
 func TestCompleteIsAnnounced(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
 					var waited time.Duration
 					session.Go(func() { waited = x.untilComplete(ctx, obeys) })
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					session.Wait()
 					cancel()
 					is.Equal(state, document.RolloutComplete)
@@ -50,7 +50,7 @@
 func (x *fleet) untilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
@@ -90,13 +90,13 @@
 func TestSwitchOutlivesTheLeader(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					time.Sleep(at)
-					x.mustLead().kill()
-					state, after := x.ended(v)
+					x.awaitLeader().kill()
+					state, after := x.awaitRolloutEnd(v)
 					x.t.Logf("complete after %v", after)
 					is.Equal(state, document.RolloutComplete)
 					is.True(after < at+goesOn)
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -39,34 +39,34 @@
 // virtual time, on a network and disks in memory.
 
 const (
-	latency  = 1500 * time.Microsecond
-	interval = time.Second // between announcements
-	voters   = 5
+	networkLatency   = 1500 * time.Microsecond
+	announceInterval = time.Second // between announcements
+	voters           = 5
 )
 
-// exposure bounds what a bad version may get.
-var exposure = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
+// rolloutBounds bounds what a bad version may get.
+var rolloutBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
 
 var fleetKey = []byte("a key that all nodes share")
 
 type fleet struct {
-	t        *testing.T
-	net      *fakenet.Network
-	rngMu    sync.Mutex
-	rng      *rand.Rand
-	seeds    []string
-	nodes    map[string]*directoryNode // by IP
-	order    []string
-	gateways map[string]*gatewayNode
-	beats    map[string]uint64               // announcements made, by backend server
-	wanted   int                             // replicas that vote
-	regions  map[string]string               // by IP; without any, there is one
-	syncTime time.Duration                   // of each disk
-	clocks   map[string]func() time.Duration // by IP; without one, the bubble's
-	tuning   replica.Tuning                  // of each replica
-	linkRate float64                         // of each replica's box, bytes a second; 0 is not known
-	halls    map[string]string               // by IP; without any, none is named
-	mu       sync.Mutex                      // for the nodes' d, which are read while replicas end and start
+	t            *testing.T
+	net          *fakenet.Network
+	rngMu        sync.Mutex
+	rng          *rand.Rand
+	seeds        []string
+	nodes        map[string]*directoryNode // by IP
+	ips          []string
+	gateways     map[string]*gatewayNode
+	announceSeqs map[string]uint64               // announcements made, by backend server
+	wanted       int                             // replicas that vote
+	regions      map[string]string               // by IP; without any, there is one
+	syncTime     time.Duration                   // of each disk
+	clocks       map[string]func() time.Duration // by IP; without one, the bubble's
+	tuning       replica.Tuning                  // of each replica
+	linkRate     float64                         // of each replica's box, bytes a second; 0 is not known
+	halls        map[string]string               // by IP; without any, none is named
+	mu           sync.Mutex                      // for the nodes' d, which are read while replicas end and start
 }
 
 // directoryNode is one replica and what survives its restarts.
@@ -76,7 +76,7 @@
 	d       *directory.Directory
 	metrics *metrics.Set
 	kill    context.CancelFunc
-	up      atomic.Pointer[directory.Directory] // d, for other goroutines
+	current atomic.Pointer[directory.Directory] // d, for other goroutines
 	clock   func() time.Duration                // nil: the bubble's
 }
 
@@ -87,21 +87,21 @@
 	kill    context.CancelFunc
 }
 
-// inFleet runs f with n directory replicas that have formed their group.
-func inFleet(t *testing.T, n int, f func(x *fleet)) { inFleetOf(t, n, voters, f) }
+// withFleet runs f with n directory replicas that have formed their group.
+func withFleet(t *testing.T, n int, f func(x *fleet)) { withFleetVoters(t, n, voters, f) }
 
-// inFleetOf does the same with a number of replicas that vote.
-func inFleetOf(t *testing.T, n, wanted int, f func(x *fleet)) {
-	inFleetWith(t, n, wanted, func(*fleet) {}, f)
+// withFleetVoters does the same with a number of replicas that vote.
+func withFleetVoters(t *testing.T, n, wanted int, f func(x *fleet)) {
+	withPreparedFleet(t, n, wanted, func(*fleet) {}, f)
 }
 
-// inFleetWith does the same after prepare, before which nothing runs.
-func inFleetWith(t *testing.T, n, wanted int, prepare, f func(x *fleet)) {
+// withPreparedFleet does the same after prepare, before which nothing runs.
+func withPreparedFleet(t *testing.T, n, wanted int, prepare, f func(x *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &fleet{
 			wanted: wanted,
-			t:      t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, uint64(n))),
-			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, beats: map[string]uint64{},
+			t:      t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, uint64(n))),
+			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, announceSeqs: map[string]uint64{},
 		}
 		for i := range min(n, 3) {
 			x.seeds = append(x.seeds, fleetAddress(i))
@@ -109,9 +109,9 @@
 		defer x.close()
 		prepare(x)
 		for i := range n {
-			x.add(fmt.Sprintf("10.0.1.%d", i+1), true)
+			x.addReplica(fmt.Sprintf("10.0.1.%d", i+1), true)
 		}
-		x.mustLead()
+		x.awaitLeader()
 		time.Sleep(2 * time.Second)
 		f(x)
 	})
@@ -125,25 +125,25 @@
 	return x.rng.Uint64()
 }
 
-func (x *fleet) add(ip string, first bool) {
+func (x *fleet) addReplica(ip string, first bool) {
 	x.nodes[ip] = &directoryNode{ip: ip, disk: fakedisk.New(x.random()), clock: x.clocks[ip]}
 	x.nodes[ip].disk.SyncTime(x.syncTime)
-	x.order = append(x.order, ip)
-	x.start(ip, first)
+	x.ips = append(x.ips, ip)
+	x.startReplica(ip, first)
 }
 
 func (x *fleet) log(set *metrics.Set) *decision.Log {
 	return decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set)
 }
 
-func (x *fleet) start(ip string, first bool) {
+func (x *fleet) startReplica(ip string, first bool) {
 	n := x.nodes[ip]
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: interval, Rollouts: exposure,
+		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: announceInterval, Rollouts: rolloutBounds,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
 	})
@@ -152,7 +152,7 @@
 	}
 	stop := x.serve(ip+":7400", d)
 	n.metrics = set
-	n.up.Store(d)
+	n.current.Store(d)
 	x.set(n, d)
 	n.kill = func() {
 		stop()
@@ -160,7 +160,7 @@
 		cancel()
 		<-d.Done()
 		log.Close()
-		n.up.Store(nil)
+		n.current.Store(nil)
 		x.set(n, nil)
 	}
 }
@@ -187,7 +187,7 @@
 // close ends everything. Cut links are joined first: the library lets dials go
 // on in the background.
 func (x *fleet) close() {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.net.Join(ip)
 	}
 	for _, region := range x.regions {
@@ -208,7 +208,7 @@
 
 // leader returns the replica that leads, or nil.
 func (x *fleet) leader() *directoryNode {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		if n := x.nodes[ip]; n.d != nil && n.d.Leads() {
 			return n
 		}
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// leading returns the directory that leads, or nil; any goroutine may call it.
-func (x *fleet) leading() *directory.Directory {
+// leaderDirectory returns the directory that leads, or nil; any goroutine may call it.
+func (x *fleet) leaderDirectory() *directory.Directory {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if n := x.leader(); n != nil {
@@ -229,13 +229,13 @@
 // voters returns the replicas that vote, as the leader knows them.
 func (x *fleet) voters() []string {
 	var ips []string
-	for _, name := range x.mustLead().d.Voters() {
+	for _, name := range x.awaitLeader().d.Voters() {
 		ips = append(ips, strings.TrimSuffix(name, ":7400"))
 	}
 	return ips
 }
 
-func (x *fleet) mustLead() *directoryNode {
+func (x *fleet) awaitLeader() *directoryNode {
 	for range 1000 {
 		if n := x.leader(); n != nil {
 			return n
@@ -246,7 +246,7 @@
 	return nil
 }
 
-func held(number uint64) document.Held {
+func testDocument(number uint64) document.Held {
 	d := document.Document{
 		Number: number, Pools: []document.Pool{{Name: "p"}},
 		Routes: []document.Route{{
@@ -256,16 +256,16 @@
 	return document.Held{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
 }
 
-// put sends a document to replicas in turn until one acknowledges it.
-func (x *fleet) put(number uint64) {
+// putDocument sends a document to replicas in turn until one acknowledges it.
+func (x *fleet) putDocument(number uint64) {
 	for range 200 {
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			n := x.nodes[ip]
 			if n.d == nil {
 				continue
 			}
 			ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-			err := n.d.Put(ctx, held(number))
+			err := n.d.Put(ctx, testDocument(number))
 			cancel()
 			if err == nil {
 				return
@@ -281,17 +281,17 @@
 
 // announce lets a backend server announce itself at the leader.
 func (x *fleet) announce(id string, leaving bool) error {
-	x.beats[id]++
+	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
-	return x.mustLead().d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4},
-		Leaving:      leaving, Seq: x.beats[id],
+	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4},
+		Leaving:      leaving, Seq: x.announceSeqs[id],
 	})
 }
 
-// address of a backend server, by its identifier b1, b2, ….
-func address(id string) string { return "10.0.3." + id[1:] + ":80" }
+// serverAddress of a backend server, by its identifier b1, b2, ….
+func serverAddress(id string) string { return "10.0.3." + id[1:] + ":80" }
 
 // noHeaders is for gateways that get no requests.
 type noHeaders struct{ gateway.HeaderCodec }
@@ -315,9 +315,9 @@
 	return g
 }
 
-// count returns the bytes and messages of a kind that a gateway has received ("in") or
+// controlTraffic returns the bytes and messages of a kind that a gateway has received ("in") or
 // sent ("out").
-func (n *gatewayNode) count(direction, kind string) (bytes, messages uint64) {
+func (n *gatewayNode) controlTraffic(direction, kind string) (bytes, messages uint64) {
 	labels := fmt.Sprintf("{direction=%q,kind=%q}", direction, kind)
 	return n.metrics.GetOrCreateCounter("badgerspoke_control_bytes_total" + labels).Get(),
 		n.metrics.GetOrCreateCounter("badgerspoke_control_messages_total" + labels).Get()
@@ -329,10 +329,10 @@
 // losePower ends every replica at once; disks keep what was synced before. The disks go
 // first, because to end a process takes time, in which another one could still sync.
 func (x *fleet) losePower() {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.nodes[ip].disk.Crash()
 	}
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		x.nodes[ip].kill()
 	}
 }
--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -22,12 +22,12 @@
 		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRelayRefused() {
 			h.followLeader(l.leader, l.term)
 		}
-		sleep.For(h.d.ctx, relayPoll) // the loop looks whether ctx has ended
+		sleep.For(h.d.ctx, relayPollInterval) // the loop looks whether ctx has ended
 	}
 }
 
 // canRelay reports whether a leader may want this replica as a relay.
-func (h *hub) canRelay() bool { return h.d.several() || h.isSpread() }
+func (h *hub) canRelay() bool { return h.d.hasMultipleRegions() || h.isSpread() }
 
 // isRelayRefused reports whether the leader of this term needs no relay here, as it is now.
 func (h *hub) isRelayRefused() bool {
@@ -39,7 +39,7 @@
 func (h *hub) followLeader(leader string, term uint64) {
 	ctx, cancel := context.WithCancel(h.d.ctx)
 	defer cancel()
-	dialing, dialed := context.WithTimeout(ctx, relayDial)
+	dialing, dialed := context.WithTimeout(ctx, relayDialTimeout)
 	l, err := link.Dial(dialing, leader, h.d.cfg.Identity, h.d.meter)
 	dialed()
 	if err != nil {
@@ -65,7 +65,7 @@
 			}
 		case protocol.Servers:
 			if m.Relays {
-				h.passOn(ctx, l, leader, m, before)
+				h.relayFrom(ctx, l, leader, m, before)
 			} else { // it takes this replica for a gateway
 				h.doWithout(leader, term)
 			}
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -41,17 +41,17 @@
 // testdata/golden, which pins outward names. Run with -update to write them
 // anew.
 
-// idHeaders reads a request's identifier.
-type idHeaders struct{}
+// testHeaders reads a request's identifier.
+type testHeaders struct{}
 
-func (idHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
+func (testHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
 	return gateway.RequestHead{ID: r.Header.Get("Id"), Timeout: 300 * time.Millisecond}
 }
-func (idHeaders) ForwardHeader(from http.Header, _ gateway.Forwarding) http.Header {
+func (testHeaders) ForwardHeader(from http.Header, _ gateway.Forwarding) http.Header {
 	return from.Clone()
 }
-func (idHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
-func (idHeaders) DecodeAnswer(_ int, h http.Header) gateway.AnswerHead {
+func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
+func (testHeaders) DecodeAnswer(_ int, h http.Header) gateway.AnswerHead {
 	return gateway.AnswerHead{ID: h.Get("Id"), Signed: true}
 }
 
@@ -87,7 +87,7 @@
 // and is marked as leaving.
 func record(t *testing.T) (out told) {
 	synctest.Test(t, func(t *testing.T) {
-		x := &fleet{t: t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, beats: map[string]uint64{}}
+		x := &fleet{t: t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, announceSeqs: map[string]uint64{}}
 		start := func() (*decision.Log, *metrics.Set, *bytes.Buffer) {
 			var to bytes.Buffer
 			set := metrics.NewSet()
@@ -99,35 +99,35 @@
 		disk := fakedisk.New(1)
 		d, err := directory.Start(ctx, directory.Settings{
 			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.Box("10.0.1.1").DialContext},
-			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, Interval: interval, Random: x.random, Log: directoryLog, Metrics: directorySet,
+			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, Interval: announceInterval, Random: x.random, Log: directoryLog, Metrics: directorySet,
 		})
 		is.New(t).NoErr(err)
 		stop := x.serve(seeds[0], d)
-		x.nodes["10.0.1.1"], x.order = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
-		x.mustLead()
+		x.nodes["10.0.1.1"], x.ips = &directoryNode{ip: "10.0.1.1", d: d}, []string{"10.0.1.1"}
+		x.awaitLeader()
 		gatewayLog, gatewaySet, gatewayText := start()
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
-			Seeds:    seeds, Headers: idHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Seeds:    seeds, Headers: testHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
-		x.request(g, "early")
-		x.put(7)
+		x.sendRequest(g, "early")
+		x.putDocument(7)
 		for range 3 {
 			is.New(t).NoErr(x.announce("b1", false))
-			time.Sleep(interval)
+			time.Sleep(announceInterval)
 		}
 		for _, id := range []string{"done", "lost", "refused", "hangs", "unreachable"} {
-			x.request(g, id)
-			time.Sleep(interval / 2)
+			x.sendRequest(g, id)
+			time.Sleep(announceInterval / 2)
 			synctest.Wait()
 		}
 		is.New(t).NoErr(d.StartRollout(t.Context(), rollout.Order{Pool: "p", Target: "v2", Duration: time.Hour}))
-		time.Sleep(interval) // for the leader to see it begin
+		time.Sleep(announceInterval) // for the leader to see it begin
 		is.New(t).NoErr(d.AbortRollout(t.Context(), "p", 1))
 		is.New(t).NoErr(x.announce("b1", true))
-		time.Sleep(5 * interval)
+		time.Sleep(5 * announceInterval)
 		stop()
 		x.net.Kill("10.0.1.1")
 		time.Sleep(5 * time.Second)
@@ -147,8 +147,8 @@
 	return out
 }
 
-// request sends a request with an identifier.
-func (x *fleet) request(g *gateway.Gateway, id string) {
+// sendRequest sends a sendRequest with an identifier.
+func (x *fleet) sendRequest(g *gateway.Gateway, id string) {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/", strings.NewReader("a body"))
 	r.Host = "h"
 	r.Header.Set("Id", id)
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -64,8 +64,8 @@
 	nextFleetAt     time.Duration     // of the next Fleet message
 	encodedDocument protocol.Document // newest document, encoded once
 
-	rollouts     termRollouts
-	evidence     termEvidence
+	rollouts     rollouts
+	evidence     evidence
 	ordered      map[attemptKey]time.Duration // rollouts under way, in every term
 	sharesLogged time.Duration                // when
 
@@ -178,7 +178,7 @@
 	h.sendHeld()
 	if h.relay != nil {
 		h.relay.tick()
-		h.moveHome()
+		h.moveMisplacedSessions()
 	}
 	if h.term == 0 {
 		return
@@ -197,7 +197,7 @@
 	h.pushFleet()
 	h.decideSpread(now)
 	h.pushPlaces()
-	h.moveHome()
+	h.moveMisplacedSessions()
 	h.checkPlacement(now)
 }
 
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -26,7 +26,7 @@
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
-			h.dismiss(s, to)
+			h.redirectSession(s, to)
 		}
 	}
 }
@@ -36,9 +36,9 @@
 	out, changes := h.d.state.HallsOut()
 	r := &relay{
 		h: h, list: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
-		lost: h.d.replica.Now(), places: h.placesSent,
+		lostAt: h.d.replica.Now(), places: h.placesSent,
 	}
-	r.quarantine = h.evidence.sentList
+	r.quarantine = h.evidence.list
 	h.endTermBoundSessions("")
 	h.relay, h.list = r, nil
 	for s := range h.sessions {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -26,10 +26,10 @@
 // tick tries again.
 const condemnTimeout = time.Second
 
-// termEvidence is what the leader of one term knows of ends.
-type termEvidence struct {
+// evidence is what the leader of one term knows of ends.
+type evidence struct {
 	seen     *quarantine.Evidence
-	sentList quarantine.List // as gateways were last sent it
+	list     quarantine.List // as gateways were last sent it
 	revision uint64          // of the condemned requests of the log, in list
 	unlogged map[quarantine.Key]document.Condemned
 	logging  bool
@@ -37,15 +37,15 @@
 
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
-	if h.d.several() {
+	if h.d.hasMultipleRegions() {
 		settle = quarantine.SettleViaRelay
 	}
-	h.evidence = termEvidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
+	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemned()
 	for _, e := range condemned {
 		h.evidence.seen.AddCondemned(e)
 	}
-	h.evidence.sentList, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
+	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
 // addLosses takes what a gateway or a relay reports of ends.
@@ -80,7 +80,7 @@
 func (h *hub) clearKey(k quarantine.Key) {
 	h.evidence.seen.Clear(k)
 	delete(h.evidence.unlogged, k)
-	if e, listed := h.evidence.sentList.Find(k); listed && e.Condemned {
+	if e, listed := h.evidence.list.Find(k); listed && e.Condemned {
 		h.d.cfg.Log.StateChange("request released", slog.String("key", k.String()), slog.String("why", "answered"))
 		h.logCondemned(document.CondemnedChange{Release: k[:]})
 	}
@@ -155,11 +155,11 @@
 	var set []quarantine.Entry
 	var gone []quarantine.Key
 	for k, e := range now {
-		if before, listed := h.evidence.sentList.Find(k); !listed || before != e {
+		if before, listed := h.evidence.list.Find(k); !listed || before != e {
 			set = append(set, e)
 		}
 	}
-	for k := range h.evidence.sentList.Entries() {
+	for k := range h.evidence.list.Entries() {
 		if _, still := now[k]; !still {
 			gone = append(gone, k)
 		}
@@ -167,7 +167,7 @@
 	if len(set)+len(gone) == 0 {
 		return
 	}
-	h.evidence.sentList = h.evidence.sentList.WithChanges(set, gone)
+	h.evidence.list = h.evidence.list.WithChanges(set, gone)
 	h.broadcast(quarantineMessage(set, gone))
 }
 
@@ -200,7 +200,7 @@
 
 // sendQuarantine sends a gateway or a relay that opens a session the whole list.
 func (h *hub) sendQuarantine(s *session) {
-	l := h.evidence.sentList
+	l := h.evidence.list
 	if h.relay != nil {
 		l = h.relay.quarantine
 	}
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -22,9 +22,9 @@
 	// one again. A gateway that reaches none is without the directory for the time of one dial or two
 	// each time.
 	directStay = 15 * time.Second
-	// movesAtOnce is the number of gateways that a replica sends to others in a tick, at the least:
+	// minMovesPerTick is the number of gateways that a replica sends to others in a tick, at the least:
 	// each is sent the whole list there.
-	movesAtOnce = 8
+	minMovesPerTick = 8
 )
 
 // servedElsewhere refuses a gateway because another replica is to serve it.
@@ -33,20 +33,22 @@
 // Error names the replica.
 func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
 
-// soon refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
-type soon struct{}
+// notYetServing refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
+type notYetServing struct{}
 
 // Error implements error.
-func (soon) Error() string { return "it shows in a moment who serves the gateway" }
+func (notYetServing) Error() string { return "it shows in a moment who serves the gateway" }
 
-// several reports whether the fleet has regions of which this replica knows its own.
-func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions() }
+// hasMultipleRegions reports whether the fleet has regions of which this replica knows its own.
+func (d *Directory) hasMultipleRegions() bool {
+	return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions()
+}
 
 // unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
 
-// noteRegion keeps the region that a node names.
-func (d *Directory) noteRegion(node, region string) {
+// recordRegion keeps the region that a node names.
+func (d *Directory) recordRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
 		d.nodeRegions.Store(node, region)
 	}
@@ -60,13 +62,13 @@
 	return unknownRegion
 }
 
-// far reports whether a region that a node named is known to be another one.
-func (h *hub) far(region string) bool {
-	return h.d.several() && region != "" && region != h.d.cfg.Region
+// isOtherRegion reports whether a region that a node named is known to be another one.
+func (h *hub) isOtherRegion(region string) bool {
+	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
-// mayServe returns nil if this replica is to serve a node, else as [hub.open] does.
-func (h *hub) mayServe(w protocol.Watch, mayWait bool) error {
+// checkServes returns nil if this replica is to serve a node, else as [hub.open] does.
+func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
 	}
@@ -77,7 +79,7 @@
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
 		return h.mayPassOn(r, w, mayWait)
 	case mayWait && !h.isRelayRefused():
-		return soon{}
+		return notYetServing{}
 	}
 	return Unavailable{}
 }
@@ -89,7 +91,7 @@
 		return nil
 	}
 	if r.places == nil && mayWait {
-		return soon{}
+		return notYetServing{}
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
@@ -116,14 +118,14 @@
 	places := h.places(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
-			return soon{} // its hall's relay may just be coming
+			return notYetServing{} // its hall's relay may just be coming
 		}
 		return servedElsewhere{by: place}
 	} else if place != "" {
 		return nil
 	}
-	if mayWait && h.young() && !h.avoids(w) {
-		return soon{}
+	if mayWait && h.young() && !h.avoidsPreferred(w) {
+		return notYetServing{}
 	}
 	return nil
 }
@@ -132,10 +134,10 @@
 func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
-func (h *hub) relayed(region string) bool { return h.far(region) || h.isSpread() }
+func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
-// avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
-func (h *hub) avoids(w protocol.Watch) bool {
+// avoidsPreferred reports whether a gateway has replicas to serve it that it is not to be sent to now.
+func (h *hub) avoidsPreferred(w protocol.Watch) bool {
 	if !h.relayed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
@@ -143,8 +145,8 @@
 	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
 }
 
-// moveHome sends gateways that another replica is to serve to it, where there is one now.
-func (h *hub) moveHome() {
+// moveMisplacedSessions sends gateways that another replica is to serve to it, where there is one now.
+func (h *hub) moveMisplacedSessions() {
 	moved := 0
 	places := map[string][]protocol.Place{}
 	for s := range h.sessions {
@@ -157,7 +159,7 @@
 		there := places[s.region]
 		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
 		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
-			h.dismiss(s, place)
+			h.redirectSession(s, place)
 			moved++
 		}
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -22,11 +22,11 @@
 // they stay (lasting.go).
 
 const (
-	// relayPoll is how often a replica looks whether it should open a session with the leader, and how
+	// relayPollInterval is how often a replica looks whether it should open a session with the leader, and how
 	// long it waits after one that failed. A dial between regions takes longer.
-	relayPoll = 50 * time.Millisecond
-	// relayDial is the time for one connection to the leader. As for a gateway.
-	relayDial = 700 * time.Millisecond
+	relayPollInterval = 50 * time.Millisecond
+	// relayDialTimeout is the time for one connection to the leader. As for a gateway.
+	relayDialTimeout = 700 * time.Millisecond
 	// relayGrace is how long a relay keeps its gateways without the leader: an election, twice.
 	relayGrace = 3 * time.Second
 	// spreadGrace is the same where sessions are spread: a replica that is cut off from the others,
@@ -37,13 +37,13 @@
 
 // relay is what a replica passes on. All runs in the hub's goroutine.
 type relay struct {
-	h       *hub
-	out     *link.Outbox // to the leader; nil while it is lost
-	lost    time.Duration
-	list    registry.Copy
-	sums    registry.Sums
-	changed bool // the gateways, since the leader was sent them
-	sumDue  time.Duration
+	h               *hub
+	out             *link.Outbox // to the leader; nil while it is lost
+	lostAt          time.Duration
+	list            registry.Copy
+	sums            registry.Sums
+	gatewaysChanged bool // the gateways, since the leader was sent them
+	sumDue          time.Duration
 
 	loads    map[uint32]protocol.ServerLoad // sums of the leader, by handle
 	feed     registry.Feed                  // what the gateways were sent of them
@@ -59,9 +59,9 @@
 	cleared    [][]byte   // keys, the same
 }
 
-// passOn takes what the leader sends until the session ends: the first list, what came before it,
+// relayFrom takes what the leader sends until the session ends: the first list, what came before it,
 // and all that follows.
-func (h *hub) passOn(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
+func (h *hub) relayFrom(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
 	var r *relay
 	if err := h.do(ctx, func() (err error) { r, err = h.beginRelay(l, leader, first, before); return err }); err != nil {
 		return
@@ -99,7 +99,7 @@
 		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
-	r.out, r.changed, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
+	r.out, r.gatewaysChanged, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetNew = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
 	for _, m := range before {
@@ -127,7 +127,7 @@
 		return
 	}
 	r.out.Close()
-	r.out, r.lost = nil, r.h.d.replica.Now()
+	r.out, r.lostAt = nil, r.h.d.replica.Now()
 	r.h.d.cfg.Log.StateChange("leader lost", slog.Uint64("term", r.list.Term()), slog.Int("gateways", len(r.h.sessions)))
 }
 
@@ -139,7 +139,7 @@
 	case r == nil:
 	case r.out != nil && l.term > r.list.Term():
 		r.lose(r.out)
-	case r.out == nil && h.d.replica.Now()-r.lost > h.grace():
+	case r.out == nil && h.d.replica.Now()-r.lostAt > h.grace():
 		h.endRelay(h.elsewhere())
 	}
 }
@@ -168,7 +168,7 @@
 	}
 	h.d.cfg.Log.StateChange("relaying no more", slog.Uint64("term", h.relay.list.Term()), slog.Int("gateways", len(h.sessions)))
 	for s := range h.sessions {
-		h.dismiss(s, to)
+		h.redirectSession(s, to)
 	}
 	if h.relay.out != nil {
 		h.relay.out.Close()
@@ -176,8 +176,8 @@
 	h.relay, h.list, h.heldServers = nil, nil, registry.Change{}
 }
 
-// dismiss ends a gateway's session and names the replica to go to.
-func (h *hub) dismiss(s *session, to string) {
+// redirectSession ends a gateway's session and names the replica to go to.
+func (h *hub) redirectSession(s *session, to string) {
 	h.closeSession(s)
 	s.out.Send(protocol.WatchRedirect{Leader: to, Members: h.leadership.Load().voters})
 	go func() {
@@ -211,10 +211,10 @@
 	}
 }
 
-// opened takes a gateway whose session opens.
-func (r *relay) opened(s *session) {
+// addGateway takes a gateway whose session opens.
+func (r *relay) addGateway(s *session) {
 	r.sums.Open(s.gateway, s.supportsRollouts)
-	r.changed = true
+	r.gatewaysChanged = true
 }
 
 // sendSums sends a gateway, after its list, what the others were sent.
@@ -243,8 +243,8 @@
 		return
 	}
 	r.pushFleet()
-	if r.changed {
-		r.changed = false
+	if r.gatewaysChanged {
+		r.gatewaysChanged = false
 		var m protocol.Behind
 		for s := range r.h.sessions {
 			m.Gateways = append(m.Gateways, s.gateways()...)
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -21,7 +21,7 @@
 		x.leadIn(north)
 		x.announceMany(servers)
 		near, far := x.gatewaysIn(north, gateways), x.gatewaysIn(south, gateways)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(3 * time.Second)
 		f(x, near, far)
 	})
@@ -30,7 +30,7 @@
 // mustFollow waits until all gateways have a document that is put now, and returns how long it
 // takes.
 func (x *fleet) mustFollow(number uint64, all ...*gateway.Gateway) time.Duration {
-	x.put(number)
+	x.putDocument(number)
 	began := time.Now()
 	for _, g := range all {
 		for g.DocumentNumber() < number {
@@ -59,7 +59,7 @@
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
 		fleets := leader.sent("fleet") - before
@@ -122,9 +122,9 @@
 		took := x.mustFollow(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2500*time.Millisecond)
-		x.start(relays[0].ip, false)
+		x.startReplica(relays[0].ip, false)
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
 		is.True(leader.sent("fleet")-before <= 9*101) // eight gateways, and the relay
@@ -155,7 +155,7 @@
 		is.True(took < 2*time.Second)
 		x.net.Reunite()
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.sent("fleet")
 		time.Sleep(5 * time.Second)
 		is.True(leader.sent("fleet")-before < 10*51+10) // eight gateways, and two relays
@@ -170,14 +170,14 @@
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		for round := range uint64(6) {
-			old := x.mustLead()
+			old := x.awaitLeader()
 			old.kill()
 			took := x.mustFollow(round+2, append(near, far...)...)
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
-			x.start(old.ip, false)
+			x.startReplica(old.ip, false)
 			time.Sleep(20 * time.Second) // also one that had lost the only relay is back there
-			leader := x.mustLead()
+			leader := x.awaitLeader()
 			before := leader.sent("fleet")
 			time.Sleep(5 * time.Second)
 			served := 8 + len(x.relays(map[string]string{north: south, south: north}[x.regions[leader.ip]]))
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -20,14 +20,14 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
-		is.NoErr(x.orderRollout(to("v2")))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
 		relay := x.relays(south)[0]
 		relay.kill()
 		time.Sleep(time.Second)
-		x.start(relay.ip, false)
+		x.startReplica(relay.ip, false)
 		time.Sleep(3 * time.Second)
 
 		x.place("10.0.2.1", south)
@@ -57,7 +57,7 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(2 * time.Second) // the relays have their sessions
 		x.place("10.0.2.1", south)
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
@@ -66,7 +66,7 @@
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, Region: south}))
 		time.Sleep(500 * time.Millisecond)
-		names, err := x.mustLead().d.UnawareOfVersions(x.t.Context())
+		names, err := x.awaitLeader().d.UnawareOfVersions(x.t.Context())
 		is.NoErr(err)
 		is.Equal(names, []string{id.Name})
 	})
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -35,11 +35,11 @@
 		{name: "servers keep their identifiers", m: func(m *mortals) { m.keepIDs = true }, most: 3},
 		{
 			name: "the leader is killed after two ends", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *mortals, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "the leader is killed after it was condemned", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *mortals, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "a gateway that was at the first ends is killed", after: 200 * time.Millisecond, most: 5,
@@ -61,8 +61,8 @@
 			name: "power of the directory is lost", after: time.Second, most: 3,
 			do: func(x *fleet, _ *mortals, _ *callers) {
 				x.losePower()
-				for _, ip := range x.order {
-					x.start(ip, false)
+				for _, ip := range x.ips {
+					x.startReplica(ip, false)
 				}
 			},
 		},
@@ -73,8 +73,8 @@
 					x.gateways[gatewayIP(i)].kill()
 				}
 				x.losePower()
-				for _, ip := range x.order {
-					x.start(ip, false)
+				for _, ip := range x.ips {
+					x.startReplica(ip, false)
 				}
 				for i := range 4 {
 					c.gateway(m, gatewayIP(i))
@@ -88,11 +88,11 @@
 		{
 			name: "no gateway reaches the directory", most: 16, // three ends at each, and the second attempt of the first try
 			do: func(x *fleet, _ *mortals, _ *callers) {
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.net.Cut(ip)
 				}
 				time.AfterFunc(12*time.Second, func() {
-					for _, ip := range x.order {
+					for _, ip := range x.ips {
 						x.net.Join(ip)
 					}
 				})
@@ -101,19 +101,19 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(10, 100*time.Millisecond)
+				m := x.startCrashingServers(10, 100*time.Millisecond)
 				if fault.m != nil {
 					fault.m(m)
 				}
-				x.among(m, 4, func(c *callers) {
+				x.withCallers(m, 4, func(c *callers) {
 					if fault.do != nil {
 						time.AfterFunc(fault.after, func() { fault.do(x, m, c) })
 					}
 					c.repeat("deadly", deadlyPeriod, 14*time.Second)
-					sent, late := m.deadly("deadly")
-					others, refused := c.served("other")
+					sent, late := m.countDeadly("deadly")
+					others, refused := c.answeredShare("other")
 					t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 					is.True(sent <= fault.most)
 					is.True(late <= 3)
@@ -127,10 +127,10 @@
 // TestManyDeadlyRequests: a new one each second ends three servers each, and does not
 // make room for those that were condemned before.
 func TestManyDeadlyRequests(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(12, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(12, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			for n := range 8 {
 				c.repeat(fmt.Sprint("deadly ", n), deadlyPeriod, 2*time.Second)
 			}
@@ -139,11 +139,11 @@
 			}
 			most := 0
 			for n := range 8 {
-				sent, late := m.deadly(fmt.Sprint("deadly ", n))
+				sent, late := m.countDeadly(fmt.Sprint("deadly ", n))
 				most = max(most, sent)
 				is.True(late <= 3)
 			}
-			others, refused := c.served("other")
+			others, refused := c.answeredShare("other")
 			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.ended(), others)
 			is.True(most <= 6)
 			is.Equal(refused, 0)
@@ -153,10 +153,10 @@
 
 // TestTwoDeadlyRequestsAtOnce: each is stopped, though both are at some ends together.
 func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(10, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			other := make(chan bool)
 			go func() {
 				c.repeat("deadly b", deadlyPeriod, 8*time.Second)
@@ -164,8 +164,8 @@
 			}()
 			c.repeat("deadly a", deadlyPeriod, 8*time.Second)
 			<-other
-			a, lateA := m.deadly("deadly a")
-			b, lateB := m.deadly("deadly b")
+			a, lateA := m.countDeadly("deadly a")
+			b, lateB := m.countDeadly("deadly b")
 			t.Logf("begun %d and %d times, %d servers ended", a, b, m.ended())
 			is.True(a <= 6 && b <= 6)
 			is.True(lateA <= 3 && lateB <= 3)
@@ -186,21 +186,21 @@
 		servers, together := tt.servers, tt.together
 		t.Run(fmt.Sprintf("%d of %d %v", together, servers, tt.run), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(servers, tt.run)
-				x.among(m, 4, func(c *callers) {
+				m := x.startCrashingServers(servers, tt.run)
+				x.withCallers(m, 4, func(c *callers) {
 					for n := range 20 {
 						var at []string
 						for i := range together {
-							at = append(at, address(fmt.Sprint("b", 1+(n*together+i)%servers)))
+							at = append(at, serverAddress(fmt.Sprint("b", 1+(n*together+i)%servers)))
 						}
 						m.end(at...)
 						time.Sleep(400 * time.Millisecond)
 					}
 					time.Sleep(2 * time.Second)
-					others, refusedOthers := c.served("other")
-					hot, refusedHot := c.served("hot")
+					others, refusedOthers := c.answeredShare("other")
+					hot, refusedHot := c.answeredShare("hot")
 					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.ended(), others, hot)
 					is.Equal(refusedOthers+refusedHot, 0)
 					is.True(m.ended() > 10)
@@ -214,14 +214,14 @@
 // TestConnectionsThatBreak: a request whose connection breaks each time, while its server goes on,
 // ends nothing and is tried each time.
 func TestConnectionsThatBreak(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 5*time.Second)
-			sent, _ := m.deadly("deadly")
-			_, refused := c.served("deadly")
+			sent, _ := m.countDeadly("deadly")
+			_, refused := c.answeredShare("deadly")
 			is.Equal(sent, 40)
 			is.Equal(refused, 0)
 		})
@@ -231,10 +231,10 @@
 // TestRefusalOfDeadlyRequest: its caller gets an answer at once that tells it not to come back, and
 // what it asks for besides is served.
 func TestRefusalOfDeadlyRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(10, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			for _, n := range x.gateways {
 				began := time.Now()
@@ -255,12 +255,12 @@
 		for i := range 4 {
 			x.place(gatewayIP(i), []string{north, south}[i%2])
 		}
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{north, south}
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 6*time.Second)
-			sent, late := m.deadly("deadly")
-			others, refused := c.served("other")
+			sent, late := m.countDeadly("deadly")
+			others, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 			is.True(sent <= 6)
 			is.Equal(late, 0)
@@ -275,12 +275,12 @@
 // TestReleaseOfACondemnedRequest: an operator lists it and lets it go again; it is condemned again
 // after three more ends.
 func TestReleaseOfACondemnedRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(10, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			condemned, err := l.Condemned()
 			is.NoErr(err)
 			is.Equal(len(condemned), 1)
@@ -290,16 +290,16 @@
 			is.True(ok)
 			is.NoErr(l.Release(x.t.Context(), k))
 			is.Equal(l.Release(x.t.Context(), k), error(directory.NotCondemned{Key: k.String()}))
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if d := x.nodes[ip].d; !d.Leads() {
-					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.mustLead().ip + ":7400"}))
+					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.awaitLeader().ip + ":7400"}))
 				}
 			}
 			time.Sleep(time.Second)
-			sent, _ := m.deadly("deadly")
+			sent, _ := m.countDeadly("deadly")
 			is.Equal(sent, 3)
 			c.repeat("deadly", deadlyPeriod, 3*time.Second)
-			sent, _ = m.deadly("deadly")
+			sent, _ = m.countDeadly("deadly")
 			t.Logf("begun %d times", sent)
 			is.True(sent >= 6 && sent <= 8)
 			condemned, err = l.Condemned()
@@ -318,13 +318,13 @@
 		for i := range 4 {
 			x.place(gatewayIP(i), south)
 		}
-		m := x.mortal(10, 100*time.Millisecond)
+		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{south}
-		x.among(m, 4, func(c *callers) {
+		x.withCallers(m, 4, func(c *callers) {
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
 			c.repeat("deadly", deadlyPeriod, 8*time.Second)
-			sent, late := m.deadly("deadly")
-			_, refused := c.served("other")
+			sent, late := m.countDeadly("deadly")
+			_, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late", sent, late)
 			is.True(sent <= 8)
 			is.Equal(late, 0)
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -28,15 +28,15 @@
 // three are begun later than the contact time after the third end; it is stopped after four ends
 // at the most, and what else is asked for is served.
 func TestRequestThatEndsServers(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		m := x.mortal(10, 100*time.Millisecond)
-		x.among(m, 4, func(c *callers) {
+		m := x.startCrashingServers(10, 100*time.Millisecond)
+		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
-			_, late := m.deadly("deadly")
+			_, late := m.countDeadly("deadly")
 			ended := m.ended()
-			others, refusedOthers := c.served("other")
-			hot, refusedHot := c.served("hot")
+			others, refusedOthers := c.answeredShare("other")
+			hot, refusedHot := c.answeredShare("hot")
 			t.Logf("%d servers ended, %d begun late; served %.4f of others, %.4f of the hot key", ended, late, others, hot)
 			is.True(late <= 3)
 			is.True(ended <= 4)
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -21,15 +21,15 @@
 // This file tests operators' orders about rollouts. Their times are long, so that no schedule
 // ends one while a test runs.
 
-// to is an order to move pool p to a version.
-func to(target string) rollout.Order {
+// orderTo is an order orderTo move pool p orderTo a version.
+func orderTo(target string) rollout.Order {
 	return rollout.Order{Pool: "p", Target: target, Duration: 24 * time.Hour}
 }
 
-// rolled returns the newest rollout of pool p by whoever leads.
-func (x *fleet) rolled() document.Rollout {
+// newestRollout returns the newest rollout of pool p by whoever leads.
+func (x *fleet) newestRollout() document.Rollout {
 	for range 1000 {
-		r, err := x.mustLead().d.Rollout(x.t.Context(), "p")
+		r, err := x.awaitLeader().d.Rollout(x.t.Context(), "p")
 		switch {
 		case err == nil:
 			return r
@@ -46,7 +46,7 @@
 func (x *fleet) orderRollout(o rollout.Order) error {
 	for range 1000 {
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := x.mustLead().d.StartRollout(ctx, o)
+		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if !errors.As(err, new(directory.Unavailable)) && !errors.As(err, new(directory.NotLeader)) {
 			return err
@@ -57,24 +57,24 @@
 }
 
 func TestRolloutOrdersAreChecked(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l, ctx := x.mustLead(), x.t.Context()
-		is.Equal(l.d.StartRollout(ctx, to("v2")), error(directory.UnknownPool{Pool: "p"}))
-		is.True(errors.As(l.d.StartRollout(ctx, to("")), new(rollout.InvalidOrder)))
+		l, ctx := x.awaitLeader(), x.t.Context()
+		is.Equal(l.d.StartRollout(ctx, orderTo("v2")), error(directory.UnknownPool{Pool: "p"}))
+		is.True(errors.As(l.d.StartRollout(ctx, orderTo("")), new(rollout.InvalidOrder)))
 		_, err := l.d.Rollout(ctx, "p")
 		is.Equal(err, error(directory.NoRollout{Pool: "p"}))
 		is.Equal(l.d.AbortRollout(ctx, "p", 1), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.announce("b1", false))
-		time.Sleep(time.Second)                   // it is in the log
-		is.NoErr(l.d.StartRollout(ctx, to("v2"))) // no document names the pool, but a server
-		is.Equal(x.rolled(), document.Rollout{
+		time.Sleep(time.Second)                        // it is in the log
+		is.NoErr(l.d.StartRollout(ctx, orderTo("v2"))) // no document names the pool, but a server
+		is.Equal(x.newestRollout(), document.Rollout{
 			Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 		})
 		for ip, n := range x.nodes {
 			if ip != l.ip {
 				elsewhere := error(directory.NotLeader{Leader: l.ip + ":7400"})
-				is.Equal(n.d.StartRollout(ctx, to("v2")), elsewhere)
+				is.Equal(n.d.StartRollout(ctx, orderTo("v2")), elsewhere)
 				is.Equal(n.d.AbortRollout(ctx, "p", 1), elsewhere)
 				_, err := n.d.Rollout(ctx, "p")
 				is.Equal(err, elsewhere)
@@ -85,11 +85,11 @@
 
 // TestDocumentNamesPools: the servers of a pool need not be there yet.
 func TestDocumentNamesPools(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
-		other := to("v2")
+		x.putDocument(1)
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		other := orderTo("v2")
 		other.Pool = "q"
 		is.Equal(x.orderRollout(other), error(directory.UnknownPool{Pool: "q"}))
 	})
@@ -98,58 +98,58 @@
 // TestOneRolloutAtATime gives orders while one is under way, after its end, and after the time
 // for which orders are repeated.
 func TestOneRolloutAtATime(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		attempt := func(n uint64, target string, state document.RolloutState) {
 			x.t.Helper()
-			r := x.rolled()
+			r := x.newestRollout()
 			is.Equal(r.Attempt, n)
 			is.Equal(r.Target, target)
 			is.Equal(r.State, state)
 		}
-		is.NoErr(x.orderRollout(to("v2")))
-		shorter := to("v2")
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		shorter := orderTo("v2")
 		shorter.Duration = time.Hour
 		is.NoErr(x.orderRollout(shorter)) // a copy
-		is.Equal(x.rolled().Duration, 24*time.Hour)
-		is.Equal(x.orderRollout(to("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
+		is.Equal(x.newestRollout().Duration, 24*time.Hour)
+		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // again
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
-		is.NoErr(x.orderRollout(to("v2"))) // a copy after the end
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1)) // again
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
+		is.NoErr(x.orderRollout(orderTo("v2"))) // a copy after the end
 		attempt(1, "v2", document.RolloutRolledBack)
-		is.Equal(x.rolled().Barred, []string{"v2"})
+		is.Equal(x.newestRollout().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
 		attempt(2, "v2", document.RolloutUnderWay)
 
-		newest := x.rolled()
-		changed, err := x.mustLead().d.ChangeRollout(x.t.Context(), document.RolloutChange{
+		newest := x.newestRollout()
+		changed, err := x.awaitLeader().d.ChangeRollout(x.t.Context(), document.RolloutChange{
 			Pool: "p", Target: "v2", State: document.RolloutComplete, After: newest.Changes, Elapsed: newest.Elapsed, Replaced: []string{"v1"},
 		})
 		is.NoErr(err)
 		is.True(changed)
-		is.NoErr(x.orderRollout(to("v2"))) // it has the requests
+		is.NoErr(x.orderRollout(orderTo("v2"))) // it has the requests
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2")))
+		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutComplete)
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
-		is.NoErr(x.orderRollout(to("v3")))
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
+		is.NoErr(x.orderRollout(orderTo("v3")))
 		attempt(3, "v3", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(to("v2"))) // that has had the requests all the while
+		is.NoErr(x.orderRollout(orderTo("v2"))) // that has had the requests all the while
 		time.Sleep(time.Second)
 		attempt(4, "v2", document.RolloutComplete)
-		is.Equal(x.rolled().Barred, []string{"v3"})
+		is.Equal(x.newestRollout().Barred, []string{"v3"})
 	})
 }
 
@@ -157,46 +157,52 @@
 // was acknowledged, and right after its end was. A copy of the order changes nothing then.
 func TestAcknowledgedRolloutOutlives(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
-		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.start(l.ip, false) },
-		"its disk":   func(x *fleet) { l := x.mustLead(); l.kill(); x.replaceDisk(l.ip); x.mustLead(); x.start(l.ip, false) },
+		"the leader": func(x *fleet) { l := x.awaitLeader(); l.kill(); x.awaitLeader(); x.startReplica(l.ip, false) },
+		"its disk": func(x *fleet) {
+			l := x.awaitLeader()
+			l.kill()
+			x.replaceDisk(l.ip)
+			x.awaitLeader()
+			x.startReplica(l.ip, false)
+		},
 		"all power": func(x *fleet) {
 			x.losePower()
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		},
 		"all power and two disks": func(x *fleet) {
-			lost := []string{x.mustLead().ip, ""}
+			lost := []string{x.awaitLeader().ip, ""}
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost[1] = ip
 				}
 			}
 			x.replaceDisk(lost[0])
 			x.replaceDisk(lost[1])
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		},
 	} {
 		t.Run(how, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				x.put(1)
+				x.putDocument(1)
 				for n := uint64(1); n <= 3; n++ {
-					is.NoErr(x.orderRollout(to("v2")))
+					is.NoErr(x.orderRollout(orderTo("v2")))
 					lose(x)
-					r := x.rolled()
+					r := x.newestRollout()
 					is.Equal(r.Attempt, n)
 					is.Equal(r.State, document.RolloutUnderWay)
-					is.NoErr(x.orderRollout(to("v2")))
-					is.Equal(x.rolled().Attempt, n)
+					is.NoErr(x.orderRollout(orderTo("v2")))
+					is.Equal(x.newestRollout().Attempt, n)
 					time.Sleep(8 * time.Second) // the lost ones have caught up
-					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
+					is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", n))
 					lose(x)
-					is.Equal(x.rolled().State, document.RolloutRolledBack)
-					is.Equal(x.rolled().Barred, []string{"v2"})
+					is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+					is.Equal(x.newestRollout().Barred, []string{"v2"})
 					time.Sleep(8 * time.Second)
 				}
 			})
@@ -207,24 +213,24 @@
 // TestCopyReachesTheNextLeader: an order is taken and its rollout rolled back, and the leader is
 // lost. The next one, to which the order never came, takes a repeat for a copy.
 func TestCopyReachesTheNextLeader(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		x.mustLead().kill()
-		is.NoErr(x.orderRollout(to("v2")))
-		is.Equal(x.rolled().State, document.RolloutRolledBack)
-		is.Equal(x.rolled().Attempt, uint64(1))
+		x.putDocument(1)
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		x.awaitLeader().kill()
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+		is.Equal(x.newestRollout().Attempt, uint64(1))
 	})
 }
 
 // TestOrdersAtOnce gives many orders at once: copies of two, for two versions, at every replica.
 // One rollout begins, and what was acknowledged is what is under way.
 func TestOrdersAtOnce(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		var mu sync.Mutex
 		answers := map[string][]error{}
 		var ordering sync.WaitGroup
@@ -232,9 +238,9 @@
 			for _, target := range []string{"v2", "v3"} {
 				for _, n := range x.nodes {
 					ordering.Go(func() {
-						err := n.d.StartRollout(x.t.Context(), to(target))
+						err := n.d.StartRollout(x.t.Context(), orderTo(target))
 						if errors.As(err, new(directory.NotLeader)) {
-							err = x.orderRollout(to(target)) // where the answer points
+							err = x.orderRollout(orderTo(target)) // where the answer points
 						}
 						mu.Lock()
 						defer mu.Unlock()
@@ -244,7 +250,7 @@
 			}
 		}
 		ordering.Wait()
-		r := x.rolled()
+		r := x.newestRollout()
 		is.Equal(r.Attempt, uint64(1))
 		is.Equal(r.Changes, uint64(1))
 		for target, errs := range answers {
@@ -263,18 +269,18 @@
 // TestMinorityRefusesRollouts: a leader that is cut off acknowledges nothing and reads nothing
 // old, while the others go on.
 func TestMinorityRefusesRollouts(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
-		old := x.mustLead()
+		x.putDocument(1)
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(3 * time.Second)
 		refused := func() {
 			x.t.Helper()
 			ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 			defer cancel()
-			is.True(errors.As(old.d.StartRollout(ctx, to("v2")), new(directory.Unavailable)))
+			is.True(errors.As(old.d.StartRollout(ctx, orderTo("v2")), new(directory.Unavailable)))
 			is.True(errors.As(old.d.AbortRollout(ctx, "p", 1), new(directory.Unavailable)))
 			_, err := old.d.Rollout(ctx, "p")
 			is.True(errors.As(err, new(directory.Unavailable)))
@@ -288,8 +294,8 @@
 		refused()
 		x.net.Join(old.ip)
 		time.Sleep(2 * time.Second)
-		is.Equal(x.rolled().State, document.RolloutRolledBack)
-		is.Equal(x.rolled().Changes, uint64(2))
+		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+		is.Equal(x.newestRollout().Changes, uint64(2))
 	})
 }
 
@@ -310,12 +316,12 @@
 
 // TestCommandsAboutRollouts gives orders on fleet links, at the leader and elsewhere.
 func TestCommandsAboutRollouts(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
 		is.Equal(x.command(l, start).Outcome, protocol.OrderRefused) // no such pool
-		x.put(1)
+		x.putDocument(1)
 		is.Equal(x.command(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
 		is.Equal(x.command(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
 		answer := x.command(l, start)
@@ -337,7 +343,7 @@
 				is.Equal(answer.Leader, l.ip+":7400")
 			}
 		}
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			if ip != l.ip {
 				x.net.Cut(ip)
 			}
@@ -350,26 +356,26 @@
 
 // TestCommandThatHasGone: an order that comes when its command has closed the link changes nothing.
 func TestCommandThatHasGone(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
-		x.put(1)
+		l := x.awaitLeader()
+		x.putDocument(1)
 		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
 		is.NoErr(gone.Send(x.t.Context(), protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}))
 		gone.Close()
 		time.Sleep(5 * time.Second)
-		is.Equal(x.rolled(), document.Rollout{})
+		is.Equal(x.newestRollout(), document.Rollout{})
 	})
 }
 
 // TestOrderNamesGatewaysWithoutRollouts: a gateway says whether its version knows rollouts when
 // it opens its session.
 func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		for i, knows := range []bool{true, false} {
 			name := []string{"10.0.2.1:7400", "10.0.2.2:7400"}[i]
 			id := link.Identity{Name: name, Key: fleetKey, Dial: x.net.Box(name[:8]).DialContext}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -18,57 +18,57 @@
 
 // This file tests whole rollouts: a leader, gateways under load, and servers of two versions.
 
-// reach is how long a list takes to all gateways in touch, and what is on its way to arrive.
-const reach = 100 * time.Millisecond
+// propagationTime is how long a list takes to all gateways in touch, and what is on its way to arrive.
+const propagationTime = 100 * time.Millisecond
 
 // faults are what happens to the fleet in the middle of a rollout, some time after the order.
 var faults = []struct {
 	name string
-	do   func(x *fleet, v *versioned)
+	do   func(x *fleet, v *versionedServers)
 }{
-	{"none", func(*fleet, *versioned) {}},
-	{"leader killed", func(x *fleet, _ *versioned) { x.mustLead().kill() }},
-	{"leader cut off", func(x *fleet, _ *versioned) {
-		l := x.mustLead().ip
+	{"none", func(*fleet, *versionedServers) {}},
+	{"leader killed", func(x *fleet, _ *versionedServers) { x.awaitLeader().kill() }},
+	{"leader cut off", func(x *fleet, _ *versionedServers) {
+		l := x.awaitLeader().ip
 		x.net.Cut(l)
 		time.Sleep(3 * time.Second)
 		x.net.Join(l)
 	}},
-	{"gateway cut off", func(x *fleet, _ *versioned) {
+	{"gateway cut off", func(x *fleet, _ *versionedServers) {
 		x.net.Cut(rolloutGateway(0))
 		time.Sleep(3 * time.Second)
 		x.net.Join(rolloutGateway(0))
 	}},
-	{"gateway started again", func(x *fleet, v *versioned) {
+	{"gateway started again", func(x *fleet, v *versionedServers) {
 		x.gateways[rolloutGateway(0)].kill()
-		x.loaded(rolloutGateway(0), v, rolloutPeriod)
+		x.startLoadedGateway(rolloutGateway(0), v, rolloutPeriod)
 	}},
-	{"power of the directory lost", func(x *fleet, _ *versioned) {
+	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
-		for _, ip := range x.order {
-			x.start(ip, false)
+		for _, ip := range x.ips {
+			x.startReplica(ip, false)
 		}
 	}},
-	{"connections silent", func(x *fleet, _ *versioned) { x.net.Silence() }},
+	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
 }
 
-// steps are when it happens: in the trial, about the switch, and before complete is said.
-var steps = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
+// faultTimes are when it happens: in the trial, about the switch, and before complete is said.
+var faultTimes = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
 
 // TestGoodVersionCompletes: in time, whatever fails meanwhile; from then on nothing reaches an
 // old server, since they may stop at once.
 func TestGoodVersionCompletes(t *testing.T) {
 	for _, fault := range faults {
-		for _, at := range steps {
+		for _, at := range faultTimes {
 			t.Run(fmt.Sprint(fault.name, " ", at), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, 5, func(x *fleet) {
+				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versioned{}
+					v := &versionedServers{}
 					x.rolling(v, func() {
 						time.Sleep(at)
 						fault.do(x, v)
-						state, after := x.ended(v)
+						state, after := x.awaitRolloutEnd(v)
 						end := time.Now()
 						is.Equal(state, document.RolloutComplete)
 						is.True(after <= rolloutTime)
@@ -76,7 +76,7 @@
 							is.True(after < 10*time.Second)
 						}
 						time.Sleep(3 * time.Second)
-						target, old := v.after(end.Add(reach))
+						target, old := v.arrivalsAfter(end.Add(propagationTime))
 						x.t.Logf("complete after %v", after)
 						is.Equal(old, 0)
 						is.True(target > 300)
@@ -89,15 +89,15 @@
 
 // TestUnnamedVersion: as any other; servers that name none are replaced as well.
 func TestUnnamedVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{unnamed: true}
+		v := &versionedServers{unnamed: true}
 		x.rolling(v, func() {
-			state, _ := x.ended(v)
+			state, _ := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
 			time.Sleep(3 * time.Second)
-			target, old := v.after(end.Add(reach))
+			target, old := v.arrivalsAfter(end.Add(propagationTime))
 			is.Equal(old, 0)
 			is.True(target > 300)
 		})
@@ -110,11 +110,11 @@
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
-				inFleet(t, 3, func(x *fleet) {
+				withFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versioned{gone: at, allGone: all}
+					v := &versionedServers{gone: at, allGone: all}
 					x.rolling(v, func() {
-						state, after := x.ended(v)
+						state, after := x.awaitRolloutEnd(v)
 						sent, room, _ := v.exposed()
 						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
 						is.Equal(state == document.RolloutRolledBack, all)
@@ -147,24 +147,24 @@
 			for _, at := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 4500 * time.Millisecond} {
 				t.Run(fmt.Sprint(version.name, " ", fault.name, " ", at), func(t *testing.T) {
 					t.Parallel()
-					inFleet(t, 5, func(x *fleet) {
+					withFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
-						v := &versioned{fails: version.fails}
+						v := &versionedServers{fails: version.fails}
 						x.rolling(v, func() {
 							time.Sleep(at)
 							fault.do(x, v)
-							state, after := x.ended(v)
+							state, after := x.awaitRolloutEnd(v)
 							end := time.Now()
 							is.Equal(state, document.RolloutRolledBack)
 							is.True(after <= rolloutTime)
 							time.Sleep(4 * time.Second)
-							target, old := v.after(end.Add(reach))
+							target, old := v.arrivalsAfter(end.Add(propagationTime))
 							sent, room, late := v.exposed()
 							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, room)
 							is.Equal(target, 0)
 							is.True(old > 400)
 							is.True(room >= 0)
-							is.True(late < exposure.RollbackTime)
+							is.True(late < rolloutBounds.RollbackTime)
 						})
 					})
 				})
@@ -175,22 +175,22 @@
 
 // TestRolloutBytes measures what a rollout adds to a gateway's session, in the trial.
 func TestRolloutBytes(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versioned{}
+		v := &versionedServers{}
 		x.rolling(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
-			sent, reports := n.count("out", "usage")
-			got, lists := n.count("in", "rollouts")
+			sent, reports := n.controlTraffic("out", "usage")
+			got, lists := n.controlTraffic("in", "rollouts")
 			time.Sleep(4 * time.Second)
-			sentThen, reportsThen := n.count("out", "usage")
-			gotThen, listsThen := n.count("in", "rollouts")
-			_, after := x.ended(v)
+			sentThen, reportsThen := n.controlTraffic("out", "usage")
+			gotThen, listsThen := n.controlTraffic("in", "rollouts")
+			_, after := x.awaitRolloutEnd(v)
 			time.Sleep(rolloutTime - after)
-			sentEnd, reportsEnd := n.count("out", "usage")
+			sentEnd, reportsEnd := n.controlTraffic("out", "usage")
 			time.Sleep(4 * time.Second)
-			sentLast, reportsLast := n.count("out", "usage")
+			sentLast, reportsLast := n.controlTraffic("out", "usage")
 			under, without := (sentThen-sent)/(reportsThen-reports), (sentLast-sentEnd)/(reportsLast-reportsEnd)
 			x.t.Logf("a report has %d bytes under way and %d without; %d lists in 4 s, %d bytes each",
 				under, without, listsThen-lists, (gotThen-got)/max(listsThen-lists, 1))
@@ -203,11 +203,11 @@
 // TestRolloutsComeFirst: a gateway that has just started knows what is barred before it knows
 // any server.
 func TestRolloutsComeFirst(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		is.NoErr(x.orderRollout(to("v2")))
-		l := x.mustLead()
+		x.putDocument(1)
+		is.NoErr(x.orderRollout(orderTo("v2")))
+		l := x.awaitLeader()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
@@ -227,14 +227,14 @@
 func TestCompleteWaits(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{}
+				v := &versionedServers{}
 				x.rolling(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
 					session.Go(func() { x.busyAtOld(ctx, obeys) })
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					cancel()
 					session.Wait()
 					is.Equal(state, document.RolloutComplete)
@@ -250,7 +250,7 @@
 func (x *fleet) busyAtOld(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -104,7 +104,7 @@
 
 // serve runs one gateway's session until its link ends.
 func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
-	h.d.noteRegion(l.Peer(), w.Region)
+	h.d.recordRegion(l.Peer(), w.Region)
 	s, err := h.admit(ctx, l, w)
 	if err != nil {
 		leadership := h.leadership.Load()
@@ -159,7 +159,7 @@
 	until := time.Now().Add(relayWait)
 	for {
 		err = h.do(ctx, func() (err error) { s, err = h.open(l, w, time.Now().Before(until)); return err })
-		if !errors.As(err, new(soon)) || !sleep.For(ctx, relayPoll) {
+		if !errors.As(err, new(notYetServing)) || !sleep.For(ctx, relayPollInterval) {
 			return s, err
 		}
 	}
@@ -173,18 +173,18 @@
 	if w.Gateway != l.Peer() {
 		return nil, Unavailable{}
 	}
-	if err := h.mayServe(w, mayWait); err != nil {
+	if err := h.checkServes(w, mayWait); err != nil {
 		return nil, err
 	}
 	h.closeOthers(w.Gateway)
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
-		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoids(w),
+		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
 		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
-		h.relay.opened(s)
+		h.relay.addGateway(s)
 	}
 	h.sendRollouts(s) // first, or the new servers would be used by load until it comes
 	h.sendQuarantine(s)
@@ -221,7 +221,7 @@
 	h.d.cfg.Log.StateChange("gateway lost", slog.String("gateway", s.gateway))
 	if h.relay != nil {
 		h.relay.sums.Close(s.gateway)
-		h.relay.changed = true
+		h.relay.gatewaysChanged = true
 		return
 	}
 	h.usage.forget(s)
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -38,7 +38,7 @@
 		h.spreadSince = now
 	}
 	wanted := h.spread.Decide(now, spread, len(h.gateways()), h.registry.Len(), h.d.cfg.LinkRate)
-	if wanted == spread || h.spreading || h.d.several() {
+	if wanted == spread || h.spreading || h.d.hasMultipleRegions() {
 		return
 	}
 	h.spreading = true
@@ -60,7 +60,7 @@
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
-	if h.isSpread() && !h.far(region) {
+	if h.isSpread() && !h.isOtherRegion(region) {
 		all = append(all, protocol.Place{Address: h.d.Address(), Hall: h.d.cfg.Hall})
 	}
 	return all
@@ -104,7 +104,7 @@
 // as these can send their lists to meanwhile, if their links are as this one.
 func (h *hub) maxMoves(replicas int) int {
 	lists := h.listPace.ListsWithin(registry.FleetPeriod, h.listed())
-	return max(int(lists*float64(replicas-1)), movesAtOnce)
+	return max(int(lists*float64(replicas-1)), minMovesPerTick)
 }
 
 // listed returns how many servers this replica lists.
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -21,7 +21,7 @@
 // inHalls runs f with two replicas in each of three halls, and gateways in all of them, in a fleet
 // that is large for their links.
 func inHalls(t *testing.T, f func(c *crowd)) {
-	inFleetWith(t, hallReplicas, voters, func(x *fleet) {
+	withPreparedFleet(t, hallReplicas, voters, func(x *fleet) {
 		x.linkRate, x.halls = crowdLink, map[string]string{}
 		for i := range hallReplicas {
 			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallNamed(i)
@@ -32,7 +32,7 @@
 		}
 	}, func(x *fleet) {
 		c := &crowd{fleet: x, servers: 500}
-		x.put(1)
+		x.putDocument(1)
 		c.come(hallGateways)
 		time.Sleep(time.Second)
 		c.announceWithin(time.Second)
@@ -45,7 +45,7 @@
 // served returns how many gateways have a session, and how many of them one with a replica of their
 // own hall.
 func (c *crowd) served() (all, atHome int) {
-	for _, ip := range c.order {
+	for _, ip := range c.ips {
 		if c.nodes[ip].d == nil {
 			continue
 		}
@@ -77,7 +77,7 @@
 			is.Equal(all, hallGateways)
 			is.Equal(home, wantHome)
 			number++
-			c.put(number)
+			c.putDocument(number)
 			is.True(c.inForce(number, 5*time.Second) < time.Second)
 			is.True(c.knowAll(10 * time.Second))
 		}
@@ -86,8 +86,8 @@
 		settled(4*time.Second, hallGateways)
 		c.nodes["10.0.1.5"].kill()
 		settled(4*time.Second, hallGateways*2/3)
-		c.start("10.0.1.2", false)
-		c.start("10.0.1.5", false)
+		c.startReplica("10.0.1.2", false)
+		c.startReplica("10.0.1.5", false)
 		settled(20*time.Second, hallGateways)
 	})
 }
@@ -103,18 +103,18 @@
 		number := uint64(1)
 		for _, leads := range []bool{false, true} {
 			var ip string
-			for _, ip = range c.order {
+			for _, ip = range c.ips {
 				if c.nodes[ip].d.Leads() == leads {
 					break
 				}
 			}
-			for _, other := range c.order {
+			for _, other := range c.ips {
 				if other != ip {
 					c.net.Part(ip, other)
 				}
 			}
 			number++
-			c.put(number)
+			c.putDocument(number)
 			took := c.inForce(number, 10*time.Second)
 			c.t.Logf("in force after %v, with the leader cut off: %v", took, leads)
 			is.True(took <= 3500*time.Millisecond)
@@ -132,7 +132,7 @@
 		is := is.New(c.t)
 		time.Sleep(4 * time.Second)
 		var cutOff []string
-		for _, ip := range c.order {
+		for _, ip := range c.ips {
 			if n := c.nodes[ip]; !n.d.Leads() {
 				names, err := n.d.Serves(c.t.Context())
 				is.NoErr(err)
@@ -147,13 +147,13 @@
 		time.Sleep(4 * time.Second)
 		opened := func() (n uint64) {
 			for _, ip := range cutOff {
-				_, watches := c.fleet.gateways[ip].count("out", "watch")
+				_, watches := c.fleet.gateways[ip].controlTraffic("out", "watch")
 				n += watches
 			}
 			return n
 		}
 		before := opened()
-		c.put(2)
+		c.putDocument(2)
 		is.True(c.inForce(2, 5*time.Second) < time.Second)
 		time.Sleep(9 * time.Second)
 		c.t.Logf("%d gateways opened %d sessions in 10 s", len(cutOff), opened()-before)
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -25,32 +25,32 @@
 
 // coldStarting is servers b1 to b9, the target's from b4 on. From the order on those of even
 // numbers are cold: they answer five times slower, and fail what is above their rate.
-type coldStarting struct{ counted }
+type coldStarting struct{ countedServers }
 
 // coldLeft returns for how long a server is cold.
 func (c *coldStarting) coldLeft(n int) time.Duration {
-	c.versioned.mu.Lock()
-	defer c.versioned.mu.Unlock()
-	if n < 4 || n%2 == 1 || c.ordered.IsZero() {
+	c.versionedServers.mu.Lock()
+	defer c.versionedServers.mu.Unlock()
+	if n < 4 || n%2 == 1 || c.orderedAt.IsZero() {
 		return 0
 	}
-	return max(coldTime-time.Since(c.ordered), 0)
+	return max(coldTime-time.Since(c.orderedAt), 0)
 }
 
 func (c *coldStarting) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
-		cold = cold || at == address(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
+		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
 	}
 	if !cold {
-		return c.counted.Send(ctx, at, call)
+		return c.countedServers.Send(ctx, at, call)
 	}
-	c.reached.note(at)
-	_, lately := c.reached.since(at, time.Now().Add(-time.Second))
+	c.arrivalLog.record(at)
+	_, lately := c.arrivalLog.countSince(at, time.Now().Add(-time.Second))
 	if !sleep.For(ctx, 80*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
-	answer, err := c.versioned.Send(ctx, at, call)
+	answer, err := c.versionedServers.Send(ctx, at, call)
 	if lately > coldRate && err == nil {
 		answer.Status = 500
 	}
@@ -73,26 +73,26 @@
 func TestRolloutToColdServers(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{fails: test.fails}
-				c := &coldStarting{counted: newCounted(v)}
-				x.rollingIn(v, scene{document: coldHeld(1, coldRate), load: x.evenly(c, rolloutPeriod), announce: func() {
+				v := &versionedServers{fails: test.fails}
+				c := &coldStarting{countedServers: newCountedServers(v)}
+				x.runScenario(v, rolloutScenario{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
-						x.announceAs(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
+						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
 				}}, func() {
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
-					time.Sleep(coldTime - time.Since(v.ordered))
+					time.Sleep(coldTime - time.Since(v.orderedAt))
 					for n := 4; n <= 9; n += 2 {
-						all, most := c.reached.since(address(fmt.Sprint("b", n)), v.ordered)
+						all, most := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", n)), v.orderedAt)
 						x.t.Logf("ended after %v; cold server b%d got %d, %d in one second", after, n, all, most)
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
 					}
-					is.True(test.fails == nil || leastRoom(v) >= 0)
+					is.True(test.fails == nil || minHeadroom(v) >= 0)
 				})
 			})
 		})
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -26,7 +26,7 @@
 	is := is.New(x.t)
 	for began := time.Now(); time.Since(began) < 20*time.Second; {
 		ctx, cancel := context.WithTimeout(x.t.Context(), callTime)
-		err := x.mustLead().d.StartRollout(ctx, o)
+		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if err == nil {
 			return time.Since(began), refused
@@ -45,29 +45,29 @@
 func TestOrderOnASlowDisk(t *testing.T) {
 	for _, takes := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
 		t.Run(takes.String(), func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				x.put(1)
-				slow := x.mustLead()
+				x.putDocument(1)
+				slow := x.awaitLeader()
 				slow.disk.SyncTime(takes)
-				after, refused := x.ordered(to("v2"))
-				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.mustLead() != slow)
-				is.True(after < exposure.RepeatWindow)
+				after, refused := x.ordered(orderTo("v2"))
+				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.awaitLeader() != slow)
+				is.True(after < rolloutBounds.RepeatWindow)
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 				}
-				is.Equal(x.rolled(), once)
-				_, _ = x.ordered(to("v2"))
+				is.Equal(x.newestRollout(), once)
+				_, _ = x.ordered(orderTo("v2"))
 				slow.disk.SyncTime(0)
 				time.Sleep(takes)
-				is.Equal(x.rolled().Attempt, uint64(1))
-				is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
+				is.Equal(x.newestRollout().Attempt, uint64(1))
+				is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
 				x.losePower()
-				for _, ip := range x.order {
-					x.start(ip, false)
+				for _, ip := range x.ips {
+					x.startReplica(ip, false)
 				}
-				is.Equal(x.rolled().State, document.RolloutRolledBack)
-				is.Equal(x.rolled().Attempt, uint64(1))
+				is.Equal(x.newestRollout().State, document.RolloutRolledBack)
+				is.Equal(x.newestRollout().Attempt, uint64(1))
 			})
 		})
 	}
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -30,9 +30,9 @@
 	rolloutPeriod = 20 * time.Millisecond // between two requests of a gateway
 )
 
-// versioned is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
+// versionedServers is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
 // answer after 20 ms; the target's fail a part.
-type versioned struct {
+type versionedServers struct {
 	unnamed bool // the old servers name no version
 	fails   func(sinceOrder time.Duration) float64
 	// gone is after which time since the order servers of the target cannot be reached: the one
@@ -40,28 +40,28 @@
 	gone    time.Duration
 	allGone bool
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	ordered time.Time
-	target  []time.Time // arrivals at it
-	old     []time.Time
-	first   string  // server of the target that had a request
-	room    float64 // the least that the bound left, at any moment
-	bad     int     // answers of the target
-	fifty   time.Time
+	mu          sync.Mutex
+	rng         *rand.Rand
+	orderedAt   time.Time
+	target      []time.Time // arrivals at it
+	old         []time.Time
+	first       string  // server of the target that had a request
+	minHeadroom float64 // the least that the bound left, at any moment
+	bad         int     // answers of the target
+	fifty       time.Time
 }
 
-func (v *versioned) DropIdle(string) {}
-func (v *versioned) DropAllIdle()    {}
+func (v *versionedServers) DropIdle(string) {}
+func (v *versionedServers) DropAllIdle()    {}
 
-func (*versioned) Refuses(context.Context, string) bool { return false }
+func (*versionedServers) Refuses(context.Context, string) bool { return false }
 
-// arrive counts an arrival and returns whether it fails.
-func (v *versioned) arrive(address string) (fails bool) {
+// recordArrival counts an arrival and returns whether it fails.
+func (v *versionedServers) recordArrival(address string) (fails bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	now := time.Now()
-	if v.ordered.IsZero() {
+	if v.orderedAt.IsZero() {
 		return false
 	}
 	if address < address4 {
@@ -73,14 +73,14 @@
 		v.first = address
 	}
 	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
-	v.room = min(v.room, exposure.Share*of+exposure.Slack-sent)
-	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.ordered))
+	v.minHeadroom = min(v.minHeadroom, rolloutBounds.Share*of+rolloutBounds.Slack-sent)
+	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
-var address4 = address("b4")
+var address4 = serverAddress("b4")
 
-func (v *versioned) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	fails := v.arrive(at)
+func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+	fails := v.recordArrival(at)
 	if v.hasGone(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 	}
@@ -95,13 +95,13 @@
 	return answer, nil
 }
 
-func (v *versioned) hasGone(address string) bool {
+func (v *versionedServers) hasGone(address string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gone > 0 && !v.ordered.IsZero() && time.Since(v.ordered) >= v.gone && address >= address4 && (v.allGone || address == v.first)
+	return v.gone > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.gone && address >= address4 && (v.allGone || address == v.first)
 }
 
-func (v *versioned) countBad() {
+func (v *versionedServers) countBad() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.bad++; v.bad == 50 {
@@ -111,17 +111,17 @@
 
 // exposed returns how many requests the target had, the least that the bound left, and how long
 // after its 50th bad answer the last came, 0 if there was none.
-func (v *versioned) exposed() (sent int, room float64, late time.Duration) {
+func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.fifty.IsZero() {
 		late = v.target[len(v.target)-1].Sub(v.fifty)
 	}
-	return len(v.target), v.room, late
+	return len(v.target), v.minHeadroom, late
 }
 
-// after counts the arrivals at both versions after a time.
-func (v *versioned) after(from time.Time) (target, old int) {
+// arrivalsAfter counts the arrivals at both versions arrivalsAfter a time.
+func (v *versionedServers) arrivalsAfter(from time.Time) (target, old int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	count := func(times []time.Time) (n int) {
@@ -136,21 +136,21 @@
 }
 
 // rolling is a fleet with gateways under load and a rollout to the target that begins now.
-func (x *fleet) rolling(v *versioned, f func()) {
+func (x *fleet) rolling(v *versionedServers, f func()) {
 	is := is.New(x.t)
-	x.put(1)
+	x.putDocument(1)
 	stop := x.keepVersions(v)
 	defer stop()
 	for i := range 3 {
-		x.loaded(rolloutGateway(i), v, rolloutPeriod)
+		x.startLoadedGateway(rolloutGateway(i), v, rolloutPeriod)
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.room = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), rolloutBounds.Slack
 	v.mu.Unlock()
 	is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	v.mu.Lock()
-	v.ordered = time.Now()
+	v.orderedAt = time.Now()
 	v.mu.Unlock()
 	f()
 }
@@ -159,7 +159,7 @@
 
 // keepVersions announces the servers of both versions in each interval, until stop. Before the
 // order the target's do not run.
-func (x *fleet) keepVersions(v *versioned) (stop func()) {
+func (x *fleet) keepVersions(v *versionedServers) (stop func()) {
 	versions := []string{"v1", "v2"}
 	if v.unnamed {
 		versions[0] = ""
@@ -167,9 +167,9 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			for i := range 6 {
-				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(address(id)) {
+				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(serverAddress(id)) {
 					x.announceVersion(id, versions[i/3])
 				}
 			}
@@ -181,7 +181,7 @@
 // announceVersion announces a server of the target only once a rollout is under way: without
 // one it would get its part of the requests.
 func (x *fleet) announceVersion(id, version string) {
-	d := x.leading()
+	d := x.leaderDirectory()
 	if d == nil {
 		return
 	}
@@ -190,20 +190,20 @@
 	if _, err := d.Rollout(ctx, "p"); err != nil && version == "v2" {
 		return
 	}
-	x.beats[id]++
+	x.announceSeqs[id]++
 	// Whoever does not lead any more refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.beats[id],
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
 }
 
-// ended waits for the rollout's end and returns it, and how long after the order it was.
-func (x *fleet) ended(v *versioned) (state document.RolloutState, after time.Duration) {
-	for time.Since(v.ordered) < 2*rolloutTime {
-		if state = x.rolled().State; state != document.RolloutUnderWay {
-			return state, time.Since(v.ordered)
+// awaitRolloutEnd waits for the rollout's end and returns it, and how long after the order it was.
+func (x *fleet) awaitRolloutEnd(v *versionedServers) (state document.RolloutState, after time.Duration) {
+	for time.Since(v.orderedAt) < 2*rolloutTime {
+		if state = x.newestRollout().State; state != document.RolloutUnderWay {
+			return state, time.Since(v.orderedAt)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return state, time.Since(v.ordered)
+	return state, time.Since(v.orderedAt)
 }
