--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -21,8 +21,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file is the contract of a client towards a backend server: what it says
-// of a call is true, whatever the server does.
+// This file tests that a client classifies every call correctly, whatever the
+// backend server does.
 
 const address = "10.0.0.1:9000"
 
@@ -45,18 +45,18 @@
 func TestContract(t *testing.T) {
 	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets")}
 	tests := []struct {
-		name  string
-		how   standin.Failure
-		call  forward.Call
-		said  string // "", "not-run" or "unknown"
-		runs  int
-		whole bool
+		name         string
+		failure      standin.Failure
+		call         forward.Call
+		wantError    string // "", "not-run" or "unknown"
+		wantRuns     int
+		wantComplete bool
 	}{
 		{"answers", "", post, "", 1, true},
 		{"refuses before it starts", standin.Refuse, post, "not-run", 0, false},
-		{"dies without an answer", standin.DieEarly, post, "unknown", 1, false},
-		{"never answers", standin.Hang, post, "unknown", 1, false},
-		{"dies in the middle", standin.DieMid, post, "", 1, false},
+		{"dies before the response", standin.DieEarly, post, "unknown", 1, false},
+		{"never responds", standin.Hang, post, "unknown", 1, false},
+		{"dies in the middle of the response", standin.DieMid, post, "", 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -66,26 +66,27 @@
 				s := &standin.Service{}
 				serve(t, n, s)
 				c := client(t, n)
-				if tt.how != "" {
-					s.FailNext(tt.how)
+				if tt.failure != "" {
+					s.FailNext(tt.failure)
 				}
 				a, err := c.Send(t.Context(), address, tt.call)
-				is.Equal(s.Runs("sheets"), tt.runs)
-				is.Equal(errors.As(err, new(forward.NotRun)), tt.said == "not-run")
-				is.Equal(errors.As(err, new(forward.Unknown)), tt.said == "unknown")
+				is.Equal(s.Runs("sheets"), tt.wantRuns)
+				is.Equal(errors.As(err, new(forward.NotRun)), tt.wantError == "not-run")
+				is.Equal(errors.As(err, new(forward.Unknown)), tt.wantError == "unknown")
 				if err != nil {
 					return
 				}
 				defer a.Body.Close()
 				body, err := io.ReadAll(a.Body)
-				is.Equal(err == nil, tt.whole) // half an answer is an error
-				is.Equal(err == nil && int64(len(body)) == a.Length, tt.whole)
+				is.Equal(err == nil, tt.wantComplete) // a truncated body is an error
+				is.Equal(err == nil && int64(len(body)) == a.Length, tt.wantComplete)
 			})
 		})
 	}
 }
 
-// TestRefuses: only a box that says that nothing listens refuses; one that is cut off says nothing.
+// TestRefuses checks that Refuses reports true only for a box that refuses the connection, and
+// false for one that is listening or cut off from the network.
 func TestRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -107,7 +108,7 @@
 		n := fakenet.New(time.Millisecond)
 		_, err := client(t, n).Send(t.Context(), address, forward.Call{Method: "GET", Path: "/"})
 		is.True(errors.As(err, new(forward.NotRun)))
-		// Cut off before a connection is open: nothing was sent.
+		// The box is cut off before a connection opens, so nothing was sent.
 		serve(t, n, &standin.Service{})
 		n.Cut("10.0.0.1")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -117,19 +118,19 @@
 	})
 }
 
-// TestLibraryDoesNotRepeat closes a kept connection just as a second call is
-// sent on it. Go's transport repeats such a call by itself when it looks
-// repeatable: a GET does, and so does anything with an Idempotency-Key. One
-// that may not be repeated must reach the server once.
+// TestLibraryDoesNotRepeat closes a reused connection just as a second call is
+// sent on it. Go's transport retries such a call by itself when it looks
+// idempotent: a GET, or any request with an Idempotency-Key. A call that must not
+// be retried has to reach the server exactly once.
 func TestLibraryDoesNotRepeat(t *testing.T) {
 	tests := []struct {
-		name string
-		call forward.Call
-		most int32
+		name        string
+		call        forward.Call
+		maxRequests int32
 	}{
-		{"a GET that may be repeated", forward.Call{Method: "GET", Path: "/"}, 2},
-		{"a GET that may not", forward.Call{Method: "GET", Path: "/"}, 1},
-		{"a POST with a key that may not", forward.Call{Method: "POST", Path: "/", Body: []byte("x"),
+		{"a GET that may be retried", forward.Call{Method: "GET", Path: "/"}, 2},
+		{"a GET that must not be retried", forward.Call{Method: "GET", Path: "/"}, 1},
+		{"a POST with a key that must not be retried", forward.Call{Method: "POST", Path: "/", Body: []byte("x"),
 			Header: http.Header{"Idempotency-Key": {"k"}}}, 1},
 	}
 	for _, tt := range tests {
@@ -137,22 +138,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				n := fakenet.New(time.Millisecond)
-				var seen atomic.Int32
-				closing(t, n, &seen)
+				var requests atomic.Int32
+				serveAndClose(t, n, &requests)
 				c := client(t, n)
 				warm := forward.Call{Method: "GET", Path: "/warm"}
 				a, err := c.Send(t.Context(), address, warm)
 				is.NoErr(err)
 				_, _ = io.ReadAll(a.Body)
 				a.Body.Close()
-				synctest.Wait() // the connection is kept now
+				synctest.Wait() // the connection is idle now
 				a, err = c.Send(t.Context(), address, tt.call)
 				if err == nil {
 					a.Body.Close()
 				}
-				is.True(seen.Load() >= 1)
-				is.True(seen.Load() <= tt.most)
-				if tt.most == 1 {
+				is.True(requests.Load() >= 1)
+				is.True(requests.Load() <= tt.maxRequests)
+				if tt.maxRequests == 1 {
 					is.True(errors.As(err, new(forward.Unknown))) // it may have run, and did
 				}
 			})
@@ -160,9 +161,9 @@
 	}
 }
 
-// closing serves /warm and, for anything else, counts the request and closes
-// the connection without a byte of an answer.
-func closing(t *testing.T, n *fakenet.Network, seen *atomic.Int32) {
+// serveAndClose serves /warm. It counts any other request and closes the connection
+// without a response.
+func serveAndClose(t *testing.T, n *fakenet.Network, requests *atomic.Int32) {
 	l, err := n.Listen(address)
 	if err != nil {
 		t.Fatal(err)
@@ -174,12 +175,12 @@
 			if err != nil {
 				return
 			}
-			go answerWarm(c, seen)
+			go serveWarm(c, requests)
 		}
 	}()
 }
 
-func answerWarm(c net.Conn, seen *atomic.Int32) {
+func serveWarm(c net.Conn, requests *atomic.Int32) {
 	defer c.Close()
 	b := make([]byte, 4096)
 	for {
@@ -188,7 +189,7 @@
 			return
 		}
 		if !strings.Contains(string(b[:n]), " /warm ") {
-			seen.Add(1)
+			requests.Add(1)
 			return
 		}
 		_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -12,60 +12,62 @@
 	"time"
 )
 
-// This file defines countingConn, a connection to a backend server: whether anything of
-// a call was sent on it, and whether it is idle, neither of which net/http reports.
+// This file defines countingConn, a connection to a backend server that records whether any
+// byte of a call was sent on it and whether it is idle. net/http reports neither.
 
-// countingConn counts the bytes that the kernel has accepted, and the calls.
+// countingConn counts the bytes that the kernel has accepted and the calls that were
+// given the connection.
 type countingConn struct {
 	net.Conn
-	opened  time.Time
-	closed  func() // forgets the connection
-	written atomic.Int64
-	calls   atomic.Int64 // that were given the connection
-	ended   atomic.Int64 // number of the last call after which it was kept
-	// unwanted is asked before the first byte of the present call: nil once it was.
+	openedAt     time.Time
+	forget       func() // removes the connection from the client's list
+	bytesWritten atomic.Int64
+	callsStarted atomic.Int64 // calls that were given the connection
+	lastKeptCall atomic.Int64 // number of the last call that left the connection idle
+	// unwanted is called before the first byte of the current call, and is nil afterwards.
 	unwanted atomic.Pointer[func() bool]
 }
 
-// ErrUnwanted ends a call that nobody wants any more.
-var ErrUnwanted = errors.New("the call is not wanted any more")
+// ErrUnwanted is the error of a call that was abandoned before it was sent.
+var ErrUnwanted = errors.New("call abandoned before it was sent")
 
-// Unwanted reports whether a call failed because nobody wanted it any more.
+// Unwanted reports whether a call failed because it was abandoned before it was sent.
 func Unwanted(err error) bool { return errors.Is(err, ErrUnwanted) }
 
-// Write implements [net.Conn]. The first write of a call that is unwanted fails: between any
-// earlier look and this one, goroutines hand the call on, and each of them waits for the
-// processor of a late gateway, so that calls went out half a second after their callers had
-// left.
+// Write implements [net.Conn]. The first write of an unwanted call fails. An earlier check
+// is not enough: the call then passes through further goroutines, and on a gateway that is
+// short of processor time it would be sent up to half a second after its caller had left.
 func (c *countingConn) Write(b []byte) (int, error) {
 	if unwanted := c.unwanted.Swap(nil); unwanted != nil && (*unwanted)() {
 		return 0, ErrUnwanted
 	}
 	n, err := c.Conn.Write(b)
-	c.written.Add(int64(n))
+	c.bytesWritten.Add(int64(n))
 	return n, err
 }
 
 // Close implements [net.Conn].
 func (c *countingConn) Close() error {
-	c.closed()
+	c.forget()
 	return c.Conn.Close()
 }
 
-// idle reports whether no call has the connection. One may get it right after: to it,
-// a connection that is closed then is one that the server closed.
-func (c *countingConn) idle() bool { return c.ended.Load() == c.calls.Load() && c.calls.Load() > 0 }
+// idle reports whether no call is using the connection. A call may be given it right
+// afterwards; if it is then closed, that call fails as if the server had closed it.
+func (c *countingConn) idle() bool {
+	return c.lastKeptCall.Load() == c.callsStarted.Load() && c.callsStarted.Load() > 0
+}
 
-// connections are the open connections of a client, by the server's address.
+// connections holds the open connections of a client by server address.
 type connections struct {
-	mu   sync.Mutex // a leaf
+	mu   sync.Mutex // a leaf; guards open
 	open map[string]map[*countingConn]bool
 }
 
-// add takes a new connection and returns it as one that counts.
+// add registers a new connection and returns it wrapped in a countingConn.
 func (o *connections) add(address string, conn net.Conn) *countingConn {
-	c := &countingConn{Conn: conn, opened: time.Now()}
-	c.closed = func() { o.remove(address, c) }
+	c := &countingConn{Conn: conn, openedAt: time.Now()}
+	c.forget = func() { o.remove(address, c) }
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.open[address] == nil {
@@ -97,7 +99,7 @@
 	return idle
 }
 
-// countingDial returns a dial function whose connections count.
+// countingDial returns a dial function that registers its connections in o.
 func (o *connections) countingDial(cfg Settings) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := cfg.Dialer.DialContext(ctx, network, address)
@@ -111,50 +113,50 @@
 	}
 }
 
-// sending is one call on its connection. The zero value has none yet.
-type sending struct {
-	conn   atomic.Pointer[countingConn]
-	number int64 // of the call on the connection
-	before int64 // bytes that the connection had taken before the call
-	// unwanted is that of the call, or nil.
+// callTrace records the connection that a call is sent on. The zero value has none yet.
+type callTrace struct {
+	conn          atomic.Pointer[countingConn]
+	callNumber    int64 // of the call on the connection
+	writtenBefore int64 // bytes written on the connection before the call
+	// unwanted is the call's Unwanted function, or nil.
 	unwanted func() bool
 }
 
-// trace lets net/http report to s.
-func (s *sending) trace(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.begin, PutIdleConn: s.end})
+// attach returns a context that makes net/http report the call's progress to s.
+func (s *callTrace) attach(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn, PutIdleConn: s.putIdleConn})
 }
 
-// begin is called by net/http when the call gets its connection.
-func (s *sending) begin(info httptrace.GotConnInfo) {
+// gotConn is called by net/http when the call is given its connection.
+func (s *callTrace) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	s.number, s.before = c.calls.Add(1), c.written.Load()
+	s.callNumber, s.writtenBefore = c.callsStarted.Add(1), c.bytesWritten.Load()
 	if s.unwanted != nil {
 		c.unwanted.Store(&s.unwanted)
 	}
 	s.conn.Store(c)
 }
 
-// end is called by net/http when it keeps the connection.
-func (s *sending) end(err error) {
+// putIdleConn is called by net/http when it returns the connection to the idle pool.
+func (s *callTrace) putIdleConn(err error) {
 	if c := s.conn.Load(); c != nil && err == nil {
-		c.ended.Store(s.number)
+		c.lastKeptCall.Store(s.callNumber)
 	}
 }
 
-// begun reports whether a byte of the call may have been sent.
-func (s *sending) begun() bool {
+// mayHaveSent reports whether any byte of the call may have been sent.
+func (s *callTrace) mayHaveSent() bool {
 	c := s.conn.Load()
-	return c != nil && c.written.Load() > s.before
+	return c != nil && c.bytesWritten.Load() > s.writtenBefore
 }
 
-// opened returns when the call's connection was opened; zero without one.
-func (s *sending) opened() time.Time {
+// connOpenedAt returns when the call's connection was opened, or the zero time without one.
+func (s *callTrace) connOpenedAt() time.Time {
 	if c := s.conn.Load(); c != nil {
-		return c.opened
+		return c.openedAt
 	}
 	return time.Time{}
 }
--- a/transport/forward/example_test.go
+++ b/transport/forward/example_test.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// A call is answered, or fails with whether it may have run.
+// A call returns a response, or an error that says whether the call may have run.
 func ExampleClient() {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/full" {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -1,26 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package forward is the HTTP/1.1 client of routers and gateways towards
-// backend servers, model engines and plain services alike. It sends a call once
-// and classifies a failure by whether the call may have run.
+// Package forward is the HTTP/1.1 client that routers and gateways use to call
+// backend servers: model engines and plain services. It sends each call at most
+// once and classifies a failure by whether the call may have run.
 //
-// [Client.Send] returns when the answer's header has arrived, with the body
+// [Client.Send] returns when the response header has arrived, with the body
 // still to be read, or fails with [NotRun] or [Unknown]. NotRun means that the
-// call never left this process (no connection could be opened, or not one byte
-// was written to it) or that the server refused it before starting
-// ([Settings.Refused]). Everything else is Unknown, however likely it is that
-// nothing ran. Whether to send a call again is the caller's decision.
+// call never left this process (no connection could be opened, or no byte was
+// written to it) or that the server refused it before starting
+// ([Settings.Refused]). Every other failure is Unknown, even if it is unlikely
+// that the call ran. The caller decides whether to retry.
 //
-// The package owns the pool of kept connections. It relies on the caller's
-// context for every limit of time after the dial, except for
-// [Settings.HeaderTimeout], and on the caller to close [Answer.Body]. A Client
-// has one lock, a leaf, over its list of open connections.
+// The package owns the pool of idle connections. After the dial, only the
+// caller's context and [Settings.HeaderTimeout] limit how long a call takes. The
+// caller must close [Answer.Body]. A Client has one lock, a leaf, that guards its
+// list of open connections.
 //
-// The standard library's transport repeats a request by itself when a kept
-// connection turns out closed and the request looks repeatable, which a GET
-// does, and so does anything with an Idempotency-Key. A caller that counts arrivals
-// has to decide about a second one, so every call goes out with a body, empty or
-// not, that cannot be rewound.
+// The standard library's transport retries a request by itself when a reused
+// connection turns out to be closed and the request looks idempotent: a GET, or
+// any request with an Idempotency-Key. Callers count how often a server receives
+// a call and decide on retries themselves, so every call is sent with a body,
+// possibly empty, that cannot be rewound.
 package forward
 
 import (
@@ -39,34 +39,35 @@
 	"github.com/pkg/errors"
 )
 
-// This file defines Client and what it sends and returns.
+// This file defines Client, its calls and their results.
 
-// RefusedHeader is set to "true" by a server on an answer 429 or 503 that it
-// gave before it started the call.
+// RefusedHeader is set to "true" by a server on a 429 or 503 response that it
+// sent without starting the call.
 const RefusedHeader = "Badgerspoke-Refused"
 
 // Call is one call to a backend server. A Client sends it once.
 type Call struct {
 	Method string
-	Path   string // with the query, sent as it is
-	Host   string // empty is the server's address
+	Path   string // including the query, sent unchanged
+	Host   string // Host header; empty means the server's address
 	Header http.Header
 	Body   []byte
-	// Unwanted, if set, is asked right before the first byte goes out: if it returns true,
-	// nothing is sent and the call fails with [NotRun], see [Unwanted].
+	// Unwanted, if set, is called right before the first byte is written. If it returns
+	// true, nothing is sent and the call fails with a [NotRun] that wraps [ErrUnwanted].
 	Unwanted func() bool
 }
 
-// ResumeHeader is set by a server that can send the rest of an answer whose
-// connection broke: it holds a path for GET with a Range from the first byte
-// missing (RFC 9110, section 14), and for DELETE when the rest is not wanted.
+// ResumeHeader is set by a server that can resume a response after its connection
+// broke. Its value is a path: GET with a Range that starts at the first missing byte
+// (RFC 9110, section 14) returns the rest, and DELETE discards it.
 const ResumeHeader = "Badgerspoke-Resume"
 
-// LoadHeader is set by a server that reports its load with its answers: the
-// numbers of running and waiting requests, "RUNNING/WAITING". It may lag.
+// LoadHeader is set by a server that reports its load with its responses, as the
+// numbers of running and waiting requests: "RUNNING/WAITING". It may be out of date.
 const LoadHeader = "Badgerspoke-Load"
 
-// Load returns the numbers of LoadHeader, or false if it is missing or malformed.
+// Load returns the two numbers in LoadHeader, and false if the header is missing or
+// malformed.
 func (a *Answer) Load() (running, waiting int, ok bool) {
 	r, w, found := strings.Cut(a.Header.Get(LoadHeader), "/")
 	if !found {
@@ -77,37 +78,38 @@
 	return running, waiting, errR == nil && errW == nil && running >= 0 && waiting >= 0
 }
 
-// RetryAfter returns the longest time that the Retry-After of an answer names, in seconds with
-// fractions, and those of its values that are malformed: a time of day is, since clocks differ.
+// RetryAfter returns the longest delay in the Retry-After headers of a response and the
+// header values that are malformed. A value is a number of seconds, possibly fractional; an
+// HTTP date counts as malformed, since clocks differ.
 func RetryAfter(h http.Header) (longest time.Duration, malformed []string) {
-	for _, text := range h["Retry-After"] {
-		seconds, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+	for _, value := range h["Retry-After"] {
+		seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err != nil || math.IsNaN(seconds) || math.IsInf(seconds, 0) || seconds < 0 {
-			malformed = append(malformed, text)
+			malformed = append(malformed, value)
 			continue
 		}
-		// Beyond what a Duration holds, the conversion would give any value.
+		// Converting a float64 outside the range of a Duration gives an arbitrary value.
 		bounded := min(seconds, time.Duration(math.MaxInt64).Seconds()/2)
 		longest = max(longest, time.Duration(bounded*float64(time.Second)))
 	}
 	return longest, malformed
 }
 
-// Answer is a server's answer; the caller closes Body.
+// Answer is a server's response. The caller must close Body.
 type Answer struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body, -1 when unknown
+	Length int64 // of the body in bytes, -1 if unknown
 	Body   io.ReadCloser
-	Opened time.Time // the connection
+	Opened time.Time // when the connection was opened
 }
 
-// NotRun is a call that certainly did not run.
+// NotRun is the error of a call that certainly did not run.
 type NotRun struct {
-	Server  string // address
-	Refused bool   // by the server; else no byte was sent to it
-	Header  http.Header
-	Status  int // of a refusal
+	Server  string      // address
+	Refused bool        // the server refused the call; otherwise no byte was sent to it
+	Header  http.Header // of a refusal
+	Status  int         // of a refusal
 	Err     error
 }
 
@@ -122,10 +124,10 @@
 // Unwrap returns the cause.
 func (e NotRun) Unwrap() error { return e.Err }
 
-// Unknown is a call that may have run.
+// Unknown is the error of a call that may have run.
 type Unknown struct {
-	Server string
-	Opened time.Time // the connection
+	Server string    // address
+	Opened time.Time // when the connection was opened
 	Err    error
 }
 
@@ -137,8 +139,8 @@
 // Unwrap returns the cause.
 func (e Unknown) Unwrap() error { return e.Err }
 
-// Silent reports whether an error of a call, or of its answer's body, is that of a
-// connection whose other side acknowledged nothing for too long.
+// Silent reports whether an error of a call, or of reading its response body, means that
+// the connection timed out because the peer stopped acknowledging data.
 func Silent(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
 
 // Dialer opens connections; *net.Dialer is one.
@@ -146,35 +148,35 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Settings of a client.
+// Settings configures a Client.
 type Settings struct {
-	Dialer        Dialer        // nil is the operating system's, with defaultDialTimeout
-	HeaderTimeout time.Duration // until the answer's header; 0 is none
-	IdlePerServer int           // connections kept to one server, at least fewestIdle
-	IdleAll       int           // the same to all servers; 0 is no bound
-	IdleTime      time.Duration // for which an unused connection is kept; 0 is defaultIdleTime
-	// Refused reports whether an answer means that the server did not start
-	// the call. Nil looks for RefusedHeader on a 429 or 503.
+	Dialer        Dialer        // nil means a net.Dialer with defaultDialTimeout
+	HeaderTimeout time.Duration // limit on the wait for the response header; zero means none
+	IdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
+	IdleAll       int           // limit on idle connections to all servers; zero means none
+	IdleTime      time.Duration // after which an idle connection is closed; zero means defaultIdleTime
+	// Refused reports whether a response means that the server did not start
+	// the call. Nil means a 429 or 503 with RefusedHeader.
 	Refused func(status int, h http.Header) bool
 	// Opened, if set, is called for every new connection.
 	Opened func()
 }
 
-// Defaults of a client.
+// Defaults and limits of a client.
 const (
-	defaultDialTimeout = 2 * time.Second  // to open a connection
-	defaultIdleTime    = 30 * time.Second // for which an unused connection is kept
-	fewestIdle         = 16               // connections to one server
-	maxAnswerHeader    = 64 << 10         // bytes; as many as our own listeners accept of a request
-	maxRefusal         = 4 << 10          // bytes of a refusal's body read so that its connection can be kept
+	defaultDialTimeout = 2 * time.Second
+	defaultIdleTime    = 30 * time.Second
+	minIdlePerServer   = 16       // connections to one server
+	maxAnswerHeader    = 64 << 10 // bytes; the limit that our own listeners have for requests
+	maxRefusal         = 4 << 10  // bytes of a refusal's body that are read so that its connection can be reused
 )
 
-// Client sends calls. It is safe for concurrent use.
+// Client sends calls to backend servers. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 	dial      func(ctx context.Context, network, address string) (net.Conn, error)
 	conns     *connections
-	refused   func(status int, h http.Header) bool
+	isRefusal func(status int, h http.Header) bool
 }
 
 // New returns a client.
@@ -186,37 +188,36 @@
 		cfg.IdleTime = defaultIdleTime
 	}
 	if cfg.Refused == nil {
-		cfg.Refused = refused
+		cfg.Refused = isDefaultRefusal
 	}
 	conns := &connections{open: map[string]map[*countingConn]bool{}}
 	dial := conns.countingDial(cfg)
-	return &Client{refused: cfg.Refused, conns: conns, dial: dial, transport: &http.Transport{
+	return &Client{isRefusal: cfg.Refused, conns: conns, dial: dial, transport: &http.Transport{
 		DialContext:            dial,
 		ResponseHeaderTimeout:  cfg.HeaderTimeout,
 		MaxIdleConns:           cfg.IdleAll,
-		MaxIdleConnsPerHost:    max(cfg.IdlePerServer, fewestIdle),
+		MaxIdleConnsPerHost:    max(cfg.IdlePerServer, minIdlePerServer),
 		IdleConnTimeout:        cfg.IdleTime,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHeader,
 	}}
 }
 
-// Close drops idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.DropAllIdle() }
 
-// DropIdle closes the idle connections to an address, so that the next calls go out on
-// new ones.
+// DropIdle closes the idle connections to an address, so that later calls open new ones.
 func (c *Client) DropIdle(address string) {
 	for _, conn := range c.conns.idleTo(address) {
 		_ = conn.Close() // it may be closed already
 	}
 }
 
-// DropAllIdle does the same for all addresses.
+// DropAllIdle closes the idle connections to all addresses.
 func (c *Client) DropAllIdle() { c.transport.CloseIdleConnections() }
 
-// Refuses reports whether the box at address answers that nothing listens there: a process that
-// was there before has ended. It opens a connection, and closes it if there is one.
+// Refuses reports whether the box at address refuses connections, which means that the process
+// that listened there has ended. It dials the address and closes the connection if one opens.
 func (c *Client) Refuses(ctx context.Context, address string) bool {
 	conn, err := c.dial(ctx, "tcp", address)
 	if err != nil {
@@ -226,24 +227,24 @@
 	return false
 }
 
-// Send sends a call to the server at address and returns the head of its
-// answer. Cancelling ctx ends the call, its body included. The error is
-// [NotRun] or [Unknown].
+// Send sends a call to the server at address and returns once the response header
+// has arrived. Cancelling ctx aborts the call, including the reading of its body. The
+// error is a [NotRun] or an [Unknown].
 func (c *Client) Send(ctx context.Context, address string, call Call) (*Answer, error) {
-	sent := sending{unwanted: call.Unwanted}
-	req, err := newRequest(sent.trace(ctx), address, call)
+	trace := callTrace{unwanted: call.Unwanted}
+	req, err := newRequest(trace.attach(ctx), address, call)
 	if err != nil {
 		return nil, NotRun{Server: address, Err: err}
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		if sent.begun() {
-			return nil, Unknown{Server: address, Opened: sent.opened(), Err: err}
+		if trace.mayHaveSent() {
+			return nil, Unknown{Server: address, Opened: trace.connOpenedAt(), Err: err}
 		}
 		return nil, NotRun{Server: address, Err: err}
 	}
-	if c.refused(resp.StatusCode, resp.Header) {
-		// The status decides; a body that cannot be read only costs its connection.
+	if c.isRefusal(resp.StatusCode, resp.Header) {
+		// If the body cannot be read, the connection is not reused.
 		_, _ = io.CopyN(io.Discard, resp.Body, maxRefusal)
 		resp.Body.Close()
 		return nil, NotRun{
@@ -252,17 +253,17 @@
 		}
 	}
 	return &Answer{
-		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body, Opened: sent.opened(),
+		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body, Opened: trace.connOpenedAt(),
 	}, nil
 }
 
 func newRequest(ctx context.Context, address string, call Call) (*http.Request, error) {
-	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+"/", bodyOf(call))
+	req, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address+"/", requestBody(call))
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // cannot be rewound, so cannot be sent twice
-	if req.URL, err = target(address, call.Path); err != nil {
+	req.GetBody = nil // without it the transport cannot send the body twice
+	if req.URL, err = requestURL(address, call.Path); err != nil {
 		return nil, err
 	}
 	if call.Host != "" {
@@ -274,18 +275,18 @@
 	return req, nil
 }
 
-// target returns the URL of a call whose path goes out unchanged.
-func target(address, path string) (*url.URL, error) {
+// requestURL returns a URL whose path is sent unchanged.
+func requestURL(address, path string) (*url.URL, error) {
 	if strings.HasPrefix(path, "//") {
-		return url.Parse("http://" + address + path) // an opaque path that begins so would be taken for a host
+		return url.Parse("http://" + address + path) // an opaque path that starts with // would be parsed as a host
 	}
 	return &url.URL{Scheme: "http", Host: address, Opaque: path}, nil
 }
 
-// bodyOf returns a body that the transport cannot rewind. It takes a request
-// without one for repeatable by its method or by some headers; an empty body
-// hides that it is empty.
-func bodyOf(call Call) io.Reader {
+// requestBody returns a body that the transport cannot rewind. The transport retries a
+// request without a body if its method or headers make it idempotent, so an empty
+// body is passed as a reader of unknown length.
+func requestBody(call Call) io.Reader {
 	h := call.Header
 	switch {
 	case len(call.Body) > 0:
@@ -296,11 +297,11 @@
 	return unrewindable{strings.NewReader("")}
 }
 
-// unrewindable hides everything but Read.
+// unrewindable hides every method of a reader except Read.
 type unrewindable struct{ io.Reader }
 
-// refused is the default of Settings.Refused.
-func refused(status int, h http.Header) bool {
-	early := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
-	return early && h.Get(RefusedHeader) == "true"
+// isDefaultRefusal is the default for Settings.Refused.
+func isDefaultRefusal(status int, h http.Header) bool {
+	overloaded := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	return overloaded && h.Get(RefusedHeader) == "true"
 }
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -16,7 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// TestIdleToAllIsBounded: of connections to many servers the newest are kept, whatever each server may have.
+// TestIdleToAllIsBounded checks that IdleAll limits the idle connections to all servers together
+// and that the most recently used ones are kept.
 func TestIdleToAllIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,7 +39,7 @@
 			is.NoErr(err)
 			_, _ = io.Copy(io.Discard, a.Body)
 			a.Body.Close()
-			synctest.Wait() // the library keeps the connection
+			synctest.Wait() // the transport returns the connection to its idle pool
 		}
 		for i := range servers {
 			call(i)
@@ -47,8 +48,8 @@
 		for i := range kept {
 			call(servers - 1 - i)
 		}
-		is.Equal(opened, servers) // the newest are kept
+		is.Equal(opened, servers) // the newest connections were kept
 		call(0)
-		is.Equal(opened, servers+1) // the oldest is not
+		is.Equal(opened, servers+1) // the oldest was closed
 	})
 }
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -20,10 +20,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what goes out and what is known of a call that broke.
+// This file tests which bytes are sent and how a call is classified when its connection breaks.
 
-// rawServer answers each connection by a function; it counts requests read.
-func rawServer(t *testing.T, n *fakenet.Network, each func(conn net.Conn, r *bufio.Reader, request int)) *int {
+// rawServer reads requests, calls respond for each with its number, and returns a pointer
+// to the count of requests read.
+func rawServer(t *testing.T, n *fakenet.Network, respond func(conn net.Conn, r *bufio.Reader, request int)) *int {
 	l, err := n.Listen(address)
 	if err != nil {
 		t.Fatal(err)
@@ -46,7 +47,7 @@
 					}
 					_, _ = io.Copy(io.Discard, req.Body)
 					*requests++
-					each(conn, r, *requests)
+					respond(conn, r, *requests)
 				}
 			}()
 		}
@@ -56,25 +57,27 @@
 
 const fineAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
-// TestCallsGoOutAsTheyAre checks targets that a library might tidy.
+// TestCallsGoOutAsTheyAre checks that request targets which an HTTP library might normalise
+// are sent unchanged.
 func TestCallsGoOutAsTheyAre(t *testing.T) {
 	for _, target := range []string{"/a%2Fb/../c?q=%20&r", "/a//b/", "//double/x?y", "/plain"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
 			n := fakenet.New(time.Millisecond)
-			var got, host string
-			serve(t, n, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { got, host = r.RequestURI, r.Host }))
+			var uri, host string
+			serve(t, n, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) { uri, host = r.RequestURI, r.Host }))
 			a, err := client(t, n).Send(t.Context(), address, forward.Call{Method: "POST", Path: target, Host: "tenant.example"})
 			is.NoErr(err)
 			a.Body.Close()
-			is.Equal(got, target)
+			is.Equal(uri, target)
 			is.Equal(host, "tenant.example")
 		})
 	}
 }
 
-// TestNothingArrivesTwice kills a kept connection when the second request has
-// been read: whatever the method and the headers, it must not come again.
+// TestNothingArrivesTwice closes a reused connection after the server has read the
+// second request. The client must not send that request again, whatever its method
+// and headers.
 func TestNothingArrivesTwice(t *testing.T) {
 	for name, call := range map[string]forward.Call{
 		"GET":             {Method: "GET", Path: "/x"},
@@ -110,8 +113,8 @@
 	}
 }
 
-// TestClosedKeptConnectionHasNotRun: the server closed it while it was idle;
-// the call goes out on another one, or has not run.
+// TestClosedKeptConnectionHasNotRun lets the server close idle connections. The next
+// call must be sent on another connection or fail with NotRun.
 func TestClosedKeptConnectionHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,8 +139,8 @@
 	})
 }
 
-// TestSurplusAnswerBelongsToNobody: bytes after a whole answer end the
-// connection; the next call gets its own answer.
+// TestSurplusAnswerBelongsToNobody sends extra bytes after a complete response. The
+// client must close that connection, so that the next call gets its own response.
 func TestSurplusAnswerBelongsToNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -161,7 +164,7 @@
 	})
 }
 
-// TestRefusedBySettings lets a deployment say which answers are refusals.
+// TestRefusedBySettings checks that Settings.Refused decides which responses are refusals.
 func TestRefusedBySettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -178,18 +181,18 @@
 		defer c.Close()
 		for range 3 {
 			_, err := c.Send(t.Context(), address, forward.Call{Method: "GET", Path: "/x"})
-			var not forward.NotRun
-			is.True(errors.As(err, &not))
-			is.True(not.Refused)
-			is.Equal(not.Status, http.StatusMisdirectedRequest)
-			is.Equal(not.Header.Get("Declined"), "yes")
+			var notRun forward.NotRun
+			is.True(errors.As(err, &notRun))
+			is.True(notRun.Refused)
+			is.Equal(notRun.Status, http.StatusMisdirectedRequest)
+			is.Equal(notRun.Header.Get("Declined"), "yes")
 		}
-		is.Equal(opened, 1) // a refusal keeps its connection
+		is.Equal(opened, 1) // the connection of a refused call is reused
 	})
 }
 
-// TestDropIdle: kept connections fall silent, and once they are dropped calls go out on
-// new ones. One that a call has is left alone.
+// TestDropIdle drops idle connections whose peer has stopped responding: later calls must
+// open new ones, and a connection that a call is using must stay open.
 func TestDropIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -200,7 +203,7 @@
 		})
 		opened := 0
 		c := forward.New(forward.Settings{Dialer: n.Box("10.0.0.2"), Opened: func() { opened++ }})
-		defer n.Kill("10.0.0.1") // what is silent ends nothing by itself
+		defer n.Kill("10.0.0.1") // silent connections do not end by themselves
 		defer c.Close()
 		call := func(limit time.Duration) error {
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -221,19 +224,19 @@
 		is.True(unknown.Opened.Before(before))
 		go func() { is.NoErr(call(time.Second)) }()
 		time.Sleep(50 * time.Millisecond)
-		c.DropIdle(address) // while a call has the connection
+		c.DropIdle(address) // while a call is using the connection
 		time.Sleep(time.Second)
 		is.Equal(opened, 2)
 		n.Silence()
 		c.DropIdle(address)
-		synctest.Wait() // the library sees that they are closed
+		synctest.Wait() // the transport notices that they are closed
 		is.NoErr(call(time.Second))
 		is.Equal(opened, 3)
 	})
 }
 
-// TestUnwantedCallIsNotSent: a call that is not wanted any more when its head is about to be
-// written reaches nobody, on a new connection and on a kept one, and the next call does.
+// TestUnwantedCallIsNotSent abandons a call just before its header is written, on a new and on
+// a reused connection. The server must not receive it, and must receive the call after it.
 func TestUnwantedCallIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -249,10 +252,10 @@
 			synctest.Wait()
 			return err
 		}
-		for range 2 { // a new connection, then a kept one
-			var not forward.NotRun
+		for range 2 { // a new connection, then a reused one
+			var notRun forward.NotRun
 			err := send(true)
-			is.True(errors.As(err, &not) && !not.Refused && forward.Unwanted(err))
+			is.True(errors.As(err, &notRun) && !notRun.Refused && forward.Unwanted(err))
 			is.NoErr(send(false))
 		}
 		is.Equal(*requests, 2)
