--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -4,9 +4,9 @@
 
 import "fmt"
 
-// This file defines how a link fails.
+// This file defines the errors of a link.
 
-// Unreachable is a connection that could not be opened.
+// Unreachable is the error of a connection that could not be opened.
 type Unreachable struct {
 	Address string
 	Err     error
@@ -18,8 +18,8 @@
 // Unwrap returns the cause.
 func (e Unreachable) Unwrap() error { return e.Err }
 
-// Broken is an open link that failed. A message sent before may or may not
-// have arrived.
+// Broken is the error of an open link that failed. Messages sent before the failure
+// may or may not have arrived.
 type Broken struct {
 	Peer string
 	Err  error
@@ -31,10 +31,10 @@
 // Unwrap returns the cause.
 func (e Broken) Unwrap() error { return e.Err }
 
-// WrongKey is a peer that did not prove the fleet key.
+// WrongKey is the error of a peer that did not prove that it has the fleet key.
 type WrongKey struct{ Peer string }
 
-// Error names what the other side called itself, unproven.
+// Error names the peer by the name that it claimed, which is unproven.
 func (e WrongKey) Error() string {
-	return fmt.Sprintf("link: %q does not know the fleet key", e.Peer)
+	return fmt.Sprintf("link: %q did not prove the fleet key", e.Peer)
 }
--- a/transport/link/golden_test.go
+++ b/transport/link/golden_test.go
@@ -13,10 +13,9 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of the handshake in testdata/golden, with nonces
-// that are not random: boxes of neighbouring versions must get past it. Run
-// with -update to rewrite the files, which only a deliberate change of the
-// wire format justifies.
+// This file pins the bytes of the handshake in testdata/golden, with fixed nonces:
+// boxes of adjacent versions must be able to complete it. Running with -update
+// rewrites the files, which is right only for a deliberate change of the wire format.
 
 func TestGoldenHandshake(t *testing.T) {
 	is := is.New(t)
@@ -33,6 +32,6 @@
 		is.NoErr(err)
 		var got hello
 		is.NoErr(cbor.Unmarshal(golden.Bytes(t, name, b), &got))
-		is.True(reflect.DeepEqual(got, frames[i])) // the pinned bytes give the same value
+		is.True(reflect.DeepEqual(got, frames[i])) // the pinned bytes decode to the same value
 	}
 }
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -16,9 +16,9 @@
 
 const (
 	nonceSize = 32 // bytes, as many as the proof (SHA-256) has
-	// maxHandshake is in bytes. By arithmetic a frame has 137: nonce, proof and a
-	// name of 63 letters, the longest that package settings takes.
-	maxHandshake = 512
+	// maxHandshakeFrame is the size limit of a frame in bytes. The largest frame has 137:
+	// nonce, proof and a name of 63 letters, the longest that package settings accepts.
+	maxHandshakeFrame = 512
 )
 
 // hello is the first frame of each side. The dialer's has no proof.
@@ -28,7 +28,7 @@
 	Proof []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// handshake is one side of it; it returns the proven name of the other.
+// handshake runs one side of the handshake and returns the proven name of the other side.
 type handshake func(ctx context.Context, conn *websocket.Conn, id Identity) (peer string, err error)
 
 func dialHandshake(ctx context.Context, conn *websocket.Conn, id Identity) (peer string, err error) {
@@ -75,8 +75,8 @@
 	return hello{Nonce: nonce, Name: id.Name}
 }
 
-// proof binds both nonces and both names to the key. Lengths are hashed
-// before the names, so that no two pairs of names give the same bytes.
+// proof binds both nonces and both names to the key. Each part is hashed after its
+// length, so that no two pairs of names give the same input.
 func proof(key []byte, side string, dialer, acceptor hello) []byte {
 	h := hmac.New(sha256.New, key)
 	parts := [][]byte{[]byte(side), dialer.Nonce, acceptor.Nonce, []byte(dialer.Name), []byte(acceptor.Name)}
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -3,27 +3,27 @@
 // Package link carries protocol messages between two boxes of the fleet over
 // one WebSocket.
 //
-// One side opens the link, both prove that they have the fleet key, and then it
-// carries whole messages in order until either side closes it or it fails.
-// No message is read before the proof: the handshake is three binary frames of
-// at most maxHandshake bytes each,
+// One side opens the link, both sides prove that they have the fleet key, and then
+// the link carries whole messages in order until either side closes it or it fails.
+// No message is read before the proof. The handshake consists of three binary frames
+// of at most maxHandshakeFrame bytes each:
 //
 //	dialer   → nonce, name
 //	acceptor → nonce, name, HMAC-SHA256(key, "acceptor" both nonces both names)
 //	dialer   → HMAC-SHA256(key, "dialer" both nonces both names)
 //
-// so that a recorded handshake proves nothing later and neither side's proof
-// can be reflected. A key in a header was rejected: the accepting side
-// would learn it. The link is encrypted only if the box has
-// certificates; the key is proved inside either way.
+// The nonces prevent the replay of a recorded handshake, and the side labels prevent the
+// reflection of a proof. The key is not sent in a header, because that would reveal it
+// to the accepting side. The link is encrypted only if the box has certificates; the
+// handshake takes place either way.
 //
 // The package owns the connection, its deadlines for the handshake and for
 // writes, and the counters of bytes and messages ([Meter]). It relies on
 // package protocol for the encoding and its size limit. A read has no deadline
-// of its own: a caller that expects messages at some rate passes a context that
-// ends ([Link.Receive]), and one that only sends lets [Link.CloseWhenSilent] watch:
-// a connection may fall silent for good, without an error, while new ones work.
-// There are no locks; an [Outbox] has one goroutine.
+// of its own. A caller that expects messages at some rate passes a context with a
+// deadline to [Link.Receive] or calls [Link.ReceiveWithin]. A caller that only sends
+// runs [Link.CloseWhenSilent], because a connection may stop delivering data without
+// an error while new connections work. There are no locks; an [Outbox] has one goroutine.
 package link
 
 import (
@@ -47,26 +47,26 @@
 
 // Limits on a peer.
 const (
-	// HandshakeTimeout is from the dial, or from the accepted request, to the
-	// last frame of the handshake. A dialer's context may end it sooner.
+	// HandshakeTimeout is the limit from the dial, or from the accepted request, to the
+	// last frame of the handshake. A dialer's context may end the handshake earlier.
 	HandshakeTimeout = 3 * time.Second
-	// WriteTimeout is for one message to be taken by the kernel; a link whose
+	// WriteTimeout is the limit for the kernel to accept one message. A link whose
 	// peer reads nothing for that long is closed.
 	WriteTimeout = 5 * time.Second
 )
 
-// Pings of a link on which nothing comes back otherwise. A second bears two lost packets, and a
-// gateway waits as long for a leader (registry.SilenceLimit).
+// Pings of a link on which the peer sends no messages. A timeout of one second tolerates two
+// lost packets and equals the time that a gateway waits for a leader (registry.SilenceLimit).
 const (
-	pingPeriod  = 250 * time.Millisecond // between an answer and the next ping
-	pingTimeout = time.Second            // for the answer to any ping
+	pingPeriod  = 250 * time.Millisecond // between a pong and the next ping
+	pingTimeout = time.Second            // for the pong to any ping
 )
 
 // Identity is the name that a box claims and the key that it proves.
 type Identity struct {
 	Name string
 	Key  []byte // the fleet key, equal on all boxes
-	// Dial opens connections; nil is the operating system's network.
+	// Dial opens connections; nil means the operating system's network.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// TLS encrypts links that this box opens; nil leaves them plain.
 	TLS *tls.Config
@@ -120,10 +120,10 @@
 	return newLink(ctx, conn, id, m, acceptHandshake)
 }
 
-// newLink proves both sides to each other by one side's handshake. The error is
+// newLink runs one side's handshake, which authenticates both sides. The error is
 // [WrongKey] or [Broken].
 func newLink(ctx context.Context, conn *websocket.Conn, id Identity, m *Meter, handshake handshake) (*Link, error) {
-	conn.SetReadLimit(maxHandshake)
+	conn.SetReadLimit(maxHandshakeFrame)
 	peer, err := handshake(ctx, conn, id)
 	if err != nil {
 		conn.CloseNow()
@@ -136,7 +136,7 @@
 // Peer returns the proven name of the other box.
 func (l *Link) Peer() string { return l.peer }
 
-// Send writes one message, within WriteTimeout. After a [Broken] the link is
+// Send writes one message within WriteTimeout. If the error is [Broken], the link is
 // closed.
 func (l *Link) Send(ctx context.Context, m protocol.Message) error {
 	b, err := protocol.Encode(m)
@@ -154,7 +154,7 @@
 }
 
 // Receive waits for the next message until ctx ends. It skips kinds that this
-// version does not have. After an error, the end of ctx included, the link is
+// version does not support. After any error, including the end of ctx, the link is
 // closed.
 func (l *Link) Receive(ctx context.Context) (protocol.Message, error) {
 	return l.receive(func() ([]byte, error) {
@@ -163,41 +163,42 @@
 	})
 }
 
-// ReceiveWithin is Receive from a peer that is never silent for longer than a time. A part
-// of a message ends the silence: a large one may take longer on a link that many share.
+// ReceiveWithin is like Receive, but fails if the peer sends no data for longer than silence.
+// Any part of a message resets that limit, because a large message may take longer than the
+// limit on a shared network path.
 func (l *Link) ReceiveWithin(ctx context.Context, silence time.Duration) (protocol.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(silence, cancel)
 	defer timer.Stop()
-	return l.receive(func() ([]byte, error) { return l.readParts(ctx, func() { timer.Reset(silence) }) })
+	return l.receive(func() ([]byte, error) { return l.readChunks(ctx, func() { timer.Reset(silence) }) })
 }
 
-// partSize is how much of a message is read at a time, in bytes.
-const partSize = 16 << 10
+// readChunkSize is the largest part of a message that is read at once, in bytes.
+const readChunkSize = 16 << 10
 
-// readParts reads the bytes of one message and calls came after each part.
-func (l *Link) readParts(ctx context.Context, came func()) ([]byte, error) {
+// readChunks reads the bytes of one message and calls onChunk as its parts arrive.
+func (l *Link) readChunks(ctx context.Context, onChunk func()) ([]byte, error) {
 	_, r, err := l.conn.Reader(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var whole []byte
-	part := make([]byte, partSize)
+	var message []byte
+	chunk := make([]byte, readChunkSize)
 	for {
-		n, err := r.Read(part)
-		whole = append(whole, part[:n]...)
+		n, err := r.Read(chunk)
+		message = append(message, chunk[:n]...)
 		switch {
 		case err == io.EOF:
-			return whole, nil
+			return message, nil
 		case err != nil:
 			return nil, err
 		}
-		came()
+		onChunk()
 	}
 }
 
-// receive reads messages until one is of a known kind.
+// receive reads messages until one has a kind that this version supports.
 func (l *Link) receive(read func() ([]byte, error)) (protocol.Message, error) {
 	for {
 		b, err := read()
@@ -217,13 +218,13 @@
 	}
 }
 
-// CloseWhenSilent pings the peer until ctx or the link ends, and closes the link when an
-// answer does not come within pingTimeout. The peer answers while it calls Receive, and
-// this side must call it too, in another goroutine.
+// CloseWhenSilent pings the peer until ctx or the link ends, and closes the link if a pong
+// does not arrive within pingTimeout. Pongs are sent and received only while both the peer
+// and this side call Receive, so this side must call it in another goroutine.
 func (l *Link) CloseWhenSilent(ctx context.Context) {
 	for range sleep.Every(ctx, pingPeriod) {
-		waiting, cancel := context.WithTimeout(ctx, pingTimeout)
-		err := l.conn.Ping(waiting)
+		pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
+		err := l.conn.Ping(pingCtx)
 		cancel()
 		if err != nil {
 			l.Close()
@@ -232,16 +233,16 @@
 	}
 }
 
-// PeerWaits reports whether the peer, which sends nothing more, still waits for an answer in
-// Receive: whether it answers a ping within pingTimeout. The context that it returns ends with
-// the link. This side must not call Receive any more.
+// PeerWaits reports whether the peer still waits for a message in Receive, by whether it
+// answers a ping within pingTimeout. It requires that the peer sends no more messages and that
+// this side no longer calls Receive. The returned context ends with the link.
 func (l *Link) PeerWaits(ctx context.Context) (context.Context, bool) {
-	open := l.conn.CloseRead(ctx)
-	asking, cancel := context.WithTimeout(open, pingTimeout)
+	linkCtx := l.conn.CloseRead(ctx)
+	pingCtx, cancel := context.WithTimeout(linkCtx, pingTimeout)
 	defer cancel()
-	return open, l.conn.Ping(asking) == nil
+	return linkCtx, l.conn.Ping(pingCtx) == nil
 }
 
-// Close ends the link at once. It may be called more than once; the error of a
-// connection that is closed already has no consequence.
+// Close ends the link at once. It may be called more than once; closing a connection
+// that is already closed is harmless.
 func (l *Link) Close() { _ = l.conn.CloseNow() }
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -21,13 +21,13 @@
 
 const address = "10.0.0.1:8082"
 
-// accepting serves links at address and hands each to got.
-func accepting(t *testing.T, n *fakenet.Network, key string) (got chan *link.Link, refused chan error) {
+// acceptLinks serves links at address and sends each one, or the error, on a channel.
+func acceptLinks(t *testing.T, n *fakenet.Network, key string) (accepted chan *link.Link, refused chan error) {
 	l, err := n.Listen(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, refused = make(chan *link.Link, 8), make(chan error, 8)
+	accepted, refused = make(chan *link.Link, 8), make(chan error, 8)
 	ended := make(chan struct{})
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		l, err := link.Accept(w, r, link.Identity{Name: "acceptor", Key: []byte(key)}, nil)
@@ -35,36 +35,36 @@
 			refused <- err
 			return
 		}
-		got <- l
+		accepted <- l
 		<-ended
 		l.Close()
 	})}
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { close(ended); s.Close(); time.Sleep(time.Minute) })
-	return got, refused
+	return accepted, refused
 }
 
 func identity(n *fakenet.Network, key string) link.Identity {
 	return link.Identity{Name: "dialer", Key: []byte(key), Dial: n.Box("10.0.0.2").DialContext}
 }
 
-// joined opens a link with the right key and returns both ends.
-func joined(t *testing.T, m *link.Meter) (dialer, acceptor *link.Link) {
+// openPair opens a link with the right key and returns both ends.
+func openPair(t *testing.T, m *link.Meter) (dialer, acceptor *link.Link) {
 	t.Helper()
 	n := fakenet.New(time.Millisecond)
-	got, _ := accepting(t, n, "key")
+	accepted, _ := acceptLinks(t, n, "key")
 	d, err := link.Dial(t.Context(), address, identity(n, "key"), m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d, <-got
+	return d, <-accepted
 }
 
 func TestMessagesArriveInOrderAndAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		set := metrics.NewSet()
-		d, a := joined(t, link.NewMeter(set))
+		d, a := openPair(t, link.NewMeter(set))
 		defer d.Close()
 		is.Equal(d.Peer(), "acceptor")
 		is.Equal(a.Peer(), "dialer")
@@ -87,11 +87,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
-		_, refused := accepting(t, n, "right")
+		_, refused := acceptLinks(t, n, "right")
 		_, err := link.Dial(t.Context(), address, identity(n, "wrong"), nil)
-		is.True(errors.As(err, new(link.WrongKey))) // the dialer does not trust the acceptor
-		<-refused                                   // nor the other way
-		// A stranger that skips the handshake is not read.
+		is.True(errors.As(err, new(link.WrongKey))) // the dialer refuses the acceptor
+		<-refused                                   // the acceptor refuses the dialer
+		// Messages of a peer that skips the handshake are not read.
 		client := &http.Client{Transport: &http.Transport{DialContext: n.Box("10.0.0.3").DialContext}}
 		c, _, err := websocket.Dial(t.Context(), "ws://"+address+link.Path, &websocket.DialOptions{HTTPClient: client})
 		is.NoErr(err)
@@ -99,7 +99,7 @@
 		is.NoErr(c.Write(t.Context(), websocket.MessageBinary, b))
 		is.True(<-refused != nil)
 		c.CloseNow()
-		// One that says nothing is not waited for.
+		// A peer that sends nothing is refused after HandshakeTimeout.
 		c, _, err = websocket.Dial(t.Context(), "ws://"+address+link.Path, &websocket.DialOptions{HTTPClient: client})
 		is.NoErr(err)
 		began := time.Now()
@@ -112,26 +112,26 @@
 func TestSlowPeerLosesItsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d, a := joined(t, nil)
+		d, a := openPair(t, nil)
 		out := link.NewOutbox(d, 1)
-		lost := false
-		for range 10_000 { // faster than the outbox's goroutine can be
-			lost = lost || !out.Send(protocol.Renew{})
+		overflowed := false
+		for range 10_000 { // faster than the outbox's goroutine can send
+			overflowed = overflowed || !out.Send(protocol.Renew{})
 		}
-		is.True(lost)
+		is.True(overflowed)
 		<-out.Done()
 		_, err := a.Receive(t.Context())
 		for err == nil {
 			_, err = a.Receive(t.Context())
 		}
-		is.True(errors.As(err, new(link.Broken))) // never a gap in the middle
+		is.True(errors.As(err, new(link.Broken))) // the link ends; no message is skipped
 	})
 }
 
 func TestDrainSendsEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d, a := joined(t, nil)
+		d, a := openPair(t, nil)
 		out := link.NewOutbox(d, 100)
 		for i := range 20 {
 			out.Send(protocol.Renew{Seq: uint64(i)})
@@ -147,19 +147,19 @@
 	})
 }
 
-// TestLargeMessageOnASlowLink takes longer than the silence that is borne; a peer that
-// stops in the middle of a message is silent.
+// TestLargeMessageOnASlowLink sends a message that takes longer than the limit of silence. It
+// must arrive, while a peer that stops in the middle of a message must break the link.
 func TestLargeMessageOnASlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
-		got, _ := accepting(t, n, "key")
+		accepted, _ := acceptLinks(t, n, "key")
 		id := identity(n, "key")
 		id.Dial = n.Box("10.0.0.2").Slow(50_000).DialContext
 		d, err := link.Dial(t.Context(), address, id, nil)
 		is.NoErr(err)
-		a := <-got
-		large := protocol.Document{Number: 1, Data: make([]byte, 200_000)} // four seconds
+		a := <-accepted
+		large := protocol.Document{Number: 1, Data: make([]byte, 200_000)} // four seconds at 50,000 bytes/s
 		began := time.Now()
 		is.NoErr(a.Send(t.Context(), large))
 		m, err := d.ReceiveWithin(t.Context(), time.Second)
--- a/transport/link/meter.go
+++ b/transport/link/meter.go
@@ -10,20 +10,21 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Meter, the counters of control traffic.
+// This file defines Meter, which counts control traffic.
 
-// Meter counts bytes and messages of control traffic by direction and kind, and
+// Meter counts the bytes and messages of control traffic by direction and kind, and the
 // refused links. A nil Meter counts no traffic.
 type Meter struct {
 	set      *metrics.Set
-	regionOf func(peer string) string // nil if regions are not counted
+	regionOf func(peer string) string // nil if traffic is not counted by region
 }
 
 // NewMeter returns a meter whose counters are in set.
 func NewMeter(set *metrics.Set) *Meter { return &Meter{set: set} }
 
-// WithRegions returns a meter that counts bytes by the peer's region as well. regionOf returns
-// one of few names; it is called from many goroutines.
+// WithRegions returns a meter that also counts bytes by the peer's region. The results of
+// regionOf become metric labels, so there must be few of them. regionOf is called from many
+// goroutines.
 func (m *Meter) WithRegions(regionOf func(peer string) string) *Meter {
 	return &Meter{set: m.set, regionOf: regionOf}
 }
@@ -33,7 +34,7 @@
 	m.set.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
 }
 
-// count counts a message; direction is "in" or "out".
+// count records one message. direction is "in" or "out".
 func (m *Meter) count(direction, peer string, k protocol.Kind, bytes int) {
 	if m == nil {
 		return
--- a/transport/link/outbox.go
+++ b/transport/link/outbox.go
@@ -9,32 +9,33 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Outbox, which lets a decision loop send without waiting
-// for the network.
+// This file defines Outbox, which lets an event loop send without waiting for the
+// network.
 
-// Outbox sends queued messages over one link, in order, from a goroutine of
-// its own. When the queue is full the link is closed: the peer is too slow, and
-// a new session starts from a clean state. Dropping single messages was rejected
-// because increments would be lost. An error of the link ends the outbox silently;
-// the link's reader gets it as well and logs it.
+// Outbox sends queued messages over one link, in order, from its own goroutine. If
+// the queue is full, the peer is too slow and the link is closed, so that a new
+// session starts from a clean state. Single messages are not dropped, because some
+// carry increments that would be lost. An error of the link ends the outbox without
+// a log entry; the reader of the link receives the error too and logs it.
 type Outbox struct {
-	link  *Link
-	queue chan protocol.Message
-	done  chan struct{}
-	once  sync.Once
-	last  chan struct{} // closed once everything queued before Drain is sent
-	drain sync.Once
+	link      *Link
+	queue     chan protocol.Message
+	done      chan struct{}
+	closeOnce sync.Once
+	drained   chan struct{} // closed when all messages queued before Drain are sent
+	drainOnce sync.Once
 }
 
-// NewOutbox starts sending over l until it fails or Close is called. depth is
-// the length of the queue in messages.
+// NewOutbox starts an outbox that sends over l until l fails or Close is called.
+// depth is the capacity of the queue in messages.
 func NewOutbox(l *Link, depth int) *Outbox {
-	o := &Outbox{link: l, queue: make(chan protocol.Message, depth), done: make(chan struct{}), last: make(chan struct{})}
+	o := &Outbox{link: l, queue: make(chan protocol.Message, depth), done: make(chan struct{}), drained: make(chan struct{})}
 	go o.run()
 	return o
 }
 
-// Send queues a message and reports whether there was room.
+// Send queues a message and reports whether it was queued. If the queue is full, it
+// closes the outbox.
 func (o *Outbox) Send(m protocol.Message) bool {
 	select {
 	case <-o.done:
@@ -50,10 +51,10 @@
 	}
 }
 
-// Drain waits until everything queued so far is sent, or ctx ends, and ends
+// Drain waits until all messages queued so far are sent or ctx ends, and then closes
 // the outbox.
 func (o *Outbox) Drain(ctx context.Context) {
-	o.drain.Do(func() {
+	o.drainOnce.Do(func() {
 		select {
 		case o.queue <- nil:
 		case <-o.done:
@@ -61,22 +62,22 @@
 		}
 	})
 	select {
-	case <-o.last:
+	case <-o.drained:
 	case <-o.done:
 	case <-ctx.Done():
 	}
 	o.Close()
 }
 
-// Close ends the outbox and its link.
+// Close ends the outbox and closes its link.
 func (o *Outbox) Close() {
-	o.once.Do(func() {
+	o.closeOnce.Do(func() {
 		close(o.done)
 		o.link.Close()
 	})
 }
 
-// Done is closed when the outbox has ended.
+// Done returns a channel that is closed when the outbox has ended.
 func (o *Outbox) Done() <-chan struct{} { return o.done }
 
 func (o *Outbox) run() {
@@ -87,7 +88,7 @@
 			return
 		case m := <-o.queue:
 			if m == nil {
-				close(o.last)
+				close(o.drained)
 				return
 			}
 			if err := o.link.Send(context.Background(), m); err != nil {
