--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -1,19 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mesh carries consensus messages between replicas: for sending, it has one
-// link and one goroutine for each replica that there are messages for.
+// Package mesh carries consensus messages between replicas. It sends over one link and
+// from one goroutine for each replica that there are messages for.
 //
-// Each replica sends on the links that it opened and receives on those that
-// it accepted, so two replicas never have to agree on which link to keep. A
-// message that cannot be sent now is dropped, as consensus allows: a newer one
-// replaces it. A link without messages for [idleTime] is closed, and so is one whose
-// peer answers no ping: the sender of a link reads nothing else from it.
+// Each replica sends on the links that it opened and receives on those that it
+// accepted, so two replicas never have to agree on which link to keep. A message that
+// cannot be sent at once is dropped, as consensus allows: a newer one replaces it. A
+// link without messages for [idleTimeout] is closed, unless [Mesh.Keep] keeps it open.
+// A link whose peer does not answer a ping is closed too: nothing else is received on
+// a link that this side opened, so nothing else would reveal a silent peer.
 //
 // The package owns the queues, the links that it opens and, while it serves them,
-// those that it accepts. It relies on its caller for the replicas' addresses and
-// for links of others than replicas, and on package link for the proof of the peer
-// and for the end of a link whose peer takes nothing.
-// Its only lock, Mesh.mu, is a leaf and never held while sending.
+// those that it accepts. The caller provides the replicas' addresses and handles the
+// links of peers that are not replicas. Package link authenticates the peer and
+// closes a link whose peer does not read.
+// The only lock, Mesh.mu, is a leaf and is never held while sending.
 package mesh
 
 import (
@@ -30,39 +31,39 @@
 
 // This file defines Mesh.
 
-// Limits of the link to one replica.
+// Limits of the link to each replica.
 const (
-	queueDepth     = 4096                  // messages; more are dropped
-	redialShortest = 50 * time.Millisecond // after a failed dial, doubling
-	redialLongest  = time.Second
-	idleTime       = 30 * time.Second // without a message, before a link and its goroutine end
+	queueDepth     = 4096                  // messages; further ones are dropped
+	minRedialDelay = 50 * time.Millisecond // after a failed dial; doubles up to maxRedialDelay
+	maxRedialDelay = time.Second
+	idleTimeout    = 30 * time.Second // without a message, after which a link and its goroutine end
 )
 
-// Mesh is one replica's links to the others.
+// Mesh holds one replica's links to the others.
 type Mesh struct {
 	ctx       context.Context
 	identity  link.Identity
 	addressOf func(replica string) string
 	meter     *link.Meter
 
-	mu     sync.Mutex // a leaf; guards queues and kept
-	queues map[string]chan protocol.Consensus
-	kept   []string // replicas to which a link is kept without messages
+	mu       sync.Mutex // a leaf; guards queues and keptOpen
+	queues   map[string]chan protocol.Consensus
+	keptOpen []string // replicas to which a link is kept open without messages
 }
 
 // New returns a mesh that sends until ctx ends. addressOf returns a replica's
-// fleet address, or "" for an unknown one.
+// fleet address, or "" for an unknown replica.
 func New(ctx context.Context, id link.Identity, addressOf func(replica string) string, m *link.Meter) *Mesh {
 	queues := map[string]chan protocol.Consensus{}
 	return &Mesh{ctx: ctx, identity: id, addressOf: addressOf, meter: m, queues: queues}
 }
 
-// Send queues a message to the replica that it names. It does not block: a
-// message to an unknown replica, or beyond queueDepth, is dropped.
+// Send queues a message for the replica in its To field. It does not block: a message
+// to an unknown replica, or to one whose queue is full, is dropped.
 func (m *Mesh) Send(msg protocol.Consensus) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	queue := m.queue(msg.To.Name)
+	queue := m.queueFor(msg.To.Name)
 	if queue == nil {
 		return
 	}
@@ -72,9 +73,9 @@
 	}
 }
 
-// queue returns a replica's queue, with a goroutine that sends what is in it, or nil for an
-// unknown one. The caller holds mu.
-func (m *Mesh) queue(name string) chan protocol.Consensus {
+// queueFor returns a replica's queue, or nil for an unknown replica. If there is no queue yet, it
+// creates one and starts the goroutine that sends from it. The caller holds mu.
+func (m *Mesh) queueFor(name string) chan protocol.Consensus {
 	queue := m.queues[name]
 	if queue != nil {
 		return queue
@@ -89,30 +90,31 @@
 	return queue
 }
 
-// Keep opens links to these replicas and keeps them open, also while there is nothing to
-// send, in place of those kept before. Followers have nothing to send each other until they
-// miss the leader, and a dial over a far way then takes half as long as an election.
+// Keep opens links to these replicas and keeps them open even while there is nothing to send.
+// It replaces the set of an earlier call. Followers have nothing to send each other until the
+// leader fails, and a dial over a long distance would then take half as long as an election.
 func (m *Mesh) Keep(replicas []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.kept = slices.Clone(replicas)
+	m.keptOpen = slices.Clone(replicas)
 	for _, name := range replicas {
-		m.queue(name)
+		m.queueFor(name)
 	}
 }
 
-// keeps reports whether a link to a replica is kept open.
-func (m *Mesh) keeps(name string) bool {
+// isKeptOpen reports whether a link to a replica is kept open.
+func (m *Mesh) isKeptOpen(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Contains(m.kept, name)
+	return slices.Contains(m.keptOpen, name)
 }
 
 // Serve accepts a link from an HTTP request at [link.Path] and serves it until it
-// ends. The first message decides: a replica's messages go to deliver, less
-// those that name another sender than the proven peer; any other link is session's.
+// ends. If the first message is a consensus message, the link belongs to a replica and
+// its messages go to deliver, except those whose sender is not the proven peer. Any
+// other link is passed to handleSession with its first message.
 func (m *Mesh) Serve(w http.ResponseWriter, r *http.Request, deliver func(protocol.Consensus),
-	session func(ctx context.Context, l *link.Link, first protocol.Message)) {
+	handleSession func(ctx context.Context, l *link.Link, first protocol.Message)) {
 	l, err := link.Accept(w, r, m.identity, m.meter)
 	if err != nil {
 		m.meter.Refused()
@@ -122,8 +124,8 @@
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
 	msg, err := l.Receive(ctx)
-	if _, replica := msg.(protocol.Consensus); err == nil && !replica {
-		session(ctx, l, msg)
+	if _, isReplica := msg.(protocol.Consensus); err == nil && !isReplica {
+		handleSession(ctx, l, msg)
 		return
 	}
 	for ; err == nil; msg, err = l.Receive(ctx) {
@@ -133,78 +135,79 @@
 	}
 }
 
-// run keeps one link to one replica and sends what is queued, until nothing
-// was queued for idleTime.
+// run maintains the link to one replica and sends the queued messages, until none has
+// been queued for idleTimeout and the link is not kept open.
 func (m *Mesh) run(name, address string, queue chan protocol.Consensus) {
-	wait := redialShortest
-	for m.ctx.Err() == nil && !m.retire(name, queue) {
+	redialDelay := minRedialDelay
+	for m.ctx.Err() == nil && !m.removeIfIdle(name, queue) {
 		l, err := link.Dial(m.ctx, address, m.identity, m.meter)
 		if err == nil {
-			wait = redialShortest
-			m.drain(name, l, queue)
+			redialDelay = minRedialDelay
+			m.sendQueued(name, l, queue)
 			l.Close()
 			continue
 		}
 		discard(queue)
-		sleep.For(m.ctx, wait)
-		wait = min(2*wait, redialLongest)
+		sleep.For(m.ctx, redialDelay)
+		redialDelay = min(2*redialDelay, maxRedialDelay)
 	}
 }
 
-// retire waits for a message, unless the link is kept, and if none comes, removes the queue and
-// reports that its goroutine is to end.
-func (m *Mesh) retire(name string, queue chan protocol.Consensus) bool {
-	if m.keeps(name) {
+// removeIfIdle waits up to idleTimeout for a message, unless the link is kept open. If none is queued,
+// it removes the queue and returns true, which ends the queue's goroutine.
+func (m *Mesh) removeIfIdle(name string, queue chan protocol.Consensus) bool {
+	if m.isKeptOpen(name) {
 		return false
 	}
-	idle := time.NewTimer(idleTime)
-	defer idle.Stop()
+	idleTimer := time.NewTimer(idleTimeout)
+	defer idleTimer.Stop()
 	select {
 	case msg := <-queue:
 		select {
-		case queue <- msg: // it was the oldest; order is not promised
+		case queue <- msg: // it was the oldest; the order is not guaranteed
 		default:
 		}
 		return false
 	case <-m.ctx.Done():
 		return true
-	case <-idle.C:
+	case <-idleTimer.C:
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(queue) > 0 || slices.Contains(m.kept, name) { // since it was asked
+	if len(queue) > 0 || slices.Contains(m.keptOpen, name) { // changed after the timer fired
 		return false
 	}
 	delete(m.queues, name)
 	return true
 }
 
-// drain sends what is queued until the link fails, or is idle for idleTime and not kept.
-func (m *Mesh) drain(name string, l *link.Link, queue chan protocol.Consensus) {
+// sendQueued sends the queued messages until the link fails, or has been idle for idleTimeout and
+// is not kept open.
+func (m *Mesh) sendQueued(name string, l *link.Link, queue chan protocol.Consensus) {
 	ctx, cancel := context.WithCancel(m.ctx)
 	defer cancel()
-	go func() { // notices a link that the other side closed
-		// The accepting side sends nothing, so that any return means the end.
+	go func() { // detects that the other side closed the link
+		// The accepting side sends nothing, so any return means that the link has ended.
 		_, _ = l.Receive(ctx)
 		cancel()
 	}()
 	go l.CloseWhenSilent(ctx)
-	idle := time.NewTimer(idleTime)
-	defer idle.Stop()
+	idleTimer := time.NewTimer(idleTimeout)
+	defer idleTimer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-idle.C:
-			if !m.keeps(name) {
+		case <-idleTimer.C:
+			if !m.isKeptOpen(name) {
 				return
 			}
-			idle.Reset(idleTime)
+			idleTimer.Reset(idleTimeout)
 		case msg := <-queue:
 			if err := l.Send(ctx, msg); err != nil {
 				return
 			}
-			idle.Reset(idleTime)
+			idleTimer.Reset(idleTimeout)
 		}
 	}
 }
--- a/transport/mesh/mesh_test.go
+++ b/transport/mesh/mesh_test.go
@@ -19,8 +19,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/mesh"
 )
 
-// TestKeep: a link to a replica that is kept stays open without messages, also when its queue was
-// about to end for want of them; one that is kept no more ends.
+// TestKeep checks that a link passed to Keep stays open without messages, even if its queue was
+// about to be removed as idle, and that a link which is no longer kept ends.
 func TestKeep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -47,7 +47,7 @@
 
 		m := mesh.New(ctx, one, address, nil)
 		m.Send(protocol.Consensus{To: protocol.Peer{Name: two.Name}})
-		time.Sleep(45 * time.Second) // its link has ended, and its queue is to end
+		time.Sleep(45 * time.Second) // the link has ended, and the queue is about to be removed
 		is.Equal(open.Load(), int64(0))
 		m.Keep([]string{one.Name, two.Name})
 		time.Sleep(time.Minute)
