--- a/transport/socket/limit.go
+++ b/transport/socket/limit.go
@@ -9,52 +9,53 @@
 	"syscall"
 )
 
-// This file defines a listener that bounds the connections open at once.
+// This file defines a listener that limits the number of open connections.
 
-// Limit returns a listener that accepts at most n connections at a time; more
-// wait in the kernel's backlog. Lock: none; the channel is the counter.
+// Limit returns a listener with at most n open connections; further ones wait in the
+// kernel's backlog. It has no lock: a channel counts the connections.
 func Limit(l net.Listener, n int) *Limited {
-	return &Limited{Listener: l, places: make(chan struct{}, n), closed: make(chan struct{})}
+	return &Limited{Listener: l, connSlots: make(chan struct{}, n), closed: make(chan struct{})}
 }
 
-// Limited is a listener with a bound on its connections.
+// Limited is a listener with a limit on its open connections.
 type Limited struct {
 	net.Listener
-	places chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	connSlots chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Full reports whether no connection can be accepted until another one ends.
-func (l *Limited) Full() bool { return len(l.places) == cap(l.places) }
+func (l *Limited) Full() bool { return len(l.connSlots) == cap(l.connSlots) }
 
 // Accept implements [net.Listener]. It waits while the listener is full.
 func (l *Limited) Accept() (net.Conn, error) {
 	select {
-	case l.places <- struct{}{}:
+	case l.connSlots <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.connSlots
 		return nil, err
 	}
-	return &limitedConn{Conn: c, free: sync.OnceFunc(func() { <-l.places })}, nil
+	return &limitedConn{Conn: c, release: sync.OnceFunc(func() { <-l.connSlots })}, nil
 }
 
 // Close implements [net.Listener].
 func (l *Limited) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
 type limitedConn struct {
 	net.Conn
-	free func() // may be called more than once
+	release func() // may be called more than once
 }
 
-// SyscallConn implements [syscall.Conn]. The error is of a connection that has none.
+// SyscallConn implements [syscall.Conn]. It fails if the underlying connection does not
+// implement that interface.
 func (c *limitedConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := c.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
@@ -63,6 +64,6 @@
 }
 
 func (c *limitedConn) Close() error {
-	c.free()
+	c.release()
 	return c.Conn.Close()
 }
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package socket opens connections that notice a silent peer.
+// Package socket opens TCP connections that detect an unresponsive peer.
 //
-// A box that lost power or was cut off closes nothing. Connections opened
-// or accepted here fail once what they sent has been unacknowledged for
-// [Silence], and, idle, once probes are not answered.
+// A box that loses power or is cut off from the network does not close its
+// connections. A connection opened or accepted here fails once sent data has been
+// unacknowledged for [Silence], or, while idle, once keep-alive probes are not answered.
 package socket
 
 import (
@@ -14,46 +14,47 @@
 	"time"
 )
 
-// Silence is how long sent bytes may stay unacknowledged. Far above the delay between data halls.
+// Silence is how long sent bytes may stay unacknowledged. It is far above the network delay
+// between data halls.
 const Silence = 2 * time.Second
 
 // DialTimeout bounds the opening of a connection.
 const DialTimeout = time.Second
 
-// Probes of an idle connection: by arithmetic a silent peer is noticed after five seconds.
+// Keep-alive probes of an idle connection. They detect a silent peer after five seconds.
 const (
-	probeAfter = 2 * time.Second // without traffic, until the first probe
-	probeEvery = time.Second     // between two probes
-	probes     = 3               // unanswered, until the connection fails
+	probeAfter      = 2 * time.Second // idle time before the first probe
+	probeEvery      = time.Second     // interval between probes
+	maxFailedProbes = 3               // unanswered probes after which the connection fails
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT of linux/tcp.h; package syscall lacks it.
+// tcpUserTimeout is TCP_USER_TIMEOUT from linux/tcp.h, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: maxFailedProbes}
 
-// Dial opens a connection. It has the shape of net.Dialer.DialContext.
+// Dial opens a connection within DialTimeout. Its signature is that of net.Dialer.DialContext.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return Dialer(DialTimeout).DialContext(ctx, network, address)
 }
 
-// Dialer opens connections, each within a time.
+// Dialer returns a dialer that opens each connection within timeout.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{Timeout: timeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 }
 
-// Listen opens a listener whose connections notice a silent peer.
+// Listen opens a listener whose connections detect an unresponsive peer.
 func Listen(address string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAliveConfig: keepAlive, Control: setUserTimeout}
 	return lc.Listen(context.Background(), "tcp", address)
 }
 
-// setUserTimeout bounds unacknowledged bytes; accepted connections inherit it
-// from their listener. A kernel without the option leaves the bound to
-// retransmission, which takes longer and ends too.
+// setUserTimeout limits how long sent bytes may stay unacknowledged. Accepted
+// connections inherit the option from their listener. On a kernel without the option,
+// the limit on retransmissions ends the connection, only later.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// See above for why an error is dropped.
+		// The error is ignored, see above.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(Silence.Milliseconds()))
 	})
 }
