--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -59,11 +59,11 @@
 	if err := writeFrame(ctx, conn, own); err != nil {
 		return "", err
 	}
-	var last hello
-	if err := readFrame(ctx, conn, &last); err != nil {
+	var confirmation hello
+	if err := readFrame(ctx, conn, &confirmation); err != nil {
 		return "", err
 	}
-	if !hmac.Equal(last.Proof, proof(id.Key, "dialer", theirs, own)) {
+	if !hmac.Equal(confirmation.Proof, proof(id.Key, "dialer", theirs, own)) {
 		return "", WrongKey{Peer: theirs.Name}
 	}
 	return theirs.Name, nil
