--- a/control/claims.go
+++ b/control/claims.go
@@ -16,8 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/replica"
 )
 
-// This file defines the state machine of the claims group, how claims of routers
-// reach it, and how a router that waits for another's outcome gets it.
+// This file defines the state machine of the claims group, the handling of routers'
+// claims, and the notification of routers that wait for the outcome of another router.
 
 // claimMachine is the state machine of the claims group.
 type claimMachine struct{ register *claim.Register }
@@ -39,8 +39,8 @@
 // Restore implements [replica.Machine].
 func (c claimMachine) Restore(image []byte) error { return c.register.UnmarshalBinary(image) }
 
-// proposeClaim proposes a command of the claims group, at the time of this box's
-// wall clock.
+// proposeClaim proposes a command to the claims group, stamped with this box's wall
+// clock.
 func (c *Control) proposeClaim(ctx context.Context, cmd claim.Command) (protocol.Claimed, error) {
 	cmd.Millis = time.Now().UnixMilli()
 	result, err := propose(ctx, c.claims, cmd)
@@ -50,7 +50,8 @@
 	return result.(protocol.Claimed), nil
 }
 
-// claimOrRetry is proposeClaim for a router, which sends it again after an error.
+// claimOrRetry is like proposeClaim, but answers an error with ClaimRetry, which makes
+// the router send its claim again.
 func (c *Control) claimOrRetry(ctx context.Context, cmd claim.Command) protocol.Claimed {
 	answer, err := c.proposeClaim(ctx, cmd)
 	if err != nil {
@@ -59,8 +60,8 @@
 	return answer
 }
 
-// answerClaim answers a router's claim. When another router runs the request
-// and this one wants to wait, the answer comes with the outcome.
+// answerClaim answers a router's claim. If another router is running the request and
+// the claim has Wait set, the answer is delayed until the outcome is known.
 func (c *Control) answerClaim(ctx context.Context, s *session, m protocol.Claim) {
 	w := c.watchers.add(m.Account, m.Key)
 	defer c.watchers.remove(w)
@@ -74,29 +75,30 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.settled: // claim again: the key is free, or the answer is the outcome
+		case <-w.settled: // claim again: either the key is free or there is an outcome
 		}
 	}
 }
 
+// answerSettle answers a router's settlement of a claim.
 func (c *Control) answerSettle(ctx context.Context, s *session, m protocol.Settle) {
 	answer := c.claimOrRetry(ctx, claim.Command{Holder: s.holder, Settle: &m})
 	answer.Call = m.Call
 	s.out.Send(answer)
 }
 
-// followLeader keeps the leaders of the two groups on one replica: routers
-// have one session, and it is with the leader of the configuration group. A
-// replica that leads claims only hands them to that leader. Until then claims
-// are answered with ClaimRetry.
+// followLeader keeps the leaders of the two groups on one replica, because a router
+// has a single session, with the leader of the configuration group. A replica that
+// leads only the claims group transfers its leadership to that leader. Until the
+// transfer is done, claims are answered with ClaimRetry.
 func (c *Control) followLeader() {
 	for sleep.For(c.ctx, c.cfg.Heartbeat) {
 		var leader string
-		c.dispatcher.do(func() { leader = c.dispatcher.group.Leader.Name })
+		c.dispatcher.call(func() { leader = c.dispatcher.group.Leader.Name })
 		if leader == "" || leader == c.cfg.Identity.Name {
 			continue
 		}
-		// After an error the next heartbeat tries again.
+		// After an error, the next heartbeat tries again.
 		_ = c.claims.Inspect(c.ctx, func(_ time.Duration, n *consensus.Replica) {
 			if n.Status().Role == consensus.Leader {
 				n.Transfer(leader)
@@ -105,25 +107,25 @@
 	}
 }
 
-// claimWatchers signals settlements to the calls that wait for them.
+// claimWatchers notifies the calls that wait for a claim when it is settled.
 type claimWatchers struct {
 	mu      sync.Mutex
-	waiting map[claimName]map[*claimWatcher]bool
+	waiting map[claimKey]map[*claimWatcher]bool
 }
 
-type claimName struct{ account, key string }
+type claimKey struct{ account, key string }
 
 type claimWatcher struct {
-	name    claimName
-	settled chan struct{} // buffered, so that a settlement never waits
+	name    claimKey
+	settled chan struct{} // buffered, so that settling never blocks
 }
 
 func newClaimWatchers() *claimWatchers {
-	return &claimWatchers{waiting: map[claimName]map[*claimWatcher]bool{}}
+	return &claimWatchers{waiting: map[claimKey]map[*claimWatcher]bool{}}
 }
 
 func (c *claimWatchers) add(account, key string) *claimWatcher {
-	w := &claimWatcher{name: claimName{account, key}, settled: make(chan struct{}, 1)}
+	w := &claimWatcher{name: claimKey{account, key}, settled: make(chan struct{}, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.waiting[w.name] == nil {
@@ -142,11 +144,12 @@
 	}
 }
 
-// settled is called by the claims replica's goroutine.
-func (c *claimWatchers) settled(account, key string, _ protocol.Claimed) {
+// notifySettled notifies the calls that wait for a claim. It runs in the claims replica's
+// goroutine.
+func (c *claimWatchers) notifySettled(account, key string, _ protocol.Claimed) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for w := range c.waiting[claimName{account, key}] {
+	for w := range c.waiting[claimKey{account, key}] {
 		select {
 		case w.settled <- struct{}{}:
 		default:
--- a/control/control.go
+++ b/control/control.go
@@ -26,31 +26,31 @@
 	"github.com/badgerspoke/badgerspoke/transport/mesh"
 )
 
-// This file defines Control, the assembled control role.
+// This file defines Control, which assembles the parts of the control role.
 
-// Names of the groups.
+// Names of the consensus groups.
 const (
 	configGroup = "config"
 	claimGroup  = "claims"
 )
 
-// Settings of a control replica.
+// Settings configures a control replica.
 type Settings struct {
 	Identity link.Identity
-	// Replicas are the fleet addresses (IP:PORT) of all control replicas by
-	// name, this one included.
+	// Replicas holds the fleet addresses (IP:PORT) of all control replicas by
+	// name, including this one.
 	Replicas map[string]string
-	// Operators is this replica's operators' address, as operators reach it.
+	// Operators is the address at which operators reach this replica.
 	Operators string
 	// Dir opens the folder of one group under the data folder.
 	Dir   func(group string) (wal.Dir, error)
 	Lease slots.Lease
-	// Overcommit is the part of an engine's slots that is granted beyond them.
+	// Overcommit is the share of an engine's slots that is granted in addition to them.
 	Overcommit float64
-	Pace       slots.Pace // bounds the views sent to one router
+	Pace       slots.Pace // limit on the rate of views sent to one router
 	replica.Tuning
 	Random  func() uint64
-	Clock   func() time.Duration // as of [replica.Settings]
+	Clock   func() time.Duration // see [replica.Settings]
 	Log     *slog.Logger
 	Metrics *metrics.Set
 }
@@ -74,11 +74,11 @@
 	mesh       *mesh.Mesh
 	dispatcher *dispatcher
 	watchers   *claimWatchers
-	running    sync.WaitGroup
+	goroutines sync.WaitGroup
 }
 
 // Start opens the data folder and joins the groups. The replica runs until
-// Stop, or until its disk fails (see Done).
+// Stop is called or its disk fails (see Done).
 func Start(ctx context.Context, cfg Settings) (*Control, error) {
 	cfg = cfg.withDefaults()
 	ctx, stop := context.WithCancel(ctx)
@@ -86,15 +86,15 @@
 	c.dispatcher = newDispatcher(c)
 	c.state = newReplicated(c.dispatcher.configChanged)
 	c.register = claim.New()
-	c.register.OnSettled = c.watchers.settled
+	c.register.OnSettled = c.watchers.notifySettled
 	addressOf := func(name string) string { return cfg.Replicas[name] }
 	c.mesh = mesh.New(ctx, cfg.Identity, addressOf, link.NewMeter(cfg.Metrics))
 	if err := c.startGroups(); err != nil {
 		stop()
 		return nil, err
 	}
-	c.running.Go(c.dispatcher.run)
-	c.running.Go(c.followLeader)
+	c.goroutines.Go(c.dispatcher.run)
+	c.goroutines.Go(c.followLeader)
 	return c, nil
 }
 
@@ -121,12 +121,12 @@
 	})
 }
 
-// proposeTimeout bounds how long a proposal may take: five of the default election timeouts
-// (replica.Tuning), so that a change of leaders fits in.
+// proposeTimeout limits how long a proposal may take. It is five default election timeouts
+// (replica.Tuning), so that a proposal can outlast a change of leader.
 const proposeTimeout = 3 * time.Second
 
-// propose puts a command into the log of one group and returns what the group's
-// machine answers when it is applied here.
+// propose appends a command to the log of one group and returns the result of
+// applying it to this replica's state machine.
 func propose(ctx context.Context, group *replica.Replica, cmd any) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -137,7 +137,7 @@
 	return group.Propose(ctx, b)
 }
 
-// deliver hands a message of another replica to its group.
+// deliver passes a message from another replica to the group that it belongs to.
 func (c *Control) deliver(m protocol.Consensus) {
 	switch m.Name {
 	case configGroup:
@@ -147,8 +147,8 @@
 	}
 }
 
-// ServeHTTP accepts links of other boxes at [link.Path]: a router's first message is
-// a [protocol.Hello], a replica's is a [protocol.Consensus].
+// ServeHTTP accepts links from other boxes at [link.Path]. The first message of a router
+// is a [protocol.Hello], that of a replica a [protocol.Consensus].
 func (c *Control) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mesh.Serve(w, r, c.deliver, func(ctx context.Context, l *link.Link, first protocol.Message) {
 		if h, ok := first.(protocol.Hello); ok {
@@ -157,14 +157,15 @@
 	})
 }
 
-// Done is closed when a disk failed and the replica must be replaced.
+// Done returns a channel that is closed when the replica has stopped. Before Stop, that
+// means that its disk failed and that the replica must be replaced.
 func (c *Control) Done() <-chan struct{} { return c.config.Done() }
 
-// Err returns why the replica stopped, after Done.
+// Err returns why the replica stopped. It may be called once Done is closed.
 func (c *Control) Err() error { return c.config.Err() }
 
-// handoverElections bounds, in election timeouts, how long a stop waits for a successor: when no other
-// replica runs, none will come.
+// handoverElections limits how long Stop waits for a successor, in election timeouts. If no other
+// replica is running, there will be none.
 const handoverElections = 5
 
 // handOver transfers the leadership of both groups to another replica.
@@ -174,17 +175,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.Election)
 	defer cancel()
-	// Without a successor the other replicas elect one once they miss this leader.
+	// If a transfer fails, the other replicas elect a leader after an election timeout.
 	_ = c.claims.Transfer(ctx)
-	_ = c.config.Transfer(ctx) // as above
+	_ = c.config.Transfer(ctx)
 }
 
-// Stop hands leadership over, if another replica can take it within the
-// context, and stops.
+// Stop transfers leadership, if another replica can take it before ctx ends, and
+// stops the replica.
 func (c *Control) Stop(ctx context.Context) {
 	c.handOver(ctx)
 	c.stop()
 	<-c.config.Done()
 	<-c.claims.Done()
-	c.running.Wait()
+	c.goroutines.Wait()
 }
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -19,36 +19,37 @@
 // This file defines dispatcher, the goroutine that owns the allocator and the
 // routers' sessions while this replica leads.
 
-// Bounds of the dispatcher's work.
+// Limits of the dispatcher.
 const (
-	// eventDepth is the number of events that may wait for the dispatcher; beyond it
-	// their senders wait.
-	eventDepth = 8192
-	// maxEvents is the number of events taken together before slots are allocated.
-	maxEvents = 1024
-	// tickInterval is between two checks of the leases; the end of one is noticed that
-	// much late at most.
+	// eventQueueDepth is the number of events that may be queued for the dispatcher. If the
+	// queue is full, senders block.
+	eventQueueDepth = 8192
+	// maxEventBatch is the number of further queued events that run after an event, before
+	// slots are allocated.
+	maxEventBatch = 1024
+	// tickInterval is the interval between checks of the leases, and so the longest
+	// delay with which the end of a lease is detected.
 	tickInterval = 20 * time.Millisecond
 )
 
-// dispatcher owns the allocator and the sessions. Other goroutines hand it events.
+// dispatcher owns the allocator and the sessions. Other goroutines send it events.
 type dispatcher struct {
 	c        *Control
 	events   chan func()
-	applied  chan struct{}    // a configuration was applied
-	observed chan groupStatus // the newest only
-
-	// Owned by run.
-	group     groupStatus
-	alloc     *slots.Allocator
-	sessions  map[string]*session
-	snapshots snapshotCache
-	allocated time.Duration         // when slots were last allocated
-	ending    map[claim.Holder]bool // processes whose end is being recorded
-	opening   map[claim.Holder]int  // sessions being opened, by process
+	applied  chan struct{}    // signals that a configuration was applied
+	observed chan groupStatus // holds only the newest status
+
+	// The fields below are owned by run.
+	group           groupStatus
+	alloc           *slots.Allocator
+	sessions        map[string]*session
+	snapshots       snapshotCache
+	lastAllocation  time.Duration         // when slots were last allocated
+	recordingEnd    map[claim.Holder]bool // router processes whose end is being recorded
+	openingSessions map[claim.Holder]int  // number of sessions being opened, by router process
 }
 
-// groupStatus is what the replica's goroutine publishes of the configuration group.
+// groupStatus is the status of the configuration group that its replica's goroutine publishes.
 type groupStatus struct {
 	consensus.Status
 	leads bool // this replica may act as the leader
@@ -56,14 +57,14 @@
 
 // session is one router's link.
 type session struct {
-	holder   claim.Holder
-	out      *link.Outbox
-	sent     uint64 // revision sent
-	revision uint64 // revision confirmed
+	holder            claim.Holder
+	out               *link.Outbox
+	sentRevision      uint64 // newest revision sent to the router
+	confirmedRevision uint64 // newest revision that the router confirmed
 }
 
-// snapshotCache keeps the encoding of the newest configuration, so that many
-// routers that join at once cost one encoding.
+// snapshotCache holds the encoded newest configuration, so that it is encoded only once
+// when many routers join at the same time.
 type snapshotCache struct {
 	revision uint64
 	image    []byte
@@ -71,13 +72,13 @@
 
 func newDispatcher(c *Control) *dispatcher {
 	return &dispatcher{
-		c: c, events: make(chan func(), eventDepth), applied: make(chan struct{}, 1),
-		observed: make(chan groupStatus, 1), sessions: map[string]*session{}, ending: map[claim.Holder]bool{},
-		opening: map[claim.Holder]int{},
+		c: c, events: make(chan func(), eventQueueDepth), applied: make(chan struct{}, 1),
+		observed: make(chan groupStatus, 1), sessions: map[string]*session{}, recordingEnd: map[claim.Holder]bool{},
+		openingSessions: map[claim.Holder]int{},
 	}
 }
 
-// configChanged is called by the replica's goroutine.
+// configChanged signals that a configuration was applied. The replica's goroutine calls it.
 func (d *dispatcher) configChanged() {
 	select {
 	case d.applied <- struct{}{}:
@@ -85,17 +86,18 @@
 	}
 }
 
-// observe is called by the replica's goroutine after every batch.
+// observe publishes the status of the configuration group. The replica's goroutine calls it
+// after every batch.
 func (d *dispatcher) observe(s consensus.Status, leads bool) {
 	select {
-	case <-d.observed: // an older one, not taken yet
+	case <-d.observed: // an older status that run has not received yet
 	default:
 	}
 	d.observed <- groupStatus{Status: s, leads: leads}
 }
 
-// do runs f in the dispatcher's goroutine and reports whether it did.
-func (d *dispatcher) do(f func()) bool {
+// call runs f in the dispatcher's goroutine, waits for it and reports whether it ran.
+func (d *dispatcher) call(f func()) bool {
 	done := make(chan struct{})
 	select {
 	case d.events <- func() { f(); close(done) }:
@@ -110,7 +112,7 @@
 	}
 }
 
-// post runs f later in the dispatcher's goroutine.
+// post queues f to run in the dispatcher's goroutine and does not wait for it.
 func (d *dispatcher) post(f func()) {
 	select {
 	case d.events <- f:
@@ -135,7 +137,7 @@
 			d.pushConfig()
 		case f := <-d.events:
 			f()
-			d.takeMore()
+			d.runPending()
 		case <-tick.C:
 			d.tick()
 		case <-due:
@@ -144,9 +146,9 @@
 	}
 }
 
-// takeMore runs events that wait already, so that one allocation serves them all.
-func (d *dispatcher) takeMore() {
-	for range maxEvents {
+// runPending runs the events that are already queued, so that one allocation serves them all.
+func (d *dispatcher) runPending() {
+	for range maxEventBatch {
 		select {
 		case f := <-d.events:
 			f()
@@ -156,20 +158,20 @@
 	}
 }
 
-// acting reports whether this replica may act as the allocator now.
+// acting reports whether this replica may currently act as the allocator.
 func (d *dispatcher) acting() bool {
 	return d.alloc != nil && d.now() < d.group.LeaseEnd
 }
 
-// setGroup begins an epoch when this replica may lead, and ends it when its
-// lease has run out or another term has come.
+// setGroup stores a new status of the group. It begins an epoch when this replica may
+// act as the leader, and ends the epoch when the lease has expired or the term changed.
 func (d *dispatcher) setGroup(next groupStatus) {
-	last := d.group
+	prev := d.group
 	d.group = next
 	switch {
-	case next.leads && (d.alloc == nil || last.Term != next.Term):
+	case next.leads && (d.alloc == nil || prev.Term != next.Term):
 		d.beginEpoch(next.Term)
-	case !next.leads && d.alloc != nil && (last.Term != next.Term || d.now() >= last.LeaseEnd):
+	case !next.leads && d.alloc != nil && (prev.Term != next.Term || d.now() >= prev.LeaseEnd):
 		d.endEpoch()
 	}
 }
@@ -182,9 +184,9 @@
 	}
 	d.alloc = slots.NewAllocator(term, d.now(), d.c.cfg.Lease, d.c.cfg.Pace, expected)
 	d.pushConfig()
-	if at := d.c.cfg.Operators; at != "" && d.c.state.OperatorsAt(d.c.cfg.Identity.Name) != at {
-		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: at}}
-		// After an error the other replicas cannot give operators this address until it leads again.
+	if operatorsAddr := d.c.cfg.Operators; operatorsAddr != "" && d.c.state.OperatorsAt(d.c.cfg.Identity.Name) != operatorsAddr {
+		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: operatorsAddr}}
+		// After an error, the other replicas cannot direct operators to this one until it leads again.
 		go func() { _, _ = propose(d.c.ctx, d.c.config, cmd) }()
 	}
 	d.c.cfg.Log.Info("allocating", "epoch", term, "expected-routers", len(expected))
@@ -212,12 +214,12 @@
 		return
 	}
 	for _, name := range d.alloc.ExpireSessions(d.now()) {
-		d.c.cfg.Log.Info("lease of router ran out", "router", name)
+		d.c.cfg.Log.Info("lease of router expired", "router", name)
 	}
 	d.endExpired()
 }
 
-// endExpired records the end of listed processes whose lease has run out.
+// endExpired records the end of listed router processes whose lease has expired.
 func (d *dispatcher) endExpired() {
 	if !d.acting() || d.alloc.TakingOver(d.now()) {
 		return
@@ -227,25 +229,25 @@
 		leased[claim.Holder(p)] = true
 	}
 	for _, h := range d.c.state.Routers() {
-		if !leased[h] && !d.ending[h] && d.opening[h] == 0 {
-			d.ending[h] = true
+		if !leased[h] && !d.recordingEnd[h] && d.openingSessions[h] == 0 {
+			d.recordingEnd[h] = true
 			go d.recordEnd(h)
 		}
 	}
 }
 
-// recordEnd records in the logs that a process has ended: its claims become unknown
-// first, so that no claim is left running by a crash in between. After an error the
-// process is still listed, and a later tick tries again.
+// recordEnd records in the logs that a router process has ended. Its claims become unknown
+// first, so that a crash between the two proposals leaves no claim in the running state.
+// After an error, the process is still listed and a later tick tries again.
 func (d *dispatcher) recordEnd(h claim.Holder) {
-	defer d.post(func() { delete(d.ending, h) })
+	defer d.post(func() { delete(d.recordingEnd, h) })
 	if _, err := d.c.proposeClaim(d.c.ctx, claim.Command{Holder: h, Orphan: true}); err != nil {
 		return
 	}
 	_, _ = propose(d.c.ctx, d.c.config, command{End: &h}) // see above
 }
 
-// pushConfig brings allocator and routers to the applied configuration.
+// pushConfig passes the applied configuration to the allocator and the routers.
 func (d *dispatcher) pushConfig() {
 	if d.alloc == nil {
 		return
@@ -253,17 +255,17 @@
 	cfg := d.c.state.Config()
 	d.alloc.Configure(allocatorView(cfg, d.c.cfg.Overcommit))
 	for _, s := range d.sessions {
-		d.pushTo(s, cfg)
+		d.pushConfigTo(s, cfg)
 	}
 }
 
-// allocatorView returns a configuration's servers and accounts for the allocator, by
-// identifiers. over is the part of an engine's slots that is granted beyond them.
-func allocatorView(cfg config.Config, over float64) ([]slots.Server, []slots.Account) {
+// allocatorView returns the servers and accounts of a configuration for the allocator, which
+// names them by identifier. overcommit is Settings.Overcommit.
+func allocatorView(cfg config.Config, overcommit float64) ([]slots.Server, []slots.Account) {
 	var servers []slots.Server
 	for _, s := range cfg.Servers() {
 		servers = append(servers, slots.Server{
-			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Overcommit: extra(s, over), Serving: s.Mark == config.Serving,
+			Name: s.ID, Pool: s.Pool, Slots: s.Slots, Overcommit: overcommitSlots(s, overcommit), Serving: s.Mark == config.Serving,
 		})
 	}
 	var accounts []slots.Account
@@ -273,26 +275,26 @@
 	return servers, accounts
 }
 
-// extra returns how many slots of a server are granted beyond what it runs at
-// once: their requests wait in its own queue and cover the time of the next grant's
-// round trip. Plain services are not assumed to queue.
-func extra(s config.Server, over float64) int {
+// overcommitSlots returns how many slots of a server are granted beyond the number of requests
+// that it runs at once. The additional requests wait in the server's own queue and keep it
+// busy during the round trip of the next grant. Plain services are not assumed to queue.
+func overcommitSlots(s config.Server, overcommit float64) int {
 	if s.Kind != config.Engine {
 		return 0
 	}
-	return int(math.Ceil(over * float64(s.Slots)))
+	return int(math.Ceil(overcommit * float64(s.Slots)))
 }
 
-// pushTo sends cfg to a router: as a delta if every change since is remembered (and
-// the delta can be encoded), else as a snapshot.
-func (d *dispatcher) pushTo(s *session, cfg config.Config) {
-	if s.sent >= cfg.Revision() {
+// pushConfigTo sends cfg to a router: as a delta if all changes since the revision that the
+// router has are still stored and the delta can be encoded, otherwise as a snapshot.
+func (d *dispatcher) pushConfigTo(s *session, cfg config.Config) {
+	if s.sentRevision >= cfg.Revision() {
 		return
 	}
-	if delta, ok := d.c.state.DeltaFrom(s.sent); ok && s.sent > 0 {
+	if delta, ok := d.c.state.DeltaFrom(s.sentRevision); ok && s.sentRevision > 0 {
 		if b, err := cbor.Marshal(delta); err == nil {
 			s.out.Send(protocol.Configure{Delta: b})
-			s.sent = delta.To()
+			s.sentRevision = delta.To()
 			return
 		}
 	}
@@ -305,20 +307,20 @@
 		d.snapshots = snapshotCache{revision: cfg.Revision(), image: b}
 	}
 	s.out.Send(protocol.Configure{Snapshot: d.snapshots.image})
-	s.sent = cfg.Revision()
+	s.sentRevision = cfg.Revision()
 }
 
-// allocate grants what can be granted, sends the views that are due, and
-// returns when the next one is.
+// allocate grants free slots, sends the views that are due, and returns a channel that
+// fires when allocate should run again, or nil if there is no such time.
 func (d *dispatcher) allocate() <-chan time.Time {
 	if !d.acting() {
 		return nil
 	}
 	now := d.now()
-	if early := d.allocated + slots.MinAllocationInterval - now; early > 0 {
-		return time.After(early)
+	if untilAllowed := d.lastAllocation + slots.MinAllocationInterval - now; untilAllowed > 0 {
+		return time.After(untilAllowed)
 	}
-	d.allocated = now
+	d.lastAllocation = now
 	d.alloc.Allocate(now)
 	for _, o := range d.alloc.Views(now) {
 		if s := d.sessions[o.Router]; s != nil {
@@ -333,11 +335,11 @@
 	return time.After(max(next-now, 0))
 }
 
-// viewSize returns the bytes of a view on the link.
+// viewSize returns the encoded size of a view in bytes.
 func viewSize(v protocol.View) int {
 	b, err := protocol.Encode(v)
 	if err != nil {
-		return 0 // the outbox closes the link on the same error
+		return 0 // the outbox fails with the same error and closes the link
 	}
 	return len(b)
 }
--- a/control/doc.go
+++ b/control/doc.go
@@ -1,29 +1,28 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package control is the control role of a box: it keeps the fleet's
-// configuration and claims in replicated logs, and while it leads, it holds
-// the routers' sessions and hands out slots.
+// Package control implements the control role of a box. It stores the fleet's
+// configuration and claims in replicated logs and, while it leads, maintains the
+// routers' sessions and grants slots.
 //
-// The model: every control replica runs the same two groups ([replica]), one
-// for the configuration and the list of routers that may hold slots, one for
-// claims of keyed requests. The leader of the configuration group is the
-// allocator, under an epoch that is the term of its leadership: a term has one
-// leader, and a leader acts only once it has committed an entry of its term,
-// so the log itself grants the epoch. Routers dial any replica and are sent on
-// to the leader.
+// Every control replica runs the same two consensus groups ([replica]): one for the
+// configuration and the list of routers that may hold slots, and one for the claims
+// of keyed requests. The leader of the configuration group is the allocator. Its
+// epoch is the term of its leadership: a term has one leader, and a leader acts only
+// once it has committed an entry of its term, so the log itself grants the epoch.
+// Routers dial any replica and are redirected to the leader.
 //
-// The package owns both groups' replicas with their folders, the links that it
-// accepts, and the allocator. It relies on coordination/slots and
-// coordination/claim for what is granted, on state/config for what a change is
-// and when it is refused, and on transport/mesh for the links to other replicas.
+// The package owns the replicas of both groups with their folders, the links that
+// it accepts, and the allocator. Packages coordination/slots and coordination/claim
+// decide what is granted, state/config defines changes and when they are refused,
+// and transport/mesh maintains the links to other replicas.
 //
 // One goroutine, the dispatcher (dispatcher.go), owns the allocator and the
-// sessions; links, replicas and operators' calls hand it events. It never
-// waits for the network or a disk. It acts only while the leader's lease runs
-// by its own monotonic clock. Besides it there are a goroutine for each group's
-// replica, for each link and its outbox, for each open claim or settlement, and
-// the one that keeps both groups' leaders on one replica (claims.go).
+// sessions; links, replicas and operators' calls send it events. It never waits
+// for the network or a disk, and acts only while the leader's lease is valid by its
+// own monotonic clock. There is also one goroutine for each group's replica, for
+// each link and its outbox, for each open claim or settlement, and one that keeps
+// the leaders of both groups on the same replica (claims.go).
 //
 // Locks: Replicated.mu (the applied configuration) and claimWatchers.mu are
-// leaves; neither is held while the other is taken, or across a wait.
+// leaves. Neither is held while the other is taken, or while waiting.
 package control
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -15,9 +15,9 @@
 )
 
 // This file pins the bytes of the commands and the snapshot of the configuration
-// group in testdata/golden: they lie on disks and in the logs of running fleets.
-// Run with -update to write the files anew, which only a deliberate change of the
-// stored format justifies.
+// group in testdata/golden, because running fleets have them on disk. Running with
+// -update rewrites the files, which is right only for a deliberate change of the
+// stored format.
 
 var goldenCommands = []command{
 	{Change: &config.Change{ID: "first", Ops: []config.Op{{PutAccount: &config.Account{Name: "hotel-a", Share: 2, ID: "1"}}}, Request: 9}},
@@ -35,7 +35,7 @@
 	is.NoErr(err)
 	var got []command
 	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "commands", b), &got))
-	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes give the same value
+	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes decode to the same value
 	golden.AllSet(t, "advert", goldenCommands[4].Advert)
 }
 
@@ -45,7 +45,7 @@
 	for _, c := range goldenCommands {
 		b, err := cbor.Marshal(c)
 		is.NoErr(err)
-		is.NoErr(m.Apply(b).(changed).err)
+		is.NoErr(m.Apply(b).(changeResult).err)
 	}
 	b, err := m.Snapshot()
 	is.NoErr(err)
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -12,36 +12,36 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the metrics of the fleet that a leading replica writes: how
-// full each pool is, what each account was served, and the largest gap. They are
-// written from the allocator's tables at each scrape, so nothing stale stays
-// behind a removed account or server.
+// This file defines the fleet metrics that the leading replica writes: the slots of each
+// pool, the service that each account received, and the largest gap between accounts.
+// They are written from the allocator's tables at each scrape, so no stale series
+// remain for a removed account or server.
 
-// WriteMetrics writes the fleet's metrics in the Prometheus text format. A
-// replica that does not lead writes that only.
+// WriteMetrics writes the fleet's metrics in the Prometheus text format. A replica
+// that does not lead writes only that it does not lead and its revision.
 func (c *Control) WriteMetrics(w io.Writer) {
 	var snapshot fleetSnapshot
-	c.dispatcher.do(func() { snapshot = c.dispatcher.snapshot() })
+	c.dispatcher.call(func() { snapshot = c.dispatcher.snapshot() })
 	snapshot.write(w)
 }
 
-// fleetSnapshot is the state that one scrape writes.
+// fleetSnapshot is the state that one scrape reports.
 type fleetSnapshot struct {
-	leads     bool
-	epoch     uint64
-	cfg       config.Config
-	routers   int
-	occupied  []slots.Occupancy
-	standings []slots.Standing
+	leads       bool
+	epoch       uint64
+	cfg         config.Config
+	routers     int
+	occupancies []slots.Occupancy
+	standings   []slots.Standing
 }
 
-// snapshot runs in the dispatcher's goroutine.
+// snapshot collects the state for a scrape. It runs in the dispatcher's goroutine.
 func (d *dispatcher) snapshot() fleetSnapshot {
 	s := fleetSnapshot{cfg: d.c.state.Config(), leads: d.acting()}
 	if s.leads {
 		s.epoch = d.alloc.Epoch()
 		s.routers = len(d.sessions)
-		s.occupied = d.alloc.Occupancies()
+		s.occupancies = d.alloc.Occupancies()
 		s.standings = d.alloc.Standings()
 	}
 	return s
@@ -63,18 +63,18 @@
 	s.writeAccounts(w)
 }
 
-// writePools writes the slots of each pool. Granted over slots is the pool's
-// utilisation over the whole fleet.
+// writePools writes the slots and granted slots of each pool. Their ratio is the pool's
+// utilisation across the fleet.
 func (s fleetSnapshot) writePools(w io.Writer) {
 	type pool struct{ slots, granted int }
 	pools := map[string]pool{}
 	var names []string
-	for _, o := range s.occupied {
-		p, seen := pools[o.Pool]
+	for _, o := range s.occupancies {
+		sum, seen := pools[o.Pool]
 		if !seen {
 			names = append(names, o.Pool)
 		}
-		pools[o.Pool] = pool{p.slots + o.Slots, p.granted + o.Granted}
+		pools[o.Pool] = pool{sum.slots + o.Slots, sum.granted + o.Granted}
 	}
 	for _, name := range names {
 		metrics.WriteGaugeUint64(w, fmt.Sprintf("badgerspoke_pool_slots{pool=%q}", name), uint64(pools[name].slots))
@@ -82,11 +82,11 @@
 	}
 }
 
-// writeAccounts writes the service and queue of each account, and for each pool the largest
-// difference of normalised service between two accounts whose work waits.
+// writeAccounts writes the normalised service and the waiting requests of each account. For each
+// pool it writes the largest difference in normalised service between accounts with waiting requests.
 func (s fleetSnapshot) writeAccounts(w io.Writer) {
 	_, accounts := namesByID(s.cfg)
-	low, high := map[string]float64{}, map[string]float64{}
+	minService, maxService := map[string]float64{}, map[string]float64{}
 	for _, st := range s.standings {
 		labels := fmt.Sprintf("{pool=%q,account=%q}", st.Pool, accounts[st.Account])
 		metrics.WriteGaugeFloat64(w, "badgerspoke_normalised_service"+labels, st.VirtualTime)
@@ -94,12 +94,12 @@
 		if st.Waiting == 0 {
 			continue
 		}
-		if _, seen := low[st.Pool]; !seen {
-			low[st.Pool], high[st.Pool] = st.VirtualTime, st.VirtualTime
+		if _, seen := minService[st.Pool]; !seen {
+			minService[st.Pool], maxService[st.Pool] = st.VirtualTime, st.VirtualTime
 		}
-		low[st.Pool], high[st.Pool] = min(low[st.Pool], st.VirtualTime), max(high[st.Pool], st.VirtualTime)
+		minService[st.Pool], maxService[st.Pool] = min(minService[st.Pool], st.VirtualTime), max(maxService[st.Pool], st.VirtualTime)
 	}
-	for pool := range low {
-		metrics.WriteGaugeFloat64(w, fmt.Sprintf("badgerspoke_gap{pool=%q}", pool), high[pool]-low[pool])
+	for pool := range minService {
+		metrics.WriteGaugeFloat64(w, fmt.Sprintf("badgerspoke_gap{pool=%q}", pool), maxService[pool]-minService[pool])
 	}
 }
--- a/control/operators.go
+++ b/control/operators.go
@@ -21,22 +21,22 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the operators' calls that change the configuration. Those
-// that only read are in status.go, the shape of errors in rpcerror.go.
+// This file defines the operators' calls that change the configuration. Calls that
+// only read are in status.go, the conversion of errors is in rpcerror.go.
 
-// Bounds of operators' calls.
+// Limits of operators' calls.
 const (
-	// maxOperatorMessage bounds one call, in bytes.
+	// maxOperatorMessage is the largest size of a request in bytes.
 	maxOperatorMessage = 1 << 20
-	// keyBytes is the number of random bytes in a drawn key: 192 bits.
+	// keyBytes is the number of random bytes in a generated key: 192 bits.
 	keyBytes = 24
-	// unprotectedTries is how often a change that names no base revision is tried
-	// while other changes are accepted before it.
-	unprotectedTries = 8
+	// maxUnbasedTries is the number of attempts at a change without a base revision when
+	// concurrent changes are accepted before it.
+	maxUnbasedTries = 8
 )
 
-// OperatorHandler returns the operators' interface for callers that have the
-// token.
+// OperatorHandler returns the operators' API. It serves only callers that present
+// the token.
 func (c *Control) OperatorHandler(token string) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(operatorv1connect.NewOperatorServiceHandler(&operators{c: c},
@@ -44,13 +44,14 @@
 	return requireToken(token, mux)
 }
 
-// requireToken compares the token in constant time; the hashes hide its length.
+// requireToken passes requests with the bearer token on to next. It compares hashes of the
+// tokens in constant time, which also hides the length of the token.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		given := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
 		if subtle.ConstantTimeCompare(given[:], want[:]) != 1 {
-			// It fails only on a broken connection: nobody is left to answer.
+			// Write fails only if the connection is broken, so there is no one to answer.
 			_ = connect.NewErrorWriter().Write(w, r, connect.NewError(connect.CodeUnauthenticated, BadToken{}))
 			return
 		}
@@ -58,29 +59,29 @@
 	})
 }
 
-// operators implements the operators' service of the schema.
+// operators implements the OperatorService of the schema.
 type operators struct{ c *Control }
 
 var _ operatorv1connect.OperatorServiceHandler = (*operators)(nil)
 
-// changeRequest is any request that changes the configuration.
+// changeRequest is a request that changes the configuration.
 type changeRequest interface {
 	proto.Message
 	GetChange() *operatorv1.Change
 }
 
-// derive turns a request into operations on the current configuration.
-type derive func(cfg config.Config) ([]config.Op, error)
+// deriveFunc returns the operations that a request makes on the current configuration.
+type deriveFunc func(cfg config.Config) ([]config.Op, error)
 
-// change proposes the change of a request and returns the revision that it
-// produced, now or when it was first sent.
-func (o *operators) change(ctx context.Context, req changeRequest, d derive) (uint64, error) {
+// change proposes the change of a request and returns the revision that it produced. For
+// a resent request, that is the revision that it produced when it was first accepted.
+func (o *operators) change(ctx context.Context, req changeRequest, derive deriveFunc) (uint64, error) {
 	ch := req.GetChange()
-	request := requestDigest(req)
+	digest := requestDigest(req)
 	var revision uint64
 	var err error
-	for range unprotectedTries {
-		if revision, err = o.proposeChange(ctx, ch, request, d); err == nil {
+	for range maxUnbasedTries {
+		if revision, err = o.proposeChange(ctx, ch, digest, derive); err == nil {
 			return revision, nil
 		}
 		if _, raced := err.(config.Conflict); !raced || ch.GetBaseRevision() != 0 {
@@ -90,40 +91,40 @@
 	return 0, o.c.rpcError(ch.GetId(), err)
 }
 
-// proposeChange proposes the change of a request once, if this replica leads.
-func (o *operators) proposeChange(ctx context.Context, ch *operatorv1.Change, request uint64, d derive) (uint64, error) {
+// proposeChange makes one attempt to propose the change of a request, if this replica leads.
+func (o *operators) proposeChange(ctx context.Context, ch *operatorv1.Change, digest uint64, derive deriveFunc) (uint64, error) {
 	if err := o.c.mustLead(); err != nil {
 		return 0, err
 	}
-	if first, revision, ok := o.c.state.Find(ch.GetId()); ok {
-		if first.Request != request {
+	if accepted, revision, ok := o.c.state.Find(ch.GetId()); ok {
+		if accepted.Request != digest {
 			return 0, config.Reused{ID: ch.GetId()}
 		}
 		return revision, nil
 	}
 	cfg := o.c.state.Config()
-	proposal := config.Change{ID: ch.GetId(), Base: ch.GetBaseRevision(), Request: request}
+	proposal := config.Change{ID: ch.GetId(), Base: ch.GetBaseRevision(), Request: digest}
 	if proposal.Base == 0 {
 		proposal.Base = cfg.Revision()
 	}
 	if proposal.Base == cfg.Revision() {
-		ops, err := d(cfg)
+		ops, err := derive(cfg)
 		if err != nil {
 			return 0, err
 		}
 		proposal.Ops = ops
 	}
-	// With another base there is nothing to derive from; the log answers
-	// with the conflict, or with the first answer to a resend.
+	// With another base, no operations can be derived. Applying the change then gives
+	// the conflict or, for a resent change, the result of the first attempt.
 	result, err := propose(ctx, o.c.config, command{Change: &proposal})
 	if err != nil {
 		return 0, err
 	}
-	r := result.(changed)
+	r := result.(changeResult)
 	return r.revision, r.err
 }
 
-// requestDigest identifies the content of a request, without the change's
+// requestDigest returns a hash of the content of a request without the change's
 // identifier and base.
 func requestDigest(req changeRequest) uint64 {
 	m := proto.Clone(req)
@@ -131,13 +132,13 @@
 	m.ProtoReflect().Clear(fields.ByName("change"))
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return 0 // a message that was decoded is encoded; without a digest the operations are compared
+		return 0 // not expected for a decoded message; without a digest the operations are compared
 	}
 	return xxh3.Hash(append(b, string(m.ProtoReflect().Descriptor().FullName())...)) | 1
 }
 
 func (o *operators) CreateAccount(ctx context.Context, req *connect.Request[operatorv1.CreateAccountRequest]) (*connect.Response[operatorv1.CreateAccountResponse], error) {
-	key, hash, err := keyOrDraw(req.Msg.GetKeyHash())
+	key, hash, err := keyOrGenerate(req.Msg.GetKeyHash())
 	if err != nil {
 		return nil, o.c.rpcError("", err)
 	}
@@ -147,14 +148,14 @@
 		if _, exists := cfg.Account(req.Msg.GetName()); exists {
 			return nil, invalid("account "+req.Msg.GetName(), "name", "exists already")
 		}
-		a := config.Account{Name: req.Msg.GetName(), Share: req.Msg.GetShare(), Limits: limitsFrom(req.Msg.GetLimits())}.WithKey(hash)
+		a := config.Account{Name: req.Msg.GetName(), Share: req.Msg.GetShare(), Limits: limitsFromProto(req.Msg.GetLimits())}.WithKey(hash)
 		return []config.Op{{PutAccount: &a}}, nil
 	})
 	if err != nil {
 		return nil, err
 	}
 	if !derived {
-		key = "" // a resend: the key of the first answer was not kept
+		key = "" // the request was resent, and the key in the first response was not stored
 	}
 	return connect.NewResponse(&operatorv1.CreateAccountResponse{Revision: revision, Key: key}), nil
 }
@@ -165,14 +166,14 @@
 			a = a.WithShare(req.Msg.GetShare())
 		}
 		if req.Msg.Limits != nil {
-			a = a.WithLimits(limitsFrom(req.Msg.GetLimits()))
+			a = a.WithLimits(limitsFromProto(req.Msg.GetLimits()))
 		}
 		return a, nil
 	})
 }
 
 func (o *operators) RotateKey(ctx context.Context, req *connect.Request[operatorv1.RotateKeyRequest]) (*connect.Response[operatorv1.RotateKeyResponse], error) {
-	key, hash, err := keyOrDraw(req.Msg.GetKeyHash())
+	key, hash, err := keyOrGenerate(req.Msg.GetKeyHash())
 	if err != nil {
 		return nil, o.c.rpcError("", err)
 	}
@@ -213,7 +214,7 @@
 
 func (o *operators) AddServer(ctx context.Context, req *connect.Request[operatorv1.AddServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
 	return changeResponse(o.change(ctx, req.Msg, func(cfg config.Config) ([]config.Op, error) {
-		s := serverFrom(req.Msg.GetServer())
+		s := serverFromProto(req.Msg.GetServer())
 		if _, exists := cfg.Server(s.Name); exists {
 			return nil, invalid("server "+s.Name, "name", "exists already")
 		}
@@ -238,15 +239,15 @@
 	}))
 }
 
-// changeAccount changes one existing account.
+// changeAccount applies edit to an existing account.
 func (o *operators) changeAccount(ctx context.Context, req changeRequest, name string,
-	with func(config.Account) (config.Account, error)) (*connect.Response[operatorv1.ChangeResponse], error) {
+	edit func(config.Account) (config.Account, error)) (*connect.Response[operatorv1.ChangeResponse], error) {
 	return changeResponse(o.change(ctx, req, func(cfg config.Config) ([]config.Op, error) {
 		a, ok := cfg.Account(name)
 		if !ok {
 			return nil, invalid("account "+name, "name", "does not exist")
 		}
-		a, err := with(a)
+		a, err := edit(a)
 		return []config.Op{{PutAccount: &a}}, err
 	}))
 }
@@ -258,9 +259,9 @@
 	return connect.NewResponse(&operatorv1.ChangeResponse{Revision: revision}), nil
 }
 
-// keyOrDraw returns the hash that the operator gave, or a new key and its
-// hash.
-func keyOrDraw(given string) (key string, hash config.KeyHash, err error) {
+// keyOrGenerate returns the key hash that the operator gave, or a new key and its
+// hash if given is empty.
+func keyOrGenerate(given string) (key string, hash config.KeyHash, err error) {
 	if given == "" {
 		b := make([]byte, keyBytes)
 		_, _ = rand.Read(b) // crypto/rand does not fail since Go 1.24
@@ -279,13 +280,13 @@
 	return config.Invalid{Mistakes: []config.Mistake{{Subject: subject, Field: field, Reason: reason}}}
 }
 
-func limitsFrom(l *operatorv1.Limits) config.Limits {
+func limitsFromProto(l *operatorv1.Limits) config.Limits {
 	return config.Limits{
 		Waiting: int(l.GetWaiting()), WaitingBytes: int64(l.GetWaitingBytes()), Running: int(l.GetRunning()),
 	}
 }
 
-func serverFrom(s *operatorv1.Server) config.Server {
+func serverFromProto(s *operatorv1.Server) config.Server {
 	mark := config.Mark(s.GetMark())
 	if mark == 0 {
 		mark = config.Joining
@@ -297,7 +298,7 @@
 	}
 }
 
-func serverTo(s config.Server) *operatorv1.Server {
+func serverToProto(s config.Server) *operatorv1.Server {
 	return &operatorv1.Server{
 		Name: s.Name, Pool: s.Pool, Address: s.Address, Kind: operatorv1.Kind(s.Kind),
 		Mark: operatorv1.Mark(s.Mark), Slots: uint32(s.Slots), Models: s.Models, Adapters: s.Adapters,
@@ -305,7 +306,7 @@
 	}
 }
 
-func accountTo(a config.Account) *operatorv1.Account {
+func accountToProto(a config.Account) *operatorv1.Account {
 	out := &operatorv1.Account{
 		Name: a.Name, Share: a.Share,
 		Limits: &operatorv1.Limits{
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -16,26 +16,26 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines Replicated, the state machine of the configuration group. That
-// of the claims group is in claims.go.
+// This file defines Replicated, the state machine of the configuration group. The state
+// machine of the claims group is in claims.go.
 
-// command is one command of the configuration group. One field is set.
+// command is a command of the configuration group. Exactly one field is set.
 type command struct {
 	Change *config.Change `cbor:"1,keyasint,omitempty"`
-	Open   *claim.Holder  `cbor:"2,keyasint,omitempty"` // a router may hold slots from now on
-	End    *claim.Holder  `cbor:"3,keyasint,omitempty"` // it holds none any more
+	Open   *claim.Holder  `cbor:"2,keyasint,omitempty"` // the router may hold slots from now on
+	End    *claim.Holder  `cbor:"3,keyasint,omitempty"` // the router holds no slots any more
 	Advert *advert        `cbor:"4,keyasint,omitempty"`
 }
 
-// advert is where operators reach a replica. A leader puts it into the log, so
-// that the others can send operators there.
+// advert is the address at which operators reach a replica. A leader appends its own to
+// the log, so that the other replicas can direct operators to it.
 type advert struct {
 	Replica string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
 
-// changed is the answer to the proposer of a change.
-type changed struct {
+// changeResult is the result of applying a command, returned to its proposer.
+type changeResult struct {
 	revision uint64
 	err      error
 }
@@ -43,27 +43,27 @@
 // Replicated is the applied state of the configuration group. It is safe for
 // concurrent use.
 type Replicated struct {
-	mu      sync.Mutex // a leaf; guards what follows but notify
-	store   config.Store
-	routers map[claim.Holder]bool
-	adverts map[string]string // operators' address by replica
-	notify  func()            // must not block
+	mu        sync.Mutex // a leaf; guards store, routers and adverts
+	store     config.Store
+	routers   map[claim.Holder]bool
+	adverts   map[string]string // operators' addresses by replica
+	onApplied func()            // must not block
 }
 
 var _ replica.Machine = (*Replicated)(nil)
 
-func newReplicated(notify func()) *Replicated {
-	return &Replicated{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, notify: notify}
+func newReplicated(onApplied func()) *Replicated {
+	return &Replicated{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, onApplied: onApplied}
 }
 
-// Config returns the configuration applied here.
+// Config returns the configuration that is applied on this replica.
 func (r *Replicated) Config() config.Config {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Current()
 }
 
-// Routers returns the processes that may hold slots, in a fixed order.
+// Routers returns the router processes that may hold slots, sorted by name and boot number.
 func (r *Replicated) Routers() []claim.Holder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,15 +76,15 @@
 	})
 }
 
-// Find returns an accepted change by its identifier.
+// Find returns an accepted change and its revision by the change's identifier.
 func (r *Replicated) Find(id string) (config.Change, uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Find(id)
 }
 
-// DeltaFrom returns what leads from a revision to the current one, if the
-// past is still remembered.
+// DeltaFrom returns the delta from a revision to the current one, if the changes
+// in between are still stored.
 func (r *Replicated) DeltaFrom(revision uint64) (config.Delta, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -95,22 +95,22 @@
 func (r *Replicated) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
-		return changed{err: protocol.Malformed{Err: err}}
+		return changeResult{err: protocol.Malformed{Err: err}}
 	}
 	r.mu.Lock()
 	result := r.apply(c)
 	r.mu.Unlock()
 	if c.Change != nil && result.err == nil {
-		r.notify()
+		r.onApplied()
 	}
 	return result
 }
 
-func (r *Replicated) apply(c command) changed {
+func (r *Replicated) apply(c command) changeResult {
 	switch {
 	case c.Change != nil:
 		revision, err := r.store.Apply(*c.Change)
-		return changed{revision: revision, err: err}
+		return changeResult{revision: revision, err: err}
 	case c.Open != nil:
 		r.routers[*c.Open] = true
 	case c.End != nil:
@@ -118,7 +118,7 @@
 	case c.Advert != nil:
 		r.adverts[c.Advert.Replica] = c.Advert.Address
 	}
-	return changed{}
+	return changeResult{}
 }
 
 // replicatedImage is the serialized form of a Replicated, stored in snapshots.
@@ -160,11 +160,12 @@
 		r.adverts[a.Replica] = a.Address
 	}
 	r.mu.Unlock()
-	r.notify()
+	r.onApplied()
 	return err
 }
 
-// OperatorsAt returns where operators reach a replica that has led.
+// OperatorsAt returns the address at which operators reach a replica, or "" for a replica
+// that has not led yet.
 func (r *Replicated) OperatorsAt(name string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -13,17 +13,17 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines which replica may answer operators, and how a failure becomes
-// their answer: a code and a typed detail of the schema.
+// This file defines which replica may answer operators, and the conversion of errors to
+// responses with a code and a typed detail of the schema.
 
-// BadToken refuses a call without the operators' token.
+// BadToken is the error of a call without the operators' token.
 type BadToken struct{}
 
 // Error describes the refusal.
 func (BadToken) Error() string { return "no or wrong operator token" }
 
-// NotLeading refuses a call at a replica that does not lead.
-type NotLeading struct{ Leader string } // empty when none is known
+// NotLeading is the error of a call to a replica that does not lead.
+type NotLeading struct{ Leader string } // empty if no leader is known
 
 // Error names the leader.
 func (e NotLeading) Error() string {
@@ -33,15 +33,15 @@
 	return "this replica does not lead; ask " + e.Leader
 }
 
-// asLeader runs f in the dispatcher's goroutine if this replica may answer for the
-// fleet, else it returns [NotLeading].
+// asLeader runs f in the dispatcher's goroutine if this replica may act as the allocator.
+// Otherwise it returns [NotLeading].
 func (c *Control) asLeader(f func(d *dispatcher)) error {
 	var leader string
 	acting, d := false, c.dispatcher
-	d.do(func() {
+	d.call(func() {
 		if acting = d.acting(); acting {
 			f(d)
-		} else if d.group.Leader.Name != c.cfg.Identity.Name { // itself: leads without a lease yet
+		} else if d.group.Leader.Name != c.cfg.Identity.Name { // if equal, this replica leads but has no lease yet
 			leader = d.group.Leader.Name
 		}
 	})
@@ -51,19 +51,19 @@
 	return NotLeading{Leader: leader}
 }
 
-// mustLead returns nil if this replica may answer for the fleet, else [NotLeading].
+// mustLead returns nil if this replica may act as the allocator, and [NotLeading] otherwise.
 func (c *Control) mustLead() error { return c.asLeader(func(*dispatcher) {}) }
 
-// rpcError returns err as a connect error with its detail.
+// rpcError converts err to a connect error with the matching code and detail.
 func (c *Control) rpcError(changeID string, err error) error {
 	var (
-		invalid   config.Invalid
-		conflict  config.Conflict
-		reused    config.Reused
-		notLeader consensus.NotLeader
-		leading   NotLeading
-		handover  consensus.Handover
-		undecided replica.Undecided
+		invalid    config.Invalid
+		conflict   config.Conflict
+		reused     config.Reused
+		notLeader  consensus.NotLeader
+		notLeading NotLeading
+		handover   consensus.Handover
+		undecided  replica.Undecided
 	)
 	switch {
 	case errors.As(err, &invalid):
@@ -74,8 +74,8 @@
 		return connect.NewError(connect.CodeAlreadyExists, err)
 	case errors.As(err, &undecided):
 		return withDetail(connect.CodeDeadlineExceeded, err, &operatorv1.Undecided{ChangeId: changeID})
-	case errors.As(err, &leading):
-		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(leading.Leader))
+	case errors.As(err, &notLeading):
+		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(notLeading.Leader))
 	case errors.As(err, &notLeader):
 		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(notLeader.Leader.Name))
 	case errors.As(err, &handover):
@@ -84,7 +84,7 @@
 	return connect.NewError(connect.CodeInternal, err)
 }
 
-// leaderDetail names a leader, and where boxes and operators reach it.
+// leaderDetail returns a leader's name and the addresses at which boxes and operators reach it.
 func (c *Control) leaderDetail(leader string) proto.Message {
 	return &operatorv1.NotLeader{Leader: leader, LeaderAddress: c.cfg.Replicas[leader], OperatorsAddress: c.state.OperatorsAt(leader)}
 }
--- a/control/session.go
+++ b/control/session.go
@@ -10,13 +10,14 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines a router's session on the control side: its opening, the
-// messages that it carries, and its end.
+// This file defines the control side of a router's session: how it is opened, which
+// messages it carries, and how it ends.
 
-// routerQueue is the number of messages that may wait for one router's link; one more closes the link.
-const routerQueue = 1024
+// routerQueueDepth is the number of messages that may be queued for one router. If the queue
+// overflows, the link is closed.
+const routerQueueDepth = 1024
 
-// serveRouter runs one session until its link ends.
+// serveRouter serves the session of one router until its link ends.
 func (c *Control) serveRouter(ctx context.Context, l *link.Link, h protocol.Hello) {
 	if h.Router != l.Peer() || h.Boot == 0 {
 		return
@@ -24,37 +25,37 @@
 	holder := claim.Holder{Router: h.Router, Boot: h.Boot}
 	r, admitted := c.admit(h, holder)
 	if !admitted {
-		_ = l.Send(ctx, r) // the link closes now in any case, and the router dials another replica
+		_ = l.Send(ctx, r) // the link is closed in any case, and the router dials another replica
 		return
 	}
 	defer c.dispatcher.post(func() { c.dispatcher.endOpening(holder) })
-	// The log must list the router before it can hold a slot.
+	// The router must be listed in the log before it can hold a slot.
 	if _, err := propose(c.ctx, c.config, command{Open: &holder}); err != nil {
-		_ = l.Send(ctx, protocol.Redirect{}) // as above
+		_ = l.Send(ctx, protocol.Redirect{}) // the link is closed in any case, as above
 		return
 	}
-	s := &session{holder: holder, out: link.NewOutbox(l, routerQueue), sent: h.Revision}
+	s := &session{holder: holder, out: link.NewOutbox(l, routerQueueDepth), sentRevision: h.Revision}
 	defer s.out.Close()
 	opened := false
-	if !c.dispatcher.do(func() { opened = c.dispatcher.open(s, h) }) || !opened {
+	if !c.dispatcher.call(func() { opened = c.dispatcher.openSession(s, h) }) || !opened {
 		return
 	}
-	defer c.dispatcher.post(func() { c.dispatcher.unlink(s) })
+	defer c.dispatcher.post(func() { c.dispatcher.unlinkSession(s) })
 	c.receive(ctx, l, s)
 }
 
-// admit reports whether this replica can serve a router, and who leads if not. The
-// end of an admitted router is not recorded until endOpening is called.
+// admit reports whether this replica can serve a router. If not, it returns a redirect that
+// names the leader. The end of an admitted router is not recorded until endOpening is called.
 func (c *Control) admit(h protocol.Hello, holder claim.Holder) (r protocol.Redirect, admitted bool) {
 	d := c.dispatcher
-	d.do(func() {
+	d.call(func() {
 		r = protocol.Redirect{
 			Leader: d.group.Leader.Name, Follows: !d.group.Leader.IsZero(), Group: d.group.Group,
 			Revision: d.c.state.Config().Revision(), Pending: d.group.Last > d.group.Applied,
 		}
-		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.ending[holder]
+		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.recordingEnd[holder]
 		if admitted {
-			d.opening[holder]++
+			d.openingSessions[holder]++
 		}
 	})
 	return r, admitted
@@ -79,16 +80,18 @@
 	}
 }
 
-// What follows runs in the dispatcher's goroutine.
+// The functions below run in the dispatcher's goroutine.
 
-// endOpening lets the end of a router that was admitted be recorded again.
+// endOpening undoes the effect of admit, so that the end of the router can be recorded again.
 func (d *dispatcher) endOpening(h claim.Holder) {
-	if d.opening[h]--; d.opening[h] <= 0 {
-		delete(d.opening, h)
+	if d.openingSessions[h]--; d.openingSessions[h] <= 0 {
+		delete(d.openingSessions, h)
 	}
 }
 
-func (d *dispatcher) open(s *session, h protocol.Hello) bool {
+// openSession replaces any earlier session of the router and welcomes it. It reports false
+// if this replica may not act as the allocator.
+func (d *dispatcher) openSession(s *session, h protocol.Hello) bool {
 	if !d.acting() {
 		return false
 	}
@@ -98,21 +101,22 @@
 	now := d.now()
 	void := !d.alloc.TakingOver(now) && !d.alloc.HasSession(h.Router, h.Boot)
 	reports, known := d.alloc.OpenSession(now, h)
-	s.revision = h.Revision
+	s.confirmedRevision = h.Revision
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
 		Epoch: d.alloc.Epoch(), LeaseMillis: uint32(d.c.cfg.Lease.Length.Milliseconds()),
 		Leader: d.c.cfg.Identity.Name, Known: known, Reports: reports, Void: void,
 	})
-	d.pushTo(s, d.c.state.Config())
+	d.pushConfigTo(s, d.c.state.Config())
 	return true
 }
 
+// renew extends the lease of a router and records the revision that it confirmed.
 func (d *dispatcher) renew(s *session, m protocol.Renew) {
 	if d.sessions[s.holder.Router] != s || !d.acting() {
 		return
 	}
-	s.revision = m.Revision
+	s.confirmedRevision = m.Revision
 	d.alloc.Renew(d.now(), s.holder.Router)
 	s.out.Send(protocol.Renewed{Seq: m.Seq})
 }
@@ -124,7 +128,8 @@
 	d.alloc.Report(d.now(), s.holder.Router, m)
 }
 
-func (d *dispatcher) unlink(s *session) {
+// unlinkSession removes a session whose link has ended, unless a newer one replaced it.
+func (d *dispatcher) unlinkSession(s *session) {
 	if d.sessions[s.holder.Router] != s {
 		return
 	}
--- a/control/spread_bench_test.go
+++ b/control/spread_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// BenchmarkSpread gives what one accepted change costs to bring to n routers:
-// the bytes for each, and the leader's time to encode them all.
+// BenchmarkSpread measures the cost of sending one accepted change to n routers: the
+// bytes for each router and the leader's time to encode them all.
 func BenchmarkSpread(b *testing.B) {
 	m := newReplicated(func() {})
 	var ops []config.Op
@@ -33,7 +33,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		if got := m.Apply(data).(changed); got.err != nil {
+		if got := m.Apply(data).(changeResult); got.err != nil {
 			b.Fatal(got.err)
 		}
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -14,8 +14,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the operators' calls that read, and what they read from the
-// dispatcher.
+// This file defines the operators' calls that only read, and the functions that collect
+// their results in the dispatcher.
 
 func (o *operators) ListAccounts(_ context.Context, _ *connect.Request[operatorv1.ListAccountsRequest]) (*connect.Response[operatorv1.ListAccountsResponse], error) {
 	if err := o.c.mustLead(); err != nil {
@@ -24,7 +24,7 @@
 	cfg := o.c.state.Config()
 	out := &operatorv1.ListAccountsResponse{Revision: cfg.Revision()}
 	for _, a := range cfg.Accounts() {
-		out.Accounts = append(out.Accounts, accountTo(a))
+		out.Accounts = append(out.Accounts, accountToProto(a))
 	}
 	return connect.NewResponse(out), nil
 }
@@ -36,7 +36,7 @@
 	cfg := o.c.state.Config()
 	out := &operatorv1.ListServersResponse{Revision: cfg.Revision()}
 	for _, s := range cfg.Servers() {
-		out.Servers = append(out.Servers, serverTo(s))
+		out.Servers = append(out.Servers, serverToProto(s))
 	}
 	return connect.NewResponse(out), nil
 }
@@ -49,14 +49,14 @@
 	return connect.NewResponse(out), nil
 }
 
-// awaitInterval is between two checks of AwaitRevision. Its load is worked out in docs/CAPACITY.md,
-// "Operators' front".
+// awaitInterval is the interval between checks in AwaitRevision. Its load is calculated in
+// docs/CAPACITY.md, "Operators' front".
 const awaitInterval = 50 * time.Millisecond
 
 func (o *operators) AwaitRevision(ctx context.Context, req *connect.Request[operatorv1.AwaitRevisionRequest]) (*connect.Response[operatorv1.AwaitRevisionResponse], error) {
 	for {
 		var out *operatorv1.AwaitRevisionResponse
-		if err := o.c.asLeader(func(d *dispatcher) { out = d.spread(req.Msg.GetRevision()) }); err != nil {
+		if err := o.c.asLeader(func(d *dispatcher) { out = d.revisionSpread(req.Msg.GetRevision()) }); err != nil {
 			return nil, o.c.rpcError("", err)
 		}
 		if out.InForce || !sleep.For(ctx, awaitInterval) {
@@ -65,7 +65,7 @@
 	}
 }
 
-// status runs in the dispatcher's goroutine.
+// status collects the response of GetStatus. It runs in the dispatcher's goroutine.
 func (d *dispatcher) status() *operatorv1.GetStatusResponse {
 	now := d.now()
 	cfg := d.c.state.Config()
@@ -108,14 +108,14 @@
 			LeaseMillis: uint32(max(r.Renewed+lease-now, 0).Milliseconds()),
 		}
 		if s := d.sessions[r.Router]; s != nil {
-			rs.Revision = s.revision
+			rs.Revision = s.confirmedRevision
 		}
 		out = append(out, rs)
 	}
 	return out
 }
 
-// namesByID returns the names of servers and accounts by identifier.
+// namesByID returns the names of all servers and accounts by identifier.
 func namesByID(cfg config.Config) (servers, accounts map[string]string) {
 	servers, accounts = map[string]string{}, map[string]string{}
 	for _, s := range cfg.Servers() {
@@ -127,16 +127,16 @@
 	return servers, accounts
 }
 
-// spread returns how far a revision is in force. No router can be left on an older
-// one once every process that may hold a lease has confirmed it: a router is
-// not renewed before it was sent the newest configuration.
-func (d *dispatcher) spread(revision uint64) *operatorv1.AwaitRevisionResponse {
+// revisionSpread returns which routers have confirmed a revision and whether it is in force. A
+// router's lease is not renewed before the newest configuration was sent to it, so once every
+// process that may hold a lease has confirmed the revision, no router uses an older one.
+func (d *dispatcher) revisionSpread(revision uint64) *operatorv1.AwaitRevisionResponse {
 	out := &operatorv1.AwaitRevisionResponse{}
 	listed := map[string]bool{}
 	for _, r := range d.alloc.Routers() {
 		listed[r.Router] = true
 		s := d.sessions[r.Router]
-		if s != nil && s.revision >= revision {
+		if s != nil && s.confirmedRevision >= revision {
 			out.Confirmed = append(out.Confirmed, r.Router)
 		} else {
 			out.Outstanding = append(out.Outstanding, r.Router)
