--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -248,7 +248,7 @@
 				drawn := 0
 				for b.Loop() {
 					drawn++
-					req.random = float64(drawn%1000) / 1000 / lotParts
+					req.random = float64(drawn%1000) / 1000 / versionDrawScale
 					a, _ := t.acquire(t.now(), req)
 					a.entry.ownLoad = place.Work{}
 				}
@@ -278,7 +278,7 @@
 			g := &Gateway{suspicions: newSuspicions()}
 			l := quarantine.List{}.WithChanges(tt.list, nil)
 			g.suspicions.list.Store(&l)
-			g.suspicions.told.Store(true)
+			g.suspicions.followsLeader.Store(true)
 			r := httptest.NewRequest(http.MethodPost, "/again/", nil)
 			r.Host = "host"
 			c := &call{g: g, r: r, body: body, account: document.Account{Name: "t"}}
@@ -300,7 +300,7 @@
 	t.setSite("", topology.Topology{}, 0)
 	m := protocol.Servers{Term: 1, Whole: true}
 	for i := range 10_000 {
-		m.Set = append(m.Set, engineOf(i))
+		m.Set = append(m.Set, listedEngine(i))
 	}
 	t.update(m)
 	p := t.pool("engines")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -70,7 +70,7 @@
 // Gateway is a running gateway. It is the handler of callers' requests.
 type Gateway struct {
 	cfg                 Settings
-	began               time.Duration // by the clock
+	startedAt           time.Duration // by the clock
 	ctx                 context.Context
 	stop                context.CancelFunc
 	routes              atomic.Pointer[routes] // nil before the first document
@@ -92,13 +92,13 @@
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
 	// Callers' connections, see [overload.Pace].
-	paced         atomic.Bool
-	allowed       atomic.Int64 // to be taken until the next tick
-	taken         atomic.Int64 // since the last tick
-	acceptBacklog acceptBacklog
+	paced               atomic.Bool
+	connectionAllowance atomic.Int64 // to be taken until the next tick
+	connectionsTaken    atomic.Int64 // since the last tick
+	acceptBacklog       acceptBacklog
 
-	retriesMu sync.Mutex // a leaf; guards retries
-	retries   map[string]*retry.Window
+	retriesMu    sync.Mutex // a leaf; guards retries
+	retryWindows map[string]*retry.Window
 }
 
 // Start runs a gateway until Stop.
@@ -112,8 +112,8 @@
 		cfg.Clock = func() time.Duration { return time.Since(start) }
 	}
 	g := &Gateway{
-		cfg: cfg, began: cfg.Clock(), ctx: ctx, stop: stop,
-		tokenCounters: newTokenCounters(cfg.Metrics), stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retries: map[string]*retry.Window{},
+		cfg: cfg, startedAt: cfg.Clock(), ctx: ctx, stop: stop,
+		tokenCounters: newTokenCounters(cfg.Metrics), stats: newStats(cfg.Metrics), meter: link.NewMeter(cfg.Metrics), retryWindows: map[string]*retry.Window{},
 	}
 	g.table = newTable(cfg.Identity.Name, cfg.Hall, g.now)
 	g.table.setSite(cfg.Region, cfg.Topology, cfg.LinkRate)
@@ -123,7 +123,7 @@
 	g.gatewayCount.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
-	g.allowed.Store(int64(overload.Pace{}.Allowance()))
+	g.connectionAllowance.Store(int64(overload.Pace{}.Allowance()))
 	go (&watcher{g: g, startID: cfg.Random() | 1}).run()
 	go g.tick()
 	go g.logTokens()
@@ -134,7 +134,7 @@
 func (g *Gateway) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
 // now is the gateway's monotonic clock. It is never 0.
-func (g *Gateway) now() time.Duration { return g.cfg.Clock() - g.began + 1 }
+func (g *Gateway) now() time.Duration { return g.cfg.Clock() - g.startedAt + 1 }
 
 // monotonicTime is a time by the gateway's monotonic clock; 0 for the zero time.
 func (g *Gateway) monotonicTime(t time.Time) time.Duration {
@@ -153,10 +153,10 @@
 // TakeConnection reports whether one more connection of a caller may be taken now, and
 // counts it.
 func (g *Gateway) TakeConnection() bool {
-	if g.allowed.Add(-1) < 0 {
+	if g.connectionAllowance.Add(-1) < 0 {
 		return false
 	}
-	g.taken.Add(1)
+	g.connectionsTaken.Add(1)
 	if g.paced.Load() {
 		g.acceptBacklog.addAccepted()
 	}
@@ -204,12 +204,12 @@
 		old := g.overload.Load()
 		d := old.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
-		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.taken.Swap(0))), d.Delay)
+		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.connectionsTaken.Swap(0))), d.Delay)
 		if d.High != old.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
 				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 		}
-		g.judgeAlone()
+		g.condemnLocally()
 		g.grantAll()
 	}
 }
@@ -217,7 +217,7 @@
 // setPace brings a pace of callers' connections into force and returns it.
 func (g *Gateway) setPace(old, p overload.Pace, delay time.Duration) overload.Pace {
 	n, bounded := p.Allowance(), p.Bounded()
-	g.allowed.Store(int64(n))
+	g.connectionAllowance.Store(int64(n))
 	g.paced.Store(bounded)
 	if bounded != old.Bounded() {
 		g.acceptBacklog.reset()
@@ -231,22 +231,22 @@
 func (g *Gateway) allowRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.window(pool).Retry(g.now(), int(g.gatewayCount.Load()))
+	return g.retryWindow(pool).Retry(g.now(), int(g.gatewayCount.Load()))
 }
 
 // countRequest counts a request that earns its pool retries.
 func (g *Gateway) countRequest(pool string) {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	g.window(pool).Request(g.now())
+	g.retryWindow(pool).Request(g.now())
 }
 
-// window returns a pool's budget. The caller holds retriesMu.
-func (g *Gateway) window(pool string) *retry.Window {
-	w := g.retries[pool]
+// retryWindow returns a pool's budget. The caller holds retriesMu.
+func (g *Gateway) retryWindow(pool string) *retry.Window {
+	w := g.retryWindows[pool]
 	if w == nil {
 		w = retry.NewWindow(g.cfg.Retries)
-		g.retries[pool] = w
+		g.retryWindows[pool] = w
 	}
 	return w
 }
@@ -254,8 +254,8 @@
 // randomFraction returns a number from 0 to 1.
 func (g *Gateway) randomFraction() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
 
-// stopPoll is how often a stopping gateway looks whether it may end.
-const stopPoll = 20 * time.Millisecond
+// stopPollInterval is how often a stopping gateway looks whether it may end.
+const stopPollInterval = 20 * time.Millisecond
 
 // Stop ends the gateway: it is not ready at once, each connection closes after
 // its answer, and package drain decides which requests may still begin and when
@@ -263,7 +263,7 @@
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
-	for range sleep.Every(ctx, stopPoll) {
+	for range sleep.Every(ctx, stopPollInterval) {
 		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.inFlight.Load()) {
 		case drain.CutOff:
 			g.cfg.Log.StateChange("stop cuts off", slog.Int64("requests", g.inFlight.Load()))
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -18,15 +18,15 @@
 	regions []string // none of them if bound: it may be served nowhere
 }
 
-// may reports whether a server of a region may have the request. A region that no setting
+// allows reports whether a server of a region allows have the request. A region that no setting
 // names is in nobody's homes.
-func (h homes) may(region string) bool {
+func (h homes) allows(region string) bool {
 	return !h.bound || (region != "" && slices.Contains(h.regions, region))
 }
 
 // homesIndex is the homes that the document in force names.
 type homesIndex struct {
-	any      bool                // it names some
+	hasHomes bool                // it names some
 	routes   map[string][]string // by name; all routes of the document
 	accounts map[string][]string // the same
 }
@@ -36,19 +36,19 @@
 	x := homesIndex{routes: make(map[string][]string, len(d.Routes)), accounts: make(map[string][]string, len(d.Accounts))}
 	for _, r := range d.Routes {
 		x.routes[r.Name] = r.Homes
-		x.any = x.any || len(r.Homes) > 0
+		x.hasHomes = x.hasHomes || len(r.Homes) > 0
 	}
 	for _, a := range d.Accounts {
 		x.accounts[a.Name] = a.Homes
-		x.any = x.any || len(a.Homes) > 0
+		x.hasHomes = x.hasHomes || len(a.Homes) > 0
 	}
 	return x
 }
 
-// of returns the homes of a request. A route or an account that the document in force has no
+// forRequest returns the homes forRequest a request. A route or an account that the document in force has no
 // more keeps the homes with which the request was taken.
-func (x *homesIndex) of(req *requirements) homes {
-	if !x.any && len(req.route.Homes) == 0 && len(req.accountHomes) == 0 {
+func (x *homesIndex) forRequest(req *requirements) homes {
+	if !x.hasHomes && len(req.route.Homes) == 0 && len(req.accountHomes) == 0 {
 		return homes{}
 	}
 	route, known := x.routes[req.route.Name]
@@ -73,18 +73,20 @@
 
 // mayBeServedAt reports whether a request may go to a server by the server's region. The
 // caller holds mu.
-func (t *table) mayBeServedAt(req *requirements, k *knownServer) bool { return req.homes.may(k.region) }
+func (t *table) mayBeServedAt(req *requirements, k *knownServer) bool {
+	return req.homes.allows(k.region)
+}
 
 // homesRefusal returns why a request's homes let nothing serve it, whatever it waits for, or
 // "". The caller holds mu.
 func (t *table) homesRefusal(p *pool, req *requirements) Cause {
-	h := t.homes.of(req)
+	h := t.homes.forRequest(req)
 	switch {
 	case !h.bound:
 		return ""
 	case len(h.regions) == 0:
 		return NoCommonHome
-	case slices.ContainsFunc(p.servers, func(k *knownServer) bool { return h.may(k.region) }):
+	case slices.ContainsFunc(p.servers, func(k *knownServer) bool { return h.allows(k.region) }):
 		return ""
 	}
 	return HomesWithoutServer
@@ -94,13 +96,13 @@
 func (t *table) countReachable(req *requirements) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	p, h := t.pool(req.pool.Name), t.homes.of(req)
+	p, h := t.pool(req.pool.Name), t.homes.forRequest(req)
 	if !h.bound {
 		return len(p.servers)
 	}
 	n := 0
 	for _, k := range p.servers {
-		if h.may(k.region) {
+		if h.allows(k.region) {
 			n++
 		}
 	}
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -56,7 +56,7 @@
 				}
 				if tt.served == "" {
 					is.Equal(x.servers.count(), 0)
-					is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_refused_total{cause="`+tt.error+`"} 10`))
+					is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_refused_total{cause="`+tt.error+`"} 10`))
 					return
 				}
 				is.Equal(x.arrivalsIn(tt.served+"1"), 10)
@@ -75,7 +75,7 @@
 			x.g.apply(homesDocument(4, []string{home}, nil))
 			x.announce("plain", 2, answers(200, "ok", time.Millisecond), "n1", "s1", "nowhere")
 			hall := home[:1] + "1"
-			x.full(true, hall)
+			x.setFull(true, hall)
 			r := x.request("/again/x", "Patience", "1000")
 			is.Equal(r.status, 503)
 			is.Equal(r.body, "{\"error\":\"overloaded\"}\n")
@@ -127,14 +127,14 @@
 		group.Go(func() { running = x.request("/again/x") })
 		time.Sleep(10 * time.Millisecond)
 		is.Equal(x.arrivalsIn("n1"), 1)
-		x.full(true, "n1", "s1")
+		x.setFull(true, "n1", "s1")
 		group.Go(func() { waiting = x.request("/again/x", "Patience", "1000") })
 		time.Sleep(10 * time.Millisecond)
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
-		x.full(false, "n1") // idle, and no home any more
+		x.setFull(false, "n1") // idle, and no home any more
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(x.servers.count(), 1)
-		x.full(false, "s1")
+		x.setFull(false, "s1")
 		group.Wait()
 		is.Equal([]int{running.status, waiting.status}, []int{200, 200})
 		is.Equal(x.arrivalsIn("s1"), 1)
@@ -189,15 +189,15 @@
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.link = place.LinkBudget{}
-			t.link.Spend(x.g.now(), t.site.share(1), seconds*place.DefaultLinkRate*0.35)
+			t.link.Spend(x.g.now(), t.site.linkShare(1), seconds*place.DefaultLinkRate*0.35)
 		}
 		spend(0.9) // nothing is left for requests that need not leave
-		is.True(!t.link.Admits(x.g.now(), t.site.share(1), place.Transfer{Bytes: 1000}))
+		is.True(!t.link.Admits(x.g.now(), t.site.linkShare(1), place.Transfer{Bytes: 1000}))
 		is.Equal(x.request("/again/x").status, 200)
 		spend(10)
 		r := x.request("/again/x", "Patience", "1000")
 		is.Equal(r.body, "{\"error\":\"overloaded\"}\n")
-		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="link"} 1`))
+		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_stayed_total{why="link"} 1`))
 		spend(1.2)
 		r = x.request("/again/x", "Patience", "1000")
 		is.Equal(r.status, 200)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -18,29 +18,29 @@
 // end: what the directory's leader lists, and what it has seen itself.
 
 const (
-	// mostUnreported is the number of losses that wait for a report, and of cleared keys: what more
+	// maxUnreported is the number of losses that wait for a report, and of cleared keys: what more
 	// there is in an end of many servers at once is not suspected, or is cleared by its next answer.
-	mostUnreported = 1024
-	// mostInReport is how many of them go with one report, about 100 bytes each. An engine's places.
-	mostInReport = 64
+	maxUnreported = 1024
+	// maxLossesPerReport is how many of them go with one report, about 100 bytes each. An engine's places.
+	maxLossesPerReport = 64
 )
 
 type suspicions struct {
 	list atomic.Pointer[quarantine.List]
-	// told is whether the list is that of a leader in touch. While it is not, the gateway judges
+	// followsLeader is whether the list is that of a leader in touch. While it is not, the gateway judges
 	// by what it has seen itself.
-	told atomic.Bool
+	followsLeader atomic.Bool
 
 	unreported chan struct{} // holds one while losses wait for a report
 
-	mu      sync.Mutex // a leaf
-	seen    *quarantine.Evidence
-	losses  []quarantine.TimedLoss // not reported yet
-	cleared []quarantine.Key       // the same
+	mu       sync.Mutex // a leaf
+	evidence *quarantine.Evidence
+	losses   []quarantine.TimedLoss // not reported yet
+	cleared  []quarantine.Key       // the same
 }
 
 func newSuspicions() *suspicions {
-	s := &suspicions{seen: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
+	s := &suspicions{evidence: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
 	s.list.Store(&quarantine.List{})
 	return s
 }
@@ -50,8 +50,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range lost {
-		s.seen.Add(now, h)
-		if len(s.losses) < mostUnreported {
+		s.evidence.Add(now, h)
+		if len(s.losses) < maxUnreported {
 			s.losses = append(s.losses, h)
 		}
 	}
@@ -65,23 +65,23 @@
 func (s *suspicions) clear(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen.Clear(k)
-	if s.told.Load() && len(s.cleared) < mostUnreported && !slices.Contains(s.cleared, k) {
+	s.evidence.Clear(k)
+	if s.followsLeader.Load() && len(s.cleared) < maxUnreported && !slices.Contains(s.cleared, k) {
 		s.cleared = append(s.cleared, k)
 	}
 }
 
-// none reports whether nothing is known against any request.
-func (s *suspicions) none() bool {
+// isEmpty reports whether nothing is known against any request.
+func (s *suspicions) isEmpty() bool {
 	if !s.list.Load().Empty() {
 		return false
 	}
-	if s.told.Load() {
+	if s.followsLeader.Load() {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Empty()
+	return s.evidence.Empty()
 }
 
 // find returns what is known against a request, or false if that is nothing. key is called only
@@ -92,24 +92,24 @@
 			return e, true
 		}
 	}
-	if s.told.Load() {
+	if s.followsLeader.Load() {
 		return quarantine.Entry{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Find(key())
+	return s.evidence.Find(key())
 }
 
-// take takes the leader's list. What is not listed any more was cleared elsewhere.
-func (s *suspicions) take(m protocol.Quarantine) {
+// applyList takes the leader's list. What is not listed any more was cleared elsewhere.
+func (s *suspicions) applyList(m protocol.Quarantine) {
 	l := s.list.Load().Apply(m)
 	s.list.Store(&l)
-	s.told.Store(true)
+	s.followsLeader.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range m.Gone {
 		if k, ok := quarantine.KeyFrom(b); ok {
-			s.seen.Clear(k)
+			s.evidence.Clear(k)
 		}
 	}
 }
@@ -118,14 +118,14 @@
 func (s *suspicions) beginSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losses, s.cleared = s.seen.Losses(), nil
+	s.losses, s.cleared = s.evidence.Losses(), nil
 }
 
-// report adds to a report what is to be told.
-func (s *suspicions) report(now time.Duration, u *protocol.Usage) {
+// addToReport adds to a addToReport what is to be told.
+func (s *suspicions) addToReport(now time.Duration, u *protocol.Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := min(len(s.losses), mostInReport)
+	n := min(len(s.losses), maxLossesPerReport)
 	for _, h := range s.losses[:n] {
 		u.Losses = append(u.Losses, protocol.Loss{
 			Key: h.Key[:], Hint: uint32(h.Hint), Account: h.Account, Pool: h.Pool, Server: h.Server, Address: h.Address,
@@ -140,31 +140,31 @@
 	s.cleared = nil
 }
 
-// judge condemns by what was seen here, while no leader does.
-func (s *suspicions) judge(now time.Duration, servers func(pool string) int) []quarantine.Verdict {
-	if s.told.Load() {
+// condemn condemns by what was seen here, while no leader does.
+func (s *suspicions) condemn(now time.Duration, servers func(pool string) int) []quarantine.Verdict {
+	if s.followsLeader.Load() {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Evaluate(now, servers)
+	return s.evidence.Evaluate(now, servers)
 }
 
-// judgeAlone condemns requests while the gateway is out of touch.
-func (g *Gateway) judgeAlone() {
-	for _, v := range g.suspicions.judge(g.now(), g.table.poolSize) {
+// condemnLocally condemns requests while the gateway is out of touch.
+func (g *Gateway) condemnLocally() {
+	for _, v := range g.suspicions.condemn(g.now(), g.table.poolSize) {
 		g.cfg.Log.StateChange("request condemned", slog.String("key", v.Key.String()), slog.String("tenant", v.Account),
 			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Probability))
 	}
 }
 
-// decisionPoll is how often an undecided request looks for what became of it.
-const decisionPoll = 20 * time.Millisecond
+// decisionPollInterval is how often an undecided request looks for what became of it.
+const decisionPollInterval = 20 * time.Millisecond
 
 // checkQuarantine looks up what is known against the request. What is condemned is refused. What is about
 // to be waits for it: to be sent now it might cost one more server.
 func (c *call) checkQuarantine() error {
-	if c.g.suspicions.none() {
+	if c.g.suspicions.isEmpty() {
 		return nil
 	}
 	hint := c.hint()
@@ -182,7 +182,7 @@
 // reports false if the caller has left.
 func (c *call) awaitDecision(hint quarantine.Hint) bool {
 	for until := c.g.now() + quarantine.DecisionWait; c.suspicion.Undecided() && c.g.now() < until; {
-		if !sleep.For(c.r.Context(), decisionPoll) {
+		if !sleep.For(c.r.Context(), decisionPollInterval) {
 			return false
 		}
 		c.suspicion, c.listed = c.g.suspicions.find(hint, c.key)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -18,26 +18,26 @@
 // This file tests what one gateway does with the directory's list of requests under which servers
 // end.
 
-// theBody is the key of what [fixture.ask] sends to a path.
-func theBody(path string) quarantine.Key {
+// requestKey is the key of what [fixture.ask] sends to a path.
+func requestKey(path string) quarantine.Key {
 	return quarantine.KeyOf("t", "POST", "host", path, []byte("a body"))
 }
 
-// list gives the gateway the whole list of a leader.
-func (x *fixture) list(ends int, condemned bool, paths ...string) {
+// listSuspects gives the gateway the whole listSuspects of a leader.
+func (x *fixture) listSuspects(ends int, condemned bool, paths ...string) {
 	m := protocol.Quarantine{Whole: true}
 	for _, path := range paths {
-		k := theBody(path)
+		k := requestKey(path)
 		m.Set = append(m.Set, protocol.Quarantined{
 			Key: k[:], Hint: uint32(quarantine.HintOf("t", "POST", "host", path, len("a body"))), Ends: uint8(ends), Condemned: condemned,
 		})
 	}
-	x.g.suspicions.take(m)
+	x.g.suspicions.applyList(m)
 }
 
-// reported returns what the next report has of it.
-func (x *fixture) reported() (u protocol.Usage) {
-	x.g.suspicions.report(x.g.now(), &u)
+// nextReport returns what the next report has of it.
+func (x *fixture) nextReport() (u protocol.Usage) {
+	x.g.suspicions.addToReport(x.g.now(), &u)
 	return u
 }
 
@@ -45,7 +45,7 @@
 func TestCondemnedIsRefused(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
-		x.list(3, true, "/again/deadly")
+		x.listSuspects(3, true, "/again/deadly")
 		r := x.request("/again/deadly")
 		is.Equal(r.status, 400)
 		is.Equal(r.header.Get("Retry-After"), "")
@@ -53,8 +53,8 @@
 		is.Equal(x.request("/again/deadly", "Key", "other").status, 200) // of another account
 		is.Equal(x.request("/again/other").status, 200)
 		is.Equal(x.requestWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // of the same length
-		k := theBody("/again/deadly")
-		x.g.suspicions.take(protocol.Quarantine{Gone: [][]byte{k[:]}})
+		k := requestKey("/again/deadly")
+		x.g.suspicions.applyList(protocol.Quarantine{Gone: [][]byte{k[:]}})
 		is.Equal(x.request("/again/deadly").status, 200)
 	}, answers(200, "done", time.Millisecond))
 }
@@ -71,16 +71,16 @@
 	} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			x.list(1, false, "/once/suspect")
+			x.listSuspects(1, false, "/once/suspect")
 			x.request("/once/suspect")
 			x.request("/once/suspect")
 			x.request("/once/other")
-			cleared := x.reported().Cleared
+			cleared := x.nextReport().Cleared
 			is.Equal(len(cleared), tt.cleared)
-			is.Equal(len(x.reported().Cleared), 0) // once
-			x.g.suspicions.told.Store(false)
+			is.Equal(len(x.nextReport().Cleared), 0) // once
+			x.g.suspicions.followsLeader.Store(false)
 			x.request("/once/suspect")
-			is.Equal(len(x.reported().Cleared), 0) // to nobody
+			is.Equal(len(x.nextReport().Cleared), 0) // to nobody
 		}, tt.does)
 	}
 }
@@ -91,7 +91,7 @@
 	for known, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			x.list(known, false, "/again/deadly")
+			x.listSuspects(known, false, "/again/deadly")
 			is.Equal(x.request("/again/deadly").status, 502)
 			is.Equal(x.servers.count(), sent)
 		}, broken, broken, broken)
@@ -104,9 +104,9 @@
 	for _, condemned := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			x.list(3, false, "/again/deadly")
+			x.listSuspects(3, false, "/again/deadly")
 			if condemned {
-				time.AfterFunc(100*time.Millisecond, func() { x.list(3, true, "/again/deadly") })
+				time.AfterFunc(100*time.Millisecond, func() { x.listSuspects(3, true, "/again/deadly") })
 			}
 			r := x.request("/again/deadly")
 			is.Equal(r.status == 400, condemned)
@@ -125,7 +125,7 @@
 		x.servers.stop("10.0.5.0:80")
 		x.servers.stop("10.0.5.1:80")
 		time.Sleep(time.Second)
-		is.Equal(len(x.reported().Losses), 0)
+		is.Equal(len(x.nextReport().Losses), 0)
 	}, broken, answers(200, "done", time.Millisecond))
 }
 
@@ -139,17 +139,17 @@
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
 			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
-				Key: theBody("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
+				Key: requestKey("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
 			}})
 			x.servers.stop(at)
 			time.Sleep(time.Second)
 		}
 		is.Equal(x.request("/again/deadly").status, 400)
-		is.Equal(len(x.reported().Losses), 3)
-		is.Equal(len(x.reported().Losses), 0)
+		is.Equal(len(x.nextReport().Losses), 3)
+		is.Equal(len(x.nextReport().Losses), 0)
 		x.g.suspicions.beginSession()
-		is.Equal(len(x.reported().Losses), 3)
-		x.list(0, false) // a leader that knows of nothing decides now
+		is.Equal(len(x.nextReport().Losses), 3)
+		x.listSuspects(0, false) // a leader that knows of nothing decides now
 		is.True(x.request("/again/deadly").status != 400)
 	}, broken, broken, broken)
 }
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -22,25 +22,25 @@
 
 // site is the gateway's region, and what its settings say of the others.
 type site struct {
-	region   string
-	topology topology.Topology
-	regions  int // in the fleet
-	linkRate float64
+	region      string
+	topology    topology.Topology
+	regionCount int // in the fleet
+	linkRate    float64
 }
 
-// hasFarSide reports whether some servers are far: there are several regions, and the gateway
+// hasRemoteRegions reports whether some servers are far: there are several regions, and the gateway
 // knows its own.
-func (s *site) hasFarSide() bool { return s.regions > 1 && s.region != "" }
+func (s *site) hasRemoteRegions() bool { return s.regionCount > 1 && s.region != "" }
 
 // setSite says where the gateway stands, before it knows any server.
 func (t *table) setSite(region string, fleet topology.Topology, linkRate float64) {
-	t.site = site{region: region, topology: fleet, regions: len(fleet.Regions()), linkRate: linkRate}
+	t.site = site{region: region, topology: fleet, regionCount: len(fleet.Regions()), linkRate: linkRate}
 }
 
-// share is what divides the link's capacity among the region's gateways: as many as if all
+// linkShare is what divides the link's capacity among the region's gateways: as many as if all
 // regions had equally many, and one more where they cannot, so that none uses more than its part.
-func (s *site) share(gateways int) place.LinkShare {
-	regions := max(s.regions, 1)
+func (s *site) linkShare(gateways int) place.LinkShare {
+	regions := max(s.regionCount, 1)
 	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
 }
 
@@ -61,7 +61,7 @@
 // addToRegion adds a server to the part of its region, where the gateway has a far side.
 func (t *table) addToRegion(p *pool, k *knownServer) {
 	k.region = t.site.topology.Region(k.Hall)
-	if !t.site.hasFarSide() {
+	if !t.site.hasRemoteRegions() {
 		return
 	}
 	if len(p.parts) == 0 {
@@ -84,9 +84,9 @@
 	}
 }
 
-// departure is why a choice leaves the gateway's region, or what kept it there.
-type departure struct {
-	why        place.LeaveReason // place.Stay: it does not
+// regionDecision is why a choice leaves the gateway's region, or what kept it there.
+type regionDecision struct {
+	reason     place.LeaveReason // place.Stay: it does not
 	stayReason stayReason
 }
 
@@ -104,48 +104,48 @@
 // choose returns the backend server that suits the request best, as an index of the pool's
 // servers. It looks at the gateway's own region first, and at others only with a reason. The
 // caller holds mu.
-func (t *table) choose(p *pool, now time.Duration, req *requirements) (place.Choice, departure) {
-	req.homes = t.homes.of(req)
-	if !t.site.hasFarSide() || len(p.parts) == 0 {
+func (t *table) choose(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
+	req.homes = t.homes.forRequest(req)
+	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
 		if c, ok := t.chooseSpread(p, now, req); ok {
-			return c, departure{}
+			return c, regionDecision{}
 		}
-		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
+		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
 	own := p.parts[0].servers
 	c, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
-	c = p.indexed(c, own)
+	c = p.withPoolIndex(c, own)
 	if why == place.Stay {
-		return c, departure{}
+		return c, regionDecision{}
 	}
-	far, kept := t.chooseFar(p, now, req, why, c.Index >= 0)
+	far, kept := t.chooseRemote(p, now, req, why, c.Index >= 0)
 	if kept == "" || c.Index < 0 || (why == place.NoServer && far.Index >= 0 && kept == stayedForRoom) {
-		return far, departure{why: why, stayReason: kept}
+		return far, regionDecision{reason: why, stayReason: kept}
 	}
-	return c, departure{stayReason: kept}
+	return c, regionDecision{stayReason: kept}
 }
 
-// chooseFar returns the server of the nearest other region that may have the request, or else
+// chooseRemote returns the server of the nearest other region that may have the request, or else
 // one that it would wait for, and what kept it from going. Ejected ones are looked at unless
 // its own region has some. The caller holds mu.
-func (t *table) chooseFar(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
+func (t *table) chooseRemote(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
 	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	must := why == place.NoServer
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: must}
-	admitted := t.link.Admits(now, t.site.share(req.gateways), passage)
+	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: must}
+	admitted := t.link.Admits(now, t.site.linkShare(req.gateways), passage)
 	switch {
 	case !must && !place.MayLeave(req.Class):
 		return best, stayedForClass
 	case !must && !admitted:
 		return best, stayedForLink
 	}
-	for _, x := range t.farParts(p) {
-		if !must && !t.pays(p, now, req, why, x.region) {
+	for _, x := range t.remoteRegions(p) {
+		if !must && !t.mayCrossNow(p, now, req, why, x.region) {
 			kept = stayedForTime
 			continue
 		}
 		c, farWhy := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
-		switch c = p.indexed(c, x.servers); {
+		switch c = p.withPoolIndex(c, x.servers); {
 		case farWhy == place.Stay && admitted:
 			return c, ""
 		case !must || c.Index < 0 || (farWhy == place.NoServer && ownEjected):
@@ -154,22 +154,22 @@
 		}
 	}
 	if !admitted && best.Index >= 0 {
-		return waitedFor(best), stayedForLink
+		return boundByLink(best), stayedForLink
 	}
 	return best, kept
 }
 
-// waitedFor is a choice that the link keeps from being taken now.
-func waitedFor(c place.Choice) place.Choice {
+// boundByLink is a choice that the link keeps from being taken now.
+func boundByLink(c place.Choice) place.Choice {
 	if c.Index >= 0 && c.Bound == place.Free {
 		c.Bound = place.RegionLink
 	}
 	return c
 }
 
-// farParts returns the pool's servers of other regions, the nearest first; those in no known
+// remoteRegions returns the pool's servers of other regions, the nearest first; those in no known
 // region come last.
-func (t *table) farParts(p *pool) []regionServers {
+func (t *table) remoteRegions(p *pool) []regionServers {
 	far := slices.Clone(p.parts[1:])
 	slices.SortStableFunc(far, func(a, b regionServers) int {
 		if (a.region == "") != (b.region == "") {
@@ -180,17 +180,17 @@
 	return far
 }
 
-// pays reports whether a request that has servers in its own region may go to another now: it has
+// mayCrossNow reports whether a request that has servers in its own region may go to another now: it has
 // waited as long as its reason asks, and the way and a server that runs nothing else leave it
 // within its objective.
-func (t *table) pays(p *pool, now time.Duration, req *requirements, why place.LeaveReason, region string) bool {
+func (t *table) mayCrossNow(p *pool, now time.Duration, req *requirements, why place.LeaveReason, region string) bool {
 	way := t.link.RoundTrip(region)
 	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedTimeToFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && why.Due(now-req.waitingSince, way)
 }
 
-// indexed turns a choice among some of the pool's servers into one among all.
-func (p *pool) indexed(c place.Choice, among []*knownServer) place.Choice {
+// withPoolIndex turns a choice among some of the pool's servers into one among all.
+func (p *pool) withPoolIndex(c place.Choice, among []*knownServer) place.Choice {
 	if c.Index >= 0 {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, among[c.Index].ID, compareID)
 	}
@@ -198,44 +198,44 @@
 }
 
 // chooseWithRoom is choose among servers that have room. The caller holds mu.
-func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, departure) {
-	req.homes = t.homes.of(req)
-	if !t.site.hasFarSide() || len(p.parts) == 0 {
-		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), departure{}
+func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
+	req.homes = t.homes.forRequest(req)
+	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
+		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
 	own := p.parts[0].servers
 	near, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	if why == place.NoServer {
-		if far := t.farWithRoom(p, now, req, near.Index >= 0); far.Index >= 0 {
-			return far, departure{why: why}
+		if far := t.chooseRemoteWithRoom(p, now, req, near.Index >= 0); far.Index >= 0 {
+			return far, regionDecision{reason: why}
 		}
 	}
 	c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, own, now, req))
 	if c.Index >= 0 || why == place.NoServer {
-		return p.indexed(c, own), departure{}
+		return p.withPoolIndex(c, own), regionDecision{}
 	}
-	far, kept := t.chooseFar(p, now, req, why, false)
+	far, kept := t.chooseRemote(p, now, req, why, false)
 	if kept != "" {
-		return place.Choice{Index: -1}, departure{stayReason: kept}
+		return place.Choice{Index: -1}, regionDecision{stayReason: kept}
 	}
-	return far, departure{why: why}
+	return far, regionDecision{reason: why}
 }
 
-// farWithRoom returns the server with room of the nearest other region, for a request that may be
+// chooseRemoteWithRoom returns the server with room of the nearest other region, for a request that may be
 // served nowhere else. Ejected ones are looked at unless its own region has some. The caller
 // holds mu.
-func (t *table) farWithRoom(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswer(), Class: req.Class, Required: true}
-	if !t.link.Admits(now, t.site.share(req.gateways), passage) {
+func (t *table) chooseRemoteWithRoom(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
+	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
+	if !t.link.Admits(now, t.site.linkShare(req.gateways), passage) {
 		return place.Choice{Index: -1}
 	}
-	for _, x := range t.farParts(p) {
+	for _, x := range t.remoteRegions(p) {
 		_, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
 		if why == place.NoServer && ownEjected {
 			continue
 		}
 		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, x.servers, now, req)); c.Index >= 0 {
-			return p.indexed(c, x.servers)
+			return p.withPoolIndex(c, x.servers)
 		}
 	}
 	return place.Choice{Index: -1}
@@ -243,27 +243,27 @@
 
 // Answers from other regions.
 const (
-	assumedAnswer = 4e3  // bytes that one brings, until some have come
-	answerWeight  = 0.05 // of one in the average of the bytes
+	assumedAnswerBytes = 4e3  // bytes that one brings, until some have come
+	answerBytesWeight  = 0.05 // of one in the average of the bytes
 )
 
-// expectedAnswer returns how many bytes an answer of the pool brings.
-func (p *pool) expectedAnswer() float64 {
+// expectedAnswerBytes returns how many bytes an answer of the pool brings.
+func (p *pool) expectedAnswerBytes() float64 {
 	if p.answerBytes == 0 {
-		return assumedAnswer
+		return assumedAnswerBytes
 	}
 	return p.answerBytes
 }
 
 // recordDestination notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
-func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, left departure) *assignment {
-	a.region, a.leaveReason, a.homes = a.entry.region, left.why, req.homes
-	if left.why == place.Stay {
+func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, left regionDecision) *assignment {
+	a.region, a.leaveReason, a.homes = a.entry.region, left.reason, req.homes
+	if left.reason == place.Stay {
 		return a
 	}
 	a.roundTrip = t.link.RoundTrip(a.region)
-	a.chargedBytes = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswer()
-	t.link.Spend(now, t.site.share(req.gateways), a.chargedBytes)
+	a.chargedBytes = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswerBytes()
+	t.link.Spend(now, t.site.linkShare(req.gateways), a.chargedBytes)
 	return a
 }
 
@@ -277,9 +277,9 @@
 	t.mu.Lock()
 	if a.receivedBytes > 0 {
 		p := t.pool(a.entry.Pool)
-		p.answerBytes = p.expectedAnswer() + answerWeight*(float64(a.receivedBytes)-p.expectedAnswer())
+		p.answerBytes = p.expectedAnswerBytes() + answerBytesWeight*(float64(a.receivedBytes)-p.expectedAnswerBytes())
 	}
-	t.link.Spend(g.now(), t.site.share(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
+	t.link.Spend(g.now(), t.site.linkShare(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -40,7 +40,7 @@
 			x.request("/once/x", "Patience", "1000")
 			is.True(x.arrivalsIn("s1") > 0)
 			admits := func(bytes float64) bool {
-				share := x.g.table.site.share(1)
+				share := x.g.table.site.linkShare(1)
 				return x.g.table.link.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Required: true})
 			}
 			is.True(admits(tt.left))
@@ -106,8 +106,8 @@
 			x := newHomesIndex(tt.document)
 			req := requirements{route: document.Route{Name: "r", Homes: south}, accountHomes: south}
 			req.Account = "a"
-			is.Equal(x.of(&req).may("north"), tt.want)
-			is.True(tt.want || x.of(&req).may("south"))
+			is.Equal(x.forRequest(&req).allows("north"), tt.want)
+			is.True(tt.want || x.forRequest(&req).allows("south"))
 		})
 	}
 }
@@ -119,7 +119,7 @@
 		x.joinNorthRegion()
 		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false)
 		x.announce("engines", 1, streams(piece{text: event(1)}), "n1")
-		x.full(true, "n1")
+		x.setFull(true, "n1")
 		is.Equal(x.request("/engine/x", "Tokens", "500", "Patience", "1000").status, 503)
 		is.True(x.g.accounts.takeReport().Missed > 0)
 		x.g.apply(homesDocument(4, nil, []string{"west"}))
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// known returns a server as the directory lists it.
-func known(pool, hall string, i int) protocol.Server {
+// listedServer returns a server as the directory lists it.
+func listedServer(pool, hall string, i int) protocol.Server {
 	id := fmt.Sprintf("%s-%s-%02d", hall, pool, i)
 	return protocol.Server{Registration: protocol.Registration{ID: id, Pool: pool, Address: id, Hall: hall, Slots: 4}}
 }
@@ -53,7 +53,7 @@
 	x.servers.mu.Lock()
 	for _, hall := range halls {
 		for i := range each {
-			s := known(pool, hall, i)
+			s := listedServer(pool, hall, i)
 			s.Handle = uint32(1000*len(x.servers.behaviours) + 1)
 			x.servers.behaviours[s.Address] = does
 			m.Set = append(m.Set, s)
@@ -68,14 +68,14 @@
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
-			m.Gone = append(m.Gone, known(pool, hall, i).ID)
+			m.Gone = append(m.Gone, listedServer(pool, hall, i).ID)
 		}
 	}
 	x.g.table.update(m)
 }
 
-// full lets all engines of halls be full by the work of other gateways.
-func (x *fixture) full(is bool, halls ...string) {
+// setFull lets all engines of halls be setFull by the work of other gateways.
+func (x *fixture) setFull(is bool, halls ...string) {
 	t := x.g.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,13 +147,13 @@
 				is.Equal(x.request(path).status, 200)
 			}
 			is.Equal(x.arrivalsIn("n2"), 20)
-			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 20`))
-			is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="south",to="north"} `+fmt.Sprint(20*len(event(1)))))
+			is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 20`))
+			is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_bytes_total{from="south",to="north"} `+fmt.Sprint(20*len(event(1)))))
 		})
 	}
 }
 
-func (x *fixture) metrics() string {
+func (x *fixture) metricsText() string {
 	var b strings.Builder
 	x.g.cfg.Metrics.WritePrometheus(&b)
 	return b.String()
@@ -208,23 +208,23 @@
 		}
 		is.Equal(ask().status, 200)
 		is.Equal(x.arrivalsIn("n1"), 1)
-		x.full(true, "n1")
+		x.setFull(true, "n1")
 		is.Equal(ask().status, 200)
 		is.Equal(x.arrivalsIn("s1"), 1)
-		is.True(strings.Contains(x.metrics(), `why="no-room"} 1`))
+		is.True(strings.Contains(x.metricsText(), `why="no-room"} 1`))
 
-		x.full(true, "n1", "s1")
+		x.setFull(true, "n1", "s1")
 		var later reply
 		var group sync.WaitGroup
 		group.Go(func() { later = ask() })
 		time.Sleep(50 * time.Millisecond)
-		x.full(true, "n1")
-		x.full(false, "s1")
+		x.setFull(true, "n1")
+		x.setFull(false, "s1")
 		group.Wait()
 		is.Equal(later.status, 200)
 		is.Equal(x.arrivalsIn("s1"), 2)
 
-		x.full(true, "n1")
+		x.setFull(true, "n1")
 		setLink := func(link place.LinkBudget) {
 			x.g.table.mu.Lock()
 			defer x.g.table.mu.Unlock()
@@ -234,12 +234,12 @@
 		slow.ObserveRoundTrip(x.g.now(), "south", 390*time.Millisecond) // of an objective of 400
 		setLink(slow)
 		is.Equal(ask().status, 503)
-		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="time"} 1`))
+		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_stayed_total{why="time"} 1`))
 		setLink(place.LinkBudget{})
-		x.full(true, "n1")
+		x.setFull(true, "n1")
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, nil, false)
 		ask()
-		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_stayed_total{why="class"} 1`))
+		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_stayed_total{why="class"} 1`))
 		is.Equal(x.arrivalsIn("s1"), 2)
 	})
 }
@@ -272,7 +272,7 @@
 			if home != "" {
 				time.Sleep(100 * time.Millisecond)
 				is.Equal(x.servers.count(), 1)
-				x.full(false, "n1", "s1")
+				x.setFull(false, "n1", "s1")
 			}
 			group.Wait()
 			is.Equal(r.status, 200)
@@ -282,7 +282,7 @@
 			}
 			is.Equal(x.arrivalsIn("s1"), 1)
 			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // with the tick after it
-			is.True(strings.Contains(x.metrics(), `why="waited"} 1`))
+			is.True(strings.Contains(x.metricsText(), `why="waited"} 1`))
 		})
 	}
 }
@@ -357,7 +357,7 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	halls := []string{"n1", "s1", "nowhere"}
 	for range 500 {
-		s := known("p", "", rng.IntN(20))
+		s := listedServer("p", "", rng.IntN(20))
 		s.Hall = halls[rng.IntN(3)]
 		m := protocol.Servers{Term: 1, Set: []protocol.Server{s}}
 		if rng.IntN(3) == 0 {
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -20,13 +20,13 @@
 // This file tests regions and homes while a pool has a rollout, while servers move to another
 // hall, and where attempts fail.
 
-// versionAt announces servers of pool "plain" in a hall that run a version, which they answer.
-func (x *fixture) versionAt(version string, each int, halls ...string) {
+// announceVersion announces servers of pool "plain" in a hall that run a version, which they answer.
+func (x *fixture) announceVersion(version string, each int, halls ...string) {
 	x.announce("plain", each, answers(200, version, time.Millisecond), halls...)
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
-			s := x.g.table.servers[known("plain", hall, i).ID].Server
+			s := x.g.table.servers[listedServer("plain", hall, i).ID].Server
 			s.Version = version
 			m.Set = append(m.Set, s)
 		}
@@ -40,8 +40,8 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.versionAt("old", 4, "n1", "s1", "nowhere")
-		x.versionAt("new", 4, "n2", "s2")
+		x.announceVersion("old", 4, "n1", "s1", "nowhere")
+		x.announceVersion("new", 4, "n2", "s2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 		trials := map[string]int{}
 		for _, k := range x.g.table.servers {
@@ -52,7 +52,7 @@
 		is.Equal(trials, map[string]int{"north": 1, "south": 1})
 		x.renewShares()
 		x.g.cfg.Random = func() uint64 { return 1 } // lots are always low
-		is.Equal(x.served("/once/x", 20), map[string]int{"new": 20})
+		is.Equal(x.countAnswers("/once/x", 20), map[string]int{"new": 20})
 		is.Equal(x.arrivalsIn("n2"), 20)
 	})
 }
@@ -64,14 +64,14 @@
 			is := is.New(x.t)
 			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
-			x.versionAt("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
-			x.versionAt("new", 2, home[:1]+"2")
+			x.announceVersion("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
+			x.announceVersion("new", 2, home[:1]+"2")
 			x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
 			for _, leased := range []bool{false, true} {
 				if leased {
 					x.renewShares()
 				}
-				is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
+				is.Equal(x.countAnswers("/once/x", 10), map[string]int{"new": 10})
 			}
 		})
 	}
@@ -83,16 +83,16 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
-		x.versionAt("old", 2, "n1")
-		x.versionAt("new", 2, "s1")
+		x.announceVersion("old", 2, "n1")
+		x.announceVersion("new", 2, "s1")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 1})
 		x.renewShares()
-		is.Equal(x.served("/once/x", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
 		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
 		x.renewShares()
-		is.Equal(x.served("/once/x", 10), map[string]int{"old": 10})
+		is.Equal(x.countAnswers("/once/x", 10), map[string]int{"old": 10})
 	})
 }
 
@@ -121,13 +121,13 @@
 		go func() { done <- x.request("/again/x") }()
 		time.Sleep(10 * time.Millisecond)
 		for i := range 200 { // also while the answer is counted and logged
-			s := known("plain", "s1", 0)
+			s := listedServer("plain", "s1", 0)
 			s.Hall = []string{"w1", "n1"}[i%2]
 			x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 			time.Sleep(time.Millisecond)
 		}
 		is.Equal((<-done).status, 200)
-		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 1`))
+		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_requests_total{from="north",to="south",why="no-server"} 1`))
 	})
 }
 
@@ -139,7 +139,7 @@
 		x.announce("plain", 1, fails(forward.NotRun{Err: io.EOF}), "s1")
 		is.Equal(x.request("/once/x", "Patience", "1000").status, 503)
 		is.True(x.arrivalsIn("s1") > 0)
-		is.True(strings.Contains(x.metrics(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
+		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_bytes_total{from="north",to="south"} 0`))
 	})
 }
 
@@ -149,8 +149,8 @@
 	for _, tt := range []struct{ gateways, regions, each int }{
 		{1, 2, 1}, {2, 2, 1}, {3, 2, 2}, {44, 2, 22}, {45, 2, 23}, {10, 3, 4}, {5, 0, 5},
 	} {
-		s := site{regions: tt.regions}
-		is.Equal(fmt.Sprint(tt.gateways, tt.regions, s.share(tt.gateways).Gateways), fmt.Sprint(tt.gateways, tt.regions, tt.each))
+		s := site{regionCount: tt.regions}
+		is.Equal(fmt.Sprint(tt.gateways, tt.regions, s.linkShare(tt.gateways).Gateways), fmt.Sprint(tt.gateways, tt.regions, tt.each))
 	}
 }
 
@@ -164,7 +164,7 @@
 		x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 		m := protocol.Servers{Term: 1}
 		for i := range 4 {
-			s := x.g.table.servers[known("engines", "s1", i).ID].Server
+			s := x.g.table.servers[listedServer("engines", "s1", i).ID].Server
 			s.Version = "new"
 			m.Set = append(m.Set, s)
 		}
@@ -202,15 +202,15 @@
 		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1", "w1")
 		t := x.g.table
 		t.mu.Lock()
-		k := t.servers[known("plain", "s1", 0).ID]
+		k := t.servers[listedServer("plain", "s1", 0).ID]
 		for range 8 {
 			t.pool("plain").failures.Record(t.now(), &k.health, outlier.Lost, false)
 		}
 		t.mu.Unlock()
-		x.full(true, "w1")
+		x.setFull(true, "w1")
 		is.Equal(x.request("/once/x", "Patience", "300").status, 503)
 		is.Equal(x.servers.count(), 0)
-		x.full(false, "w1")
+		x.setFull(false, "w1")
 		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.arrivalsIn("w1"), 1)
 		x.withdraw("plain", 1, "w1")
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -22,9 +22,9 @@
 
 // Bounds of memory for one answer, in bytes.
 const (
-	maxPlain = 256 << 10 // a plain answer that is kept until it is whole; larger ones pass as they come
-	maxEvent = 1 << 20   // one event of a stream
-	readSize = 8 << 10   // the buffer of a stream
+	maxHeldAnswer = 256 << 10 // a plain answer that is kept until it is whole; larger ones pass as they come
+	maxEvent      = 1 << 20   // one event of a stream
+	readSize      = 8 << 10   // the buffer of a stream
 )
 
 // relay is the answer of one request, over all its attempts.
@@ -35,10 +35,10 @@
 	lastEventID string // of the last event passed on
 	partial     []byte // an event that is not whole yet
 	// Of the stream so far, for the log.
-	writes      int // writes to the caller
-	lastWriteAt time.Duration
-	longestGap  time.Duration // between two of them
-	extended    time.Duration // when the write deadline was last moved
+	writes          int // writes to the caller
+	lastWriteAt     time.Duration
+	longestGap      time.Duration // between two of them
+	deadlineMovedAt time.Duration // when the write deadline was last moved
 }
 
 // heldAnswer is a whole plain answer.
@@ -51,14 +51,14 @@
 // relayPlain takes a relayPlain answer: a success goes to the caller once it is whole, a
 // failure is held in case another backend server does better.
 func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxPlain))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxHeldAnswer))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 	}
 	r.c.g.recordFirstPart(a, r.c.pool.Engine)
 	held := &heldAnswer{status: answer.Status, header: answer.Header, body: body}
-	if len(body) == maxPlain {
-		return r.large(answer, held)
+	if len(body) == maxHeldAnswer {
+		return r.relayLarge(answer, held)
 	}
 	if answer.Status >= http.StatusInternalServerError {
 		err := faultyAnswer("status " + strconv.Itoa(answer.Status))
@@ -68,8 +68,8 @@
 	return outcome{execution: retry.Answered}
 }
 
-// large passes on an answer that is too large to be kept.
-func (r *relay) large(answer *forward.Answer, head *heldAnswer) outcome {
+// relayLarge passes on an answer that is too relayLarge to be kept.
+func (r *relay) relayLarge(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	_, err := io.Copy(callerWriter{r.c.w}, io.MultiReader(bytes.NewReader(head.body), answer.Body))
 	switch {
@@ -142,7 +142,7 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			werr := r.pass(a, answer, buffer[:n], flusher)
+			werr := r.relayChunk(a, answer, buffer[:n], flusher)
 			switch {
 			case werr == errTooLarge:
 				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: werr}
@@ -151,7 +151,7 @@
 			}
 		}
 		if err == io.EOF {
-			return r.streamEnd(answer, flusher)
+			return r.finishStream(answer, flusher)
 		}
 		// A late gateway waits a little, so that several events come with one read.
 		if err == nil && !sleep.For(ctx, r.c.g.overload.Load().Coalesce(r.c.route.EventGap)) {
@@ -163,9 +163,9 @@
 	}
 }
 
-// pass takes what one read gave: the first of an attempt shows that the server has
+// relayChunk takes what one read gave: the first of an attempt shows that the server has
 // begun, the first of the call needs the answer's head.
-func (r *relay) pass(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
+func (r *relay) relayChunk(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
 	if !a.answering {
 		r.c.g.recordFirstPart(a, r.c.pool.Engine)
@@ -174,11 +174,11 @@
 		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
 		r.writeHead(answer.Status, answer.Header, -1)
 	}
-	return r.events(piece, flusher)
+	return r.relayEvents(piece, flusher)
 }
 
-// streamEnd ends a stream whose body is whole.
-func (r *relay) streamEnd(answer *forward.Answer, flusher *http.ResponseController) outcome {
+// finishStream ends a stream whose body is whole.
+func (r *relay) finishStream(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
 			return callerGone(err)
@@ -195,22 +195,22 @@
 	return outcome{execution: retry.Answered}
 }
 
-// eventEnd separates events.
-var eventEnd = []byte("\n\n")
+// eventSeparator separates events.
+var eventSeparator = []byte("\n\n")
 
-// events passes on the whole events of what has come, with one write. The error is
+// relayEvents passes on the whole relayEvents of what has come, with one write. The error is
 // errTooLarge or of the write.
-func (r *relay) events(piece []byte, flusher *http.ResponseController) error {
+func (r *relay) relayEvents(piece []byte, flusher *http.ResponseController) error {
 	r.partial = append(r.partial, piece...)
-	end := bytes.LastIndex(r.partial, eventEnd)
+	end := bytes.LastIndex(r.partial, eventSeparator)
 	if end < 0 {
 		if len(r.partial) > maxEvent {
 			return errTooLarge
 		}
 		return nil
 	}
-	whole := r.partial[:end+len(eventEnd)]
-	if id, ok := lastID(whole); ok {
+	whole := r.partial[:end+len(eventSeparator)]
+	if id, ok := parseLastEventID(whole); ok {
 		r.lastEventID = id
 	}
 	r.extendWriteDeadline(flusher)
@@ -220,7 +220,7 @@
 	if err := flusher.Flush(); err != nil {
 		return err
 	}
-	r.partial = append(r.partial[:0], r.partial[end+len(eventEnd):]...)
+	r.partial = append(r.partial[:0], r.partial[end+len(eventSeparator):]...)
 	now := r.c.g.now()
 	if r.writes > 0 {
 		r.longestGap = max(r.longestGap, now-r.lastWriteAt)
@@ -237,16 +237,16 @@
 // cost more than the event.
 func (r *relay) extendWriteDeadline(flusher *http.ResponseController) {
 	now := r.c.g.now()
-	if now < r.extended+writeTimeout/4 && r.extended > 0 {
+	if now < r.deadlineMovedAt+writeTimeout/4 && r.deadlineMovedAt > 0 {
 		return
 	}
-	r.extended = now
+	r.deadlineMovedAt = now
 	// A writer without deadlines is no error: the route's time still ends the stream.
 	_ = flusher.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
-// lastID returns the identifier of the last event that has one.
-func lastID(events []byte) (string, bool) {
+// parseLastEventID returns the identifier of the last event that has one.
+func parseLastEventID(events []byte) (string, bool) {
 	at := bytes.LastIndex(events, []byte("\nid:")) + 1 // 0, the first line, without one
 	line, found := bytes.CutPrefix(events[at:], []byte("id:"))
 	if !found {
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -51,7 +51,7 @@
 // TestFailedRelayNamesItsCause: a write that fails is the caller's, and no server is
 // ejected for it; an event that is too large is the server's.
 func TestFailedRelayNamesItsCause(t *testing.T) {
-	large := answers(200, strings.Repeat("x", 2*maxPlain), 0)
+	large := answers(200, strings.Repeat("x", 2*maxHeldAnswer), 0)
 	for _, tt := range []struct {
 		name, path, cause string
 		takes             int
@@ -73,11 +73,11 @@
 				}
 				failed := func(cause string) uint64 {
 					name := fmt.Sprintf("badgerspoke_gateway_attempts_failed_total{cause=%q}", cause)
-					return x.g.stats.set.GetOrCreateCounter(name).Get()
+					return x.g.stats.metricSet.GetOrCreateCounter(name).Get()
 				}
 				is.True(failed(tt.cause) > 0)
 				is.Equal(failed(""), uint64(0))
-				ejected := x.g.stats.set.GetOrCreateCounter(`badgerspoke_gateway_suspected_total{pool="plain"}`).Get() > 0
+				ejected := x.g.stats.metricSet.GetOrCreateCounter(`badgerspoke_gateway_suspected_total{pool="plain"}`).Get() > 0
 				is.Equal(ejected, tt.ejects)
 			}, tt.does)
 		})
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -18,18 +18,18 @@
 
 // routes is immutable, but for what it learns of callers.
 type routes struct {
-	document document.Document
-	callers  *callers
-	byHost   map[string][]document.Route // longest prefix first
-	accounts map[string]document.Account // by key
-	pools    map[string]document.Pool
+	document      document.Document
+	callers       *callerHistory
+	byHost        map[string][]document.Route // longest prefix first
+	accountsByKey map[string]document.Account // by key
+	pools         map[string]document.Pool
 }
 
 // newRoutes makes a document ready; before is the one in force, or nil.
 func newRoutes(d document.Document, before *routes) *routes {
 	rs := &routes{
-		document: d, callers: &callers{patience: map[string]*retry.Patience{}}, byHost: map[string][]document.Route{},
-		accounts: map[string]document.Account{}, pools: map[string]document.Pool{},
+		document: d, callers: &callerHistory{patience: map[string]*retry.Patience{}}, byHost: map[string][]document.Route{},
+		accountsByKey: map[string]document.Account{}, pools: map[string]document.Pool{},
 	}
 	for _, r := range d.Routes {
 		rs.callers.patience[r.Name] = &retry.Patience{}
@@ -44,7 +44,7 @@
 	}
 	for _, a := range d.Accounts {
 		for _, key := range a.Keys {
-			rs.accounts[key] = a
+			rs.accountsByKey[key] = a
 		}
 	}
 	for _, p := range d.Pools {
@@ -53,14 +53,14 @@
 	return rs
 }
 
-// callers is what is learned of the callers of each route of a document.
-type callers struct {
+// callerHistory is what is learned of the callerHistory of each route of a document.
+type callerHistory struct {
 	mu       sync.Mutex // a leaf
 	patience map[string]*retry.Patience
 }
 
 // copyTo gives another one what is known of a route's callers.
-func (c *callers) copyTo(next *callers, route string) {
+func (c *callerHistory) copyTo(next *callerHistory, route string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.patience[route]; p != nil {
@@ -99,7 +99,7 @@
 	if len(rs.document.Accounts) == 0 {
 		return document.Account{}, true
 	}
-	a, known := rs.accounts[key]
+	a, known := rs.accountsByKey[key]
 	if !known && r.Public {
 		return document.Account{}, true
 	}
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -24,7 +24,7 @@
 	x.setSite("", topology.Topology{}, 0)
 	list := protocol.Servers{Term: 1, Whole: true}
 	for i := range 400 {
-		list.Set = append(list.Set, engineOf(i))
+		list.Set = append(list.Set, listedEngine(i))
 	}
 	x.update(list)
 	req := requirements{pool: document.Pool{Name: "engines", Engine: true}, route: document.Route{Objective: 400 * time.Millisecond}}
@@ -54,7 +54,7 @@
 	is.True(a != nil)
 }
 
-func engineOf(i int) protocol.Server {
+func listedEngine(i int) protocol.Server {
 	return protocol.Server{Handle: uint32(i + 1), Registration: protocol.Registration{
 		ID: fmt.Sprintf("i-%05d", i), Pool: "engines", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250),
 		Hall: fmt.Sprint("hall-", i%5), Slots: 16,
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -20,9 +20,9 @@
 	expired atomic.Bool // the attempt was ended for its silence
 }
 
-// unset is the timer's wait until its own function can refer to it: any time longer
+// disarmed is the timer's wait until its own function can refer to it: any time longer
 // than a call to Reset takes.
-const unset = 24 * time.Hour
+const disarmed = 24 * time.Hour
 
 // watchStall cancels an attempt when its backend server stalls. A gateway that
 // is late itself may not have read what has come, so it waits on.
@@ -33,7 +33,7 @@
 		return s
 	}
 	s.gap = gap
-	s.timer = time.AfterFunc(unset, func() {
+	s.timer = time.AfterFunc(disarmed, func() {
 		if c.g.overload.Load().Late(c.g.now()) {
 			s.timer.Reset(retry.MinStall)
 			return
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -14,8 +14,8 @@
 // are names of the document only, never what callers send.
 
 type stats struct {
-	set     *metrics.Set
-	untaken *metrics.Counter // connections, estimated
+	metricSet          *metrics.Set
+	connectionsUntaken *metrics.Counter // connections, estimated
 
 	mu         sync.Mutex // a leaf; guards the caches
 	counters   map[counterKey]*metrics.Counter
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	c := s.counters[key]
 	if c == nil {
-		c = s.set.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_version_requests_total{pool=%q,version=%q}", pool, version))
+		c = s.metricSet.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_version_requests_total{pool=%q,version=%q}", pool, version))
 		s.counters[key] = c
 	}
 	s.mu.Unlock()
@@ -54,7 +54,7 @@
 
 func newStats(set *metrics.Set) *stats {
 	return &stats{
-		set: set, untaken: set.GetOrCreateCounter("badgerspoke_gateway_connections_untaken_total"),
+		metricSet: set, connectionsUntaken: set.GetOrCreateCounter("badgerspoke_gateway_connections_untaken_total"),
 		counters: map[counterKey]*metrics.Counter{}, histograms: map[histogramKey]*metrics.Histogram{},
 	}
 }
@@ -65,7 +65,7 @@
 	s.mu.Lock()
 	c := s.counters[key]
 	if c == nil {
-		c = s.set.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_%s_total{%s=%q}", name, label, value))
+		c = s.metricSet.GetOrCreateCounter(fmt.Sprintf("badgerspoke_gateway_%s_total{%s=%q}", name, label, value))
 		s.counters[key] = c
 	}
 	s.mu.Unlock()
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	h := s.histograms[key]
 	if h == nil {
-		h = s.set.GetOrCreateHistogram(fmt.Sprintf("badgerspoke_gateway_%s{tenant=%q,route=%q}", name, account, route))
+		h = s.metricSet.GetOrCreateHistogram(fmt.Sprintf("badgerspoke_gateway_%s{tenant=%q,route=%q}", name, account, route))
 		s.histograms[key] = h
 	}
 	s.mu.Unlock()
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -311,7 +311,7 @@
 		{"data: id: 3\n\n", "", false},
 		{"data: x\n\n", "", false},
 	} {
-		got, ok := lastID([]byte(tt.events))
+		got, ok := parseLastEventID([]byte(tt.events))
 		is.New(t).Equal(got, tt.want)
 		is.New(t).Equal(ok, tt.ok)
 	}
--- a/gateway/switch_test.go
+++ b/gateway/switch_test.go
@@ -22,11 +22,11 @@
 	p.applyRollout(10*time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 	r := p.rollout
 	is.True(!r.isRamping(10 * time.Second))
-	r.engine = true
-	p.applyRollout(10*time.Second+switchTime/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
-	is.True(r.isRamping(10*time.Second + switchTime/2))
-	is.Equal(r.moved(10*time.Second+switchTime/2), 0.5)
-	is.True(!r.isRamping(10*time.Second + switchTime))
+	r.isEngine = true
+	p.applyRollout(10*time.Second+switchDuration/2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true}) // the same switch
+	is.True(r.isRamping(10*time.Second + switchDuration/2))
+	is.Equal(r.rampedShare(10*time.Second+switchDuration/2), 0.5)
+	is.True(!r.isRamping(10*time.Second + switchDuration))
 }
 
 // TestFinalShareStays: once complete is about to be said, the target has all requests without a
@@ -36,13 +36,13 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10}) // no report was counted
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"old": 10}) // no report was counted
 		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1, Final: true})
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 		x.g.table.endShares()
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2"}) // of a leader that did not say complete
-		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"old": 10})
 	}, oldAndNew...)
 }
 
@@ -56,7 +56,7 @@
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
 		x.renewShares()
-		x.served("/once/1", 100)
+		x.countAnswers("/once/1", 100)
 		x.g.table.takeOutcomes(x.g.now())
 		x.sendRollout(1, 2, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true}) // the next leader's session
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -9,25 +9,25 @@
 // it goes elsewhere.
 
 const (
-	// unreachedFor is for how long a server that could not be reached counts as such. An ejected
+	// unreachedExpiry is for how long a server that could not be reached counts as such. An ejected
 	// one is tried again within that (outlier.longestWait).
-	unreachedFor = 12 * time.Second
-	// unreachedAnswers is how soon after that an answer of the server shows that it has not
+	unreachedExpiry = 12 * time.Second
+	// minRestartTime is how soon after that an answer of the server shows that it has not
 	// stopped, but refuses some. One that has stopped needs longer to start again.
-	unreachedAnswers = time.Second
-	// maxUnreached bounds the attempts at one server that wait to be counted; it is ejected after
+	minRestartTime = time.Second
+	// maxUnreachedAttempts bounds the attempts at one server that wait to be counted; it is ejected after
 	// a few.
-	maxUnreached = 16
+	maxUnreachedAttempts = 16
 )
 
 // unreached is, by the servers of a target that could not be reached, the attempts at them that
 // are not counted as failed. The zero value has none. It is guarded by table.mu.
-type unreached map[string]*gone
+type unreached map[string]*unreachedAttempts
 
-// gone is the attempts at one server that could not be reached.
-type gone struct {
-	at      time.Duration // of the newest
-	tallies []*tally      // that they are counted in, once they are
+// unreachedAttempts is the attempts at one server that could not be reached.
+type unreachedAttempts struct {
+	lastAttempt time.Duration // of the newest
+	tallies     []*tally      // that they are counted in, once they are
 }
 
 // add takes an attempt at a server that could not be reached. Once it is not the only one, all
@@ -35,16 +35,16 @@
 func (u unreached) add(now time.Duration, server string, c *tally) {
 	g := u[server]
 	if g == nil {
-		g = &gone{}
+		g = &unreachedAttempts{}
 		u[server] = g
 	}
-	g.at = now
-	if len(g.tallies) < maxUnreached {
+	g.lastAttempt = now
+	if len(g.tallies) < maxUnreachedAttempts {
 		g.tallies = append(g.tallies, c)
 	}
 	fresh := 0
 	for id, other := range u {
-		if now-other.at >= unreachedFor {
+		if now-other.lastAttempt >= unreachedExpiry {
 			delete(u, id)
 			continue
 		}
@@ -64,16 +64,16 @@
 	if g == nil {
 		return false
 	}
-	if now-g.at < unreachedAnswers {
+	if now-g.lastAttempt < minRestartTime {
 		g.count()
 	}
 	delete(u, server)
 	return true
 }
 
-// others returns the servers that could be reached, or all if there is none: a trial goes on with
+// reachable returns the servers that could be reached, or all if there is none: a trial goes on with
 // another server.
-func (u unreached) others(servers []*knownServer) []*knownServer {
+func (u unreached) reachable(servers []*knownServer) []*knownServer {
 	if len(u) == 0 {
 		return servers
 	}
@@ -90,7 +90,7 @@
 }
 
 // count counts the attempts as failed.
-func (g *gone) count() {
+func (g *unreachedAttempts) count() {
 	for _, c := range g.tallies {
 		c.failed++
 		c.changed = true
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -26,8 +26,8 @@
 	return failed
 }
 
-// askEach asks some times, with pauses in which no ejection ends.
-func (x *fixture) askEach(times int) {
+// askRepeatedly asks some times, with pauses in which no ejection ends.
+func (x *fixture) askRepeatedly(times int) {
 	for range times {
 		x.renewShares()
 		x.request("/again/1", "Patience", "800")
@@ -53,7 +53,7 @@
 			withGateway(t, func(x *fixture) {
 				x.setVersions([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
 				x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-				x.askEach(20)
+				x.askRepeatedly(20)
 				is.New(x.t).Equal(x.failedAtTarget() > 0, tt.counts)
 			}, append([]behaviour{old}, tt.target...)...)
 		})
@@ -67,23 +67,23 @@
 	c := &tally{}
 	u := unreached{}
 	u.add(time.Second, "a", c)
-	u.recordAnswer(time.Second+unreachedAnswers, "a")
+	u.recordAnswer(time.Second+minRestartTime, "a")
 	is.Equal(c.failed, uint64(0))
 	u.add(5*time.Second, "a", c)
 	u.add(5*time.Second, "a", c)
-	u.recordAnswer(5*time.Second+unreachedAnswers/2, "a")
+	u.recordAnswer(5*time.Second+minRestartTime/2, "a")
 	is.Equal(c.failed, uint64(2))
 	is.True(c.changed)
 	u.add(6*time.Second, "a", c)
-	u.add(6*time.Second+unreachedFor, "b", c) // long after
+	u.add(6*time.Second+unreachedExpiry, "b", c) // long after
 	is.Equal(c.failed, uint64(2))
-	u.add(7*time.Second+unreachedFor, "a", c)
+	u.add(7*time.Second+unreachedExpiry, "a", c)
 	is.Equal(c.failed, uint64(4))
 	u = unreached{}
-	for range 2 * maxUnreached {
+	for range 2 * maxUnreachedAttempts {
 		u.add(time.Second, "a", c)
 	}
 	is.Equal(c.failed, uint64(4))
 	u.add(time.Second, "b", c)
-	is.Equal(c.failed, uint64(4+maxUnreached+1))
+	is.Equal(c.failed, uint64(4+maxUnreachedAttempts+1))
 }
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -24,12 +24,12 @@
 // reports.
 const sharesLease = 2 * time.Second
 
-// switchTime is how long a gateway takes from the switch on to move all requests to engines of
+// switchDuration is how long a gateway takes from the switch on to move all requests to engines of
 // the target: the longest pause between two of the leader's sums. At once, what waits at all
 // gateways would go to idle engines in the time in which none knows what the others send: 68
 // requests in 200 ms to 24 slots, whose slow answers rolled a good version back
 // (TestGoodVersionUnderAFlood).
-const switchTime = 600 * time.Millisecond
+const switchDuration = 600 * time.Millisecond
 
 // versionSet is a set of kinds of server, by their version.
 type versionSet uint8
@@ -51,15 +51,15 @@
 // poolRollout is a pool's rollouts, as the directory's newest list has them.
 type poolRollout struct {
 	protocol.Rollout
-	routes     map[string]float64 // shares
-	switched   bool               // the target was given all requests last
-	fullFrom   time.Duration      // when it gets all of them here, if its servers are engines
-	engine     bool               // they are
-	barredHere bool               // an earlier leader barred the target, and the list does not
-	oldListed  bool               // a server of the old version is listed, in a hall in service
-	outcomes   outcomes
-	breaker    breaker
-	unreached  unreached
+	routeShares map[string]float64 // shares
+	switched    bool               // the target was given all requests last
+	rampEnd     time.Duration      // when it gets all of them here, if its servers are engines
+	isEngine    bool               // they are
+	barredHere  bool               // an earlier leader barred the target, and the list does not
+	oldListed   bool               // a server of the old version is listed, in a hall in service
+	outcomes    outcomes
+	breaker     breaker
+	unreached   unreached
 }
 
 // underWay reports whether there is a target that may have requests.
@@ -67,9 +67,9 @@
 	return r.Target != "" && !slices.Contains(r.Barred, r.Target)
 }
 
-// share returns the part of a route's requests that goes to the target.
-func (r *poolRollout) share(route string) float64 {
-	if share, ok := r.routes[route]; ok {
+// routeShare returns the part of a route's requests that goes to the target.
+func (r *poolRollout) routeShare(route string) float64 {
+	if share, ok := r.routeShares[route]; ok {
 		return share
 	}
 	return r.Share
@@ -117,12 +117,12 @@
 	same := next.Attempt == r.Attempt && next.Target == r.Target && next.Share == r.Share && next.Final == r.Final &&
 		slices.Equal(next.Barred, r.Barred) && slices.Equal(next.Replaced, r.Replaced)
 	if next.Share >= 1 && !r.switched {
-		r.fullFrom = now + switchTime
+		r.rampEnd = now + switchDuration
 	}
 	r.Rollout, r.switched = next, next.Share >= 1
-	r.routes = make(map[string]float64, len(next.Routes))
+	r.routeShares = make(map[string]float64, len(next.Routes))
 	for _, s := range next.Routes {
-		r.routes[s.Route] = float64(s.Share)
+		r.routeShares[s.Route] = float64(s.Share)
 	}
 	return !same
 }
@@ -161,7 +161,7 @@
 			r.oldListed = r.oldListed || t.inService(k) && !k.unlisted
 		}
 	}
-	for _, group := range t.trialGroups(r.unreached.others(target)) {
+	for _, group := range t.trialGroups(r.unreached.reachable(target)) {
 		for _, k := range trialServers(group, r.Share) {
 			k.versionSet |= trialVersion
 		}
@@ -171,7 +171,7 @@
 // trialGroups returns the target's servers by region, if there are several, so that each region
 // has some in the trial and no request leaves it for that.
 func (t *table) trialGroups(target []*knownServer) [][]*knownServer {
-	if t.site.regions < 2 {
+	if t.site.regionCount < 2 {
 		return [][]*knownServer{target}
 	}
 	groups := map[string][]*knownServer{}
@@ -203,81 +203,81 @@
 
 // Why a request went to a version.
 const (
-	byNone    = ""            // the pool has no rollout under way
-	byShare   = "share"       // by lot
-	byRest    = "rest"        // by lot to the old version
-	byRetry   = "retry"       // it failed once
-	byRoom    = "no room"     // the target's servers in the trial have none
-	byLease   = "no lease"    // the leader's shares are not in force
-	byOwn     = "bad answers" // counted at this gateway (mistrust)
-	byAll     = "switched"    // the target gets all requests
-	byNoUse   = "none usable" // of the target's servers
-	byOldGone = "old gone"    // no server of the old version is listed, or none in its homes
+	reasonNone       = ""            // the pool has no rollout under way
+	reasonShare      = "share"       // by lot
+	reasonRest       = "rest"        // by lot to the old version
+	reasonRetry      = "retry"       // it failed once
+	reasonNoRoom     = "no room"     // the target's servers in the trial have none
+	reasonNoLease    = "no lease"    // the leader's shares are not in force
+	reasonBadAnswers = "bad answers" // counted at this gateway (mistrust)
+	reasonSwitched   = "switched"    // the target gets all requests
+	reasonNoneUsable = "none usable" // of the target's servers
+	reasonOldGone    = "old gone"    // no server of the old version is listed, or none in its homes
 )
 
-// lotParts is 2 to the number of leading bits of random that lot leaves out: enough to choose among
+// versionDrawScale is 2 to the number of leading bits of random that lot leaves out: enough to choose among
 // any number of servers.
-const lotParts = float64(1 << 24)
+const versionDrawScale = float64(1 << 24)
 
 // versionOrder returns which versions a request may go to. The caller holds mu.
 func (t *table) versionOrder(p *pool, now time.Duration, req *requirements) versionOrder {
 	r := p.rollout
 	if r != nil {
-		r.engine = req.pool.Engine
+		r.isEngine = req.pool.Engine
 	}
 	switch {
 	case r == nil || !r.underWay():
-		return versionOrder{first: anyVersion, firstReason: byNone}
+		return versionOrder{first: anyVersion, firstReason: reasonNone}
 	case !t.oldReachable(p, req):
-		return versionOrder{first: anyVersion, firstReason: byOldGone}
+		return versionOrder{first: anyVersion, firstReason: reasonOldGone}
 	case r.Final:
-		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
 	case now >= t.sharesUntil:
-		o := versionOrder{first: oldVersion, firstReason: byLease}
+		o := versionOrder{first: oldVersion, firstReason: reasonNoLease}
 		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
-			o.second, o.secondReason = targetVersion, byRetry
+			o.second, o.secondReason = targetVersion, reasonRetry
 		}
 		return o
 	case r.breaker.isOpen(now):
-		return versionOrder{first: oldVersion, firstReason: byOwn}
-	case r.isRamping(now) && lot(req.random) >= r.moved(now):
-		return versionOrder{first: oldVersion, firstReason: byRest}
+		return versionOrder{first: oldVersion, firstReason: reasonBadAnswers}
+	case r.isRamping(now) && versionDraw(req.random) >= r.rampedShare(now):
+		return versionOrder{first: oldVersion, firstReason: reasonRest}
 	case r.switched:
-		return versionOrder{first: targetVersion, firstReason: byAll, second: oldVersion, onlyIfNone: true, secondReason: byNoUse}
+		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
 	case len(req.avoid) > 0:
-		return versionOrder{first: oldVersion, firstReason: byRetry}
-	case lot(req.random) < r.share(req.route.Name):
-		return versionOrder{first: trialVersion, firstReason: byShare, second: oldVersion, secondReason: byRoom}
+		return versionOrder{first: oldVersion, firstReason: reasonRetry}
+	case versionDraw(req.random) < r.routeShare(req.route.Name):
+		return versionOrder{first: trialVersion, firstReason: reasonShare, second: oldVersion, secondReason: reasonNoRoom}
 	}
-	return versionOrder{first: oldVersion, firstReason: byRest}
+	return versionOrder{first: oldVersion, firstReason: reasonRest}
 }
 
 // oldReachable reports whether a server of the old version is listed where the request may be
 // served. The caller holds mu.
 func (t *table) oldReachable(p *pool, req *requirements) bool {
-	h := t.homes.of(req)
+	h := t.homes.forRequest(req)
 	if !h.bound || !p.rollout.oldListed {
 		return p.rollout.oldListed
 	}
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versionSet&oldVersion != 0 && t.inService(k) && !k.unlisted && h.may(k.region)
+		return k.versionSet&oldVersion != 0 && t.inService(k) && !k.unlisted && h.allows(k.region)
 	})
 }
 
 // isRamping reports whether requests still move to the target after the switch.
 func (r *poolRollout) isRamping(now time.Duration) bool {
-	return r.switched && r.engine && now < r.fullFrom
+	return r.switched && r.isEngine && now < r.rampEnd
 }
 
-// moved returns the part of the requests that has moved to the target since the switch.
-func (r *poolRollout) moved(now time.Duration) float64 {
-	return 1 - float64(r.fullFrom-now)/float64(switchTime)
+// rampedShare returns the part of the requests that has rampedShare to the target since the switch.
+func (r *poolRollout) rampedShare(now time.Duration) float64 {
+	return 1 - float64(r.rampEnd-now)/float64(switchDuration)
 }
 
-// lot returns a number from 0 to 1 that does not depend on the first digits of random, which
+// versionDraw returns a number from 0 to 1 that does not depend on the first digits of random, which
 // choose among servers.
-func lot(random float64) float64 {
-	_, rest := math.Modf(random * lotParts)
+func versionDraw(random float64) float64 {
+	_, rest := math.Modf(random * versionDrawScale)
 	return rest
 }
 
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// served asks some times and returns how many answers came from each body.
-func (x *fixture) served(path string, times int) map[string]int {
+// countAnswers asks some times and returns how many answers came from each body.
+func (x *fixture) countAnswers(path string, times int) map[string]int {
 	got := map[string]int{}
 	for range times {
 		got[x.request(path, "Patience", "2000").body]++
@@ -74,22 +74,22 @@
 		x.draw()
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100}) // no report was counted
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100}) // no report was counted
 		x.renewShares()
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		time.Sleep(sharesLease)
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.updateLoads(x.g.now(), 1, nil) // what comes late, as to a gateway that was frozen
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.renewShares()
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 70, "new": 30})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		x.g.table.endShares() // the session ended
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.renewShares()
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // another began
-		is.Equal(x.served("/once/1", 100), map[string]int{"old": 100})
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
@@ -101,8 +101,8 @@
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
 		x.renewShares()
-		is.Equal(x.served("/once/1", 100)["new"], 10)
-		is.Equal(x.served("/again/1", 100)["new"], 50)
+		is.Equal(x.countAnswers("/once/1", 100)["new"], 10)
+		is.Equal(x.countAnswers("/again/1", 100)["new"], 50)
 	}, oldAndNew...)
 }
 
@@ -114,7 +114,7 @@
 		x.draw()
 		x.setVersions("v1", "v2")
 		x.renewShares()
-		asked := func() map[string]int { return x.served("/once/1", 10) }
+		asked := func() map[string]int { return x.countAnswers("/once/1", 10) }
 		all := map[string]int{"old": 10}
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(asked(), all)
@@ -141,11 +141,11 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Replaced: []string{"v1"}})
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 		x.sendRollout(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
-		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"old": 10})
 		x.setVersions("v1", "v3") // one that no rollout is about is used
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
@@ -157,7 +157,7 @@
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2"})
 		x.renewShares()
 		x.g.table.removeMisdirected("p0")
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
@@ -178,7 +178,7 @@
 		time.Sleep(sharesLease)
 		is.Equal(obeyed(), uint64(0))
 		x.renewShares()
-		x.served("/once/1", breakerThreshold)
+		x.countAnswers("/once/1", breakerThreshold)
 		is.Equal(obeyed(), uint64(0)) // bad answers in a row
 		time.Sleep(breakerOpenTime)
 		x.renewShares()
@@ -204,7 +204,7 @@
 		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
 		x.renewShares()
-		is.Equal(x.served("/again/1", 3), map[string]int{"old": 3})
+		is.Equal(x.countAnswers("/again/1", 3), map[string]int{"old": 3})
 		var sent, failed uint64
 		outcomes, obeyed := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(obeyed, uint64(1))
@@ -240,7 +240,7 @@
 		is.True(strings.Contains(text.String(), `"version":"v2","version_for":"share"`))
 		for _, version := range []string{"v2", "other"} {
 			name := fmt.Sprintf("badgerspoke_gateway_version_requests_total{pool=\"plain\",version=%q}", version)
-			is.Equal(x.g.stats.set.GetOrCreateCounter(name).Get(), uint64(1))
+			is.Equal(x.g.stats.metricSet.GetOrCreateCounter(name).Get(), uint64(1))
 		}
 	}, oldAndNew...)
 }
@@ -303,11 +303,11 @@
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 		s := x.g.table.servers["p1"].Server
 		s.Hall = "y"
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}, HallsOut: []string{"y"}, HallChanges: 1})
-		is.Equal(x.served("/once/1", 10), map[string]int{"old": 10})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"old": 10})
 	}, oldAndNew...)
 }
 
@@ -322,7 +322,7 @@
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
 		x.renewShares()
-		is.Equal(x.served("/once/1", 10), map[string]int{"new": 2, "old": 8})
+		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 2, "old": 8})
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(outcomes[1].Version, "v2")
 		is.Equal(outcomes[1].Answered, uint64(2))
@@ -339,7 +339,7 @@
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
-		x.served("/once/1", 2)
+		x.countAnswers("/once/1", 2)
 		first, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(len(first), 1)
 		is.Equal([]uint64{first[0].Sent, first[0].Answered, first[0].Failed}, []uint64{2, 2, 0})
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -28,16 +28,16 @@
 
 // watcher keeps the session. Only the goroutine of run uses its fields.
 type watcher struct {
-	g         *Gateway
-	startID   uint64   // random; a restarted gateway has another one
-	term      uint64   // the highest of a leader that has sent servers
-	leader    string   // the replica that the last redirect named; it is tried once
-	replicas  []string // addresses of the directory's voters, as last reported
-	tried     int      // candidates tried so far; it begins at a random one
-	named     bool     // a redirect gave the address that is tried
-	connected bool     // the last session was with a leader or a relay
-	avoid     []string // replicas that were lost, or named and not reached, since the last session
-	counted   uint64   // number of the last report that is in the sums that come next
+	g               *Gateway
+	startID         uint64   // random; a restarted gateway has another one
+	term            uint64   // the highest of a leader that has sent servers
+	leader          string   // the replica that the last redirect named; it is tried once
+	replicas        []string // addresses of the directory's voters, as last reported
+	candidatesTried int      // candidates tried so far; it begins at a random one
+	viaRedirect     bool     // a redirect gave the address that is tried
+	connected       bool     // the last session was with a leader or a relay
+	avoided         []string // replicas that were lost, or named and not reached, since the last session
+	countedReport   uint64   // number of the last report that is in the sums that come next
 }
 
 // run keeps a session with whoever leads, until the gateway stops.
@@ -55,7 +55,7 @@
 
 // next returns the address to try: the one that a redirect gave, else the candidates in turn.
 func (w *watcher) next() string {
-	w.named = w.leader != ""
+	w.viaRedirect = w.leader != ""
 	if leader := w.leader; leader != "" {
 		w.leader = ""
 		return leader
@@ -64,11 +64,11 @@
 	if len(all) == 0 {
 		return ""
 	}
-	if w.tried == 0 {
-		w.tried = int(w.startID % uint64(len(all)))
+	if w.candidatesTried == 0 {
+		w.candidatesTried = int(w.startID % uint64(len(all)))
 	}
-	w.tried++
-	return all[w.tried%len(all)]
+	w.candidatesTried++
+	return all[w.candidatesTried%len(all)]
 }
 
 // candidates are the addresses where a leader may be: the directory's replicas,
@@ -89,8 +89,8 @@
 	l, err := link.Dial(dialing, address, w.g.cfg.Identity, w.g.meter)
 	cancelDial()
 	if err != nil {
-		if w.named {
-			w.avoids(address)
+		if w.viaRedirect {
+			w.addAvoided(address)
 		}
 		return false
 	}
@@ -104,16 +104,16 @@
 	for {
 		m, err := l.ReceiveWithin(ctx, registry.SilenceLimit)
 		if err != nil {
-			w.avoids(address)
-			w.lost(address, err)
+			w.addAvoided(address)
+			w.endSession(address, err)
 			return served
 		}
 		if e, ok := m.(protocol.WatchRedirect); ok {
-			w.redirected(address, e)
+			w.handleRedirect(address, e)
 			return false
 		}
 		if !served {
-			served, w.avoid = true, nil
+			served, w.avoided = true, nil
 			w.connected = true
 			w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
 			go w.report(ctx, l)
@@ -126,17 +126,17 @@
 func (w *watcher) hello() protocol.Watch {
 	return protocol.Watch{
 		Gateway: w.g.cfg.Identity.Name, Boot: w.startID, Number: w.g.DocumentNumber(), Term: w.term, KnowsHalls: true,
-		KnowsVersions: true, Region: w.g.cfg.Region, Avoid: w.avoid,
-		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Named: w.named,
+		KnowsVersions: true, Region: w.g.cfg.Region, Avoid: w.avoided,
+		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Named: w.viaRedirect,
 	}
 }
 
-// redirected handles the message of a replica that does not serve this gateway or ends its
+// handleRedirect handles the message of a replica that does not serve this gateway or ends its
 // session. One that names itself is tried again at once only if it has just served: it is a
 // relay that has begun to pass on what another leader sends.
-func (w *watcher) redirected(address string, e protocol.WatchRedirect) {
+func (w *watcher) handleRedirect(address string, e protocol.WatchRedirect) {
 	served := w.connected
-	w.lost(address, errRedirected)
+	w.endSession(address, errRedirected)
 	if len(e.Members) > 0 {
 		w.replicas = e.Members
 	}
@@ -145,28 +145,28 @@
 	}
 }
 
-// avoidMost is the number of newest replicas to avoid that are named. The voters of the largest
+// maxAvoided is the number of newest replicas to avoid that are named. The voters of the largest
 // directory.
-const avoidMost = 9
+const maxAvoided = 9
 
-// avoids notes a replica that was lost or not reached, to name it to the next one.
-func (w *watcher) avoids(address string) {
-	w.avoid = slices.DeleteFunc(w.avoid, func(a string) bool { return a == address })
-	w.avoid = append(w.avoid, address)
-	w.avoid = w.avoid[max(len(w.avoid)-avoidMost, 0):]
+// addAvoided notes a replica that was lost or not reached, to name it to the next one.
+func (w *watcher) addAvoided(address string) {
+	w.avoided = slices.DeleteFunc(w.avoided, func(a string) bool { return a == address })
+	w.avoided = append(w.avoided, address)
+	w.avoided = w.avoided[max(len(w.avoided)-maxAvoided, 0):]
 }
 
 // errRedirected ends a session whose replica has named another one, or itself.
 var errRedirected = errors.New("the replica does not serve this gateway")
 
-// lost logs the end of a session, if there was one.
-func (w *watcher) lost(address string, err error) {
+// endSession logs the end of a session, if there was one.
+func (w *watcher) endSession(address string, err error) {
 	if !w.connected {
 		return
 	}
 	w.connected = false
 	w.g.table.endShares()
-	w.g.suspicions.told.Store(false)
+	w.g.suspicions.followsLeader.Store(false)
 	w.g.cfg.Log.StateChange("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
 		slog.Uint64("document", w.g.DocumentNumber()), slog.Int("backends", w.g.table.size()))
 }
@@ -182,7 +182,7 @@
 		}
 		w.g.apply(d)
 	case protocol.Servers:
-		w.takeServers(m.Received())
+		w.applyServers(m.Received())
 	case protocol.Rollouts:
 		for _, r := range w.g.table.updateRollouts(m) {
 			w.g.cfg.Log.StateChange("rollout share", slog.String("pool", r.Pool), slog.String("target", r.Target),
@@ -191,9 +191,9 @@
 		}
 		w.g.grantAll()
 	case protocol.Quarantine:
-		w.g.suspicions.take(m)
+		w.g.suspicions.applyList(m)
 	case protocol.Counted:
-		w.counted = m.Seq
+		w.countedReport = m.Seq
 	case protocol.Fleet:
 		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
@@ -201,13 +201,13 @@
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
 			w.g.accounts.setMaxRate(m.Most)
 		}
-		w.g.table.updateLoads(w.g.now(), w.counted, m.Loads)
+		w.g.table.updateLoads(w.g.now(), w.countedReport, m.Loads)
 		w.g.grantAll()
 	}
 }
 
-// takeServers takes backend servers that came or went, and data halls out of service.
-func (w *watcher) takeServers(m protocol.Servers) {
+// applyServers takes backend servers that came or went, and data halls out of service.
+func (w *watcher) applyServers(m protocol.Servers) {
 	if m.Term > w.term {
 		w.term = m.Term
 		w.g.suspicions.beginSession()
@@ -232,13 +232,13 @@
 		seq++
 		u := w.g.accounts.takeReport()
 		untaken := w.g.acceptBacklog.untaken(w.g.now())
-		w.g.stats.untaken.Add(untaken)
+		w.g.stats.connectionsUntaken.Add(untaken)
 		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
 		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
 		u.Barred = w.g.table.locallyBarred()
-		w.g.suspicions.report(w.g.now(), &u)
+		w.g.suspicions.addToReport(w.g.now(), &u)
 		if err := l.Send(ctx, u); err != nil {
 			return // receive fails as well, and logs it
 		}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -63,9 +63,9 @@
 	g := &Gateway{table: newTable("g", "z", monotonic()), suspicions: newSuspicions()}
 	g.cfg.Log = decision.New(&text, slog.LevelInfo, decision.DefaultBudget, metrics.NewSet())
 	w := &watcher{g: g, connected: true}
-	w.redirected("a:1", protocol.WatchRedirect{Leader: "b:1", Members: []string{"a:1", "b:1"}})
+	w.handleRedirect("a:1", protocol.WatchRedirect{Leader: "b:1", Members: []string{"a:1", "b:1"}})
 	is.Equal(w.leader, "b:1")
-	w.redirected("b:1", protocol.WatchRedirect{}) // was no session
+	w.handleRedirect("b:1", protocol.WatchRedirect{}) // was no session
 	g.cfg.Log.Close()
 	is.Equal(strings.Count(text.String(), `"directory lost"`), 1)
 }
