--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -23,54 +23,55 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines Gateway: its settings, its start, the watch over its processor, and
-// its stop.
+// This file defines Gateway: its settings, start and stop, and its reaction to processor
+// overload.
 
-// Transport sends calls to backend servers. [forward.Client] is one.
+// Transport sends calls to backend servers. [forward.Client] implements it.
 type Transport interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 	// DropIdle closes the idle connections to an address.
 	DropIdle(address string)
 	// DropAllIdle closes the idle connections to all addresses.
 	DropAllIdle()
-	// Refuses reports whether nothing listens at an address: its process has ended.
+	// Refuses reports whether an address refuses connections, which means that the server's
+	// process has ended.
 	Refuses(ctx context.Context, address string) bool
 }
 
 var _ Transport = (*forward.Client)(nil)
 
-// Settings of a gateway.
+// Settings holds the configuration and dependencies of a gateway.
 type Settings struct {
 	Identity link.Identity
 	Hall     string
-	Region   string            // of the hall; empty if the settings name none
-	Topology topology.Topology // of the fleet
-	// LinkRate is the capacity of the link between two regions one way, in bytes a second; 0 is
-	// [place.DefaultLinkRate].
+	Region   string            // region of the hall; empty if the settings name none
+	Topology topology.Topology // regions and halls of the fleet
+	// LinkRate is the one-way capacity of the link between two regions, in bytes per second;
+	// 0 means [place.DefaultLinkRate].
 	LinkRate  float64
 	Seeds     []string // fleet addresses of directory replicas
 	Headers   HeaderCodec
 	Transport Transport
 	Retries   retry.Limits
-	// Grace is how long a stopping process has.
+	// Grace is how long a stopping process may take to drain.
 	Grace time.Duration
-	// MaxTotalBodyBytes bounds the bytes of all requests' bodies together.
+	// MaxTotalBodyBytes bounds the memory used by all request bodies together.
 	MaxTotalBodyBytes int64
-	Random            func() uint64 // called by many goroutines at once
-	// ProcessorWait returns how long what was ready to run in this process has waited for the
-	// processor, since the last call; nil is unknown.
+	Random            func() uint64 // must be safe for concurrent use
+	// ProcessorWait returns how long runnable threads of this process have waited for a processor
+	// since the last call; nil if this is not measured.
 	ProcessorWait func() time.Duration
-	// Clock is a monotonic clock that goes on while the box is suspended; nil is Go's, which does
-	// not.
+	// Clock is a monotonic clock that keeps counting while the box is suspended; nil means Go's
+	// clock, which stops.
 	Clock   func() time.Duration
 	Log     *decision.Log
 	Metrics *metrics.Set
 }
 
-// Gateway is a running gateway. It is the handler of callers' requests.
+// Gateway is a running gateway and the HTTP handler of callers' requests.
 type Gateway struct {
 	cfg                 Settings
-	startedAt           time.Duration // by the clock
+	startedAt           time.Duration // by cfg.Clock
 	ctx                 context.Context
 	stop                context.CancelFunc
 	routes              atomic.Pointer[routes] // nil before the first document
@@ -83,25 +84,25 @@
 	suspicions          *suspicions
 	meter               *link.Meter
 	seq                 atomic.Uint64
-	gatewayCount        atomic.Int64 // gateways in the fleet, as last reported
+	gatewayCount        atomic.Int64 // gateways in the fleet, as last reported by the directory
 	inFlight            atomic.Int64 // requests being served
-	requestsSinceReport atomic.Int64 // requests since the last report
-	bodyBytes           atomic.Int64 // bytes of their bodies
-	stopped             atomic.Int64 // when the stop began, by now(); 0 before
+	requestsSinceReport atomic.Int64 // requests received since the last report
+	bodyBytes           atomic.Int64 // bytes of the bodies of requests in flight
+	stopped             atomic.Int64 // when the stop began, by now(); 0 while running
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
-	// Callers' connections, see [overload.Pace].
+	// Pacing of callers' connections, see [overload.Pace].
 	paced               atomic.Bool
-	connectionAllowance atomic.Int64 // to be taken until the next tick
-	connectionsTaken    atomic.Int64 // since the last tick
+	connectionAllowance atomic.Int64 // connections that may be accepted until the next tick
+	connectionsTaken    atomic.Int64 // connections accepted since the last tick
 	acceptBacklog       acceptBacklog
 
-	retriesMu    sync.Mutex // a leaf; guards retries
-	retryWindows map[string]*retry.Window
+	retriesMu    sync.Mutex               // leaf lock; guards retryWindows
+	retryWindows map[string]*retry.Window // by pool
 }
 
-// Start runs a gateway until Stop.
+// Start starts a gateway, which runs until Stop is called or ctx ends.
 func Start(ctx context.Context, cfg Settings) *Gateway {
 	ctx, stop := context.WithCancel(ctx)
 	if cfg.ProcessorWait == nil {
@@ -130,13 +131,13 @@
 	return g
 }
 
-// SetSeeds replaces the addresses where the directory may be found.
+// SetSeeds replaces the addresses at which the watcher looks for the directory.
 func (g *Gateway) SetSeeds(seeds []string) { g.seeds.Store(&seeds) }
 
-// now is the gateway's monotonic clock. It is never 0.
+// now returns the time by the gateway's monotonic clock. It is never 0, which stands for unset.
 func (g *Gateway) now() time.Duration { return g.cfg.Clock() - g.startedAt + 1 }
 
-// monotonicTime is a time by the gateway's monotonic clock; 0 for the zero time.
+// monotonicTime converts a time to the gateway's monotonic clock. It returns 0 for the zero time.
 func (g *Gateway) monotonicTime(t time.Time) time.Duration {
 	if t.IsZero() {
 		return 0
@@ -144,14 +145,14 @@
 	return max(g.now()-time.Since(t), 1)
 }
 
-// Ready reports whether new callers should come here.
+// Ready reports whether load balancers should send new callers to this gateway.
 func (g *Gateway) Ready() bool {
 	return g.stopped.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.Load().Unready(g.now()) &&
 		!g.paced.Load()
 }
 
-// TakeConnection reports whether one more connection of a caller may be taken now, and
-// counts it.
+// TakeConnection reports whether one more caller's connection may be accepted now, and counts
+// it if so.
 func (g *Gateway) TakeConnection() bool {
 	if g.connectionAllowance.Add(-1) < 0 {
 		return false
@@ -163,20 +164,22 @@
 	return true
 }
 
-// ObserveQueue takes how many connections of callers wait that were not taken, and how many can.
-func (g *Gateway) ObserveQueue(waiting, most int) { g.acceptBacklog.observe(g.now(), waiting, most) }
+// ObserveQueue records the length of the listener's accept queue and its capacity.
+func (g *Gateway) ObserveQueue(waiting, capacity int) {
+	g.acceptBacklog.observe(g.now(), waiting, capacity)
+}
 
-// ConnectionsPaced reports whether connections of callers are kept waiting.
+// ConnectionsPaced reports whether the accept rate of callers' connections is limited now.
 func (g *Gateway) ConnectionsPaced() bool { return g.paced.Load() }
 
-// Limits returns what callers may send and how long they may take, by the
-// document in force; before the first, nothing is limited.
+// Limits returns the size and time limits for callers' requests from the document in force;
+// before the first document, there are none.
 func (g *Gateway) Limits() document.Limits { return g.document().Limits }
 
-// DocumentNumber returns the document in force here, 0 before the first.
+// DocumentNumber returns the number of the document in force here, 0 before the first.
 func (g *Gateway) DocumentNumber() uint64 { return g.document().Number }
 
-// document returns the document in force, an empty one before the first.
+// document returns the document in force, or an empty one before the first.
 func (g *Gateway) document() document.Document {
 	if rs := g.routes.Load(); rs != nil {
 		return rs.document
@@ -184,28 +187,29 @@
 	return document.Document{}
 }
 
-// apply brings a document into force. It never goes back.
+// apply brings a document into force unless a newer one, or the same, already is.
 func (g *Gateway) apply(d document.Document) {
-	held := g.routes.Load()
-	if held != nil && held.document.Number >= d.Number {
+	current := g.routes.Load()
+	if current != nil && current.document.Number >= d.Number {
 		return
 	}
 	g.table.setHomes(d)
-	g.routes.Store(newRoutes(d, held))
+	g.routes.Store(newRoutes(d, current))
 	g.cfg.Log.StateChange("document in force", slog.Uint64("number", d.Number), slog.Int("routes", len(d.Routes)),
 		slog.Int("tenants", len(d.Accounts)))
 }
 
-// tick publishes how late its timer fires, and gives backend servers to requests
-// that wait for what others' load leaves free.
+// tick runs until the gateway stops. In each period it measures how late its timer fires, updates
+// the overload detector and the connection pace, and grants servers to queued requests whose
+// candidates have room again because other gateways' load has dropped.
 func (g *Gateway) tick() {
 	var pace overload.Pace
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
-		old := g.overload.Load()
-		d := old.Tick(g.now(), g.cfg.ProcessorWait())
+		previous := g.overload.Load()
+		d := previous.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
 		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.connectionsTaken.Swap(0))), d.Delay)
-		if d.High != old.High {
+		if d.High != previous.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
 				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 		}
@@ -214,7 +218,7 @@
 	}
 }
 
-// setPace brings a pace of callers' connections into force and returns it.
+// setPace applies a new pace of callers' connections and returns it.
 func (g *Gateway) setPace(old, p overload.Pace, delay time.Duration) overload.Pace {
 	n, bounded := p.Allowance(), p.Bounded()
 	g.connectionAllowance.Store(int64(n))
@@ -227,21 +231,21 @@
 	return p
 }
 
-// allowRetry takes one more attempt out of the fleet's budget, if it allows one.
+// allowRetry takes one attempt out of the pool's retry budget and reports whether one was left.
 func (g *Gateway) allowRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
 	return g.retryWindow(pool).Retry(g.now(), int(g.gatewayCount.Load()))
 }
 
-// countRequest counts a request that earns its pool retries.
+// countRequest counts a request towards the retry budget of its pool.
 func (g *Gateway) countRequest(pool string) {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
 	g.retryWindow(pool).Request(g.now())
 }
 
-// retryWindow returns a pool's budget. The caller holds retriesMu.
+// retryWindow returns the retry budget of a pool. The caller holds retriesMu.
 func (g *Gateway) retryWindow(pool string) *retry.Window {
 	w := g.retryWindows[pool]
 	if w == nil {
@@ -251,15 +255,15 @@
 	return w
 }
 
-// randomFraction returns a number from 0 to 1.
+// randomFraction returns a random number in [0, 1).
 func (g *Gateway) randomFraction() float64 { return float64(g.cfg.Random()>>11) / (1 << 53) }
 
-// stopPollInterval is how often a stopping gateway looks whether it may end.
+// stopPollInterval is how often a stopping gateway checks whether it may end.
 const stopPollInterval = 20 * time.Millisecond
 
-// Stop ends the gateway: it is not ready at once, each connection closes after
-// its answer, and package drain decides which requests may still begin and when
-// all ends.
+// Stop drains and ends the gateway. The gateway reports not ready at once and closes each
+// connection after its answer. Package drain decides which requests may still start and when the
+// remaining ones are cut off.
 func (g *Gateway) Stop(ctx context.Context) {
 	g.stopped.Store(int64(g.now()))
 	defer g.stop()
@@ -274,7 +278,7 @@
 	}
 }
 
-// stopping returns for how long the gateway has been stopping, or 0.
+// stopping returns how long the gateway has been stopping, or 0 if it is not.
 func (g *Gateway) stopping() time.Duration {
 	began := g.stopped.Load()
 	if began == 0 {
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -9,43 +9,43 @@
 	"github.com/badgerspoke/badgerspoke/coordination/place"
 )
 
-// This file defines HeaderCodec, which translates between the heads of requests and
-// answers and what the gateway needs of them.
+// This file defines HeaderCodec, which translates between the headers of a deployment and the
+// fields that the gateway needs.
 
-// RequestHead is what the head of a caller's request holds.
+// RequestHead holds the fields decoded from a caller's request.
 type RequestHead struct {
 	ID          string
-	Key         string        // of the account
-	Timeout     time.Duration // how long the caller waits; 0 is unknown
+	Key         string        // API key of the account
+	Timeout     time.Duration // how long the caller waits; 0 means unknown
 	Prompt      place.Prompt
-	LastEventID string // the last event that the caller has of a broken stream
+	LastEventID string // last event that the caller has received of a broken stream
 }
 
-// Forwarding is what the gateway adds to a request for a backend server.
+// Forwarding holds the fields that the gateway adds to a request for a backend server.
 type Forwarding struct {
-	Timeout     time.Duration // until the caller gives up
-	Server      string        // the identifier expected at the address
+	Timeout     time.Duration // time until the caller gives up
+	Server      string        // identifier of the backend server expected at the address
 	Account     string        // empty without accounts
-	LastEventID string        // the last event passed on, when a stream is taken up again
+	LastEventID string        // last event passed on, when a broken stream is resumed
 }
 
-// AnswerHead is what the head of an answer holds.
+// AnswerHead holds the fields decoded from a backend server's answer.
 type AnswerHead struct {
-	ID          string // of the request that it answers
-	Misdirected bool   // another backend server has the address
+	ID          string // identifier of the request that it answers
+	Misdirected bool   // another backend server now has the address
 	Signed      bool   // the answer carries the backend server's signature
-	// Backoff is for how long the backend server wants nothing more from this gateway, as it says when
-	// it turns a request away; 0: it does not say. It may be absurdly long.
+	// Backoff is how long the backend server asks this gateway to send nothing more, as stated in a
+	// refusal; 0 if it does not say. It comes from the server unchecked and may be very long.
 	Backoff time.Duration
-	Leaving bool // the backend server is about to stop, and wants no more requests
+	Leaving bool // the backend server is about to stop and accepts no more requests
 }
 
-// HeaderCodec translates heads. Its methods are safe for concurrent use.
+// HeaderCodec translates headers. Its methods must be safe for concurrent use.
 type HeaderCodec interface {
 	DecodeRequest(r *http.Request) RequestHead
-	// ForwardHeader returns the header for a backend server. It does not change from.
+	// ForwardHeader returns the header of the request to a backend server. It does not modify from.
 	ForwardHeader(from http.Header, f Forwarding) http.Header
 	DecodeAnswer(status int, h http.Header) AnswerHead
-	// AnswerHeader returns the header for the caller of an answer.
+	// AnswerHeader returns the header of the answer to the caller.
 	AnswerHeader(from http.Header) http.Header
 }
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -8,30 +8,30 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines in which regions a request may be served: the homes of its route and of
-// its account, by the newest document. What has begun at a server ends there; what waits and
-// each further attempt obeys the document that is in force by then.
+// This file defines in which regions a request may be served: the homes of its route and of its
+// account, from the newest document. An attempt that has started ends at its server. Queued requests
+// and later attempts obey the document that is in force at that time.
 
-// homes are the regions in which a request may be served. The zero value is any.
+// homes are the regions in which a request may be served. The zero value allows all.
 type homes struct {
-	bound   bool
-	regions []string // none of them if bound: it may be served nowhere
+	bound   bool     // the request is restricted to regions
+	regions []string // if bound and empty, the request may be served nowhere
 }
 
-// allows reports whether a server of a region allows have the request. A region that no setting
-// names is in nobody's homes.
+// allows reports whether a server in a region may take the request. An unknown region is not a home
+// of any request.
 func (h homes) allows(region string) bool {
 	return !h.bound || (region != "" && slices.Contains(h.regions, region))
 }
 
-// homesIndex is the homes that the document in force names.
+// homesIndex holds the homes of all routes and accounts in the document in force.
 type homesIndex struct {
-	hasHomes bool                // it names some
-	routes   map[string][]string // by name; all routes of the document
-	accounts map[string][]string // the same
+	hasHomes bool                // some route or account has homes
+	routes   map[string][]string // by route name, for all routes of the document
+	accounts map[string][]string // by account name, for all accounts of the document
 }
 
-// newHomesIndex returns the homes of a document.
+// newHomesIndex returns the index of a document.
 func newHomesIndex(d document.Document) homesIndex {
 	x := homesIndex{routes: make(map[string][]string, len(d.Routes)), accounts: make(map[string][]string, len(d.Accounts))}
 	for _, r := range d.Routes {
@@ -45,8 +45,8 @@
 	return x
 }
 
-// forRequest returns the homes forRequest a request. A route or an account that the document in force has no
-// more keeps the homes with which the request was taken.
+// forRequest returns the homes of a request. If its route or account is no longer in the document in
+// force, the homes with which the request was admitted apply.
 func (x *homesIndex) forRequest(req *requirements) homes {
 	if !x.hasHomes && len(req.route.Homes) == 0 && len(req.accountHomes) == 0 {
 		return homes{}
@@ -63,22 +63,22 @@
 	return homes{bound: bound, regions: regions}
 }
 
-// setHomes takes the homes of a document, before its routes are in force: a request that is
-// matched by it never meets older ones.
+// setHomes applies the homes of a document. It must be called before the document's routes are in
+// force, so that a request matched by the new routes never sees older homes.
 func (t *table) setHomes(d document.Document) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.homes = newHomesIndex(d)
 }
 
-// mayBeServedAt reports whether a request may go to a server by the server's region. The
-// caller holds mu.
+// mayBeServedAt reports whether the request's homes, as of the last choice, allow a server's region.
+// The caller holds mu.
 func (t *table) mayBeServedAt(req *requirements, k *knownServer) bool {
 	return req.homes.allows(k.region)
 }
 
-// homesRefusal returns why a request's homes let nothing serve it, whatever it waits for, or
-// "". The caller holds mu.
+// homesRefusal returns why no server can ever serve a request because of its homes, or "" if some
+// can. Such a request need not wait. The caller holds mu.
 func (t *table) homesRefusal(p *pool, req *requirements) Cause {
 	h := t.homes.forRequest(req)
 	switch {
@@ -92,7 +92,7 @@
 	return HomesWithoutServer
 }
 
-// countReachable returns how many servers of a pool the request's homes allow.
+// countReachable returns how many servers of the request's pool its homes allow.
 func (t *table) countReachable(req *requirements) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,29 +14,32 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines suspicions, what the gateway knows of requests under which backend servers
-// end: what the directory's leader lists, and what it has seen itself.
+// This file defines suspicions: the requests during which backend servers ended, as listed by the
+// directory's leader and as observed by this gateway.
 
 const (
-	// maxUnreported is the number of losses that wait for a report, and of cleared keys: what more
-	// there is in an end of many servers at once is not suspected, or is cleared by its next answer.
+	// maxUnreported bounds the losses that wait to be reported, and likewise the cleared keys. If
+	// many servers end at once, excess losses are not suspected, and excess keys are cleared by the
+	// next answer.
 	maxUnreported = 1024
-	// maxLossesPerReport is how many of them go with one report, about 100 bytes each. An engine's places.
+	// maxLossesPerReport bounds the losses in one report, at about 100 bytes each. It is the number
+	// of slots of a large engine.
 	maxLossesPerReport = 64
 )
 
+// suspicions holds the suspected and condemned requests that this gateway has learned of.
 type suspicions struct {
 	list atomic.Pointer[quarantine.List]
-	// followsLeader is whether the list is that of a leader in touch. While it is not, the gateway judges
-	// by what it has seen itself.
+	// followsLeader says whether list comes from a leader with which the gateway has a session.
+	// Otherwise the gateway decides by its own evidence.
 	followsLeader atomic.Bool
 
-	unreported chan struct{} // holds one while losses wait for a report
+	unreported chan struct{} // has a capacity of one; filled while losses wait to be reported
 
-	mu       sync.Mutex // a leaf
+	mu       sync.Mutex // leaf lock; guards the fields below
 	evidence *quarantine.Evidence
-	losses   []quarantine.TimedLoss // not reported yet
-	cleared  []quarantine.Key       // the same
+	losses   []quarantine.TimedLoss // not yet reported
+	cleared  []quarantine.Key       // not yet reported
 }
 
 func newSuspicions() *suspicions {
@@ -45,14 +48,14 @@
 	return s
 }
 
-// add takes requests that ran at a server that has ended.
+// add records requests that were running at a server that has ended.
 func (s *suspicions) add(now time.Duration, lost []quarantine.TimedLoss) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range lost {
-		s.evidence.Add(now, h)
+	for _, loss := range lost {
+		s.evidence.Add(now, loss)
 		if len(s.losses) < maxUnreported {
-			s.losses = append(s.losses, h)
+			s.losses = append(s.losses, loss)
 		}
 	}
 	select {
@@ -61,7 +64,7 @@
 	}
 }
 
-// clear takes a whole answer to a request that is listed or was lost here.
+// clear records a whole answer to a request that is listed or that this gateway has lost.
 func (s *suspicions) clear(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +74,7 @@
 	}
 }
 
-// isEmpty reports whether nothing is known against any request.
+// isEmpty reports whether no request is suspected or condemned.
 func (s *suspicions) isEmpty() bool {
 	if !s.list.Load().Empty() {
 		return false
@@ -84,8 +87,8 @@
 	return s.evidence.Empty()
 }
 
-// find returns what is known against a request, or false if that is nothing. key is called only
-// if something may be known.
+// find returns the entry of a request, if there is one. key is called only if the hint matches or
+// the gateway decides by its own evidence.
 func (s *suspicions) find(hint quarantine.Hint, key func() quarantine.Key) (quarantine.Entry, bool) {
 	if l := s.list.Load(); l.HasHint(hint) {
 		if e, listed := l.Find(key()); listed {
@@ -100,7 +103,8 @@
 	return s.evidence.Find(key())
 }
 
-// applyList takes the leader's list. What is not listed any more was cleared elsewhere.
+// applyList applies the leader's list. Requests that are no longer listed have been cleared by
+// another gateway's answer, so their local evidence is dropped.
 func (s *suspicions) applyList(m protocol.Quarantine) {
 	l := s.list.Load().Apply(m)
 	s.list.Store(&l)
@@ -114,23 +118,23 @@
 	}
 }
 
-// beginSession makes the next reports tell all that was seen here: another leader may not know.
+// beginSession queues all local evidence for the next reports, since a new leader may lack it.
 func (s *suspicions) beginSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.losses, s.cleared = s.evidence.Losses(), nil
 }
 
-// addToReport adds to a addToReport what is to be told.
+// addToReport adds the queued losses and cleared keys to a report.
 func (s *suspicions) addToReport(now time.Duration, u *protocol.Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := min(len(s.losses), maxLossesPerReport)
-	for _, h := range s.losses[:n] {
+	for _, loss := range s.losses[:n] {
 		u.Losses = append(u.Losses, protocol.Loss{
-			Key: h.Key[:], Hint: uint32(h.Hint), Account: h.Account, Pool: h.Pool, Server: h.Server, Address: h.Address,
-			Ran: uint32(h.RunTime.Milliseconds()), Age: uint32((now - h.At).Milliseconds()), Again: h.Retry,
-			Serving: h.PoolAnswering,
+			Key: loss.Key[:], Hint: uint32(loss.Hint), Account: loss.Account, Pool: loss.Pool, Server: loss.Server, Address: loss.Address,
+			Ran: uint32(loss.RunTime.Milliseconds()), Age: uint32((now - loss.At).Milliseconds()), Again: loss.Retry,
+			Serving: loss.PoolAnswering,
 		})
 	}
 	s.losses = s.losses[n:]
@@ -140,7 +144,8 @@
 	s.cleared = nil
 }
 
-// condemn condemns by what was seen here, while no leader does.
+// condemn condemns requests by local evidence while no leader decides, and returns the new
+// verdicts.
 func (s *suspicions) condemn(now time.Duration, servers func(pool string) int) []quarantine.Verdict {
 	if s.followsLeader.Load() {
 		return nil
@@ -150,7 +155,7 @@
 	return s.evidence.Evaluate(now, servers)
 }
 
-// condemnLocally condemns requests while the gateway is out of touch.
+// condemnLocally condemns requests by local evidence while the gateway has no session.
 func (g *Gateway) condemnLocally() {
 	for _, v := range g.suspicions.condemn(g.now(), g.table.poolSize) {
 		g.cfg.Log.StateChange("request condemned", slog.String("key", v.Key.String()), slog.String("tenant", v.Account),
@@ -158,11 +163,11 @@
 	}
 }
 
-// decisionPollInterval is how often an undecided request looks for what became of it.
+// decisionPollInterval is how often a request checks whether the decision about it has been made.
 const decisionPollInterval = 20 * time.Millisecond
 
-// checkQuarantine looks up what is known against the request. What is condemned is refused. What is about
-// to be waits for it: to be sent now it might cost one more server.
+// checkQuarantine refuses the request if it is condemned. A request that is about to be condemned
+// waits for the decision, because sending it now could end one more server.
 func (c *call) checkQuarantine() error {
 	if c.g.suspicions.isEmpty() {
 		return nil
@@ -178,8 +183,8 @@
 	return nil
 }
 
-// awaitDecision waits until the request is condemned, cleared, or has waited for long enough. It
-// reports false if the caller has left.
+// awaitDecision waits until the request is condemned or cleared, or the maximum wait is over. It
+// returns false if the caller has left.
 func (c *call) awaitDecision(hint quarantine.Hint) bool {
 	for until := c.g.now() + quarantine.DecisionWait; c.suspicion.Undecided() && c.g.now() < until; {
 		if !sleep.For(c.r.Context(), decisionPollInterval) {
@@ -190,12 +195,12 @@
 	return true
 }
 
-// hint is the request's hint, see package quarantine.
+// hint returns the request's hint, see package quarantine.
 func (c *call) hint() quarantine.Hint {
 	return quarantine.HintOf(c.account.Name, c.r.Method, c.r.Host, c.r.RequestURI, len(c.body))
 }
 
-// lost takes an attempt whose connection broke while the request ran.
+// lost records an attempt whose connection broke while the request was running.
 func (c *call) lost(a *assignment) {
 	now := c.g.now()
 	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
@@ -205,7 +210,7 @@
 	c.losses++
 }
 
-// clearSuspicion reports a whole answer, if anything is known against the request.
+// clearSuspicion reports a whole answer to a request that is listed or was lost before.
 func (c *call) clearSuspicion() {
 	if !c.listed && c.losses == 0 {
 		return
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -16,41 +16,42 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the choice of a backend server goes over regions: a pool's servers by
-// region, the requests that leave the gateway's own, and the bytes that they put on the link.
-// The rules are in coordination/place.
+// This file defines the choice of a backend server across regions: a pool's servers grouped by
+// region, the requests that leave the gateway's own region, and the bytes that they put on the link
+// between regions. The rules are in coordination/place.
 
-// site is the gateway's region, and what its settings say of the others.
+// site is the gateway's region and the topology of the fleet as seen from there.
 type site struct {
 	region      string
 	topology    topology.Topology
-	regionCount int // in the fleet
-	linkRate    float64
+	regionCount int     // regions in the fleet
+	linkRate    float64 // one-way capacity between two regions, in bytes per second; 0 is the default
 }
 
-// hasRemoteRegions reports whether some servers are far: there are several regions, and the gateway
-// knows its own.
+// hasRemoteRegions reports whether servers can be in another region than the gateway: the fleet has
+// several regions, and the gateway's own is configured.
 func (s *site) hasRemoteRegions() bool { return s.regionCount > 1 && s.region != "" }
 
-// setSite says where the gateway stands, before it knows any server.
+// setSite sets the gateway's region and the fleet's topology. It must be called before the first
+// server is added.
 func (t *table) setSite(region string, fleet topology.Topology, linkRate float64) {
 	t.site = site{region: region, topology: fleet, regionCount: len(fleet.Regions()), linkRate: linkRate}
 }
 
-// linkShare is what divides the link's capacity among the region's gateways: as many as if all
-// regions had equally many, and one more where they cannot, so that none uses more than its part.
+// linkShare returns this gateway's share of the link's capacity. The gateways per region are assumed
+// to be equal and rounded up, so that no gateway uses more than its share.
 func (s *site) linkShare(gateways int) place.LinkShare {
 	regions := max(s.regionCount, 1)
 	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
 }
 
-// regionServers is the servers of a pool in one region, ordered by identifier.
+// regionServers holds the servers of a pool in one region, ordered by identifier.
 type regionServers struct {
 	region  string
 	servers []*knownServer
 }
 
-// insertServer adds a server in the order of identifiers.
+// insertServer inserts a server into a list that is ordered by identifier.
 func insertServer(servers []*knownServer, k *knownServer) []*knownServer {
 	i, _ := slices.BinarySearchFunc(servers, k.ID, compareID)
 	return slices.Insert(servers, i, k)
@@ -58,7 +59,8 @@
 
 func compareID(k *knownServer, id string) int { return strings.Compare(k.ID, id) }
 
-// addToRegion adds a server to the part of its region, where the gateway has a far side.
+// addToRegion sets a server's region and, if there are remote regions, adds the server to the
+// pool's list for its region. The gateway's own region comes first in p.parts.
 func (t *table) addToRegion(p *pool, k *knownServer) {
 	k.region = t.site.topology.Region(k.Hall)
 	if !t.site.hasRemoteRegions() {
@@ -75,7 +77,7 @@
 	p.parts[i].servers = insertServer(p.parts[i].servers, k)
 }
 
-// removeFromRegion drops a server from the part of its region.
+// removeFromRegion removes a server from the pool's list for its region.
 func (p *pool) removeFromRegion(k *knownServer) {
 	for i, x := range p.parts {
 		if x.region == k.region {
@@ -84,26 +86,26 @@
 	}
 }
 
-// regionDecision is why a choice leaves the gateway's region, or what kept it there.
+// regionDecision records why a choice left the gateway's region, or what prevented that.
 type regionDecision struct {
-	reason     place.LeaveReason // place.Stay: it does not
+	reason     place.LeaveReason // place.Stay if it did not leave
 	stayReason stayReason
 }
 
-// stayReason is what kept a request in its region that had a reason to leave it.
+// stayReason says what kept a request in the gateway's region although it had a reason to leave.
 type stayReason string
 
-// What keeps a request in its region.
+// Values of stayReason. They are values of log attributes and of a metric's label.
 const (
-	stayedForClass stayReason = "class" // beyond its account's share
-	stayedForTime  stayReason = "time"  // the way takes longer than its objective leaves
-	stayedForLink  stayReason = "link"  // the budget lacks the bytes, or the link looks full
+	stayedForClass stayReason = "class" // the request is beyond its account's share
+	stayedForTime  stayReason = "time"  // the round trip would miss its objective, or it has not waited long enough
+	stayedForLink  stayReason = "link"  // the link budget lacks the bytes, or the link looks congested
 	stayedForRoom  stayReason = "room"  // no other region has room either
 )
 
-// choose returns the backend server that suits the request best, as an index of the pool's
-// servers. It looks at the gateway's own region first, and at others only with a reason. The
-// caller holds mu.
+// choose returns the best backend server for the request, as an index into the pool's servers. It
+// considers the gateway's own region first, and other regions only if package place gives a reason
+// to leave. The caller holds mu.
 func (t *table) choose(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
@@ -113,53 +115,54 @@
 		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
 	own := p.parts[0].servers
-	c, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
-	c = p.withPoolIndex(c, own)
-	if why == place.Stay {
-		return c, regionDecision{}
+	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
+	local = p.withPoolIndex(local, own)
+	if reason == place.Stay {
+		return local, regionDecision{}
 	}
-	far, kept := t.chooseRemote(p, now, req, why, c.Index >= 0)
-	if kept == "" || c.Index < 0 || (why == place.NoServer && far.Index >= 0 && kept == stayedForRoom) {
-		return far, regionDecision{reason: why, stayReason: kept}
+	remote, stay := t.chooseRemote(p, now, req, reason, local.Index >= 0)
+	if stay == "" || local.Index < 0 || (reason == place.NoServer && remote.Index >= 0 && stay == stayedForRoom) {
+		return remote, regionDecision{reason: reason, stayReason: stay}
 	}
-	return c, regionDecision{stayReason: kept}
+	return local, regionDecision{stayReason: stay}
 }
 
-// chooseRemote returns the server of the nearest other region that may have the request, or else
-// one that it would wait for, and what kept it from going. Ejected ones are looked at unless
-// its own region has some. The caller holds mu.
-func (t *table) chooseRemote(p *pool, now time.Duration, req *requirements, why place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
-	best, bestWhy, kept := place.Choice{Index: -1}, place.NoServer, stayedForRoom
-	must := why == place.NoServer
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: must}
-	admitted := t.link.Admits(now, t.site.linkShare(req.gateways), passage)
+// chooseRemote returns a server of the nearest other region that can take the request now. If there
+// is none, it returns the server to wait for and the reason why the request cannot go there.
+// Ejected servers of other regions are considered only if the own region has no ejected one
+// either. The caller holds mu.
+func (t *table) chooseRemote(p *pool, now time.Duration, req *requirements, reason place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
+	best, bestReason, stay := place.Choice{Index: -1}, place.NoServer, stayedForRoom
+	required := reason == place.NoServer
+	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: required}
+	admitted := t.link.Admits(now, t.site.linkShare(req.gateways), transfer)
 	switch {
-	case !must && !place.MayLeave(req.Class):
+	case !required && !place.MayLeave(req.Class):
 		return best, stayedForClass
-	case !must && !admitted:
+	case !required && !admitted:
 		return best, stayedForLink
 	}
-	for _, x := range t.remoteRegions(p) {
-		if !must && !t.mayCrossNow(p, now, req, why, x.region) {
-			kept = stayedForTime
+	for _, remote := range t.remoteRegions(p) {
+		if !required && !t.mayCrossNow(p, now, req, reason, remote.region) {
+			stay = stayedForTime
 			continue
 		}
-		c, farWhy := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
-		switch c = p.withPoolIndex(c, x.servers); {
-		case farWhy == place.Stay && admitted:
+		c, remoteReason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, remote.servers, now, req))
+		switch c = p.withPoolIndex(c, remote.servers); {
+		case remoteReason == place.Stay && admitted:
 			return c, ""
-		case !must || c.Index < 0 || (farWhy == place.NoServer && ownEjected):
-		case best.Index < 0 || (bestWhy == place.NoServer && farWhy != place.NoServer):
-			best, bestWhy = c, farWhy // it is waited for, or is ejected and better than none
+		case !required || c.Index < 0 || (remoteReason == place.NoServer && ownEjected):
+		case best.Index < 0 || (bestReason == place.NoServer && remoteReason != place.NoServer):
+			best, bestReason = c, remoteReason // the server to wait for, or an ejected one as the last resort
 		}
 	}
 	if !admitted && best.Index >= 0 {
 		return boundByLink(best), stayedForLink
 	}
-	return best, kept
+	return best, stay
 }
 
-// boundByLink is a choice that the link keeps from being taken now.
+// boundByLink marks a choice as one that the link budget does not admit now.
 func boundByLink(c place.Choice) place.Choice {
 	if c.Index >= 0 && c.Bound == place.Free {
 		c.Bound = place.RegionLink
@@ -167,29 +170,30 @@
 	return c
 }
 
-// remoteRegions returns the pool's servers of other regions, the nearest first; those in no known
-// region come last.
+// remoteRegions returns the pool's servers in other regions, ordered by round trip. Servers whose
+// region is unknown come last.
 func (t *table) remoteRegions(p *pool) []regionServers {
-	far := slices.Clone(p.parts[1:])
-	slices.SortStableFunc(far, func(a, b regionServers) int {
+	remote := slices.Clone(p.parts[1:])
+	slices.SortStableFunc(remote, func(a, b regionServers) int {
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
 		}
 		return cmp.Or(cmp.Compare(t.link.RoundTrip(a.region), t.link.RoundTrip(b.region)), cmp.Compare(a.region, b.region))
 	})
-	return far
+	return remote
 }
 
-// mayCrossNow reports whether a request that has servers in its own region may go to another now: it has
-// waited as long as its reason asks, and the way and a server that runs nothing else leave it
-// within its objective.
-func (t *table) mayCrossNow(p *pool, now time.Duration, req *requirements, why place.LeaveReason, region string) bool {
-	way := t.link.RoundTrip(region)
-	inTime := req.objectiveDeadline == 0 || now+way+p.placer.ExpectedTimeToFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
-	return inTime && why.Due(now-req.waitingSince, way)
+// mayCrossNow reports whether a request that has servers in its own region may go to another region
+// now: it has waited as long as its reason requires, and an idle server there would still meet its
+// objective after the round trip.
+func (t *table) mayCrossNow(p *pool, now time.Duration, req *requirements, reason place.LeaveReason, region string) bool {
+	roundTrip := t.link.RoundTrip(region)
+	inTime := req.objectiveDeadline == 0 || now+roundTrip+p.placer.ExpectedTimeToFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
+	return inTime && reason.Due(now-req.waitingSince, roundTrip)
 }
 
-// withPoolIndex turns a choice among some of the pool's servers into one among all.
+// withPoolIndex converts a choice whose index refers to some of the pool's servers into one whose
+// index refers to all of them.
 func (p *pool) withPoolIndex(c place.Choice, among []*knownServer) place.Choice {
 	if c.Index >= 0 {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, among[c.Index].ID, compareID)
@@ -197,57 +201,57 @@
 	return c
 }
 
-// chooseWithRoom is choose among servers that have room. The caller holds mu.
+// chooseWithRoom is choose restricted to servers that have room. The caller holds mu.
 func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
 		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
 	own := p.parts[0].servers
-	near, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
-	if why == place.NoServer {
-		if far := t.chooseRemoteWithRoom(p, now, req, near.Index >= 0); far.Index >= 0 {
-			return far, regionDecision{reason: why}
+	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
+	if reason == place.NoServer {
+		if remote := t.chooseRemoteWithRoom(p, now, req, local.Index >= 0); remote.Index >= 0 {
+			return remote, regionDecision{reason: reason}
 		}
 	}
 	c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, own, now, req))
-	if c.Index >= 0 || why == place.NoServer {
+	if c.Index >= 0 || reason == place.NoServer {
 		return p.withPoolIndex(c, own), regionDecision{}
 	}
-	far, kept := t.chooseRemote(p, now, req, why, false)
-	if kept != "" {
-		return place.Choice{Index: -1}, regionDecision{stayReason: kept}
+	remote, stay := t.chooseRemote(p, now, req, reason, false)
+	if stay != "" {
+		return place.Choice{Index: -1}, regionDecision{stayReason: stay}
 	}
-	return far, regionDecision{reason: why}
+	return remote, regionDecision{reason: reason}
 }
 
-// chooseRemoteWithRoom returns the server with room of the nearest other region, for a request that may be
-// served nowhere else. Ejected ones are looked at unless its own region has some. The caller
-// holds mu.
+// chooseRemoteWithRoom returns a server with room in the nearest other region, for a request that
+// its own region cannot serve. Ejected servers of other regions are considered only if the own
+// region has no ejected one either. The caller holds mu.
 func (t *table) chooseRemoteWithRoom(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
-	passage := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
-	if !t.link.Admits(now, t.site.linkShare(req.gateways), passage) {
+	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
+	if !t.link.Admits(now, t.site.linkShare(req.gateways), transfer) {
 		return place.Choice{Index: -1}
 	}
-	for _, x := range t.remoteRegions(p) {
-		_, why := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, x.servers, now, req))
-		if why == place.NoServer && ownEjected {
+	for _, remote := range t.remoteRegions(p) {
+		_, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, remote.servers, now, req))
+		if reason == place.NoServer && ownEjected {
 			continue
 		}
-		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, x.servers, now, req)); c.Index >= 0 {
-			return p.withPoolIndex(c, x.servers)
+		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, remote.servers, now, req)); c.Index >= 0 {
+			return p.withPoolIndex(c, remote.servers)
 		}
 	}
 	return place.Choice{Index: -1}
 }
 
-// Answers from other regions.
+// Sizes of answers from other regions.
 const (
-	assumedAnswerBytes = 4e3  // bytes that one brings, until some have come
-	answerBytesWeight  = 0.05 // of one in the average of the bytes
+	assumedAnswerBytes = 4e3  // bytes of an answer, before the first one has been observed
+	answerBytesWeight  = 0.05 // weight of one answer in the exponential moving average
 )
 
-// expectedAnswerBytes returns how many bytes an answer of the pool brings.
+// expectedAnswerBytes returns the expected size of an answer of the pool.
 func (p *pool) expectedAnswerBytes() float64 {
 	if p.answerBytes == 0 {
 		return assumedAnswerBytes
@@ -255,10 +259,11 @@
 	return p.answerBytes
 }
 
-// recordDestination notes where an attempt goes, and takes what it needs of the link. The caller holds mu.
-func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, left regionDecision) *assignment {
-	a.region, a.leaveReason, a.homes = a.entry.region, left.reason, req.homes
-	if left.reason == place.Stay {
+// recordDestination records the region that an attempt goes to and, if it is another region, charges
+// the link budget for the request and the expected answer. The caller holds mu.
+func (t *table) recordDestination(a *assignment, now time.Duration, req *requirements, decision regionDecision) *assignment {
+	a.region, a.leaveReason, a.homes = a.entry.region, decision.reason, req.homes
+	if decision.reason == place.Stay {
 		return a
 	}
 	a.roundTrip = t.link.RoundTrip(a.region)
@@ -267,8 +272,8 @@
 	return a
 }
 
-// settleLink corrects what an attempt has taken of the link by what it has put there, and
-// counts it.
+// settleLink replaces the bytes charged to the link budget for an attempt by the bytes that it
+// transferred, and updates the region counters.
 func (g *Gateway) settleLink(a *assignment, sent int) {
 	if a.leaveReason == place.Stay {
 		return
@@ -290,8 +295,9 @@
 	count("bytes", fmt.Sprintf("from=%q,to=%q", to, from), a.receivedBytes)
 }
 
-// observeRoundTrip learns the round trip to another region of a connection that was opened for an
-// attempt there. A gateway that is late itself would take its own lateness for the link's.
+// observeRoundTrip updates the round trip estimate of another region from a connection that was
+// opened for an attempt there. Samples are skipped while this process is delayed itself, since they
+// would include its own delay.
 func (g *Gateway) observeRoundTrip(a *assignment) {
 	if a.leaveReason == place.Stay || a.connOpenedAt <= a.startedAt || g.overload.Load().Late(g.now()) {
 		return
@@ -301,7 +307,7 @@
 	g.table.link.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
-// countingBody counts the bytes of an answer that comes over the link.
+// countingBody counts the bytes of an answer that are read from the link.
 type countingBody struct {
 	io.ReadCloser
 	n *int
@@ -314,11 +320,11 @@
 	return n, err
 }
 
-// regionAttrs are the log's attributes of where a request's last attempt went and why, or what
-// kept it from going, and of the homes that bound it.
+// regionAttrs returns the log attributes for the region of a request's last attempt: where it went
+// and why, or why it stayed, and the homes that restricted it.
 func (c *call) regionAttrs() []slog.Attr {
 	var attrs []slog.Attr
-	homes, bound := document.CommonHomes(c.route.Homes, c.account.Homes)
+	homes, restricted := document.CommonHomes(c.route.Homes, c.account.Homes)
 	if a := c.assigned; a != nil {
 		if a.region != "" {
 			attrs = append(attrs, slog.String("region", a.region))
@@ -326,12 +332,12 @@
 		if a.leaveReason != place.Stay {
 			attrs = append(attrs, slog.String("left_region", a.leaveReason.String()))
 		}
-		homes, bound = a.homes.regions, a.homes.bound
+		homes, restricted = a.homes.regions, a.homes.bound
 	}
-	if kept := c.shortage.stayReason; kept != "" {
-		attrs = append(attrs, slog.String("stayed", string(kept)))
+	if stay := c.shortage.stayReason; stay != "" {
+		attrs = append(attrs, slog.String("stayed", string(stay)))
 	}
-	if bound {
+	if restricted {
 		attrs = append(attrs, slog.Any("homes", homes))
 	}
 	return attrs
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -17,27 +17,27 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines relay, how an answer reaches the caller: a plain answer
-// once it is whole, a stream event by event.
+// This file defines relay, which passes an answer on to the caller: a plain answer once it is
+// whole, a stream event by event.
 
-// Bounds of memory for one answer, in bytes.
+// Memory bounds for one answer, in bytes.
 const (
-	maxHeldAnswer = 256 << 10 // a plain answer that is kept until it is whole; larger ones pass as they come
+	maxHeldAnswer = 256 << 10 // a plain answer that is held until it is whole; larger ones are passed on as they arrive
 	maxEvent      = 1 << 20   // one event of a stream
-	readSize      = 8 << 10   // the buffer of a stream
+	readSize      = 8 << 10   // read buffer of a stream
 )
 
-// relay is the answer of one request, over all its attempts.
+// relay passes on the answer of one request, across all its attempts.
 type relay struct {
 	c           *call
-	headWritten bool   // the head has been written
-	status      int    // in it
-	lastEventID string // of the last event passed on
-	partial     []byte // an event that is not whole yet
-	// Of the stream so far, for the log.
-	writes          int // writes to the caller
+	headWritten bool   // the response head has been written
+	status      int    // status code of the response head
+	lastEventID string // identifier of the last event passed on
+	partial     []byte // received part of an incomplete event
+	// Statistics of the stream so far, for the log.
+	writes          int // number of writes to the caller
 	lastWriteAt     time.Duration
-	longestGap      time.Duration // between two of them
+	longestGap      time.Duration // longest time between two writes
 	deadlineMovedAt time.Duration // when the write deadline was last moved
 }
 
@@ -48,8 +48,8 @@
 	body   []byte
 }
 
-// relayPlain takes a relayPlain answer: a success goes to the caller once it is whole, a
-// failure is held in case another backend server does better.
+// relayPlain handles a plain answer. A success is written to the caller once it is whole; a failure
+// is held in case another backend server succeeds.
 func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxHeldAnswer))
 	if err != nil {
@@ -68,7 +68,7 @@
 	return outcome{execution: retry.Answered}
 }
 
-// relayLarge passes on an answer that is too relayLarge to be kept.
+// relayLarge passes on an answer that is too large to be held.
 func (r *relay) relayLarge(answer *forward.Answer, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	_, err := io.Copy(callerWriter{r.c.w}, io.MultiReader(bytes.NewReader(head.body), answer.Body))
@@ -81,13 +81,12 @@
 	return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 }
 
-// callerGone is the outcome of an attempt whose answer could not be written to the
-// caller.
+// callerGone returns the outcome of an attempt whose answer could not be written to the caller.
 func callerGone(err error) outcome {
 	return outcome{execution: retry.MayHaveRun, cause: "caller gone", verdict: outlier.NoVerdict, err: err}
 }
 
-// callerWriter writes to the caller and fails with [writeFailed], so that a copy's error
+// callerWriter writes to the caller and wraps errors in [writeFailed], so that the error of a copy
 // shows which side failed.
 type callerWriter struct{ w io.Writer }
 
@@ -100,27 +99,28 @@
 	return n, err
 }
 
-// writeFailed is the failure of a write to the caller.
+// writeFailed is the error of a write to the caller.
 type writeFailed struct{ err error }
 
-// Error names the cause.
+// Error implements error.
 func (e writeFailed) Error() string { return e.err.Error() }
 
 // writeHeld writes a whole answer to the caller.
 func (r *relay) writeHeld(h *heldAnswer) {
 	r.writeHead(h.status, h.header, int64(len(h.body)))
-	_, _ = r.c.w.Write(h.body) // it fails if the caller has gone, and net/http ends the connection
+	_, _ = r.c.w.Write(h.body) // a failure means that the caller has left; net/http then closes the connection
 }
 
-func (r *relay) writeHead(status int, from http.Header, length int64) {
+// writeHead writes the response head. A negative length is unknown.
+func (r *relay) writeHead(status int, header http.Header, length int64) {
 	r.headWritten, r.status = true, status
 	h := r.c.w.Header()
-	for name, values := range r.c.g.cfg.Headers.AnswerHeader(from) {
+	for name, values := range r.c.g.cfg.Headers.AnswerHeader(header) {
 		h[name] = values
 	}
-	for _, own := range []string{"Date", "Content-Type"} { // the library would add them
-		if _, set := h[own]; !set {
-			h[own] = nil
+	for _, name := range []string{"Date", "Content-Type"} { // nil keeps net/http from adding them
+		if _, set := h[name]; !set {
+			h[name] = nil
 		}
 	}
 	if length >= 0 && r.c.r.Method != http.MethodHead {
@@ -129,12 +129,12 @@
 	r.c.w.WriteHeader(status)
 }
 
-// succeeded reports whether the caller was given a succeeded.
+// succeeded reports whether a success was written to the caller.
 func (r *relay) succeeded() bool {
 	return r.status >= http.StatusOK && r.status < http.StatusMultipleChoices
 }
 
-// relayStream passes events on as they come, each once it is whole.
+// relayStream passes on the events of a stream, each as soon as it is whole.
 func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
@@ -142,18 +142,18 @@
 	for {
 		n, err := answer.Body.Read(buffer)
 		if n > 0 {
-			werr := r.relayChunk(a, answer, buffer[:n], flusher)
+			writeErr := r.relayChunk(a, answer, buffer[:n], flusher)
 			switch {
-			case werr == errTooLarge:
-				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: werr}
-			case werr != nil:
-				return callerGone(werr)
+			case writeErr == errTooLarge:
+				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: writeErr}
+			case writeErr != nil:
+				return callerGone(writeErr)
 			}
 		}
 		if err == io.EOF {
 			return r.finishStream(answer, flusher)
 		}
-		// A late gateway waits a little, so that several events come with one read.
+		// A delayed gateway pauses between reads, so that one read returns several events.
 		if err == nil && !sleep.For(ctx, r.c.g.overload.Load().Coalesce(r.c.route.EventGap)) {
 			err = ctx.Err()
 		}
@@ -163,9 +163,9 @@
 	}
 }
 
-// relayChunk takes what one read gave: the first of an attempt shows that the server has
-// begun, the first of the call needs the answer's head.
-func (r *relay) relayChunk(a *assignment, answer *forward.Answer, piece []byte, flusher *http.ResponseController) error {
+// relayChunk handles the bytes of one read. The first ones of an attempt count as the first part of
+// its answer; the first ones of the call are preceded by the response head.
+func (r *relay) relayChunk(a *assignment, answer *forward.Answer, chunk []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
 	if !a.answering {
 		r.c.g.recordFirstPart(a, r.c.pool.Engine)
@@ -174,10 +174,10 @@
 		r.c.g.stats.observe(firstSeconds, r.c.account.Name, r.c.route.Name, r.c.g.now()-r.c.arrived)
 		r.writeHead(answer.Status, answer.Header, -1)
 	}
-	return r.relayEvents(piece, flusher)
+	return r.relayEvents(chunk, flusher)
 }
 
-// finishStream ends a stream whose body is whole.
+// finishStream handles the end of a stream's body.
 func (r *relay) finishStream(answer *forward.Answer, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
@@ -191,17 +191,17 @@
 	if !r.headWritten {
 		r.writeHead(answer.Status, answer.Header, 0)
 	}
-	_ = flusher.Flush() // what it leaves behind goes out when the handler returns
+	_ = flusher.Flush() // unflushed bytes are sent when the handler returns
 	return outcome{execution: retry.Answered}
 }
 
-// eventSeparator separates events.
+// eventSeparator separates the events of a stream.
 var eventSeparator = []byte("\n\n")
 
-// relayEvents passes on the whole relayEvents of what has come, with one write. The error is
-// errTooLarge or of the write.
-func (r *relay) relayEvents(piece []byte, flusher *http.ResponseController) error {
-	r.partial = append(r.partial, piece...)
+// relayEvents passes on the whole events received so far with one write and keeps the rest. The
+// error is errTooLarge or that of the write.
+func (r *relay) relayEvents(chunk []byte, flusher *http.ResponseController) error {
+	r.partial = append(r.partial, chunk...)
 	end := bytes.LastIndex(r.partial, eventSeparator)
 	if end < 0 {
 		if len(r.partial) > maxEvent {
@@ -230,24 +230,24 @@
 	return nil
 }
 
-// writeTimeout bounds how long a caller may take no byte of a stream.
+// writeTimeout is how long a caller may go without accepting a byte of a stream.
 const writeTimeout = 10 * time.Second
 
-// extendWriteDeadline moves the deadline now and then; for every event would
-// cost more than the event.
+// extendWriteDeadline moves the write deadline at most every quarter of writeTimeout, since moving
+// it for each event would cost more than relaying the event.
 func (r *relay) extendWriteDeadline(flusher *http.ResponseController) {
 	now := r.c.g.now()
 	if now < r.deadlineMovedAt+writeTimeout/4 && r.deadlineMovedAt > 0 {
 		return
 	}
 	r.deadlineMovedAt = now
-	// A writer without deadlines is no error: the route's time still ends the stream.
+	// A writer that does not support deadlines is no error: the route's timeout still ends the stream.
 	_ = flusher.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
 // parseLastEventID returns the identifier of the last event that has one.
 func parseLastEventID(events []byte) (string, bool) {
-	at := bytes.LastIndex(events, []byte("\nid:")) + 1 // 0, the first line, without one
+	at := bytes.LastIndex(events, []byte("\nid:")) + 1 // 0, the start of the first line, if there is none
 	line, found := bytes.CutPrefix(events[at:], []byte("id:"))
 	if !found {
 		return "", false
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -14,27 +14,28 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines routes, a document made ready for matching.
+// This file defines routes, a configuration document indexed for matching requests.
 
-// routes is immutable, but for what it learns of callers.
+// routes is immutable except for the history of its callers.
 type routes struct {
 	document      document.Document
 	callers       *callerHistory
-	byHost        map[string][]document.Route // longest prefix first
-	accountsByKey map[string]document.Account // by key
-	pools         map[string]document.Pool
+	byHost        map[string][]document.Route // routes by host, the longest prefix first
+	accountsByKey map[string]document.Account // accounts by API key
+	pools         map[string]document.Pool    // pools by name
 }
 
-// newRoutes makes a document ready; before is the one in force, or nil.
-func newRoutes(d document.Document, before *routes) *routes {
+// newRoutes indexes a document. The callers' history of previous, the routes in force, is carried
+// over; previous may be nil.
+func newRoutes(d document.Document, previous *routes) *routes {
 	rs := &routes{
 		document: d, callers: &callerHistory{patience: map[string]*retry.Patience{}}, byHost: map[string][]document.Route{},
 		accountsByKey: map[string]document.Account{}, pools: map[string]document.Pool{},
 	}
 	for _, r := range d.Routes {
 		rs.callers.patience[r.Name] = &retry.Patience{}
-		if before != nil {
-			before.callers.copyTo(rs.callers, r.Name)
+		if previous != nil {
+			previous.callers.copyTo(rs.callers, r.Name)
 		}
 		host := strings.ToLower(r.Host)
 		rs.byHost[host] = append(rs.byHost[host], r)
@@ -53,13 +54,13 @@
 	return rs
 }
 
-// callerHistory is what is learned of the callerHistory of each route of a document.
+// callerHistory holds what has been learned about the callers of each route of a document.
 type callerHistory struct {
-	mu       sync.Mutex // a leaf
+	mu       sync.Mutex // leaf lock
 	patience map[string]*retry.Patience
 }
 
-// copyTo gives another one what is known of a route's callers.
+// copyTo copies the history of a route's callers to the history of the next document.
 func (c *callerHistory) copyTo(next *callerHistory, route string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,19 +69,20 @@
 	}
 }
 
-// spent returns how long ago a caller certainly asked first that will still wait for left;
-// asksFirst is whether callers of its account are not told to come back.
-func (rs *routes) spent(route string, now, left time.Duration, asksFirst bool) time.Duration {
+// spent returns a lower bound of how long ago a caller that still waits for left sent its request
+// for the first time. isFirst says that callers of its account are not told to come back, so that
+// this request is the first and its patience can be learned.
+func (rs *routes) spent(route string, now, left time.Duration, isFirst bool) time.Duration {
 	rs.callers.mu.Lock()
 	defer rs.callers.mu.Unlock()
 	p := rs.callers.patience[route]
-	if asksFirst {
+	if isFirst {
 		p.ObserveFirst(now, left)
 	}
 	return p.Spent(left)
 }
 
-// match returns the route with the longest prefix that begins the path.
+// match returns the route of a host with the longest prefix of the path.
 func (rs *routes) match(host, path string) (document.Route, bool) {
 	if h, _, err := net.SplitHostPort(host); err == nil {
 		host = h
@@ -93,20 +95,20 @@
 	return document.Route{}, false
 }
 
-// account returns the account of a key. A request on a public route, or without
-// any accounts configured, may have none.
+// account returns the account of an API key. Requests on public routes, and all requests if the
+// document has no accounts, may have none.
 func (rs *routes) account(r document.Route, key string) (document.Account, bool) {
 	if len(rs.document.Accounts) == 0 {
 		return document.Account{}, true
 	}
-	a, known := rs.accountsByKey[key]
-	if !known && r.Public {
+	a, ok := rs.accountsByKey[key]
+	if !ok && r.Public {
 		return document.Account{}, true
 	}
-	return a, known
+	return a, ok
 }
 
-// pickPool returns one of a route's pools by weight; random is from 0 to 1.
+// pickPool returns one of a route's pools, chosen by weight. random is in [0, 1).
 func pickPool(r document.Route, random float64) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -10,22 +10,22 @@
 	"github.com/badgerspoke/badgerspoke/coordination/retry"
 )
 
-// This file defines stallTimer, which ends an attempt whose backend server
-// sends nothing for too long.
+// This file defines stallTimer, which ends an attempt whose backend server sends nothing for too
+// long.
 
 // stallTimer watches one attempt. The zero value watches nothing.
 type stallTimer struct {
-	timer   *time.Timer // nil: not watched
-	gap     time.Duration
-	expired atomic.Bool // the attempt was ended for its silence
+	timer   *time.Timer   // nil if the attempt is not watched
+	gap     time.Duration // longest time between two parts of the answer
+	expired atomic.Bool   // the attempt was ended because it stalled
 }
 
-// disarmed is the timer's wait until its own function can refer to it: any time longer
-// than a call to Reset takes.
+// disarmed is the initial wait of the timer, until its function can refer to the timer itself. Any
+// time longer than the call to Reset below will do.
 const disarmed = 24 * time.Hour
 
-// watchStall cancels an attempt when its backend server stalls. A gateway that
-// is late itself may not have read what has come, so it waits on.
+// watchStall cancels an attempt when its backend server stalls. While the gateway is delayed
+// itself, the timer is extended, since received data may not have been read yet.
 func (c *call) watchStall(cancel context.CancelFunc) *stallTimer {
 	s := &stallTimer{}
 	first, gap, watched := retry.StallTimeouts(c.route, c.counts.Runs)
@@ -45,14 +45,14 @@
 	return s
 }
 
-// progressed restarts the wait: a part of the answer has come.
+// progressed restarts the wait because a part of the answer has arrived.
 func (s *stallTimer) progressed() {
 	if s.timer != nil && s.timer.Stop() {
 		s.timer.Reset(s.gap)
 	}
 }
 
-// stop ends the watch and reports whether the silence ended the attempt.
+// stop ends the watch and reports whether the attempt was ended because it stalled.
 func (s *stallTimer) stop() bool {
 	if s.timer != nil {
 		s.timer.Stop()
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -10,26 +10,28 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// This file defines stats, the counters and histograms of a gateway. Labels
-// are names of the document only, never what callers send.
+// This file defines stats, the counters and histograms of a gateway. Labels are names from the
+// document only, never values that callers send.
 
 type stats struct {
 	metricSet          *metrics.Set
-	connectionsUntaken *metrics.Counter // connections, estimated
+	connectionsUntaken *metrics.Counter // estimate of connections that were not accepted
 
-	mu         sync.Mutex // a leaf; guards the caches
+	mu         sync.Mutex // leaf lock; guards the caches below
 	counters   map[counterKey]*metrics.Counter
 	histograms map[histogramKey]*metrics.Histogram
 }
 
-// counterKey is a counter's name and its one label, or its pool and version.
+// counterKey identifies a counter: its name and one label with its value, or version_requests with
+// pool and version.
 type counterKey struct{ name, label, value string }
 
-// otherVersion is the label of all versions but a rollout's target: servers may announce any.
+// otherVersion is the label of all versions but a rollout's target. Servers may announce any
+// version, which would make the label's values unbounded.
 const otherVersion = "other"
 
-// countVersion counts an attempt in a pool that has a rollout under way, by its version. The
-// names of targets come from operators.
+// countVersion counts an attempt by version, in a pool that has a rollout under way. The target's
+// name comes from an operator and is a label value; all other versions share one.
 func (s *stats) countVersion(pool string, t *versionAttempt) {
 	if t.tally == nil {
 		return
@@ -49,7 +51,7 @@
 	c.Inc()
 }
 
-// histogramKey is a histogram's name and the values of its labels.
+// histogramKey identifies a histogram by its name and label values.
 type histogramKey struct{ name, account, route string }
 
 func newStats(set *metrics.Set) *stats {
@@ -59,7 +61,7 @@
 	}
 }
 
-// count adds one to a counter with one label.
+// count increments a counter with one label.
 func (s *stats) count(name, label, value string) {
 	key := counterKey{name, label, value}
 	s.mu.Lock()
@@ -72,14 +74,14 @@
 	c.Inc()
 }
 
-// Histograms: the time to the first part of a stream, and to a whole answer.
+// Names of histograms: the time to the first part of a stream, and to a whole answer.
 const (
 	firstSeconds  = "first_seconds"
 	answerSeconds = "answer_seconds"
 )
 
-// observe adds a time to a histogram.
-func (s *stats) observe(name, account, route string, took time.Duration) {
+// observe adds a duration to a histogram.
+func (s *stats) observe(name, account, route string, d time.Duration) {
 	key := histogramKey{name, account, route}
 	s.mu.Lock()
 	h := s.histograms[key]
@@ -88,5 +90,5 @@
 		s.histograms[key] = h
 	}
 	s.mu.Unlock()
-	h.Update(took.Seconds())
+	h.Update(d.Seconds())
 }
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -4,34 +4,33 @@
 
 import "time"
 
-// This file defines unreached, which keeps attempts at one server that has stopped from being
-// counted as failures of its version. An attempt that got no connection costs no caller anything:
-// it goes elsewhere.
+// This file defines unreached, which keeps attempts at a single stopped server from being counted
+// as failures of its version. Such an attempt got no connection and is retried elsewhere, so it
+// costs the caller nothing.
 
 const (
-	// unreachedExpiry is for how long a server that could not be reached counts as such. An ejected
-	// one is tried again within that (outlier.longestWait).
+	// unreachedExpiry is how long a server counts as unreachable after the last failed attempt. An
+	// ejected server is tried again within that time (outlier.longestWait).
 	unreachedExpiry = 12 * time.Second
-	// minRestartTime is how soon after that an answer of the server shows that it has not
-	// stopped, but refuses some. One that has stopped needs longer to start again.
+	// minRestartTime is less than a stopped server takes to start again. If a server answers sooner
+	// after a failed attempt, it had not stopped but refuses some connections.
 	minRestartTime = time.Second
-	// maxUnreachedAttempts bounds the attempts at one server that wait to be counted; it is ejected after
-	// a few.
+	// maxUnreachedAttempts bounds the uncounted attempts at one server; it is ejected after a few.
 	maxUnreachedAttempts = 16
 )
 
-// unreached is, by the servers of a target that could not be reached, the attempts at them that
-// are not counted as failed. The zero value has none. It is guarded by table.mu.
+// unreached holds the servers of a rollout's target that could not be reached, by identifier, with
+// the attempts at them that are not counted as failed. It is guarded by table.mu.
 type unreached map[string]*unreachedAttempts
 
-// unreachedAttempts is the attempts at one server that could not be reached.
+// unreachedAttempts holds the uncounted attempts at one server that could not be reached.
 type unreachedAttempts struct {
-	lastAttempt time.Duration // of the newest
-	tallies     []*tally      // that they are counted in, once they are
+	lastAttempt time.Duration // time of the newest attempt
+	tallies     []*tally      // tallies in which the attempts belong
 }
 
-// add takes an attempt at a server that could not be reached. Once it is not the only one, all
-// that waited are counted.
+// add records an attempt at a server that could not be reached. If more than one server is
+// unreachable, the version itself may be at fault, and all recorded attempts are counted as failed.
 func (u unreached) add(now time.Duration, server string, c *tally) {
 	g := u[server]
 	if g == nil {
@@ -58,7 +57,7 @@
 	}
 }
 
-// recordAnswer takes an answer of a server and reports whether it could not be reached before.
+// recordAnswer records an answer of a server and reports whether the server was unreachable before.
 func (u unreached) recordAnswer(now time.Duration, server string) bool {
 	g := u[server]
 	if g == nil {
@@ -71,8 +70,8 @@
 	return true
 }
 
-// reachable returns the servers that could be reached, or all if there is none: a trial goes on with
-// another server.
+// reachable returns the servers that are not known to be unreachable, or all if there are none: a
+// trial goes on with other servers.
 func (u unreached) reachable(servers []*knownServer) []*knownServer {
 	if len(u) == 0 {
 		return servers
@@ -89,7 +88,7 @@
 	return reached
 }
 
-// count counts the attempts as failed.
+// count counts the recorded attempts as failed.
 func (g *unreachedAttempts) count() {
 	for _, c := range g.tallies {
 		c.failed++
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -17,57 +17,57 @@
 )
 
 // This file defines which versions of a pool's backend servers a request may go to while the
-// pool has a rollout. What is counted of the answers is in outcomes.go.
+// pool has a rollout. The outcomes of the attempts are counted in outcomes.go.
 
-// sharesLease is for how long a share is in force after the report by which it was last renewed: the
-// leader has counted it. It is twice the longest pause between two of the leader's sums and some
-// reports.
+// sharesLease is how long rollout shares stay in force after the last report that the leader has
+// counted was sent. It is twice the longest pause between two of the leader's sums, plus a few
+// report periods.
 const sharesLease = 2 * time.Second
 
-// switchDuration is how long a gateway takes from the switch on to move all requests to engines of
-// the target: the longest pause between two of the leader's sums. At once, what waits at all
-// gateways would go to idle engines in the time in which none knows what the others send: 68
-// requests in 200 ms to 24 slots, whose slow answers rolled a good version back
-// (TestGoodVersionUnderAFlood).
+// switchDuration is how long a gateway takes after the switch to move all requests to engines of
+// the target. It covers the longest pause between two of the leader's sums. If requests moved at
+// once, the queues of all gateways would flood the idle engines before any gateway sees the others'
+// load: 68 requests reached 24 slots in 200 ms, and the slow answers rolled a good version back.
 const switchDuration = 600 * time.Millisecond
 
-// versionSet is a set of kinds of server, by their version.
+// versionSet is a set of server kinds, which are derived from the servers' versions.
 type versionSet uint8
 
-// The kinds. A server that is barred is of none.
+// Kinds of server. A server whose version is barred is of no kind.
 const (
-	oldVersion      versionSet = 1 << iota // any but the target
-	trialVersion                           // those of the target that a trial goes to
-	targetVersion                          // all of the target
-	replacedVersion                        // replaced by another that is listed
+	oldVersion      versionSet = 1 << iota // every version but the target, barred and replaced ones
+	trialVersion                           // servers of the target that are selected for the trial
+	targetVersion                          // all servers of the target
+	replacedVersion                        // versions replaced by another one that is listed
 )
 
-// anyVersion is a server of a pool without a rollout, or any that is not replaced.
+// anyVersion is the set of a pool without a rollout: every kind but replaced versions.
 const anyVersion = oldVersion | trialVersion | targetVersion
 
-// rolloutListID names a list of rollouts.
+// rolloutListID identifies a list of rollouts; a larger one is newer.
 type rolloutListID struct{ term, seq uint64 }
 
-// poolRollout is a pool's rollouts, as the directory's newest list has them.
+// poolRollout is the state of a pool's rollout from the newest list of the directory, with what this
+// gateway has counted for it.
 type poolRollout struct {
 	protocol.Rollout
-	routeShares map[string]float64 // shares
-	switched    bool               // the target was given all requests last
-	rampEnd     time.Duration      // when it gets all of them here, if its servers are engines
-	isEngine    bool               // they are
-	barredHere  bool               // an earlier leader barred the target, and the list does not
-	oldListed   bool               // a server of the old version is listed, in a hall in service
+	routeShares map[string]float64 // shares by route, where they differ from Share
+	switched    bool               // the last list gives the target all requests
+	rampEnd     time.Duration      // when this gateway sends it all requests, if isEngine
+	isEngine    bool               // the pool's servers are engines
+	barredHere  bool               // an earlier leader barred the target, but the newest list does not
+	oldListed   bool               // a server of the old version is listed and its hall is in service
 	outcomes    outcomes
 	breaker     breaker
 	unreached   unreached
 }
 
-// underWay reports whether there is a target that may have requests.
+// underWay reports whether there is a target and it is not barred.
 func (r *poolRollout) underWay() bool {
 	return r.Target != "" && !slices.Contains(r.Barred, r.Target)
 }
 
-// routeShare returns the part of a route's requests that goes to the target.
+// routeShare returns the fraction of a route's requests that goes to the target.
 func (r *poolRollout) routeShare(route string) float64 {
 	if share, ok := r.routeShares[route]; ok {
 		return share
@@ -75,16 +75,16 @@
 	return r.Share
 }
 
-// updateRollouts takes the directory's list of rollouts and returns those that have changed.
-// An older list than the one held changes nothing, nor does an older attempt.
+// updateRollouts applies the directory's list of rollouts and returns those that have changed. Lists
+// older than the current one and older attempts of a pool are ignored.
 func (t *table) updateRollouts(m protocol.Rollouts) (changed []protocol.Rollout) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := rolloutListID{m.Term, m.Seq}
-	if list.term < t.rollouts.term || (list.term == t.rollouts.term && list.seq <= t.rollouts.seq) {
+	id := rolloutListID{m.Term, m.Seq}
+	if id.term < t.rollouts.term || (id.term == t.rollouts.term && id.seq <= t.rollouts.seq) {
 		return nil
 	}
-	t.rollouts = list
+	t.rollouts = id
 	for _, next := range m.List {
 		if t.pool(next.Pool).applyRollout(t.now(), next) {
 			changed = append(changed, next)
@@ -94,7 +94,7 @@
 	return changed
 }
 
-// applyRollout takes the pool's rollout from a list and reports whether it differs from the one held.
+// applyRollout applies the pool's rollout from a list and reports whether it has changed.
 func (p *pool) applyRollout(now time.Duration, next protocol.Rollout) bool {
 	r := p.rollout
 	if r == nil {
@@ -104,8 +104,9 @@
 	if next.Attempt < r.Attempt {
 		return false
 	}
-	// What a leader has barred before the log had it stays barred: the next leader may not
-	// know. Only the log's end of this attempt, or another attempt, says otherwise.
+	// A leader announces a barred target before the verdict is in the replicated log, so the next
+	// leader may lack it. The target stays barred until the log ends this attempt or another attempt
+	// starts.
 	r.barredHere = next.Attempt == r.Attempt && next.Target != "" && slices.Contains(r.Barred, next.Target) &&
 		!slices.Contains(next.Barred, next.Target)
 	if r.barredHere {
@@ -127,8 +128,8 @@
 	return !same
 }
 
-// classifyVersions notes the kind of version of each server in pools that had a rollout, so that no
-// choice has to compare names. The caller holds mu.
+// classifyVersions sets the kind of each server in pools that have had a rollout, so that a choice
+// need not compare version names. The caller holds mu.
 func (t *table) classifyVersions() {
 	for _, p := range t.pools {
 		if p.rollout != nil {
@@ -140,7 +141,7 @@
 // classifyPoolVersions is sortVersions for one pool, which had a rollout. The caller holds mu.
 func (t *table) classifyPoolVersions(p *pool) {
 	r := p.rollout
-	other := slices.ContainsFunc(p.servers, func(k *knownServer) bool {
+	hasCurrent := slices.ContainsFunc(p.servers, func(k *knownServer) bool {
 		return !slices.Contains(r.Barred, k.Version) && !slices.Contains(r.Replaced, k.Version)
 	})
 	var target []*knownServer
@@ -154,7 +155,7 @@
 			if t.inService(k) {
 				target = append(target, k)
 			}
-		case other && slices.Contains(r.Replaced, k.Version):
+		case hasCurrent && slices.Contains(r.Replaced, k.Version):
 			k.versionSet = replacedVersion
 		default:
 			k.versionSet = oldVersion
@@ -168,8 +169,8 @@
 	}
 }
 
-// trialGroups returns the target's servers by region, if there are several, so that each region
-// has some in the trial and no request leaves it for that.
+// trialGroups splits the target's servers by region if the fleet has several, so that each region
+// has servers in the trial and no request crosses regions for it.
 func (t *table) trialGroups(target []*knownServer) [][]*knownServer {
 	if t.site.regionCount < 2 {
 		return [][]*knownServer{target}
@@ -181,8 +182,9 @@
 	return slices.Collect(maps.Values(groups))
 }
 
-// trialServers returns the target's servers that a trial goes to: as many as the share is of
-// all, so that each has the load that an old one has. All gateways choose the same.
+// trialServers returns the servers of the target that take part in a trial. Their number is in
+// proportion to the share, so that each has the load of an old server. They are ordered by a hash of
+// their identifiers, so all gateways select the same ones.
 func trialServers(target []*knownServer, share float64) []*knownServer {
 	if len(target) == 0 {
 		return nil
@@ -194,32 +196,32 @@
 	return target[:min(n, len(target))]
 }
 
-// versionOrder is which versions a request may go to, one after the other.
+// versionOrder is the order in which versions are tried for a request.
 type versionOrder struct {
-	first, second             versionSet // second may be none
-	onlyIfNone                bool       // second only if first has no candidate at all, not for want of room
-	firstReason, secondReason string     // why the request goes there, for the log
+	first, second             versionSet // second may be empty
+	onlyIfNone                bool       // second is tried only if first has no usable candidate, not if it lacks room
+	firstReason, secondReason string     // why the request goes to first or second, for the log
 }
 
-// Why a request went to a version.
+// Reasons why a request went to a version. They are values of a log attribute.
 const (
 	reasonNone       = ""            // the pool has no rollout under way
-	reasonShare      = "share"       // by lot
-	reasonRest       = "rest"        // by lot to the old version
-	reasonRetry      = "retry"       // it failed once
-	reasonNoRoom     = "no room"     // the target's servers in the trial have none
-	reasonNoLease    = "no lease"    // the leader's shares are not in force
-	reasonBadAnswers = "bad answers" // counted at this gateway (mistrust)
+	reasonShare      = "share"       // random draw within the target's share
+	reasonRest       = "rest"        // random draw outside the target's share
+	reasonRetry      = "retry"       // an earlier attempt failed
+	reasonNoRoom     = "no room"     // the trial servers have no room
+	reasonNoLease    = "no lease"    // the lease of the leader's shares has expired
+	reasonBadAnswers = "bad answers" // too many bad answers at this gateway ([breaker])
 	reasonSwitched   = "switched"    // the target gets all requests
-	reasonNoneUsable = "none usable" // of the target's servers
-	reasonOldGone    = "old gone"    // no server of the old version is listed, or none in its homes
+	reasonNoneUsable = "none usable" // no server of the target is usable
+	reasonOldGone    = "old gone"    // no server of the old version is listed in the request's homes
 )
 
-// versionDrawScale is 2 to the number of leading bits of random that lot leaves out: enough to choose among
-// any number of servers.
+// versionDrawScale is 2 to the power of the number of leading bits of a random number that
+// versionDraw skips. 24 bits suffice to choose among any number of servers.
 const versionDrawScale = float64(1 << 24)
 
-// versionOrder returns which versions a request may go to. The caller holds mu.
+// versionOrder returns the versions that a request may go to. The caller holds mu.
 func (t *table) versionOrder(p *pool, now time.Duration, req *requirements) versionOrder {
 	r := p.rollout
 	if r != nil {
@@ -252,8 +254,8 @@
 	return versionOrder{first: oldVersion, firstReason: reasonRest}
 }
 
-// oldReachable reports whether a server of the old version is listed where the request may be
-// served. The caller holds mu.
+// oldReachable reports whether a server of the old version is listed in the request's homes. The
+// caller holds mu.
 func (t *table) oldReachable(p *pool, req *requirements) bool {
 	h := t.homes.forRequest(req)
 	if !h.bound || !p.rollout.oldListed {
@@ -264,29 +266,29 @@
 	})
 }
 
-// isRamping reports whether requests still move to the target after the switch.
+// isRamping reports whether requests are still being moved to the target after the switch.
 func (r *poolRollout) isRamping(now time.Duration) bool {
 	return r.switched && r.isEngine && now < r.rampEnd
 }
 
-// rampedShare returns the part of the requests that has rampedShare to the target since the switch.
+// rampedShare returns the fraction of the requests that has moved to the target since the switch.
 func (r *poolRollout) rampedShare(now time.Duration) float64 {
 	return 1 - float64(r.rampEnd-now)/float64(switchDuration)
 }
 
-// versionDraw returns a number from 0 to 1 that does not depend on the first digits of random, which
-// choose among servers.
+// versionDraw derives a second random number in [0, 1) from random. It is independent of the leading
+// bits, which choose among servers.
 func versionDraw(random float64) float64 {
 	_, rest := math.Modf(random * versionDrawScale)
 	return rest
 }
 
-// inService reports whether a server is there for new requests, if not at this moment: its data hall is in
-// service and it does not leave. The caller holds mu.
+// inService reports whether a server accepts new requests in principle: its data hall is in service
+// and it is not leaving. It may be full or back off. The caller holds mu.
 func (t *table) inService(k *knownServer) bool { return !t.hallsOut[k.Hall] && !k.notice.Leaving() }
 
-// anyUsable reports whether a server of some versions may have the request now. The caller holds
-// mu.
+// anyUsable reports whether a server of the given versions may take the request now, if it has room.
+// The caller holds mu.
 func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
 	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
@@ -294,9 +296,9 @@
 	})
 }
 
-// candidateVersions returns the versions that a choice is among. Where a request's homes have servers
-// in service of replaced versions alone, those serve it for as long as they are there. The caller
-// holds mu.
+// candidateVersions returns the versions among which to choose a server. If the only servers in
+// service in a request's homes run replaced versions, those serve it until they are removed. The
+// caller holds mu.
 func (t *table) candidateVersions(p *pool, req *requirements) versionSet {
 	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
 		return req.versionSet
@@ -309,17 +311,17 @@
 	return req.versionSet | replacedVersion
 }
 
-// versionAttempt is what an attempt counts for, while its pool has a rollout.
+// versionAttempt says what an attempt is counted as while its pool has a rollout.
 type versionAttempt struct {
-	tally         *tally // nil: not counted
-	attempt       uint64 // of the pool's rollouts
+	tally         *tally // nil if the attempt is not counted
+	attempt       uint64 // number of the pool's rollout attempt
 	version       string
 	isTarget      bool
-	reason        string
-	expectedFirst time.Duration // until the first part of the answer
+	reason        string        // why the request went to this version, for the log
+	expectedFirst time.Duration // expected time to the first part of the answer
 }
 
-// beginAttempt counts an attempt that begins.
+// beginAttempt counts the start of an attempt at a server.
 func (p *pool) beginAttempt(k *knownServer, req *requirements, choice place.Choice, reason string) versionAttempt {
 	r := p.rollout
 	if r == nil {
@@ -335,7 +337,7 @@
 	return t
 }
 
-// logAttrs are the attributes of a request's last line.
+// logAttrs returns the version attributes of the log line of a request's end.
 func (t *versionAttempt) logAttrs() []slog.Attr {
 	if t.reason == "" && t.version == "" {
 		return nil
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -19,28 +19,28 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines watcher, the gateway's session with the directory's
-// leader.
+// This file defines watcher, which keeps the gateway's session with the directory's leader or a
+// relay.
 
-// dialTimeout is the time for one connection, after which a box that is off is left for the next
-// candidate.
+// dialTimeout bounds one connection attempt, so that a box that is switched off delays the search
+// by no more than this.
 const dialTimeout = 700 * time.Millisecond
 
-// watcher keeps the session. Only the goroutine of run uses its fields.
+// watcher keeps the session with the directory. Its fields are used only by the goroutine of run.
 type watcher struct {
 	g               *Gateway
-	startID         uint64   // random; a restarted gateway has another one
-	term            uint64   // the highest of a leader that has sent servers
-	leader          string   // the replica that the last redirect named; it is tried once
+	startID         uint64   // random; differs after a restart
+	term            uint64   // highest term of a leader that has sent servers
+	leader          string   // replica named by the last redirect; it is tried once
 	replicas        []string // addresses of the directory's voters, as last reported
-	candidatesTried int      // candidates tried so far; it begins at a random one
-	viaRedirect     bool     // a redirect gave the address that is tried
-	connected       bool     // the last session was with a leader or a relay
-	avoided         []string // replicas that were lost, or named and not reached, since the last session
-	countedReport   uint64   // number of the last report that is in the sums that come next
+	candidatesTried int      // number of candidates tried so far; the first one is chosen at random
+	viaRedirect     bool     // the address being tried comes from a redirect
+	connected       bool     // a session with a leader or a relay is open
+	avoided         []string // replicas that were lost, or unreachable after a redirect, since the last session
+	countedReport   uint64   // number of the last report that the next sums include
 }
 
-// run keeps a session with whoever leads, until the gateway stops.
+// run keeps a session with the current leader until the gateway stops.
 func (w *watcher) run() {
 	failures := 0
 	for w.g.ctx.Err() == nil {
@@ -49,11 +49,12 @@
 			continue
 		}
 		failures++
-		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop looks whether ctx has ended
+		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop checks whether ctx has ended
 	}
 }
 
-// next returns the address to try: the one that a redirect gave, else the candidates in turn.
+// next returns the address to try: the one from a redirect if there is one, otherwise the
+// candidates in turn.
 func (w *watcher) next() string {
 	w.viaRedirect = w.leader != ""
 	if leader := w.leader; leader != "" {
@@ -71,8 +72,8 @@
 	return all[w.candidatesTried%len(all)]
 }
 
-// candidates are the addresses where a leader may be: the directory's replicas,
-// then the seeds that are none of them.
+// candidates returns the addresses at which a leader may be: the directory's replicas, then the
+// seeds that are not among them.
 func candidates(replicas, seeds []string) []string {
 	all := slices.Clone(replicas)
 	for _, s := range seeds {
@@ -83,7 +84,8 @@
 	return all
 }
 
-// session runs one session and reports whether the replica served it.
+// session runs one session with the replica at an address and reports whether the replica served
+// it.
 func (w *watcher) session(address string) bool {
 	dialing, cancelDial := context.WithTimeout(w.g.ctx, dialTimeout)
 	l, err := link.Dial(dialing, address, w.g.cfg.Identity, w.g.meter)
@@ -122,7 +124,7 @@
 	}
 }
 
-// hello opens a session.
+// hello returns the message that opens a session.
 func (w *watcher) hello() protocol.Watch {
 	return protocol.Watch{
 		Gateway: w.g.cfg.Identity.Name, Boot: w.startID, Number: w.g.DocumentNumber(), Term: w.term, KnowsHalls: true,
@@ -131,9 +133,9 @@
 	}
 }
 
-// handleRedirect handles the message of a replica that does not serve this gateway or ends its
-// session. One that names itself is tried again at once only if it has just served: it is a
-// relay that has begun to pass on what another leader sends.
+// handleRedirect handles the message of a replica that does not serve this gateway or that ends its
+// session. A replica that names itself is tried again at once only if it has just served: it is
+// then a relay that has started to pass on another leader's messages.
 func (w *watcher) handleRedirect(address string, e protocol.WatchRedirect) {
 	served := w.connected
 	w.endSession(address, errRedirected)
@@ -145,21 +147,21 @@
 	}
 }
 
-// maxAvoided is the number of newest replicas to avoid that are named. The voters of the largest
-// directory.
+// maxAvoided bounds the replicas to avoid that are reported, the newest ones first. It is the
+// number of voters in the largest directory.
 const maxAvoided = 9
 
-// addAvoided notes a replica that was lost or not reached, to name it to the next one.
+// addAvoided records a replica that was lost or not reached, to be reported to the next replica.
 func (w *watcher) addAvoided(address string) {
 	w.avoided = slices.DeleteFunc(w.avoided, func(a string) bool { return a == address })
 	w.avoided = append(w.avoided, address)
 	w.avoided = w.avoided[max(len(w.avoided)-maxAvoided, 0):]
 }
 
-// errRedirected ends a session whose replica has named another one, or itself.
+// errRedirected ends a session whose replica has redirected the gateway.
 var errRedirected = errors.New("the replica does not serve this gateway")
 
-// endSession logs the end of a session, if there was one.
+// endSession ends the open session, if there is one, and logs the cause.
 func (w *watcher) endSession(address string, err error) {
 	if !w.connected {
 		return
@@ -171,7 +173,7 @@
 		slog.Uint64("document", w.g.DocumentNumber()), slog.Int("backends", w.g.table.size()))
 }
 
-// handle carries out a message of the leader.
+// handle applies a message of the leader.
 func (w *watcher) handle(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Document:
@@ -206,25 +208,25 @@
 	}
 }
 
-// applyServers takes backend servers that came or went, and data halls out of service.
+// applyServers applies changes of the server list and of the data halls that are out of service.
 func (w *watcher) applyServers(m protocol.Servers) {
 	if m.Term > w.term {
 		w.term = m.Term
 		w.g.suspicions.beginSession()
 	}
-	_, before := w.g.table.halls()
+	_, oldChanges := w.g.table.halls()
 	if joined, left := w.g.table.update(m); len(joined)+len(left) > 0 {
 		w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", joined), slog.Any("left", left),
 			slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 	}
-	if out, changes := w.g.table.halls(); changes != before {
+	if out, changes := w.g.table.halls(); changes != oldChanges {
 		w.g.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes))
 	}
 	w.g.grantAll()
 }
 
-// report sends the replica what runs here and what was demanded, until ctx ends or the
-// session is lost.
+// report sends the replica the load, the demand and the rollout outcomes of this gateway until ctx
+// ends or the session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
 	seq := uint64(0)
 	w.g.suspicions.beginSession()
@@ -235,18 +237,18 @@
 		w.g.stats.connectionsUntaken.Add(untaken)
 		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
-		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
+		u.Term = w.g.table.leaderTerm() // read before Obeyed, which may already belong to the next leader's term
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
 		u.Barred = w.g.table.locallyBarred()
 		w.g.suspicions.addToReport(w.g.now(), &u)
 		if err := l.Send(ctx, u); err != nil {
-			return // receive fails as well, and logs it
+			return // the session's receive fails as well and logs the cause
 		}
 	}
 }
 
-// reportTimes yields when a report is due: once in each period, and when servers have ended, so
-// that the fleet knows of the requests that ran there before they come again.
+// reportTimes yields whenever a report is due: once per period, and as soon as servers have ended,
+// so that the leader learns of the requests that ran there before they are retried.
 func (w *watcher) reportTimes(ctx context.Context) iter.Seq[struct{}] {
 	return func(yield func(struct{}) bool) {
 		tick := time.NewTicker(registry.ReportPeriod)
