--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -29,17 +29,17 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file measures what a gateway costs a request and an event, over
-// loopback, with callers and backend servers in the same process.
+// This file measures the cost of a gateway per request and per event over loopback, with callers
+// and backend servers in the same process.
 
 const (
 	benchEvents = 30
 	benchPause  = 5 * time.Millisecond
-	benchStream = 100 // streams at once
+	benchStream = 100 // concurrent streams
 )
 
-// BenchmarkEvents reports the processor time of the whole process for one
-// event of a stream, and that without a gateway.
+// BenchmarkEvents reports the processor time of the whole process per event of a stream, through a
+// gateway and directly.
 func BenchmarkEvents(b *testing.B) {
 	address := benchServer(b)
 	b.Run("gateway", func(b *testing.B) { benchEventsAt(b, benchGateway(b, address)) })
@@ -81,7 +81,8 @@
 	}
 }
 
-// benchServer serves streams of events.
+// benchServer starts a server that answers each request with a stream of events and returns its
+// address.
 func benchServer(b *testing.B) string {
 	return benchServe(b, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Id", r.Header.Get("Id"))
@@ -128,16 +129,16 @@
 	return l.Addr().String()
 }
 
-// processorTime is what the process has used so far.
+// processorTime returns the processor time that the process has used so far.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkRefusal reports the processor time of the whole process, its caller's
-// included, for one request that is refused as beyond its account's share, each
-// on a connection of its own or all on one.
+// BenchmarkRefusal reports the processor time of the whole process, including its caller, per
+// request that is refused as beyond its account's share, with a new connection for each request and
+// with one kept connection.
 func BenchmarkRefusal(b *testing.B) {
 	address, g := benchGatewayOf(b, benchServer(b))
 	g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.0001, Extra: 0.0002}}, nil, true)
@@ -171,8 +172,8 @@
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-µs/request")
 }
 
-// BenchmarkWholeList takes a whole list of backend servers that a gateway does not know,
-// as after its start.
+// BenchmarkWholeList measures applying a whole list of backend servers to an empty table, as after
+// a gateway's start.
 func BenchmarkWholeList(b *testing.B) {
 	for _, n := range []int{300, 3000, 10000} {
 		list := make([]protocol.Server, n)
@@ -190,9 +191,8 @@
 	}
 }
 
-// BenchmarkChoose measures one choice of an engine among 60 and 10,000 in one region, and 10,000 in
-// two: 8.5 us, 1.17 and 0.78 ms while every choice looked at all servers; 32 us among 10,000 in one
-// region with the first ones of the order alone, the others as before (one run each, beside other load).
+// BenchmarkChoose measures one choice of an engine among 60 and 10,000 servers in one region, and
+// among 10,000 in two regions.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{60, 10_000} {
 		b.Run(fmt.Sprintf("backends=%d", n), func(b *testing.B) { benchChoose(b, n, topology.Topology{}) })
@@ -223,9 +223,8 @@
 	}
 }
 
-// BenchmarkChooseVersions is BenchmarkChoose while the pool moves to another version, which
-// half of the servers run: in the trial, and once it gets all requests. 3.6 to 3.8 us and 0.54 to
-// 0.56 ms (three runs each, beside other load).
+// BenchmarkChooseVersions is BenchmarkChoose during a rollout, with half of the servers running the
+// target: in the trial, and after the switch.
 func BenchmarkChooseVersions(b *testing.B) {
 	for _, n := range []int{60, 10_000} {
 		for _, share := range []float64{0.04, 1} {
@@ -257,9 +256,9 @@
 	}
 }
 
-// BenchmarkSuspect measures the look-up whether servers ended under a request with a body of
-// 64 KiB: where nothing is listed, where 1,024 others are, and where one of them differs by its
-// body alone, so that the key has to be made. 2 to 5 ns, 0.04 us and 33 us.
+// BenchmarkSuspect measures the quarantine lookup for a request with a body of 64 KiB: with an
+// empty list, with 1,024 other entries, and with an entry of the same hint that differs only by its
+// body, so that the key has to be computed.
 func BenchmarkSuspect(b *testing.B) {
 	body := make([]byte, 64<<10)
 	var others []quarantine.Entry
@@ -292,9 +291,8 @@
 	}
 }
 
-// BenchmarkTick measures what a gateway that has two requests under way does ten times a second, its
-// report and the sums that come, with 10,000 servers listed: 412 us while each looked at all servers,
-// 1.2 us since (one run each, beside other load).
+// BenchmarkTick measures the periodic work of a gateway with two requests in flight and 10,000
+// listed servers: its report and the update from the leader's sums, ten times per second.
 func BenchmarkTick(b *testing.B) {
 	t := newTable("g", "hall-0", monotonic())
 	t.setSite("", topology.Topology{}, 0)
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -19,23 +19,24 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests that a request is served in its homes alone.
+// This file tests that a request is served only in its home regions.
 
+// TestHomes checks which region serves a request for combinations of route and account homes.
 func TestHomes(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		route, account []string
-		served         string // the region's halls; empty is refused
+		served         string // prefix of the halls that serve; empty if the request is refused
 		error          string
 	}{
-		{"none", nil, nil, "n", ""},
-		{"the route's, here", []string{"north"}, nil, "n", ""},
-		{"the route's, elsewhere", []string{"south"}, nil, "s", ""},
-		{"the account's, elsewhere", nil, []string{"south"}, "s", ""},
-		{"both", []string{"north", "south"}, []string{"south", "west"}, "s", ""},
-		{"none in common", []string{"north"}, []string{"south"}, "", "no-common-home"},
-		{"no server there", []string{"west"}, nil, "", "homes-without-server"},
-		{"a region that nobody knows", nil, []string{"moon"}, "", "homes-without-server"},
+		{"no homes", nil, nil, "n", ""},
+		{"route, own region", []string{"north"}, nil, "n", ""},
+		{"route, other region", []string{"south"}, nil, "s", ""},
+		{"account, other region", nil, []string{"south"}, "s", ""},
+		{"route and account", []string{"north", "south"}, []string{"south", "west"}, "s", ""},
+		{"no common region", []string{"north"}, []string{"south"}, "", "no-common-home"},
+		{"region without servers", []string{"west"}, nil, "", "homes-without-server"},
+		{"unknown region", nil, []string{"moon"}, "", "homes-without-server"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
@@ -65,8 +66,9 @@
 	}
 }
 
-// TestHomeIsFullOrGone: a request waits for its home and is refused there, while servers
-// elsewhere are idle; without a listed server in its homes it is refused at once.
+// TestHomeIsFullOrGone checks that a request with a home waits for its home and is refused there
+// even if servers elsewhere are idle, and that it is refused at once if its homes have no listed
+// server.
 func TestHomeIsFullOrGone(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
@@ -95,7 +97,8 @@
 	}
 }
 
-// TestRepeatsKeepToTheHomes: a second attempt, and a stream that is taken up.
+// TestRepeatsKeepToTheHomes checks that second attempts and resumed streams stay in the request's
+// homes.
 func TestRepeatsKeepToTheHomes(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -110,12 +113,12 @@
 		x.request("/resume/x", "Patience", "1000")
 		is.Equal(x.arrivalsIn("n")+x.arrivalsIn("nowhere"), 0)
 		is.Equal(x.arrivalsIn("s1"), before+2)
-		is.Equal(x.servers.arrivals[before+1].Header.Get("After"), "1") // it was taken up
+		is.Equal(x.servers.arrivals[before+1].Header.Get("After"), "1") // the stream was resumed
 	})
 }
 
-// TestHomesGivenLater: what runs ends where it is; what waits, and each further attempt, obeys
-// the newer document, also where it takes homes away.
+// TestHomesGivenLater checks a change of homes by a new document: running attempts end where they
+// are, while queued requests and later attempts obey the new document, also if it removes homes.
 func TestHomesGivenLater(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -131,7 +134,7 @@
 		group.Go(func() { waiting = x.request("/again/x", "Patience", "1000") })
 		time.Sleep(10 * time.Millisecond)
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
-		x.setFull(false, "n1") // idle, and no home any more
+		x.setFull(false, "n1") // idle, but no longer a home
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(x.servers.count(), 1)
 		x.setFull(false, "s1")
@@ -143,18 +146,18 @@
 			x.g.apply(homesDocument(x.g.DocumentNumber()+1, []string{"north"}, nil))
 			return nil, forward.NotRun{Err: io.EOF}
 		}, "s1")
-		is.Equal(x.request("/again/x").status, 200) // the first attempt in the south, the second by the newer document
+		is.Equal(x.request("/again/x").status, 200) // first attempt in the south, second one by the new document
 		is.Equal(x.arrivalsIn("s1"), 2)
 		is.Equal(x.arrivalsIn("n1"), 2)
 		x.g.apply(homesDocument(20, nil, nil))
 		x.withdraw("plain", 1, "n1")
-		is.Equal(x.request("/again/x").status, 503) // the south fails still, but may be asked
+		is.Equal(x.request("/again/x").status, 503) // the south still fails, but is allowed again
 		is.Equal(x.arrivalsIn("s1"), 3)
 	})
 }
 
-// TestHomesWithoutRegions: without settings of regions nothing is known to be in a home; with one
-// region its halls are, and a hall that is not named is not.
+// TestHomesWithoutRegions checks that without a configured topology no hall is in any home, and
+// that with one configured region only its halls are.
 func TestHomesWithoutRegions(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -176,8 +179,9 @@
 	})
 }
 
-// TestHomeBeyondTheLink: what may be served in another region alone goes over when nothing goes
-// by choice any more, and waits, or is refused as not run, when the link's part is used up.
+// TestHomeBeyondTheLink checks that a request that only another region may serve crosses when the
+// link budget admits no optional crossings, and that it waits or is refused as not run when the
+// whole budget is used up.
 func TestHomeBeyondTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -185,13 +189,13 @@
 		x.g.apply(homesDocument(4, []string{"south"}, nil))
 		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "n1", "s1")
 		t := x.g.table
-		spend := func(seconds float64) { // of the budget's rate
+		spend := func(seconds float64) { // in seconds of the budget's rate
 			t.mu.Lock()
 			defer t.mu.Unlock()
 			t.link = place.LinkBudget{}
 			t.link.Spend(x.g.now(), t.site.linkShare(1), seconds*place.DefaultLinkRate*0.35)
 		}
-		spend(0.9) // nothing is left for requests that need not leave
+		spend(0.9) // nothing is left for optional crossings
 		is.True(!t.link.Admits(x.g.now(), t.site.linkShare(1), place.Transfer{Bytes: 1000}))
 		is.Equal(x.request("/again/x").status, 200)
 		spend(10)
@@ -206,8 +210,8 @@
 	})
 }
 
-// homesDocument is the test document with homes of its routes "again" and "resume" and of its
-// account "t", under a number.
+// homesDocument returns the test document with the given number, homes of its routes "again" and
+// "resume", and homes of its account "t".
 func homesDocument(number uint64, route, account []string) document.Document {
 	d := testDocument()
 	d.Number = number
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -15,15 +15,15 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what one gateway does with the directory's list of requests under which servers
-// end.
+// This file tests how a gateway applies the directory's list of requests during which servers
+// ended.
 
-// requestKey is the key of what [fixture.ask] sends to a path.
+// requestKey returns the key of the request that [fixture.request] sends to a path.
 func requestKey(path string) quarantine.Key {
 	return quarantine.KeyOf("t", "POST", "host", path, []byte("a body"))
 }
 
-// listSuspects gives the gateway the whole listSuspects of a leader.
+// listSuspects applies a leader's whole list with entries for the given paths.
 func (x *fixture) listSuspects(ends int, condemned bool, paths ...string) {
 	m := protocol.Quarantine{Whole: true}
 	for _, path := range paths {
@@ -35,13 +35,14 @@
 	x.g.suspicions.applyList(m)
 }
 
-// nextReport returns what the next report has of it.
+// nextReport returns the quarantine part of the next report.
 func (x *fixture) nextReport() (u protocol.Usage) {
 	x.g.suspicions.addToReport(x.g.now(), &u)
 	return u
 }
 
-// TestCondemnedIsRefused: that request alone, and only until it is listed no more.
+// TestCondemnedIsRefused checks that exactly the condemned request is refused, and only while it is
+// listed.
 func TestCondemnedIsRefused(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
@@ -50,20 +51,20 @@
 		is.Equal(r.status, 400)
 		is.Equal(r.header.Get("Retry-After"), "")
 		is.Equal(x.servers.count(), 0)
-		is.Equal(x.request("/again/deadly", "Key", "other").status, 200) // of another account
+		is.Equal(x.request("/again/deadly", "Key", "other").status, 200) // another account
 		is.Equal(x.request("/again/other").status, 200)
-		is.Equal(x.requestWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // of the same length
+		is.Equal(x.requestWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // another body of the same length
 		k := requestKey("/again/deadly")
 		x.g.suspicions.applyList(protocol.Quarantine{Gone: [][]byte{k[:]}})
 		is.Equal(x.request("/again/deadly").status, 200)
 	}, answers(200, "done", time.Millisecond))
 }
 
-// TestAnsweredSuspectIsReported: a whole answer clears a suspect, a failure of the server's own and
-// a broken answer do not.
+// TestAnsweredSuspectIsReported checks that a whole answer clears a suspected request, and that a
+// server error or a broken answer does not.
 func TestAnsweredSuspectIsReported(t *testing.T) {
 	for _, tt := range []struct {
-		does    behaviour
+		behave  behaviour
 		cleared int
 	}{
 		{answers(200, "done", 0), 1}, {answers(404, "no", 0), 0}, {answers(500, "no", 0), 0}, {broken, 0},
@@ -77,29 +78,29 @@
 			x.request("/once/other")
 			cleared := x.nextReport().Cleared
 			is.Equal(len(cleared), tt.cleared)
-			is.Equal(len(x.nextReport().Cleared), 0) // once
+			is.Equal(len(x.nextReport().Cleared), 0) // reported once
 			x.g.suspicions.followsLeader.Store(false)
 			x.request("/once/suspect")
-			is.Equal(len(x.nextReport().Cleared), 0) // to nobody
-		}, tt.does)
+			is.Equal(len(x.nextReport().Cleared), 0) // not reported without a session
+		}, tt.behave)
 	}
 }
 
-// TestThirdEndIsTheLast: no attempt follows the third end in a row, whichever of them are known
-// from the list.
+// TestThirdEndIsTheLast checks that no attempt is made after servers ended under three attempts, no
+// matter how many of the ends are known from the list.
 func TestThirdEndIsTheLast(t *testing.T) {
-	for known, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two
+	for listedEnds, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two attempts
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			x.listSuspects(known, false, "/again/deadly")
+			x.listSuspects(listedEnds, false, "/again/deadly")
 			is.Equal(x.request("/again/deadly").status, 502)
 			is.Equal(x.servers.count(), sent)
 		}, broken, broken, broken)
 	}
 }
 
-// TestUndecidedWaits: a request at three ends waits for what becomes of it, and goes when nothing
-// does.
+// TestUndecidedWaits checks that a request with three ends waits for the leader's decision and is
+// sent if there is none in time.
 func TestUndecidedWaits(t *testing.T) {
 	for _, condemned := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
@@ -116,8 +117,8 @@
 	}
 }
 
-// TestAnswerBeforeTheEndIsKnown: the second attempt is answered before it shows that the first one's
-// server has ended. Nothing is suspected.
+// TestAnswerBeforeTheEndIsKnown checks that a request is not suspected if its second attempt is
+// answered before the first attempt's server is found to have ended.
 func TestAnswerBeforeTheEndIsKnown(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
@@ -129,13 +130,13 @@
 	}, broken, answers(200, "done", time.Millisecond))
 }
 
-// TestAloneAGatewayJudges: without a leader that lists anything it refuses what it saw at three
-// ends itself, and tells the next leader all that it saw.
+// TestAloneAGatewayJudges checks that a gateway without a leader refuses a request that it has seen
+// at three ends, and reports all its evidence to the next leader.
 func TestAloneAGatewayJudges(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
-		is.Equal(x.request("/again/fine").status, 502) // all of them break connections
-		time.Sleep(time.Second)                        // and it shows that they go on
+		is.Equal(x.request("/again/fine").status, 502) // all servers break connections
+		time.Sleep(time.Second)                        // long enough to find that the servers are still running
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
 			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
@@ -149,13 +150,13 @@
 		is.Equal(len(x.nextReport().Losses), 0)
 		x.g.suspicions.beginSession()
 		is.Equal(len(x.nextReport().Losses), 3)
-		x.listSuspects(0, false) // a leader that knows of nothing decides now
+		x.listSuspects(0, false) // the list of a new leader, which is empty, now decides
 		is.True(x.request("/again/deadly").status != 400)
 	}, broken, broken, broken)
 }
 
-// TestUnreachedSaysNothing: attempts that reach nobody while a server is down do not hide that the
-// pool answers.
+// TestUnreachedSaysNothing checks that attempts that reach no server while one is down do not hide
+// that the rest of the pool answers.
 func TestUnreachedSaysNothing(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -18,13 +18,14 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests what attempts in another region leave behind, and those that stay in their own.
+// This file tests the side effects of attempts in another region and of attempts that stay in their
+// own.
 
-// TestBudgetFollowsWhatWasSent: an attempt that reaches nobody gives back all that it was
-// expected to need, and a large answer takes what it brought. A full bucket holds 32 KB.
+// TestBudgetFollowsWhatWasSent checks that an attempt that reaches no server returns its whole
+// charge to the link budget, and that a large answer is charged in full. A full bucket holds 32 KB.
 func TestBudgetFollowsWhatWasSent(t *testing.T) {
 	for _, tt := range []struct {
-		does          behaviour
+		behave        behaviour
 		left, notLeft float64
 	}{
 		{fails(forward.NotRun{Err: io.EOF}), 32e3, 0},
@@ -34,9 +35,9 @@
 			is := is.New(x.t)
 			x.joinNorthRegion()
 			x.g.table.mu.Lock()
-			x.g.table.site.linkRate = 1 // nothing comes back by itself
+			x.g.table.site.linkRate = 1 // the bucket does not refill
 			x.g.table.mu.Unlock()
-			x.announce("plain", 1, tt.does, "s1")
+			x.announce("plain", 1, tt.behave, "s1")
 			x.request("/once/x", "Patience", "1000")
 			is.True(x.arrivalsIn("s1") > 0)
 			admits := func(bytes float64) bool {
@@ -49,8 +50,9 @@
 	}
 }
 
-// TestOnlyServerOfARegionIsNotAskedAgain: it is not the only one of its pool, also while the link
-// keeps the request from the others.
+// TestOnlyServerOfARegionIsNotAskedAgain checks that the only server of a region does not get a
+// request again while its pool has servers in other regions, even if the link budget admits no
+// crossing.
 func TestOnlyServerOfARegionIsNotAskedAgain(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -65,7 +67,8 @@
 	})
 }
 
-// TestWayIsNotLearnedFrom: a connection that was open before, and one that a late gateway opened.
+// TestWayIsNotLearnedFrom checks that the round trip is not learned from a connection that was
+// already open, nor while the gateway is delayed.
 func TestWayIsNotLearnedFrom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -87,19 +90,20 @@
 	})
 }
 
-// TestHomesOfWhatIsGone: a route or an account that the document has no more keeps the homes that
-// its request came with, and one that it still has keeps none.
+// TestHomesOfWhatIsGone checks that the homes from a request's admission apply if its route or
+// account is no longer in the document. If it still is, its current homes apply, even if there are
+// none.
 func TestHomesOfWhatIsGone(t *testing.T) {
 	south := []string{"south"}
 	for _, tt := range []struct {
 		name     string
 		document document.Document
-		want     bool // it may be served in the north
+		want     bool // the request may be served in the north
 	}{
-		{"both gone", document.Document{}, false},
-		{"both without homes", document.Document{Routes: []document.Route{{Name: "r"}}, Accounts: []document.Account{{Name: "a"}}}, true},
-		{"the route gone", document.Document{Accounts: []document.Account{{Name: "a"}}}, false},
-		{"the account gone", document.Document{Routes: []document.Route{{Name: "r"}}}, false},
+		{"route and account removed", document.Document{}, false},
+		{"route and account without homes", document.Document{Routes: []document.Route{{Name: "r"}}, Accounts: []document.Account{{Name: "a"}}}, true},
+		{"route removed", document.Document{Accounts: []document.Account{{Name: "a"}}}, false},
+		{"account removed", document.Document{Routes: []document.Route{{Name: "r"}}}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -112,7 +116,8 @@
 	}
 }
 
-// TestHomesAreNotMissed: no engine lacks for what its homes let nothing serve.
+// TestHomesAreNotMissed checks that requests that no server can serve because of their homes do not
+// count as missed, since they show no lack of engines.
 func TestHomesAreNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -21,10 +21,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests where a gateway of the region "north" sends requests while there are servers
-// in "south" and in halls of no known region as well.
+// This file tests where a gateway in region "north" sends requests while there are servers in
+// "south" and in halls of no known region.
 
-// joinNorthRegion lets the gateway stand in a hall of "north".
+// joinNorthRegion puts the gateway in a hall of "north" and seeds its random numbers.
 func (x *fixture) joinNorthRegion() {
 	fleet, err := topology.New(map[string]string{"n1": "north", "n2": "north", "s1": "south", "s2": "south", "w1": "west"})
 	is.New(x.t).NoErr(err)
@@ -41,21 +41,21 @@
 	}
 }
 
-// listedServer returns a server as the directory lists it.
+// listedServer returns a server as listed by the directory.
 func listedServer(pool, hall string, i int) protocol.Server {
 	id := fmt.Sprintf("%s-%s-%02d", hall, pool, i)
 	return protocol.Server{Registration: protocol.Registration{ID: id, Pool: pool, Address: id, Hall: hall, Slots: 4}}
 }
 
-// announce announces servers of a pool in halls, each with the behaviour.
-func (x *fixture) announce(pool string, each int, does behaviour, halls ...string) {
+// announce adds servers of a pool in the given halls, all with the same behaviour.
+func (x *fixture) announce(pool string, each int, behave behaviour, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	x.servers.mu.Lock()
 	for _, hall := range halls {
 		for i := range each {
 			s := listedServer(pool, hall, i)
 			s.Handle = uint32(1000*len(x.servers.behaviours) + 1)
-			x.servers.behaviours[s.Address] = does
+			x.servers.behaviours[s.Address] = behave
 			m.Set = append(m.Set, s)
 		}
 	}
@@ -63,7 +63,7 @@
 	x.g.table.update(m)
 }
 
-// withdraw removes servers of a pool in halls.
+// withdraw removes servers of a pool from the given halls.
 func (x *fixture) withdraw(pool string, each int, halls ...string) {
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
@@ -74,22 +74,23 @@
 	x.g.table.update(m)
 }
 
-// setFull lets all engines of halls be setFull by the work of other gateways.
-func (x *fixture) setFull(is bool, halls ...string) {
+// setFull makes all servers of the given halls full with other gateways' load, or idle again.
+func (x *fixture) setFull(full bool, halls ...string) {
 	t := x.g.table
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, k := range t.servers {
 		if slices.Contains(halls, k.Hall) {
 			k.othersLoad, t.othersUpdatedAt = place.Work{}, t.now()
-			if is {
+			if full {
 				k.othersLoad = place.Work{Requests: 100, Tokens: 100_000}
 			}
 		}
 	}
 }
 
-// arrivalsIn counts what arrived in a hall's servers, whose names begin with its name.
+// arrivalsIn counts the requests that arrived at servers whose identifiers have a prefix. The
+// identifiers begin with the hall's name.
 func (x *fixture) arrivalsIn(prefix string) (n int) {
 	x.servers.mu.Lock()
 	defer x.servers.mu.Unlock()
@@ -101,8 +102,8 @@
 	return n
 }
 
-// TestIdleFleetStaysInItsRegion: engines and plain services, also one with a single server in
-// each hall.
+// TestIdleFleetStaysInItsRegion checks that requests to engines and to plain services stay in the
+// own region while it is idle, even if a pool has only one server per hall.
 func TestIdleFleetStaysInItsRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -114,9 +115,9 @@
 			is.Equal(x.request("/again/x").status, 200)
 		}
 		is.Equal(x.arrivalsIn("n1")+x.arrivalsIn("n2"), 400)
-		is.True(x.arrivalsIn("n2-plain") > 60) // and spread over both halls
+		is.True(x.arrivalsIn("n2-plain") > 60) // spread over both halls
 		x.withdraw("engines", 6, "s1", "s2", "nowhere")
-		for i := range 200 { // a prompt's engine is the same whatever there is elsewhere
+		for i := range 200 { // a prompt's engine must not depend on the servers elsewhere
 			before := x.servers.arrivals[2*i].Header.Get("Backend")
 			is.Equal(x.request("/engine/x", "Shared", fmt.Sprint(i), "Tokens", "500").status, 200)
 			is.Equal(x.servers.arrivals[400+i].Header.Get("Backend"), before)
@@ -124,8 +125,9 @@
 	})
 }
 
-// TestRegionWithoutServers: the nearest other region serves, and the own one again once it has
-// servers; those that stand nowhere known come last.
+// TestRegionWithoutServers checks that the nearest other region serves if the own region has no
+// servers, servers of unknown region only as the last resort, and that the own region serves again
+// once it has servers.
 func TestRegionWithoutServers(t *testing.T) {
 	for _, path := range []string{"/again/x", "/engine/x"} {
 		withGateway(t, func(x *fixture) {
@@ -159,7 +161,8 @@
 	return b.String()
 }
 
-// TestRegionOutOfServiceOrEjected: what the own region has and may not give is none.
+// TestRegionOutOfServiceOrEjected checks that servers of the own region that are out of service or
+// ejected count as absent.
 func TestRegionOutOfServiceOrEjected(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -182,7 +185,7 @@
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.arrivalsIn("n1"), 0) // both are ejected
+		is.Equal(x.arrivalsIn("n1"), 0) // both servers are ejected
 		x.announce("plain", 2, fails(forward.NotRun{Err: http.ErrAbortHandler}), "s1")
 		for range 40 {
 			x.request("/again/x")
@@ -190,14 +193,14 @@
 		x.servers.mu.Lock()
 		x.servers.arrivals = nil
 		x.servers.mu.Unlock()
-		x.request("/once/x") // all are: better one of the own region
+		x.request("/once/x") // all servers are ejected: the own region is preferred
 		is.True(strings.HasPrefix(x.servers.arrivals[0].Header.Get("Backend"), "n1"))
 	})
 }
 
-// TestNoRoomInTheRegion: a request goes over if another region has room, its objective leaves
-// the time, and it is not beyond its account's share; else it waits, and goes over while it
-// waits once there is room.
+// TestNoRoomInTheRegion checks a request whose own region has no room: it crosses if another region
+// has room, the round trip fits its objective, and it is within its account's share. Otherwise it
+// waits, and crosses once there is room.
 func TestNoRoomInTheRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -231,7 +234,7 @@
 			x.g.table.link = link
 		}
 		slow := place.LinkBudget{}
-		slow.ObserveRoundTrip(x.g.now(), "south", 390*time.Millisecond) // of an objective of 400
+		slow.ObserveRoundTrip(x.g.now(), "south", 390*time.Millisecond) // the objective is 400 ms
 		setLink(slow)
 		is.Equal(ask().status, 503)
 		is.True(strings.Contains(x.metricsText(), `badgerspoke_gateway_region_stayed_total{why="time"} 1`))
@@ -244,9 +247,9 @@
 	})
 }
 
-// TestBestEngineIsWaitedFor: a full engine that suits best is no reason to take another one of
-// the region, and none to leave the region until the request has waited as long as the way
-// takes. A request with a home waits on, in its own region and elsewhere.
+// TestBestEngineIsWaitedFor checks a request whose best engine is full: it neither takes another
+// engine of its region nor leaves the region before it has waited for the time of a round trip. A
+// request with a home keeps waiting in its home.
 func TestBestEngineIsWaitedFor(t *testing.T) {
 	for _, home := range []string{"", "north", "south"} {
 		withGateway(t, func(x *fixture) {
@@ -281,15 +284,15 @@
 				return
 			}
 			is.Equal(x.arrivalsIn("s1"), 1)
-			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // with the tick after it
+			is.True(r.took < place.AssumedRoundTrip+30*time.Millisecond) // plus the next tick
 			is.True(strings.Contains(x.metricsText(), `why="waited"} 1`))
 		})
 	}
 }
 
-// TestFloodStaysWithinTheLink: seven times what a region's servers bear, with bodies of 10 KB,
-// before a narrow link: what goes over stays within the gateway's part of it, and the rest is
-// refused as not run.
+// TestFloodStaysWithinTheLink offers seven times the load that a region's servers can take, with
+// bodies of 10 KB and a narrow link. It checks that crossing requests stay within the gateway's
+// share of the link and that the rest is refused as not run.
 func TestFloodStaysWithinTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -318,13 +321,13 @@
 		over := 20_000 * (x.arrivalsIn("s1") + x.arrivalsIn("s2"))
 		x.t.Logf("%.2f of the link, %d refused", float64(over)/span.Seconds()/rate, refused)
 		is.True(over > 0)
-		is.True(float64(over) < 0.35*rate*(span.Seconds()+1)) // one region's part, and a full bucket at first
+		is.True(float64(over) < 0.35*rate*(span.Seconds()+1)) // one region's share plus the initial bucket
 		is.True(refused > 1000)
 	})
 }
 
-// TestConnectionsTellOfTheLink: a new connection to another region is its round trip, one that
-// takes much longer keeps requests from going over by choice.
+// TestConnectionsTellOfTheLink checks that the round trip is learned from new connections to
+// another region, and that a connection that takes much longer to open stops optional crossings.
 func TestConnectionsTellOfTheLink(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -347,7 +350,8 @@
 	})
 }
 
-// TestPartsFollowTheList: each server is in the part of its region, whatever changes.
+// TestPartsFollowTheList checks that each server is in the list of its region after any sequence of
+// changes.
 func TestPartsFollowTheList(t *testing.T) {
 	is := is.New(t)
 	table := newTable("g", "n1", monotonic())
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -17,10 +17,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests regions and homes while a pool has a rollout, while servers move to another
-// hall, and where attempts fail.
+// This file tests regions and homes during a rollout, while servers move to another hall, and when
+// attempts fail.
 
-// announceVersion announces servers of pool "plain" in a hall that run a version, which they answer.
+// announceVersion adds servers of pool "plain" with a version in the given halls. They answer with
+// the name of their version.
 func (x *fixture) announceVersion(version string, each int, halls ...string) {
 	x.announce("plain", each, answers(200, version, time.Millisecond), halls...)
 	m := protocol.Servers{Term: 1}
@@ -34,8 +35,8 @@
 	x.g.table.update(m)
 }
 
-// TestTrialInEachRegion: each region has its own servers of a trial, so that no request leaves
-// it for the version alone.
+// TestTrialInEachRegion checks that each region has its own trial servers, so that no request
+// crosses regions for a trial.
 func TestTrialInEachRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -51,13 +52,14 @@
 		}
 		is.Equal(trials, map[string]int{"north": 1, "south": 1})
 		x.renewShares()
-		x.g.cfg.Random = func() uint64 { return 1 } // lots are always low
+		x.g.cfg.Random = func() uint64 { return 1 } // draws are always within the share
 		is.Equal(x.countAnswers("/once/x", 20), map[string]int{"new": 20})
 		is.Equal(x.arrivalsIn("n2"), 20)
 	})
 }
 
-// TestHomeWithoutTheOldVersion: where the homes have servers of the target alone, it serves.
+// TestHomeWithoutTheOldVersion checks that servers of the target serve a request whose homes have
+// no others.
 func TestHomeWithoutTheOldVersion(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
@@ -77,8 +79,8 @@
 	}
 }
 
-// TestLinkKeepsFromTheTarget: after the switch, what the link has no room for goes to the old
-// version of its own region rather than be refused.
+// TestLinkKeepsFromTheTarget checks that after the switch, requests that the link budget does not
+// admit go to the old version in the own region instead of being refused.
 func TestLinkKeepsFromTheTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -96,22 +98,22 @@
 	})
 }
 
-// TestHomeServesWhatItsAccountIsOwed: what its account's share covers takes any engine of a home
-// in another region, as in its own, rather than be refused.
+// TestHomeServesWhatItsAccountIsOwed checks that a request within its account's share takes any
+// engine of its home, in the own region or another, rather than being refused.
 func TestHomeServesWhatItsAccountIsOwed(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			x.joinNorthRegion()
 			x.g.apply(homesDocument(4, nil, []string{home}))
-			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
+			x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all other accounts are covered
 			x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
-			x.askWithBestFull(home[:1])
+			x.requestWithBestFull(home[:1])
 		})
 	}
 }
 
-// TestServerMovesToAnotherRegion: an attempt counts for the region where its server stood when it
-// began.
+// TestServerMovesToAnotherRegion checks that an attempt is counted for the region in which its
+// server was when the attempt started.
 func TestServerMovesToAnotherRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -120,7 +122,7 @@
 		done := make(chan reply)
 		go func() { done <- x.request("/again/x") }()
 		time.Sleep(10 * time.Millisecond)
-		for i := range 200 { // also while the answer is counted and logged
+		for i := range 200 { // also while the answer is being counted and logged
 			s := listedServer("plain", "s1", 0)
 			s.Hall = []string{"w1", "n1"}[i%2]
 			x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
@@ -131,7 +133,8 @@
 	})
 }
 
-// TestWhatWasNotSentIsNotCounted: an attempt that reaches nobody puts nothing on the link.
+// TestWhatWasNotSentIsNotCounted checks that an attempt that reaches no server does not count as
+// bytes on the link.
 func TestWhatWasNotSentIsNotCounted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -143,7 +146,8 @@
 	})
 }
 
-// TestShareOfTheLink: gateways that cannot be divided evenly do not use more than a region's part.
+// TestShareOfTheLink checks that the gateways of a region together do not use more than the
+// region's share, also if the gateways cannot be divided evenly among the regions.
 func TestShareOfTheLink(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct{ gateways, regions, each int }{
@@ -154,13 +158,14 @@
 	}
 }
 
-// TestHomeOfTheOldVersionAfterTheSwitch: engines of a home that run the old version serve what its
-// account's share covers while the target stands elsewhere, also those that suit it less.
+// TestHomeOfTheOldVersionAfterTheSwitch checks that after the switch, all engines of a home that
+// only has the old version serve requests within the account's share, also those that are not the
+// best choice.
 func TestHomeOfTheOldVersionAfterTheSwitch(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
-		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all others are covered
+		x.g.accounts.update([]protocol.Entitlement{{Account: "u", Part: 0.9, Extra: 0.9}}, nil, false) // all other accounts are covered
 		x.announce("engines", 4, streams(piece{text: event(1)}), "n1", "s1")
 		m := protocol.Servers{Term: 1}
 		for i := range 4 {
@@ -173,13 +178,13 @@
 			{Pool: "engines", Attempt: 1, Target: "new", Share: 1},
 		}})
 		x.renewShares()
-		x.askWithBestFull("n")
+		x.requestWithBestFull("n")
 	})
 }
 
-// askWithBestFull asks for one prompt, lets the engine that served it be full, and asks again:
-// another engine of the region serves it in the end.
-func (x *fixture) askWithBestFull(region string) {
+// requestWithBestFull sends a prompt, makes the engine that served it full, and sends the prompt
+// again: another engine of the region must serve it in the end.
+func (x *fixture) requestWithBestFull(region string) {
 	is := is.New(x.t)
 	ask := func() reply { return x.request("/engine/x", "Shared", "a", "Tokens", "500", "Patience", "1000") }
 	is.Equal(ask().status, 200)
@@ -193,8 +198,8 @@
 	is.Equal(x.arrivalsIn(region), 2)
 }
 
-// TestEjectedRegionComesAfterOneWithoutRoom: what must leave waits for a healthy server of a region
-// further away rather than go to an ejected one of a nearer.
+// TestEjectedRegionComesAfterOneWithoutRoom checks that a request that must leave its region waits
+// for a healthy server in a distant region rather than go to an ejected one in a nearer region.
 func TestEjectedRegionComesAfterOneWithoutRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -214,7 +219,7 @@
 		is.Equal(x.request("/once/x").status, 200)
 		is.Equal(x.arrivalsIn("w1"), 1)
 		x.withdraw("plain", 1, "w1")
-		is.Equal(x.request("/once/x").status, 200) // better an ejected one than none
+		is.Equal(x.request("/once/x").status, 200) // an ejected server is better than none
 		is.Equal(x.arrivalsIn("s1"), 1)
 	})
 }
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -17,25 +17,26 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file checks whose fault it is that an answer did not reach its caller.
+// This file tests whether the caller or the server is blamed for an answer that did not reach its
+// caller.
 
-// brokenCaller is a caller whose connection takes some writes and then fails, unnoticed
-// by the request's context.
+// brokenCaller is a caller whose connection accepts some writes and then fails, while the request's
+// context stays alive.
 type brokenCaller struct {
 	*httptest.ResponseRecorder
-	takes int // writes
+	writesLeft int // writes that still succeed
 }
 
 func (b *brokenCaller) Write(p []byte) (int, error) {
-	if b.takes == 0 {
+	if b.writesLeft == 0 {
 		return 0, errReset
 	}
-	b.takes--
+	b.writesLeft--
 	return b.ResponseRecorder.Write(p)
 }
 
-// askFrom sends a request whose answer goes to w.
-func (x *fixture) askFrom(path string, w http.ResponseWriter) {
+// requestInto sends a request whose answer is written to w.
+func (x *fixture) requestInto(path string, w http.ResponseWriter) {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, path, strings.NewReader("a body"))
 	r.Host = "host"
 	r.Header.Set("Id", "request-1")
@@ -48,14 +49,14 @@
 	x.g.ServeHTTP(w, r)
 }
 
-// TestFailedRelayNamesItsCause: a write that fails is the caller's, and no server is
-// ejected for it; an event that is too large is the server's.
+// TestFailedRelayNamesItsCause checks that a failed write is attributed to the caller and ejects no
+// server, and that an oversized event and a cut-off answer are attributed to the server.
 func TestFailedRelayNamesItsCause(t *testing.T) {
 	large := answers(200, strings.Repeat("x", 2*maxHeldAnswer), 0)
 	for _, tt := range []struct {
 		name, path, cause string
 		takes             int
-		does              behaviour
+		behave            behaviour
 		ejects            bool
 	}{
 		{"large answer, first part", "/again/x", "caller gone", 0, large, false},
@@ -68,8 +69,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				for range 5 { // enough to eject a server
-					x.askFrom(tt.path, &brokenCaller{ResponseRecorder: httptest.NewRecorder(), takes: tt.takes})
+				for range 5 { // enough failures to eject a server
+					x.requestInto(tt.path, &brokenCaller{ResponseRecorder: httptest.NewRecorder(), writesLeft: tt.takes})
 				}
 				failed := func(cause string) uint64 {
 					name := fmt.Sprintf("badgerspoke_gateway_attempts_failed_total{cause=%q}", cause)
@@ -79,15 +80,15 @@
 				is.Equal(failed(""), uint64(0))
 				ejected := x.g.stats.metricSet.GetOrCreateCounter(`badgerspoke_gateway_suspected_total{pool="plain"}`).Get() > 0
 				is.Equal(ejected, tt.ejects)
-			}, tt.does)
+			}, tt.behave)
 		})
 	}
 }
 
-// cutOff answers as another behaviour does, but the body breaks at its end.
-func cutOff(does behaviour) behaviour {
+// cutOff returns a behaviour that answers like another one, except that the body breaks at its end.
+func cutOff(behave behaviour) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
-		a, err := does(ctx, call)
+		a, err := behave(ctx, call)
 		if err == nil {
 			a.Body = io.NopCloser(io.MultiReader(a.Body, iotest.ErrReader(errReset)))
 		}
@@ -95,7 +96,7 @@
 	}
 }
 
-// endlessEvent streams an event that never ends.
+// endlessEvent streams an event that is larger than the limit and never ends.
 func endlessEvent(_ context.Context, call forward.Call) (*forward.Answer, error) {
 	body := io.NopCloser(strings.NewReader(strings.Repeat("x", 2*maxEvent)))
 	return &forward.Answer{Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: body}, nil
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -15,9 +15,9 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// TestLargePoolChoosesFromTheOrder: among many engines equal prompts go to one of them, a prompt whose
-// engine has left, is in a hall out of service or had the request before goes to another one, and so do
-// prompts without shared parts.
+// TestLargePoolChoosesFromTheOrder checks the choice in a large pool: equal prompts go to the same
+// engine. If that engine has left, is in a hall out of service or has been tried already, the
+// prompt goes to another one. Prompts without shared parts find an engine as well.
 func TestLargePoolChoosesFromTheOrder(t *testing.T) {
 	is := is.New(t)
 	x := newTable("g", "hall-0", monotonic())
@@ -40,7 +40,7 @@
 		used[k.ID] = true
 		k.ownLoad = place.Work{}
 	}
-	is.True(len(used) > 130) // 157 of 400 by lot
+	is.True(len(used) > 130) // 157 of 400 are expected from random choice
 	k := choose(7)
 	req.avoid = map[string]bool{k.ID: true}
 	is.True(choose(7) != k)
@@ -54,6 +54,7 @@
 	is.True(a != nil)
 }
 
+// listedEngine returns the i-th engine of the pool as listed by the directory.
 func listedEngine(i int) protocol.Server {
 	return protocol.Server{Handle: uint32(i + 1), Registration: protocol.Registration{
 		ID: fmt.Sprintf("i-%05d", i), Pool: "engines", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250),
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -19,12 +19,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests streams: whole events, in order, once each.
+// This file tests that streams reach the caller as whole events, in order and once each.
 
+// pause is the time between two events.
 const pause = 50 * time.Millisecond
 
-// resuming streams events up to last, beginning after the one that the call
-// names, and breaks once after it has sent breakAfter.
+// resuming returns a behaviour that streams events up to last, starting after the one that the call
+// names. If breakAfter is not 0, the stream breaks in the middle of the event after that one.
 func resuming(last, breakAfter int, brokenAnswer error) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		from, _ := strconv.Atoi(call.Header.Get("After"))
@@ -32,7 +33,7 @@
 		for id := from + 1; id <= last; id++ {
 			pieces = append(pieces, piece{text: event(id), after: pause})
 			if id == breakAfter {
-				half := event(id + 1)[:10] // in the middle of an event
+				half := event(id + 1)[:10] // cut in the middle of an event
 				pieces = append(pieces, piece{text: half}, piece{after: pause, err: brokenAnswer})
 				break
 			}
@@ -41,6 +42,7 @@
 	}
 }
 
+// wholeStream returns the text of the events up to last.
 func wholeStream(last int) string {
 	text := ""
 	for id := 1; id <= last; id++ {
@@ -60,8 +62,8 @@
 	}, resuming(5, 0, nil))
 }
 
-// TestBrokenStreamIsTakenUp breaks a stream in the middle of an event: the
-// second backend server goes on after the last whole one.
+// TestBrokenStreamIsTakenUp breaks a stream in the middle of an event and checks that the second
+// backend server continues after the last whole event.
 func TestBrokenStreamIsTakenUp(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -73,8 +75,8 @@
 	})
 }
 
-// TestStreamThatEndsInsideAnEventIsBroken: an end without an error is not
-// whole if an event is not.
+// TestStreamThatEndsInsideAnEventIsBroken checks that a stream that ends without an error in the
+// middle of an event counts as broken.
 func TestStreamThatEndsInsideAnEventIsBroken(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -84,8 +86,8 @@
 	})
 }
 
-// TestStreamThatMayNotRunAgainIsCut: the caller must see that it is not whole,
-// and no other backend server may get it.
+// TestStreamThatMayNotRunAgainIsCut checks that a broken stream of a route without retries is
+// visibly cut off for its caller and reaches no other backend server.
 func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -97,8 +99,8 @@
 	})
 }
 
-// TestBrokenStreamWithNobodyLeftIsCut: no answer of the gateway's own may be
-// written into a stream that has begun.
+// TestBrokenStreamWithNobodyLeftIsCut checks that the gateway writes no answer of its own into a
+// stream that has begun.
 func TestBrokenStreamWithNobodyLeftIsCut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -109,7 +111,8 @@
 	})
 }
 
-// TestBrokenStreamGoesOnAtItsOnlyBackend: with no other, the same is asked.
+// TestBrokenStreamGoesOnAtItsOnlyBackend checks that a broken stream resumes at the same backend
+// server if there is no other.
 func TestBrokenStreamGoesOnAtItsOnlyBackend(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -125,12 +128,13 @@
 		x.announceInOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
 		got := x.request("/resume/x")
 		is.Equal(got.body, wholeStream(4))
-		is.True(got.cut) // two backend servers are all that the route allows
+		is.True(got.cut) // the route allows two attempts
 		is.Equal(x.servers.count(), 2)
 	})
 }
 
-// TestSilentStreamIsTakenUp: a backend server stops in the middle without a word.
+// TestSilentStreamIsTakenUp checks that a stream is resumed elsewhere if its backend server stalls
+// without closing the connection.
 func TestSilentStreamIsTakenUp(t *testing.T) {
 	silent := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(1)}, piece{text: event(2), after: time.Hour})(ctx, call)
@@ -144,8 +148,8 @@
 	})
 }
 
-// TestPausingStreamIsNotCut: a pause justifies nothing where nobody else may go
-// on, be it that the stream may not run again or that all attempts are used.
+// TestPausingStreamIsNotCut checks that a pause does not end a stream that no other backend server
+// may resume, because the route allows no retry or because all attempts are used.
 func TestPausingStreamIsNotCut(t *testing.T) {
 	pausing := streams(piece{text: event(1)}, piece{text: event(2), after: 1500 * time.Millisecond})
 	withGateway(t, func(x *fixture) {
@@ -166,7 +170,7 @@
 	})
 }
 
-// TestRouteTimeEndsAStream cuts a stream that is still going on.
+// TestRouteTimeEndsAStream checks that a stream that exceeds its route's timeout is cut off.
 func TestRouteTimeEndsAStream(t *testing.T) {
 	endless := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return resuming(1000, 0, nil)(ctx, call)
@@ -179,7 +183,8 @@
 	}, endless)
 }
 
-// TestCallerTakesUpItsOwnStream passes on where the caller wants to go on.
+// TestCallerTakesUpItsOwnStream checks that the event after which the caller wants to resume is
+// passed on.
 func TestCallerTakesUpItsOwnStream(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -199,13 +204,13 @@
 	}, streams(pieces...))
 }
 
-// timedBody is a stream whose events come at set times, read or not.
+// timedBody is a stream whose events become available at fixed times, whether or not they are read.
 type timedBody struct {
-	began time.Time
-	every time.Duration
-	last  int
-	sent  int
-	reads int
+	startedAt time.Time
+	interval  time.Duration
+	last      int
+	sent      int
+	reads     int
 }
 
 func (r *timedBody) Read(b []byte) (int, error) {
@@ -213,9 +218,9 @@
 		return 0, io.EOF
 	}
 	r.reads++
-	time.Sleep(time.Until(r.began.Add(time.Duration(r.sent+1) * r.every)))
+	time.Sleep(time.Until(r.startedAt.Add(time.Duration(r.sent+1) * r.interval)))
 	n := 0
-	for r.sent < r.last && time.Since(r.began) >= time.Duration(r.sent+1)*r.every {
+	for r.sent < r.last && time.Since(r.startedAt) >= time.Duration(r.sent+1)*r.interval {
 		r.sent++
 		n += copy(b[n:], event(r.sent))
 	}
@@ -224,8 +229,8 @@
 
 func (r *timedBody) Close() error { return nil }
 
-// holdPressure keeps the averaged delay at a level until the function that it
-// returns is called: the ticking goroutine would take it back.
+// holdPressure keeps the averaged delay at a level until release is called. It sets the level
+// repeatedly, since the gateway's tick would lower it.
 func (x *fixture) holdPressure(level time.Duration) (release func()) {
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -242,16 +247,15 @@
 	return func() { close(stop); <-stopped }
 }
 
-// TestLateGatewayDoesNotTakeABackendForSilent: a backend server that seems silent is
-// left for another one, but not by a gateway that is late itself and may not
-// have read what has come.
+// TestLateGatewayDoesNotTakeABackendForSilent checks that a stalled backend server is abandoned for
+// another one, but not by a gateway that is delayed itself and may not have read what has arrived.
 func TestLateGatewayDoesNotTakeABackendForSilent(t *testing.T) {
-	const begins = 1500 * time.Millisecond // later than silence is borne
+	const begins = 1500 * time.Millisecond // longer than the stall timeout
 	slow := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if !sleep.For(ctx, begins) {
 			return nil, forward.Unknown{Err: ctx.Err()}
 		}
-		body := &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 20}
+		body := &timedBody{startedAt: time.Now(), interval: 10 * time.Millisecond, last: 20}
 		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 	}
 	for _, tt := range []struct {
@@ -261,7 +265,7 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			release := x.holdPressure(tt.level)
-			time.Sleep(overload.TickPeriod / 3) // so that the silence ends between two ticks
+			time.Sleep(overload.TickPeriod / 3) // so that the stall timeout is between two ticks
 			got := x.request("/resume/x")
 			release()
 			is.Equal(got.status, 200)
@@ -271,13 +275,13 @@
 	}
 }
 
-// TestUnderPressureEventsAreGathered: the same bytes with fewer reads, and as
-// many reads as events without pressure.
+// TestUnderPressureEventsAreGathered checks that a gateway under processor pressure relays the same
+// bytes with fewer reads, and one without pressure reads each event by itself.
 func TestUnderPressureEventsAreGathered(t *testing.T) {
 	for _, pressed := range []bool{false, true} {
 		var body *timedBody
-		does := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
-			body = &timedBody{began: time.Now(), every: 10 * time.Millisecond, last: 40}
+		behave := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+			body = &timedBody{startedAt: time.Now(), interval: 10 * time.Millisecond, last: 40}
 			return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 		}
 		withGateway(t, func(x *fixture) {
@@ -295,7 +299,7 @@
 			} else {
 				is.Equal(body.reads, 40)
 			}
-		}, does)
+		}, behave)
 	}
 }
 
@@ -317,7 +321,7 @@
 	}
 }
 
-// askBody sends a request with a body of its own making.
+// askBody sends a request with the given body and content length.
 func (x *fixture) askBody(body io.Reader, length int64) reply {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/once/x", body)
 	r.Host, r.ContentLength = "host", length
@@ -328,25 +332,25 @@
 	return reply{status: w.Code, header: w.Result().Header, body: w.Body.String()}
 }
 
-// TestSilentConnectionsEjectNobody: the kept connections to both servers fall silent.
-// Their streams are taken up elsewhere, no server is ejected for it, and the idle
-// connections are dropped. When the new connections are silent too, the server is.
+// TestSilentConnectionsEjectNobody makes the kept connections to both servers go silent. Their
+// streams must resume elsewhere, no server may be ejected, and the idle connections must be
+// dropped. If new connections are silent too, the server must be ejected.
 func TestSilentConnectionsEjectNobody(t *testing.T) {
 	var x *fixture
-	opened, silent := time.Time{}, false
-	kept := func(does behaviour) behaviour {
+	openedAt, silent := time.Time{}, false
+	onKeptConn := func(behave behaviour) behaviour {
 		return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 			if silent {
 				<-ctx.Done()
-				return nil, forward.Unknown{Opened: opened, Err: ctx.Err()}
+				return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
 			}
-			return does(ctx, call)
+			return behave(ctx, call)
 		}
 	}
 	withGateway(t, func(fx *fixture) {
 		x = fx
 		is := is.New(x.t)
-		opened = time.Now()
+		openedAt = time.Now()
 		time.Sleep(time.Second)
 		silent = true
 		for range 8 {
@@ -357,8 +361,8 @@
 			is.Equal(k.health.State(x.g.now()), outlier.InUse)
 		}
 		x.g.table.mu.Unlock()
-		is.Equal(x.servers.dropped[:2], []string{"10.0.5.0:80", "all"}) // the second server's: it is the network
-		opened = time.Now().Add(time.Hour)                              // all are new from here on
+		is.Equal(x.servers.dropped[:2], []string{"10.0.5.0:80", "all"}) // two servers are silent, so the network is at fault
+		openedAt = time.Now().Add(time.Hour)                            // all connections are new from here on
 		for range 8 {
 			x.request("/resume/x")
 		}
@@ -371,16 +375,16 @@
 		}
 		x.g.table.mu.Unlock()
 		is.True(ejected > 0)
-	}, kept(resuming(5, 0, nil)), kept(resuming(5, 0, nil)))
+	}, onKeptConn(resuming(5, 0, nil)), onKeptConn(resuming(5, 0, nil)))
 }
 
-// TestRequestThatMayNotRunAgainOnASilentConnection waits for its time, since a slow server
-// looks the same, but the next one goes out on a new connection.
+// TestRequestThatMayNotRunAgainOnASilentConnection checks that such a request waits until its
+// timeout, since a slow server looks the same, but that the next one is sent on a new connection.
 func TestRequestThatMayNotRunAgainOnASilentConnection(t *testing.T) {
-	opened := time.Time{}
+	openedAt := time.Time{}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		opened = time.Now()
+		openedAt = time.Now()
 		time.Sleep(time.Second)
 		got := x.request("/once/x")
 		is.Equal(got.status, 504)
@@ -388,6 +392,6 @@
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	}, func(ctx context.Context, _ forward.Call) (*forward.Answer, error) {
 		<-ctx.Done()
-		return nil, forward.Unknown{Opened: opened, Err: ctx.Err()}
+		return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
 	})
 }
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -12,11 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests how a target's servers that cannot be reached count.
+// This file tests how attempts at unreachable servers of a target are counted.
 
-// failedAtTarget returns how many attempts at the target were reported as failed.
+// failedAtTarget returns the number of attempts at the target that are reported as failed.
 func (x *fixture) failedAtTarget() (failed uint64) {
-	x.g.table.reportAllOutcomes() // all are reported
+	x.g.table.reportAllOutcomes() // the next report has all outcomes
 	outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 	for _, o := range outcomes {
 		if o.Version == "v2" {
@@ -26,8 +26,8 @@
 	return failed
 }
 
-// askRepeatedly asks some times, with pauses in which no ejection ends.
-func (x *fixture) askRepeatedly(times int) {
+// requestRepeatedly sends requests with pauses that are too short for an ejection to end.
+func (x *fixture) requestRepeatedly(times int) {
 	for range times {
 		x.renewShares()
 		x.request("/again/1", "Patience", "800")
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestOneServerIsGone: attempts at it do not count as failures of the version; those at two do, and
-// those at an only one.
+// TestOneServerIsGone checks that attempts at one unreachable server of several do not count as
+// failures of the version, and that attempts at two unreachable ones, or at the only one, do.
 func TestOneServerIsGone(t *testing.T) {
 	unreachable, fine := fails(forward.NotRun{Err: errReset}), answers(200, "new", time.Millisecond)
 	old := answers(200, "old", time.Millisecond)
@@ -53,15 +53,15 @@
 			withGateway(t, func(x *fixture) {
 				x.setVersions([]string{"v1", "v2", "v2"}[:1+len(tt.target)]...)
 				x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-				x.askRepeatedly(20)
+				x.requestRepeatedly(20)
 				is.New(x.t).Equal(x.failedAtTarget() > 0, tt.counts)
 			}, append([]behaviour{old}, tt.target...)...)
 		})
 	}
 }
 
-// TestUnreachedThatAnswers: a server that refuses some connections and answers others is bad; one
-// that starts again is not.
+// TestUnreachedThatAnswers checks that attempts count as failed if a server refuses some
+// connections and answers others, but not if it has restarted.
 func TestUnreachedThatAnswers(t *testing.T) {
 	is := is.New(t)
 	c := &tally{}
@@ -75,7 +75,7 @@
 	is.Equal(c.failed, uint64(2))
 	is.True(c.changed)
 	u.add(6*time.Second, "a", c)
-	u.add(6*time.Second+unreachedExpiry, "b", c) // long after
+	u.add(6*time.Second+unreachedExpiry, "b", c) // long after the attempts at a
 	is.Equal(c.failed, uint64(2))
 	u.add(7*time.Second+unreachedExpiry, "a", c)
 	is.Equal(c.failed, uint64(4))
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -138,7 +138,8 @@
 	}
 }
 
-// classifyPoolVersions is sortVersions for one pool, which had a rollout. The caller holds mu.
+// classifyPoolVersions is classifyVersions for one pool, which must have had a rollout. The caller
+// holds mu.
 func (t *table) classifyPoolVersions(p *pool) {
 	r := p.rollout
 	hasCurrent := slices.ContainsFunc(p.servers, func(k *knownServer) bool {
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -18,9 +18,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests which versions a gateway sends to, and what it counts.
+// This file tests to which versions a gateway sends requests, and which outcomes it counts.
 
-// setVersions announces servers p0, p1, … of pool "plain" with versions.
+// setVersions announces versions of the servers p0, p1, … of pool "plain".
 func (x *fixture) setVersions(versions ...string) {
 	m := protocol.Servers{Term: 1}
 	for i, v := range versions {
@@ -31,31 +31,31 @@
 	x.g.table.update(m)
 }
 
-// sendRollout sends the list of a number with one rollout.
+// sendRollout applies a list with one rollout of pool "plain".
 func (x *fixture) sendRollout(term, seq uint64, r protocol.Rollout) {
 	r.Pool = "plain"
 	x.g.table.updateRollouts(protocol.Rollouts{Term: term, Seq: seq, List: []protocol.Rollout{r}})
 }
 
-// renewShares has the leader count a report that is sent now.
+// renewShares makes the leader count a report that is sent now.
 func (x *fixture) renewShares() {
 	x.reports++
 	x.g.table.takeReport(x.reports)
 	x.g.table.updateLoads(x.g.now(), x.reports, nil)
 }
 
-// draw has each tenth request's lot be low. A request draws twice: its pool, and its server
-// with the lot.
-func (x *fixture) draw() {
+// cycleDraws makes the version draws cycle through ten equidistant values. A request takes two
+// random numbers: one for its pool, and one for its server and the version draw.
+func (x *fixture) cycleDraws() {
 	n := uint64(0)
 	x.g.cfg.Random = func() uint64 {
 		n++
-		// The first 24 of 53 digits choose among servers; the lot is in the others.
+		// The leading 24 of 53 bits choose among servers; the version draw uses the others.
 		return (n / 2 % 10 << 53 / 10 >> 24) << 11
 	}
 }
 
-// countAnswers asks some times and returns how many answers came from each body.
+// countAnswers sends requests and returns the number of answers by body.
 func (x *fixture) countAnswers(path string, times int) map[string]int {
 	got := map[string]int{}
 	for range times {
@@ -66,38 +66,39 @@
 
 var oldAndNew = []behaviour{answers(200, "old", time.Millisecond), answers(200, "new", time.Millisecond)}
 
-// TestShareNeedsALease: the target gets its share while the leader counts reports; without, the
-// old version gets all, and the target only where there is no other.
+// TestShareNeedsALease checks that the target gets its share only while the leader counts this
+// gateway's reports. Otherwise the old version gets all requests, and the target only if there is
+// no other.
 func TestShareNeedsALease(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.draw()
+		x.cycleDraws()
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.25})
-		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100}) // no report was counted
+		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100}) // no report has been counted
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 70, "new": 30})
 		time.Sleep(sharesLease)
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
-		x.g.table.updateLoads(x.g.now(), 1, nil) // what comes late, as to a gateway that was frozen
+		x.g.table.updateLoads(x.g.now(), 1, nil) // a late message, as after the gateway was frozen
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 70, "new": 30})
-		x.g.table.endShares() // the session ended
+		x.g.table.endShares() // the session has ended
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.renewShares()
-		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // another began
+		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // a new session has begun
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
-// TestSharesByRoute: a route may have a share of its own.
+// TestSharesByRoute checks that a route may have its own share.
 func TestSharesByRoute(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.draw()
+		x.cycleDraws()
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.05, Routes: []protocol.RouteShare{{Route: "again", Share: 0.45}}})
 		x.renewShares()
@@ -106,36 +107,37 @@
 	}, oldAndNew...)
 }
 
-// TestBarredVersionGetsNothing: for good, also by a later leader's list that lacks it, unless
-// the log has the attempt complete or another one began.
+// TestBarredVersionGetsNothing checks that a barred version stays barred, also if a later leader's
+// list lacks the verdict, until the log has the attempt's end or another attempt starts.
 func TestBarredVersionGetsNothing(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.draw()
+		x.cycleDraws()
 		x.setVersions("v1", "v2")
 		x.renewShares()
 		asked := func() map[string]int { return x.countAnswers("/once/1", 10) }
 		all := map[string]int{"old": 10}
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(asked(), all)
-		x.sendRollout(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // an older leader's
+		x.sendRollout(1, 9, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // from an older leader
 		is.Equal(asked(), all)
 		x.sendRollout(1, 10, protocol.Rollout{Attempt: 1})
 		is.Equal(asked(), all)
-		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1}) // not newer
+		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1}) // not a newer list
 		is.Equal(asked(), all)
-		x.sendRollout(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // does not know the verdict
+		x.sendRollout(3, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1}) // from a leader that lacks the verdict
 		is.Equal(asked(), all)
-		x.sendRollout(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the log's
+		x.sendRollout(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the verdict is in the log
 		is.Equal(asked(), all)
 		x.g.table.update(protocol.Servers{Term: 3, Gone: []string{"p0"}})
-		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // also where there is no other
+		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // even if there is no other version
 		x.sendRollout(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
 		is.Equal(asked(), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
-// TestReplacedVersion gets something only where there is no other that is not barred.
+// TestReplacedVersion checks that a replaced version gets requests only if all other versions are
+// barred.
 func TestReplacedVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -144,12 +146,13 @@
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 		x.sendRollout(1, 2, protocol.Rollout{Attempt: 2, Barred: []string{"v2"}, Replaced: []string{"v1"}})
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"old": 10})
-		x.setVersions("v1", "v3") // one that no rollout is about is used
+		x.setVersions("v1", "v3") // a version that is in no rollout is used
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
 
-// TestLastOldServerTurnsOut to be another: the target gets all then, as without any old one.
+// TestLastOldServerTurnsOut checks that the target gets all requests once the last old server is
+// found to be another one, as without any old server.
 func TestLastOldServerTurnsOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -161,8 +164,8 @@
 	}, oldAndNew...)
 }
 
-// TestObeyed: a list is while its shares are in force here and nothing keeps requests from the
-// target; else the old servers are needed.
+// TestObeyed checks that a list is reported as obeyed only while its shares are in force and
+// nothing keeps requests from the target. Otherwise the old servers are still needed.
 func TestObeyed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -172,24 +175,24 @@
 		}
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		is.Equal(obeyed(), uint64(0)) // no report was counted
+		is.Equal(obeyed(), uint64(0)) // no report has been counted
 		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
 		time.Sleep(sharesLease)
 		is.Equal(obeyed(), uint64(0))
 		x.renewShares()
 		x.countAnswers("/once/1", breakerThreshold)
-		is.Equal(obeyed(), uint64(0)) // bad answers in a row
+		is.Equal(obeyed(), uint64(0)) // the breaker is open after bad answers
 		time.Sleep(breakerOpenTime)
 		x.renewShares()
 		is.Equal(obeyed(), uint64(7))
 		x.sendRollout(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(8))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true})
-		is.Equal(obeyed(), uint64(0)) // it is the number of another term
+		is.Equal(obeyed(), uint64(0)) // the list is from another term
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
-		is.Equal(obeyed(), uint64(0)) // the leader before has barred the target
+		is.Equal(obeyed(), uint64(0)) // the previous leader has barred the target
 		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
 		x.sendRollout(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(2))
@@ -197,11 +200,12 @@
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
 }
 
-// TestRetryGoesToTheOldVersion: what failed at the target, and what found no room there.
+// TestRetryGoesToTheOldVersion checks that requests that failed at the target, or found no room
+// there, go to the old version.
 func TestRetryGoesToTheOldVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		x.setVersions("v1", "v2", "v2", "v2") // lots are always low
+		x.setVersions("v1", "v2", "v2", "v2") // draws are always within the share
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.99})
 		x.renewShares()
 		is.Equal(x.countAnswers("/again/1", 3), map[string]int{"old": 3})
@@ -213,13 +217,13 @@
 				sent, failed = sent+o.Sent, failed+o.Failed
 			}
 		}
-		is.Equal(sent, uint64(3)) // each once
+		is.Equal(sent, uint64(3)) // one attempt each
 		is.Equal(failed, uint64(3))
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond), answers(500, "bad", time.Millisecond), answers(500, "bad", time.Millisecond))
 }
 
-// TestVersionIsLogged: the last line of a request says which version served it and why, and a
-// counter has the target's attempts by name and all others together.
+// TestVersionIsLogged checks that the log line of a request's end has the version that served it
+// and why, and that the counter has the target by name and all other versions together.
 func TestVersionIsLogged(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -245,7 +249,8 @@
 	}, oldAndNew...)
 }
 
-// TestOwnMistrust: bad answers in a row stop the target here at once, for a while.
+// TestOwnMistrust checks that consecutive bad answers of the target stop requests to it for a
+// while.
 func TestOwnMistrust(t *testing.T) {
 	is := is.New(t)
 	m := breaker{}
@@ -255,15 +260,16 @@
 	}
 	is.True(m.isOpen(time.Second))
 	is.True(!m.isOpen(time.Second + breakerOpenTime))
-	m = breaker{}.withAnswer(0, false, true) // the old version's are bad as well
+	m = breaker{}.withAnswer(0, false, true) // the old version's answers are bad as well
 	for range 2 * breakerThreshold {
 		m = m.withAnswer(time.Second, true, true)
 	}
 	is.True(!m.isOpen(time.Second))
 }
 
-// TestTrialServers: as many as the share is of all or one more, the same at every gateway, and all once the
-// target gets all.
+// TestTrialServers checks that the number of trial servers is the share of all, rounded up, that
+// all gateways select the same ones, and that all servers are selected once the target gets all
+// requests.
 func TestTrialServers(t *testing.T) {
 	is := is.New(t)
 	chosen := func(share float64, n int) map[string]bool {
@@ -287,16 +293,16 @@
 	is.Equal(len(chosen(0.04, 60)), 3)
 	is.Equal(chosen(0.04, 60), chosen(0.04, 60))
 	is.Equal(len(chosen(0.04, 3)), 1)
-	is.Equal(len(chosen(0.45, 3)), 2) // one would have more load than each old server
+	is.Equal(len(chosen(0.45, 3)), 2) // one server would have more load than each old one
 	is.Equal(len(chosen(0.5, 60)), 30)
 	is.Equal(len(chosen(1, 60)), 60)
-	for id := range chosen(0.04, 60) { // a larger share takes servers along
+	for id := range chosen(0.04, 60) { // a larger share includes the servers of a smaller one
 		is.True(chosen(0.5, 60)[id])
 	}
 }
 
-// TestTargetWithoutUse: after the switch the old version gets something only if no server of
-// the target may have requests.
+// TestTargetWithoutUse checks that after the switch the old version gets requests only if no server
+// of the target is usable.
 func TestTargetWithoutUse(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -311,8 +317,8 @@
 	}, oldAndNew...)
 }
 
-// TestColdTarget: a cold server of the target gets its share as a cold one alone; what finds no
-// room there goes to the old version, and no pace is counted.
+// TestColdTarget checks that a cold server of the target gets no more than its share as a cold
+// server, that the remaining requests go to the old version, and that no pace is counted for it.
 func TestColdTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -320,7 +326,7 @@
 		s := x.g.table.servers["p1"].Server
 		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
-		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // lots are always low
+		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // draws are always within the share
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 2, "old": 8})
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
@@ -331,8 +337,9 @@
 	}, oldAndNew...)
 }
 
-// TestOutcomesAreTotals: each report has what has changed, and the first of a session all. An
-// answer that had not begun when its time was over counts with that time.
+// TestOutcomesAreTotals checks that each report has the outcomes that have changed, and the first
+// one of a session all. An answer that had not begun at its timeout counts with that time as its
+// pace.
 func TestOutcomesAreTotals(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -354,6 +361,6 @@
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(slow[0].Sent, uint64(3))
 		is.Equal(slow[0].Failed, uint64(0))
-		is.Equal(slow[0].Paces[rollout.PaceBucket(16)], uint32(1)) // 800 of 50 ms
+		is.Equal(slow[0].Paces[rollout.PaceBucket(16)], uint32(1)) // 800 ms instead of the expected 50 ms
 	}, oldAndNew...)
 }
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -16,13 +16,13 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests where the watcher looks for the leader. Its sessions are
-// tested with real directories, in package directory.
+// This file tests where the watcher looks for the leader. Sessions are tested with real
+// directories, in package directory.
 
 func TestCandidates(t *testing.T) {
 	is := is.New(t)
 	is.Equal(candidates(nil, []string{"s", "t"}), []string{"s", "t"})
-	is.Equal(candidates([]string{"a", "s"}, []string{"s", "t"}), []string{"a", "s", "t"}) // each once
+	is.Equal(candidates([]string{"a", "s"}, []string{"s", "t"}), []string{"a", "s", "t"}) // each address once
 	seeds := []string{"s", "t"}
 	w := watcher{g: &Gateway{}, startID: 3, replicas: []string{"a"}}
 	w.g.SetSeeds(seeds)
@@ -30,13 +30,13 @@
 	for range 4 {
 		tried = append(tried, w.next())
 	}
-	is.Equal(tried, []string{"s", "t", "a", "s"}) // in turn, from one that the start picked
+	is.Equal(tried, []string{"s", "t", "a", "s"}) // in turn, from a start that depends on startID
 	w.leader = "l"
-	is.Equal([]string{w.next(), w.next()}, []string{"l", "t"}) // a redirect goes first, once
+	is.Equal([]string{w.next(), w.next()}, []string{"l", "t"}) // a redirect is tried first, and once
 }
 
-// TestNewLeadersListIsKeptOut: a leader that knows too little yet does not replace the list of
-// the one before, nor its bound.
+// TestNewLeadersListIsKeptOut checks that a leader that does not have enough reports yet does not
+// replace the previous leader's list of entitlements, nor its bound.
 func TestNewLeadersListIsKeptOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -50,13 +50,14 @@
 		time.Sleep(100 * time.Millisecond)
 		w.handle(protocol.Fleet{Gateways: 3, Unknown: true})
 		is.Equal(part(), float32(0.5))
-		is.Equal(x.g.gatewayCount.Load(), int64(3)) // the rest of the message counts
+		is.Equal(x.g.gatewayCount.Load(), int64(3)) // the rest of the message is applied
 		w.handle(protocol.Fleet{Gateways: 3})
 		is.Equal(part(), float32(1))
 	})
 }
 
-// TestEndOfASessionIsLogged: also when the leader ends it with a redirect.
+// TestEndOfASessionIsLogged checks that the end of a session is logged, also if the leader ends it
+// with a redirect.
 func TestEndOfASessionIsLogged(t *testing.T) {
 	is := is.New(t)
 	var text bytes.Buffer
@@ -65,7 +66,7 @@
 	w := &watcher{g: g, connected: true}
 	w.handleRedirect("a:1", protocol.WatchRedirect{Leader: "b:1", Members: []string{"a:1", "b:1"}})
 	is.Equal(w.leader, "b:1")
-	w.handleRedirect("b:1", protocol.WatchRedirect{}) // was no session
+	w.handleRedirect("b:1", protocol.WatchRedirect{}) // no session was open
 	g.cfg.Log.Close()
 	is.Equal(strings.Count(text.String(), `"directory lost"`), 1)
 }
