--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -179,7 +179,7 @@
 	b.server = forward.New(forward.Settings{Dialer: dialer})
 	b.router = router.Start(ctx, router.Settings{
 		Identity: b.identity(), Hall: b.cfg.Hall, Replicas: b.cfg.Replicas,
-		Server: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
+		Transport: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
 		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
 	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Clients)
--- a/router/call.go
+++ b/router/call.go
@@ -22,37 +22,37 @@
 
 // call is one request of a caller.
 type call struct {
-	account   config.Account
-	pool      string
-	class     string // of the fixed set in classes
-	flow      string // user within the account; share takes turns among them
-	engine    bool   // the pool's servers are engines, not plain services
-	send      forward.Call
-	mayRepeat bool // it may be sent again though it may have run
-	repeated  bool // it was sent again though it may have run
-	body      []byte
-	blocks    []place.Block   // of an engine's prompt
-	keyed     *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
-	claimed   bool            // holds the claim
-	reserved  int64           // bytes counted in Router.bodies
-	abort     bool            // the connection must be broken: the answer is not whole
-	arrived   time.Duration   // on Router.now
-	work      *pool.Work      // of the present turn
+	account         config.Account
+	pool            string
+	class           string // of the fixed set in classes
+	flow            string // user within the account; share takes turns among them
+	engine          bool   // the pool's servers are engines, not plain services
+	forwardCall     forward.Call
+	repeatable      bool // it may be sent again though it may have run
+	repeated        bool // it was sent again though it may have run
+	body            []byte
+	blocks          []place.Block   // of an engine's prompt
+	claim           *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
+	holdsClaim      bool            // holds the claim
+	reservedBytes   int64           // bytes counted in Router.bodies
+	abortConnection bool            // the connection must be broken: the answer is not whole
+	arrivedAt       time.Duration   // on Router.now
+	work            *pool.Work      // of the present turn
 }
 
 // serve runs a call to its end and writes its answer.
 func (r *Router) serve(w http.ResponseWriter, req *http.Request, c *call) {
-	c.arrived = r.now()
+	c.arrivedAt = r.now()
 	r.countRequest()
 	if f := r.run(w, req.Context(), c); f != nil {
-		r.refuse(w, c.trueOutcome(f))
+		r.refuse(w, c.withOverallOutcome(f))
 	}
-	r.stats.of(c).whole.Update((r.now() - c.arrived).Seconds())
+	r.stats.seriesOf(c).whole.Update((r.now() - c.arrivedAt).Seconds())
 }
 
-// trueOutcome returns the failure with what is known of all attempts: what ended
+// withOverallOutcome returns the failure with what is known of all attempts: what ended
 // the last one, or the wait for another, says nothing of those before.
-func (c *call) trueOutcome(f *Failure) *Failure {
+func (c *call) withOverallOutcome(f *Failure) *Failure {
 	switch {
 	case !c.repeated || f.Outcome != NotRun:
 		return f
@@ -70,12 +70,12 @@
 			r.settle(c, protocol.ClaimReleased, nil)
 			return f
 		}
-		if c.keyed != nil && !c.claimed {
-			answered, f := r.claimTurn(w, ctx, c, server)
+		if c.claim != nil && !c.holdsClaim {
+			answered, f := r.claimKey(w, ctx, c, server)
 			if answered || f != nil {
 				return f
 			}
-			if !c.claimed {
+			if !c.holdsClaim {
 				continue // the slot was given up while another router ran it
 			}
 		}
@@ -103,7 +103,7 @@
 	began := r.now()
 	select {
 	case got := <-w.turn:
-		r.stats.of(c).wait.Update((r.now() - began).Seconds())
+		r.stats.seriesOf(c).wait.Update((r.now() - began).Seconds())
 		return got.server, got.fail
 	case <-ctx.Done():
 	}
@@ -113,25 +113,25 @@
 	return config.Server{}, failGone.WithOutcome(NotRun)
 }
 
-// claimTurn claims the key of a call that has a slot. If the claim is not
+// claimKey claims the key of a call that has a slot. If the claim is not
 // granted at once, the slot is given up: the wait for another router's outcome
 // may be long. answered means that the caller has its answer.
-func (r *Router) claimTurn(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (answered bool, f *Failure) {
+func (r *Router) claimKey(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (answered bool, f *Failure) {
 	cctx, cancel := context.WithTimeout(ctx, claimTimeout)
-	got, ok := r.claims.claim(cctx, *c.keyed, false)
+	got, ok := r.claims.claim(cctx, *c.claim, false)
 	cancel()
 	if ok && got.State == protocol.ClaimGranted {
-		c.claimed = true
+		c.holdsClaim = true
 		return false, nil
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, pool.Abandoned)
 	f = failClaims
 	if ok && got.State == protocol.ClaimRunning {
-		got, ok = r.claims.claim(ctx, *c.keyed, true)
+		got, ok = r.claims.claim(ctx, *c.claim, true)
 		f = failGone.WithOutcome(NotRun)
 	}
 	if !ok {
-		r.claims.settle(*c.keyed, protocol.ClaimReleased, nil) // it may have been granted
+		r.claims.settle(*c.claim, protocol.ClaimReleased, nil) // it may have been granted
 		return false, f
 	}
 	return r.answerClaimed(w, c, got)
@@ -142,7 +142,7 @@
 func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (answered bool, f *Failure) {
 	switch got.State {
 	case protocol.ClaimGranted:
-		c.claimed = true
+		c.holdsClaim = true
 		return false, nil
 	case protocol.ClaimMismatch:
 		return false, failOtherBody
@@ -161,21 +161,21 @@
 func (r *Router) attempt(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (again bool, f *Failure) {
 	p := r.pool(c.pool)
 	began := r.now()
-	a, err := r.cfg.Server.Send(ctx, server.Address, c.send)
+	a, err := r.cfg.Transport.Send(ctx, server.Address, c.forwardCall)
 	if err != nil {
 		return r.sendFailed(ctx, c, server, err)
 	}
 	defer func() { a.Body.Close() }() // the relay may have put another in its place
 	if running, waiting, ok := a.Load(); ok {
-		p.locked(func(pl *pool.Pool) {
+		p.withLock(func(pl *pool.Pool) {
 			pl.Report(server.ID, place.Load{Running: running, Waiting: waiting, At: r.now()})
 		})
 	}
-	rel := relay{router: r, ctx: ctx, server: server.Address, call: c, pool: p, answer: a, began: began}
+	rel := relay{router: r, ctx: ctx, server: server.Address, call: c, pool: p, answer: a, startedAt: began}
 	end := rel.run(w)
 	p.finish(c.work, server.ID, end.cost, end.result)
-	r.stats.of(c).requests.Inc()
-	r.stats.of(c).service.Add(end.cost)
+	r.stats.seriesOf(c).requests.Inc()
+	r.stats.seriesOf(c).service.Add(end.cost)
 	if end.failure != nil {
 		r.settle(c, protocol.ClaimUnknown, nil)
 		r.stats.failure(end.failure)
@@ -195,7 +195,7 @@
 	f, claim, last := failBroken.With(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
 	var not forward.NotRun
 	if errors.As(err, &not) {
-		r.heed(c, server, not)
+		r.applyBackoff(c, server, not)
 		f, claim, last = failUnreachable.With(err.Error()), protocol.ClaimReleased, retry.Refused
 	}
 	result, gone := pool.Failed, ctx.Err() != nil
@@ -203,7 +203,7 @@
 		f, result = failGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
-	if !gone && last.MayGoElsewhere(c.mayRepeat) && r.retry() {
+	if !gone && last.MayGoElsewhere(c.repeatable) && r.allowRetry() {
 		c.repeated = c.repeated || last == retry.MayHaveRun
 		return true, nil
 	}
@@ -211,8 +211,8 @@
 	return false, f
 }
 
-// heed takes for how long a server that refused a call wants nothing. What is malformed says nothing.
-func (r *Router) heed(c *call, server config.Server, refusal forward.NotRun) {
+// applyBackoff takes for how long a server that refused a call wants nothing. What is malformed says nothing.
+func (r *Router) applyBackoff(c *call, server config.Server, refusal forward.NotRun) {
 	if !refusal.Refused {
 		return
 	}
@@ -222,8 +222,8 @@
 	}
 }
 
-// retry takes one retry out of the budget.
-func (r *Router) retry() bool {
+// allowRetry takes one allowRetry out of the budget.
+func (r *Router) allowRetry() bool {
 	r.budgetMu.Lock()
 	allowed := r.budget.Retry()
 	r.budgetMu.Unlock()
@@ -237,9 +237,9 @@
 
 // settle reports to the register how a call that holds its claim ended.
 func (r *Router) settle(c *call, state protocol.ClaimState, a *protocol.Answer) {
-	if c.claimed {
-		r.claims.settle(*c.keyed, state, a)
-		c.claimed = false
+	if c.holdsClaim {
+		r.claims.settle(*c.claim, state, a)
+		c.holdsClaim = false
 	}
 }
 
--- a/router/callers.go
+++ b/router/callers.go
@@ -50,8 +50,8 @@
 
 // ServeHTTP serves callers.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	r.calls.Add(1)
-	defer r.calls.Add(-1)
+	r.inFlight.Add(1)
+	defer r.inFlight.Add(-1)
 	path := req.URL.Path
 	switch {
 	case path == "/healthz":
@@ -99,7 +99,7 @@
 	if method != "" && req.Method != method {
 		return failMethod.With("use " + method)
 	}
-	if r.closed.Load() {
+	if r.refusing.Load() {
 		return failStopping
 	}
 	key, _ := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
@@ -163,8 +163,8 @@
 	if c.flow == "" && len(er.User) <= maxUser {
 		c.flow = er.User
 	}
-	c.send.Path = req.URL.Path
-	c.send.Header.Set("Content-Type", "application/json")
+	c.forwardCall.Path = req.URL.Path
+	c.forwardCall.Header.Set("Content-Type", "application/json")
 	return r.serveCall(w, req, c)
 }
 
@@ -181,29 +181,29 @@
 	}
 	defer r.releaseBody(c)
 	c.pool = name
-	c.send.Path = "/" + path
+	c.forwardCall.Path = "/" + path
 	if req.URL.RawQuery != "" {
-		c.send.Path += "?" + req.URL.RawQuery
+		c.forwardCall.Path += "?" + req.URL.RawQuery
 	}
-	copyServiceHeader(c.send.Header, req.Header)
+	copyServiceHeader(c.forwardCall.Header, req.Header)
 	plain, err := url.PathUnescape("/" + path)
 	if err != nil {
 		return failMalformed.With("the path is no valid URL path")
 	}
 	safe := req.Method == http.MethodGet || req.Method == http.MethodHead || req.Header.Get(repeatHeader) == "safe"
-	c.mayRepeat = c.mayRepeat && safe && !t.neverRepeats(name, req.Method, plain)
+	c.repeatable = c.repeatable && safe && !t.neverRepeats(name, req.Method, plain)
 	return r.serveCall(w, req, c)
 }
 
 // serveCall runs a call. If its answer broke off and the body cannot show it,
 // the connection is broken.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) *Failure {
-	if c.keyed != nil {
-		c.mayRepeat = false
-		c.keyed.Digest = xxh3.Hash(append([]byte(req.Method+" "+c.send.Path+"\n"), c.body...))
+	if c.claim != nil {
+		c.repeatable = false
+		c.claim.Digest = xxh3.Hash(append([]byte(req.Method+" "+c.forwardCall.Path+"\n"), c.body...))
 	}
 	r.serve(w, req, c)
-	if c.abort {
+	if c.abortConnection {
 		panic(http.ErrAbortHandler)
 	}
 	return nil
@@ -231,17 +231,17 @@
 		return nil, failHeader.With(keyHeader + " is longer than 255 bytes")
 	}
 	if key != "" {
-		c.keyed = &protocol.Claim{Account: a.Name, Key: key, Attempt: r.cfg.Random()}
+		c.claim = &protocol.Claim{Account: a.Name, Key: key, Attempt: r.cfg.Random()}
 	}
 	body, f := r.readBody(w, req, c)
 	if f != nil {
 		return nil, f
 	}
 	c.body = body
-	c.send = forward.Call{Method: req.Method, Header: http.Header{}, Body: body}
-	c.mayRepeat = repeat != "never"
-	c.send.Header.Set(accountHeader, a.Name)
-	c.send.Header.Set(priorityHeader, classes[c.class])
+	c.forwardCall = forward.Call{Method: req.Method, Header: http.Header{}, Body: body}
+	c.repeatable = repeat != "never"
+	c.forwardCall.Header.Set(accountHeader, a.Name)
+	c.forwardCall.Header.Set(priorityHeader, classes[c.class])
 	return c, nil
 }
 
@@ -257,11 +257,11 @@
 	if reserve < 0 {
 		reserve = limits.Body
 	}
-	if r.bodies.Add(reserve) > limits.Bodies {
-		r.bodies.Add(-reserve)
+	if r.bodyBytes.Add(reserve) > limits.Bodies {
+		r.bodyBytes.Add(-reserve)
 		return nil, failFull.With("the bodies of all requests together are at their limit")
 	}
-	c.reserved = reserve
+	c.reservedBytes = reserve
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, as the read then does
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.Body))
@@ -278,8 +278,8 @@
 
 // releaseBody gives back what readBody reserved.
 func (r *Router) releaseBody(c *call) {
-	r.bodies.Add(-c.reserved)
-	c.reserved = 0
+	r.bodyBytes.Add(-c.reservedBytes)
+	c.reservedBytes = 0
 }
 
 func bodyFailure(err error) *Failure {
@@ -294,15 +294,15 @@
 // cookies, the fleet's own headers or those of the connection.
 func copyServiceHeader(to, from http.Header) {
 	for name, values := range from {
-		if hopByHop[name] || withheld[name] || strings.HasPrefix(name, "Badgerspoke-") {
+		if hopByHop[name] || withheldHeaders[name] || strings.HasPrefix(name, "Badgerspoke-") {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-// withheld are the headers of a caller that a plain service does not get.
-var withheld = map[string]bool{
+// withheldHeaders are the headers of a caller that a plain service does not get.
+var withheldHeaders = map[string]bool{
 	"Authorization": true, "Cookie": true, "Content-Length": true, "Host": true, "X-Api-Key": true,
 	"Forwarded": true, "X-Forwarded-For": true, "X-Forwarded-Host": true, "X-Forwarded-Proto": true,
 }
--- a/router/claimclient.go
+++ b/router/claimclient.go
@@ -26,18 +26,18 @@
 
 // claimClient is the router's side of the register of keyed requests.
 type claimClient struct {
-	r       *Router
-	settles atomic.Int64 // settlements without an answer so far
-
-	mu      sync.Mutex // guards what follows
-	session *session
-	changed chan struct{}                    // closed and replaced when session changes
-	waiting map[uint64]chan protocol.Claimed // by number of the message
-	last    uint64                           // number of the last message
+	r                  *Router
+	pendingSettlements atomic.Int64 // settlements without an answer so far
+
+	mu             sync.Mutex // guards what follows
+	session        *session
+	sessionChanged chan struct{}                    // closed and replaced when session changes
+	pendingCalls   map[uint64]chan protocol.Claimed // by number of the message
+	lastCall       uint64                           // number of the last message
 }
 
 func newClaimClient(r *Router) *claimClient {
-	return &claimClient{r: r, waiting: map[uint64]chan protocol.Claimed{}, changed: make(chan struct{})}
+	return &claimClient{r: r, pendingCalls: map[uint64]chan protocol.Claimed{}, sessionChanged: make(chan struct{})}
 }
 
 // setSession sets the session that claims go over; nil is none.
@@ -45,15 +45,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.session = s
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(c.sessionChanged)
+	c.sessionChanged = make(chan struct{})
 }
 
-// answered hands an answer to the goroutine that waits for it.
-func (c *claimClient) answered(m protocol.Claimed) {
+// handleAnswer hands an answer to the goroutine that waits for it.
+func (c *claimClient) handleAnswer(m protocol.Claimed) {
 	c.mu.Lock()
-	ch := c.waiting[m.Call]
-	delete(c.waiting, m.Call)
+	ch := c.pendingCalls[m.Call]
+	delete(c.pendingCalls, m.Call)
 	c.mu.Unlock()
 	if ch != nil {
 		ch <- m
@@ -72,9 +72,9 @@
 // settle reports the outcome of a granted claim, for as long as the router
 // runs. The caller does not wait.
 func (c *claimClient) settle(k protocol.Claim, state protocol.ClaimState, a *protocol.Answer) {
-	c.settles.Add(1)
+	c.pendingSettlements.Add(1)
 	go func() {
-		defer c.settles.Add(-1)
+		defer c.pendingSettlements.Add(-1)
 		c.deliver(c.r.ctx, func(call uint64) protocol.Message {
 			return protocol.Settle{
 				Call: call, Account: k.Account, Key: k.Key, Attempt: k.Attempt, State: state, Answer: a,
@@ -84,7 +84,7 @@
 }
 
 // flush waits until all settlements are answered.
-func (c *claimClient) flush(ctx context.Context) { awaitZero(ctx, &c.settles) }
+func (c *claimClient) flush(ctx context.Context) { awaitZero(ctx, &c.pendingSettlements) }
 
 // deliver sends a message over every session in turn until it is answered with
 // anything but ClaimRetry, or ctx ends.
@@ -104,12 +104,12 @@
 // none. It ends without an answer when the session changes.
 func (c *claimClient) deliverOnce(ctx context.Context, message func(call uint64) protocol.Message) (protocol.Claimed, bool) {
 	c.mu.Lock()
-	s, changed := c.session, c.changed
-	c.last++
-	call := c.last
+	s, changed := c.session, c.sessionChanged
+	c.lastCall++
+	call := c.lastCall
 	ch := make(chan protocol.Claimed, 1)
 	if s != nil {
-		c.waiting[call] = ch
+		c.pendingCalls[call] = ch
 	}
 	c.mu.Unlock()
 	if s != nil {
@@ -129,5 +129,5 @@
 func (c *claimClient) forget(call uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, call)
+	delete(c.pendingCalls, call)
 }
--- a/router/errors.go
+++ b/router/errors.go
@@ -47,16 +47,16 @@
 
 // The protocol's error types.
 const (
-	badRequest   = "invalid_request_error"
-	authProblem  = "authentication_error"
-	limitProblem = "rate_limit_error"
-	ourProblem   = "server_error"
+	typeInvalidRequest = "invalid_request_error"
+	typeAuthentication = "authentication_error"
+	typeRateLimit      = "rate_limit_error"
+	typeServer         = "server_error"
 )
 
 // Values of RetryAfter.
 const (
-	soon  = time.Second     // the least that Retry-After can express
-	later = 2 * time.Second // after a whole wait in vain
+	retrySoon  = time.Second     // the least that Retry-After can express
+	retryLater = 2 * time.Second // after a whole wait in vain
 )
 
 // statusGone is the customary status for a caller that closed its connection
@@ -67,46 +67,46 @@
 // again, so there is no Retry-After.
 var (
 	// Also when the account is removed before the request is queued, or while it waits.
-	failKey       = &Failure{http.StatusUnauthorized, authProblem, "invalid_api_key", "no account has this key", NotRun, 0}
-	failMalformed = &Failure{http.StatusBadRequest, badRequest, "malformed_request", "the request is malformed", NotRun, 0}
-	failHeader    = &Failure{http.StatusBadRequest, badRequest, "invalid_header", "a header has no valid value", NotRun, 0}
-	failModel     = &Failure{http.StatusNotFound, badRequest, "model_not_found", "no pool serves this model", NotRun, 0}
-	failService   = &Failure{http.StatusNotFound, badRequest, "service_not_found", "no such service", NotRun, 0}
-	failPath      = &Failure{http.StatusNotFound, badRequest, "not_found", "no such path", NotRun, 0}
-	failMethod    = &Failure{http.StatusMethodNotAllowed, badRequest, "method_not_allowed", "use another method", NotRun, 0}
-	failTooLarge  = &Failure{http.StatusRequestEntityTooLarge, badRequest, "request_too_large", "the body is over the limit", NotRun, 0}
-	failOtherBody = &Failure{http.StatusUnprocessableEntity, badRequest, "idempotency_key_reused", "this idempotency key was used for another request", NotRun, 0}
+	failKey       = &Failure{http.StatusUnauthorized, typeAuthentication, "invalid_api_key", "no account has this key", NotRun, 0}
+	failMalformed = &Failure{http.StatusBadRequest, typeInvalidRequest, "malformed_request", "the request is malformed", NotRun, 0}
+	failHeader    = &Failure{http.StatusBadRequest, typeInvalidRequest, "invalid_header", "a header has no valid value", NotRun, 0}
+	failModel     = &Failure{http.StatusNotFound, typeInvalidRequest, "model_not_found", "no pool serves this model", NotRun, 0}
+	failService   = &Failure{http.StatusNotFound, typeInvalidRequest, "service_not_found", "no such service", NotRun, 0}
+	failPath      = &Failure{http.StatusNotFound, typeInvalidRequest, "not_found", "no such path", NotRun, 0}
+	failMethod    = &Failure{http.StatusMethodNotAllowed, typeInvalidRequest, "method_not_allowed", "use another method", NotRun, 0}
+	failTooLarge  = &Failure{http.StatusRequestEntityTooLarge, typeInvalidRequest, "request_too_large", "the body is over the limit", NotRun, 0}
+	failOtherBody = &Failure{http.StatusUnprocessableEntity, typeInvalidRequest, "idempotency_key_reused", "this idempotency key was used for another request", NotRun, 0}
 )
 
 // The state of this router or its pool: the request did not run, and the same
 // one may succeed later or at another router.
 var (
 	// A limit on what waits or on all bodies.
-	failFull = &Failure{http.StatusTooManyRequests, limitProblem, "queue_full", "too much work waits already", NotRun, soon}
+	failFull = &Failure{http.StatusTooManyRequests, typeRateLimit, "queue_full", "too much work waits already", NotRun, retrySoon}
 	// Readiness is false too, so the balancer sends requests elsewhere.
-	failLease = &Failure{http.StatusServiceUnavailable, ourProblem, "no_lease", "this router is cut off from the fleet", NotRun, soon}
+	failLease = &Failure{http.StatusServiceUnavailable, typeServer, "no_lease", "this router is cut off from the fleet", NotRun, retrySoon}
 	// After the grace of the stop.
-	failStopping = &Failure{http.StatusServiceUnavailable, ourProblem, "stopping", "this router is stopping", NotRun, soon}
+	failStopping = &Failure{http.StatusServiceUnavailable, typeServer, "stopping", "this router is stopping", NotRun, retrySoon}
 	// The configuration names none, or all that it names are leaving.
-	failNoServer = &Failure{http.StatusServiceUnavailable, ourProblem, "no_server", "no backend server serves this pool", NotRun, soon}
+	failNoServer = &Failure{http.StatusServiceUnavailable, typeServer, "no_server", "no backend server serves this pool", NotRun, retrySoon}
 	// Limits.Wait is over.
-	failWaited = &Failure{http.StatusServiceUnavailable, ourProblem, "waited_too_long", "the request waited too long for its turn", NotRun, later}
+	failWaited = &Failure{http.StatusServiceUnavailable, typeServer, "waited_too_long", "the request waited too long for its turn", NotRun, retryLater}
 	// Not sent or refused, and the retry budget is empty.
-	failUnreachable = &Failure{http.StatusBadGateway, ourProblem, "backend_unreachable", "no backend server took the request", NotRun, soon}
+	failUnreachable = &Failure{http.StatusBadGateway, typeServer, "backend_unreachable", "no backend server took the request", NotRun, retrySoon}
 	// No answer in claimTimeout.
-	failClaims = &Failure{http.StatusServiceUnavailable, ourProblem, "claims_unavailable", "the idempotency key could not be claimed", NotRun, soon}
+	failClaims = &Failure{http.StatusServiceUnavailable, typeServer, "claims_unavailable", "the idempotency key could not be claimed", NotRun, retrySoon}
 )
 
 // The request ran or may have run: sending it again is the caller's decision,
 // so there is no Retry-After.
 var (
 	// It may not be repeated, or the retry budget is empty.
-	failBroken = &Failure{http.StatusBadGateway, ourProblem, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
-	failRan    = &Failure{http.StatusConflict, badRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
+	failBroken = &Failure{http.StatusBadGateway, typeServer, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
+	failRan    = &Failure{http.StatusConflict, typeInvalidRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
 	// The lease of its router ran out, or the answer of its server broke off.
-	failUnknownRun = &Failure{http.StatusConflict, badRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
+	failUnknownRun = &Failure{http.StatusConflict, typeInvalidRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
 	// Counted only. NotRun if it was still waiting or the server refused it.
-	failGone = &Failure{statusGone, badRequest, "caller_gone", "the caller went away", UnknownRun, 0}
+	failGone = &Failure{statusGone, typeInvalidRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
 // errorBody is the usual JSON error of the protocol.
--- a/router/leader.go
+++ b/router/leader.go
@@ -33,20 +33,20 @@
 
 // leaderClient keeps a session with the control replica that leads.
 type leaderClient struct {
-	r       *Router
-	routine chan struct{}           // there is something for the next full report
-	urgent  chan struct{}           // there is something that a slot or a request waits for
-	session atomic.Pointer[session] // nil while there is none
+	r             *Router
+	routineReport chan struct{}           // there is something for the next full report
+	urgentReport  chan struct{}           // there is something that a slot or a request waits for
+	session       atomic.Pointer[session] // nil while there is none
 
 	// What follows belongs to the goroutine of run. Those of survey read it
 	// while run waits for them.
-	leader string        // name of the replica that led the last session
-	epoch  uint64        // highest of all sessions
-	length time.Duration // of the lease, as the last leader gave it
+	leader        string        // name of the replica that led the last session
+	epoch         uint64        // highest of all sessions
+	leaseDuration time.Duration // of the lease, as the last leader gave it
 }
 
 func newLeaderClient(r *Router) *leaderClient {
-	return &leaderClient{r: r, routine: make(chan struct{}, 1), urgent: make(chan struct{}, 1), length: defaultLease}
+	return &leaderClient{r: r, routineReport: make(chan struct{}, 1), urgentReport: make(chan struct{}, 1), leaseDuration: defaultLease}
 }
 
 // run keeps a session until the router stops.
@@ -74,9 +74,9 @@
 	return longestRetry
 }
 
-// reply is a replica's answer to a hello. One that did not answer has the zero
-// reply.
-type reply struct {
+// helloReply is a replica's answer to a hello. One that did not answer has the zero
+// helloReply.
+type helloReply struct {
 	link     *link.Link // open if the replica leads
 	welcome  protocol.Welcome
 	redirect protocol.Redirect // of a replica that does not lead
@@ -85,7 +85,7 @@
 
 // find opens a link to the leader: at the last one known, at the one that it
 // names instead, then by a hello to every replica. The link is nil when nobody leads.
-func (l *leaderClient) find() reply {
+func (l *leaderClient) find() helloReply {
 	name := l.leader
 	for range 2 {
 		address, ok := l.r.cfg.Replicas[name]
@@ -109,15 +109,15 @@
 // that nothing in its log waits to be applied, then no newer configuration can
 // have been accepted before the hello was sent, and every later leader waits
 // for this router's lease: the lease is extended as by a renewal.
-func (l *leaderClient) survey() reply {
+func (l *leaderClient) survey() helloReply {
 	names := slices.Sorted(maps.Keys(l.r.cfg.Replicas))
-	replies := make(chan reply, len(names))
+	replies := make(chan helloReply, len(names))
 	sent := l.r.now()
 	for _, name := range names {
 		go func() { replies <- l.hello(l.r.cfg.Replicas[name]) }()
 	}
 	leaderless := 0
-	var best reply
+	var best helloReply
 	for range names {
 		got := <-replies
 		switch {
@@ -125,7 +125,7 @@
 			best = got
 		case got.link != nil:
 			got.link.Close()
-		case provesStandstill(got.redirect, l.r.Revision()):
+		case provesNoNewerRevision(got.redirect, l.r.Revision()):
 			leaderless++
 		}
 	}
@@ -135,9 +135,9 @@
 	return best
 }
 
-// provesStandstill reports whether a replica that answered with r has no
+// provesNoNewerRevision reports whether a replica that answered with r has no
 // leader and nothing newer than revision. The zero Redirect proves nothing.
-func provesStandstill(r protocol.Redirect, revision uint64) bool {
+func provesNoNewerRevision(r protocol.Redirect, revision uint64) bool {
 	return r.Group != 0 && !r.Follows && !r.Pending && r.Revision <= revision
 }
 
@@ -145,34 +145,34 @@
 // needs an allocator: its slots may have been granted to another router.
 func (l *leaderClient) extendWithoutLeader(sent time.Duration) {
 	if l.r.lease.valid(l.r.now()) {
-		l.r.lease.extend(sent, l.length)
+		l.r.lease.extend(sent, l.leaseDuration)
 	}
 }
 
 // hello opens a link to one replica and sends a hello. Its errors are not logged:
 // during an election every replica fails several times a second, and the end
 // of the last session has its line.
-func (l *leaderClient) hello(address string) reply {
+func (l *leaderClient) hello(address string) helloReply {
 	ctx, cancel := context.WithTimeout(l.r.ctx, helloTimeout)
 	defer cancel()
 	lk, err := link.Dial(ctx, address, l.r.cfg.Identity, l.r.meter)
 	if err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	sent := l.r.now()
 	if err := lk.Send(ctx, l.newHello()); err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	m, err := lk.Receive(ctx)
 	if err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	if welcome, ok := m.(protocol.Welcome); ok {
-		return reply{link: lk, welcome: welcome, sent: sent}
+		return helloReply{link: lk, welcome: welcome, sent: sent}
 	}
 	lk.Close()
 	redirect, _ := m.(protocol.Redirect) // any other message counts as no answer
-	return reply{redirect: redirect}
+	return helloReply{redirect: redirect}
 }
 
 func (l *leaderClient) newHello() protocol.Hello {
@@ -182,7 +182,7 @@
 	}
 	leased := l.r.lease.valid(l.r.now())
 	for _, p := range l.r.poolList() {
-		p.locked(func(pl *pool.Pool) {
+		p.withLock(func(pl *pool.Pool) {
 			held, view := pl.Hello(leased)
 			h.Held = append(h.Held, held...)
 			h.Pools = append(h.Pools, view)
--- a/router/parse_test.go
+++ b/router/parse_test.go
@@ -28,7 +28,7 @@
 		}
 		is.Equal(s.chunks, 2)
 		is.True(s.done)
-		is.Equal(s.usage.share(), share.Usage{Input: 4, Cached: 5, Output: 4})
+		is.Equal(s.usage.normalized(), share.Usage{Input: 4, Cached: 5, Output: 4})
 	}
 }
 
@@ -38,17 +38,17 @@
 	for range 1000 {
 		s.write(bytes.Repeat([]byte("x"), 1000))
 	}
-	is.True(len(s.line) <= maxLine)
+	is.True(len(s.partialLine) <= maxLine)
 	s.write([]byte("\ndata: [DONE]\n"))
 	is.True(s.done) // what follows is read again
 }
 
 func TestUsageOfNonsense(t *testing.T) {
 	is := is.New(t)
-	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.share(), share.Usage{})
+	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.normalized(), share.Usage{})
 	var u usage
 	u.PromptTokens, u.Details.CachedTokens = 3, 99
-	is.Equal(u.share(), share.Usage{Cached: 3})
+	is.Equal(u.normalized(), share.Usage{Cached: 3})
 	is.True(parseUsage([]byte("<html>")) == nil)
 	is.True(parseUsage([]byte(`{"usage":null}`)) == nil)
 }
@@ -78,7 +78,7 @@
 	f.Add([]byte(`{"usage":{"prompt_tokens":1}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if u := parseUsage(b); u != nil {
-			s := u.share()
+			s := u.normalized()
 			if s.Input < 0 || s.Cached < 0 || s.Output < 0 {
 				t.Fatalf("%+v", s)
 			}
--- a/router/pool.go
+++ b/router/pool.go
@@ -23,10 +23,10 @@
 	name   string
 	router *Router
 
-	mu      sync.Mutex // rank 2, after Router.mu
-	pool    *pool.Pool
-	servers map[string]config.Server // by identifier, serving or not
-	open    bool                     // a server is serving or joining, not all are leaving
+	mu        sync.Mutex // rank 2, after Router.mu
+	pool      *pool.Pool
+	servers   map[string]config.Server // by identifier, serving or not
+	accepting bool                     // a server is serving or joining, not all are leaving
 }
 
 // waiter is a request in a pool's queue. turn receives the server to use, or
@@ -59,17 +59,17 @@
 	defer p.mu.Unlock()
 	var serving []pool.Server
 	clear(p.servers)
-	p.open = false
+	p.accepting = false
 	for _, s := range t.pools[p.name] {
 		p.servers[s.ID] = s
-		p.open = p.open || s.Mark != config.Leaving
+		p.accepting = p.accepting || s.Mark != config.Leaving
 		if s.Mark == config.Serving {
 			serving = append(serving, pool.Server{Name: s.ID, Slots: s.Slots})
 		}
 	}
-	fail(p.pool.Configure(accounts, serving), failKey)
-	if !p.open {
-		fail(p.pool.Drop(), failNoServer)
+	failAll(p.pool.Configure(accounts, serving), failKey)
+	if !p.accepting {
+		failAll(p.pool.Drop(), failNoServer)
 	}
 	p.dispatch()
 }
@@ -98,7 +98,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.open {
+	if !p.accepting {
 		return nil, failNoServer
 	}
 	if err := p.pool.Push(w.work); err != nil {
@@ -141,10 +141,10 @@
 	now := p.router.now()
 	expired := p.pool.Expire(now)
 	p.router.stats.waitedOut.Add(len(expired))
-	fail(expired, failWaited)
+	failAll(expired, failWaited)
 	if !leased {
 		p.pool.LeaseLost()
-		fail(p.pool.Drop(), failLease)
+		failAll(p.pool.Drop(), failLease)
 		return
 	}
 	p.pool.Linger(now)
@@ -171,15 +171,15 @@
 	p.dispatch()
 }
 
-// locked runs f, which lets no work start, under the lock.
-func (p *lockedPool) locked(f func(pl *pool.Pool)) {
+// withLock runs f, which lets no work start, under the lock.
+func (p *lockedPool) withLock(f func(pl *pool.Pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.pool)
 }
 
-// fail answers waiting requests.
-func fail(works []*pool.Work, f *Failure) {
+// failAll answers waiting requests.
+func failAll(works []*pool.Work, f *Failure) {
 	for _, w := range works {
 		w.Value.(*waiter).turn <- turn{fail: f}
 	}
--- a/router/relay.go
+++ b/router/relay.go
@@ -34,28 +34,28 @@
 
 // relay copies one answer of a backend server to its caller.
 type relay struct {
-	router *Router
-	ctx    context.Context
-	server string // address
-	call   *call
-	pool   *lockedPool
-	answer *forward.Answer
-	began  time.Duration
+	router    *Router
+	ctx       context.Context
+	server    string // address
+	call      *call
+	pool      *lockedPool
+	answer    *forward.Answer
+	startedAt time.Duration
 
-	scan    *streamScan // of a stream of events
-	plain   []byte      // the body of any other answer, up to maxUsageParse
-	keep    []byte      // the body for the register, up to claim.MaxAnswer
-	tooBig  bool        // the body is over claim.MaxAnswer
-	out     int64       // bytes of the body that have come
-	resumed int         // resumptions so far
+	scan             *streamScan // of a stream of events
+	plainBody        []byte      // the body of any other answer, up to maxUsageParse
+	retained         []byte      // the body for the register, up to claim.MaxAnswer
+	tooLargeToRetain bool        // the body is over claim.MaxAnswer
+	relayedBytes     int64       // bytes of the body that have come
+	resumptions      int         // resumptions so far
 }
 
 // relayBuffers keeps buffers between relays: one of its own for each was most
 // of what a request allocated.
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBuffer); return &b }}
 
-// relayed is how a relay ended.
-type relayed struct {
+// relayResult is how a relay ended.
+type relayResult struct {
 	cost    float64
 	result  pool.Result
 	failure *Failure
@@ -63,22 +63,22 @@
 }
 
 // run relays the answer to its end.
-func (r *relay) run(w http.ResponseWriter) relayed {
+func (r *relay) run(w http.ResponseWriter) relayResult {
 	r.writeHead(w)
 	if isEventStream(r.answer.Header) {
 		r.scan = &streamScan{}
 	}
 	callerLeft, err := r.copy(w)
-	end := relayed{cost: r.cost(), result: pool.Served}
+	end := relayResult{cost: r.cost(), result: pool.Served}
 	switch {
 	case callerLeft:
 		r.endAtServer()
 		end.failure, end.result = failGone, pool.Abandoned
-	case err != nil || r.cutShort():
+	case err != nil || r.isCutShort():
 		end.failure, end.result = failBroken, pool.Failed
 		r.breakOff(w, failBroken)
-	case !r.tooBig:
-		end.whole = r.keep
+	case !r.tooLargeToRetain:
+		end.whole = r.retained
 	}
 	return end
 }
@@ -99,12 +99,12 @@
 	defer relayBuffers.Put(buf)
 	for {
 		n, err := r.answer.Body.Read(*buf)
-		if n > 0 && !r.pass(w, (*buf)[:n]) {
+		if n > 0 && !r.writeChunk(w, (*buf)[:n]) {
 			return true, nil
 		}
 		switch {
 		case err == nil:
-		case err == io.EOF && !r.cutShort():
+		case err == io.EOF && !r.isCutShort():
 			return false, nil
 		case r.ctx.Err() != nil:
 			return true, nil
@@ -114,13 +114,13 @@
 	}
 }
 
-// pass counts one piece of the body and writes it to the caller at once. It
+// writeChunk counts one piece of the body and writes it to the caller at once. It
 // reports whether the caller is still there.
-func (r *relay) pass(w http.ResponseWriter, b []byte) bool {
-	if r.out == 0 {
-		r.router.stats.of(r.call).first.Update((r.router.now() - r.call.arrived).Seconds())
+func (r *relay) writeChunk(w http.ResponseWriter, b []byte) bool {
+	if r.relayedBytes == 0 {
+		r.router.stats.seriesOf(r.call).first.Update((r.router.now() - r.call.arrivedAt).Seconds())
 	}
-	r.count(b)
+	r.observe(b)
 	rc := http.NewResponseController(w)
 	// It fails only on a closed connection, as the write then does.
 	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
@@ -136,17 +136,17 @@
 // repeat: the server sends the rest of the same run.
 func (r *relay) resume() bool {
 	path := r.answer.Header.Get(forward.ResumeHeader)
-	if path == "" || r.resumed >= maxResumes {
+	if path == "" || r.resumptions >= maxResumes {
 		return false
 	}
-	r.resumed++
-	a, err := r.router.cfg.Server.Send(r.ctx, r.server, forward.Call{
-		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", r.out)}},
+	r.resumptions++
+	a, err := r.router.cfg.Transport.Send(r.ctx, r.server, forward.Call{
+		Method: http.MethodGet, Path: path, Header: http.Header{"Range": {fmt.Sprintf("bytes=%d-", r.relayedBytes)}},
 	})
 	if err != nil {
 		return false
 	}
-	rest := fmt.Sprintf("bytes %d-", r.out)
+	rest := fmt.Sprintf("bytes %d-", r.relayedBytes)
 	if a.Status != http.StatusPartialContent || !strings.HasPrefix(a.Header.Get("Content-Range"), rest) {
 		a.Body.Close()
 		return false
@@ -169,24 +169,24 @@
 	}
 	ctx, cancel := context.WithTimeout(r.router.ctx, endTimeout)
 	defer cancel()
-	a, err := r.router.cfg.Server.Send(ctx, r.server, forward.Call{Method: http.MethodDelete, Path: path})
+	a, err := r.router.cfg.Transport.Send(ctx, r.server, forward.Call{Method: http.MethodDelete, Path: path})
 	if err == nil {
 		a.Body.Close()
 	}
 }
 
-// count adds a piece of the body to what cost and the register need of it.
-func (r *relay) count(b []byte) {
-	r.out += int64(len(b))
-	if r.call.keyed != nil && !r.tooBig {
-		r.keep = append(r.keep, b...)
-		if len(r.keep) > claim.MaxAnswerBytes {
-			r.keep, r.tooBig = nil, true
+// observe adds a piece of the body to what cost and the register need of it.
+func (r *relay) observe(b []byte) {
+	r.relayedBytes += int64(len(b))
+	if r.call.claim != nil && !r.tooLargeToRetain {
+		r.retained = append(r.retained, b...)
+		if len(r.retained) > claim.MaxAnswerBytes {
+			r.retained, r.tooLargeToRetain = nil, true
 		}
 	}
 	if r.scan == nil {
-		if r.call.engine && len(r.plain)+len(b) <= maxUsageParse {
-			r.plain = append(r.plain, b...)
+		if r.call.engine && len(r.plainBody)+len(b) <= maxUsageParse {
+			r.plainBody = append(r.plainBody, b...)
 		}
 		return
 	}
@@ -194,13 +194,13 @@
 	r.scan.write(b)
 	if r.scan.chunks/chargeEvery != before/chargeEvery {
 		cost := r.cost()
-		r.pool.locked(func(pl *pool.Pool) { pl.Progress(r.call.work, cost) })
+		r.pool.withLock(func(pl *pool.Pool) { pl.Progress(r.call.work, cost) })
 	}
 }
 
 // cost is the cost reached so far.
 func (r *relay) cost() float64 {
-	u := share.Usage{BusySeconds: (r.router.now() - r.began).Seconds()}
+	u := share.Usage{BusySeconds: (r.router.now() - r.startedAt).Seconds()}
 	if r.call.engine {
 		u = r.usage()
 	}
@@ -213,23 +213,23 @@
 	if r.scan != nil {
 		estimate.Output = r.scan.chunks
 		if r.scan.usage != nil {
-			return r.scan.usage.share()
+			return r.scan.usage.normalized()
 		}
 		return estimate
 	}
-	if u := parseUsage(r.plain); u != nil {
-		return u.share()
+	if u := parseUsage(r.plainBody); u != nil {
+		return u.normalized()
 	}
-	estimate.Output = int(r.out) / bytesPerToken
+	estimate.Output = int(r.relayedBytes) / bytesPerToken
 	return estimate
 }
 
 // bytesPerToken is the usual length of a token in English text, a rule of thumb.
 const bytesPerToken = 4
 
-// cutShort reports whether an answer that ended without an error is not whole:
+// isCutShort reports whether an answer that ended without an error is not whole:
 // an engine's stream without its end mark.
-func (r *relay) cutShort() bool {
+func (r *relay) isCutShort() bool {
 	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
 
@@ -238,11 +238,11 @@
 func (r *relay) breakOff(w http.ResponseWriter, f *Failure) {
 	if r.scan != nil {
 		// Both fail only for a caller that has left, who needs no event.
-		_, _ = w.Write(append(r.scan.closeLine(), f.event()...))
+		_, _ = w.Write(append(r.scan.lineTerminator(), f.event()...))
 		_ = http.NewResponseController(w).Flush() // as above
 		return
 	}
-	r.call.abort = true
+	r.call.abortConnection = true
 }
 
 func isEventStream(h http.Header) bool {
--- a/router/report.go
+++ b/router/report.go
@@ -16,9 +16,9 @@
 
 // requestReport signals to reporting that there is something to report.
 func (l *leaderClient) requestReport(urgent bool) {
-	ch := l.routine
+	ch := l.routineReport
 	if urgent {
-		ch = l.urgent
+		ch = l.urgentReport
 	}
 	select {
 	case ch <- struct{}{}:
@@ -35,9 +35,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-l.urgent:
+		case <-l.urgentReport:
 			urgent = true
-		case <-l.routine:
+		case <-l.routineReport:
 		}
 		if !l.awaitDue(ctx, &pacer, urgent) {
 			return
@@ -61,7 +61,7 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-l.urgent:
+		case <-l.urgentReport:
 			urgent = true
 		case <-time.After(wait):
 		}
@@ -83,17 +83,17 @@
 // anything.
 func (l *leaderClient) buildReport(s *session) (protocol.Report, bool) {
 	s.mu.Lock()
-	s.reports++
-	seq := s.reports
+	s.lastReport++
+	seq := s.lastReport
 	s.mu.Unlock()
 	report := protocol.Report{ViewSeq: s.viewSeq.Load()}
 	for _, p := range l.r.poolList() {
-		p.locked(func(pl *pool.Pool) { pl.AppendReport(seq, &report) })
+		p.withLock(func(pl *pool.Pool) { pl.AppendReport(seq, &report) })
 	}
 	found := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
 	if !found {
 		s.mu.Lock()
-		s.reports-- // the allocator counts only what it receives
+		s.lastReport-- // the allocator counts only what it receives
 		s.mu.Unlock()
 	}
 	return report, found
--- a/router/router.go
+++ b/router/router.go
@@ -26,21 +26,21 @@
 // This file defines Router, its settings, and how a configuration comes into
 // force.
 
-// Server sends calls to backend servers. [forward.Client] is one.
-type Server interface {
+// Transport sends calls to backend servers. [forward.Client] is one.
+type Transport interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
 
-var _ Server = (*forward.Client)(nil)
+var _ Transport = (*forward.Client)(nil)
 
 // Settings of a router.
 type Settings struct {
-	Identity link.Identity
-	Hall     string
-	Replicas map[string]string // fleet addresses of the control replicas by name
-	Server   Server
-	Limits   Limits
-	Pace     slots.Pace
+	Identity  link.Identity
+	Hall      string
+	Replicas  map[string]string // fleet addresses of the control replicas by name
+	Transport Transport
+	Limits    Limits
+	Pace      slots.Pace
 	// StopWithoutLeader lets the lease run out when there is no leader, even if a
 	// majority of the replicas reports that there is none.
 	StopWithoutLeader bool
@@ -76,28 +76,28 @@
 
 // Settings of every pool.
 const (
-	firstEstimate = 256                   // cost, in share.Weights, of a request whose account and class have finished none
-	prefixBlocks  = 8192                  // prompt blocks remembered by each pool
-	poolTick      = 50 * time.Millisecond // between two checks for waits, slots and a lease that have ended
+	firstEstimate  = 256                   // cost, in share.Weights, of a request whose account and class have finished none
+	prefixBlocks   = 8192                  // prompt blocks remembered by each pool
+	poolTickPeriod = 50 * time.Millisecond // between two checks for waits, slots and a lease that have ended
 )
 
 // Router is a running router.
 type Router struct {
-	cfg     Settings
-	boot    uint64
-	began   time.Duration // by the clock
-	ctx     context.Context
-	stop    context.CancelFunc
-	meter   *link.Meter
-	stats   *stats
-	routes  atomic.Pointer[routes]
-	lease   lease
-	leader  *leaderClient
-	claims  *claimClient
-	serving atomic.Bool  // false once a stop has begun: readiness turns false
-	closed  atomic.Bool  // later in the stop: new requests are refused
-	calls   atomic.Int64 // requests being served
-	bodies  atomic.Int64 // bytes of their bodies
+	cfg       Settings
+	boot      uint64
+	startedAt time.Duration // by the clock
+	ctx       context.Context
+	stop      context.CancelFunc
+	meter     *link.Meter
+	stats     *stats
+	routes    atomic.Pointer[routes]
+	lease     lease
+	leader    *leaderClient
+	claims    *claimClient
+	serving   atomic.Bool  // false once a stop has begun: readiness turns false
+	refusing  atomic.Bool  // later in the stop: new requests are refused
+	inFlight  atomic.Int64 // requests being served
+	bodyBytes atomic.Int64 // bytes of their bodies
 
 	mu    sync.Mutex // guards pools
 	pools map[string]*lockedPool
@@ -117,7 +117,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	r := &Router{
-		cfg: cfg, began: cfg.Clock(), boot: cfg.Random() | 1, ctx: ctx, stop: stop,
+		cfg: cfg, startedAt: cfg.Clock(), boot: cfg.Random() | 1, ctx: ctx, stop: stop,
 		meter: link.NewMeter(cfg.Metrics), stats: newStats(cfg.Metrics), pools: map[string]*lockedPool{},
 		budget: retry.DefaultBudget,
 	}
@@ -131,7 +131,7 @@
 }
 
 // now is the router's monotonic clock.
-func (r *Router) now() time.Duration { return r.cfg.Clock() - r.began }
+func (r *Router) now() time.Duration { return r.cfg.Clock() - r.startedAt }
 
 // jitter returns a time from 0 to most.
 func (r *Router) jitter(most time.Duration) time.Duration {
@@ -151,20 +151,20 @@
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
 	sleep.For(ctx, grace)
-	r.closed.Store(true)
-	awaitZero(ctx, &r.calls)
+	r.refusing.Store(true)
+	awaitZero(ctx, &r.inFlight)
 	r.claims.flush(ctx)
 	r.leader.goodbye(ctx)
 	r.stop()
 }
 
-// zeroPoll is between two checks of a count during a stop.
-const zeroPoll = 10 * time.Millisecond
+// zeroPollInterval is between two checks of a count during a stop.
+const zeroPollInterval = 10 * time.Millisecond
 
 // awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
 // the count may rise again meanwhile.
 func awaitZero(ctx context.Context, count *atomic.Int64) {
-	for count.Load() > 0 && sleep.For(ctx, zeroPoll) {
+	for count.Load() > 0 && sleep.For(ctx, zeroPollInterval) {
 	}
 }
 
@@ -172,7 +172,7 @@
 // ran out.
 func (r *Router) tick() {
 	leased := false
-	for sleep.For(r.ctx, poolTick) {
+	for sleep.For(r.ctx, poolTickPeriod) {
 		before := leased
 		leased = r.lease.valid(r.now())
 		if before && !leased {
--- a/router/session.go
+++ b/router/session.go
@@ -23,8 +23,8 @@
 // Parts of a lease (docs/design/lease.md), by TestLeaderIsKilledUnderLoad: see the
 // times of the search in leader.go.
 const (
-	renewPart  = 6 // renewals in one lease
-	silentPart = 2 // a link without a message for this part of the lease is dead
+	renewalsPerLease = 6 // renewals in one lease
+	silenceDivisor   = 2 // a link without a message for this part of the lease is dead
 )
 
 // outboxDepth is the number of messages that may wait to be sent on a session; one more ends it.
@@ -32,30 +32,30 @@
 
 // session is one link to a leader.
 type session struct {
-	out     *link.Outbox
-	length  time.Duration // of the lease
-	viewSeq atomic.Uint64 // number of the last view
+	out           *link.Outbox
+	leaseDuration time.Duration // of the lease
+	viewSeq       atomic.Uint64 // number of the last view
 
-	mu      sync.Mutex               // guards what follows
-	sent    map[uint64]time.Duration // renewals without an answer so far
-	reports uint64                   // number of the last report
+	mu              sync.Mutex               // guards what follows
+	pendingRenewals map[uint64]time.Duration // renewals without an answer so far
+	lastReport      uint64                   // number of the last report
 }
 
 // follow runs one session to its end.
-func (l *leaderClient) follow(got reply) {
+func (l *leaderClient) follow(got helloReply) {
 	ctx, cancel := context.WithCancel(l.r.ctx)
 	defer cancel()
 	w := got.welcome
 	s := &session{
-		out: link.NewOutbox(got.link, outboxDepth), sent: map[uint64]time.Duration{},
-		length: time.Duration(w.LeaseMillis) * time.Millisecond,
+		out: link.NewOutbox(got.link, outboxDepth), pendingRenewals: map[uint64]time.Duration{},
+		leaseDuration: time.Duration(w.LeaseMillis) * time.Millisecond,
 	}
 	defer s.out.Close()
 	if w.Epoch < l.epoch {
 		return // another leader has replaced this one
 	}
-	l.epoch, l.leader, l.length = w.Epoch, w.Leader, s.length
-	l.r.lease.extend(got.sent, s.length)
+	l.epoch, l.leader, l.leaseDuration = w.Epoch, w.Leader, s.leaseDuration
+	l.r.lease.extend(got.sent, s.leaseDuration)
 	l.begin(s, w)
 	l.r.cfg.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
 	go l.renewals(ctx, s)
@@ -85,11 +85,11 @@
 
 // renewals sends renewals of the lease, a few in each lease.
 func (l *leaderClient) renewals(ctx context.Context, s *session) {
-	t := time.NewTicker(s.length / renewPart)
+	t := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer t.Stop()
 	for seq := uint64(1); ; seq++ {
 		s.mu.Lock()
-		s.sent[seq] = l.r.now()
+		s.pendingRenewals[seq] = l.r.now()
 		s.mu.Unlock()
 		s.out.Send(protocol.Renew{Seq: seq, Revision: l.r.Revision()})
 		select {
@@ -104,11 +104,11 @@
 // for a part of the lease. Renewals are answered, so the link is dead then.
 func (l *leaderClient) receive(ctx context.Context, lk *link.Link, s *session) error {
 	for {
-		rctx, cancel := context.WithTimeout(ctx, s.length/silentPart)
+		rctx, cancel := context.WithTimeout(ctx, s.leaseDuration/silenceDivisor)
 		m, err := lk.Receive(rctx)
 		cancel()
 		if err == nil {
-			err = l.take(s, m)
+			err = l.handle(s, m)
 		}
 		if err != nil {
 			return err
@@ -116,27 +116,27 @@
 	}
 }
 
-func (l *leaderClient) take(s *session, m protocol.Message) error {
+func (l *leaderClient) handle(s *session, m protocol.Message) error {
 	switch m := m.(type) {
 	case protocol.Renewed:
 		s.mu.Lock()
-		sent, ok := s.sent[m.Seq]
-		delete(s.sent, m.Seq)
+		sent, ok := s.pendingRenewals[m.Seq]
+		delete(s.pendingRenewals, m.Seq)
 		s.mu.Unlock()
 		if ok {
-			l.r.lease.extend(sent, s.length)
+			l.r.lease.extend(sent, s.leaseDuration)
 		}
 	case protocol.View:
-		l.takeView(s, m)
+		l.applyView(s, m)
 	case protocol.Configure:
-		return l.takeConfig(m)
+		return l.applyConfig(m)
 	case protocol.Claimed:
-		l.r.claims.answered(m)
+		l.r.claims.handleAnswer(m)
 	}
 	return nil
 }
 
-func (l *leaderClient) takeView(s *session, v protocol.View) {
+func (l *leaderClient) applyView(s *session, v protocol.View) {
 	s.viewSeq.Store(v.Seq)
 	for _, pv := range v.Pools {
 		if p := l.r.pool(pv.Pool); p != nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (l *leaderClient) takeConfig(m protocol.Configure) error {
+func (l *leaderClient) applyConfig(m protocol.Configure) error {
 	if len(m.Snapshot) > 0 {
 		var s config.Snapshot
 		if err := cbor.Unmarshal(m.Snapshot, &s); err != nil {
--- a/router/stats.go
+++ b/router/stats.go
@@ -55,9 +55,9 @@
 	service  *metrics.FloatCounter
 }
 
-// of returns the series of a call. They are looked up by name once and kept:
-// writing the names anew cost more than a tenth of a request's allocations.
-func (s *stats) of(c *call) *series {
+// seriesOf returns the series seriesOf a call. They are looked up by name once and kept:
+// writing the names anew cost more than a tenth seriesOf a request's allocations.
+func (s *stats) seriesOf(c *call) *series {
 	k := seriesKey{c.account.Name, c.class, c.pool}
 	if got, ok := s.handles.Load(k); ok {
 		return got.(*series)
--- a/router/usage.go
+++ b/router/usage.go
@@ -21,9 +21,9 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// share returns the usage for the account's service. Impossible numbers of an
+// normalized returns the usage for the account's service. Impossible numbers of an
 // engine are bounded: none is negative, and no more is cached than was prompted.
-func (u usage) share() share.Usage {
+func (u usage) normalized() share.Usage {
 	prompt := max(u.PromptTokens, 0)
 	cached := min(max(u.Details.CachedTokens, 0), prompt)
 	return share.Usage{Input: prompt - cached, Cached: cached, Output: max(u.CompletionTokens, 0)}
@@ -46,11 +46,11 @@
 
 // streamScan reads a stream of server-sent events as it passes.
 type streamScan struct {
-	line   []byte // unfinished
-	long   bool   // the unfinished line is over maxLine
-	chunks int    // data lines but the end mark
-	usage  *usage // the last one seen
-	done   bool   // the end mark was seen
+	partialLine []byte // unfinished
+	lineTooLong bool   // the unfinished line is over maxLine
+	chunks      int    // data lines but the end mark
+	usage       *usage // the last one seen
+	done        bool   // the end mark was seen
 }
 
 var (
@@ -63,27 +63,27 @@
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
 		if i < 0 {
-			s.extend(b)
+			s.appendToLine(b)
 			return
 		}
-		s.extend(b[:i])
-		if !s.long {
-			s.take(s.line)
+		s.appendToLine(b[:i])
+		if !s.lineTooLong {
+			s.scanLine(s.partialLine)
 		}
-		s.line, s.long = s.line[:0], false
+		s.partialLine, s.lineTooLong = s.partialLine[:0], false
 		b = b[i+1:]
 	}
 }
 
-func (s *streamScan) extend(b []byte) {
-	if len(s.line)+len(b) > maxLine {
-		s.long = true
+func (s *streamScan) appendToLine(b []byte) {
+	if len(s.partialLine)+len(b) > maxLine {
+		s.lineTooLong = true
 		return
 	}
-	s.line = append(s.line, b...)
+	s.partialLine = append(s.partialLine, b...)
 }
 
-func (s *streamScan) take(line []byte) {
+func (s *streamScan) scanLine(line []byte) {
 	data, ok := bytes.CutPrefix(line, dataPrefix)
 	if !ok {
 		return
@@ -101,10 +101,10 @@
 	}
 }
 
-// closeLine returns what ends an unfinished line and event, so that what
+// lineTerminator returns what ends an unfinished line and event, so that what
 // follows is an event of its own.
-func (s *streamScan) closeLine() []byte {
-	if len(s.line) > 0 || s.long {
+func (s *streamScan) lineTerminator() []byte {
+	if len(s.partialLine) > 0 || s.lineTooLong {
 		return []byte("\n\n")
 	}
 	return []byte("\n")
