--- a/router/apply_bench_test.go
+++ b/router/apply_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// BenchmarkApply gives what one change costs a router at the size of two years
-// from now: 5,800 accounts, 10,000 backend servers, 4 pools.
+// BenchmarkApply measures the cost of one configuration change for a router with 5,800 accounts,
+// 10,000 backend servers and 4 pools, the expected size in two years.
 func BenchmarkApply(b *testing.B) {
 	var ops []config.Op
 	for i := range 5800 {
--- a/router/call.go
+++ b/router/call.go
@@ -17,27 +17,27 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines call, a request from its admission to its end: waiting
-// for a turn, claiming its key, and trying backend servers.
+// This file defines call, one request from its admission to its end: it waits for a slot, claims
+// its idempotency key, and tries backend servers.
 
 // call is one request of a caller.
 type call struct {
 	account         config.Account
 	pool            string
-	class           string // of the fixed set in classes
-	flow            string // user within the account; share takes turns among them
+	class           string // one of classes
+	flow            string // user within the account; fair sharing alternates among an account's flows
 	engine          bool   // the pool's servers are engines, not plain services
 	forwardCall     forward.Call
-	repeatable      bool // it may be sent again though it may have run
-	repeated        bool // it was sent again though it may have run
+	repeatable      bool // it may be sent again even if it may have run
+	repeated        bool // it was sent again after it may have run
 	body            []byte
-	blocks          []place.Block   // of an engine's prompt
+	blocks          []place.Block   // blocks of an engine's prompt
 	claim           *protocol.Claim // the claim to make, not yet numbered; nil without an idempotency key
-	holdsClaim      bool            // holds the claim
-	reservedBytes   int64           // bytes counted in Router.bodies
-	abortConnection bool            // the connection must be broken: the answer is not whole
-	arrivedAt       time.Duration   // on Router.now
-	work            *pool.Work      // of the present turn
+	holdsClaim      bool            // the claim was granted and is not settled
+	reservedBytes   int64           // bytes counted in Router.bodyBytes
+	abortConnection bool            // the connection must be closed because the answer is incomplete
+	arrivedAt       time.Duration   // by Router.now
+	work            *pool.Work      // queue entry of the current attempt
 }
 
 // serve runs a call to its end and writes its answer.
@@ -50,8 +50,8 @@
 	r.stats.seriesOf(c).whole.Update((r.now() - c.arrivedAt).Seconds())
 }
 
-// withOverallOutcome returns the failure with what is known of all attempts: what ended
-// the last one, or the wait for another, says nothing of those before.
+// withOverallOutcome returns a failure with the outcome of all attempts together. If an earlier
+// attempt may have run, a last attempt that did not run does not change that.
 func (c *call) withOverallOutcome(f *Failure) *Failure {
 	switch {
 	case !c.repeated || f.Outcome != NotRun:
@@ -62,7 +62,7 @@
 	return failBroken
 }
 
-// run returns a failure if nothing was written to the caller yet.
+// run returns a failure if nothing has been written to the caller yet.
 func (r *Router) run(w http.ResponseWriter, ctx context.Context, c *call) *Failure {
 	for {
 		server, f := r.awaitTurn(ctx, c)
@@ -76,7 +76,7 @@
 				return f
 			}
 			if !c.holdsClaim {
-				continue // the slot was given up while another router ran it
+				continue // the slot was released while another router ran the request
 			}
 		}
 		again, f := r.attempt(w, ctx, c, server)
@@ -86,7 +86,7 @@
 	}
 }
 
-// awaitTurn queues the call and waits until it may use a server.
+// awaitTurn queues the call and waits for a slot. It returns the server to use.
 func (r *Router) awaitTurn(ctx context.Context, c *call) (config.Server, *Failure) {
 	if !r.lease.valid(r.now()) {
 		return config.Server{}, failLease
@@ -113,9 +113,9 @@
 	return config.Server{}, failGone.WithOutcome(NotRun)
 }
 
-// claimKey claims the key of a call that has a slot. If the claim is not
-// granted at once, the slot is given up: the wait for another router's outcome
-// may be long. answered means that the caller has its answer.
+// claimKey claims the idempotency key of a call that has a slot. If the claim is not granted at
+// once, the slot is released, because waiting for another router's outcome may take long. answered
+// reports that the caller has its answer.
 func (r *Router) claimKey(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (answered bool, f *Failure) {
 	cctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	got, ok := r.claims.claim(cctx, *c.claim, false)
@@ -131,14 +131,14 @@
 		f = failGone.WithOutcome(NotRun)
 	}
 	if !ok {
-		r.claims.settle(*c.claim, protocol.ClaimReleased, nil) // it may have been granted
+		r.claims.settle(*c.claim, protocol.ClaimReleased, nil) // the claim may have been granted
 		return false, f
 	}
 	return r.answerClaimed(w, c, got)
 }
 
-// answerClaimed answers the caller with what became of the request under this
-// key, unless this router is to run it now.
+// answerClaimed answers the caller with the recorded outcome of the request with this key, unless
+// this router has to run it now.
 func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (answered bool, f *Failure) {
 	switch got.State {
 	case protocol.ClaimGranted:
@@ -156,8 +156,8 @@
 	return false, failUnknownRun
 }
 
-// attempt sends the call to a server and relays the answer. again means that
-// the call did not run, or may be repeated, and should wait for another turn.
+// attempt sends the call to a server and relays the answer. again reports that the call did not
+// run, or may be repeated, and should be queued again.
 func (r *Router) attempt(w http.ResponseWriter, ctx context.Context, c *call, server config.Server) (again bool, f *Failure) {
 	p := r.pool(c.pool)
 	began := r.now()
@@ -165,7 +165,7 @@
 	if err != nil {
 		return r.sendFailed(ctx, c, server, err)
 	}
-	defer func() { a.Body.Close() }() // the relay may have put another in its place
+	defer func() { a.Body.Close() }() // the relay may have replaced the body
 	if running, waiting, ok := a.Load(); ok {
 		p.withLock(func(pl *pool.Pool) {
 			pl.Report(server.ID, place.Load{Running: running, Waiting: waiting, At: r.now()})
@@ -181,21 +181,21 @@
 		r.stats.failure(end.failure)
 		return false, nil
 	}
-	var kept *protocol.Answer
+	var recorded *protocol.Answer
 	if end.whole != nil {
-		kept = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.whole}
+		recorded = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.whole}
 	}
-	r.settle(c, protocol.ClaimRan, kept)
+	r.settle(c, protocol.ClaimRan, recorded)
 	return false, nil
 }
 
-// sendFailed carries out what follows from an attempt that got no answer: it
-// settles the slot, and the claim if the call ends here.
+// sendFailed handles an attempt that got no answer: it releases the slot, and settles the claim if
+// the call ends here.
 func (r *Router) sendFailed(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
 	f, claim, last := failBroken.With(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
-	var not forward.NotRun
-	if errors.As(err, &not) {
-		r.applyBackoff(c, server, not)
+	var notRun forward.NotRun
+	if errors.As(err, &notRun) {
+		r.applyBackoff(c, server, notRun)
 		f, claim, last = failUnreachable.With(err.Error()), protocol.ClaimReleased, retry.Refused
 	}
 	result, gone := pool.Failed, ctx.Err() != nil
@@ -211,7 +211,8 @@
 	return false, f
 }
 
-// applyBackoff takes for how long a server that refused a call wants nothing. What is malformed says nothing.
+// applyBackoff applies the backoff that a server requested with its refusal. A malformed value is
+// ignored.
 func (r *Router) applyBackoff(c *call, server config.Server, refusal forward.NotRun) {
 	if !refusal.Refused {
 		return
@@ -222,7 +223,7 @@
 	}
 }
 
-// allowRetry takes one allowRetry out of the budget.
+// allowRetry takes one retry out of the retry budget and reports whether one was left.
 func (r *Router) allowRetry() bool {
 	r.budgetMu.Lock()
 	allowed := r.budget.Retry()
@@ -235,7 +236,7 @@
 	return allowed
 }
 
-// settle reports to the register how a call that holds its claim ended.
+// settle reports the outcome of a call that holds its claim to the register.
 func (r *Router) settle(c *call, state protocol.ClaimState, a *protocol.Answer) {
 	if c.holdsClaim {
 		r.claims.settle(*c.claim, state, a)
@@ -243,7 +244,7 @@
 	}
 }
 
-// replay writes a kept answer.
+// replay writes a recorded answer.
 func replay(w http.ResponseWriter, a protocol.Answer) {
 	h := w.Header()
 	if a.ContentType != "" {
--- a/router/callers.go
+++ b/router/callers.go
@@ -23,8 +23,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines the callers' interface: paths, keys, and how a request
-// becomes a call.
+// This file defines the callers' interface: paths, API keys, and how an HTTP request becomes a
+// call.
 
 // Headers that callers may set.
 const (
@@ -37,25 +37,25 @@
 // Headers that backend servers receive.
 const (
 	accountHeader  = "Badgerspoke-Account"
-	priorityHeader = "Badgerspoke-Priority" // 0 goes before 1
+	priorityHeader = "Badgerspoke-Priority" // 0 is served before 1
 )
 
-// classes are the classes that a caller may name, with their priorities.
+// classes maps the classes that a caller may name to their priorities.
 var classes = map[string]string{"interactive": "0", "batch": "1"}
 
 const defaultClass = "interactive"
 
-// maxUser bounds the name of a user, in bytes.
+// maxUser bounds the length of a user's name, in bytes.
 const maxUser = 128
 
-// ServeHTTP serves callers.
+// ServeHTTP serves callers and health probes.
 func (r *Router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
 	path := req.URL.Path
 	switch {
 	case path == "/healthz":
-		_, _ = io.WriteString(w, "ok\n") // whoever probes sees an answer cut short itself
+		_, _ = io.WriteString(w, "ok\n") // a prober notices a truncated answer itself
 	case path == "/readyz":
 		r.serveReady(w)
 	case path == "/v1/models":
@@ -77,18 +77,17 @@
 func (r *Router) serveReady(w http.ResponseWriter) {
 	if !r.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = io.WriteString(w, "not ready\n") // whoever probes sees an answer cut short itself
+		_, _ = io.WriteString(w, "not ready\n") // a prober notices a truncated answer itself
 		return
 	}
-	_, _ = io.WriteString(w, "ready\n") // whoever probes sees an answer cut short itself
+	_, _ = io.WriteString(w, "ready\n") // a prober notices a truncated answer itself
 }
 
-// handler serves a request of an account. A failure that it returns is not
-// written to the caller yet.
+// handler serves a request of an account. A returned failure has not been written to the caller.
 type handler func(w http.ResponseWriter, req *http.Request, a config.Account) *Failure
 
-// withAccount refuses a request with another method, during a stop, or without
-// a valid key, and writes what h fails with.
+// withAccount calls h with the request's account and writes the failure if h returns one. It
+// refuses requests with another method, without a valid key, or during a stop.
 func (r *Router) withAccount(w http.ResponseWriter, req *http.Request, method string, h handler) {
 	if f := r.admit(w, req, method, h); f != nil {
 		r.refuse(w, f)
@@ -108,7 +107,7 @@
 	case ok:
 		return h(w, req, a)
 	case r.Revision() == 0 && !r.lease.valid(r.now()):
-		return failLease // no configuration has come yet, so every key would be refused
+		return failLease // without a configuration, every key would be refused as invalid
 	}
 	return failKey
 }
@@ -137,7 +136,7 @@
 // engineRequest is the part of a completion request that routing reads.
 type engineRequest struct {
 	Model  string `json:"model"`
-	Stream bool   `json:"stream"` // not read; a body in which it is no boolean is refused
+	Stream bool   `json:"stream"` // not used, but a body in which it is not a boolean is refused
 	User   string `json:"user"`
 }
 
@@ -195,8 +194,8 @@
 	return r.serveCall(w, req, c)
 }
 
-// serveCall runs a call. If its answer broke off and the body cannot show it,
-// the connection is broken.
+// serveCall runs a call. If its answer broke off and the body cannot show that, it aborts the
+// connection.
 func (r *Router) serveCall(w http.ResponseWriter, req *http.Request, c *call) *Failure {
 	if c.claim != nil {
 		c.repeatable = false
@@ -209,8 +208,8 @@
 	return nil
 }
 
-// newCall checks the headers that callers may set on any call and reads its
-// body. The caller must release the body.
+// newCall checks the headers that callers may set on any call and reads the body. The caller must
+// release the body.
 func (r *Router) newCall(w http.ResponseWriter, req *http.Request, a config.Account) (*call, *Failure) {
 	c := &call{account: a, class: defaultClass, flow: req.Header.Get(userHeader)}
 	if len(c.flow) > maxUser {
@@ -245,29 +244,28 @@
 	return c, nil
 }
 
-// readBody reads a body inside the bound on all bodies together: a body of
-// unknown length counts as the longest until it is read. releaseBody gives back
-// what is reserved.
+// readBody reads a body within the limit on all bodies together. A body of unknown length is
+// charged with the largest size until it is released by releaseBody.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, *Failure) {
 	limits := r.cfg.Limits
 	if req.ContentLength > limits.Body {
 		return nil, failTooLarge
 	}
-	reserve := req.ContentLength
-	if reserve < 0 {
-		reserve = limits.Body
+	reserved := req.ContentLength
+	if reserved < 0 {
+		reserved = limits.Body
 	}
-	if r.bodyBytes.Add(reserve) > limits.Bodies {
-		r.bodyBytes.Add(-reserve)
+	if r.bodyBytes.Add(reserved) > limits.Bodies {
+		r.bodyBytes.Add(-reserved)
 		return nil, failFull.With("the bodies of all requests together are at their limit")
 	}
-	c.reservedBytes = reserve
+	c.reservedBytes = reserved
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, as the read then does
+	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, and then the read fails as well
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.Body))
 	if err != nil {
-		// The deadline stays: the server would else wait for the rest of the
-		// body before it closes the connection.
+		// The deadline is kept: without it, the server would wait for the rest of
+		// the body before it closes the connection.
 		w.Header().Set("Connection", "close")
 		r.releaseBody(c)
 		return nil, bodyFailure(err)
@@ -276,7 +274,7 @@
 	return body, nil
 }
 
-// releaseBody gives back what readBody reserved.
+// releaseBody releases the bytes that readBody reserved.
 func (r *Router) releaseBody(c *call) {
 	r.bodyBytes.Add(-c.reservedBytes)
 	c.reservedBytes = 0
@@ -290,8 +288,8 @@
 	return failMalformed.With("the body could not be read: " + err.Error())
 }
 
-// copyServiceHeader copies the headers that a plain service may see: not keys,
-// cookies, the fleet's own headers or those of the connection.
+// copyServiceHeader copies the headers that a plain service may receive: all but API keys, cookies,
+// the fleet's own headers and hop-by-hop headers.
 func copyServiceHeader(to, from http.Header) {
 	for name, values := range from {
 		if hopByHop[name] || withheldHeaders[name] || strings.HasPrefix(name, "Badgerspoke-") {
@@ -301,7 +299,7 @@
 	}
 }
 
-// withheldHeaders are the headers of a caller that a plain service does not get.
+// withheldHeaders are the headers of a caller that are not forwarded to a plain service.
 var withheldHeaders = map[string]bool{
 	"Authorization": true, "Cookie": true, "Content-Length": true, "Host": true, "X-Api-Key": true,
 	"Forwarded": true, "X-Forwarded-For": true, "X-Forwarded-Host": true, "X-Forwarded-Proto": true,
--- a/router/claimclient.go
+++ b/router/claimclient.go
@@ -12,24 +12,25 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines claimClient, the router's side of the register of keyed
-// requests (coordination/claim): claims and settlements go over the session,
-// and again over the next one, until they are answered.
+// This file defines claimClient, the router's side of the register of keyed requests
+// (coordination/claim). Claims and settlements are sent over the session, and again over the next
+// one, until they are answered.
 
 const (
-	// claimRetryPause is between two sendings of one claim, with jitter of half of it to either side.
+	// claimRetryPause is the mean pause before a claim is sent again; jitter changes it by up to
+	// half.
 	claimRetryPause = 50 * time.Millisecond
-	// claimTimeout is for a claim before dispatch, while the call occupies a slot: longer than an
-	// election (1.2 s).
+	// claimTimeout bounds a claim before dispatch, while the call occupies a slot. It is longer
+	// than an election (1.2 s).
 	claimTimeout = 5 * time.Second
 )
 
 // claimClient is the router's side of the register of keyed requests.
 type claimClient struct {
 	r                  *Router
-	pendingSettlements atomic.Int64 // settlements without an answer so far
+	pendingSettlements atomic.Int64 // settlements that are not answered yet
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	session        *session
 	sessionChanged chan struct{}                    // closed and replaced when session changes
 	pendingCalls   map[uint64]chan protocol.Claimed // by number of the message
@@ -40,7 +41,7 @@
 	return &claimClient{r: r, pendingCalls: map[uint64]chan protocol.Claimed{}, sessionChanged: make(chan struct{})}
 }
 
-// setSession sets the session that claims go over; nil is none.
+// setSession sets the session that claims are sent over; nil means none.
 func (c *claimClient) setSession(s *session) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// claim claims the key of a call. With wait it returns only when no other
-// router runs the request any more. ok is false when ctx ended first.
+// claim claims the key of a call. With wait, it returns only when no other router is running the
+// request. ok is false if ctx ended first.
 func (c *claimClient) claim(ctx context.Context, k protocol.Claim, wait bool) (protocol.Claimed, bool) {
 	return c.deliver(ctx, func(call uint64) protocol.Message {
 		k.Call, k.Wait = call, wait
@@ -69,8 +70,8 @@
 	})
 }
 
-// settle reports the outcome of a granted claim, for as long as the router
-// runs. The caller does not wait.
+// settle reports the outcome of a granted claim in the background, and retries for as long as the
+// router runs.
 func (c *claimClient) settle(k protocol.Claim, state protocol.ClaimState, a *protocol.Answer) {
 	c.pendingSettlements.Add(1)
 	go func() {
@@ -83,11 +84,11 @@
 	}()
 }
 
-// flush waits until all settlements are answered.
+// flush waits until all settlements are answered or ctx ends.
 func (c *claimClient) flush(ctx context.Context) { awaitZero(ctx, &c.pendingSettlements) }
 
-// deliver sends a message over every session in turn until it is answered with
-// anything but ClaimRetry, or ctx ends.
+// deliver sends a message, over as many sessions as needed, until it gets an answer other than
+// ClaimRetry or ctx ends.
 func (c *claimClient) deliver(ctx context.Context, message func(call uint64) protocol.Message) (protocol.Claimed, bool) {
 	for {
 		got, answered := c.deliverOnce(ctx, message)
@@ -100,8 +101,8 @@
 	}
 }
 
-// deliverOnce sends over the current session, or waits for one if there is
-// none. It ends without an answer when the session changes.
+// deliverOnce sends a message over the current session, or waits for a session if there is none. It
+// returns without an answer when the session changes.
 func (c *claimClient) deliverOnce(ctx context.Context, message func(call uint64) protocol.Message) (protocol.Claimed, bool) {
 	c.mu.Lock()
 	s, changed := c.session, c.sessionChanged
--- a/router/errors.go
+++ b/router/errors.go
@@ -9,12 +9,11 @@
 	"time"
 )
 
-// This file defines Failure, the one shape in which a request fails, and the
-// tables of failures: status, outcome and Retry-After, in three groups by what
-// the caller can do.
+// This file defines Failure, the form in which a request fails, and the tables of failures with
+// status, outcome and Retry-After. They are in three groups by what the caller can do.
 
-// Outcome is what is known about the run of a request. The values are in the
-// header and body of answers.
+// Outcome says whether a request has run, as far as is known. The values appear in the header and
+// body of answers.
 type Outcome string
 
 // The outcomes.
@@ -28,15 +27,15 @@
 // answer.
 const OutcomeHeader = "Badgerspoke-Outcome"
 
-// Failure is why a request has no answer from a backend server. It is not
-// changed once made: With and WithOutcome return a copy.
+// Failure is the reason why a request has no answer from a backend server. It is immutable: With
+// and WithOutcome return a copy.
 type Failure struct {
 	Status     int
 	Type       string // the protocol's error type
 	Code       string // stable, for programs
 	Message    string
 	Outcome    Outcome
-	RetryAfter time.Duration // 0 when a retry does not help, or at once
+	RetryAfter time.Duration // 0 if a retry does not help, or may follow at once
 }
 
 // With returns the failure with another message.
@@ -55,18 +54,17 @@
 
 // Values of RetryAfter.
 const (
-	retrySoon  = time.Second     // the least that Retry-After can express
-	retryLater = 2 * time.Second // after a whole wait in vain
+	retrySoon  = time.Second     // the shortest time that Retry-After can express
+	retryLater = 2 * time.Second // after a whole wait in the queue without a slot
 )
 
-// statusGone is the customary status for a caller that closed its connection
-// (nginx); it is only counted, nobody reads it.
+// statusGone is nginx's status for a caller that closed its connection. It is only counted, never
+// sent.
 const statusGone = 499
 
-// The request itself is at fault: it did not run, and the same one would fail
-// again, so there is no Retry-After.
+// The request is invalid. It did not run and would fail again, so there is no Retry-After.
 var (
-	// Also when the account is removed before the request is queued, or while it waits.
+	// Also if the account is removed before the request is queued or while it is queued.
 	failKey       = &Failure{http.StatusUnauthorized, typeAuthentication, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, typeInvalidRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, typeInvalidRequest, "invalid_header", "a header has no valid value", NotRun, 0}
@@ -78,38 +76,38 @@
 	failOtherBody = &Failure{http.StatusUnprocessableEntity, typeInvalidRequest, "idempotency_key_reused", "this idempotency key was used for another request", NotRun, 0}
 )
 
-// The state of this router or its pool: the request did not run, and the same
-// one may succeed later or at another router.
+// This router or the pool cannot serve the request now. It did not run and may succeed later or at
+// another router.
 var (
-	// A limit on what waits or on all bodies.
+	// A limit on queued requests or on all bodies together is reached.
 	failFull = &Failure{http.StatusTooManyRequests, typeRateLimit, "queue_full", "too much work waits already", NotRun, retrySoon}
-	// Readiness is false too, so the balancer sends requests elsewhere.
+	// The router also reports not ready, so the load balancer sends requests elsewhere.
 	failLease = &Failure{http.StatusServiceUnavailable, typeServer, "no_lease", "this router is cut off from the fleet", NotRun, retrySoon}
-	// After the grace of the stop.
+	// After the grace period of a stop.
 	failStopping = &Failure{http.StatusServiceUnavailable, typeServer, "stopping", "this router is stopping", NotRun, retrySoon}
-	// The configuration names none, or all that it names are leaving.
+	// The configuration has no server for the pool, or all of them are leaving.
 	failNoServer = &Failure{http.StatusServiceUnavailable, typeServer, "no_server", "no backend server serves this pool", NotRun, retrySoon}
-	// Limits.Wait is over.
+	// Limits.Wait has passed.
 	failWaited = &Failure{http.StatusServiceUnavailable, typeServer, "waited_too_long", "the request waited too long for its turn", NotRun, retryLater}
-	// Not sent or refused, and the retry budget is empty.
+	// The call was not sent or was refused, and the retry budget is empty.
 	failUnreachable = &Failure{http.StatusBadGateway, typeServer, "backend_unreachable", "no backend server took the request", NotRun, retrySoon}
-	// No answer in claimTimeout.
+	// The claim was not answered within claimTimeout.
 	failClaims = &Failure{http.StatusServiceUnavailable, typeServer, "claims_unavailable", "the idempotency key could not be claimed", NotRun, retrySoon}
 )
 
-// The request ran or may have run: sending it again is the caller's decision,
-// so there is no Retry-After.
+// The request ran or may have run. The caller has to decide whether to send it again, so there is no
+// Retry-After.
 var (
-	// It may not be repeated, or the retry budget is empty.
+	// The call must not be repeated, or the retry budget is empty.
 	failBroken = &Failure{http.StatusBadGateway, typeServer, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
 	failRan    = &Failure{http.StatusConflict, typeInvalidRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
-	// The lease of its router ran out, or the answer of its server broke off.
+	// The lease of the router that ran it expired, or the answer of its server broke off.
 	failUnknownRun = &Failure{http.StatusConflict, typeInvalidRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
-	// Counted only. NotRun if it was still waiting or the server refused it.
+	// Only counted. The outcome is NotRun if the request was still queued or the server refused it.
 	failGone = &Failure{statusGone, typeInvalidRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
-// errorBody is the usual JSON error of the protocol.
+// errorBody is the protocol's usual JSON error.
 type errorBody struct {
 	Error errorFields `json:"error"`
 }
@@ -122,7 +120,7 @@
 }
 
 func (f Failure) body() []byte {
-	b, _ := json.Marshal(errorBody{errorFields{f.Message, f.Type, f.Code, f.Outcome}}) // strings alone never fail
+	b, _ := json.Marshal(errorBody{errorFields{f.Message, f.Type, f.Code, f.Outcome}}) // marshalling strings cannot fail
 	return b
 }
 
@@ -135,7 +133,7 @@
 		h.Set("Retry-After", strconv.Itoa(int(max(f.RetryAfter/time.Second, 1))))
 	}
 	w.WriteHeader(f.Status)
-	_, _ = w.Write(append(f.body(), '\n')) // fails only for a caller that has left
+	_, _ = w.Write(append(f.body(), '\n')) // fails only if the caller has left
 }
 
 // event returns the failure as the last event of a broken stream.
--- a/router/leader.go
+++ b/router/leader.go
@@ -15,34 +15,32 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines leaderClient, which finds the control replica that leads,
-// and extends the lease while a majority of the replicas has no leader. The
-// session with a leader is in session.go.
-
-// Times of the search for a leader. A router whose lease still runs searches
-// more often: an election takes about half a lease, and with pauses of a second,
-// slower elections and silentPart of 1 the lease ran out in 3 of 60 runs of
-// TestLeaderIsKilledUnderLoad, since then in none (commit 8ab89cd).
+// This file defines leaderClient, which finds the leading control replica, and extends the lease
+// while a majority of the replicas has no leader. The session with a leader is in session.go.
+
+// Times of the search for a leader. An election takes about half a lease, so a router whose lease
+// is still valid searches more often: with pauses of a second the lease can expire during an
+// election.
 const (
-	shortestRetry = 20 * time.Millisecond  // first pause, doubled with every failure
-	leasedRetry   = 250 * time.Millisecond // longest pause while the lease runs; by TestLeaderIsKilledUnderLoad
+	shortestRetry = 20 * time.Millisecond  // first pause, doubled after every failure
+	leasedRetry   = 250 * time.Millisecond // longest pause while the lease is valid
 	longestRetry  = time.Second            // longest pause without a lease
-	helloTimeout  = 2 * time.Second        // for a replica's answer, the dial included
-	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has given its own
+	helloTimeout  = 2 * time.Second        // for a replica's answer, including the dial
+	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has announced its own
 )
 
-// leaderClient keeps a session with the control replica that leads.
+// leaderClient keeps a session with the leading control replica.
 type leaderClient struct {
 	r             *Router
-	routineReport chan struct{}           // there is something for the next full report
-	urgentReport  chan struct{}           // there is something that a slot or a request waits for
+	routineReport chan struct{}           // signals changes for the next full report
+	urgentReport  chan struct{}           // signals changes that a slot or a request waits for
 	session       atomic.Pointer[session] // nil while there is none
 
-	// What follows belongs to the goroutine of run. Those of survey read it
-	// while run waits for them.
+	// The fields below are written only by the goroutine of run. The goroutines of survey read them
+	// while run waits.
 	leader        string        // name of the replica that led the last session
-	epoch         uint64        // highest of all sessions
-	leaseDuration time.Duration // of the lease, as the last leader gave it
+	epoch         uint64        // highest epoch of all sessions
+	leaseDuration time.Duration // as announced by the last leader
 }
 
 func newLeaderClient(r *Router) *leaderClient {
@@ -54,13 +52,13 @@
 	wait := shortestRetry
 	for l.r.ctx.Err() == nil {
 		began := l.r.now()
-		got := l.find()
-		if got.link != nil {
-			l.follow(got)
+		found := l.find()
+		if found.link != nil {
+			l.follow(found)
 			wait = shortestRetry
 		}
-		if l.r.now()-began < wait || got.link == nil {
-			sleep.For(l.r.ctx, wait/2+l.r.jitter(wait)) // jitter keeps a rack of routers from dialling at once
+		if l.r.now()-began < wait || found.link == nil {
+			sleep.For(l.r.ctx, wait/2+l.r.jitter(wait)) // jitter keeps many routers from dialling at the same time
 			wait = min(2*wait, l.longestPause())
 		}
 	}
@@ -74,17 +72,16 @@
 	return longestRetry
 }
 
-// helloReply is a replica's answer to a hello. One that did not answer has the zero
-// helloReply.
+// helloReply is a replica's answer to a hello. It is the zero value if the replica did not answer.
 type helloReply struct {
 	link     *link.Link // open if the replica leads
 	welcome  protocol.Welcome
-	redirect protocol.Redirect // of a replica that does not lead
+	redirect protocol.Redirect // from a replica that does not lead
 	sent     time.Duration     // when the hello was sent
 }
 
-// find opens a link to the leader: at the last one known, at the one that it
-// names instead, then by a hello to every replica. The link is nil when nobody leads.
+// find opens a link to the leader. It tries the last known leader, then the one that this replica
+// names, then sends a hello to every replica. The link is nil if no replica leads.
 func (l *leaderClient) find() helloReply {
 	name := l.leader
 	for range 2 {
@@ -104,11 +101,10 @@
 	return l.survey()
 }
 
-// survey sends a hello to every replica at once. If a majority answers that it
-// has no leader, that it holds no newer configuration than this router, and
-// that nothing in its log waits to be applied, then no newer configuration can
-// have been accepted before the hello was sent, and every later leader waits
-// for this router's lease: the lease is extended as by a renewal.
+// survey sends a hello to every replica concurrently. If a majority answers that it has no leader,
+// no newer configuration than this router, and no log entries to be applied, then no newer
+// configuration can have been accepted before the hello was sent, and every later leader waits for
+// this router's lease. The lease is then extended as by a renewal.
 func (l *leaderClient) survey() helloReply {
 	names := slices.Sorted(maps.Keys(l.r.cfg.Replicas))
 	replies := make(chan helloReply, len(names))
@@ -135,23 +131,22 @@
 	return best
 }
 
-// provesNoNewerRevision reports whether a replica that answered with r has no
-// leader and nothing newer than revision. The zero Redirect proves nothing.
+// provesNoNewerRevision reports whether a replica that answered with r has no leader and nothing
+// newer than revision. The zero Redirect proves nothing.
 func provesNoNewerRevision(r protocol.Redirect, revision uint64) bool {
 	return r.Group != 0 && !r.Follows && !r.Pending && r.Revision <= revision
 }
 
-// extendWithoutLeader extends a lease that still runs. One that has run out
-// needs an allocator: its slots may have been granted to another router.
+// extendWithoutLeader extends a lease that is still valid. An expired lease needs an allocator,
+// because its slots may have been granted to another router.
 func (l *leaderClient) extendWithoutLeader(sent time.Duration) {
 	if l.r.lease.valid(l.r.now()) {
 		l.r.lease.extend(sent, l.leaseDuration)
 	}
 }
 
-// hello opens a link to one replica and sends a hello. Its errors are not logged:
-// during an election every replica fails several times a second, and the end
-// of the last session has its line.
+// hello opens a link to one replica and sends a hello. Errors are not logged: during an election
+// every replica fails several times per second, and the end of the last session has been logged.
 func (l *leaderClient) hello(address string) helloReply {
 	ctx, cancel := context.WithTimeout(l.r.ctx, helloTimeout)
 	defer cancel()
--- a/router/lease.go
+++ b/router/lease.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// This file defines lease, the one lease that a router acts under.
+// This file defines lease, the lease under which a router may dispatch requests.
 
-// lease ends at a time of the router's monotonic clock. The zero value has
-// ended. It is safe for concurrent use.
+// lease holds the end of the lease by the router's monotonic clock. The zero value has expired. It
+// is safe for concurrent use.
 type lease struct{ end atomic.Int64 }
 
-// valid reports whether the lease runs at time now.
+// valid reports whether the lease is valid at time now.
 func (l *lease) valid(now time.Duration) bool { return now < time.Duration(l.end.Load()) }
 
-// extend moves the end to sent + length: the lease counts from the moment at
-// which its renewal was sent. It never moves back.
+// extend moves the end to sent + length, since the lease counts from the moment at which its
+// renewal was sent. It never moves the end back.
 func (l *lease) extend(sent, length time.Duration) {
 	next := int64(sent + length)
 	for {
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -14,9 +14,10 @@
 	"github.com/matryer/is"
 )
 
-// This file checks what the end of a lease does to a router that reaches no
-// replica.
+// This file tests the expiry of a lease at a router that reaches no replica.
 
+// TestLeaseThatRunsOutIsCountedOnce checks that each expiry of a lease is counted once, and
+// renewals are not.
 func TestLeaseThatRunsOutIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -25,13 +26,13 @@
 			Random: func() uint64 { return 1 }, Log: slog.New(slog.DiscardHandler), Metrics: metrics.NewSet(),
 		})
 		time.Sleep(time.Second)
-		is.Equal(r.stats.leaseExpired.Get(), uint64(0)) // there was none yet
+		is.Equal(r.stats.leaseExpired.Get(), uint64(0)) // there has been no lease yet
 		for ended := range uint64(2) {
 			r.lease.extend(r.now(), time.Second)
 			time.Sleep(900 * time.Millisecond)
 			r.lease.extend(r.now(), time.Second)
 			time.Sleep(900 * time.Millisecond)
-			is.Equal(r.stats.leaseExpired.Get(), ended) // it was renewed in time
+			is.Equal(r.stats.leaseExpired.Get(), ended) // renewed in time
 			time.Sleep(time.Minute)
 			is.Equal(r.stats.leaseExpired.Get(), ended+1)
 		}
@@ -40,8 +41,8 @@
 	})
 }
 
-// TestSuspendedRouter: a router that was suspended past the end of its lease has none when it
-// wakes.
+// TestSuspendedRouter checks that a router has no lease when it resumes after a suspension past the
+// lease's end.
 func TestSuspendedRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -54,7 +55,7 @@
 		})
 		r.lease.extend(r.now(), 3*time.Second)
 		is.True(r.lease.valid(r.now()))
-		suspended.Store(int64(5 * time.Second)) // in which nothing ran here
+		suspended.Store(int64(5 * time.Second)) // the process does not run in that time
 		is.True(!r.lease.valid(r.now()))
 		stop()
 		synctest.Wait()
--- a/router/parse_test.go
+++ b/router/parse_test.go
@@ -12,11 +12,12 @@
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 )
 
-// This file checks what the router reads from a stream as it passes.
+// This file tests what the router reads from the answers and headers that it relays.
 
 const stream = "data: {\"choices\":[1]}\n\n: comment\n\ndata: {\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":4," +
 	"\"prompt_tokens_details\":{\"cached_tokens\":5}}}\r\n\r\ndata: [DONE]\n\n"
 
+// TestScanDoesNotDependOnPieces checks that the scan is the same however the stream is split.
 func TestScanDoesNotDependOnPieces(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= len(stream); size++ {
@@ -32,6 +33,8 @@
 	}
 }
 
+// TestLongLinesTakeBoundedMemory checks that a line that never ends takes bounded memory, and that
+// later lines are scanned.
 func TestLongLinesTakeBoundedMemory(t *testing.T) {
 	is := is.New(t)
 	var s streamScan
@@ -40,9 +43,10 @@
 	}
 	is.True(len(s.partialLine) <= maxLine)
 	s.write([]byte("\ndata: [DONE]\n"))
-	is.True(s.done) // what follows is read again
+	is.True(s.done) // the next line is scanned again
 }
 
+// TestUsageOfNonsense checks that invalid usage from an engine is corrected or ignored.
 func TestUsageOfNonsense(t *testing.T) {
 	is := is.New(t)
 	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.normalized(), share.Usage{})
@@ -86,6 +90,7 @@
 	})
 }
 
+// TestHeadersThatStayHere checks which headers are not forwarded to a plain service.
 func TestHeadersThatStayHere(t *testing.T) {
 	is := is.New(t)
 	from := map[string][]string{
--- a/router/pool.go
+++ b/router/pool.go
@@ -14,29 +14,28 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines lockedPool, the lock around one pool's decisions, and how
-// a waiting request gets its server when its turn has come.
+// This file defines lockedPool, which serializes the decisions of one pool, and the wait of a
+// request for its server.
 
-// lockedPool is one pool on this router. Every change that may let waiting work
-// start ends with dispatch, so that it does not wait for the next event.
+// lockedPool is one pool on this router. Every change that may let queued work start must end with
+// dispatch, since no other event would start it.
 type lockedPool struct {
 	name   string
 	router *Router
 
-	mu        sync.Mutex // rank 2, after Router.mu
+	mu        sync.Mutex // second in the lock order, after Router.mu
 	pool      *pool.Pool
-	servers   map[string]config.Server // by identifier, serving or not
-	accepting bool                     // a server is serving or joining, not all are leaving
+	servers   map[string]config.Server // by identifier, whatever their mark
+	accepting bool                     // some server is serving or joining
 }
 
-// waiter is a request in a pool's queue. turn receives the server to use, or
-// a failure.
+// waiter is a request in a pool's queue. turn receives the server to use, or a failure.
 type waiter struct {
 	work *pool.Work
 	turn chan turn // buffered
 }
 
-// turn is the end of a wait.
+// turn is the result of a wait.
 type turn struct {
 	server config.Server
 	fail   *Failure
@@ -53,7 +52,7 @@
 	}
 }
 
-// configure takes a configuration: accounts, and which servers may get work.
+// configure applies a configuration: the accounts, and the servers that may get work.
 func (p *lockedPool) configure(t *routes, accounts []pool.Account) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -74,8 +73,7 @@
 	p.dispatch()
 }
 
-// poolAccounts returns the accounts with the router's limits where the
-// configuration sets none.
+// poolAccounts returns the accounts, with the router's limits where the configuration sets none.
 func (r *Router) poolAccounts(cfg config.Config) []pool.Account {
 	accounts := make([]pool.Account, 0, len(cfg.Accounts()))
 	for _, a := range cfg.Accounts() {
@@ -111,8 +109,8 @@
 	return w, nil
 }
 
-// cancel takes a request out of the queue. If its turn came meanwhile, the
-// turn is returned and the caller must finish it.
+// cancel removes a request from the queue. If its wait has ended in the meantime, cancel returns
+// the result, and if that is a server, the caller must finish the turn.
 func (p *lockedPool) cancel(w *waiter) (turn, bool) {
 	p.mu.Lock()
 	waiting := p.pool.Cancel(w.work)
@@ -124,7 +122,7 @@
 	return got, got.fail == nil
 }
 
-// finish settles a request that used a slot and lets the next one start.
+// finish releases the slot of a request and lets the next one start.
 func (p *lockedPool) finish(w *pool.Work, server string, cost float64, r pool.Result) {
 	p.update(func(now time.Duration, pl *pool.Pool) {
 		if pl.Finish(now, w, server, cost, r) {
@@ -133,8 +131,7 @@
 	})
 }
 
-// tick fails requests that have waited too long and, without a lease, all that
-// wait.
+// tick fails requests that have waited too long and, without a lease, all queued requests.
 func (p *lockedPool) tick(leased bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +148,8 @@
 	p.dispatch()
 }
 
-// dispatch gives the requests whose turn has come their servers, and requests a
-// report if there is something to report. The caller holds mu.
+// dispatch wakes the requests that may start with their servers, and requests a report if there is
+// something to report. The caller holds mu.
 func (p *lockedPool) dispatch() {
 	now := p.router.now()
 	for _, s := range p.pool.Dispatch(now, p.router.lease.valid(now)) {
@@ -163,7 +160,7 @@
 	}
 }
 
-// update runs f, which changes the pool, under the lock.
+// update runs f, which may change the pool, under the lock, and dispatches.
 func (p *lockedPool) update(f func(now time.Duration, pl *pool.Pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -171,14 +168,14 @@
 	p.dispatch()
 }
 
-// withLock runs f, which lets no work start, under the lock.
+// withLock runs f under the lock. f must not let any work start.
 func (p *lockedPool) withLock(f func(pl *pool.Pool)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f(p.pool)
 }
 
-// failAll answers waiting requests.
+// failAll ends the wait of queued requests with a failure.
 func failAll(works []*pool.Work, f *Failure) {
 	for _, w := range works {
 		w.Value.(*waiter).turn <- turn{fail: f}
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -13,10 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file checks how a pool refuses work.
+// This file tests how a pool refuses work.
 
-// TestAccountRemovedBeforeItsRequestIsQueued: the request was admitted with a key that
-// was valid then. It is answered as one that was waiting.
+// TestAccountRemovedBeforeItsRequestIsQueued checks that a request whose account is removed between
+// its admission and the queue gets the same answer as one that is already queued.
 func TestAccountRemovedBeforeItsRequestIsQueued(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/router/relay.go
+++ b/router/relay.go
@@ -17,18 +17,16 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines relay, which copies a backend server's answer to the
-// caller as it comes, byte for byte, counts what it costs, and never lets a
-// broken answer look whole.
+// This file defines relay, which copies a backend server's answer to the caller as it arrives, byte
+// for byte, measures its cost, and never lets a broken answer look complete.
 
 const (
-	// relayBuffer is the largest piece of an answer, in bytes. 16 KB from a
-	// pool instead of 32 KB each took BenchmarkRouterThroughput from 1,479 to
-	// 2,363 requests a second and core.
+	// relayBuffer is the largest chunk of an answer, in bytes. Allocating 32 KB for each relay cut
+	// the throughput by more than a third.
 	relayBuffer = 16 << 10
-	// chargeEvery is the number of streamed chunks between two charges.
+	// chargeEvery is the number of streamed events between two charges.
 	chargeEvery = 16
-	// maxUsageParse bounds the bytes of an answer that are kept to read its usage.
+	// maxUsageParse bounds the bytes of an answer that are retained to read its usage.
 	maxUsageParse = 1 << 20
 )
 
@@ -42,24 +40,24 @@
 	answer    *forward.Answer
 	startedAt time.Duration
 
-	scan             *streamScan // of a stream of events
-	plainBody        []byte      // the body of any other answer, up to maxUsageParse
-	retained         []byte      // the body for the register, up to claim.MaxAnswer
-	tooLargeToRetain bool        // the body is over claim.MaxAnswer
-	relayedBytes     int64       // bytes of the body that have come
+	scan             *streamScan // scanner of an event stream; nil for any other answer
+	plainBody        []byte      // body of any other answer, up to maxUsageParse
+	retained         []byte      // body for the register, up to claim.MaxAnswerBytes
+	tooLargeToRetain bool        // the body exceeds claim.MaxAnswerBytes
+	relayedBytes     int64       // bytes of the body received so far
 	resumptions      int         // resumptions so far
 }
 
-// relayBuffers keeps buffers between relays: one of its own for each was most
-// of what a request allocated.
+// relayBuffers reuses buffers between relays. A buffer for each relay was most of what a request
+// allocated.
 var relayBuffers = sync.Pool{New: func() any { b := make([]byte, relayBuffer); return &b }}
 
-// relayResult is how a relay ended.
+// relayResult is the result of a relay.
 type relayResult struct {
 	cost    float64
 	result  pool.Result
 	failure *Failure
-	whole   []byte // the whole body, if it is small enough to keep
+	whole   []byte // whole body, if it is small enough to be retained
 }
 
 // run relays the answer to its end.
@@ -93,7 +91,7 @@
 	w.WriteHeader(r.answer.Status)
 }
 
-// copy copies the body to its end, past breaks that a resumption mends.
+// copy copies the body to its end and resumes it after a break where possible.
 func (r *relay) copy(w http.ResponseWriter) (callerLeft bool, err error) {
 	buf := relayBuffers.Get().(*[]byte)
 	defer relayBuffers.Put(buf)
@@ -114,15 +112,15 @@
 	}
 }
 
-// writeChunk counts one piece of the body and writes it to the caller at once. It
-// reports whether the caller is still there.
+// writeChunk counts one chunk of the body and writes it to the caller at once. It reports whether
+// the caller is still connected.
 func (r *relay) writeChunk(w http.ResponseWriter, b []byte) bool {
 	if r.relayedBytes == 0 {
 		r.router.stats.seriesOf(r.call).first.Update((r.router.now() - r.call.arrivedAt).Seconds())
 	}
 	r.observe(b)
 	rc := http.NewResponseController(w)
-	// It fails only on a closed connection, as the write then does.
+	// This fails only on a closed connection, and then the write fails as well.
 	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
 	_, err := w.Write(b)
 	return err == nil && rc.Flush() == nil
@@ -131,9 +129,9 @@
 // maxResumes bounds the resumptions of one answer.
 const maxResumes = 3
 
-// resume requests the rest of a broken answer from its server, from the first
-// byte that the caller does not have, and reports whether it comes. It is no
-// repeat: the server sends the rest of the same run.
+// resume requests the rest of a broken answer from its server, from the first byte that the caller
+// lacks, and reports whether it got it. This does not repeat the request: the server sends the rest
+// of the same run.
 func (r *relay) resume() bool {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" || r.resumptions >= maxResumes {
@@ -160,8 +158,8 @@
 // endTimeout bounds the call that ends an answer at its server.
 const endTimeout = 2 * time.Second
 
-// endAtServer ends an answer whose caller has left and that its server would
-// keep for a resumption. A failure is not logged: nobody waits for the answer.
+// endAtServer ends an answer whose caller has left, so that its server does not keep it for a
+// resumption. Failures are ignored, since no one waits for the answer.
 func (r *relay) endAtServer() {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
@@ -175,7 +173,7 @@
 	}
 }
 
-// observe adds a piece of the body to what cost and the register need of it.
+// observe records a chunk of the body for its cost and for the register.
 func (r *relay) observe(b []byte) {
 	r.relayedBytes += int64(len(b))
 	if r.call.claim != nil && !r.tooLargeToRetain {
@@ -198,7 +196,7 @@
 	}
 }
 
-// cost is the cost reached so far.
+// cost returns the cost so far.
 func (r *relay) cost() float64 {
 	u := share.Usage{BusySeconds: (r.router.now() - r.startedAt).Seconds()}
 	if r.call.engine {
@@ -207,7 +205,7 @@
 	return share.DefaultWeights.Cost(u)
 }
 
-// usage is what the engine reports, or else an estimate from what passed through.
+// usage returns the usage that the engine reports, or an estimate from the relayed bytes.
 func (r *relay) usage() share.Usage {
 	estimate := share.Usage{Input: len(r.call.body) / bytesPerToken}
 	if r.scan != nil {
@@ -224,20 +222,20 @@
 	return estimate
 }
 
-// bytesPerToken is the usual length of a token in English text, a rule of thumb.
+// bytesPerToken is the approximate length of a token in English text.
 const bytesPerToken = 4
 
-// isCutShort reports whether an answer that ended without an error is not whole:
-// an engine's stream without its end mark.
+// isCutShort reports whether an answer that ended without an error is incomplete: an engine's
+// stream without its end mark.
 func (r *relay) isCutShort() bool {
 	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
 
-// breakOff makes a broken answer visible: a stream gets an error event, any
-// other answer loses its connection before its declared end.
+// breakOff makes a broken answer visible to the caller: a stream gets an error event, and any other
+// answer loses its connection before its declared end.
 func (r *relay) breakOff(w http.ResponseWriter, f *Failure) {
 	if r.scan != nil {
-		// Both fail only for a caller that has left, who needs no event.
+		// Both fail only if the caller has left, and then no event is needed.
 		_, _ = w.Write(append(r.scan.lineTerminator(), f.event()...))
 		_ = http.NewResponseController(w).Flush() // as above
 		return
@@ -249,7 +247,7 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110).
+// hopByHop are the headers that concern a single connection (RFC 9110).
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
--- a/router/report.go
+++ b/router/report.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the reports of the pools to the allocator: changes are
-// collected, urgent ones sent soon, the others seldom, all inside the byte budget.
+// This file defines the reports of the pools to the allocator. Changes are collected; urgent ones
+// are sent soon and others less often, within the byte budget.
 
 // requestReport signals to reporting that there is something to report.
 func (l *leaderClient) requestReport(urgent bool) {
@@ -26,7 +26,7 @@
 	}
 }
 
-// reporting sends reports until the session ends. The first one goes at once.
+// reporting sends reports until the session ends. The first one is sent at once.
 func (l *leaderClient) reporting(ctx context.Context, s *session) {
 	pacer := slots.Pacer{Pace: l.r.cfg.Pace}
 	l.sendReport(s, &pacer)
@@ -46,8 +46,8 @@
 	}
 }
 
-// awaitDue sleeps until a report may go. Something urgent that happens
-// meanwhile shortens the sleep.
+// awaitDue waits until a report may be sent. An urgent change in the meantime shortens the wait. It
+// returns false if ctx ends.
 func (l *leaderClient) awaitDue(ctx context.Context, p *slots.Pacer, urgent bool) bool {
 	for {
 		due := p.DueFull()
@@ -68,19 +68,18 @@
 	}
 }
 
-// sendReport sends what is new.
+// sendReport sends the changes since the last report, if there are any.
 func (l *leaderClient) sendReport(s *session, p *slots.Pacer) {
-	report, found := l.buildReport(s)
-	if !found {
+	report, changed := l.buildReport(s)
+	if !changed {
 		return
 	}
 	s.out.Send(report)
-	b, _ := protocol.Encode(report) // an error ends the session in the outbox, and the pacer with it
+	b, _ := protocol.Encode(report) // an encoding error ends the session in the outbox, so the size no longer matters
 	p.RecordSent(l.r.now(), len(b), true)
 }
 
-// buildReport takes what is new from every pool and reports whether there was
-// anything.
+// buildReport collects the changes of every pool and reports whether there are any.
 func (l *leaderClient) buildReport(s *session) (protocol.Report, bool) {
 	s.mu.Lock()
 	s.lastReport++
@@ -90,11 +89,11 @@
 	for _, p := range l.r.poolList() {
 		p.withLock(func(pl *pool.Pool) { pl.AppendReport(seq, &report) })
 	}
-	found := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
-	if !found {
+	changed := len(report.Pools) > 0 || len(report.Returned) > 0 || len(report.Suspects) > 0
+	if !changed {
 		s.mu.Lock()
 		s.lastReport-- // the allocator counts only what it receives
 		s.mu.Unlock()
 	}
-	return report, found
+	return report, changed
 }
--- a/router/router.go
+++ b/router/router.go
@@ -23,17 +23,16 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines Router, its settings, and how a configuration comes into
-// force.
+// This file defines Router, its settings, its start and stop, and how it applies a configuration.
 
-// Transport sends calls to backend servers. [forward.Client] is one.
+// Transport sends calls to backend servers. [forward.Client] implements it.
 type Transport interface {
 	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
 }
 
 var _ Transport = (*forward.Client)(nil)
 
-// Settings of a router.
+// Settings holds the configuration and dependencies of a router.
 type Settings struct {
 	Identity  link.Identity
 	Hall      string
@@ -41,51 +40,51 @@
 	Transport Transport
 	Limits    Limits
 	Pace      slots.Pace
-	// StopWithoutLeader lets the lease run out when there is no leader, even if a
-	// majority of the replicas reports that there is none.
+	// StopWithoutLeader lets the lease expire while there is no leader, even if a majority of the
+	// replicas confirms that there is none.
 	StopWithoutLeader bool
-	// Clock is a monotonic clock that goes on while the box is suspended, so that a lease is over
-	// when it wakes; nil is Go's, which stands still meanwhile.
+	// Clock is a monotonic clock that keeps counting while the box is suspended, so that a lease
+	// has expired when the box resumes. nil means Go's clock, which stops during suspension.
 	Clock   func() time.Duration
-	Random  func() uint64 // for the boot number, the numbers of attempts and pauses
+	Random  func() uint64 // source of the boot number, attempt numbers and jitter
 	Log     *slog.Logger
 	Metrics *metrics.Set
 }
 
-// Limits of what callers may send and of what may wait.
+// Limits bounds what callers may send and what may be queued.
 type Limits struct {
 	Body           int64         // bytes of one request's body
-	Bodies         int64         // bytes of the bodies of all requests together, read or being read
+	Bodies         int64         // bytes of all request bodies together, read or being read
 	Read           time.Duration // longest time for a caller to send a body
-	Write          time.Duration // longest time for a caller to take one piece of an answer
+	Write          time.Duration // longest time for a caller to accept one chunk of an answer
 	Waiting        int           // requests in one pool's queue
-	WaitingBytes   int64         // their bodies
-	AccountWaiting int           // requests of one account, unless configured
-	AccountBytes   int64         // their bodies
-	Wait           time.Duration // longest wait for a turn
+	WaitingBytes   int64         // bytes of the bodies in one pool's queue
+	AccountWaiting int           // queued requests of one account in a pool, unless its configuration sets another limit
+	AccountBytes   int64         // bytes of the bodies of those requests, likewise
+	Wait           time.Duration // longest time in the queue
 	Linger         time.Duration // how long an unused slot is kept
 }
 
-// DefaultLimits suit a box of 256 MB: bodies take at most half of it, and a waiting request 53 KB
-// besides (BenchmarkRouterMemory).
+// DefaultLimits suit a box with 256 MB of memory: bodies take at most half of it, and each queued
+// request about 53 KB more.
 var DefaultLimits = Limits{
 	Body: 8 << 20, Bodies: 128 << 20, Read: 30 * time.Second, Write: 30 * time.Second,
 	Waiting: 4096, WaitingBytes: 64 << 20, AccountWaiting: 1024, AccountBytes: 32 << 20,
 	Wait: 60 * time.Second, Linger: 50 * time.Millisecond,
 }
 
-// Settings of every pool.
+// Settings that are the same for every pool.
 const (
-	firstEstimate  = 256                   // cost, in share.Weights, of a request whose account and class have finished none
-	prefixBlocks   = 8192                  // prompt blocks remembered by each pool
-	poolTickPeriod = 50 * time.Millisecond // between two checks for waits, slots and a lease that have ended
+	firstEstimate  = 256                   // cost, in units of share.Weights, of a request whose account and class have no finished request yet
+	prefixBlocks   = 8192                  // prompt blocks remembered per pool
+	poolTickPeriod = 50 * time.Millisecond // period of the checks for expired requests, unused slots and an expired lease
 )
 
 // Router is a running router.
 type Router struct {
 	cfg       Settings
 	boot      uint64
-	startedAt time.Duration // by the clock
+	startedAt time.Duration // by cfg.Clock
 	ctx       context.Context
 	stop      context.CancelFunc
 	meter     *link.Meter
@@ -94,10 +93,10 @@
 	lease     lease
 	leader    *leaderClient
 	claims    *claimClient
-	serving   atomic.Bool  // false once a stop has begun: readiness turns false
-	refusing  atomic.Bool  // later in the stop: new requests are refused
+	serving   atomic.Bool  // false once a stop has begun: the router then reports not ready
+	refusing  atomic.Bool  // true later in the stop: new requests are refused
 	inFlight  atomic.Int64 // requests being served
-	bodyBytes atomic.Int64 // bytes of their bodies
+	bodyBytes atomic.Int64 // bytes reserved for the bodies of requests in flight
 
 	mu    sync.Mutex // guards pools
 	pools map[string]*lockedPool
@@ -106,8 +105,8 @@
 	budget   retry.Budget
 }
 
-// Start runs a router until Stop. Its boot number is drawn here; cfg is its own
-// copy, in which limits and pace that are not set become the defaults.
+// Start starts a router, which runs until Stop is called or ctx ends. It draws the boot number.
+// Unset limits and pace in cfg get their defaults.
 func Start(ctx context.Context, cfg Settings) *Router {
 	cfg.Limits = cmp.Or(cfg.Limits, DefaultLimits)
 	cfg.Pace = cmp.Or(cfg.Pace, slots.DefaultPace)
@@ -130,24 +129,24 @@
 	return r
 }
 
-// now is the router's monotonic clock.
+// now returns the time by the router's monotonic clock.
 func (r *Router) now() time.Duration { return r.cfg.Clock() - r.startedAt }
 
-// jitter returns a time from 0 to most.
-func (r *Router) jitter(most time.Duration) time.Duration {
-	return time.Duration(r.cfg.Random() % uint64(most))
+// jitter returns a random duration in [0, limit).
+func (r *Router) jitter(limit time.Duration) time.Duration {
+	return time.Duration(r.cfg.Random() % uint64(limit))
 }
 
-// Ready reports whether the balancer may send requests here.
+// Ready reports whether the load balancer may send requests to this router.
 func (r *Router) Ready() bool { return r.serving.Load() && r.lease.valid(r.now()) }
 
-// Revision returns the configuration in force here.
+// Revision returns the revision of the configuration in force here.
 func (r *Router) Revision() uint64 { return r.routes.Load().cfg.Revision() }
 
-// Stop ends the router without cutting off a request: readiness turns false,
-// new requests are still served for grace (the balancer needs time to see
-// it), then those that run go to their end, and the slots are handed back. When
-// ctx ends first, what still runs is cut off.
+// Stop ends the router without cutting off requests. The router reports not ready at once but
+// serves new requests for grace, because the load balancer takes some time to react. Then it waits
+// for the running requests and hands its slots back. When ctx ends first, the remaining requests
+// are cut off.
 func (r *Router) Stop(ctx context.Context, grace time.Duration) {
 	r.serving.Store(false)
 	sleep.For(ctx, grace)
@@ -158,24 +157,23 @@
 	r.stop()
 }
 
-// zeroPollInterval is between two checks of a count during a stop.
+// zeroPollInterval is the time between two checks of a count during a stop.
 const zeroPollInterval = 10 * time.Millisecond
 
-// awaitZero waits until a count is zero, or ctx ends. A WaitGroup would not do:
-// the count may rise again meanwhile.
+// awaitZero waits until a count is zero or ctx ends. A WaitGroup is not suitable, because the count
+// may rise again in the meantime.
 func awaitZero(ctx context.Context, count *atomic.Int64) {
 	for count.Load() > 0 && sleep.For(ctx, zeroPollInterval) {
 	}
 }
 
-// tick expires waiting requests and unused slots, and counts the leases that
-// ran out.
+// tick periodically expires queued requests and unused slots, and counts expired leases.
 func (r *Router) tick() {
 	leased := false
 	for sleep.For(r.ctx, poolTickPeriod) {
-		before := leased
+		wasLeased := leased
 		leased = r.lease.valid(r.now())
-		if before && !leased {
+		if wasLeased && !leased {
 			r.stats.leaseExpired.Inc()
 		}
 		for _, p := range r.poolList() {
@@ -184,7 +182,7 @@
 	}
 }
 
-// apply brings a configuration into force, unless a newer one is.
+// apply brings a configuration into force unless a newer one already is.
 func (r *Router) apply(cfg config.Config) {
 	if cfg.Revision() < r.Revision() {
 		return
@@ -205,21 +203,21 @@
 	r.cfg.Log.Debug("configuration in force", "revision", cfg.Revision())
 }
 
+// pool returns the pool of that name, or nil.
 func (r *Router) pool(name string) *lockedPool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pools[name]
 }
 
-// poolList returns the pools in the order of their names, so that reports do
-// not depend on the map.
+// poolList returns the pools ordered by name, so that reports do not depend on the map's order.
 func (r *Router) poolList() []*lockedPool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.SortedFunc(maps.Values(r.pools), func(a, b *lockedPool) int { return cmp.Compare(a.name, b.name) })
 }
 
-// countRequest adds a request to the retry budget.
+// countRequest counts a request towards the retry budget.
 func (r *Router) countRequest() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
--- a/router/routes.go
+++ b/router/routes.go
@@ -8,15 +8,15 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines routes, the tables that a configuration turns into: from
-// a key to an account, from a model or service to a pool.
+// This file defines routes, the lookup tables of a configuration: from an API key to an account,
+// and from a model or service to a pool.
 
-// routes is immutable.
+// routes holds the lookup tables of one configuration. It is immutable.
 type routes struct {
 	cfg      config.Config
 	accounts map[config.KeyHash]config.Account
 	models   map[string]string // model or adapter → pool
-	services map[string]bool   // pools that are plain services
+	services map[string]bool   // names of pools that are plain services
 	pools    map[string][]config.Server
 	servers  map[string]config.Server // by identifier
 }
@@ -51,15 +51,14 @@
 	}
 }
 
-// account returns the account of a key. The table is indexed by the key's
-// hash, so the time of the search says nothing about the key itself.
+// account returns the account of an API key. The table is indexed by the key's hash, so the
+// duration of the lookup reveals nothing about the key.
 func (t *routes) account(key string) (config.Account, bool) {
 	a, ok := t.accounts[config.HashKey(key)]
 	return a, ok
 }
 
-// neverRepeats reports whether the configuration of a service says that a
-// call may not be repeated.
+// neverRepeats reports whether the configuration of a service forbids repeating a call.
 func (t *routes) neverRepeats(pool, method, path string) bool {
 	return slices.ContainsFunc(t.pools[pool], func(s config.Server) bool { return s.MayNotRepeat(method, path) })
 }
--- a/router/session.go
+++ b/router/session.go
@@ -17,17 +17,17 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines session, one link to a leader: what is received on it, and
-// the renewals of the lease. What is reported on it is in report.go.
+// This file defines session, one link to a leader: receiving its messages and renewing the lease.
+// The reports are in report.go.
 
-// Parts of a lease (docs/design/lease.md), by TestLeaderIsKilledUnderLoad: see the
-// times of the search in leader.go.
+// Parts of a lease (docs/design/lease.md). They leave a router enough of its lease to find the next
+// leader, see the times of the search in leader.go.
 const (
-	renewalsPerLease = 6 // renewals in one lease
-	silenceDivisor   = 2 // a link without a message for this part of the lease is dead
+	renewalsPerLease = 6 // renewals sent per lease
+	silenceDivisor   = 2 // a link without a message for lease/silenceDivisor is dead
 )
 
-// outboxDepth is the number of messages that may wait to be sent on a session; one more ends it.
+// outboxDepth is the number of messages that may be queued on a session; one more ends it.
 const outboxDepth = 256
 
 // session is one link to a leader.
@@ -36,18 +36,18 @@
 	leaseDuration time.Duration // of the lease
 	viewSeq       atomic.Uint64 // number of the last view
 
-	mu              sync.Mutex               // guards what follows
-	pendingRenewals map[uint64]time.Duration // renewals without an answer so far
+	mu              sync.Mutex               // guards the fields below
+	pendingRenewals map[uint64]time.Duration // send times of renewals without an answer, by number
 	lastReport      uint64                   // number of the last report
 }
 
 // follow runs one session to its end.
-func (l *leaderClient) follow(got helloReply) {
+func (l *leaderClient) follow(hello helloReply) {
 	ctx, cancel := context.WithCancel(l.r.ctx)
 	defer cancel()
-	w := got.welcome
+	w := hello.welcome
 	s := &session{
-		out: link.NewOutbox(got.link, outboxDepth), pendingRenewals: map[uint64]time.Duration{},
+		out: link.NewOutbox(hello.link, outboxDepth), pendingRenewals: map[uint64]time.Duration{},
 		leaseDuration: time.Duration(w.LeaseMillis) * time.Millisecond,
 	}
 	defer s.out.Close()
@@ -55,18 +55,19 @@
 		return // another leader has replaced this one
 	}
 	l.epoch, l.leader, l.leaseDuration = w.Epoch, w.Leader, s.leaseDuration
-	l.r.lease.extend(got.sent, s.leaseDuration)
+	l.r.lease.extend(hello.sent, s.leaseDuration)
 	l.begin(s, w)
 	l.r.cfg.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
 	go l.renewals(ctx, s)
 	go l.reporting(ctx, s)
-	err := l.receive(ctx, got.link, s)
+	err := l.receive(ctx, hello.link, s)
 	l.end()
 	if l.r.ctx.Err() == nil {
 		l.r.cfg.Log.Info("session ended", "leader", w.Leader, "error", err)
 	}
 }
 
+// begin makes the session known to the pools and the claim client.
 func (l *leaderClient) begin(s *session, w protocol.Welcome) {
 	l.session.Store(s)
 	for _, p := range l.r.poolList() {
@@ -75,6 +76,7 @@
 	l.r.claims.setSession(s)
 }
 
+// end detaches the pools and the claim client from the session.
 func (l *leaderClient) end() {
 	l.session.Store(nil)
 	l.r.claims.setSession(nil)
@@ -83,7 +85,7 @@
 	}
 }
 
-// renewals sends renewals of the lease, a few in each lease.
+// renewals sends renewalsPerLease renewals per lease until ctx ends.
 func (l *leaderClient) renewals(ctx context.Context, s *session) {
 	t := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer t.Stop()
@@ -100,8 +102,8 @@
 	}
 }
 
-// receive handles the leader's messages until the link ends or nothing has come
-// for a part of the lease. Renewals are answered, so the link is dead then.
+// receive handles the leader's messages until the link ends or has been silent for a part of the
+// lease. Renewals are answered, so a silent link is dead.
 func (l *leaderClient) receive(ctx context.Context, lk *link.Link, s *session) error {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, s.leaseDuration/silenceDivisor)
@@ -116,6 +118,7 @@
 	}
 }
 
+// handle applies a message of the leader. An error ends the session.
 func (l *leaderClient) handle(s *session, m protocol.Message) error {
 	switch m := m.(type) {
 	case protocol.Renewed:
@@ -136,6 +139,7 @@
 	return nil
 }
 
+// applyView applies the leader's view of the pools and its grants of slots.
 func (l *leaderClient) applyView(s *session, v protocol.View) {
 	s.viewSeq.Store(v.Seq)
 	for _, pv := range v.Pools {
@@ -151,6 +155,7 @@
 	}
 }
 
+// applyConfig applies a configuration snapshot or delta.
 func (l *leaderClient) applyConfig(m protocol.Configure) error {
 	if len(m.Snapshot) > 0 {
 		var s config.Snapshot
@@ -166,13 +171,13 @@
 	}
 	next, err := l.r.routes.Load().cfg.ApplyDelta(d)
 	if err != nil {
-		return err // it ends the session; the next hello names the revision held
+		return err // ends the session; the next hello reports the revision in force
 	}
 	l.r.apply(next)
 	return nil
 }
 
-// goodbye hands back what is held and waits until it is sent.
+// goodbye hands back all slots and waits until that has been sent.
 func (l *leaderClient) goodbye(ctx context.Context) {
 	s := l.session.Load()
 	if s == nil {
--- a/router/stats.go
+++ b/router/stats.go
@@ -9,10 +9,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// This file defines the router's metrics. Labels come from the configuration
-// or from fixed sets, never from what a caller sends.
+// This file defines the router's metrics. Labels come from the configuration or from fixed sets,
+// never from what a caller sends.
 
-// stats are the metrics of one router.
+// stats holds the metrics of one router.
 type stats struct {
 	set          *metrics.Set
 	handles      sync.Map // seriesKey → *series
@@ -21,7 +21,7 @@
 	backoffs     *metrics.Counter
 	retried      *metrics.Counter
 	resumed      *metrics.Counter // resumptions of broken answers
-	budgetEmpty  *metrics.Counter // retries that the budget did not allow
+	budgetEmpty  *metrics.Counter // retries that the retry budget did not allow
 	leaseExpired *metrics.Counter
 }
 
@@ -38,25 +38,26 @@
 	}
 }
 
+// failure counts a failure by code and outcome.
 func (s *stats) failure(f *Failure) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_failures_total{code=%q,outcome=%q}`, f.Code, f.Outcome)).Inc()
 }
 
-// seriesKey names the series of one account, class and pool. All three come
-// from the configuration, so their number is bounded.
+// seriesKey identifies the series of one account, class and pool. All three come from the
+// configuration, so their number is bounded.
 type seriesKey struct{ account, class, pool string }
 
-// series are the metrics that every request touches.
+// series holds the metrics that every request updates.
 type series struct {
-	wait     *metrics.Histogram // until its turn
-	first    *metrics.Histogram // until the first byte of the answer
-	whole    *metrics.Histogram // until the end
+	wait     *metrics.Histogram // time in the queue
+	first    *metrics.Histogram // time to the first byte of the answer
+	whole    *metrics.Histogram // time to the end
 	requests *metrics.Counter
 	service  *metrics.FloatCounter
 }
 
-// seriesOf returns the series seriesOf a call. They are looked up by name once and kept:
-// writing the names anew cost more than a tenth seriesOf a request's allocations.
+// seriesOf returns the series of a call. They are looked up by name once and cached, because
+// formatting the names for each request was more than a tenth of its allocations.
 func (s *stats) seriesOf(c *call) *series {
 	k := seriesKey{c.account.Name, c.class, c.pool}
 	if got, ok := s.handles.Load(k); ok {
--- a/router/usage.go
+++ b/router/usage.go
@@ -9,8 +9,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 )
 
-// This file defines how usage is read from an engine's answer while it passes
-// through.
+// This file defines how usage is read from an engine's answer while it is relayed.
 
 // usage is the protocol's usage object.
 type usage struct {
@@ -21,15 +20,15 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// normalized returns the usage for the account's service. Impossible numbers of an
-// engine are bounded: none is negative, and no more is cached than was prompted.
+// normalized returns the usage as it is charged to the account. Invalid numbers from an engine are
+// corrected: none is negative, and no more tokens are cached than prompted.
 func (u usage) normalized() share.Usage {
 	prompt := max(u.PromptTokens, 0)
 	cached := min(max(u.Details.CachedTokens, 0), prompt)
 	return share.Usage{Input: prompt - cached, Cached: cached, Output: max(u.CompletionTokens, 0)}
 }
 
-// parseUsage returns the usage in a whole JSON answer or chunk, or nil.
+// parseUsage returns the usage in a whole JSON answer or event, or nil.
 func parseUsage(b []byte) *usage {
 	var v struct {
 		Usage *usage `json:"usage"`
@@ -40,16 +39,16 @@
 	return v.Usage
 }
 
-// maxLine bounds the memory that an unfinished line of a stream takes. A longer line passes through
-// uncounted.
+// maxLine bounds the memory for an incomplete line of a stream, in bytes. Longer lines are relayed
+// but not counted.
 const maxLine = 64 << 10
 
-// streamScan reads a stream of server-sent events as it passes.
+// streamScan scans a stream of server-sent events while it is relayed.
 type streamScan struct {
-	partialLine []byte // unfinished
-	lineTooLong bool   // the unfinished line is over maxLine
-	chunks      int    // data lines but the end mark
-	usage       *usage // the last one seen
+	partialLine []byte // the incomplete last line
+	lineTooLong bool   // the incomplete line exceeds maxLine
+	chunks      int    // data lines, except the end mark
+	usage       *usage // last usage seen
 	done        bool   // the end mark was seen
 }
 
@@ -59,6 +58,7 @@
 	usageField = []byte(`"usage"`)
 )
 
+// write scans the next bytes of the stream.
 func (s *streamScan) write(b []byte) {
 	for len(b) > 0 {
 		i := bytes.IndexByte(b, '\n')
@@ -75,6 +75,7 @@
 	}
 }
 
+// appendToLine adds bytes to the incomplete line, unless it gets too long.
 func (s *streamScan) appendToLine(b []byte) {
 	if len(s.partialLine)+len(b) > maxLine {
 		s.lineTooLong = true
@@ -83,6 +84,7 @@
 	s.partialLine = append(s.partialLine, b...)
 }
 
+// scanLine evaluates a complete line.
 func (s *streamScan) scanLine(line []byte) {
 	data, ok := bytes.CutPrefix(line, dataPrefix)
 	if !ok {
@@ -101,8 +103,8 @@
 	}
 }
 
-// lineTerminator returns what ends an unfinished line and event, so that what
-// follows is an event of its own.
+// lineTerminator returns the bytes that end an incomplete line and event, so that an event can be
+// appended.
 func (s *streamScan) lineTerminator() []byte {
 	if len(s.partialLine) > 0 || s.lineTooLong {
 		return []byte("\n\n")
