--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -51,12 +51,12 @@
 	if !x.hasHomes && len(req.route.Homes) == 0 && len(req.accountHomes) == 0 {
 		return homes{}
 	}
-	route, known := x.routes[req.route.Name]
-	if !known {
+	route, ok := x.routes[req.route.Name]
+	if !ok {
 		route = req.route.Homes
 	}
-	account, known := x.accounts[req.Account]
-	if !known {
+	account, ok := x.accounts[req.Account]
+	if !ok {
 		account = req.accountHomes
 	}
 	regions, bound := document.CommonHomes(route, account)
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -20,23 +20,23 @@
 // prompt goes to another one. Prompts without shared parts find an engine as well.
 func TestLargePoolChoosesFromTheOrder(t *testing.T) {
 	is := is.New(t)
-	x := newTable("g", "hall-0", monotonic())
-	x.setSite("", topology.Topology{}, 0)
+	table := newTable("g", "hall-0", monotonic())
+	table.setSite("", topology.Topology{}, 0)
 	list := protocol.Servers{Term: 1, Whole: true}
 	for i := range 400 {
 		list.Set = append(list.Set, listedEngine(i))
 	}
-	x.update(list)
+	table.update(list)
 	req := requirements{pool: document.Pool{Name: "engines", Engine: true}, route: document.Route{Objective: 400 * time.Millisecond}}
-	choose := func(thing int) *knownServer {
-		req.prompt = place.Prompt{Own: 900, Shared: []place.Part{{Name: fmt.Sprint(thing), Tokens: 2000}}}
-		a, _ := x.acquire(x.now(), req)
+	choose := func(promptID int) *knownServer {
+		req.prompt = place.Prompt{Own: 900, Shared: []place.Part{{Name: fmt.Sprint(promptID), Tokens: 2000}}}
+		a, _ := table.acquire(table.now(), req)
 		return a.entry
 	}
 	used := map[string]bool{}
-	for thing := range 200 {
-		k := choose(thing)
-		is.Equal(choose(thing), k)
+	for promptID := range 200 {
+		k := choose(promptID)
+		is.Equal(choose(promptID), k)
 		used[k.ID] = true
 		k.ownLoad = place.Work{}
 	}
@@ -45,12 +45,12 @@
 	req.avoid = map[string]bool{k.ID: true}
 	is.True(choose(7) != k)
 	req.avoid = nil
-	x.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
+	table.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
 	is.True(choose(7).Hall != k.Hall)
-	x.update(protocol.Servers{Term: 1, HallChanges: 2, Gone: []string{k.ID}})
+	table.update(protocol.Servers{Term: 1, HallChanges: 2, Gone: []string{k.ID}})
 	is.True(choose(7) != k)
 	req.prompt = place.Prompt{Own: 900}
-	a, _ := x.acquire(x.now(), req)
+	a, _ := table.acquire(table.now(), req)
 	is.True(a != nil)
 }
 
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -51,6 +51,7 @@
 	return text
 }
 
+// TestStreamIsPassedOn checks that a whole stream reaches its caller with the server's header.
 func TestStreamIsPassedOn(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -86,8 +87,8 @@
 	})
 }
 
-// TestStreamThatMayNotRunAgainIsCut checks that a broken stream of a route without retries is
-// visibly cut off for its caller and reaches no other backend server.
+// TestStreamThatMayNotRunAgainIsCut checks that a broken stream that is not resumable is visibly
+// cut off for its caller and reaches no other backend server.
 func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -122,6 +123,7 @@
 	}, resuming(6, 3, errReset))
 }
 
+// TestStreamBreaksAgain checks that a stream is cut off when its last attempt breaks as well.
 func TestStreamBreaksAgain(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -149,7 +151,7 @@
 }
 
 // TestPausingStreamIsNotCut checks that a pause does not end a stream that no other backend server
-// may resume, because the route allows no retry or because all attempts are used.
+// may resume, because it is not resumable or because all attempts are used.
 func TestPausingStreamIsNotCut(t *testing.T) {
 	pausing := streams(piece{text: event(1)}, piece{text: event(2), after: 1500 * time.Millisecond})
 	withGateway(t, func(x *fixture) {
@@ -183,8 +185,8 @@
 	}, endless)
 }
 
-// TestCallerTakesUpItsOwnStream checks that the event after which the caller wants to resume is
-// passed on.
+// TestCallerTakesUpItsOwnStream checks that the position from which a caller resumes its stream is
+// passed on to the backend server.
 func TestCallerTakesUpItsOwnStream(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -193,6 +195,7 @@
 	}, resuming(5, 0, nil))
 }
 
+// TestEventsInOddPieces checks that the relayed bytes do not depend on how the events are split.
 func TestEventsInOddPieces(t *testing.T) {
 	whole := wholeStream(4)
 	var pieces []piece
