--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -11,38 +11,38 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines cluster, a group of replicas joined by lists of messages,
-// with disks that forget what was not synced. Tests drive it step by step.
+// This file defines cluster, a group of replicas with an in-memory network, and
+// disks that lose unsynced data in a crash. Tests drive it step by step.
 
 const (
 	testElection  = 100 * time.Millisecond
 	testHeartbeat = 20 * time.Millisecond
 )
 
-// failer is what tests report to; *testing.T and *rapid.T are.
+// failer is the part of *testing.T and *rapid.T that the cluster uses.
 type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// disk is what a replica has durable.
+// disk holds the durable state of a replica.
 type disk struct {
 	incarnation uint64
-	d           Durable
+	durable     Durable
 }
 
 func (d *disk) save(ready Ready, r *Replica) {
 	if ready.Snapshot != nil {
 		hard, entries := r.Tail()
-		d.d = Durable{Hard: hard, Snapshot: *ready.Snapshot, Entries: slices.Clone(entries)}
+		d.durable = Durable{Hard: hard, Snapshot: *ready.Snapshot, Entries: slices.Clone(entries)}
 		return
 	}
 	if ready.Hard != nil {
-		d.d.Hard = *ready.Hard
+		d.durable.Hard = *ready.Hard
 	}
 	for _, e := range ready.Entries {
-		keep := min(e.Index-d.d.Snapshot.Index-1, uint64(len(d.d.Entries)))
-		d.d.Entries = append(d.d.Entries[:keep:keep], e)
+		keep := min(e.Index-d.durable.Snapshot.Index-1, uint64(len(d.durable.Entries)))
+		d.durable.Entries = append(d.durable.Entries[:keep:keep], e)
 	}
 }
 
@@ -53,8 +53,8 @@
 	r         *Replica
 	formation *Formation
 	running   bool
-	gone      bool     // for good
-	applied   []string // commands, in order
+	removed   bool     // permanently
+	applied   []string // committed commands, in order
 	restored  int      // entries that came with a snapshot
 }
 
@@ -62,29 +62,29 @@
 	return protocol.Peer{Name: m.name, Incarnation: m.disk.incarnation}
 }
 
-// cluster is the whole group.
+// cluster is a group of replicas and the network between them.
 type cluster struct {
-	t       failer
-	rng     *rand.Rand
-	now     time.Duration
-	names   []string
-	members map[string]*member
-	net     []protocol.Consensus
-	cut     map[string]bool // cut off in silence
-	// Facts that must never change.
+	t        failer
+	rng      *rand.Rand
+	now      time.Duration
+	names    []string
+	members  map[string]*member
+	inFlight []protocol.Consensus
+	isolated map[string]bool // partitioned: messages are dropped silently
+	// History that must never change.
 	leaders   map[uint64]protocol.Peer // by term
 	committed map[uint64]string        // by index
-	acked     []string                 // commands acknowledged to a proposer
-	proposed  map[string]placeInLog
+	acked     []string                 // commands acknowledged to their proposer
+	proposed  map[string]logPosition
 	next      int
-	// Of an open group: the number of voters, the seeds, and whether it is
-	// the first start.
-	open  int
-	seeds []string
-	first bool
+	// For an open group: the number of voters (zero for a closed group), the seeds,
+	// and whether this is the first start.
+	voterCount int
+	seeds      []string
+	bootstrap  bool
 }
 
-type placeInLog struct{ index, term uint64 }
+type logPosition struct{ index, term uint64 }
 
 func newCluster(t failer, seed uint64, names ...string) *cluster {
 	c := emptyCluster(t, seed)
@@ -98,8 +98,8 @@
 func emptyCluster(t failer, seed uint64) *cluster {
 	return &cluster{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), members: map[string]*member{},
-		cut: map[string]bool{}, leaders: map[uint64]protocol.Peer{}, committed: map[uint64]string{},
-		proposed: map[string]placeInLog{},
+		isolated: map[string]bool{}, leaders: map[uint64]protocol.Peer{}, committed: map[uint64]string{},
+		proposed: map[string]logPosition{},
 	}
 }
 
@@ -111,7 +111,7 @@
 	c.start(name)
 }
 
-// blank gives a replica an empty disk.
+// blank replaces a replica's disk with an empty one.
 func (c *cluster) blank(name string) {
 	c.members[name].disk = disk{incarnation: c.rng.Uint64() | 1}
 }
@@ -120,27 +120,27 @@
 	m := c.members[name]
 	m.running, m.r, m.formation = true, nil, nil
 	m.applied, m.restored = nil, 0
-	if m.disk.d.Snapshot.Group == 0 {
+	if m.disk.durable.Snapshot.Group == 0 {
 		m.formation = NewFormation("g", m.self(), c.seeds, c.rng.Uint64()|1, testHeartbeat)
-		if c.open > 0 && !(c.first && slices.Contains(c.seeds, name)) {
+		if c.voterCount > 0 && !(c.bootstrap && slices.Contains(c.seeds, name)) {
 			m.formation.JoinOnly()
 		}
 		return
 	}
-	m.restore(m.disk.d.Snapshot)
-	m.begin(c, m.disk.d)
+	m.restore(m.disk.durable.Snapshot)
+	m.startReplica(c, m.disk.durable)
 }
 
-func (m *member) begin(c *cluster, d Durable) {
+func (m *member) startReplica(c *cluster, d Durable) {
 	m.formation = nil
 	m.r = New(Config{
 		Name: "g", Self: m.self(), Election: testElection, Heartbeat: testHeartbeat,
 		Rand: c.rng.Int64N, MaxAppend: 64, MaxPiece: 16, MaxInflight: 4,
-		Admit: func(name string) bool { return slices.Contains(c.names, name) }, Voters: c.open,
+		Admit: func(name string) bool { return slices.Contains(c.names, name) }, Voters: c.voterCount,
 	}, c.now, d)
 }
 
-// restore sets the state machine, a list of commands, to a snapshot.
+// restore replaces the state machine, a list of commands, with a snapshot.
 func (m *member) restore(s protocol.Snapshot) {
 	m.applied = nil
 	for _, b := range s.Data {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (m *member) image() []byte {
+func (m *member) snapshotData() []byte {
 	var b []byte
 	for _, a := range m.applied {
 		var n int
@@ -158,10 +158,10 @@
 	return b
 }
 
-// kill stops a replica; what was not synced is gone already.
+// kill stops a replica. Its disk holds only synced data.
 func (c *cluster) kill(name string) { c.members[name].running = false }
 
-// tick lets time pass for everybody.
+// tick advances the time for all replicas.
 func (c *cluster) tick(d time.Duration) {
 	c.now += d
 	for _, n := range c.names {
@@ -174,29 +174,29 @@
 				return
 			}
 			if s, ok := m.formation.Tick(c.now); ok {
-				m.found(c, s)
+				m.foundGroup(c, s)
 			}
 		})
 	}
 }
 
-func (m *member) found(c *cluster, s protocol.Snapshot) {
-	c.net = append(c.net, m.formation.Messages()...)
-	m.disk.d = Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s}
-	m.begin(c, m.disk.d)
+func (m *member) foundGroup(c *cluster, s protocol.Snapshot) {
+	c.inFlight = append(c.inFlight, m.formation.Messages()...)
+	m.disk.durable = Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s}
+	m.startReplica(c, m.disk.durable)
 }
 
-// deliver hands over the i-th message on the net.
+// deliver delivers the i-th message in flight.
 func (c *cluster) deliver(i int) {
-	m := c.net[i]
-	c.net = slices.Delete(c.net, i, i+1)
-	if c.cut[m.From.Name] || c.cut[m.To.Name] {
+	m := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
+	if c.isolated[m.From.Name] || c.isolated[m.To.Name] {
 		return
 	}
-	c.step(m.To.Name, func(to *member) { to.take(c, m) })
+	c.step(m.To.Name, func(to *member) { to.receive(c, m) })
 }
 
-func (m *member) take(c *cluster, msg protocol.Consensus) {
+func (m *member) receive(c *cluster, msg protocol.Consensus) {
 	if m.r != nil {
 		if !m.r.AnswerBlankQuery(c.now, msg) {
 			m.r.Step(c.now, msg)
@@ -204,16 +204,16 @@
 		return
 	}
 	if msg.To == m.self() && (msg.Kind == protocol.MsgAppend || msg.Kind == protocol.MsgSnapshot) {
-		m.begin(c, Durable{})
+		m.startReplica(c, Durable{})
 		m.r.Step(c.now, msg)
 		return
 	}
 	if s, ok := m.formation.Step(msg); ok {
-		m.found(c, s)
+		m.foundGroup(c, s)
 	}
 }
 
-// step runs f on a running replica and carries out what follows.
+// step runs f on a running replica and processes the resulting work.
 func (c *cluster) step(name string, f func(*member)) {
 	m := c.members[name]
 	if m == nil || !m.running {
@@ -221,20 +221,20 @@
 	}
 	f(m)
 	if m.formation != nil {
-		c.net = append(c.net, m.formation.Messages()...)
+		c.inFlight = append(c.inFlight, m.formation.Messages()...)
 		return
 	}
-	c.carryOut(m)
+	c.processReady(m)
 }
 
-func (c *cluster) carryOut(m *member) {
+func (c *cluster) processReady(m *member) {
 	for {
 		r := m.r.Ready()
 		if r.Empty() {
 			break
 		}
 		m.disk.save(r, m.r)
-		c.net = append(c.net, r.Messages...)
+		c.inFlight = append(c.inFlight, r.Messages...)
 		if r.Restore != nil {
 			m.restore(*r.Restore)
 		}
@@ -246,10 +246,10 @@
 
 func (c *cluster) apply(m *member, entries []protocol.Entry) {
 	for _, e := range entries {
-		was, known := c.committed[e.Index]
+		earlier, applied := c.committed[e.Index]
 		text := fmt.Sprintf("%d/%d/%s", e.Term, e.Kind, e.Data)
-		if known && was != text {
-			c.t.Fatalf("index %d: %s applied %q, others %q", e.Index, m.name, text, was)
+		if applied && earlier != text {
+			c.t.Fatalf("index %d: %s applied %q, another replica applied %q", e.Index, m.name, text, earlier)
 		}
 		c.committed[e.Index] = text
 		if e.Kind == protocol.EntryCommand && len(e.Data) > 0 {
@@ -259,9 +259,9 @@
 	}
 }
 
-// acknowledge notes a command whose proposer learns that it is committed.
+// acknowledge records a command whose commitment is reported to its proposer.
 func (c *cluster) acknowledge(m *member, e protocol.Entry) {
-	if m.r.role == Leader && c.proposed[string(e.Data)] == (placeInLog{e.Index, e.Term}) {
+	if m.r.role == Leader && c.proposed[string(e.Data)] == (logPosition{e.Index, e.Term}) {
 		c.acked = append(c.acked, string(e.Data))
 	}
 }
@@ -272,12 +272,13 @@
 	}
 	term := m.r.hard.Term
 	if other, ok := c.leaders[term]; ok && other != m.self() {
-		c.t.Fatalf("term %d has two leaders, %v and %v", term, other, m.self())
+		c.t.Fatalf("term %d has two leaders: %v and %v", term, other, m.self())
 	}
 	c.leaders[term] = m.self()
 }
 
-// propose proposes the next command at a replica, if it leads.
+// propose proposes the next command at a replica and reports whether the replica
+// accepted it as the leader.
 func (c *cluster) propose(name string) bool {
 	ok := false
 	c.step(name, func(m *member) {
@@ -287,7 +288,7 @@
 		data := fmt.Sprint(c.next)
 		index, term, err := m.r.Propose([]byte(data))
 		if err == nil {
-			c.proposed[data] = placeInLog{index, term}
+			c.proposed[data] = logPosition{index, term}
 			c.next++
 			ok = true
 		}
@@ -295,70 +296,71 @@
 	return ok
 }
 
-// compact makes a replica replace its log by a snapshot.
+// compact replaces the applied part of a replica's log with a snapshot.
 func (c *cluster) compact(name string) {
 	m := c.members[name]
 	if !m.running || m.r == nil || m.r.applied <= m.r.log.snapshot.Index {
 		return
 	}
-	s := m.r.Compact(m.image())
+	s := m.r.Compact(m.snapshotData())
 	hard, entries := m.r.Tail()
-	m.disk.d = Durable{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
+	m.disk.durable = Durable{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
 }
 
-// settle runs the cluster without faults for a while.
-func (c *cluster) settle(d time.Duration) {
+// run runs the cluster for d without new faults.
+func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end; {
 		c.tick(5 * time.Millisecond)
 		c.drain()
 	}
 }
 
-// drain delivers everything that is on the net, in order.
+// drain delivers all messages in flight, in order, up to a limit.
 func (c *cluster) drain() {
 	for range 1000 {
-		if len(c.net) == 0 {
+		if len(c.inFlight) == 0 {
 			return
 		}
 		c.deliver(0)
 	}
 }
 
-// leader returns the running replica that may act as leader, or "".
+// leader returns the running replica that may act as leader, or "". It fails the
+// test if two replicas hold a lease.
 func (c *cluster) leader() string {
 	leading := ""
 	for _, n := range c.names {
 		m := c.members[n]
-		if !m.running || m.r == nil || c.cut[n] || !m.r.Leads(c.now) {
+		if !m.running || m.r == nil || c.isolated[n] || !m.r.Leads(c.now) {
 			continue
 		}
 		if leading != "" {
-			c.t.Fatalf("%s and %s both have a lease at %v", leading, n, c.now)
+			c.t.Fatalf("%s and %s both hold a lease at %v", leading, n, c.now)
 		}
 		leading = n
 	}
 	return leading
 }
 
-// mustLead settles until somebody leads.
-func (c *cluster) mustLead() string {
+// awaitLeader runs the cluster until it has a leader.
+func (c *cluster) awaitLeader() string {
 	for range 200 {
-		c.settle(10 * time.Millisecond)
+		c.run(10 * time.Millisecond)
 		if l := c.leader(); l != "" {
 			return l
 		}
 	}
-	c.t.Fatalf("nobody leads after 2 s without faults")
+	c.t.Fatalf("no leader after 2 s without faults")
 	return ""
 }
 
-// checkSame checks that all replicas applied the same and hold everything
-// that was acknowledged.
-func (c *cluster) checkSame() {
+// checkConverged checks that all running replicas applied the same commands, including
+// every acknowledged one.
+func (c *cluster) checkConverged() {
 	want := c.members[c.leader()].applied
 	for _, n := range c.names {
 		if m := c.members[n]; m.running && !slices.Equal(m.applied, want) {
-			c.t.Fatalf("%s applied %v, the leader %v", n, m.applied, want)
+			c.t.Fatalf("%s applied %v, the leader applied %v", n, m.applied, want)
 		}
 	}
 	for _, a := range c.acked {
--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -1,71 +1,74 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package consensus keeps one log equal on several replicas, so that what a
-// majority holds on disk is never lost, changed or reordered.
+// Package consensus replicates one log to several replicas, so that an entry that
+// a majority holds on disk is never lost, changed or reordered.
 //
-// The model is a pure step function, [Replica]: messages, proposals and the time
-// go in; what to write, what to send and what to apply comes out as a [Ready].
-// The caller writes first, then sends, then calls [Replica.Advance]. No clock,
-// goroutine, socket or file is touched here, so a fault is a row in a table and a
-// run can be repeated from a seed. Package replica is the caller: its Replica is
-// the running process of one such step function, with a journal and a clock.
+// [Replica] is a pure step function: its inputs are messages, proposals and the
+// time, and its output is a [Ready] with what to write, send and apply. The caller
+// writes first, then sends, then calls [Replica.Advance]. The package uses no clock,
+// goroutine, socket or file, so a test can inject any fault and repeat a run from its
+// seed. Package replica is the caller: its Replica runs one step function in a
+// goroutine, with a journal and a clock.
 //
-// # What is standard
+// # Standard Raft
 //
 // The algorithm is Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014):
 // terms, votes, appending with pipelining and a hint after a mismatch, commitment
-// by count only in the leader's own term, a no-op at the start of a term,
-// snapshots in pieces, learners, membership changes of one voter at a time, in
-// force as soon as they are appended, pre-vote, check-quorum, leadership transfer.
+// by count only in the leader's own term, a no-op at the start of a term, chunked
+// snapshots, learners, membership changes of one voter at a time that take effect
+// when appended, pre-vote, check-quorum, leadership transfer.
 //
-// # What differs, why, and the test that shows it
+// # Differences from Raft, with their tests
 //
-//   - Votes are refused within an election timeout of a leader's message, and the
-//     request is dropped whole rather than rejected, so that its term does not
-//     spread: a replica that was cut off does not disturb the others when it is
-//     back (TestLeaderCutOffInSilence). A replica that starts counts as having just
-//     had such a message, because before its crash it may have
-//     (TestRestartedReplicaKeepsItsPromise); a pre-candidate therefore repeats its
-//     request after a quarter to a half of an election timeout
-//     (TestRestartInTurnElectsSoon).
-//   - The leader's lease rests on that refusal. The leader puts its own clock into
-//     what it sends, answers echo it, and the lease runs from that time, not from
-//     the answer's. Times of one clock only are compared; [DriftMargin] allows for
-//     clocks of different speed. It is void at once when leadership is offered to
-//     another (TestLeadershipIsHandedOver).
-//   - A replica is a [protocol.Peer]: a name and the incarnation of its disk. One
-//     that lost its disk is another peer and no voter: it never votes from a blank
-//     log (TestBlankReplicaNeverVotes). The leader removes the lost peer, takes the
-//     new one in as a learner and promotes it (TestLostDiskIsRepaired) once it holds
-//     everything (TestLearnerIsPromotedOnlyWithEverything); a blank
-//     replica whose leader is lost during that looks for its group again
-//     (TestRepairerIsLost).
+//   - A replica ignores vote requests for an election timeout after a leader's
+//     message. It drops the request instead of rejecting it, so that it does not
+//     adopt the candidate's term: a replica that was partitioned does not depose the
+//     leader when it returns (TestLeaderCutOffInSilence). A replica that starts
+//     behaves as if it had just received a leader's message, because it may have
+//     received one before the crash (TestRestartedReplicaKeepsItsPromise). A
+//     pre-candidate therefore repeats its request after a quarter to a half of an
+//     election timeout (TestRestartInTurnElectsSoon).
+//   - The leader's lease relies on that rule. The leader stamps its messages with
+//     its own clock, replies echo the stamp, and the lease runs from the stamp, not
+//     from the arrival of the reply. Only times of one clock are compared;
+//     [DriftMargin] allows for clocks that run at different speeds. The lease is void
+//     as soon as the leader offers leadership to another replica
+//     (TestLeadershipIsHandedOver).
+//   - A replica is identified by a [protocol.Peer]: a name and the incarnation of its
+//     disk. A replica that lost its disk is a different peer and not a voter, so it
+//     never votes from a blank log (TestBlankReplicaNeverVotes). The leader removes
+//     the lost peer, adds the new one as a learner and promotes it
+//     (TestLostDiskIsRepaired) once it holds everything
+//     (TestLearnerIsPromotedOnlyWithEverything). A blank replica whose leader fails
+//     during the repair searches for its group again (TestRepairerIsLost).
 //   - A closed group has the names of its replicas in the settings and forms only
 //     when all of them report blank disks (TestGroupFormsAndCommits). An open group
-//     is found through seeds and takes in any replica that requests it
+//     is found through seeds and accepts any replica that requests to join
 //     (TestOpenGroupFormsAroundItsSeeds, TestJoinsThroughAnyMember); it forms only
 //     if the operator marks the start as the first one
 //     (TestBlankReplicasNeverFoundTwice).
-//   - An open group has a fixed number of voters. A silent voter is replaced by a
-//     learner, promoted first and the silent one removed after, and stays a voter
-//     while there is no learner (TestReplacedReplica,
+//   - An open group has a fixed number of voters. A learner replaces a silent voter:
+//     the learner is promoted first and the silent voter removed afterwards. Without
+//     a learner the silent replica stays a voter (TestReplacedReplica,
 //     TestSilentVoterIsKeptWithoutReplacement).
 //
-// All of it runs together, with messages lost, late, twice and out of order, disks
-// lost and replicas killed, in TestRandomSchedules and TestRandomOpenSchedules.
+// TestRandomSchedules and TestRandomOpenSchedules combine all of this with lost,
+// delayed, duplicated and reordered messages, lost disks and killed replicas.
 //
 // # Files
 //
 //   - replica.go: Replica, its inputs and outputs; memlog.go: the log in memory.
 //   - election.go: terms, pre-vote, votes.
 //   - replicate.go: appending, commitment, check-quorum, the lease.
-//   - transfer.go: snapshots in pieces, handing leadership over.
-//   - membership.go: changes of membership, learners, repair of a lost disk.
-//   - formation.go: [Formation], how blank replicas become a group.
+//   - transfer.go: chunked snapshots, leadership transfer.
+//   - ending.go: the reason for the end of a leadership.
+//   - membership.go: membership changes, learners, repair of a lost disk.
+//   - formation.go: [Formation], which forms a group from blank replicas.
 //
 // # Invariants
 //
-// At most one leader a term; an entry that was reported as committed is in the log
-// of every later leader; Ready.Committed is the same sequence everywhere; while
-// this replica leads, its table of peers holds exactly the members.
+//   - Each term has at most one leader.
+//   - The log of every later leader contains every entry that was reported as committed.
+//   - Ready.Committed yields the same sequence on every replica.
+//   - While a replica leads, its table of peers holds exactly the members.
 package consensus
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -8,15 +8,16 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how a replica becomes candidate, leader and follower.
+// This file defines elections: the transitions between follower, candidate and leader.
 
-// resetDeadline draws the next time to campaign, between one and two election
+// resetElectionTimer sets the next time to campaign at random, one to two election
 // timeouts from now.
-func (r *Replica) resetDeadline() {
-	r.deadline = r.now + r.cfg.Election + time.Duration(r.cfg.Rand(int64(r.cfg.Election)))
+func (r *Replica) resetElectionTimer() {
+	r.campaignAt = r.now + r.cfg.Election + time.Duration(r.cfg.Rand(int64(r.cfg.Election)))
 }
 
-// becomeFollower follows leader, or none yet, in a term that is not lower.
+// becomeFollower follows leader, which is zero if unknown, in a term that is not
+// lower than the current one.
 func (r *Replica) becomeFollower(term uint64, leader protocol.Peer) {
 	vote := r.hard.Vote
 	if term > r.hard.Term {
@@ -28,31 +29,32 @@
 	r.votes = nil
 	r.peers = nil
 	r.transferTo = protocol.Peer{}
-	r.leaseLost = false
-	r.resetDeadline()
+	r.leaseVoid = false
+	r.resetElectionTimer()
 }
 
-// preVoteParts is how many times in an election timeout, at most, a pre-candidate repeats its
-// requests, so that a restart in turn elects soon (TestRestartInTurnElectsSoon).
-const preVoteParts = 4
-
-// resetPreVote draws the next time to request pre-votes. It is soon: pre-votes
-// change nothing, and replicas that have just started drop them for an election
-// timeout, because before they stopped they may have followed a leader.
-func (r *Replica) resetPreVote() {
-	pause := r.cfg.Election / preVoteParts
-	r.deadline = r.now + pause + time.Duration(r.cfg.Rand(int64(pause)))
+// preVotesPerElection is the highest number of times that a pre-candidate sends its requests in an
+// election timeout. Frequent requests shorten the election after a rolling restart
+// (TestRestartInTurnElectsSoon).
+const preVotesPerElection = 4
+
+// resetPreVoteTimer sets the next time to request pre-votes at random. The interval is
+// short: pre-votes change no state, and replicas that have just started ignore them
+// for an election timeout, because they may have followed a leader before they stopped.
+func (r *Replica) resetPreVoteTimer() {
+	pause := r.cfg.Election / preVotesPerElection
+	r.campaignAt = r.now + pause + time.Duration(r.cfg.Rand(int64(pause)))
 }
 
-// campaign requests votes. A pre-candidate finds out whether it could win and
-// changes no term; force marks an election that the leader itself requested.
+// campaign requests votes. A pre-candidate only checks whether it could win, and
+// does not raise the term. force marks an election that the leader itself requested.
 func (r *Replica) campaign(role Role, force bool) {
 	r.role = role
 	r.leader = protocol.Peer{}
 	if role == PreCandidate {
-		r.resetPreVote()
+		r.resetPreVoteTimer()
 	} else {
-		r.resetDeadline()
+		r.resetElectionTimer()
 	}
 	kind, term := protocol.MsgPreVote, r.hard.Term+1
 	if role == Candidate {
@@ -60,8 +62,8 @@
 		r.setHard(term, r.cfg.Self)
 	}
 	r.votes = map[protocol.Peer]bool{r.cfg.Self: true}
-	if r.wonVotes() {
-		r.winRound()
+	if r.hasVoteQuorum() {
+		r.advanceElection()
 		return
 	}
 	for _, p := range r.log.members().Voters {
@@ -75,8 +77,8 @@
 	}
 }
 
-// winRound moves a pre-candidate to candidate and a candidate to leader.
-func (r *Replica) winRound() {
+// advanceElection turns a pre-candidate into a candidate and a candidate into the leader.
+func (r *Replica) advanceElection() {
 	if r.role == PreCandidate {
 		r.campaign(Candidate, false)
 		return
@@ -84,7 +86,7 @@
 	r.becomeLeader()
 }
 
-func (r *Replica) wonVotes() bool {
+func (r *Replica) hasVoteQuorum() bool {
 	granted := 0
 	for _, p := range r.log.members().Voters {
 		if r.votes[p] {
@@ -94,11 +96,12 @@
 	return granted >= r.quorum()
 }
 
-// ignoredVote reports whether a request for a vote must be dropped whole: a
-// leader sent something within an election timeout, or the candidate is no voter
-// (then the request proves that it is alive, and the leader repairs it). Dropping,
-// rather than rejecting, keeps the candidate's term out of this replica.
-func (r *Replica) ignoredVote(m protocol.Consensus) bool {
+// ignoresVoteRequest reports whether this replica must drop a vote request: it is not
+// a voter, it received a message from a leader within an election timeout, or the
+// candidate is not a voter (the request then shows that the candidate is alive, and
+// the leader repairs it). The request is dropped and not rejected, so that this replica
+// does not adopt the candidate's term.
+func (r *Replica) ignoresVoteRequest(m protocol.Consensus) bool {
 	if m.Kind != protocol.MsgPreVote && m.Kind != protocol.MsgVote {
 		return false
 	}
@@ -115,12 +118,12 @@
 	if r.role == Leader {
 		return r.now < r.leaseEnd()
 	}
-	return r.now-r.leaderContact < r.cfg.Election
+	return r.now-r.lastLeaderContact < r.cfg.Election
 }
 
-// raisesTerm reports whether a message of a higher term makes this replica
-// adopt the term. The term of a pre-vote is one that no replica has yet; a granted
-// pre-vote echoes it.
+// raisesTerm reports whether this replica adopts the higher term of a message. The
+// term of a pre-vote request is hypothetical: no replica has adopted it yet, and a
+// granted pre-vote echoes it.
 func raisesTerm(m protocol.Consensus) bool {
 	switch m.Kind {
 	case protocol.MsgPreVote:
@@ -131,8 +134,8 @@
 	return true
 }
 
-// answerOldTerm answers a leader or candidate of an old term with the newer one.
-func (r *Replica) answerOldTerm(m protocol.Consensus) {
+// replyToOldTerm replies to a leader or candidate of an old term with the current term.
+func (r *Replica) replyToOldTerm(m protocol.Consensus) {
 	switch m.Kind {
 	case protocol.MsgAppend, protocol.MsgSnapshot:
 		r.send(protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Reject: true, Hint: r.log.last()})
@@ -141,8 +144,8 @@
 	}
 }
 
-// stepVote grants a vote to the first candidate of a term whose log is at least
-// as new as this one; a pre-vote to any such candidate.
+// stepVote grants its vote to the first candidate of a term whose log is at least as
+// up to date as its own, and a pre-vote to every such candidate.
 func (r *Replica) stepVote(m protocol.Consensus) {
 	upToDate := m.LogTerm > r.log.lastTerm() ||
 		(m.LogTerm == r.log.lastTerm() && m.Index >= r.log.last())
@@ -152,54 +155,54 @@
 			reply.Term, reply.Reject = r.hard.Term, true
 		}
 		r.send(reply)
-		if !reply.Reject && r.role == PreCandidate && r.yields(m) {
+		if !reply.Reject && r.role == PreCandidate && r.yieldsTo(m) {
 			r.role, r.votes = Follower, nil
-			r.resetDeadline()
+			r.resetElectionTimer()
 		}
 		return
 	}
-	free := r.hard.Vote.IsZero() || r.hard.Vote == m.From
-	grant := upToDate && free
+	canVote := r.hard.Vote.IsZero() || r.hard.Vote == m.From
+	grant := upToDate && canVote
 	if grant {
 		r.setHard(r.hard.Term, m.From)
-		r.resetDeadline()
+		r.resetElectionTimer()
 	}
 	r.send(protocol.Consensus{Kind: protocol.MsgVoteReply, To: m.From, Reject: !grant})
 }
 
-// yields reports whether this pre-candidate leaves the election to another one, whose log is
-// at least as new. Else all that miss a leader grant each other pre-votes and become
-// candidates of one term, the more often the longer messages take: none has a majority then,
-// and the next try begins an election timeout later.
-func (r *Replica) yields(m protocol.Consensus) bool {
+// yieldsTo reports whether this pre-candidate leaves the election to another one whose log is at
+// least as up to date. Otherwise all replicas without a leader grant each other pre-votes and
+// become candidates in the same term, more often the longer messages take. The votes then split,
+// and the next attempt begins an election timeout later.
+func (r *Replica) yieldsTo(m protocol.Consensus) bool {
 	newer := m.LogTerm > r.log.lastTerm() || m.Index > r.log.last()
 	return newer || m.From.Name < r.cfg.Self.Name
 }
 
 func (r *Replica) stepVoteReply(m protocol.Consensus) {
-	wanted, term := Candidate, r.hard.Term
+	role, term := Candidate, r.hard.Term
 	if m.Kind == protocol.MsgPreVoteReply {
-		wanted, term = PreCandidate, r.hard.Term+1
+		role, term = PreCandidate, r.hard.Term+1
 	}
-	if r.role != wanted || m.Reject || m.Term != term {
+	if r.role != role || m.Reject || m.Term != term {
 		return
 	}
 	r.votes[m.From] = true
-	if r.wonVotes() {
-		r.winRound()
+	if r.hasVoteQuorum() {
+		r.advanceElection()
 	}
 }
 
-// becomeLeader begins the term with a no-op: entries of earlier terms are
-// committed with it (see advanceCommit).
+// becomeLeader begins the term with a no-op, whose commitment also commits the
+// entries of earlier terms (see advanceCommit).
 func (r *Replica) becomeLeader() {
 	r.role = Leader
 	r.leader = r.cfg.Self
 	r.votes = nil
 	r.transferTo = protocol.Peer{}
-	r.leaseLost = false
+	r.leaseVoid = false
 	r.peers = map[protocol.Peer]*progress{}
 	r.syncPeers()
-	r.nextBeat = r.now
-	r.termStart = r.appendOwn(protocol.EntryCommand, nil).Index
+	r.nextHeartbeat = r.now
+	r.noopIndex = r.appendOwn(protocol.EntryCommand, nil).Index
 }
--- a/coordination/consensus/ending.go
+++ b/coordination/consensus/ending.go
@@ -8,44 +8,44 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what a leader says of why it leads no more.
+// This file defines the reason that a replica reports for the end of its leadership.
 
-// Ending is how a replica's last lead ended. The zero value is of one that never led.
+// Ending describes the end of a replica's last leadership. It is zero if the replica never led.
 type Ending struct {
-	Why string // one of the causes below
-	// Quorum is how long before the end a majority had last confirmed the leader.
+	Why string // one of the EndedBy constants
+	// Quorum is the time between the last confirmation by a majority and the end.
 	Quorum time.Duration
-	// RoundTrip is what the last answers of a majority took, each at least: what waits behind
-	// other bytes on a link has a long one.
+	// RoundTrip is the largest round-trip time that the last replies of a majority all reached.
+	// It is long when messages queue behind other traffic on a link.
 	RoundTrip time.Duration
 }
 
-// Causes of the end of a lead.
+// Causes of the end of a leadership.
 const (
-	EndedByLease       = "lease over"  // the same, a little earlier: it does not act as leader any more
-	EndedWithoutQuorum = "no quorum"   // no majority answered within an election timeout
+	EndedByLease       = "lease over"  // the lease expired; EndedWithoutQuorum follows unless a majority replies
+	EndedWithoutQuorum = "no quorum"   // no majority replied within an election timeout
 	EndedByTerm        = "higher term" // another replica had begun an election
-	EndedByRemoval     = "removed"     // it votes no more
-	EndedByHandover    = "handed over" // it had offered the lead to another
+	EndedByRemoval     = "removed"     // it is no longer a voter
+	EndedByHandover    = "handed over" // it had offered leadership to another replica
 )
 
-// ended returns the end of this replica's lead now, for a cause.
-func (r *Replica) ended(why string) Ending {
-	took := func(p protocol.Peer) time.Duration { return r.peers[p].took }
-	return Ending{Why: why, Quorum: r.now - r.lastQuorumContact(), RoundTrip: reachedByQuorum(r, took)}
+// newLeadershipEnd describes a leadership that ends now.
+func (r *Replica) newLeadershipEnd(why string) Ending {
+	roundTrip := func(p protocol.Peer) time.Duration { return r.peers[p].roundTrip }
+	return Ending{Why: why, Quorum: r.now - r.lastQuorumContact(), RoundTrip: quorumValue(r, roundTrip)}
 }
 
-// endingNow returns why this replica does not act as leader now.
-func (r *Replica) endingNow() Ending {
+// leadershipEnd describes why this replica does not act as leader.
+func (r *Replica) leadershipEnd() Ending {
 	if r.role == Leader {
-		return r.ended(EndedByLease)
+		return r.newLeadershipEnd(EndedByLease)
 	}
-	return r.ending
+	return r.lastEnd
 }
 
-// noteEnding notes why this leader steps down.
-func (r *Replica) noteEnding(why string) {
+// recordEnd records why this replica steps down, if it leads.
+func (r *Replica) recordEnd(why string) {
 	if r.role == Leader {
-		r.ending = r.ended(why)
+		r.lastEnd = r.newLeadershipEnd(why)
 	}
 }
--- a/coordination/consensus/ending_test.go
+++ b/coordination/consensus/ending_test.go
@@ -8,23 +8,23 @@
 	"github.com/matryer/is"
 )
 
-// TestLeaderSaysWhyItEnded: a leader that is cut off says that no majority answered it, and for how
-// long; one that hears of a later term says that.
+// TestLeaderSaysWhyItEnded checks the reasons that a partitioned leader reports: first that its lease
+// expired, then that no majority replied, with the time since the last reply of a majority.
 func TestLeaderSaysWhyItEnded(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, "a", "b", "c")
-	old := c.mustLead()
-	c.settle(2 * testElection)
-	c.cut[old] = true
+	old := c.awaitLeader()
+	c.run(2 * testElection)
+	c.isolated[old] = true
 	for c.members[old].r.Leads(c.now) {
-		c.settle(testHeartbeat / 4)
+		c.run(testHeartbeat / 4)
 	}
 	ending := c.members[old].r.Status().Ending
 	is.Equal(ending.Why, EndedByLease)
 	is.True(ending.Quorum >= testElection*9/10)
 	is.True(ending.RoundTrip < testHeartbeat)
 	for c.members[old].r.role == Leader {
-		c.settle(testHeartbeat / 4)
+		c.run(testHeartbeat / 4)
 	}
 	ending = c.members[old].r.Status().Ending
 	is.Equal(ending.Why, EndedWithoutQuorum)
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -8,9 +8,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines the refusals of a Replica.
+// This file defines the errors that a Replica returns.
 
-// NotLeader refuses a proposal at a replica that does not lead. Leader is
+// NotLeader rejects a proposal at a replica that is not the leader. Leader is
 // zero when no leader is known.
 type NotLeader struct{ Leader protocol.Peer }
 
@@ -22,13 +22,13 @@
 	return "not the leader; the leader is " + e.Leader.Name
 }
 
-// Handover refuses a proposal while leadership is being handed over.
+// Handover rejects a proposal during a leadership transfer.
 type Handover struct{ To protocol.Peer }
 
 // Error names the successor.
 func (e Handover) Error() string { return "leadership is being handed to " + e.To.Name }
 
-// ChangePending refuses a membership change while another is not committed.
+// ChangePending rejects a membership change while another one is uncommitted.
 type ChangePending struct{ Index uint64 }
 
 // Error names the index of the pending change.
--- a/coordination/consensus/example_test.go
+++ b/coordination/consensus/example_test.go
@@ -10,8 +10,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// A group of one replica forms, elects itself and commits a command. A caller
-// with a disk writes, sends and applies what Ready returns before Advance.
+// A group of one replica elects itself and commits a command. A caller with a disk
+// writes, sends and applies the contents of Ready before it calls Advance.
 func ExampleReplica() {
 	self := protocol.Peer{Name: "a", Incarnation: 1}
 	group := protocol.Snapshot{
--- a/coordination/consensus/far_test.go
+++ b/coordination/consensus/far_test.go
@@ -11,75 +11,76 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests elections between replicas that are far from each other.
+// This file tests elections between replicas in distant regions.
 
-// Times of the tests, in proportion to a process's election timeout of 400 ms: 30 ms between
-// regions and 2 ms within one.
+// One-way latencies between replicas. They have the same ratio to testElection as 30 ms between
+// regions and 2 ms within a region have to an election timeout of 400 ms.
 const (
-	farWay  = 7500 * time.Microsecond
-	nearWay = 500 * time.Microsecond
+	farLatency  = 7500 * time.Microsecond
+	nearLatency = 500 * time.Microsecond
 )
 
-// underway is a message that arrives at a time.
-type underway struct {
+// delayedMessage is a message with its time of arrival.
+type delayedMessage struct {
 	m  protocol.Consensus
 	at time.Duration
 }
 
-// travel runs the cluster for a while with times between its replicas: those whose names
-// begin alike are near.
-func (c *cluster) travel(way []underway, d time.Duration) []underway {
+// runWithLatency runs the cluster for d with network latency: replicas whose names begin with the
+// same letter are near. It takes and returns the messages in flight.
+func (c *cluster) runWithLatency(inTransit []delayedMessage, d time.Duration) []delayedMessage {
 	for end := c.now + d; c.now < end; {
 		c.tick(500 * time.Microsecond)
-		var later []underway
-		for _, u := range way {
+		var later []delayedMessage
+		for _, u := range inTransit {
 			if u.at > c.now {
 				later = append(later, u)
 				continue
 			}
-			c.net = append([]protocol.Consensus{u.m}, c.net...)
+			c.inFlight = append([]protocol.Consensus{u.m}, c.inFlight...)
 			c.deliver(0)
 		}
-		way = later
-		for _, m := range c.net {
-			takes := farWay
+		inTransit = later
+		for _, m := range c.inFlight {
+			latency := farLatency
 			if m.From.Name[0] == m.To.Name[0] {
-				takes = nearWay
+				latency = nearLatency
 			}
-			way = append(way, underway{m: m, at: c.now + takes})
+			inTransit = append(inTransit, delayedMessage{m: m, at: c.now + latency})
 		}
-		c.net = nil
+		c.inFlight = nil
 	}
-	return way
+	return inTransit
 }
 
-// TestElectionsOverAFarLink: after the loss of a leader nearly every election has a winner at
-// the first try, also where a message takes a fair part of the time between two tries.
+// TestElectionsOverAFarLink checks that nearly every election after the loss of a leader succeeds in
+// its first term, also when the latency is a considerable part of the interval between attempts.
+// Concurrent pre-candidates would otherwise split the votes.
 func TestElectionsOverAFarLink(t *testing.T) {
 	is := is.New(t)
 	const rounds = 300
-	again, longest, sum := 0, time.Duration(0), time.Duration(0)
+	retried, longest, sum := 0, time.Duration(0), time.Duration(0)
 	c := newCluster(t, 5, "a1", "a2", "a3", "b1", "b2")
-	c.mustLead()
-	var way []underway
+	c.awaitLeader()
+	var inTransit []delayedMessage
 	for range rounds {
-		way = c.travel(way, 5*testElection)
+		inTransit = c.runWithLatency(inTransit, 5*testElection)
 		old := c.leader()
 		is.True(old != "")
 		term := c.members[old].r.hard.Term
 		c.kill(old)
 		killed := c.now
 		for c.leader() == "" {
-			way = c.travel(way, time.Millisecond)
+			inTransit = c.runWithLatency(inTransit, time.Millisecond)
 		}
 		next := c.members[c.leader()].r.hard.Term
 		if next != term+1 {
-			again++
+			retried++
 		}
 		sum += c.now - killed
 		longest = max(longest, c.now-killed)
 		c.start(old)
 	}
-	t.Logf("%d of %d elections had a second try; a leader after %v, %v at worst", again, rounds, sum/rounds, longest)
-	is.True(again <= rounds*3/100)
+	t.Logf("%d of %d elections needed more than one term; time to a leader: average %v, maximum %v", retried, rounds, sum/rounds, longest)
+	is.True(retried <= rounds*3/100)
 }
--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -9,74 +9,74 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Formation, how replicas with blank disks become a group.
+// This file defines Formation, which forms a group from replicas with blank disks.
 //
-// A blank disk is either new or lost, and the replica cannot find out which. So a
-// group forms only when every replica named in the settings answers that its
-// disk is blank: one that holds something proves that the group exists, and
-// its leader repairs the blank one instead. The replica whose name sorts
-// first founds the group; a replica accepts a foundation only from the
-// incarnation that it last answered, so a founder that lost its disk during
-// the foundation does not leave two groups behind.
+// A blank disk is either new or a replacement for a lost one, and the replica cannot
+// distinguish the two. A closed group therefore forms only when every replica named
+// in the settings reports a blank disk. A replica with data proves that the group
+// exists, and its leader then repairs the blank replica. The replica whose name sorts
+// first founds the group. A replica accepts a foundation only from the incarnation to
+// which it last replied, so that a founder that loses its disk during the foundation
+// does not leave two groups.
 //
-// In a closed group a flag "this is the first start" was rejected: an operator
-// leaves it in the settings, and the first lost disk then founds a second
-// group.
+// A closed group does not use a "first start" flag: an operator would leave the flag in
+// the settings, and the first lost disk would then found a second group.
 //
-// In an open group the settings do not name the members, only where some of them
-// are or were (seeds). The seeds of the first start found it, and only if the
-// operator sets the flag for it; any other blank replica sends queries
-// to the seeds, and to the members that they name, until the leader takes it in. There the
-// flag is needed: a blank replica whose seeds are all cut off or new
-// cannot find out whether a group exists.
-
-// Formation is a replica before it has a log. It is not safe for concurrent
-// use.
+// The settings of an open group do not name the members, only the present or past
+// addresses of some of them (seeds). The seeds found the group at its first start, and
+// only if the operator sets the bootstrap flag. Any other blank replica queries the
+// seeds, and the members that they name, until the leader adds it. The flag is needed
+// because a blank replica whose seeds are all unreachable or new cannot find out
+// whether a group exists.
+
+// Formation is the state of a replica that has no log yet. It is not safe for
+// concurrent use.
 type Formation struct {
-	name     string
-	self     protocol.Peer
-	names    []string // all replicas by the settings, sorted
-	groupID  uint64   // identity if this replica founds the group
-	interval time.Duration
-	next     time.Duration
-	answers  map[string]blankAnswer
-	promised protocol.Peer // founder whose query was answered last
-	joins    bool          // never founds a group, nor answers that it is blank
-	hints    []string      // members named by replicas of an existing group
-	out      []protocol.Consensus
+	name            string
+	self            protocol.Peer
+	names           []string // all replicas named in the settings, sorted
+	groupID         uint64   // identifier of the group if this replica founds it
+	queryInterval   time.Duration
+	nextQuery       time.Duration
+	answers         map[string]blankAnswer
+	promisedFounder protocol.Peer // founder whose query received the last reply
+	joinOnly        bool          // never founds a group and never reports a blank disk
+	hints           []string      // names of members of an existing group, learned from its replicas
+	outbox          []protocol.Consensus
 }
 
+// blankAnswer is a replica's reply to a query.
 type blankAnswer struct {
 	peer  protocol.Peer
 	blank bool
 }
 
-// NewFormation returns a blank replica. groupID is a random number that names
-// the group if this replica founds it.
+// NewFormation returns the state of a blank replica. groupID is a random number that
+// identifies the group if this replica founds it. interval is the time between queries.
 func NewFormation(
 	name string, self protocol.Peer, names []string, groupID uint64, interval time.Duration,
 ) *Formation {
 	return &Formation{
 		name: name, self: self, names: slices.Sorted(slices.Values(names)),
-		groupID: groupID, interval: interval, answers: map[string]blankAnswer{},
+		groupID: groupID, queryInterval: interval, answers: map[string]blankAnswer{},
 	}
 }
 
-// JoinOnly makes the replica join a group that exists and never found one: it
-// is not one of the seeds, or it is not the first start. It returns f.
+// JoinOnly makes the replica join an existing group and never found one, because it
+// is not one of the seeds or because the group was started before. It returns f.
 func (f *Formation) JoinOnly() *Formation {
-	f.joins = true
+	f.joinOnly = true
 	return f
 }
 
 // Tick sends the queries that are due and returns the first snapshot once this
 // replica may found the group.
 func (f *Formation) Tick(now time.Duration) (protocol.Snapshot, bool) {
-	if now >= f.next {
-		f.next = now + f.interval
+	if now >= f.nextQuery {
+		f.nextQuery = now + f.queryInterval
 		f.query()
 	}
-	if f.joins || f.names[0] != f.self.Name {
+	if f.joinOnly || f.names[0] != f.self.Name {
 		return protocol.Snapshot{}, false
 	}
 	voters := []protocol.Peer{f.self}
@@ -96,8 +96,8 @@
 	return s, true
 }
 
-// query requests from every other replica, by name, its incarnation and whether
-// its disk is blank.
+// query asks every other replica, by name, for its incarnation and whether its disk
+// is blank.
 func (f *Formation) query() {
 	for _, name := range slices.Concat(f.names, f.hints) {
 		if name != f.self.Name {
@@ -106,8 +106,8 @@
 	}
 }
 
-// takeHints remembers the members that a replica of an existing group names.
-func (f *Formation) takeHints(m protocol.Consensus) {
+// addHints stores the names of the members that a replica of an existing group reports.
+func (f *Formation) addHints(m protocol.Consensus) {
 	if m.Group == 0 || m.Snapshot == nil {
 		return
 	}
@@ -118,62 +118,62 @@
 	}
 }
 
-// Step takes a message and returns the first snapshot if the group was
-// founded by another replica.
+// Step handles a message and returns the first snapshot if another replica founded
+// the group.
 func (f *Formation) Step(m protocol.Consensus) (protocol.Snapshot, bool) {
 	if m.Name != f.name || m.To.Name != f.self.Name {
 		return protocol.Snapshot{}, false
 	}
 	switch m.Kind {
 	case protocol.MsgBlankQuery:
-		if f.joins {
+		if f.joinOnly {
 			return protocol.Snapshot{}, false
 		}
 		if m.From.Name == f.names[0] {
-			f.promised = m.From
+			f.promisedFounder = m.From
 		}
 		f.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From})
 	case protocol.MsgBlankReply:
 		f.answers[m.From.Name] = blankAnswer{peer: m.From, blank: m.Group == 0}
-		f.takeHints(m)
+		f.addHints(m)
 	case protocol.MsgFound:
-		whole := !f.joins && m.Snapshot != nil && m.To == f.self &&
-			(f.promised.IsZero() || m.From == f.promised) &&
+		valid := !f.joinOnly && m.Snapshot != nil && m.To == f.self &&
+			(f.promisedFounder.IsZero() || m.From == f.promisedFounder) &&
 			slices.Contains(m.Snapshot.Members.Voters, f.self)
-		if whole {
+		if valid {
 			return *m.Snapshot, true
 		}
 	default:
-		f.takeSender(m)
+		f.addSenderHint(m)
 	}
 	return protocol.Snapshot{}, false
 }
 
-// takeSender remembers a member of an existing group that sends to the incarnation whose
-// disk this replica had. The names in the settings may all be of replicas that lost their
-// disks together, and then nobody else leads to the group.
-func (f *Formation) takeSender(m protocol.Consensus) {
+// addSenderHint stores the name of a member of an existing group that sends to an earlier
+// incarnation of this replica. All replicas named in the settings may have lost their disks
+// together, and then such a message is the only way to find the group.
+func (f *Formation) addSenderHint(m protocol.Consensus) {
 	if m.Group != 0 && m.From.Name != "" && !slices.Contains(f.names, m.From.Name) && !slices.Contains(f.hints, m.From.Name) {
 		f.hints = append(f.hints, m.From.Name)
 	}
 }
 
-// Messages returns and clears what is to be sent.
+// Messages returns the queued messages and clears the queue.
 func (f *Formation) Messages() []protocol.Consensus {
-	out := f.out
-	f.out = nil
+	out := f.outbox
+	f.outbox = nil
 	return out
 }
 
 func (f *Formation) send(m protocol.Consensus) {
 	m.Name = f.name
 	m.From = f.self
-	f.out = append(f.out, m)
+	f.outbox = append(f.outbox, m)
 }
 
-// AnswerBlankQuery answers the query of a blank replica at one that holds a log,
-// and returns false for any other message. The leader takes the query as a
-// request to join as well.
+// AnswerBlankQuery replies, at a replica with a log, to the query of a blank replica.
+// It returns false for any other message. The leader also treats the query as a
+// request to join.
 func (r *Replica) AnswerBlankQuery(now time.Duration, m protocol.Consensus) bool {
 	if m.Kind != protocol.MsgBlankQuery || m.Name != r.cfg.Name || m.To.Name != r.cfg.Self.Name {
 		return false
@@ -182,8 +182,8 @@
 	members := protocol.Snapshot{Members: r.log.members()}
 	r.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
 	if s := r.log.snapshot; s.Index == 1 && slices.Contains(s.Members.Voters, m.From) {
-		// The foundation was lost on its way. It names this very incarnation,
-		// which has answered nothing since, so it may be sent again.
+		// The foundation message was lost. It names the same incarnation, which
+		// has not replied since, so it may be sent again.
 		r.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
 	}
 	r.stepJoin(m)
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -9,32 +9,32 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines changes of membership, one at a time, and the repair of a
-// replica that lost its disk.
+// This file defines membership changes, which happen one at a time, and the repair
+// of a replica that lost its disk.
 //
-// The repair is three changes: remove the lost incarnation from the voters,
-// add the new one as a learner, promote it once it holds everything that was
-// committed. Swapping the two in one change was rejected: a majority before
-// the swap could contain the lost disk's forgotten vote, and need not overlap
-// with a majority after it. Removing first costs no availability, because the
-// lost incarnation could not have answered anyway.
-
-// Limits of silence.
+// A repair consists of three changes: remove the lost incarnation from the voters,
+// add the new one as a learner, and promote it once it holds all committed entries.
+// A single change that replaces one by the other would be unsafe: a majority before
+// the change could include the vote that the lost disk recorded, and need not overlap
+// with a majority after it. Removing the lost incarnation first does not reduce
+// availability, because it could not reply anyway.
+
+// Limits on the silence of replicas and leaders.
 const (
-	// voterSilences is how many election timeouts a voter of an open group may
-	// leave unanswered before a learner takes its place.
-	voterSilences = 4
-	// learnerSilences is how many times as long as a voter a learner of an open
-	// group may be silent before it is removed.
-	learnerSilences = 5
-	// repairElections is how many election timeouts a blank replica waits for the
-	// next message of a leader that began to repair it.
-	repairElections = 5
+	// voterSilenceTimeouts is the number of election timeouts that a voter of an open
+	// group may be silent before a learner replaces it.
+	voterSilenceTimeouts = 4
+	// learnerSilenceFactor is the silence after which an open group removes a learner,
+	// as a multiple of a voter's limit.
+	learnerSilenceFactor = 5
+	// repairTimeouts is the number of election timeouts that a blank replica waits for
+	// the next message from a leader that began to repair it.
+	repairTimeouts = 5
 )
 
-// ChangeMembership appends a new membership. The error is [NotLeader],
-// [Handover] or [ChangePending]; a change that differs by more than one voter
-// is refused by [ChangePending] too, as two changes at once.
+// ChangeMembership appends a new membership. The error is [NotLeader], [Handover]
+// or [ChangePending]. A membership that differs by more than one voter counts as
+// several changes and is also rejected with [ChangePending].
 func (r *Replica) ChangeMembership(m protocol.Membership) error {
 	if r.role != Leader {
 		return NotLeader{Leader: r.leader}
@@ -49,13 +49,13 @@
 	return nil
 }
 
-// changePending reports whether a change must wait: another one is not
-// committed, or this leader has not committed anything in its own term yet.
+// changePending reports whether a membership change must wait, because another one
+// is uncommitted or this leader has not committed an entry of its own term yet.
 func (r *Replica) changePending() bool {
-	return r.log.lastChange() > r.commit || r.commit < r.termStart
+	return r.log.lastChange() > r.commit || r.commit < r.noopIndex
 }
 
-// voterDifference counts the voters that only one of two memberships has.
+// voterDifference counts the voters that are in exactly one of two memberships.
 func voterDifference(a, b protocol.Membership) int {
 	d := 0
 	for _, p := range slices.Concat(a.Voters, b.Voters) {
@@ -66,8 +66,8 @@
 	return d
 }
 
-// tickJoin requests membership for a replica that is none, once in an election
-// timeout.
+// tickJoin requests membership once per election timeout, if this replica is not a
+// member.
 func (r *Replica) tickJoin() {
 	m := r.log.members()
 	all := slices.Concat(m.Voters, m.Learners)
@@ -80,17 +80,17 @@
 	}
 }
 
-// RepairStopped reports whether a replica without a log has lost the leader
-// that began to repair it. It has no address of another member, and the next
-// leader may have no trace of it, so it must look for its group again, as after
-// a restart. It was never a voter, so no vote of it can be forgotten.
+// RepairStopped reports whether a replica without a log has lost the leader that
+// began to repair it. The replica has no address of another member, and the next
+// leader may have no record of it, so it must search for its group again as after a
+// restart. This is safe because the replica was never a voter and has cast no vote.
 func (r *Replica) RepairStopped() bool {
-	return r.log.snapshot.Group == 0 && r.now-r.leaderContact > repairElections*r.cfg.Election
+	return r.log.snapshot.Group == 0 && r.now-r.lastLeaderContact > repairTimeouts*r.cfg.Election
 }
 
-// stepJoin makes the next step of the repair of a replica that is no voter, at
-// the leader. Messages that prove a replica of an unknown incarnation to be
-// alive (a request for a vote) come here too.
+// stepJoin takes, at the leader, the next step in the repair of a replica that is not
+// a member. Vote requests come here too, as they show that a replica with an unknown
+// incarnation is alive.
 func (r *Replica) stepJoin(m protocol.Consensus) {
 	members := r.log.members()
 	if slices.Contains(slices.Concat(members.Voters, members.Learners), m.From) || !r.cfg.Admit(m.From.Name) {
@@ -98,35 +98,35 @@
 	}
 	next := protocol.Membership{Voters: without(members.Voters, m.From.Name), Learners: members.Learners}
 	if len(next.Voters) == 0 {
-		return // the lost voter was the only one: no quorum is left to commit the change
+		return // the lost voter was the only one, so no quorum can commit the change
 	}
 	if len(next.Voters) == len(members.Voters) {
 		next.Learners = append(without(members.Learners, m.From.Name), m.From)
 	}
-	// Refused at a follower and while another change or a handover is under way;
-	// the replica repeats its request.
+	// A follower rejects the change, as does a leader during another change or a
+	// leadership transfer. The replica repeats its request.
 	_ = r.ChangeMembership(next)
 }
 
-// tickMembership makes the change of membership that is due, if there is one.
+// tickMembership starts the membership change that is due, if any.
 func (r *Replica) tickMembership() {
 	if next, due := r.dueChange(r.log.members()); due {
-		// Refused while another change or a handover is under way; then the next
-		// tick tries again.
+		// Rejected during another change or a leadership transfer; the next tick
+		// retries.
 		_ = r.ChangeMembership(next)
 	}
 }
 
-// dueChange returns the membership that follows m and whether it differs. In
-// this order: an open group removes a silent voter that has been replaced; a
-// learner that holds everything becomes a voter if one is missing or silent; an
-// open group removes a silent learner.
+// dueChange returns the membership that should follow m, and whether it differs from
+// m. In this order: an open group removes a silent voter that has been replaced; a
+// learner that holds all committed entries becomes a voter if one is missing or
+// silent; an open group removes a silent learner.
 //
-// The replacement is promoted first and the silent voter removed after, so the
-// group never gets smaller: two quorums of a smaller group could be two disks.
+// The replacement is promoted before the silent voter is removed, so that the group
+// never shrinks: a quorum of a smaller group could be as few as two disks.
 func (r *Replica) dueChange(m protocol.Membership) (protocol.Membership, bool) {
 	open := r.cfg.Voters > 0
-	silence := voterSilences * r.cfg.Election
+	silence := voterSilenceTimeouts * r.cfg.Election
 	silent := r.firstSilent(m.Voters, silence)
 	if open && len(m.Voters) > r.cfg.Voters && !silent.IsZero() {
 		return protocol.Membership{Voters: without(m.Voters, silent.Name), Learners: m.Learners}, true
@@ -139,21 +139,21 @@
 			}, true
 		}
 	}
-	if p := r.firstSilent(m.Learners, learnerSilences*silence); open && !p.IsZero() {
+	if p := r.firstSilent(m.Learners, learnerSilenceFactor*silence); open && !p.IsZero() {
 		return protocol.Membership{Voters: m.Voters, Learners: without(m.Learners, p.Name)}, true
 	}
 	return m, false
 }
 
-// promotable reports whether a learner holds everything committed and answered
-// recently.
+// promotable reports whether a learner holds all committed entries and replied within
+// an election timeout.
 func (r *Replica) promotable(p protocol.Peer) bool {
 	pr := r.peers[p]
 	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.acked <= r.cfg.Election
 }
 
-// firstSilent returns the first of the peers that has not answered for longer
-// than limit, or the zero peer.
+// firstSilent returns the first peer without a reply for longer than limit, or the
+// zero peer.
 func (r *Replica) firstSilent(peers []protocol.Peer, limit time.Duration) protocol.Peer {
 	for _, p := range peers {
 		if p != r.cfg.Self && r.now-r.peers[p].acked > limit {
@@ -163,16 +163,16 @@
 	return protocol.Peer{}
 }
 
-// stepDownIfRemoved ends the leadership of a replica that is no voter once
-// the change is committed.
+// stepDownIfRemoved ends the leadership of a replica that is no longer a voter, once
+// the membership change is committed.
 func (r *Replica) stepDownIfRemoved() {
 	if !r.isVoter(r.cfg.Self) && r.commit >= r.log.lastChange() {
-		r.noteEnding(EndedByRemoval)
+		r.recordEnd(EndedByRemoval)
 		r.becomeFollower(r.hard.Term, protocol.Peer{})
 	}
 }
 
-// without returns the peers that do not have that name.
+// without returns the peers whose name differs from name.
 func without(peers []protocol.Peer, name string) []protocol.Peer {
 	return slices.DeleteFunc(slices.Clone(peers), func(p protocol.Peer) bool { return p.Name == name })
 }
--- a/coordination/consensus/membership_test.go
+++ b/coordination/consensus/membership_test.go
@@ -11,8 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestLearnerIsPromotedOnlyWithEverything steps a leader whose learner answers
-// in time but lacks the newest committed entry, then holds it but is silent.
+// TestLearnerIsPromotedOnlyWithEverything checks that a leader does not promote a
+// learner that replies in time but lacks the newest committed entry, nor one that
+// holds the entry but is silent.
 func TestLearnerIsPromotedOnlyWithEverything(t *testing.T) {
 	is := is.New(t)
 	a, b := protocol.Peer{Name: "a", Incarnation: 1}, protocol.Peer{Name: "b", Incarnation: 2}
@@ -46,12 +47,12 @@
 
 	reply(learner, protocol.Consensus{Kind: protocol.MsgAppendReply, Index: 1})
 	tick(testHeartbeat)
-	is.True(!r.isVoter(learner)) // lacks the no-op
+	is.True(!r.isVoter(learner)) // it lacks the no-op
 
 	reply(learner, protocol.Consensus{Kind: protocol.MsgAppendReply, Index: 2})
 	now += testElection
 	tick(1)
-	is.True(!r.isVoter(learner)) // holds it, but has been silent for an election timeout
+	is.True(!r.isVoter(learner)) // it holds the no-op, but has been silent for an election timeout
 
 	reply(learner, protocol.Consensus{Kind: protocol.MsgAppendReply, Index: 2})
 	tick(testHeartbeat)
--- a/coordination/consensus/memlog.go
+++ b/coordination/consensus/memlog.go
@@ -8,15 +8,15 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines memLog, the log as a replica holds it in memory: one
-// snapshot and the entries behind it, with the membership at every index.
+// This file defines memLog, the in-memory log of a replica.
 
+// memLog holds a snapshot, the entries after it, and the membership at every index.
 type memLog struct {
 	snapshot protocol.Snapshot
 	entries  []protocol.Entry // entries[i].Index == snapshot.Index+1+i
-	// changes are the membership entries that the log still holds, oldest
-	// first. The last one, or the snapshot's, is in force (on appending, not
-	// on commitment, as Raft requires).
+	// changes are the membership entries that the log still holds, oldest first.
+	// The last one, or the snapshot's membership, is in effect. A change takes
+	// effect when it is appended, not when it is committed, as Raft requires.
 	changes []membershipAt
 }
 
@@ -51,7 +51,7 @@
 	return l.entries[index-l.snapshot.Index-1].Term, true
 }
 
-// append adds one entry at its index, dropping everything from there on.
+// append adds an entry at its index, after removing all entries from that index on.
 func (l *memLog) append(e protocol.Entry) {
 	l.truncate(e.Index)
 	l.entries = append(l.entries, e)
@@ -60,7 +60,7 @@
 	}
 }
 
-// truncate drops the entries from index on.
+// truncate removes the entries from index on.
 func (l *memLog) truncate(index uint64) {
 	if index > l.last() {
 		return
@@ -72,9 +72,9 @@
 	}
 }
 
-// from returns the entries from index on, up to maxBytes of data but at least
-// one; 0 means all.
-func (l *memLog) from(index uint64, maxBytes int) []protocol.Entry {
+// entriesFrom returns the entries from index on: at least one, and up to maxBytes of
+// data. Zero means no limit.
+func (l *memLog) entriesFrom(index uint64, maxBytes int) []protocol.Entry {
 	if index <= l.snapshot.Index || index > l.last() {
 		return nil
 	}
@@ -92,15 +92,15 @@
 	return all
 }
 
-// between returns the entries from lo to hi, both included.
-func (l *memLog) between(lo, hi uint64) []protocol.Entry {
+// entriesBetween returns the entries from lo to hi, inclusive.
+func (l *memLog) entriesBetween(lo, hi uint64) []protocol.Entry {
 	if lo > hi || lo <= l.snapshot.Index {
 		return nil
 	}
 	return l.entries[lo-l.snapshot.Index-1 : hi-l.snapshot.Index]
 }
 
-// members returns the membership in force.
+// members returns the membership in effect.
 func (l *memLog) members() protocol.Membership {
 	if n := len(l.changes); n > 0 {
 		return l.changes[n-1].members
@@ -119,7 +119,7 @@
 	return m
 }
 
-// lastChange returns the index of the membership entry in force.
+// lastChange returns the index of the membership in effect.
 func (l *memLog) lastChange() uint64 {
 	if n := len(l.changes); n > 0 {
 		return l.changes[n-1].index
@@ -127,25 +127,25 @@
 	return l.snapshot.Index
 }
 
-// compact makes the snapshot cover everything up to index.
+// compact replaces the entries up to index by a snapshot.
 func (l *memLog) compact(index uint64, data []byte) {
 	term, _ := l.term(index)
 	next := protocol.Snapshot{
 		Group: l.snapshot.Group, Index: index, Term: term, Members: l.membersAt(index), Data: data,
 	}
-	*l = newMemLog(next, l.from(index+1, 0))
+	*l = newMemLog(next, l.entriesFrom(index+1, 0))
 }
 
 func encodeMembership(m protocol.Membership) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		panic("consensus: membership does not encode: " + err.Error()) // cannot happen: plain fields
+		panic("consensus: membership does not encode: " + err.Error()) // cannot happen: all fields are encodable
 	}
 	return b
 }
 
-// decodeMembership returns the zero membership for nonsense, which makes
-// every quorum impossible rather than guessed.
+// decodeMembership returns the zero membership for malformed data. No replica is a
+// voter in it, so no quorum can form on a guess.
 func decodeMembership(b []byte) protocol.Membership {
 	var m protocol.Membership
 	if err := cbor.Unmarshal(b, &m); err != nil {
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -12,15 +12,15 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-// This file tests open groups: found through seeds, grown by every replica that joins,
-// repaired by a new one.
+// This file tests open groups, which form around seeds, accept any replica that joins,
+// and replace failed replicas with new ones.
 
 const openVoters = 5
 
 // openCluster starts an open group whose first three names are its seeds.
 func openCluster(t failer, seed uint64, names ...string) *cluster {
 	c := emptyCluster(t, seed)
-	c.open, c.seeds, c.first = openVoters, names[:3], true
+	c.voterCount, c.seeds, c.bootstrap = openVoters, names[:3], true
 	for _, n := range names {
 		c.add(n)
 	}
@@ -30,7 +30,7 @@
 // voters returns the names of the leader's voters.
 func (c *cluster) voters() map[string]bool {
 	names := map[string]bool{}
-	for _, p := range c.members[c.mustLead()].r.log.members().Voters {
+	for _, p := range c.members[c.awaitLeader()].r.log.members().Voters {
 		names[p.Name] = true
 	}
 	return names
@@ -39,144 +39,144 @@
 func TestOpenGroupFormsAroundItsSeeds(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 1, "c", "b", "a", "e", "d")
-	c.mustLead()
-	c.settle(time.Second)
-	is.Equal(len(c.voters()), 5) // those that are no seeds have joined
+	c.awaitLeader()
+	c.run(time.Second)
+	is.Equal(len(c.voters()), 5) // replicas that are not seeds have joined
 }
 
 func TestOpenGroupKeepsToItsNumberOfVoters(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 2, "a", "b", "c", "d", "e", "f", "g")
-	c.mustLead()
-	c.settle(2 * time.Second)
+	c.awaitLeader()
+	c.run(2 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
 	m := c.members[c.leader()].r.log.members()
 	is.Equal(len(m.Learners), 2)
 }
 
-// TestReplacedReplica takes one machine away for good and brings an empty one
-// under another name: the group must have its full number of voters again,
-// without the one that is gone.
+// TestReplacedReplica stops one replica permanently and adds a blank one with another
+// name. The group must reach its full number of voters again, without the stopped
+// replica.
 func TestReplacedReplica(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 3, "a", "b", "c", "d", "e")
-	c.mustLead()
-	c.settle(time.Second)
+	c.awaitLeader()
+	c.run(time.Second)
 	gone := others(c, c.leader())[0]
 	c.kill(gone)
-	c.first = false
+	c.bootstrap = false
 	c.add("n")
-	c.settle(2 * time.Second)
+	c.run(2 * time.Second)
 	voters := c.voters()
 	is.Equal(len(voters), openVoters)
 	is.True(voters["n"])
 	is.True(!voters[gone])
 }
 
-// TestSilentVoterIsKeptWithoutReplacement kills two of five for long. A group
-// that shrank to the other three would have quorums of two disks.
+// TestSilentVoterIsKeptWithoutReplacement stops two of five replicas for a long time.
+// If the group shrank to the other three, two disks would be a quorum.
 func TestSilentVoterIsKeptWithoutReplacement(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 4, "a", "b", "c", "d", "e")
-	c.mustLead()
-	c.settle(time.Second)
+	c.awaitLeader()
+	c.run(time.Second)
 	rest := others(c, c.leader())
 	c.kill(rest[0])
 	c.kill(rest[1])
-	c.settle(5 * time.Second)
+	c.run(5 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
 }
 
-// TestBlankReplicasNeverFoundTwice loses every disk of the seeds after the
-// first start: nobody may found a second group.
+// TestBlankReplicasNeverFoundTwice loses the disks of all seeds after the first start.
+// No replica may found a second group.
 func TestBlankReplicasNeverFoundTwice(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 5, "a", "b", "c")
-	c.mustLead()
-	c.first = false
+	c.awaitLeader()
+	c.bootstrap = false
 	for _, n := range c.names {
 		c.kill(n)
 		c.blank(n)
 		c.start(n)
 	}
-	c.settle(5 * time.Second)
+	c.run(5 * time.Second)
 	is.Equal(c.leader(), "")
 	for _, n := range c.names {
 		is.True(c.members[n].r == nil)
 	}
 }
 
-// TestLoneSeedNeverFoundsTwice is the same with a single seed, which needs
-// nobody's answer.
+// TestLoneSeedNeverFoundsTwice is TestBlankReplicasNeverFoundTwice with a single seed,
+// which could found a group without a reply from another replica.
 func TestLoneSeedNeverFoundsTwice(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 8, "a", "b", "c")
-	c.mustLead()
-	c.first = false
+	c.awaitLeader()
+	c.bootstrap = false
 	c.seeds = []string{"a"}
 	for _, n := range c.names {
 		c.kill(n)
 		c.blank(n)
 	}
 	c.start("a")
-	c.settle(time.Second)
+	c.run(time.Second)
 	is.True(c.members["a"].r == nil)
 }
 
-// TestJoinsThroughAnyMember starts a blank replica whose only seed is a
-// follower: it must find the leader through the members that it is sent.
+// TestJoinsThroughAnyMember starts a blank replica whose only seed is a follower. It
+// must find the leader through the members that the follower names.
 func TestJoinsThroughAnyMember(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 6, "a", "b", "c", "d")
-	c.mustLead()
-	c.settle(time.Second)
-	c.first = false
+	c.awaitLeader()
+	c.run(time.Second)
+	c.bootstrap = false
 	c.seeds = others(c, c.leader())[:1]
 	c.add("n")
-	c.settle(2 * time.Second)
+	c.run(2 * time.Second)
 	is.True(c.voters()["n"])
 }
 
-// TestTwoDisksLostAtOnce loses two of five disks while the third follower has
-// lost power; what was acknowledged must come back with the third.
+// TestTwoDisksLostAtOnce loses the disks of two of five replicas while a third follower
+// is down. Acknowledged commands must be available once the third follower restarts.
 func TestTwoDisksLostAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 7, "a", "b", "c", "d", "e")
-	c.mustLead()
-	c.settle(time.Second)
+	c.awaitLeader()
+	c.run(time.Second)
 	l := c.leader()
 	is.True(c.propose(l))
-	c.settle(200 * time.Millisecond)
+	c.run(200 * time.Millisecond)
 	rest := others(c, l)
-	c.first = false
+	c.bootstrap = false
 	for _, n := range rest[:2] {
 		c.kill(n)
 		c.blank(n)
 		c.start(n)
 	}
 	c.kill(rest[2])
-	c.settle(time.Second)
+	c.run(time.Second)
 	c.start(rest[2])
-	c.settle(3 * time.Second)
+	c.run(3 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
-	c.checkSame()
+	c.checkConverged()
 }
 
-// TestRandomOpenSchedules is TestRandomSchedules for an open group, with
-// machines that are replaced for good as well.
+// TestRandomOpenSchedules is TestRandomSchedules for an open group, where replicas are
+// also replaced permanently.
 func TestRandomOpenSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		randomOpenSchedule(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(200, 1200).Draw(t, "steps"))
 	})
 }
 
-// TestKeptOpenSchedules plays schedules that failed once.
+// TestKeptOpenSchedules replays schedules that failed in the past.
 func TestKeptOpenSchedules(t *testing.T) {
 	for _, tt := range []struct {
 		seed  uint64
 		steps int
 	}{
-		{0x6d3a7f0c34, 200}, // a blank replica whose repairer was lost stayed outside
+		{0x6d3a7f0c34, 200}, // a blank replica never joined after the loss of the leader that repaired it
 	} {
 		randomOpenSchedule(t, tt.seed, tt.steps)
 	}
@@ -184,41 +184,41 @@
 
 func randomOpenSchedule(t failer, seed uint64, steps int) {
 	c := openCluster(t, seed, "a", "b", "c", "d", "e")
-	c.mustLead()
-	c.settle(time.Second)
-	c.first = false
+	c.awaitLeader()
+	c.run(time.Second)
+	c.bootstrap = false
 	replaced := 0
 	for range steps {
 		c.randomStep()
 		c.leader()
-		if c.rng.IntN(400) == 0 && replaced < 3 && c.replaceOne() {
+		if c.rng.IntN(400) == 0 && replaced < 3 && c.replaceFollower() {
 			replaced++
 		}
 	}
-	c.cut = map[string]bool{}
+	c.isolated = map[string]bool{}
 	for _, n := range c.names {
-		if m := c.members[n]; !m.running && !m.gone {
+		if m := c.members[n]; !m.running && !m.removed {
 			c.start(n)
 		}
 	}
-	l := c.mustLead()
+	l := c.awaitLeader()
 	c.propose(l)
-	c.settle(4 * time.Second)
-	c.mustLead()
-	c.checkSame()
+	c.run(4 * time.Second)
+	c.awaitLeader()
+	c.checkConverged()
 }
 
-// TestRepairerIsLost loses the leader right after it has begun to repair a
-// replica without a disk: the next one has no trace of that replica, which
-// must find the group again by itself.
+// TestRepairerIsLost stops the leader right after it has begun to repair a replica that
+// lost its disk. The next leader has no record of that replica, so the replica must
+// find the group again by itself.
 func TestRepairerIsLost(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 11, "a", "b", "c", "d", "e")
-	old := c.mustLead()
-	c.settle(time.Second)
-	c.first = false
+	old := c.awaitLeader()
+	c.run(time.Second)
+	c.bootstrap = false
 	c.propose(old)
-	c.settle(100 * time.Millisecond)
+	c.run(100 * time.Millisecond)
 	lost := others(c, old)[0]
 	c.kill(lost)
 	c.blank(lost)
@@ -228,37 +228,37 @@
 		c.tick(5 * time.Millisecond)
 		c.drain()
 	}
-	for _, n := range c.names { // no other replica gets that it is taken in
-		c.cut[n] = n != old && n != lost
+	for _, n := range c.names { // no other replica receives the membership change
+		c.isolated[n] = n != old && n != lost
 	}
 	for c.members[lost].r == nil {
 		c.tick(5 * time.Millisecond)
-		for len(c.net) > 0 && c.members[lost].r == nil {
+		for len(c.inFlight) > 0 && c.members[lost].r == nil {
 			c.deliver(0)
 		}
 	}
-	c.net = nil // it has received one message and no more
+	c.inFlight = nil // the replica has received a single message
 	c.kill(old)
-	c.cut = map[string]bool{}
-	c.mustLead()
-	c.settle(3 * time.Second)
+	c.isolated = map[string]bool{}
+	c.awaitLeader()
+	c.run(3 * time.Second)
 	is.Equal(c.members[lost].applied, []string{"0"})
-	c.checkSame()
+	c.checkConverged()
 }
 
-// replaceOne takes a follower away for good and brings an empty replica, if
-// the group is whole.
-func (c *cluster) replaceOne() bool {
+// replaceFollower permanently stops a follower and adds a blank replica, if the group is
+// healthy.
+func (c *cluster) replaceFollower() bool {
 	l := c.leader()
-	if l == "" || !c.whole(l) {
+	if l == "" || !c.isHealthy(l) {
 		return false
 	}
 	gone := others(c, l)[c.rng.IntN(len(c.names)-1)]
-	if c.members[gone].gone {
+	if c.members[gone].removed {
 		return false
 	}
 	c.kill(gone)
-	c.members[gone].gone = true
+	c.members[gone].removed = true
 	c.add(gone + "'")
 	return true
 }
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -10,79 +10,78 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Replica, its inputs and its output. What the inputs cause is
-// in the files beside it.
+// This file defines Replica, its inputs and its output. The other files of the
+// package handle the inputs.
 
-// Config sets up one replica of one group.
+// Config configures one replica of one group.
 type Config struct {
 	Name      string        // of the group
 	Self      protocol.Peer // this replica on this disk
 	Election  time.Duration // shortest time without a leader before an election
 	Heartbeat time.Duration // time between appends of an idle leader
-	// Rand returns a value in [0, n). It spreads elections.
+	// Rand returns a random value in [0, n), which spreads elections over time.
 	Rand func(n int64) int64
-	// Admit reports whether a replica of that name belongs to the group by
-	// the settings.
+	// Admit reports whether the settings allow a replica with that name in the group.
 	Admit func(name string) bool
-	// Voters is the number of voters of an open group: more replicas than
-	// that stay learners until a voter is silent, and then take its place. 0
-	// promotes every learner and replaces none.
+	// Voters is the number of voters of an open group. Further replicas stay
+	// learners until a voter falls silent, and then replace it. Zero promotes
+	// every learner and replaces no voter.
 	Voters int
-	// Bounds on what is sent to one follower; 0 is the default.
+	// Limits on the traffic to one follower; zero means the default.
 	MaxAppend   int // bytes of entries in one message, but at least one entry
-	MaxPiece    int // bytes of one piece of a snapshot
+	MaxPiece    int // bytes of snapshot data in one message
 	MaxInflight int // unanswered appends
 }
 
 // Defaults of Config.
 const (
 	defaultMaxAppend   = 256 << 10 // bytes of entries in one message
-	defaultMaxPiece    = 64 << 10  // bytes; a snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md)
+	defaultMaxChunk    = 64 << 10  // bytes; a snapshot of 1 MB takes 15 round trips (docs/CAPACITY.md)
 	defaultMaxInflight = 32        // appends
 )
 
-// withDefaults replaces what is zero.
+// withDefaults replaces zero limits by their defaults.
 func (c Config) withDefaults() Config {
 	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
-	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxPiece)
+	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxChunk)
 	c.MaxInflight = cmp.Or(c.MaxInflight, defaultMaxInflight)
 	return c
 }
 
-// Durable is what a replica found on its disk.
+// Durable is the state that a replica recovered from its disk.
 type Durable struct {
 	Hard     protocol.HardState
 	Snapshot protocol.Snapshot // zero on a blank disk
 	Entries  []protocol.Entry
 }
 
-// Ready is what a caller must do, in this order: write Snapshot, Hard and
-// Entries in one synced batch; send Messages; restore Restore; apply
-// Committed; call Advance.
+// Ready is the pending work of a replica. The caller must, in this order: write
+// Snapshot, Hard and Entries in one synced batch; send Messages; restore Restore;
+// apply Committed; call Advance.
 type Ready struct {
 	Snapshot *protocol.Snapshot  // replaces the whole log on disk
 	Hard     *protocol.HardState // nil when unchanged
 	Entries  []protocol.Entry    // replace everything from Entries[0].Index on
 	Messages []protocol.Consensus
-	Restore  *protocol.Snapshot // hand Data to the state machine
-	// Committed are the entries to apply, each exactly once since the
-	// restored snapshot.
+	Restore  *protocol.Snapshot // its Data replaces the state of the state machine
+	// Committed holds the entries to apply. Each entry appears exactly once
+	// after the restored snapshot.
 	Committed []protocol.Entry
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work.
 func (r Ready) Empty() bool {
 	return r.Snapshot == nil && r.Hard == nil && len(r.Entries) == 0 &&
 		len(r.Messages) == 0 && r.Restore == nil && len(r.Committed) == 0
 }
 
-// Role is what a replica is doing.
+// Role is the role of a replica in the current term.
 type Role uint8
 
 // The roles of a replica. They are neither sent nor stored.
 const (
 	Follower     Role = iota
-	PreCandidate      // finds out whether it could win an election
+	PreCandidate      // checks whether it could win an election
 	Candidate         // has voted for itself and requests votes
 	Leader
 )
@@ -92,9 +91,8 @@
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Replica is the step function of one replica of one group. The Replica of
-// package replica runs one, in a goroutine with a clock and a disk. It is not
-// safe for concurrent use.
+// Replica is the step function of one replica of one group. Package replica runs
+// it in a goroutine, with a clock and a disk. It is not safe for concurrent use.
 type Replica struct {
 	cfg  Config
 	now  time.Duration
@@ -102,54 +100,54 @@
 	hard protocol.HardState
 	log  memLog
 
-	leader        protocol.Peer
-	leaderContact time.Duration // time of the newest message of a leader, or of the start
-	deadline      time.Duration // when to campaign
-	votes         map[protocol.Peer]bool
+	leader            protocol.Peer
+	lastLeaderContact time.Duration // time of the newest message from a leader, or of the start
+	campaignAt        time.Duration // when to campaign
+	votes             map[protocol.Peer]bool
 
 	commit  uint64
 	applied uint64
 
-	peers       map[protocol.Peer]*progress // leader only
-	nextBeat    time.Duration
-	termStart   uint64 // index of this leader's no-op
-	transferTo  protocol.Peer
-	transferEnd time.Duration
-	leaseLost   bool   // leadership was offered to another in this term
-	ending      Ending // of this replica's last lead
-
-	host     uint64 // group whose leader repairs this blank replica
-	incoming *incomingSnapshot
-	nextJoin time.Duration
-
-	hardChanged bool
-	unwritten   uint64 // first index not yet handed out for writing
-	pending     Ready
+	peers            map[protocol.Peer]*progress // leader only
+	nextHeartbeat    time.Duration
+	noopIndex        uint64 // index of the no-op that begins this leader's term
+	transferTo       protocol.Peer
+	transferDeadline time.Duration
+	leaseVoid        bool   // leadership was offered to another replica in this term
+	lastEnd          Ending // end of this replica's last leadership
+
+	repairGroup uint64 // group whose leader repairs this blank replica
+	incoming    *incomingSnapshot
+	nextJoin    time.Duration
+
+	hardChanged    bool
+	firstUnwritten uint64 // first index that no Ready has returned for writing
+	pending        Ready
 }
 
-// New returns a replica that starts at time now with what its disk held.
+// New returns a replica that starts at time now with the state from its disk.
 func New(cfg Config, now time.Duration, d Durable) *Replica {
 	r := &Replica{
-		cfg:           cfg.withDefaults(),
-		now:           now,
-		hard:          d.Hard,
-		log:           newMemLog(d.Snapshot, d.Entries),
-		leaderContact: now,
-		commit:        d.Snapshot.Index,
-		applied:       d.Snapshot.Index,
+		cfg:               cfg.withDefaults(),
+		now:               now,
+		hard:              d.Hard,
+		log:               newMemLog(d.Snapshot, d.Entries),
+		lastLeaderContact: now,
+		commit:            d.Snapshot.Index,
+		applied:           d.Snapshot.Index,
 	}
-	r.unwritten = r.log.last() + 1
+	r.firstUnwritten = r.log.last() + 1
 	if r.log.lastTerm() > r.hard.Term {
-		r.setHard(r.log.lastTerm(), protocol.Peer{}) // a founded group has no vote yet
+		r.setHard(r.log.lastTerm(), protocol.Peer{}) // no vote has been cast in the term of a group's first snapshot
 	}
-	r.resetDeadline()
+	r.resetElectionTimer()
 	if v := r.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
-		r.deadline = now // no other replica can lead or have this one's vote
+		r.campaignAt = now // the only voter: no other replica can lead or hold its vote
 	}
 	return r
 }
 
-// Tick advances the time, which never goes back, and does what is due.
+// Tick advances the time, which never decreases, and runs the timers that are due.
 func (r *Replica) Tick(now time.Duration) {
 	r.now = max(r.now, now)
 	if r.role == Leader {
@@ -157,13 +155,13 @@
 		return
 	}
 	r.tickJoin()
-	if r.now >= r.deadline && r.isVoter(r.cfg.Self) {
+	if r.now >= r.campaignAt && r.isVoter(r.cfg.Self) {
 		r.campaign(PreCandidate, false)
 	}
 }
 
-// Propose appends a command and returns the index and term that it will have
-// if it is committed. The error is [NotLeader] or [Handover].
+// Propose appends a command and returns its index and term, which it keeps if it
+// is committed. The error is [NotLeader] or [Handover].
 func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
 	if r.role != Leader {
 		return 0, 0, NotLeader{Leader: r.leader}
@@ -175,26 +173,26 @@
 	return e.Index, e.Term, nil
 }
 
-// Step takes a message from another replica. Messages of another group, to
-// another incarnation or of an unknown kind are dropped.
+// Step handles a message from another replica. It drops messages of another
+// group, for another incarnation and of an unknown kind.
 func (r *Replica) Step(now time.Duration, m protocol.Consensus) {
 	r.now = max(r.now, now)
-	if !r.addressed(m) {
+	if !r.isAddressee(m) {
 		return
 	}
 	if m.Kind == protocol.MsgJoin {
 		r.stepJoin(m)
 		return
 	}
-	if r.ignoredVote(m) {
+	if r.ignoresVoteRequest(m) {
 		return
 	}
 	if m.Term > r.hard.Term && raisesTerm(m) {
-		r.noteEnding(EndedByTerm)
+		r.recordEnd(EndedByTerm)
 		r.becomeFollower(m.Term, protocol.Peer{})
 	}
 	if m.Term < r.hard.Term {
-		r.answerOldTerm(m)
+		r.replyToOldTerm(m)
 		return
 	}
 	r.dispatch(m)
@@ -219,7 +217,8 @@
 	}
 }
 
-// Ready returns what to do now. Nothing else may be called before Advance.
+// Ready returns the pending work. The caller must call Advance before any other
+// method that changes the replica.
 func (r *Replica) Ready() Ready {
 	if r.role == Leader {
 		r.sendAppends()
@@ -231,39 +230,40 @@
 		ready.Hard = &hard
 		r.hardChanged = false
 	}
-	ready.Entries = r.log.from(r.unwritten, 0)
-	r.unwritten = r.log.last() + 1
-	ready.Committed = r.log.between(r.applied+1, min(r.commit, r.log.last()))
+	ready.Entries = r.log.entriesFrom(r.firstUnwritten, 0)
+	r.firstUnwritten = r.log.last() + 1
+	ready.Committed = r.log.entriesBetween(r.applied+1, min(r.commit, r.log.last()))
 	r.applied += uint64(len(ready.Committed))
 	return ready
 }
 
-// Advance reports that everything of the last Ready was written and sent.
+// Advance confirms that the work of the last Ready was written and sent.
 func (r *Replica) Advance() {
 	if r.role != Leader {
 		return
 	}
 	if self := r.peers[r.cfg.Self]; self != nil {
-		self.match = r.unwritten - 1
+		self.match = r.firstUnwritten - 1
 		self.acked = r.now
 	}
 	r.advanceCommit()
 }
 
-// Compact replaces the log up to what is applied by a snapshot and returns it.
-// data is the state machine's image; the caller writes the snapshot with
-// [Replica.Tail].
+// Compact replaces the applied part of the log by a snapshot and returns it.
+// data is the image of the state machine. The caller writes the snapshot together
+// with the result of [Replica.Tail].
 func (r *Replica) Compact(data []byte) protocol.Snapshot {
 	r.log.compact(r.applied, data)
 	return r.log.snapshot
 }
 
-// Tail returns the entries behind the snapshot, for rewriting the disk.
+// Tail returns the hard state and the entries after the snapshot, for rewriting
+// the disk.
 func (r *Replica) Tail() (protocol.HardState, []protocol.Entry) {
-	return r.hard, r.log.from(r.log.snapshot.Index+1, 0)
+	return r.hard, r.log.entriesFrom(r.log.snapshot.Index+1, 0)
 }
 
-// Status is the state of a group as one replica has it.
+// Status is one replica's view of its group.
 type Status struct {
 	Group    uint64
 	Role     Role
@@ -274,8 +274,8 @@
 	Last     uint64 // index of the newest entry
 	First    uint64 // index of the snapshot
 	Members  protocol.Membership
-	LeaseEnd time.Duration // on the clock that the replica is given; 0 without a lease
-	Ending   Ending        // of this replica's last lead
+	LeaseEnd time.Duration // on the replica's clock; zero without a lease
+	Ending   Ending        // end of this replica's last leadership
 }
 
 // Status returns the current state.
@@ -283,18 +283,18 @@
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
-		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), Ending: r.endingNow(),
+		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), Ending: r.leadershipEnd(),
 	}
 }
 
-// Leads reports whether this replica may act as the leader at time now: it
-// has a lease, and everything that earlier leaders committed is applied.
+// Leads reports whether this replica may act as the leader at time now: it holds
+// a lease and has applied every entry that earlier leaders committed.
 func (r *Replica) Leads(now time.Duration) bool {
-	return r.role == Leader && now < r.leaseEnd() && r.applied >= r.termStart
+	return r.role == Leader && now < r.leaseEnd() && r.applied >= r.noopIndex
 }
 
-// addressed reports whether the message is for this replica of this group.
-func (r *Replica) addressed(m protocol.Consensus) bool {
+// isAddressee reports whether the message is addressed to this replica in this group.
+func (r *Replica) isAddressee(m protocol.Consensus) bool {
 	own := r.log.snapshot.Group
 	if m.Name != r.cfg.Name || m.From == r.cfg.Self || m.To != r.cfg.Self {
 		return false
@@ -303,12 +303,12 @@
 		return own != 0
 	}
 	if own == 0 && (m.Kind == protocol.MsgSnapshot || m.Kind == protocol.MsgAppend) {
-		r.host = m.Group // a blank replica belongs to the group that repairs it
+		r.repairGroup = m.Group // a blank replica adopts the group that repairs it
 	}
 	return m.Group != 0 && m.Group == r.group()
 }
 
-// send queues a message, filling in what every message carries.
+// send queues a message and fills in the fields common to all messages.
 func (r *Replica) send(m protocol.Consensus) {
 	m.Name = r.cfg.Name
 	m.Group = r.group()
@@ -319,13 +319,13 @@
 	r.pending.Messages = append(r.pending.Messages, m)
 }
 
-// group returns the identity of the group, or of the one that is repairing
-// this replica.
+// group returns the identifier of this replica's group, or of the group that is
+// repairing this replica.
 func (r *Replica) group() uint64 {
 	if own := r.log.snapshot.Group; own != 0 {
 		return own
 	}
-	return r.host
+	return r.repairGroup
 }
 
 func (r *Replica) setHard(term uint64, vote protocol.Peer) {
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -11,21 +11,20 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how a leader's log reaches the others, when an entry is
-// committed, and how long the leader may act as one.
+// This file defines log replication, commitment and the leader's lease.
 
-// progress is what a leader has learned of one replica.
+// progress is the leader's record of one replica.
 type progress struct {
-	match    uint64        // highest index that is durable there, by its answers
-	next     uint64        // next index to send
-	probing  bool          // next is a guess: one message at a time
-	waiting  bool          // a probe is unanswered
-	inflight int           // unanswered appends
-	acked    time.Duration // leader's clock stamped on the newest answered message
-	sent     time.Duration // when something was last sent
-	took     time.Duration // from sending the newest answered message to its answer
-	sync     time.Duration // what it takes to make entries durable, as it said last
-	outgoing *outgoingSnapshot
+	match         uint64        // highest index that the replica reported as durable
+	next          uint64        // next index to send
+	probing       bool          // next is a guess: at most one message is in flight
+	probeInFlight bool          // a probe awaits its reply
+	inflight      int           // appends without a reply
+	acked         time.Duration // send time, on the leader's clock, of the newest message with a reply
+	sentAt        time.Duration // time of the last message
+	roundTrip     time.Duration // round-trip time of the newest reply
+	syncTime      time.Duration // time to make entries durable, as last reported
+	outgoing      *outgoingSnapshot
 }
 
 // appendOwn appends an entry of this leader's term.
@@ -38,7 +37,7 @@
 	return e
 }
 
-// syncPeers makes the progress table hold exactly the members.
+// syncPeers updates the progress table to hold exactly the members.
 func (r *Replica) syncPeers() {
 	m := r.log.members()
 	all := slices.Concat(m.Voters, m.Learners)
@@ -49,46 +48,46 @@
 	}
 	maps.DeleteFunc(r.peers, func(p protocol.Peer, _ *progress) bool { return !slices.Contains(all, p) })
 	if self := r.peers[r.cfg.Self]; self != nil {
-		self.match = r.unwritten - 1
+		self.match = r.firstUnwritten - 1
 	}
 }
 
-// tickLeader steps down without a majority (check-quorum), gives up a handover
-// that takes too long, sends heartbeats and changes the membership if one is due.
+// tickLeader steps down without a majority (check-quorum), cancels a leadership
+// transfer that timed out, sends heartbeats and starts a membership change that is due.
 func (r *Replica) tickLeader() {
 	if r.now >= r.lastQuorumContact()+r.cfg.Election {
-		r.noteEnding(EndedWithoutQuorum)
+		r.recordEnd(EndedWithoutQuorum)
 		r.becomeFollower(r.hard.Term, protocol.Peer{})
 		return
 	}
-	if !r.transferTo.IsZero() && r.now >= r.transferEnd {
+	if !r.transferTo.IsZero() && r.now >= r.transferDeadline {
 		r.endTransfer()
 		return
 	}
-	if r.now >= r.nextBeat {
-		r.nextBeat = r.now + r.cfg.Heartbeat
-		for _, p := range r.others() {
-			r.beat(p, r.peers[p])
+	if r.now >= r.nextHeartbeat {
+		r.nextHeartbeat = r.now + r.cfg.Heartbeat
+		for _, p := range r.otherMembers() {
+			r.sendHeartbeat(p, r.peers[p])
 		}
 	}
 	r.tickMembership()
 }
 
-// others returns the replicas to send to, in an order that does not depend on
-// the map.
-func (r *Replica) others() []protocol.Peer {
+// otherMembers returns the members other than this replica. The order does not depend
+// on map iteration, so that a run can be repeated.
+func (r *Replica) otherMembers() []protocol.Peer {
 	m := r.log.members()
 	all := slices.Concat(m.Voters, m.Learners)
 	return slices.DeleteFunc(all, func(p protocol.Peer) bool { return p == r.cfg.Self })
 }
 
-// beat sends an append even when there is nothing new. An answer that does
-// not come within an election timeout counts as lost.
-func (r *Replica) beat(p protocol.Peer, pr *progress) {
-	if r.now-pr.sent >= r.cfg.Election || pr.waiting {
-		pr.probing, pr.waiting, pr.inflight = true, false, 0
+// sendHeartbeat sends an append, even without new entries. A message without a reply
+// within an election timeout counts as lost.
+func (r *Replica) sendHeartbeat(p protocol.Peer, pr *progress) {
+	if r.now-pr.sentAt >= r.cfg.Election || pr.probeInFlight {
+		pr.probing, pr.probeInFlight, pr.inflight = true, false, 0
 		if pr.outgoing != nil {
-			r.sendPiece(p, pr)
+			r.sendChunk(p, pr)
 			return
 		}
 		pr.next = max(min(pr.next, r.log.last()+1), pr.match+1)
@@ -98,9 +97,9 @@
 	}
 }
 
-// sendAppends sends what is new to every replica that can take it.
+// sendAppends sends new entries to every replica that can accept more.
 func (r *Replica) sendAppends() {
-	for _, p := range r.others() {
+	for _, p := range r.otherMembers() {
 		pr := r.peers[p]
 		for r.canSend(pr) {
 			r.sendAppend(p, pr)
@@ -113,13 +112,13 @@
 		return false
 	}
 	if pr.probing {
-		return !pr.waiting
+		return !pr.probeInFlight
 	}
 	return pr.inflight < r.cfg.MaxInflight
 }
 
-// sendAppend sends one message: entries if there are any, a snapshot when the
-// log no longer reaches back far enough.
+// sendAppend sends one message: the next entries, or a snapshot if the log no
+// longer holds the entry before them.
 func (r *Replica) sendAppend(p protocol.Peer, pr *progress) {
 	prev := pr.next - 1
 	prevTerm, ok := r.log.term(prev)
@@ -127,10 +126,10 @@
 		r.startSnapshot(p, pr)
 		return
 	}
-	entries := r.log.from(pr.next, r.cfg.MaxAppend)
-	pr.sent = r.now
+	entries := r.log.entriesFrom(pr.next, r.cfg.MaxAppend)
+	pr.sentAt = r.now
 	if pr.probing {
-		pr.waiting = true
+		pr.probeInFlight = true
 	} else {
 		pr.next += uint64(len(entries))
 	}
@@ -143,23 +142,23 @@
 	})
 }
 
-// followLeader records a message of the leader of this term.
+// followLeader records a message from the leader of this term.
 func (r *Replica) followLeader(p protocol.Peer) {
 	if r.role != Follower || r.leader != p {
 		r.becomeFollower(r.hard.Term, p)
 	}
-	r.leaderContact = r.now
-	r.resetDeadline()
+	r.lastLeaderContact = r.now
+	r.resetElectionTimer()
 }
 
 func (r *Replica) stepAppend(m protocol.Consensus) {
 	if r.role == Leader {
-		return // two leaders in one term cannot be
+		return // cannot happen: a term has at most one leader
 	}
 	r.followLeader(m.From)
 	reply := protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Sent: m.Sent}
 	if r.log.snapshot.Group == 0 {
-		reply.Reject = true // a blank log starts with a snapshot
+		reply.Reject = true // a blank replica needs a snapshot first
 		r.send(reply)
 		return
 	}
@@ -173,14 +172,14 @@
 		r.send(reply)
 		return
 	}
-	r.accept(m.Entries)
+	r.appendMissing(m.Entries)
 	reply.Index = m.Index + uint64(len(m.Entries))
 	r.commitTo(min(m.Commit, reply.Index))
 	r.send(reply)
 }
 
-// skipCommitted cuts off what is committed here already: committed entries
-// match by definition, and the log may no longer hold them.
+// skipCommitted removes the entries that are already committed here: committed
+// entries match by definition, and the log may no longer hold them.
 func (r *Replica) skipCommitted(m protocol.Consensus) protocol.Consensus {
 	skip := min(r.commit-m.Index, uint64(len(m.Entries)))
 	m.Entries = m.Entries[skip:]
@@ -189,20 +188,20 @@
 	return m
 }
 
-// accept appends the entries that the log does not hold yet. An entry that is
-// held already is left alone: an old message must not cut off newer entries.
-func (r *Replica) accept(entries []protocol.Entry) {
+// appendMissing appends the entries that the log does not hold yet. It leaves
+// existing entries in place: a delayed message must not truncate newer entries.
+func (r *Replica) appendMissing(entries []protocol.Entry) {
 	for _, e := range entries {
 		if t, ok := r.log.term(e.Index); ok && t == e.Term {
 			continue
 		}
 		r.log.append(e)
-		r.unwritten = min(r.unwritten, e.Index)
+		r.firstUnwritten = min(r.firstUnwritten, e.Index)
 	}
 }
 
-// conflictHint returns the highest index at which this log could agree with
-// one that has term at index.
+// conflictHint returns the highest index at which this log may match a log that
+// has the given term at index.
 func (r *Replica) conflictHint(index, term uint64) uint64 {
 	hint := min(index-1, r.log.last())
 	for hint > r.commit {
@@ -221,10 +220,10 @@
 		return
 	}
 	pr.acked = max(pr.acked, time.Duration(m.Sent))
-	pr.took = r.now - time.Duration(m.Sent)
-	pr.sync = time.Duration(m.Sync)
+	pr.roundTrip = r.now - time.Duration(m.Sent)
+	pr.syncTime = time.Duration(m.Sync)
 	if m.Reject {
-		r.retreat(pr, m)
+		r.backtrack(pr, m)
 		return
 	}
 	pr.inflight = max(pr.inflight-1, 0)
@@ -233,7 +232,7 @@
 		pr.probing = true
 	}
 	if pr.probing {
-		pr.probing, pr.waiting, pr.inflight = false, false, 0
+		pr.probing, pr.probeInFlight, pr.inflight = false, false, 0
 		pr.next = m.Index + 1
 	}
 	pr.next = max(pr.next, m.Index+1)
@@ -246,39 +245,40 @@
 	}
 }
 
-// Follows reports, at the leader, whether another replica holds all of the log and has answered
-// lately, and how long it takes to make entries durable; 0 if it has not said.
+// Follows reports, at the leader, whether another replica holds the whole log and has
+// replied within half an election timeout, and the time that it takes to make entries durable,
+// zero if unknown.
 func (r *Replica) Follows(p protocol.Peer) (ready bool, sync time.Duration) {
 	pr := r.peers[p]
 	if r.role != Leader || pr == nil {
 		return false, 0
 	}
-	return pr.match >= r.log.last() && r.now-pr.acked <= r.cfg.Election/2, pr.sync
+	return pr.match >= r.log.last() && r.now-pr.acked <= r.cfg.Election/2, pr.syncTime
 }
 
-// retreat moves next back to where a follower's log may agree.
-func (r *Replica) retreat(pr *progress, m protocol.Consensus) {
-	pr.probing, pr.waiting, pr.inflight = true, false, 0
+// backtrack moves next back to where the follower's log may match.
+func (r *Replica) backtrack(pr *progress, m protocol.Consensus) {
+	pr.probing, pr.probeInFlight, pr.inflight = true, false, 0
 	if m.Hint < pr.match && m.Index <= pr.match {
-		return // an old answer: durable entries do not go away
+		return // a delayed reply: durable entries are never lost
 	}
 	pr.next = max(min(m.Hint+1, r.log.last()+1), pr.match+1)
 }
 
-// advanceCommit commits what a majority of the voters holds on disk. Only
-// entries of the leader's own term are counted (Raft, section 3.6.2).
+// advanceCommit commits the entries that a majority of the voters holds on disk.
+// Only entries of the leader's own term are counted (Raft, section 3.6.2).
 func (r *Replica) advanceCommit() {
-	index := reachedByQuorum(r, func(p protocol.Peer) uint64 { return r.peers[p].match })
+	index := quorumValue(r, func(p protocol.Peer) uint64 { return r.peers[p].match })
 	if t, ok := r.log.term(index); ok && t == r.hard.Term && index > r.commit {
 		r.commitTo(index)
-		r.nextBeat = r.now // the followers learn of it with the next tick
+		r.nextHeartbeat = r.now // the next tick sends the commit index to the followers
 		r.stepDownIfRemoved()
 	}
 }
 
-// reachedByQuorum returns the highest value that a majority of the voters has
-// reached, zero in a group without voters.
-func reachedByQuorum[T cmp.Ordered](r *Replica, valueOf func(protocol.Peer) T) T {
+// quorumValue returns the highest value that a majority of the voters has reached,
+// or zero in a group without voters.
+func quorumValue[T cmp.Ordered](r *Replica, valueOf func(protocol.Peer) T) T {
 	var values []T
 	for _, p := range r.log.members().Voters {
 		values = append(values, valueOf(p))
@@ -293,10 +293,10 @@
 
 func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.last())) }
 
-// lastQuorumContact returns the newest time at which a majority, this leader
-// included, has confirmed that it follows.
+// lastQuorumContact returns the newest time for which a majority, including this
+// leader, has confirmed the leadership.
 func (r *Replica) lastQuorumContact() time.Duration {
-	return reachedByQuorum(r, func(p protocol.Peer) time.Duration {
+	return quorumValue(r, func(p protocol.Peer) time.Duration {
 		if p == r.cfg.Self {
 			return r.now
 		}
@@ -304,15 +304,16 @@
 	})
 }
 
-// DriftMargin is the part of the election timeout by which a lease is shortened: clocks of two boxes
-// may differ in speed by that much.
+// DriftMargin is the fraction of the election timeout by which a lease is shortened. It bounds the
+// difference in speed between the clocks of two boxes.
 const DriftMargin = 0.1
 
-// leaseEnd returns when this leader must stop acting as one. Until then no other
-// replica can have won an election: a majority refuses to vote for an election
-// timeout after a message of this leader.
+// leaseEnd returns the time at which this leader must stop acting as one, or zero
+// without a lease. Until then no other replica can win an election, because a
+// majority ignores vote requests for an election timeout after a message from this
+// leader.
 func (r *Replica) leaseEnd() time.Duration {
-	if r.role != Leader || r.leaseLost {
+	if r.role != Leader || r.leaseVoid {
 		return 0
 	}
 	lease := time.Duration(float64(r.cfg.Election) * (1 - DriftMargin))
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -8,17 +8,17 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what is handed over between replicas in one go: a
-// snapshot, piece by piece, and leadership.
+// This file defines the transfer of snapshots, in chunks, and of leadership.
 
-// outgoingSnapshot is a snapshot on its way to one follower. It is held by
-// value, so that a compaction during the transfer does not mix two snapshots.
+// outgoingSnapshot is the transfer of a snapshot to one follower. It holds the
+// snapshot by value, so that a compaction during the transfer does not mix two
+// snapshots.
 type outgoingSnapshot struct {
 	snapshot protocol.Snapshot
 	offset   uint64
 }
 
-// incomingSnapshot is what a follower has received so far.
+// incomingSnapshot is the part of a snapshot that a follower has received.
 type incomingSnapshot struct {
 	from  protocol.Peer
 	index uint64
@@ -28,24 +28,24 @@
 
 func (r *Replica) startSnapshot(p protocol.Peer, pr *progress) {
 	pr.outgoing = &outgoingSnapshot{snapshot: r.log.snapshot}
-	r.sendPiece(p, pr)
+	r.sendChunk(p, pr)
 }
 
-func (r *Replica) sendPiece(p protocol.Peer, pr *progress) {
+func (r *Replica) sendChunk(p protocol.Peer, pr *progress) {
 	out := pr.outgoing
 	data := out.snapshot.Data
 	end := min(out.offset+uint64(r.cfg.MaxPiece), uint64(len(data)))
 	piece := out.snapshot
 	piece.Data = data[out.offset:end]
-	pr.sent = r.now
+	pr.sentAt = r.now
 	r.send(protocol.Consensus{
 		Kind: protocol.MsgSnapshot, To: p, Snapshot: &piece, Sent: int64(r.now),
 		Offset: out.offset, Total: uint64(len(data)), Commit: r.commit,
 	})
 }
 
-// stepSnapshot takes a piece of a snapshot and installs the snapshot once it is
-// whole. One that covers nothing new is answered as an append would be.
+// stepSnapshot adds a chunk and installs the snapshot once it is complete. It replies
+// to a snapshot without new entries as to an append.
 func (r *Replica) stepSnapshot(m protocol.Consensus) {
 	if r.role == Leader || m.Snapshot == nil {
 		return
@@ -58,7 +58,7 @@
 		r.send(reply)
 		return
 	}
-	if r.takePiece(m) {
+	if r.addChunk(m) {
 		r.install(protocol.Snapshot{
 			Group: s.Group, Index: s.Index, Term: s.Term, Members: s.Members, Data: r.incoming.data,
 		})
@@ -70,8 +70,8 @@
 	r.send(reply)
 }
 
-// takePiece adds one piece and reports whether the snapshot is whole.
-func (r *Replica) takePiece(m protocol.Consensus) bool {
+// addChunk adds one chunk and reports whether the snapshot is complete.
+func (r *Replica) addChunk(m protocol.Consensus) bool {
 	in, s := r.incoming, m.Snapshot
 	if in == nil || in.from != m.From || in.index != s.Index || in.term != s.Term {
 		r.incoming = &incomingSnapshot{from: m.From, index: s.Index, term: s.Term}
@@ -83,14 +83,14 @@
 	return uint64(len(in.data)) >= m.Total
 }
 
-// install replaces the whole log by a snapshot.
+// install replaces the whole log with a snapshot.
 func (r *Replica) install(s protocol.Snapshot) {
 	r.log = newMemLog(s, nil)
 	r.commit, r.applied = s.Index, s.Index
-	r.unwritten = s.Index + 1
+	r.firstUnwritten = s.Index + 1
 	r.pending.Snapshot, r.pending.Restore = &s, &s
 	r.pending.Committed = nil
-	r.hardChanged = true // the disk is rewritten, hard state included
+	r.hardChanged = true // the disk is rewritten, including the hard state
 }
 
 func (r *Replica) stepSnapshotReply(m protocol.Consensus) {
@@ -100,12 +100,12 @@
 	}
 	pr.acked = max(pr.acked, time.Duration(m.Sent))
 	pr.outgoing.offset = min(m.Offset, uint64(len(pr.outgoing.snapshot.Data)))
-	r.sendPiece(m.From, pr)
+	r.sendChunk(m.From, pr)
 }
 
-// Transfer hands leadership to the voter of that name, or with an empty name
-// to the voter that answered last. It reports whether a handover is under way:
-// not if this replica does not lead or no other can.
+// Transfer starts a transfer of leadership to the named voter, or for an empty name
+// to the voter that replied most recently. It reports whether a transfer is in
+// progress, which requires that this replica leads and that another voter exists.
 func (r *Replica) Transfer(name string) bool {
 	if r.role != Leader || !r.transferTo.IsZero() {
 		return r.role == Leader
@@ -115,7 +115,7 @@
 		if p == r.cfg.Self || (name != "" && p.Name != name) {
 			continue
 		}
-		if best.IsZero() || r.better(p, best) {
+		if best.IsZero() || r.isBetterSuccessor(p, best) {
 			best = p
 		}
 	}
@@ -123,13 +123,14 @@
 		return false
 	}
 	r.transferTo = best
-	r.transferEnd = r.now + r.cfg.Election
+	r.transferDeadline = r.now + r.cfg.Election
 	r.tryHandover()
 	return true
 }
 
-// better reports whether p answered more recently than q, or holds more.
-func (r *Replica) better(p, q protocol.Peer) bool {
+// isBetterSuccessor reports whether p replied more recently than q or, if both replied to
+// messages of the same time, holds more of the log.
+func (r *Replica) isBetterSuccessor(p, q protocol.Peer) bool {
 	a, b := r.peers[p], r.peers[q]
 	if a.acked != b.acked {
 		return a.acked > b.acked
@@ -137,24 +138,24 @@
 	return a.match > b.match
 }
 
-// tryHandover makes the successor campaign once it holds everything. From then
-// on this leader's lease is void.
+// tryHandover requests the successor to campaign once it holds the whole log. The
+// request voids this leader's lease.
 func (r *Replica) tryHandover() {
 	pr := r.peers[r.transferTo]
 	if pr == nil || pr.match < r.log.last() {
 		return
 	}
-	r.leaseLost = true
+	r.leaseVoid = true
 	r.send(protocol.Consensus{Kind: protocol.MsgCampaignNow, To: r.transferTo})
 }
 
-// endTransfer gives up on a successor that did not campaign in time. If the
-// message to do so was sent, the campaign may still come, so this leader cannot
-// get its lease back within the term and steps down.
+// endTransfer cancels a transfer whose successor did not campaign in time. If the
+// request to campaign was sent, the campaign may still follow. The leader then cannot
+// regain its lease within the term, so it steps down.
 func (r *Replica) endTransfer() {
 	r.transferTo = protocol.Peer{}
-	if r.leaseLost {
-		r.noteEnding(EndedByHandover)
+	if r.leaseVoid {
+		r.recordEnd(EndedByHandover)
 		r.becomeFollower(r.hard.Term, protocol.Peer{})
 	}
 }
