--- a/replica/errors.go
+++ b/replica/errors.go
@@ -2,14 +2,14 @@
 
 package replica
 
-// This file defines how a replica fails its callers.
+// This file defines the errors that a replica returns.
 
-// Undecided is a proposal that may or may not be committed: this replica lost
-// the lead or stopped, or the caller's time ran out, before the outcome. The same change
-// must be proposed again under the same identifier.
+// Undecided reports that a proposal may or may not be committed: before the outcome
+// was known, this replica lost the leadership or stopped, or the caller's context ended.
+// The caller must propose the same change again with the same identifier.
 type Undecided struct{ Err error }
 
-// Error gives what to do.
+// Error returns the advice for the caller and the cause.
 func (e Undecided) Error() string {
 	text := "undecided; ask again with the same identifier"
 	if e.Err != nil {
@@ -21,7 +21,7 @@
 // Unwrap returns the cause.
 func (e Undecided) Unwrap() error { return e.Err }
 
-// Stopped is a replica that no longer runs.
+// Stopped reports that the replica no longer runs.
 type Stopped struct{ Err error }
 
 // Error names the cause.
--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -23,8 +23,8 @@
 func (r *register) Snapshot() ([]byte, error)  { return []byte(r.value), nil }
 func (r *register) Restore(image []byte) error { r.value = string(image); return nil }
 
-// A group of one replica elects itself and answers a proposal with what its
-// state machine returned.
+// A group of one replica elects itself and returns the state machine's result to the
+// proposer.
 func ExampleReplica() {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -12,41 +12,41 @@
 	"github.com/badgerspoke/badgerspoke/state/journal"
 )
 
-// This file defines the goroutine of a replica: first as a blank one that
-// forms a group or waits to be repaired, then as a member.
+// This file defines the goroutine of a replica. A blank replica first forms a group
+// or waits to be repaired, and then runs as a member.
 
-// loop is what the replica's goroutine owns.
+// loop is the state that the replica's goroutine owns.
 type loop struct {
-	r         *Replica
-	journal   *journal.Journal
-	self      protocol.Peer
-	formation *consensus.Formation // nil once there is a log
-	member    *consensus.Replica   // nil until then
-	waiting   map[uint64]waiter    // proposals by index
-	leads     bool
-	turned    time.Duration // when the last round began
-	pause     time.Duration // between that and the one before it
+	r             *Replica
+	journal       *journal.Journal
+	self          protocol.Peer
+	formation     *consensus.Formation       // nil once the replica is a member
+	member        *consensus.Replica         // nil while the replica is blank
+	proposals     map[uint64]pendingProposal // proposals by log index
+	leads         bool
+	roundStart    time.Duration // start of the current round
+	roundInterval time.Duration // time between the starts of the current and the previous round
 }
 
-// waiter is a proposal that has its place in the log.
-type waiter struct {
+// pendingProposal is an appended proposal that awaits its outcome.
+type pendingProposal struct {
 	term   uint64
 	answer chan outcome
 }
 
 const (
-	// maxBatch is how many inputs share one sync. TestProposalsShareSyncs shows the sharing.
+	// maxBatch is the largest number of inputs that share one sync (TestProposalsShareSyncs).
 	maxBatch = 512
-	// ticksPerHeartbeat is how often in a heartbeat the time is looked at when there is no input.
+	// ticksPerHeartbeat is the number of timer ticks per heartbeat interval without input.
 	ticksPerHeartbeat = 3
-	// shortestTick bounds the timer's work for very short heartbeats.
-	shortestTick = time.Millisecond
+	// minTick limits the timer's rate for very short heartbeats.
+	minTick = time.Millisecond
 )
 
 func (l *loop) init(r *Replica, j *journal.Journal, c journal.Contents) error {
 	l.r, l.journal = r, j
 	l.self = protocol.Peer{Name: r.cfg.Name, Incarnation: c.Incarnation}
-	l.waiting = map[uint64]waiter{}
+	l.proposals = map[uint64]pendingProposal{}
 	if c.Snapshot.Group == 0 {
 		l.formation = l.newFormation()
 		if o := r.cfg.Open; o != nil && (!o.Bootstrap || !slices.Contains(r.cfg.Names, r.cfg.Name)) {
@@ -57,12 +57,12 @@
 	if err := l.restore(c.Snapshot.Data); err != nil {
 		return err
 	}
-	l.begin(0, consensus.Durable{Hard: c.Hard, Snapshot: c.Snapshot, Entries: c.Entries})
+	l.startMember(0, consensus.Durable{Hard: c.Hard, Snapshot: c.Snapshot, Entries: c.Entries})
 	return nil
 }
 
-// restore gives the machine an image. A group's first snapshot has none, and the
-// machine keeps its state.
+// restore restores the state machine from an image. A group's first snapshot has no
+// image, and the state machine then keeps its state.
 func (l *loop) restore(image []byte) error {
 	if len(image) == 0 {
 		return nil
@@ -75,9 +75,9 @@
 	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
 }
 
-// begin goes on as a member, with what the disk holds, or without a log if a
-// leader repairs this replica.
-func (l *loop) begin(now time.Duration, d consensus.Durable) {
+// startMember runs the replica as a member with the state from its disk, or without a log if
+// a leader repairs it.
+func (l *loop) startMember(now time.Duration, d consensus.Durable) {
 	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
@@ -95,8 +95,8 @@
 
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.stopped)
-	defer r.loop.journal.Close() // what it could still fail at was never acknowledged
-	tick := time.NewTicker(max(r.cfg.Heartbeat/ticksPerHeartbeat, shortestTick))
+	defer r.loop.journal.Close() // anything that Close fails to write was never acknowledged
+	tick := time.NewTicker(max(r.cfg.Heartbeat/ticksPerHeartbeat, minTick))
 	defer tick.Stop()
 	for {
 		var first input
@@ -116,7 +116,7 @@
 	}
 }
 
-// batch returns the first input and those that wait behind it.
+// batch returns the first input and the inputs queued after it, up to maxBatch.
 func (r *Replica) batch(first input) []input {
 	in := []input{first}
 	for len(in) < maxBatch {
@@ -130,13 +130,13 @@
 	return in
 }
 
-// round steps through one batch and makes its effects durable. An error is
-// the disk's and final.
+// round processes one batch and makes its effects durable. An error comes from the
+// disk or the state machine and is final.
 func (l *loop) round(in []input) error {
 	now := l.r.Now()
-	l.pause, l.turned = now-l.turned, now
+	l.roundInterval, l.roundStart = now-l.roundStart, now
 	for _, i := range in {
-		if err := l.take(now, i); err != nil {
+		if err := l.handle(now, i); err != nil {
 			return err
 		}
 	}
@@ -154,16 +154,16 @@
 		if ready.Empty() {
 			break
 		}
-		if err := l.carryOut(ready); err != nil {
+		if err := l.processReady(ready); err != nil {
 			return err
 		}
 		l.member.Advance()
 	}
-	l.observe(now)
+	l.reportStatus(now)
 	return l.compact()
 }
 
-func (l *loop) take(now time.Duration, i input) error {
+func (l *loop) handle(now time.Duration, i input) error {
 	switch {
 	case i.message != nil:
 		return l.deliver(now, *i.message)
@@ -183,24 +183,24 @@
 		return nil
 	}
 	if m.To == l.self && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
-		// A leader repairs this replica: go on as a member without a log.
-		l.begin(now, consensus.Durable{})
+		// A leader repairs this replica: run as a member without a log.
+		l.startMember(now, consensus.Durable{})
 		l.member.Step(now, m)
 		return nil
 	}
 	if s, ok := l.formation.Step(m); ok {
-		return l.found(now, s)
+		return l.foundGroup(now, s)
 	}
 	return nil
 }
 
-// tickFormation sends what a blank replica has to send and founds the group if
-// this replica may.
+// tickFormation sends the messages of a blank replica and founds the group if this
+// replica may.
 func (l *loop) tickFormation(now time.Duration) error {
 	s, ok := l.formation.Tick(now)
 	messages := l.formation.Messages()
 	if ok {
-		if err := l.found(now, s); err != nil {
+		if err := l.foundGroup(now, s); err != nil {
 			return err
 		}
 	}
@@ -208,17 +208,17 @@
 	return nil
 }
 
-// found makes the group's first snapshot durable and begins with it.
-func (l *loop) found(now time.Duration, s protocol.Snapshot) error {
+// foundGroup makes the group's first snapshot durable and runs the replica as a member.
+func (l *loop) foundGroup(now time.Duration, s protocol.Snapshot) error {
 	if err := l.journal.Rotate(s, protocol.HardState{Term: s.Term}, nil); err != nil {
 		return err
 	}
 	l.r.cfg.Log.Info("group formed", "group", l.r.cfg.Group, "voters", len(s.Members.Voters))
-	l.begin(now, consensus.Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s})
+	l.startMember(now, consensus.Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s})
 	return nil
 }
 
-// propose appends a command; its answer follows when the entry is applied.
+// propose appends a command. The outcome is sent when the entry is applied.
 func (l *loop) propose(p proposal) {
 	if l.member == nil {
 		p.answer <- outcome{err: consensus.NotLeader{}}
@@ -229,11 +229,11 @@
 		p.answer <- outcome{err: err}
 		return
 	}
-	l.waiting[index] = waiter{term: term, answer: p.answer}
+	l.proposals[index] = pendingProposal{term: term, answer: p.answer}
 }
 
-// carryOut carries out a Ready in its order: write, send, restore, apply.
-func (l *loop) carryOut(ready consensus.Ready) error {
+// processReady processes a Ready in the required order: write, send, restore, apply.
+func (l *loop) processReady(ready consensus.Ready) error {
 	if err := l.persist(ready); err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 		if err := l.restore(ready.Restore.Data); err != nil {
 			return err
 		}
-		l.failBelow(ready.Restore.Index)
+		l.failUpTo(ready.Restore.Index)
 	}
 	for _, e := range ready.Committed {
 		l.apply(e)
@@ -252,7 +252,7 @@
 
 func (l *loop) persist(ready consensus.Ready) error {
 	if ready.Snapshot == nil && len(ready.Entries) > 0 {
-		defer l.measure(l.r.Now())
+		defer l.recordSyncTime(l.r.Now())
 	}
 	if ready.Snapshot == nil {
 		return l.journal.Save(ready.Hard, ready.Entries)
@@ -260,14 +260,15 @@
 	return l.rotate(*ready.Snapshot)
 }
 
-// syncParts is the part of one sync in the average, inverted. Eight syncs outweigh what was before.
-const syncParts = 8
+// syncTimeWindow is the inverse of a new sample's weight in the moving average of sync times. After
+// eight syncs the new samples outweigh the earlier ones.
+const syncTimeWindow = 8
 
-// measure averages the time of a sync that began at a time.
-func (l *loop) measure(began time.Duration) {
+// recordSyncTime adds a sync that began at the given time to the moving average.
+func (l *loop) recordSyncTime(began time.Duration) {
 	took, average := int64(l.r.Now()-began), l.r.syncTime.Load()
 	if average != 0 {
-		took = average + (took-average)/syncParts
+		took = average + (took-average)/syncTimeWindow
 	}
 	l.r.syncTime.Store(took)
 }
@@ -286,11 +287,11 @@
 	if e.Kind == protocol.EntryCommand && len(e.Data) > 0 {
 		result = l.r.cfg.Machine.Apply(e.Data)
 	}
-	w, ok := l.waiting[e.Index]
+	w, ok := l.proposals[e.Index]
 	if !ok {
 		return
 	}
-	delete(l.waiting, e.Index)
+	delete(l.proposals, e.Index)
 	if w.term != e.Term {
 		w.answer <- outcome{err: consensus.NotLeader{Leader: l.member.Status().Leader}}
 		return
@@ -298,37 +299,38 @@
 	w.answer <- outcome{result: result}
 }
 
-// observe gives the owner the group's state and fails proposals that this replica
-// can no longer decide.
-func (l *loop) observe(now time.Duration) {
+// reportStatus reports the group's state to the owner and fails the proposals that this
+// replica can no longer decide.
+func (l *loop) reportStatus(now time.Duration) {
 	s := l.member.Status()
-	if s.Role != consensus.Leader && len(l.waiting) > 0 {
+	if s.Role != consensus.Leader && len(l.proposals) > 0 {
 		l.failAll(nil)
 	}
 	leads := l.member.Leads(now)
 	if leads != l.leads {
 		l.leads = leads
-		l.logLead(s)
+		l.logLeadershipChange(s)
 	}
 	if l.r.cfg.Observe != nil {
 		l.r.cfg.Observe(s, leads)
 	}
 }
 
-// logLead logs that this replica leads now, or why it does not any more: the age of the last
-// quorum, what its answers took, how long ago this loop last turned, and what waits for it. A loop that is late has a
-// large pause; answers that are late have not.
-func (l *loop) logLead(s consensus.Status) {
+// logLeadershipChange logs that this replica became the leader, or why it ceased to be: the age of
+// the last quorum, the round-trip time of its replies, the time since the previous round of this
+// loop, and the length of the input queue. A long pause shows that this loop was delayed;
+// otherwise the replies were late.
+func (l *loop) logLeadershipChange(s consensus.Status) {
 	log := l.r.cfg.Log.With("group", l.r.cfg.Group, "leads", l.leads, "term", s.Term)
 	if l.leads {
 		log.Info("lead changed")
 		return
 	}
 	log.Info("lead changed", "why", s.Ending.Why, "quorum_ms", s.Ending.Quorum.Milliseconds(),
-		"round_trip_ms", s.Ending.RoundTrip.Milliseconds(), "pause_ms", l.pause.Milliseconds(), "inputs", len(l.r.inputs))
+		"round_trip_ms", s.Ending.RoundTrip.Milliseconds(), "pause_ms", l.roundInterval.Milliseconds(), "inputs", len(l.r.inputs))
 }
 
-// compact replaces the log by a snapshot once it has grown to Tuning.CompactAt.
+// compact replaces the log with a snapshot once it has grown to Tuning.CompactAt.
 func (l *loop) compact() error {
 	if l.r.cfg.CompactAt <= 0 || l.journal.Size() < l.r.cfg.CompactAt {
 		return nil
@@ -344,26 +346,26 @@
 	return l.rotate(l.member.Compact(image))
 }
 
-// rotate makes a snapshot and what is behind it durable, in place of all before.
+// rotate replaces the journal with a snapshot and the entries after it.
 func (l *loop) rotate(s protocol.Snapshot) error {
 	hard, entries := l.member.Tail()
 	return l.journal.Rotate(s, hard, entries)
 }
 
-func (l *loop) failBelow(index uint64) {
-	for i, w := range l.waiting {
+func (l *loop) failUpTo(index uint64) {
+	for i, w := range l.proposals {
 		if i <= index {
 			w.answer <- outcome{err: Undecided{}}
-			delete(l.waiting, i)
+			delete(l.proposals, i)
 		}
 	}
 }
 
-// failAll fails the proposals that have their place in the log. They may be committed
-// all the same, whatever the cause.
+// failAll fails the appended proposals as undecided: they may still be committed,
+// whatever the cause.
 func (l *loop) failAll(cause error) {
-	for i, w := range l.waiting {
+	for i, w := range l.proposals {
 		w.answer <- outcome{err: Undecided{Err: cause}}
-		delete(l.waiting, i)
+		delete(l.proposals, i)
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -4,19 +4,18 @@
 // of coordination/consensus, a journal on a disk, a state machine, and the
 // messages to the other replicas.
 //
-// The model is one goroutine that owns all four. It takes a batch of inputs
-// (messages, proposals, the time), steps the group through them, writes what
-// must be durable with one sync, sends, and applies. So many proposals that
-// arrive during one sync share the next one (group commit), and nothing here
-// needs a lock.
+// One goroutine owns all of this. It takes a batch of inputs (messages, proposals,
+// the time), passes them to the step function, makes the result durable with one
+// sync, sends messages and applies entries. Proposals that arrive during a sync share
+// the next one (group commit). No locks are needed.
 //
-// A disk that fails stops the replica ([Stopped]): after a failed sync the
-// content of the disk is uncertain, so the replica may neither vote nor
-// acknowledge. The process above decides whether to open the folder again.
+// A disk failure stops the replica ([Stopped]): after a failed sync the content of the
+// disk is uncertain, so the replica may neither vote nor acknowledge. The owner of the
+// replica decides whether to open the folder again.
 //
-// Two types are called Replica: [consensus.Replica] is the pure step function, the
-// Replica here is what runs it. It owns its journal and its state machine, and
-// relies on the caller's Send not to block.
+// Two types are named Replica: [consensus.Replica] is the pure step function, and the
+// Replica of this package runs it. The latter owns its journal and its state machine,
+// and requires that the caller's Send does not block.
 package replica
 
 import (
@@ -33,39 +32,38 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// This file defines Replica, its settings and what others may call. The
-// loop that does the work is in loop.go.
+// This file defines Replica, its settings and its API. Its goroutine is in loop.go.
 
-// Machine is the state machine that the log drives. All calls come from the
-// replica's goroutine.
+// Machine is the state machine that the log drives. The replica calls it only from
+// its own goroutine.
 type Machine interface {
-	// Apply applies a committed command and returns what its proposer gets.
+	// Apply applies a committed command and returns the result for its proposer.
 	Apply(data []byte) any
 	// Snapshot returns an image of the state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by an image, which is never empty.
+	// Restore replaces the state with an image, which is never empty.
 	Restore(image []byte) error
 }
 
-// Sender takes messages to other replicas. It must not block; what cannot be
-// sent is dropped.
+// Sender sends a message to another replica. It must not block and drops messages
+// that it cannot send.
 type Sender func(m protocol.Consensus)
 
-// Settings of a replica.
+// Settings configures a replica.
 type Settings struct {
 	Group string   // name of the group
 	Name  string   // of this replica
 	Names []string // of all replicas
-	// Open, if set, makes an open group: Names are then seeds, and any
-	// replica may join.
+	// Open, if set, makes the group an open one: Names are then its seeds, and
+	// any replica may join.
 	Open    *OpenGroup
 	Dir     wal.Dir
 	Machine Machine
 	Send    Sender
 	Tuning
 	Random func() uint64
-	// Clock is a monotonic clock that goes on while the box is suspended, so that a leader which
-	// wakes knows that its lease is over; nil is Go's, which stands still meanwhile.
+	// Clock is a monotonic clock that keeps running while the box is suspended, so that a leader's
+	// lease expires during a suspension. Nil means Go's monotonic clock, which stops meanwhile.
 	Clock func() time.Duration
 	Log   *slog.Logger
 	// Observe, if set, is called from the replica's goroutine after every
@@ -73,34 +71,34 @@
 	Observe func(s consensus.Status, leads bool)
 }
 
-// OpenGroup is what an open group needs besides its seeds.
+// OpenGroup holds the settings of an open group.
 type OpenGroup struct {
-	// Bootstrap marks the first start of the whole group: the seeds may found it.
+	// Bootstrap marks the first start of the group, when the seeds may found it.
 	Bootstrap bool
-	// Voters is how many voters the group has; more replicas than that are
-	// learners, ready to take a silent voter's place.
+	// Voters is the number of voters. Further replicas are learners, ready to replace
+	// a silent voter.
 	Voters int
 }
 
-// Tuning is the times and sizes that a role may leave to their defaults.
+// Tuning holds the times and sizes for which a role may use the defaults.
 type Tuning struct {
-	Election  time.Duration // silence of the leader after which a replica campaigns, at least
-	Heartbeat time.Duration // between two messages of an idle leader
-	// CompactAt is the size of the journal, in bytes, from which it is replaced by
-	// a snapshot; 0 is never.
+	Election  time.Duration // shortest silence of the leader before a replica campaigns
+	Heartbeat time.Duration // interval between messages of an idle leader
+	// CompactAt is the size of the journal, in bytes, at which a snapshot replaces
+	// it. Zero or less disables compaction; WithDefaults replaces zero.
 	CompactAt int64
 }
 
 // Defaults of Tuning.
 const (
-	defaultElection  = 600 * time.Millisecond // without a message of the leader
-	defaultHeartbeat = 120 * time.Millisecond // a fifth of that
-	// defaultCompactAt is in bytes: about 16,000 changes of a configuration
-	// (estimated in docs/CAPACITY.md).
+	defaultElection  = 600 * time.Millisecond // without a message from the leader
+	defaultHeartbeat = 120 * time.Millisecond // a fifth of defaultElection
+	// defaultCompactAt, in bytes, holds about 16,000 configuration changes
+	// (docs/CAPACITY.md).
 	defaultCompactAt = 4 << 20
 )
 
-// WithDefaults replaces what is zero.
+// WithDefaults replaces zero values by the defaults.
 func (t Tuning) WithDefaults() Tuning {
 	return Tuning{
 		Election:  cmp.Or(t.Election, defaultElection),
@@ -109,43 +107,45 @@
 	}
 }
 
-// Replica is a running replica: a goroutine with a clock and a disk around the
-// step function of the same name, [consensus.Replica].
+// Replica is a running replica: a goroutine that drives a [consensus.Replica] with a
+// clock and a disk.
 type Replica struct {
 	cfg     Settings
 	now     func() time.Duration
 	inputs  chan input
 	stopped chan struct{}
-	err     error // why it stopped; read after stopped is closed
+	err     error // reason for the stop; read only after stopped is closed
 	loop    loop
 
-	syncTime atomic.Int64 // nanoseconds that a sync of entries takes, averaged; 0 before the first
+	syncTime atomic.Int64 // moving average of the time to sync entries, in nanoseconds; zero before the first sync
 }
 
-// input is one thing that the loop takes. One field is set.
+// input is one input of the loop. Exactly one field is set, or none for a timer tick.
 type input struct {
 	message  *protocol.Consensus
 	proposal *proposal
 	inspect  func(now time.Duration, member *consensus.Replica)
 }
 
+// proposal is a command on its way to the loop.
 type proposal struct {
 	data   []byte
 	answer chan outcome // buffered
 }
 
+// outcome is the result of a proposal.
 type outcome struct {
 	result any
 	err    error
 }
 
 const (
-	// inputDepth is how many inputs may wait for the loop; messages beyond it are dropped, callers
-	// wait.
-	inputDepth = 4096
-	// transferPolls is how many times in a heartbeat Transfer looks whether the leadership is handed
-	// over.
-	transferPolls = 4
+	// inputQueueSize is the capacity of the input queue. When it is full, messages are dropped
+	// and other callers block.
+	inputQueueSize = 4096
+	// transferPollsPerHeartbeat is how many times per heartbeat interval Transfer checks whether
+	// the transfer is complete.
+	transferPollsPerHeartbeat = 4
 )
 
 // Start opens the journal and runs the replica until ctx ends or the disk
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	r := &Replica{
-		cfg: cfg, now: clockFrom(cfg.Clock), inputs: make(chan input, inputDepth), stopped: make(chan struct{}),
+		cfg: cfg, now: startClock(cfg.Clock), inputs: make(chan input, inputQueueSize), stopped: make(chan struct{}),
 	}
 	if err := r.loop.init(r, j, contents); err != nil {
 		j.Close()
@@ -172,8 +172,8 @@
 // Now returns the replica's monotonic clock.
 func (r *Replica) Now() time.Duration { return r.now() }
 
-// clockFrom returns a clock that begins now.
-func clockFrom(clock func() time.Duration) func() time.Duration {
+// startClock returns a clock that starts at zero. A nil clock means Go's monotonic clock.
+func startClock(clock func() time.Duration) func() time.Duration {
 	if clock == nil {
 		began := time.Now()
 		return func() time.Duration { return time.Since(began) }
@@ -182,12 +182,12 @@
 	return func() time.Duration { return clock() - began }
 }
 
-// SyncTime returns how long it takes to make entries durable here, averaged over the last ones;
-// 0 before the first.
+// SyncTime returns the moving average of the time to make entries durable on this replica, or zero
+// before the first sync.
 func (r *Replica) SyncTime() time.Duration { return time.Duration(r.syncTime.Load()) }
 
-// Deliver hands in a message from another replica. It drops the message when
-// the replica is overloaded, as a network would.
+// Deliver queues a message from another replica. It drops the message if the queue is
+// full, as a network would.
 func (r *Replica) Deliver(m protocol.Consensus) {
 	select {
 	case r.inputs <- input{message: &m}:
@@ -197,11 +197,11 @@
 
 // Propose appends a command and waits until it is applied here. The error is
 // [consensus.NotLeader], [consensus.Handover], [Undecided], [Stopped] or the
-// context's. After Undecided, also if Stopped is its cause, the command may be committed
-// all the same; after Stopped alone it was not taken.
+// context's. After Undecided, also with Stopped as its cause, the command may still be
+// committed. After Stopped alone the command was not appended.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
 	p := &proposal{data: data, answer: make(chan outcome, 1)}
-	if err := r.put(ctx, input{proposal: p}); err != nil {
+	if err := r.enqueue(ctx, input{proposal: p}); err != nil {
 		return nil, err
 	}
 	o, err := await(ctx, r, p.answer)
@@ -221,15 +221,15 @@
 			f(now, member)
 		}
 	}
-	if err := r.put(ctx, input{inspect: wrapped}); err != nil {
+	if err := r.enqueue(ctx, input{inspect: wrapped}); err != nil {
 		return err
 	}
 	_, err := await(ctx, r, done)
 	return err
 }
 
-// Transfer hands leadership to another replica, if this one leads, and waits
-// until it does not lead any more or ctx ends. The error is [Stopped] or the
+// Transfer transfers leadership to another replica, if this one leads, and waits until
+// it no longer leads, no other voter exists, or ctx ends. The error is [Stopped] or the
 // context's.
 func (r *Replica) Transfer(ctx context.Context) error {
 	for {
@@ -238,19 +238,20 @@
 		if err != nil || !leads {
 			return err
 		}
-		if !sleep.For(ctx, r.cfg.Heartbeat/transferPolls) {
+		if !sleep.For(ctx, r.cfg.Heartbeat/transferPollsPerHeartbeat) {
 			return ctx.Err()
 		}
 	}
 }
 
-// Done is closed when the replica has stopped.
+// Done returns a channel that is closed when the replica has stopped.
 func (r *Replica) Done() <-chan struct{} { return r.stopped }
 
-// Err returns why the replica stopped, after Done.
+// Err returns the error that stopped the replica, or nil. It may be called only after
+// Done is closed.
 func (r *Replica) Err() error { return r.err }
 
-func (r *Replica) put(ctx context.Context, in input) error {
+func (r *Replica) enqueue(ctx context.Context, in input) error {
 	select {
 	case r.inputs <- in:
 		return nil
@@ -261,8 +262,8 @@
 	}
 }
 
-// await returns what comes from the loop, unless ctx ends or the replica stops
-// before.
+// await waits for a value from the loop. It fails if ctx ends or the replica stops
+// first.
 func await[T any](ctx context.Context, r *Replica, answer <-chan T) (T, error) {
 	var none T
 	select {
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -23,7 +23,7 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// counter is a state machine that counts what it applied.
+// counter is a state machine that counts the commands that it applied.
 type counter struct{ n int }
 
 func (c *counter) Apply([]byte) any          { c.n++; return c.n }
@@ -39,7 +39,7 @@
 	return err
 }
 
-func settingsOf(dir wal.Dir, m Machine) Settings {
+func testSettings(dir wal.Dir, m Machine) Settings {
 	return Settings{
 		Group: "g", Name: "a", Names: []string{"a"}, Dir: dir, Machine: m, Send: func(protocol.Consensus) {},
 		Tuning: Tuning{Election: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, CompactAt: 2000},
@@ -47,7 +47,7 @@
 	}
 }
 
-// mustPropose proposes until somebody leads.
+// mustPropose proposes a command, and repeats this until there is a leader.
 func mustPropose(t testing.TB, r *Replica) any {
 	t.Helper()
 	for range 500 {
@@ -60,7 +60,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("no leader")
 	return nil
 }
 
@@ -72,9 +72,9 @@
 		for range 5 {
 			ctx, stop := context.WithCancel(context.Background())
 			m := &counter{}
-			r, err := Start(ctx, settingsOf(d, m))
+			r, err := Start(ctx, testSettings(d, m))
 			is.NoErr(err)
-			for range 60 { // enough to be compacted in between
+			for range 60 { // enough to trigger compaction
 				total++
 				is.Equal(mustPropose(t, r), total)
 			}
@@ -89,12 +89,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
-		r, err := Start(t.Context(), settingsOf(d, &counter{}))
+		r, err := Start(t.Context(), testSettings(d, &counter{}))
 		is.NoErr(err)
 		mustPropose(t, r)
 		d.FailSync()
 		_, err = r.Propose(t.Context(), []byte("x"))
-		is.True(errors.As(err, new(Stopped))) // an undecided outcome: it may be on the disk
+		is.True(errors.As(err, new(Stopped))) // the outcome is undecided: the entry may be on the disk
 		is.True(errors.As(err, new(Undecided)) || errors.As(err, new(Stopped)))
 		<-r.Done()
 		is.True(errors.As(r.Err(), new(wal.Failed)))
@@ -103,12 +103,13 @@
 	})
 }
 
-// TestProposalInTheLogIsUndecidedWhenTheDiskFails: it may be durable here, or at others.
+// TestProposalInTheLogIsUndecidedWhenTheDiskFails checks the error of an appended proposal when the
+// sync fails: the entry may be durable on this replica or on others, so its outcome is unknown.
 func TestProposalInTheLogIsUndecidedWhenTheDiskFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
-		r, err := Start(t.Context(), settingsOf(d, &counter{}))
+		r, err := Start(t.Context(), testSettings(d, &counter{}))
 		is.NoErr(err)
 		mustPropose(t, r)
 		d.FailSync()
@@ -122,12 +123,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
-		cfg := settingsOf(d, &counter{})
+		cfg := testSettings(d, &counter{})
 		cfg.CompactAt = 0
 		r, err := Start(t.Context(), cfg)
 		is.NoErr(err)
 		mustPropose(t, r)
-		d.SyncTime(5 * time.Millisecond) // the first one lets all the others arrive
+		d.SyncTime(5 * time.Millisecond) // the other proposals arrive during the first sync
 		before := d.Syncs()
 		done := make(chan error, 200)
 		for range 200 {
@@ -140,32 +141,32 @@
 	})
 }
 
-// countedDir counts the syncs of appends: those of files under their final names.
-type countedDir struct {
+// syncCountingDir counts the syncs of appends. Files with temporary names are not counted.
+type syncCountingDir struct {
 	wal.Dir
 	syncs atomic.Int64
 }
 
-func (d *countedDir) OpenAppend(name string, size int64) (wal.File, error) {
+func (d *syncCountingDir) OpenAppend(name string, size int64) (wal.File, error) {
 	f, err := d.Dir.OpenAppend(name, size)
 	if err != nil || strings.HasSuffix(name, ".tmp") {
 		return f, err
 	}
-	return countedFile{f, &d.syncs}, nil
+	return syncCountingFile{f, &d.syncs}, nil
 }
 
-type countedFile struct {
+type syncCountingFile struct {
 	wal.File
 	syncs *atomic.Int64
 }
 
-func (f countedFile) Sync() error {
+func (f syncCountingFile) Sync() error {
 	f.syncs.Add(1)
 	return f.File.Sync()
 }
 
-// BenchmarkPropose gives commits a second and syncs per commit on the
-// machine's disk, by the number of proposers.
+// BenchmarkPropose reports commits per second and syncs per commit on the local disk,
+// by the number of proposers.
 func BenchmarkPropose(b *testing.B) {
 	for _, each := range []int{1, 4, 32} {
 		b.Run(fmt.Sprintf("proposers=%d", each*runtime.GOMAXPROCS(0)), func(b *testing.B) {
@@ -173,10 +174,10 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			dir := &countedDir{Dir: folder}
+			dir := &syncCountingDir{Dir: folder}
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
-			r, err := Start(ctx, settingsOf(dir, &counter{}))
+			r, err := Start(ctx, testSettings(dir, &counter{}))
 			if err != nil {
 				b.Fatal(err)
 			}
