--- a/state/config/config.go
+++ b/state/config/config.go
@@ -9,14 +9,14 @@
 )
 
 // This file defines Config, the immutable value that every box of the fleet
-// holds, and the operations that lead from one revision to the next.
+// holds, and the operations that produce the next revision.
 
 // Config is one revision of the fleet's configuration. The zero value is the
 // empty configuration at revision 0. A Config is safe for concurrent use
 // because no method changes it.
 type Config struct {
 	revision uint64
-	nextID   uint64    // of the next object created
+	nextID   uint64    // highest identifier assigned so far
 	accounts []Account // ordered by name
 	servers  []Server  // ordered by name
 }
@@ -29,7 +29,7 @@
 	RemoveServer  string   `cbor:"4,keyasint,omitempty"`
 }
 
-// Subject returns the kind and name of the object that the operation touches,
+// Subject returns the kind and name of the object that the operation changes,
 // such as "account hotel-a".
 func (o Op) Subject() string {
 	switch {
@@ -49,10 +49,10 @@
 // configuration.
 func (c Config) Revision() uint64 { return c.revision }
 
-// Account returns the account of that name.
+// Account returns the account with the given name.
 func (c Config) Account(name string) (Account, bool) { return get(c.accounts, name) }
 
-// Server returns the backend server of that name.
+// Server returns the backend server with the given name.
 func (c Config) Server(name string) (Server, bool) { return get(c.servers, name) }
 
 // Accounts returns all accounts ordered by name. The caller must not change
@@ -63,24 +63,24 @@
 // change the slice.
 func (c Config) Servers() []Server { return c.servers }
 
-// named is what an ordered list holds.
-type named interface{ name() string }
+// namedObject is an element of an ordered list.
+type namedObject interface{ name() string }
 
 func (a Account) name() string { return a.Name }
 func (s Server) name() string  { return s.Name }
 
-// Ordered slices were chosen over maps: a change copies them in one piece and
-// no reader has to sort them, which made a change at 15,800 objects ten times
+// The lists are ordered slices and not maps: a change copies a slice in one piece
+// and readers need not sort it. At 15,800 objects this makes a change ten times
 // cheaper on every box.
 
-// find returns the place of a name in an ordered list, and whether it is
-// there.
-func find[T named](list []T, name string) (int, bool) {
+// find returns the index of a name in an ordered list, and whether the list
+// contains it.
+func find[T namedObject](list []T, name string) (int, bool) {
 	return slices.BinarySearchFunc(list, name, func(x T, name string) int { return cmp.Compare(x.name(), name) })
 }
 
-// get returns the element of that name in an ordered list.
-func get[T named](list []T, name string) (x T, ok bool) {
+// get returns the element with the given name in an ordered list.
+func get[T namedObject](list []T, name string) (x T, ok bool) {
 	i, ok := find(list, name)
 	if ok {
 		x = list[i]
@@ -88,8 +88,8 @@
 	return x, ok
 }
 
-// put sets x in an ordered list.
-func put[T named](list []T, x T) []T {
+// put inserts x into an ordered list, or replaces the element with its name.
+func put[T namedObject](list []T, x T) []T {
 	i, ok := find(list, x.name())
 	if ok {
 		list[i] = x
@@ -98,29 +98,28 @@
 	return slices.Insert(list, i, x)
 }
 
-// drop removes a name from an ordered list.
-func drop[T named](list []T, name string) []T {
+// drop removes the element with the given name from an ordered list.
+func drop[T namedObject](list []T, name string) []T {
 	if i, ok := find(list, name); ok {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// Apply returns the configuration after ops at the next revision. Either
-// every operation holds or none does; the error is [Invalid] with every
-// mistake found.
+// Apply returns the configuration after ops, at the next revision. Either all
+// operations are applied or none is. The error is [Invalid] with all mistakes found.
 func (c Config) Apply(ops []Op) (Config, error) {
-	n, found := c.with(ops)
-	n.crossChecks(&found)
+	n, found := c.afterOps(ops)
+	n.checkAcrossObjects(&found)
 	if len(found) > 0 {
 		return c, Invalid{Mistakes: found}
 	}
 	return n, nil
 }
 
-// with returns the configuration after ops, and what is wrong with each by
-// itself.
-func (c Config) with(ops []Op) (Config, mistakes) {
+// afterOps returns the configuration after ops, and the mistakes in each operation
+// by itself.
+func (c Config) afterOps(ops []Op) (Config, mistakes) {
 	n := Config{
 		revision: c.revision + 1,
 		nextID:   c.nextID,
@@ -132,19 +131,19 @@
 		found.add("change", "ops", "holds no operation")
 	}
 	for _, op := range ops {
-		n.applyOne(op, &found)
+		n.applyOp(op, &found)
 	}
 	return n, found
 }
 
-// applyOne changes the lists of a configuration that is still being built.
-func (c *Config) applyOne(op Op, found *mistakes) {
+// applyOp applies one operation to a configuration that is still being built.
+func (c *Config) applyOp(op Op, found *mistakes) {
 	switch {
 	case op.PutAccount != nil:
 		op.PutAccount.check(found)
 		a := *op.PutAccount
-		had, _ := c.Account(a.Name)
-		a.ID = c.idOf(had.ID)
+		existing, _ := c.Account(a.Name)
+		a.ID = c.assignID(existing.ID)
 		c.accounts = put(c.accounts, a)
 	case op.RemoveAccount != "":
 		if _, ok := c.Account(op.RemoveAccount); !ok {
@@ -154,8 +153,8 @@
 	case op.PutServer != nil:
 		op.PutServer.check(found)
 		s := *op.PutServer
-		had, _ := c.Server(s.Name)
-		s.ID = c.idOf(had.ID)
+		existing, _ := c.Server(s.Name)
+		s.ID = c.assignID(existing.ID)
 		c.servers = put(c.servers, s)
 	case op.RemoveServer != "":
 		s, ok := c.Server(op.RemoveServer)
@@ -171,19 +170,19 @@
 	}
 }
 
-// idOf returns the identifier that an object has, or the next free one. An
-// object that is removed and created again is another object.
-func (c *Config) idOf(had string) string {
-	if had != "" {
-		return had
+// assignID returns the existing identifier of an object, or the next free one. An
+// object that is removed and created again gets a new identifier.
+func (c *Config) assignID(existing string) string {
+	if existing != "" {
+		return existing
 	}
 	c.nextID++
 	return strconv.FormatUint(c.nextID, 36)
 }
 
-// crossChecks finds mistakes that no single object shows: two accounts with
-// one key, one pool of two kinds, two servers at one address of one pool.
-func (c Config) crossChecks(found *mistakes) {
+// checkAcrossObjects finds conflicts between objects: accounts that share a key, servers
+// that differ from others in their pool, and servers that share an address.
+func (c Config) checkAcrossObjects(found *mistakes) {
 	keys := map[KeyHash]string{}
 	for _, a := range c.Accounts() {
 		for _, k := range a.Keys {
@@ -193,7 +192,7 @@
 			keys[k] = a.Name
 		}
 	}
-	c.poolChecks(found)
+	c.checkPools(found)
 	addresses := map[string]string{}
 	for _, s := range c.Servers() {
 		if other, ok := addresses[s.Address]; ok {
@@ -203,10 +202,10 @@
 	}
 }
 
-// poolChecks finds servers that cannot do the work of their pool: a pool is
-// what serves the same work, so kind, models and adapters are equal. Servers
-// that are leaving get no new work and may differ.
-func (c Config) poolChecks(found *mistakes) {
+// checkPools finds servers that differ from the others in their pool. All servers of
+// a pool must serve the same requests, so kind, models and adapters must be equal.
+// Leaving servers receive no new requests and may differ.
+func (c Config) checkPools(found *mistakes) {
 	first := map[string]Server{}
 	for _, s := range c.Servers() {
 		if s.Mark == Leaving {
@@ -238,7 +237,7 @@
 	return Snapshot{Revision: c.revision, Accounts: c.Accounts(), Servers: c.Servers(), NextID: c.nextID}
 }
 
-// FromSnapshot returns the configuration that s describes.
+// FromSnapshot returns the configuration with the contents of s.
 func FromSnapshot(s Snapshot) Config {
 	c := Config{
 		revision: s.Revision,
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -19,15 +19,15 @@
 	return Op{PutAccount: &a}
 }
 
-func engineNamed(name, address string) Server {
+func engineServer(name, address string) Server {
 	return Server{Name: name, Pool: "llm", Address: address, Kind: Engine, Mark: Serving, Slots: 4, Models: []string{"m"}}
 }
 
 func TestRefusalsNameEveryMistake(t *testing.T) {
 	key := HashKey("k")
 	service := Server{Name: "s", Pool: "llm", Address: "10.0.0.9:1", Kind: Service, Mark: Serving, Slots: 1}
-	e1, same := engineNamed("e1", "10.0.0.1:1"), engineNamed("e2", "10.0.0.1:1")
-	other := engineNamed("e3", "10.0.0.3:1")
+	e1, same := engineServer("e1", "10.0.0.1:1"), engineServer("e2", "10.0.0.1:1")
+	other := engineServer("e3", "10.0.0.3:1")
 	other.Models = []string{"another"}
 	tests := []struct {
 		name string
@@ -46,12 +46,12 @@
 		{"unknown names", []Op{{RemoveAccount: "x"}, {RemoveServer: "y"}}, []string{
 			"account x: name: does not exist", "server y: name: does not exist",
 		}},
-		{"removing what serves", []Op{{PutServer: &e1}, {RemoveServer: "e1"}}, []string{
+		{"removing a serving server", []Op{{PutServer: &e1}, {RemoveServer: "e1"}}, []string{
 			"server e1: mark: is serving; mark it leaving first",
 		}},
-		{"two at one address", []Op{{PutServer: &e1}, {PutServer: &same}}, []string{"server e2: address: belongs to server e1 already"}},
+		{"two servers at one address", []Op{{PutServer: &e1}, {PutServer: &same}}, []string{"server e2: address: belongs to server e1 already"}},
 		{"two kinds in one pool", []Op{{PutServer: &e1}, {PutServer: &service}}, []string{"server s: kind: pool llm holds servers of kind engine"}},
-		{"other models than its pool", []Op{{PutServer: &e1}, {PutServer: &other}}, []string{
+		{"models that differ from the pool", []Op{{PutServer: &e1}, {PutServer: &other}}, []string{
 			"server e3: models: must be those of server e1 of the same pool",
 		}},
 		{"bad rule", []Op{{PutServer: &Server{Name: "s", Pool: "p", Address: "1.1.1.1:1", Kind: Service, Mark: Serving, Slots: 1, Never: []string{"POST"}}}},
@@ -69,7 +69,7 @@
 				got = append(got, m.String())
 			}
 			is.Equal(got, tt.want)
-			is.Equal(after.Revision(), uint64(0)) // nothing changed
+			is.Equal(after.Revision(), uint64(0)) // the configuration is unchanged
 		})
 	}
 }
@@ -87,7 +87,7 @@
 	revision, err = s.Apply(Change{ID: "bob", Base: 1, Ops: []Op{putAccount("a", 2)}})
 	is.NoErr(err)
 	is.Equal(revision, uint64(2))
-	// Resends get the first answer, also after a snapshot.
+	// A resend returns the first result, also after a snapshot.
 	image, err := s.MarshalBinary()
 	is.NoErr(err)
 	var restored Store
@@ -98,7 +98,7 @@
 		is.Equal(revision, uint64(1)) // same identifier
 		revision, err = st.Apply(Change{ID: "carol", Base: 0, Ops: []Op{putAccount("a", 1)}})
 		is.NoErr(err)
-		is.Equal(revision, uint64(1)) // same number, same content
+		is.Equal(revision, uint64(1)) // same base revision, same content
 		_, err = st.Apply(Change{ID: "ada", Base: 2, Ops: []Op{putAccount("b", 1)}})
 		is.Equal(err, Reused{ID: "ada"})
 	}
@@ -114,7 +114,7 @@
 	is.Equal(len(s.history), HistoryLength)
 	is.Equal(len(s.byID), HistoryLength)
 	_, ok := s.DeltaFrom(5)
-	is.True(!ok) // only a snapshot will do
+	is.True(!ok) // too old, a snapshot is required
 	d, ok := s.DeltaFrom(20)
 	is.True(ok)
 	is.Equal(d.To(), s.Current().Revision())
@@ -131,13 +131,13 @@
 	c, _ = c.Apply([]Op{{RemoveAccount: "a"}})
 	c = FromSnapshot(c.Snapshot())
 	c, _ = c.Apply([]Op{putAccount("a", 1)})
-	again, _ := c.Account("a")
-	is.True(again.ID != first.ID)
+	recreated, _ := c.Account("a")
+	is.True(recreated.ID != first.ID)
 }
 
-// TestDeltasNeverGoBack applies random deltas of one history, late, twice and
-// out of order: the revision never decreases and every configuration reached
-// is one of the history.
+// TestDeltasNeverGoBack applies random deltas of one history, delayed, duplicated and
+// out of order. The revision must never decrease, and every resulting configuration
+// must be part of the history.
 func TestDeltasNeverGoBack(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var s Store
@@ -161,13 +161,13 @@
 				t.Fatalf("delta %d..%d at %d: %v", from, to, held.Revision(), err)
 			}
 			if next.Revision() < held.Revision() {
-				t.Fatalf("went back from %d to %d", held.Revision(), next.Revision())
+				t.Fatalf("revision decreased from %d to %d", held.Revision(), next.Revision())
 			}
 			held = next
 			a, _ := cbor.Marshal(held.Snapshot())
 			b, _ := cbor.Marshal(history[held.Revision()].Snapshot())
 			if string(a) != string(b) {
-				t.Fatalf("revision %d differs", held.Revision())
+				t.Fatalf("revision %d differs from the history", held.Revision())
 			}
 		}
 	})
@@ -188,7 +188,7 @@
 	})
 }
 
-// BenchmarkSnapshot gives the bytes of one configuration object on the link.
+// BenchmarkSnapshot reports the encoded size of one configuration object.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range []int{10, 1000, 5800} {
 		b.Run(fmt.Sprintf("accounts=%d", n), func(b *testing.B) {
--- a/state/config/doc.go
+++ b/state/config/doc.go
@@ -1,25 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config holds what operators have decided: client accounts with
+// Package config holds the configuration that operators manage: client accounts with
 // their shares, and backend servers with their marks.
 //
-// The model is a value. A [Config] never changes; [Config.Apply] returns the
-// next one, one revision higher, or a typed refusal that names every mistake.
-// Two replicas that apply the same operations from the same revision hold
-// equal values, because nothing here reads a clock, a random source or the
-// order of a map.
+// A [Config] is an immutable value. [Config.Apply] returns the next one, one revision
+// higher, or a typed error that names every mistake. Two replicas that apply the same
+// operations to the same revision hold equal values, because the package reads no
+// clock, no random source and no map order.
 //
-// [Store] adds what a replicated log needs around the value: a change names
-// the revision it builds on and carries an identifier chosen by its author.
-// The store promises
+// [Store] is the state machine for a replicated log. A change names the revision that
+// it builds on and carries an identifier that its author chose. The store guarantees:
 //
-//   - exactly one content wins a revision; an author that named the same revision
-//     with other content gets a [Conflict] that carries the winner;
-//   - a change sent again (same identifier, or same revision and same
-//     content) gets the first answer, however often and after any number of
-//     restarts inside the remembered window of [HistoryLength] revisions;
-//   - a revision never decreases.
+//   - Exactly one change produces a revision. An author who sends different content for
+//     the same base revision receives a [Conflict] with the winning change.
+//   - A change that is sent again (same identifier, or same base revision and same
+//     content) receives the first result, any number of times and across restarts,
+//     within the last [HistoryLength] revisions.
+//   - The revision never decreases.
 //
-// A last-writer-wins map was rejected: two operators who raise the share of
-// one account at the same moment must not both get a success.
+// Changes are not merged by last-writer-wins: when two operators raise the share of one
+// account at the same moment, they must not both receive a success.
 package config
--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -7,12 +7,12 @@
 	"strings"
 )
 
-// This file defines the refusals of this package. Each is a type with the
-// fields that a caller needs to act.
+// This file defines the errors of this package. Each is a type with the fields
+// that a caller needs to handle it.
 
-// Mistake names one thing wrong with a proposed configuration.
+// Mistake is one error in a proposed configuration.
 type Mistake struct {
-	Subject string `cbor:"1,keyasint"` // "account hotel-a"
+	Subject string `cbor:"1,keyasint"` // object, such as "account hotel-a"
 	Field   string `cbor:"2,keyasint"`
 	Reason  string `cbor:"3,keyasint"`
 }
@@ -20,7 +20,7 @@
 // String returns "subject: field: reason".
 func (m Mistake) String() string { return m.Subject + ": " + m.Field + ": " + m.Reason }
 
-// Invalid refuses a change whose result would not be a valid configuration.
+// Invalid rejects a change that would not result in a valid configuration.
 type Invalid struct{ Mistakes []Mistake }
 
 // Error lists every mistake.
@@ -32,11 +32,10 @@
 	return "invalid configuration: " + strings.Join(lines, "; ")
 }
 
-// Conflict refuses a change that builds on a revision which is not the
-// current one. Winner is the change that took the number, if it is still
-// remembered.
+// Conflict rejects a change that does not build on the current revision. Winner is
+// the change that was applied to Base, if it is still remembered.
 type Conflict struct {
-	Base    uint64  `cbor:"1,keyasint"` // the revision that the refused change named
+	Base    uint64  `cbor:"1,keyasint"` // revision that the rejected change named
 	Current uint64  `cbor:"2,keyasint"`
 	Winner  *Change `cbor:"3,keyasint,omitempty"`
 }
@@ -50,13 +49,13 @@
 		e.Base, e.Winner.ID, e.Current)
 }
 
-// Reused refuses a change identifier that was used for other content.
+// Reused rejects a change identifier that was used for different content.
 type Reused struct{ ID string }
 
 // Error names the identifier.
 func (e Reused) Error() string { return fmt.Sprintf("change id %q was used for another change", e.ID) }
 
-// Gap refuses a delta that does not start at the revision held.
+// Gap rejects a delta that starts after the current revision.
 type Gap struct{ Held, From uint64 }
 
 // Error names both revisions.
@@ -64,7 +63,7 @@
 	return fmt.Sprintf("delta starts at revision %d, held is %d", e.From, e.Held)
 }
 
-// mistakes collects what a check finds.
+// mistakes collects the results of validation.
 type mistakes []Mistake
 
 func (m *mistakes) add(subject, field, reason string) {
--- a/state/config/example_test.go
+++ b/state/config/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// A change names the revision that it builds on. Sent again it gets the first
-// answer; another change of the same revision gets the winner.
+// A change names the revision that it builds on. Sending it again returns the first
+// result. A different change for the same revision returns a conflict with the winner.
 func ExampleStore() {
 	var s config.Store
 	account := config.Account{Name: "hotel", Share: 1}
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -13,10 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of changes, deltas, snapshots and the store in
-// testdata/golden: they are on disks and in the logs of running fleets. Run with
-// -update to rewrite the files, which only a deliberate change of the stored
-// format justifies.
+// This file pins the encoding of changes, deltas, snapshots and the store in
+// testdata/golden, because running fleets hold it on disk and in their logs. Run with
+// -update to rewrite the files, which only a deliberate change of the stored format
+// justifies.
 
 var (
 	goldenAccount = Account{
@@ -60,8 +60,8 @@
 	is.Equal([]Mark{Joining, Serving, Leaving}, []Mark{1, 2, 3})
 }
 
-// TestGoldenDigest pins how the contents of two changes are distinguished: a
-// resend may come after an upgrade.
+// TestGoldenDigest pins the digests of changes, because a resend may arrive after an
+// upgrade and must match the stored change.
 func TestGoldenDigest(t *testing.T) {
 	is := is.New(t)
 	var digests []byte
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -11,53 +11,53 @@
 	"strings"
 )
 
-// This file defines the two objects that operators manage, Account and
-// Server, with the checks that each must pass by itself.
+// This file defines the two objects that operators manage, Account and Server,
+// and the validation of single objects.
 
-// Bounds on what operators may set; a change beyond one is refused.
+// Limits on operators' settings. A change beyond one of them is rejected.
 const (
-	MaxShare   = 1e6       // weight of an account
-	MaxSlots   = 4096      // requests at once on one backend server
-	MaxKeys    = 8         // valid keys of an account
-	MaxWaiting = 1_000_000 // requests of an account that wait on one router
+	MaxShare   = 1e6       // weight of one account
+	MaxSlots   = 4096      // concurrent requests on one backend server
+	MaxKeys    = 8         // valid keys of one account
+	MaxWaiting = 1_000_000 // queued requests of one account on one router
 )
 
-// KeyHash is the SHA-256 of a caller's key. Keys themselves are never kept.
+// KeyHash is the SHA-256 hash of a caller's key. Keys themselves are not stored.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash under which key is kept.
+// HashKey returns the hash that is stored for key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// String returns the first bytes in hexadecimal, enough to tell keys apart.
+// String returns the first bytes in hexadecimal, enough to distinguish keys.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:6]) }
 
 // Account is a client account. Its share is a weight: while two accounts are
-// backlogged, they are served in the proportion of their shares.
+// backlogged, they are served in proportion to their shares.
 type Account struct {
 	Name   string    `cbor:"1,keyasint"`
 	Share  float64   `cbor:"2,keyasint"`
 	Keys   []KeyHash `cbor:"3,keyasint,omitempty"`
 	Limits Limits    `cbor:"4,keyasint"`
-	// ID is short and unique for ever; [Config.Apply] gives it. Boxes name the
-	// account by it among themselves.
+	// ID is a short identifier that [Config.Apply] assigns and never reuses. Boxes
+	// use it to name the account in messages to each other.
 	ID string `cbor:"5,keyasint,omitempty"`
 }
 
-// Limits bound what one account may hold on one router. Zero means the
-// default of the router.
+// Limits bounds the requests of one account on one router. Zero means the router's
+// default.
 type Limits struct {
-	Waiting      int   `cbor:"1,keyasint,omitempty"` // requests
-	WaitingBytes int64 `cbor:"2,keyasint,omitempty"` // bytes of request bodies
-	Running      int   `cbor:"3,keyasint,omitempty"` // requests
+	Waiting      int   `cbor:"1,keyasint,omitempty"` // queued requests
+	WaitingBytes int64 `cbor:"2,keyasint,omitempty"` // total body size of queued requests, in bytes
+	Running      int   `cbor:"3,keyasint,omitempty"` // running requests
 }
 
-// WithShare returns the account with another share.
+// WithShare returns a copy of the account with the given share.
 func (a Account) WithShare(share float64) Account { a.Share = share; return a }
 
-// WithLimits returns the account with other limits.
+// WithLimits returns a copy of the account with the given limits.
 func (a Account) WithLimits(l Limits) Account { a.Limits = l; return a }
 
-// WithKey returns the account with one more key, unless it has it already.
+// WithKey returns a copy of the account that has the key.
 func (a Account) WithKey(k KeyHash) Account {
 	if !slices.Contains(a.Keys, k) {
 		a.Keys = append(slices.Clone(a.Keys), k)
@@ -65,7 +65,7 @@
 	return a
 }
 
-// WithoutKey returns the account without that key.
+// WithoutKey returns a copy of the account without the key.
 func (a Account) WithoutKey(k KeyHash) Account {
 	a.Keys = slices.DeleteFunc(slices.Clone(a.Keys), func(o KeyHash) bool { return o == k })
 	return a
@@ -73,7 +73,7 @@
 
 func (a Account) check(found *mistakes) {
 	subject := "account " + a.Name
-	found.addName(subject, a.Name)
+	found.checkName(subject, a.Name)
 	if !(a.Share > 0 && a.Share <= MaxShare) {
 		found.add(subject, "share", "must be above 0 and at most 1000000")
 	}
@@ -85,12 +85,13 @@
 	}
 }
 
-// Kind is the interface of a backend server. The numbers are stored and sent.
+// Kind is the type of interface that a backend server offers. Its numbers are stored
+// and sent.
 type Kind uint8
 
 // The kinds of backend server.
 const (
-	Engine  Kind = 1 // a model engine with the OpenAI-style interface
+	Engine  Kind = 1 // a model engine with an OpenAI-style API
 	Service Kind = 2 // a plain HTTP service
 )
 
@@ -105,16 +106,16 @@
 	return "unset"
 }
 
-// Mark is what operators have decided about a backend server. The numbers are stored
-// and sent.
+// Mark is the state that operators set for a backend server. Its numbers are stored and
+// sent.
 type Mark uint8
 
-// The marks of a backend server. Only one that is serving gets new work, and only
-// one that is not may be removed.
+// The marks of a backend server. Only a serving one receives new requests, and it
+// cannot be removed.
 const (
-	Joining Mark = 1 // not serving yet
-	Serving Mark = 2 // is given work
-	Leaving Mark = 3 // finishes what runs there
+	Joining Mark = 1 // receives no requests yet
+	Serving Mark = 2 // receives requests
+	Leaving Mark = 3 // finishes its running requests
 )
 
 // Server is a backend server: a model engine or a plain service.
@@ -124,21 +125,21 @@
 	Address     string   `cbor:"3,keyasint"` // IP:PORT
 	Kind        Kind     `cbor:"4,keyasint"`
 	Mark        Mark     `cbor:"5,keyasint"`
-	Slots       int      `cbor:"6,keyasint"` // requests it may run at once
+	Slots       int      `cbor:"6,keyasint"` // largest number of concurrent requests
 	Models      []string `cbor:"7,keyasint,omitempty"`
 	Adapters    []string `cbor:"8,keyasint,omitempty"`
 	Version     string   `cbor:"9,keyasint,omitempty"`
 	ChecksFence bool     `cbor:"10,keyasint,omitempty"`
-	// Never holds "METHOD /path-prefix" of calls that may not be repeated.
+	// Never holds rules "METHOD /path-prefix" for calls that must not be repeated.
 	Never []string `cbor:"11,keyasint,omitempty"`
-	ID    string   `cbor:"12,keyasint,omitempty"` // as Account.ID
+	ID    string   `cbor:"12,keyasint,omitempty"` // like Account.ID
 }
 
-// WithMark returns the server with another mark.
+// WithMark returns a copy of the server with the given mark.
 func (s Server) WithMark(m Mark) Server { s.Mark = m; return s }
 
-// MayNotRepeat reports whether by the server's configuration a call may run
-// at most once.
+// MayNotRepeat reports whether the server's configuration allows a call to run at
+// most once.
 func (s Server) MayNotRepeat(method, path string) bool {
 	for _, rule := range s.Never {
 		m, prefix, _ := strings.Cut(rule, " ")
@@ -151,8 +152,8 @@
 
 func (s Server) check(found *mistakes) {
 	subject := "server " + s.Name
-	found.addName(subject, s.Name)
-	found.addName(subject, s.Pool)
+	found.checkName(subject, s.Name)
+	found.checkName(subject, s.Pool)
 	if _, err := netip.ParseAddrPort(s.Address); err != nil {
 		found.add(subject, "address", "must be IP:PORT, not "+s.Address)
 	}
@@ -175,15 +176,15 @@
 	}
 }
 
-// namePattern is what names consist of.
+// namePattern matches valid names.
 var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$`)
 
-// ValidName reports whether a name of an account, server, pool or box is usable
-// as a metric label and an element of a URL path.
+// ValidName reports whether a name of an account, server, pool or box is valid, which
+// makes it usable as a metric label and as an element of a URL path.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// addName adds a mistake if a name is not valid.
-func (m *mistakes) addName(subject, name string) {
+// checkName adds a mistake if a name is invalid.
+func (m *mistakes) checkName(subject, name string) {
 	if !ValidName(name) {
 		m.add(subject, "name", "must be 1 to 63 letters, digits, dots, dashes or underscores")
 	}
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -7,25 +7,24 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file defines Store, the state machine that a replicated log drives:
-// the current configuration, and enough of the past to answer a resend and to
-// send deltas.
+// This file defines Store, the state machine that a replicated log drives. It holds the
+// current configuration, and enough history to recognize resends and to build deltas.
 
-// HistoryLength is the number of past changes remembered. At 28,000 changes a day (docs/CAPACITY.md)
-// it covers more than three hours of resends and of missed deltas.
+// HistoryLength is the number of past changes that are remembered. At 28,000 changes per day
+// (docs/CAPACITY.md) it covers resends and missed deltas for more than three hours.
 const HistoryLength = 4096
 
-// MaxChangeID bounds a change identifier, in bytes.
+// MaxChangeID is the longest change identifier, in bytes.
 const MaxChangeID = 128
 
-// Change is what an operator proposes.
+// Change is a list of operations that an operator proposes.
 type Change struct {
-	ID   string `cbor:"1,keyasint"` // chosen by the author, unique
-	Base uint64 `cbor:"2,keyasint"` // the revision it builds on
+	ID   string `cbor:"1,keyasint"` // unique identifier, assigned by the author
+	Base uint64 `cbor:"2,keyasint"` // revision that the change builds on
 	Ops  []Op   `cbor:"3,keyasint"`
-	// Request is a digest of what the author requested, when Ops was derived
-	// from it (a drawn key, a field changed in the current value): a resend
-	// derives other operations from the same request.
+	// Request is a digest of the author's request, set if Ops was derived from it
+	// (with a random key, or by changing a field of the current value). A resend may
+	// derive different operations from the same request.
 	Request uint64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -36,12 +35,12 @@
 	}
 	b, err := cbor.Marshal(c.Ops)
 	if err != nil {
-		return 0 // operations that were decoded are encoded
+		return 0 // cannot happen: operations that were decoded can be encoded
 	}
 	return xxh3.Hash(b)
 }
 
-// check returns [Invalid] for what is wrong without any configuration.
+// check returns [Invalid] for mistakes that do not depend on the configuration.
 func (c Change) check() error {
 	if c.ID == "" || len(c.ID) > MaxChangeID {
 		return Invalid{Mistakes: []Mistake{{Subject: "change", Field: "id", Reason: "must be 1 to 128 bytes"}}}
@@ -49,18 +48,18 @@
 	return nil
 }
 
-// Delta leads from one revision to a later one.
+// Delta holds the changes from one revision to a later one.
 type Delta struct {
 	From  uint64 `cbor:"1,keyasint"`
-	Steps [][]Op `cbor:"2,keyasint"` // one list of operations a revision
+	Steps [][]Op `cbor:"2,keyasint"` // operations, one list per revision
 }
 
-// To returns the revision that the delta leads to.
+// To returns the revision after the delta.
 func (d Delta) To() uint64 { return d.From + uint64(len(d.Steps)) }
 
-// ApplyDelta returns c after d. A delta that was applied already changes
-// nothing; one that starts later than c is refused with [Gap], so that a
-// configuration never goes back and never skips.
+// ApplyDelta returns c after d. A delta that was applied already has no effect. A delta
+// that starts after c is rejected with [Gap]. The revision therefore never decreases and
+// no change is skipped.
 func (c Config) ApplyDelta(d Delta) (Config, error) {
 	if d.From > c.revision {
 		return c, Gap{Held: c.revision, From: d.From}
@@ -72,17 +71,17 @@
 	next := c
 	for _, ops := range d.Steps[skip:] {
 		var found mistakes
-		// What was accepted once passed the checks between objects, which
-		// cost more than everything else.
-		if next, found = next.with(ops); len(found) > 0 {
+		// Changes in a delta have passed the checks across objects, which are the
+		// most expensive part and are not repeated.
+		if next, found = next.afterOps(ops); len(found) > 0 {
 			return c, Invalid{Mistakes: found}
 		}
 	}
 	return next, nil
 }
 
-// Store is the state machine. It is not safe for concurrent use; a replica
-// drives it from one goroutine. The zero value is empty.
+// Store is the state machine. It is not safe for concurrent use: a replica drives it
+// from one goroutine. The zero value is an empty configuration.
 type Store struct {
 	current Config
 	history []Change // history[i] produced revision current-len+1+i
@@ -92,35 +91,35 @@
 // Current returns the configuration in force.
 func (s *Store) Current() Config { return s.current }
 
-// Apply applies a change and returns the revision that it produced. A resend
-// returns the revision of the first time. The error is [Invalid], [Conflict]
-// or [Reused].
+// Apply applies a change and returns the revision that it produced. A resend returns
+// the revision that the first one produced. The error is [Invalid], [Conflict] or
+// [Reused].
 func (s *Store) Apply(ch Change) (uint64, error) {
 	if err := ch.check(); err != nil {
 		return 0, err
 	}
 	if rev, ok := s.byID[ch.ID]; ok {
-		if first, ok := s.at(rev); ok && first.digest() == ch.digest() {
+		if first, ok := s.changeAt(rev); ok && first.digest() == ch.digest() {
 			return rev, nil
 		}
 		return 0, Reused{ID: ch.ID}
 	}
 	if ch.Base != s.current.revision {
-		return s.answerOldBase(ch)
+		return s.resolveStaleBase(ch)
 	}
 	next, err := s.current.Apply(ch.Ops)
 	if err != nil {
 		return 0, err
 	}
 	s.current = next
-	s.remember(ch)
+	s.recordChange(ch)
 	return next.revision, nil
 }
 
-// answerOldBase distinguishes a resend (same number, same content) from a race.
-func (s *Store) answerOldBase(ch Change) (uint64, error) {
+// resolveStaleBase distinguishes a resend (same base, same content) from a conflict.
+func (s *Store) resolveStaleBase(ch Change) (uint64, error) {
 	e := Conflict{Base: ch.Base, Current: s.current.revision}
-	winner, ok := s.at(ch.Base + 1)
+	winner, ok := s.changeAt(ch.Base + 1)
 	if !ok {
 		return 0, e
 	}
@@ -131,8 +130,8 @@
 	return 0, e
 }
 
-// at returns the change that produced revision rev.
-func (s *Store) at(rev uint64) (Change, bool) {
+// changeAt returns the change that produced revision rev, if it is remembered.
+func (s *Store) changeAt(rev uint64) (Change, bool) {
 	first := s.current.revision - uint64(len(s.history)) + 1
 	if rev < first || rev > s.current.revision {
 		return Change{}, false
@@ -140,7 +139,7 @@
 	return s.history[rev-first], true
 }
 
-func (s *Store) remember(ch Change) {
+func (s *Store) recordChange(ch Change) {
 	if s.byID == nil {
 		s.byID = map[string]uint64{}
 	}
@@ -153,25 +152,25 @@
 	s.history = s.history[1:]
 }
 
-// Find returns the change of that identifier and the revision it produced.
+// Find returns the change with the given identifier and the revision that it produced.
 func (s *Store) Find(id string) (Change, uint64, bool) {
 	rev, ok := s.byID[id]
 	if !ok {
 		return Change{}, 0, false
 	}
-	ch, ok := s.at(rev)
+	ch, ok := s.changeAt(rev)
 	return ch, rev, ok
 }
 
-// DeltaFrom returns the delta from revision rev to the current one, or false
-// when the past is no longer remembered and only a snapshot will do.
+// DeltaFrom returns the delta from revision rev to the current one. It returns false if
+// the history no longer reaches back to rev, so that a snapshot is required.
 func (s *Store) DeltaFrom(rev uint64) (Delta, bool) {
 	d := Delta{From: rev}
 	if rev > s.current.revision {
 		return d, false
 	}
 	for r := rev + 1; r <= s.current.revision; r++ {
-		ch, ok := s.at(r)
+		ch, ok := s.changeAt(r)
 		if !ok {
 			return d, false
 		}
@@ -186,12 +185,12 @@
 	History []Change `cbor:"2,keyasint"`
 }
 
-// MarshalBinary returns the store's image for a log snapshot.
+// MarshalBinary encodes the store for a log snapshot.
 func (s *Store) MarshalBinary() ([]byte, error) {
 	return cbor.Marshal(storeImage{Config: s.current.Snapshot(), History: s.history})
 }
 
-// UnmarshalBinary replaces the store by the image.
+// UnmarshalBinary replaces the store with the decoded one.
 func (s *Store) UnmarshalBinary(b []byte) error {
 	var im storeImage
 	if err := cbor.Unmarshal(b, &im); err != nil {
--- a/state/document/condemned.go
+++ b/state/document/condemned.go
@@ -7,35 +7,37 @@
 	"slices"
 )
 
-// This file defines Condemned, the requests that are sent to no backend server because servers
-// end under them.
+// This file defines Condemned, a request that crashed several backend servers and is sent to none
+// any more.
 //
-// They have no age: a request that was tried again once in a while would end a server each time.
+// Condemned requests do not expire: each retry of an expired one would crash another server.
 
 const (
-	// MaxCondemned bounds the condemned requests. Each has cost three ends of servers.
+	// MaxCondemned is the largest number of condemned requests. Each of them has crashed three servers.
 	MaxCondemned = 1024
-	// MaxCondemnedOfAccount bounds those of one account, so that it cannot push out those of others.
+	// MaxCondemnedOfAccount is the limit per account, so that one account cannot evict the requests of
+	// others.
 	MaxCondemnedOfAccount = 128
 )
 
-// Condemned is one request.
+// Condemned identifies a condemned request and records how it was condemned.
 type Condemned struct {
-	Key     []byte   `cbor:"1,keyasint"` // of package quarantine
+	Key     []byte   `cbor:"1,keyasint"` // computed by package quarantine
 	Hint    uint32   `cbor:"2,keyasint,omitempty"`
 	Account string   `cbor:"3,keyasint,omitempty"`
 	Pool    string   `cbor:"4,keyasint,omitempty"`
-	Servers []string `cbor:"5,keyasint,omitempty"` // that ended under it, oldest first
+	Servers []string `cbor:"5,keyasint,omitempty"` // servers that crashed on it, oldest first
 }
 
-// CondemnedChange condemns a request, or releases one. One field is set.
+// CondemnedChange condemns or releases a request. Exactly one field is set.
 type CondemnedChange struct {
 	Condemn *Condemned `cbor:"1,keyasint,omitempty"`
-	Release []byte     `cbor:"2,keyasint,omitempty"` // its key
+	Release []byte     `cbor:"2,keyasint,omitempty"` // Condemned.Key of the request
 }
 
-// ChangeCondemned applies a change and reports whether it did anything. Beyond the bounds the
-// oldest goes, of the account or of the account that has the most.
+// ChangeCondemned applies a change and reports whether it had an effect. At the limit of an account
+// it evicts the account's oldest request, and at the total limit the oldest request of the account
+// with the most.
 func (s *Store) ChangeCondemned(c CondemnedChange) bool {
 	if c.Condemn == nil {
 		before := len(s.condemned)
@@ -45,31 +47,32 @@
 	if slices.ContainsFunc(s.condemned, func(o Condemned) bool { return bytes.Equal(o.Key, c.Condemn.Key) }) {
 		return false
 	}
-	of := map[string]int{}
+	counts := map[string]int{}
 	for _, o := range s.condemned {
-		of[o.Account]++
+		counts[o.Account]++
 	}
 	switch {
-	case of[c.Condemn.Account] >= MaxCondemnedOfAccount:
-		s.dropCondemned(c.Condemn.Account)
+	case counts[c.Condemn.Account] >= MaxCondemnedOfAccount:
+		s.removeOldestCondemned(c.Condemn.Account)
 	case len(s.condemned) >= MaxCondemned:
-		s.dropCondemned(largest(s.condemned, of))
+		s.removeOldestCondemned(largestAccount(s.condemned, counts))
 	}
 	s.condemned = append(s.condemned, *c.Condemn)
 	return true
 }
 
-// dropCondemned drops the oldest of an account.
-func (s *Store) dropCondemned(account string) {
+// removeOldestCondemned removes the oldest condemned request of an account.
+func (s *Store) removeOldestCondemned(account string) {
 	at := slices.IndexFunc(s.condemned, func(o Condemned) bool { return o.Account == account })
 	s.condemned = slices.Delete(s.condemned, at, at+1)
 }
 
-// largest returns the account that has the most, of several the one with the oldest.
-func largest(condemned []Condemned, of map[string]int) string {
+// largestAccount returns the account with the most condemned requests, and on a tie the one with the oldest
+// request.
+func largestAccount(condemned []Condemned, counts map[string]int) string {
 	account := condemned[0].Account
 	for _, o := range condemned {
-		if of[o.Account] > of[account] {
+		if counts[o.Account] > counts[account] {
 			account = o.Account
 		}
 	}
--- a/state/document/condemned_test.go
+++ b/state/document/condemned_test.go
@@ -25,13 +25,13 @@
 	is.True(!s.ChangeCondemned(CondemnedChange{}))
 	b, err := s.MarshalBinary()
 	is.NoErr(err)
-	var again Store
-	is.NoErr(again.UnmarshalBinary(b))
-	is.Equal(again.Condemned(), []Condemned{{Key: []byte("a 2"), Account: "a"}})
+	var restored Store
+	is.NoErr(restored.UnmarshalBinary(b))
+	is.Equal(restored.Condemned(), []Condemned{{Key: []byte("a 2"), Account: "a"}})
 }
 
-// TestCondemnedAreBounded: one account cannot push out those of others, and of many accounts the
-// one with the most loses its oldest.
+// TestCondemnedAreBounded checks that one account cannot evict the requests of others, and that at
+// the total limit the account with the most requests loses its oldest one.
 func TestCondemnedAreBounded(t *testing.T) {
 	is := is.New(t)
 	var s Store
@@ -47,10 +47,10 @@
 		}
 	}
 	is.Equal(len(s.Condemned()), MaxCondemned)
-	of := map[string]int{}
+	counts := map[string]int{}
 	for _, c := range s.Condemned() {
-		of[c.Account]++
+		counts[c.Account]++
 	}
-	is.Equal(of["quiet"], 1)
-	is.True(of["loud"] < MaxCondemnedOfAccount)
+	is.Equal(counts["quiet"], 1)
+	is.True(counts["loud"] < MaxCondemnedOfAccount)
 }
--- a/state/document/doc.go
+++ b/state/document/doc.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package document holds whole configurations that an operator numbers: the
-// routes, pools, accounts and limits of routed HTTP.
+// Package document holds complete configurations that operators number: the routes,
+// pools, accounts and limits of routed HTTP.
 //
-// The model: a [Document] is an immutable value that replaces the one before
-// as a whole. Documents are ordered by the number that their author gave them;
-// the highest one is in force, and one that is not higher changes nothing,
-// whatever it says, so that resends and late arrivals are harmless. [Store] is
-// the state machine that a replicated log drives. The conditional changes of
-// package config are another front for operators who share one configuration;
-// numbers suit those who keep theirs elsewhere and send it whole.
+// A [Document] is an immutable value that replaces the previous one as a whole.
+// Documents are ordered by the number that their author assigned. The document with
+// the highest number is in force. A document without a higher number has no effect,
+// whatever its content, so resends and late arrivals are harmless. [Store] is the state
+// machine that a replicated log drives. Package config offers conditional changes
+// instead, for operators who edit one shared configuration; numbered documents suit
+// those who keep the configuration elsewhere and send it as a whole.
 package document
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// This file defines Document and its parts, and the checks of a document.
+// This file defines Document and its parts, and the validation of documents.
 
-// Kind is what may be done with a request of a route. Its numbers are stored.
+// Kind states whether the requests of a route may be repeated. Its numbers are stored.
 type Kind uint8
 
 // The kinds of request.
 const (
-	// Once may run at most once.
+	// Once is a request that may run at most once.
 	Once Kind = iota
-	// Repeatable may run more than once.
+	// Repeatable is a request that may run more than once.
 	Repeatable
-	// Stream answers with events. It may run again only on a route that is
-	// Resumable.
+	// Stream is a request whose response is a stream of events. It may run again only
+	// on a route that is Resumable.
 	Stream
 )
 
-// Document is one whole configuration. Documents are never changed once made.
+// Document is a complete configuration. It is immutable.
 type Document struct {
 	Number   uint64    `cbor:"1,keyasint"`
 	Routes   []Route   `cbor:"2,keyasint,omitempty"`
@@ -34,25 +34,24 @@
 	Limits   Limits    `cbor:"5,keyasint"`
 }
 
-// Route leads requests of one host and path prefix to pools.
+// Route directs the requests for one host and path prefix to pools.
 type Route struct {
 	Name    string        `cbor:"1,keyasint"`
 	Host    string        `cbor:"2,keyasint"`
-	Prefix  string        `cbor:"3,keyasint"` // of the path
+	Prefix  string        `cbor:"3,keyasint"` // path prefix
 	Kind    Kind          `cbor:"4,keyasint,omitempty"`
-	Timeout time.Duration `cbor:"5,keyasint"` // longest time that a request may be held
-	// Objective is the time to the answer, or to a stream's first event, that
-	// callers hope for.
+	Timeout time.Duration `cbor:"5,keyasint"` // longest time that the gateway may hold a request
+	// Objective is the target time to the response, or to the first event of a stream.
 	Objective   time.Duration `cbor:"6,keyasint,omitempty"`
 	Priority    int           `cbor:"7,keyasint,omitempty"` // 0 is highest
 	Targets     []Target      `cbor:"8,keyasint"`
-	MaxAttempts int           `cbor:"9,keyasint,omitempty"` // most backend servers that one request may run on
+	MaxAttempts int           `cbor:"9,keyasint,omitempty"` // largest number of backend servers that one request may run on
 	Public      bool          `cbor:"10,keyasint,omitempty"`
 	Resumable   bool          `cbor:"12,keyasint,omitempty"` // 11 is reserved: older records hold an unused bool there
-	// EventGap is the longest pause between two events of a stream at which it
-	// is still in time.
+	// EventGap is the longest pause between two events with which a stream meets its
+	// objective.
 	EventGap time.Duration `cbor:"13,keyasint,omitempty"`
-	// Homes are the regions in which requests of the route may be served and kept; none is any.
+	// Homes are the regions that may serve and store requests of the route; empty means any region.
 	Homes []string `cbor:"14,keyasint,omitempty"`
 }
 
@@ -61,7 +60,7 @@
 	return r.Kind == Repeatable || (r.Kind == Stream && r.Resumable)
 }
 
-// Target is a pool that gets a part of a route's requests.
+// Target is a pool that receives a weighted share of a route's requests.
 type Target struct {
 	Pool   string `cbor:"1,keyasint"`
 	Weight int    `cbor:"2,keyasint"`
@@ -70,25 +69,25 @@
 // Pool is a set of backend servers that announce themselves under one name.
 type Pool struct {
 	Name        string `cbor:"1,keyasint"`
-	Connections int    `cbor:"2,keyasint,omitempty"` // that one backend server accepts from all callers together
-	Engine      bool   `cbor:"3,keyasint,omitempty"` // a model engine: work is counted in tokens
+	Connections int    `cbor:"2,keyasint,omitempty"` // connections that one backend server accepts from all callers together
+	Engine      bool   `cbor:"3,keyasint,omitempty"` // servers are model engines, whose work is counted in tokens
 	// 4 is reserved: older records hold an unused int there.
-	// ColdRate is the rate of requests that a cold backend server bears; 0 is not bounded.
+	// ColdRate is the request rate that a cold backend server sustains, per second; zero means unlimited.
 	ColdRate float64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Account shares the pools with others. Its keys name it.
+// Account is a client account that shares the pools with others. Its keys identify it.
 type Account struct {
 	Name     string   `cbor:"1,keyasint"`
 	Keys     []string `cbor:"2,keyasint,omitempty"`
 	Priority int      `cbor:"3,keyasint,omitempty"`
-	// Homes are the regions in which requests of the account may be served and kept; none is any.
+	// Homes are the regions that may serve and store requests of the account; empty means any region.
 	Homes []string `cbor:"4,keyasint,omitempty"`
 }
 
-// CommonHomes returns the regions that the homes of a route and of an account allow together,
-// and whether they bind at all: where one has none, the other's bind, and where both have some,
-// only what they have in common is left, which may be nothing.
+// CommonHomes returns the regions that both the homes of a route and those of an account allow, and
+// whether there is a restriction at all. If only one of them has homes, those apply. If both have
+// homes, only their intersection is allowed, which may be empty.
 func CommonHomes(route, account []string) (regions []string, bound bool) {
 	switch {
 	case len(route) == 0:
@@ -104,22 +103,22 @@
 	return regions, true
 }
 
-// Limits bound what callers may send and how long they may take.
+// Limits bounds the size and duration of callers' requests.
 type Limits struct {
 	HeaderBytes     int           `cbor:"1,keyasint,omitempty"`
 	BodyBytes       int64         `cbor:"2,keyasint,omitempty"`
 	HeaderTime      time.Duration `cbor:"3,keyasint,omitempty"`
 	IdleTime        time.Duration `cbor:"4,keyasint,omitempty"`
-	TokensPerSecond float64       `cbor:"5,keyasint,omitempty"` // that the engines make together; 0 is unknown
+	TokensPerSecond float64       `cbor:"5,keyasint,omitempty"` // output of all engines together; zero means unknown
 }
 
-// Mistake is one thing wrong with a document.
+// Mistake is one error in a document.
 type Mistake struct {
-	Where string // such as `route "a"`
+	Where string // location, such as `route "a"`
 	What  string
 }
 
-// Invalid refuses a document and lists every mistake. Nothing was changed.
+// Invalid rejects a document and lists all of its mistakes. It implies that nothing changed.
 type Invalid struct{ Mistakes []Mistake }
 
 // Error lists the mistakes.
@@ -137,7 +136,7 @@
 	*m = append(*m, Mistake{Where: where, What: fmt.Sprintf(format, args...)})
 }
 
-// Check returns [Invalid] with every mistake of the document, or nil.
+// Check returns [Invalid] with all mistakes in the document, or nil.
 func (d Document) Check() error {
 	var found mistakes
 	pools := d.checkPools(&found)
@@ -168,7 +167,7 @@
 }
 
 func (d Document) checkRoutes(found *mistakes, pools map[string]bool) {
-	places := map[[2]string]string{}
+	routeByKey := map[[2]string]string{}
 	for _, r := range d.Routes {
 		where := fmt.Sprintf("route %q", r.Name)
 		if r.Timeout <= 0 {
@@ -177,11 +176,11 @@
 		if !strings.HasPrefix(r.Prefix, "/") {
 			found.add(where, "prefix %q does not begin with a slash", r.Prefix)
 		}
-		place := [2]string{r.Host, r.Prefix}
-		if other, taken := places[place]; taken {
+		key := [2]string{r.Host, r.Prefix}
+		if other, taken := routeByKey[key]; taken {
 			found.add(where, "shares host and prefix with route %q", other)
 		}
-		places[place] = r.Name
+		routeByKey[key] = r.Name
 		checkHomes(found, where, r.Homes)
 		r.checkTargets(found, where, pools)
 	}
@@ -203,8 +202,8 @@
 	}
 }
 
-// checkHomes looks at the regions' names alone. A region that nobody knows is no mistake: another
-// box may know it, and all other changes of the document would be refused with it.
+// checkHomes checks only that the regions have names. An unknown region is not a mistake: another
+// box may be in that region, and a mistake would reject the whole document.
 func checkHomes(found *mistakes, where string, homes []string) {
 	if slices.Contains(homes, "") {
 		found.add(where, "has a home without a name")
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -15,7 +15,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-func valid() Document {
+func validDocument() Document {
 	return Document{
 		Number: 7,
 		Pools:  []Pool{{Name: "p"}, {Name: "q"}},
@@ -29,14 +29,14 @@
 
 func TestCheckNamesEveryMistake(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		spoil func(*Document)
-		want  string // part of the mistake; empty is valid
+		name   string
+		change func(*Document)
+		want   string // part of the mistake; empty is valid
 	}{
 		{"valid", func(*Document) {}, ""},
 		{"no time-out", func(d *Document) { d.Routes[0].Timeout = 0 }, `route "a": has no time-out`},
 		{"unknown pool", func(d *Document) { d.Routes[1].Targets[0].Pool = "x" }, `names the unknown pool "x"`},
-		{"same place", func(d *Document) { d.Routes[1].Prefix = "/a/" }, `shares host and prefix with route "a"`},
+		{"same host and prefix", func(d *Document) { d.Routes[1].Prefix = "/a/" }, `shares host and prefix with route "a"`},
 		{"same prefix on another host", func(d *Document) { d.Routes[1].Prefix, d.Routes[1].Host = "/a/", "i" }, ""},
 		{"no weight", func(d *Document) { d.Routes[1].Targets[0].Weight = 0 }, "weights add up to 0"},
 		{"negative weight", func(d *Document) { d.Routes[0].Targets[1].Weight = -1 }, "negative weight -1"},
@@ -46,13 +46,13 @@
 		{"pool twice", func(d *Document) { d.Pools[1].Name = "p" }, `pool "p": is there twice`},
 		{"home without a name", func(d *Document) { d.Routes[0].Homes = []string{"north", ""} }, `route "a": has a home without a name`},
 		{"account's home without a name", func(d *Document) { d.Accounts[1].Homes = []string{""} }, `tenant "u": has a home without a name`},
-		{"home that nobody knows", func(d *Document) { d.Routes[0].Homes = []string{"moon"} }, ""},
+		{"unknown home", func(d *Document) { d.Routes[0].Homes = []string{"moon"} }, ""},
 		{"prefix", func(d *Document) { d.Routes[0].Prefix = "a/" }, "does not begin with a slash"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			d := valid()
-			tt.spoil(&d)
+			d := validDocument()
+			tt.change(&d)
 			err := d.Check()
 			if tt.want == "" {
 				is.NoErr(err)
@@ -60,14 +60,14 @@
 			}
 			var invalid Invalid
 			is.True(errors.As(err, &invalid))
-			is.True(strings.Contains(err.Error(), tt.want)) // names the mistake
+			is.True(strings.Contains(err.Error(), tt.want)) // the error names the mistake
 		})
 	}
 }
 
 func TestCheckListsAllMistakesAtOnce(t *testing.T) {
 	is := is.New(t)
-	d := valid()
+	d := validDocument()
 	d.Routes[0].Timeout = 0
 	d.Routes[1].Targets[0].Pool = "x"
 	d.Accounts[1].Keys = []string{"k1"}
@@ -79,14 +79,14 @@
 func TestHighestNumberWins(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	_, any := s.Held()
-	is.True(!any)
+	_, ok := s.Held()
+	is.True(!ok)
 	put := func(number uint64, source string) bool {
 		return s.Put(Held{Document: Document{Number: number}, Source: []byte(source)})
 	}
 	is.True(put(5, "five"))
-	is.True(!put(5, "another five")) // other content under the held number
-	is.True(!put(4, "four"))         // an older one comes once more
+	is.True(!put(5, "another five")) // other content with the same number
+	is.True(!put(4, "four"))         // an older document arrives late
 	is.True(put(9, "nine"))
 	held, _ := s.Held()
 	is.Equal(string(held.Source), "nine")
@@ -100,14 +100,14 @@
 	for i := range MaxDepartures {
 		s.Depart(fmt.Sprint(i))
 	}
-	is.True(!s.Departed("x")) // the oldest gave way
+	is.True(!s.Departed("x")) // the oldest departure was dropped
 	is.True(s.Departed("0"))
 	ids, total := s.DeparturesSince(0)
 	is.Equal(len(ids), MaxDepartures)
 	is.Equal(total, uint64(MaxDepartures+1))
 	s.Depart("last")
 	ids, total = s.DeparturesSince(total)
-	is.Equal(ids, []string{"last"}) // though the ring has moved on
+	is.Equal(ids, []string{"last"}) // although the oldest departure was dropped again
 	ids, _ = s.DeparturesSince(total)
 	is.Equal(len(ids), 0)
 }
@@ -121,12 +121,13 @@
 	s.Join(protocol.Registration{ID: "c", Address: "10.0.0.1:80"}) // a's address
 	is.Equal(s.Joined()[0].ID, "b")
 	s.Depart("b")
-	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"}) // late
+	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"}) // a late announcement
 	is.Equal(len(s.Joined()), 1)
 	is.Equal(s.Joined()[0].ID, "c")
 }
 
-// TestFullStoreTakesNewsOfWhatItHolds: the bound concerns only servers that are new.
+// TestFullStoreTakesNewsOfWhatItHolds checks that a full store rejects only new servers: it still
+// updates known servers and accepts servers at the address of a known one.
 func TestFullStoreTakesNewsOfWhatItHolds(t *testing.T) {
 	is := is.New(t)
 	var s Store
@@ -140,20 +141,20 @@
 	s.Join(protocol.Registration{ID: "7", Address: "moved"})
 	is.Equal(s.joined["7"].Address, "moved")
 	s.Join(protocol.Registration{ID: "next", Address: "8"})
-	is.Equal(s.joined["next"].Address, "8") // in place of the one that was there
+	is.Equal(s.joined["next"].Address, "8") // replaces the server at that address
 	is.Equal(s.joined["8"].ID, "")
 	is.Equal(len(s.joined), MaxServers)
-	s.Join(protocol.Registration{ID: "9", Address: "9"}) // as it is
+	s.Join(protocol.Registration{ID: "9", Address: "9"}) // unchanged
 	s.Depart("9")
-	s.Join(protocol.Registration{ID: "new", Address: "9"}) // where one departed
+	s.Join(protocol.Registration{ID: "new", Address: "9"}) // takes the slot of the departed server
 	is.Equal(s.joined["new"].Address, "9")
-	is.Equal(len(s.at), len(s.joined))
+	is.Equal(len(s.idByAddress), len(s.joined))
 }
 
 func TestImageHoldsEverything(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	s.Put(Held{Document: valid(), Source: []byte("as it was sent")})
+	s.Put(Held{Document: validDocument(), Source: []byte("as it was sent")})
 	s.Depart("x")
 	s.Depart("y")
 	s.Join(protocol.Registration{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
@@ -162,7 +163,7 @@
 	var restored Store
 	is.NoErr(restored.UnmarshalBinary(image))
 	held, _ := restored.Held()
-	is.Equal(held.Document, valid())
+	is.Equal(held.Document, validDocument())
 	is.Equal(string(held.Source), "as it was sent")
 	ids, total := restored.DeparturesSince(0)
 	is.Equal(ids, []string{"x", "y"})
@@ -170,7 +171,8 @@
 	is.Equal(restored.Joined(), s.Joined())
 }
 
-// TestCommonHomes: both bind where both have some, and what they have in common may be nothing.
+// TestCommonHomes checks that the homes of route and account both apply if both are set, and that
+// their intersection may be empty.
 func TestCommonHomes(t *testing.T) {
 	for _, tt := range []struct {
 		route, account, want []string
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -19,14 +19,14 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file pins the bytes of documents and of the store in testdata/golden: they
-// lie on disks and in the logs of running fleets. Run with -update to write the
-// files anew, which only a deliberate change of the stored format justifies.
+// This file pins the encoding of documents and of the store in testdata/golden, because
+// running fleets hold it on disk and in their logs. Run with -update to rewrite the
+// files, which only a deliberate change of the stored format justifies.
 //
-// The files document, held and store were written when a route had the key 11 and
-// a pool the key 4, which nothing read. They are only decoded, never written anew:
-// such records still lie on disks, and they must give the same values. What today's
-// code writes is pinned beside them, in the files whose names end in "-written".
+// The files document, held and store were written when a route had the key 11 and a
+// pool the key 4, which nothing read. They are only decoded and never rewritten: disks
+// still hold such records, which must decode to the same values. The current encoding is
+// pinned in the files whose names end in "-written".
 
 var goldenDocument = Document{
 	Number: 1<<64 - 2,
@@ -46,11 +46,11 @@
 	},
 }
 
-var goldenHeld = Held{Document: goldenDocument, Source: []byte("as its author sent it")}
+var goldenStored = Held{Document: goldenDocument, Source: []byte("as its author sent it")}
 
-// records returns the pinned bytes that must decode to one value: those with the
-// two keys that nothing read, and those of today, which got must equal.
-func records(t *testing.T, name string, got []byte) map[string][]byte {
+// goldenRecords returns the pinned encodings of one value: the old one with the two
+// unused keys, and the current one, which must equal got.
+func goldenRecords(t *testing.T, name string, got []byte) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
 	if err != nil {
@@ -68,7 +68,7 @@
 	is.NoErr(goldenDocument.Check())
 	b, err := cbor.Marshal(goldenDocument)
 	is.NoErr(err)
-	for _, record := range records(t, "document", b) {
+	for _, record := range goldenRecords(t, "document", b) {
 		var got Document
 		is.NoErr(cbor.Unmarshal(record, &got))
 		is.True(reflect.DeepEqual(got, goldenDocument)) // the pinned bytes give the same value
@@ -76,7 +76,7 @@
 	is.Equal([]Kind{Once, Repeatable, Stream}, []Kind{0, 1, 2})
 }
 
-// TestGoldenColdPool pins what today's documents have beyond those of the earlier records.
+// TestGoldenColdPool pins documents with a ColdRate, which earlier records lack.
 func TestGoldenColdPool(t *testing.T) {
 	is := is.New(t)
 	d := goldenDocument
@@ -89,8 +89,8 @@
 	is.True(reflect.DeepEqual(got, d))
 }
 
-// TestGoldenHomes pins documents whose routes and accounts have homes, and that the pinned
-// ones together leave no field out.
+// TestGoldenHomes pins documents whose routes and accounts have homes, and checks that the pinned
+// document sets every field.
 func TestGoldenHomes(t *testing.T) {
 	is := is.New(t)
 	d := goldenDocument
@@ -109,12 +109,12 @@
 
 func TestGoldenStoredDocument(t *testing.T) {
 	is := is.New(t)
-	b, err := cbor.Marshal(goldenHeld)
+	b, err := cbor.Marshal(goldenStored)
 	is.NoErr(err)
-	for _, record := range records(t, "held", b) {
+	for _, record := range goldenRecords(t, "held", b) {
 		var got Held
 		is.NoErr(cbor.Unmarshal(record, &got))
-		is.True(reflect.DeepEqual(got, goldenHeld))
+		is.True(reflect.DeepEqual(got, goldenStored))
 	}
 }
 
@@ -126,21 +126,21 @@
 		{ID: "c#3", Pool: "web", Address: "10.0.0.3:80"},
 	}
 	var s Store
-	is.True(s.Put(goldenHeld))
+	is.True(s.Put(goldenStored))
 	for _, i := range []int{2, 0, 1} {
 		s.Join(joined[i])
 	}
 	is.True(s.Depart("z#9"))
 	is.True(s.Depart("y#8"))
-	s.total = 70000 // more than are remembered
+	s.departureCount = 70000 // more than the store remembers
 	b, err := s.MarshalBinary()
 	is.NoErr(err)
-	for _, record := range records(t, "store", b) {
+	for _, record := range goldenRecords(t, "store", b) {
 		var got Store
 		is.NoErr(got.UnmarshalBinary(record))
 		held, ok := got.Held()
 		is.True(ok)
-		is.True(reflect.DeepEqual(held, goldenHeld))
+		is.True(reflect.DeepEqual(held, goldenStored))
 		is.Equal(got.Joined(), joined)
 		is.True(got.Departed("y#8"))
 		ids, total := got.DeparturesSince(0)
--- a/state/document/hall.go
+++ b/state/document/hall.go
@@ -7,32 +7,33 @@
 	"slices"
 )
 
-// This file defines HallChange and HallState: which data halls are taken out of service.
+// This file defines HallChange and HallState, which record the data halls out of service.
 //
-// An operator's order to take a hall out or to put it back has no number, and copies of it
-// may come late. So a change names how many changes of its hall were applied before it: of
-// two changes that were decided on from one state, the log applies one.
+// An operator's order to take a hall out of service or to put it back has no number, and
+// copies of it may arrive late. A change therefore names the number of changes of its hall
+// that were applied before it: of two changes based on the same state, only the first
+// takes effect.
 
-// MaxHalls is the number of halls whose changes are remembered, above the 30 halls of
-// docs/CAPACITY.md. A change of a new hall beyond it does nothing.
+// MaxHalls is the largest number of halls whose changes are remembered, above the 30 halls
+// of docs/CAPACITY.md. Once it is reached, changes of other halls have no effect.
 const MaxHalls = 1024
 
 // HallChange takes a data hall out of service, or puts it back.
 type HallChange struct {
 	Hall  string `cbor:"1,keyasint"`
-	Out   bool   `cbor:"2,keyasint,omitempty"` // out of service from now on; else in service
-	After uint64 `cbor:"3,keyasint,omitempty"` // changes of the hall that this one follows
+	Out   bool   `cbor:"2,keyasint,omitempty"` // out of service from now on, otherwise in service
+	After uint64 `cbor:"3,keyasint,omitempty"` // number of changes of the hall before this one
 }
 
-// HallState is the state of one data hall that was taken out of service once.
+// HallState is the state of a data hall that was out of service at least once.
 type HallState struct {
 	Hall    string `cbor:"1,keyasint"`
 	Out     bool   `cbor:"2,keyasint,omitempty"` // out of service
-	Changes uint64 `cbor:"3,keyasint"`           // ever applied
+	Changes uint64 `cbor:"3,keyasint"`           // number of changes applied
 }
 
-// ChangeHall applies a change and reports whether the hall's state is another one now. One
-// that does not follow the newest change, or asks for what is, does nothing.
+// ChangeHall applies a change and reports whether the hall's state changed. A change that
+// does not follow the newest one, or that requests the current state, has no effect.
 func (s *Store) ChangeHall(c HallChange) bool {
 	state := s.HallState(c.Hall)
 	if c.After != state.Changes || c.Out == state.Out || (state.Changes == 0 && len(s.halls) >= MaxHalls) {
@@ -45,16 +46,16 @@
 	return true
 }
 
-// HallState returns the state of a hall; one that no change named is in service.
+// HallState returns the state of a hall. A hall without changes is in service.
 func (s *Store) HallState(hall string) HallState {
-	if state, known := s.halls[hall]; known {
+	if state, ok := s.halls[hall]; ok {
 		return state
 	}
 	return HallState{Hall: hall}
 }
 
-// Halls returns the states of all halls that were taken out of service once, ordered by
-// name.
+// Halls returns the states of all halls that were out of service at least once, ordered
+// by name.
 func (s *Store) Halls() []HallState {
 	var out []HallState
 	for _, hall := range slices.Sorted(maps.Keys(s.halls)) {
@@ -63,8 +64,8 @@
 	return out
 }
 
-// HallsOut returns the halls that are out of service, ordered by name, and the number of
-// changes of all halls, by which a newer list is told from an older one.
+// HallsOut returns the halls that are out of service, ordered by name, and the total number
+// of changes of all halls, which orders two such lists by age.
 func (s *Store) HallsOut() (out []string, changes uint64) {
 	for _, state := range s.Halls() {
 		changes += state.Changes
--- a/state/document/hall_test.go
+++ b/state/document/hall_test.go
@@ -12,12 +12,12 @@
 func TestChangeHall(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	is.True(!s.ChangeHall(HallChange{Hall: "a"})) // is in service
+	is.True(!s.ChangeHall(HallChange{Hall: "a"})) // already in service
 	is.True(s.ChangeHall(HallChange{Hall: "a", Out: true}))
-	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true}))           // decided on from an older state
-	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true, After: 1})) // is out
+	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true}))           // based on an older state
+	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true, After: 1})) // already out of service
 	is.True(s.ChangeHall(HallChange{Hall: "a", After: 1}))
-	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true, After: 0})) // a copy of the first
+	is.True(!s.ChangeHall(HallChange{Hall: "a", Out: true, After: 0})) // a copy of the first change
 	is.True(s.ChangeHall(HallChange{Hall: "b", Out: true}))
 	out, changes := s.HallsOut()
 	is.Equal(out, []string{"b"})
@@ -26,7 +26,7 @@
 	is.Equal(s.HallState("never"), HallState{Hall: "never"})
 }
 
-// TestHallsAreBounded: the store does not grow with the names that are sent to it.
+// TestHallsAreBounded checks that the store does not grow without bound with new hall names.
 func TestHallsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var s Store
@@ -34,5 +34,5 @@
 		is.True(s.ChangeHall(HallChange{Hall: fmt.Sprint(i), Out: true}))
 	}
 	is.True(!s.ChangeHall(HallChange{Hall: "one more", Out: true}))
-	is.True(s.ChangeHall(HallChange{Hall: "0", After: 1})) // those that are known still change
+	is.True(s.ChangeHall(HallChange{Hall: "0", After: 1})) // known halls still change
 }
--- a/state/document/rollout.go
+++ b/state/document/rollout.go
@@ -8,88 +8,91 @@
 	"time"
 )
 
-// This file defines Rollout, RolloutChange and how a store applies one: which version of its
-// backend servers a pool's requests move to.
+// This file defines Rollout, the move of a pool's requests to one version of its backend
+// servers, and RolloutChange, which a store applies to it.
 //
-// An operator's order has no number, and copies of it may come late. So a change names how
-// many changes of its pool's rollouts were applied before it: of two changes that were
-// decided on from one state, the log applies one.
+// An operator's order has no number, and copies of it may arrive late. A change therefore
+// names the number of changes of its pool's rollouts that were applied before it: of two
+// changes based on the same state, only the first takes effect.
 
-// Bounds of what is remembered, so that no store grows with the names that are sent to it.
+// Limits that keep the store from growing without bound with new names.
 const (
-	// MaxRollouts is the number of pools whose rollouts are remembered. A change of a new
-	// pool beyond it does nothing.
+	// MaxRollouts is the largest number of pools whose rollouts are remembered. Once it is
+	// reached, changes of other pools have no effect.
 	MaxRollouts = 1024
-	// MaxVersions is the number of versions of one pool that are remembered as barred, and as
-	// replaced. The version that was barred longest ago is forgotten first.
+	// MaxVersions is the largest number of versions of a pool that are remembered as barred, and
+	// likewise as replaced. The version that was barred first is dropped first.
 	MaxVersions = 64
-	// MaxVersionName bounds the name of a pool or of a version in a rollout, in bytes.
+	// MaxVersionName is the longest name of a pool or version in a rollout, in bytes.
 	MaxVersionName = 255
 )
 
-// RolloutState is how far a rollout is. Its numbers are stored.
+// RolloutState is the progress of a rollout. Its numbers are stored.
 type RolloutState uint8
 
-// The states of a rollout. 0 is none.
+// The states of a rollout. Zero is not a state.
 const (
-	// RolloutUnderWay moves requests to its target.
+	// RolloutUnderWay means that requests are moving to the target.
 	RolloutUnderWay RolloutState = iota + 1
-	// RolloutComplete has moved them: the servers of other versions may stop at once.
+	// RolloutComplete means that all requests have moved: the servers of other versions may stop
+	// at once.
 	RolloutComplete
-	// RolloutRolledBack has moved them back: the target's servers may stop.
+	// RolloutRolledBack means that the requests have moved back: the target's servers may stop.
 	RolloutRolledBack
 )
 
-// Rollout is the newest rollout of one pool. It is never changed once made, nor are its lists.
+// Rollout is the newest rollout of a pool. It and its lists are immutable.
 type Rollout struct {
 	Pool     string        `cbor:"1,keyasint"`
-	Target   string        `cbor:"2,keyasint"`           // version
-	Duration time.Duration `cbor:"3,keyasint"`           // from the order to its deadline
-	State    RolloutState  `cbor:"4,keyasint"`           // as of the last change
-	Attempt  uint64        `cbor:"5,keyasint"`           // numbers the pool's rollouts from 1
-	Changes  uint64        `cbor:"6,keyasint"`           // of the pool's rollouts, ever applied
-	Elapsed  time.Duration `cbor:"7,keyasint,omitempty"` // since the order, as of the last change
-	// Barred are the versions that were rolled back, the one of longest ago first: their
-	// servers get nothing.
+	Target   string        `cbor:"2,keyasint"`           // version that receives the requests
+	Duration time.Duration `cbor:"3,keyasint"`           // time from the order to the deadline
+	State    RolloutState  `cbor:"4,keyasint"`           // state at the last change
+	Attempt  uint64        `cbor:"5,keyasint"`           // sequence number of the pool's rollouts, from 1
+	Changes  uint64        `cbor:"6,keyasint"`           // number of changes applied to the pool's rollouts
+	Elapsed  time.Duration `cbor:"7,keyasint,omitempty"` // time from the order to the last change
+	// Barred are the versions that were rolled back, oldest first. Their servers receive no
+	// requests.
 	Barred []string `cbor:"8,keyasint,omitempty"`
-	// Replaced are the versions that the newest complete rollout has replaced, ordered. "" among
-	// them is the version of servers that name none.
+	// Replaced are the versions that the newest complete rollout replaced, sorted. The empty
+	// string stands for servers that report no version.
 	Replaced []string `cbor:"9,keyasint,omitempty"`
-	// Completed is the target of the newest complete rollout: the version that has the pool's
-	// requests while no later one is under way.
+	// Completed is the target of the newest complete rollout, which serves the pool's requests
+	// while no later rollout is under way.
 	Completed string `cbor:"10,keyasint,omitempty"`
-	// Switched is when the target was given all requests, since the order; 0: it was not.
+	// Switched is the time from the order until the target received all requests; zero means
+	// that it has not.
 	Switched time.Duration `cbor:"11,keyasint,omitempty"`
 }
 
-// RolloutChange begins a rollout, notes how far it is, or ends it.
+// RolloutChange begins a rollout, records its progress, or ends it.
 type RolloutChange struct {
 	Pool     string        `cbor:"1,keyasint"`
 	Target   string        `cbor:"2,keyasint"`
-	Duration time.Duration `cbor:"3,keyasint,omitempty"` // of one that begins, above 0
-	State    RolloutState  `cbor:"4,keyasint"`           // from now on
-	After    uint64        `cbor:"5,keyasint,omitempty"` // changes of the pool's rollouts that this one follows
-	Elapsed  time.Duration `cbor:"6,keyasint,omitempty"` // since the order
+	Duration time.Duration `cbor:"3,keyasint,omitempty"` // duration of a new rollout, positive
+	State    RolloutState  `cbor:"4,keyasint"`           // state after the change
+	After    uint64        `cbor:"5,keyasint,omitempty"` // number of changes of the pool's rollouts before this one
+	Elapsed  time.Duration `cbor:"6,keyasint,omitempty"` // time since the order
 	// Replaced are the versions that a complete rollout replaces.
 	Replaced []string `cbor:"7,keyasint,omitempty"`
-	// Switched is set once the target has all requests: when, since the order.
+	// Switched is the time from the order until the target received all requests; zero means
+	// that it has not.
 	Switched time.Duration `cbor:"8,keyasint,omitempty"`
 }
 
-// ChangeRollout applies a change and reports whether the pool's rollout is another one now. One
-// that does not follow the newest change does nothing, nor does one that does not fit the state:
-// a rollout begins while none is under way; what is noted and what ends is the one under way,
-// with its target; Elapsed grows.
+// ChangeRollout applies a change and reports whether the pool's rollout changed. A change has no
+// effect if it does not follow the newest change or does not fit the state: a rollout can begin only
+// while none is under way; progress and end must name the target of the rollout under way; Elapsed
+// must not decrease.
 func (s *Store) ChangeRollout(c RolloutChange) bool {
-	was := s.rollouts[c.Pool]
-	if c.After != was.Changes || (was.Changes == 0 && len(s.rollouts) >= MaxRollouts) {
+	previous := s.rollouts[c.Pool]
+	if c.After != previous.Changes || (previous.Changes == 0 && len(s.rollouts) >= MaxRollouts) {
 		return false
 	}
-	next, fits := was.with(c)
+	next, fits := previous.afterChange(c)
 	if !fits {
 		return false
 	}
-	next.Changes = was.Changes + 1
+	next.Changes = previous.Changes + 1
 	if s.rollouts == nil {
 		s.rollouts = map[string]Rollout{}
 	}
@@ -97,7 +100,7 @@
 	return true
 }
 
-// Rollouts returns the newest rollout of each pool that had one, ordered by pool.
+// Rollouts returns the newest rollout of each pool that has one, ordered by pool.
 func (s *Store) Rollouts() []Rollout {
 	var out []Rollout
 	for _, pool := range slices.Sorted(maps.Keys(s.rollouts)) {
@@ -106,16 +109,16 @@
 	return out
 }
 
-// Rollout returns the newest rollout of a pool, or false if it had none.
+// Rollout returns the newest rollout of a pool, or false if there is none.
 func (s *Store) Rollout(pool string) (Rollout, bool) {
-	r, known := s.rollouts[pool]
-	return r, known
+	r, ok := s.rollouts[pool]
+	return r, ok
 }
 
-// with returns the rollout after a change, or false if the change does not fit its state.
-func (r Rollout) with(c RolloutChange) (next Rollout, fits bool) {
+// afterChange returns the rollout after a change, or false if the change does not fit its state.
+func (r Rollout) afterChange(c RolloutChange) (next Rollout, fits bool) {
 	if r.State != RolloutUnderWay {
-		return r.begun(c)
+		return r.beginNext(c)
 	}
 	if c.Target != r.Target || c.Elapsed < r.Elapsed {
 		return r, false
@@ -127,9 +130,9 @@
 		}
 		r.Switched = max(r.Switched, c.Switched)
 	case RolloutComplete:
-		r.Replaced, r.Completed = replaced(c.Replaced, c.Target), c.Target
+		r.Replaced, r.Completed = replacedVersions(c.Replaced, c.Target), c.Target
 	case RolloutRolledBack:
-		r.Barred = append(without(r.Barred, c.Target), c.Target)
+		r.Barred = append(withoutVersion(r.Barred, c.Target), c.Target)
 		r.Barred = r.Barred[max(0, len(r.Barred)-MaxVersions):]
 	default:
 		return r, false
@@ -138,38 +141,38 @@
 	return r, true
 }
 
-// begun returns the pool's next rollout. Its target may have requests, also one that is barred or
+// beginNext returns the pool's next rollout. Its target may receive requests, even if it was barred or
 // replaced in r.
-func (r Rollout) begun(c RolloutChange) (next Rollout, fits bool) {
-	if c.State != RolloutUnderWay || c.Duration <= 0 || !nameFits(c.Pool) || !nameFits(c.Target) {
+func (r Rollout) beginNext(c RolloutChange) (next Rollout, fits bool) {
+	if c.State != RolloutUnderWay || c.Duration <= 0 || !isValidRolloutName(c.Pool) || !isValidRolloutName(c.Target) {
 		return r, false
 	}
 	return Rollout{
 		Pool: c.Pool, Target: c.Target, Duration: c.Duration, State: RolloutUnderWay, Attempt: r.Attempt + 1,
-		Barred: without(r.Barred, c.Target), Replaced: without(r.Replaced, c.Target), Completed: r.Completed,
+		Barred: withoutVersion(r.Barred, c.Target), Replaced: withoutVersion(r.Replaced, c.Target), Completed: r.Completed,
 	}, true
 }
 
-// replaced returns the versions but one, ordered, without what is too long for a version and
-// what is beyond MaxVersions.
-func replaced(versions []string, but string) []string {
-	out := slices.DeleteFunc(slices.Clone(versions), func(v string) bool { return v == but || len(v) > MaxVersionName })
+// replacedVersions returns the versions except one, sorted, without names that are too long and without
+// those beyond MaxVersions.
+func replacedVersions(versions []string, excluded string) []string {
+	out := slices.DeleteFunc(slices.Clone(versions), func(v string) bool { return v == excluded || len(v) > MaxVersionName })
 	slices.Sort(out)
 	out = slices.Compact(out)
-	return listed(out[:min(len(out), MaxVersions)])
+	return nilIfEmpty(out[:min(len(out), MaxVersions)])
 }
 
-// without returns the versions but one, in their order.
-func without(versions []string, but string) []string {
-	return listed(slices.DeleteFunc(slices.Clone(versions), func(v string) bool { return v == but }))
+// withoutVersion returns the versions except one, in their order.
+func withoutVersion(versions []string, excluded string) []string {
+	return nilIfEmpty(slices.DeleteFunc(slices.Clone(versions), func(v string) bool { return v == excluded }))
 }
 
-// listed returns nil in place of an empty list, as a decoded one is.
-func listed(versions []string) []string {
+// nilIfEmpty returns nil for an empty list, which is how an empty list is decoded.
+func nilIfEmpty(versions []string) []string {
 	if len(versions) == 0 {
 		return nil
 	}
 	return versions
 }
 
-func nameFits(name string) bool { return name != "" && len(name) <= MaxVersionName }
+func isValidRolloutName(name string) bool { return name != "" && len(name) <= MaxVersionName }
--- a/state/wal/contract_test.go
+++ b/state/wal/contract_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// TestDirContract runs one set of expectations against every implementation of
-// wal.Dir: the machine's folders, and the disk in memory that replaces them.
+// TestDirContract runs the same checks against every implementation of wal.Dir: folders
+// of the operating system, and the in-memory disk that replaces them in tests.
 func TestDirContract(t *testing.T) {
 	dirs := map[string]func(t *testing.T) wal.Dir{
 		"machine": func(t *testing.T) wal.Dir {
@@ -35,7 +35,7 @@
 			is.True(d.Rename("none", "other") != nil)
 			is.True(d.Remove("none") != nil)
 
-			f, err := d.OpenAppend("a", 0) // creates
+			f, err := d.OpenAppend("a", 0) // creates the file
 			is.NoErr(err)
 			write(is, f, "hello")
 			write(is, f, " world")
@@ -43,7 +43,7 @@
 			is.NoErr(f.Close())
 			is.Equal(content(is, d, "a"), "hello world")
 
-			f, err = d.OpenAppend("a", 5) // cuts, then appends
+			f, err = d.OpenAppend("a", 5) // truncates the file
 			is.NoErr(err)
 			write(is, f, "!")
 			is.NoErr(f.Sync())
--- a/state/wal/dir.go
+++ b/state/wal/dir.go
@@ -8,17 +8,17 @@
 	"path/filepath"
 )
 
-// This file defines Dir, the few operations on one folder that the log needs,
-// and its implementation on the operating system. Tests put a disk that
-// forgets, tears and flips in its place.
+// This file defines Dir, the folder operations that the log needs, and its
+// implementation on the operating system. Tests replace it with a disk that loses
+// unsynced data, tears writes and flips bits.
 
 // Dir is one folder. Names have no separators.
 type Dir interface {
-	// ReadFile returns the whole content, or an error for which
+	// ReadFile returns the content of a file. If the file does not exist,
 	// errors.Is(err, fs.ErrNotExist) holds.
 	ReadFile(name string) ([]byte, error)
-	// OpenAppend opens a file for writing at its end, cut to size bytes
-	// first. It creates a missing file.
+	// OpenAppend truncates a file to size bytes and opens it for appending. It
+	// creates a missing file.
 	OpenAppend(name string, size int64) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
@@ -39,7 +39,7 @@
 
 var _ Dir = OSDir("")
 
-// MakeDir creates the folder if it is missing.
+// MakeDir returns the folder at path, and creates it if it is missing.
 func MakeDir(path string) (OSDir, error) {
 	return OSDir(path), os.MkdirAll(path, 0o700)
 }
--- a/state/wal/doc.go
+++ b/state/wal/doc.go
@@ -1,31 +1,30 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package wal keeps opaque records on a disk so that what was acknowledged
-// survives a crash, and so that damage is noticed rather than guessed around.
+// Package wal implements a write-ahead log of opaque records. Acknowledged records
+// survive a crash, and damage is detected and reported instead of being repaired by
+// guessing.
 //
-// The model is a sequence of generations. Generation n is a snapshot file and
-// a log file; generation 0 has no snapshot. [Log.Append] writes all its
-// records as one frame with one checksum and one sync: a frame is the unit
-// that a crash keeps or loses. [Log.Rotate] starts the next generation: the
-// new log and the new snapshot are written under temporary names, synced,
-// renamed (log first, snapshot second, which is the commit point) and the
-// folder is synced before the old generation is removed.
+// The log is a sequence of generations. Generation n consists of a snapshot file and a
+// log file; generation 0 has no snapshot. [Log.Append] writes all its records as one
+// frame with one checksum and one sync, so a crash keeps or loses a frame as a whole.
+// [Log.Rotate] starts the next generation: it writes the new log and the new snapshot
+// under temporary names, syncs them, renames them (the log first; the rename of the
+// snapshot is the commit point) and syncs the folder before it removes the old
+// generation.
 //
-// What may be damaged, and what follows:
+// Kinds of damage and their handling:
 //
-//   - The last frame of the log may be torn by a crash during its write. It
-//     was never acknowledged, so it is dropped. Torn means that the file ends
-//     inside the frame, or that the frame holds a run of zero bytes up to a
-//     sector's end where a sector was never written.
-//   - Anything else ([Damaged]) is refused: a valid frame behind a damaged
-//     one, a last frame with wrong but complete content, a snapshot whose
-//     checksum fails, a missing file. The caller must stop; the replica is
-//     repaired as one that lost its disk.
-//   - A failed write or sync ([Failed]) is final for the Log. The kernel may
-//     have dropped the dirty pages, so a second sync that succeeds proves
-//     nothing.
+//   - A crash during a write may tear the last frame of the log. That frame was never
+//     acknowledged, so it is dropped. A frame counts as torn if the file ends inside it,
+//     or if it holds zero bytes up to the end of a sector that was never written.
+//   - Any other damage is reported as [Damaged]: a valid frame after a damaged one, a
+//     last frame with complete but wrong content, a snapshot with a wrong checksum, a
+//     missing file. The caller must stop, and the replica is repaired like one that lost
+//     its disk.
+//   - A failed write or sync ([Failed]) is final for the Log. The kernel may have
+//     dropped the dirty pages, so a later sync that succeeds proves nothing.
 //
-// One frame per record was rejected: sectors of one write may reach the disk
-// out of order, and a valid record behind a torn one would be
-// indistinguishable from damage in the middle.
+// A frame holds all records of one Append, instead of one record per frame, because the
+// sectors of one write may reach the disk out of order: a valid record after a torn one
+// would be indistinguishable from damage in the middle of the log.
 package wal
--- a/state/wal/errors.go
+++ b/state/wal/errors.go
@@ -4,9 +4,9 @@
 
 import "fmt"
 
-// This file defines the two failures that a caller handles differently.
+// This file defines the two errors that callers handle differently.
 
-// Damaged is a file that does not hold what was written. The replica must
+// Damaged reports a file whose content differs from what was written. The replica must
 // not start from it.
 type Damaged struct {
 	File   string
@@ -14,14 +14,13 @@
 	Reason string
 }
 
-// Error names the file, the offset and what is wrong.
+// Error names the file, the offset and the kind of damage.
 func (e Damaged) Error() string {
 	return fmt.Sprintf("wal: %s damaged at byte %d: %s; replace this replica as one that lost its disk",
 		e.File, e.Offset, e.Reason)
 }
 
-// Failed is a write or a sync that the disk refused. Nothing after it may be
-// acknowledged.
+// Failed reports a failed write or sync. No later record may be acknowledged.
 type Failed struct {
 	Op  string
 	Err error
--- a/state/wal/example_test.go
+++ b/state/wal/example_test.go
@@ -9,7 +9,7 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// What Append acknowledged is there after a crash.
+// Records that Append acknowledged survive a crash.
 func ExampleLog() {
 	disk := fakedisk.New(1)
 	l, _, err := wal.Open(disk)
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -8,25 +8,25 @@
 	"hash/crc32"
 )
 
-// This file defines the frame, the unit that reaches the disk whole or not at
-// all, and how a damaged frame differs from a torn one.
+// This file defines the frame, the unit that a crash keeps or loses as a whole, and
+// distinguishes damaged frames from torn ones.
 
-// The format of a frame, as it is on disk: a header of four little-endian
-// uint32 (magic, payload length, CRC-32C of the payload, CRC-32C of the header
-// before it), then the payload, which is records, each behind its length.
+// The format of a frame on disk: a header of four little-endian uint32 values (magic,
+// payload length, CRC-32C of the payload, CRC-32C of the first three values), followed
+// by the payload: the records, each preceded by its length.
 const (
 	frameMagic  = 0x62737031 // "bsp1"
 	headerSize  = 16         // bytes
-	lengthBytes = 4          // bytes of a record's length, a little-endian uint32
-	// sectorSize, in bytes, is the smallest unit that a disk writes at once.
+	lengthBytes = 4          // size of a record's length, a little-endian uint32, in bytes
+	// sectorSize is the smallest unit that a disk writes atomically, in bytes.
 	sectorSize = 512
-	// maxFrame is the largest payload, in bytes, that is taken for one when a log is read.
+	// maxFrame is the largest payload that is accepted when a log is read, in bytes.
 	maxFrame = 1 << 30
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// encodeFrame returns one frame that holds all records.
+// encodeFrame returns one frame with all records.
 func encodeFrame(records [][]byte) []byte {
 	size := headerSize
 	for _, r := range records {
@@ -45,19 +45,20 @@
 	return b
 }
 
-// frameVerdict is what decodeFrame found at the start of some bytes.
-type frameVerdict uint8
+// frameStatus is the result of decoding a frame.
+type frameStatus uint8
 
 const (
-	frameWhole   frameVerdict = iota // records are valid, size is the frame's
-	frameShort                       // the bytes end inside the frame
-	frameDamaged                     // a checksum fails
+	frameValid     frameStatus = iota // the frame is valid
+	frameTruncated                    // the bytes end inside the frame
+	frameDamaged                      // a checksum fails
 )
 
-// decodeFrame reads the frame at the start of b. The records alias b.
-func decodeFrame(b []byte) (records [][]byte, size int, v frameVerdict) {
+// decodeFrame decodes the frame at the start of b. The records alias b. size is the size
+// of the frame in bytes, or zero if its header is invalid or its end is missing.
+func decodeFrame(b []byte) (records [][]byte, size int, v frameStatus) {
 	if len(b) < headerSize {
-		return nil, 0, frameShort
+		return nil, 0, frameTruncated
 	}
 	if binary.LittleEndian.Uint32(b) != frameMagic ||
 		binary.LittleEndian.Uint32(b[12:]) != crc32.Checksum(b[:12], castagnoli) {
@@ -68,7 +69,7 @@
 		return nil, 0, frameDamaged
 	}
 	if len(b) < headerSize+n {
-		return nil, 0, frameShort
+		return nil, 0, frameTruncated
 	}
 	payload := b[headerSize : headerSize+n]
 	if binary.LittleEndian.Uint32(b[8:]) != crc32.Checksum(payload, castagnoli) {
@@ -78,7 +79,7 @@
 	if !ok {
 		return nil, headerSize + n, frameDamaged
 	}
-	return records, headerSize + n, frameWhole
+	return records, headerSize + n, frameValid
 }
 
 func splitRecords(payload []byte) ([][]byte, bool) {
@@ -98,21 +99,21 @@
 	return records, true
 }
 
-// tornTail reports whether the bytes of a log from offset to its end can be
-// what a crash left of one unacknowledged frame. The offset matters because
-// sectors are counted from the start of the file.
-func tornTail(b []byte, offset int) bool {
+// isTornTail reports whether the bytes of a log from offset to its end can be the
+// remains of one unacknowledged frame after a crash. b holds the whole file, because
+// sectors are counted from its start.
+func isTornTail(b []byte, offset int) bool {
 	tail := b[offset:]
-	if validFrameBehind(tail) {
+	if hasLaterFrame(tail) {
 		return false
 	}
 	_, _, v := decodeFrame(tail)
-	return v == frameShort || unwrittenSector(b, offset)
+	return v == frameTruncated || hasUnwrittenSector(b, offset)
 }
 
-// validFrameBehind looks for a frame that was written after the one at the
-// start of b. Its existence proves that the first one had been synced.
-func validFrameBehind(b []byte) bool {
+// hasLaterFrame reports whether b holds a valid frame after the frame at its start. Such
+// a frame proves that the first one had been synced.
+func hasLaterFrame(b []byte) bool {
 	var magic [4]byte
 	binary.LittleEndian.PutUint32(magic[:], frameMagic)
 	for at := 1; at < len(b); at++ {
@@ -121,16 +122,16 @@
 			return false
 		}
 		at += i
-		if _, _, v := decodeFrame(b[at:]); v == frameWhole {
+		if _, _, v := decodeFrame(b[at:]); v == frameValid {
 			return true
 		}
 	}
 	return false
 }
 
-// unwrittenSector reports whether some sector that b touches from offset on
-// is all zero in the part behind offset.
-func unwrittenSector(b []byte, offset int) bool {
+// hasUnwrittenSector reports whether, from offset on, b holds a sector of zeros. Only
+// the part after offset counts for the sector that contains offset.
+func hasUnwrittenSector(b []byte, offset int) bool {
 	for at := offset; at < len(b); {
 		end := min((at/sectorSize+1)*sectorSize, len(b))
 		if len(bytes.Trim(b[at:end], "\x00")) == 0 {
--- a/state/wal/fuzz_test.go
+++ b/state/wal/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// FuzzOpen opens a folder whose log is any bytes: it opens or is refused, and
-// what opened can be appended to and opened again with the same records.
+// FuzzOpen opens a folder whose log holds arbitrary bytes. Opening must either fail with
+// Damaged or yield a log that can be appended to and opened again with the same records.
 func FuzzOpen(f *testing.F) {
 	d := fakedisk.New(1)
 	l, _, err := wal.Open(d)
@@ -31,7 +31,7 @@
 		l, rec, err := wal.Open(d)
 		if err != nil {
 			if !errors.As(err, new(wal.Damaged)) {
-				t.Fatalf("untyped refusal: %v", err)
+				t.Fatalf("open failed with an error other than Damaged: %v", err)
 			}
 			return
 		}
@@ -40,7 +40,7 @@
 		}
 		_, again, err := wal.Open(d)
 		if err != nil || len(again.Records) != len(rec.Records)+1 {
-			t.Fatalf("%d records, then %d: %v", len(rec.Records), len(again.Records), err)
+			t.Fatalf("%d records before one append, %d after: %v", len(rec.Records), len(again.Records), err)
 		}
 	})
 }
--- a/state/wal/golden_test.go
+++ b/state/wal/golden_test.go
@@ -11,14 +11,13 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// This file pins the files of a log in testdata/golden: they lie on the disks
-// of running boxes. The format has no random and no time-dependent part. Run
-// with -update to rewrite the files, which only a deliberate change of the
-// stored format justifies.
+// This file pins the files of a log in testdata/golden, because running boxes hold such
+// files on disk. The format has no random and no time-dependent part. Run with -update
+// to rewrite the files, which only a deliberate change of the stored format justifies.
 
 var goldenRecords = [][]byte{[]byte("one"), {}, []byte("three\x00\xff"), []byte("four")}
 
-// writeFirst writes generation 0, in two frames.
+// writeFirst writes generation 0 with two frames.
 func writeFirst(t *testing.T, folder string) {
 	is := is.New(t)
 	l, _, err := wal.Open(wal.OSDir(folder))
@@ -28,7 +27,8 @@
 	is.NoErr(l.Close())
 }
 
-// writeRotated writes generation 1: a snapshot, a tail and one more frame.
+// writeRotated writes generation 1: a snapshot, the frame of the rotation and one more
+// frame.
 func writeRotated(t *testing.T, folder string) {
 	is := is.New(t)
 	l, _, err := wal.Open(wal.OSDir(folder))
--- a/state/wal/log.go
+++ b/state/wal/log.go
@@ -10,27 +10,27 @@
 	"github.com/pkg/errors"
 )
 
-// This file defines Log, the open write-ahead log of one folder.
+// This file defines Log, an open write-ahead log in one folder.
 
 // Log appends records and rotates generations. It is not safe for concurrent
-// use: one goroutine owns it, so that group commit is decided above it.
+// use: one goroutine owns it and decides which records share a sync.
 type Log struct {
 	dir        Dir
 	file       File
 	generation uint64
 	size       int64
-	broken     error
+	failure    error
 }
 
-// Recovered is what a folder held when it was opened.
+// Recovered is the content of a folder at the time of opening.
 type Recovered struct {
 	Snapshot []byte   // nil in generation 0
-	Records  [][]byte // in the order of their appending
+	Records  [][]byte // in the order in which they were appended
 	Dropped  int      // bytes of a torn last frame
 }
 
-// Open reads a folder and leaves it ready for appending. The error is
-// [Damaged] when the folder must not be trusted, else the disk's own.
+// Open reads a folder and returns its log, ready for appending, and its content. The
+// error is [Damaged] if the content must not be used, otherwise it comes from the disk.
 func Open(dir Dir) (*Log, Recovered, error) {
 	names, err := dir.List()
 	if err != nil {
@@ -47,7 +47,7 @@
 	if err := l.readLog(&rec); err != nil {
 		return nil, rec, err
 	}
-	l.removeOthers(names...)
+	l.removeStale(names...)
 	if l.file, err = dir.OpenAppend(logName(gen), l.size); err != nil {
 		return nil, rec, errors.Wrap(err, "wal: open log")
 	}
@@ -58,61 +58,61 @@
 	return l, rec, nil
 }
 
-// Append makes the records durable with one write and one sync. After an
-// error the log refuses everything: [Failed].
+// Append makes the records durable with one write and one sync. After an error all
+// further calls fail with [Failed].
 func (l *Log) Append(records ...[]byte) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
 	frame := encodeFrame(records)
 	if _, err := l.file.Write(frame); err != nil {
-		return l.fail("write", err)
+		return l.setFailed("write", err)
 	}
 	if err := l.file.Sync(); err != nil {
-		return l.fail("sync", err)
+		return l.setFailed("sync", err)
 	}
 	l.size += int64(len(frame))
 	return nil
 }
 
-// Rotate starts a generation with a snapshot and the records that the
-// snapshot does not cover.
+// Rotate starts the next generation with a snapshot and the records that the snapshot
+// does not cover.
 func (l *Log) Rotate(snapshot []byte, tail ...[]byte) error {
-	if l.broken != nil {
-		return l.broken
+	if l.failure != nil {
+		return l.failure
 	}
 	next := l.generation + 1
 	frame := encodeFrame(tail)
 	if err := l.writeNew(logName(next), frame); err != nil {
-		return l.fail("rotate log", err)
+		return l.setFailed("rotate log", err)
 	}
 	if err := l.writeNew(snapshotName(next), encodeFrame([][]byte{snapshot})); err != nil {
-		return l.fail("rotate snapshot", err)
+		return l.setFailed("rotate snapshot", err)
 	}
 	file, err := l.dir.OpenAppend(logName(next), int64(len(frame)))
 	if err != nil {
-		return l.fail("open rotated log", err)
+		return l.setFailed("open rotated log", err)
 	}
 	l.file.Close()
 	old := l.generation
 	l.file, l.generation, l.size = file, next, int64(len(frame))
-	l.removeOthers(logName(old), snapshotName(old))
+	l.removeStale(logName(old), snapshotName(old))
 	return nil
 }
 
-// Size returns the bytes of the current log file.
+// Size returns the size of the current log file, in bytes.
 func (l *Log) Size() int64 { return l.size }
 
-// Close closes the file. What was appended is durable already.
+// Close closes the file. Appended records are already durable.
 func (l *Log) Close() error {
-	if l.broken == nil {
-		l.broken = Failed{Op: "append", Err: fs.ErrClosed}
+	if l.failure == nil {
+		l.failure = Failed{Op: "append", Err: fs.ErrClosed}
 	}
 	return l.file.Close()
 }
 
-// writeNew writes a whole file under a temporary name, makes it durable, and
-// renames it into place.
+// writeNew writes a file under a temporary name, makes it durable and renames it to
+// its final name.
 func (l *Log) writeNew(name string, content []byte) error {
 	tmp := name + tmpSuffix
 	f, err := l.dir.OpenAppend(tmp, 0)
@@ -132,23 +132,23 @@
 	return l.dir.Sync()
 }
 
-func (l *Log) fail(op string, err error) error {
-	l.broken = Failed{Op: op, Err: err}
-	return l.broken
+func (l *Log) setFailed(op string, err error) error {
+	l.failure = Failed{Op: op, Err: err}
+	return l.failure
 }
 
 func (l *Log) syncAll() error {
 	if err := l.file.Sync(); err != nil {
-		return l.fail("sync", err)
+		return l.setFailed("sync", err)
 	}
 	if err := l.dir.Sync(); err != nil {
-		return l.fail("sync folder", err)
+		return l.setFailed("sync folder", err)
 	}
 	return nil
 }
 
-// readLog replays the log file of the generation and finds where its valid
-// part ends.
+// readLog reads the records of the current log file and finds the end of its valid
+// part.
 func (l *Log) readLog(rec *Recovered) error {
 	name := logName(l.generation)
 	b, err := l.dir.ReadFile(name)
@@ -164,12 +164,12 @@
 	at := 0
 	for at < len(b) {
 		records, size, v := decodeFrame(b[at:])
-		if v == frameWhole {
+		if v == frameValid {
 			rec.Records = append(rec.Records, records...)
 			at += size
 			continue
 		}
-		if !tornTail(b, at) {
+		if !isTornTail(b, at) {
 			return Damaged{File: name, Offset: int64(at), Reason: "frame checksum fails"}
 		}
 		rec.Dropped = len(b) - at
@@ -186,33 +186,32 @@
 		return nil, errors.Wrap(err, "wal: read snapshot")
 	}
 	records, size, v := decodeFrame(b)
-	if v != frameWhole || size != len(b) || len(records) != 1 {
+	if v != frameValid || size != len(b) || len(records) != 1 {
 		return nil, Damaged{File: name, Reason: "snapshot checksum fails"}
 	}
 	return records[0], nil
 }
 
-// removeOthers deletes those of the files that are temporary or of another
-// generation.
-func (l *Log) removeOthers(names ...string) {
+// removeStale deletes the named files that are temporary or belong to another generation.
+func (l *Log) removeStale(names ...string) {
 	for _, name := range names {
-		if name != logName(l.generation) && name != snapshotName(l.generation) && ownName(name) {
-			// Harmless: nothing reads them, and the next opening tries again.
+		if name != logName(l.generation) && name != snapshotName(l.generation) && isLogFile(name) {
+			// A failure is harmless: nothing reads the file, and the next Open retries.
 			_ = l.dir.Remove(name)
 		}
 	}
 }
 
-// Parts of the names of files.
+// Parts of file names.
 const (
 	tmpSuffix        = ".tmp"
-	generationDigits = 16 // hexadecimal digits of the generation, as in logName
+	generationDigits = 16 // hexadecimal digits of the generation in a file name
 )
 
 func logName(gen uint64) string      { return fmt.Sprintf("%016x.log", gen) }
 func snapshotName(gen uint64) string { return fmt.Sprintf("%016x.snapshot", gen) }
 
-// newestGeneration returns the highest generation with a snapshot in place.
+// newestGeneration returns the highest generation that has a snapshot, or zero.
 func newestGeneration(names []string) uint64 {
 	var newest uint64
 	for _, name := range names {
@@ -224,8 +223,8 @@
 	return newest
 }
 
-// ownName reports whether the log made a file of that name.
-func ownName(name string) bool {
+// isLogFile reports whether name has the form of a log's files.
+func isLogFile(name string) bool {
 	suffixes := []string{".log", ".snapshot", ".log" + tmpSuffix, ".snapshot" + tmpSuffix}
 	return len(name) > generationDigits && slices.Contains(suffixes, name[generationDigits:])
 }
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -52,13 +52,13 @@
 func TestDamage(t *testing.T) {
 	tests := []struct {
 		name    string
-		harm    func(d *fakedisk.Disk, ends []int)
-		keeps   int  // records
+		damage  func(d *fakedisk.Disk, ends []int)
+		kept    int  // records
 		refused bool // Damaged
 	}{
 		{"none", func(*fakedisk.Disk, []int) {}, 3, false},
-		{"end cut inside the last payload", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[2]-1) }, 2, false},
-		{"end cut inside the last header", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[1]+5) }, 2, false},
+		{"truncated inside the last payload", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[2]-1) }, 2, false},
+		{"truncated inside the last header", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[1]+5) }, 2, false},
 		{"bit flipped in the first payload", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[0]-1) }, 0, true},
 		{"bit flipped in the first header", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, 5) }, 0, true},
 		{"bit flipped in the middle", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[1]-2) }, 0, true},
@@ -69,7 +69,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			d, ends := written(t)
-			tt.harm(d, ends)
+			tt.damage(d, ends)
 			l, rec, err := wal.Open(d)
 			var damaged wal.Damaged
 			is.Equal(errors.As(err, &damaged), tt.refused)
@@ -77,11 +77,11 @@
 				return
 			}
 			is.NoErr(err)
-			is.Equal(len(rec.Records), tt.keeps)
-			is.NoErr(l.Append([]byte("after"))) // what was dropped does not come back
+			is.Equal(len(rec.Records), tt.kept)
+			is.NoErr(l.Append([]byte("after"))) // the dropped frame does not reappear
 			_, texts, _ := open(t, d)
-			is.Equal(len(texts), tt.keeps+1)
-			is.Equal(texts[tt.keeps], "after")
+			is.Equal(len(texts), tt.kept+1)
+			is.Equal(texts[tt.kept], "after")
 		})
 	}
 }
@@ -118,7 +118,7 @@
 	var failed wal.Failed
 	is.True(errors.As(err, &failed))
 	is.True(errors.Is(err, fakedisk.ErrSync))
-	d.Crash() // syncs work again, but this log stays broken
+	d.Crash() // syncs work again, but the failure is final for this log
 	is.True(errors.As(l.Append([]byte("five")), &failed))
 	_, texts, _ := open(t, d)
 	is.Equal(texts[:3], []string{"one", "two", "three"})
@@ -137,14 +137,13 @@
 	is.Equal(rec.Dropped, 7)
 }
 
-// TestCrashes appends, rotates and crashes in random order. What was
-// acknowledged is there afterwards, in order, and what was not is there whole
-// or not at all.
+// TestCrashes appends, rotates and crashes in random order. Acknowledged records must
+// survive in order, and an unacknowledged append must survive as a whole or not at all.
 func TestCrashes(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		d := fakedisk.New(rapid.Uint64().Draw(t, "seed"))
 		l, _, _ := open(t, d)
-		var base, acked []string // in the snapshot, and behind it
+		var base, acked []string // records in the snapshot, and after it
 		n := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -171,7 +170,7 @@
 				}
 				base, acked = all[:cut:cut], all[cut:]
 			case 8, 9:
-				// A write that is never acknowledged, then the crash.
+				// An append that is never acknowledged, then a crash.
 				d.Room(rapid.IntRange(0, 3000).Draw(t, "room"))
 				_ = l.Append([]byte("lost"), make([]byte, 2000))
 				d.Room(-1)
@@ -183,7 +182,7 @@
 					t.Fatalf("snapshot is %q, want %d", rec.Snapshot, len(base))
 				}
 				if len(texts) == len(acked)+2 && texts[len(acked)] == "lost" {
-					acked = texts // it reached the disk whole
+					acked = texts // the whole frame reached the disk
 				}
 				if fmt.Sprint(texts) != fmt.Sprint(acked) {
 					t.Fatalf("recovered %q, acknowledged %q", texts, acked)
