--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -15,7 +15,7 @@
 
 // Config configures one replica of one group.
 type Config struct {
-	Name      string        // of the group
+	Name      string        // name of the group
 	Self      protocol.Peer // this replica on this disk
 	Election  time.Duration // shortest time without a leader before an election
 	Heartbeat time.Duration // time between appends of an idle leader
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -52,8 +52,8 @@
 // Settings configures a replica.
 type Settings struct {
 	Group string   // name of the group
-	Name  string   // of this replica
-	Names []string // of all replicas
+	Name  string   // name of this replica
+	Names []string // names of all replicas
 	// Open, if set, makes the group an open one: Names are then its seeds, and
 	// any replica may join.
 	Open    *OpenGroup
