--- a/coordination/consensus/ending.go
+++ b/coordination/consensus/ending.go
@@ -10,11 +10,11 @@
 
 // This file defines the reason that a replica reports for the end of its leadership.
 
-// Ending describes the end of a replica's last leadership. It is zero if the replica never led.
-type Ending struct {
-	Why string // one of the EndedBy constants
-	// Quorum is the time between the last confirmation by a majority and the end.
-	Quorum time.Duration
+// LeadershipEnd describes the end of a replica's last leadership. It is zero if the replica never led.
+type LeadershipEnd struct {
+	Cause string // one of the EndedBy constants
+	// SinceQuorum is the time between the last confirmation by a majority and the end.
+	SinceQuorum time.Duration
 	// RoundTrip is the largest round-trip time that the last replies of a majority all reached.
 	// It is long when messages queue behind other traffic on a link.
 	RoundTrip time.Duration
@@ -30,13 +30,13 @@
 )
 
 // newLeadershipEnd describes a leadership that ends now.
-func (r *Replica) newLeadershipEnd(why string) Ending {
+func (r *Replica) newLeadershipEnd(cause string) LeadershipEnd {
 	roundTrip := func(p protocol.Peer) time.Duration { return r.peers[p].roundTrip }
-	return Ending{Why: why, Quorum: r.now - r.lastQuorumContact(), RoundTrip: quorumValue(r, roundTrip)}
+	return LeadershipEnd{Cause: cause, SinceQuorum: r.now - r.lastQuorumContact(), RoundTrip: quorumValue(r, roundTrip)}
 }
 
 // leadershipEnd describes why this replica does not act as leader.
-func (r *Replica) leadershipEnd() Ending {
+func (r *Replica) leadershipEnd() LeadershipEnd {
 	if r.role == Leader {
 		return r.newLeadershipEnd(EndedByLease)
 	}
@@ -44,8 +44,8 @@
 }
 
 // recordEnd records why this replica steps down, if it leads.
-func (r *Replica) recordEnd(why string) {
+func (r *Replica) recordEnd(cause string) {
 	if r.role == Leader {
-		r.lastEnd = r.newLeadershipEnd(why)
+		r.lastEnd = r.newLeadershipEnd(cause)
 	}
 }
--- a/coordination/consensus/ending_test.go
+++ b/coordination/consensus/ending_test.go
@@ -19,14 +19,14 @@
 	for c.members[old].r.Leads(c.now) {
 		c.run(testHeartbeat / 4)
 	}
-	ending := c.members[old].r.Status().Ending
-	is.Equal(ending.Why, EndedByLease)
-	is.True(ending.Quorum >= testElection*9/10)
+	ending := c.members[old].r.Status().LeadershipEnd
+	is.Equal(ending.Cause, EndedByLease)
+	is.True(ending.SinceQuorum >= testElection*9/10)
 	is.True(ending.RoundTrip < testHeartbeat)
 	for c.members[old].r.role == Leader {
 		c.run(testHeartbeat / 4)
 	}
-	ending = c.members[old].r.Status().Ending
-	is.Equal(ending.Why, EndedWithoutQuorum)
-	is.True(ending.Quorum >= testElection)
+	ending = c.members[old].r.Status().LeadershipEnd
+	is.Equal(ending.Cause, EndedWithoutQuorum)
+	is.True(ending.SinceQuorum >= testElection)
 }
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -29,7 +29,7 @@
 	Voters int
 	// Limits on the traffic to one follower; zero means the default.
 	MaxAppend   int // bytes of entries in one message, but at least one entry
-	MaxPiece    int // bytes of snapshot data in one message
+	MaxChunk    int // bytes of snapshot data in one message
 	MaxInflight int // unanswered appends
 }
 
@@ -43,7 +43,7 @@
 // withDefaults replaces zero limits by their defaults.
 func (c Config) withDefaults() Config {
 	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
-	c.MaxPiece = cmp.Or(c.MaxPiece, defaultMaxChunk)
+	c.MaxChunk = cmp.Or(c.MaxChunk, defaultMaxChunk)
 	c.MaxInflight = cmp.Or(c.MaxInflight, defaultMaxInflight)
 	return c
 }
@@ -113,8 +113,8 @@
 	noopIndex        uint64 // index of the no-op that begins this leader's term
 	transferTo       protocol.Peer
 	transferDeadline time.Duration
-	leaseVoid        bool   // leadership was offered to another replica in this term
-	lastEnd          Ending // end of this replica's last leadership
+	leaseVoid        bool          // leadership was offered to another replica in this term
+	lastEnd          LeadershipEnd // end of this replica's last leadership
 
 	repairGroup uint64 // group whose leader repairs this blank replica
 	incoming    *incomingSnapshot
@@ -265,17 +265,17 @@
 
 // Status is one replica's view of its group.
 type Status struct {
-	Group    uint64
-	Role     Role
-	Term     uint64
-	Leader   protocol.Peer // zero when none is known
-	Commit   uint64
-	Applied  uint64
-	Last     uint64 // index of the newest entry
-	First    uint64 // index of the snapshot
-	Members  protocol.Membership
-	LeaseEnd time.Duration // on the replica's clock; zero without a lease
-	Ending   Ending        // end of this replica's last leadership
+	Group         uint64
+	Role          Role
+	Term          uint64
+	Leader        protocol.Peer // zero when none is known
+	Commit        uint64
+	Applied       uint64
+	Last          uint64 // index of the newest entry
+	First         uint64 // index of the snapshot
+	Members       protocol.Membership
+	LeaseEnd      time.Duration // on the replica's clock; zero without a lease
+	LeadershipEnd LeadershipEnd // end of this replica's last leadership
 }
 
 // Status returns the current state.
@@ -283,7 +283,7 @@
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
-		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), Ending: r.leadershipEnd(),
+		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.leadershipEnd(),
 	}
 }
 
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -245,10 +245,10 @@
 	}
 }
 
-// Follows reports, at the leader, whether another replica holds the whole log and has
-// replied within half an election timeout, and the time that it takes to make entries durable,
-// zero if unknown.
-func (r *Replica) Follows(p protocol.Peer) (ready bool, sync time.Duration) {
+// FollowerProgress reports, at the leader, whether another replica holds the whole log and replied
+// within half an election timeout, and the time that it takes to make entries durable, or zero if
+// unknown.
+func (r *Replica) FollowerProgress(p protocol.Peer) (caughtUp bool, syncTime time.Duration) {
 	pr := r.peers[p]
 	if r.role != Leader || pr == nil {
 		return false, 0
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -17,7 +17,7 @@
 
 // coldHeld is a document whose pool states what cold servers bear.
 func coldHeld(number uint64, rate float64) document.Held {
-	h := held(number)
+	h := testDocument(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
 }
@@ -26,10 +26,10 @@
 // they would get most, and loses the leader meanwhile. No cold server gets more than its
 // rate in any second, and together they get a good part of what they bear.
 func TestColdHallGetsWhatItBears(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
 		halls := map[string]string{}
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
@@ -37,7 +37,7 @@
 		stop := x.keepAnnounced(halls)
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 12 {
-			x.loaded(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
+			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		stop()
@@ -46,8 +46,8 @@
 			is.NoErr(x.announceIn(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
 		time.Sleep(2500 * time.Millisecond)
-		x.mustLead().kill()
-		next := x.mustLead()
+		x.awaitLeader().kill()
+		next := x.awaitLeader()
 		for i := range 21 {
 			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
 				_ = x.announceIn(fmt.Sprint("b", i+11), "hall-b", left)
@@ -57,7 +57,7 @@
 		synctest.Wait()
 		sum := 0
 		for i := range 21 {
-			all, most := a.since(address(fmt.Sprint("b", i+11)), back)
+			all, most := a.countSince(serverAddress(fmt.Sprint("b", i+11)), back)
 			is.True(most <= rate)
 			sum += all
 		}
@@ -69,28 +69,28 @@
 
 // TestHallThatReturnsIsTakenForCold: its servers may have become cold while nobody saw it.
 func TestHallThatReturnsIsTakenForCold(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 6 {
-			x.loaded(fmt.Sprintf("10.0.2.%d", i+1), a, 10*time.Millisecond)
+			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 10*time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		x.orderHall("hall-a", true)
 		time.Sleep(2 * time.Second)
 		back := time.Now()
 		x.orderHall("hall-a", false)
-		time.Sleep(2*interval - 50*time.Millisecond)
-		all, most := a.since(address("b1"), back)
+		time.Sleep(2*announceInterval - 50*time.Millisecond)
+		all, most := a.countSince(serverAddress("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
 		time.Sleep(3 * time.Second) // it announces that it is warm
-		_, most = a.since(address("b1"), back)
+		_, most = a.countSince(serverAddress("b1"), back)
 		is.True(most > 2*rate)
 	})
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -20,14 +20,14 @@
 // This file tests what operators, backend servers and gateways may rely on.
 
 func TestPutAndRead(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead().d
+		l := x.awaitLeader().d
 		_, err := l.Read(x.t.Context())
 		is.True(errors.As(err, new(directory.NoDocument)))
-		is.NoErr(l.Put(x.t.Context(), held(7)))
-		is.NoErr(l.Put(x.t.Context(), held(7))) // again
-		is.NoErr(l.Put(x.t.Context(), held(3))) // an older one comes late
+		is.NoErr(l.Put(x.t.Context(), testDocument(7)))
+		is.NoErr(l.Put(x.t.Context(), testDocument(7))) // again
+		is.NoErr(l.Put(x.t.Context(), testDocument(3))) // an older one comes late
 		h, err := l.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(string(h.Source), "source of 7")
@@ -35,14 +35,14 @@
 }
 
 func TestInvalidDocumentChangesNothing(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead().d
-		is.NoErr(l.Put(x.t.Context(), held(7)))
-		bad := held(8)
+		l := x.awaitLeader().d
+		is.NoErr(l.Put(x.t.Context(), testDocument(7)))
+		bad := testDocument(8)
 		bad.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), bad), new(document.Invalid)))
-		old := held(6)
+		old := testDocument(6)
 		old.Document.Routes[0].Timeout = 0
 		is.True(errors.As(l.Put(x.t.Context(), old), new(document.Invalid))) // refused even when it changes nothing
 		h, _ := l.Read(x.t.Context())
@@ -51,16 +51,16 @@
 }
 
 func TestFollowersNameTheLeader(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		for ip, n := range x.nodes {
 			if n == l {
 				continue
 			}
 			_, err := n.d.Read(x.t.Context())
 			is.Equal(err, error(directory.NotLeader{Leader: l.ip + ":7400"}))
-			is.Equal(n.d.Put(x.t.Context(), held(1)), error(directory.NotLeader{Leader: l.ip + ":7400"}))
+			is.Equal(n.d.Put(x.t.Context(), testDocument(1)), error(directory.NotLeader{Leader: l.ip + ":7400"}))
 			is.Equal(n.d.Withdraw(x.t.Context(), "b1"), error(directory.NotLeader{Leader: l.ip + ":7400"}))
 			_ = ip
 		}
@@ -71,10 +71,10 @@
 // accept a newer document. The old leader must not answer with the older one,
 // at any moment.
 func TestCutOffLeaderNeverReadsOld(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		old := x.mustLead()
-		x.put(1)
+		old := x.awaitLeader()
+		x.putDocument(1)
 		x.net.Cut(old.ip)
 		acknowledged := false
 		for range 400 {
@@ -82,7 +82,7 @@
 			if !acknowledged {
 				for _, n := range x.nodes {
 					if n != old && n.d.Leads() {
-						is.NoErr(n.d.Put(x.t.Context(), held(2)))
+						is.NoErr(n.d.Put(x.t.Context(), testDocument(2)))
 						acknowledged = true
 					}
 				}
@@ -95,7 +95,7 @@
 		is.True(acknowledged)
 		x.net.Join(old.ip)
 		time.Sleep(2 * time.Second)
-		h, err := x.mustLead().d.Read(x.t.Context())
+		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(h.Document.Number, uint64(2))
 	})
@@ -104,16 +104,16 @@
 // TestAcknowledgedSurvivesPowerLoss crashes every disk right after an
 // acknowledgement.
 func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 5; round++ {
-			x.put(round)
+			x.putDocument(round)
 			is.NoErr(x.announce("b1", false))
 			x.losePower()
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 		}
@@ -123,25 +123,25 @@
 // TestTwoDisksLostAfterAcknowledgement wipes two of five right after an
 // acknowledgement, the leader among them, while the others lose power.
 func TestTwoDisksLostAfterAcknowledgement(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 4; round++ {
-			x.put(round)
-			lost := []string{x.mustLead().ip}
-			for _, ip := range x.order {
+			x.putDocument(round)
+			lost := []string{x.awaitLeader().ip}
+			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost = append(lost, ip)
 					break
 				}
 			}
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 			time.Sleep(4 * time.Second) // the lost ones have caught up
@@ -153,11 +153,11 @@
 // followers alone; the leader and one of them lose their disks while every other machine
 // loses power, replicas that do not vote and gateways too. What is left of it is one disk.
 func TestOneHolderOutlivesAllPower(t *testing.T) {
-	inFleet(t, 7, func(x *fleet) { // five vote
+	withFleet(t, 7, func(x *fleet) { // five vote
 		is := is.New(x.t)
 		x.gateway("10.0.2.1")
 		for round := uint64(1); round <= 8; round++ {
-			leader := x.mustLead()
+			leader := x.awaitLeader()
 			voters := x.voters()
 			is.Equal(len(voters), 5)
 			followers := slices.DeleteFunc(voters, func(ip string) bool { return ip == leader.ip })
@@ -167,7 +167,7 @@
 			}
 			slow := x.nodes[followers[1]].disk // the only one left with it: nothing may be acknowledged before its sync
 			slow.SyncTime(50 * time.Millisecond)
-			x.put(round)
+			x.putDocument(round)
 			slow.SyncTime(0)
 			lost := []string{leader.ip, followers[0]}
 			x.losePower()
@@ -175,14 +175,14 @@
 			for _, ip := range followers[2:] {
 				x.net.Join(ip)
 			}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if slices.Contains(lost, ip) {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
 			g := x.gateway("10.0.2.1")
-			h, err := x.mustLead().d.Read(x.t.Context())
+			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
 			time.Sleep(8 * time.Second) // the lost ones have caught up
@@ -192,10 +192,10 @@
 }
 
 func TestDepartureIsForGood(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(100 * time.Millisecond)
@@ -206,7 +206,7 @@
 		is.NoErr(x.announce("b1", false)) // a late announcement is acknowledged
 		time.Sleep(time.Second)
 		is.Equal(g.Servers(), []string{"b2"})
-		x.mustLead().kill() // and a new leader knows
+		x.awaitLeader().kill() // and a new leader knows
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(2 * time.Second)
@@ -215,8 +215,8 @@
 }
 
 func TestInvalidAnnouncementIsRefused(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
-		err := x.mustLead().d.Announce(x.t.Context(), registry.Announcement{
+	withFleet(t, 3, func(x *fleet) {
+		err := x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{
 			Registration: protocol.Registration{ID: "b1", Pool: "p", Address: "nowhere"},
 		})
 		is.New(x.t).True(errors.As(err, new(registry.Invalid)))
@@ -226,27 +226,27 @@
 // TestGatewayFollows checks that a document is in force at every gateway soon
 // after its acknowledgement, also while leaders die.
 func TestGatewayFollows(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for _, ip := range []string{"10.0.2.1", "10.0.2.2", "10.0.2.3"} {
 			x.gateway(ip)
 		}
 		time.Sleep(time.Second)
 		for number := uint64(1); number <= 4; number++ {
-			x.put(number)
+			x.putDocument(number)
 			time.Sleep(50 * time.Millisecond)
 			for _, g := range x.gateways {
 				is.Equal(g.g.DocumentNumber(), number)
 			}
-			l := x.mustLead()
+			l := x.awaitLeader()
 			l.kill()
-			x.put(number + 100*number) // through the next leader
+			x.putDocument(number + 100*number) // through the next leader
 			acked := time.Now()
 			for !allAt(x, number+100*number) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			is.True(time.Since(acked) < 1500*time.Millisecond)
-			x.start(l.ip, false)
+			x.startReplica(l.ip, false)
 			time.Sleep(2 * time.Second)
 			number += 100 * number
 		}
@@ -264,13 +264,13 @@
 
 // TestGatewayKeepsBackendsOverANewLeader: a new leader knows nobody at first.
 func TestGatewayKeepsBackendsOverANewLeader(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		time.Sleep(100 * time.Millisecond)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		l.kill()
 		for range 500 {
 			time.Sleep(10 * time.Millisecond)
@@ -282,16 +282,16 @@
 // TestBackendsOutliveAllPower: after every machine has lost power, gateways
 // know the backend servers again before these have spoken.
 func TestBackendsOutliveAllPower(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		is.NoErr(x.announce("b1", true))
 		time.Sleep(time.Second)
 		x.losePower()
-		for _, ip := range x.order {
-			x.start(ip, false)
+		for _, ip := range x.ips {
+			x.startReplica(ip, false)
 		}
 		g := x.gateway("10.0.2.1")
 		time.Sleep(3 * time.Second)
@@ -303,16 +303,16 @@
 // TestGatewayWhoseLeaderIsCutOff: the link to a leader that is cut off in
 // silence stays open; the gateway must notice and find the next leader.
 func TestGatewayWhoseLeaderIsCutOff(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		g := x.gateway("10.0.2.1")
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
-		old := x.mustLead()
+		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(2 * time.Second)
-		x.put(2)
+		x.putDocument(2)
 		time.Sleep(1500 * time.Millisecond)
 		is.Equal(g.DocumentNumber(), uint64(2))
 	})
@@ -321,12 +321,12 @@
 // TestGatewayWithCutSeeds starts a gateway whose seeds are all cut off but
 // one, which does not lead.
 func TestGatewayWithCutSeeds(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		x.net.Cut("10.0.1.1")
 		x.net.Cut("10.0.1.2")
-		x.mustLead()
+		x.awaitLeader()
 		g := x.gateway("10.0.2.1")
 		time.Sleep(5 * time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
@@ -336,18 +336,18 @@
 // TestReplacedMachine takes a replica away for good; an empty one at another
 // address takes its place, and then the group bears two more losses.
 func TestReplacedMachine(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		x.nodes["10.0.1.5"].kill()
 		delete(x.nodes, "10.0.1.5")
-		x.order = slices.DeleteFunc(x.order, func(ip string) bool { return ip == "10.0.1.5" })
-		x.add("10.0.1.9", false)
+		x.ips = slices.DeleteFunc(x.ips, func(ip string) bool { return ip == "10.0.1.5" })
+		x.addReplica("10.0.1.9", false)
 		time.Sleep(4 * time.Second)
 		x.nodes["10.0.1.1"].kill()
 		x.nodes["10.0.1.2"].kill()
-		x.put(2)
-		h, err := x.mustLead().d.Read(x.t.Context())
+		x.putDocument(2)
+		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(h.Document.Number, uint64(2))
 	})
@@ -356,25 +356,25 @@
 // TestFullDiskStopsTheReplica: what cannot be written is not acknowledged, and
 // the others go on.
 func TestFullDiskStopsTheReplica(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		l := x.mustLead()
+		x.putDocument(1)
+		l := x.awaitLeader()
 		l.disk.Room(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
-		is.True(l.d.Put(ctx, held(2)) != nil)
+		is.True(l.d.Put(ctx, testDocument(2)) != nil)
 		<-l.d.Done()
 		is.True(l.d.Err() != nil)
-		x.put(3)
+		x.putDocument(3)
 	})
 }
 
 func TestStopHandsOver(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
-		l := x.mustLead()
+		x.putDocument(1)
+		l := x.awaitLeader()
 		began := time.Now()
 		l.d.Stop(x.t.Context())
 		is.True(time.Since(began) < 500*time.Millisecond)
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -24,7 +24,7 @@
 func inFirstCrowd(t *testing.T, take time.Duration, f func(c *crowd)) {
 	t.Parallel()
 	rate := int(firstGateways * 75 * firstServers / take.Seconds())
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = float64(rate)
 		for i := range voters {
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), rate)
@@ -32,7 +32,7 @@
 	}, func(x *fleet) {
 		c := &crowd{fleet: x, servers: firstServers}
 		c.announceAll(1)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(2 * time.Second)
 		f(c)
 	})
@@ -64,7 +64,7 @@
 	c.come(firstGateways)
 	is.True(c.knowAll(time.Minute))
 	time.Sleep(3 * time.Second)
-	c.mustLead().kill()
+	c.awaitLeader().kill()
 	time.Sleep(3 * time.Second)
 	led := c.termsLed()
 	c.documentsInTime()
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -21,7 +21,7 @@
 	for _, n := range []int{3, 5, 7} {
 		for _, how := range []string{"cut", "killed", "wiped", "wiped with one more disk"} {
 			t.Run(fmt.Sprintf("%d replicas %s", n, how), func(t *testing.T) {
-				inFleetOf(t, n, votersOfHalls, func(x *fleet) {
+				withFleetVoters(t, n, votersOfHalls, func(x *fleet) {
 					is := is.New(x.t)
 					time.Sleep(3 * time.Second) // all vote
 					is.Equal(len(x.voters()), n)
@@ -29,7 +29,7 @@
 					time.Sleep(time.Second)
 					for round := range 2 {
 						is.Equal(len(x.voters()), n)
-						x.put(uint64(2*round + 1))
+						x.putDocument(uint64(2*round + 1))
 						x.orderHall("hall-a", round%2 == 0)
 						hall := x.hallOfLeader((n + 2) / 3)
 						if how == "wiped with one more disk" { // the hall's disks are back after the power
@@ -40,26 +40,26 @@
 						}
 						began := time.Now()
 						if how != "wiped with one more disk" {
-							x.mustLead()
+							x.awaitLeader()
 							leads := time.Since(began)
-							x.put(uint64(2*round + 2))
+							x.putDocument(uint64(2*round + 2))
 							x.t.Logf("a leader after %v, a document after %v", leads, time.Since(began))
 							is.True(leads < 3*time.Second)
 							is.True(time.Since(began) < 4*time.Second)
 						}
 						time.Sleep(3 * time.Second)
 						x.returnHall(hall, how)
-						h, err := x.mustLead().d.Read(x.t.Context())
+						h, err := x.awaitLeader().d.Read(x.t.Context())
 						for err != nil {
 							time.Sleep(50 * time.Millisecond)
-							h, err = x.mustLead().d.Read(x.t.Context())
+							h, err = x.awaitLeader().d.Read(x.t.Context())
 						}
 						is.True(h.Document.Number >= uint64(2*round+1))
-						halls, err := x.mustLead().d.HallsOut(x.t.Context())
+						halls, err := x.awaitLeader().d.HallsOut(x.t.Context())
 						is.NoErr(err)
 						is.Equal(len(halls) == 1, round%2 == 0)
 						time.Sleep(10 * time.Second)
-						for _, ip := range x.order { // those that were away have caught up
+						for _, ip := range x.ips { // those that were away have caught up
 							is.True(x.nodes[ip].d.Formed())
 						}
 					}
@@ -71,8 +71,8 @@
 
 // hallOfLeader returns the leader and others, size in all.
 func (x *fleet) hallOfLeader(size int) []string {
-	hall := []string{x.mustLead().ip}
-	for _, ip := range x.order {
+	hall := []string{x.awaitLeader().ip}
+	for _, ip := range x.ips {
 		if ip != hall[0] && len(hall) < size {
 			hall = append(hall, ip)
 		}
@@ -100,7 +100,7 @@
 		if how == "cut" {
 			x.net.Join(ip)
 		} else {
-			x.start(ip, false)
+			x.startReplica(ip, false)
 		}
 	}
 }
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -87,9 +87,9 @@
 	return "", ""
 }
 
-// place hands the lead over if another replica should have it.
-func (h *hub) place(now time.Duration) {
-	if now < h.placeDue || now-h.began < placeSettled {
+// checkPlacement hands the lead over if another replica should have it.
+func (h *hub) checkPlacement(now time.Duration) {
+	if now < h.placeDue || now-h.termBegan < placeSettled {
 		return
 	}
 	h.placeDue = now + placePeriod
@@ -99,7 +99,7 @@
 // voterRegion returns the region of a replica, "" if it has not named one: it does when it
 // offers itself as a relay, in a fleet with several regions.
 func (d *Directory) voterRegion(name string) string {
-	if !d.several() { // they name none, so that this one's would differ from all
+	if !d.hasMultipleRegions() { // they name none, so that this one's would differ from all
 		return ""
 	}
 	if name == d.Address() {
@@ -122,7 +122,7 @@
 		}
 		var voters []voter
 		for _, p := range n.Status().Members.Voters {
-			ready, sync := n.Follows(p)
+			ready, sync := n.FollowerProgress(p)
 			voters = append(voters, voter{name: p.Name, region: d.voterRegion(p.Name), ready: ready, sync: sync})
 		}
 		if to, why = betterLeader(d.Address(), own, voters); to != "" {
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -68,7 +68,7 @@
 	if h.relay != nil {
 		h.relay.sendSums(s)
 	} else if sent := h.feed.Sent(); len(sent) > 0 {
-		s.out.Send(protocol.Counted{Seq: s.counted})
+		s.out.Send(protocol.Counted{Seq: s.countedSeq})
 		s.out.Send(h.fleetMessage(sent))
 	}
 }
@@ -78,16 +78,16 @@
 func (h *hub) sendDocuments() {
 	h.undocumented = false
 	for s := range h.sessions {
-		if s.relay || s.number >= h.encoded.Number {
+		if s.relay || s.number >= h.encodedDocument.Number {
 			continue
 		}
 		if h.listPace.Wait(h.d.replica.Now()) > 0 {
 			h.undocumented = true
 			return
 		}
-		s.out.Send(h.encoded)
-		s.number = h.encoded.Number
-		h.listPace.RecordSent(h.d.replica.Now(), len(h.encoded.Data))
+		s.out.Send(h.encodedDocument)
+		s.number = h.encodedDocument.Number
+		h.listPace.RecordSent(h.d.replica.Now(), len(h.encodedDocument.Data))
 	}
 }
 
@@ -105,7 +105,7 @@
 			h.listless = slices.Delete(h.listless, next, next+1)
 		}
 		if !ok {
-			h.close(s)
+			h.closeSession(s)
 			s.out.Close()
 		}
 	}
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -41,7 +41,7 @@
 	l.x.t.Helper()
 	ctx, cancel := context.WithTimeout(l.x.t.Context(), time.Second)
 	defer cancel()
-	if err := l.x.mustLead().d.Announce(ctx, l.announcement(leaving)); err != nil {
+	if err := l.x.awaitLeader().d.Announce(ctx, l.announcement(leaving)); err != nil {
 		l.x.t.Fatal(err)
 	}
 }
@@ -50,7 +50,7 @@
 func (l *life) beat(times int) {
 	for range times {
 		l.announce(false)
-		time.Sleep(interval)
+		time.Sleep(announceInterval)
 	}
 }
 
@@ -70,38 +70,38 @@
 		{name: "after a life that said no start", at: "10.0.4.1:80", unborn: true},
 		{name: "after it drained", at: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
 		{name: "after it took leave by its name", ends: func(l *life) {
-			if err := l.x.mustLead().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
+			if err := l.x.awaitLeader().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
 				l.x.t.Fatal(err)
 			}
 		}},
 		{name: "late announcements", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(false) }},
 		{name: "a late departure", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(true) }},
 		{name: "the leader is killed", at: "10.0.4.1:80", meanwhile: func(x *fleet, earlier *life) {
-			x.mustLead().kill()
-			x.mustLead()
+			x.awaitLeader().kill()
+			x.awaitLeader()
 			earlier.announce(false)
 		}},
 		{name: "power of the directory is lost", at: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
 			x.losePower()
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				x.put(1)
+				x.putDocument(1)
 				earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
 				if tt.unborn {
 					earlier.born = 0
 				}
 				a := &arrivals{at: map[string][]time.Time{}}
-				x.loaded("10.0.2.1", a, 20*time.Millisecond)
-				x.loaded("10.0.2.2", a, 20*time.Millisecond)
+				x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
+				x.startLoadedGateway("10.0.2.2", a, 20*time.Millisecond)
 				earlier.beat(3)
-				all, _ := a.since(earlier.at, time.Time{})
+				all, _ := a.countSince(earlier.at, time.Time{})
 				is.True(all > 50)
 				if tt.ends != nil {
 					tt.ends(earlier)
@@ -117,9 +117,9 @@
 					tt.meanwhile(x, earlier)
 				}
 				later.beat(4)
-				served, _ := a.since(later.at, began)
-				late, _ := a.since(later.at, began.Add(2*time.Second))
-				before, _ := a.since(earlier.at, began.Add(2*time.Second))
+				served, _ := a.countSince(later.at, began)
+				late, _ := a.countSince(later.at, began.Add(2*time.Second))
+				before, _ := a.countSince(earlier.at, began.Add(2*time.Second))
 				t.Logf("%d requests reach the later life, %d of them after 2 s; %d the earlier one's address", served, late, before)
 				is.True(late > 50)
 				is.True(later.at == earlier.at || before == 0)
@@ -133,10 +133,10 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
-		x.loaded("10.0.2.1", a, 20*time.Millisecond)
+		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
 		earlier.beat(3)
 		later := &life{x: x, born: 1_790_000_009_000, at: "10.0.4.1:80"}
@@ -145,8 +145,8 @@
 		time.Sleep(time.Second)
 		earlier.announce(true) // its departure, late
 		later.beat(3)
-		served, _ := a.since(later.at, began.Add(2*time.Second))
-		before, _ := a.since(earlier.at, began.Add(2*time.Second))
+		served, _ := a.countSince(later.at, began.Add(2*time.Second))
+		before, _ := a.countSince(earlier.at, began.Add(2*time.Second))
 		is.True(served > 50)
 		is.Equal(before, 0)
 	})
@@ -155,12 +155,12 @@
 // TestVersionsWithoutLives: a gateway that takes the name for the identifier, as versions before
 // did, has the server that is listed under it, and none once that has departed.
 func TestVersionsWithoutLives(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
 		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-		session, err := link.Dial(x.t.Context(), x.mustLead().ip+":7400", id, nil)
+		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name}))
@@ -199,13 +199,13 @@
 // TestLifeInAHallOutOfService: a server that starts again in a hall that is out of service gets
 // nothing, and one that starts again in another hall does.
 func TestLifeInAHallOutOfService(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
-		x.loaded("10.0.2.1", a, 20*time.Millisecond)
+		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		announce := func(name string, born, seq uint64, at, hall string) {
-			is.NoErr(x.mustLead().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
+			is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: protocol.LifeID(name, born), Pool: "p", Address: at, Hall: hall, Slots: 4,
 			}, Seq: seq}))
 		}
@@ -217,11 +217,11 @@
 		out := time.Now()
 		announce("b1", 2, 1, "10.0.4.1:80", "hall-a")
 		time.Sleep(2 * time.Second)
-		again, _ := a.since("10.0.4.1:80", out)
+		again, _ := a.countSince("10.0.4.1:80", out)
 		is.Equal(again, 0)
 		announce("b1", 3, 1, "10.0.4.1:80", "hall-b")
 		time.Sleep(2 * time.Second)
-		again, _ = a.since("10.0.4.1:80", out)
+		again, _ = a.countSince("10.0.4.1:80", out)
 		is.True(again > 20)
 	})
 }
@@ -229,15 +229,15 @@
 // TestLifeOfAnotherVersion: a server of the old version that starts again with a rollout's target
 // belongs to that from then on.
 func TestLifeOfAnotherVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
 		var life atomic.Uint64 // of b1, which runs the version of this number
 		life.Store(1)
 		seqs := map[string]uint64{}
-		stop := x.keeping(func() {
-			d := x.leading()
+		stop := x.announceRepeatedly(func() {
+			d := x.leaderDirectory()
 			if d == nil {
 				return
 			}
@@ -254,20 +254,20 @@
 		})
 		defer stop()
 		for i := range 3 {
-			x.loaded(rolloutGateway(i), a, rolloutPeriod)
+			x.startLoadedGateway(rolloutGateway(i), a, rolloutPeriod)
 		}
 		time.Sleep(3 * time.Second)
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 		time.Sleep(500 * time.Millisecond)
 		life.Store(2)
-		for began := time.Now(); x.rolled().State == document.RolloutUnderWay && time.Since(began) < rolloutTime; {
+		for began := time.Now(); x.newestRollout().State == document.RolloutUnderWay && time.Since(began) < rolloutTime; {
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.Equal(x.rolled().State, document.RolloutComplete)
-		end := time.Now().Add(reach)
+		is.Equal(x.newestRollout().State, document.RolloutComplete)
+		end := time.Now().Add(propagationTime)
 		time.Sleep(2 * time.Second)
-		target, _ := a.since("10.0.3.1:80", end)
-		old, _ := a.since("10.0.3.2:80", end)
+		target, _ := a.countSince("10.0.3.1:80", end)
+		old, _ := a.countSince("10.0.3.2:80", end)
 		is.True(target > 100)
 		is.Equal(old, 0)
 	})
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -58,11 +58,11 @@
 	ended chan struct{}
 }
 
-// mortal returns n servers.
-func (x *fleet) mortal(n int, run time.Duration) *mortals {
+// startCrashingServers returns n servers.
+func (x *fleet) startCrashingServers(n int, run time.Duration) *mortals {
 	m := &mortals{x: x, run: run, processes: map[string]*process{}, sent: map[string][]time.Time{}}
 	for i := range n {
-		m.start(address(fmt.Sprint("b", i+1)))
+		m.start(serverAddress(fmt.Sprint("b", i+1)))
 	}
 	return m
 }
@@ -106,7 +106,7 @@
 
 // announce announces all servers that run.
 func (m *mortals) announce() {
-	d := m.x.leading()
+	d := m.x.leaderDirectory()
 	if d == nil {
 		return
 	}
@@ -166,7 +166,7 @@
 
 // Refuses implements gateway.Server.
 func (m *mortals) Refuses(ctx context.Context, at string) bool {
-	return sleep.For(ctx, latency) && !m.at(at).up
+	return sleep.For(ctx, networkLatency) && !m.at(at).up
 }
 
 func (m *mortals) at(at string) process {
@@ -177,7 +177,7 @@
 
 // Send implements gateway.Server.
 func (m *mortals) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	if !sleep.For(ctx, latency) {
+	if !sleep.For(ctx, networkLatency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
 	}
 	p := m.at(at)
@@ -244,9 +244,9 @@
 	m.sent[body] = append(m.sent[body], time.Now())
 }
 
-// deadly returns how often a deadly request was begun, and how often later than the contact time
+// countDeadly returns how often a countDeadly request was begun, and how often later than the contact time
 // after it had ended the third server.
-func (m *mortals) deadly(body string) (sent, late int) {
+func (m *mortals) countDeadly(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for i, at := range m.sent[body] {
@@ -264,9 +264,9 @@
 	return len(m.ends)
 }
 
-// mortalDocument has one route, which allows a second attempt.
-func mortalDocument(number uint64, kind document.Kind) document.Held {
-	h := held(number)
+// retryDocument has one route, which allows a second attempt.
+func retryDocument(number uint64, kind document.Kind) document.Held {
+	h := testDocument(number)
 	r := &h.Document.Routes[0]
 	r.Kind, r.MaxAttempts, r.Timeout = kind, 2, 2*time.Second
 	return h
@@ -277,28 +277,28 @@
 	x        *fleet
 	n        int // requests, for identifiers
 	mu       sync.Mutex
-	of       map[string]map[int]int // by kind of request, answers by status
+	answers  map[string]map[int]int // by kind of request, answers by status
 	gateways map[string]*gateway.Gateway
 }
 
-// among runs f in a fleet with servers, gateways, and callers that ask each of them for something
+// withCallers runs f in a fleet with servers, gateways, and callers that ask each of them for something
 // else each time, and all for the same once in a while.
-func (x *fleet) among(m *mortals, gateways int, f func(c *callers)) {
+func (x *fleet) withCallers(m *mortals, gateways int, f func(c *callers)) {
 	is := is.New(x.t)
 	kind := document.Repeatable
 	if m.streams {
 		kind = document.Stream
 	}
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), mortalDocument(1, kind)))
-	stop := x.keeping(m.announce)
+	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(1, kind)))
+	stop := x.announceRepeatedly(m.announce)
 	defer stop()
-	c := &callers{x: x, of: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
+	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
 	for i := range gateways {
 		c.gateway(m, gatewayIP(i))
 	}
 	time.Sleep(3 * time.Second)
 	c.mu.Lock()
-	clear(c.of)
+	clear(c.answers)
 	c.mu.Unlock()
 	f(c)
 }
@@ -313,7 +313,7 @@
 
 // gateway starts a gateway with callers of its own.
 func (c *callers) gateway(m *mortals, ip string) {
-	g := c.x.loadedBy(ip, idHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
 				asking.Go(func() { c.ask(g, "hot", http.MethodGet, "") })
@@ -358,10 +358,10 @@
 	g.ServeHTTP(w, r)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.of[kind] == nil {
-		c.of[kind] = map[int]int{}
+	if c.answers[kind] == nil {
+		c.answers[kind] = map[int]int{}
 	}
-	c.of[kind][w.Code]++
+	c.answers[kind][w.Code]++
 	return w.Code
 }
 
@@ -381,14 +381,14 @@
 	}
 }
 
-// served returns the part of the requests of a kind that were answered, and how many were refused
+// answeredShare returns the part of the requests of a kind that were answered, and how many were refused
 // for what they are.
-func (c *callers) served(kind string) (part float64, refused int) {
+func (c *callers) answeredShare(kind string) (part float64, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := 0
-	for _, n := range c.of[kind] {
+	for _, n := range c.answers[kind] {
 		all += n
 	}
-	return float64(c.of[kind][http.StatusOK]) / float64(max(all, 1)), c.of[kind][http.StatusBadRequest]
+	return float64(c.answers[kind][http.StatusOK]) / float64(max(all, 1)), c.answers[kind][http.StatusBadRequest]
 }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -37,7 +37,7 @@
 
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
-	if h.d.several() {
+	if h.d.hasMultipleRegions() {
 		settle = quarantine.SettleViaRelay
 	}
 	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
@@ -48,8 +48,8 @@
 	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
-// takeLosses takes what a gateway or a relay reports of ends.
-func (h *hub) takeLosses(u protocol.Usage) {
+// addLosses takes what a gateway or a relay reports of ends.
+func (h *hub) addLosses(u protocol.Usage) {
 	now := h.d.replica.Now()
 	for _, l := range u.Losses {
 		if loss, ok := timedLoss(now, l); ok {
@@ -168,7 +168,7 @@
 		return
 	}
 	h.evidence.list = h.evidence.list.WithChanges(set, gone)
-	h.sendAll(quarantineMessage(set, gone))
+	h.broadcast(quarantineMessage(set, gone))
 }
 
 // quarantineMessage returns the message for a change of a list.
@@ -210,11 +210,11 @@
 // takeQuarantine takes the leader's list, and passes it on.
 func (r *relay) takeQuarantine(m protocol.Quarantine) {
 	r.quarantine = r.quarantine.Apply(m)
-	r.h.sendAll(m)
+	r.h.broadcast(m)
 }
 
-// keepLosses keeps what a gateway reports of ends until the next report to the leader.
-func (r *relay) keepLosses(u protocol.Usage) {
+// bufferLosses keeps what a gateway reports of ends until the next report to the leader.
+func (r *relay) bufferLosses(u protocol.Usage) {
 	now := r.h.d.replica.Now()
 	for _, l := range u.Losses {
 		r.losses = append(r.losses, agedLoss{Loss: l, came: now})
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -22,31 +22,33 @@
 	// one again. A gateway that reaches none is without the directory for the time of one dial or two
 	// each time.
 	directStay = 15 * time.Second
-	// movesAtOnce is the number of gateways that a replica sends to others in a tick, at the least:
+	// minMovesPerTick is the number of gateways that a replica sends to others in a tick, at the least:
 	// each is sent the whole list there.
-	movesAtOnce = 8
+	minMovesPerTick = 8
 )
 
-// served refuses a gateway because another replica is to serve it.
-type served struct{ by string } // fleet address
+// servedElsewhere refuses a gateway because another replica is to serve it.
+type servedElsewhere struct{ by string } // fleet address
 
 // Error names the replica.
-func (e served) Error() string { return "the gateway is to be served by " + e.by }
+func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
 
-// soon refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
-type soon struct{}
+// notYetServing refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
+type notYetServing struct{}
 
 // Error implements error.
-func (soon) Error() string { return "it shows in a moment who serves the gateway" }
+func (notYetServing) Error() string { return "it shows in a moment who serves the gateway" }
 
-// several reports whether the fleet has regions of which this replica knows its own.
-func (d *Directory) several() bool { return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions() }
+// hasMultipleRegions reports whether the fleet has regions of which this replica knows its own.
+func (d *Directory) hasMultipleRegions() bool {
+	return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions()
+}
 
 // unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
 
-// noteRegion keeps the region that a node names.
-func (d *Directory) noteRegion(node, region string) {
+// recordRegion keeps the region that a node names.
+func (d *Directory) recordRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
 		d.nodeRegions.Store(node, region)
 	}
@@ -60,24 +62,24 @@
 	return unknownRegion
 }
 
-// far reports whether a region that a node named is known to be another one.
-func (h *hub) far(region string) bool {
-	return h.d.several() && region != "" && region != h.d.cfg.Region
+// isOtherRegion reports whether a region that a node named is known to be another one.
+func (h *hub) isOtherRegion(region string) bool {
+	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
-// mayServe returns nil if this replica is to serve a node, else as [hub.open] does.
-func (h *hub) mayServe(w protocol.Watch, mayWait bool) error {
+// checkServes returns nil if this replica is to serve a node, else as [hub.open] does.
+func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
 	}
-	if w.Relay || !h.mayRelay() || w.Region != h.d.cfg.Region {
+	if w.Relay || !h.canRelay() || w.Region != h.d.cfg.Region {
 		return Unavailable{}
 	}
 	switch r := h.relay; {
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
 		return h.mayPassOn(r, w, mayWait)
-	case mayWait && !h.isRefused():
-		return soon{}
+	case mayWait && !h.isRelayRefused():
+		return notYetServing{}
 	}
 	return Unavailable{}
 }
@@ -85,16 +87,16 @@
 // mayPassOn is mayServe at a relay that has a leader. A gateway that another replica has named this one
 // to is served, unless one of its own data hall can: replicas may know of each other at other times.
 func (h *hub) mayPassOn(r *relay, w protocol.Watch, mayWait bool) error {
-	if !h.spreads() {
+	if !h.isSpread() {
 		return nil
 	}
 	if r.places == nil && mayWait {
-		return soon{}
+		return notYetServing{}
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
 	if place != "" && place != h.d.Address() && (!w.Named || foreign) {
-		return served{by: place}
+		return servedElsewhere{by: place}
 	}
 	return nil
 }
@@ -106,7 +108,7 @@
 	}
 	if w.Relay {
 		if !h.relayed(w.Region) {
-			return served{by: h.d.Address()}
+			return servedElsewhere{by: h.d.Address()}
 		}
 		return nil
 	}
@@ -116,26 +118,26 @@
 	places := h.places(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
-			return soon{} // its hall's relay may just be coming
+			return notYetServing{} // its hall's relay may just be coming
 		}
-		return served{by: place}
+		return servedElsewhere{by: place}
 	} else if place != "" {
 		return nil
 	}
-	if mayWait && h.young() && !h.avoids(w) {
-		return soon{}
+	if mayWait && h.young() && !h.avoidsPreferred(w) {
+		return notYetServing{}
 	}
 	return nil
 }
 
 // young reports whether relays may just be looking for this leader.
-func (h *hub) young() bool { return h.d.replica.Now()-h.began < relayWait }
+func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // relayed reports whether gateways of a region are served by relays.
-func (h *hub) relayed(region string) bool { return h.far(region) || h.spreads() }
+func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
-// avoids reports whether a gateway has replicas to serve it that it is not to be sent to now.
-func (h *hub) avoids(w protocol.Watch) bool {
+// avoidsPreferred reports whether a gateway has replicas to serve it that it is not to be sent to now.
+func (h *hub) avoidsPreferred(w protocol.Watch) bool {
 	if !h.relayed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
@@ -143,8 +145,8 @@
 	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
 }
 
-// moveHome sends gateways that another replica is to serve to it, where there is one now.
-func (h *hub) moveHome() {
+// moveMisplacedSessions sends gateways that another replica is to serve to it, where there is one now.
+func (h *hub) moveMisplacedSessions() {
 	moved := 0
 	places := map[string][]protocol.Place{}
 	for s := range h.sessions {
@@ -156,8 +158,8 @@
 		}
 		there := places[s.region]
 		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.movesAt(len(there)) {
-			h.dismiss(s, place)
+		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
+			h.redirectSession(s, place)
 			moved++
 		}
 	}
@@ -171,12 +173,12 @@
 	hall := h.hallOf(s.hall)
 	abroad := hall != "" && hall != h.d.cfg.Hall
 	switch {
-	case s.avoided:
+	case s.avoidsRelays:
 		return now-s.opened >= directStay
-	case h.relay != nil && s.named:
+	case h.relay != nil && s.redirectedHere:
 		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
-		return now-h.spreadAt >= relayWait
+		return now-h.spreadSince >= relayWait
 	}
 	return true
 }
@@ -184,7 +186,7 @@
 // placesFor returns the replicas that may serve gateways of a region; none if that is not known.
 func (h *hub) placesFor(region string) []protocol.Place {
 	switch {
-	case h.relay != nil && h.relay.out != nil && h.spreads():
+	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
 	case h.relay == nil && h.relayed(region):
 		return h.places(region)
@@ -195,7 +197,7 @@
 // hallOf returns the data hall whose replicas go first for a gateway: its own, where sessions are
 // spread.
 func (h *hub) hallOf(hall string) string {
-	if h.spreads() {
+	if h.isSpread() {
 		return hall
 	}
 	return ""
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -33,7 +33,7 @@
 			before := x.net.Crossed(north, south) + x.net.Crossed(south, north)
 			time.Sleep(measured)
 			crossed[gateways] = x.net.Crossed(north, south) + x.net.Crossed(south, north) - before
-			x.put(1)
+			x.putDocument(1)
 			began := time.Now()
 			for _, g := range all {
 				for g.DocumentNumber() < 1 {
@@ -87,10 +87,10 @@
 		var announcing sync.WaitGroup
 		for i := range servers {
 			announcing.Go(func() {
-				time.Sleep(time.Duration(i) * interval / servers)
+				time.Sleep(time.Duration(i) * announceInterval / servers)
 				for seq := uint64(1); ctx.Err() == nil; seq++ {
 					is.NoErr(relays[i%2].d.Announce(x.t.Context(), manyServer(i, seq)))
-					sleep.For(ctx, interval)
+					sleep.For(ctx, announceInterval)
 				}
 			})
 		}
@@ -122,7 +122,7 @@
 		stop := x.keepAnnouncing(servers)
 		x.gatewaysIn(north, gateways)
 		x.gatewaysIn(south, gateways)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(10 * time.Second)
 		x.losePower()
 		for _, g := range x.gateways {
@@ -130,8 +130,8 @@
 			g.kill()
 		}
 		time.Sleep(3 * time.Second)
-		for _, ip := range x.order {
-			x.start(ip, false)
+		for _, ip := range x.ips {
+			x.startReplica(ip, false)
 		}
 		for ip := range x.gateways {
 			x.gateway(ip)
@@ -158,10 +158,10 @@
 	var announcing sync.WaitGroup
 	for i := range servers {
 		announcing.Go(func() {
-			sleep.For(ctx, time.Duration(i)*interval/time.Duration(servers))
+			sleep.For(ctx, time.Duration(i)*announceInterval/time.Duration(servers))
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				x.announceAnywhere(ctx, i, seq)
-				sleep.For(ctx, interval)
+				sleep.For(ctx, announceInterval)
 			}
 		})
 	}
@@ -170,9 +170,9 @@
 
 // announceAnywhere tries the replicas in turn until one takes an announcement.
 func (x *fleet) announceAnywhere(ctx context.Context, i int, seq uint64) {
-	for try := i; try < i+2*len(x.order) && ctx.Err() == nil; try++ {
-		n := x.nodes[x.order[try%len(x.order)]]
-		if d := n.up.Load(); d != nil {
+	for try := i; try < i+2*len(x.ips) && ctx.Err() == nil; try++ {
+		n := x.nodes[x.ips[try%len(x.ips)]]
+		if d := n.current.Load(); d != nil {
 			trying, cancel := context.WithTimeout(ctx, time.Second)
 			err := d.Announce(trying, manyServer(i, seq))
 			cancel()
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -228,13 +228,13 @@
 		time.Sleep(100 * time.Millisecond)
 		x.t.Logf("sums after the end of a relay after %v", mustSum(x, 1111, all...))
 		is.Equal(all[3].by(), a)
-		x.start(relays[1].ip, false)
+		x.startReplica(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
 
-		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
+		is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
 		time.Sleep(300 * time.Millisecond)
 		term, handle := all[0].seen()
-		x.mustLead().kill()
+		x.awaitLeader().kill()
 		began := time.Now()
 		for _, r := range all {
 			for now, _ := r.seen(); now == term; now, _ = r.seen() {
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -21,11 +21,11 @@
 	for _, at := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				m := x.mortal(6, 250*time.Millisecond)
+				m := x.startCrashingServers(6, 250*time.Millisecond)
 				m.target = 4
-				x.among(m, 4, func(c *callers) {
+				x.withCallers(m, 4, func(c *callers) {
 					is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 					m.mu.Lock()
 					m.ordered = true
@@ -39,11 +39,11 @@
 					})
 					var state document.RolloutState
 					for began := time.Now(); time.Since(began) < rolloutTime; time.Sleep(20 * time.Millisecond) {
-						if state = x.rolled().State; state != document.RolloutUnderWay {
+						if state = x.newestRollout().State; state != document.RolloutUnderWay {
 							break
 						}
 					}
-					sent, _ := m.deadly("deadly")
+					sent, _ := m.countDeadly("deadly")
 					t.Logf("begun %d times", sent)
 					is.Equal(state, document.RolloutComplete)
 				})
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -131,9 +131,9 @@
 	return r.condemnedChanges
 }
 
-// orderRollout returns what is to be done about an operator's order, the change that does it,
+// decideRolloutOrder returns what is to be done about an operator's order, the change that does it,
 // and the pool's newest rollout. One that nothing is to be done about is remembered.
-func (r *Replicated) orderRollout(o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout) {
+func (r *Replicated) decideRolloutOrder(o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	newest, _ := r.store.Rollout(o.Pool)
@@ -144,8 +144,8 @@
 	return verdict, change, newest
 }
 
-// putBackWithin returns the data halls that were put back into service lately.
-func (r *Replicated) putBackWithin(d time.Duration) []string {
+// hallsReturnedWithin returns the data halls that were put back into service lately.
+func (r *Replicated) hallsReturnedWithin(d time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.orders.PutBackWithin(r.now(), d)
@@ -164,9 +164,9 @@
 	return rates
 }
 
-// order returns what is to be done about an operator's order for a data hall, and the
+// decideHallOrder returns what is to be done about an operator's decideHallOrder for a data hall, and the
 // change that does it.
-func (r *Replicated) order(hall string, out bool) (evacuation.Verdict, document.HallChange) {
+func (r *Replicated) decideHallOrder(hall string, out bool) (evacuation.Verdict, document.HallChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.store.HallState(hall)
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -104,30 +104,30 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[orderKey{d.Pool, d.Attempt}]
+		r.Rollout, r.ordered = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
 	}
 }
 
 // elapsed returns the time since the order, at least.
 func (r *leadRollout) elapsed(now time.Duration) time.Duration { return now - r.ordered }
 
-// orderKey is one attempt of a pool's rollouts.
-type orderKey struct {
+// attemptKey is one attempt of a pool's rollouts.
+type attemptKey struct {
 	pool    string
 	attempt uint64
 }
 
-// noteOrders notes by this replica's clock when rollouts under way were ordered at the latest:
+// recordOrderTimes notes by this replica's clock when rollouts under way were ordered at the latest:
 // what the log says of them may have been applied late, never early. It is called whether this
 // replica leads or not, so that a new leader knows.
-func (h *hub) noteOrders() {
+func (h *hub) recordOrderTimes() {
 	now := h.d.replica.Now()
-	ordered := map[orderKey]time.Duration{}
+	ordered := map[attemptKey]time.Duration{}
 	for _, d := range h.d.state.Rollouts() {
 		if d.State != document.RolloutUnderWay {
 			continue
 		}
-		key := orderKey{d.Pool, d.Attempt}
+		key := attemptKey{d.Pool, d.Attempt}
 		ordered[key] = now - d.Elapsed
 		if before, known := h.ordered[key]; known {
 			ordered[key] = min(ordered[key], before)
@@ -228,12 +228,12 @@
 		return false
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].before < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].before < r.fullSeq {
 			return false
 		}
 	}
 	versions := h.registry.Versions(r.Pool)
-	h.usage.sum()
+	h.usage.sumLoads()
 	return !slices.ContainsFunc(h.usage.total, func(l protocol.ServerLoad) bool {
 		v, known := versions[l.Handle]
 		return known && v != r.Target && l.Requests > 0
@@ -254,7 +254,7 @@
 		return true
 	}
 	for s := range h.sessions {
-		if s.knowsVersions && h.rollouts.obeyed[s].last < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.obeyed[s].last < r.finalSeq {
 			return false
 		}
 	}
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -22,16 +22,16 @@
 // work. The group elects, takes a document and brings it to its gateways on new ones. That
 // the leader ends silent sessions (registry.ReportSilence) is not seen here.
 func TestConnectionsFallSilent(t *testing.T) {
-	inFleet(t, voters, func(x *fleet) {
+	withFleet(t, voters, func(x *fleet) {
 		is := is.New(x.t)
 		gateways := []*gateway.Gateway{x.gateway("10.0.2.1"), x.gateway("10.0.2.2")}
 		is.NoErr(x.announce("b1", false))
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(time.Second)
 		for n := range uint64(3) {
 			x.net.Silence()
 			began := time.Now()
-			x.put(n + 2)
+			x.putDocument(n + 2)
 			for _, g := range gateways {
 				for g.DocumentNumber() < n+2 {
 					time.Sleep(10 * time.Millisecond)
@@ -47,14 +47,14 @@
 // queue holds messages, before many gateways. No session is lost, every gateway knows all
 // soon, and it was sent a list or two, not one for each server.
 func TestManyAnnounceAtOnce(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const gateways, servers = 30, 1200
 		for i := range gateways {
 			x.gateway(fmt.Sprintf("10.0.2.%d", i+1))
 		}
 		time.Sleep(time.Second)
-		leader := x.mustLead().d
+		leader := x.awaitLeader().d
 		var announcing sync.WaitGroup
 		for i := range servers {
 			announcing.Go(func() {
@@ -68,9 +68,9 @@
 		time.Sleep(500 * time.Millisecond)
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
-			_, sessions := n.count("out", "watch")
+			_, sessions := n.controlTraffic("out", "watch")
 			is.True(sessions <= 3) // until the leader was found
-			bytes, messages := n.count("in", "backends")
+			bytes, messages := n.controlTraffic("in", "backends")
 			is.True(messages < 30)
 			is.True(bytes < 100*servers) // one registration is about 50
 		}
@@ -81,10 +81,10 @@
 // link, so that the whole list takes each of them several times longer than the silence
 // after which a leader is left. None leaves it, or all would come back for ever.
 func TestFleetReturnsOverASlowLink(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const servers, gateways = 1500, 10
-		leader := x.mustLead().d
+		leader := x.awaitLeader().d
 		for i := range servers {
 			is.NoErr(leader.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: fmt.Sprintf("b%d", i), Pool: "p", Address: fmt.Sprintf("10.1.%d.%d:80", i/200, i%200), Slots: 4,
@@ -98,7 +98,7 @@
 		time.Sleep(8 * time.Second)
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
-			_, sessions := n.count("out", "watch")
+			_, sessions := n.controlTraffic("out", "watch")
 			is.True(sessions <= 3) // until the leader was found
 		}
 	})
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -18,11 +18,11 @@
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
-	h.usage.sum()
+	h.usage.sumLoads()
 	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
 	h.usage.demand.Recompute(now, held.Document.Limits.TokensPerSecond)
 	h.logShares(now)
-	if now < h.fleetDue || len(h.sessions) == 0 {
+	if now < h.nextFleetAt || len(h.sessions) == 0 {
 		return
 	}
 	budget, links := h.fleetBudget(len(h.gateways()))
@@ -30,9 +30,9 @@
 	if !ok {
 		return
 	}
-	h.fleetDue = now + budget.Pause(m.Size(), links)
+	h.nextFleetAt = now + budget.Pause(m.Size(), links)
 	for s := range h.sessions {
-		s.out.Send(protocol.Counted{Seq: s.counted})
+		s.out.Send(protocol.Counted{Seq: s.countedSeq})
 		s.out.Send(m)
 	}
 }
@@ -56,10 +56,10 @@
 // it: all of the fleet's, or where sessions are spread its own.
 func (h *hub) fleetBudget(gateways int) (registry.FleetBudget, int) {
 	links := len(h.sessions)
-	if !h.spreads() {
+	if !h.isSpread() {
 		links = max(links, gateways)
 	}
-	return registry.NewFleetBudget(h.spreads(), h.d.cfg.LinkRate), links
+	return registry.NewFleetBudget(h.isSpread(), h.d.cfg.LinkRate), links
 }
 
 // fleetMessage returns a message with these sums.
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -58,7 +58,7 @@
 	for _, goesAlong := range []bool{true, false} {
 		t.Run(fmt.Sprint("the clock goes along: ", goesAlong), func(t *testing.T) {
 			clocks := map[string]*boxClock{}
-			inFleetWith(t, 3, voters, func(x *fleet) {
+			withPreparedFleet(t, 3, voters, func(x *fleet) {
 				x.clocks = map[string]func() time.Duration{}
 				for i := range 3 {
 					ip := fmt.Sprintf("10.0.1.%d", i+1)
@@ -67,15 +67,15 @@
 				}
 			}, func(x *fleet) {
 				is := is.New(t)
-				x.put(1)
-				old := x.mustLead()
+				x.putDocument(1)
+				old := x.awaitLeader()
 				clocks[old.ip].sleep()
 				x.net.Cut(old.ip)
 				began := time.Now()
 				for number := uint64(0); number < 2 && time.Since(began) < suspended; time.Sleep(50 * time.Millisecond) {
 					for ip, n := range x.nodes {
 						if ip != old.ip && n.d.Leads() {
-							is.NoErr(n.d.Put(x.t.Context(), held(2)))
+							is.NoErr(n.d.Put(x.t.Context(), testDocument(2)))
 							number = 2
 						}
 					}
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -14,7 +14,7 @@
 // syncLeadership begins or ends a term if the leader has changed, and sends on what
 // has been applied since.
 func (h *hub) syncLeadership() {
-	h.noteOrders()
+	h.recordOrderTimes()
 	l := h.leadership.Load()
 	switch {
 	case l.leads && h.term != l.term:
@@ -38,7 +38,7 @@
 // takeLead begins a term. Where sessions are spread, the gateways that this replica served stay.
 func (h *hub) takeLead(term uint64) {
 	before := h.relay
-	if before == nil || !h.spreads() {
+	if before == nil || !h.isSpread() {
 		h.endRelay(h.d.Address())
 		h.beginTerm(term)
 		return
@@ -48,12 +48,12 @@
 	}
 	h.relay = nil
 	h.beginTerm(term)
-	h.endOthers(h.d.Address())
+	h.endTermBoundSessions(h.d.Address())
 	h.adoptGateways(before)
 }
 
 func (h *hub) beginTerm(term uint64) {
-	h.term, h.began = term, h.d.replica.Now()
+	h.term, h.termBegan = term, h.d.replica.Now()
 	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
 	h.departed = 0
 	h.complete = false
@@ -61,9 +61,9 @@
 	for _, s := range h.d.state.Joined() {
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
-	h.usage, h.feed, h.fleetDue = newUsage(), registry.Feed{}, 0
-	h.pendingChange, h.list, h.hallChanges = registry.Change{}, nil, 0
-	h.missing, h.placesSent, h.spreadAt = nil, nil, 0
+	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.Feed{}, 0
+	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
+	h.missing, h.placesSent, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
 	h.d.cfg.Metrics.GetOrCreateCounter("badgerspoke_directory_terms_led_total").Inc()
@@ -76,14 +76,14 @@
 	}
 	h.d.cfg.Log.StateChange("leading no more", slog.Uint64("term", h.term), slog.String("leader", h.leadership.Load().leader),
 		slog.Int("sessions", len(h.sessions)), slog.Int("events", len(h.events)))
-	if h.spreads() {
+	if h.isSpread() {
 		h.keepGateways()
 	}
 	h.term = 0
 	if h.relay != nil {
 		return
 	}
-	h.held = registry.Change{}
+	h.heldServers = registry.Change{}
 	for s := range h.sessions {
 		s.out.Close()
 		delete(h.sessions, s)
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -40,7 +40,7 @@
 const floods = "f"
 
 // accountHeaders read what a request costs, and whose it is.
-type accountHeaders struct{ idHeaders }
+type accountHeaders struct{ testHeaders }
 
 func (accountHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
 	return gateway.RequestHead{
@@ -54,7 +54,7 @@
 
 // engines read one prompt after the other, each by itself, and answer then.
 type engines struct {
-	*versioned
+	*versionedServers
 	x *fleet
 
 	mu     sync.Mutex
@@ -64,7 +64,7 @@
 }
 
 func (e *engines) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	fails := e.arrive(at)
+	fails := e.recordArrival(at)
 	e.mu.Lock()
 	now := time.Now()
 	until := now
@@ -115,13 +115,13 @@
 
 // flooded reports whether the flood has begun.
 func (e *engines) flooded() bool {
-	e.versioned.mu.Lock()
-	defer e.versioned.mu.Unlock()
-	return !e.ordered.IsZero() && time.Since(e.ordered) >= floodFrom
+	e.versionedServers.mu.Lock()
+	defer e.versionedServers.mu.Unlock()
+	return !e.orderedAt.IsZero() && time.Since(e.orderedAt) >= floodFrom
 }
 
 func enginesHeld() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	h.Document.Pools[0].Engine = true
 	h.Document.Routes[0].Timeout, h.Document.Routes[0].Objective = 2*time.Second, time.Second
 	for _, name := range append(coveredAccounts, floods) {
@@ -132,34 +132,34 @@
 
 // flood runs a rollout, or none, and the flood in it, and returns the least part of what a
 // covered account asked for that it was served in time.
-func flood(t *testing.T, v *versioned, rolls bool, f func(x *fleet)) (least float64) {
-	inFleet(t, 5, func(x *fleet) {
-		e := &engines{versioned: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
+func flood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
+	withFleet(t, 5, func(x *fleet) {
+		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
-			x.loadedBy(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 				for _, account := range coveredAccounts {
 					asking.Go(func() { e.ask(ctx, asking, g, account, coveredLoad, func() bool { return true }) })
 				}
 				e.ask(ctx, asking, g, floods, floodLoad, e.flooded)
 			})
 		}
-		s := scene{document: enginesHeld(), load: load, without: !rolls, announce: func() {
+		s := rolloutScenario{document: enginesHeld(), load: load, noRollout: !rolls, announce: func() {
 			for n := range 6 {
 				r := versionedServer(n + 1)
 				r.Slots = engineSlots
-				x.announceAs(registry.Announcement{Registration: r})
+				x.announceVersioned(registry.Announcement{Registration: r})
 			}
 		}}
-		x.rollingIn(v, s, func() {
+		x.runScenario(v, s, func() {
 			f(x)
-			time.Sleep(rolloutTime - time.Since(v.ordered))
+			time.Sleep(rolloutTime - time.Since(v.orderedAt))
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			least = 1
 			for _, account := range coveredAccounts {
 				least = min(least, float64(e.served[account])/float64(e.asked[account]))
 			}
-			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, leastRoom(v))
+			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, minHeadroom(v))
 		})
 	})
 	return least
@@ -172,22 +172,22 @@
 // TestGoodVersionUnderAFlood: an account asks for seven times its share from the trial on. That
 // rolls no good version back, and accounts within their shares are served as without a rollout.
 func TestGoodVersionUnderAFlood(t *testing.T) {
-	without := flood(t, &versioned{}, false, func(*fleet) {})
-	v := &versioned{}
+	without := flood(t, &versionedServers{}, false, func(*fleet) {})
+	v := &versionedServers{}
 	with := flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutComplete) })
 	is.New(t).True(with >= without-noise)
 }
 
 // TestBadVersionUnderAFlood: it gets no more than its bound.
 func TestBadVersionUnderAFlood(t *testing.T) {
-	v := &versioned{fails: func(time.Duration) float64 { return 0.2 }}
+	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
 	flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutRolledBack) })
-	is.New(t).True(leastRoom(v) >= 0)
+	is.New(t).True(minHeadroom(v) >= 0)
 }
 
-func mustEnd(x *fleet, v *versioned, want document.RolloutState) {
+func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
 	is := is.New(x.t)
-	state, after := x.ended(v)
+	state, after := x.awaitRolloutEnd(v)
 	x.t.Logf("ended after %v", after)
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -29,7 +29,7 @@
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	h.reached.note(call.Header.Get("Id") + at)
+	h.arrivalLog.record(call.Header.Get("Id") + at)
 	return h.from.Send(ctx, at, call)
 }
 
@@ -53,16 +53,16 @@
 
 // countFailed counts what fails from the order on.
 func (h routeServers) countFailed(route string) {
-	h.versioned.mu.Lock()
-	defer h.versioned.mu.Unlock()
-	if !h.ordered.IsZero() {
+	h.versionedServers.mu.Lock()
+	defer h.versionedServers.mu.Unlock()
+	if !h.orderedAt.IsZero() {
 		h.failed[route]++
 	}
 }
 
 // homeHeld has route "any", and route "home" whose home is the south.
 func homeHeld() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
 	h.Document.Routes = append(h.Document.Routes, home)
@@ -77,24 +77,24 @@
 		t.Run(test.name, func(t *testing.T) {
 			inRegions(t, 1_000_000, func(x *fleet) {
 				is := is.New(x.t)
-				v := &versioned{fails: test.fails}
+				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
-				r := &regional{counted: newCounted(v), x: x, halls: halls}
+				r := &regional{countedServers: newCountedServers(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
-				x.rollingIn(v, scene{document: homeHeld(), announce: r.announce, load: func(ip string) {
+				x.runScenario(v, rolloutScenario{document: homeHeld(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
 					h.from = from{r, region}
-					x.loadedBy(ip, idHeaders{}, h, h.ask)
+					x.startGatewayWithLoad(ip, testHeaders{}, h, h.ask)
 				}}, func() {
-					state, after := x.ended(v)
+					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
-					x.t.Logf("ended after %v, %.0f below the bound at least", after, leastRoom(v))
+					x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
 					at := func(route, server string, from time.Time) int {
-						n, _ := r.reached.since(route+address(server), from)
+						n, _ := r.arrivalLog.countSince(route+serverAddress(server), from)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
@@ -105,10 +105,10 @@
 					is.Equal(h.failed["home"], 0)
 					v.mu.Unlock()
 					if test.fails == nil {
-						is.Equal(at("any", "b1", end.Add(reach))+at("any", "b2", end.Add(reach))+at("any", "b3", end.Add(reach)), 0)
+						is.Equal(at("any", "b1", end.Add(propagationTime))+at("any", "b2", end.Add(propagationTime))+at("any", "b3", end.Add(propagationTime)), 0)
 					} else {
-						is.Equal(at("any", "b4", end.Add(reach))+at("any", "b5", end.Add(reach))+at("any", "b6", end.Add(reach)), 0)
-						is.True(leastRoom(v) >= 0)
+						is.Equal(at("any", "b4", end.Add(propagationTime))+at("any", "b5", end.Add(propagationTime))+at("any", "b6", end.Add(propagationTime)), 0)
+						is.True(minHeadroom(v) >= 0)
 					}
 				})
 			})
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -45,13 +45,13 @@
 
 // inCrowd runs f with replicas whose links have that rate.
 func inCrowd(t *testing.T, n size, f func(c *crowd)) {
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = crowdLink
 		for i := range voters {
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
 		}
 	}, func(x *fleet) {
-		x.put(1)
+		x.putDocument(1)
 		f(&crowd{fleet: x, servers: n.servers})
 	})
 }
@@ -61,7 +61,7 @@
 	var announcing sync.WaitGroup
 	for i := range c.servers {
 		announcing.Go(func() {
-			if d := c.leading(); d != nil {
+			if d := c.leaderDirectory(); d != nil {
 				_ = d.Announce(c.t.Context(), manyServer(i, seq)) // a later one makes up for it
 			}
 		})
@@ -107,7 +107,7 @@
 func (c *crowd) documentsInTime() {
 	is := is.New(c.t)
 	for number := uint64(2); number < 6; number++ {
-		c.put(number)
+		c.putDocument(number)
 		took := c.inForce(number, 5*time.Second)
 		c.t.Logf("document %d in force after %v, %d gateways know all servers, terms led %d", number, took, c.known(), c.termsLed())
 		is.True(took < time.Second)
@@ -189,10 +189,10 @@
 		go func() {
 			time.Sleep(time.Duration(i) * d / time.Duration(c.servers))
 			for range 5 {
-				if l := c.leading(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
+				if l := c.leaderDirectory(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
 					return
 				}
-				time.Sleep(interval)
+				time.Sleep(announceInterval)
 			}
 		}()
 	}
@@ -210,7 +210,7 @@
 	is.True(c.knowAll(time.Minute))
 	time.Sleep(3 * time.Second)
 	before := c.listBytes()
-	c.mustLead().kill()
+	c.awaitLeader().kill()
 	time.Sleep(3 * time.Second)
 	led := c.termsLed()
 	c.documentsInTime()
@@ -230,7 +230,7 @@
 // listBytes returns how many bytes of lists each gateway was sent.
 func (c *crowd) listBytes() (all []uint64) {
 	for i := range c.gateways {
-		bytes, _ := c.fleet.gateways[fmt.Sprintf("10.0.2.%d", i+1)].count("in", "backends")
+		bytes, _ := c.fleet.gateways[fmt.Sprintf("10.0.2.%d", i+1)].controlTraffic("in", "backends")
 		all = append(all, bytes)
 	}
 	return all
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -12,34 +12,34 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the choice of a backend server is carried out: what is
-// known goes to package place, and what runs is counted. The rules are in
-// coordination/place and coordination/outlier.
+// This file connects backend server selection to the gateway's state: it builds the candidates for
+// package place and accounts for the requests it assigns. The rules are in coordination/place and
+// coordination/outlier.
 
-// requirements are what the choice of a backend server depends on.
+// requirements holds the inputs for selecting a backend server for a request.
 type requirements struct {
 	entitlement.WaitingRequest
 	pool       document.Pool
 	route      document.Route
 	prompt     place.Prompt
 	repeatable bool            // may run more than once
-	avoid      map[string]bool // backend servers that had the request already
+	avoid      map[string]bool // IDs of servers that have already been tried
 	gateways   int
-	random     float64 // from 0 to 1
-	// outlast is how long a backoff of all servers may be for the request to wait for its end. What has not
-	// run is refused at once instead: another gateway's servers may take it.
-	outlast time.Duration
+	random     float64 // in [0, 1)
+	// maxBackoff is the longest backoff of all servers that the request waits out. A request that
+	// has not run is refused at once instead, because the servers of another gateway may accept it.
+	maxBackoff time.Duration
 
-	versionSet versionSet // the servers' versions that the choice under way is among
+	versionSet versionSet // server versions that the current selection is limited to
 
-	accountHomes      []string      // by the document with which the request was taken
-	homes             homes         // by the document in force at the last choice
-	requestBytes      int           // that it sends
-	waitingSince      time.Duration // when it began to wait, by the gateway's clock
-	objectiveDeadline time.Duration // by the gateway's clock; 0 is none
+	accountHomes      []string      // from the document under which the request was admitted
+	homes             homes         // from the document in force at the last selection
+	requestBytes      int           // size of the request
+	waitingSince      time.Duration // start of the wait, on the gateway's clock
+	objectiveDeadline time.Duration // on the gateway's clock; zero means none
 }
 
-// placeRequest translates them for package place.
+// placeRequest converts the requirements for package place.
 func (r *requirements) placeRequest() place.Request {
 	return place.Request{
 		Prompt: r.prompt, Class: r.Class, Objective: r.route.Objective, Repeatable: r.repeatable,
@@ -47,69 +47,69 @@
 	}
 }
 
-// shortage is why a request got no backend server: the one that suits it best, with
-// what was known to run there. It is empty if there was no candidate.
+// shortage explains why a request got no backend server. It names the most suitable server and its
+// load, and is empty if there was no candidate.
 type shortage struct {
-	serverID   string
-	bound      place.Bound
-	requests   int
-	tokens     int
-	slowness   float64
-	learned    place.Learned
-	age        time.Duration // of what is known of other gateways' requests
-	halls      []string      // out of service, where all servers of the pool are
-	homes      Cause         // why its homes let nothing serve it, if so
-	stayReason stayReason    // what kept it in its region, if it had a reason to leave
-	backingOff bool          // all asked for more backoff than it waits
-	backoff    time.Duration // until one takes requests again, if so
-}
-
-// final reports whether waiting is of no use.
-func (s *shortage) final() bool { return len(s.halls) > 0 || s.homes != "" || s.backingOff }
-
-// acquire returns the backend server that suits the request best if it has room, or
-// nil and why. The caller holds mu.
+	serverID       string
+	bound          place.Bound
+	serverRequests int
+	serverTokens   int
+	slowness       float64
+	learned        place.Learned
+	loadAge        time.Duration // age of the data on other gateways' load
+	hallsOut       []string      // halls out of service, if they hold all servers of the pool
+	homesCause     Cause         // set if the homes exclude every server
+	stayReason     stayReason    // why the request stayed in its region, if it had a reason to leave
+	backingOff     bool          // every server asked for a longer backoff than the request waits
+	backoff        time.Duration // until the first server accepts requests again; set with backingOff
+}
+
+// final reports whether waiting cannot help.
+func (s *shortage) final() bool { return len(s.hallsOut) > 0 || s.homesCause != "" || s.backingOff }
+
+// acquire assigns the most suitable backend server if it has room, and otherwise returns nil and
+// the reason. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
 	versionOrder := t.versionOrder(p, now, &req)
-	a, full, found := t.acquireOf(p, now, req, versionOrder.first, versionOrder.firstReason)
-	usable := found && full.bound != place.RegionLink || full.backingOff // a backoff does not bring an old version back
+	a, shortfall, found := t.acquireAmong(p, now, req, versionOrder.first, versionOrder.firstReason)
+	usable := found && shortfall.bound != place.RegionLink || shortfall.backingOff // a backoff does not re-enable the old version
 	if a != nil || versionOrder.second == 0 || (versionOrder.onlyIfNone && usable) {
-		return a, full
+		return a, shortfall
 	}
-	a, other, foundOther := t.acquireOf(p, now, req, versionOrder.second, versionOrder.secondReason)
+	a, other, foundOther := t.acquireAmong(p, now, req, versionOrder.second, versionOrder.secondReason)
 	if a == nil && found && !foundOther {
-		return nil, full
+		return nil, shortfall
 	}
 	return a, other
 }
 
-// acquireOf is acquire among some versions, and reports whether there was a candidate. why is for
-// the log. The caller holds mu.
-func (t *table) acquireOf(p *pool, now time.Duration, req requirements, among versionSet, why string) (a *assignment, full shortage, found bool) {
+// acquireAmong is acquire limited to some versions. It also reports whether there was a candidate.
+// reason is recorded in the log. The caller holds mu.
+func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versionSet, reason string) (a *assignment, shortfall shortage, found bool) {
 	req.versionSet = among
-	choice, left := t.choose(p, now, &req)
+	choice, leave := t.choose(p, now, &req)
 	switch {
 	case choice.Index < 0:
 		backoff, backingOff := t.allBackingOff(p, now, &req)
 		return nil, shortage{
-			halls: t.allOut(p, &req), homes: t.homesRefusal(p, &req), stayReason: left.stayReason, backingOff: backingOff, backoff: backoff,
+			hallsOut: t.blockingHalls(p, &req), homesCause: t.homesRefusal(p, &req), stayReason: leave.stayReason, backingOff: backingOff, backoff: backoff,
 		}, false
 	case choice.Bound != place.Free:
 		k := p.servers[choice.Index]
 		return nil, shortage{
-			serverID: k.ID, bound: choice.Bound, requests: choice.Before.Requests, tokens: choice.Before.Tokens,
-			slowness: choice.Slowness, learned: p.placer.Learned(), age: now - t.othersAt,
-			stayReason: left.stayReason,
+			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
+			slowness: choice.Slowness, learned: p.placer.Learned(), loadAge: now - t.othersUpdatedAt,
+			stayReason: leave.stayReason,
 		}, true
 	}
-	return t.recordDestination(p.assign(now, choice, &req, why), now, &req, left), shortage{}, true
+	return t.recordDestination(p.assign(now, choice, &req, reason), now, &req, leave), shortage{}, true
 }
 
-// allOut returns the data halls that are out of service, if all servers of the pool that the
-// request's homes allow are in them: then nothing can be served until an operator puts one
-// back. The caller holds mu.
-func (t *table) allOut(p *pool, req *requirements) []string {
+// blockingHalls returns the halls that are out of service if they hold all servers of the pool that
+// the request's homes allow. In that case no request can be served until an operator puts a hall
+// back into service. The caller holds mu.
+func (t *table) blockingHalls(p *pool, req *requirements) []string {
 	if len(t.hallsOut) == 0 || len(p.servers) == 0 {
 		return nil
 	}
@@ -121,8 +121,8 @@
 	return slices.Sorted(maps.Keys(t.hallsOut))
 }
 
-// acquireWithRoom returns the backend server that suits the request best among those
-// that have room, or nil. The caller holds mu.
+// acquireWithRoom assigns the most suitable of the backend servers that have room, or returns nil.
+// The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
 	versionOrder := t.versionOrder(p, now, &req)
@@ -131,54 +131,54 @@
 		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
 			continue
 		}
-		if choice, left := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, left)
+		if choice, leave := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
+			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, leave)
 		}
 	}
 	return nil
 }
 
-// expectedFirst returns how long a server that runs nothing else is expected to need
-// until the first part of its answer.
+// expectedFirst returns the expected time to the first part of the answer on an idle server.
 func (t *table) expectedFirst(pool document.Pool, prompt place.Prompt) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pool(pool.Name).placer.ExpectedTimeToFirst(pool.Engine, prompt.Tokens())
 }
 
-// candidates returns what is known of some of the pool's servers, for one choice. The caller holds
-// mu.
+// candidates returns the state of some servers of the pool for one selection. The result is valid
+// until the next call. The caller holds mu.
 func (t *table) candidates(p *pool, servers []*knownServer, now time.Duration, req *requirements) []place.Server {
 	leased := now < t.coldSharesUntil
-	// The only server of a region is not the only one of its pool, which may have a request again.
+	// A pool's only server may be retried. The only server of a region may not, if the pool has
+	// servers elsewhere.
 	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
 	among := t.candidateVersions(p, req)
-	p.viewed = p.viewed[:0]
+	p.candidateBuf = p.candidateBuf[:0]
 	for _, k := range servers {
-		p.viewed = append(p.viewed, t.viewOf(k, now, req, viewing{leased: leased, among: among, alone: alone}))
+		p.candidateBuf = append(p.candidateBuf, t.candidate(k, now, req, candidateContext{leased: leased, among: among, alone: alone}))
 	}
-	return p.viewed
+	return p.candidateBuf
 }
 
-// viewing is what is the same for all servers of a view.
-type viewing struct {
+// candidateContext holds the values that are the same for all candidates of a selection.
+type candidateContext struct {
 	leased bool       // shares of cold servers are in force
-	among  versionSet // that the choice is among
-	alone  bool       // the only one of its region, of several in the pool
+	among  versionSet // versions that the selection is limited to
+	alone  bool       // the only server of its region, in a pool that has others
 }
 
-// viewOf returns what is known of one server. The caller holds mu.
-func (t *table) viewOf(k *knownServer, now time.Duration, req *requirements, v viewing) place.Server {
+// candidate returns the state of one server for a selection. The caller holds mu.
+func (t *table) candidate(k *knownServer, now time.Duration, req *requirements, v candidateContext) place.Server {
 	return place.Server{
-		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersAt,
+		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersUpdatedAt,
 		RecentPeak: k.peakLoad.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
 }
 
-// closed reports whether a server gets nothing of the request now, whatever else there is. The caller
-// holds mu.
-func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v viewing) bool {
+// closed reports whether a server is excluded for the request regardless of the alternatives. The
+// caller holds mu.
+func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v candidateContext) bool {
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
@@ -188,36 +188,37 @@
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
 }
 
-// minSpreadServers is the number of servers from which a prompt's requests part by lot over as many of the
-// first ones of its order as they need ([place.RoomPlacer.ChooseSpread]): below, the sums of what runs
-// name all that is busy, and a look at all servers is short.
+// minSpreadServers is the pool size from which requests with a shared prompt are spread at random
+// over the first servers of its ranking, as many as they need ([place.RoomPlacer.ChooseSpread]). In
+// smaller pools the load totals cover every busy server, and examining all servers is cheap.
 const minSpreadServers = 256
 
-// chooseSpread is choose among the first servers of the request's order. ok is false if all have to be
-// looked at. The caller holds mu.
+// chooseSpread selects among the first servers of the request's ranking. ok is false if all servers
+// have to be examined. The caller holds mu.
 func (t *table) chooseSpread(p *pool, now time.Duration, req *requirements) (c place.Choice, ok bool) {
 	if !req.pool.Engine || len(p.servers) < minSpreadServers || len(req.prompt.Shared) == 0 {
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
-	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.viewOfSome(p, ids, now, req), p.typicalPace())
+	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalPace())
 	if ok {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, ids[c.Index], compareID)
 	}
 	return c, ok
 }
 
-// viewOfSome is view of the pool's servers with some identifiers. The caller holds mu.
-func (t *table) viewOfSome(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := viewing{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
-	p.viewed = p.viewed[:0]
+// candidatesByID is candidates for the servers with the given IDs. The caller holds mu.
+func (t *table) candidatesByID(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
+	v := candidateContext{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
+	p.candidateBuf = p.candidateBuf[:0]
 	for _, id := range ids {
-		p.viewed = append(p.viewed, t.viewOf(t.servers[id], now, req, v))
+		p.candidateBuf = append(p.candidateBuf, t.candidate(t.servers[id], now, req, v))
 	}
-	return p.viewed
+	return p.candidateBuf
 }
 
-// typicalPace returns the median pace of the pool's servers. It costs O(servers that answered).
+// typicalPace returns the median pace of the pool's servers, in O(n) of the servers that have
+// answered.
 func (p *pool) typicalPace() float64 {
 	paces := make([]place.Pace, 0, len(p.paced))
 	for k := range p.paced {
@@ -226,21 +227,21 @@
 	return place.TypicalPace(paces)
 }
 
-// assign counts a request at the chosen backend server.
-func (p *pool) assign(now time.Duration, choice place.Choice, req *requirements, why string) *assignment {
+// assign records a request on the selected backend server.
+func (p *pool) assign(now time.Duration, choice place.Choice, req *requirements, reason string) *assignment {
 	k := p.servers[choice.Index]
 	k.ownLoad.Requests++
 	k.ownLoad.Tokens += choice.Read
 	p.markBusy(k)
 	k.cold = k.cold.WithBegun(now)
 	return &assignment{
-		entry: k, serverID: k.ID, address: k.Address, tokens: choice.Read, startedAt: now,
-		tokensAhead: choice.Before.Tokens, expected: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
-		trial: k.health.Sent(now), versionAttempt: p.beginAttempt(k, req, choice, why),
+		entry: k, serverID: k.ID, address: k.Address, tokensToRead: choice.Read, startedAt: now,
+		tokensAhead: choice.Before.Tokens, expectedFirst: p.placer.ExpectedTimeToFirst(req.pool.Engine, choice.Read+choice.Before.Tokens),
+		trial: k.health.Sent(now), versionAttempt: p.beginAttempt(k, req, choice, reason),
 	}
 }
 
-// markBusy notes that this gateway has a request on a server. The caller holds mu.
+// markBusy records that this gateway has a request on a server. The caller holds mu.
 func (p *pool) markBusy(k *knownServer) {
 	if p.busy == nil {
 		p.busy = map[*knownServer]bool{}
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -12,23 +12,22 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines the end of a call: what its caller gets, and what is
-// counted and logged.
+// This file defines how a call ends: the response to the caller, the counters and the log line.
 
 // callerLeft ends a request whose caller has closed the connection.
 type callerLeft struct{}
 
-// callerLeftKey is the key of a context's value that says whether the caller has left.
+// callerLeftKey is the context key of the function passed to WithCallerLeft.
 type callerLeftKey struct{}
 
-// WithCallerLeft returns a context of requests whose caller has left once left says so. It
-// is asked before each attempt: a request may have waited in the kernel for longer than its
-// caller, and nothing is to run for nobody.
+// WithCallerLeft returns a context with a function that reports whether the caller has left. The
+// gateway calls it before each attempt: a request may have stayed in the kernel's accept queue
+// longer than its caller waited, and must not run then.
 func WithCallerLeft(ctx context.Context, left func() bool) context.Context {
 	return context.WithValue(ctx, callerLeftKey{}, left)
 }
 
-// callerHasLeft reports what the value of WithCallerLeft says; false without one.
+// callerHasLeft calls the function of WithCallerLeft; it returns false without one.
 func callerHasLeft(ctx context.Context) bool {
 	left, ok := ctx.Value(callerLeftKey{}).(func() bool)
 	return ok && left()
@@ -37,22 +36,21 @@
 // Error implements error.
 func (callerLeft) Error() string { return "the caller has left" }
 
-// brokenAnswer ends a request whose answer has begun and cannot be finished: only
-// the connection's end can say so.
+// brokenAnswer ends a request whose answer has begun and cannot be completed. Only closing the
+// connection signals that to the caller.
 type brokenAnswer struct{ err error }
 
-// Error names the cause.
+// Error implements error.
 func (b brokenAnswer) Error() string { return "answer broken off: " + b.err.Error() }
 
-// finish writes the gateway's own answer, if it gives one, and accounts for
-// the request.
+// finish writes the gateway's own error response if there is one, and updates counters and the log.
 func (c *call) finish(err error) {
 	took := c.g.now() - c.arrived
 	if c.started && !c.relay.headWritten {
 		c.g.accounts.countNotServed(c.account.Name, c.cost)
 	}
 	var refusal Refusal
-	var cut brokenAnswer
+	var broken brokenAnswer
 	switch {
 	case err == nil:
 		c.g.stats.count("answered", "route", c.route.Name)
@@ -66,9 +64,9 @@
 				slog.Int("status", refusal.Status()), milliseconds("after_ms", refusal.RetryAfter))
 		})
 		refusal.write(c.w)
-	case errors.As(err, &cut):
+	case errors.As(err, &broken):
 		c.g.stats.count("broken", "route", c.route.Name)
-		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", cut.err.Error()))...)
+		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", broken.err.Error()))...)
 		panic(http.ErrAbortHandler)
 	default:
 		c.g.stats.count("left", "route", c.route.Name)
@@ -77,8 +75,8 @@
 	}
 }
 
-// logAttrs are the attributes of the request's last log line: the request, its share,
-// what it waited for, its last backend server, and its stream, each if there was one.
+// logAttrs returns the attributes of the request's final log line: the request, its share, the
+// shortage it waited for, its last backend server, and its stream, as far as they apply.
 func (c *call) logAttrs(took time.Duration) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.account.Name),
@@ -98,17 +96,17 @@
 	}
 	if s := c.shortage; s.serverID != "" {
 		attrs = append(attrs, slog.String("full", s.serverID), slog.String("full_for", s.bound.String()),
-			slog.Int("full_requests", s.requests), slog.Int("full_tokens", s.tokens), slog.Float64("slowness", s.slowness),
+			slog.Int("full_requests", s.serverRequests), slog.Int("full_tokens", s.serverTokens), slog.Float64("slowness", s.slowness),
 			slog.Float64("tokens_a_ms", s.learned.Rate), slog.Float64("per_slot", s.learned.PerSlot),
-			milliseconds("seen_ms_ago", s.age))
+			milliseconds("seen_ms_ago", s.loadAge))
 	}
 	if out, changes := c.g.table.halls(); len(out) > 0 {
 		attrs = append(attrs, slog.Any("halls_out", out), slog.Uint64("hall_changes", changes))
 	}
 	if a := c.assigned; a != nil {
 		attrs = append(attrs, slog.String("backend", a.serverID), slog.Int("tokens_ahead", a.tokensAhead),
-			slog.Int("tokens_read", a.tokens), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
-			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.untilFirst), milliseconds("expected_ms", a.expected))
+			slog.Int("tokens_read", a.tokensToRead), slog.Int("tokens_shared", c.head.Prompt.SharedTokens()),
+			milliseconds("queued_ms", a.startedAt-c.arrived), milliseconds("first_ms", a.timeToFirst), milliseconds("expected_ms", a.expectedFirst))
 		attrs = append(attrs, a.versionAttempt.logAttrs()...)
 	}
 	attrs = append(attrs, c.regionAttrs()...)
@@ -119,5 +117,5 @@
 	return attrs
 }
 
-// milliseconds is an attribute with a time in whole milliseconds.
+// milliseconds returns an attribute with a duration in whole milliseconds.
 func milliseconds(key string, d time.Duration) slog.Attr { return slog.Int64(key, d.Milliseconds()) }
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -326,8 +326,8 @@
 		log.Info("lead changed")
 		return
 	}
-	log.Info("lead changed", "why", s.Ending.Why, "quorum_ms", s.Ending.Quorum.Milliseconds(),
-		"round_trip_ms", s.Ending.RoundTrip.Milliseconds(), "pause_ms", l.roundInterval.Milliseconds(), "inputs", len(l.r.inputs))
+	log.Info("lead changed", "why", s.LeadershipEnd.Cause, "quorum_ms", s.LeadershipEnd.SinceQuorum.Milliseconds(),
+		"round_trip_ms", s.LeadershipEnd.RoundTrip.Milliseconds(), "pause_ms", l.roundInterval.Milliseconds(), "inputs", len(l.r.inputs))
 }
 
 // compact replaces the log with a snapshot once it has grown to Tuning.CompactAt.
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -130,9 +130,9 @@
 	Adapters    []string `cbor:"8,keyasint,omitempty"`
 	Version     string   `cbor:"9,keyasint,omitempty"`
 	ChecksFence bool     `cbor:"10,keyasint,omitempty"`
-	// Never holds rules "METHOD /path-prefix" for calls that must not be repeated.
-	Never []string `cbor:"11,keyasint,omitempty"`
-	ID    string   `cbor:"12,keyasint,omitempty"` // like Account.ID
+	// NeverRepeat holds rules "METHOD /path-prefix" for calls that must not be repeated.
+	NeverRepeat []string `cbor:"11,keyasint,omitempty"`
+	ID          string   `cbor:"12,keyasint,omitempty"` // like Account.ID
 }
 
 // WithMark returns a copy of the server with the given mark.
@@ -141,7 +141,7 @@
 // MayNotRepeat reports whether the server's configuration allows a call to run at
 // most once.
 func (s Server) MayNotRepeat(method, path string) bool {
-	for _, rule := range s.Never {
+	for _, rule := range s.NeverRepeat {
 		m, prefix, _ := strings.Cut(rule, " ")
 		if (m == "*" || m == method) && strings.HasPrefix(path, prefix) {
 			return true
@@ -169,7 +169,7 @@
 	if s.Kind == Engine && len(s.Models) == 0 {
 		found.add(subject, "models", "an engine serves at least one model")
 	}
-	for _, rule := range s.Never {
+	for _, rule := range s.NeverRepeat {
 		if _, prefix, ok := strings.Cut(rule, " "); !ok || !strings.HasPrefix(prefix, "/") {
 			found.add(subject, "never", `must be "METHOD /path" or "* /path", not `+rule)
 		}
