--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -99,7 +99,7 @@
 	caches       [2 * sideEngines][]string // shared parts, least recently used first
 	events       sideEvents
 	waiting      []queuedRequest
-	leader       *entitlement.Demand
+	leader       *entitlement.DemandEstimator
 	classes      [2 * sideGateways]*entitlement.Classifier
 	usage        [2 * sideGateways]map[string][2]uint64 // tokens demanded and served, by account
 	missedTokens uint64
--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -127,7 +127,7 @@
 	defer a.mu.Unlock()
 	u := protocol.Usage{Demands: takeTokens(a.demandedTokens), Late: takeTokens(a.lateTokens), Served: takeTokens(a.startedTokens), Missed: a.missedTokens}
 	for _, s := range u.Served {
-		u.Started += s.Tokens // a report with started tokens names their accounts, see [entitlement.Demand]
+		u.Started += s.Tokens // a report with started tokens names their accounts, see [entitlement.DemandEstimator]
 	}
 	a.missedTokens = 0
 	return u
