--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -52,13 +52,13 @@
 }
 
 // NewFormation returns the state of a blank replica. groupID is a random number that
-// identifies the group if this replica founds it. interval is the time between queries.
+// identifies the group if this replica founds it.
 func NewFormation(
-	name string, self protocol.Peer, names []string, groupID uint64, interval time.Duration,
+	name string, self protocol.Peer, names []string, groupID uint64, queryInterval time.Duration,
 ) *Formation {
 	return &Formation{
 		name: name, self: self, names: slices.Sorted(slices.Values(names)),
-		groupID: groupID, queryInterval: interval, answers: map[string]blankAnswer{},
+		groupID: groupID, queryInterval: queryInterval, answers: map[string]blankAnswer{},
 	}
 }
 
@@ -96,7 +96,7 @@
 	return s, true
 }
 
-// query asks every other replica, by name, for its incarnation and whether its disk
+// query requests from every other replica, by name, its incarnation and whether its disk
 // is blank.
 func (f *Formation) query() {
 	for _, name := range slices.Concat(f.names, f.hints) {
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -138,8 +138,8 @@
 	return a.match > b.match
 }
 
-// tryHandover requests the successor to campaign once it holds the whole log. The
-// request voids this leader's lease.
+// tryHandover sends the successor a request to campaign, once the successor holds the
+// whole log. The request voids this leader's lease.
 func (r *Replica) tryHandover() {
 	pr := r.peers[r.transferTo]
 	if pr == nil || pr.match < r.log.last() {
