--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -366,7 +366,7 @@
 func TestCallersBodyBreaks(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		got := x.askBody(&pieceReader{ctx: x.t.Context(), pieces: []piece{{text: "a b", err: errReset}}}, 10)
+		got := x.requestWithBody(&pieceReader{ctx: x.t.Context(), pieces: []piece{{text: "a b", err: errReset}}}, 10)
 		is.Equal(got.status, 400)
 		is.Equal(x.servers.count(), 0)
 	}, answers(200, "fine", 0))
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// askBody sends a request with a body of its own making.
-func (x *fixture) askBody(body io.Reader, length int64) reply {
+// requestWithBody sends a request with a body of its own making.
+func (x *fixture) requestWithBody(body io.Reader, length int64) reply {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/once/x", body)
 	r.Host, r.ContentLength = "host", length
 	r.Header.Set("Id", "request-1")
