--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -324,8 +324,8 @@
 	}
 }
 
-// askBody sends a request with the given body and content length.
-func (x *fixture) askBody(body io.Reader, length int64) reply {
+// requestWithBody sends a request with the given body and content length.
+func (x *fixture) requestWithBody(body io.Reader, length int64) reply {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/once/x", body)
 	r.Host, r.ContentLength = "host", length
 	r.Header.Set("Id", "request-1")
