--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -36,5 +36,5 @@
 
 // Error names the peer by the name that it claimed, which is unproven.
 func (e WrongKey) Error() string {
-	return fmt.Sprintf("link: %q did not prove the fleet key", e.Peer)
+	return fmt.Sprintf("link: %q does not know the fleet key", e.Peer)
 }
