--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,8 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package dev fills a one-box fleet with what a newcomer needs to see an
-// answer: two stand-in model engines, one stand-in plain service, and a
-// client account whose key is "dev".
+// Package dev sets up a one-box development fleet that answers requests at once: two stand-in model
+// engines, one stand-in plain service, and a client account whose key is "dev".
 package dev
 
 import (
@@ -23,28 +22,25 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines the backend servers and the configuration of a
-// development fleet.
+// This file defines the backend servers and the configuration of a development fleet.
 
-// Key is the key of the development account, Token the operators' token,
-// FleetKey the key between boxes, and Model what the engines serve.
+// Credentials and model of a development fleet.
 const (
-	Key      = "dev"
-	Token    = "dev"
-	FleetKey = "a development fleet has no secrets"
-	Model    = "badger-small"
+	Key      = "dev"                                // API key of the account
+	Token    = "dev"                                // token of the operators
+	FleetKey = "a development fleet has no secrets" // key for links between boxes
+	Model    = "badger-small"                       // model that the engines serve
 )
 
-// What the stand-ins do. Chosen so that a newcomer sees tokens come one by one;
-// nothing was measured.
+// Settings of the stand-ins. The times are long enough to watch tokens arrive one by one.
 const (
-	engineSlots  = 4 // requests that an engine runs at once
-	serviceSlots = 8
-	tokenTime    = 40 * time.Millisecond // between two tokens
-	promptTime   = 80 * time.Millisecond // before the first token
+	engineSlots  = 4                     // concurrent requests per engine
+	serviceSlots = 8                     // concurrent requests of the service
+	tokenTime    = 40 * time.Millisecond // time between two tokens
+	promptTime   = 80 * time.Millisecond // time before the first token
 )
 
-// Servers is the running stand-ins.
+// Servers holds the running stand-ins.
 type Servers struct {
 	addresses map[string]string
 	servers   []*http.Server
@@ -81,27 +77,26 @@
 	}
 }
 
-// Configure adds the stand-ins and the account to the fleet through its
-// operators' interface. It waits until the fleet has a leader. What a
-// data folder kept of an earlier run is replaced.
+// Configure waits until the fleet has a leader, then adds the stand-ins and the account through the
+// operators' API. It replaces stand-ins of an earlier run that the data folder still holds.
 func (s *Servers) Configure(ctx context.Context, operators string) error {
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+operators,
 		connect.WithInterceptors(cli.Authorize(Token)))
 	if err := awaitLeader(ctx, c); err != nil {
 		return err
 	}
-	if err := s.removeOld(ctx, c); err != nil {
+	if err := s.removePrevious(ctx, c); err != nil {
 		return err
 	}
 	hash := config.HashKey(Key)
 	_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
-		Change: change("account"), Name: "dev", Share: 1, KeyHash: hex.EncodeToString(hash[:]),
+		Change: newChange("account"), Name: "dev", Share: 1, KeyHash: hex.EncodeToString(hash[:]),
 	}))
-	if err != nil && connect.CodeOf(err) != connect.CodeInvalidArgument { // it exists already
+	if err != nil && connect.CodeOf(err) != connect.CodeInvalidArgument { // InvalidArgument: the account already exists
 		return errors.Wrap(err, "create account")
 	}
-	for _, srv := range s.list() {
-		req := &operatorv1.AddServerRequest{Change: change(srv.Name), Server: srv}
+	for _, srv := range s.configurations() {
+		req := &operatorv1.AddServerRequest{Change: newChange(srv.Name), Server: srv}
 		if _, err := c.AddServer(ctx, connect.NewRequest(req)); err != nil {
 			return errors.Wrap(err, "add server "+srv.Name)
 		}
@@ -109,7 +104,7 @@
 	return nil
 }
 
-func (s *Servers) list() []*operatorv1.Server {
+func (s *Servers) configurations() []*operatorv1.Server {
 	engine := func(name string) *operatorv1.Server {
 		return &operatorv1.Server{
 			Name: name, Pool: "engines", Address: s.addresses[name], Kind: operatorv1.Kind_KIND_ENGINE,
@@ -123,7 +118,7 @@
 	return []*operatorv1.Server{engine("engine-1"), engine("engine-2"), service}
 }
 
-func (s *Servers) removeOld(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
+func (s *Servers) removePrevious(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
 	old, err := c.ListServers(ctx, connect.NewRequest(&operatorv1.ListServersRequest{}))
 	if err != nil {
 		return errors.Wrap(err, "list servers")
@@ -133,13 +128,13 @@
 			continue
 		}
 		_, err := c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
-			Change: change("leave " + srv.GetName()), Name: srv.GetName(), Mark: operatorv1.Mark_MARK_LEAVING,
+			Change: newChange("leave " + srv.GetName()), Name: srv.GetName(), Mark: operatorv1.Mark_MARK_LEAVING,
 		}))
 		if err != nil {
 			return errors.Wrap(err, "mark old server")
 		}
 		_, err = c.RemoveServer(ctx, connect.NewRequest(&operatorv1.RemoveServerRequest{
-			Change: change("remove " + srv.GetName()), Name: srv.GetName(),
+			Change: newChange("remove " + srv.GetName()), Name: srv.GetName(),
 		}))
 		if err != nil {
 			return errors.Wrap(err, "remove old server")
@@ -148,9 +143,10 @@
 	return nil
 }
 
-// leaderPoll is the pause between two requests for the status.
+// leaderPoll is the interval between two status requests.
 const leaderPoll = 50 * time.Millisecond
 
+// awaitLeader polls the status until the fleet has a leader.
 func awaitLeader(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
 	for {
 		_, err := c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
@@ -163,7 +159,7 @@
 	}
 }
 
-// change returns an unprotected change that is new in each run.
-func change(what string) *operatorv1.Change {
-	return &operatorv1.Change{Id: what + " " + time.Now().Format(time.RFC3339Nano)}
+// newChange returns a change without a base revision, whose ID differs in each run.
+func newChange(label string) *operatorv1.Change {
+	return &operatorv1.Change{Id: label + " " + time.Now().Format(time.RFC3339Nano)}
 }
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -7,16 +7,17 @@
 	"sync/atomic"
 )
 
-// This file defines batch, the slots of an engine with a queue in front.
+// This file defines batch, which limits concurrent requests and queues the others.
 
+// batch is the set of slots of an engine with a queue in front.
 type batch struct {
-	slots   chan struct{} // holds one element for each running request
-	entered atomic.Int64  // running and waiting requests
+	slots   chan struct{} // one element per running request
+	entered atomic.Int64  // number of running and waiting requests
 }
 
 func newBatch(slots int) *batch { return &batch{slots: make(chan struct{}, slots)} }
 
-// enter waits for a slot, in order of arrival.
+// enter waits for a slot. Requests get slots in order of arrival.
 func (b *batch) enter(ctx context.Context) error {
 	b.entered.Add(1)
 	select {
@@ -28,7 +29,7 @@
 	}
 }
 
-// leave frees a slot for the next in the queue.
+// leave releases a slot to the next request in the queue.
 func (b *batch) leave() {
 	<-b.slots
 	b.entered.Add(-1)
@@ -36,6 +37,6 @@
 
 func (b *batch) running() int { return len(b.slots) }
 
-// waiting is the number of requests without a slot. Its two figures are not
-// read at one moment: a request that ends between them must not count below 0.
+// waiting returns the number of requests without a slot. The two counts are not read atomically, so
+// the difference could become negative when a request ends between the reads.
 func (b *batch) waiting() int { return max(int(b.entered.Load())-len(b.slots), 0) }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,12 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package standin simulates the systems behind a fleet, for development and
-// tests: [Engine], a model engine with the OpenAI-style interface, and
-// [Service], a plain service that counts what it ran.
+// Package standin simulates backend servers for development and tests: [Engine] is a model engine
+// with an OpenAI-style API, and [Service] is a plain HTTP service that counts its requests.
 //
-// They are small on purpose. A stand-in keeps time by tokens, runs as many
-// requests as it has slots, and fails the next request in the way that a test
-// chose ([Failure]); it models nothing else and its speed shows nothing about a
-// real server. Whole deployments with faulty servers are simulated by the users'
-// bench, not here.
+// Stand-ins are deliberately simple. An engine spends a fixed time per token, runs as many requests
+// as it has slots, and fails the next request in the way that a test selects ([Failure]). Their
+// speed says nothing about real servers. Whole deployments with faulty servers are simulated by the
+// users' bench and not by this package.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,16 +17,16 @@
 
 // This file defines Engine, the stand-in for a model engine.
 
-// EngineSettings of an engine.
+// EngineSettings configures an engine.
 type EngineSettings struct {
-	Slots      int
-	TokenTime  time.Duration // between two tokens
-	PromptTime time.Duration // before the first token
-	Resumable  bool          // streams can be taken up again after a break
+	Slots      int           // maximum number of running requests
+	TokenTime  time.Duration // time between two tokens
+	PromptTime time.Duration // time before the first token
+	Resumable  bool          // streams can be resumed after a broken connection
 }
 
-// Engine answers completion requests for any model with as many tokens as
-// max_tokens sets (defaultTokens without it), each "tok" with its number.
+// Engine answers completion requests for any model. An answer has max_tokens tokens, or
+// defaultTokens if the request has no limit, each of which is "tok" followed by its index.
 type Engine struct {
 	failures
 	cfg     EngineSettings
@@ -35,29 +35,28 @@
 
 	mu       sync.Mutex
 	runs     int
-	load     string // as answers report it, up to loadLag old
+	load     string // load reported in answers, up to loadLag old
 	loadTime time.Time
 }
 
 var _ http.Handler = (*Engine)(nil)
 
-// NewEngine returns an engine.
+// NewEngine returns an idle engine.
 func NewEngine(cfg EngineSettings) *Engine {
 	return &Engine{cfg: cfg, batch: newBatch(cfg.Slots)}
 }
 
-// Runs returns the number of requests that were started.
+// Runs returns the number of requests started so far.
 func (e *Engine) Runs() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs
 }
 
-// Running returns the number of running requests.
+// Running returns the number of requests that hold a slot.
 func (e *Engine) Running() int { return e.batch.running() }
 
-// ServeHTTP serves the OpenAI-style interface and, under /standin/, streams
-// that are taken up again.
+// ServeHTTP serves the OpenAI-style API and, under /standin/, the rest of interrupted streams.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/chat/completions", "/v1/completions":
@@ -77,7 +76,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// defaultTokens is the length of an answer without max_tokens.
+// defaultTokens is the number of tokens of an answer to a request without max_tokens.
 const defaultTokens = 16
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -89,8 +88,8 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultTokens
 	}
-	how := e.take()
-	if e.refuses(w, how) {
+	failure := e.takeNext()
+	if e.refuseIfDue(w, failure) {
 		return
 	}
 	if e.batch.enter(r.Context()) != nil {
@@ -100,7 +99,7 @@
 	e.runs++
 	w.Header().Set(loadHeader, e.laggingLoad())
 	e.mu.Unlock()
-	run := &completion{w: w, ctx: r.Context(), req: req, cfg: e.cfg, how: how, prompt: int(r.ContentLength) / 4}
+	run := &completion{w: w, ctx: r.Context(), req: req, cfg: e.cfg, failure: failure, prompt: int(r.ContentLength) / 4}
 	if e.cfg.Resumable && req.Stream {
 		e.serveResumable(run)
 		return
@@ -111,12 +110,12 @@
 
 const (
 	loadHeader = "Badgerspoke-Load"
-	// loadLag is how old the load may be that answers report. Real engines report with a lag too.
+	// loadLag is the maximum age of the reported load. Real engines report it with a delay too.
 	loadLag = time.Second
 )
 
-// laggingLoad returns the load as it was up to loadLag ago. The caller holds
-// mu.
+// laggingLoad returns the running and waiting requests as they were up to loadLag ago. The caller
+// holds mu.
 func (e *Engine) laggingLoad() string {
 	if now := time.Now(); e.load == "" || now.Sub(e.loadTime) >= loadLag {
 		e.load, e.loadTime = fmt.Sprintf("%d/%d", e.batch.running(), e.batch.waiting()), now
@@ -124,12 +123,12 @@
 	return e.load
 }
 
-// serveResumable generates apart from the connection. The place in the batch
-// is free when the generation ends, not when the connection does.
+// serveResumable generates the answer independently of the connection. The slot is released when the
+// generation ends, not when the connection closes.
 func (e *Engine) serveResumable(run *completion) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &liveStream{cancel: cancel, changed: make(chan struct{})}
-	path := e.streams.begin(l)
+	path := e.streams.register(l)
 	go func() {
 		l.generate(ctx, *run)
 		e.batch.leave()
@@ -137,21 +136,21 @@
 	}()
 	run.w.Header().Set("Content-Type", "text/event-stream")
 	run.w.Header().Set(resumeHeader, path)
-	l.copy(run.ctx, run.w, 0, run.how)
+	l.copy(run.ctx, run.w, 0, run.failure)
 }
 
 // completion is one running request.
 type completion struct {
-	w      http.ResponseWriter
-	ctx    context.Context
-	req    completionRequest
-	cfg    EngineSettings
-	how    Failure
-	prompt int
+	w       http.ResponseWriter
+	ctx     context.Context
+	req     completionRequest
+	cfg     EngineSettings
+	failure Failure
+	prompt  int
 }
 
 func (c *completion) serve() {
-	if c.how == DieEarly {
+	if c.failure == DieEarly {
 		panic(http.ErrAbortHandler)
 	}
 	if !sleep.For(c.ctx, c.cfg.PromptTime) {
@@ -161,16 +160,16 @@
 		c.stream()
 		return
 	}
-	c.plain()
+	c.serveUnstreamed()
 }
 
 func (c *completion) stream() {
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	for i := range c.req.MaxTokens {
-		if c.how == DieMid && i == c.req.MaxTokens/2 {
+		if c.failure == DieMid && i == c.req.MaxTokens/2 {
 			panic(http.ErrAbortHandler)
 		}
-		if c.how == Truncate && i == c.req.MaxTokens/2 {
+		if c.failure == Truncate && i == c.req.MaxTokens/2 {
 			return
 		}
 		if !sleep.For(c.ctx, c.cfg.TokenTime) {
@@ -181,19 +180,20 @@
 			return
 		}
 	}
-	_, _ = c.w.Write(c.last())
+	_, _ = c.w.Write(c.finalEvents())
 }
 
-// event is the i-th event of a stream, and last what ends it.
+// event returns the event of the i-th token of a stream.
 func (c *completion) event(i int) []byte {
 	return fmt.Appendf(nil, "data: {\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":\"tok%d \"}}]}\n\n", c.req.Model, i)
 }
 
-func (c *completion) last() []byte {
+// finalEvents returns the usage event and the end mark of a stream.
+func (c *completion) finalEvents() []byte {
 	return fmt.Appendf(nil, "data: {\"choices\":[],\"usage\":%s}\n\ndata: [DONE]\n\n", c.usage())
 }
 
-func (c *completion) plain() {
+func (c *completion) serveUnstreamed() {
 	if !sleep.For(c.ctx, time.Duration(c.req.MaxTokens)*c.cfg.TokenTime) {
 		return
 	}
@@ -205,7 +205,7 @@
 		c.req.Model, text, c.usage())
 	c.w.Header().Set("Content-Type", "application/json")
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if c.how == DieMid {
+	if c.failure == DieMid {
 		fmt.Fprint(c.w, body[:len(body)/2])
 		_ = http.NewResponseController(c.w).Flush()
 		panic(http.ErrAbortHandler)
@@ -217,8 +217,8 @@
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.prompt, c.req.MaxTokens)
 }
 
-// refuse answers a request that was not started.
-func refuse(w http.ResponseWriter) {
+// writeRefusal responds that a request was not started.
+func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set("Badgerspoke-Refused", "true")
 	http.Error(w, `{"error":{"message":"refused"}}`, http.StatusServiceUnavailable)
 }
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -9,76 +9,77 @@
 	"time"
 )
 
-// This file defines the failures that a test chooses for a stand-in.
+// This file defines the failures that a test can inject into a stand-in.
 
-// Failure is a way to fail.
+// Failure is a way in which a request fails.
 type Failure string
 
-// The ways to fail.
+// Failures of a request.
 const (
-	Refuse   Failure = "refuse"   // answer that it was not started
-	DieEarly Failure = "die"      // run, then drop the connection without an answer
-	DieMid   Failure = "die-mid"  // drop the connection in the middle of the answer
-	Truncate Failure = "truncate" // an engine only: end a stream cleanly, but without its end mark
-	Hang     Failure = "hang"     // a service only: never answer
+	Refuse   Failure = "refuse"   // respond that the request was not started
+	DieEarly Failure = "die"      // run the request, then close the connection without an answer
+	DieMid   Failure = "die-mid"  // close the connection in the middle of the answer
+	Truncate Failure = "truncate" // engines only: end a stream cleanly but without its end mark
+	Hang     Failure = "hang"     // services only: never answer
 )
 
-// failures is what the next requests are to suffer.
+// failures holds the failures injected into the next requests.
 type failures struct {
 	mu   sync.Mutex
 	next []Failure
 
-	backoff time.Duration
-	rested  time.Time // when the backoff is over
-	refused int       // for it
+	backoff    time.Duration
+	backoffEnd time.Time // end of the backoff
+	refused    int       // requests refused during the backoff
 }
 
-// AskForBackoff makes the stand-in refuse every request from now on until the backoff is over, and say so in
-// whole seconds.
+// AskForBackoff makes the stand-in refuse all requests for the given time, with that time in whole
+// seconds in the Retry-After header.
 func (f *failures) AskForBackoff(backoff time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.backoff, f.rested, f.refused = backoff, time.Now().Add(backoff), 0
+	f.backoff, f.backoffEnd, f.refused = backoff, time.Now().Add(backoff), 0
 }
 
-// RefusedInBackoff returns how many requests came since AskForBackoff and were refused.
+// RefusedInBackoff returns the number of requests refused because of the latest AskForBackoff.
 func (f *failures) RefusedInBackoff() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.refused
 }
 
-// refuses reports whether a request was refused: it has that failure, or the stand-in backoffs.
-func (f *failures) refuses(w http.ResponseWriter, how Failure) bool {
+// refuseIfDue refuses a request if its failure is Refuse or a backoff is in effect, and reports whether
+// it did.
+func (f *failures) refuseIfDue(w http.ResponseWriter, failure Failure) bool {
 	f.mu.Lock()
-	resting := time.Now().Before(f.rested)
-	if resting {
+	inBackoff := time.Now().Before(f.backoffEnd)
+	if inBackoff {
 		f.refused++
 		w.Header().Set("Retry-After", strconv.Itoa(int(f.backoff/time.Second)))
 	}
 	f.mu.Unlock()
-	if resting || how == Refuse {
-		refuse(w)
+	if inBackoff || failure == Refuse {
+		writeRefusal(w)
 		return true
 	}
 	return false
 }
 
-// FailNext makes the next request fail in that way, after those of earlier
-// calls.
-func (f *failures) FailNext(how Failure) {
+// FailNext appends a failure to the queue, from which each request takes the first one.
+func (f *failures) FailNext(failure Failure) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = append(f.next, how)
+	f.next = append(f.next, failure)
 }
 
-func (f *failures) take() Failure {
+// takeNext removes and returns the failure for the next request, or "" for none.
+func (f *failures) takeNext() Failure {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.next) == 0 {
 		return ""
 	}
-	how := f.next[0]
+	failure := f.next[0]
 	f.next = f.next[1:]
-	return how
+	return failure
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,11 +15,11 @@
 
 // This file defines Service, the stand-in for a plain service.
 
-// Service answers every request with what it was and how often its body was
-// seen, after Time.
+// Service answers every request with a description of it and the number of requests so far with the
+// same body.
 type Service struct {
 	failures
-	Time time.Duration
+	Time time.Duration // time before an answer
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -27,28 +27,28 @@
 
 var _ http.Handler = (*Service)(nil)
 
-// Runs returns how often a request with that body ran.
+// Runs returns the number of requests with the given body that were started.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[body]
 }
 
-// ServeHTTP runs any request.
+// ServeHTTP runs a request with any method and path.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	how := s.take()
-	if s.refuses(w, how) {
+	failure := s.takeNext()
+	if s.refuseIfDue(w, failure) {
 		return
 	}
 	runs := s.run(string(body))
 	if !sleep.For(r.Context(), s.Time) {
 		return
 	}
-	switch how {
+	switch failure {
 	case Hang:
 		<-r.Context().Done()
 		return
@@ -61,7 +61,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]string{ // a caller that has gone sees no answer
+	_ = json.NewEncoder(w).Encode(map[string]string{ // fails only if the caller has disconnected
 		"method": r.Method, "path": r.URL.RequestURI(), "body": string(body),
 		"account": r.Header.Get("Badgerspoke-Account"), "authorization": r.Header.Get("Authorization"),
 		"runs": strconv.Itoa(runs),
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -13,35 +13,35 @@
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
-// This file defines streams that outlive their connection: a resumable engine
-// goes on generating when a connection breaks, and serves the rest from any
-// byte on. Streams are kept as long as the engine.
+// This file defines streams that outlive their connection: a resumable engine continues to generate
+// after the connection breaks and serves the rest from any byte offset. Streams are kept for the
+// lifetime of the engine.
 
-// resumeHeader names where a stream can be taken up again, with a Range from
-// the first byte missing, or ended with DELETE.
+// resumeHeader is the response header with the path of a stream. GET with a Range from the first
+// missing byte resumes the stream; DELETE cancels it.
 const resumeHeader = "Badgerspoke-Resume"
 
 const streamsPath = "/standin/streams/"
 
-// streams are the streams of an engine, live or whole.
+// streams holds the streams of an engine, both live and complete.
 type streams struct {
 	mu   sync.Mutex
 	next int
 	live map[string]*liveStream
 }
 
-// liveStream is one answer being generated.
+// liveStream is the answer to one request, complete or still being generated.
 type liveStream struct {
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	data    []byte
-	whole   bool
-	changed chan struct{} // closed and replaced on every change
+	mu       sync.Mutex
+	data     []byte
+	complete bool
+	changed  chan struct{} // closed and replaced on every change
 }
 
-// begin registers a stream and returns its path.
-func (s *streams) begin(l *liveStream) string {
+// register adds a stream and returns its path.
+func (s *streams) register(l *liveStream) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.live == nil {
@@ -59,7 +59,7 @@
 	return s.live[path]
 }
 
-// serve resumes or ends a stream.
+// serve resumes or cancels a stream.
 func (s *streams) serve(w http.ResponseWriter, r *http.Request) {
 	l := s.find(r.URL.Path)
 	if l == nil {
@@ -82,7 +82,8 @@
 	l.copy(r.Context(), w, from, "")
 }
 
-func (l *liveStream) change(f func()) {
+// update applies f under the lock and wakes all readers.
+func (l *liveStream) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
@@ -90,12 +91,12 @@
 	l.changed = make(chan struct{})
 }
 
-// copy sends the stream from a byte on, until it is whole, or fails in the way
-// of how after two events.
-func (l *liveStream) copy(ctx context.Context, w http.ResponseWriter, from int, how Failure) {
+// copy sends the stream from a byte offset until it is complete. With DieMid it closes the connection
+// after two events.
+func (l *liveStream) copy(ctx context.Context, w http.ResponseWriter, from int, failure Failure) {
 	for sent := from; ; {
 		l.mu.Lock()
-		data, whole, changed := l.data, l.whole, l.changed
+		data, complete, changed := l.data, l.complete, l.changed
 		l.mu.Unlock()
 		if sent < len(data) {
 			if _, err := w.Write(data[sent:]); err != nil || http.NewResponseController(w).Flush() != nil {
@@ -103,10 +104,10 @@
 			}
 			sent = len(data)
 		}
-		if how == DieMid && sent > 0 && strings.Count(string(data), "data: ") >= 2 {
+		if failure == DieMid && sent > 0 && strings.Count(string(data), "data: ") >= 2 {
 			panic(http.ErrAbortHandler)
 		}
-		if whole {
+		if complete {
 			return
 		}
 		select {
@@ -117,13 +118,13 @@
 	}
 }
 
-// generate appends the events of a completion until it is whole or cancelled.
+// generate appends the events of a completion until it is complete or cancelled.
 func (l *liveStream) generate(ctx context.Context, c completion) {
 	for i := range c.req.MaxTokens {
 		if !sleep.For(ctx, c.cfg.TokenTime) {
 			return
 		}
-		l.change(func() { l.data = append(l.data, c.event(i)...) })
+		l.update(func() { l.data = append(l.data, c.event(i)...) })
 	}
-	l.change(func() { l.data = append(l.data, c.last()...); l.whole = true })
+	l.update(func() { l.data = append(l.data, c.finalEvents()...); l.complete = true })
 }
