--- a/coordination/entitlement/rates.go
+++ b/coordination/entitlement/rates.go
@@ -18,11 +18,13 @@
 	Accounts        []AccountRates // sorted by descending demand
 }
 
-// AccountRates holds the averages of one account, in tokens per second.
+// AccountRates holds the averages of one account, in tokens per second. Log lines contain it as
+// JSON.
 type AccountRates struct {
-	Account        string
-	Demand, Served int64
-	Unread         int64 // estimated demand on connections that gateways have not read
+	Account string
+	Demand  int64
+	Served  int64 `json:"Given"`
+	Unread  int64 // estimated demand on connections that gateways have not read
 }
 
 // Rates returns the averages, with at most limit accounts.
