--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -55,9 +55,9 @@
 	return l.free
 }
 
-// Far puts a latency between boxes of different regions, and a bound on the bytes a second
+// SetRegionLink puts a latency between boxes of different regions, and a bound on the bytes a second
 // that all connections of a pair of regions carry one way; 0 is no bound.
-func (n *Network) Far(latency time.Duration, bytesPerSecond int) {
+func (n *Network) SetRegionLink(latency time.Duration, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.far.latency, n.far.rate = latency, bytesPerSecond
