--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -27,7 +27,7 @@
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = float64(rate)
 		for i := range voters {
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), rate)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), rate)
 		}
 	}, func(x *fleet) {
 		c := &crowd{fleet: x, servers: firstServers}
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -25,7 +25,7 @@
 		x.linkRate, x.halls = crowdLink, map[string]string{}
 		for i := range hallReplicas {
 			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallNamed(i)
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
 		}
 		for i := range hallGateways {
 			x.halls[fmt.Sprintf("10.0.2.%d", i+1)] = hallNamed(i)
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -48,7 +48,7 @@
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = crowdLink
 		for i := range voters {
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
 		}
 	}, func(x *fleet) {
 		x.putDocument(1)
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -28,8 +28,8 @@
 	sent uint64    // bytes
 }
 
-// Link bounds the bytes a second that a box sends, over all its connections.
-func (n *Network) Link(ip string, bytesPerSecond int) {
+// SetUplinkRate bounds the bytes a second that a box sends, over all its connections.
+func (n *Network) SetUplinkRate(ip string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.far.links[ip] = &boxLink{rate: bytesPerSecond}
