--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -360,7 +360,7 @@
 		is := is.New(x.t)
 		x.putDocument(1)
 		l := x.awaitLeader()
-		l.disk.Room(0)
+		l.disk.SetFreeSpace(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
 		is.True(l.d.Put(ctx, testDocument(2)) != nil)
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -102,8 +102,8 @@
 // SyncTime makes every sync of a file take that long.
 func (d *Disk) SyncTime(t time.Duration) { d.mu.Lock(); d.syncTime = t; d.mu.Unlock() }
 
-// Room sets how many more bytes fit on the disk; -1 is no bound.
-func (d *Disk) Room(bytes int) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
+// SetFreeSpace sets how many more bytes fit on the disk; -1 is no bound.
+func (d *Disk) SetFreeSpace(bytes int) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
 
 // Flip changes one bit of a file, durably.
 func (d *Disk) Flip(name string, at int) {
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -128,10 +128,10 @@
 	is := is.New(t)
 	d, _ := written(t)
 	l, _, _ := open(t, d)
-	d.Room(7)
+	d.SetFreeSpace(7)
 	err := l.Append([]byte("does not fit"))
 	is.True(errors.Is(err, fakedisk.ErrFull))
-	d.Room(-1)
+	d.SetFreeSpace(-1)
 	_, texts, rec := open(t, d)
 	is.Equal(texts, []string{"one", "two", "three"})
 	is.Equal(rec.Dropped, 7)
@@ -171,9 +171,9 @@
 				base, acked = all[:cut:cut], all[cut:]
 			case 8, 9:
 				// An append that is never acknowledged, then a crash.
-				d.Room(rapid.IntRange(0, 3000).Draw(t, "room"))
+				d.SetFreeSpace(rapid.IntRange(0, 3000).Draw(t, "room"))
 				_ = l.Append([]byte("lost"), make([]byte, 2000))
-				d.Room(-1)
+				d.SetFreeSpace(-1)
 				d.Crash()
 				var rec wal.Recovered
 				var texts []string
