--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -166,9 +166,9 @@
 				x.net.Cut(ip) // they do not get it
 			}
 			slow := x.nodes[followers[1]].disk // the only one left with it: nothing may be acknowledged before its sync
-			slow.SyncTime(50 * time.Millisecond)
+			slow.SetSyncTime(50 * time.Millisecond)
 			x.putDocument(round)
-			slow.SyncTime(0)
+			slow.SetSyncTime(0)
 			lost := []string{leader.ip, followers[0]}
 			x.losePower()
 			x.gateways["10.0.2.1"].kill()
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -127,7 +127,7 @@
 
 func (x *fleet) addReplica(ip string, first bool) {
 	x.nodes[ip] = &directoryNode{ip: ip, disk: fakedisk.New(x.random()), clock: x.clocks[ip]}
-	x.nodes[ip].disk.SyncTime(x.syncTime)
+	x.nodes[ip].disk.SetSyncTime(x.syncTime)
 	x.ips = append(x.ips, ip)
 	x.startReplica(ip, first)
 }
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -108,13 +108,13 @@
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		for _, n := range x.nodes {
-			n.disk.SyncTime(5 * time.Millisecond)
+			n.disk.SetSyncTime(5 * time.Millisecond)
 		}
 		for number := range uint64(10) {
 			x.putDocument(number + 1)
 		}
 		old := x.awaitLeader()
-		old.disk.SyncTime(150 * time.Millisecond)
+		old.disk.SetSyncTime(150 * time.Millisecond)
 		for number := range uint64(30) {
 			x.putDocument(number + 11)
 			time.Sleep(200 * time.Millisecond)
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -49,7 +49,7 @@
 				is := is.New(x.t)
 				x.putDocument(1)
 				slow := x.awaitLeader()
-				slow.disk.SyncTime(takes)
+				slow.disk.SetSyncTime(takes)
 				after, refused := x.ordered(orderTo("v2"))
 				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.awaitLeader() != slow)
 				is.True(after < rolloutBounds.RepeatWindow)
@@ -58,7 +58,7 @@
 				}
 				is.Equal(x.newestRollout(), once)
 				_, _ = x.ordered(orderTo("v2"))
-				slow.disk.SyncTime(0)
+				slow.disk.SetSyncTime(0)
 				time.Sleep(takes)
 				is.Equal(x.newestRollout().Attempt, uint64(1))
 				is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -99,8 +99,8 @@
 // FailSync makes every sync fail until the next crash.
 func (d *Disk) FailSync() { d.mu.Lock(); d.failSync = true; d.mu.Unlock() }
 
-// SyncTime makes every sync of a file take that long.
-func (d *Disk) SyncTime(t time.Duration) { d.mu.Lock(); d.syncTime = t; d.mu.Unlock() }
+// SetSyncTime makes every sync of a file take that long.
+func (d *Disk) SetSyncTime(t time.Duration) { d.mu.Lock(); d.syncTime = t; d.mu.Unlock() }
 
 // SetFreeSpace sets how many more bytes fit on the disk; -1 is no bound.
 func (d *Disk) SetFreeSpace(bytes int) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -128,7 +128,7 @@
 		r, err := Start(t.Context(), cfg)
 		is.NoErr(err)
 		mustPropose(t, r)
-		d.SyncTime(5 * time.Millisecond) // the other proposals arrive during the first sync
+		d.SetSyncTime(5 * time.Millisecond) // the other proposals arrive during the first sync
 		before := d.Syncs()
 		done := make(chan error, 200)
 		for range 200 {
