--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -166,9 +166,9 @@
 				x.net.Cut(ip) // they do not get it
 			}
 			slow := x.nodes[followers[1]].disk // the only one left with it: nothing may be acknowledged before its sync
-			slow.SyncTime(50 * time.Millisecond)
+			slow.SetSyncTime(50 * time.Millisecond)
 			x.putDocument(round)
-			slow.SyncTime(0)
+			slow.SetSyncTime(0)
 			lost := []string{leader.ip, followers[0]}
 			x.losePower()
 			x.gateways["10.0.2.1"].kill()
@@ -360,7 +360,7 @@
 		is := is.New(x.t)
 		x.putDocument(1)
 		l := x.awaitLeader()
-		l.disk.Room(0)
+		l.disk.SetFreeSpace(0)
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		defer cancel()
 		is.True(l.d.Put(ctx, testDocument(2)) != nil)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,45 +14,48 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines suspicions, what the gateway knows of requests under which backend servers
-// end: what the directory's leader lists, and what it has seen itself.
+// This file defines suspicions: the requests during which backend servers ended, as listed by the
+// directory's leader and as observed by this gateway.
 
 const (
-	// mostUnreported is the number of losses that wait for a report, and of cleared keys: what more
-	// there is in an end of many servers at once is not suspected, or is cleared by its next answer.
-	mostUnreported = 1024
-	// mostInReport is how many of them go with one report, about 100 bytes each. An engine's places.
-	mostInReport = 64
+	// maxUnreported bounds the losses that wait to be reported, and likewise the cleared keys. If
+	// many servers end at once, excess losses are not suspected, and excess keys are cleared by the
+	// next answer.
+	maxUnreported = 1024
+	// maxLossesPerReport bounds the losses in one report, at about 100 bytes each. It is the number
+	// of slots of a large engine.
+	maxLossesPerReport = 64
 )
 
+// suspicions holds the suspected and condemned requests that this gateway has learned of.
 type suspicions struct {
 	list atomic.Pointer[quarantine.List]
-	// told is whether the list is that of a leader in touch. While it is not, the gateway judges
-	// by what it has seen itself.
-	told atomic.Bool
+	// followsLeader says whether list comes from a leader with which the gateway has a session.
+	// Otherwise the gateway decides by its own evidence.
+	followsLeader atomic.Bool
 
-	unreported chan struct{} // holds one while losses wait for a report
+	unreported chan struct{} // has a capacity of one; filled while losses wait to be reported
 
-	mu      sync.Mutex // a leaf
-	seen    *quarantine.Evidence
-	losses  []quarantine.TimedLoss // not reported yet
-	cleared []quarantine.Key       // the same
+	mu       sync.Mutex // leaf lock; guards the fields below
+	evidence *quarantine.Evidence
+	losses   []quarantine.TimedLoss // not yet reported
+	cleared  []quarantine.Key       // not yet reported
 }
 
 func newSuspicions() *suspicions {
-	s := &suspicions{seen: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
+	s := &suspicions{evidence: quarantine.NewEvidence(quarantine.SettleTime), unreported: make(chan struct{}, 1)}
 	s.list.Store(&quarantine.List{})
 	return s
 }
 
-// add takes requests that ran at a server that has ended.
+// add records requests that were running at a server that has ended.
 func (s *suspicions) add(now time.Duration, lost []quarantine.TimedLoss) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, h := range lost {
-		s.seen.Add(now, h)
-		if len(s.losses) < mostUnreported {
-			s.losses = append(s.losses, h)
+	for _, loss := range lost {
+		s.evidence.Add(now, loss)
+		if len(s.losses) < maxUnreported {
+			s.losses = append(s.losses, loss)
 		}
 	}
 	select {
@@ -61,76 +64,77 @@
 	}
 }
 
-// clear takes a whole answer to a request that is listed or was lost here.
+// clear records a whole answer to a request that is listed or that this gateway has lost.
 func (s *suspicions) clear(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen.Clear(k)
-	if s.told.Load() && len(s.cleared) < mostUnreported && !slices.Contains(s.cleared, k) {
+	s.evidence.Clear(k)
+	if s.followsLeader.Load() && len(s.cleared) < maxUnreported && !slices.Contains(s.cleared, k) {
 		s.cleared = append(s.cleared, k)
 	}
 }
 
-// none reports whether nothing is known against any request.
-func (s *suspicions) none() bool {
+// isEmpty reports whether no request is suspected or condemned.
+func (s *suspicions) isEmpty() bool {
 	if !s.list.Load().Empty() {
 		return false
 	}
-	if s.told.Load() {
+	if s.followsLeader.Load() {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Empty()
+	return s.evidence.Empty()
 }
 
-// find returns what is known against a request, or false if that is nothing. key is called only
-// if something may be known.
+// find returns the entry of a request, if there is one. key is called only if the hint matches or
+// the gateway decides by its own evidence.
 func (s *suspicions) find(hint quarantine.Hint, key func() quarantine.Key) (quarantine.Entry, bool) {
 	if l := s.list.Load(); l.HasHint(hint) {
 		if e, listed := l.Find(key()); listed {
 			return e, true
 		}
 	}
-	if s.told.Load() {
+	if s.followsLeader.Load() {
 		return quarantine.Entry{}, false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Find(key())
+	return s.evidence.Find(key())
 }
 
-// take takes the leader's list. What is not listed any more was cleared elsewhere.
-func (s *suspicions) take(m protocol.Quarantine) {
+// applyList applies the leader's list. Requests that are no longer listed have been cleared by
+// another gateway's answer, so their local evidence is dropped.
+func (s *suspicions) applyList(m protocol.Quarantine) {
 	l := s.list.Load().Apply(m)
 	s.list.Store(&l)
-	s.told.Store(true)
+	s.followsLeader.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range m.Gone {
 		if k, ok := quarantine.KeyFrom(b); ok {
-			s.seen.Clear(k)
+			s.evidence.Clear(k)
 		}
 	}
 }
 
-// beginSession makes the next reports tell all that was seen here: another leader may not know.
+// beginSession queues all local evidence for the next reports, since a new leader may lack it.
 func (s *suspicions) beginSession() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.losses, s.cleared = s.seen.Losses(), nil
+	s.losses, s.cleared = s.evidence.Losses(), nil
 }
 
-// report adds to a report what is to be told.
-func (s *suspicions) report(now time.Duration, u *protocol.Usage) {
+// addToReport adds the queued losses and cleared keys to a report.
+func (s *suspicions) addToReport(now time.Duration, u *protocol.Usage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := min(len(s.losses), mostInReport)
-	for _, h := range s.losses[:n] {
+	n := min(len(s.losses), maxLossesPerReport)
+	for _, loss := range s.losses[:n] {
 		u.Losses = append(u.Losses, protocol.Loss{
-			Key: h.Key[:], Hint: uint32(h.Hint), Account: h.Account, Pool: h.Pool, Server: h.Server, Address: h.Address,
-			Ran: uint32(h.RunTime.Milliseconds()), Age: uint32((now - h.At).Milliseconds()), Again: h.Retry,
-			Serving: h.PoolAnswering,
+			Key: loss.Key[:], Hint: uint32(loss.Hint), Account: loss.Account, Pool: loss.Pool, Server: loss.Server, Address: loss.Address,
+			Ran: uint32(loss.RunTime.Milliseconds()), Age: uint32((now - loss.At).Milliseconds()), Again: loss.Retry,
+			Serving: loss.PoolAnswering,
 		})
 	}
 	s.losses = s.losses[n:]
@@ -140,31 +144,32 @@
 	s.cleared = nil
 }
 
-// judge condemns by what was seen here, while no leader does.
-func (s *suspicions) judge(now time.Duration, servers func(pool string) int) []quarantine.Verdict {
-	if s.told.Load() {
+// condemn condemns requests by local evidence while no leader decides, and returns the new
+// verdicts.
+func (s *suspicions) condemn(now time.Duration, servers func(pool string) int) []quarantine.Verdict {
+	if s.followsLeader.Load() {
 		return nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen.Evaluate(now, servers)
+	return s.evidence.Evaluate(now, servers)
 }
 
-// judgeAlone condemns requests while the gateway is out of touch.
-func (g *Gateway) judgeAlone() {
-	for _, v := range g.suspicions.judge(g.now(), g.table.poolSize) {
+// condemnLocally condemns requests by local evidence while the gateway has no session.
+func (g *Gateway) condemnLocally() {
+	for _, v := range g.suspicions.condemn(g.now(), g.table.poolSize) {
 		g.cfg.Log.StateChange("request condemned", slog.String("key", v.Key.String()), slog.String("tenant", v.Account),
 			slog.String("pool", v.Pool), slog.Any("backends", v.Servers), slog.Float64("chance", v.Probability))
 	}
 }
 
-// decisionPoll is how often an undecided request looks for what became of it.
-const decisionPoll = 20 * time.Millisecond
+// decisionPollInterval is how often a request checks whether the decision about it has been made.
+const decisionPollInterval = 20 * time.Millisecond
 
-// checkQuarantine looks up what is known against the request. What is condemned is refused. What is about
-// to be waits for it: to be sent now it might cost one more server.
+// checkQuarantine refuses the request if it is condemned. A request that is about to be condemned
+// waits for the decision, because sending it now could end one more server.
 func (c *call) checkQuarantine() error {
-	if c.g.suspicions.none() {
+	if c.g.suspicions.isEmpty() {
 		return nil
 	}
 	hint := c.hint()
@@ -178,11 +183,11 @@
 	return nil
 }
 
-// awaitDecision waits until the request is condemned, cleared, or has waited for long enough. It
-// reports false if the caller has left.
+// awaitDecision waits until the request is condemned or cleared, or the maximum wait is over. It
+// returns false if the caller has left.
 func (c *call) awaitDecision(hint quarantine.Hint) bool {
 	for until := c.g.now() + quarantine.DecisionWait; c.suspicion.Undecided() && c.g.now() < until; {
-		if !sleep.For(c.r.Context(), decisionPoll) {
+		if !sleep.For(c.r.Context(), decisionPollInterval) {
 			return false
 		}
 		c.suspicion, c.listed = c.g.suspicions.find(hint, c.key)
@@ -190,12 +195,12 @@
 	return true
 }
 
-// hint is the request's hint, see package quarantine.
+// hint returns the request's hint, see package quarantine.
 func (c *call) hint() quarantine.Hint {
 	return quarantine.HintOf(c.account.Name, c.r.Method, c.r.Host, c.r.RequestURI, len(c.body))
 }
 
-// lost takes an attempt whose connection broke while the request ran.
+// lost records an attempt whose connection broke while the request was running.
 func (c *call) lost(a *assignment) {
 	now := c.g.now()
 	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
@@ -205,7 +210,7 @@
 	c.losses++
 }
 
-// clearSuspicion reports a whole answer, if anything is known against the request.
+// clearSuspicion reports a whole answer to a request that is listed or was lost before.
 func (c *call) clearSuspicion() {
 	if !c.listed && c.losses == 0 {
 		return
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -19,28 +19,28 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines watcher, the gateway's session with the directory's
-// leader.
+// This file defines watcher, which keeps the gateway's session with the directory's leader or a
+// relay.
 
-// dialTimeout is the time for one connection, after which a box that is off is left for the next
-// candidate.
+// dialTimeout bounds one connection attempt, so that a box that is switched off delays the search
+// by no more than this.
 const dialTimeout = 700 * time.Millisecond
 
-// watcher keeps the session. Only the goroutine of run uses its fields.
+// watcher keeps the session with the directory. Its fields are used only by the goroutine of run.
 type watcher struct {
-	g         *Gateway
-	startID   uint64   // random; a restarted gateway has another one
-	term      uint64   // the highest of a leader that has sent servers
-	leader    string   // the replica that the last redirect named; it is tried once
-	replicas  []string // addresses of the directory's voters, as last reported
-	tried     int      // candidates tried so far; it begins at a random one
-	named     bool     // a redirect gave the address that is tried
-	connected bool     // the last session was with a leader or a relay
-	avoid     []string // replicas that were lost, or named and not reached, since the last session
-	counted   uint64   // number of the last report that is in the sums that come next
+	g               *Gateway
+	startID         uint64   // random; differs after a restart
+	term            uint64   // highest term of a leader that has sent servers
+	leader          string   // replica named by the last redirect; it is tried once
+	replicas        []string // addresses of the directory's voters, as last reported
+	candidatesTried int      // number of candidates tried so far; the first one is chosen at random
+	viaRedirect     bool     // the address being tried comes from a redirect
+	connected       bool     // a session with a leader or a relay is open
+	avoided         []string // replicas that were lost, or unreachable after a redirect, since the last session
+	countedReport   uint64   // number of the last report that the next sums include
 }
 
-// run keeps a session with whoever leads, until the gateway stops.
+// run keeps a session with the current leader until the gateway stops.
 func (w *watcher) run() {
 	failures := 0
 	for w.g.ctx.Err() == nil {
@@ -49,13 +49,14 @@
 			continue
 		}
 		failures++
-		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop looks whether ctx has ended
+		sleep.For(w.g.ctx, registry.RedialPause(failures)) // the loop checks whether ctx has ended
 	}
 }
 
-// next returns the address to try: the one that a redirect gave, else the candidates in turn.
+// next returns the address to try: the one from a redirect if there is one, otherwise the
+// candidates in turn.
 func (w *watcher) next() string {
-	w.named = w.leader != ""
+	w.viaRedirect = w.leader != ""
 	if leader := w.leader; leader != "" {
 		w.leader = ""
 		return leader
@@ -64,15 +65,15 @@
 	if len(all) == 0 {
 		return ""
 	}
-	if w.tried == 0 {
-		w.tried = int(w.startID % uint64(len(all)))
+	if w.candidatesTried == 0 {
+		w.candidatesTried = int(w.startID % uint64(len(all)))
 	}
-	w.tried++
-	return all[w.tried%len(all)]
+	w.candidatesTried++
+	return all[w.candidatesTried%len(all)]
 }
 
-// candidates are the addresses where a leader may be: the directory's replicas,
-// then the seeds that are none of them.
+// candidates returns the addresses at which a leader may be: the directory's replicas, then the
+// seeds that are not among them.
 func candidates(replicas, seeds []string) []string {
 	all := slices.Clone(replicas)
 	for _, s := range seeds {
@@ -83,14 +84,15 @@
 	return all
 }
 
-// session runs one session and reports whether the replica served it.
+// session runs one session with the replica at an address and reports whether the replica served
+// it.
 func (w *watcher) session(address string) bool {
 	dialing, cancelDial := context.WithTimeout(w.g.ctx, dialTimeout)
 	l, err := link.Dial(dialing, address, w.g.cfg.Identity, w.g.meter)
 	cancelDial()
 	if err != nil {
-		if w.named {
-			w.avoids(address)
+		if w.viaRedirect {
+			w.addAvoided(address)
 		}
 		return false
 	}
@@ -104,16 +106,16 @@
 	for {
 		m, err := l.ReceiveWithin(ctx, registry.SilenceLimit)
 		if err != nil {
-			w.avoids(address)
-			w.lost(address, err)
+			w.addAvoided(address)
+			w.endSession(address, err)
 			return served
 		}
 		if e, ok := m.(protocol.WatchRedirect); ok {
-			w.redirected(address, e)
+			w.handleRedirect(address, e)
 			return false
 		}
 		if !served {
-			served, w.avoid = true, nil
+			served, w.avoided = true, nil
 			w.connected = true
 			w.g.cfg.Log.StateChange("directory found", slog.String("leader", address))
 			go w.report(ctx, l)
@@ -122,21 +124,21 @@
 	}
 }
 
-// hello opens a session.
+// hello returns the message that opens a session.
 func (w *watcher) hello() protocol.Watch {
 	return protocol.Watch{
 		Gateway: w.g.cfg.Identity.Name, Boot: w.startID, Number: w.g.DocumentNumber(), Term: w.term, KnowsHalls: true,
-		KnowsVersions: true, Region: w.g.cfg.Region, Avoid: w.avoid,
-		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Named: w.named,
+		KnowsVersions: true, Region: w.g.cfg.Region, Avoid: w.avoided,
+		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Named: w.viaRedirect,
 	}
 }
 
-// redirected handles the message of a replica that does not serve this gateway or ends its
-// session. One that names itself is tried again at once only if it has just served: it is a
-// relay that has begun to pass on what another leader sends.
-func (w *watcher) redirected(address string, e protocol.WatchRedirect) {
+// handleRedirect handles the message of a replica that does not serve this gateway or that ends its
+// session. A replica that names itself is tried again at once only if it has just served: it is
+// then a relay that has started to pass on another leader's messages.
+func (w *watcher) handleRedirect(address string, e protocol.WatchRedirect) {
 	served := w.connected
-	w.lost(address, errRedirected)
+	w.endSession(address, errRedirected)
 	if len(e.Members) > 0 {
 		w.replicas = e.Members
 	}
@@ -145,33 +147,33 @@
 	}
 }
 
-// avoidMost is the number of newest replicas to avoid that are named. The voters of the largest
-// directory.
-const avoidMost = 9
+// maxAvoided bounds the replicas to avoid that are reported, the newest ones first. It is the
+// number of voters in the largest directory.
+const maxAvoided = 9
 
-// avoids notes a replica that was lost or not reached, to name it to the next one.
-func (w *watcher) avoids(address string) {
-	w.avoid = slices.DeleteFunc(w.avoid, func(a string) bool { return a == address })
-	w.avoid = append(w.avoid, address)
-	w.avoid = w.avoid[max(len(w.avoid)-avoidMost, 0):]
+// addAvoided records a replica that was lost or not reached, to be reported to the next replica.
+func (w *watcher) addAvoided(address string) {
+	w.avoided = slices.DeleteFunc(w.avoided, func(a string) bool { return a == address })
+	w.avoided = append(w.avoided, address)
+	w.avoided = w.avoided[max(len(w.avoided)-maxAvoided, 0):]
 }
 
-// errRedirected ends a session whose replica has named another one, or itself.
+// errRedirected ends a session whose replica has redirected the gateway.
 var errRedirected = errors.New("the replica does not serve this gateway")
 
-// lost logs the end of a session, if there was one.
-func (w *watcher) lost(address string, err error) {
+// endSession ends the open session, if there is one, and logs the cause.
+func (w *watcher) endSession(address string, err error) {
 	if !w.connected {
 		return
 	}
 	w.connected = false
 	w.g.table.endShares()
-	w.g.suspicions.told.Store(false)
+	w.g.suspicions.followsLeader.Store(false)
 	w.g.cfg.Log.StateChange("directory lost", slog.String("leader", address), slog.String("error", err.Error()),
 		slog.Uint64("document", w.g.DocumentNumber()), slog.Int("backends", w.g.table.size()))
 }
 
-// handle carries out a message of the leader.
+// handle applies a message of the leader.
 func (w *watcher) handle(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Document:
@@ -182,7 +184,7 @@
 		}
 		w.g.apply(d)
 	case protocol.Servers:
-		w.takeServers(m.Received())
+		w.applyServers(m.Received())
 	case protocol.Rollouts:
 		for _, r := range w.g.table.updateRollouts(m) {
 			w.g.cfg.Log.StateChange("rollout share", slog.String("pool", r.Pool), slog.String("target", r.Target),
@@ -191,9 +193,9 @@
 		}
 		w.g.grantAll()
 	case protocol.Quarantine:
-		w.g.suspicions.take(m)
+		w.g.suspicions.applyList(m)
 	case protocol.Counted:
-		w.counted = m.Seq
+		w.countedReport = m.Seq
 	case protocol.Fleet:
 		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
@@ -201,30 +203,30 @@
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
 			w.g.accounts.setMaxRate(m.Most)
 		}
-		w.g.table.updateLoads(w.g.now(), w.counted, m.Loads)
+		w.g.table.updateLoads(w.g.now(), w.countedReport, m.Loads)
 		w.g.grantAll()
 	}
 }
 
-// takeServers takes backend servers that came or went, and data halls out of service.
-func (w *watcher) takeServers(m protocol.Servers) {
+// applyServers applies changes of the server list and of the data halls that are out of service.
+func (w *watcher) applyServers(m protocol.Servers) {
 	if m.Term > w.term {
 		w.term = m.Term
 		w.g.suspicions.beginSession()
 	}
-	_, before := w.g.table.halls()
+	_, oldChanges := w.g.table.halls()
 	if joined, left := w.g.table.update(m); len(joined)+len(left) > 0 {
 		w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", joined), slog.Any("left", left),
 			slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 	}
-	if out, changes := w.g.table.halls(); changes != before {
+	if out, changes := w.g.table.halls(); changes != oldChanges {
 		w.g.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes))
 	}
 	w.g.grantAll()
 }
 
-// report sends the replica what runs here and what was demanded, until ctx ends or the
-// session is lost.
+// report sends the replica the load, the demand and the rollout outcomes of this gateway until ctx
+// ends or the session is lost.
 func (w *watcher) report(ctx context.Context, l *link.Link) {
 	seq := uint64(0)
 	w.g.suspicions.beginSession()
@@ -232,21 +234,21 @@
 		seq++
 		u := w.g.accounts.takeReport()
 		untaken := w.g.acceptBacklog.untaken(w.g.now())
-		w.g.stats.untaken.Add(untaken)
+		w.g.stats.connectionsUntaken.Add(untaken)
 		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
-		u.Term = w.g.table.leaderTerm() // before what is obeyed, which may be of the next leader
+		u.Term = w.g.table.leaderTerm() // read before Obeyed, which may already belong to the next leader's term
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
 		u.Barred = w.g.table.locallyBarred()
-		w.g.suspicions.report(w.g.now(), &u)
+		w.g.suspicions.addToReport(w.g.now(), &u)
 		if err := l.Send(ctx, u); err != nil {
-			return // receive fails as well, and logs it
+			return // the session's receive fails as well and logs the cause
 		}
 	}
 }
 
-// reportTimes yields when a report is due: once in each period, and when servers have ended, so
-// that the fleet knows of the requests that ran there before they come again.
+// reportTimes yields whenever a report is due: once per period, and as soon as servers have ended,
+// so that the leader learns of the requests that ran there before they are retried.
 func (w *watcher) reportTimes(ctx context.Context) iter.Seq[struct{}] {
 	return func(yield func(struct{}) bool) {
 		tick := time.NewTicker(registry.ReportPeriod)
