--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command badgerspoke-node is one process of a routed-HTTP fleet on the users'
-// platform: a gateway or a directory replica, by its settings file.
+// Command badgerspoke-node is one process of a fleet on the users' platform. Its settings file
+// selects the role: gateway or directory replica.
 package main
 
 import (
@@ -22,8 +22,8 @@
 
 // Exit codes.
 const (
-	exitOK       = 0 // stopped by a signal, or the settings were only checked
-	exitFailed   = 1 // an address cannot be listened on
+	exitOK       = 0 // stopped by a signal, or only a check was requested
+	exitFailed   = 1 // failed to listen on an address
 	exitSettings = 2 // the settings are invalid
 )
 
@@ -54,7 +54,7 @@
 	return exitOK
 }
 
-// serve runs the node until SIGTERM or SIGINT.
+// serve runs the gateway or directory replica until SIGTERM or SIGINT.
 func serve(cfg process.Settings, role platform.Role, log *decision.Log, metricSet *metrics.Set) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/badgerspoke-standin/main.go
+++ b/cmd/badgerspoke-standin/main.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command badgerspoke-standin is a stand-in backend server, for trying a fleet
-// without a model engine.
+// Command badgerspoke-standin is a simulated backend server, for trying out a fleet without a model
+// engine.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/badgerspoke/badgerspoke/standin"
 )
 
-// readHeaderTimeout is the longest time for a request's headers.
+// readHeaderTimeout is the time limit for receiving the headers of a request.
 const readHeaderTimeout = 5 * time.Second
 
 func main() {
--- a/cmd/badgerspoke/main.go
+++ b/cmd/badgerspoke/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command badgerspoke is the operators' command line of a router fleet.
+// Command badgerspoke is the command-line client for operators of a router fleet.
 package main
 
 import (
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command badgerspoked is one box of a router fleet.
+// Command badgerspoked is the daemon on each box of a router fleet.
 package main
 
 import (
@@ -26,8 +26,8 @@
 
 // Exit codes.
 const (
-	exitOK       = 0 // stopped by a signal, or nothing was to be run
-	exitFailed   = 1 // it could not start, or its disk failed
+	exitOK       = 0 // stopped by a signal, or only help, version or a check was requested
+	exitFailed   = 1 // failed to start, or its disk failed
 	exitSettings = 2 // the settings are invalid
 )
 
@@ -56,25 +56,25 @@
 	return exitOK
 }
 
-// serve runs the box until a signal. A second signal ends it at once.
+// serve runs the box until it fails or a signal arrives. A second signal ends the graceful stop.
 func serve(d settings.Daemon, log *slog.Logger) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if d.Dev {
-		clean, err := devDefaults(&d)
+		removeData, err := devDefaults(&d)
 		if err != nil {
 			return err
 		}
-		defer clean()
+		defer removeData()
 	}
 	box, err := start(ctx, d, log)
 	if err != nil {
 		return err
 	}
 	if d.Dev {
-		stop, err := fillDev(ctx, d)
+		stop, err := startDevServers(ctx, d)
 		if err != nil {
 			return err
 		}
@@ -129,9 +129,9 @@
 	return badgerspoke.Start(ctx, cfg)
 }
 
-// devDefaults sets what a fleet of one process needs. clean removes the data folder
-// that it makes if none is set.
-func devDefaults(d *settings.Daemon) (clean func(), err error) {
+// devDefaults sets the settings of a fleet of one process. If no data folder is set, it creates a
+// temporary one, which removeData removes.
+func devDefaults(d *settings.Daemon) (removeData func(), err error) {
 	d.Roles = []string{settings.Router, settings.Control}
 	if d.Name == "" {
 		d.Name = "dev"
@@ -146,12 +146,13 @@
 	return func() { os.RemoveAll(d.DataDir) }, err
 }
 
-// devTimeout bounds the first configuration of a development fleet, which waits until the group has a
-// leader.
+// devTimeout limits the initial configuration of a development fleet, which waits until the group has
+// a leader.
 const devTimeout = 20 * time.Second
 
-// fillDev configures a development fleet and starts its backend servers.
-func fillDev(ctx context.Context, d settings.Daemon) (stop func(), err error) {
+// startDevServers starts the backend servers of a development fleet and adds them to its
+// configuration.
+func startDevServers(ctx context.Context, d settings.Daemon) (stop func(), err error) {
 	servers, err := dev.StartServers()
 	if err != nil {
 		return nil, err
@@ -167,7 +168,7 @@
 
 func newLog(d settings.Daemon) *slog.Logger {
 	var level slog.Level
-	_ = level.UnmarshalText([]byte(d.LogLevel)) // checked by settings
+	_ = level.UnmarshalText([]byte(d.LogLevel)) // validated by package settings
 	opts := &slog.HandlerOptions{Level: level}
 	if d.LogFormat == "json" {
 		return slog.New(slog.NewJSONHandler(os.Stderr, opts))
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package boottime is a monotonic clock that goes on while the box is suspended. Go's own stands
-// still meanwhile, so that a leader which wakes would take a lease for its own that others have seen
-// end (docs/design/suspended-boxes.md).
+// Package boottime provides a monotonic clock that includes time during which the box is suspended.
+// Go's monotonic clock stops during a suspension, so a leader that resumes could rely on a lease
+// that has already expired for the other replicas (docs/design/suspended-boxes.md).
 package boottime
 
 import (
@@ -11,7 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the clock, from an arbitrary zero, or nil where the kernel has none.
+// Clock returns a function that reads the clock, which starts at an arbitrary time. It returns nil if
+// the kernel lacks the clock.
 func Clock() func() time.Duration {
 	if now() == 0 {
 		return nil
@@ -19,11 +20,11 @@
 	return now
 }
 
-// now reads the clock. A reading costs 0.13 us (BenchmarkClock).
+// now reads the clock, which takes about 0.13 us (BenchmarkClock).
 func now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0 // the kernel has it since 2.6.39, and an error is the same at each call
+		return 0 // kernels before 2.6.39 lack it, and then every call fails
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-// TestClock: it goes as Go's own does while the box runs.
+// TestClock checks that the clock advances like Go's monotonic clock while the box is running.
 func TestClock(t *testing.T) {
 	is := is.New(t)
 	clock := Clock()
-	began, own := clock(), time.Now()
-	for time.Since(own) < 20*time.Millisecond {
-		is.True(clock() >= began)
+	start, goStart := clock(), time.Now()
+	for time.Since(goStart) < 20*time.Millisecond {
+		is.True(clock() >= start)
 	}
-	is.True((clock() - began - time.Since(own)).Abs() < 10*time.Millisecond)
+	is.True((clock() - start - time.Since(goStart)).Abs() < 10*time.Millisecond)
 }
 
 func BenchmarkClock(b *testing.B) {
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -1,12 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fakedisk is a folder in memory that loses what was not synced, and
-// worse, when a test wants it. It implements [wal.Dir] for tests.
+// Package fakedisk implements [wal.Dir] in memory for tests, with crashes, failing syncs, a full disk
+// and corrupted files.
 //
-// The model: every file has content that is durable and content that was
-// written since its last sync; every name is durable or waits for a sync of
-// the folder. [Disk.Crash] goes back to what is durable, and by chance keeps
-// some unsynced sectors, in any order, as a real disk may.
+// File contents become durable when the file is synced, and file names when the folder is synced.
+// [Disk.Crash] restores the durable state plus a random subset of the unsynced sectors, as a real
+// disk may leave it.
 package fakedisk
 
 import (
@@ -24,28 +23,29 @@
 
 // This file defines Disk and its faults.
 
-// sector is what a disk writes whole, in bytes: the usual size of a sector.
+// sector is the size in bytes that a disk writes atomically.
 const sector = 512
 
-// Errors of the faults of a Disk.
+// Errors of injected faults.
 var (
 	ErrSync = errors.New("fakedisk: sync failed")
 	ErrFull = errors.New("fakedisk: no space left")
 )
 
-// Disk is a folder. It is safe for concurrent use.
+// Disk is a simulated folder. It is safe for concurrent use.
 type Disk struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	files    map[string]*file // as the process sees them
-	durable  map[string]*file // names as a crash leaves them
-	room     int              // bytes that may still be written, -1 for any
-	failSync bool
-	syncTime time.Duration
-	syncs    int
-	epoch    int // of crashes: files opened before are stale
-}
-
+	mu        sync.Mutex
+	rng       *rand.Rand
+	files     map[string]*file // current files by name
+	durable   map[string]*file // files by the names that survive a crash
+	freeSpace int              // bytes that can still be written; -1 means unlimited
+	failSync  bool
+	syncTime  time.Duration
+	syncs     int
+	epoch     int // number of crashes; handles of an earlier epoch are stale
+}
+
+// file is the content of a file, current and as of its last sync.
 type file struct {
 	content []byte
 	synced  []byte
@@ -53,32 +53,31 @@
 
 var _ wal.Dir = (*Disk)(nil)
 
-// New returns an empty disk whose chances come from seed.
+// New returns an empty disk whose random choices derive from seed.
 func New(seed uint64) *Disk {
 	return &Disk{
-		rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*file{}, durable: map[string]*file{}, room: -1,
+		rng: rand.New(rand.NewPCG(seed, 7)), files: map[string]*file{}, durable: map[string]*file{}, freeSpace: -1,
 	}
 }
 
-// Crash loses what was not synced, but for some sectors by chance. Files open
-// before are stale.
+// Crash discards unsynced data except for random sectors. Files opened before are stale afterwards.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.epoch++
 	d.failSync = false
 	d.files = map[string]*file{}
-	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // the chances go by this order
-		left := d.remains(d.durable[name])
+	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // sorted, so that a seed determines the outcome
+		left := d.contentAfterCrash(d.durable[name])
 		nf := &file{content: left, synced: slices.Clone(left)}
 		d.files[name] = nf
 		d.durable[name] = nf
 	}
 }
 
-// remains returns what a crash leaves of a file: the synced content, then up
-// to some length of sectors that were written or read as zero.
-func (d *Disk) remains(f *file) []byte {
+// contentAfterCrash returns the content of a file after a crash: the synced part, followed by a
+// random number of unsynced bytes in which each sector is randomly kept or zeroed.
+func (d *Disk) contentAfterCrash(f *file) []byte {
 	left := slices.Clone(f.synced)
 	if len(f.content) <= len(left) {
 		return left
@@ -99,13 +98,13 @@
 // FailSync makes every sync fail until the next crash.
 func (d *Disk) FailSync() { d.mu.Lock(); d.failSync = true; d.mu.Unlock() }
 
-// SetSyncTime makes every sync of a file take that long.
+// SetSyncTime sets the duration of every sync of a file.
 func (d *Disk) SetSyncTime(t time.Duration) { d.mu.Lock(); d.syncTime = t; d.mu.Unlock() }
 
-// SetFreeSpace sets how many more bytes fit on the disk; -1 is no bound.
-func (d *Disk) SetFreeSpace(bytes int) { d.mu.Lock(); d.room = bytes; d.mu.Unlock() }
+// SetFreeSpace sets the number of bytes that can still be written; -1 means unlimited.
+func (d *Disk) SetFreeSpace(bytes int) { d.mu.Lock(); d.freeSpace = bytes; d.mu.Unlock() }
 
-// Flip changes one bit of a file, durably.
+// Flip inverts one bit of the byte at an offset of a file, durably.
 func (d *Disk) Flip(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +113,7 @@
 	f.synced = slices.Clone(f.content)
 }
 
-// Truncate cuts a file, durably.
+// Truncate shortens a file to size bytes, durably.
 func (d *Disk) Truncate(name string, size int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +122,14 @@
 	f.synced = slices.Clone(f.content)
 }
 
-// Size returns the length of a file.
+// Size returns the length of a file in bytes.
 func (d *Disk) Size(name string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.files[name].content)
 }
 
-// Syncs returns how often a file was synced.
+// Syncs returns the number of successful syncs of files.
 func (d *Disk) Syncs() int { d.mu.Lock(); defer d.mu.Unlock(); return d.syncs }
 
 // ReadFile implements [wal.Dir].
@@ -202,7 +201,7 @@
 	return nil
 }
 
-// handle is an open file.
+// handle is an open file. It becomes stale at the next crash.
 type handle struct {
 	d     *Disk
 	f     *file
@@ -216,9 +215,9 @@
 		return 0, fs.ErrClosed
 	}
 	n := len(b)
-	if h.d.room >= 0 {
-		n = min(n, h.d.room)
-		h.d.room -= n
+	if h.d.freeSpace >= 0 {
+		n = min(n, h.d.freeSpace)
+		h.d.freeSpace -= n
 	}
 	h.f.content = append(h.f.content, b[:n]...)
 	if n < len(b) {
@@ -229,9 +228,9 @@
 
 func (h *handle) Sync() error {
 	h.d.mu.Lock()
-	takes := h.d.syncTime
+	delay := h.d.syncTime
 	h.d.mu.Unlock()
-	time.Sleep(takes)
+	time.Sleep(delay)
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
 	if h.epoch != h.d.epoch {
--- a/internal/fakedisk/fakedisk_test.go
+++ b/internal/fakedisk/fakedisk_test.go
@@ -11,13 +11,13 @@
 	"github.com/badgerspoke/badgerspoke/internal/fakedisk"
 )
 
-// This file tests what a crash leaves of the files of a fake disk.
+// This file tests the state of a fake disk after a crash.
 
-// TestOneSeedIsOneCrash: what a crash leaves of each of several files is the same each
-// time for one seed.
+// TestOneSeedIsOneCrash checks that the seed alone determines which parts of several files survive a
+// crash.
 func TestOneSeedIsOneCrash(t *testing.T) {
 	is := is.New(t)
-	left := func() (sizes []int) {
+	sizesAfterCrash := func() (sizes []int) {
 		d := fakedisk.New(1)
 		for n := range 8 {
 			f, err := d.OpenAppend(fmt.Sprint(n), 0)
@@ -32,8 +32,8 @@
 		}
 		return sizes
 	}
-	first := left()
+	first := sizesAfterCrash()
 	for range 20 {
-		is.Equal(left(), first)
+		is.Equal(sizesAfterCrash(), first)
 	}
 }
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -1,15 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fakenet is a network in memory for tests in virtual time.
+// Package fakenet simulates a network in memory for tests in virtual time.
 //
-// The model: addresses are IP:PORT strings that exist once a listener is there.
-// A connection carries bytes after a latency, in order, through a buffer. A
-// box can be cut off in silence: its connections stay open and nothing
-// arrives, in either direction, until it is joined again, as with a cable
-// pulled. Connections to and from a box that was killed break at once. All open
-// connections can fall silent for good while new ones work, as when something on the
-// way has forgotten them. Boxes may stand in regions that are far from each other, with a
-// link of some bytes a second between them.
+// Addresses are IP:PORT strings, which exist while a listener is open. A connection delivers bytes in
+// order after a latency, through an unbounded buffer. A box can be cut off as if its cable were
+// unplugged: its connections stay open, but nothing arrives in either direction until the box is
+// joined again. The connections of a killed box break at once. All open connections can become
+// silent permanently while new ones work, as when a middlebox loses its state. Boxes can be placed
+// in regions with a higher latency and a limited rate between them.
 package fakenet
 
 import (
@@ -27,39 +25,39 @@
 
 // This file defines Network, its listeners and connections.
 
-// Network is a network of boxes, which are IP addresses.
+// Network is a simulated network of boxes, which are identified by their IP addresses.
 type Network struct {
 	latency time.Duration
 
-	mu        sync.Mutex
-	listeners map[string]*listener
-	cut       map[string]bool
-	isolated  map[string]bool // cut off from each other only
-	parted    map[[2]string]bool
-	conns     map[*conn]bool
-	joined    chan struct{} // closed and replaced when something is joined
-	port      int
-	far       far
+	mu          sync.Mutex
+	listeners   map[string]*listener
+	cut         map[string]bool    // boxes that are cut off
+	isolated    map[string]bool    // boxes that are cut off from each other only
+	partitioned map[[2]string]bool // pairs of boxes, in both orders, that are cut off from each other
+	conns       map[*conn]bool     // open connections
+	reverted    chan struct{}      // closed and replaced when a fault is reverted
+	port        int                // latest port of a dialing side
+	regionLinks regionLinks
 }
 
 const (
-	// backlog bounds the connections that are not accepted yet, as a kernel
-	// does; chosen above what any test dials at once.
+	// backlog is the maximum number of connections waiting to be accepted. It exceeds the number
+	// that any test dials at the same time.
 	backlog = 4096
-	// firstPort is below the first port of a dialling side; any value that no
-	// listener of a test uses.
+	// firstPort is one less than the first port of a dialing side. Listeners of tests must not
+	// use the ports above it.
 	firstPort = 40000
 )
 
-// New returns an empty network.
+// New returns a network without boxes and with the given latency between boxes of one region.
 func New(latency time.Duration) *Network {
 	return &Network{
-		latency: latency, listeners: map[string]*listener{}, cut: map[string]bool{}, isolated: map[string]bool{}, parted: map[[2]string]bool{},
-		conns: map[*conn]bool{}, joined: make(chan struct{}), port: firstPort, far: newFar(),
+		latency: latency, listeners: map[string]*listener{}, cut: map[string]bool{}, isolated: map[string]bool{}, partitioned: map[[2]string]bool{},
+		conns: map[*conn]bool{}, reverted: make(chan struct{}), port: firstPort, regionLinks: newRegionLinks(),
 	}
 }
 
-// Listen opens a listener at address.
+// Listen opens a listener at address, IP:PORT.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +69,7 @@
 	return l, nil
 }
 
-// Box returns a dialer for the processes of one box.
+// Box returns a dialer for connections from one box.
 func (n *Network) Box(ip string) Dialer { return Dialer{n: n, ip: ip} }
 
 // Dialer opens connections from one box.
@@ -84,7 +82,7 @@
 func (d Dialer) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n := d.n
 	to, _, _ := net.SplitHostPort(address)
-	if err := n.travel(ctx, d.ip, to); err != nil {
+	if err := n.awaitDelivery(ctx, d.ip, to); err != nil {
 		return nil, err
 	}
 	n.mu.Lock()
@@ -108,40 +106,39 @@
 	return client, nil
 }
 
-// travel waits for the latency, and while either side is cut off.
-func (n *Network) travel(ctx context.Context, from, to string) error {
+// awaitDelivery waits for the latency and then until no fault separates the two boxes.
+func (n *Network) awaitDelivery(ctx context.Context, from, to string) error {
 	if !sleep.For(ctx, time.Until(n.arrival(from, to, 0))) {
 		return ctx.Err()
 	}
 	for {
 		n.mu.Lock()
-		cut, joined := n.severed(from, to), n.joined
+		cut, reverted := n.severed(from, to), n.reverted
 		n.mu.Unlock()
 		if !cut {
 			return nil
 		}
 		select {
-		case <-joined:
+		case <-reverted:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// wakeTravellers lets all that waits for a box look again. The caller holds mu.
-func (n *Network) wakeTravellers() {
-	close(n.joined)
-	n.joined = make(chan struct{})
+// wakeWaiters makes all waiting dials and reads check again whether traffic passes. The caller
+// holds mu.
+func (n *Network) wakeWaiters() {
+	close(n.reverted)
+	n.reverted = make(chan struct{})
 }
 
-// severed reports whether nothing passes between two boxes. The caller holds
-// mu.
+// severed reports whether a fault drops the traffic from one box to another. The caller holds mu.
 func (n *Network) severed(from, to string) bool {
-	return n.cut[from] || n.cut[to] || n.parted[[2]string{from, to}] || n.far.severed(from, to) || (from != to && n.isolated[from] && n.isolated[to])
+	return n.cut[from] || n.cut[to] || n.partitioned[[2]string{from, to}] || n.regionLinks.severed(from, to) || (from != to && n.isolated[from] && n.isolated[to])
 }
 
-// Kill breaks every connection of a box and closes its listeners, as the end
-// of its processes would.
+// Kill closes the connections and listeners of a box, like the end of its processes.
 func (n *Network) Kill(ip string) {
 	n.mu.Lock()
 	var broken []*conn
@@ -204,7 +201,7 @@
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(l.address))
 }
 
-// conn is one side of a connection.
+// conn is one end of a connection.
 type conn struct {
 	n             *Network
 	in, out       *pipe
@@ -220,8 +217,8 @@
 	c.n.mu.Lock()
 	delete(c.n.conns, c)
 	c.n.mu.Unlock()
-	c.in.abandon()
-	c.out.finish()
+	c.in.closeRead()
+	c.out.closeWrite()
 	return nil
 }
 
@@ -229,34 +226,35 @@
 func (c *conn) RemoteAddr() net.Addr               { return net.TCPAddrFromAddrPort(c.remote) }
 func (c *conn) SetDeadline(t time.Time) error      { return c.SetReadDeadline(t) }
 func (c *conn) SetReadDeadline(t time.Time) error  { c.in.setDeadline(t); return nil }
-func (c *conn) SetWriteDeadline(t time.Time) error { return nil } // writes do not block
+func (c *conn) SetWriteDeadline(t time.Time) error { return nil } // writes never block
 
 // pipe is one direction of a connection.
 type pipe struct {
 	n        *Network
 	from, to string
 
-	mu       sync.Mutex
-	chunks   []chunk
-	finished bool // by the writer
-	gone     bool // the reader has closed
-	silent   bool // nothing arrives any more
-	deadline time.Time
-	changed  chan struct{} // closed and replaced on every change
+	mu          sync.Mutex
+	chunks      []chunk
+	writeClosed bool // the writer has closed
+	readClosed  bool // the reader has closed
+	silent      bool // nothing arrives anymore
+	deadline    time.Time
+	changed     chan struct{} // closed and replaced on every change
 }
 
-// chunk is bytes that may be read from a time on.
+// chunk holds the bytes of one write, or the end of the stream.
 type chunk struct {
 	data []byte
-	at   time.Time
-	end  bool // the writer has closed
+	at   time.Time // arrival
+	end  bool      // the writer has closed
 }
 
 func newPipe(n *Network, from, to string) *pipe {
 	return &pipe{n: n, from: from, to: to, changed: make(chan struct{})}
 }
 
-func (p *pipe) change(f func()) {
+// update applies f under the lock and wakes readers.
+func (p *pipe) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
@@ -269,12 +267,12 @@
 	p.n.mu.Lock()
 	cut := p.n.severed(p.from, p.to)
 	p.n.mu.Unlock()
-	p.change(func() {
-		if p.finished {
+	p.update(func() {
+		if p.writeClosed {
 			err = net.ErrClosed
 			return
 		}
-		if p.gone && !p.silent && !cut {
+		if p.readClosed && !p.silent && !cut {
 			err = io.ErrClosedPipe
 			return
 		}
@@ -284,18 +282,20 @@
 	return n, err
 }
 
-func (p *pipe) finish() {
+// closeWrite ends the stream. The end arrives after the bytes written before.
+func (p *pipe) closeWrite() {
 	at := p.n.arrival(p.from, p.to, 0)
-	p.change(func() {
-		if !p.finished {
-			p.finished = true
+	p.update(func() {
+		if !p.writeClosed {
+			p.writeClosed = true
 			p.chunks = append(p.chunks, chunk{end: true, at: at})
 		}
 	})
 }
 
-func (p *pipe) abandon()                { p.change(func() { p.gone = true }) }
-func (p *pipe) setDeadline(t time.Time) { p.change(func() { p.deadline = t }) }
+// closeRead makes later reads fail, and later writes unless the pipe is silent or cut off.
+func (p *pipe) closeRead()              { p.update(func() { p.readClosed = true }) }
+func (p *pipe) setDeadline(t time.Time) { p.update(func() { p.deadline = t }) }
 
 func (p *pipe) read(b []byte) (int, error) {
 	for {
@@ -307,7 +307,8 @@
 	}
 }
 
-// tryRead reads what has arrived, or returns how long to wait at the most.
+// tryRead reads bytes that have arrived. If there are none, it returns the maximum time to wait and a
+// channel that is closed on a change.
 func (p *pipe) tryRead(b []byte) (n int, wait time.Duration, changed chan struct{}, err error) {
 	p.n.mu.Lock()
 	cut := p.n.severed(p.from, p.to)
@@ -317,7 +318,7 @@
 	now := time.Now()
 	wait = time.Hour
 	switch {
-	case p.gone:
+	case p.readClosed:
 		return 0, 0, nil, net.ErrClosed
 	case !p.deadline.IsZero() && !now.Before(p.deadline):
 		return 0, 0, nil, os.ErrDeadlineExceeded
@@ -342,15 +343,16 @@
 	return n, 0, nil, nil
 }
 
+// wait returns after d, on a change of the pipe, or when a fault is reverted.
 func (p *pipe) wait(d time.Duration, changed chan struct{}) {
 	p.n.mu.Lock()
-	joined := p.n.joined
+	reverted := p.n.reverted
 	p.n.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-t.C:
 	case <-changed:
-	case <-joined:
+	case <-reverted:
 	}
 }
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -4,131 +4,132 @@
 
 import "time"
 
-// This file defines regions: boxes far from each other, and the link between them that all
-// their connections share; and boxes whose own link has a rate.
+// This file defines regions, whose boxes share a link to each other region, and boxes with a limited
+// uplink rate.
 
-// way is from one region to another.
-type way struct{ from, to string }
+// direction is an ordered pair of regions.
+type direction struct{ from, to string }
 
-// far is what lies between regions.
-type far struct {
+// regionLinks holds the regions, the links between them and the uplinks of boxes.
+type regionLinks struct {
 	latency time.Duration
-	rate    int               // bytes a second on each way; 0 is no bound
-	regions map[string]string // by box
-	free    map[way]time.Time // when a way has carried all that was written to it
-	crossed map[way]uint64    // bytes written to a way
-	cut     map[string]bool   // regions that nothing reaches
-	links   map[string]*boxLink
+	rate    int                     // bytes per second in each direction; zero means unlimited
+	regions map[string]string       // region by box
+	idleAt  map[direction]time.Time // time at which all bytes written so far have been transmitted
+	written map[direction]uint64    // bytes written in a direction
+	cut     map[string]bool         // regions that are cut off
+	links   map[string]*boxLink     // limited uplinks by box
 }
 
-// boxLink is what carries all that a box sends, in the order in which it was written.
+// boxLink is the uplink of a box. It transmits bytes in the order in which they were written.
 type boxLink struct {
-	rate int       // bytes a second
-	free time.Time // when it has carried all that was written
-	sent uint64    // bytes
+	rate   int       // bytes per second
+	idleAt time.Time // time at which all bytes written so far have been transmitted
+	sent   uint64    // bytes written
 }
 
-// SetUplinkRate bounds the bytes a second that a box sends, over all its connections.
+// SetUplinkRate limits the rate at which a box sends, over all its connections together.
 func (n *Network) SetUplinkRate(ip string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.far.links[ip] = &boxLink{rate: bytesPerSecond}
+	n.regionLinks.links[ip] = &boxLink{rate: bytesPerSecond}
 }
 
-// Sent returns the bytes that a box with a bounded link has sent.
+// Sent returns the number of bytes that a box with a limited uplink has sent.
 func (n *Network) Sent(ip string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l := n.far.links[ip]; l != nil {
+	if l := n.regionLinks.links[ip]; l != nil {
 		return l.sent
 	}
 	return 0
 }
 
-// carry returns when a link that other bytes wait for has carried some more.
-func (l *boxLink) carry(now time.Time, bytes int) time.Time {
-	if l.free.Before(now) {
-		l.free = now
+// transmit queues more bytes and returns the time at which they will have been transmitted.
+func (l *boxLink) transmit(now time.Time, bytes int) time.Time {
+	if l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * time.Second / time.Duration(l.rate))
+	l.idleAt = l.idleAt.Add(time.Duration(bytes) * time.Second / time.Duration(l.rate))
 	l.sent += uint64(bytes)
-	return l.free
+	return l.idleAt
 }
 
-// SetRegionLink puts a latency between boxes of different regions, and a bound on the bytes a second
-// that all connections of a pair of regions carry one way; 0 is no bound.
+// SetRegionLink sets the latency between boxes of different regions, and the rate limit in each
+// direction that all connections between two regions share. A rate of zero means unlimited.
 func (n *Network) SetRegionLink(latency time.Duration, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.far.latency, n.far.rate = latency, bytesPerSecond
+	n.regionLinks.latency, n.regionLinks.rate = latency, bytesPerSecond
 }
 
-// Place puts a box into a region.
+// Place assigns a box to a region.
 func (n *Network) Place(ip, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.far.regions[ip] = region
+	n.regionLinks.regions[ip] = region
 }
 
-// CutRegion cuts a region off in silence, until JoinRegion.
+// CutRegion drops all traffic between a region and the others, until JoinRegion.
 func (n *Network) CutRegion(region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.far.cut[region] = true
+	n.regionLinks.cut[region] = true
 }
 
-// JoinRegion ends what CutRegion began.
+// JoinRegion reverts CutRegion.
 func (n *Network) JoinRegion(region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.far.cut, region)
-	n.wakeTravellers()
+	delete(n.regionLinks.cut, region)
+	n.wakeWaiters()
 }
 
-// Crossed returns the bytes that were written from one region to another.
+// Crossed returns the number of bytes written from one region to another.
 func (n *Network) Crossed(from, to string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.far.crossed[way{from, to}]
+	return n.regionLinks.written[direction{from, to}]
 }
 
-func newFar() far {
-	return far{regions: map[string]string{}, free: map[way]time.Time{}, crossed: map[way]uint64{}, cut: map[string]bool{}, links: map[string]*boxLink{}}
+func newRegionLinks() regionLinks {
+	return regionLinks{regions: map[string]string{}, idleAt: map[direction]time.Time{}, written: map[direction]uint64{}, cut: map[string]bool{}, links: map[string]*boxLink{}}
 }
 
-// between returns the way between two boxes and whether they stand in different regions.
-func (f far) between(from, to string) (way, bool) {
-	w := way{f.regions[from], f.regions[to]}
-	return w, w.from != w.to
+// between returns the direction from one box to another and whether their regions differ.
+func (r regionLinks) between(from, to string) (direction, bool) {
+	d := direction{r.regions[from], r.regions[to]}
+	return d, d.from != d.to
 }
 
-// severed reports whether nothing passes between two boxes.
-func (f far) severed(from, to string) bool {
-	w, apart := f.between(from, to)
-	return apart && (f.cut[w.from] || f.cut[w.to])
+// severed reports whether a cut-off region separates two boxes.
+func (r regionLinks) severed(from, to string) bool {
+	d, differ := r.between(from, to)
+	return differ && (r.cut[d.from] || r.cut[d.to])
 }
 
-// arrival returns when bytes that are written now arrive.
+// arrival returns the time at which bytes written now arrive. It counts them against the rates of
+// the links on the way.
 func (n *Network) arrival(from, to string, bytes int) time.Time {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l := n.far.links[from]; l != nil && from != to {
-		now = l.carry(now, bytes)
+	if l := n.regionLinks.links[from]; l != nil && from != to {
+		now = l.transmit(now, bytes)
 	}
-	w, apart := n.far.between(from, to)
-	if !apart {
+	d, differ := n.regionLinks.between(from, to)
+	if !differ {
 		return now.Add(n.latency)
 	}
-	n.far.crossed[w] += uint64(bytes)
-	if n.far.rate == 0 {
-		return now.Add(n.far.latency)
+	n.regionLinks.written[d] += uint64(bytes)
+	if n.regionLinks.rate == 0 {
+		return now.Add(n.regionLinks.latency)
 	}
-	free := n.far.free[w]
-	if free.Before(now) {
-		free = now
+	idleAt := n.regionLinks.idleAt[d]
+	if idleAt.Before(now) {
+		idleAt = now
 	}
-	free = free.Add(time.Duration(bytes) * time.Second / time.Duration(n.far.rate))
-	n.far.free[w] = free
-	return free.Add(n.far.latency)
+	idleAt = idleAt.Add(time.Duration(bytes) * time.Second / time.Duration(n.regionLinks.rate))
+	n.regionLinks.idleAt[d] = idleAt
+	return idleAt.Add(n.regionLinks.latency)
 }
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -2,24 +2,24 @@
 
 package fakenet
 
-// This file defines what cuts boxes off, and silences connections.
+// This file defines network faults: partitions between boxes and silent connections.
 
-// Cut cuts a box off in silence.
+// Cut drops all traffic from and to a box, without an error on either side.
 func (n *Network) Cut(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[ip] = true
 }
 
-// Join ends what Cut began.
+// Join reverts Cut.
 func (n *Network) Join(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, ip)
-	n.wakeTravellers()
+	n.wakeWaiters()
 }
 
-// Isolate cuts boxes off from each other, not from the rest.
+// Isolate drops the traffic among the given boxes, but not between them and others.
 func (n *Network) Isolate(ips ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -28,31 +28,31 @@
 	}
 }
 
-// Part cuts a box off from some others, in silence, and not from the rest.
+// Part drops the traffic between a box and the given others, but not between it and the rest.
 func (n *Network) Part(ip string, from ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, other := range from {
-		n.parted[[2]string{ip, other}], n.parted[[2]string{other, ip}] = true, true
+		n.partitioned[[2]string{ip, other}], n.partitioned[[2]string{other, ip}] = true, true
 	}
 }
 
-// Reunite ends what Isolate and Part began.
+// Reunite reverts all calls of Isolate and Part.
 func (n *Network) Reunite() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.isolated)
-	clear(n.parted)
-	n.wakeTravellers()
+	clear(n.partitioned)
+	n.wakeWaiters()
 }
 
-// Silence makes every connection that is open now silent for good: both sides may go
-// on writing, and nothing arrives, not even the end. Connections opened later work.
+// Silence makes every open connection silent permanently: both sides may continue to write, but
+// neither data nor the close arrives. Connections opened later work.
 func (n *Network) Silence() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
-		c.in.change(func() { c.in.silent = true })
-		c.out.change(func() { c.out.silent = true })
+		c.in.update(func() { c.in.silent = true })
+		c.out.update(func() { c.out.silent = true })
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package golden compares what tests produce with files in the folder
-// testdata/golden of the tested package.
+// Package golden compares the output of tests with files in the folder testdata/golden of the tested
+// package.
 //
-// The files pin what other processes, disks and people rely on: bytes on the
-// wire and on disk, and the names of metrics, flags and log attributes. A
-// difference is a failed test. The flag -update rewrites the files, which
-// only a deliberate change of a format justifies.
+// The files pin formats that other processes, stored data and people rely on: bytes on the wire and
+// on disk, and the names of metrics, flags and log attributes. Any difference fails the test. The
+// flag -update rewrites the files; use it only for a deliberate change of a format.
 //
-// It is imported by tests only.
+// Only tests import this package.
 package golden
 
 import (
@@ -24,15 +23,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// This file defines the comparisons and the check that a pinned value leaves
-// no field out.
+// This file defines the comparisons, and the check that a pinned value sets every field.
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Update reports whether the golden files are to be rewritten.
+// Update reports whether the flag -update is set.
 func Update() bool { return *update }
 
-// Text compares text with a file.
+// Text compares a text with a golden file.
 func Text(t *testing.T, name, got string) {
 	t.Helper()
 	if want := string(file(t, name, []byte(got))); got != want {
@@ -40,8 +38,8 @@
 	}
 }
 
-// Bytes compares bytes with a file that holds them in hexadecimal and returns
-// the pinned bytes, for decoding.
+// Bytes compares bytes with a golden file that holds them in hexadecimal. It returns the pinned bytes
+// for decoding.
 func Bytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	text := file(t, name+".hex", []byte(hex.EncodeToString(got)+"\n"))
@@ -56,9 +54,9 @@
 	return want
 }
 
-// Folder compares the files that write writes with a folder of pinned files,
-// and returns a copy of that folder, for opening. With -update a file that is
-// not written any more stays; remove it by hand.
+// Folder compares the files that write creates with a folder of golden files and returns a copy of
+// that folder that tests may open and modify. The flag -update does not remove files that are no
+// longer written; delete those manually.
 func Folder(t *testing.T, name string, write func(t *testing.T, folder string)) string {
 	t.Helper()
 	fresh, pinned := t.TempDir(), t.TempDir()
@@ -76,8 +74,8 @@
 	if err := os.CopyFS(pinned, os.DirFS(filepath.Join("testdata", "golden", name))); err != nil {
 		t.Fatal(err)
 	}
-	if kept := list(t, pinned); len(kept) != len(written) {
-		t.Errorf("%s: %d files are written, %d are pinned", name, len(written), len(kept))
+	if pinnedFiles := list(t, pinned); len(pinnedFiles) != len(written) {
+		t.Errorf("%s: %d files are written, %d are pinned", name, len(written), len(pinnedFiles))
 	}
 	return pinned
 }
@@ -91,7 +89,7 @@
 	return entries
 }
 
-// file returns a file's content, after rewriting it with -update.
+// file returns the content of a golden file. With -update it first writes got to the file.
 func file(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -110,7 +108,7 @@
 	return want
 }
 
-// diagnose returns CBOR in its readable notation.
+// diagnose returns CBOR in diagnostic notation.
 func diagnose(b []byte) string {
 	s, err := cbor.Diagnose(b)
 	if err != nil {
@@ -119,8 +117,8 @@
 	return s
 }
 
-// AllSet fails the test for every field that a value leaves at zero. Of a list
-// it looks at the first element.
+// AllSet fails the test for every field of v with a zero value, recursively. In a slice of structs it
+// checks the first element only.
 func AllSet(t *testing.T, where string, v any) {
 	t.Helper()
 	allSet(t, where, reflect.ValueOf(v))
--- a/internal/mix/mix.go
+++ b/internal/mix/mix.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mix spreads numbers over all their bits, for rendezvous orders that all nodes draw alike.
+// Package mix provides an integer hash for rendezvous hashing. All nodes must compute the same
+// values.
 package mix
 
-// Bits spreads a number over all its bits: hashes of names that differ in their last byte differ in few. The
-// constants are those of MurmurHash3's finalizer.
+// Bits applies the 64-bit finalizer of MurmurHash3, so that every input bit affects every output bit.
+// Hashes of names that differ only in their last byte differ in few bits.
 func Bits(x uint64) uint64 {
 	x = (x ^ x>>33) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
--- a/internal/mix/mix_test.go
+++ b/internal/mix/mix_test.go
@@ -11,7 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/internal/mix"
 )
 
-// TestBits: the value that other nodes draw, and that one bit in changes about half of the bits out.
+// TestBits pins one value, on which all nodes must agree, and checks that flipping one input bit
+// changes about half of the output bits.
 func TestBits(t *testing.T) {
 	is := is.New(t)
 	is.Equal(mix.Bits(1), uint64(0xb456bcfc34c2cb2c))
--- a/internal/pq/pq_test.go
+++ b/internal/pq/pq_test.go
@@ -13,8 +13,8 @@
 
 type item struct{ value, id, place int }
 
-// TestAgainstASortedList pushes, moves, removes and pops at random and compares
-// with a list that is sorted anew.
+// TestAgainstASortedList adds, reorders, removes and pops random items and compares the queue with a
+// list.
 func TestAgainstASortedList(t *testing.T) {
 	less := func(a, b *item) bool { return a.value < b.value || (a.value == b.value && a.id < b.id) }
 	seeds.Check(t, func(t *rapid.T) {
@@ -35,7 +35,7 @@
 				q.Set(x)
 			case 2:
 				q.Remove(x)
-				q.Remove(x) // twice does nothing
+				q.Remove(x) // a second call has no effect
 				list = slices.DeleteFunc(list, func(y *item) bool { return y == x })
 			case 3:
 				got := q.Pop()
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package seeds plays a property over schedules that are drawn from seeds in the
-// repository, so that a commit has one verdict.
+// Package seeds runs property tests with rapid on schedules generated from seeds in the repository,
+// so that the result for a commit is reproducible.
 //
-// The file testdata/seeds/<test>.txt of the tested package has a line for each
-// seed: the seed, the number of schedules drawn from it, and after # what it was
-// kept for. A seed that failed is added with one schedule and stays.
+// The file testdata/seeds/<test>.txt of the tested package has one line per seed: the seed, the
+// number of schedules to generate from it, and after # the reason for keeping it. A seed that failed
+// is added with one schedule and is never removed.
 //
-// With -rapid.seed or -rapid.checks on the command line the schedules are drawn
-// from there, and the file is not read: that is how new ones are found
-// (tools/draw.sh). Either way no file of a failed draw is written or looked for,
-// and a test that is short of time fails by the time limit of go test and does
-// not pass with fewer schedules.
+// If -rapid.seed or -rapid.checks is on the command line, the schedules are generated from these
+// flags and the file is not read. This is how new failing seeds are found (tools/draw.sh). In both
+// cases rapid's failure files are neither written nor read. A test that runs out of time fails at the
+// time limit of go test; it does not pass with fewer schedules.
 //
-// It is imported by tests only.
+// Only tests import this package.
 package seeds
 
 import (
@@ -29,15 +28,16 @@
 	"pgregory.net/rapid"
 )
 
-// This file defines Check, the files that it reads, and how rapid is set.
+// This file defines Check, the format of seed files, and the flags of rapid.
 
-// seed is a line of a file.
+// seed is one line of a seed file.
 type seed struct {
 	seed      uint64
 	schedules int
 }
 
-// checks is what makes rapid draw the schedules: with -short it draws a fifth.
+// checks returns the value of -rapid.checks that makes rapid generate all schedules. With -short,
+// rapid divides the value by five.
 func (s seed) checks() int {
 	if testing.Short() {
 		return 5 * s.schedules
@@ -45,80 +45,81 @@
 	return s.schedules
 }
 
-// Check plays a property over the seeds of the calling test, each in a subtest
-// that prints what it played.
+// Check runs a property for each seed of the calling test, in a subtest per seed that logs the number
+// of schedules.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
-	if byHand() {
-		set(t, "rapid.nofailfile", "true")
-		play(t, t.Name()+"/by hand", property)
+	if drawnByFlags() {
+		setFlag(t, "rapid.nofailfile", "true")
+		run(t, t.Name()+"/by hand", property)
 		return
 	}
-	for _, s := range read(t, filepath.Join("testdata", "seeds", t.Name()+".txt")) {
+	for _, s := range readSeeds(t, filepath.Join("testdata", "seeds", t.Name()+".txt")) {
 		t.Run(strconv.FormatUint(s.seed, 10), func(t *testing.T) {
-			set(t, "rapid.seed", strconv.FormatUint(s.seed, 10))
-			set(t, "rapid.checks", strconv.Itoa(s.checks()))
-			set(t, "rapid.failfile", "")
-			set(t, "rapid.nofailfile", "true")
-			n := play(t, t.Name(), property)
-			t.Logf("%s played %d schedules", t.Name(), n)
+			setFlag(t, "rapid.seed", strconv.FormatUint(s.seed, 10))
+			setFlag(t, "rapid.checks", strconv.Itoa(s.checks()))
+			setFlag(t, "rapid.failfile", "")
+			setFlag(t, "rapid.nofailfile", "true")
+			n := run(t, t.Name(), property)
+			t.Logf("%s ran %d schedules", t.Name(), n)
 		})
 	}
 }
 
-// play returns how many schedules were drawn.
-func play(t *testing.T, name string, property func(*rapid.T)) (schedules int) {
+// run runs a property with the current flags of rapid and returns the number of schedules.
+func run(t *testing.T, name string, property func(*rapid.T)) (schedules int) {
 	t.Helper()
-	rapid.Check(player{t, name}, func(t *rapid.T) {
+	rapid.Check(namedTest{t, name}, func(t *rapid.T) {
 		schedules++
 		property(t)
 	})
 	return schedules
 }
 
-// player is a test as rapid sees it. It is no *testing.T, whose deadline would
-// end the draws early, and it has a name under which rapid wrote no file.
-type player struct {
+// namedTest wraps a test for rapid. Because it is not a *testing.T, rapid does not stop early at the
+// deadline of the test. The name is one for which no failure files exist.
+type namedTest struct {
 	*testing.T
 	name string
 }
 
-// Name returns the name that rapid looks for files by and reports.
-func (p player) Name() string { return p.name }
+// Name returns the name that rapid reports and uses to find failure files.
+func (n namedTest) Name() string { return n.name }
 
-// byHand reports whether the command line says what is drawn. It looks before
-// set does, which counts as the command line afterwards.
-var byHand = sync.OnceValue(func() bool {
-	found := false
+// drawnByFlags reports whether the command line sets the seed or the number of schedules. The result
+// is computed once, before the first call of setFlag, because flag.Visit does not distinguish flags
+// changed by setFlag.
+var drawnByFlags = sync.OnceValue(func() bool {
+	isSet := false
 	flag.Visit(func(f *flag.Flag) {
-		found = found || f.Name == "rapid.seed" || f.Name == "rapid.checks"
+		isSet = isSet || f.Name == "rapid.seed" || f.Name == "rapid.checks"
 	})
-	return found
+	return isSet
 })
 
-func set(t *testing.T, name, value string) {
+func setFlag(t *testing.T, name, value string) {
 	t.Helper()
 	if err := flag.Set(name, value); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func read(t *testing.T, file string) []seed {
+func readSeeds(t *testing.T, file string) []seed {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		t.Fatalf("the test has no seeds: %v", err)
+		t.Fatalf("read seeds of the test: %v", err)
 	}
-	seeds, err := parse(string(text))
+	seeds, err := parseSeeds(string(text))
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
 	return seeds
 }
 
-// parse returns the seeds of a file. A file without any is an error, since
-// nothing would be played; so is a seed 0, from which rapid draws another one.
-func parse(text string) ([]seed, error) {
+// parseSeeds returns the seeds in a file. A file without seeds is an error, because the test would run
+// nothing. Seed 0 is an error, because rapid replaces it by a random seed.
+func parseSeeds(text string) ([]seed, error) {
 	var out []seed
 	for line := range strings.Lines(text) {
 		fields, _, _ := strings.Cut(line, "#")
@@ -133,7 +134,7 @@
 		out = append(out, s)
 	}
 	if len(out) == 0 {
-		return nil, fmt.Errorf("no seed")
+		return nil, fmt.Errorf("the file has no seeds")
 	}
 	return out, nil
 }
--- a/internal/seeds/seeds_test.go
+++ b/internal/seeds/seeds_test.go
@@ -17,25 +17,24 @@
 	"pgregory.net/rapid"
 )
 
-// This file checks what is played, and that every property of the repository is
-// played from its seeds.
+// This file tests Check, and that every property test of the repository runs from a seed file.
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	got, err := parse("# seed schedules\n1 300\n\n18446744073709551615 1 # why\n")
+	got, err := parseSeeds("# seed schedules\n1 300\n\n18446744073709551615 1 # why\n")
 	is.NoErr(err)
 	is.Equal(got, []seed{{1, 300}, {18446744073709551615, 1}})
 	for _, bad := range []string{"", "# none\n", "1\n", "0 5\n", "1 0\n", "1 2 3\n", "x 1\n", "1 300 why\n"} {
-		_, err := parse(bad)
+		_, err := parseSeeds(bad)
 		is.True(err != nil) // not a list of seeds
 	}
 }
 
-// TestOneSeedDrawsTheSame plays a list twice, with a file of a failed draw left
-// behind, which rapid would play first.
+// TestOneSeedDrawsTheSame checks that two runs of a seed file generate the same schedules. It leaves
+// a failure file in place, which rapid would otherwise run first.
 func TestOneSeedDrawsTheSame(t *testing.T) {
-	if byHand() {
-		t.Skip("the command line says what is drawn")
+	if drawnByFlags() {
+		t.Skip("the command line sets the seed or the number of schedules")
 	}
 	is := is.New(t)
 	name := t.Name()
@@ -46,25 +45,25 @@
 	is.NoErr(os.MkdirAll(leftOver, 0o700))
 	is.NoErr(os.WriteFile(leftOver+"/"+name+"-1.fail", []byte("v0.4.8#5\n0x2a\n"), 0o600))
 	var draws []uint64
-	play := func(t *rapid.T) { draws = append(draws, rapid.Uint64().Draw(t, "draw")) }
-	for range 2 { // subtests of one name get a number, so that the names differ and the seeds do not
-		Check(t, play)
+	property := func(t *rapid.T) { draws = append(draws, rapid.Uint64().Draw(t, "draw")) }
+	for range 2 { // repeated subtests get numbered names but use the same seeds
+		Check(t, property)
 	}
-	is.Equal(len(draws), 8)        // and none of the file
-	is.Equal(draws[:4], draws[4:]) // the same twice
-	is.True(draws[0] != draws[1])  // and not one schedule again and again
-	is.True(draws[0] != draws[3])  // nor one seed
-	_, err := os.Stat(leftOver)    // the test looked where rapid would
+	is.Equal(len(draws), 8)        // the failure file was not run
+	is.Equal(draws[:4], draws[4:]) // both runs are equal
+	is.True(draws[0] != draws[1])  // schedules of one seed differ
+	is.True(draws[0] != draws[3])  // seeds differ
+	_, err := os.Stat(leftOver)    // the failure file is in the folder that rapid searches
 	is.NoErr(err)
 }
 
-// TestPropertiesHaveSeeds finds properties that are played in another way, and
-// files of seeds that no test reads.
+// TestPropertiesHaveSeeds fails for property tests that do not use this package and for seed files
+// that no test reads.
 func TestPropertiesHaveSeeds(t *testing.T) {
 	is := is.New(t)
 	root := filepath.Join("..", "..")
 	var files []string
-	tests := map[string]bool{} // files of seeds that tests read
+	tests := map[string]bool{} // seed files that tests read
 	is.NoErr(filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -90,8 +89,8 @@
 	}
 }
 
-// properties notes the files of seeds of the tests in a file, and fails on
-// properties that have none.
+// properties adds the seed files of the tests in a file to tests, and fails for property tests that
+// call rapid directly.
 func properties(t *testing.T, path string, tests map[string]bool) error {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
@@ -110,7 +109,7 @@
 			switch x, _ := s.X.(*ast.Ident); {
 			case x == nil:
 			case x.Name == "rapid" && slices.Contains([]string{"Check", "MakeCheck", "MakeFuzz"}, s.Sel.Name):
-				t.Errorf("%s: %s is not played from seeds", path, f.Name.Name)
+				t.Errorf("%s: %s calls rapid directly instead of seeds.Check", path, f.Name.Name)
 			case x.Name == "seeds" && s.Sel.Name == "Check":
 				tests[filepath.Join(filepath.Dir(path), "testdata", "seeds", f.Name.Name+".txt")] = true
 			}
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sleep waits for times that the end of a context cuts short.
+// Package sleep provides timers that end early when a context ends.
 package sleep
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// This file defines For, one wait, and Every, one after the other.
+// This file defines For, a single wait, and Every, a ticker.
 
-// For waits for d and reports whether ctx lasted as long. It returns at once
-// if d is not positive.
+// For waits for d or until ctx ends, and reports whether ctx was still active at the end. It does
+// not wait if d is not positive.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -27,8 +27,8 @@
 	}
 }
 
-// Every yields the time once a period until ctx ends. A loop body that takes
-// longer than the period misses ticks.
+// Every yields the current time once per period until ctx ends. If the loop body takes longer than
+// the period, ticks are skipped.
 func Every(ctx context.Context, period time.Duration) iter.Seq[time.Time] {
 	return func(yield func(time.Time) bool) {
 		t := time.NewTicker(period)
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -48,8 +48,8 @@
 	return f.refused
 }
 
-// refuseIfDue refuses a request if its failure is Refuse or a backoff is in effect, and reports whether
-// it did.
+// refuseIfDue refuses a request if its failure is Refuse or a backoff is in effect, and reports
+// whether it did.
 func (f *failures) refuseIfDue(w http.ResponseWriter, failure Failure) bool {
 	f.mu.Lock()
 	inBackoff := time.Now().Before(f.backoffEnd)
