--- a/process/caller.go
+++ b/process/caller.go
@@ -12,10 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines callerConn, a caller's connection, on which the head of each
-// request must come within the time that the document in force allows. net/http
-// has one such time for the life of a server.
+// This file defines callerConn, a caller's connection with the header timeout of the document
+// in force, and the detection of callers that have disconnected. The timeout of net/http is
+// fixed for the life of a server.
 
+// callerListener wraps accepted connections in callerConn.
 type callerListener struct {
 	net.Listener
 	limits func() document.Limits
@@ -30,40 +31,40 @@
 	return &callerConn{Conn: c, limits: l.limits}, nil
 }
 
+// callerConn applies the document's header timeout to a caller's connection.
 type callerConn struct {
 	net.Conn
 	limits  func() document.Limits
-	serving atomic.Bool // a head was read, and its request is not answered yet
+	serving atomic.Bool // the header of a request was read, and the request is not answered yet
 }
 
-// SetReadDeadline implements [net.Conn]. net/http sets a deadline within
-// readHeaderTimeout when it begins to read a head, on a new connection from its
-// start and on a kept one from the first bytes, and a later one while the
-// connection is idle. The first is moved to what the document allows, if that is
-// sooner.
+// SetReadDeadline implements [net.Conn]. net/http sets a deadline within readHeaderTimeout when
+// it begins to read a header: at the start of a new connection, and at the first bytes on a
+// kept-alive one. It sets a later deadline while the connection is idle. The first kind is
+// shortened to the document's header timeout.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	limit := c.limits().HeaderTime
-	left := time.Until(t)
-	if limit > 0 && limit < left && left <= readHeaderTimeout && !c.serving.Load() {
+	remaining := time.Until(t)
+	if limit > 0 && limit < remaining && remaining <= readHeaderTimeout && !c.serving.Load() {
 		t = time.Now().Add(limit)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// left reports whether the caller has closed the connection. net/http notices that too, but
-// in a goroutine of its own, which at a late gateway comes after the request went on to a
-// backend server. What the kernel has not taken from the caller is not seen.
-func (c *callerConn) left() bool { return closedByPeer(c.Conn) }
+// hasLeft reports whether the caller has closed the connection. net/http detects that too, but
+// in its own goroutine, which on an overloaded gateway runs only after the request was sent to
+// a backend server. A close that has not reached the kernel is not detected.
+func (c *callerConn) hasLeft() bool { return closedByPeer(c.Conn) }
 
-// closedByPeer reports whether the other side has closed a connection.
+// closedByPeer reports whether the other side has closed a connection, or this side has.
 func closedByPeer(c net.Conn) bool {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
-		return false // not of the kernel's
+		return false // not a kernel socket
 	}
 	raw, err := conn.SyscallConn()
 	if err != nil {
-		return false // the same
+		return false // not a kernel socket
 	}
 	ended := false
 	err = raw.Control(func(fd uintptr) {
@@ -74,7 +75,7 @@
 	return ended || err != nil // closed on this side
 }
 
-// connectionKey is the key of a context's value with the connection of a call to a listener
+// connectionKey is the context key of the connection on which a request arrived at a listener
 // of [base.listen].
 type connectionKey struct{}
 
@@ -82,9 +83,9 @@
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// CallerHasLeft reports whether the caller of a request has closed its connection: what it
-// asks for was held up on its way, and nobody waits for the answer. ctx is the request's;
-// without a connection in it nobody has left.
+// CallerHasLeft reports whether the caller of a request has closed its connection, so that
+// nobody waits for the answer of a delayed request. ctx is the request's context. The result is
+// false if it holds no connection.
 func CallerHasLeft(ctx context.Context) bool {
 	conn, ok := ctx.Value(connectionKey{}).(net.Conn)
 	return ok && closedByPeer(conn)
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -21,19 +21,19 @@
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
 
-// This file tests the time that callers have for a head, with net/http on a
-// network in virtual time.
+// This file tests the header timeout of callers, with net/http on a simulated network in
+// virtual time.
 
 const callersAddress = "10.0.0.1:80"
 
-// unpaced takes every connection.
+// unpaced accepts every connection.
 type unpaced struct{}
 
 func (unpaced) TakeConnection() bool   { return true }
 func (unpaced) ConnectionsPaced() bool { return false }
 func (unpaced) ObserveQueue(_, _ int)  {}
 
-// callers runs f with a function that connects to a server of callers, and the
+// callers starts a server of callers and runs f with a function that connects to it and the
 // limits in force there.
 func callers(t *testing.T, f func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits])) {
 	synctest.Test(t, func(t *testing.T) {
@@ -45,7 +45,7 @@
 		limits.Store(&document.Limits{})
 		ctx, stop := context.WithCancel(t.Context())
 		b := &base{}
-		echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }) // errors: see the answer
+		echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(w, r.Body) }) // an error shows in the answer
 		b.serveCallers(ctx, l, echo, func() document.Limits { return *limits.Load() }, unpaced{})
 		defer func() {
 			stop()
@@ -61,8 +61,8 @@
 	})
 }
 
-// send sends a text and returns what comes back within a second, and whether the
-// connection ended.
+// send writes text and returns the bytes read within a second, and whether the connection
+// ended.
 func send(t *testing.T, conn net.Conn, text string) (answer string, ended bool) {
 	t.Helper()
 	is := is.New(t)
@@ -73,7 +73,8 @@
 	return string(b), err == nil
 }
 
-// TestHeadMustComeInTime changes the document while a connection is open.
+// TestHeadMustComeInTime checks that the header timeout applies to open connections when the
+// document changes, apart from the idle timeout, and to new ones.
 func TestHeadMustComeInTime(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
@@ -84,7 +85,7 @@
 		is.True(strings.HasSuffix(answer, "ok") && !ended) // after 3 s of 5 s
 
 		limits.Store(&document.Limits{HeaderTime: 1500 * time.Millisecond, IdleTime: 15 * time.Second})
-		time.Sleep(10 * time.Second) // idle is another limit
+		time.Sleep(10 * time.Second) // the idle timeout is separate
 		_, ended = send(t, conn, "POST / HTTP/1.1\r\n")
 		is.True(!ended) // after 1 s
 		_, ended = send(t, conn, "Host: h\r\n")
@@ -97,13 +98,13 @@
 	})
 }
 
-// TestBodyMayTakeLonger: the time for a head is not one for a body.
+// TestBodyMayTakeLonger checks that the header timeout does not apply to a body.
 func TestBodyMayTakeLonger(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
 		limits.Store(&document.Limits{HeaderTime: 500 * time.Millisecond})
 		conn := connect()
-		for range 2 { // a new connection, then a kept one
+		for range 2 { // a new connection, then a kept-alive one
 			_, ended := send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\no")
 			is.True(!ended)
 			answer, ended := send(t, conn, "k")
@@ -112,7 +113,7 @@
 	})
 }
 
-// TestHeadTimeHasABound: a document cannot allow more than every listener does.
+// TestHeadTimeHasABound checks that a document cannot exceed the listener's own header timeout.
 func TestHeadTimeHasABound(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
@@ -124,8 +125,8 @@
 	})
 }
 
-// TestCallerThatLeftIsSeen uses the kernel's connections: one that its caller closed is seen as
-// left, whatever of it has not been read, and one that is open is not.
+// TestCallerThatLeftIsSeen checks on kernel sockets that a connection closed by its caller is
+// detected, even with unread bytes, and that an open one is not reported as closed.
 func TestCallerThatLeftIsSeen(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,18 +148,18 @@
 	read := make([]byte, 5)
 	_, err = io.ReadFull(closed, read)
 	is.NoErr(err)
-	is.True(!closed.left())
+	is.True(!closed.hasLeft())
 	is.NoErr(goes.Close())
-	_, err = closed.Read(read) // waits until the end has come
+	_, err = closed.Read(read) // returns when the close has arrived
 	is.Equal(err, io.EOF)
-	is.True(closed.left())
-	is.True(!open.left())
+	is.True(closed.hasLeft())
+	is.True(!open.hasLeft())
 	is.NoErr(closed.Close())
-	is.True(closed.left())
+	is.True(closed.hasLeft())
 }
 
-// TestCallerHasLeft: a caller that closes its connection is seen at once by a handler that has
-// read the whole request, and one that waits for its answer is not taken for gone.
+// TestCallerHasLeft checks that a handler that has read the whole request detects at once that
+// the caller closed its connection, and does not report a caller that is still waiting.
 func TestCallerHasLeft(t *testing.T) {
 	for _, body := range []string{"", "an order"} {
 		is := is.New(t)
@@ -166,13 +167,13 @@
 		is.NoErr(err)
 		read, goOn, left := make(chan struct{}), make(chan struct{}), make(chan bool)
 		s := &http.Server{ConnContext: withConnection, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-			_, _ = io.ReadAll(r.Body) // it came whole
+			_, _ = io.ReadAll(r.Body) // the whole body arrived
 			read <- struct{}{}
 			left <- CallerHasLeft(r.Context())
 			<-goOn
 			left <- CallerHasLeft(r.Context())
 		})}
-		go func() { _ = s.Serve(l) }() // until it is closed
+		go func() { _ = s.Serve(l) }() // runs until s is closed
 		conn, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
 		_, err = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
--- a/process/connections.go
+++ b/process/connections.go
@@ -14,37 +14,37 @@
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
-// This file defines idleConnections, which ends callers' connections that are
-// not in use: after the time that the document allows, and sooner when there
-// are nearly too many.
+// This file defines idleConnections, which closes callers' idle connections: after the idle
+// timeout of the document, and earlier when the connection limit is nearly reached.
 
 const (
-	sweepPeriod = time.Second // how late an idle connection may be ended
-	fullPart    = 0.8         // of the most connections, above which idle ones are ended
-	evictPart   = 0.1         // of the most connections, ended at a time
+	sweepPeriod       = time.Second // bounds how late an idle connection is closed
+	evictionThreshold = 0.8         // fraction of maxOpen above which idle connections are closed
+	evictionShare     = 0.1         // fraction of maxOpen closed at a time
 )
 
+// idleConnections tracks the open connections of a server and closes idle ones.
 type idleConnections struct {
-	most int // connections at a time
+	maxOpen int // limit of open connections
 
-	mu   sync.Mutex // a leaf
+	mu   sync.Mutex // a leaf lock
 	open int
-	idle map[net.Conn]time.Time // since when
+	idle map[net.Conn]time.Time // start of the idle time
 }
 
-func newIdleConnections(most int) *idleConnections {
-	return &idleConnections{most: most, idle: map[net.Conn]time.Time{}}
+func newIdleConnections(maxOpen int) *idleConnections {
+	return &idleConnections{maxOpen: maxOpen, idle: map[net.Conn]time.Time{}}
 }
 
-// track is called by the server for every change of a connection.
+// track records a state change of a connection. It is the server's ConnState hook.
 func (c *idleConnections) track(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		c.open++
-		if float64(c.open) > fullPart*float64(c.most) {
-			c.endOldest(max(int(evictPart*float64(c.most)), 1))
+		if float64(c.open) > evictionThreshold*float64(c.maxOpen) {
+			c.expireOldest(max(int(evictionShare*float64(c.maxOpen)), 1))
 		}
 	case http.StateIdle:
 		c.idle[conn] = time.Now()
@@ -56,47 +56,47 @@
 	}
 }
 
-// end ends one idle connection. It lets the server's own wait for the next
-// request run out: closing would cut off a request that was read just now,
-// while this only lets the server find no request, or one not read whole. An
-// error means that the connection is closed already.
-func end(conn net.Conn) { _ = conn.SetReadDeadline(time.Unix(1, 0)) }
+// expire closes one idle connection by letting the server's read of the next request time out.
+// Closing the socket could cut off a request that has just been read; an expired deadline only
+// leaves the server with no request or an incomplete one. An error means that the connection is
+// already closed.
+func expire(conn net.Conn) { _ = conn.SetReadDeadline(time.Unix(1, 0)) }
 
-// endOldest ends up to n of the connections that have been idle longest. The
-// caller holds mu.
-func (c *idleConnections) endOldest(n int) {
-	type since struct {
-		conn net.Conn
-		at   time.Time
+// expireOldest closes up to n of the connections that have been idle longest. The caller holds
+// mu.
+func (c *idleConnections) expireOldest(n int) {
+	type idleConn struct {
+		conn  net.Conn
+		since time.Time
 	}
-	all := make([]since, 0, len(c.idle))
-	for conn, at := range c.idle {
-		all = append(all, since{conn, at})
+	all := make([]idleConn, 0, len(c.idle))
+	for conn, since := range c.idle {
+		all = append(all, idleConn{conn, since})
 	}
-	slices.SortFunc(all, func(a, b since) int { return cmp.Compare(a.at.UnixNano(), b.at.UnixNano()) })
+	slices.SortFunc(all, func(a, b idleConn) int { return cmp.Compare(a.since.UnixNano(), b.since.UnixNano()) })
 	for _, s := range all[:min(n, len(all))] {
 		delete(c.idle, s.conn)
-		end(s.conn)
+		expire(s.conn)
 	}
 }
 
-// sweep ends connections that have been idle for longer than callers may leave
-// them, until ctx ends.
+// sweep closes connections that have been idle for longer than allowed() returns, until ctx
+// ends.
 func (c *idleConnections) sweep(ctx context.Context, allowed func() time.Duration) {
 	for range sleep.Every(ctx, sweepPeriod) {
 		if limit := allowed(); limit > 0 {
-			c.endIdle(limit)
+			c.expireIdle(limit)
 		}
 	}
 }
 
-func (c *idleConnections) endIdle(limit time.Duration) {
+func (c *idleConnections) expireIdle(limit time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for conn, at := range c.idle {
-		if time.Since(at) > limit {
+	for conn, since := range c.idle {
+		if time.Since(since) > limit {
 			delete(c.idle, conn)
-			end(conn)
+			expire(conn)
 		}
 	}
 }
--- a/process/connections_test.go
+++ b/process/connections_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// countedConn counts its end.
+// countedConn counts the read deadlines set on it: idleConnections ends a connection that way.
 type countedConn struct {
 	net.Conn
 	ended *atomic.Int64
@@ -21,6 +21,8 @@
 
 func (c *countedConn) SetReadDeadline(time.Time) error { c.ended.Add(1); return nil }
 
+// TestIdleConnectionsEndInTime checks that an idle connection is closed after the timeout and
+// one in use is not.
 func TestIdleConnectionsEndInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -33,7 +35,7 @@
 			c.track(conn, http.StateActive)
 		}
 		c.track(idle, http.StateIdle)
-		time.Sleep(12 * time.Second) // callers use it until then
+		time.Sleep(12 * time.Second) // within the timeout
 		synctest.Wait()
 		is.Equal(ended.Load(), int64(0))
 		time.Sleep(5 * time.Second)
@@ -42,8 +44,8 @@
 	})
 }
 
-// TestManyConnectionsEndTheIdle opens more and more connections: the longest
-// idle are ended, those in use never.
+// TestManyConnectionsEndTheIdle checks that above the eviction threshold the connections idle
+// longest are closed, and those in use never.
 func TestManyConnectionsEndTheIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -62,7 +64,7 @@
 		for range 20 {
 			add(&young, http.StateIdle)
 		}
-		add(&young, http.StateIdle) // over 80
+		add(&young, http.StateIdle) // exceeds the threshold of 80
 		synctest.Wait()
 		is.Equal(old.Load(), int64(10))
 		is.Equal(young.Load(), int64(0))
--- a/process/directory.go
+++ b/process/directory.go
@@ -24,28 +24,29 @@
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
 
-// This file defines the process of a directory replica. A replica whose disk
-// fails stops for good, because it cannot know what was written; the process
-// goes on and opens the folder again, as a new process would.
+// This file defines the process of a directory replica. A replica whose disk fails stops for
+// good, because it cannot determine which writes are durable. The process keeps running and
+// opens the folder again, as a new process would.
 
-// API returns the handler for operators and backend servers in a deployment's own
-// form.
+// API returns the handler for operators and backend servers, in the form that a deployment
+// uses.
 type API func(d *directory.Directory, log *decision.Log) http.Handler
 
-// reopenPause is the time between two attempts to open the data folder.
-const reopenPause = 500 * time.Millisecond
+// reopenInterval is the time between two attempts to open the data folder.
+const reopenInterval = 500 * time.Millisecond
 
-// Times of the consensus group, whose replicas are a few milliseconds apart and sync their disks in a
-// few more. The heartbeat is a fifth of the election timeout.
+// Timing of the consensus group. Replicas are a few milliseconds apart, and syncing a disk
+// takes a few more. The heartbeat interval is a fifth of the election timeout.
 const (
-	election  = 400 * time.Millisecond // silence of the leader until a replica begins an election
-	heartbeat = 80 * time.Millisecond  // between two messages of an idle leader
+	electionTimeout   = 400 * time.Millisecond // time without a message of the leader until a replica starts an election
+	heartbeatInterval = 80 * time.Millisecond  // between two messages of an idle leader
 )
 
-// stopPart is the part of the grace in which a replica may hand its leadership over.
-const stopPart = 0.5
+// handoverGraceShare is the fraction of the grace period in which a stopping replica may hand
+// over its leadership.
+const handoverGraceShare = 0.5
 
-// directoryProcess is a directory replica and its listeners, which outlive it.
+// directoryProcess runs a directory replica behind listeners that outlive it.
 type directoryProcess struct {
 	*base
 	newAPI  API
@@ -54,24 +55,23 @@
 	running *directory.Directory // nil while the folder cannot be opened
 }
 
-// swapHandler is a handler that is exchanged with the replica. It answers 503
-// while no replica runs.
-type swapHandler struct{ to atomic.Pointer[http.Handler] }
+// swapHandler delegates to the handler of the running replica. It answers 503 while none runs.
+type swapHandler struct{ current atomic.Pointer[http.Handler] }
 
 // ServeHTTP implements [http.Handler].
 func (h *swapHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if to := h.to.Load(); to != nil {
-		(*to).ServeHTTP(w, r)
+	if handler := h.current.Load(); handler != nil {
+		(*handler).ServeHTTP(w, r)
 		return
 	}
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (h *swapHandler) set(to http.Handler) { h.to.Store(&to) }
+func (h *swapHandler) set(handler http.Handler) { h.current.Store(&handler) }
 
-// Directory runs a directory replica until ctx ends. Of reloaded settings it
-// applies the seeds, if it has not found its group yet. The error is of a
-// listener.
+// Directory runs a directory replica until ctx ends. Of reloaded settings it applies the seeds,
+// unless the replica has already joined its group. It returns an error if a listener cannot be
+// opened.
 func Directory(ctx context.Context, cfg Settings, reloads <-chan Settings, newAPI API,
 	log *decision.Log, metricSet *metrics.Set) error {
 	base, err := start(cfg, log, metricSet)
@@ -81,7 +81,7 @@
 	defer base.close()
 	p := &directoryProcess{base: base, newAPI: newAPI}
 	if err := p.open(); err != nil {
-		log.StateChange("disk fails at the start", slog.String("error", err.Error()))
+		log.StateChange("disk failed at start", slog.String("error", err.Error()))
 	}
 	mux := http.NewServeMux()
 	mux.Handle(link.Path, &p.links)
@@ -95,59 +95,60 @@
 	return nil
 }
 
-// Connections of the API's callers, nearly all of them backend servers that announce themselves.
+// Limits on API connections, nearly all of which belong to backend servers that announce
+// themselves.
 const (
-	// apiPart is the part of the descriptors that they may have: the rest is for gateways'
-	// links, of which there are as many at the leader, and files.
-	apiPart = 0.45
-	// apiIdleIntervals is how long one may be idle, in intervals between two announcements:
-	// after that its caller has gone elsewhere.
+	// apiDescriptorShare is the fraction of the descriptors available to API connections. The
+	// rest is for files and for links of gateways, of which the leader has as many.
+	apiDescriptorShare = 0.45
+	// apiIdleIntervals is how long a connection may be idle, in announcement intervals. After
+	// that its caller has moved to another replica.
 	apiIdleIntervals = 4
-	// fewestAPI is the number of connections however few descriptors there are.
-	fewestAPI = 64
+	// minAPIConnections is allowed however few descriptors there are.
+	minAPIConnections = 64
 )
 
-// listenToAPI serves the API with a bound on its connections: when there are nearly too
-// many, those that were idle longest are ended.
+// listenToAPI serves the API with a bound on its connections. Near the bound, the connections
+// that have been idle longest are closed.
 func (p *directoryProcess) listenToAPI(ctx context.Context) error {
 	l, err := socket.Listen(p.cfg.API)
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", p.cfg.API)
 	}
-	most := max(int(apiPart*float64(p.cfg.Descriptors)), fewestAPI)
-	idle := newIdleConnections(most)
-	p.serve(socket.Limit(l, most), &http.Server{Handler: &p.api, ConnContext: withConnection, ConnState: idle.track})
+	limit := max(int(apiDescriptorShare*float64(p.cfg.Descriptors)), minAPIConnections)
+	idle := newIdleConnections(limit)
+	p.serve(socket.Limit(l, limit), &http.Server{Handler: &p.api, ConnContext: withConnection, ConnState: idle.track})
 	go idle.sweep(ctx, func() time.Duration { return apiIdleIntervals * p.cfg.Interval })
 	return nil
 }
 
-// run keeps a replica running: it watches the one that runs for a failed disk,
-// and otherwise opens the folder again and again.
+// run supervises the replica: it stops the replica when its disk fails and retries opening the
+// folder while none runs.
 func (p *directoryProcess) run(ctx context.Context, reloads <-chan Settings) {
 	for {
 		var failed <-chan struct{}
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if p.running != nil {
 			failed = p.running.Done()
 		} else {
-			again = time.After(reopenPause)
+			retry = time.After(reopenInterval)
 		}
 		select {
 		case <-ctx.Done():
-			p.stopReplica(time.Duration(stopPart * float64(p.cfg.Grace)))
+			p.stopReplica(time.Duration(handoverGraceShare * float64(p.cfg.Grace)))
 			return
 		case next := <-reloads:
-			p.reseed(next.Seeds)
+			p.updateSeeds(next.Seeds)
 		case <-failed:
 			p.log.StateChange("disk failed", slog.String("error", p.running.Err().Error()))
 			p.stopReplica(0)
-		case <-again:
+		case <-retry:
 			p.reopen()
 		}
 	}
 }
 
-// open starts the replica from its folder.
+// open starts the replica from its data folder.
 func (p *directoryProcess) open() error {
 	dir, err := wal.MakeDir(filepath.Join(p.cfg.DataDir, "directory"))
 	if err != nil {
@@ -156,7 +157,7 @@
 	d, err := directory.Start(context.Background(), directory.Settings{
 		Identity: p.identity(), Seeds: p.cfg.Seeds, Bootstrap: p.cfg.Bootstrap, Voters: p.cfg.Voters, Dir: dir,
 		Interval: p.cfg.Interval, Halls: p.cfg.Halls, OrderWindow: p.cfg.OrderWindow,
-		Hall: p.cfg.Hall, Region: p.cfg.Region, Topology: p.cfg.Topology, LinkRate: p.cfg.BoxLink, Rollouts: p.cfg.Rollouts, Tuning: replica.Tuning{Election: election, Heartbeat: heartbeat},
+		Hall: p.cfg.Hall, Region: p.cfg.Region, Topology: p.cfg.Topology, LinkRate: p.cfg.BoxLink, Rollouts: p.cfg.Rollouts, Tuning: replica.Tuning{Election: electionTimeout, Heartbeat: heartbeatInterval},
 		Random: rand.Uint64, Clock: boottime.Clock(), Log: p.log, Metrics: p.metrics,
 	})
 	if err != nil {
@@ -168,18 +169,18 @@
 	return nil
 }
 
-// reopen opens the folder again after its disk failed, or after reseed.
+// reopen opens the folder again after the disk failed or updateSeeds stopped the replica.
 func (p *directoryProcess) reopen() {
 	if err := p.open(); err != nil {
-		p.log.StateChange("disk fails still", slog.String("error", err.Error()))
+		p.log.StateChange("disk still failing", slog.String("error", err.Error()))
 		return
 	}
 	p.log.StateChange("disk works again")
 }
 
-// reseed stops a replica that has found no group, so that it is opened again with
-// other seeds.
-func (p *directoryProcess) reseed(seeds []string) {
+// updateSeeds stops a replica that has not joined a group, so that it is reopened with the new
+// seeds.
+func (p *directoryProcess) updateSeeds(seeds []string) {
 	if slices.Equal(seeds, p.cfg.Seeds) {
 		return
 	}
@@ -197,6 +198,6 @@
 	defer cancel()
 	p.running.Stop(ctx)
 	p.running = nil
-	p.links.to.Store(nil)
-	p.api.to.Store(nil)
+	p.links.current.Store(nil)
+	p.api.current.Store(nil)
 }
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -20,34 +20,35 @@
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
 
-// This file defines the process of a gateway: its callers' connections, its
-// connections to backend servers, and its stop.
+// This file defines the process of a gateway: its callers' connections, its connections to
+// backend servers, and its shutdown.
 
-// Connections to backend servers.
+// Limits on connections to backend servers.
 const (
 	serverDialTimeout = 350 * time.Millisecond // short: another backend server can be tried
 	serverIdleTimeout = 4 * time.Second        // short, so that a backend server rarely closes first
-	idlePerServer     = 64                     // connections kept
-	// idleServers is the connections kept to all of them: half of the descriptors that are not callers'. In a pool of
-	// thousands each request opens one: 150 a second for serverIdleTimeout are 600, by arithmetic.
-	idleServers = reservedDescriptors / 2
-	bodiesPart  = 0.12 // of the memory, for the bodies of all requests
+	maxIdlePerServer  = 64                     // idle connections
+	// maxIdleTotal bounds the idle connections to all backend servers: half of the descriptors
+	// that are not callers'. In a pool of thousands each request opens a connection: 150 a
+	// second, idle for serverIdleTimeout, make 600.
+	maxIdleTotal    = reservedDescriptors / 2
+	bodyMemoryShare = 0.12 // fraction of the memory for the bodies of all requests
 )
 
-// Connections of callers: how many fit, by memory and by descriptors, whichever
-// is fewer. Chosen, but for the first: with 0.4 and 0.3 a day of floods took 113 and 108 of
-// a gateway's 112 MB.
+// Limits on callers' connections, by memory and by descriptors; the lower one applies. A
+// connectionMemoryShare of 0.4 takes 113 MB of a gateway's 112 MB in a flood, and 0.3 takes
+// 108 MB.
 const (
-	connectionsPart     = 0.25     // of the memory
-	connectionBytes     = 24 << 10 // of memory for each
-	reservedDescriptors = 700      // for backend servers, links, files and the runtime
-	fewestConnections   = 256      // even where the parts give fewer
+	connectionMemoryShare = 0.25     // fraction of the memory
+	memoryPerConnection   = 24 << 10 // bytes
+	reservedDescriptors   = 700      // for backend servers, links, files and the runtime
+	minConnections        = 256      // lower bound, even if the limits are smaller
 )
 
-// Gateway runs a gateway until ctx ends, and then stops it without cutting off a
-// request as far as the grace allows. Of reloaded settings it applies the seeds.
-// notRun reports whether an answer of a backend server, by its status and header,
-// promises that the request has not run. The error is of a listener.
+// Gateway runs a gateway until ctx ends, and then stops it without cutting off requests that
+// end within the grace period. Of reloaded settings it applies the seeds. notRun reports
+// whether a backend server's answer, by its status and header, guarantees that the request was
+// not executed. Gateway returns an error if a listener cannot be opened.
 func Gateway(ctx context.Context, cfg Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
 	notRun func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
 	b, err := start(cfg, log, metricSet)
@@ -57,17 +58,17 @@
 	defer b.close()
 	opened := metricSet.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
 	client := forward.New(forward.Settings{
-		Dialer: socket.Dialer(serverDialTimeout), IdlePerServer: idlePerServer, IdleAll: idleServers, IdleTime: serverIdleTimeout,
+		Dialer: socket.Dialer(serverDialTimeout), IdlePerServer: maxIdlePerServer, IdleAll: maxIdleTotal, IdleTime: serverIdleTimeout,
 		Refused: notRun, Opened: opened.Inc,
 	})
 	defer client.Close()
-	running, stop := context.WithCancel(context.Background()) // beyond ctx: requests end within the grace
+	running, stop := context.WithCancel(context.Background()) // outlives ctx: requests finish within the grace period
 	defer stop()
 	g := gateway.Start(running, gateway.Settings{
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
-		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodiesPart * float64(cfg.Memory)),
-		Random: rand.Uint64, ProcessorWait: newScheduling().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
+		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodyMemoryShare * float64(cfg.Memory)),
+		Random: rand.Uint64, ProcessorWait: newSchedulingDelay().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
 	callers, err := b.listenToCallers(running, g)
 	if err != nil {
@@ -87,10 +88,10 @@
 	}
 }
 
-// listenToCallers serves callers at their address.
+// listenToCallers opens the callers' address and serves it.
 func (b *base) listenToCallers(ctx context.Context, g *gateway.Gateway) (*socket.Limited, error) {
-	// The bounds on idle connections and on writes end the connection of a caller
-	// that is gone; probes would cost system calls for each caller.
+	// Keep-alive probes are off: the idle and write timeouts already end the connections of
+	// callers that have disappeared, and probes would cost system calls for each caller.
 	listening := net.ListenConfig{KeepAlive: -1}
 	l, err := listening.Listen(ctx, "tcp", b.cfg.Callers)
 	if err != nil {
@@ -99,13 +100,13 @@
 	return b.serveCallers(ctx, l, g, g.Limits, g), nil
 }
 
-// serveCallers serves callers with a bound on their connections, and within the
-// limits of the document in force.
+// serveCallers serves callers with a bound on their connections and the limits of the document
+// in force.
 func (b *base) serveCallers(ctx context.Context, l net.Listener, h http.Handler, limits func() document.Limits, p pacer) *socket.Limited {
-	most := b.cfg.mostConnections()
-	idle := newIdleConnections(most)
+	limit := b.cfg.maxConnections()
+	idle := newIdleConnections(limit)
 	paced := newPacedListener(l, p, ctx.Done(), b.log)
-	limited := socket.Limit(paced, most)
+	limited := socket.Limit(paced, limit)
 	b.serve(&callerListener{Listener: limited, limits: limits}, &http.Server{Handler: h, ConnContext: callerContext, ConnState: func(conn net.Conn, state http.ConnState) {
 		conn.(*callerConn).serving.Store(state == http.StateActive)
 		idle.track(conn, state)
@@ -114,24 +115,23 @@
 	return limited
 }
 
-// callerContext lets the gateway see whether the caller of a request is still there.
+// callerContext adds to ctx the check whether the caller has disconnected.
 func callerContext(ctx context.Context, conn net.Conn) context.Context {
-	return gateway.WithCallerLeft(ctx, conn.(*callerConn).left)
+	return gateway.WithCallerLeft(ctx, conn.(*callerConn).hasLeft)
 }
 
-// mostConnections returns how many callers may be connected at a time.
-func (cfg Settings) mostConnections() int {
+// maxConnections returns the limit of callers' connections.
+func (cfg Settings) maxConnections() int {
 	byDescriptors := cfg.Descriptors - reservedDescriptors
-	byMemory := int(connectionsPart * float64(cfg.Memory) / connectionBytes)
-	return max(min(byDescriptors, byMemory), fewestConnections)
+	byMemory := int(connectionMemoryShare * float64(cfg.Memory) / memoryPerConnection)
+	return max(min(byDescriptors, byMemory), minConnections)
 }
 
-// ready is what says whether new callers should come here.
-type ready interface{ Ready() bool }
+// readinessReporter reports whether new callers should be sent to this gateway.
+type readinessReporter interface{ Ready() bool }
 
-// readiness answers whether new callers should come here: not while none of their
-// connections would be accepted.
-func readiness(g ready, callers *socket.Limited) http.Handler {
+// readiness answers 503 while the gateway is not ready or its connection limit is reached.
+func readiness(g readinessReporter, callers *socket.Limited) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() || callers.Full() {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/process/gateway_test.go
+++ b/process/gateway_test.go
@@ -16,8 +16,8 @@
 
 func (alwaysReady) Ready() bool { return true }
 
-// TestReadyMeansAccepting: a gateway that would accept no connection of a caller does not
-// say that it is ready.
+// TestReadyMeansAccepting checks that a gateway at its connection limit is not reported as
+// ready.
 func TestReadyMeansAccepting(t *testing.T) {
 	is := is.New(t)
 	n := fakenet.New(0)
--- a/process/pace.go
+++ b/process/pace.go
@@ -13,52 +13,53 @@
 	"github.com/badgerspoke/badgerspoke/decision"
 )
 
-// This file defines pacedListener, which takes callers' connections no faster than the
-// gateway's processor bears.
+// This file defines pacedListener, which limits the rate at which callers' connections are
+// accepted to what the gateway's processor can serve.
 
-// How many new connections the kernel holds that the gateway has not taken yet. While it
-// takes all, the queue must hold what comes while its goroutine waits for a processor: 150
-// callers that come at once overflowed 128 (TestGatewaySurvivesAFlood). What it holds when the
-// pacing begins is taken at the least pace, and callers leave after a second: with 1,024, a
-// wait of 3.4 s, a request reached a server 2.3 s after it was sent, 76 ms before its caller's
-// time was over. While it is paced the
-// queue is short: whoever waits in it is not answered, its unread bytes are this process's
-// memory (at the largest bodies seen, 72 KB, 4.6 MB), and what is taken must still be able to
-// be in time, at the least pace (overload.LeastPace): with 200, a wait of 0.67 s, a flooded
-// gateway served late what it took, and had no processor left for what could be in time.
+// Lengths of the kernel's queue of connections that are not accepted yet.
+//
+// Unpaced, the queue must hold the arrivals while the accepting goroutine waits for a
+// processor; 128 overflowed with 150 simultaneous callers. When pacing begins, its content is
+// accepted at the minimum pace, and callers disconnect after a second. A queue of 1,024 takes
+// 3.4 s to drain, so that requests reach a server after their callers have timed out.
+//
+// Paced, the queue is short. Connections in it are not answered, and their unread bytes are
+// memory of this process: 4.6 MB with bodies of 72 KB. An accepted connection must still be
+// able to meet its objective at the minimum pace (overload.MinPace). With 200, a wait
+// of 0.67 s, a flooded gateway spends its processor on requests that are already late.
 const (
-	longBacklog  = 256 // 0.85 s at the least pace; of 1,024, 256 and 128
-	shortBacklog = 64  // 0.21 s at the least pace; of 200, 64 and 32 (docs/design/hundreds-of-boxes.md)
+	longBacklog  = 256 // 0.85 s at the minimum pace
+	shortBacklog = 64  // 0.21 s at the minimum pace (docs/design/hundreds-of-boxes.md)
 )
 
-// pacePoll is how often a listener that may not take a connection looks again. Chosen: a
-// quarter of the time between two allowances (overload.TickPeriod).
-const pacePoll = 5 * time.Millisecond
+// pacePollInterval is how often a paced listener checks whether it may accept: a quarter of the
+// time between two allowances (overload.TickPeriod).
+const pacePollInterval = 5 * time.Millisecond
 
-// pacer says how fast connections may be taken.
+// pacer limits the rate of accepted connections.
 type pacer interface {
-	// TakeConnection reports whether one more may be taken now, and counts it.
+	// TakeConnection reports whether another connection may be accepted now, and counts it if
+	// so.
 	TakeConnection() bool
-	// ConnectionsPaced reports whether some are kept waiting.
+	// ConnectionsPaced reports whether connections are being held back.
 	ConnectionsPaced() bool
-	// ObserveQueue takes how many connections the kernel holds that were not taken, and how many it
-	// holds at most.
-	ObserveQueue(waiting, most int)
+	// ObserveQueue records the length and the capacity of the kernel's queue.
+	ObserveQueue(waiting, capacity int)
 }
 
-// pacedListener waits before it takes a connection for as long as its pacer says no.
-// Only one goroutine may accept.
+// pacedListener delays Accept until its pacer allows another connection. Only one goroutine may
+// call Accept.
 type pacedListener struct {
 	net.Listener
-	pacer  pacer
-	closed <-chan struct{}
-	log    *decision.Log
-	short  bool // the kernel's queue
-	blind  bool // the kernel does not say how full it is
-	unread unreadConns
+	pacer          pacer
+	closed         <-chan struct{}
+	log            *decision.Log
+	isBacklogShort bool // the kernel's queue has shortBacklog
+	isQueueHidden  bool // the kernel does not report the length of its queue
+	unread         unreadConns
 }
 
-// newPacedListener returns a listener with the long queue.
+// newPacedListener returns a listener with a backlog of longBacklog.
 func newPacedListener(l net.Listener, p pacer, closed <-chan struct{}, log *decision.Log) *pacedListener {
 	paced := &pacedListener{Listener: l, pacer: p, closed: closed, log: log}
 	paced.setBacklog(longBacklog)
@@ -68,15 +69,15 @@
 // Accept implements [net.Listener].
 func (l *pacedListener) Accept() (net.Conn, error) {
 	for l.unread.full() || !l.pacer.TakeConnection() {
-		l.fitBacklog()
-		l.look()
+		l.adjustBacklog()
+		l.reportQueue()
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(pacePoll):
+		case <-time.After(pacePollInterval):
 		}
 	}
-	l.fitBacklog()
+	l.adjustBacklog()
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -84,22 +85,22 @@
 	return l.unread.track(conn), nil
 }
 
-// look tells the pacer how full the kernel's queue is, if the kernel says so.
-func (l *pacedListener) look() {
-	if !l.short || l.blind {
+// reportQueue reports the length of the kernel's queue to the pacer, if it is available.
+func (l *pacedListener) reportQueue() {
+	if !l.isBacklogShort || l.isQueueHidden {
 		return
 	}
-	waiting, most, err := queueOf(l.Listener)
-	if err != nil || most == 0 {
-		l.blind = true
+	waiting, capacity, err := acceptQueue(l.Listener)
+	if err != nil || capacity == 0 {
+		l.isQueueHidden = true
 		return
 	}
-	l.pacer.ObserveQueue(waiting, most)
+	l.pacer.ObserveQueue(waiting, capacity)
 }
 
-// queueOf returns how many connections wait in a listener's queue, and how many it holds; 0 if the kernel
-// does not say. The error is of the listener, or of the system call.
-func queueOf(listener net.Listener) (waiting, most int, err error) {
+// acceptQueue returns the length and the capacity of a listener's queue, or zeros if the kernel
+// does not report them. It returns an error if the socket cannot be queried.
+func acceptQueue(listener net.Listener) (waiting, capacity int, err error) {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
 		return 0, 0, nil
@@ -116,17 +117,17 @@
 	if failed != nil {
 		return 0, 0, failed
 	}
-	// Of a listening socket these two fields are its queue (tcp_get_info of the kernel).
+	// For a listening socket these two fields describe its queue (tcp_get_info in the kernel).
 	return int(info.Unacked), int(info.Sacked), nil
 }
 
-// fitBacklog changes the kernel's queue when the pacing begins or ends.
-func (l *pacedListener) fitBacklog() {
+// adjustBacklog changes the length of the kernel's queue when pacing begins or ends.
+func (l *pacedListener) adjustBacklog() {
 	paced := l.pacer.ConnectionsPaced()
-	if paced == l.short {
+	if paced == l.isBacklogShort {
 		return
 	}
-	l.short = paced
+	l.isBacklogShort = paced
 	if paced {
 		l.setBacklog(shortBacklog)
 	} else {
@@ -134,12 +135,12 @@
 	}
 }
 
-// setBacklog bounds the kernel's queue. A queue of another length serves as well, but for
-// what its constants say.
+// setBacklog sets the length of the kernel's queue. A failure is logged only: the listener
+// works with the previous length.
 func (l *pacedListener) setBacklog(n int) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
-		return // not of the kernel's
+		return // not a kernel socket
 	}
 	raw, err := tcp.SyscallConn()
 	if err == nil {
@@ -150,6 +151,6 @@
 		}
 	}
 	if err != nil {
-		l.log.Failure("queue of callers unchanged", slog.Int("wanted", n), slog.String("error", err.Error()))
+		l.log.Failure("listen backlog unchanged", slog.Int("wanted", n), slog.String("error", err.Error()))
 	}
 }
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -15,15 +15,15 @@
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
 )
 
-// allowance is a number of connections that may be taken.
+// allowance is a pacer that allows a number of connections.
 type allowance struct{ atomic.Int64 }
 
 func (a *allowance) TakeConnection() bool   { return a.Add(-1) >= 0 }
 func (a *allowance) ConnectionsPaced() bool { return true }
 func (a *allowance) ObserveQueue(_, _ int)  {}
 
-// TestConnectionsArePaced: no connection is taken while the gateway may take none, those
-// that wait are taken in time, and the end of the listener ends a wait.
+// TestConnectionsArePaced checks that no connection is accepted without an allowance, that
+// waiting ones are accepted once allowed, and that closing the listener ends a wait.
 func TestConnectionsArePaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,80 +57,83 @@
 		time.Sleep(time.Second)
 		is.Equal(taken.Load(), int64(3))
 		close(closed)
-		time.Sleep(pacePoll)
+		time.Sleep(pacePollInterval)
 		is.Equal(<-ended, net.ErrClosed)
 	})
 }
 
-// TestQueueOfAPacedGateway: what waits in the kernel's queue at the least pace can still be
-// in time: objectives are 150 to 800 ms on the deployments seen, and most 300 and more.
+// TestQueueOfAPacedGateway checks that a connection at the end of the queue can still meet its
+// objective at the minimum pace. Objectives range from 150 to 800 ms on the deployments seen,
+// most are 300 ms or more.
 func TestQueueOfAPacedGateway(t *testing.T) {
 	is := is.New(t)
 	is.True(float64(shortBacklog)/overload.MinPace < 0.25) // seconds
-	// What waited before the gateway was paced is taken before its callers have left, who
-	// wait for a second until a request is read.
+	// Connections queued before pacing began are accepted before their callers disconnect, who
+	// wait up to a second until a request is read.
 	is.True(float64(longBacklog)/overload.MinPace < 1)
 }
 
-// TestQueueThatTheKernelShows: what the pacer is told is what waits.
+// TestQueueThatTheKernelShows checks that the reported queue length is the number of
+// connections waiting.
 func TestQueueThatTheKernelShows(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
 	paced := newPacedListener(l, &allowance{}, nil, nil)
-	paced.fitBacklog()
-	is.True(paced.short)
+	paced.adjustBacklog()
+	is.True(paced.isBacklogShort)
 	for range 7 {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
 		defer conn.Close()
 	}
-	waiting, most, err := queueOf(l)
+	waiting, capacity, err := acceptQueue(l)
 	is.NoErr(err)
 	is.Equal(waiting, 7)
-	is.Equal(most, shortBacklog)
+	is.Equal(capacity, shortBacklog)
 	conn, err := l.Accept()
 	is.NoErr(err)
 	defer conn.Close()
-	waiting, _, err = queueOf(l)
+	waiting, _, err = acceptQueue(l)
 	is.NoErr(err)
 	is.Equal(waiting, 6)
-	waiting, most, err = queueOf(fakeListener{})
+	waiting, capacity, err = acceptQueue(fakeListener{})
 	is.NoErr(err)
-	is.Equal([]int{waiting, most}, []int{0, 0}) // it does not say
+	is.Equal([]int{waiting, capacity}, []int{0, 0}) // not available
 }
 
-// fakeListener is none of the kernel's.
+// fakeListener is not a kernel socket.
 type fakeListener struct{ net.Listener }
 
-// watching is a pacer that lets nobody in, and passes on what it is told.
-type watching chan int
+// queueReports is a pacer that allows no connection and forwards the reported queue lengths.
+type queueReports chan int
 
-func (w watching) TakeConnection() bool   { return false }
-func (w watching) ConnectionsPaced() bool { return true }
-func (w watching) ObserveQueue(waiting, _ int) {
+func (w queueReports) TakeConnection() bool   { return false }
+func (w queueReports) ConnectionsPaced() bool { return true }
+func (w queueReports) ObserveQueue(waiting, _ int) {
 	select {
 	case w <- waiting:
 	default:
 	}
 }
 
-// TestQueueIsWatchedWhileConnectionsWait: a listener that takes none says how many wait.
+// TestQueueIsWatchedWhileConnectionsWait checks that a listener that accepts nothing reports
+// how many connections wait.
 func TestQueueIsWatchedWhileConnectionsWait(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
-	told, closed := make(watching), make(chan struct{})
-	paced := newPacedListener(l, told, closed, nil)
+	reports, closed := make(queueReports), make(chan struct{})
+	paced := newPacedListener(l, reports, closed, nil)
 	ended := make(chan error)
 	go func() {
 		_, err := paced.Accept()
 		ended <- err
 	}()
 	for want := range 6 {
-		for waiting := range told {
+		for waiting := range reports {
 			is.True(waiting <= want)
 			if waiting == want {
 				break
--- a/process/process.go
+++ b/process/process.go
@@ -1,19 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package process assembles a process of the routed-HTTP fleet: a gateway
-// ([Gateway]) or a directory replica ([Directory]).
+// Package process assembles a process of the routed-HTTP fleet: a gateway ([Gateway]) or a
+// directory replica ([Directory]).
 //
-// It owns the listeners, their limits and the pace of their callers, the part of the box's memory and
-// descriptors that each use gets, the callers' idle connections, the reload of
-// settings, and the restart of a directory replica whose disk failed. What is
-// decided about requests and documents is in [gateway] and [directory].
+// It owns the listeners, their limits and the pacing of callers, the shares of the box's memory
+// and descriptors, the callers' idle connections, the reload of settings, and the restart of a
+// directory replica whose disk failed. Decisions about requests and documents are made in
+// [gateway] and [directory].
 //
-// A deployment's own names come from outside: a gateway gets a
-// [gateway.HeaderCodec], a directory replica an [API]. So one process serves any
-// deployment, and this package knows none.
+// Deployment-specific names are passed in: a gateway gets a [gateway.HeaderCodec], a directory
+// replica an [API]. The package itself is independent of any deployment.
 //
-// Lock: idleConnections.mu, a leaf. The rest is one goroutine's, or fixed at the
-// start.
+// Lock: idleConnections.mu, a leaf lock. Other state belongs to one goroutine or is fixed at
+// the start.
 package process
 
 import (
@@ -34,61 +33,60 @@
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
 
-// This file defines Settings and base, what both kinds of process share.
+// This file defines Settings and base, which both kinds of process share.
 
-// Settings of a process. Addresses are IP:PORT; an empty one is not listened on.
+// Settings configures a process. Addresses are IP:PORT; nothing listens on an empty one.
 type Settings struct {
 	Name     string
 	Hall     string
-	Region   string            // of the hall; empty if the settings name none
+	Region   string            // region of Hall; empty if not configured
 	Topology topology.Topology // of the fleet
-	// LinkRate is the capacity of the link between two regions one way, in bytes a second; 0 is
-	// not known.
+	// LinkRate is the one-way capacity of the link between two regions, in bytes per second; 0
+	// if unknown.
 	LinkRate float64
-	// BoxLink is the capacity of this box's own link, in bytes a second; 0 is not known.
+	// BoxLink is the capacity of this box's own link, in bytes per second; 0 if unknown.
 	BoxLink  float64
 	FleetKey []byte
-	Fleet    string   // fleet address of this box; directory replicas are named by it
+	Fleet    string   // fleet address of this box, which also identifies a directory replica
 	Seeds    []string // fleet addresses of directory replicas
 	Metrics  string
 
-	// Of a gateway.
+	// Settings of a gateway.
 	Callers string
 	Ready   string
 	Retries retry.Limits
 
-	// Of a directory replica.
+	// Settings of a directory replica.
 	API       string // for operators and backend servers
 	DataDir   string
-	Bootstrap bool          // the first start of the whole system
-	Voters    int           // wanted in the directory's group
-	Interval  time.Duration // between a backend server's announcements
-	Halls     []string      // the data halls that exist
-	// OrderWindow is for how long an operator repeats an order about a hall; 0 is unknown.
+	Bootstrap bool          // first start of the whole system
+	Voters    int           // target number of voters in the directory's group
+	Interval  time.Duration // interval between a backend server's announcements
+	Halls     []string      // all data halls
+	// OrderWindow is how long an operator repeats an order about a hall; 0 if unknown.
 	OrderWindow time.Duration
-	// Rollouts bounds what a bad version of a pool's backend servers may cost.
+	// Rollouts bounds the damage of a bad version of a pool's backend servers.
 	Rollouts rollout.Bounds
 
-	Grace       time.Duration // from the signal to stop until the process is killed
-	Memory      int64         // bytes that the process may use; 0 is not bounded
-	Descriptors int           // that it may have open
+	Grace       time.Duration // time from the stop signal until the process is killed
+	Memory      int64         // memory limit in bytes; 0 means unlimited
+	Descriptors int           // limit of open file descriptors
 	LogLevel    slog.Level
 }
 
-// heapPart is the part of the memory that Go's runtime tries to stay within. The
-// rest is for what it does not manage, such as unread bytes of connections, and
-// for bursts. Chosen; with 0.6, and 0.4 for connections, a gateway of 112 MB under a flood
-// went over its memory.
-const heapPart = 0.55
+// heapShare is the fraction of the memory used as the Go runtime's soft limit. The rest covers
+// memory that the runtime does not manage, such as unread bytes of connections, and bursts.
+// With 0.6 here and 0.4 for connections, a gateway of 112 MB exceeds its memory in a flood.
+const heapShare = 0.55
 
-// Limits of every listener, and the most that a document allows callers.
+// Limits of every listener, and upper bounds of the limits that a document sets for callers.
 const (
-	readHeaderTimeout = 5 * time.Second // for a whole head
-	idleTimeout       = 5 * time.Minute // between two requests of a connection
-	maxHeaderBytes    = 64 << 10        // of one request
+	readHeaderTimeout = 5 * time.Second // for the whole header
+	idleTimeout       = 5 * time.Minute // between two requests on a connection
+	maxHeaderBytes    = 64 << 10        // per request
 )
 
-// base is what both kinds of process have: metrics, a log and listeners.
+// base holds the metrics, log and listeners of either kind of process.
 type base struct {
 	cfg     Settings
 	log     *decision.Log
@@ -98,7 +96,7 @@
 
 func start(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
 	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(int64(heapPart * float64(cfg.Memory)))
+		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Memory)))
 	}
 	b := &base{cfg: cfg, log: log, metrics: metricSet}
 	if cfg.Metrics == "" {
@@ -112,7 +110,7 @@
 	return b, b.listen(cfg.Metrics, mux)
 }
 
-// listen serves one address.
+// listen serves h on one address.
 func (b *base) listen(address string, h http.Handler) error {
 	l, err := socket.Listen(address)
 	if err != nil {
@@ -122,8 +120,8 @@
 	return nil
 }
 
-// serve serves a listener until close. What net/http itself would log, one line
-// for each broken connection, has no place in the log's line budget.
+// serve serves a listener until close. The log of net/http, one line for each broken
+// connection, is discarded: it does not fit in the log's line budget.
 func (b *base) serve(l net.Listener, s *http.Server) {
 	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, idleTimeout, maxHeaderBytes
 	s.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
--- a/process/reload.go
+++ b/process/reload.go
@@ -14,14 +14,14 @@
 	"github.com/badgerspoke/badgerspoke/decision"
 )
 
-// This file defines the reload of settings.
+// This file defines Reload, which picks up changed settings.
 
-// reloadPeriod is how often the settings are read without a signal: they may change without one.
+// reloadPeriod is the interval between two reads of the settings without a signal. The settings
+// can change without one.
 const reloadPeriod = 2 * time.Second
 
-// Reload loads the settings on SIGHUP and every two seconds until ctx ends, and
-// passes them on when their seeds have changed. Settings that cannot be loaded
-// change nothing.
+// Reload loads the settings on SIGHUP and every two seconds until ctx ends, and sends them to
+// reloads when their seeds have changed. Settings that cannot be loaded are ignored.
 func Reload(ctx context.Context, load func() (Settings, error), reloads chan<- Settings, log *decision.Log) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/process/schedule_test.go
+++ b/process/schedule_test.go
@@ -10,12 +10,12 @@
 	"github.com/matryer/is"
 )
 
-// TestWaitShowsAQueue: goroutines that wait for one processor behind others that compute
-// show, and a process that does nothing does not.
+// TestWaitShowsAQueue checks that goroutines waiting for one busy processor raise the measured
+// delay, and that an idle process shows none.
 func TestWaitShowsAQueue(t *testing.T) {
 	is := is.New(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	s := newScheduling()
+	s := newSchedulingDelay()
 	done := make(chan struct{})
 	for range 200 {
 		go func() {
@@ -29,7 +29,7 @@
 	}
 	is.True(s.Wait() > 10*time.Millisecond)
 	quiet := false
-	for range 20 { // the box may be busy with something else for a moment
+	for range 20 { // the machine may be briefly busy with other work
 		time.Sleep(50 * time.Millisecond)
 		quiet = quiet || s.Wait() < 5*time.Millisecond
 	}
@@ -37,7 +37,7 @@
 }
 
 func BenchmarkWait(b *testing.B) {
-	s := newScheduling()
+	s := newSchedulingDelay()
 	for b.Loop() {
 		s.Wait()
 	}
--- a/process/unread.go
+++ b/process/unread.go
@@ -10,46 +10,49 @@
 	"time"
 )
 
-// This file defines unreadConns, the callers' connections that were accepted and of which
-// nothing has been read yet.
+// This file defines unreadConns, which bounds callers' connections that are accepted but not
+// read yet.
 //
-// Accepting a connection costs a tenth of what its first request costs (0.27 against 2.62 s of
-// processor time in a profile of TestGatewaySurvivesAFlood), and the accepting goroutine goes
-// on for as long as there are more. So a burst of them is
-// accepted before anything of it is read, and everything that runs on the gateway waits
-// behind it: callers leave meanwhile, and their requests still go out. With a bound, what
-// has been accepted is read first, and the rest waits in the kernel's queue, which is short.
+// Accepting a connection costs a tenth of the processor time of its first request, and the
+// accepting goroutine continues as long as connections arrive. Without a bound, a whole burst
+// is accepted before any of it is read, and all other work of the gateway queues behind it:
+// callers disconnect meanwhile, and their requests are still forwarded. With the bound,
+// accepted connections are read first and the rest waits in the kernel's queue, which is short.
 
 const (
-	// mostUnread is the bound: at 250 us of processor time each, which a gateway of a fifth
-	// of a core needs for a connection and its refusal, 40 ms. Chosen.
-	mostUnread = 32
-	// unreadFor is how long a connection counts of which nothing comes: callers that open one ahead of
-	// time must not keep others out.
-	unreadFor = 100 * time.Millisecond
+	// maxUnread bounds the connections accepted but not read. A gateway with a fifth of a core
+	// needs 250 us of processor time for a connection and its refusal, so a full set takes 40
+	// ms to serve.
+	maxUnread = 32
+	// unreadTimeout is how long a connection that sends nothing counts as unread. Callers that
+	// open connections ahead of time must not block others.
+	unreadTimeout = 100 * time.Millisecond
 )
 
-// unreadConns counts them. The zero value is ready.
+// unreadConns counts connections that are accepted but not read. The zero value is ready to
+// use.
 type unreadConns struct{ n atomic.Int64 }
 
-// full reports whether another connection has to wait.
-func (u *unreadConns) full() bool { return u.n.Load() >= mostUnread }
+// full reports whether the next connection has to wait.
+func (u *unreadConns) full() bool { return u.n.Load() >= maxUnread }
 
-// track counts a connection until something of it is read, for unreadFor at most.
+// track counts a connection as unread until its first read, its end or unreadTimeout, whichever
+// is first.
 func (u *unreadConns) track(conn net.Conn) net.Conn {
 	u.n.Add(1)
 	c := &unreadConn{Conn: conn}
-	c.seen = sync.OnceFunc(func() { u.n.Add(-1) })
-	c.timer = time.AfterFunc(unreadFor, c.seen)
+	c.release = sync.OnceFunc(func() { u.n.Add(-1) })
+	c.timer = time.AfterFunc(unreadTimeout, c.release)
 	return c
 }
 
-// unreadConn is a tracked connection.
+// unreadConn is a connection counted in unreadConns. release uncounts it and has no effect
+// after the first call.
 type unreadConn struct {
 	net.Conn
-	read  atomic.Bool
-	seen  func()
-	timer *time.Timer
+	read    atomic.Bool
+	release func()
+	timer   *time.Timer
 }
 
 // Read implements [net.Conn].
@@ -57,7 +60,7 @@
 	n, err := c.Conn.Read(b)
 	if !c.read.Load() && !c.read.Swap(true) {
 		c.timer.Stop()
-		c.seen()
+		c.release()
 	}
 	return n, err
 }
@@ -65,11 +68,12 @@
 // Close implements [net.Conn].
 func (c *unreadConn) Close() error {
 	c.timer.Stop()
-	c.seen()
+	c.release()
 	return c.Conn.Close()
 }
 
-// SyscallConn implements [syscall.Conn]. The error is of a connection that has none.
+// SyscallConn implements [syscall.Conn]. It returns ENOTSUP if the wrapped connection does not
+// support it.
 func (c *unreadConn) SyscallConn() (syscall.RawConn, error) {
 	if conn, ok := c.Conn.(syscall.Conn); ok {
 		return conn.SyscallConn()
--- a/process/unread_test.go
+++ b/process/unread_test.go
@@ -13,15 +13,15 @@
 	"github.com/badgerspoke/badgerspoke/internal/fakenet"
 )
 
-// always takes every connection.
-type always struct{}
+// acceptAll is a pacer that accepts every connection.
+type acceptAll struct{}
 
-func (always) TakeConnection() bool   { return true }
-func (always) ConnectionsPaced() bool { return false }
-func (always) ObserveQueue(_, _ int)  {}
+func (acceptAll) TakeConnection() bool   { return true }
+func (acceptAll) ConnectionsPaced() bool { return false }
+func (acceptAll) ObserveQueue(_, _ int)  {}
 
-// TestUnreadConnectionsAreBounded: more than mostUnread connections are accepted only as
-// others are read or ended, or nothing came of them for a while.
+// TestUnreadConnectionsAreBounded checks that beyond maxUnread, connections are accepted only
+// as others are read, closed, or silent for unreadTimeout.
 func TestUnreadConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,8 +29,8 @@
 		l, err := network.Listen(callersAddress)
 		is.NoErr(err)
 		closed := make(chan struct{})
-		paced := newPacedListener(l, always{}, closed, nil)
-		accepted := make(chan net.Conn, 10*mostUnread)
+		paced := newPacedListener(l, acceptAll{}, closed, nil)
+		accepted := make(chan net.Conn, 10*maxUnread)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -50,27 +50,27 @@
 			return conn
 		}
 		go func() {
-			for range 3 * mostUnread {
+			for range 3 * maxUnread {
 				defer dial().Close()
 			}
 			<-closed
 		}()
 		time.Sleep(50 * time.Millisecond)
 		synctest.Wait()
-		is.Equal(len(accepted), mostUnread)
-		for range 2 { // one is read, one ends
+		is.Equal(len(accepted), maxUnread)
+		for range 2 { // one is read, one is closed
 			conn := <-accepted
 			_, err = conn.Read(make([]byte, 3))
 			is.NoErr(err)
 			conn = <-accepted
 			is.NoErr(conn.Close())
-			time.Sleep(2 * pacePoll)
+			time.Sleep(2 * pacePollInterval)
 			synctest.Wait()
-			is.Equal(len(accepted), mostUnread)
+			is.Equal(len(accepted), maxUnread)
 		}
-		time.Sleep(unreadFor)
+		time.Sleep(unreadTimeout)
 		synctest.Wait()
-		is.True(len(accepted) > 2*mostUnread-5) // nothing came of the others
+		is.True(len(accepted) > 2*maxUnread-5) // the others timed out
 		close(closed)
 		l.Close()
 		<-ended
