--- a/settings/golden_test.go
+++ b/settings/golden_test.go
@@ -10,13 +10,12 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file writes the daemon's flags and environment variables down and
-// compares them with testdata/golden, which pins outward names. Run with
-// -update to write them anew.
+// This file compares the daemon's flags and environment variables with testdata/golden, which
+// pins the public names. Run with -update to rewrite it.
 
 func TestGoldenFlags(t *testing.T) {
 	var got bytes.Buffer
-	new(raw).flags(&got).VisitAll(func(f *flag.Flag) {
+	new(rawSettings).flags(&got).VisitAll(func(f *flag.Flag) {
 		got.WriteString("-" + f.Name + " " + EnvName(f.Name) + " default " + `"` + f.DefValue + "\"\n")
 	})
 	golden.Text(t, "flags.txt", got.String())
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -79,12 +79,12 @@
 	is.True(errors.Is(err, flag.ErrHelp))
 }
 
-// TestDevRefusesWhatItIgnores: a setting that cannot be honoured is refused.
+// TestDevRefusesWhatItIgnores checks that -dev refuses settings that it would otherwise ignore.
 func TestDevRefusesWhatItIgnores(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"-operator-token-file", "-fleet-key-file"} {
 		_, err := parse(nil, "-dev", name, secret(t, "a key of enough bytes\n"))
 		is.True(errors.As(err, new(Invalid)))
-		is.True(strings.Contains(err.Error(), name)) // names it
+		is.True(strings.Contains(err.Error(), name)) // the error names the flag
 	}
 }
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -10,15 +10,15 @@
 
 // This file defines TLS, the configurations made from the certificate files.
 
-// TLS holds the three configurations that a box needs.
+// TLS holds the three TLS configurations of a box.
 type TLS struct {
-	Clients *tls.Config // of listeners for callers and operators, who need no certificate
-	Fleet   *tls.Config // of the listener for boxes, which need one
+	Clients *tls.Config // for callers' and operators' listeners, which require no client certificate
+	Fleet   *tls.Config // for the listener for boxes, which requires a client certificate
 	Dial    *tls.Config // for links to other boxes
 }
 
-// NewTLS returns the configurations for a box's certificate and the authority
-// that signs all boxes' certificates.
+// NewTLS returns the configurations for a box's certificate and the authority that signs the
+// certificates of all boxes.
 func NewTLS(cert tls.Certificate, authority *x509.CertPool) *TLS {
 	base := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}}
 	fleet := base.Clone()
@@ -28,20 +28,20 @@
 	return &TLS{Clients: base, Fleet: fleet, Dial: dial}
 }
 
-// tls reads the certificate files: all three, or none.
+// tls reads the certificate files. Either all three are given or none.
 func (c *checks) tls(certFile, keyFile, caFile string) *TLS {
 	if certFile == "" && keyFile == "" && caFile == "" {
 		return nil
 	}
 	if certFile == "" || keyFile == "" || caFile == "" {
-		c.that(false, "-tls-cert-file, -tls-key-file and -tls-ca-file: give all three or none")
+		c.require(false, "-tls-cert-file, -tls-key-file and -tls-ca-file: give all three or none")
 		return nil
 	}
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
-	c.that(err == nil, "-tls-cert-file, -tls-key-file: %v", err)
+	c.require(err == nil, "-tls-cert-file, -tls-key-file: %v", err)
 	pem, err := os.ReadFile(caFile)
-	c.that(err == nil, "-tls-ca-file: %v", err)
+	c.require(err == nil, "-tls-ca-file: %v", err)
 	authority := x509.NewCertPool()
-	c.that(err != nil || authority.AppendCertsFromPEM(pem), "-tls-ca-file: holds no certificate")
+	c.require(err != nil || authority.AppendCertsFromPEM(pem), "-tls-ca-file: holds no certificate")
 	return NewTLS(cert, authority)
 }
