--- a/protocol/announce.go
+++ b/protocol/announce.go
@@ -4,35 +4,36 @@
 
 import "time"
 
-// This file defines what a directory replica that does not lead sends to the one that
-// does, for the backend servers that announce themselves there.
+// This file defines the messages by which a directory replica forwards announcements of backend
+// servers to the leader.
 
 // Announcement is one announcement of a backend server.
 type Announcement struct {
 	Registration
-	Seq      uint64        `cbor:"6,keyasint"` // rises with each announcement of one ID
+	Seq      uint64        `cbor:"6,keyasint"` // increases with each announcement of one ID
 	ColdLeft time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// Announce is sent by a replica to the leader: the announcements of some milliseconds.
+// Announce is sent by a replica to the leader and batches the announcements of a few
+// milliseconds.
 type Announce struct {
-	Seq  uint64         `cbor:"1,keyasint"` // from 1 on each link
+	Seq  uint64         `cbor:"1,keyasint"` // counted from 1 on each link
 	List []Announcement `cbor:"2,keyasint"`
-	// Again are announcements that differ from what the leader of Term last sent of these
-	// servers in nothing but their numbers; a leader of another term ends the link.
+	// Again are announcements that differ only in their sequence numbers from what the leader
+	// of Term last sent about these servers. A leader of another term closes the link.
 	Again []AnnouncedAgain `cbor:"3,keyasint,omitempty"`
 	Term  uint64           `cbor:"4,keyasint,omitempty"`
 }
 
-// AnnouncedAgain is one announcement of a backend server that is not cold and has not changed.
+// AnnouncedAgain is one announcement of an unchanged backend server that is not cold.
 type AnnouncedAgain struct {
 	_      struct{} `cbor:",toarray"`
 	Handle uint32
 	Seq    uint64
 }
 
-// Announced is the leader's answer: it has taken the list of that number. Of one that it
-// cannot take it ends the link.
+// Announced is the leader's acknowledgement of the list with that number. If the leader cannot
+// accept a list, it closes the link.
 type Announced struct {
 	Seq uint64 `cbor:"1,keyasint"`
 }
--- a/protocol/bench_test.go
+++ b/protocol/bench_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// BenchmarkControl gives the time and bytes of one report and one view with n
-// accounts, encoded and decoded: what a node spends on its exchange.
+// BenchmarkControl measures the time and bytes of encoding and decoding one report and one view
+// with n accounts.
 func BenchmarkControl(b *testing.B) {
 	for _, n := range []int{1, 10, 50} {
 		report := Report{ViewSeq: 1000, Returned: []Held{{Server: "a1", Slots: 1}}}
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -2,37 +2,36 @@
 
 package protocol
 
-// This file defines how a router claims the right to run a keyed request, and
-// how it reports the request's end.
+// This file defines the messages by which a router claims the right to run a keyed request and
+// reports the request's end.
 
 // ClaimState is the state of a claim.
 type ClaimState uint8
 
 // The states of a claim. The numbers are on the wire and in the log of claims.
 const (
-	ClaimGranted  ClaimState = 1 // to the router that claims: run it
-	ClaimRunning  ClaimState = 2 // another router or arrival holds it; wait, or claim again
-	ClaimRan      ClaimState = 3 // it ran; Answer is set if it was small enough
-	ClaimUnknown  ClaimState = 4 // its router was lost; it may have run
-	ClaimMismatch ClaimState = 5 // the key was used with another content
+	ClaimGranted  ClaimState = 1 // the claiming router may run the request
+	ClaimRunning  ClaimState = 2 // another router or arrival holds the claim; wait, or claim again
+	ClaimRan      ClaimState = 3 // the request ran; Answer is set if it was small enough
+	ClaimUnknown  ClaimState = 4 // the claiming router was lost; the request may have run
+	ClaimMismatch ClaimState = 5 // the key was used with different content
 	ClaimRetry    ClaimState = 6 // undecided at this replica; send it again to the leader
-	ClaimReleased ClaimState = 7 // it has not run
+	ClaimReleased ClaimState = 7 // the request has not run
 )
 
-// Claim is sent by a router to the leading control replica, before it runs a request
-// that has a key, for the right to do so. A resend by the same router with the same
-// Attempt gets the same answer.
+// Claim is sent by a router to the leading control replica before it runs a request that has a
+// key, to obtain the right to run it. A resend by the same router with the same Attempt gets
+// the same answer.
 type Claim struct {
-	Call    uint64 `cbor:"1,keyasint"` // pairs the Claimed with this
+	Call    uint64 `cbor:"1,keyasint"` // matches the Claimed to this message
 	Account string `cbor:"2,keyasint"`
 	Key     string `cbor:"3,keyasint"`
-	Digest  uint64 `cbor:"4,keyasint"`           // of the request's content
-	Attempt uint64 `cbor:"5,keyasint"`           // drawn by the router for this arrival
-	Wait    bool   `cbor:"6,keyasint,omitempty"` // until another one has ended, instead of ClaimRunning
+	Digest  uint64 `cbor:"4,keyasint"`           // digest of the request's content
+	Attempt uint64 `cbor:"5,keyasint"`           // random, drawn by the router for each arrival
+	Wait    bool   `cbor:"6,keyasint,omitempty"` // wait until another claim has ended instead of answering ClaimRunning
 }
 
-// Settle is sent by a router to the leading control replica when a request that it
-// claimed has ended.
+// Settle is sent by a router to the leading control replica when a claimed request has ended.
 type Settle struct {
 	Call    uint64     `cbor:"1,keyasint"`
 	Account string     `cbor:"2,keyasint"`
@@ -49,7 +48,7 @@
 	Answer *Answer    `cbor:"3,keyasint,omitempty"`
 }
 
-// Answer is a stored answer, small enough to be kept.
+// Answer is a stored answer of a backend server, small enough to be kept.
 type Answer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -8,31 +8,32 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// This file defines the envelope around every message, and the one encoder
-// and decoder that all links use.
+// This file defines the envelope around every message, and the encoder and decoder that all
+// links use.
 
-// MaxMessage bounds one message, in bytes. The largest, a configuration snapshot at the
-// sizes of docs/CAPACITY.md, takes 932 KB (BenchmarkSpread of package control).
+// MaxMessage is the maximum size of a message, in bytes. The largest message, a configuration
+// snapshot at the sizes of docs/CAPACITY.md, takes 932 KB (BenchmarkSpread of package control).
 const MaxMessage = 16 << 20
 
-// Kind names the type of a message on a link. The numbers are on the wire and are
-// never used again for something else.
+// Kind identifies the type of a message on a link. The numbers are on the wire and are never
+// reused.
 type Kind uint8
 
-// The kinds of message. The comment of each type has its sender, receiver and time.
+// The kinds of message. Each message type documents its sender, its receiver and when it is
+// sent.
 const (
 	// Between a router and a control replica.
 	KindHello     Kind = 1  // router: open a session
 	KindWelcome   Kind = 2  // leader: the session is open
 	KindRedirect  Kind = 3  // other replica: who leads
 	KindRenew     Kind = 4  // router: extend the lease
-	KindRenewed   Kind = 5  // leader: it is extended
-	KindReport    Kind = 6  // router: work and slots since the last one
+	KindRenewed   Kind = 5  // leader: the lease is extended
+	KindReport    Kind = 6  // router: load and slots since the last report
 	KindView      Kind = 7  // leader: slots granted, state of the fleet
 	KindConfigure Kind = 8  // leader: a newer configuration
-	KindClaim     Kind = 9  // router: may a keyed request run?
-	KindSettle    Kind = 10 // router: how it ended
-	KindClaimed   Kind = 11 // leader: the answer to both
+	KindClaim     Kind = 9  // router: claim the right to run a keyed request
+	KindSettle    Kind = 10 // router: the result of a claimed request
+	KindClaimed   Kind = 11 // leader: the answer to KindClaim and KindSettle
 
 	// Between the replicas of one group.
 	KindConsensus Kind = 12 // of any [ConsensusKind]
@@ -41,33 +42,33 @@
 	KindWatch         Kind = 13 // gateway: open a session
 	KindWatchRedirect Kind = 14 // other replica: who leads
 	KindDocument      Kind = 15 // leader: a newer document
-	KindServers       Kind = 16 // leader: backend servers that came or went
-	KindUsage         Kind = 17 // gateway: what runs and what was requested
+	KindServers       Kind = 16 // leader: backend servers added or removed
+	KindUsage         Kind = 17 // gateway: running and requested load
 	KindFleet         Kind = 18 // leader: the sums over all gateways
-	KindCounted       Kind = 19 // leader: the last report that is in the sums
+	KindCounted       Kind = 19 // leader: the last report included in the sums
 
 	// Between the replicas of the directory.
 	KindAnnounce  Kind = 20 // replica: announcements of backend servers
-	KindAnnounced Kind = 21 // leader: they are taken
+	KindAnnounced Kind = 21 // leader: the announcements are accepted
 
 	// Between a gateway and a directory replica, continued.
-	KindRollouts   Kind = 22 // leader: which versions of pools get requests
-	KindQuarantine Kind = 31 // leader: requests under which servers end
+	KindRollouts   Kind = 22 // leader: the versions of pools that receive requests
+	KindQuarantine Kind = 31 // leader: requests whose backend servers ended while running them
 
 	// Between an operator's command and a directory replica, continued.
 	KindQuarantineOrder  Kind = 32 // command: list condemned requests, or release one
-	KindQuarantineAnswer Kind = 33 // replica: what became of it
+	KindQuarantineAnswer Kind = 33 // replica: the result of the order
 
 	// Between an operator's command and a directory replica.
 	KindRolloutOrder  Kind = 23 // command: begin, read or end a rollout
-	KindRolloutAnswer Kind = 24 // replica: what became of it
+	KindRolloutAnswer Kind = 24 // replica: the result of the order
 
 	// Between the replicas of the directory, continued.
 	KindBehind Kind = 30 // relay: the gateways that it serves
 	KindPlaces Kind = 34 // leader: the replicas that serve gateways
 )
 
-// kinds holds each kind's name, as metrics label it, and its decoder.
+// kinds maps each kind to its name, as used in metric labels, and its decoder.
 var kinds = map[Kind]struct {
 	name   string
 	decode func(Envelope) (Message, error)
@@ -104,15 +105,15 @@
 	KindQuarantineAnswer: {"quarantine-answer", decodeAs[QuarantineAnswer]},
 }
 
-// String returns the kind's name, as metrics label it.
+// String returns the kind's name, as used in metric labels.
 func (k Kind) String() string {
-	if known, ok := kinds[k]; ok {
-		return known.name
+	if entry, ok := kinds[k]; ok {
+		return entry.name
 	}
 	return "unknown"
 }
 
-// Envelope is what a link carries: a kind and the bytes of its message.
+// Envelope is the unit that a link carries: a kind and the encoded message.
 type Envelope struct {
 	_    struct{}        `cbor:",toarray"`
 	Kind Kind            `cbor:""`
@@ -151,13 +152,13 @@
 func (QuarantineAnswer) kind() Kind { return KindQuarantineAnswer }
 func (Behind) kind() Kind           { return KindBehind }
 func (Places) kind() Kind           { return KindPlaces }
-func (e Encoded) kind() Kind        { return e.of }
+func (e Encoded) kind() Kind        { return e.messageKind }
 
-// KindOf returns the kind under which m travels.
+// KindOf returns the kind of m.
 func KindOf(m Message) Kind { return m.kind() }
 
-// The decoder's bounds keep a malformed message from taking memory. They are above what a fleet sends
-// at the sizes of docs/CAPACITY.md.
+// The decoder's limits bound the memory that a malformed message can take. They exceed what a
+// fleet sends at the sizes of docs/CAPACITY.md.
 var (
 	encMode = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, Sort: cbor.SortNone}.EncMode())
 	decMode = must(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode())
@@ -170,7 +171,7 @@
 	return m
 }
 
-// Malformed is bytes from a link that are no message.
+// Malformed is the error for bytes from a link that do not form a valid message.
 type Malformed struct {
 	Kind Kind
 	Err  error
@@ -184,7 +185,7 @@
 // Unwrap returns the decoder's error.
 func (e Malformed) Unwrap() error { return e.Err }
 
-// TooLarge is a message that exceeds MaxMessage.
+// TooLarge is the error for a message that exceeds MaxMessage.
 type TooLarge struct{ Size int }
 
 // Error names the size.
@@ -192,19 +193,20 @@
 	return fmt.Sprintf("protocol: message of %d bytes exceeds %d", e.Size, MaxMessage)
 }
 
-// Encoded is a message with its bytes: one that goes out on many links is encoded once.
+// Encoded is an encoded message. It allows encoding a message once and sending it on many
+// links.
 type Encoded struct {
-	of    Kind
-	bytes []byte
+	messageKind Kind
+	bytes       []byte
 }
 
 // EncodeOnce encodes m for any number of links. The error is [Malformed] or [TooLarge].
 func EncodeOnce(m Message) (Encoded, error) {
 	b, err := Encode(m)
-	return Encoded{of: m.kind(), bytes: b}, err
+	return Encoded{messageKind: m.kind(), bytes: b}, err
 }
 
-// Size returns the bytes that the message takes on a link.
+// Size returns the size of the encoded message in bytes.
 func (e Encoded) Size() int { return len(e.bytes) }
 
 // Encode returns the bytes of m in its envelope.
@@ -226,8 +228,8 @@
 	return b, nil
 }
 
-// Decode returns the message in b, or nil without an error for a kind that
-// this version does not have.
+// Decode returns the message in b. For a kind that this version does not support it returns nil
+// without an error.
 func Decode(b []byte) (Message, error) {
 	if len(b) > MaxMessage {
 		return nil, TooLarge{Size: len(b)}
@@ -236,11 +238,11 @@
 	if err := decMode.Unmarshal(b, &e); err != nil {
 		return nil, Malformed{Err: err}
 	}
-	known, ok := kinds[e.Kind]
+	entry, ok := kinds[e.Kind]
 	if !ok {
 		return nil, nil
 	}
-	return known.decode(e)
+	return entry.decode(e)
 }
 
 func decodeAs[T Message](e Envelope) (Message, error) {
--- a/protocol/example_test.go
+++ b/protocol/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// A message goes out in an envelope with its kind; a kind of a later version
-// decodes to nil without an error.
+// A message is sent in an envelope with its kind. A kind of a later version decodes to nil
+// without an error.
 func ExampleEncode() {
 	b, err := protocol.Encode(protocol.Renew{Seq: 5})
 	if err != nil {
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -17,21 +17,21 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of every message in testdata/golden: boxes of
-// neighbouring versions share links. Run with -update to rewrite the files,
-// which only a deliberate change of the wire format justifies.
+// This file pins the bytes of every message in testdata/golden, because boxes of neighbouring
+// versions share links. Run with -update to rewrite the files, which only a deliberate change
+// of the wire format justifies.
 
-const big = 1<<64 - 2 // a number that needs all its bits
+const bigNumber = 1<<64 - 2 // a number that needs all 64 bits
 
-// goldenMessages holds one message of each kind. In every list, the first
-// element has all its fields set.
+// goldenMessages holds one message of each kind. The first element of every list has all its
+// fields set.
 var goldenMessages = []Message{
 	Hello{
-		Router: "router-1", Hall: "hall-a", Boot: big, Revision: 300, Epoch: 70000,
+		Router: "router-1", Hall: "hall-a", Boot: bigNumber, Revision: 300, Epoch: 70000,
 		Held: []Held{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
 	},
 	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", Known: true, Reports: 99, Void: true},
-	Redirect{Leader: "control-2", Follows: true, Group: big, Revision: 301, Pending: true},
+	Redirect{Leader: "control-2", Follows: true, Group: bigNumber, Revision: 301, Pending: true},
 	Renew{Seq: 17, Revision: 302},
 	Renewed{Seq: 18},
 	Report{
@@ -47,15 +47,15 @@
 	},
 	View{Seq: 22, Granted: []Held{{Server: "a1", Slots: 7}, {Server: "a2", Slots: 8}}, Pools: goldenPools, ReportSeq: 23},
 	Configure{Delta: []byte{1, 2, 3}, Snapshot: []byte{4, 5, 6, 7}},
-	Claim{Call: 31, Account: "hotel-a", Key: "booking-1", Digest: big, Attempt: big - 1, Wait: true},
+	Claim{Call: 31, Account: "hotel-a", Key: "booking-1", Digest: bigNumber, Attempt: bigNumber - 1, Wait: true},
 	Settle{
 		Call: 32, Account: "hotel-a", Key: "booking-2", Attempt: 33, State: ClaimRan,
 		Answer: &Answer{Status: 200, ContentType: "text/plain", Body: []byte("booked")},
 	},
 	Claimed{Call: 34, State: ClaimUnknown, Answer: &Answer{Status: 503, ContentType: "application/json", Body: []byte("{}")}},
 	Consensus{
-		Name: "config", Group: big, Kind: MsgAppend,
-		From: Peer{Name: "control-1", Incarnation: big - 2}, To: Peer{Name: "control-2", Incarnation: 52},
+		Name: "config", Group: bigNumber, Kind: MsgAppend,
+		From: Peer{Name: "control-1", Incarnation: bigNumber - 2}, To: Peer{Name: "control-2", Incarnation: 52},
 		Term: 53, Index: 54, LogTerm: 55, Commit: 56,
 		Entries: []Entry{
 			{Term: 57, Index: 58, Kind: EntryMembership, Data: []byte{7, 8}},
@@ -74,7 +74,7 @@
 		Offset: 71, Total: 72, Sync: 115,
 	},
 	Watch{
-		Gateway: "gateway-1", Boot: big, Number: 82, Term: 83, KnowsHalls: true, KnowsVersions: true, Region: "north", Relay: true, Avoid: []string{"10.0.0.1:7000", "10.0.0.2:7000"},
+		Gateway: "gateway-1", Boot: bigNumber, Number: 82, Term: 83, KnowsHalls: true, KnowsVersions: true, Region: "north", Relay: true, Avoid: []string{"10.0.0.1:7000", "10.0.0.2:7000"},
 		Known: 191, KeepsHandles: true, Hall: "hall-2", Named: true,
 	},
 	WatchRedirect{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
@@ -89,11 +89,11 @@
 			{Registration: Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, Handle: 2},
 		},
 		Gone: []string{"engine-3#c", "engine-4#d"}, HallsOut: []string{"hall-a", "hall-b"}, HallChanges: 93, Relays: true,
-		Space: big, Unlisted: []string{"engine-5#e"}, Part: true,
+		Space: bigNumber, Unlisted: []string{"engine-5#e"}, Part: true,
 	},
 	Usage{
 		Loads:   []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
-		Demands: []Demand{{Account: "t1", Tokens: big}, {Account: "t2", Tokens: 12}},
+		Demands: []Demand{{Account: "t1", Tokens: bigNumber}, {Account: "t2", Tokens: 12}},
 		Number:  86, Started: 87, Missed: 88, Served: []Demand{{Account: "t2", Tokens: 89}}, Seq: 90, Late: []Demand{{Account: "t1", Tokens: 92}}, Unread: []Demand{{Account: "t2", Tokens: 93}},
 		Outcomes: []Outcomes{
 			{Pool: "web", Attempt: 98, Version: "v7", Route: "pay", Sent: 99, Answered: 100, Failed: 101, Paces: []uint32{102, 0, 103}},
@@ -164,33 +164,34 @@
 			want := golden.Bytes(t, KindOf(m).String(), b)
 			got, err := Decode(want)
 			is.NoErr(err)
-			is.True(reflect.DeepEqual(got, m)) // the pinned bytes give the same value
+			is.True(reflect.DeepEqual(got, m)) // the pinned bytes decode to the same value
 		})
 	}
 	is.New(t).Equal(len(seen), len(kinds)) // a message of every kind
 }
 
 // TestGoldenEarlierMessages decodes messages of the version before rollouts and regions, from
-// the files whose names end in "-earlier": they are only decoded, never written anew.
+// the files whose names end in "-earlier". These files are never rewritten.
 func TestGoldenEarlierMessages(t *testing.T) {
 	is := is.New(t)
 	for _, m := range goldenMessages {
 		name := KindOf(m).String()
 		text, err := os.ReadFile(filepath.Join("testdata", "golden", name+"-earlier.hex"))
 		if os.IsNotExist(err) {
-			continue // it has not changed since
+			continue // the message has not changed since
 		}
 		is.NoErr(err)
 		b, err := hex.DecodeString(strings.TrimSpace(string(text)))
 		is.NoErr(err)
 		got, err := Decode(b)
 		is.NoErr(err)
-		is.True(reflect.DeepEqual(got, earlier(m)))
+		is.True(reflect.DeepEqual(got, withoutNewerFields(m)))
 	}
 }
 
-// earlier returns a message without the fields that the version before did not have.
-func earlier(m Message) Message {
+// withoutNewerFields returns a message without the fields that the earlier version did not
+// have.
+func withoutNewerFields(m Message) Message {
 	switch m := m.(type) {
 	case Consensus:
 		m.Sync = 0
@@ -221,8 +222,8 @@
 	return m
 }
 
-// TestGoldenKinds pins the number of each kind, which the envelope carries,
-// and its name, which metrics carry.
+// TestGoldenKinds pins the number of each kind, used in the envelope, and its name, used in
+// metrics.
 func TestGoldenKinds(t *testing.T) {
 	is := is.New(t)
 	names := []string{
@@ -239,7 +240,7 @@
 			is.Equal(Kind(number).String(), names[number])
 			continue
 		}
-		is.Equal(Kind(number).String(), "unknown") // a kind without a golden message
+		is.Equal(Kind(number).String(), "unknown") // fails for a kind without a golden message
 	}
 	is.Equal(len(goldenMessages), len(used))
 	for i, m := range goldenMessages {
@@ -247,7 +248,7 @@
 	}
 }
 
-// TestGoldenNumbers pins the numbers that travel inside messages.
+// TestGoldenNumbers pins the enumeration values used inside messages.
 func TestGoldenNumbers(t *testing.T) {
 	is := is.New(t)
 	for i, s := range []ClaimState{
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -7,29 +7,30 @@
 	"strings"
 )
 
-// This file defines the lives of a backend server that starts again under the name that it had.
+// This file defines the identifiers of a backend server's lives. A server that restarts under
+// the same name begins a new life.
 //
-// Inside a process each life has an identifier of its own, name and start together, so that all
-// that is known of a server by its identifier is of one life. Between processes and in the log a
-// [Registration] has the name alone and the start beside it: versions that do not know of lives
-// take the name for the identifier, as before.
+// Inside a process each life has its own identifier, made of name and start time, so that all
+// state kept under an identifier belongs to one life. In messages and in the log a
+// [Registration] holds the name and the start time separately: versions that do not support
+// lives use the name as the identifier.
 
-// lifeMark is between a server's name and its start. A name that has it is refused where names are
-// read.
-const lifeMark = "~"
+// lifeSeparator separates a server's name from its start time. Names that contain it are
+// refused on input.
+const lifeSeparator = "~"
 
-// LifeID returns the identifier of the life of a server that began at a time, in Unix
-// milliseconds; 0 is one that does not say when it began, whose name is its identifier.
+// LifeID returns the identifier of a server's life that began at born, in Unix milliseconds. If
+// born is 0, the server does not report its start time, and the identifier is its name.
 func LifeID(name string, born uint64) string {
 	if born == 0 {
 		return name
 	}
-	return name + lifeMark + strconv.FormatUint(born, 10)
+	return name + lifeSeparator + strconv.FormatUint(born, 10)
 }
 
-// SplitLife returns a server's name and the start of its life, 0 if its identifier has none.
+// SplitLife returns a server's name and the start of its life, or 0 if the identifier has none.
 func SplitLife(id string) (name string, born uint64) {
-	name, start, found := strings.Cut(id, lifeMark)
+	name, start, found := strings.Cut(id, lifeSeparator)
 	if !found {
 		return id, 0
 	}
@@ -40,35 +41,36 @@
 	return name, born
 }
 
-// Sent returns a registration as messages and the log have it.
+// Sent converts a registration to its form in messages and the log.
 func (r Registration) Sent() Registration {
 	r.ID, r.Born = SplitLife(r.ID)
 	return r
 }
 
-// Received returns a registration that was [Registration.Sent] as this process has it.
+// Received converts a registration from the form of [Registration.Sent] to the process's own.
 func (r Registration) Received() Registration {
 	r.ID, r.Born = LifeID(r.ID, r.Born), 0
 	return r
 }
 
-// each returns the message with f applied to each registration.
-func (m Servers) each(f func(Registration) Registration) Servers {
+// mapRegistrations returns the message with f applied to each registration.
+func (m Servers) mapRegistrations(f func(Registration) Registration) Servers {
 	set := make([]Server, len(m.Set))
 	for i, s := range m.Set {
 		s.Registration = f(s.Registration)
 		set[i] = s
 	}
-	if len(set) > 0 { // else it stays nil, as it was sent
+	if len(set) > 0 { // otherwise keep nil, as it was sent
 		m.Set = set
 	}
 	return m
 }
 
-// Sent returns the message as it goes out. A server that has gone and of which no life is listed
-// is named by its name as well, which is all that relays and versions without lives know.
+// Sent converts the message to the form that is sent. For a life that has gone, Gone also gets
+// the server's name if no life of that name is listed: relays and versions without lives
+// recognize only the name.
 func (m Servers) Sent(listed func(name string) bool) Servers {
-	m = m.each(Registration.Sent)
+	m = m.mapRegistrations(Registration.Sent)
 	for _, id := range m.Gone {
 		if name, born := SplitLife(id); born != 0 && !listed(name) {
 			m.Gone = append(m.Gone[:len(m.Gone):len(m.Gone)], name)
@@ -77,5 +79,5 @@
 	return m
 }
 
-// Received returns a message that was [Servers.Sent] as this process has it.
-func (m Servers) Received() Servers { return m.each(Registration.Received) }
+// Received converts a message from the form of [Servers.Sent] to the process's own.
+func (m Servers) Received() Servers { return m.mapRegistrations(Registration.Received) }
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-// sparseMessages leave out optional fields that every golden message sets.
+// sparseMessages omit optional fields that every golden message sets.
 var sparseMessages = []Message{
 	Claimed{Call: 1, State: ClaimUnknown, Answer: &Answer{Status: 500}},
 	Consensus{
@@ -41,7 +41,7 @@
 	is := is.New(t)
 	_, err := Decode([]byte{0x01})
 	is.True(errors.As(err, new(Malformed)))
-	_, err = Decode([]byte{0x82, 0x01, 0x61, 'x'}) // a hello that is a string
+	_, err = Decode([]byte{0x82, 0x01, 0x61, 'x'}) // a hello whose body is a string
 	is.True(errors.As(err, new(Malformed)))
 	_, err = Decode(make([]byte, MaxMessage+1))
 	is.True(errors.As(err, new(TooLarge)))
@@ -68,10 +68,10 @@
 		}
 		again, err := Encode(m)
 		if err != nil {
-			t.Fatalf("what was decoded does not encode: %v", err)
+			t.Fatalf("encode a decoded message: %v", err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("what was encoded does not decode: %v", err)
+			t.Fatalf("decode a re-encoded message: %v", err)
 		}
 	})
 }
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -2,60 +2,62 @@
 
 package protocol
 
-// This file defines what gateways and the directory's leader tell each other of requests under
-// which backend servers end. Keys are those of package quarantine, 16 bytes.
+// This file defines the messages between gateways and the directory's leader about requests
+// whose backend servers ended while running them. Keys are those of package quarantine, 16
+// bytes.
 
-// Loss is a request that ran at a backend server when that ended, in a gateway's report.
+// Loss is a request that was running on a backend server when the server ended, as reported by
+// a gateway.
 type Loss struct {
 	_       struct{} `cbor:",toarray"`
 	Key     []byte
-	Hint    uint32 // of the request without its body
+	Hint    uint32 // hash of the request that covers only the length of its body
 	Account string
 	Pool    string
-	Server  string // its identifier
+	Server  string // the server's identifier
 	Address string
-	Ran     uint32 // ms, from the request's sending to the server's end
-	Age     uint32 // ms, since the server's end, as of sending
+	Ran     uint32 // milliseconds from sending the request to the end of the server
+	Age     uint32 // milliseconds since the end of the server, as of sending
 	Again   bool   // another attempt of the same arrival was lost before this one began
-	Serving bool   // other servers of the pool gave whole answers lately
+	Serving bool   // other servers of the pool gave complete answers recently
 }
 
-// Quarantined is a request that backend servers ended under.
+// Quarantined is a request whose backend servers ended while running it.
 type Quarantined struct {
 	_         struct{} `cbor:",toarray"`
 	Key       []byte
 	Hint      uint32
-	Ends      uint8 // in a row
-	Condemned bool  // it is not to be sent to any server
+	Ends      uint8 // number of consecutive ends
+	Condemned bool  // the request must not be sent to any server
 }
 
-// Quarantine is sent by the leader to every gateway: all when the session opens, before the
-// list of backend servers, then what has changed. Earlier versions ignore it.
+// Quarantine is sent by the leader to every gateway: the whole list when the session opens,
+// before the list of backend servers, and then the changes. Earlier versions ignore it.
 type Quarantine struct {
-	// Whole is set if Set is all; what is not in it is not listed any more.
+	// Whole is set if Set is the whole list, which replaces the previous one.
 	Whole bool          `cbor:"1,keyasint,omitempty"`
 	Set   []Quarantined `cbor:"2,keyasint,omitempty"`
 	Gone  [][]byte      `cbor:"3,keyasint,omitempty"` // keys
 }
 
-// QuarantineOrder is sent by an operator's command to any directory replica, as the first message
-// of a link: to list the condemned requests, or to release one. It may be sent again.
+// QuarantineOrder is sent by an operator's command to any directory replica, as the first
+// message of a link. It lists the condemned requests or releases one. Resending it is safe.
 type QuarantineOrder struct {
-	Release []byte `cbor:"1,keyasint,omitempty"` // key; empty: list
+	Release []byte `cbor:"1,keyasint,omitempty"` // key; empty to list
 }
 
 // QuarantineAnswer is the answer to a [QuarantineOrder], on the same link.
 type QuarantineAnswer struct {
 	Outcome   OrderOutcome       `cbor:"1,keyasint"`
-	Reason    string             `cbor:"2,keyasint,omitempty"` // unless done
-	Leader    string             `cbor:"3,keyasint,omitempty"` // fleet address, if elsewhere
-	Condemned []CondemnedRequest `cbor:"4,keyasint,omitempty"` // after the order, oldest first, if done
+	Reason    string             `cbor:"2,keyasint,omitempty"` // unless OrderDone
+	Leader    string             `cbor:"3,keyasint,omitempty"` // fleet address, if OrderElsewhere
+	Condemned []CondemnedRequest `cbor:"4,keyasint,omitempty"` // after the order, oldest first, if OrderDone
 }
 
-// CondemnedRequest is one request that is sent to no backend server.
+// CondemnedRequest is a request that is sent to no backend server.
 type CondemnedRequest struct {
 	Key     []byte   `cbor:"1,keyasint"`
 	Account string   `cbor:"2,keyasint,omitempty"`
 	Pool    string   `cbor:"3,keyasint,omitempty"`
-	Servers []string `cbor:"4,keyasint,omitempty"` // that ended under it
+	Servers []string `cbor:"4,keyasint,omitempty"` // servers that ended while running it
 }
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -2,11 +2,11 @@
 
 package protocol
 
-// This file defines what a directory replica that serves the gateways of its region sends the
-// leader besides a gateway's messages: a relay's session is one like a gateway's.
+// This file defines the additional message of a relay, a directory replica that serves the
+// gateways of its region. A relay's session with the leader is otherwise like a gateway's.
 
-// Behind is sent by a relay to the leader when the gateways that it serves have changed: all
-// of them.
+// Behind is sent by a relay to the leader when the set of gateways that it serves has changed.
+// It lists all of them.
 type Behind struct {
 	Gateways []BehindGateway `cbor:"1,keyasint,omitempty"`
 }
--- a/protocol/rollout.go
+++ b/protocol/rollout.go
@@ -2,59 +2,60 @@
 
 package protocol
 
-// This file defines what the leading directory replica and the gateways send each other
-// about rollouts: the move of a pool's requests to another version of its backend servers.
+// This file defines the messages between the leading directory replica and the gateways about
+// rollouts: shifting a pool's requests to another version of its backend servers.
 
-// Rollout is what gateways are to do about the versions of one pool's backend servers.
+// Rollout tells gateways how to treat the versions of one pool's backend servers.
 type Rollout struct {
 	Pool string `cbor:"1,keyasint"`
 	// Attempt numbers the pool's rollouts. Outcomes are counted from 0 in each.
 	Attempt uint64 `cbor:"2,keyasint,omitempty"`
-	// Target is the version that the rollout under way moves requests to; empty if none is.
+	// Target is the version to which the current rollout moves requests; empty if there is
+	// none.
 	Target string `cbor:"3,keyasint,omitempty"`
-	// Share is the part of the pool's requests that goes to Target, 0 to 1, on routes that
-	// Routes does not have.
+	// Share is the fraction of the pool's requests that goes to Target, 0 to 1, on routes not
+	// listed in Routes.
 	Share float64 `cbor:"4,keyasint,omitempty"`
-	// Barred are versions whose servers get nothing, because they were rolled back.
+	// Barred are rolled-back versions, whose servers receive no requests.
 	Barred []string `cbor:"5,keyasint,omitempty"`
-	// Replaced are versions that a complete rollout has replaced: their servers get nothing
-	// while the pool has any other.
+	// Replaced are versions replaced by a complete rollout. Their servers receive no requests
+	// while the pool has servers of any other version.
 	Replaced []string `cbor:"6,keyasint,omitempty"`
-	// Routes are other shares by route, so that a route with few requests is tried as well.
+	// Routes are shares of single routes, so that a route with few requests is also tried.
 	Routes []RouteShare `cbor:"7,keyasint,omitempty"`
-	// Final is set while the leader is about to complete the rollout: the old servers may stop
-	// at any moment, so Target has all requests for good, until a later list says otherwise.
+	// Final is set while the leader is about to complete the rollout. The old servers may stop
+	// at any moment, so all requests go to Target until a later list changes this.
 	Final bool `cbor:"8,keyasint,omitempty"`
 }
 
-// RouteShare is the part of one route's requests that goes to a rollout's target.
+// RouteShare is the fraction of one route's requests that goes to a rollout's target.
 type RouteShare struct {
 	_     struct{} `cbor:",toarray"`
 	Route string
 	Share float32
 }
 
-// Rollouts is sent by the leader to every gateway when its session opens and with each
-// change: all pools that had a rollout. A Share is in force while the session lives, and for a
-// bounded time after the newest report that the leader has counted. Barred, Replaced and Final are
-// in force until a later list, and a target that is barred also under later lists that lack it,
-// until its attempt is complete or another begins.
+// Rollouts is sent by the leader to every gateway when its session opens and on each change. It
+// lists all pools that have had a rollout. A Share is in force while the session is open, and
+// for a bounded time after the newest report that the leader has counted. Barred, Replaced and
+// Final are in force until a later list. A barred target stays barred under later lists that
+// lack it, until its attempt is complete or another begins.
 type Rollouts struct {
 	Term uint64    `cbor:"1,keyasint"`
-	Seq  uint64    `cbor:"2,keyasint,omitempty"` // rises within a term
+	Seq  uint64    `cbor:"2,keyasint,omitempty"` // increases within a term
 	List []Rollout `cbor:"3,keyasint,omitempty"`
 }
 
-// Barred names the rollout whose target gets nothing.
+// Barred identifies the rollout whose target receives no requests.
 type Barred struct {
 	_       struct{} `cbor:",toarray"`
 	Pool    string
 	Attempt uint64 // of the pool's rollouts
 }
 
-// Outcomes counts how the attempts at one version of a pool's servers ended on one route,
-// since the gateway had the first list with this attempt. A later report replaces an earlier one,
-// so that one that is lost or comes twice changes nothing.
+// Outcomes counts the results of the attempts at one version of a pool's servers on one route,
+// since the gateway received the first list with this attempt. Counts are cumulative and each
+// report replaces the previous one, so that lost or duplicate reports have no effect.
 type Outcomes struct {
 	_        struct{} `cbor:",toarray"`
 	Pool     string
@@ -62,7 +63,7 @@
 	Version  string
 	Route    string
 	Sent     uint64   // attempts begun
-	Answered uint64   // whole and without a failure
-	Failed   uint64   // by the server
-	Paces    []uint32 // answers by how long they took to begin against what was expected (rollout.PaceBucket)
+	Answered uint64   // completely, without a failure
+	Failed   uint64   // failed by the server
+	Paces    []uint32 // answers by the ratio of the actual to the expected time to their start (rollout.PaceBucket)
 }
--- a/protocol/size_test.go
+++ b/protocol/size_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestBytesOfEnds measures what the end of a server with all its places taken costs on a link, and
-// what a server's start adds to its entry in a list.
+// TestBytesOfEnds measures the bytes on a link when a server with all slots in use ends, and
+// the bytes that the start time adds to a server's entry in a list.
 func TestBytesOfEnds(t *testing.T) {
 	size := func(m Message) int {
 		b, err := Encode(m)
@@ -34,9 +34,9 @@
 	born := r
 	born.Born = 1790000000123
 	entry, start := size(Servers{Set: []Server{{Registration: r, Handle: 70000}}}), size(Servers{Set: []Server{{Registration: born, Handle: 70000}}})
-	t.Logf("a loss %d B, a suspect %d B, one that is cleared %d B; a server's entry %d B, %d with its start", loss, suspect, cleared,
+	t.Logf("loss %d B, suspect %d B, cleared suspect %d B; server entry %d B, %d B with start time", loss, suspect, cleared,
 		entry-size(Servers{}), start-size(Servers{}))
 	if loss > 120 || suspect > 32 || cleared > 20 || start-entry > 10 {
-		t.Error("more bytes than docs/CAPACITY.md says")
+		t.Error("messages are larger than docs/CAPACITY.md allows")
 	}
 }
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -4,72 +4,73 @@
 
 import "time"
 
-// This file defines what a gateway and the leading directory replica send each
-// other over the gateway's one session.
+// This file defines the messages of a gateway's session with the leading directory replica.
 //
-// A session starts with Watch. The leader answers with the whole list of backend
-// servers, the document if the gateway's is older, and from then on with what
-// changes; any other replica answers with WatchRedirect and closes. A relay is a replica
-// that does the leader's part for the gateways of its region; towards the leader it opens a
-// session itself. Numbers that
-// are sent several times a second are arrays.
+// A session starts with Watch. The leader answers with the whole list of backend servers and,
+// if the gateway's document is older, with the document, and from then on sends changes. Any
+// other replica answers with WatchRedirect and closes the link. A relay is a replica that takes
+// the leader's role for the gateways of its region and itself opens a session with the leader.
+// Values that are sent several times a second are encoded as arrays.
 
 // Watch is the first message of a gateway to a directory replica and opens a session.
 type Watch struct {
 	Gateway string `cbor:"1,keyasint"`
-	Boot    uint64 `cbor:"2,keyasint"`           // drawn at each start of the process
-	Number  uint64 `cbor:"3,keyasint,omitempty"` // of the document held
-	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest seen; an older leader must refuse
-	// KnowsHalls is set by gateways that obey HallsOut. Earlier versions did not have it.
+	Boot    uint64 `cbor:"2,keyasint"`           // random, drawn at each start of the process
+	Number  uint64 `cbor:"3,keyasint,omitempty"` // number of the document held
+	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest term seen; an older leader must refuse
+	// KnowsHalls is set by gateways that support HallsOut. Earlier versions do not send it.
 	KnowsHalls bool `cbor:"5,keyasint,omitempty"`
-	// KnowsVersions is set by gateways that obey Rollouts. Earlier versions did not have it.
+	// KnowsVersions is set by gateways that support Rollouts. Earlier versions do not send it.
 	KnowsVersions bool `cbor:"6,keyasint,omitempty"`
-	// Region is the sender's, empty if its settings name none.
+	// Region is the sender's region; empty if not configured.
 	Region string `cbor:"7,keyasint,omitempty"`
-	// Relay is set by a directory replica that opens a session for its region's gateways.
+	// Relay is set by a directory replica that opens a session on behalf of its region's
+	// gateways.
 	Relay bool `cbor:"8,keyasint,omitempty"`
-	// Avoid are the fleet addresses of replicas that the gateway lost, or was named and did not
-	// reach, since its last session: the leader names another relay, or serves it itself.
+	// Avoid are the fleet addresses of replicas that the gateway lost, or was redirected to
+	// without reaching them, since its last session. The leader names another relay or serves
+	// the gateway itself.
 	Avoid []string `cbor:"9,keyasint,omitempty"`
-	// Known is how many backend servers the gateway knows from before.
+	// Known is the number of backend servers that the gateway holds from earlier sessions.
 	Known int `cbor:"10,keyasint,omitempty"`
-	// KeepsHandles is set by gateways that tell handles by [Servers.Space]: their sessions outlive
-	// the leader. Earlier versions did not have it.
+	// KeepsHandles is set by gateways that distinguish handles by [Servers.Space]. Their
+	// sessions outlive the leader. Earlier versions do not send it.
 	KeepsHandles bool `cbor:"11,keyasint,omitempty"`
-	// Hall is the sender's, empty if its settings name none.
+	// Hall is the sender's data hall; empty if not configured.
 	Hall string `cbor:"12,keyasint,omitempty"`
-	// Named is set if another replica has named the receiver to the gateway.
+	// Named is set if another replica redirected the gateway to the receiver.
 	Named bool `cbor:"13,keyasint,omitempty"`
 }
 
-// WatchRedirect is the answer of a directory replica that does not lead to a Watch; it
-// then closes the link. Unlike a [Redirect] it names the group's members, because a
-// gateway has only seeds in its settings.
+// WatchRedirect is the answer of a directory replica that does not lead to a Watch; the replica
+// then closes the link. Unlike a [Redirect] it names the group's members, because a gateway has
+// only seeds in its settings.
 type WatchRedirect struct {
 	Leader  string   `cbor:"1,keyasint,omitempty"` // fleet address; empty when unknown
 	Members []string `cbor:"2,keyasint,omitempty"` // fleet addresses of the group
 }
 
-// Document is sent by the leader to a gateway that holds an older document: the CBOR
-// of document.Document.
+// Document is sent by the leader to a gateway that holds an older document. Data is the CBOR
+// encoding of document.Document.
 type Document struct {
 	Number uint64 `cbor:"1,keyasint"`
 	Data   []byte `cbor:"2,keyasint"`
 }
 
-// Registration is what a backend server registers under. Messages and stored
+// Registration is the record under which a backend server is registered. Messages and stored
 // records hold it in the same form.
 type Registration struct {
 	ID      string `cbor:"1,keyasint"`
 	Pool    string `cbor:"2,keyasint"`
 	Address string `cbor:"3,keyasint"` // IP:PORT
 	Hall    string `cbor:"4,keyasint,omitempty"`
-	Slots   int    `cbor:"5,keyasint,omitempty"` // requests that it runs at a time
-	// Version is of the software that it runs, empty if it does not say. Numbers 6 and 7 are
-	// those of the fields beside a registration in [Server] and [Announcement].
+	Slots   int    `cbor:"5,keyasint,omitempty"` // number of requests that it runs concurrently
+	// Version is the version of the software that the server runs; empty if not reported.
+	// Numbers 6 and 7 belong to the fields beside a registration in [Server] and
+	// [Announcement].
 	Version string `cbor:"8,keyasint,omitempty"`
-	// Born is when this life of the server began, in Unix milliseconds; 0: it does not say. Only
-	// messages and the log have it, see [Registration.Sent].
+	// Born is the start of this life of the server, in Unix milliseconds; 0 if not reported.
+	// It is set only in messages and the log, see [Registration.Sent].
 	Born uint64 `cbor:"9,keyasint,omitempty"`
 }
 
@@ -78,111 +79,115 @@
 	Registration
 	// Handle identifies the backend server in Usage and Fleet, within one [Servers.Space].
 	Handle uint32 `cbor:"6,keyasint"`
-	// Cold is set while the backend server has just started or become cold again.
+	// Cold is set while the backend server is cold, after a start or later.
 	Cold *Cold `cbor:"7,keyasint,omitempty"`
 }
 
-// Cold is a backend server that bears few requests for a while.
+// Cold describes the limits of a backend server that can serve only few requests for a while.
 type Cold struct {
-	Left   time.Duration `cbor:"1,keyasint"`           // as of sending
-	Shares []ColdShare   `cbor:"2,keyasint,omitempty"` // of the gateways that may send to it
+	Left   time.Duration `cbor:"1,keyasint"`           // remaining time, as of sending
+	Shares []ColdShare   `cbor:"2,keyasint,omitempty"` // shares of the gateways that may send to it
 }
 
-// ColdShare is what one gateway may send to a cold backend server.
+// ColdShare is the rate at which one gateway may send to a cold backend server.
 type ColdShare struct {
 	_         struct{} `cbor:",toarray"`
 	Gateway   string
-	PerSecond int // requests
+	PerSecond int // requests per second
 }
 
-// Servers is sent by the leader to every gateway: the whole list when the session opens,
-// then what has changed.
+// Servers is sent by the leader to every gateway: the whole list when the session opens, then
+// the changes.
 type Servers struct {
 	Term uint64 `cbor:"1,keyasint"`
-	// Whole is set if Set is the whole list that the leader has, or the first part of it.
+	// Whole is set if Set is the leader's whole list, or the first part of it.
 	Whole bool `cbor:"2,keyasint,omitempty"`
-	// Complete is set, once at least, if the leader has led for longer than backend servers
-	// take to announce themselves: one that was not in the last whole list, or set since,
-	// does not announce itself.
+	// Complete is set at least once if the leader has led for longer than backend servers take
+	// to announce themselves. A server that is neither in the last whole list nor in a later
+	// Set is then not announcing itself.
 	Complete bool     `cbor:"3,keyasint,omitempty"`
 	Set      []Server `cbor:"4,keyasint,omitempty"`
-	Gone     []string `cbor:"5,keyasint,omitempty"` // leaving, withdrawn or replaced
-	// HallsOut are the data halls whose backend servers get nothing, as of HallChanges, which
-	// rises with each change; 0 says nothing about halls.
+	Gone     []string `cbor:"5,keyasint,omitempty"` // identifiers of servers that are leaving, withdrawn or replaced
+	// HallsOut are the data halls whose backend servers receive no requests, as of
+	// HallChanges, which increases with each change. If HallChanges is 0, the message says
+	// nothing about halls.
 	HallsOut    []string `cbor:"6,keyasint,omitempty"`
 	HallChanges uint64   `cbor:"7,keyasint,omitempty"`
-	// Relays is set in a whole list of a leader that serves relays. Earlier versions did not
-	// have it, and take a relay for a gateway.
+	// Relays is set in the whole list of a leader that supports relays. Earlier versions do
+	// not send it, and treat a relay as a gateway.
 	Relays bool `cbor:"8,keyasint,omitempty"`
-	// Space tells whose handles the message has; 0, of earlier versions: those of the term's leader.
+	// Space identifies the leader that assigned the handles in the message. Earlier versions
+	// send 0: the handles are those of the term's leader.
 	Space uint64 `cbor:"9,keyasint,omitempty"`
-	// Unlisted are servers that gateways have from an earlier leader and that do not announce
-	// themselves to this one: they are used only as long as they answer.
+	// Unlisted are servers that gateways hold from an earlier leader and that do not announce
+	// themselves to the current one. They are used only as long as they answer.
 	Unlisted []string `cbor:"10,keyasint,omitempty"`
-	// Part is set if Set goes on with the whole list that an earlier message began. Earlier versions take
-	// it for a change.
+	// Part is set if Set continues the whole list that an earlier message began. Earlier
+	// versions treat it as a change.
 	Part bool `cbor:"11,keyasint,omitempty"`
 }
 
-// ServerLoad is what runs on one backend server.
+// ServerLoad is the load that runs on one backend server.
 type ServerLoad struct {
 	_        struct{} `cbor:",toarray"`
 	Handle   uint32
 	Requests uint32
-	Tokens   uint32 // of prompts not yet read there, by the gateways' count
+	Tokens   uint32 // prompt tokens that the server has not processed yet, by the gateways' count
 }
 
-// Demand is what one account requested since the previous report, in tokens.
+// Demand is the number of tokens that one account requested since the previous report.
 type Demand struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
 	Tokens  uint64
 }
 
-// Usage is a gateway's report to the leader, ten times a second.
+// Usage is a gateway's report to the leader, sent ten times a second.
 type Usage struct {
 	Loads   []ServerLoad `cbor:"1,keyasint,omitempty"`
 	Demands []Demand     `cbor:"2,keyasint,omitempty"`
-	Number  uint64       `cbor:"3,keyasint,omitempty"` // of the document in force there
-	// Started counts the tokens of requests given to engines since the previous
-	// report, Missed those of requests within a share that found no room.
+	Number  uint64       `cbor:"3,keyasint,omitempty"` // number of the document in force at the gateway
+	// Started counts the tokens of requests dispatched to engines since the previous report.
+	// Missed counts those of requests within a share that found no free capacity.
 	Started uint64 `cbor:"4,keyasint,omitempty"`
 	Missed  uint64 `cbor:"5,keyasint,omitempty"`
-	// Served is Started by account: what each was given, beside what it demanded.
+	// Served is Started by account: what each was given, as opposed to its demand.
 	Served []Demand `cbor:"6,keyasint,omitempty"`
 	// Seq numbers the reports of a session from 1.
 	Seq uint64 `cbor:"7,keyasint,omitempty"`
-	// Late is the part of Demands that came back after its objective: served now, it is
-	// late in any case.
+	// Late is the part of Demands retried after its objective has passed: it is late even if
+	// served now.
 	Late []Demand `cbor:"8,keyasint,omitempty"`
-	// Outcomes are those that have changed since the last report, of pools with a rollout
-	// under way; the first report of a session has all.
+	// Outcomes are those that have changed since the last report, for pools with a rollout in
+	// progress. The first report of a session has all of them.
 	Outcomes []Outcomes `cbor:"9,keyasint,omitempty"`
-	// Obeyed is the Seq of the newest [Rollouts] that the gateway obeys, of the session's term.
+	// Obeyed is the Seq of the newest [Rollouts] in force at the gateway, of the session's
+	// term.
 	Obeyed uint64 `cbor:"10,keyasint,omitempty"`
 	// Changes is set in a relay's reports: Loads are the sums that have changed since its
-	// previous report, with zeros for what runs nothing any more.
+	// previous report, and zeros for servers that run nothing any more.
 	Changes bool `cbor:"11,keyasint,omitempty"`
-	// Barred are targets that a leader has barred here and the newest [Rollouts] has not: the log
-	// may lack the verdict.
+	// Barred are targets that a leader has barred at this gateway and that the newest
+	// [Rollouts] does not bar: the log may lack the decision.
 	Barred []Barred `cbor:"12,keyasint,omitempty"`
-	// Losses are requests that ran at servers that have ended since the last report. The first
-	// report of a session has all that no whole answer has cleared.
+	// Losses are requests that ran on servers that have ended since the last report. The first
+	// report of a session has all that no complete answer has cleared.
 	Losses []Loss `cbor:"13,keyasint,omitempty"`
-	// Cleared are the keys of listed requests that got a whole answer here.
+	// Cleared are the keys of listed requests that got a complete answer at this gateway.
 	Cleared [][]byte `cbor:"14,keyasint,omitempty"`
-	// Unread estimates by account what is asked on connections that the gateway has not taken. It is no
-	// part of Demands.
+	// Unread estimates, by account, the demand on connections that the gateway has not
+	// accepted. It is not included in Demands.
 	Unread []Demand `cbor:"16,keyasint,omitempty"`
-	// Term is of the leader of whom the sender last heard: Obeyed is of that one's lists. 0 of
-	// earlier versions, whose sessions end with the term.
+	// Term is the term of the leader from which the sender last received a message; Obeyed
+	// refers to that leader's lists. Earlier versions, whose sessions end with the term, send
+	// 0.
 	Term uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// Entitlement is the part of an account's demand that its fair share covers: of
-// the rate that the operator names (Part), and of what the engines really make
-// if that is more (Extra, never below Part). Accounts that are not listed are
-// covered whole.
+// Entitlement is the fraction of an account's demand that its fair share covers: Part of the
+// rate that the operator configures, and Extra of the rate that the engines actually deliver if
+// that is higher. Extra is never below Part. Accounts that are not listed are covered
+// completely.
 type Entitlement struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
@@ -190,31 +195,34 @@
 	Extra   float32
 }
 
-// Fleet is sent by the leader to every gateway, ten times a second or less often if it
-// is large (registry.FleetBudget): the state of all gateways together. It is the same for
-// all, so that it is made and encoded once.
+// Fleet is sent by the leader to every gateway, ten times a second, or less often if it is
+// large (registry.FleetBudget). It describes the state of all gateways together and is the same
+// for all, so that it is built and encoded once.
 type Fleet struct {
 	Gateways int `cbor:"1,keyasint,omitempty"`
-	// Loads are the sums over all gateways that differ from those sent before, as far as
-	// the budget of a link allows (registry.Feed). Number 2 was another form of it.
+	// Loads are the sums over all gateways that differ from those sent before, as far as the
+	// budget of a link allows (registry.Feed). Number 2 was an earlier form of it.
 	Loads        []ServerLoad  `cbor:"8,keyasint,omitempty"`
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
-	// Short is set if requests within their accounts' shares find no room somewhere, or
-	// several accounts demand more than their shares: no account may exceed its share.
+	// Short is set if requests within their accounts' shares find no free capacity on some
+	// servers, or several accounts demand more than their shares. No account may then exceed
+	// its share.
 	Short bool `cbor:"5,keyasint,omitempty"`
-	// Unknown is set while the leader is new: its sums hold too little to decide by, and
-	// Entitlements, Short and Most say nothing.
+	// Unknown is set while the leader is new and its sums are too incomplete to decide by.
+	// Entitlements, Short and Most are then meaningless.
 	Unknown bool `cbor:"6,keyasint,omitempty"`
-	// Most bounds what one account may be given, in tokens a second; 0 does not.
+	// Most bounds the rate that one account may be given, in tokens per second; 0 means no
+	// bound.
 	Most float64 `cbor:"7,keyasint,omitempty"`
-	// Late has, for accounts in Entitlements, the parts of what comes back late: what their
-	// requests that can be in time leave of the share. None is no part.
+	// Late has, for accounts in Entitlements, the fractions of the late retries that are
+	// covered: what remains of the share after requests that can still be in time. An account
+	// without an entry has none covered.
 	Late []Entitlement `cbor:"9,keyasint,omitempty"`
 }
 
-// Counted goes before each Fleet: the last report of the receiving gateway that is in its
-// sums, 0 for none. What runs from other gateways is the sum less that report.
+// Counted is sent before each Fleet. Seq is the last report of the receiving gateway included
+// in the sums, or 0 for none. The load from other gateways is the sum minus that report.
 type Counted struct {
 	Seq uint64 `cbor:"1,keyasint,omitempty"`
 }
