--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,19 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is the operators' command line: it parses one command, makes
-// one call of the operators' interface, and prints the answer as a table or
-// as JSON.
+// Package cli is the operators' command line. It parses one command, calls the operators'
+// interface and prints the answer as a table or as JSON.
 //
-// The model: a command is a row of a table ([commands]) with its arguments,
-// its flags and the function that calls the fleet. Changes carry an identifier
-// that is drawn once and sent again until the fleet answers, so that a lost
-// answer neither loses nor doubles a change. A replica that does not lead
-// names the one that does, and the call goes there.
+// A command is a row of a table ([commands]) with its arguments, its flags and the function
+// that calls the fleet. Each change carries a random identifier and is resent under it until
+// the fleet answers, so that a lost answer neither loses nor duplicates a change. A replica
+// that does not lead names the leader, and the call is repeated there.
 //
-// The package owns nothing beyond one call; it relies on the operators' schema
-// (protocol/operator/v1), for explain on package decision, and for rollouts, which go to the
-// directory, on fleet links. There are no locks
-// and no goroutines.
+// The package holds no state beyond one call and has no locks and no goroutines. It depends on
+// the operators' schema (protocol/operator/v1), on package decision for explain, and on fleet
+// links for rollout and quarantine commands, which go to the directory.
 package cli
 
 import (
@@ -42,16 +39,16 @@
 	"github.com/badgerspoke/badgerspoke/settings"
 )
 
-// This file defines Run and what all commands share. The commands themselves
-// are in commands.go, the tables in table.go.
+// This file defines Run and the code that all commands share. The commands are in commands.go,
+// the tables in table.go.
 
 // Exit codes. Scripts rely on the numbers.
 const (
 	ExitOK          = 0 // done
 	ExitRefused     = 1 // the fleet refused the call, or explain found nothing
 	ExitUsage       = 2 // wrong command, argument or flag
-	ExitUnavailable = 3 // nobody leads or answers, or the outcome is not known: try again
-	ExitConflict    = 4 // another change took the revision that this one builds on
+	ExitUnavailable = 3 // no leader, no answer, or an unknown outcome: try again
+	ExitConflict    = 4 // another change based on the same revision was applied first
 )
 
 // Defaults of the calls to the fleet.
@@ -61,17 +58,17 @@
 	retryPause     = 200 * time.Millisecond // between two calls of one command
 )
 
-// command is one command of the table.
+// command is an entry of the command table.
 type command struct {
 	name    string   // "account create"
-	args    []string // positional arguments, as usage shows them
+	args    []string // positional arguments, as printed in usage
 	example string
 	summary string // for usage
 	flags   func(fs *flag.FlagSet, in *input)
 	run     func(ctx context.Context, c fleetClient, in *input) (proto.Message, error)
 }
 
-// input is the arguments and flags of a command.
+// input holds the arguments and flags of a command.
 type input struct {
 	args   []string
 	change *operatorv1.Change
@@ -94,7 +91,7 @@
 	neverRepeat string
 	checksFence bool
 	keepOld     bool
-	set         map[string]bool // flags that were given
+	set         map[string]bool // names of the flags given on the command line
 }
 
 // Run runs one command and returns the exit code.
@@ -108,7 +105,7 @@
 	if len(args) > 0 && args[0] == "quarantine" {
 		return runQuarantine(ctx, args[1:], getenv, stdout, stderr)
 	}
-	cmd, rest := find(args)
+cmd, rest := findCommand(args)
 	if cmd == nil {
 		usage(stderr)
 		if len(args) == 1 && (args[0] == "-h" || args[0] == "help") {
@@ -128,7 +125,7 @@
 	defer cancel()
 	answer, err := callLeader(ctx, cmd, in)
 	if err != nil {
-		fmt.Fprintf(stderr, "badgerspoke %s: %s\n", cmd.name, explain(err))
+		fmt.Fprintf(stderr, "badgerspoke %s: %s\n", cmd.name, explainError(err))
 		return exitCode(err)
 	}
 	if in.json {
@@ -139,7 +136,7 @@
 	return ExitOK
 }
 
-func find(args []string) (*command, []string) {
+func findCommand(args []string) (*command, []string) {
 	for i := range commands {
 		words := strings.Fields(commands[i].name)
 		if len(args) >= len(words) && strings.Join(args[:len(words)], " ") == commands[i].name {
@@ -149,7 +146,7 @@
 	return nil, nil
 }
 
-// parse takes the positional arguments first and the flags behind them.
+// parse parses the positional arguments, which come first, and the flags.
 func parse(cmd *command, args []string, getenv func(string) string, stderr io.Writer) (*input, error) {
 	in := &input{set: map[string]bool{}}
 	fs := flag.NewFlagSet("badgerspoke "+cmd.name, flag.ContinueOnError)
@@ -203,7 +200,7 @@
 	return nil
 }
 
-// readToken reads a token given as @FILE.
+// readToken reads the token from a file if it is given as @FILE.
 func (in *input) readToken() error {
 	path, isFile := strings.CutPrefix(in.token, "@")
 	if !isFile {
@@ -214,17 +211,17 @@
 	return err
 }
 
-// callLeader runs the command at the given box or at the leader that it names,
-// and again while nobody leads or an answer was lost.
+// callLeader runs the command at the given box or at the leader that it names, and repeats it
+// while there is no leader or an answer was lost.
 func callLeader(ctx context.Context, cmd *command, in *input) (proto.Message, error) {
 	server := in.server
 	for {
-		answer, err := cmd.run(ctx, client(server, in), in)
-		if err == nil || !mayRetry(err) {
+		answer, err := cmd.run(ctx, newClient(server, in), in)
+		if err == nil || !isRetryable(err) {
 			return answer, err
 		}
 		server = in.server
-		if l, ok := detail[*operatorv1.NotLeader](err); ok && l.GetOperatorsAddress() != "" {
+		if l, ok := errorDetail[*operatorv1.NotLeader](err); ok && l.GetOperatorsAddress() != "" {
 			server = l.GetOperatorsAddress()
 		}
 		if !sleep.For(ctx, retryPause) {
@@ -233,23 +230,23 @@
 	}
 }
 
-// mayRetry reports whether the same call, sent again, may succeed. Changes
-// carry their identifier, so that sending again is safe.
-func mayRetry(err error) bool {
+// isRetryable reports whether the same call may succeed if it is repeated. Repeating is safe
+// because changes carry an identifier.
+func isRetryable(err error) bool {
 	code := connect.CodeOf(err)
 	return code == connect.CodeUnavailable || code == connect.CodeDeadlineExceeded
 }
 
-func client(server string, in *input) fleetClient {
-	scheme, hc := "http://", http.DefaultClient
+func newClient(server string, in *input) fleetClient {
+	scheme, httpClient := "http://", http.DefaultClient
 	if in.authority != nil {
 		scheme = "https://"
-		hc = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: in.authority, MinVersion: tls.VersionTLS13}}}
+		httpClient = &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: in.authority, MinVersion: tls.VersionTLS13}}}
 	}
-	return operatorv1connect.NewOperatorServiceClient(hc, scheme+server, connect.WithInterceptors(Authorize(in.token)))
+	return operatorv1connect.NewOperatorServiceClient(httpClient, scheme+server, connect.WithInterceptors(Authorize(in.token)))
 }
 
-// Authorize sends the operators' token with every call.
+// Authorize returns an interceptor that adds the operators' token to every call.
 func Authorize(token string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -261,7 +258,7 @@
 
 func exitCode(err error) int {
 	switch {
-	case mayRetry(err):
+	case isRetryable(err):
 		return ExitUnavailable
 	case connect.CodeOf(err) == connect.CodeAborted:
 		return ExitConflict
@@ -269,27 +266,27 @@
 	return ExitRefused
 }
 
-// explain returns an error with what an operator needs to act on it.
-func explain(err error) string {
-	if bad, ok := detail[*operatorv1.Invalid](err); ok {
+// explainError formats an error with the details that an operator needs to act on it.
+func explainError(err error) string {
+	if bad, ok := errorDetail[*operatorv1.Invalid](err); ok {
 		lines := []string{"refused:"}
 		for _, m := range bad.GetMistakes() {
 			lines = append(lines, fmt.Sprintf("  %s: %s %s", m.GetSubject(), m.GetField(), m.GetReason()))
 		}
 		return strings.Join(lines, "\n")
 	}
-	if c, ok := detail[*operatorv1.Conflict](err); ok {
+	if c, ok := errorDetail[*operatorv1.Conflict](err); ok {
 		return fmt.Sprintf("change %q took revision %d (it touched %s); the current one is %d",
 			c.GetWinnerId(), c.GetBaseRevision()+1, strings.Join(c.GetWinnerSubjects(), ", "), c.GetCurrentRevision())
 	}
-	if u, ok := detail[*operatorv1.Undecided](err); ok {
+	if u, ok := errorDetail[*operatorv1.Undecided](err); ok {
 		return fmt.Sprintf("the fleet could not tell in time; run it again with -change-id %q", u.GetChangeId())
 	}
 	return err.Error()
 }
 
-// detail returns the detail of that type that an error carries.
-func detail[T proto.Message](err error) (T, bool) {
+// errorDetail returns the detail of type T that an error carries, if any.
+func errorDetail[T proto.Message](err error) (T, bool) {
 	var ce *connect.Error
 	if errors.As(err, &ce) {
 		for _, d := range ce.Details() {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -23,15 +23,16 @@
 
 // This file runs commands against a fake of the operators' interface.
 
-// fake answers a few calls with what a test sets.
-type fake struct {
+// fakeService implements MarkServer with the test's function and GetStatus with a fixed answer.
+// It records the tokens and change identifiers of the calls.
+type fakeService struct {
 	operatorv1connect.UnimplementedOperatorServiceHandler
 	mark   func(*operatorv1.MarkServerRequest) error
 	tokens []string
 	ids    []string
 }
 
-func (f *fake) MarkServer(_ context.Context, r *connect.Request[operatorv1.MarkServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
+func (f *fakeService) MarkServer(_ context.Context, r *connect.Request[operatorv1.MarkServerRequest]) (*connect.Response[operatorv1.ChangeResponse], error) {
 	f.tokens = append(f.tokens, r.Header().Get("Authorization"))
 	f.ids = append(f.ids, r.Msg.GetChange().GetId())
 	if err := f.mark(r.Msg); err != nil {
@@ -40,7 +41,7 @@
 	return connect.NewResponse(&operatorv1.ChangeResponse{Revision: 8}), nil
 }
 
-func (f *fake) GetStatus(context.Context, *connect.Request[operatorv1.GetStatusRequest]) (*connect.Response[operatorv1.GetStatusResponse], error) {
+func (f *fakeService) GetStatus(context.Context, *connect.Request[operatorv1.GetStatusRequest]) (*connect.Response[operatorv1.GetStatusResponse], error) {
 	return connect.NewResponse(&operatorv1.GetStatusResponse{
 		Revision: 7, Epoch: 3, Leader: "c1",
 		Replicas:  []*operatorv1.ReplicaStatus{{Name: "c1", Voter: true}, {Name: "c2"}},
@@ -51,7 +52,7 @@
 }
 
 // run runs a command line against f.
-func run(t *testing.T, f *fake, args ...string) (code int, stdout, stderr string) {
+func run(t *testing.T, f *fakeService, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.Handle(operatorv1connect.NewOperatorServiceHandler(f))
@@ -90,7 +91,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := &fake{mark: func(*operatorv1.MarkServerRequest) error { return tt.err }}
+			f := &fakeService{mark: func(*operatorv1.MarkServerRequest) error { return tt.err }}
 			code, stdout, stderr := run(t, f, tt.args...)
 			is.Equal(code, tt.code)
 			is.True(strings.Contains(stdout+stderr, tt.text))
@@ -104,7 +105,7 @@
 func TestLostAnswerIsResentUnderOneIdentifier(t *testing.T) {
 	is := is.New(t)
 	tries := 0
-	f := &fake{mark: func(*operatorv1.MarkServerRequest) error {
+	f := &fakeService{mark: func(*operatorv1.MarkServerRequest) error {
 		if tries++; tries < 3 {
 			return connect.NewError(connect.CodeUnavailable, errors.New("no leader"))
 		}
@@ -118,7 +119,7 @@
 
 func TestStatusTable(t *testing.T) {
 	is := is.New(t)
-	code, got, _ := run(t, &fake{}, "status")
+	code, got, _ := run(t, &fakeService{}, "status")
 	is.Equal(code, ExitOK)
 	path := filepath.Join("testdata", "status.txt")
 	if golden.Update() {
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -16,9 +16,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol/operator/v1/operatorv1connect"
 )
 
-// This file defines the table of the commands, their flags and their calls.
+// This file defines the table of commands, their flags and their calls.
 
-// fleetClient makes the operators' calls.
+// fleetClient is the client of the operators' interface.
 type fleetClient = operatorv1connect.OperatorServiceClient
 
 var commands = []command{
@@ -27,7 +27,7 @@
 		example: "badgerspoke account create hotel-adria -share 3",
 		flags:   accountFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
+			return responseMessage(c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
 				Change: in.change, Name: in.args[0], Share: in.share, Limits: &in.limits,
 			})))
 		},
@@ -35,7 +35,7 @@
 	{
 		name: "account list", summary: "list the client accounts", example: "badgerspoke account list -json",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
-			return message(c.ListAccounts(ctx, connect.NewRequest(&operatorv1.ListAccountsRequest{})))
+			return responseMessage(c.ListAccounts(ctx, connect.NewRequest(&operatorv1.ListAccountsRequest{})))
 		},
 	},
 	{
@@ -52,7 +52,7 @@
 			fs.BoolVar(&in.keepOld, "keep-old", false, "keep the earlier keys valid until they are revoked")
 		},
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.RotateKey(ctx, connect.NewRequest(&operatorv1.RotateKeyRequest{
+			return responseMessage(c.RotateKey(ctx, connect.NewRequest(&operatorv1.RotateKeyRequest{
 				Change: in.change, Name: in.args[0], KeepOld: in.keepOld,
 			})))
 		},
@@ -61,7 +61,7 @@
 		name: "account revoke-key", args: []string{"NAME", "HASH"}, summary: "revoke one key, by its hash as the list shows it",
 		example: "badgerspoke account revoke-key hotel-adria 2bb80d537b1d", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.RevokeKey(ctx, connect.NewRequest(&operatorv1.RevokeKeyRequest{
+			return responseMessage(c.RevokeKey(ctx, connect.NewRequest(&operatorv1.RevokeKeyRequest{
 				Change: in.change, Name: in.args[0], KeyHash: in.args[1],
 			})))
 		},
@@ -70,7 +70,7 @@
 		name: "account remove", args: []string{"NAME"}, summary: "remove an account; what waits is told so",
 		example: "badgerspoke account remove hotel-adria", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.RemoveAccount(ctx, connect.NewRequest(&operatorv1.RemoveAccountRequest{Change: in.change, Name: in.args[0]})))
+			return responseMessage(c.RemoveAccount(ctx, connect.NewRequest(&operatorv1.RemoveAccountRequest{Change: in.change, Name: in.args[0]})))
 		},
 	},
 	{
@@ -82,28 +82,28 @@
 		name: "server mark", args: []string{"NAME", "joining|serving|leaving"}, summary: "mark a backend server",
 		example: "badgerspoke server mark engine-7 leaving", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
-				Change: in.change, Name: in.args[0], Mark: markOf(in.args[1]),
+			return responseMessage(c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
+				Change: in.change, Name: in.args[0], Mark: parseMark(in.args[1]),
 			})))
 		},
 	},
 	{
 		name: "server list", summary: "list the backend servers", example: "badgerspoke server list",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
-			return message(c.ListServers(ctx, connect.NewRequest(&operatorv1.ListServersRequest{})))
+			return responseMessage(c.ListServers(ctx, connect.NewRequest(&operatorv1.ListServersRequest{})))
 		},
 	},
 	{
 		name: "server remove", args: []string{"NAME"}, summary: "remove a backend server that is not serving",
 		example: "badgerspoke server remove engine-7", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
-			return message(c.RemoveServer(ctx, connect.NewRequest(&operatorv1.RemoveServerRequest{Change: in.change, Name: in.args[0]})))
+			return responseMessage(c.RemoveServer(ctx, connect.NewRequest(&operatorv1.RemoveServerRequest{Change: in.change, Name: in.args[0]})))
 		},
 	},
 	{
 		name: "status", summary: "show how the fleet stands", example: "badgerspoke status",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
-			return message(c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{})))
+			return responseMessage(c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{})))
 		},
 	},
 	{
@@ -112,8 +112,8 @@
 	},
 }
 
-// message returns the message of an answer, whatever its type.
-func message[T any, P interface {
+// responseMessage returns the message of a response of any type.
+func responseMessage[T any, P interface {
 	*T
 	proto.Message
 }](resp *connect.Response[T], err error) (proto.Message, error) {
@@ -165,7 +165,7 @@
 	if in.set["max-waiting"] || in.set["max-waiting-bytes"] || in.set["max-running"] {
 		req.Limits = &in.limits
 	}
-	return message(c.UpdateAccount(ctx, connect.NewRequest(req)))
+	return responseMessage(c.UpdateAccount(ctx, connect.NewRequest(req)))
 }
 
 func addServer(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
@@ -173,9 +173,9 @@
 	if in.kind == "service" {
 		kind = operatorv1.Kind_KIND_SERVICE
 	}
-	return message(c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: in.change, Server: &operatorv1.Server{
-		Name: in.args[0], Pool: in.pool, Address: in.address, Kind: kind, Mark: markOf(in.mark), Slots: uint32(in.slots),
-		Models: list(in.models), Adapters: list(in.adapters), Version: in.version, ChecksFence: in.checksFence, NeverRepeat: list(in.neverRepeat),
+	return responseMessage(c.AddServer(ctx, connect.NewRequest(&operatorv1.AddServerRequest{Change: in.change, Server: &operatorv1.Server{
+		Name: in.args[0], Pool: in.pool, Address: in.address, Kind: kind, Mark: parseMark(in.mark), Slots: uint32(in.slots),
+		Models: splitList(in.models), Adapters: splitList(in.adapters), Version: in.version, ChecksFence: in.checksFence, NeverRepeat: splitList(in.neverRepeat),
 	}})))
 }
 
@@ -184,16 +184,16 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	return message(c.AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: revision})))
+	return responseMessage(c.AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: revision})))
 }
 
-// markOf returns the mark of that name, or unspecified, which the fleet refuses
-// with its reason.
-func markOf(name string) operatorv1.Mark {
+// parseMark returns the mark with the given name. An unknown name gives the unspecified mark,
+// which the fleet refuses with a reason.
+func parseMark(name string) operatorv1.Mark {
 	return operatorv1.Mark(operatorv1.Mark_value["MARK_"+strings.ToUpper(name)])
 }
 
-func list(v string) []string {
+func splitList(v string) []string {
 	if v == "" {
 		return nil
 	}
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -10,7 +10,7 @@
 	"github.com/badgerspoke/badgerspoke/decision"
 )
 
-// This file defines the command explain, the only one that calls no fleet.
+// This file defines the command explain, the only one that contacts no fleet.
 
 const explainUsage = `print the life of a request from the logs of the processes that it met
 
--- a/cli/fleetlink.go
+++ b/cli/fleetlink.go
@@ -17,17 +17,17 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines how commands reach the directory, not a control replica: they open a fleet
-// link with the fleet key in place of a call with a token.
+// This file defines how commands reach a directory replica: over a fleet link with the fleet
+// key, instead of a call with a token to a control replica.
 
-// operatorName is the name of an operator's side of a fleet link.
+// operatorName identifies the operator's side of a fleet link.
 const operatorName = "operator"
 
-// orderSilence ends one try, from the dial to the answer, so that one replica that is gone leaves time
-// for another: a replica answers within 2 s.
-const orderSilence = 2500 * time.Millisecond
+// orderAttemptTimeout bounds one attempt, from the dial to the answer, so that an unreachable
+// replica leaves time to try another. A replica answers within 2 s.
+const orderAttemptTimeout = 2500 * time.Millisecond
 
-// fleetFlags are the flags of a command that goes to the directory.
+// fleetFlags holds the flags of a command that goes to the directory.
 type fleetFlags struct {
 	fleet   string // fleet address of any directory replica
 	keyFile string
@@ -35,14 +35,14 @@
 	json    bool
 }
 
-// define defines the flags.
+// define adds the flags to fs.
 func (f *fleetFlags) define(fs *flag.FlagSet, getenv func(string) string) {
 	fs.StringVar(&f.fleet, "fleet", getenv(settings.EnvName("fleet")), "fleet address of any directory replica: IP:PORT")
 	fs.StringVar(&f.keyFile, "fleet-key-file", getenv(settings.EnvName("fleet-key-file")), "file with the key that all boxes share")
 	fs.BoolVar(&f.json, "json", false, "print the answer as JSON")
 }
 
-// readKey reads the file with the fleet key.
+// readKey reads the fleet key from its file.
 func (f *fleetFlags) readKey() error {
 	if f.fleet == "" || f.keyFile == "" {
 		return errors.New("wants -fleet IP:PORT and -fleet-key-file FILE")
@@ -52,26 +52,27 @@
 	return err
 }
 
-// ask sends an order to the given replica or to the leader that it names, and again while nobody
-// leads or an answer was lost. outcome reads an answer: what became of the order, and who leads.
-// The error is of the last try if none got an answer.
-func ask[A protocol.Message](ctx context.Context, f *fleetFlags, order protocol.Message, outcome func(A) (protocol.OrderOutcome, string)) (A, error) {
+// sendOrder sends an order to the given replica or to the leader that it names, and repeats it
+// while there is no leader or an answer was lost. outcome extracts from an answer the order's
+// outcome and the leader's address. If no attempt got an answer, sendOrder returns the error of
+// the last one.
+func sendOrder[A protocol.Message](ctx context.Context, f *fleetFlags, order protocol.Message, outcome func(A) (protocol.OrderOutcome, string)) (A, error) {
 	replica := f.fleet
 	var last A
 	var answered bool
 	for {
-		answer, err := askOne[A](ctx, replica, f.key, order)
+		answer, err := sendOrderTo[A](ctx, replica, f.key, order)
 		if errors.As(err, new(link.WrongKey)) {
 			return answer, err
 		}
 		replica = f.fleet
 		if err == nil {
-			became, leader := outcome(answer)
-			if became != protocol.OrderElsewhere && became != protocol.OrderUnclear {
+			result, leader := outcome(answer)
+			if result != protocol.OrderElsewhere && result != protocol.OrderUnclear {
 				return answer, nil
 			}
 			last, answered = answer, true
-			if became == protocol.OrderElsewhere && leader != "" {
+			if result == protocol.OrderElsewhere && leader != "" {
 				replica = leader
 			}
 		}
@@ -85,9 +86,9 @@
 	}
 }
 
-// askOne sends an order to one replica and waits for its answer.
-func askOne[A protocol.Message](ctx context.Context, replica string, key []byte, order protocol.Message) (answer A, err error) {
-	ctx, cancel := context.WithTimeout(ctx, orderSilence)
+// sendOrderTo sends an order to one replica and waits for its answer.
+func sendOrderTo[A protocol.Message](ctx context.Context, replica string, key []byte, order protocol.Message) (answer A, err error) {
+	ctx, cancel := context.WithTimeout(ctx, orderAttemptTimeout)
 	defer cancel()
 	l, err := link.Dial(ctx, replica, link.Identity{Name: operatorName, Key: key}, nil)
 	if err != nil {
@@ -108,7 +109,7 @@
 	return answer, nil
 }
 
-// orderExit returns the exit code of an order that was not done.
+// orderExit returns the exit code for an order that was not carried out.
 func orderExit(o protocol.OrderOutcome) int {
 	switch o {
 	case protocol.OrderConflict:
--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -14,22 +14,21 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file writes the commands, their flags, variables and exit codes down
-// and compares them with testdata/golden, which pins outward names. Run with
-// -update to write them anew.
+// This file compares the commands, their flags, environment variables and exit codes with
+// testdata/golden, which pins the public names. Run with -update to rewrite it.
 
 var (
-	changeID = regexp.MustCompile(`cli-[0-9a-z]+`)
-	flagLine = regexp.MustCompile(`^  -[a-z]`)
-	standard = regexp.MustCompile(`\(default .*\)$`)
+	changeID     = regexp.MustCompile(`cli-[0-9a-z]+`)
+	flagLine     = regexp.MustCompile(`^  -[a-z]`)
+	defaultValue = regexp.MustCompile(`\(default .*\)$`)
 )
 
 func TestGoldenFlags(t *testing.T) {
 	is := is.New(t)
 	var got strings.Builder
-	asked := map[string]string{"BADGERSPOKE_SERVER": "from SERVER", "BADGERSPOKE_TOKEN": "from TOKEN", "BADGERSPOKE_TLS_CA_FILE": "from CA"}
+	customEnv := map[string]string{"BADGERSPOKE_SERVER": "from SERVER", "BADGERSPOKE_TOKEN": "from TOKEN", "BADGERSPOKE_TLS_CA_FILE": "from CA"}
 	for _, c := range commands {
-		for _, env := range []map[string]string{nil, asked} {
+		for _, env := range []map[string]string{nil, customEnv} {
 			var help bytes.Buffer
 			code := Run(context.Background(), append(strings.Fields(c.name), "-h"), func(k string) string { return env[k] }, &help, &help)
 			is.Equal(code, 0)
@@ -44,7 +43,8 @@
 	golden.Text(t, "flags.txt", got.String())
 }
 
-// flagsOf returns names, kinds and defaults; the explanations may be reworded.
+// flagsOf returns the names, types and defaults of the flags in a help text. The descriptions
+// are not pinned.
 func flagsOf(help string) string {
 	var got strings.Builder
 	for line := range strings.Lines(changeID.ReplaceAllString(help, "cli-ID")) {
@@ -53,7 +53,7 @@
 		case flagLine.MatchString(line):
 			got.WriteString(line + "\n")
 		case strings.HasPrefix(line, "    \t"):
-			if d := standard.FindString(line); d != "" {
+			if d := defaultValue.FindString(line); d != "" {
 				got.WriteString("    " + d + "\n")
 			}
 		}
@@ -63,10 +63,10 @@
 
 func TestGoldenRolloutFlags(t *testing.T) {
 	var got strings.Builder
-	asked := map[string]string{"BADGERSPOKE_FLEET": "from FLEET", "BADGERSPOKE_FLEET_KEY_FILE": "from KEY"}
+	env := map[string]string{"BADGERSPOKE_FLEET": "from FLEET", "BADGERSPOKE_FLEET_KEY_FILE": "from KEY"}
 	for _, name := range []string{"start", "status", "abort"} {
 		var help bytes.Buffer
-		code := Run(context.Background(), []string{"rollout", name, "-h"}, func(k string) string { return asked[k] }, &help, &help)
+		code := Run(context.Background(), []string{"rollout", name, "-h"}, func(k string) string { return env[k] }, &help, &help)
 		is.New(t).Equal(code, ExitOK)
 		got.WriteString("rollout " + name + " " + strings.Join(rolloutCommands[name].args, " ") + "\n" + flagsOf(help.String()))
 	}
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -18,9 +18,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines the commands about condemned requests, under which backend servers end.
+// This file defines the commands about condemned requests, whose backend servers ended while
+// running them.
 
-// quarantineTimeout bounds all tries of one command together. An election, several times.
+// quarantineTimeout bounds all attempts of one command together. It allows for several
+// elections.
 const quarantineTimeout = 10 * time.Second
 
 // quarantineCommand is one command about condemned requests.
@@ -54,7 +56,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
-	answer, err := ask(ctx, &f, order, func(a protocol.QuarantineAnswer) (protocol.OrderOutcome, string) { return a.Outcome, a.Leader })
+	answer, err := sendOrder(ctx, &f, order, func(a protocol.QuarantineAnswer) (protocol.OrderOutcome, string) { return a.Outcome, a.Leader })
 	switch {
 	case errors.As(err, new(link.WrongKey)):
 		fmt.Fprintf(stderr, "badgerspoke quarantine %s: %v\n", cmd.name, err)
@@ -70,7 +72,7 @@
 	return ExitOK
 }
 
-// parse takes the key, if the command has one, and the flags behind it.
+// parse parses the key, if the command has one, and the flags that follow it.
 func (cmd quarantineCommand) parse(f *fleetFlags, args []string, getenv func(string) string, stderr io.Writer) (order protocol.QuarantineOrder, err error) {
 	fs := flag.NewFlagSet("badgerspoke quarantine "+cmd.name, flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -100,7 +102,7 @@
 	return order, f.readKey()
 }
 
-// condemnedJSON is a condemned request as JSON.
+// condemnedJSON is the JSON form of a condemned request.
 type condemnedJSON struct {
 	Key     string   `json:"key"`
 	Account string   `json:"account"`
@@ -116,7 +118,7 @@
 		}
 		out := json.NewEncoder(w)
 		out.SetIndent("", "  ")
-		// Standard output that takes nothing has nobody to be told.
+		// A failed write to standard output cannot be reported anywhere.
 		_ = out.Encode(all)
 		return
 	}
--- a/cli/quarantine_test.go
+++ b/cli/quarantine_test.go
@@ -26,7 +26,7 @@
 		args   []string
 		answer protocol.Message
 		code   int
-		says   string
+		text   string
 	}{
 		{"list", []string{"list"}, condemned, ExitOK, key + "  hotel    llm   e1 e2 e3"},
 		{"none", []string{"list"}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "KEY"},
@@ -45,12 +45,12 @@
 			f := newReplica(t, tt.answer)
 			code, stdout, stderr := runCommand(t, f, fleetKey, append([]string{"quarantine"}, tt.args...)...)
 			is.Equal(code, tt.code)
-			is.True(strings.Contains(stdout+stderr, tt.says))
+			is.True(strings.Contains(stdout+stderr, tt.text))
 		})
 	}
 }
 
-// TestQuarantineIsLedOn: a command follows to the leader that a replica names.
+// TestQuarantineIsLedOn checks that a command is redirected to the leader that a replica names.
 func TestQuarantineIsLedOn(t *testing.T) {
 	is := is.New(t)
 	leader := newReplica(t, condemned)
@@ -60,7 +60,7 @@
 	is.True(strings.Contains(stdout, "hotel"))
 }
 
-// TestQuarantineTable pins what people read.
+// TestQuarantineTable pins the printed table and JSON.
 func TestQuarantineTable(t *testing.T) {
 	var got strings.Builder
 	printCondemned(&got, false, condemned.Condemned)
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -19,18 +19,19 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines the commands about rollouts.
+// This file defines the rollout commands.
 
-// Times of a command about a rollout.
+// Times of a rollout command.
 const (
-	// rolloutTimeout bounds all tries of one command together: for as long replicas surely
-	// take a repeated order for a copy, so that no repeat begins a second attempt.
+	// rolloutTimeout bounds all attempts of one command together. Within rollout.MinWindow,
+	// replicas are certain to recognize a repeated order as a copy, so that no repeat starts a
+	// second rollout.
 	rolloutTimeout = rollout.MinWindow
-	// defaultWithin is the time of an order that names none.
+	// defaultWithin is the duration of an order without -within.
 	defaultWithin = 10 * time.Minute
 )
 
-// rolloutCommand is one command about rollouts.
+// rolloutCommand is one of the rollout commands.
 type rolloutCommand struct {
 	act     protocol.OrderAct
 	args    []string
@@ -53,13 +54,13 @@
 	},
 }
 
-// rolloutInput is the flags of a command about a rollout.
+// rolloutInput holds the flags and the order of a rollout command.
 type rolloutInput struct {
 	fleetFlags
 	order protocol.RolloutOrder
 }
 
-// runRollout runs a command about a rollout and returns the exit code.
+// runRollout runs a rollout command and returns the exit code.
 func runRollout(ctx context.Context, args []string, getenv func(string) string, stdout, stderr io.Writer) int {
 	var cmd rolloutCommand
 	known := false
@@ -80,7 +81,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, rolloutTimeout)
 	defer cancel()
-	answer, err := carryOut(ctx, in)
+	answer, err := executeRolloutOrder(ctx, in)
 	if err != nil {
 		fmt.Fprintf(stderr, "badgerspoke rollout %s: %v\n", args[0], err)
 		if errors.As(err, new(link.WrongKey)) {
@@ -96,7 +97,7 @@
 	return ExitOK
 }
 
-// parseRollout takes the positional arguments first and the flags behind them.
+// parseRollout parses the positional arguments, which come first, and the flags.
 func parseRollout(cmd rolloutCommand, name string, args []string, getenv func(string) string, stderr io.Writer) (*rolloutInput, error) {
 	in := &rolloutInput{order: protocol.RolloutOrder{Act: cmd.act}}
 	fs := flag.NewFlagSet("badgerspoke rollout "+name, flag.ContinueOnError)
@@ -129,15 +130,16 @@
 	return in, in.readKey()
 }
 
-// carryOut sends an order until it is answered. An abort is of the attempt that is the newest
-// now: a copy of it that comes late must not end the next one.
-func carryOut(ctx context.Context, in *rolloutInput) (protocol.RolloutAnswer, error) {
+// executeRolloutOrder sends the order of a command until it is answered. An abort names the
+// attempt that is the newest now, so that a delayed copy of the order cannot abort a later
+// attempt.
+func executeRolloutOrder(ctx context.Context, in *rolloutInput) (protocol.RolloutAnswer, error) {
 	if in.order.Act != protocol.OrderAbort {
-		return order(ctx, in)
+		return sendRolloutOrder(ctx, in)
 	}
 	status, abort := *in, *in
 	status.order = protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: in.order.Pool}
-	answer, err := order(ctx, &status)
+	answer, err := sendRolloutOrder(ctx, &status)
 	if err != nil || answer.Outcome != protocol.OrderDone {
 		return answer, err
 	}
@@ -145,20 +147,20 @@
 		return answer, errors.New("the answer does not say which attempt is the newest")
 	}
 	abort.order.Attempt = answer.Newest.Attempt
-	return order(ctx, &abort)
+	return sendRolloutOrder(ctx, &abort)
 }
 
-// order sends an order about a rollout until it is answered.
-func order(ctx context.Context, in *rolloutInput) (protocol.RolloutAnswer, error) {
-	return ask(ctx, &in.fleetFlags, in.order, func(a protocol.RolloutAnswer) (protocol.OrderOutcome, string) { return a.Outcome, a.Leader })
+// sendRolloutOrder sends a rollout order until it is answered.
+func sendRolloutOrder(ctx context.Context, in *rolloutInput) (protocol.RolloutAnswer, error) {
+	return sendOrder(ctx, &in.fleetFlags, in.order, func(a protocol.RolloutAnswer) (protocol.OrderOutcome, string) { return a.Outcome, a.Leader })
 }
 
-// rolloutWords are the states as they are printed.
-var rolloutWords = map[document.RolloutState]string{
+// rolloutStateNames are the printed names of the rollout states.
+var rolloutStateNames = map[document.RolloutState]string{
 	document.RolloutUnderWay: "under way", document.RolloutComplete: "complete", document.RolloutRolledBack: "rolled back",
 }
 
-// rolloutJSON is the answer as JSON.
+// rolloutJSON is the JSON form of a pool's newest rollout.
 type rolloutJSON struct {
 	Pool           string   `json:"pool"`
 	Target         string   `json:"target"`
@@ -170,17 +172,17 @@
 	Replaced       []string `json:"replaced"`
 }
 
-// printRollout prints the newest rollout of a pool after an order that was done.
+// printRollout prints the newest rollout of a pool after a successful order.
 func printRollout(w io.Writer, in *rolloutInput, r *protocol.RolloutStatus) {
 	if r == nil {
 		fmt.Fprintln(w, "done; what became of it can't be read now")
 		return
 	}
-	state := rolloutWords[document.RolloutState(r.State)]
+	state := rolloutStateNames[document.RolloutState(r.State)]
 	if in.json {
 		out := json.NewEncoder(w)
 		out.SetIndent("", "  ")
-		// Standard output that takes nothing has nobody to be told.
+		// A failed write to standard output cannot be reported anywhere.
 		_ = out.Encode(rolloutJSON{
 			Pool: in.order.Pool, Target: r.Target, State: state, Attempt: r.Attempt, WithinSeconds: r.Duration.Seconds(),
 			ElapsedSeconds: r.Elapsed.Seconds(), RolledBack: r.Barred, Replaced: r.Replaced,
@@ -191,10 +193,10 @@
 	defer t.Flush()
 	fmt.Fprintf(t, "POOL\tVERSION\tSTATE\tATTEMPT\tELAPSED\tWITHIN\tROLLED BACK\tREPLACED\n")
 	fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%v\t%v\t%s\t%s\n", in.order.Pool, r.Target, state, r.Attempt,
-		r.Elapsed.Round(time.Second), r.Duration, orNone(r.Barred), orNone(r.Replaced))
+		r.Elapsed.Round(time.Second), r.Duration, joinOrNone(r.Barred), joinOrNone(r.Replaced))
 }
 
-func orNone(versions []string) string {
+func joinOrNone(versions []string) string {
 	if len(versions) == 0 {
 		return "none"
 	}
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -22,17 +22,17 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file runs the commands about rollouts against fakes of directory replicas.
+// This file runs the rollout commands against fakes of directory replicas.
 
 const fleetKey = "a key that all nodes share"
 
-// fakeReplica answers orders with one answer after the other, the last for good.
+// fakeReplica answers orders with its answers in turn and repeats the last one.
 type fakeReplica struct {
 	address string
 	mu      sync.Mutex
 	answers []protocol.Message
 	orders  []protocol.RolloutOrder
-	links   int // that were tried
+	links   int // number of links that were attempted
 }
 
 // newReplica starts a replica that gives these answers.
@@ -50,7 +50,7 @@
 		}
 		defer l.Close()
 		if m, err := l.Receive(r.Context()); err == nil {
-			_ = l.Send(r.Context(), f.next(m)) // a command that has gone
+			_ = l.Send(r.Context(), f.next(m)) // the command may have ended
 		}
 	})
 	s := httptest.NewServer(mux)
@@ -72,14 +72,14 @@
 	return answer
 }
 
-// asked returns how many orders have come.
-func (f *fakeReplica) asked() int {
+// orderCount returns the number of rollout orders received.
+func (f *fakeReplica) orderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.orders)
 }
 
-// runOn runs a command about rollouts against a replica, with a fleet key.
+// runOn runs a rollout command against a replica, with a fleet key.
 func runOn(t *testing.T, f *fakeReplica, key string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	return runCommand(t, f, key, append([]string{"rollout"}, args...)...)
@@ -110,7 +110,7 @@
 		answer protocol.Message
 		code   int
 		text   string
-		order  protocol.RolloutOrder // that was sent
+		order  protocol.RolloutOrder // expected order
 	}{
 		{
 			"start", []string{"start", "llm", "v8", "-within", "20m"}, underWay, ExitOK, "under way",
@@ -145,13 +145,13 @@
 	}
 }
 
-// TestAbortNamesAnAttempt: a command reads which attempt is the newest, and ends that one, however
-// often it asks for it.
+// TestAbortNamesAnAttempt checks that abort reads which attempt is the newest and names it in
+// every abort order, including repeats.
 func TestAbortNamesAnAttempt(t *testing.T) {
 	is := is.New(t)
 	unclear := protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"}
-	back := protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{Target: "v8", State: 3, Attempt: 3}}
-	f := newReplica(t, underWay, unclear, back)
+	rolledBack := protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{Target: "v8", State: 3, Attempt: 3}}
+	f := newReplica(t, underWay, unclear, rolledBack)
 	code, stdout, _ := runOn(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "rolled back"))
@@ -162,14 +162,14 @@
 	code, _, _ = runOn(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitRefused)
 	is.Equal(len(f.orders), 1)
-	f = newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderDone}) // says nothing
+	f = newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderDone}) // does not contain the newest rollout
 	code, _, _ = runOn(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitUnavailable)
 	is.Equal(len(f.orders), 1)
 }
 
-// TestRolloutGoesToTheLeader: a replica that does not lead names the one that does; while
-// none does, the same order is sent again.
+// TestRolloutGoesToTheLeader checks that an order is redirected to the leader that a replica
+// names, and that the same order is sent again while there is no leader.
 func TestRolloutGoesToTheLeader(t *testing.T) {
 	is := is.New(t)
 	leader := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"}, underWay)
@@ -184,14 +184,14 @@
 func TestRolloutNeedsAReplicaAndAKey(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	nothing := func(string) string { return "" }
-	is.Equal(Run(t.Context(), []string{"rollout", "status", "llm"}, nothing, &out, &out), ExitUsage)
+	emptyEnv := func(string) string { return "" }
+	is.Equal(Run(t.Context(), []string{"rollout", "status", "llm"}, emptyEnv, &out, &out), ExitUsage)
 	is.True(strings.Contains(out.String(), "-fleet-key-file"))
 	missing := []string{"rollout", "status", "llm", "-fleet", "127.0.0.1:1", "-fleet-key-file", filepath.Join(t.TempDir(), "missing")}
-	is.Equal(Run(t.Context(), missing, nothing, &out, &out), ExitUsage)
+	is.Equal(Run(t.Context(), missing, emptyEnv, &out, &out), ExitUsage)
 }
 
-// TestWrongFleetKey: no repeat makes a key right.
+// TestWrongFleetKey checks that a wrong key fails at once: a retry cannot succeed.
 func TestWrongFleetKey(t *testing.T) {
 	is := is.New(t)
 	f := newReplica(t, underWay)
@@ -204,27 +204,28 @@
 	is.Equal(f.links, 1)
 }
 
-// TestNobodyKnows: an order that gets no clear answer in time may be given again.
+// TestNobodyKnows checks that an order without a clear answer in time exits with the code for
+// trying again.
 func TestNobodyKnows(t *testing.T) {
 	is := is.New(t)
 	f := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"})
 	in := &rolloutInput{fleetFlags: fleetFlags{fleet: f.address, key: []byte(fleetKey)}, order: protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	go func() { // ends the command once an answer has come, however long that takes here
-		for ctx.Err() == nil && f.asked() < 2 {
+	go func() { // ends the command once an answer has arrived, regardless of how long that takes
+		for ctx.Err() == nil && f.orderCount() < 2 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}()
-	answer, err := order(ctx, in)
+	answer, err := sendRolloutOrder(ctx, in)
 	is.NoErr(err)
 	is.Equal(orderExit(answer.Outcome), ExitUnavailable)
 	is.Equal(orderExit(protocol.OrderElsewhere), ExitUnavailable)
-	is.True(rolloutTimeout <= rollout.MinWindow) // later repeats would be orders of their own
+	is.True(rolloutTimeout <= rollout.MinWindow) // later repeats would count as new orders
 }
 
-// TestRolloutTable pins what people read.
+// TestRolloutTable pins the printed tables and JSON.
 func TestRolloutTable(t *testing.T) {
 	var got strings.Builder
 	printRollout(&got, &rolloutInput{order: protocol.RolloutOrder{Pool: "llm"}}, underWay.Newest)
--- a/cli/table.go
+++ b/cli/table.go
@@ -13,7 +13,7 @@
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 )
 
-// This file defines how answers are printed for people.
+// This file prints answers as tables.
 
 func printAnswer(w io.Writer, answer proto.Message) {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
@@ -47,12 +47,12 @@
 func printAccounts(w io.Writer, m *operatorv1.ListAccountsResponse) {
 	fmt.Fprintf(w, "NAME\tSHARE\tMAX WAITING\tMAX RUNNING\tKEYS\n")
 	for _, a := range m.GetAccounts() {
-		fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%s\n", a.GetName(), a.GetShare(), limit(a.GetLimits().GetWaiting()),
-			limit(a.GetLimits().GetRunning()), strings.Join(a.GetKeyHashes(), " "))
+		fmt.Fprintf(w, "%s\t%g\t%s\t%s\t%s\n", a.GetName(), a.GetShare(), formatLimit(a.GetLimits().GetWaiting()),
+			formatLimit(a.GetLimits().GetRunning()), strings.Join(a.GetKeyHashes(), " "))
 	}
 }
 
-func limit(n uint32) string {
+func formatLimit(n uint32) string {
 	if n == 0 {
 		return "default"
 	}
@@ -62,7 +62,7 @@
 func printServers(w io.Writer, m *operatorv1.ListServersResponse) {
 	fmt.Fprintf(w, "NAME\tPOOL\tKIND\tMARK\tADDRESS\tSLOTS\tMODELS\n")
 	for _, s := range m.GetServers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", s.GetName(), s.GetPool(), word(s.GetKind()), word(s.GetMark()),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", s.GetName(), s.GetPool(), enumName(s.GetKind()), enumName(s.GetMark()),
 			s.GetAddress(), s.GetSlots(), strings.Join(s.GetModels(), ","))
 	}
 }
@@ -82,7 +82,7 @@
 	}
 	fmt.Fprintf(w, "\nSERVER\tPOOL\tMARK\tGRANTED\tSLOTS\tEMPTY\n")
 	for _, s := range m.GetServers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%t\n", s.GetName(), s.GetPool(), word(s.GetMark()), s.GetGranted(), s.GetSlots(), s.GetEmpty())
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%t\n", s.GetName(), s.GetPool(), enumName(s.GetMark()), s.GetGranted(), s.GetSlots(), s.GetEmpty())
 	}
 	fmt.Fprintf(w, "\nPOOL\tACCOUNT\tSHARE\tSERVICE/SHARE\tWAITING\n")
 	for _, s := range m.GetStandings() {
@@ -90,8 +90,8 @@
 	}
 }
 
-// word returns an enumeration's value as operators write it.
-func word(v fmt.Stringer) string {
+// enumName returns the name of an enumeration value without its prefix, in lower case.
+func enumName(v fmt.Stringer) string {
 	_, name, _ := strings.Cut(v.String(), "_")
 	return strings.ToLower(name)
 }
