--- a/cli/cli.go
+++ b/cli/cli.go
@@ -105,7 +105,7 @@
 	if len(args) > 0 && args[0] == "quarantine" {
 		return runQuarantine(ctx, args[1:], getenv, stdout, stderr)
 	}
-cmd, rest := findCommand(args)
+	cmd, rest := findCommand(args)
 	if cmd == nil {
 		usage(stderr)
 		if len(args) == 1 && (args[0] == "-h" || args[0] == "help") {
--- a/process/connections_test.go
+++ b/process/connections_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// countedConn counts the read deadlines set on it: idleConnections ends a connection that way.
+// countedConn counts the read deadlines set on it, by which idle connections are closed.
 type countedConn struct {
 	net.Conn
 	ended *atomic.Int64
--- a/process/unread.go
+++ b/process/unread.go
@@ -21,8 +21,8 @@
 
 const (
 	// maxUnread bounds the connections accepted but not read. A gateway with a fifth of a core
-	// needs 250 us of processor time for a connection and its refusal, so a full set takes 40
-	// ms to serve.
+	// needs 250 us of processor time for each connection and its refusal, so 32 of them take
+	// 40 ms.
 	maxUnread = 32
 	// unreadTimeout is how long a connection that sends nothing counts as unread. Callers that
 	// open connections ahead of time must not block others.
@@ -46,8 +46,8 @@
 	return c
 }
 
-// unreadConn is a connection counted in unreadConns. release uncounts it and has no effect
-// after the first call.
+// unreadConn is a connection counted in unreadConns. release removes it from the count and has
+// no effect after the first call.
 type unreadConn struct {
 	net.Conn
 	read    atomic.Bool
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -11,7 +11,7 @@
 type Loss struct {
 	_       struct{} `cbor:",toarray"`
 	Key     []byte
-	Hint    uint32 // hash of the request that covers only the length of its body
+	Hint    uint32 // hash of the request with only the length of its body
 	Account string
 	Pool    string
 	Server  string // the server's identifier
--- a/protocol/rollout.go
+++ b/protocol/rollout.go
@@ -5,7 +5,7 @@
 // This file defines the messages between the leading directory replica and the gateways about
 // rollouts: shifting a pool's requests to another version of its backend servers.
 
-// Rollout tells gateways how to treat the versions of one pool's backend servers.
+// Rollout describes how gateways treat the versions of one pool's backend servers.
 type Rollout struct {
 	Pool string `cbor:"1,keyasint"`
 	// Attempt numbers the pool's rollouts. Outcomes are counted from 0 in each.
