--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -4,47 +4,46 @@
 
 import "time"
 
-// This file defines unreached, which keeps attempts at one server that has stopped from being
-// counted as failures of its version. An attempt that got no connection costs no caller anything:
-// it goes elsewhere.
+// This file defines unreached, which keeps attempts at a single stopped server from being counted
+// as failures of its version. Such an attempt got no connection and is retried elsewhere, so it
+// costs the caller nothing.
 
 const (
-	// unreachedFor is for how long a server that could not be reached counts as such. An ejected
-	// one is tried again within that (outlier.longestWait).
-	unreachedFor = 12 * time.Second
-	// unreachedAnswers is how soon after that an answer of the server shows that it has not
-	// stopped, but refuses some. One that has stopped needs longer to start again.
-	unreachedAnswers = time.Second
-	// maxUnreached bounds the attempts at one server that wait to be counted; it is ejected after
-	// a few.
-	maxUnreached = 16
+	// unreachedExpiry is how long a server counts as unreachable after the last failed attempt. An
+	// ejected server is tried again within that time (outlier.longestWait).
+	unreachedExpiry = 12 * time.Second
+	// minRestartTime is less than a stopped server takes to start again. If a server answers sooner
+	// after a failed attempt, it had not stopped but refuses some connections.
+	minRestartTime = time.Second
+	// maxUnreachedAttempts bounds the uncounted attempts at one server; it is ejected after a few.
+	maxUnreachedAttempts = 16
 )
 
-// unreached is, by the servers of a target that could not be reached, the attempts at them that
-// are not counted as failed. The zero value has none. It is guarded by table.mu.
-type unreached map[string]*gone
+// unreached holds the servers of a rollout's target that could not be reached, by identifier, with
+// the attempts at them that are not counted as failed. It is guarded by table.mu.
+type unreached map[string]*unreachedAttempts
 
-// gone is the attempts at one server that could not be reached.
-type gone struct {
-	at      time.Duration // of the newest
-	tallies []*tally      // that they are counted in, once they are
+// unreachedAttempts holds the uncounted attempts at one server that could not be reached.
+type unreachedAttempts struct {
+	lastAttempt time.Duration // time of the newest attempt
+	tallies     []*tally      // tallies in which the attempts belong
 }
 
-// add takes an attempt at a server that could not be reached. Once it is not the only one, all
-// that waited are counted.
+// add records an attempt at a server that could not be reached. If more than one server is
+// unreachable, the version itself may be at fault, and all recorded attempts are counted as failed.
 func (u unreached) add(now time.Duration, server string, c *tally) {
 	g := u[server]
 	if g == nil {
-		g = &gone{}
+		g = &unreachedAttempts{}
 		u[server] = g
 	}
-	g.at = now
-	if len(g.tallies) < maxUnreached {
+	g.lastAttempt = now
+	if len(g.tallies) < maxUnreachedAttempts {
 		g.tallies = append(g.tallies, c)
 	}
 	fresh := 0
 	for id, other := range u {
-		if now-other.at >= unreachedFor {
+		if now-other.lastAttempt >= unreachedExpiry {
 			delete(u, id)
 			continue
 		}
@@ -58,22 +57,22 @@
 	}
 }
 
-// recordAnswer takes an answer of a server and reports whether it could not be reached before.
+// recordAnswer records an answer of a server and reports whether the server was unreachable before.
 func (u unreached) recordAnswer(now time.Duration, server string) bool {
 	g := u[server]
 	if g == nil {
 		return false
 	}
-	if now-g.at < unreachedAnswers {
+	if now-g.lastAttempt < minRestartTime {
 		g.count()
 	}
 	delete(u, server)
 	return true
 }
 
-// others returns the servers that could be reached, or all if there is none: a trial goes on with
-// another server.
-func (u unreached) others(servers []*knownServer) []*knownServer {
+// reachable returns the servers that are not known to be unreachable, or all if there are none: a
+// trial goes on with other servers.
+func (u unreached) reachable(servers []*knownServer) []*knownServer {
 	if len(u) == 0 {
 		return servers
 	}
@@ -89,8 +88,8 @@
 	return reached
 }
 
-// count counts the attempts as failed.
-func (g *gone) count() {
+// count counts the recorded attempts as failed.
+func (g *unreachedAttempts) count() {
 	for _, c := range g.tallies {
 		c.failed++
 		c.changed = true
--- a/router/parse_test.go
+++ b/router/parse_test.go
@@ -12,11 +12,12 @@
 	"github.com/badgerspoke/badgerspoke/coordination/share"
 )
 
-// This file checks what the router reads from a stream as it passes.
+// This file tests what the router reads from the answers and headers that it relays.
 
 const stream = "data: {\"choices\":[1]}\n\n: comment\n\ndata: {\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":4," +
 	"\"prompt_tokens_details\":{\"cached_tokens\":5}}}\r\n\r\ndata: [DONE]\n\n"
 
+// TestScanDoesNotDependOnPieces checks that the scan is the same however the stream is split.
 func TestScanDoesNotDependOnPieces(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= len(stream); size++ {
@@ -28,27 +29,30 @@
 		}
 		is.Equal(s.chunks, 2)
 		is.True(s.done)
-		is.Equal(s.usage.share(), share.Usage{Input: 4, Cached: 5, Output: 4})
+		is.Equal(s.usage.normalized(), share.Usage{Input: 4, Cached: 5, Output: 4})
 	}
 }
 
+// TestLongLinesTakeBoundedMemory checks that a line that never ends takes bounded memory, and that
+// later lines are scanned.
 func TestLongLinesTakeBoundedMemory(t *testing.T) {
 	is := is.New(t)
 	var s streamScan
 	for range 1000 {
 		s.write(bytes.Repeat([]byte("x"), 1000))
 	}
-	is.True(len(s.line) <= maxLine)
+	is.True(len(s.partialLine) <= maxLine)
 	s.write([]byte("\ndata: [DONE]\n"))
-	is.True(s.done) // what follows is read again
+	is.True(s.done) // the next line is scanned again
 }
 
+// TestUsageOfNonsense checks that invalid usage from an engine is corrected or ignored.
 func TestUsageOfNonsense(t *testing.T) {
 	is := is.New(t)
-	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.share(), share.Usage{})
+	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.normalized(), share.Usage{})
 	var u usage
 	u.PromptTokens, u.Details.CachedTokens = 3, 99
-	is.Equal(u.share(), share.Usage{Cached: 3})
+	is.Equal(u.normalized(), share.Usage{Cached: 3})
 	is.True(parseUsage([]byte("<html>")) == nil)
 	is.True(parseUsage([]byte(`{"usage":null}`)) == nil)
 }
@@ -78,7 +82,7 @@
 	f.Add([]byte(`{"usage":{"prompt_tokens":1}}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if u := parseUsage(b); u != nil {
-			s := u.share()
+			s := u.normalized()
 			if s.Input < 0 || s.Cached < 0 || s.Output < 0 {
 				t.Fatalf("%+v", s)
 			}
@@ -86,6 +90,7 @@
 	})
 }
 
+// TestHeadersThatStayHere checks which headers are not forwarded to a plain service.
 func TestHeadersThatStayHere(t *testing.T) {
 	is := is.New(t)
 	from := map[string][]string{
