--- a/protocol/consensus.go
+++ b/protocol/consensus.go
@@ -64,7 +64,7 @@
 
 // The kinds of consensus message. The numbers are on the wire.
 const (
-	MsgPreVote       ConsensusKind = 1 // queries whether a vote in Term would be granted; changes nothing
+	MsgPreVote       ConsensusKind = 1  // queries whether a vote in Term would be granted; changes nothing
 	MsgPreVoteReply  ConsensusKind = 2  // granted, unless Reject; then Term is the sender's
 	MsgVote          ConsensusKind = 3  // request for a vote in Term
 	MsgVoteReply     ConsensusKind = 4  // granted, unless Reject
