--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -61,7 +61,7 @@
 			setFlag(t, "rapid.failfile", "")
 			setFlag(t, "rapid.nofailfile", "true")
 			n := run(t, t.Name(), property)
-			t.Logf("%s ran %d schedules", t.Name(), n)
+			t.Logf("%s played %d schedules", t.Name(), n)
 		})
 	}
 }
