--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -13,63 +13,64 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines announcer, which takes backend servers' announcements at a replica that
-// does not lead, and passes them on to the leader in batches.
+// This file defines announcer, which accepts backend servers' announcements at a replica that is
+// not the leader, and forwards them to the leader in batches.
 //
-// Each backend server announces itself on a kept connection, once a second. At the leader
-// alone that is a connection for each server of the fleet, and a call that costs it as much
-// as anything it does: on 300 boxes with 2,998 servers it had 4,291 connections, where a
-// process may have 4,096 descriptors, and after a loss of all power the fleet did not come
-// back in 30 s (docs/CAPACITY.md). Any replica has its part of them so.
+// Each backend server announces itself once per second over a persistent connection. If all of them
+// connected to the leader, it would hold one connection per server of the fleet, and the calls
+// would be among its largest costs: on 300 boxes with 2,998 servers it held 4,291 connections,
+// above a process limit of 4,096 descriptors, and after a total power loss the fleet did not
+// recover within 30 s (docs/CAPACITY.md). Instead, every replica accepts a part of the
+// announcements.
 //
-// Ways weighed: announcements are answered with the leader's address (the way before, and
-// still what a replica does that cannot reach the leader); acknowledged here before the
-// leader has them (one that is lost then is late by an interval, and a new server waits for
-// as long); acknowledged once the leader has them (kept: what is acknowledged is on its way
-// to the gateways, as at the leader).
+// Alternatives considered: redirecting announcements to the leader's address (the earlier protocol,
+// and the fallback of a replica that cannot reach the leader); acknowledging before the leader has
+// the announcement (if it is lost, the registration is late by one interval, and a new server waits
+// that long). Here an announcement is acknowledged once the leader has applied it, so that an
+// acknowledged announcement is on its way to the gateways, as at the leader itself.
 //
-// Where this replica relays, the leader is far, and an announcement that differs from what the
-// leader lists in nothing but its number goes as that number and a handle: 3,000 servers, half
-// of them behind the link, would else take 150 KB/s of it.
+// On a relay the leader is remote. An announcement that differs from the leader's list only in its
+// sequence number is sent as that number and a handle: otherwise 3,000 servers, half of them behind
+// the link, would use 150 KB/s of it.
 
 const (
-	// batchPause is how long announcements are gathered: short against the second within which a
-	// backend server wants its answer.
-	batchPause = 20 * time.Millisecond
-	// batchMost is the number of announcements in one message. 100 B each, 50 KB.
-	batchMost = 512
-	// waitingMost is the number of announcements that may wait; beyond it they are refused. A
-	// replica's part of 10,000 backend servers, several times.
-	waitingMost = 8192
-	// announceSilence ends a link to the leader that answers nothing. Within the time that a backend
-	// server waits.
-	announceSilence = 800 * time.Millisecond
-	// announceIdle ends one at the leader on which nothing came.
-	announceIdle = 30 * time.Second
+	// batchDelay is how long announcements are collected. A backend server waits up to a second for
+	// its answer.
+	batchDelay = 20 * time.Millisecond
+	// maxBatchSize is the number of announcements per message. At 100 bytes each, this is 50 KB.
+	maxBatchSize = 512
+	// maxQueuedAnnouncements is the capacity of the queue; further announcements are refused. It is
+	// several times one replica's part of 10,000 backend servers.
+	maxQueuedAnnouncements = 8192
+	// announceTimeout closes a link on which the leader does not answer. It is shorter than the
+	// time that a backend server waits.
+	announceTimeout = 800 * time.Millisecond
+	// announceIdleTimeout closes a link at the leader on which nothing was received.
+	announceIdleTimeout = 30 * time.Second
 )
 
-// announcer passes announcements on. Only the goroutine of run uses its links.
+// announcer forwards announcements. Only the goroutine of run uses its links.
 type announcer struct {
 	d     *Directory
-	queue chan announcing
+	queue chan pendingAnnouncement
 }
 
-// announcing is an announcement whose backend server waits.
-type announcing struct {
+// pendingAnnouncement is an announcement whose backend server waits for the result.
+type pendingAnnouncement struct {
 	protocol.Announcement
-	done chan error // buffered
+	result chan error // buffered
 }
 
 func newAnnouncer(d *Directory) *announcer {
-	return &announcer{d: d, queue: make(chan announcing, waitingMost)}
+	return &announcer{d: d, queue: make(chan pendingAnnouncement, maxQueuedAnnouncements)}
 }
 
-// announce passes an announcement on and waits until the leader has taken it. The error is
-// [NotLeader] where the leader cannot be reached from here, or [Unavailable].
+// announce forwards an announcement and waits until the leader has applied it. The error is
+// [NotLeader] if the leader cannot be reached from here, or [Unavailable].
 func (n *announcer) announce(ctx context.Context, a registry.Announcement) error {
-	waiting := announcing{
+	waiting := pendingAnnouncement{
 		Announcement: protocol.Announcement{Registration: a.Registration.Sent(), Seq: a.Seq, ColdLeft: a.ColdLeft},
-		done:         make(chan error, 1),
+		result:       make(chan error, 1),
 	}
 	select {
 	case n.queue <- waiting:
@@ -77,7 +78,7 @@
 		return Unavailable{}
 	}
 	select {
-	case err := <-waiting.done:
+	case err := <-waiting.result:
 		return err
 	case <-ctx.Done():
 		return Unavailable{Err: ctx.Err()}
@@ -86,75 +87,75 @@
 	}
 }
 
-// run passes on what is queued, on one link at a time, until the replica stops.
+// run forwards queued announcements, over one link at a time, until the replica stops.
 func (n *announcer) run() {
-	var batch []announcing
+	var batch []pendingAnnouncement
 	for n.d.ctx.Err() == nil {
 		if len(batch) == 0 {
-			batch = n.next(n.d.ctx)
+			batch = n.awaitNext(n.d.ctx)
 		}
 		if len(batch) > 0 {
 			batch = n.session(batch)
 		}
 	}
-	end(batch, Unavailable{Err: n.d.ctx.Err()})
+	finishAll(batch, Unavailable{Err: n.d.ctx.Err()})
 }
 
-// session opens a link to the leader and passes announcements on, the first batch and what
-// comes, until the link fails, another replica leads, or nothing comes for a while. It
-// returns those that were not passed on and may go to the next leader.
-func (n *announcer) session(batch []announcing) (left []announcing) {
+// session opens a link to the leader and forwards the first batch and further announcements, until
+// the link fails, the leader changes, or the queue stays empty for a while. It returns the
+// announcements that were not sent and may go to the next leader.
+func (n *announcer) session(batch []pendingAnnouncement) (left []pendingAnnouncement) {
 	leader := n.d.Leader()
 	if leader == "" || leader == n.d.cfg.Identity.Name {
-		end(append(batch, n.gather()...), Unavailable{})
+		finishAll(append(batch, n.drainQueue()...), Unavailable{})
 		return nil
 	}
 	ctx, cancel := context.WithCancel(n.d.ctx)
 	defer cancel()
-	dialing, dialed := context.WithTimeout(ctx, announceSilence)
-	l, err := link.Dial(dialing, leader, n.d.cfg.Identity, n.d.meter)
-	dialed()
+	dialCtx, cancelDial := context.WithTimeout(ctx, announceTimeout)
+	l, err := link.Dial(dialCtx, leader, n.d.cfg.Identity, n.d.meter)
+	cancelDial()
 	if err != nil {
-		end(append(batch, n.gather()...), NotLeader{Leader: leader})
+		finishAll(append(batch, n.drainQueue()...), NotLeader{Leader: leader})
 		return nil
 	}
 	defer l.Close()
-	n.d.cfg.Log.StateChange("announcements passed on", slog.String("leader", leader))
+	n.d.cfg.Log.StateChange("forwarding announcements", slog.String("leader", leader))
 	for seq := uint64(1); len(batch) > 0; seq++ {
 		if n.d.Leader() != leader {
 			return batch
 		}
-		if !sleep.For(ctx, batchPause) {
+		if !sleep.For(ctx, batchDelay) {
 			return batch
 		}
-		batch = append(batch, n.gather()...)
+		batch = append(batch, n.drainQueue()...)
 		if err := n.exchange(ctx, l, seq, batch); err != nil {
-			end(batch, NotLeader{Leader: leader})
+			finishAll(batch, NotLeader{Leader: leader})
 			return nil
 		}
-		end(batch, nil)
-		batch = n.next(ctx)
+		finishAll(batch, nil)
+		batch = n.awaitNext(ctx)
 	}
 	return nil
 }
 
-// next waits for another announcement, for some time.
-func (n *announcer) next(ctx context.Context) []announcing {
-	idle := time.NewTimer(announceIdle / 2)
+// awaitNext waits for another announcement for a limited time.
+func (n *announcer) awaitNext(ctx context.Context) []pendingAnnouncement {
+	idle := time.NewTimer(announceIdleTimeout / 2)
 	defer idle.Stop()
 	select {
 	case a := <-n.queue:
-		return []announcing{a}
+		return []pendingAnnouncement{a}
 	case <-idle.C:
 	case <-ctx.Done():
 	}
 	return nil
 }
 
-// gather returns what is queued, as much as goes into one message beside one more.
-func (n *announcer) gather() []announcing {
-	var batch []announcing
-	for len(batch) < batchMost-1 {
+// drainQueue returns the queued announcements, up to one less than a message holds.
+func (n *announcer) drainQueue() []pendingAnnouncement {
+	var batch []pendingAnnouncement
+	for len(batch) < maxBatchSize-1 {
 		select {
 		case a := <-n.queue:
 			batch = append(batch, a)
@@ -165,10 +166,10 @@
 	return batch
 }
 
-// exchange sends a batch and waits for its answer.
-func (n *announcer) exchange(ctx context.Context, l *link.Link, seq uint64, batch []announcing) error {
+// exchange sends a batch and waits for its acknowledgement.
+func (n *announcer) exchange(ctx context.Context, l *link.Link, seq uint64, batch []pendingAnnouncement) error {
 	m := protocol.Announce{Seq: seq}
-	err := n.d.hub.do(ctx, func() error { n.d.hub.shorten(&m, batch); return nil })
+	err := n.d.hub.do(ctx, func() error { n.d.hub.fillAnnounce(&m, batch); return nil })
 	if err != nil {
 		return err
 	}
@@ -176,7 +177,7 @@
 		return err
 	}
 	for {
-		answer, err := l.ReceiveWithin(ctx, announceSilence)
+		answer, err := l.ReceiveWithin(ctx, announceTimeout)
 		if err != nil {
 			return err
 		}
@@ -186,9 +187,9 @@
 	}
 }
 
-// shorten fills a message with announcements, by their handles where the list of the leader
-// that this replica relays has them.
-func (h *hub) shorten(m *protocol.Announce, batch []announcing) {
+// fillAnnounce adds announcements to a message, by handle if the relayed list of the leader
+// contains the same registration.
+func (h *hub) fillAnnounce(m *protocol.Announce, batch []pendingAnnouncement) {
 	now := h.d.replica.Now()
 	for _, a := range batch {
 		if r := h.relay; r != nil && r.out != nil && a.ColdLeft == 0 {
@@ -201,22 +202,22 @@
 	}
 }
 
-// end ends the wait of all announcements in a batch; without an error they were taken.
-func end(batch []announcing, err error) {
+// finishAll reports the result of all announcements of a batch to their callers.
+func finishAll(batch []pendingAnnouncement, err error) {
 	for _, a := range batch {
-		a.done <- err
+		a.result <- err
 	}
 }
 
-// serveAnnouncer takes the announcements that another replica passes on, until its link
-// ends or this replica does not lead.
+// serveAnnouncer applies the announcements that another replica forwards, until its link ends or
+// this replica is no longer the leader.
 func (h *hub) serveAnnouncer(ctx context.Context, l *link.Link, first protocol.Announce) {
 	for m := first; ; {
-		err := h.do(ctx, func() error { return h.takeAll(m) })
+		err := h.do(ctx, func() error { return h.applyAnnouncements(m) })
 		if err != nil || l.Send(ctx, protocol.Announced{Seq: m.Seq}) != nil {
 			return
 		}
-		next, err := l.ReceiveWithin(ctx, announceIdle)
+		next, err := l.ReceiveWithin(ctx, announceIdleTimeout)
 		if err != nil {
 			return
 		}
@@ -227,10 +228,10 @@
 	}
 }
 
-// takeAll takes announcements in the hub's goroutine. One that is senseless changes nothing, nor
-// does one of a server that is not listed any more: the sender learns that, and sends all of it
-// the next time. The error is [Unavailable].
-func (h *hub) takeAll(m protocol.Announce) error {
+// applyAnnouncements applies announcements in the hub's goroutine. Invalid ones are skipped, as are
+// repeats for servers that are no longer listed: their sender then finds the handle missing and
+// sends the full registration next time. The error is [Unavailable].
+func (h *hub) applyAnnouncements(m protocol.Announce) error {
 	if h.term == 0 || (len(m.Again) > 0 && m.Term != h.term) {
 		return Unavailable{}
 	}
--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -15,9 +15,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestAnyReplicaTakesAnnouncements: a backend server that announces itself at a replica that
-// does not lead reaches the gateways as well, also after the leader is lost; a replica
-// that cannot reach the leader says so within the time that the backend server waits.
+// TestAnyReplicaTakesAnnouncements: an announcement at a follower must reach the gateways too, also
+// after the leader is lost. A replica that cannot reach the leader must return an error within the
+// time that the backend server waits.
 func TestAnyReplicaTakesAnnouncements(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -65,8 +65,8 @@
 	})
 }
 
-// TestVersionsReachTheLog: the version of a backend server is known to the next leader, at
-// whichever replica the server announced itself.
+// TestVersionsReachTheLog: the next leader must get a backend server's version from the log,
+// whichever replica the server announced itself to.
 func TestVersionsReachTheLog(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -11,11 +11,11 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file measures what the leader spends on gateways and backend servers.
+// This file measures the leader's cost of gateways and backend servers.
 
-// BenchmarkFleet reports the bytes of one Fleet message, and the time to make and encode
-// it for all gateways, with every backend server in use, all sums changed since the last
-// one, and a tenth of the accounts beyond its share.
+// BenchmarkFleet reports the size of one Fleet message, and the time to build and encode it for all
+// gateways. Every backend server is in use, all sums change between messages, and a tenth of the
+// accounts exceed their share.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ gateways, servers, accounts int }{
 		{9, 15, 16}, {60, 95, 30}, {295, 171, 60}, {1600, 10000, 5800},
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkSum reports the time to add up all gateways' reports, ten times a
+// BenchmarkSum reports the time to sum up the reports of all gateways, which happens ten times per
 // second.
 func BenchmarkSum(b *testing.B) {
 	u := newUsage()
@@ -56,15 +56,14 @@
 		for j := range 100 {
 			m.Loads = append(m.Loads, protocol.ServerLoad{Handle: uint32((i*100+j)%10000 + 1), Requests: 3, Tokens: 2000})
 		}
-		u.add(&session{gateway: fmt.Sprint(i)}, m)
+		u.addReport(&session{gateway: fmt.Sprint(i)}, m)
 	}
 	for b.Loop() {
 		u.sumLoads()
 	}
 }
 
-// BenchmarkAnnounce reports the time to take one announcement that changes
-// nothing.
+// BenchmarkAnnounce reports the time to apply one announcement without changes.
 func BenchmarkAnnounce(b *testing.B) {
 	r := registry.New(0, time.Second, registry.NewHandles(1))
 	const servers = 10000
@@ -90,21 +89,22 @@
 	}
 }
 
-// BenchmarkLeaderSecond reports what the leader's goroutine computes in a second where sessions are spread: the
-// reports of its part of the gateways and of the relays, announcements each three seconds, sums, shares and Fleet
-// messages. Encoding is measured once for all; what its links cost is not. 54 and 99 ms, on one box beside other load.
+// BenchmarkLeaderSecond reports the CPU time of the leader's goroutine per second where sessions
+// are spread: reports of its part of the gateways and of the relays, announcements every three
+// seconds, sums, shares and Fleet messages. Messages are encoded once for all sessions; sending
+// them is not included.
 func BenchmarkLeaderSecond(b *testing.B) {
 	for _, size := range []struct{ gateways, servers, replicas, accounts int }{{985, 9998, 10, 333}, {1970, 20_000, 20, 333}} {
 		b.Run(fmt.Sprintf("gateways=%d/backends=%d", size.gateways, size.servers), func(b *testing.B) {
 			l := newLoadedLeader(size.servers, size.gateways/size.replicas, size.replicas-1, size.accounts)
 			for b.Loop() {
-				l.second(b)
+				l.runSecond(b)
 			}
 		})
 	}
 }
 
-// loadedLeader is a leader's tables with a busy fleet.
+// loadedLeader holds the tables of a leader with a busy fleet.
 type loadedLeader struct {
 	registry         *registry.Registry
 	usage            *usage
@@ -139,8 +139,8 @@
 	}})
 }
 
-// second plays one.
-func (l *loadedLeader) second(b *testing.B) {
+// runSecond simulates one second.
+func (l *loadedLeader) runSecond(b *testing.B) {
 	l.seq++
 	for i := range l.servers / 3 {
 		l.announce((i*3 + int(l.seq)) % l.servers)
@@ -148,10 +148,10 @@
 	for tick := range 10 {
 		l.now += 100 * time.Millisecond
 		for i, s := range l.gateways {
-			l.usage.add(s, protocol.Usage{Loads: l.loads(3, i+tick), Demands: l.accounts[:3], Served: l.accounts[:3], Started: 6000})
+			l.usage.addReport(s, protocol.Usage{Loads: l.loads(3, i+tick), Demands: l.accounts[:3], Served: l.accounts[:3], Started: 6000})
 		}
 		for i, s := range l.relays {
-			l.usage.add(s, protocol.Usage{Changes: true, Loads: l.loads(registry.MaxSumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
+			l.usage.addReport(s, protocol.Usage{Changes: true, Loads: l.loads(registry.MaxSumLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
 		}
 		l.usage.sumLoads()
 		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
@@ -165,7 +165,7 @@
 	}
 }
 
-// loads returns what runs on some servers, others each time.
+// loads returns loads of n servers, different ones on each call.
 func (l *loadedLeader) loads(n, from int) (all []protocol.ServerLoad) {
 	for i := range n {
 		all = append(all, protocol.ServerLoad{Handle: uint32((from*97+i*31+int(l.seq))%l.servers + 1), Requests: uint32(1 + i%3), Tokens: uint32(i * 100)})
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -12,11 +12,11 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests the loss of disks and of all power at one moment.
+// This file tests the simultaneous loss of disks and of all power.
 
 // TestDisksAndAllPowerAreLost: two of five replicas lose their disks while everything loses power,
-// gateways too, right after changes were acknowledged. Nothing acknowledged is lost, and all is
-// served again.
+// including the gateways, right after changes were acknowledged. No acknowledged change may be
+// lost, and service must resume.
 func TestDisksAndAllPowerAreLost(t *testing.T) {
 	withFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
@@ -56,7 +56,7 @@
 			others, _ := c.answeredShare("other")
 			is.True(others > 0.99)
 			for _, n := range x.gateways {
-				is.True(!slices.Contains(n.g.Servers(), "s1")) // it has left
+				is.True(!slices.Contains(n.g.Servers(), "s1")) // it was withdrawn
 			}
 		})
 	})
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -27,34 +27,34 @@
 	"github.com/badgerspoke/badgerspoke/transport/mesh"
 )
 
-// This file defines Directory, the assembled role, and its operations.
+// This file defines Directory, which assembles the parts of the role, and its operations.
 
-// group is the name of the consensus group, in messages and logs.
-const group = "directory"
+// groupName is the name of the consensus group, in messages and logs.
+const groupName = "directory"
 
-// Settings of a directory replica.
+// Settings configures a directory replica.
 type Settings struct {
-	// Identity's name is this replica's fleet address, IP:PORT: replicas of
-	// an open group go by their addresses.
+	// Identity.Name is this replica's fleet address, IP:PORT. Replicas of an open group are named
+	// by their addresses.
 	Identity  link.Identity
 	Seeds     []string // fleet addresses
-	Bootstrap bool     // the first start of the whole group
-	Voters    int      // wanted in the group
+	Bootstrap bool     // true on the first start of the whole group
+	Voters    int      // target number of voters
 	Dir       wal.Dir
-	// Interval is the time between a backend server's announcements.
+	// Interval is the period of a backend server's announcements.
 	Interval time.Duration
-	// Halls are the data halls that exist, besides those that backend servers name.
+	// Halls lists the data halls that exist, besides those that backend servers name.
 	Halls []string
-	// OrderWindow is for how long an operator repeats an order about a hall; 0 is
+	// OrderWindow is how long an operator repeats an order about a hall. Zero means
 	// evacuation.DefaultWindow.
 	OrderWindow time.Duration
-	Hall        string // the data hall where this replica stands; empty if the settings name none
-	// Region is where this replica stands; empty if the settings name none.
+	Hall        string // the data hall of this replica; empty if not configured
+	// Region is the region of this replica; empty if not configured.
 	Region   string
 	Topology topology.Topology // of the fleet
-	// LinkRate is the capacity of this box's link, in bytes a second; 0 is not known.
+	// LinkRate is the capacity of this box's link, in bytes per second. Zero means unknown.
 	LinkRate float64
-	// Rollouts bounds what a bad version of a pool's backend servers may cost.
+	// Rollouts limits the exposure to a bad version of a pool's backend servers.
 	Rollouts rollout.Bounds
 	replica.Tuning
 	Random  func() uint64
@@ -74,12 +74,12 @@
 	meter       *link.Meter
 	hub         *hub
 	announcer   *announcer
-	nodeRegions sync.Map // region by fleet address, of nodes that have named one
-	running     sync.WaitGroup
+	nodeRegions sync.Map // region by fleet address, of the nodes that named one
+	wg          sync.WaitGroup
 }
 
-// Start opens the data folder and joins or founds the group. It runs until
-// Stop, or until its disk fails (see Done).
+// Start opens the data folder and joins or creates the group. The replica runs until Stop is called
+// or its disk fails (see Done).
 func Start(ctx context.Context, cfg Settings) (*Directory, error) {
 	cfg.Tuning = cfg.Tuning.WithDefaults()
 	ctx, stop := context.WithCancel(ctx)
@@ -94,7 +94,7 @@
 	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, d.meter)
 	var err error
 	d.replica, err = replica.Start(ctx, replica.Settings{
-		Group: group, Name: cfg.Identity.Name, Names: cfg.Seeds,
+		Group: groupName, Name: cfg.Identity.Name, Names: cfg.Seeds,
 		Open: &replica.OpenGroup{Bootstrap: cfg.Bootstrap, Voters: cfg.Voters},
 		Dir:  cfg.Dir, Machine: d.state, Send: d.mesh.Send, Tuning: cfg.Tuning,
 		Random: cfg.Random, Clock: cfg.Clock, Log: cfg.Log.Slog(), Observe: d.hub.observe,
@@ -103,19 +103,19 @@
 		stop()
 		return nil, err
 	}
-	d.running.Go(d.hub.run)
-	d.running.Go(d.announcer.run)
-	d.running.Go(d.hub.findLeader)
+	d.wg.Go(d.hub.run)
+	d.wg.Go(d.announcer.run)
+	d.wg.Go(d.hub.runRelayLoop)
 	return d, nil
 }
 
-// ServeHTTP accepts links of other nodes at [link.Path]: a gateway's first message is
-// a [protocol.Watch], a replica's is a [protocol.Consensus].
+// ServeHTTP accepts links from other nodes at [link.Path]. The first message on a link selects its
+// handler: for example [protocol.Watch] from a gateway, [protocol.Consensus] from a replica.
 func (d *Directory) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mesh.Serve(w, r, d.replica.Deliver, func(ctx context.Context, l *link.Link, first protocol.Message) {
 		switch first := first.(type) {
 		case protocol.Watch:
-			d.hub.serve(ctx, l, first)
+			d.hub.serveSession(ctx, l, first)
 		case protocol.Announce:
 			d.hub.serveAnnouncer(ctx, l, first)
 		case protocol.RolloutOrder:
@@ -126,9 +126,8 @@
 	})
 }
 
-// Put takes a document. When it returns nil, the document, or one with a
-// higher number, is on the disks of a majority. The error is
-// [document.Invalid], [NotLeader] or [Unavailable].
+// Put replicates a document. When it returns nil, this document or one with a higher number is on
+// the disks of a majority. The error is [document.Invalid], [NotLeader] or [Unavailable].
 func (d *Directory) Put(ctx context.Context, h document.Held) error {
 	if err := h.Document.Check(); err != nil {
 		return err
@@ -139,7 +138,7 @@
 	return d.propose(ctx, command{Put: &h})
 }
 
-// NoDocument is the error of a read before the first document.
+// NoDocument is returned by a read before the first document.
 type NoDocument struct{}
 
 // Error implements error.
@@ -160,9 +159,9 @@
 	return held, nil
 }
 
-// Announce takes a backend server's announcement, at any replica. When it returns nil, it is on its
-// way to the gateways; the departure of one that is leaving is then on the disks of a
-// majority. The error is [registry.Invalid], [UnknownPool], [NotLeader] or [Unavailable].
+// Announce registers a backend server, at any replica. When it returns nil, the announcement is on
+// its way to the gateways; if the server is leaving, its departure is on the disks of a majority.
+// The error is [registry.Invalid], [UnknownPool], [NotLeader] or [Unavailable].
 func (d *Directory) Announce(ctx context.Context, a registry.Announcement) error {
 	if err := a.Check(); err != nil {
 		return err
@@ -170,7 +169,7 @@
 	if a.Leaving {
 		return d.Withdraw(ctx, a.ID)
 	}
-	if !d.names(a.Pool) {
+	if !d.acceptsPool(a.Pool) {
 		return UnknownPool{Pool: a.Pool}
 	}
 	if err := d.checkLeading(); errors.As(err, new(NotLeader)) {
@@ -184,16 +183,17 @@
 	return d.hub.announce(ctx, a)
 }
 
-// names reports whether the document in force names a pool; before the first, it may be any. A
-// server of another pool is used by nobody, and would take an address from one that is.
-func (d *Directory) names(pool string) bool {
+// acceptsPool reports whether the document in force contains a pool; before the first document, any
+// pool is accepted. No gateway uses a server of an unknown pool, but its registration could
+// displace a server in use at the same address.
+func (d *Directory) acceptsPool(pool string) bool {
 	held, known := d.state.Held()
 	return !known || slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool })
 }
 
-// Withdraw removes a backend server for good, or the listed life of the one that has a name. When
-// it returns nil, the departure is on the disks of a majority. The error is [NotLeader] or
-// [Unavailable].
+// Withdraw removes a backend server permanently. A name without a life removes the listed life of
+// that server. When it returns nil, the departure is on the disks of a majority. The error is
+// [NotLeader] or [Unavailable].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
 	if err := d.checkLeading(); err != nil {
 		return err
@@ -217,17 +217,17 @@
 // Address returns this replica's fleet address.
 func (d *Directory) Address() string { return d.cfg.Identity.Name }
 
-// Leader returns the leader's fleet address, or "" when none is known.
+// Leader returns the leader's fleet address, or "" if it is unknown.
 func (d *Directory) Leader() string { return d.hub.leadership.Load().leader }
 
-// Formed reports whether this replica belongs to a group; before that it only
-// knows its seeds.
+// Formed reports whether this replica belongs to a group. Before that, it has only its list of
+// seeds.
 func (d *Directory) Formed() bool { return d.hub.leadership.Load().formed }
 
-// Leads reports whether this replica leads now.
+// Leads reports whether this replica is the leader and its lease is valid.
 func (d *Directory) Leads() bool { return d.checkLeading() == nil }
 
-// checkLeading returns nil at the leader, else [NotLeader] or [Unavailable].
+// checkLeading returns nil at the leader, otherwise [NotLeader] or [Unavailable].
 func (d *Directory) checkLeading() error {
 	leadership := d.hub.leadership.Load()
 	if leadership.leads && d.replica.Now() < leadership.leaseEnd {
@@ -243,13 +243,13 @@
 	return NotLeader{Leader: leader}
 }
 
-// propose puts a command into the log and waits until it is applied here.
+// propose appends a command to the log and waits until it is applied at this replica.
 func (d *Directory) propose(ctx context.Context, c command) error {
 	_, err := d.proposeChange(ctx, c)
 	return err
 }
 
-// proposeChange does the same and reports whether the command changed the state.
+// proposeChange is propose, and reports whether the command changed the state.
 func (d *Directory) proposeChange(ctx context.Context, c command) (changed bool, err error) {
 	data, err := cbor.Marshal(c)
 	if err != nil {
@@ -263,27 +263,27 @@
 	case err != nil:
 		return false, Unavailable{Err: err}
 	}
-	changed, _ = result.(bool) // a command that cannot be read gives an error
+	changed, _ = result.(bool) // an undecodable command yields an error, not a bool
 	return changed, nil
 }
 
-// Done is closed when the disk failed and the process must start again.
+// Done is closed when the disk has failed and the process must be restarted.
 func (d *Directory) Done() <-chan struct{} { return d.replica.Done() }
 
-// Err returns why, after Done.
+// Err returns the reason once Done is closed.
 func (d *Directory) Err() error { return d.replica.Err() }
 
-// handoverElections bounds, in election timeouts, how long a stop waits for a successor: when no other
-// replica runs, none will come.
-const handoverElections = 3
+// maxHandoverElections limits how long Stop waits for a successor, in election timeouts. Without
+// another running replica there is none.
+const maxHandoverElections = 3
 
-// Stop hands the leadership over, if another replica can take it, and stops.
+// Stop transfers the leadership to another replica if one is available, and stops this one.
 func (d *Directory) Stop(ctx context.Context) {
-	handover, cancel := context.WithTimeout(ctx, handoverElections*d.cfg.Election)
-	// Without a successor the other replicas elect one once they miss this leader.
+	handover, cancel := context.WithTimeout(ctx, maxHandoverElections*d.cfg.Election)
+	// On failure the other replicas elect a leader once they miss this one's heartbeats.
 	_ = d.replica.Transfer(handover)
 	cancel()
 	d.stop()
 	<-d.replica.Done()
-	d.running.Wait()
+	d.wg.Wait()
 }
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -17,7 +17,7 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what operators, backend servers and gateways may rely on.
+// This file tests the guarantees for operators, backend servers and gateways.
 
 func TestPutAndRead(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
@@ -26,8 +26,8 @@
 		_, err := l.Read(x.t.Context())
 		is.True(errors.As(err, new(directory.NoDocument)))
 		is.NoErr(l.Put(x.t.Context(), testDocument(7)))
-		is.NoErr(l.Put(x.t.Context(), testDocument(7))) // again
-		is.NoErr(l.Put(x.t.Context(), testDocument(3))) // an older one comes late
+		is.NoErr(l.Put(x.t.Context(), testDocument(7))) // a repeat
+		is.NoErr(l.Put(x.t.Context(), testDocument(3))) // an older document arrives late
 		h, err := l.Read(x.t.Context())
 		is.NoErr(err)
 		is.Equal(string(h.Source), "source of 7")
@@ -67,9 +67,8 @@
 	})
 }
 
-// TestCutOffLeaderNeverReadsOld cuts the leader off in silence; the others
-// accept a newer document. The old leader must not answer with the older one,
-// at any moment.
+// TestCutOffLeaderNeverReadsOld partitions the leader off silently, and the others accept a newer
+// document. A leader that served reads past its lease would return the older document.
 func TestCutOffLeaderNeverReadsOld(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -89,7 +88,7 @@
 			}
 			h, err := old.d.Read(x.t.Context())
 			if acknowledged && err == nil {
-				x.t.Fatalf("the old leader reads document %d", h.Document.Number)
+				x.t.Fatalf("the old leader served document %d", h.Document.Number)
 			}
 		}
 		is.True(acknowledged)
@@ -101,8 +100,8 @@
 	})
 }
 
-// TestAcknowledgedSurvivesPowerLoss crashes every disk right after an
-// acknowledgement.
+// TestAcknowledgedSurvivesPowerLoss crashes every disk right after an acknowledgement. Changes that
+// were acknowledged before their sync would be lost.
 func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -120,8 +119,8 @@
 	})
 }
 
-// TestTwoDisksLostAfterAcknowledgement wipes two of five right after an
-// acknowledgement, the leader among them, while the others lose power.
+// TestTwoDisksLostAfterAcknowledgement replaces two of five disks, including the leader's, right
+// after an acknowledgement, while the other replicas lose power.
 func TestTwoDisksLostAfterAcknowledgement(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -144,16 +143,16 @@
 			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
-			time.Sleep(4 * time.Second) // the lost ones have caught up
+			time.Sleep(4 * time.Second) // the replaced disks are up to date
 		}
 	})
 }
 
-// TestOneHolderOutlivesAllPower: an acknowledged change is on the leader and two
-// followers alone; the leader and one of them lose their disks while every other machine
-// loses power, replicas that do not vote and gateways too. What is left of it is one disk.
+// TestOneHolderOutlivesAllPower: only the leader and two followers hold an acknowledged change. The
+// leader and one of the two lose their disks while all other machines lose power, including
+// non-voting replicas and gateways. The change must survive on the one disk that is left.
 func TestOneHolderOutlivesAllPower(t *testing.T) {
-	withFleet(t, 7, func(x *fleet) { // five vote
+	withFleet(t, 7, func(x *fleet) { // five of them vote
 		is := is.New(x.t)
 		x.gateway("10.0.2.1")
 		for round := uint64(1); round <= 8; round++ {
@@ -163,9 +162,9 @@
 			followers := slices.DeleteFunc(voters, func(ip string) bool { return ip == leader.ip })
 			x.rng.Shuffle(len(followers), func(i, j int) { followers[i], followers[j] = followers[j], followers[i] })
 			for _, ip := range followers[2:] {
-				x.net.Cut(ip) // they do not get it
+				x.net.Cut(ip) // these do not receive the change
 			}
-			slow := x.nodes[followers[1]].disk // the only one left with it: nothing may be acknowledged before its sync
+			slow := x.nodes[followers[1]].disk // the only copy that will be left: the change must not be acknowledged before its sync
 			slow.SyncTime(50 * time.Millisecond)
 			x.putDocument(round)
 			slow.SyncTime(0)
@@ -185,7 +184,7 @@
 			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
-			time.Sleep(8 * time.Second) // the lost ones have caught up
+			time.Sleep(8 * time.Second) // the replaced disks are up to date
 			is.Equal(g.DocumentNumber(), round)
 		}
 	})
@@ -201,12 +200,12 @@
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(g.Servers(), []string{"b1", "b2"})
 		is.NoErr(x.announce("b1", true))
-		time.Sleep(20 * time.Millisecond) // one way is 1.5 ms
+		time.Sleep(20 * time.Millisecond) // the one-way latency is 1.5 ms
 		is.Equal(g.Servers(), []string{"b2"})
-		is.NoErr(x.announce("b1", false)) // a late announcement is acknowledged
+		is.NoErr(x.announce("b1", false)) // a late announcement is acknowledged, without effect
 		time.Sleep(time.Second)
 		is.Equal(g.Servers(), []string{"b2"})
-		x.awaitLeader().kill() // and a new leader knows
+		x.awaitLeader().kill() // a new leader must also reject it
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
 		time.Sleep(2 * time.Second)
@@ -223,8 +222,8 @@
 	})
 }
 
-// TestGatewayFollows checks that a document is in force at every gateway soon
-// after its acknowledgement, also while leaders die.
+// TestGatewayFollows checks that a document is in force at every gateway soon after its
+// acknowledgement, also when leaders are killed.
 func TestGatewayFollows(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -240,7 +239,7 @@
 			}
 			l := x.awaitLeader()
 			l.kill()
-			x.putDocument(number + 100*number) // through the next leader
+			x.putDocument(number + 100*number) // at the next leader
 			acked := time.Now()
 			for !allAt(x, number+100*number) {
 				time.Sleep(10 * time.Millisecond)
@@ -262,7 +261,8 @@
 	return true
 }
 
-// TestGatewayKeepsBackendsOverANewLeader: a new leader knows nobody at first.
+// TestGatewayKeepsBackendsOverANewLeader: a new leader's list is incomplete at first. Gateways must
+// not drop the servers that it lacks.
 func TestGatewayKeepsBackendsOverANewLeader(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -279,8 +279,8 @@
 	})
 }
 
-// TestBackendsOutliveAllPower: after every machine has lost power, gateways
-// know the backend servers again before these have spoken.
+// TestBackendsOutliveAllPower: after all machines have lost power, gateways must get the backend
+// servers from the log, before these announce themselves again.
 func TestBackendsOutliveAllPower(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -300,8 +300,8 @@
 	})
 }
 
-// TestGatewayWhoseLeaderIsCutOff: the link to a leader that is cut off in
-// silence stays open; the gateway must notice and find the next leader.
+// TestGatewayWhoseLeaderIsCutOff: the link to a leader that is partitioned off silently stays open.
+// The gateway must detect this and find the next leader.
 func TestGatewayWhoseLeaderIsCutOff(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -318,8 +318,8 @@
 	})
 }
 
-// TestGatewayWithCutSeeds starts a gateway whose seeds are all cut off but
-// one, which does not lead.
+// TestGatewayWithCutSeeds starts a gateway that can reach only one of its seeds, which is not the
+// leader.
 func TestGatewayWithCutSeeds(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -333,8 +333,8 @@
 	})
 }
 
-// TestReplacedMachine takes a replica away for good; an empty one at another
-// address takes its place, and then the group bears two more losses.
+// TestReplacedMachine replaces a replica by an empty one at another address. The group must then
+// tolerate two more losses.
 func TestReplacedMachine(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -353,8 +353,8 @@
 	})
 }
 
-// TestFullDiskStopsTheReplica: what cannot be written is not acknowledged, and
-// the others go on.
+// TestFullDiskStopsTheReplica: a replica that cannot write must not acknowledge, and the others
+// must continue.
 func TestFullDiskStopsTheReplica(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/earlier_internal_test.go
+++ b/directory/earlier_internal_test.go
@@ -16,8 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// TestLeaderOfAnEarlierVersion takes a relay for a gateway, whose reports it would misread: the
-// replica does not relay in its term.
+// TestLeaderOfAnEarlierVersion: a leader of a version without relays takes a relay for a gateway,
+// and would misread its reports. The replica must not relay in that leader's term.
 func TestLeaderOfAnEarlierVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -33,7 +33,7 @@
 				return
 			}
 			defer l.Close()
-			_, _ = l.Receive(ctx) // the Watch
+			_, _ = l.Receive(ctx) // the Watch message
 			_ = l.Send(ctx, protocol.Rollouts{Term: 3, Seq: 1})
 			_ = l.Send(ctx, protocol.Servers{Term: 3, Whole: true})
 			for err == nil {
@@ -50,8 +50,8 @@
 		d.hub = newHub(d)
 		d.state = newReplicated(0, 0, func() {})
 		began := time.Now()
-		d.hub.followLeader(leader, 3)
+		d.hub.runLeaderSession(leader, 3)
 		is.True(time.Since(began) < 100*time.Millisecond)
-		is.Equal(*d.hub.refused.Load(), refusal{term: 3})
+		is.Equal(*d.hub.lastRefusal.Load(), relayRefusal{term: 3})
 	})
 }
--- a/directory/errors.go
+++ b/directory/errors.go
@@ -2,16 +2,16 @@
 
 package directory
 
-// This file defines why an operation is refused.
+// This file defines the errors with which operations are refused.
 
-// NotLeader refuses an operation at a replica that does not lead.
+// NotLeader refuses an operation at a replica that is not the leader.
 type NotLeader struct{ Leader string } // fleet address
 
 // Error names the leader.
 func (e NotLeader) Error() string { return "the directory's leader is " + e.Leader }
 
-// Unavailable refuses an operation because this replica has no leader, or because it
-// cannot know whether the operation was carried out. It may be sent again.
+// Unavailable refuses an operation because this replica has no leader, or because it cannot
+// determine whether the operation was carried out. The operation may be retried.
 type Unavailable struct{ Err error }
 
 // Error names the cause.
--- a/directory/export_test.go
+++ b/directory/export_test.go
@@ -9,25 +9,26 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// Voters returns the fleet addresses of the replicas that vote, for tests.
+// Voters returns the fleet addresses of the voters, for tests.
 func (d *Directory) Voters() []string { return d.hub.leadership.Load().voters }
 
-// Joined returns the backend servers that the log holds, for tests.
+// Joined returns the backend servers in the log, for tests.
 func (d *Directory) Joined() []protocol.Registration { return d.state.Joined() }
 
-// ChangeRollout puts a change into the log, as the leader does that ends a rollout, for tests.
+// ChangeRollout logs a change of a rollout, as a leader does that ends one, for tests.
 func (d *Directory) ChangeRollout(ctx context.Context, c document.RolloutChange) (changed bool, err error) {
 	return d.proposeChange(ctx, command{Rollout: &c})
 }
 
-// UnawareOfVersions returns the gateways that a line about an order names, for tests.
+// UnawareOfVersions returns the gateways that an order's log line lists as unaware of versions, for
+// tests.
 func (d *Directory) UnawareOfVersions(ctx context.Context) (names []string, err error) {
 	err = d.hub.do(ctx, func() error { names = d.hub.gatewaysWithoutRollouts(); return nil })
 	return names, err
 }
 
-// Serves returns the gateways that have their sessions here, for tests.
-func (d *Directory) Serves(ctx context.Context) (names []string, err error) {
+// ServedGateways returns the gateways whose sessions are with this replica, for tests.
+func (d *Directory) ServedGateways(ctx context.Context) (names []string, err error) {
 	err = d.hub.do(ctx, func() error {
 		for s := range d.hub.sessions {
 			if !s.relay {
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -10,27 +10,28 @@
 	"github.com/matryer/is"
 )
 
-// This file keeps the scenario in which the loop of lists and lost leaders was first seen: 40 gateways,
-// 1,500 servers, and links that lists of 75 bytes a server take 5.8 s for all, or four times as long.
-// One list is a large part of such a link (0.09 and 0.34 s of it).
+// This file keeps the scenario in which whole lists delayed heartbeats so that leaders were deposed
+// in a loop: 40 gateways, 1,500 servers, and links that need 5.8 s for the lists of all gateways,
+// or four times as long, at 75 bytes per server. One list takes 0.09 or 0.34 s of such a link.
 
 const (
-	firstGateways = 40
-	firstServers  = 1500
-	firstTake     = 5800 * time.Millisecond
+	slowLinkGateways = 40
+	slowLinkServers  = 1500
+	allListsTime     = 5800 * time.Millisecond
 )
 
-// inFirstCrowd runs f in that scenario, with the servers announced.
-func inFirstCrowd(t *testing.T, take time.Duration, f func(c *crowd)) {
+// withSlowLinkFleet runs f in that scenario, with all servers announced. listsTime is the time that the
+// lists of all gateways need on one link.
+func withSlowLinkFleet(t *testing.T, listsTime time.Duration, f func(c *largeFleet)) {
 	t.Parallel()
-	rate := int(firstGateways * 75 * firstServers / take.Seconds())
+	rate := int(slowLinkGateways * 75 * slowLinkServers / listsTime.Seconds())
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = float64(rate)
 		for i := range voters {
 			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), rate)
 		}
 	}, func(x *fleet) {
-		c := &crowd{fleet: x, servers: firstServers}
+		c := &largeFleet{fleet: x, servers: slowLinkServers}
 		c.announceAll(1)
 		x.putDocument(1)
 		time.Sleep(2 * time.Second)
@@ -38,44 +39,45 @@
 	})
 }
 
-// firstComesAtOnce: all gateways come at once; the leader stays, and documents are in force within a
-// second.
-func firstComesAtOnce(c *crowd, take time.Duration) {
+// checkSlowLinkConnect connects all gateways at once. The leader must keep its term, and documents
+// must be in force within a second.
+func checkSlowLinkConnect(c *largeFleet, listsTime time.Duration) {
 	is := is.New(c.t)
 	led := c.termsLed()
-	c.come(firstGateways)
+	c.startGateways(slowLinkGateways)
 	time.Sleep(time.Second)
-	c.documentsInTime()
-	is.True(c.knowAll(take))
+	c.checkDocumentDelay()
+	is.True(c.awaitFullLists(listsTime))
 	is.Equal(c.termsLed(), led)
 }
 
 func TestFirstCrowdComesAtOnce(t *testing.T) {
-	inFirstCrowd(t, firstTake, func(c *crowd) { firstComesAtOnce(c, firstTake) })
+	withSlowLinkFleet(t, allListsTime, func(c *largeFleet) { checkSlowLinkConnect(c, allListsTime) })
 }
 
 func TestFirstCrowdComesAtOnceOnSlowerLinks(t *testing.T) {
-	inFirstCrowd(t, 4*firstTake, func(c *crowd) { firstComesAtOnce(c, 4*firstTake) })
+	withSlowLinkFleet(t, 4*allListsTime, func(c *largeFleet) { checkSlowLinkConnect(c, 4*allListsTime) })
 }
 
-// firstLosesItsLeader: three seconds after the leader is lost there is another one, and it stays.
-func firstLosesItsLeader(c *crowd) {
+// checkSlowLinkLeaderLoss kills the leader. Three seconds later there must be a new one that keeps
+// its term.
+func checkSlowLinkLeaderLoss(c *largeFleet) {
 	is := is.New(c.t)
-	c.come(firstGateways)
-	is.True(c.knowAll(time.Minute))
+	c.startGateways(slowLinkGateways)
+	is.True(c.awaitFullLists(time.Minute))
 	time.Sleep(3 * time.Second)
 	c.awaitLeader().kill()
 	time.Sleep(3 * time.Second)
 	led := c.termsLed()
-	c.documentsInTime()
-	is.True(c.knowAll(10 * time.Second))
+	c.checkDocumentDelay()
+	is.True(c.awaitFullLists(10 * time.Second))
 	is.Equal(c.termsLed(), led)
 }
 
 func TestFirstCrowdLosesItsLeader(t *testing.T) {
-	inFirstCrowd(t, firstTake, firstLosesItsLeader)
+	withSlowLinkFleet(t, allListsTime, checkSlowLinkLeaderLoss)
 }
 
 func TestFirstCrowdLosesItsLeaderOnSlowerLinks(t *testing.T) {
-	inFirstCrowd(t, 4*firstTake, firstLosesItsLeader)
+	withSlowLinkFleet(t, 4*allListsTime, checkSlowLinkLeaderLoss)
 }
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -35,16 +35,16 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines fleet, directory replicas and gateways in one bubble of
-// virtual time, on a network and disks in memory.
+// This file defines fleet: directory replicas and gateways in one bubble of virtual time, on an
+// in-memory network and in-memory disks.
 
 const (
 	networkLatency   = 1500 * time.Microsecond
-	announceInterval = time.Second // between announcements
+	announceInterval = time.Second // between announcements of a server
 	voters           = 5
 )
 
-// rolloutBounds bounds what a bad version may get.
+// rolloutBounds limits the exposure to a bad version.
 var rolloutBounds = rollout.Bounds{Share: 0.1, Slack: 50, RollbackTime: 5 * time.Second, RepeatWindow: 5 * time.Second}
 
 var fleetKey = []byte("a key that all nodes share")
@@ -58,26 +58,26 @@
 	nodes        map[string]*directoryNode // by IP
 	ips          []string
 	gateways     map[string]*gatewayNode
-	announceSeqs map[string]uint64               // announcements made, by backend server
-	wanted       int                             // replicas that vote
-	regions      map[string]string               // by IP; without any, there is one
-	syncTime     time.Duration                   // of each disk
-	clocks       map[string]func() time.Duration // by IP; without one, the bubble's
+	announceSeqs map[string]uint64               // sequence numbers of the last announcements, by backend server
+	voterCount   int                             // target number of voters
+	regions      map[string]string               // by IP; nil means a single region
+	syncTime     time.Duration                   // sync time of each disk
+	clocks       map[string]func() time.Duration // by IP; nil means the bubble's clock
 	tuning       replica.Tuning                  // of each replica
-	linkRate     float64                         // of each replica's box, bytes a second; 0 is not known
-	halls        map[string]string               // by IP; without any, none is named
-	mu           sync.Mutex                      // for the nodes' d, which are read while replicas end and start
+	linkRate     float64                         // of each replica's box, in bytes per second; 0 means unknown
+	halls        map[string]string               // by IP; nil means no halls are named
+	mu           sync.Mutex                      // guards the nodes' d, which is read while replicas stop and start
 }
 
-// directoryNode is one replica and what survives its restarts.
+// directoryNode is one replica and the state that survives its restarts.
 type directoryNode struct {
 	ip      string
 	disk    *fakedisk.Disk
 	d       *directory.Directory
 	metrics *metrics.Set
 	kill    context.CancelFunc
-	current atomic.Pointer[directory.Directory] // d, for other goroutines
-	clock   func() time.Duration                // nil: the bubble's
+	current atomic.Pointer[directory.Directory] // the same as d, for other goroutines
+	clock   func() time.Duration                // nil means the bubble's clock
 }
 
 type gatewayNode struct {
@@ -90,17 +90,17 @@
 // withFleet runs f with n directory replicas that have formed their group.
 func withFleet(t *testing.T, n int, f func(x *fleet)) { withFleetVoters(t, n, voters, f) }
 
-// withFleetVoters does the same with a number of replicas that vote.
-func withFleetVoters(t *testing.T, n, wanted int, f func(x *fleet)) {
-	withPreparedFleet(t, n, wanted, func(*fleet) {}, f)
+// withFleetVoters is withFleet with a given number of voters.
+func withFleetVoters(t *testing.T, n, voterCount int, f func(x *fleet)) {
+	withPreparedFleet(t, n, voterCount, func(*fleet) {}, f)
 }
 
-// withPreparedFleet does the same after prepare, before which nothing runs.
-func withPreparedFleet(t *testing.T, n, wanted int, prepare, f func(x *fleet)) {
+// withPreparedFleet is withFleetVoters, and calls prepare before anything runs.
+func withPreparedFleet(t *testing.T, n, voterCount int, prepare, f func(x *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &fleet{
-			wanted: wanted,
-			t:      t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, uint64(n))),
+			voterCount: voterCount,
+			t:          t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, uint64(n))),
 			nodes: map[string]*directoryNode{}, gateways: map[string]*gatewayNode{}, announceSeqs: map[string]uint64{},
 		}
 		for i := range min(n, 3) {
@@ -143,7 +143,7 @@
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Bootstrap: first, Voters: x.wanted, Dir: n.disk, Interval: announceInterval, Rollouts: rolloutBounds,
+		Seeds:    x.seeds, Bootstrap: first, Voters: x.voterCount, Dir: n.disk, Interval: announceInterval, Rollouts: rolloutBounds,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
 	})
@@ -153,7 +153,7 @@
 	stop := x.serve(ip+":7400", d)
 	n.metrics = set
 	n.current.Store(d)
-	x.set(n, d)
+	x.setDirectory(n, d)
 	n.kill = func() {
 		stop()
 		x.net.Kill(ip)
@@ -161,17 +161,17 @@
 		<-d.Done()
 		log.Close()
 		n.current.Store(nil)
-		x.set(n, nil)
+		x.setDirectory(n, nil)
 	}
 }
 
-func (x *fleet) set(n *directoryNode, d *directory.Directory) {
+func (x *fleet) setDirectory(n *directoryNode, d *directory.Directory) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	n.d = d
 }
 
-// serve accepts links at an address until the returned function is called.
+// serve accepts links at an address until stop is called.
 func (x *fleet) serve(address string, h http.Handler) (stop func()) {
 	l, err := x.net.Listen(address)
 	if err != nil {
@@ -184,8 +184,8 @@
 	return func() { s.Close() }
 }
 
-// close ends everything. Cut links are joined first: the library lets dials go
-// on in the background.
+// close stops all nodes. It first rejoins cut links, because the network library continues dials in
+// the background.
 func (x *fleet) close() {
 	for _, ip := range x.ips {
 		x.net.Join(ip)
@@ -202,7 +202,7 @@
 			n.kill()
 		}
 	}
-	time.Sleep(20 * time.Second) // dials on their way, also behind all that a slow link carries
+	time.Sleep(20 * time.Second) // longer than a dial takes, also behind everything queued on a slow link
 	synctest.Wait()
 }
 
@@ -216,7 +216,7 @@
 	return nil
 }
 
-// leaderDirectory returns the directory that leads, or nil; any goroutine may call it.
+// leaderDirectory returns the directory that leads, or nil. Any goroutine may call it.
 func (x *fleet) leaderDirectory() *directory.Directory {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// voters returns the replicas that vote, as the leader knows them.
+// voters returns the IPs of the voters, according to the leader.
 func (x *fleet) voters() []string {
 	var ips []string
 	for _, name := range x.awaitLeader().d.Voters() {
@@ -242,7 +242,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.t.Fatal("nobody leads after 10 s")
+	x.t.Fatal("no leader after 10 s")
 	return nil
 }
 
@@ -256,7 +256,7 @@
 	return document.Held{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
 }
 
-// putDocument sends a document to replicas in turn until one acknowledges it.
+// putDocument sends a document to the replicas in turn until one acknowledges it.
 func (x *fleet) putDocument(number uint64) {
 	for range 200 {
 		for _, ip := range x.ips {
@@ -276,10 +276,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	x.t.Fatalf("document %d is not acknowledged after 10 s", number)
+	x.t.Fatalf("document %d was not acknowledged within 10 s", number)
 }
 
-// announce lets a backend server announce itself at the leader.
+// announce sends the leader an announcement of a backend server.
 func (x *fleet) announce(id string, leaving bool) error {
 	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
@@ -290,18 +290,18 @@
 	})
 }
 
-// serverAddress of a backend server, by its identifier b1, b2, ….
+// serverAddress returns the address of a backend server with the identifier b1, b2, ….
 func serverAddress(id string) string { return "10.0.3." + id[1:] + ":80" }
 
-// noHeaders is for gateways that get no requests.
+// noHeaders is for gateways that receive no requests.
 type noHeaders struct{ gateway.HeaderCodec }
 
 func (x *fleet) gateway(ip string) *gateway.Gateway {
-	return x.gatewayOn(ip, x.net.Box(ip).DialContext)
+	return x.startGatewayWithDial(ip, x.net.Box(ip).DialContext)
 }
 
-// gatewayOn starts a gateway that opens its links with dial.
-func (x *fleet) gatewayOn(ip string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *gateway.Gateway {
+// startGatewayWithDial starts a gateway that opens its links with dial.
+func (x *fleet) startGatewayWithDial(ip string, dial func(ctx context.Context, network, address string) (net.Conn, error)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
@@ -326,8 +326,8 @@
 // replaceDisk gives a stopped replica an empty disk.
 func (x *fleet) replaceDisk(ip string) { x.nodes[ip].disk = fakedisk.New(x.random()) }
 
-// losePower ends every replica at once; disks keep what was synced before. The disks go
-// first, because to end a process takes time, in which another one could still sync.
+// losePower stops every replica at once. Disks keep only what was synced before. The disks crash
+// first: stopping a process takes time, in which another replica could still sync.
 func (x *fleet) losePower() {
 	for _, ip := range x.ips {
 		x.nodes[ip].disk.Crash()
--- a/directory/followleader.go
+++ b/directory/followleader.go
@@ -11,37 +11,37 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines how a replica that does not lead finds the leader and opens a session with it as a
-// relay.
+// This file defines how a replica that is not the leader opens a relay session with the leader.
 
-// findLeader keeps a session with the leader, unless this replica leads or the leader needs no
-// relay here.
-func (h *hub) findLeader() {
+// runRelayLoop keeps a session with the leader open, unless this replica leads or the leader needs
+// no relay here.
+func (h *hub) runRelayLoop() {
 	for h.d.ctx.Err() == nil {
 		l := h.leadership.Load()
 		if h.canRelay() && l.leader != "" && l.leader != h.d.Address() && !h.isRelayRefused() {
-			h.followLeader(l.leader, l.term)
+			h.runLeaderSession(l.leader, l.term)
 		}
-		sleep.For(h.d.ctx, relayPollInterval) // the loop looks whether ctx has ended
+		sleep.For(h.d.ctx, relayPollInterval) // the loop condition checks ctx
 	}
 }
 
-// canRelay reports whether a leader may want this replica as a relay.
+// canRelay reports whether a leader may use this replica as a relay.
 func (h *hub) canRelay() bool { return h.d.hasMultipleRegions() || h.isSpread() }
 
-// isRelayRefused reports whether the leader of this term needs no relay here, as it is now.
+// isRelayRefused reports whether the current leader has refused a relay here, with sessions spread
+// as they are now.
 func (h *hub) isRelayRefused() bool {
-	r := h.refused.Load()
-	return r != nil && *r == refusal{h.leadership.Load().term, h.isSpread()}
+	r := h.lastRefusal.Load()
+	return r != nil && *r == relayRefusal{h.leadership.Load().term, h.isSpread()}
 }
 
-// followLeader runs one session with the leader.
-func (h *hub) followLeader(leader string, term uint64) {
+// runLeaderSession runs one session with the leader.
+func (h *hub) runLeaderSession(leader string, term uint64) {
 	ctx, cancel := context.WithCancel(h.d.ctx)
 	defer cancel()
-	dialing, dialed := context.WithTimeout(ctx, relayDialTimeout)
-	l, err := link.Dial(dialing, leader, h.d.cfg.Identity, h.d.meter)
-	dialed()
+	dialCtx, cancelDial := context.WithTimeout(ctx, relayDialTimeout)
+	l, err := link.Dial(dialCtx, leader, h.d.cfg.Identity, h.d.meter)
+	cancelDial()
 	if err != nil {
 		return
 	}
@@ -49,7 +49,7 @@
 	if err := l.Send(ctx, h.relayHello(term)); err != nil {
 		return
 	}
-	var before []protocol.Message // the list: rollouts, if there are any, and the quarantine
+	var preceding []protocol.Message // messages that precede the list: rollouts, if there are any, and the quarantine list
 	for {
 		m, err := l.ReceiveWithin(ctx, registry.SilenceLimit)
 		if err != nil {
@@ -57,26 +57,26 @@
 		}
 		switch m := m.(type) {
 		case protocol.Rollouts, protocol.Quarantine:
-			before = append(before, m)
+			preceding = append(preceding, m)
 			continue
 		case protocol.WatchRedirect:
-			if m.Leader == leader { // it needs no relay here
-				h.doWithout(leader, term)
+			if m.Leader == leader { // the leader needs no relay here
+				h.stopRelaying(leader, term)
 			}
 		case protocol.Servers:
 			if m.Relays {
-				h.relayFrom(ctx, l, leader, m, before)
-			} else { // it takes this replica for a gateway
-				h.doWithout(leader, term)
+				h.relayFrom(ctx, l, leader, m, preceding)
+			} else { // an older version, which takes this replica for a gateway
+				h.stopRelaying(leader, term)
 			}
-		default: // of what comes with time, before the turn of the list
+		default: // periodic messages may arrive before the list
 			continue
 		}
 		return
 	}
 }
 
-// relayHello opens a session with the leader of a term.
+// relayHello returns the message that opens a relay session with the leader of a term.
 func (h *hub) relayHello(term uint64) protocol.Watch {
 	return protocol.Watch{
 		Gateway: h.d.Address(), Boot: h.d.cfg.Random(), Term: term, KnowsHalls: true, KnowsVersions: true,
@@ -84,8 +84,8 @@
 	}
 }
 
-// doWithout ends a relay that a leader does not serve in its term.
-func (h *hub) doWithout(leader string, term uint64) {
-	h.refused.Store(&refusal{term, h.isSpread()})
+// stopRelaying ends the relay and records that the leader of this term has refused it.
+func (h *hub) stopRelaying(leader string, term uint64) {
+	h.lastRefusal.Store(&relayRefusal{term, h.isSpread()})
 	h.post(func() { h.endRelay(leader) })
 }
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -35,11 +35,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file writes down what a gateway and a directory replica tell of a run
-// with requests that are answered, refused and failed: the names and labels of
-// metrics, and the attributes of log lines by event. It compares them with
-// testdata/golden, which pins outward names. Run with -update to write them
-// anew.
+// This file records the names and labels of metrics, and the attributes of log lines by event, of a
+// gateway and a directory replica in a run with answered, refused and failed requests. It compares
+// them with testdata/golden, which pins these external names. Run with -update to rewrite the
+// golden files.
 
 // testHeaders reads a request's identifier.
 type testHeaders struct{}
@@ -55,16 +54,16 @@
 	return gateway.AnswerHead{ID: h.Get("Id"), Signed: true}
 }
 
-// scripted does what the identifier of a request says.
-type scripted struct{}
+// scriptedServer behaves as the identifier of a request says.
+type scriptedServer struct{}
 
-func (scripted) DropIdle(string) {}
+func (scriptedServer) DropIdle(string) {}
 
-func (scripted) DropAllIdle() {}
+func (scriptedServer) DropAllIdle() {}
 
-func (scripted) Refuses(context.Context, string) bool { return false }
+func (scriptedServer) Refuses(context.Context, string) bool { return false }
 
-func (scripted) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
+func (scriptedServer) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
 	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	switch call.Header.Get("Id") {
 	case "hangs":
@@ -80,12 +79,12 @@
 	return answer, nil
 }
 
-// told is what both processes told.
-type told struct{ gatewayLog, directoryLog, gatewayMetrics, directoryMetrics string }
+// runOutput holds the logs and metrics of both processes.
+type runOutput struct{ gatewayLog, directoryLog, gatewayMetrics, directoryMetrics string }
 
-// record runs one directory replica and one gateway, with a backend server that comes
-// and is marked as leaving.
-func record(t *testing.T) (out told) {
+// recordRun runs one directory replica and one gateway, with a backend server that joins and later
+// leaves.
+func recordRun(t *testing.T) (out runOutput) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &fleet{t: t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, 1)), nodes: map[string]*directoryNode{}, announceSeqs: map[string]uint64{}}
 		start := func() (*decision.Log, *metrics.Set, *bytes.Buffer) {
@@ -109,7 +108,7 @@
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
 			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
-			Seeds:    seeds, Headers: testHeaders{}, Transport: scripted{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
+			Seeds:    seeds, Headers: testHeaders{}, Transport: scriptedServer{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
 		x.sendRequest(g, "early")
@@ -124,7 +123,7 @@
 			synctest.Wait()
 		}
 		is.New(t).NoErr(d.StartRollout(t.Context(), rollout.Order{Pool: "p", Target: "v2", Duration: time.Hour}))
-		time.Sleep(announceInterval) // for the leader to see it begin
+		time.Sleep(announceInterval) // until the leader has begun the rollout
 		is.New(t).NoErr(d.AbortRollout(t.Context(), "p", 1))
 		is.New(t).NoErr(x.announce("b1", true))
 		time.Sleep(5 * announceInterval)
@@ -142,12 +141,12 @@
 			set.WritePrometheus(&b)
 			return b.String()
 		}
-		out = told{gatewayText.String(), directoryText.String(), text(gatewaySet), text(directorySet)}
+		out = runOutput{gatewayText.String(), directoryText.String(), text(gatewaySet), text(directorySet)}
 	})
 	return out
 }
 
-// sendRequest sends a sendRequest with an identifier.
+// sendRequest sends a request with an identifier.
 func (x *fleet) sendRequest(g *gateway.Gateway, id string) {
 	r := httptest.NewRequestWithContext(x.t.Context(), http.MethodPost, "/", strings.NewReader("a body"))
 	r.Host = "h"
@@ -161,7 +160,7 @@
 }
 
 func TestGoldenMetricsAndLogKeys(t *testing.T) {
-	out := record(t)
+	out := recordRun(t)
 	golden.Text(t, "gateway-metrics.txt", metricNames(out.gatewayMetrics))
 	golden.Text(t, "directory-metrics.txt", metricNames(out.directoryMetrics))
 	golden.Text(t, "gateway-log-keys.txt", logKeys(t, out.gatewayLog))
@@ -169,15 +168,15 @@
 }
 
 var (
-	own    = regexp.MustCompile(`(?m)^(badgerspoke_[^ ]+) `)
-	bucket = regexp.MustCompile(`vmrange="[^"]*"`)
+	ownMetric    = regexp.MustCompile(`(?m)^(badgerspoke_[^ ]+) `)
+	metricBucket = regexp.MustCompile(`vmrange="[^"]*"`)
 )
 
-// metricNames lists names with labels, without figures.
+// metricNames lists metric names with labels, without values.
 func metricNames(text string) string {
 	found := map[string]bool{}
-	for _, m := range own.FindAllStringSubmatch(text, -1) {
-		found[bucket.ReplaceAllString(m[1], "vmrange")] = true
+	for _, m := range ownMetric.FindAllStringSubmatch(text, -1) {
+		found[metricBucket.ReplaceAllString(m[1], "vmrange")] = true
 	}
 	return strings.Join(slices.Sorted(maps.Keys(found)), "\n") + "\n"
 }
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -20,9 +20,9 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file pins the bytes of the log's commands in testdata/golden: they
-// lie on disks and in the logs of running fleets. Run with -update to write the
-// files anew, which only a deliberate change of the stored format justifies.
+// This file pins the encoding of the log's commands in testdata/golden, because they are stored on
+// disks and in the logs of running fleets. Run with -update to rewrite the files; only a deliberate
+// change of the stored format justifies that.
 
 var goldenCommands = []command{
 	{Put: &document.Held{Document: document.Document{Number: 7, Pools: []document.Pool{{Name: "llm"}}}, Source: []byte("source")}},
@@ -63,17 +63,17 @@
 	is.NoErr(err)
 	var got []command
 	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "commands", b), &got))
-	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes give the same value
+	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes decode to the same value
 	golden.AllSet(t, "join", goldenCommands[12].Join)
 	golden.AllSet(t, "condemned", *goldenCommands[13].Condemned.Condemn)
 }
 
-// TestGoldenEarlierLog decodes what replicas of versions before wrote, their logs and their
-// snapshots, in files that are never written anew.
+// TestGoldenEarlierLog decodes logs and snapshots written by earlier versions. Their files are
+// never rewritten.
 func TestGoldenEarlierLog(t *testing.T) {
 	for _, before := range []struct {
-		name               string // that the files' names end in
-		commands, rollouts int    // that they have
+		name               string // suffix of the file names
+		commands, rollouts int    // numbers of commands and rollouts in the files
 	}{{"earlier", 7, 0}, {"before-lives", 12, 1}} {
 		is := is.New(t)
 		var got []command
@@ -92,7 +92,7 @@
 	}
 }
 
-// pinned returns the bytes of a file that a version before wrote.
+// pinned returns the contents of a file written by an earlier version.
 func pinned(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
@@ -106,19 +106,19 @@
 	return b
 }
 
-// TestGoldenApply applies the pinned commands, as a replica does that reads
-// its log, and pins the snapshot that follows.
+// TestGoldenApply applies the pinned commands, as a replica does when it replays its log, and pins
+// the resulting snapshot.
 func TestGoldenApply(t *testing.T) {
 	is := is.New(t)
-	told := 0
-	r := newReplicated(0, 0, func() { told++ })
+	notifications := 0
+	r := newReplicated(0, 0, func() { notifications++ })
 	results := []any{true, true, false, true, true, true, false, true, true, true, true, true, false, true, true, true, true}
 	for i, c := range goldenCommands {
 		b, err := cbor.Marshal(c)
 		is.NoErr(err)
 		is.Equal(r.Apply(b), results[i])
 	}
-	is.Equal(told, len(goldenCommands))
+	is.Equal(notifications, len(goldenCommands))
 	held, ok := r.Held()
 	is.True(ok)
 	is.True(reflect.DeepEqual(held, *goldenCommands[0].Put))
@@ -135,7 +135,7 @@
 	}})
 	b, err := r.Snapshot()
 	is.NoErr(err)
-	again := newReplicated(0, 0, func() {})
-	is.NoErr(again.Restore(golden.Bytes(t, "snapshot", b)))
-	is.True(reflect.DeepEqual(again.store, r.store))
+	restored := newReplicated(0, 0, func() {})
+	is.NoErr(restored.Restore(golden.Bytes(t, "snapshot", b)))
+	is.True(reflect.DeepEqual(restored.store, r.store))
 }
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -17,16 +17,16 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines hub, the goroutine that owns the registry and the
-// gateways' sessions while this replica leads.
+// This file defines hub, the goroutine that owns the registry or the relay state, and the gateways'
+// sessions.
 
 const (
-	// eventDepth is the number of announcements and reports that may wait for the hub; beyond it their
-	// senders wait.
-	eventDepth = 8192
+	// eventQueueSize is the number of announcements and reports that may be queued for the hub.
+	// Beyond it, senders block.
+	eventQueueSize = 8192
 )
 
-// leadership is what the replica's goroutine last published.
+// leadership is the state that the replica's goroutine last published.
 type leadership struct {
 	leads    bool
 	term     uint64
@@ -36,8 +36,9 @@
 	formed   bool     // the replica has a log
 }
 
-// refusal is a leader that needed no relay here, in its term, while sessions were spread or not.
-type refusal struct {
+// relayRefusal records that the leader of a term needed no relay here, and whether sessions were
+// spread at that time.
+type relayRefusal struct {
 	term   uint64
 	spread bool
 }
@@ -45,64 +46,64 @@
 type hub struct {
 	d          *Directory
 	events     chan func()
-	wake       chan struct{} // the applied state or the lead changed
+	wake       chan struct{} // signals a change of the applied state or the leadership
 	leadership atomic.Pointer[leadership]
 
-	// Owned by run.
-	term            uint64 // 0 unless this replica leads
-	registry        *registry.Registry
-	departed        uint64                  // departures applied to the registry
-	complete        bool                    // the registry is, and the sessions were sent the whole list since
-	unloggedJoins   []protocol.Registration // announced, not yet put into the log
-	joining         bool                    // some are being put into it
-	sessions        map[*session]bool
-	pendingChange   registry.Change // not sent to the sessions yet
-	sentHallChanges uint64          // in the last halls that the sessions were sent
-	list            *wholeList      // for sessions that open; nil: to be made anew
-	usage           *usage
-	feed            registry.Feed
-	nextFleetAt     time.Duration     // of the next Fleet message
-	encodedDocument protocol.Document // newest document, encoded once
+	// The remaining fields are owned by run.
+	term              uint64 // 0 unless this replica leads
+	registry          *registry.Registry
+	appliedDepartures uint64                  // number of departures applied to the registry
+	complete          bool                    // whether the registry is complete and every session was sent the complete list
+	unloggedJoins     []protocol.Registration // announced, not yet submitted to the log
+	loggingJoins      bool                    // whether a batch of them is being logged
+	sessions          map[*session]bool
+	pendingChange     registry.Change // not yet sent to the sessions
+	sentHallChanges   uint64          // number of hall changes as of the last hall state sent
+	list              *wholeList      // for new sessions; nil means that it must be rebuilt
+	usage             *usage
+	feed              registry.Feed
+	nextFleetAt       time.Duration     // earliest time of the next Fleet message
+	encodedDocument   protocol.Document // newest document, encoded once
 
-	rollouts     rollouts
-	evidence     evidence
-	ordered      map[attemptKey]time.Duration // rollouts under way, in every term
-	sharesLogged time.Duration                // when
+	rollouts       rollouts
+	evidence       evidence
+	ordered        map[attemptKey]time.Duration // when active rollouts were ordered; kept across terms
+	sharesLoggedAt time.Duration                // when the shares were last logged
 
-	termBegan time.Duration // of the term
-	placeDue  time.Duration // when to look next where the leader should stand, in any term
-	relay     *relay        // nil unless this replica passes on what the leader sends
-	refused   atomic.Pointer[refusal]
+	termBegan       time.Duration // start of the term
+	nextPlacementAt time.Duration // next check of the leader's placement, in any term
+	relay           *relay        // nil unless this replica is a relay
+	lastRefusal     atomic.Pointer[relayRefusal]
 
-	handles     *registry.Handles // of all that this replica sends gateways
-	spread      registry.Spread
-	spreading   bool             // what was decided is being logged
-	spreadSince time.Duration    // when this leader first saw that sessions are spread
-	placesSent  []protocol.Place // to the relays
-	missing     []string         // lives that gateways have from the leader before, and this one has not
+	handles       *registry.Handles // handles of the servers that this replica lists to gateways
+	spread        registry.Spread
+	loggingSpread bool             // whether a spread decision is being logged
+	spreadSince   time.Duration    // when this leader first observed that sessions are spread
+	sentPlaces    []protocol.Place // places last sent to the relays
+	missing       []string         // lives that gateways have from the previous leader and this one lacks
 
-	listPace     registry.ListPace
-	joinPace     registry.ListPace // of what the log gets of servers
-	listless     []*session        // that wait for the whole list, oldest first
-	undocumented bool              // some session lacks the newest document
-	heldServers  registry.Change   // servers that gateways are still to be sent, as messages have them
-	turn         *time.Timer       // of the next list, or of what is held
-	// hallsTold and termTold are of the last change of the list.
-	hallsTold, termTold uint64
+	listPace         registry.ListPace
+	joinPace         registry.ListPace // pace of logging registrations
+	awaitingList     []*session        // sessions waiting for the whole list, oldest first
+	documentsPending bool              // whether a session lacks the newest document
+	heldServers      registry.Change   // servers not yet sent to gateways, in wire form
+	sendTimer        *time.Timer       // fires at the next paced send
+	// listedHallChanges and listedTerm are those of the last list change sent.
+	listedHallChanges, listedTerm uint64
 }
 
 func newHub(d *Directory) *hub {
 	h := &hub{
-		d: d, events: make(chan func(), eventDepth), wake: make(chan struct{}, 1),
+		d: d, events: make(chan func(), eventQueueSize), wake: make(chan struct{}, 1),
 		sessions: map[*session]bool{}, usage: newUsage(),
-		handles: registry.NewHandles(d.cfg.Random()), turn: time.NewTimer(time.Hour),
-		listPace: registry.NewListPace(listPart * d.cfg.LinkRate), joinPace: registry.NewListPace(joinPart * d.cfg.LinkRate),
+		handles: registry.NewHandles(d.cfg.Random()), sendTimer: time.NewTimer(time.Hour),
+		listPace: registry.NewListPace(listLinkShare * d.cfg.LinkRate), joinPace: registry.NewListPace(joinLinkShare * d.cfg.LinkRate),
 	}
 	h.leadership.Store(&leadership{})
 	return h
 }
 
-// stateChanged is called by the replica's goroutine.
+// stateChanged wakes the hub. The replica's goroutine calls it, so it must not block.
 func (h *hub) stateChanged() {
 	select {
 	case h.wake <- struct{}{}:
@@ -110,7 +111,7 @@
 	}
 }
 
-// observe is called by the replica's goroutine after every batch.
+// observe publishes the leadership. The replica's goroutine calls it after every batch.
 func (h *hub) observe(s consensus.Status, leads bool) {
 	old := h.leadership.Load()
 	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, formed: true}
@@ -134,8 +135,8 @@
 	}
 }
 
-// do runs f in the hub's goroutine and returns its error, or [Unavailable] if it cannot
-// wait for it.
+// do runs f in the hub's goroutine and returns its error, or [Unavailable] if ctx or the replica
+// ends first.
 func (h *hub) do(ctx context.Context, f func() error) error {
 	done := make(chan error, 1)
 	h.post(func() { done <- f() })
@@ -152,7 +153,7 @@
 func (h *hub) run() {
 	tick := time.NewTicker(registry.FleetPeriod)
 	defer tick.Stop()
-	defer h.turn.Stop()
+	defer h.sendTimer.Stop()
 	defer func() {
 		h.endTerm()
 		h.endRelay("")
@@ -167,15 +168,15 @@
 			f()
 		case <-tick.C:
 			h.tick()
-		case <-h.turn.C:
-			h.sendLists()
+		case <-h.sendTimer.C:
+			h.sendQueued()
 		}
 	}
 }
 
 func (h *hub) tick() {
 	h.syncLeadership()
-	h.sendHeld()
+	h.sendHeldServers()
 	if h.relay != nil {
 		h.relay.tick()
 		h.moveMisplacedSessions()
@@ -185,7 +186,7 @@
 	}
 	now := h.d.replica.Now()
 	h.pendingChange = h.pendingChange.Merge(h.registry.ExpireSilent(now))
-	h.divideCold(now)
+	h.divideColdRates(now)
 	completed := !h.complete && h.registry.Complete(now)
 	if completed {
 		h.complete = true
@@ -201,25 +202,25 @@
 	h.checkPlacement(now)
 }
 
-// divideCold gives the rates of cold backend servers to gateways.
-func (h *hub) divideCold(now time.Duration) {
+// divideColdRates divides the rates of cold backend servers among the gateways.
+func (h *hub) divideColdRates(now time.Duration) {
 	if !h.registry.AnyCold(now) {
 		return
 	}
 	names := slices.Sorted(maps.Keys(h.gateways()))
 	change := h.registry.DivideColdRates(now, names, h.d.state.coldRates())
 	for _, s := range change.Set {
-		h.d.cfg.Log.StateChange("cold backend divided", slog.String("backend", s.ID),
+		h.d.cfg.Log.StateChange("cold backend rate divided", slog.String("backend", s.ID),
 			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
 	h.pendingChange = h.pendingChange.Merge(change)
 }
 
-// pushDepartures removes departed backend servers from the registry and sends their
-// departures to every session, whose gateway may list one that the registry lacks.
+// pushDepartures removes departed backend servers from the registry and sends the departures to
+// every session, because a gateway may list a server that the registry lacks.
 func (h *hub) pushDepartures() {
-	departures, total := h.d.state.DeparturesSince(h.departed)
-	h.departed = total
+	departures, total := h.d.state.DeparturesSince(h.appliedDepartures)
+	h.appliedDepartures = total
 	for _, id := range departures {
 		h.registry.Remove(id)
 	}
@@ -238,23 +239,23 @@
 	if h.encodedDocument.Number != held.Document.Number || h.encodedDocument.Data == nil {
 		data, err := cbor.Marshal(held.Document)
 		if err != nil {
-			h.d.cfg.Log.StateChange("document cannot be encoded", slog.String("error", err.Error()))
+			h.d.cfg.Log.StateChange("document encoding failed", slog.String("error", err.Error()))
 			return
 		}
 		h.encodedDocument = protocol.Document{Number: held.Document.Number, Data: data}
 		h.d.cfg.Log.StateChange("document in force", slog.Uint64("number", h.encodedDocument.Number), slog.Int("bytes", len(data)))
 	}
 	h.sendDocuments()
-	h.awaitTurn()
+	h.scheduleSend()
 }
 
-// announce takes an announcement in the hub's goroutine. The error is [Unavailable].
+// announce applies an announcement in the hub's goroutine. The error is [Unavailable].
 func (h *hub) announce(ctx context.Context, a registry.Announcement) error {
 	return h.do(ctx, func() error { return h.applyAnnouncement(a) })
 }
 
-// listedLife returns the identifier under which a server is listed that names itself alone: its own
-// if none is. The error is [Unavailable].
+// listedLife returns the identifier of the listed life of a server that is given by name alone, or
+// the name if none is listed. The error is [Unavailable].
 func (h *hub) listedLife(ctx context.Context, name string) (id string, err error) {
 	id = name
 	err = h.do(ctx, func() error {
@@ -269,15 +270,15 @@
 	return id, err
 }
 
-// applyAnnouncement takes an announcement. The error is [Unavailable].
+// applyAnnouncement applies an announcement to the registry. The error is [Unavailable].
 func (h *hub) applyAnnouncement(a registry.Announcement) error {
 	switch {
 	case h.term == 0:
 		return Unavailable{}
 	case h.d.state.Departed(a.ID):
-		return nil // since the announcement came, or it is late
+		return nil // it departed meanwhile, or the announcement is late
 	case a.ColdLeft > 0 && h.d.state.coldRates()[a.Pool] == 0:
-		a.ColdLeft = 0 // nothing says what it bears
+		a.ColdLeft = 0 // the pool states no rate for cold servers
 	}
 	change := h.registry.Announce(h.d.replica.Now(), a)
 	for _, s := range change.Set {
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -9,16 +9,17 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how gateways' sessions outlive the leader where they are spread: a replica that
-// begins to lead, ends to, or follows another leader goes on with its gateways, who are sent what
-// differs. The servers' handles are the replica's own ([registry.Handles]).
+// This file defines how gateways' sessions outlive the leader where sessions are spread: a replica
+// that becomes leader, stops leading, or follows a new leader keeps its gateways and sends them
+// only the differences. The servers' handles belong to the replica ([registry.Handles]).
 //
-// Sessions that ended with the term had all gateways read the whole list again after each change
-// of leaders: gateways times servers, which is what a new leader bears least.
+// If sessions ended with the term, all gateways would read the whole list after each leader change.
+// That volume is gateways times servers, at the time when the new leader has the least capacity to
+// spare.
 
-// endTermBoundSessions ends the sessions that do not outlive the leader: those of relays, and of gateways of
-// versions that take handles for the leader's own. A gateway is told where to go, "" if that is
-// not known.
+// endTermBoundSessions closes the sessions that do not outlive the leader: those of relays, and of
+// gateways whose version binds handles to one leader. Gateways are redirected to the replica named
+// in to; "" means unknown.
 func (h *hub) endTermBoundSessions(to string) {
 	for s := range h.sessions {
 		switch {
@@ -31,12 +32,12 @@
 	}
 }
 
-// keepGateways makes a relay of a leader that leads no more, which has lost the leader.
-func (h *hub) keepGateways() {
+// becomeRelay turns a former leader into a relay without a leader, which keeps its gateways.
+func (h *hub) becomeRelay() {
 	out, changes := h.d.state.HallsOut()
 	r := &relay{
 		h: h, list: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
-		lostAt: h.d.replica.Now(), places: h.placesSent,
+		lostAt: h.d.replica.Now(), places: h.sentPlaces,
 	}
 	r.quarantine = h.evidence.list
 	h.endTermBoundSessions("")
@@ -46,14 +47,14 @@
 	}
 }
 
-// adoptGateways goes on, as a leader whose term has just begun, with the gateways that this replica
-// served as a relay.
+// adoptGateways continues, at the beginning of a term, the sessions of the gateways that this
+// replica served as a relay.
 func (h *hub) adoptGateways(r *relay) {
 	now := h.d.replica.Now()
 	h.feed = r.feed
 	set, missing := h.registry.Diff(now, &r.list)
 	h.missing = missing
-	m := h.listHead()
+	m := h.listHeader()
 	m.Set = set
 	for s := range h.sessions {
 		s.countedSeq = 0
@@ -62,13 +63,13 @@
 	}
 	h.sendServerChanges(m.Sent(h.registry.IsListed))
 	h.pushDocument()
-	h.d.cfg.Log.StateChange("gateways kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
+	h.d.cfg.Log.StateChange("gateway sessions kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
 		slog.Int("missing", len(missing)))
 }
 
-// listHead returns a list without servers: it says whose handles come, of which leader, and which halls
+// listHeader returns a list message without servers: its term, its handle space, and the halls that
 // are out of service.
-func (h *hub) listHead() protocol.Servers {
+func (h *hub) listHeader() protocol.Servers {
 	if h.relay != nil {
 		return h.relay.list.Header()
 	}
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -13,46 +13,46 @@
 	"github.com/badgerspoke/badgerspoke/coordination/consensus"
 )
 
-// This file defines where the leader should stand, and how it hands the lead over.
+// This file defines the placement of the leader and the handover to a better replica.
 //
-// A majority of the voters in one region decides without the link to others, and only if the
-// leader stands there. A leader writes to its disk before it sends, so that a slow disk of its
-// own delays every decision, and one of a follower none.
+// A majority of the voters in one region can commit without the links between regions, but only
+// under a leader in that region. A leader writes to its disk before it sends, so a slow disk of the
+// leader delays every commit; a slow disk of one follower delays none.
 //
-// Weighed: votes only for candidates of that region (a fleet whose region is lost has no
-// leader); elections that begin later elsewhere (every loss of a leader then costs that time
-// when the region is lost); a handover once the leader has settled (kept).
+// Alternatives considered: voting only for candidates of the majority region (if that region is
+// lost, there is no leader); later election timeouts in the other regions (if that region is lost,
+// every loss of a leader costs this time). Here the leader hands over once its term has settled.
 
 const (
-	// placeSettled is how long a leader leads before it hands over: a fleet that starts, or loses
-	// leaders in turn, has other things to do.
-	placeSettled = 3 * time.Second
-	// placeAgain is the time between two handovers that one replica tries, also if it has led again in
-	// between: a successor that was not elected may not be the next time.
-	placeAgain = 10 * time.Second
-	// placePeriod is the time between two looks.
-	placePeriod = time.Second
-	// slowSync is the average time of a sync below which no disk counts as slow. Four times the 5 ms
-	// of a good one.
-	slowSync = 20 * time.Millisecond
-	// slowTimes is how many times the sync of a slow disk takes what another replica's takes. Below
-	// it, a handover, during which nothing is decided, gains little.
-	slowTimes = 4
+	// minTermBeforeHandover is the minimum age of a term before a handover. A fleet that is
+	// starting, or losing leaders in succession, must not be disturbed further.
+	minTermBeforeHandover = 3 * time.Second
+	// handoverRetryDelay is the minimum time between two handover attempts of one replica, across
+	// terms: a successor that was not elected may fail again.
+	handoverRetryDelay = 10 * time.Second
+	// placementPeriod is the time between two placement checks.
+	placementPeriod = time.Second
+	// minSlowSync is the average sync time from which a disk can count as slow. A fast disk
+	// takes 5 ms.
+	minSlowSync = 20 * time.Millisecond
+	// slowSyncFactor is how many times longer than another replica's a sync must take for a disk to
+	// count as slow. Below it, a handover gains less than it costs, because nothing is committed
+	// meanwhile.
+	slowSyncFactor = 4
 )
 
-// voter is one replica that votes, as the leader sees it.
+// voter describes a voting replica, as observed by the leader.
 type voter struct {
 	name   string
-	region string        // empty if it has not named one
-	ready  bool          // it holds all of the log and answers
-	sync   time.Duration // what it takes to make entries durable; 0 if it has not said
+	region string        // empty if unknown
+	ready  bool          // its log is up to date and it responds
+	sync   time.Duration // time to make entries durable; 0 if not reported
 }
 
-// speed orders voters by their disks, those that have not said how fast they are last.
-func (v voter) speed() time.Duration { return cmp.Or(v.sync, math.MaxInt64) }
+// sortableSyncTime returns the sync time for sorting, with unreported times last.
+func (v voter) sortableSyncTime() time.Duration { return cmp.Or(v.sync, math.MaxInt64) }
 
-// majorityRegion returns the region in which a majority of the voters stands, "" if there is
-// none.
+// majorityRegion returns the region with a majority of the voters, or "" if there is none.
 func majorityRegion(voters []voter) string {
 	counts := map[string]int{}
 	for _, v := range voters {
@@ -64,8 +64,8 @@
 	return ""
 }
 
-// betterLeader returns the voter that should lead in place of self, whose syncs take a time, and
-// why; "" if self should.
+// betterLeader returns the voter that should lead in place of self, and the reason; "" if self
+// should lead. sync is the sync time of self.
 func betterLeader(self string, sync time.Duration, voters []voter) (name, why string) {
 	own := voters[max(slices.IndexFunc(voters, func(v voter) bool { return v.name == self }), 0)]
 	region := cmp.Or(majorityRegion(voters), own.region)
@@ -76,30 +76,30 @@
 		return "", ""
 	}
 	best := slices.MinFunc(candidates, func(a, b voter) int {
-		return cmp.Or(cmp.Compare(a.speed(), b.speed()), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(a.sortableSyncTime(), b.sortableSyncTime()), cmp.Compare(a.name, b.name))
 	})
 	switch {
 	case own.region != region:
 		return best.name, "majority"
-	case sync >= slowSync && best.sync > 0 && slowTimes*best.sync <= sync:
+	case sync >= minSlowSync && best.sync > 0 && slowSyncFactor*best.sync <= sync:
 		return best.name, "disk"
 	}
 	return "", ""
 }
 
-// checkPlacement hands the lead over if another replica should have it.
+// checkPlacement starts a handover if another replica should lead.
 func (h *hub) checkPlacement(now time.Duration) {
-	if now < h.placeDue || now-h.termBegan < placeSettled {
+	if now < h.nextPlacementAt || now-h.termBegan < minTermBeforeHandover {
 		return
 	}
-	h.placeDue = now + placePeriod
-	go h.d.handOver(func() { h.post(func() { h.placeDue = h.d.replica.Now() + placeAgain }) })
+	h.nextPlacementAt = now + placementPeriod
+	go h.d.handOverLead(func() { h.post(func() { h.nextPlacementAt = h.d.replica.Now() + handoverRetryDelay }) })
 }
 
-// voterRegion returns the region of a replica, "" if it has not named one: it does when it
-// offers itself as a relay, in a fleet with several regions.
+// voterRegion returns the region of a replica, or "" if unknown. In a fleet with several regions, a
+// replica names its region when it offers itself as a relay.
 func (d *Directory) voterRegion(name string) string {
-	if !d.hasMultipleRegions() { // they name none, so that this one's would differ from all
+	if !d.hasMultipleRegions() { // the other replicas name none, so that this one's region would differ from all
 		return ""
 	}
 	if name == d.Address() {
@@ -110,9 +110,10 @@
 	return known
 }
 
-// handOver looks once who should lead, and calls tried if it is another replica.
-func (d *Directory) handOver(tried func()) {
-	ctx, cancel := context.WithTimeout(d.ctx, placePeriod)
+// handOverLead checks once which voter should lead, transfers the leadership if it is another
+// replica, and then calls tried.
+func (d *Directory) handOverLead(tried func()) {
+	ctx, cancel := context.WithTimeout(d.ctx, placementPeriod)
 	defer cancel()
 	own := d.replica.SyncTime()
 	var to, why string
@@ -131,7 +132,7 @@
 	})
 	if err == nil && to != "" {
 		tried()
-		d.cfg.Log.StateChange("lead handed over", slog.String("to", to), slog.String("why", why),
+		d.cfg.Log.StateChange("leadership transferred", slog.String("to", to), slog.String("why", why),
 			slog.Duration("sync", own), slog.String("region", d.voterRegion(to)))
 	}
 }
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -11,16 +11,16 @@
 	"github.com/matryer/is"
 )
 
-// This file tests where the leader stands, and how soon there is another one.
+// This file tests the placement of the leader, and how fast a lost leader is replaced.
 
-// acknowledgedAfter puts a document as an operator does: at replicas in turn, from one on, with
-// a second for each. It returns how long that takes.
-func (x *fleet) acknowledgedAfter(number uint64, first int) time.Duration {
+// timeToAcknowledge puts a document as an operator does: at the replicas in turn, starting with
+// index first, with a timeout of a second for each. It returns the time until the acknowledgement.
+func (x *fleet) timeToAcknowledge(number uint64, first int) time.Duration {
 	began := time.Now()
 	for i := first; time.Since(began) < 20*time.Second; i++ {
 		n := x.nodes[x.ips[i%len(x.ips)]]
 		if n.d == nil {
-			continue // refused at once
+			continue // refuses at once
 		}
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		err := n.d.Put(ctx, testDocument(number))
@@ -30,13 +30,13 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.t.Fatalf("document %d is not acknowledged after 20 s", number)
+	x.t.Fatalf("document %d was not acknowledged within 20 s", number)
 	return 0
 }
 
-// TestAcknowledgesSoonAfterALeader: leaders in either region are killed in turn. An operator is
-// acknowledged again soon, whichever replica is tried first: also with so many gateways in the
-// other region that their lists fill the link for seconds.
+// TestAcknowledgesSoonAfterALeader: leaders are killed in turn. An operator's change must soon be
+// acknowledged again, whichever replica is tried first, also with so many gateways in the other
+// region that their lists fill the link for seconds.
 func TestAcknowledgesSoonAfterALeader(t *testing.T) {
 	for gateways, rounds := range map[int]int{4: 10, 60: 4} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
@@ -51,26 +51,26 @@
 				for round := range rounds {
 					old := x.awaitLeader()
 					old.kill()
-					longest = max(longest, x.acknowledgedAfter(uint64(round+1), round))
+					longest = max(longest, x.timeToAcknowledge(uint64(round+1), round))
 					x.startReplica(old.ip, false)
 					time.Sleep(10 * time.Second)
 				}
-				x.t.Logf("%d gateways in each region: acknowledged after %v at worst", gateways, longest)
+				x.t.Logf("%d gateways in each region: acknowledged after at most %v", gateways, longest)
 				is.True(longest < 1200*time.Millisecond)
 			})
 		})
 	}
 }
 
-// TestLeaderStandsWithTheMajority: a leader in the region with fewer voters hands over to one
-// with more, once, and what is put meanwhile is acknowledged soon.
+// TestLeaderStandsWithTheMajority: a leader in the region with fewer voters must hand over once to
+// one in the region with the majority, and changes must soon be acknowledged meanwhile.
 func TestLeaderStandsWithTheMajority(t *testing.T) {
 	t.Parallel()
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		changes, number := 0, uint64(0)
 		for round := range 5 {
-			for _, ip := range x.ips[:3] { // what stands in the north
+			for _, ip := range x.ips[:3] { // the replicas in the north
 				x.nodes[ip].kill()
 				if round%2 == 0 && ip == x.ips[0] {
 					x.startReplica(ip, false)
@@ -83,18 +83,18 @@
 				}
 			}
 			number++
-			is.True(x.acknowledgedAfter(number, round) < 2*time.Second)
+			is.True(x.timeToAcknowledge(number, round) < 2*time.Second)
 			last := x.awaitLeader().ip
 			changes = 0
 			longest := time.Duration(0)
 			for began := time.Now(); time.Since(began) < 12*time.Second; time.Sleep(200 * time.Millisecond) {
 				number++
-				longest = max(longest, x.acknowledgedAfter(number, int(number)))
+				longest = max(longest, x.timeToAcknowledge(number, int(number)))
 				if l := x.awaitLeader().ip; l != last {
 					last, changes = l, changes+1
 				}
 			}
-			x.t.Logf("%d changes, acknowledged after %v at worst", changes, longest)
+			x.t.Logf("%d leader changes, acknowledged after at most %v", changes, longest)
 			is.Equal(x.regions[last], north)
 			is.True(changes <= 2)
 			is.True(longest < 700*time.Millisecond)
@@ -102,7 +102,8 @@
 	})
 }
 
-// TestLeaderWithASlowDisk: a leader whose disk has become slow hands over to one whose has not.
+// TestLeaderWithASlowDisk: a leader whose disk has become slow must hand over to one with a fast
+// disk.
 func TestLeaderWithASlowDisk(t *testing.T) {
 	t.Parallel()
 	withFleet(t, 3, func(x *fleet) {
@@ -129,7 +130,8 @@
 }
 
 // TestHandoverThatFails: the only successor in the region with the majority cannot be elected,
-// since it reaches no other voter than the leader. The leader comes back, and does not try again at once.
+// since it reaches no voter except the leader. The leader is elected again, and must not retry at
+// once.
 func TestHandoverThatFails(t *testing.T) {
 	t.Parallel()
 	inRegions(t, 1_000_000, func(x *fleet) {
@@ -138,23 +140,23 @@
 		leader, other := x.awaitLeader(), x.relays(south)[0]
 		x.nodes[x.ips[1]].kill()
 		x.nodes[x.ips[2]].kill()
-		defer x.net.Reunite() // also when the test fails, or dials would wait for ever
+		defer x.net.Reunite() // also when the test fails; otherwise dials would block forever
 		x.net.Isolate(x.ips[0], other.ip)
 		time.Sleep(5 * time.Second)
 		const sample, again = 20 * time.Millisecond, 10 * time.Second
 		losses, last := 0, -again
-		led := x.leader() == leader // a lead that is lost already counts before the minute
+		led := x.leader() == leader // an earlier loss does not count
 		for began := time.Now(); time.Since(began) < time.Minute; time.Sleep(sample) {
 			leads := x.leader() == leader
 			if led && !leads {
 				losses++
-				is.True(time.Since(began)-last >= again-sample) // no two tries sooner
+				is.True(time.Since(began)-last >= again-sample) // attempts keep the retry delay
 				last = time.Since(began)
 			}
 			led = leads
 		}
-		x.t.Logf("lost the lead %d times in a minute", losses)
-		is.True(losses >= 1) // or nothing was tried
-		is.True(losses <= 6) // once in 10 s
+		x.t.Logf("lost the leadership %d times in a minute", losses)
+		is.True(losses >= 1) // at least one handover was attempted
+		is.True(losses <= 6) // at most one attempt per 10 s
 	})
 }
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -9,27 +9,27 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how sessions are sent what has changed in the list: relays all of it at once, gateways at
-// the pace of the box's link ([registry.ListPace]).
+// This file defines how list changes are sent: to relays at once, to gateways at the pace of the
+// box's link ([registry.ListPace]).
 
-// sendServerChanges sends what has changed in the list: relays all of it, gateways all but the servers for
-// which the link has no room now.
+// sendServerChanges sends a list change: all of it to relays, and to gateways everything except the
+// servers that exceed the link's capacity, which are held back.
 func (h *hub) sendServerChanges(m protocol.Servers) {
-	h.sendTo(m, true)
+	h.sendListChange(m, true)
 	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
 	h.heldServers.Gone, m.Set = nil, nil
-	news := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.hallsTold || m.Term != h.termTold
-	h.hallsTold, h.termTold = m.HallChanges, m.Term
-	if m.Set = h.admitted(); news || len(m.Set) > 0 {
-		h.sendTo(m, false)
+	hasOtherChanges := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.listedHallChanges || m.Term != h.listedTerm
+	h.listedHallChanges, h.listedTerm = m.HallChanges, m.Term
+	if m.Set = h.takeSendable(); hasOtherChanges || len(m.Set) > 0 {
+		h.sendListChange(m, false)
 	}
-	h.awaitTurn()
+	h.scheduleSend()
 }
 
-// admitted takes from what is held as many servers as may go to all gateways now.
-func (h *hub) admitted() (set []protocol.Server) {
+// takeSendable removes from the held servers as many as may be sent to all gateways now.
+func (h *hub) takeSendable() (set []protocol.Server) {
 	n := len(h.heldServers.Set)
-	if h.relayWaits() {
+	if h.relayAwaitsList() {
 		n = 0
 	}
 	n = min(n, h.listPace.EntryAllowance(h.d.replica.Now(), len(h.sessions)))
@@ -37,27 +37,30 @@
 	return set
 }
 
-// sendHeld sends gateways servers that are held, as many as may go now. It is called once a tick.
-func (h *hub) sendHeld() {
-	if set := h.admitted(); len(set) > 0 && len(h.sessions) > 0 {
-		m := h.listHead()
+// sendHeldServers sends gateways as many held servers as the pace allows. It is called once per
+// tick.
+func (h *hub) sendHeldServers() {
+	if set := h.takeSendable(); len(set) > 0 && len(h.sessions) > 0 {
+		m := h.listHeader()
 		m.Set = set
-		h.sendTo(m, false)
+		h.sendListChange(m, false)
 	}
 }
 
-// sendTo sends a change of the list to all relays, or to all gateways. To who has a part
-// of the list it is not complete yet, or they would take the rest of it for servers that have gone.
-func (h *hub) sendTo(m protocol.Servers, relays bool) {
-	h.sendEach(m, func(s *session) bool {
-		return s.relay == relays && s.listed == "" && !(relays && slices.Contains(h.listless, s)) // its list will have it
+// sendListChange sends a list change to all relays or to all gateways. Sessions with a partial list
+// get it without the Complete flag; otherwise they would drop the servers that they have not been
+// sent yet.
+func (h *hub) sendListChange(m protocol.Servers, relays bool) {
+	h.sendToSessions(m, func(s *session) bool {
+		// A waiting relay gets the change with its list.
+		return s.relay == relays && s.lastListed == "" && !(relays && slices.Contains(h.awaitingList, s))
 	})
 	m.Complete = false
-	h.sendEach(m, func(s *session) bool { return s.relay == relays && s.listed != "" })
+	h.sendToSessions(m, func(s *session) bool { return s.relay == relays && s.lastListed != "" })
 }
 
-// sendEach sends a change of the list to the sessions that are to have it, and counts its bytes.
-func (h *hub) sendEach(m protocol.Servers, to func(s *session) bool) {
+// sendToSessions sends a list change to the selected sessions, and counts its bytes.
+func (h *hub) sendToSessions(m protocol.Servers, to func(s *session) bool) {
 	var all []*session
 	for s := range h.sessions {
 		if to(s) {
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -10,41 +10,41 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how sessions get the whole list and its changes: at once where the box's link has
-// room, else in turn, and documents before them. Meanwhile a session has all the rest, and its gateway
-// goes on with the list that it has. Relays go first, and servers that have gone wait for nothing: those
-// who send to them must know.
+// This file defines how sessions are sent the whole list: at once if the box's link has capacity,
+// otherwise in turn, with documents ahead of lists. A waiting session receives all other messages,
+// and its gateway keeps using the list that it has. Relays go first. Departures are never delayed,
+// because gateways must stop sending to those servers.
 //
-// Without the turns a fleet of 985 gateways and 9,998 servers never had a leader for longer than
-// 1.4 s (TestCrowdComesAtOnce: 12 to 14 terms led in 10 s, one with them).
+// Without the pacing, a fleet of 985 gateways and 9,998 servers never had a leader for longer than
+// 1.4 s: the lists delayed its heartbeats (TestCrowdComesAtOnce).
 
-// listPart is the part of the box's link that whole lists and their changes may have: the other half
-// is for what keeps a leader, documents, reports and answers.
-const listPart = 0.5
+// listLinkShare is the fraction of the box's link that whole lists and their changes may use. The
+// rest is for heartbeats, documents, reports and answers.
+const listLinkShare = 0.5
 
-// giveList sends a session the whole list, or what comes in its place until it is its turn. It
-// returns false if the list cannot be encoded.
-func (h *hub) giveList(s *session) bool {
-	if len(h.listless) > 0 || h.listPace.Wait(h.d.replica.Now()) > 0 {
-		if !s.relay { // which takes the first list that it is sent for the whole one
-			s.out.Send(h.listHead())
+// sendOrQueueList sends a session the whole list, or a substitute until its turn comes. It returns
+// false if the list cannot be encoded.
+func (h *hub) sendOrQueueList(s *session) bool {
+	if len(h.awaitingList) > 0 || h.listPace.Wait(h.d.replica.Now()) > 0 {
+		if !s.relay { // a relay takes its first list for the whole one
+			s.out.Send(h.listHeader())
 		}
-		h.listless = append(h.listless, s)
-		h.awaitTurn()
+		h.awaitingList = append(h.awaitingList, s)
+		h.scheduleSend()
 		return true
 	}
 	done, ok := h.sendList(s)
 	if !done {
-		h.listless = append(h.listless, s)
-		h.awaitTurn()
+		h.awaitingList = append(h.awaitingList, s)
+		h.scheduleSend()
 	}
 	return ok
 }
 
-// sendList sends a session the whole list now, or as many servers of it as may go at once, after those that
-// it has been sent. done is whether it has all.
+// sendList sends a session the whole list, or the next part of it that the pace allows. done
+// reports whether the session has the whole list.
 func (h *hub) sendList(s *session) (done, ok bool) {
-	m, last := registry.ListPart(h.wholeList().servers, s.listed, h.listPace.PartSize())
+	m, last := registry.ListPart(h.wholeList().servers, s.lastListed, h.listPace.PartSize())
 	list, ok := h.encodeList(m)
 	if !ok {
 		return false, false
@@ -52,18 +52,18 @@
 	s.out.Send(list)
 	h.listPace.RecordSent(h.d.replica.Now(), list.Size())
 	if !last {
-		s.listed = m.Set[len(m.Set)-1].ID
+		s.lastListed = m.Set[len(m.Set)-1].ID
 		return false, true
 	}
-	s.listed = ""
+	s.lastListed = ""
 	h.sendSums(s)
-	if s.relay && len(h.placesSent) > 0 { // what comes before the list is not taken
-		s.out.Send(protocol.Places{List: h.placesSent})
+	if s.relay && len(h.sentPlaces) > 0 { // a relay ignores places sent before its list
+		s.out.Send(protocol.Places{List: h.sentPlaces})
 	}
 	return true, true
 }
 
-// sendSums sends a session, after its list, what the others were sent of what runs.
+// sendSums sends a session the sums that the other sessions were last sent. It follows the list.
 func (h *hub) sendSums(s *session) {
 	if h.relay != nil {
 		h.relay.sendSums(s)
@@ -73,70 +73,72 @@
 	}
 }
 
-// sendDocuments sends the newest document to the sessions that lack it, as long as the link has room:
-// a document of 38 KB to 985 gateways is 0.3 s of a gigabit. A relay has the log.
+// sendDocuments sends the newest document to the sessions that lack it, as long as the link has
+// capacity: a document of 38 KB to 985 gateways takes a gigabit link 0.3 s. Relays get documents
+// from the log.
 func (h *hub) sendDocuments() {
-	h.undocumented = false
+	h.documentsPending = false
 	for s := range h.sessions {
-		if s.relay || s.number >= h.encodedDocument.Number {
+		if s.relay || s.documentNumber >= h.encodedDocument.Number {
 			continue
 		}
 		if h.listPace.Wait(h.d.replica.Now()) > 0 {
-			h.undocumented = true
+			h.documentsPending = true
 			return
 		}
 		s.out.Send(h.encodedDocument)
-		s.number = h.encodedDocument.Number
+		s.documentNumber = h.encodedDocument.Number
 		h.listPace.RecordSent(h.d.replica.Now(), len(h.encodedDocument.Data))
 	}
 }
 
-// sendLists sends what waits for the link's room: documents, and the list to sessions whose turn it is,
-// relays first, then who has a part of it, then those whose gateways know no servers, then in the order in
-// which they opened.
-func (h *hub) sendLists() {
-	h.listless = slices.DeleteFunc(h.listless, func(s *session) bool { return !h.sessions[s] })
+// sendQueued sends as many queued documents and lists as the link allows. Lists go to relays first,
+// then to sessions that have a part of theirs, then to gateways without servers, then in the order
+// in which the sessions opened.
+func (h *hub) sendQueued() {
+	h.awaitingList = slices.DeleteFunc(h.awaitingList, func(s *session) bool { return !h.sessions[s] })
 	h.sendDocuments()
-	for len(h.listless) > 0 && h.listPace.Wait(h.d.replica.Now()) == 0 {
-		next := h.nextTurn()
-		s := h.listless[next]
+	for len(h.awaitingList) > 0 && h.listPace.Wait(h.d.replica.Now()) == 0 {
+		next := h.nextListIndex()
+		s := h.awaitingList[next]
 		done, ok := h.sendList(s)
 		if done || !ok {
-			h.listless = slices.Delete(h.listless, next, next+1)
+			h.awaitingList = slices.Delete(h.awaitingList, next, next+1)
 		}
 		if !ok {
 			h.closeSession(s)
 			s.out.Close()
 		}
 	}
-	h.awaitTurn()
+	h.scheduleSend()
 }
 
-// isRelay reports whether a session is a relay's.
-func isRelay(s *session) bool { return s.relay }
+// isRelaySession reports whether a session is that of a relay.
+func isRelaySession(s *session) bool { return s.relay }
 
-// relayWaits reports whether a relay waits for the list: until it has it, the leader serves its
-// gateways as well.
-func (h *hub) relayWaits() bool { return slices.ContainsFunc(h.listless, isRelay) }
+// relayAwaitsList reports whether a relay is waiting for the list. Until it has the list, the
+// leader serves its gateways too.
+func (h *hub) relayAwaitsList() bool { return slices.ContainsFunc(h.awaitingList, isRelaySession) }
 
-// nextTurn returns the index of the session whose turn is next.
-func (h *hub) nextTurn() int {
-	if i := slices.IndexFunc(h.listless, isRelay); i >= 0 {
+// nextListIndex returns the index of the session to be sent a list next.
+func (h *hub) nextListIndex() int {
+	if i := slices.IndexFunc(h.awaitingList, isRelaySession); i >= 0 {
 		return i
 	}
-	if i := slices.IndexFunc(h.listless, func(s *session) bool { return s.listed != "" }); i >= 0 {
+	if i := slices.IndexFunc(h.awaitingList, func(s *session) bool { return s.lastListed != "" }); i >= 0 {
 		return i
 	}
-	return max(slices.IndexFunc(h.listless, func(s *session) bool { return !s.knows }), 0)
+	return max(slices.IndexFunc(h.awaitingList, func(s *session) bool { return !s.hasServers }), 0)
 }
 
-// awaitTurn sets the timer for the next turn.
-func (h *hub) awaitTurn() {
+// scheduleSend sets the timer for the next paced send.
+func (h *hub) scheduleSend() {
 	now := h.d.replica.Now()
-	if h.undocumented || len(h.listless) > 0 {
-		h.turn.Reset(max(h.listPace.Wait(now), shortestTurn))
+	if h.documentsPending || len(h.awaitingList) > 0 {
+		h.sendTimer.Reset(max(h.listPace.Wait(now), minSendDelay))
 	}
 }
 
-// shortestTurn bounds the timer's work. Half of what lists may be ahead.
-const shortestTurn = 10 * time.Millisecond
+// minSendDelay limits how often the timer fires. It is half of the time that lists may run ahead of
+// their pace.
+const minSendDelay = 10 * time.Millisecond
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -18,25 +18,25 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests backend servers that start again under the names that they had.
+// This file tests backend servers that restart under the same name.
 
-// life is one life of server "b1", and the announcement that it makes next.
+// life is one life of server "b1", from one start to the next, and its next announcement.
 type life struct {
-	x    *fleet
-	born uint64
-	at   string
-	seq  uint64
+	x       *fleet
+	born    uint64
+	address string
+	seq     uint64
 }
 
 func (l *life) announcement(leaving bool) registry.Announcement {
 	l.seq++
 	return registry.Announcement{
-		Registration: protocol.Registration{ID: protocol.LifeID("b1", l.born), Pool: "p", Address: l.at, Slots: 4},
+		Registration: protocol.Registration{ID: protocol.LifeID("b1", l.born), Pool: "p", Address: l.address, Slots: 4},
 		Leaving:      leaving, Seq: l.seq,
 	}
 }
 
-// announce announces the life at whoever leads.
+// announce sends the leader an announcement of the life.
 func (l *life) announce(leaving bool) {
 	l.x.t.Helper()
 	ctx, cancel := context.WithTimeout(l.x.t.Context(), time.Second)
@@ -46,42 +46,42 @@
 	}
 }
 
-// beat announces the life once in each interval for some time.
-func (l *life) beat(times int) {
+// announceFor announces the life for a number of intervals.
+func (l *life) announceFor(times int) {
 	for range times {
 		l.announce(false)
 		time.Sleep(announceInterval)
 	}
 }
 
-// TestServerStartsAgain: a server that starts again under its name is served within two seconds,
-// wherever it stands then, however its life before ended, and whatever late words there are of
-// that; nothing reaches the address of the life before.
+// TestServerStartsAgain: a server that restarts under its name must be served within two seconds,
+// also at another address, however its previous life ended, and despite late messages of that life.
+// Afterwards nothing may be sent to the address of the previous life.
 func TestServerStartsAgain(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
-		at        string // of the later life; "": the same
-		unborn    bool   // the earlier life did not say when it began
+		address   string // address of the later life; "" means the same
+		unborn    bool   // the earlier life has no start time
 		ends      func(l *life)
 		meanwhile func(x *fleet, earlier *life)
 	}{
-		{name: "after a crash", at: "10.0.4.1:80"},
-		{name: "after a crash, at its address"},
-		{name: "after a life that said no start", at: "10.0.4.1:80", unborn: true},
-		{name: "after it drained", at: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
-		{name: "after it took leave by its name", ends: func(l *life) {
+		{name: "after a crash", address: "10.0.4.1:80"},
+		{name: "after a crash, at the same address"},
+		{name: "after a life without a start time", address: "10.0.4.1:80", unborn: true},
+		{name: "after it drained", address: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
+		{name: "after a withdrawal by name", ends: func(l *life) {
 			if err := l.x.awaitLeader().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
 				l.x.t.Fatal(err)
 			}
 		}},
-		{name: "late announcements", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(false) }},
-		{name: "a late departure", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(true) }},
-		{name: "the leader is killed", at: "10.0.4.1:80", meanwhile: func(x *fleet, earlier *life) {
+		{name: "late announcements", address: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(false) }},
+		{name: "a late departure", address: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(true) }},
+		{name: "the leader is killed", address: "10.0.4.1:80", meanwhile: func(x *fleet, earlier *life) {
 			x.awaitLeader().kill()
 			x.awaitLeader()
 			earlier.announce(false)
 		}},
-		{name: "power of the directory is lost", at: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
+		{name: "power of the directory is lost", address: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
 			x.losePower()
 			for _, ip := range x.ips {
 				x.startReplica(ip, false)
@@ -93,22 +93,22 @@
 			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				x.putDocument(1)
-				earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
+				earlier := &life{x: x, born: 1_790_000_000_000, address: "10.0.3.1:80", seq: 1000}
 				if tt.unborn {
 					earlier.born = 0
 				}
 				a := &arrivals{at: map[string][]time.Time{}}
 				x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 				x.startLoadedGateway("10.0.2.2", a, 20*time.Millisecond)
-				earlier.beat(3)
-				all, _ := a.countSince(earlier.at, time.Time{})
+				earlier.announceFor(3)
+				all, _ := a.countSince(earlier.address, time.Time{})
 				is.True(all > 50)
 				if tt.ends != nil {
 					tt.ends(earlier)
 				}
-				later := &life{x: x, born: 1_790_000_009_000, at: tt.at}
-				if tt.at == "" {
-					later.at = earlier.at
+				later := &life{x: x, born: 1_790_000_009_000, address: tt.address}
+				if tt.address == "" {
+					later.address = earlier.address
 				}
 				began := time.Now()
 				later.announce(false)
@@ -116,19 +116,19 @@
 					time.Sleep(300 * time.Millisecond)
 					tt.meanwhile(x, earlier)
 				}
-				later.beat(4)
-				served, _ := a.countSince(later.at, began)
-				late, _ := a.countSince(later.at, began.Add(2*time.Second))
-				before, _ := a.countSince(earlier.at, began.Add(2*time.Second))
-				t.Logf("%d requests reach the later life, %d of them after 2 s; %d the earlier one's address", served, late, before)
+				later.announceFor(4)
+				served, _ := a.countSince(later.address, began)
+				late, _ := a.countSince(later.address, began.Add(2*time.Second))
+				before, _ := a.countSince(earlier.address, began.Add(2*time.Second))
+				t.Logf("%d requests reached the later life, %d of them after 2 s; %d reached the earlier address", served, late, before)
 				is.True(late > 50)
-				is.True(later.at == earlier.at || before == 0)
+				is.True(later.address == earlier.address || before == 0)
 			})
 		})
 	}
 }
 
-// TestServerStartsAgainBehindARelay: gateways that a relay serves learn of it as well.
+// TestServerStartsAgainBehindARelay: the restart must also reach gateways that a relay serves.
 func TestServerStartsAgainBehindARelay(t *testing.T) {
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
@@ -137,28 +137,28 @@
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
-		earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
-		earlier.beat(3)
-		later := &life{x: x, born: 1_790_000_009_000, at: "10.0.4.1:80"}
+		earlier := &life{x: x, born: 1_790_000_000_000, address: "10.0.3.1:80", seq: 1000}
+		earlier.announceFor(3)
+		later := &life{x: x, born: 1_790_000_009_000, address: "10.0.4.1:80"}
 		began := time.Now()
 		later.announce(false)
 		time.Sleep(time.Second)
-		earlier.announce(true) // its departure, late
-		later.beat(3)
-		served, _ := a.countSince(later.at, began.Add(2*time.Second))
-		before, _ := a.countSince(earlier.at, began.Add(2*time.Second))
+		earlier.announce(true) // its late departure
+		later.announceFor(3)
+		served, _ := a.countSince(later.address, began.Add(2*time.Second))
+		before, _ := a.countSince(earlier.address, began.Add(2*time.Second))
 		is.True(served > 50)
 		is.Equal(before, 0)
 	})
 }
 
-// TestVersionsWithoutLives: a gateway that takes the name for the identifier, as versions before
-// did, has the server that is listed under it, and none once that has departed.
+// TestVersionsWithoutLives: a gateway of an earlier version takes the name for the identifier. It
+// must list the server's current life under that name, and nothing once the server has departed.
 func TestVersionsWithoutLives(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
-		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
+		l := &life{x: x, born: 1_790_000_000_000, address: "10.0.3.1:80"}
 		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
 		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
 		is.NoErr(err)
@@ -184,7 +184,7 @@
 		l.announce(false)
 		take()
 		is.Equal(listed, map[string]string{"b1": "10.0.3.1:80"})
-		next := &life{x: x, born: 1_790_000_009_000, at: "10.0.4.1:80"}
+		next := &life{x: x, born: 1_790_000_009_000, address: "10.0.4.1:80"}
 		next.announce(false)
 		take()
 		l.announce(true) // late
@@ -196,8 +196,8 @@
 	})
 }
 
-// TestLifeInAHallOutOfService: a server that starts again in a hall that is out of service gets
-// nothing, and one that starts again in another hall does.
+// TestLifeInAHallOutOfService: a server that restarts in a hall that is out of service must get no
+// requests, and one that restarts in another hall must.
 func TestLifeInAHallOutOfService(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -226,14 +226,14 @@
 	})
 }
 
-// TestLifeOfAnotherVersion: a server of the old version that starts again with a rollout's target
-// belongs to that from then on.
+// TestLifeOfAnotherVersion: a server of the old version that restarts with the target version of a
+// rollout must count as a server of the target from then on.
 func TestLifeOfAnotherVersion(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
-		var life atomic.Uint64 // of b1, which runs the version of this number
+		var life atomic.Uint64 // of b1, which runs the version with the same number
 		life.Store(1)
 		seqs := map[string]uint64{}
 		stop := x.announceRepeatedly(func() {
@@ -248,7 +248,7 @@
 			} {
 				s.Pool, s.Slots = "p", 40
 				seqs[s.ID]++
-				// Whoever does not lead any more refuses it.
+				// A replica that no longer leads refuses it.
 				_ = d.Announce(x.t.Context(), registry.Announcement{Registration: s, Seq: seqs[s.ID]})
 			}
 		})
--- a/directory/place_internal_test.go
+++ b/directory/place_internal_test.go
@@ -12,9 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests where the leader should stand, as a decision on what it knows of the voters.
+// This file tests the decision which voter should lead.
 
-// TestBetterLeader: who should lead, by where the voters stand and how fast their disks are.
+// TestBetterLeader covers the choice by the voters' regions and by the speed of their disks.
 func TestBetterLeader(t *testing.T) {
 	const ms = time.Millisecond
 	north := []voter{{"a", "n", true, 5 * ms}, {"b", "n", true, 6 * ms}, {"c", "n", true, 0}, {"d", "s", true, ms}, {"e", "s", true, 9 * ms}}
@@ -22,28 +22,28 @@
 	unready := []voter{{"a", "n", false, 5 * ms}, {"b", "n", false, 6 * ms}, {"c", "n", false, ms}, {"d", "s", true, ms}, {"e", "s", true, ms}}
 	unknown := []voter{{"a", "", true, 5 * ms}, {"b", "", true, 6 * ms}, {"c", "", true, 30 * ms}}
 	for _, c := range []struct {
-		what   string
-		self   string
-		sync   time.Duration
-		voters []voter
-		name   string
-		why    string
+		scenario string
+		self     string
+		sync     time.Duration
+		voters   []voter
+		name     string
+		why      string
 	}{
-		{"stands with the majority", "a", 5 * ms, north, "", ""},
-		{"stands elsewhere", "d", 5 * ms, north, "a", "majority"},
-		{"slow disk", "a", 100 * ms, north, "b", "disk"}, // c has not said how fast its disk is
-		{"slow disk, and no other is known", "a", 100 * ms, []voter{north[0], north[2]}, "", ""},
-		{"slow disk, all known", "b", 100 * ms, north[:2], "a", "disk"},
-		{"slow disk, not by enough", "b", 20*ms - 1, north[:2], "", ""},
-		{"slow disk, not in proportion", "c", 40 * ms, []voter{{"b", "n", true, 11 * ms}, {"c", "n", true, 40 * ms}}, "", ""},
+		{"in the majority region", "a", 5 * ms, north, "", ""},
+		{"outside the majority region", "d", 5 * ms, north, "a", "majority"},
+		{"slow disk", "a", 100 * ms, north, "b", "disk"}, // the sync time of c is unknown
+		{"slow disk, other sync times unknown", "a", 100 * ms, []voter{north[0], north[2]}, "", ""},
+		{"slow disk, all sync times known", "b", 100 * ms, north[:2], "a", "disk"},
+		{"slow disk, below the minimum", "b", 20*ms - 1, north[:2], "", ""},
+		{"slow disk, below the factor", "c", 40 * ms, []voter{{"b", "n", true, 11 * ms}, {"c", "n", true, 40 * ms}}, "", ""},
 		{"no region has a majority", "e", 5 * ms, spread, "", ""},
 		{"no region has a majority, and a slow disk", "a", 100 * ms, spread, "b", "disk"},
-		{"nobody there is ready", "d", 5 * ms, unready, "", ""},
+		{"no candidate is ready", "d", 5 * ms, unready, "", ""},
 		{"no regions", "a", 5 * ms, unknown, "", ""},
 		{"no regions, and a slow disk", "c", 30 * ms, unknown, "a", "disk"},
 		{"alone", "a", 100 * ms, unknown[:1], "", ""},
 	} {
-		t.Run(c.what, func(t *testing.T) {
+		t.Run(c.scenario, func(t *testing.T) {
 			is := is.New(t)
 			name, why := betterLeader(c.self, c.sync, c.voters)
 			is.Equal(name, c.name)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestVoterRegions: where replicas stand counts only where there are several regions, since
-// replicas name theirs only there; else a leader with a slow disk would find nobody in its own.
+// TestVoterRegions: regions must be ignored in a fleet with one region, where replicas do not
+// report them. Otherwise a leader with a slow disk would find no successor in its own region.
 func TestVoterRegions(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -17,64 +17,63 @@
 
 // This file defines Replicated, the state machine that the log drives.
 
-// command is one command of the log. One field is set.
+// command is one command of the log. Exactly one field is set.
 type command struct {
 	Put    *document.Held `cbor:"1,keyasint,omitempty"`
 	Depart string         `cbor:"2,keyasint,omitempty"`
-	// Join is backend servers that announced themselves. Nobody waits for it: it only
-	// spares a new leader the time until all have announced themselves again.
+	// Join holds backend servers that announced themselves. No caller waits for it: it only lets a
+	// new leader list the servers before they have announced themselves again.
 	Join []protocol.Registration `cbor:"3,keyasint,omitempty"`
 	// Hall takes a data hall out of service or puts it back.
 	Hall *document.HallChange `cbor:"4,keyasint,omitempty"`
-	// Rollout begins a rollout, notes how far it is, or ends it.
+	// Rollout starts a rollout, records its progress, or ends it.
 	Rollout *document.RolloutChange `cbor:"5,keyasint,omitempty"`
-	// Condemned condemns a request under which servers end, or releases it.
+	// Condemned condemns a request that terminates servers, or releases it.
 	Condemned *document.CondemnedChange `cbor:"6,keyasint,omitempty"`
-	// Spread says from now on whether gateways' sessions are spread over the replicas.
+	// Spread sets whether gateways' sessions are spread over the replicas.
 	Spread *bool `cbor:"7,keyasint,omitempty"`
 }
 
 // Replicated is the applied state. It is safe for concurrent use.
 type Replicated struct {
-	mu     sync.Mutex
-	store  document.Store
-	orders evacuation.Orders
-	// rolloutOrders are operators' orders of rollouts, as taken here.
+	mu         sync.Mutex
+	store      document.Store
+	hallOrders evacuation.Orders
+	// rolloutOrders records the operators' rollout orders that this replica has applied.
 	rolloutOrders rollout.Orders
-	// condemnedChanges counts changes of the condemned requests, since this replica's start.
+	// condemnedChanges counts changes of the condemned requests since this replica started.
 	condemnedChanges uint64
 	notify           func()               // must not block
 	now              func() time.Duration // monotonic
 }
 
-// newReplicated returns an empty state. hallWindow and rolloutWindow are for how long operators
-// repeat orders. notify is called after each change and must not block.
+// newReplicated returns an empty state. hallWindow and rolloutWindow are how long operators repeat
+// orders. notify is called after each change and must not block.
 func newReplicated(hallWindow, rolloutWindow time.Duration, notify func()) *Replicated {
 	began := time.Now()
 	return &Replicated{
-		orders: evacuation.Orders{Window: hallWindow}, rolloutOrders: rollout.Orders{Window: rolloutWindow}, notify: notify,
+		hallOrders: evacuation.Orders{Window: hallWindow}, rolloutOrders: rollout.Orders{Window: rolloutWindow}, notify: notify,
 		now: func() time.Duration { return time.Since(began) },
 	}
 }
 
 var _ replica.Machine = (*Replicated)(nil)
 
-// Held returns the document applied here.
+// Held returns the document applied at this replica.
 func (r *Replicated) Held() (document.Held, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Held()
 }
 
-// Departed reports whether a backend server is leaving or gone.
+// Departed reports whether a backend server is leaving or has left.
 func (r *Replicated) Departed(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Departed(id)
 }
 
-// DeparturesSince returns the departures after the first n, and how many there
-// were in all.
+// DeparturesSince returns the departures after the first n, and their total number.
 func (r *Replicated) DeparturesSince(n uint64) (ids []string, total uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,8 +87,7 @@
 	return r.store.Joined()
 }
 
-// HallsOut returns the data halls that are out of service, and the number of changes of
-// all halls.
+// HallsOut returns the data halls that are out of service, and the number of hall changes so far.
 func (r *Replicated) HallsOut() (out []string, changes uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,36 +101,36 @@
 	return r.store.Spread()
 }
 
-// Rollouts returns the newest rollout of each pool that had one, ordered by pool.
+// Rollouts returns the newest rollout of each pool, ordered by pool. Pools without one are omitted.
 func (r *Replicated) Rollouts() []document.Rollout {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Rollouts()
 }
 
-// Rollout returns the newest rollout of a pool, or false if it had none.
+// Rollout returns the newest rollout of a pool, or false if there was none.
 func (r *Replicated) Rollout(pool string) (document.Rollout, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Rollout(pool)
 }
 
-// Condemned returns the requests that are sent to no server, oldest first.
+// Condemned returns the requests that may not be sent to any server, oldest first.
 func (r *Replicated) Condemned() []document.Condemned {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Condemned()
 }
 
-// condemnedRevision tells whether the condemned requests have changed.
+// condemnedRevision returns a number that increases whenever the condemned requests change.
 func (r *Replicated) condemnedRevision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.condemnedChanges
 }
 
-// decideRolloutOrder returns what is to be done about an operator's order, the change that does it,
-// and the pool's newest rollout. One that nothing is to be done about is remembered.
+// decideRolloutOrder returns the verdict on an operator's order, the change that carries it out,
+// and the pool's newest rollout. An order that is already applied is recorded as a repeat.
 func (r *Replicated) decideRolloutOrder(o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,15 +142,15 @@
 	return verdict, change, newest
 }
 
-// hallsReturnedWithin returns the data halls that were put back into service lately.
+// hallsReturnedWithin returns the data halls that were put back into service within the last d.
 func (r *Replicated) hallsReturnedWithin(d time.Duration) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.orders.PutBackWithin(r.now(), d)
+	return r.hallOrders.PutBackWithin(r.now(), d)
 }
 
-// coldRates returns the rate that each pool states for cold backend servers, in requests a
-// second, by the document in force.
+// coldRates returns the rate limit of a cold backend server by pool, in requests per second, from
+// the document in force. Pools without a limit are omitted.
 func (r *Replicated) coldRates() map[string]float64 {
 	held, _ := r.Held()
 	rates := map[string]float64{}
@@ -164,13 +162,13 @@
 	return rates
 }
 
-// decideHallOrder returns what is to be done about an operator's decideHallOrder for a data hall, and the
-// change that does it.
+// decideHallOrder returns the verdict on an operator's order for a data hall, and the change that
+// carries it out.
 func (r *Replicated) decideHallOrder(hall string, out bool) (evacuation.Verdict, document.HallChange) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state := r.store.HallState(hall)
-	return r.orders.Decide(r.now(), hall, out, state.Out), document.HallChange{Hall: hall, Out: out, After: state.Changes}
+	return r.hallOrders.Decide(r.now(), hall, out, state.Out), document.HallChange{Hall: hall, Out: out, After: state.Changes}
 }
 
 // Apply implements [replica.Machine].
@@ -190,7 +188,7 @@
 	case c.Hall != nil:
 		applied := r.store.ChangeHall(*c.Hall)
 		if applied {
-			r.orders = r.orders.WithTaken(r.now(), c.Hall.Hall, c.Hall.Out)
+			r.hallOrders = r.hallOrders.WithTaken(r.now(), c.Hall.Hall, c.Hall.Out)
 		}
 		return applied
 	case c.Rollout != nil:
@@ -207,7 +205,7 @@
 	return false
 }
 
-// changeRollout applies a change of a rollout. It is called with mu held.
+// changeRollout applies a change of a rollout. The caller holds mu.
 func (r *Replicated) changeRollout(c document.RolloutChange) bool {
 	applied := r.store.ChangeRollout(c)
 	if newest, known := r.store.Rollout(c.Pool); applied && known {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -14,53 +14,53 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines the gateways' sessions: their opening, what is sent on them,
-// and their end. All but serve runs in the hub's goroutine.
+// This file defines the gateways' sessions: opening, sending and closing. Everything except
+// serveSession runs in the hub's goroutine.
 //
-// What an outbox refuses is not sent again: a queue that is full closes its link, and
-// the gateway's next session starts with the whole list.
+// A message that an outbox rejects is not sent again: a full queue closes the link, and the
+// gateway's next session starts with the whole list.
 //
-// What a session costs the leader must not grow with the fleet. So what all get is
-// encoded once, and changes of the registry are gathered until the next tick: sent one by
-// one, the announcements of 3,000 backend servers that start overran the queues of 300
-// sessions, each of which came back for the whole list (TestManyAnnounceAtOnce). What does
-// grow with it, lists and their changes, goes out at the pace of the link (lists.go).
-
-// sessionQueueSize is the number of messages that may wait for one gateway's link, at most ten of them a
-// second being Fleet messages.
+// The leader's cost per session must not grow with the fleet. Messages to all sessions are
+// therefore encoded once, and registry changes are batched until the next tick. Sent one by one,
+// the announcements of 3,000 starting backend servers overflowed the queues of 300 sessions, and
+// each reconnected for the whole list (TestManyAnnounceAtOnce). Lists and their changes do grow
+// with the fleet; they are paced to the link's capacity (lists.go).
+
+// sessionQueueSize is the number of messages that may be queued for one gateway's link. At most ten
+// Fleet messages per second are queued.
 const sessionQueueSize = 256
 
-// listedDepartures is the number of newest departures that go out with a whole list; earlier ones show
-// in the first complete list.
-const listedDepartures = 256
+// maxListedDepartures is the number of newest departures sent with a whole list. Earlier ones take
+// effect with the first complete list.
+const maxListedDepartures = 256
 
-// session is one gateway's link, or at the leader one relay's.
+// session is the link of one gateway, or at the leader that of one relay.
 type session struct {
-	gateway    string // or the relay's fleet address
-	out        *link.Outbox
-	number     uint64 // of the newest document that the gateway has or was sent
-	countedSeq uint64 // number of its last report in the sums
-	// knowsHalls is whether the gateway's version obeys halls that are out of service.
-	knowsHalls       bool
-	supportsRollouts bool   // the same of rollouts
-	bootID           uint64 // drawn at each start of the gateway
-	region           string // empty if it did not name one
-	opened           time.Duration
-	keepsHandles     bool // its gateway's version does, so that it outlives the leader
+	gateway        string // fleet address of the gateway or relay
+	out            *link.Outbox
+	documentNumber uint64 // newest document that the gateway has or was sent
+	countedSeq     uint64 // Seq of the last report included in the sums
+	// supportsHalls is whether the gateway's version handles halls that are out of service.
+	supportsHalls    bool
+	supportsRollouts bool          // whether the gateway's version handles rollouts
+	bootID           uint64        // random, new at each start of the gateway
+	region           string        // empty if the gateway named none
+	opened           time.Duration // when the session opened
+	keepsHandles     bool          // whether the gateway accepts stable handles, so that the session outlives the leader
 	hall             string
-	redirectedHere   bool   // another replica named this one to its gateway
-	knows            bool   // its gateway knows servers from before
-	listed           string // the last server of the list that it was sent in parts; empty: it has none, or all
-	avoidsRelays     bool   // its region had relays, and it none that it could reach
-
-	// Of a relay's session alone.
-	relay  bool
-	behind []protocol.BehindGateway
-	loads  map[uint32]protocol.ServerLoad // by handle, as last reported
+	redirectedHere   bool   // another replica redirected the gateway here
+	hasServers       bool   // the gateway already had servers when the session opened
+	lastListed       string // last server sent of a partially sent list; empty if no part or all of it was sent
+	avoidsRelays     bool   // opened here because the gateway could reach no relay of its region
+
+	// Set on relays' sessions only.
+	relay           bool
+	relayedGateways []protocol.BehindGateway
+	loads           map[uint32]protocol.ServerLoad // by handle, from the last report
 }
 
-// pushChanges sends what has changed in the registry since the last time to every
-// session, and with completed that the list is complete from now on.
+// pushChanges sends the pending registry changes to every session, if there are any. completed is
+// whether the list has just become complete.
 func (h *hub) pushChanges(completed bool) {
 	if h.pendingChange.Empty() && !completed {
 		return
@@ -68,7 +68,7 @@
 	h.sendChanges()
 }
 
-// sendChanges sends what has changed in the registry since the last time to every session.
+// sendChanges sends the pending registry changes to every session.
 func (h *hub) sendChanges() {
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
@@ -93,17 +93,17 @@
 	}
 }
 
-// encode encodes a message for several sessions.
+// encode encodes a message once for several sessions.
 func (h *hub) encode(m protocol.Message) (e protocol.Encoded, ok bool) {
 	e, err := protocol.EncodeOnce(m)
 	if err != nil {
-		h.d.cfg.Log.StateChange("message cannot be encoded", slog.String("error", err.Error()))
+		h.d.cfg.Log.StateChange("message encoding failed", slog.String("error", err.Error()))
 	}
 	return e, err == nil
 }
 
-// serve runs one gateway's session until its link ends.
-func (h *hub) serve(ctx context.Context, l *link.Link, w protocol.Watch) {
+// serveSession runs one session until its link ends.
+func (h *hub) serveSession(ctx context.Context, l *link.Link, w protocol.Watch) {
 	h.d.recordRegion(l.Peer(), w.Region)
 	s, err := h.admit(ctx, l, w)
 	if err != nil {
@@ -113,7 +113,7 @@
 		if errors.As(err, &elsewhere) {
 			m.Leader = elsewhere.by
 		}
-		// The link closes now in any case, and the gateway tries the next replica.
+		// The link is closed in any case, and the gateway tries the next replica.
 		_ = l.Send(ctx, m)
 		return
 	}
@@ -128,12 +128,12 @@
 		if err != nil {
 			return
 		}
-		h.post(func() { h.receive(s, m) })
+		h.post(func() { h.handleMessage(s, m) })
 	}
 }
 
-// receive takes a message of a session, unless that has ended.
-func (h *hub) receive(s *session, m protocol.Message) {
+// handleMessage processes a message of a session, unless the session has been closed.
+func (h *hub) handleMessage(s *session, m protocol.Message) {
 	if !h.sessions[s] {
 		return
 	}
@@ -144,31 +144,32 @@
 			h.relay.bufferLosses(m)
 			return
 		}
-		h.usage.add(s, m)
+		h.usage.addReport(s, m)
 		h.addOutcomes(s, m)
 		h.addLosses(m)
 	case protocol.Behind:
-		s.behind = m.Gateways
+		s.relayedGateways = m.Gateways
 	}
 }
 
-// admit opens a session. A replica of a fleet with several regions that may serve the gateway
-// in a moment, because it or a relay to name is just looking for the leader, keeps it waiting
-// for as long. The error is [served] or [Unavailable].
+// admit opens a session. In a fleet with several regions it retries for a while if this replica may
+// soon be able to serve the gateway, because it or the right relay is still connecting to the
+// leader. The error is [served] or [Unavailable].
 func (h *hub) admit(ctx context.Context, l *link.Link, w protocol.Watch) (s *session, err error) {
 	until := time.Now().Add(relayWait)
 	for {
-		err = h.do(ctx, func() (err error) { s, err = h.open(l, w, time.Now().Before(until)); return err })
+		err = h.do(ctx, func() (err error) { s, err = h.openSession(l, w, time.Now().Before(until)); return err })
 		if !errors.As(err, new(notYetServing)) || !sleep.For(ctx, relayPollInterval) {
 			return s, err
 		}
 	}
 }
 
-// open admits a gateway or a relay. It returns [Unavailable] if this replica neither leads nor
-// relays, or does so in an older term than the other side has seen, [served] if another one is
-// to serve the gateway, and with mayWait [soon] if it shows in a moment what to do.
-func (h *hub) open(l *link.Link, w protocol.Watch, mayWait bool) (*session, error) {
+// openSession opens the session of a gateway or a relay. It returns [Unavailable] if this replica
+// neither leads nor relays, or does so in an older term than the peer has observed; [served] if
+// another replica is responsible; and, with mayWait, [notYetServing] if the responsible replica will be
+// determined shortly.
+func (h *hub) openSession(l *link.Link, w protocol.Watch, mayWait bool) (*session, error) {
 	h.syncLeadership()
 	if w.Gateway != l.Peer() {
 		return nil, Unavailable{}
@@ -176,25 +177,25 @@
 	if err := h.checkServes(w, mayWait); err != nil {
 		return nil, err
 	}
-	h.closeOthers(w.Gateway)
+	h.closeEarlierSessions(w.Gateway)
 	s := &session{
-		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), number: w.Number, knowsHalls: w.KnowsHalls,
+		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), documentNumber: w.Number, supportsHalls: w.KnowsHalls,
 		supportsRollouts: w.KnowsVersions, bootID: w.Boot, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
-		knows: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
+		hasServers: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Named, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
 		h.relay.addGateway(s)
 	}
-	h.sendRollouts(s) // first, or the new servers would be used by load until it comes
+	h.sendRollouts(s) // first, or gateways would use servers of a new version by load alone
 	h.sendQuarantine(s)
-	if !h.giveList(s) {
+	if !h.sendOrQueueList(s) {
 		h.closeSession(s)
 		s.out.Close()
 		return nil, Unavailable{}
 	}
 	if s.relay {
-		h.placesSent = nil // the new one lacks them
+		h.sentPlaces = nil // the new relay has none
 		h.pushPlaces()
 	}
 	h.pushDocument()
@@ -203,8 +204,8 @@
 	return s, nil
 }
 
-// closeOthers ends the earlier session of a gateway.
-func (h *hub) closeOthers(gateway string) {
+// closeEarlierSessions closes any earlier session of a gateway.
+func (h *hub) closeEarlierSessions(gateway string) {
 	for old := range h.sessions {
 		if old.gateway == gateway {
 			h.closeSession(old)
@@ -228,8 +229,8 @@
 	h.removeOutcomes(s)
 }
 
-// gateways returns all gateways of the fleet that have a session here or behind a relay, by
-// name: one that moves may be at two.
+// gateways returns all gateways of the fleet that have a session here or behind a relay, by name: a
+// gateway that is being moved may have two sessions.
 func (h *hub) gateways() map[string]protocol.BehindGateway {
 	all := map[string]protocol.BehindGateway{}
 	for s := range h.sessions {
@@ -240,10 +241,10 @@
 	return all
 }
 
-// gateways returns the gateways that a session serves.
+// gateways returns the gateways behind a session.
 func (s *session) gateways() []protocol.BehindGateway {
 	if s.relay {
-		return s.behind
+		return s.relayedGateways
 	}
-	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.knowsHalls, KnowsVersions: s.supportsRollouts}}
+	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.supportsHalls, KnowsVersions: s.supportsRollouts}}
 }
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -15,12 +15,11 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests the gateways' sessions with the leader: what ends them, and what they
-// cost when much happens at once.
+// This file tests when the gateways' sessions with the leader end, and their cost under load.
 
-// TestConnectionsFallSilent: all open connections are silent for good while new ones
-// work. The group elects, takes a document and brings it to its gateways on new ones. That
-// the leader ends silent sessions (registry.ReportSilence) is not seen here.
+// TestConnectionsFallSilent: all open connections stop delivering without being closed, while new
+// ones work. The group must elect a leader, accept a document and deliver it over new connections.
+// This does not cover the leader's own timeout of silent sessions (registry.ReportSilence).
 func TestConnectionsFallSilent(t *testing.T) {
 	withFleet(t, voters, func(x *fleet) {
 		is := is.New(x.t)
@@ -43,9 +42,9 @@
 	})
 }
 
-// TestManyAnnounceAtOnce starts more backend servers within a second than a session's
-// queue holds messages, before many gateways. No session is lost, every gateway knows all
-// soon, and it was sent a list or two, not one for each server.
+// TestManyAnnounceAtOnce starts more backend servers within a second than a session's queue holds
+// messages, with many gateways connected. Sent one by one, the announcements overflowed the queues.
+// No session may be lost, and every gateway must soon list all servers after few messages.
 func TestManyAnnounceAtOnce(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -69,17 +68,17 @@
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
 			_, sessions := n.controlTraffic("out", "watch")
-			is.True(sessions <= 3) // until the leader was found
+			is.True(sessions <= 3) // until it found the leader
 			bytes, messages := n.controlTraffic("in", "backends")
 			is.True(messages < 30)
-			is.True(bytes < 100*servers) // one registration is about 50
+			is.True(bytes < 100*servers) // one registration takes about 50 bytes
 		}
 	})
 }
 
-// TestFleetReturnsOverASlowLink: all gateways come back at once and share the leader's
-// link, so that the whole list takes each of them several times longer than the silence
-// after which a leader is left. None leaves it, or all would come back for ever.
+// TestFleetReturnsOverASlowLink: all gateways reconnect at once and share the leader's link, so
+// that each whole list takes several times longer than the silence after which a gateway leaves a
+// leader. No gateway may leave it, because all would then reconnect forever.
 func TestFleetReturnsOverASlowLink(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -93,13 +92,13 @@
 		time.Sleep(time.Second)
 		for i := range gateways {
 			ip := fmt.Sprintf("10.0.2.%d", i+1)
-			x.gatewayOn(ip, x.net.Box(ip).Slow(25_000).DialContext) // the list takes about three seconds
+			x.startGatewayWithDial(ip, x.net.Box(ip).Slow(25_000).DialContext) // the list takes about 3 s
 		}
 		time.Sleep(8 * time.Second)
 		for _, n := range x.gateways {
 			is.Equal(len(n.g.Servers()), servers)
 			_, sessions := n.controlTraffic("out", "watch")
-			is.True(sessions <= 3) // until the leader was found
+			is.True(sessions <= 3) // until it found the leader
 		}
 	})
 }
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -13,50 +13,50 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how the gateways' sessions are spread over the replicas of the leader's own
-// region, once one replica cannot serve them all ([registry.Spread]). Each replica but the leader is
-// a relay then, and the leader serves its part of the gateways as a relay does.
+// This file defines how the gateways' sessions are spread over the replicas of the leader's region
+// once one replica cannot serve them all ([registry.Spread]). Every other replica there is then a
+// relay, and the leader serves its part of the gateways in the same way.
 //
-// The log says whether it is so, which every replica knows as soon as it has started. Who serves a
-// gateway follows from its name and the replicas of its data hall, so that a change of the leader
-// moves no gateway, and a lost replica only its own.
+// The log records whether sessions are spread, so that every replica has this state as soon as it
+// has started. The replica for a gateway follows from the gateway's name and the replicas of its
+// data hall: a change of the leader moves no gateway, and the loss of a replica moves only its own.
 //
-// Weighed: a relay for each data hall alone (a hall without a replica has none, and its gateways
-// the way to the leader); the number of gateways in the settings (none names it); a decision of
-// each replica by itself (they would disagree while the fleet starts).
+// Alternatives considered: one relay per data hall (a hall without a replica has none, and its
+// gateways need the path to the leader anyway); a configured number of gateways (no setting states
+// it); independent decisions of the replicas (they would disagree while the fleet starts).
 
-// isSpread reports whether this region's gateways are served by several replicas.
+// isSpread reports whether several replicas serve this region's gateways.
 func (h *hub) isSpread() bool { return h.d.state.Spread() }
 
-// spreadTimeout bounds one try to log whether sessions are spread; a later tick tries again.
+// spreadTimeout limits one attempt to log a decision. A later tick retries.
 const spreadTimeout = time.Second
 
-// decideSpread puts into the log whether sessions are to be spread, if that changes.
+// decideSpread logs whether sessions are to be spread, if that changes.
 func (h *hub) decideSpread(now time.Duration) {
 	spread := h.isSpread()
 	if !spread {
 		h.spreadSince = now
 	}
 	wanted := h.spread.Decide(now, spread, len(h.gateways()), h.registry.Len(), h.d.cfg.LinkRate)
-	if wanted == spread || h.spreading || h.d.hasMultipleRegions() {
+	if wanted == spread || h.loggingSpread || h.d.hasMultipleRegions() {
 		return
 	}
-	h.spreading = true
-	h.d.cfg.Log.StateChange("sessions to be spread", slog.Bool("spread", wanted), slog.Int("gateways", len(h.gateways())),
+	h.loggingSpread = true
+	h.d.cfg.Log.StateChange("session spreading decided", slog.Bool("spread", wanted), slog.Int("gateways", len(h.gateways())),
 		slog.Int("backends", h.registry.Len()))
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, spreadTimeout)
 		defer cancel()
-		_ = h.d.propose(ctx, command{Spread: &wanted}) // it is tried again
-		h.post(func() { h.spreading, h.list = false, nil })
+		_ = h.d.propose(ctx, command{Spread: &wanted}) // a later tick retries
+		h.post(func() { h.loggingSpread, h.list = false, nil })
 	}()
 }
 
-// places returns the replicas that serve gateways of a region: the leader's relays there that have the list, or
-// will have it soon, and where sessions are spread the leader itself.
+// places returns the replicas that serve gateways of a region: the leader's relays there that have
+// the list or will have it soon, and, where sessions are spread, the leader itself.
 func (h *hub) places(region string) (all []protocol.Place) {
 	for s := range h.sessions {
-		if s.relay && s.region == region && h.hasListSoon(s) {
+		if s.relay && s.region == region && h.willHaveListSoon(s) {
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
 		}
 	}
@@ -66,33 +66,34 @@
 	return all
 }
 
-// hasListSoon reports whether a relay has the list, or has it before a gateway that waits there gives up. One that
-// waits for longer serves nobody: on a link that a list takes for a second its gateways were without the directory for
-// 4.3 s (TestFirstCrowdComesAtOnceOnSlowerLinks). Where it is a moment, the gateways would else be sent all
-// lists twice, first by the leader.
-func (h *hub) hasListSoon(s *session) bool {
-	ahead := slices.Index(h.listless, s)
+// willHaveListSoon reports whether a relay has the list, or will have it before a gateway waiting
+// there gives up. A relay that waits longer cannot serve gateways: on a link that takes a second
+// per list, its gateways were without the directory for 4.3 s
+// (TestFirstCrowdComesAtOnceOnSlowerLinks). If the wait is short, excluding the relay would send
+// the gateways all lists twice, first from the leader.
+func (h *hub) willHaveListSoon(s *session) bool {
+	ahead := slices.Index(h.awaitingList, s)
 	if ahead < 0 {
 		return true
 	}
 	relays := 0
-	for _, waiting := range h.listless[:ahead+1] {
+	for _, waiting := range h.awaitingList[:ahead+1] {
 		if waiting.relay {
 			relays++
 		}
 	}
-	return h.listPace.TimeToSend(h.d.replica.Now(), relays, h.listed()) < relayWait/2
+	return h.listPace.TimeToSend(h.d.replica.Now(), relays, h.listSize()) < relayWait/2
 }
 
-// pushPlaces tells the relays who serves gateways, if that has changed, so that each sends a
-// gateway that comes to it to the right one, and the leader is not asked.
+// pushPlaces sends the relays the replicas that serve gateways, if they have changed. Each relay
+// can then redirect a gateway to the right replica without asking the leader.
 func (h *hub) pushPlaces() {
 	places := h.places(h.d.cfg.Region)
 	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
-	if !h.isSpread() || slices.Equal(places, h.placesSent) {
+	if !h.isSpread() || slices.Equal(places, h.sentPlaces) {
 		return
 	}
-	h.placesSent = places
+	h.sentPlaces = places
 	for s := range h.sessions {
 		if s.relay && s.region == h.d.cfg.Region {
 			s.out.Send(protocol.Places{List: places})
@@ -100,15 +101,15 @@
 	}
 }
 
-// maxMoves returns how many gateways may be moved in a tick, to the rest of some replicas: as many
-// as these can send their lists to meanwhile, if their links are as this one.
+// maxMoves returns how many gateways may be moved in a tick to the other replicas: as many as these
+// can send their lists to in that time, assuming links like this replica's.
 func (h *hub) maxMoves(replicas int) int {
-	lists := h.listPace.ListsWithin(registry.FleetPeriod, h.listed())
+	lists := h.listPace.ListsWithin(registry.FleetPeriod, h.listSize())
 	return max(int(lists*float64(replicas-1)), minMovesPerTick)
 }
 
-// listed returns how many servers this replica lists.
-func (h *hub) listed() int {
+// listSize returns the number of servers that this replica lists.
+func (h *hub) listSize() int {
 	if h.relay != nil {
 		return h.relay.list.Len()
 	}
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -18,38 +18,38 @@
 	hallReplicas = 6
 )
 
-// inHalls runs f with two replicas in each of three halls, and gateways in all of them, in a fleet
-// that is large for their links.
-func inHalls(t *testing.T, f func(c *crowd)) {
+// withHallFleet runs f with two replicas in each of three halls, and gateways in all of them. The
+// fleet is large enough for its links that sessions are spread.
+func withHallFleet(t *testing.T, f func(c *largeFleet)) {
 	withPreparedFleet(t, hallReplicas, voters, func(x *fleet) {
-		x.linkRate, x.halls = crowdLink, map[string]string{}
+		x.linkRate, x.halls = largeFleetLinkRate, map[string]string{}
 		for i := range hallReplicas {
-			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallNamed(i)
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), crowdLink)
+			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallName(i)
+			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), largeFleetLinkRate)
 		}
 		for i := range hallGateways {
-			x.halls[fmt.Sprintf("10.0.2.%d", i+1)] = hallNamed(i)
+			x.halls[fmt.Sprintf("10.0.2.%d", i+1)] = hallName(i)
 		}
 	}, func(x *fleet) {
-		c := &crowd{fleet: x, servers: 500}
+		c := &largeFleet{fleet: x, servers: 500}
 		x.putDocument(1)
-		c.come(hallGateways)
+		c.startGateways(hallGateways)
 		time.Sleep(time.Second)
-		c.announceWithin(time.Second)
+		c.announceOver(time.Second)
 		f(c)
 	})
 }
 
-func hallNamed(i int) string { return fmt.Sprint("hall-", i%3) }
+func hallName(i int) string { return fmt.Sprint("hall-", i%3) }
 
-// served returns how many gateways have a session, and how many of them one with a replica of their
-// own hall.
-func (c *crowd) served() (all, atHome int) {
+// servedGateways returns how many gateways have a session, and how many of these have it with a
+// replica of their own hall.
+func (c *largeFleet) servedGateways() (all, atHome int) {
 	for _, ip := range c.ips {
 		if c.nodes[ip].d == nil {
 			continue
 		}
-		names, err := c.nodes[ip].d.Serves(c.t.Context())
+		names, err := c.nodes[ip].d.ServedGateways(c.t.Context())
 		is.New(c.t).NoErr(err)
 		for _, name := range names {
 			all++
@@ -61,25 +61,26 @@
 	return all, atHome
 }
 
-// TestGatewaysAreServedInTheirHalls: all gateways are served by replicas of their own hall soon after
-// the sessions are spread; by the other one when one is lost; elsewhere when both are, and at home
-// again some seconds after they are back. All know all servers and the newest document throughout.
+// TestGatewaysAreServedInTheirHalls: soon after sessions are spread, replicas of the own hall serve
+// all gateways. If one replica is lost, the other one of the hall serves them; if both are lost,
+// replicas of other halls do, and the own ones again some seconds after they are back. Throughout,
+// all gateways list all servers and get the newest document.
 func TestGatewaysAreServedInTheirHalls(t *testing.T) {
 	t.Parallel()
-	inHalls(t, func(c *crowd) {
+	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
 		number := uint64(1)
 		settled := func(after time.Duration, wantHome int) {
 			c.t.Helper()
 			time.Sleep(after)
-			all, home := c.served()
-			c.t.Logf("%d served, %d at home", all, home)
+			all, home := c.servedGateways()
+			c.t.Logf("%d gateways served, %d by replicas of their own hall", all, home)
 			is.Equal(all, hallGateways)
 			is.Equal(home, wantHome)
 			number++
 			c.putDocument(number)
-			is.True(c.inForce(number, 5*time.Second) < time.Second)
-			is.True(c.knowAll(10 * time.Second))
+			is.True(c.awaitDocument(number, 5*time.Second) < time.Second)
+			is.True(c.awaitFullLists(10 * time.Second))
 		}
 		settled(4*time.Second, hallGateways)
 		c.nodes["10.0.1.2"].kill()
@@ -92,12 +93,12 @@
 	})
 }
 
-// TestReplicaIsCutOffFromTheOthers: a replica that serves gateways reaches no other replica, and its
-// gateways reach it. It sends them away, and a document that was taken meanwhile is in force at all
-// gateways within 3.5 s. So it is when the leader is the one that is cut off.
+// TestReplicaIsCutOffFromTheOthers: a replica is partitioned from all other replicas but not from
+// its gateways. It must redirect them, so that a document that is accepted meanwhile is in force at
+// all gateways within 3.5 s. The same holds if this replica is the leader.
 func TestReplicaIsCutOffFromTheOthers(t *testing.T) {
 	t.Parallel()
-	inHalls(t, func(c *crowd) {
+	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
 		time.Sleep(4 * time.Second)
 		number := uint64(1)
@@ -115,8 +116,8 @@
 			}
 			number++
 			c.putDocument(number)
-			took := c.inForce(number, 10*time.Second)
-			c.t.Logf("in force after %v, with the leader cut off: %v", took, leads)
+			took := c.awaitDocument(number, 10*time.Second)
+			c.t.Logf("in force after %v; leader cut off: %v", took, leads)
 			is.True(took <= 3500*time.Millisecond)
 			c.net.Reunite()
 			time.Sleep(5 * time.Second)
@@ -124,17 +125,17 @@
 	})
 }
 
-// TestGatewayCannotReachItsReplica: gateways that cannot reach the replica that should serve them stay
-// at another one, and are not sent back with each tick.
+// TestGatewayCannotReachItsReplica: gateways that cannot reach their assigned replica must stay at
+// another one, and not be sent back with each tick.
 func TestGatewayCannotReachItsReplica(t *testing.T) {
 	t.Parallel()
-	inHalls(t, func(c *crowd) {
+	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
 		time.Sleep(4 * time.Second)
 		var cutOff []string
 		for _, ip := range c.ips {
 			if n := c.nodes[ip]; !n.d.Leads() {
-				names, err := n.d.Serves(c.t.Context())
+				names, err := n.d.ServedGateways(c.t.Context())
 				is.NoErr(err)
 				for _, name := range names {
 					cutOff = append(cutOff, strings.TrimSuffix(name, ":7400"))
@@ -154,7 +155,7 @@
 		}
 		before := opened()
 		c.putDocument(2)
-		is.True(c.inForce(2, 5*time.Second) < time.Second)
+		is.True(c.awaitDocument(2, 5*time.Second) < time.Second)
 		time.Sleep(9 * time.Second)
 		c.t.Logf("%d gateways opened %d sessions in 10 s", len(cutOff), opened()-before)
 		is.True(opened()-before <= 2*uint64(len(cutOff)))
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines what gateways are sent of all of them together: sums of what runs, and shares.
+// This file defines the fleet-wide data sent to gateways: the sums of the running requests, and the
+// accounts' shares.
 
-// pushFleet sends every gateway the sums over all of them, as often as the budget of a
-// link allows.
+// pushFleet sends every gateway the sums over all gateways, as often as the link budget allows.
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.Held()
 	now := h.d.replica.Now()
@@ -37,8 +37,8 @@
 	}
 }
 
-// engineGroup returns which engines count together, by pool and data hall: those of a pool, in a region where there
-// are several, since a request may be bound to one.
+// engineGroup returns a function that maps an engine's pool and data hall to its capacity group:
+// the engines of one pool in one region, because a request may be restricted to a region.
 func (h *hub) engineGroup(d document.Document) func(pool, hall string) string {
 	engines := map[string]bool{}
 	for _, p := range d.Pools {
@@ -52,8 +52,8 @@
 	}
 }
 
-// fleetBudget returns the budget of this replica's Fleet messages and the number of links that share
-// it: all of the fleet's, or where sessions are spread its own.
+// fleetBudget returns the budget of this replica's Fleet messages and the number of links that
+// share it: those of the whole fleet, or only its own where sessions are spread.
 func (h *hub) fleetBudget(gateways int) (registry.FleetBudget, int) {
 	links := len(h.sessions)
 	if !h.isSpread() {
@@ -62,7 +62,7 @@
 	return registry.NewFleetBudget(h.isSpread(), h.d.cfg.LinkRate), links
 }
 
-// fleetMessage returns a message with these sums.
+// fleetMessage returns a Fleet message with the given loads.
 func (h *hub) fleetMessage(loads []protocol.ServerLoad) protocol.Fleet {
 	demand := h.usage.demand
 	return protocol.Fleet{
@@ -71,20 +71,20 @@
 	}
 }
 
-// Lines with the shares.
+// Limits of the share log lines.
 const (
-	sharesPeriod   = time.Second
-	loggedAccounts = 8 // with the largest demands
+	shareLogPeriod    = time.Second
+	maxLoggedAccounts = 8 // those with the largest demands
 )
 
-// logShares logs once a second, while any account demands more than its share, what
-// the shares follow from and what the accounts are given.
+// logShares logs the shares of the accounts and the quantities that determine them, once per second
+// while any account's demand exceeds its share.
 func (h *hub) logShares(now time.Duration) {
-	if now-h.sharesLogged < sharesPeriod || len(h.usage.demand.Entitlements()) == 0 {
+	if now-h.sharesLoggedAt < shareLogPeriod || len(h.usage.demand.Entitlements()) == 0 {
 		return
 	}
-	h.sharesLogged = now
-	r := h.usage.demand.Rates(loggedAccounts)
+	h.sharesLoggedAt = now
+	r := h.usage.demand.Rates(maxLoggedAccounts)
 	h.d.cfg.Log.StateChange("shares", slog.Int64("level", r.Level), slog.Int64("extra_level", r.Extra),
 		slog.Int64("started", r.Started), slog.Int64("missed", r.Missed), slog.Int64("hold", r.Hold), slog.Float64("engines_busy", r.BusyFraction), slog.Bool("short", h.usage.demand.Contended()),
 		slog.Any("accounts", r.Accounts))
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -8,18 +8,17 @@
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 )
 
-// This file defines what the hub does when this replica begins to lead, leads no more, or another one
-// leads.
+// This file defines how the hub handles a change of the leader.
 
-// syncLeadership begins or ends a term if the leader has changed, and sends on what
-// has been applied since.
+// syncLeadership begins or ends a term if the leader has changed, and sends out changes of the
+// applied state.
 func (h *hub) syncLeadership() {
 	h.recordOrderTimes()
 	l := h.leadership.Load()
 	switch {
 	case l.leads && h.term != l.term:
 		h.endTerm()
-		h.takeLead(l.term)
+		h.becomeLeader(l.term)
 	case !l.leads && h.term != 0:
 		h.endTerm()
 	}
@@ -35,27 +34,28 @@
 	}
 }
 
-// takeLead begins a term. Where sessions are spread, the gateways that this replica served stay.
-func (h *hub) takeLead(term uint64) {
-	before := h.relay
-	if before == nil || !h.isSpread() {
+// becomeLeader begins a term. Where sessions are spread, this replica keeps the gateways that it
+// served as a relay.
+func (h *hub) becomeLeader(term uint64) {
+	oldRelay := h.relay
+	if oldRelay == nil || !h.isSpread() {
 		h.endRelay(h.d.Address())
 		h.beginTerm(term)
 		return
 	}
-	if before.out != nil {
-		before.out.Close()
+	if oldRelay.out != nil {
+		oldRelay.out.Close()
 	}
 	h.relay = nil
 	h.beginTerm(term)
 	h.endTermBoundSessions(h.d.Address())
-	h.adoptGateways(before)
+	h.adoptGateways(oldRelay)
 }
 
 func (h *hub) beginTerm(term uint64) {
 	h.term, h.termBegan = term, h.d.replica.Now()
 	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
-	h.departed = 0
+	h.appliedDepartures = 0
 	h.complete = false
 	h.unloggedJoins = nil
 	for _, s := range h.d.state.Joined() {
@@ -63,7 +63,7 @@
 	}
 	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.Feed{}, 0
 	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
-	h.missing, h.placesSent, h.spreadSince = nil, nil, 0
+	h.missing, h.sentPlaces, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
 	h.d.cfg.Metrics.GetOrCreateCounter("badgerspoke_directory_terms_led_total").Inc()
@@ -77,7 +77,7 @@
 	h.d.cfg.Log.StateChange("leading no more", slog.Uint64("term", h.term), slog.String("leader", h.leadership.Load().leader),
 		slog.Int("sessions", len(h.sessions)), slog.Int("events", len(h.events)))
 	if h.isSpread() {
-		h.keepGateways()
+		h.becomeRelay()
 	}
 	h.term = 0
 	if h.relay != nil {
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -15,17 +15,17 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests orders while the leader's disk is slow.
+// This file tests operators' orders while the leader's disk is slow.
 
-// callTime is how long a replica takes at most for a call of an operator, as a process has it.
-const callTime = 2500 * time.Millisecond
+// operatorCallTimeout is the timeout of an operator's call, as the process sets it.
+const operatorCallTimeout = 2500 * time.Millisecond
 
-// ordered repeats an order about a rollout at whoever leads, with new calls, and returns how
-// long it takes until one is acknowledged, and how many were refused for now.
-func (x *fleet) ordered(o rollout.Order) (after time.Duration, refused int) {
+// orderUntilAcknowledged repeats a rollout order at the current leader, with new calls. It returns
+// the time until one is acknowledged, and how many calls were refused.
+func (x *fleet) orderUntilAcknowledged(o rollout.Order) (after time.Duration, refused int) {
 	is := is.New(x.t)
 	for began := time.Now(); time.Since(began) < 20*time.Second; {
-		ctx, cancel := context.WithTimeout(x.t.Context(), callTime)
+		ctx, cancel := context.WithTimeout(x.t.Context(), operatorCallTimeout)
 		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if err == nil {
@@ -35,13 +35,13 @@
 		refused++
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.t.Fatal("the order is not acknowledged after 20 s")
+	x.t.Fatal("the order was not acknowledged within 20 s")
 	return 0, 0
 }
 
-// TestOrderOnASlowDisk: while the leader's disk takes long for each sync, an order is
-// acknowledged within the time for which it is repeated, by that leader or the next one. It is
-// taken once, also when the disk is fast again, and outlives all power.
+// TestOrderOnASlowDisk: while every sync of the leader's disk is slow, this leader or the next one
+// must acknowledge an order within the time for which it is repeated. The order must be applied
+// exactly once, also when the disk is fast again, and survive the loss of all power.
 func TestOrderOnASlowDisk(t *testing.T) {
 	for _, takes := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
 		t.Run(takes.String(), func(t *testing.T) {
@@ -50,14 +50,14 @@
 				x.putDocument(1)
 				slow := x.awaitLeader()
 				slow.disk.SyncTime(takes)
-				after, refused := x.ordered(orderTo("v2"))
-				x.t.Logf("acknowledged after %v, %d calls refused; another leads: %t", after, refused, x.awaitLeader() != slow)
+				after, refused := x.orderUntilAcknowledged(orderTo("v2"))
+				x.t.Logf("acknowledged after %v, %d calls refused; leader changed: %t", after, refused, x.awaitLeader() != slow)
 				is.True(after < rolloutBounds.RepeatWindow)
 				once := document.Rollout{
 					Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 				}
 				is.Equal(x.newestRollout(), once)
-				_, _ = x.ordered(orderTo("v2"))
+				_, _ = x.orderUntilAcknowledged(orderTo("v2"))
 				slow.disk.SyncTime(0)
 				time.Sleep(takes)
 				is.Equal(x.newestRollout().Attempt, uint64(1))
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -20,18 +20,18 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines rollouts that meet something else: servers with halls, cold servers, other
+// This file defines rollouts under additional conditions: servers in halls, cold servers, other
 // loads.
 
-// rolloutScenario is what a rollout runs in.
+// rolloutScenario describes the environment of a rollout.
 type rolloutScenario struct {
 	document  document.Held
-	load      func(gateway string) // starts it, and its requests
-	announce  func()               // of the servers, once in each interval
+	load      func(gateway string) // starts the gateway and its requests
+	announce  func()               // announces the servers; called once per interval
 	noRollout bool                 // no rollout is ordered
 }
 
-// runScenario does what rolling does, in a scene.
+// runScenario is rolling in a scenario.
 func (x *fleet) runScenario(v *versionedServers, s rolloutScenario, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
@@ -53,19 +53,19 @@
 	f()
 }
 
-// steadyLoad starts gateways with a request in each period.
+// steadyLoad returns a function that starts a gateway with one request per period.
 func (x *fleet) steadyLoad(server gateway.Transport, period time.Duration) func(ip string) {
 	return func(ip string) { x.startLoadedGateway(ip, server, period) }
 }
 
-// minHeadroom returns the least that the bound left, at any moment.
+// minHeadroom returns the smallest distance to the exposure bound that was observed.
 func minHeadroom(v *versionedServers) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.minHeadroom
 }
 
-// announceRepeatedly calls announce in each interval, until stop.
+// announceRepeatedly calls announce once per interval until stop is called.
 func (x *fleet) announceRepeatedly(announce func()) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
@@ -77,7 +77,8 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// versionedServer is server b1 to b3 of the old version, or one of the target.
+// versionedServer returns the registration of server n: of the old version for b1 to b3, else of
+// the target.
 func versionedServer(n int) protocol.Registration {
 	id := fmt.Sprint("b", n)
 	version := "v1"
@@ -87,8 +88,8 @@
 	return protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}
 }
 
-// announceVersioned announces a server of the target only once a rollout is under way: without one it
-// would get its part of the requests.
+// announceVersioned sends an announcement to the leader. Servers of the target are announced only
+// once a rollout is active; without one they would get their part of the requests.
 func (x *fleet) announceVersioned(a registry.Announcement) {
 	d := x.leaderDirectory()
 	if d == nil {
@@ -101,10 +102,10 @@
 	}
 	x.announceSeqs[a.ID]++
 	a.Seq = x.announceSeqs[a.ID]
-	_ = d.Announce(ctx, a) // whoever does not lead any more refuses it
+	_ = d.Announce(ctx, a) // a replica that no longer leads refuses it
 }
 
-// countedServers counts what reaches each server of a versioned.
+// countedServers counts the requests that reach each server of a versioned.
 type countedServers struct {
 	*versionedServers
 	arrivalLog *arrivals
@@ -119,7 +120,7 @@
 	return c.versionedServers.Send(ctx, at, call)
 }
 
-// requestsSince returns how many requests came to some servers, by their numbers, after a time.
+// requestsSince returns how many requests reached the given servers since a time.
 func (c countedServers) requestsSince(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
 		all, _ := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", i)), from)
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -23,23 +23,23 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests rollouts of an engine pool while an account floods it.
+// This file tests rollouts of an engine pool while one account floods it.
 
-// The load: three engines bear 60 requests a second, of which each of four accounts may have 15.
+// Three engines serve 60 requests per second. Each of four accounts is entitled to 15.
 const (
-	readRate     = 20_000 // tokens a second that an engine reads
-	promptTokens = 1000
-	engineSlots  = 8
-	coveredLoad  = 6 // requests a second of each of three accounts
-	floodLoad    = 7 * 15
-	floodFrom    = 2 * time.Second // after the order
+	promptReadRate  = 20_000 // prompt tokens per second of an engine
+	promptTokens    = 1000
+	engineSlots     = 8
+	withinShareRate = 6 // requests per second of each of three accounts
+	floodRate       = 7 * 15
+	floodDelay      = 2 * time.Second // time after the order
 )
 
-var coveredAccounts = []string{"a", "b", "c"}
+var withinShareAccounts = []string{"a", "b", "c"}
 
-const floods = "f"
+const floodingAccount = "f"
 
-// accountHeaders read what a request costs, and whose it is.
+// accountHeaders reads a request's account and cost.
 type accountHeaders struct{ testHeaders }
 
 func (accountHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
@@ -52,27 +52,28 @@
 	return from.Clone()
 }
 
-// engines read one prompt after the other, each by itself, and answer then.
-type engines struct {
+// enginePool simulates engines that each process one prompt at a time, and answer once it is
+// processed.
+type enginePool struct {
 	*versionedServers
 	x *fleet
 
-	mu     sync.Mutex
-	busy   map[string]time.Time // until, by address
-	asked  map[string]int       // by account, while the flood lasts
-	served map[string]int       // of those, in time
+	mu        sync.Mutex
+	busyUntil map[string]time.Time // end of the queued work, by address
+	asked     map[string]int       // requests by account, during the flood
+	served    map[string]int       // of those, answered in time
 }
 
-func (e *engines) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (e *enginePool) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := e.recordArrival(at)
 	e.mu.Lock()
 	now := time.Now()
 	until := now
-	if e.busy[at].After(now) {
-		until = e.busy[at]
+	if e.busyUntil[at].After(now) {
+		until = e.busyUntil[at]
 	}
-	until = until.Add(time.Second * promptTokens / readRate)
-	e.busy[at] = until
+	until = until.Add(time.Second * promptTokens / promptReadRate)
+	e.busyUntil[at] = until
 	e.mu.Unlock()
 	if !sleep.For(ctx, until.Sub(now)) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
@@ -84,10 +85,10 @@
 	return answer, nil
 }
 
-// ask asks as one account, evenly, from a moment on.
-func (e *engines) ask(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, from func() bool) {
+// sendSteadily sends requests of one account at a constant rate, while from returns true.
+func (e *enginePool) sendSteadily(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, from func() bool) {
 	n := 0
-	for range sleep.Every(ctx, 3*time.Second/time.Duration(perSecond)) { // at each of three gateways
+	for range sleep.Every(ctx, 3*time.Second/time.Duration(perSecond)) { // each of three gateways gets a third
 		if n++; from() {
 			id := account + strconv.Itoa(n)
 			asking.Go(func() { e.request(g, account, id) })
@@ -95,7 +96,7 @@
 	}
 }
 
-func (e *engines) request(g *gateway.Gateway, account, id string) {
+func (e *enginePool) request(g *gateway.Gateway, account, id string) {
 	r := httptest.NewRequestWithContext(e.x.t.Context(), http.MethodPost, "/", strings.NewReader("a body"))
 	r.Host = "h"
 	r.Header.Set("Id", id)
@@ -114,36 +115,36 @@
 }
 
 // flooded reports whether the flood has begun.
-func (e *engines) flooded() bool {
+func (e *enginePool) flooded() bool {
 	e.versionedServers.mu.Lock()
 	defer e.versionedServers.mu.Unlock()
-	return !e.orderedAt.IsZero() && time.Since(e.orderedAt) >= floodFrom
+	return !e.orderedAt.IsZero() && time.Since(e.orderedAt) >= floodDelay
 }
 
-func enginesHeld() document.Held {
+func engineDocument() document.Held {
 	h := testDocument(1)
 	h.Document.Pools[0].Engine = true
 	h.Document.Routes[0].Timeout, h.Document.Routes[0].Objective = 2*time.Second, time.Second
-	for _, name := range append(coveredAccounts, floods) {
+	for _, name := range append(withinShareAccounts, floodingAccount) {
 		h.Document.Accounts = append(h.Document.Accounts, document.Account{Name: name, Keys: []string{name}})
 	}
 	return h
 }
 
-// flood runs a rollout, or none, and the flood in it, and returns the least part of what a
-// covered account asked for that it was served in time.
-func flood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
+// runFlood runs a flood, with or without a rollout, and returns the smallest fraction of an
+// entitled account's requests that was answered in time.
+func runFlood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
 	withFleet(t, 5, func(x *fleet) {
-		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
+		e := &enginePool{versionedServers: v, x: x, busyUntil: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
 			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
-				for _, account := range coveredAccounts {
-					asking.Go(func() { e.ask(ctx, asking, g, account, coveredLoad, func() bool { return true }) })
+				for _, account := range withinShareAccounts {
+					asking.Go(func() { e.sendSteadily(ctx, asking, g, account, withinShareRate, func() bool { return true }) })
 				}
-				e.ask(ctx, asking, g, floods, floodLoad, e.flooded)
+				e.sendSteadily(ctx, asking, g, floodingAccount, floodRate, e.flooded)
 			})
 		}
-		s := rolloutScenario{document: enginesHeld(), load: load, noRollout: !rolls, announce: func() {
+		s := rolloutScenario{document: engineDocument(), load: load, noRollout: !rolls, announce: func() {
 			for n := range 6 {
 				r := versionedServer(n + 1)
 				r.Slots = engineSlots
@@ -156,36 +157,37 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			least = 1
-			for _, account := range coveredAccounts {
+			for _, account := range withinShareAccounts {
 				least = min(least, float64(e.served[account])/float64(e.asked[account]))
 			}
-			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, minHeadroom(v))
+			x.t.Logf("requests %v, answered in time %v, minimum headroom %.0f", e.asked, e.served, minHeadroom(v))
 		})
 	})
 	return least
 }
 
-// noise is by how much the part of a covered account's requests that is served may be less with a
-// rollout than without: one or two of 60.
-const noise = 0.03
+// servedTolerance is how much smaller the fraction of answered requests may be with a rollout than
+// without: one or two of 60 requests.
+const servedTolerance = 0.03
 
-// TestGoodVersionUnderAFlood: an account asks for seven times its share from the trial on. That
-// rolls no good version back, and accounts within their shares are served as without a rollout.
+// TestGoodVersionUnderAFlood: an account sends seven times its share from the trial phase on. This
+// must not roll back a good version, and accounts within their shares must be served as without a
+// rollout.
 func TestGoodVersionUnderAFlood(t *testing.T) {
-	without := flood(t, &versionedServers{}, false, func(*fleet) {})
+	without := runFlood(t, &versionedServers{}, false, func(*fleet) {})
 	v := &versionedServers{}
-	with := flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutComplete) })
-	is.New(t).True(with >= without-noise)
+	with := runFlood(t, v, true, func(x *fleet) { checkEnd(x, v, document.RolloutComplete) })
+	is.New(t).True(with >= without-servedTolerance)
 }
 
-// TestBadVersionUnderAFlood: it gets no more than its bound.
+// TestBadVersionUnderAFlood: a bad version must get no more than its exposure bound.
 func TestBadVersionUnderAFlood(t *testing.T) {
 	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
-	flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutRolledBack) })
+	runFlood(t, v, true, func(x *fleet) { checkEnd(x, v, document.RolloutRolledBack) })
 	is.New(t).True(minHeadroom(v) >= 0)
 }
 
-func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
+func checkEnd(x *fleet, v *versionedServers, want document.RolloutState) {
 	is := is.New(x.t)
 	state, after := x.awaitRolloutEnd(v)
 	x.t.Logf("ended after %v", after)
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -13,10 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests rollouts together with data halls that are taken out of service.
+// This file tests rollouts combined with data halls that are taken out of service.
 
-// inHalls is a rollout of which each server stands in a hall.
-func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c countedServers)) {
+// runRolloutInHalls runs a rollout in which each server is in a data hall.
+func (x *fleet) runRolloutInHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c countedServers)) {
 	c := newCountedServers(v)
 	x.runScenario(v, rolloutScenario{document: testDocument(1), load: x.steadyLoad(c, period), announce: func() {
 		for n := 1; n < len(halls); n++ {
@@ -27,14 +27,15 @@
 	}}, func() { f(c) })
 }
 
-// mixedHalls has servers of both versions in each hall; b4 is the target's in hall-a.
+// mixedHalls has servers of both versions in hall-b, and in hall-a b1 of the old one and b4 of the
+// target.
 var mixedHalls = [7]string{1: "hall-a", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-b", 6: "hall-b"}
 
 // apartHalls has the target's servers in a hall of their own.
 var apartHalls = [7]string{1: "hall-b", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-a", 6: "hall-a"}
 
-// TestHallIsTakenOutInARollout: nothing reaches it, and the rollout ends as the rest of the
-// target deserves.
+// TestHallIsTakenOutInARollout: a hall taken out of service during a rollout must get no requests,
+// and the rollout must end as the remaining servers of the target warrant.
 func TestHallIsTakenOutInARollout(t *testing.T) {
 	bad := func(time.Duration) float64 { return 0.2 }
 	for _, test := range []struct {
@@ -42,7 +43,7 @@
 		halls [7]string
 		fails func(time.Duration) float64
 		state document.RolloutState
-		at    []time.Duration // when it is taken out
+		at    []time.Duration // when the hall is taken out
 	}{
 		{"good", mixedHalls, nil, document.RolloutComplete, faultTimes},
 		{"bad", mixedHalls, bad, document.RolloutRolledBack, []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second}},
@@ -53,13 +54,13 @@
 				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{fails: test.fails}
-					x.inHalls(v, test.halls, rolloutPeriod, func(c countedServers) {
+					x.runRolloutInHalls(v, test.halls, rolloutPeriod, func(c countedServers) {
 						time.Sleep(at)
 						x.orderHall("hall-a", true)
 						out := time.Now()
 						state, after := x.awaitRolloutEnd(v)
 						end := time.Now()
-						x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
+						x.t.Logf("ended after %v, minimum headroom %.0f", after, minHeadroom(v))
 						is.Equal(state, test.state)
 						is.True(after <= rolloutTime)
 						time.Sleep(3 * time.Second)
@@ -79,14 +80,14 @@
 	}
 }
 
-// TestTrialsHallIsTakenOut: all of the target's servers that the trial goes to stand in the hall;
-// others take their place.
+// TestTrialsHallIsTakenOut: the hall with all servers of the target that get trial requests is
+// taken out of service. Other servers of the target must replace them.
 func TestTrialsHallIsTakenOut(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		halls := [7]string{1: "hall-1", 2: "hall-1", 3: "hall-1", 4: "hall-4", 5: "hall-5", 6: "hall-6"}
-		x.inHalls(v, halls, rolloutPeriod, func(c countedServers) {
+		x.runRolloutInHalls(v, halls, rolloutPeriod, func(c countedServers) {
 			time.Sleep(3 * time.Second)
 			var tried []int
 			for n := 4; n <= 6; n++ {
@@ -109,13 +110,13 @@
 	})
 }
 
-// TestHallOfAQuietPoolsTarget: so few requests come that they may all go to an untried version;
-// but none of its servers may have any, and the old ones must not stop.
+// TestHallOfAQuietPoolsTarget: the pool gets so few requests that all of them may go to an untried
+// version, but all servers of that version are out of service. The old servers must keep serving.
 func TestHallOfAQuietPoolsTarget(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.inHalls(v, apartHalls, 3*time.Second, func(c countedServers) {
+		x.runRolloutInHalls(v, apartHalls, 3*time.Second, func(c countedServers) {
 			time.Sleep(time.Second)
 			x.orderHall("hall-a", true)
 			state, after := x.awaitRolloutEnd(v)
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -8,12 +8,12 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines usage, the sums of what the gateways report: what runs on
-// each backend server, and what each account demands.
+// This file defines usage, which sums up the gateways' reports: the load of each backend server,
+// and the demand of each account.
 
 type usage struct {
-	loads  map[*session][]protocol.ServerLoad // as last reported
-	total  []protocol.ServerLoad              // of all sessions, ordered by handle
+	loads  map[*session][]protocol.ServerLoad // from each session's last report
+	total  []protocol.ServerLoad              // over all sessions, ordered by handle
 	demand *entitlement.Demand
 }
 
@@ -21,9 +21,9 @@
 	return &usage{loads: map[*session][]protocol.ServerLoad{}, demand: entitlement.NewDemandEstimator()}
 }
 
-// add takes a gateway's report, or a relay's. Its first one may cover any time, such as the one
-// that it was without a leader, so only what runs there counts.
-func (u *usage) add(s *session, m protocol.Usage) {
+// addReport records a report of a gateway or a relay. The first report of a session may cover any
+// period, for example the time without a leader, so it counts for the loads but not for the demand.
+func (u *usage) addReport(s *session, m protocol.Usage) {
 	_, known := u.loads[s]
 	if m.Changes {
 		registry.ApplyLoads(s.loads, m.Loads)
@@ -38,7 +38,7 @@
 
 func (u *usage) forget(s *session) { delete(u.loads, s) }
 
-// sumLoads adds up what runs on all gateways, by handle.
+// sumLoads sums up the loads of all sessions by handle.
 func (u *usage) sumLoads() {
 	sums := map[uint32]protocol.ServerLoad{}
 	for _, loads := range u.loads {
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -9,43 +9,43 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines wholeList, the list with which sessions begin, and its parts.
+// This file defines wholeList, the server list with which sessions begin, and its parts.
 //
-// A session that has a part of the list is sent all changes. So each part is of the newest list
-// ([registry.ListPart]).
+// A session with a partial list is sent all changes. Each part is therefore cut from the newest
+// list ([registry.ListPart]).
 
-// wholeList is the whole list as of the last changes that were sent, or a later one: a session gets all
-// changes that are sent after it has opened, some perhaps twice.
+// wholeList is the whole list, at least as new as the last changes sent. A session is sent all
+// changes made after it has opened, so it may receive some twice.
 type wholeList struct {
-	servers protocol.Servers  // ordered by name
-	encoded *protocol.Encoded // all of it; nil: it did not go out at once yet
+	servers protocol.Servers  // ordered by ID
+	encoded *protocol.Encoded // the whole list encoded; nil until it was first sent in one piece
 }
 
-// wholeList returns the whole list, which it makes anew if it has changed.
+// wholeList returns the whole list, and rebuilds it if it has changed.
 func (h *hub) wholeList() *wholeList {
 	now := h.d.replica.Now()
 	switch {
 	case h.relay != nil && (h.list == nil || h.relay.list.AnyCold(now)):
 		h.list = &wholeList{servers: h.relay.list.WholeList(now)}
 	case h.relay == nil && (h.list == nil || h.registry.AnyCold(now)):
-		h.list = &wholeList{servers: h.ledList()}
+		h.list = &wholeList{servers: h.leaderList()}
 	}
 	return h.list
 }
 
-// ledList is the whole list of the leader.
-func (h *hub) ledList() protocol.Servers {
+// leaderList returns the leader's whole list.
+func (h *hub) leaderList() protocol.Servers {
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
 		Term: h.term, Space: h.handles.Space(), Whole: true, Complete: h.complete,
 		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.hasMultipleRegions() || h.isSpread(),
 	}.Sent(h.registry.IsListed)
-	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // lives were in the order before
+	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // the registry orders by name without the life
 	return m
 }
 
-// encodeList encodes a part of the list; all of it once.
+// encodeList encodes a part of the list. The encoding of the whole list is cached.
 func (h *hub) encodeList(m protocol.Servers) (e protocol.Encoded, ok bool) {
 	if !m.Whole || len(m.Set) < len(h.list.servers.Set) {
 		return h.encode(m)
@@ -59,10 +59,10 @@
 	return *h.list.encoded, true
 }
 
-// recentDepartures go out with a whole list, because one that is not complete does
-// not show which backend servers a gateway must drop.
+// recentDepartures returns the departures to send with a whole list: an incomplete list does not
+// show which backend servers a gateway must drop.
 func (h *hub) recentDepartures() []string {
-	_, total := h.d.state.DeparturesSince(h.departed)
-	ids, _ := h.d.state.DeparturesSince(total - min(total, listedDepartures))
+	_, total := h.d.state.DeparturesSince(h.appliedDepartures)
+	ids, _ := h.d.state.DeparturesSince(total - min(total, maxListedDepartures))
 	return ids
 }
