--- a/directory/usage.go
+++ b/directory/usage.go
@@ -14,7 +14,7 @@
 type usage struct {
 	loads  map[*session][]protocol.ServerLoad // from each session's last report
 	total  []protocol.ServerLoad              // over all sessions, ordered by handle
-	demand *entitlement.Demand
+	demand *entitlement.DemandEstimator
 }
 
 func newUsage() *usage {
--- a/gateway/spread_test.go
+++ b/gateway/spread_test.go
@@ -15,46 +15,47 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// TestLargePoolChoosesFromTheOrder: among many engines equal prompts go to one of them, a prompt whose
-// engine has left, is in a hall out of service or had the request before goes to another one, and so do
-// prompts without shared parts.
+// TestLargePoolChoosesFromTheOrder checks the choice in a large pool: equal prompts go to the same
+// engine. If that engine has left, is in a hall out of service or has been tried already, the
+// prompt goes to another one. Prompts without shared parts find an engine as well.
 func TestLargePoolChoosesFromTheOrder(t *testing.T) {
 	is := is.New(t)
-	x := newTable("g", "hall-0", monotonic())
-	x.setSite("", topology.Topology{}, 0)
+	table := newTable("g", "hall-0", monotonic())
+	table.setSite("", topology.Topology{}, 0)
 	list := protocol.Servers{Term: 1, Whole: true}
 	for i := range 400 {
-		list.Set = append(list.Set, engineOf(i))
+		list.Set = append(list.Set, listedEngine(i))
 	}
-	x.update(list)
+	table.update(list)
 	req := requirements{pool: document.Pool{Name: "engines", Engine: true}, route: document.Route{Objective: 400 * time.Millisecond}}
-	choose := func(thing int) *knownServer {
-		req.prompt = place.Prompt{Own: 900, Shared: []place.Part{{Name: fmt.Sprint(thing), Tokens: 2000}}}
-		a, _ := x.acquire(x.now(), req)
+	choose := func(promptID int) *knownServer {
+		req.prompt = place.Prompt{Own: 900, Shared: []place.Part{{Name: fmt.Sprint(promptID), Tokens: 2000}}}
+		a, _ := table.acquire(table.now(), req)
 		return a.entry
 	}
 	used := map[string]bool{}
-	for thing := range 200 {
-		k := choose(thing)
-		is.Equal(choose(thing), k)
+	for promptID := range 200 {
+		k := choose(promptID)
+		is.Equal(choose(promptID), k)
 		used[k.ID] = true
 		k.ownLoad = place.Work{}
 	}
-	is.True(len(used) > 130) // 157 of 400 by lot
+	is.True(len(used) > 130) // 157 of 400 are expected from random choice
 	k := choose(7)
 	req.avoid = map[string]bool{k.ID: true}
 	is.True(choose(7) != k)
 	req.avoid = nil
-	x.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
+	table.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
 	is.True(choose(7).Hall != k.Hall)
-	x.update(protocol.Servers{Term: 1, HallChanges: 2, Gone: []string{k.ID}})
+	table.update(protocol.Servers{Term: 1, HallChanges: 2, Gone: []string{k.ID}})
 	is.True(choose(7) != k)
 	req.prompt = place.Prompt{Own: 900}
-	a, _ := x.acquire(x.now(), req)
+	a, _ := table.acquire(table.now(), req)
 	is.True(a != nil)
 }
 
-func engineOf(i int) protocol.Server {
+// listedEngine returns the i-th engine of the pool as listed by the directory.
+func listedEngine(i int) protocol.Server {
 	return protocol.Server{Handle: uint32(i + 1), Registration: protocol.Registration{
 		ID: fmt.Sprintf("i-%05d", i), Pool: "engines", Address: fmt.Sprintf("10.%d.%d.1:80", i/250, i%250),
 		Hall: fmt.Sprint("hall-", i%5), Slots: 16,
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -13,10 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of changes, deltas, snapshots and the store in
-// testdata/golden: they are on disks and in the logs of running fleets. Run with
-// -update to rewrite the files, which only a deliberate change of the stored
-// format justifies.
+// This file pins the encoding of changes, deltas, snapshots and the store in
+// testdata/golden, because running fleets hold it on disk and in their logs. Run with
+// -update to rewrite the files, which only a deliberate change of the stored format
+// justifies.
 
 var (
 	goldenAccount = Account{
@@ -26,7 +26,7 @@
 	goldenServer = Server{
 		Name: "engine-1", Pool: "llm", Address: "10.0.0.1:80", Kind: Engine, Mark: Serving, Slots: 16,
 		Models: []string{"m1", "m2"}, Adapters: []string{"a1", "a2"}, Version: "v3", ChecksFence: true,
-		Never: []string{"POST /pay", "* /send"}, ID: "2",
+		NeverRepeat: []string{"POST /pay", "* /send"}, ID: "2",
 	}
 	goldenService = Server{Name: "web-1", Pool: "web", Address: "10.0.0.2:80", Kind: Service, Mark: Joining, Slots: 1, ID: "3"}
 	goldenChanges = []Change{
@@ -60,8 +60,8 @@
 	is.Equal([]Mark{Joining, Serving, Leaving}, []Mark{1, 2, 3})
 }
 
-// TestGoldenDigest pins how the contents of two changes are distinguished: a
-// resend may come after an upgrade.
+// TestGoldenDigest pins the digests of changes, because a resend may arrive after an
+// upgrade and must match the stored change.
 func TestGoldenDigest(t *testing.T) {
 	is := is.New(t)
 	var digests []byte
