--- a/directory/hub.go
+++ b/directory/hub.go
@@ -80,7 +80,7 @@
 	loggingSpread bool             // whether a spread decision is being logged
 	spreadSince   time.Duration    // when this leader first observed that sessions are spread
 	sentPlaces    []protocol.Place // places last sent to the relays
-	missing       []string         // lives that gateways have from the previous leader and this one lacks
+	missingLives  []string         // lives that gateways have from the previous leader and this one lacks
 
 	listPace         registry.ListPace
 	joinPace         registry.ListPace // pace of logging registrations
--- a/directory/lasting.go
+++ b/directory/lasting.go
@@ -52,8 +52,8 @@
 func (h *hub) adoptGateways(r *relay) {
 	now := h.d.replica.Now()
 	h.feed = r.feed
-	set, missing := h.registry.Diff(now, &r.list)
-	h.missing = missing
+	set, missingLives := h.registry.Diff(now, &r.list)
+	h.missingLives = missingLives
 	m := h.listHeader()
 	m.Set = set
 	for s := range h.sessions {
@@ -64,7 +64,7 @@
 	h.sendServerChanges(m.Sent(h.registry.IsListed))
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateway sessions kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
-		slog.Int("missing", len(missing)))
+		slog.Int("missing", len(missingLives)))
 }
 
 // listHeader returns a list message without servers: its term, its handle space, and the halls that
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -56,18 +56,18 @@
 
 // TestServerStartsAgain: a server that restarts under its name must be served within two seconds,
 // also at another address, however its previous life ended, and despite late messages of that life.
-// Afterwards nothing may be sent to the address of the previous life.
+// After that time nothing may be sent to the address of the previous life.
 func TestServerStartsAgain(t *testing.T) {
 	for _, tt := range []struct {
-		name      string
-		address   string // address of the later life; "" means the same
-		unborn    bool   // the earlier life has no start time
-		ends      func(l *life)
-		meanwhile func(x *fleet, earlier *life)
+		name        string
+		address     string // address of the later life; "" means the same
+		noStartTime bool   // the earlier life has no start time
+		ends        func(l *life)
+		meanwhile   func(x *fleet, earlier *life)
 	}{
 		{name: "after a crash", address: "10.0.4.1:80"},
 		{name: "after a crash, at the same address"},
-		{name: "after a life without a start time", address: "10.0.4.1:80", unborn: true},
+		{name: "after a life without a start time", address: "10.0.4.1:80", noStartTime: true},
 		{name: "after it drained", address: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
 		{name: "after a withdrawal by name", ends: func(l *life) {
 			if err := l.x.awaitLeader().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
@@ -94,7 +94,7 @@
 				is := is.New(t)
 				x.putDocument(1)
 				earlier := &life{x: x, born: 1_790_000_000_000, address: "10.0.3.1:80", seq: 1000}
-				if tt.unborn {
+				if tt.noStartTime {
 					earlier.born = 0
 				}
 				a := &arrivals{at: map[string][]time.Time{}}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -75,8 +75,8 @@
 		Term: h.term, Space: h.handles.Space(), Set: h.pendingChange.Set, Gone: h.pendingChange.Gone, Complete: h.complete,
 		HallsOut: out, HallChanges: changes,
 	}
-	if h.complete && len(h.missing) > 0 {
-		m.Unlisted, h.missing = h.registry.ForgetUnlisted(h.missing), nil
+	if h.complete && len(h.missingLives) > 0 {
+		m.Unlisted, h.missingLives = h.registry.ForgetUnlisted(h.missingLives), nil
 	}
 	h.pendingChange, h.list = registry.Change{}, nil
 	h.sendServerChanges(m.Sent(h.registry.IsListed))
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -63,7 +63,7 @@
 	}
 	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.Feed{}, 0
 	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
-	h.missing, h.sentPlaces, h.spreadSince = nil, nil, 0
+	h.missingLives, h.sentPlaces, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
 	h.d.cfg.Metrics.GetOrCreateCounter("badgerspoke_directory_terms_led_total").Inc()
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -31,7 +31,7 @@
 	noRollout bool                 // no rollout is ordered
 }
 
-// runScenario is rolling in a scenario.
+// runScenario starts the servers, gateways and rollout of a scenario, and then runs f.
 func (x *fleet) runScenario(v *versionedServers, s rolloutScenario, f func()) {
 	is := is.New(x.t)
 	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
@@ -105,7 +105,7 @@
 	_ = d.Announce(ctx, a) // a replica that no longer leads refuses it
 }
 
-// countedServers counts the requests that reach each server of a versioned.
+// countedServers counts the requests that reach each of some versioned servers.
 type countedServers struct {
 	*versionedServers
 	arrivalLog *arrivals
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -85,11 +85,11 @@
 	return answer, nil
 }
 
-// sendSteadily sends requests of one account at a constant rate, while from returns true.
-func (e *enginePool) sendSteadily(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, from func() bool) {
+// sendSteadily sends requests of one account at a constant rate, while active returns true.
+func (e *enginePool) sendSteadily(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, active func() bool) {
 	n := 0
 	for range sleep.Every(ctx, 3*time.Second/time.Duration(perSecond)) { // each of three gateways gets a third
-		if n++; from() {
+		if n++; active() {
 			id := account + strconv.Itoa(n)
 			asking.Go(func() { e.request(g, account, id) })
 		}
