--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -28,7 +28,7 @@
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = float64(rate)
 		for i := range voters {
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), rate)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), rate)
 		}
 	}, func(x *fleet) {
 		c := &largeFleet{fleet: x, servers: slowLinkServers}
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -25,7 +25,7 @@
 		x.linkRate, x.halls = largeFleetLinkRate, map[string]string{}
 		for i := range hallReplicas {
 			x.halls[fmt.Sprintf("10.0.1.%d", i+1)] = hallName(i)
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), largeFleetLinkRate)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), largeFleetLinkRate)
 		}
 		for i := range hallGateways {
 			x.halls[fmt.Sprintf("10.0.2.%d", i+1)] = hallName(i)
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -46,7 +46,7 @@
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.linkRate = largeFleetLinkRate
 		for i := range voters {
-			x.net.Link(fmt.Sprintf("10.0.1.%d", i+1), largeFleetLinkRate)
+			x.net.SetUplinkRate(fmt.Sprintf("10.0.1.%d", i+1), largeFleetLinkRate)
 		}
 	}, func(x *fleet) {
 		x.putDocument(1)
