--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -132,7 +132,7 @@
 	})
 	if err == nil && to != "" {
 		tried()
-		d.cfg.Log.StateChange("leadership transferred", slog.String("to", to), slog.String("why", why),
+		d.cfg.Log.StateChange("transferring leadership", slog.String("to", to), slog.String("why", why),
 			slog.Duration("sync", own), slog.String("region", d.voterRegion(to)))
 	}
 }
