--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -13,18 +13,18 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what cold backend servers get from a whole fleet.
+// This file tests how many requests a whole fleet sends to cold backend servers.
 
-// coldHeld is a document whose pool states what cold servers bear.
+// coldDocument returns a document whose pool limits the request rate of cold servers.
 func coldHeld(number uint64, rate float64) document.Held {
 	h := held(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
 }
 
-// TestColdHallGetsWhatItBears brings 21 servers of a hall back cold under a load of which
-// they would get most, and loses the leader meanwhile. No cold server gets more than its
-// rate in any second, and together they get a good part of what they bear.
+// TestColdHallGetsWhatItBears returns 21 cold servers of a hall to service under a load of which they
+// would get most, and kills the leader meanwhile. No cold server may get more requests than its rate in
+// any second, and together they must get more than half of what that rate allows.
 func TestColdHallGetsWhatItBears(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -62,12 +62,13 @@
 			sum += all
 		}
 		part := float64(sum) / (21 * rate * cold.Seconds())
-		x.t.Logf("the cold servers got %.2f of what they bear", part)
+		x.t.Logf("the cold servers got %.2f of what their rate allows", part)
 		is.True(part > 0.5)
 	})
 }
 
-// TestHallThatReturnsIsTakenForCold: its servers may have become cold while nobody saw it.
+// TestHallThatReturnsIsTakenForCold checks that the servers of a returned hall are treated as cold, since
+// they may have become cold unobserved while it was out of service.
 func TestHallThatReturnsIsTakenForCold(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -89,7 +90,7 @@
 		all, most := a.countSince(address("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
-		time.Sleep(3 * time.Second) // it announces that it is warm
+		time.Sleep(3 * time.Second) // until it has announced that it is warm
 		_, most = a.countSince(address("b1"), back)
 		is.True(most > 2*rate)
 	})
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -16,11 +16,11 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests the last step of a rollout: gateways know that the old servers may stop before
+// This file tests the last step of a rollout: gateways are informed that the old servers may stop before
 // the log has the rollout as complete.
 
-// TestCompleteIsAnnounced: complete waits until all gateways obey the list that announces it, and
-// not for long for one that does not.
+// TestCompleteIsAnnounced checks that completion waits until all gateways apply the list that announces
+// it, but only briefly for a gateway that does not.
 func TestCompleteIsAnnounced(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// untilComplete is a gateway that obeys every list, the final one only if it is to, and returns
-// the time from that to the one after it.
+// runGatewayUntilComplete runs a gateway that applies every list, but the final one only if obeysFinal.
+// It returns the time from the final list to the next one.
 func (x *fleet) untilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
@@ -75,18 +75,18 @@
 			}
 		case protocol.Fleet:
 			u.Seq++
-			_ = l.Send(ctx, u) // it fails when the session has ended, and receive with it
+			_ = l.Send(ctx, u) // fails when the session has ended; the next receive fails as well
 		}
 	}
 }
 
-// goesOn is within what time a rollout is complete after its leader has ended, past the switch: an
-// election (two timeouts of 0.4 s), what a new leader waits for reports (1 s), and some steps until
-// all gateways obey. Without the switch in the log it was 2.8 to 3.2 s.
+// maxTakeoverTime bounds the time from the end of the leader to the completion of a rollout that is past
+// the switch: an election (two timeouts of 0.4 s), a new leader's wait for reports (1 s), and the steps
+// until all gateways apply the list. If the switch were missing in the log, it would take 2.8 to 3.2 s.
 const goesOn = 2500 * time.Millisecond
 
-// TestSwitchOutlivesTheLeader: the next leader goes on where the one before had given the target
-// all requests. It knows nothing of the trial's bound, which that has used up.
+// TestSwitchOutlivesTheLeader checks that a new leader continues after the switch that its predecessor
+// made. The new leader has no record of the trial, whose bound is used up.
 func TestSwitchOutlivesTheLeader(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -10,20 +10,19 @@
 	"github.com/matryer/is"
 )
 
-// This file tests the loss of a data hall's directory replicas.
+// This file tests the loss of all directory replicas of a data hall.
 
-// TestHallOfTheDirectoryIsLost takes a hall's replicas away, the largest hall's with the
-// leader among them if it is there: cut off, killed, wiped, and together with the disk of
-// one more replica. After all but the last there is a leader within three seconds; nothing
-// acknowledged is lost after any.
+// TestHallOfTheDirectoryIsLost cuts off, kills or wipes the replicas of a hall, the leader among them,
+// or kills them and wipes the disk of one. In all cases but the last a new leader must be elected within
+// three seconds; nothing acknowledged may be lost in any.
 func TestHallOfTheDirectoryIsLost(t *testing.T) {
-	const votersOfHalls = 9 // wanted where halls may be lost
+	const votersOfHalls = 9 // configured where halls may be lost
 	for _, n := range []int{3, 5, 7} {
 		for _, how := range []string{"cut", "killed", "wiped", "wiped with one more disk"} {
 			t.Run(fmt.Sprintf("%d replicas %s", n, how), func(t *testing.T) {
 				inFleetOf(t, n, votersOfHalls, func(x *fleet) {
 					is := is.New(x.t)
-					time.Sleep(3 * time.Second) // all vote
+					time.Sleep(3 * time.Second) // until all vote
 					is.Equal(len(x.voters()), n)
 					is.NoErr(x.announceIn("b1", "hall-a", 0))
 					time.Sleep(time.Second)
@@ -32,7 +31,7 @@
 						x.put(uint64(2*round + 1))
 						x.orderHall("hall-a", round%2 == 0)
 						hall := x.hallOfLeader((n + 2) / 3)
-						if how == "wiped with one more disk" { // the hall's disks are back after the power
+						if how == "wiped with one more disk" { // the hall's other disks survive
 							x.loseHall(hall[1:], "killed")
 							x.loseHall(hall[:1], "wiped")
 						} else {
@@ -59,7 +58,7 @@
 						is.NoErr(err)
 						is.Equal(len(halls) == 1, round%2 == 0)
 						time.Sleep(10 * time.Second)
-						for _, ip := range x.order { // those that were away have caught up
+						for _, ip := range x.order { // the returned replicas have caught up
 							is.True(x.nodes[ip].d.Formed())
 						}
 					}
@@ -69,7 +68,7 @@
 	}
 }
 
-// hallOfLeader returns the leader and others, size in all.
+// hallOfLeader returns the leader and other replicas, size in all.
 func (x *fleet) hallOfLeader(size int) []string {
 	hall := []string{x.mustLead().ip}
 	for _, ip := range x.order {
@@ -80,7 +79,7 @@
 	return hall
 }
 
-// loseHall takes replicas away.
+// loseHall cuts off, kills or wipes replicas.
 func (x *fleet) loseHall(hall []string, how string) {
 	for _, ip := range hall {
 		if how == "cut" {
@@ -94,7 +93,7 @@
 	}
 }
 
-// returnHall brings them back.
+// returnHall reconnects or restarts the replicas that loseHall took away.
 func (x *fleet) returnHall(hall []string, how string) {
 	for _, ip := range hall {
 		if how == "cut" {
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -14,20 +14,20 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines the orders that take a data hall out of service or put it back.
+// This file implements the orders that take a data hall out of service and put it back.
 
-// maxHallName bounds a hall's name, in bytes.
+// maxHallName bounds the length of a hall's name, in bytes.
 const maxHallName = 255
 
-// UnknownHall refuses an order for a data hall that neither the settings name nor any
-// backend server announced. Nothing was changed.
+// UnknownHall refuses an order for a data hall that neither the settings nor a backend server names.
+// Nothing was changed.
 type UnknownHall struct{ Hall string }
 
 // Error names the hall.
 func (e UnknownHall) Error() string { return "no data hall is called " + e.Hall }
 
-// UnclearOrder refuses an order that may be a late copy of an earlier one. Nothing was
-// changed; it may be sent again.
+// UnclearOrder refuses an order that may be a delayed copy of an earlier one. Nothing was changed; the
+// order may be repeated.
 type UnclearOrder struct{ Hall string }
 
 // Error names the hall.
@@ -35,30 +35,30 @@
 	return "an equal order for " + e.Hall + " was followed by its opposite a moment ago; this may be a late copy of it"
 }
 
-// TakeHallOut asks that no backend server of a data hall gets anything more, until
-// PutHallBack. When it returns nil, the order is on the disks of a majority and on its way
-// to the gateways. The error is [UnknownHall], [UnclearOrder], [NotLeader] or [Unavailable].
+// TakeHallOut stops all requests to the backend servers of a data hall until PutHallBack. It returns nil
+// once the order is on the disks of a majority and on its way to the gateways. The error is
+// [UnknownHall], [UnclearOrder], [NotLeader] or [Unavailable].
 func (d *Directory) TakeHallOut(ctx context.Context, hall string) error {
 	return d.orderHall(ctx, hall, true)
 }
 
-// PutHallBack ends TakeHallOut, with the same errors.
+// PutHallBack returns a data hall to service. It has the same errors as TakeHallOut.
 func (d *Directory) PutHallBack(ctx context.Context, hall string) error {
 	return d.orderHall(ctx, hall, false)
 }
 
-// HallsOut returns the data halls that are out of service by the newest acknowledged state.
-// The error is [NotLeader] or [Unavailable].
+// HallsOut returns the data halls that are out of service in the newest acknowledged state. The error
+// is [NotLeader] or [Unavailable].
 func (d *Directory) HallsOut(ctx context.Context) (out []string, err error) {
 	err = d.inspectAsLeader(ctx, func() { out, _ = d.state.HallsOut() })
 	return out, err
 }
 
-// orderTries is how often an order is decided on anew whose change another one came before. Two
-// operators at most give orders at a time.
+// maxOrderAttempts bounds how often an order is decided when concurrent changes precede its own. At most
+// two operators give orders at the same time.
 const orderTries = 4
 
-// orderHall carries an order out. A change that another one came before is decided anew.
+// orderHall executes an order. If another change was committed first, the order is decided again.
 func (d *Directory) orderHall(ctx context.Context, hall string, out bool) error {
 	for range orderTries {
 		verdict, change, err := d.decideHall(ctx, hall, out)
@@ -80,8 +80,7 @@
 	return Unavailable{}
 }
 
-// decideHall returns what is to be done about an order by the newest acknowledged state,
-// which only the leader knows.
+// decideHallOrder decides on an order by the newest acknowledged state, which only the leader has.
 func (d *Directory) decideHall(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
 	var verdict evacuation.Verdict
 	var change document.HallChange
@@ -89,8 +88,8 @@
 	return verdict, change, err
 }
 
-// inspectAsLeader runs f while this replica leads, with all that was acknowledged applied. The
-// error is [NotLeader] or [Unavailable]; f may have run then.
+// inspectAsLeader runs f while this replica leads and has applied all that was acknowledged. The error
+// is [NotLeader] or [Unavailable]; f may have run even then.
 func (d *Directory) inspectAsLeader(ctx context.Context, f func()) error {
 	var leads bool
 	var leader string
@@ -105,13 +104,13 @@
 		return Unavailable{Err: err}
 	case !leads:
 		return d.leadershipError(leader)
-	case d.replica.Now() >= until: // the lease ran out while this goroutine waited
+	case d.replica.Now() >= until: // the lease expired while this goroutine waited
 		return Unavailable{}
 	}
 	return nil
 }
 
-// knowsHall reports whether the settings or a backend server name a hall.
+// isHallKnown reports whether the settings or a backend server name a hall.
 func (d *Directory) knowsHall(hall string) bool {
 	if hall == "" || len(hall) > maxHallName {
 		return false
@@ -120,8 +119,8 @@
 		slices.ContainsFunc(d.state.Joined(), func(s protocol.Registration) bool { return s.Hall == hall })
 }
 
-// pushHalls sends every session the halls that are out of service, if they have changed, and
-// in the same message that the backend servers of a hall that is back may be cold.
+// pushHalls sends every session the halls that are out of service, if they have changed. The same
+// message marks the backend servers of a returned hall as possibly cold.
 func (h *hub) pushHalls() {
 	out, changes := h.d.state.HallsOut()
 	if changes == h.sentHallChanges {
@@ -136,8 +135,8 @@
 		slog.Any("returned", returned), slog.Int("gateways", len(h.gateways())), slog.Any("unaware", h.unawareOfHalls()))
 }
 
-// unawareOfHalls returns the gateways whose version does not know halls that are out of
-// service: they go on sending there until they are upgraded.
+// gatewaysWithoutHalls returns the gateways whose version does not support halls out of service: they
+// keep sending requests there until they are upgraded.
 func (h *hub) unawareOfHalls() []string {
 	var names []string
 	for name, g := range h.gateways() {
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -28,9 +28,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests data halls that are taken out of service, under load.
+// This file tests data halls that are taken out of service under load.
 
-// arrivals is what gateways send to backend servers, all of which answer after 20 ms.
+// arrivals records the requests that gateways send to backend servers, all of which answer after 20 ms.
 type arrivals struct {
 	mu sync.Mutex
 	at map[string][]time.Time // by address
@@ -55,8 +55,8 @@
 	a.at[address] = append(a.at[address], time.Now())
 }
 
-// countSince returns how many requests came to an address after a time, and the most of them
-// in one second.
+// countSince returns how many requests arrived at an address after a time, and the most of them in one
+// second.
 func (a *arrivals) countSince(address string, from time.Time) (all, most int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,7 +76,7 @@
 	return len(times), most
 }
 
-// startLoadedGateway starts a gateway that gets a request in each period, and sends to a.
+// startLoadedGateway starts a gateway that receives a request in each period and sends to a.
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
 	return x.startGatewayWithLoad(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
@@ -85,7 +85,7 @@
 	})
 }
 
-// startGatewayWithLoad starts a gateway that gets the requests of ask, which ends with its context.
+// startGatewayWithLoad starts a gateway that receives the requests of ask, which ends with its context.
 func (x *fleet) startGatewayWithLoad(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
@@ -101,7 +101,7 @@
 	return g
 }
 
-// announceIn lets a backend server of a hall announce itself, cold for some more time.
+// announceIn announces a backend server of a hall that stays cold for some time.
 func (x *fleet) announceIn(id, hall string, cold time.Duration) error {
 	x.beats[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
@@ -112,7 +112,7 @@
 	})
 }
 
-// orderHall gives an order about a hall to whoever leads until it is acknowledged.
+// orderHall gives an order about a hall to the current leader until it is acknowledged.
 func (x *fleet) orderHall(hall string, out bool) {
 	for range 1000 {
 		d := x.mustLead().d
@@ -128,7 +128,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.t.Fatal("the order is not acknowledged")
+	x.t.Fatalf("the order about hall %q was not acknowledged", hall)
 }
 
 func TestHallOrdersAreChecked(t *testing.T) {
@@ -137,11 +137,11 @@
 		l := x.mustLead()
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "nowhere"), error(directory.UnknownHall{Hall: "nowhere"}))
 		is.Equal(l.d.TakeHallOut(x.t.Context(), ""), error(directory.UnknownHall{}))
-		is.NoErr(l.d.PutHallBack(x.t.Context(), "nowhere")) // it is as the order asks
+		is.NoErr(l.d.PutHallBack(x.t.Context(), "nowhere")) // it is in service already
 		is.NoErr(x.announceIn("b1", "hall-a", 0))
-		time.Sleep(time.Second) // it is in the log
+		time.Sleep(time.Second) // until the server is in the log
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a"))
-		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a")) // again
+		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a")) // a repeat
 		is.NoErr(l.d.PutHallBack(x.t.Context(), "hall-a"))
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "hall-a"), error(directory.UnclearOrder{Hall: "hall-a"}))
 		time.Sleep(5 * time.Second)
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestHallOutGetsNothing takes a hall out under load, while gateways come, restart and lose
-// the leader: nothing reaches its servers, until it is put back.
+// TestHallOutGetsNothing takes a hall out of service under load while gateways start, restart and lose
+// the leader. No request may reach its servers until it is put back.
 func TestHallOutGetsNothing(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -177,7 +177,7 @@
 		x.startLoadedGateway("10.0.2.1", a, 50*time.Millisecond)
 		x.startLoadedGateway("10.0.2.4", a, 50*time.Millisecond)
 		time.Sleep(4 * time.Second)
-		x.losePower() // of what is left of the directory
+		x.losePower() // of the remaining directory replicas
 		for _, ip := range x.order {
 			x.start(ip, false)
 		}
@@ -195,22 +195,22 @@
 	})
 }
 
-// keepAnnounced lets backend servers announce themselves once in each interval, until stop.
+// keepAnnounced announces backend servers once in each interval until stop is called.
 func (x *fleet) keepAnnounced(halls map[string]string) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
 		for range sleep.Every(ctx, interval) {
 			for _, id := range slices.Sorted(maps.Keys(halls)) {
-				_ = x.announceIn(id, halls[id], 0) // whoever does not lead any more refuses it
+				_ = x.announceIn(id, halls[id], 0) // a replica that has lost the lead refuses it
 			}
 		}
 	})
 	return func() { cancel(); running.Wait() }
 }
 
-// TestOrderOfAHallIsForGood loses all power, and two of five disks, right after orders
-// were acknowledged.
+// TestOrderOfAHallIsForGood loses all power, and two of five disks, right after orders were
+// acknowledged. The orders must stay in force.
 func TestOrderOfAHallIsForGood(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -235,7 +235,7 @@
 			}
 			halls, _ := x.mustLead().d.HallsOut(x.t.Context())
 			is.Equal(len(halls) == 1, out)
-			time.Sleep(8 * time.Second) // the lost ones have caught up, and no order may be a copy
+			time.Sleep(8 * time.Second) // the lost replicas catch up, and the next order is no repeat
 		}
 	})
 }
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -15,14 +15,14 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what the leader keeps of one rollout.
+// This file tests the leader's state of one rollout.
 
 func newLeadRollout(d document.Rollout) *leadRollout {
 	return &leadRollout{Rollout: d, reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
-// TestTotalsReplaceTotals: a report that is lost or comes twice changes nothing, and a gateway
-// that starts again adds to what it had sent before.
+// TestTotalsReplaceTotals checks that lost or repeated reports change nothing, and that the totals of a
+// restarted gateway add to those of its earlier run.
 func TestTotalsReplaceTotals(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Target: "v2"})
@@ -41,8 +41,8 @@
 	is.Equal([]uint64{old.Sent, old.Answered, old.Failed}, []uint64{11, 11, 0})
 }
 
-// TestRelaysCountOnce: what a relay reported counts while its session lives, since its gateways
-// report it elsewhere then, to the relay's next run, to another relay or to the leader itself.
+// TestRelaysCountOnce checks that a relay's totals count only while its session lives: its gateways then
+// report them elsewhere, to the relay's next run, another relay or the leader.
 func TestRelaysCountOnce(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
@@ -64,20 +64,20 @@
 	h.removeOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
 	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
-	report(again, 20, 3, 0, 6)                                  // one of its gateways is not back yet
-	h.removeOutcomes(north)                                     // the end of its link is noticed last
+	report(again, 20, 3, 0, 6)                                  // one of its gateways has not reconnected yet
+	h.removeOutcomes(north)                                     // the end of its link is detected last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
-	report(again, 21, 1, 0, 3) // and goes to another relay
+	report(again, 21, 1, 0, 3) // one gateway moves to another relay
 	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	gone := &session{gateway: "g", bootID: 1}
-	h.removeOutcomes(gone) // a gateway's own stay
+	h.removeOutcomes(gone) // a gateway's own totals are kept
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
 
-// TestVerdictOfTheLeaderBefore: it may have reached gateways and not the log; what was seen since
-// need not repeat it.
+// TestVerdictOfTheLeaderBefore checks that a new leader adopts its predecessor's verdict from gateways:
+// it may have reached them and not the log, and outcomes seen since need not repeat it.
 func TestVerdictOfTheLeaderBefore(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
@@ -93,8 +93,8 @@
 	is.Equal(r.entry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
 
-// TestOtherVersions: also those whose servers are away when the rollout is complete, but none
-// that is barred.
+// TestOtherVersions checks that the replaced versions include those whose servers are absent when the
+// rollout completes, but no barred version.
 func TestOtherVersions(t *testing.T) {
 	is := is.New(t)
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1))}
@@ -110,8 +110,8 @@
 	is.Equal(h.otherVersions(r), []string{"", "v0", "v1"})
 }
 
-// TestBarredBeforeTheLogHasIt: the list with the verdict goes out at once, and what the log
-// holds is not touched.
+// TestBarredBeforeTheLogHasIt checks that a list with the verdict is sent at once, without a change to
+// the state that the log holds.
 func TestBarredBeforeTheLogHasIt(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 3, Barred: make([]string, 0, 4)})
@@ -126,7 +126,7 @@
 	is.Equal(len(r.Barred), 0)
 }
 
-// TestShareThatHardlyChanges is not sent.
+// TestShareThatHardlyChanges checks that small changes of a share are not sent.
 func TestShareThatHardlyChanges(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Target: "v2"})
@@ -136,7 +136,8 @@
 	}
 }
 
-// TestFirstListWithAll: gateways have to obey the first of the newest lists that give all.
+// TestFirstListWithAll checks that gateways have to apply the first of the latest lists that give the
+// target all requests.
 func TestFirstListWithAll(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{})
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestTotalsFall when a relay's session ends that has reported something: that is noted, until its
-// gateways have reported elsewhere.
+// TestTotalsFall checks that a fall of the totals is recorded when a relay's session ends that has
+// reported outcomes, until its gateways have reported elsewhere.
 func TestTotalsFall(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
@@ -167,12 +168,12 @@
 	is.Equal(r.forgotAt, 3*time.Second)
 }
 
-// TestRelayThatHasJustOpened keeps a rollout from being complete until it has reported twice:
-// before it has named its gateways, what runs there is not in the sums either.
+// TestRelayThatHasJustOpened checks that a new relay session delays completion until it has reported
+// twice: before the relay has named its gateways, their load is not in the sums either.
 func TestRelayThatHasJustOpened(t *testing.T) {
 	is := is.New(t)
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
-	earlier := &session{gateway: "g"} // of a version that does not know rollouts
+	earlier := &session{gateway: "g"} // its version does not support rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
 	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2"})
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -23,34 +23,34 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file adds backend servers that end to the fixture, by themselves or under a request, and
-// callers of a fleet of them.
+// This file adds to the fixture backend servers that crash, by themselves or under a request, and callers
+// of a fleet of them.
 
 const (
-	deadlyAfter = 60 * time.Millisecond   // from the begin of a deadly request to the end of its server
-	backAfter   = 1500 * time.Millisecond // from the end of a server to its next start
+	deadlyAfter = 60 * time.Millisecond   // from the begin of a deadly request to the crash of its server
+	backAfter   = 1500 * time.Millisecond // from the crash of a server to its restart
 )
 
-// mortals are backend servers of one pool. A request whose body begins with "deadly" ends the
+// crashingServers are backend servers of one pool. A request whose body begins with "deadly" ends the
 // server that begins it.
 type mortals struct {
 	x       *fleet
-	run     time.Duration // of a request
-	streams bool          // an answer's head comes at once, its body after the run
-	keepIDs bool          // a server starts again under the identifier that it had
-	halls   []string      // where the servers stand, in turn
-	target  int           // number of the first server of another version, which is announced once it is ordered; 0: none is
-	resets  bool          // a deadly request breaks its own connection and ends nothing
+	run     time.Duration // run time of a request
+	streams bool          // the header of an answer is sent at once, its body after the run
+	keepIDs bool          // a server restarts with its earlier identifier
+	halls   []string      // halls of the servers, in turn
+	target  int           // number of the first server of another version, which is announced after the order; 0 for none
+	resets  bool          // a deadly request breaks its own connection and ends no server
 
 	mu        sync.Mutex
-	ordered   bool                // the rollout to the other version
+	ordered   bool                // the rollout to the other version was ordered
 	processes map[string]*process // by address
 	starts    int
 	ends      []time.Time
-	sent      map[string][]time.Time // deadly requests that servers began, by body
+	sent      map[string][]time.Time // when servers began deadly requests, by body
 }
 
-// process is what runs at an address, from one start to the next.
+// process is one run of the server at an address.
 type process struct {
 	id    string
 	seq   uint64
@@ -58,7 +58,7 @@
 	ended chan struct{}
 }
 
-// startCrashingServers returns n servers.
+// startCrashingServers starts n servers.
 func (x *fleet) startCrashingServers(n int, run time.Duration) *mortals {
 	m := &mortals{x: x, run: run, processes: map[string]*process{}, sent: map[string][]time.Time{}}
 	for i := range n {
@@ -74,7 +74,7 @@
 	m.processes[at] = &process{id: fmt.Sprint("s", m.starts), up: true, ended: make(chan struct{})}
 }
 
-// startAgain starts a server at the address of one that has ended.
+// startAgain restarts a server at the address of one that has ended.
 func (m *mortals) startAgain(at string, before *process) {
 	m.start(at)
 	if !m.keepIDs {
@@ -85,7 +85,8 @@
 	m.processes[at].id, m.processes[at].seq = before.id, before.seq
 }
 
-// end ends the servers at some addresses at once. They start again under other identifiers.
+// end ends the servers at some addresses at once. They restart later, with new identifiers unless
+// keepIDs is set.
 func (m *mortals) end(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -112,7 +113,7 @@
 	}
 	for _, a := range m.announcements() {
 		ctx, cancel := context.WithTimeout(m.x.t.Context(), time.Second)
-		_ = d.Announce(ctx, a) // whoever does not lead any more refuses it
+		_ = d.Announce(ctx, a) // a replica that has lost the lead refuses it
 		cancel()
 	}
 }
@@ -136,7 +137,7 @@
 	return all
 }
 
-// hall returns where the server at an address stands.
+// hall returns the hall of the server at an address.
 func (m *mortals) hall(at string) string {
 	if len(m.halls) == 0 {
 		return ""
@@ -144,7 +145,7 @@
 	return m.halls[numberOf(at)%len(m.halls)]
 }
 
-// version returns what the server at an address runs.
+// version returns the version of the server at an address.
 func (m *mortals) version(at string) string {
 	switch {
 	case m.target == 0:
@@ -202,7 +203,7 @@
 	return &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: -1, Body: body}, nil
 }
 
-// mortalBody is an answer's body, which comes when the run is over.
+// crashingBody is an answer's body, which can be read when the run is over.
 type mortalBody struct {
 	ctx   context.Context
 	done  <-chan time.Time
@@ -211,7 +212,7 @@
 	text  io.Reader
 }
 
-// wait waits for the run.
+// wait waits for the end of the run.
 func (b *mortalBody) wait() error {
 	if b.over {
 		return nil
@@ -244,8 +245,8 @@
 	m.sent[body] = append(m.sent[body], time.Now())
 }
 
-// countDeadly returns how often a countDeadly request was begun, and how often later than the contact time
-// after it had ended the third server.
+// countDeadly returns how often a deadly request was begun, and how often later than contactTime after it
+// had ended the third server.
 func (m *mortals) countDeadly(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -257,14 +258,14 @@
 	return len(m.sent[body]), late
 }
 
-// ended returns how many servers have ended.
+// countEnds returns how many servers have ended.
 func (m *mortals) ended() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ends)
 }
 
-// retryDocument has one route, which allows a second attempt.
+// retryDocument returns a document with one route, which allows a second attempt.
 func retryDocument(number uint64, kind document.Kind) document.Held {
 	h := held(number)
 	r := &h.Document.Routes[0]
@@ -272,17 +273,17 @@
 	return h
 }
 
-// callers are the callers of the fleet's gateways and what they got.
+// callers are the callers of the fleet's gateways, and the answers that they received.
 type callers struct {
 	x        *fleet
-	n        int // requests, for identifiers
+	n        int // number of requests, for identifiers
 	mu       sync.Mutex
-	answers  map[string]map[int]int // by kind of request, answers by status
+	answers  map[string]map[int]int // number of answers by kind of request and status
 	gateways map[string]*gateway.Gateway
 }
 
-// withCallers runs f in a fleet with servers, gateways, and callers that ask each of them for something
-// else each time, and all for the same once in a while.
+// withCallers runs f in a fleet with servers, gateways, and callers that send different requests to each
+// gateway and, less often, the same request to all.
 func (x *fleet) withCallers(m *mortals, gateways int, f func(c *callers)) {
 	is := is.New(x.t)
 	kind := document.Repeatable
@@ -305,13 +306,13 @@
 
 func gatewayIP(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
-// Between two requests of a gateway's callers.
+// Times between two requests of a gateway's callers.
 const (
 	otherPeriod = 20 * time.Millisecond
 	hotPeriod   = 50 * time.Millisecond
 )
 
-// gateway starts a gateway with callers of its own.
+// gateway starts a gateway with its own callers.
 func (c *callers) gateway(m *mortals, ip string) {
 	g := c.x.startGatewayWithLoad(ip, idHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
@@ -331,21 +332,21 @@
 	c.gateways[ip] = g
 }
 
-// at returns the gateway that was started last at an address.
+// gatewayAt returns the gateway that was last started at an address.
 func (c *callers) at(ip string) *gateway.Gateway {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gateways[ip]
 }
 
-// without sends nothing to a gateway any more.
+// removeGateway stops sending requests to a gateway.
 func (c *callers) without(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gateways[ip] = nil
 }
 
-// ask sends a request under an identifier of its own, and counts its answer.
+// send sends a request under a new identifier and counts its answer.
 func (c *callers) ask(g *gateway.Gateway, kind, method, body string) (status int) {
 	c.mu.Lock()
 	c.n++
@@ -365,7 +366,7 @@
 	return w.Code
 }
 
-// repeat sends a body to one gateway after the other for some time.
+// repeat sends a body to one gateway after another for some time.
 func (c *callers) repeat(body string, period, length time.Duration) {
 	var asking sync.WaitGroup
 	defer asking.Wait()
@@ -374,15 +375,15 @@
 	c.mu.Unlock()
 	i := 0
 	for began := time.Now(); time.Since(began) < length; time.Sleep(period) {
-		i = (i*5 + 3) % 16 // all remainders, in an order that is not that of the gateways
+		i = (i*5 + 3) % 16 // all remainders, but not in the order of the gateways
 		if g := c.at(gatewayIP(i % gateways)); g != nil {
 			asking.Go(func() { c.ask(g, "deadly", http.MethodPost, body) })
 		}
 	}
 }
 
-// answeredShare returns the part of the requests of a kind that were answered, and how many were refused
-// for what they are.
+// answeredShare returns the share of the requests of a kind that were answered, and how many were refused
+// as condemned.
 func (c *callers) answeredShare(kind string) (part float64, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -14,25 +14,25 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines how operators' commands about rollouts are answered on fleet links.
+// This file answers operators' rollout commands on fleet links.
 
-// commandTimeout bounds what one command waits for. A commit takes milliseconds, an election some
+// commandTimeout bounds the execution of one command. A commit takes milliseconds, an election some
 // hundred.
 const commandTimeout = 2 * time.Second
 
-// serveRolloutOrder answers an operator's command on a link that its first message has opened. An operator
-// that gets no answer sends the order again. An order of one that waits no longer is passed over:
-// it was held up on the way.
+// serveRolloutOrder answers an operator's command that arrived as the first message of a link. An
+// operator that gets no answer repeats the order. An order whose sender no longer waits was delayed on
+// the way and is dropped.
 func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
 	}
-	_ = l.Send(ctx, d.obey(ctx, o)) // not in the order's time: it may be over
+	_ = l.Send(ctx, d.obey(ctx, o)) // not bounded by commandTimeout, which may have expired
 }
 
-// obey does what an operator's command asks for and returns the answer.
+// executeRolloutOrder executes an operator's command and returns the answer.
 func (d *Directory) obey(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -49,7 +49,7 @@
 	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order itself is acknowledged
 }
 
-// change does what an operator's command asks to be changed, if it does.
+// applyRolloutOrder makes the change that an operator's command requests, if any.
 func (d *Directory) change(ctx context.Context, o protocol.RolloutOrder) error {
 	switch o.Act {
 	case protocol.OrderStart:
@@ -62,7 +62,7 @@
 	return rollout.InvalidOrder{What: "this version does not know what it asks for"}
 }
 
-// answerTo returns the answer to an order that ended with an error.
+// errorAnswer returns the answer to an order that failed.
 func answerTo(err error) protocol.RolloutAnswer {
 	var elsewhere NotLeader
 	answer := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: err.Error()}
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -7,20 +7,20 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what the leader gathers of gateways' reports about rollouts. All runs in the
-// hub's goroutine.
+// This file aggregates the gateways' rollout reports at the leader. Everything runs in the hub's
+// goroutine.
 
-// obedience is the newest lists that a session's last two reports obeyed: a report's loads were
-// taken before its list, so that only the one after says what runs under it.
+// appliedLists holds the numbers of the lists that a session's last two reports confirmed. A report's
+// loads are sampled before its list takes effect, so only the next report shows the load under it.
 type obedience struct{ last, before uint64 }
 
-// reporter is one run of a gateway: its totals begin at none when it starts again, and what the
-// run before had sent counts on. What a relay reports is the totals of its gateways, which may
-// report elsewhere next: it counts while the relay's session lives.
+// reporter identifies a source of totals: one run of a gateway, or a relay's session. A gateway's totals
+// restart at zero with each run, and those of earlier runs still count. A relay reports the totals of
+// its gateways, which may report elsewhere next, so they count only while the relay's session lives.
 type reporter struct {
 	gateway string
 	boot    uint64
-	relayed *session // a relay's session; nil: a gateway's own
+	relayed *session // the relay's session; nil for a gateway's own reports
 }
 
 func (s *session) reporter() reporter {
@@ -32,10 +32,10 @@
 
 type outcomeKey struct{ version, route string }
 
-// addOutcomes takes a gateway's report.
+// addOutcomes applies a gateway's report.
 func (h *hub) addOutcomes(s *session, u protocol.Usage) {
 	if u.Term != 0 && u.Term != h.term {
-		u.Obeyed = 0 // of the lists of the leader before
+		u.Obeyed = 0 // a list of another leader
 	}
 	h.rollouts.obeyed[s] = obedience{last: u.Obeyed, before: h.rollouts.obeyed[s].last}
 	for _, o := range u.Outcomes {
@@ -46,10 +46,11 @@
 	h.takeBarred(u.Barred)
 }
 
-// barredBefore is why a target is rolled back that the leader before has barred, for the log.
+// reasonBarredByPreviousLeader is the logged reason for rolling back a target that the previous leader
+// has barred.
 const barredBefore = "barred by the leader before"
 
-// takeBarred takes what a gateway has barred by a verdict that the log may lack.
+// applyBarred rolls back targets that a gateway has barred by a verdict that the log may lack.
 func (h *hub) takeBarred(list []protocol.Barred) {
 	for _, b := range list {
 		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Action != rollout.RollBack {
@@ -58,8 +59,8 @@
 	}
 }
 
-// add takes one reporter's totals in place of those before. Only a relay's may be less: a
-// gateway has left it.
+// addOutcomes replaces a reporter's earlier totals. Only a relay's totals may decrease, when a gateway
+// has left it.
 func (r *leadRollout) add(from reporter, o protocol.Outcomes) {
 	mine := r.reported[from]
 	if mine == nil {
@@ -78,7 +79,7 @@
 	if o.Version == r.Target {
 		t = &pair.Target
 	}
-	t.Sent += o.Sent - before.Sent // wraps around where it is less
+	t.Sent += o.Sent - before.Sent // unsigned arithmetic: a decrease wraps around
 	t.Answered += o.Answered - before.Answered
 	t.Failed += o.Failed - before.Failed
 	for i := range t.Paces {
@@ -93,8 +94,8 @@
 	return 0
 }
 
-// removeOutcomes forgets what a session that has ended obeys. What a gateway reported stays: the
-// target has had those requests.
+// removeOutcomes drops the state of a session that has ended. A gateway's totals are kept, since the
+// target has received those requests.
 func (h *hub) removeOutcomes(s *session) {
 	delete(h.rollouts.obeyed, s)
 	if !s.relay {
@@ -105,7 +106,7 @@
 	}
 }
 
-// forget takes back what a reporter has reported.
+// removeReporter subtracts all totals of a reporter.
 func (r *leadRollout) forget(from reporter) {
 	r.forgot = r.forgot || len(r.reported[from]) > 0
 	for key := range r.reported[from] {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -14,27 +14,27 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the leader finds the requests under which backend servers end: it has
-// package quarantine decide on what gateways report, puts what is condemned into the log, and
-// sends gateways the list. All runs in the hub's goroutine.
+// This file implements the leader's side of quarantine. Package quarantine evaluates the server losses
+// that gateways report; the leader writes condemned requests to the log and sends the list to the
+// gateways. Everything runs in the hub's goroutine.
 //
-// The evidence is lost with the leader. Gateways report again what they have seen when they open
-// a session with the next one. What is condemned is in the log, since gateways and directory may
-// end together, and none of them is to try such a request anew.
+// The evidence is not replicated: gateways report their losses again when they open a session with the
+// next leader. Condemned requests are in the log, because gateways and directory replicas may fail
+// together, and none of them may try such a request again.
 
-// condemnTimeout bounds one try to put a condemned request into the log. Until one succeeds the next
-// tick tries again.
+// condemnTimeout bounds one attempt to commit a condemned request; the next tick retries.
 const condemnTimeout = time.Second
 
-// evidence is what the leader of one term knows of ends.
+// evidence is the leader's state about server losses during one term.
 type evidence struct {
 	seen     *quarantine.Evidence
-	list     quarantine.List // as gateways were last sent it
-	revision uint64          // of the condemned requests of the log, in list
-	unlogged map[quarantine.Key]document.Condemned
-	logging  bool
+	list     quarantine.List                       // as last sent to the gateways
+	revision uint64                                // of the log's condemned requests that the list includes
+	unlogged map[quarantine.Key]document.Condemned // condemned, not yet in the log
+	logging  bool                                  // a change is being proposed
 }
 
+// beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
 	if h.d.hasMultipleRegions() {
@@ -48,7 +48,7 @@
 	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
-// addLosses takes what a gateway or a relay reports of ends.
+// addLosses adds the losses in a report of a gateway or a relay to the evidence.
 func (h *hub) addLosses(u protocol.Usage) {
 	now := h.d.replica.Now()
 	for _, l := range u.Losses {
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(u.Losses) > 0 {
-		h.pushQuarantine() // not with the next tick: until gateways know they try it twice
+		h.pushQuarantine() // not with the next tick: until gateways have the list they retry the request
 	}
 	for _, b := range u.Cleared {
 		if k, ok := quarantine.KeyFrom(b); ok {
@@ -66,7 +66,7 @@
 	}
 }
 
-// timedLoss translates a reported loss. It reports false for one without a key.
+// timedLoss converts a reported loss. It returns false if the loss has no key.
 func timedLoss(now time.Duration, l protocol.Loss) (quarantine.TimedLoss, bool) {
 	k, ok := quarantine.KeyFrom(l.Key)
 	return quarantine.TimedLoss{At: now - time.Duration(l.Age)*time.Millisecond, Loss: quarantine.Loss{
@@ -75,8 +75,8 @@
 	}}, ok
 }
 
-// clearKey takes a whole answer to a listed request. One that was condemned meanwhile was so
-// by mistake: it was still running when it was.
+// clearKey clears a listed request that was answered in full. If it was condemned meanwhile, that was a
+// mistake, since it was still running, and it is released.
 func (h *hub) clearKey(k quarantine.Key) {
 	h.evidence.seen.Clear(k)
 	delete(h.evidence.unlogged, k)
@@ -86,7 +86,8 @@
 	}
 }
 
-// stepEvidence condemns what the evidence is enough for, and sends gateways what has changed.
+// stepEvidence condemns the requests with sufficient evidence, and sends changes of the list to the
+// gateways.
 func (h *hub) stepEvidence() {
 	v := &h.evidence
 	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// logUnlogged puts what was condemned into the log, one after the other.
+// proposeUnlogged proposes the condemned requests that are not in the log, one at a time.
 func (h *hub) logUnlogged() {
 	if h.evidence.logging {
 		return
@@ -115,7 +116,7 @@
 	}
 }
 
-// logCondemned puts a change of the condemned requests into the log, with nobody waiting.
+// proposeCondemned proposes a change of the condemned requests without waiting for the result.
 func (h *hub) logCondemned(c document.CondemnedChange) {
 	h.evidence.logging = true
 	term := h.term
@@ -129,14 +130,14 @@
 			}
 			h.evidence.logging = false
 			if err == nil && c.Condemn != nil {
-				k, _ := quarantine.KeyFrom(c.Condemn.Key) // it was made from one
+				k, _ := quarantine.KeyFrom(c.Condemn.Key) // valid: it was made from a key
 				delete(h.evidence.unlogged, k)
 			}
 		})
 	}()
 }
 
-// condemned returns the entries of what the log holds.
+// condemnedEntries returns the log's condemned requests as list entries.
 func (h *hub) condemned() (all []quarantine.Entry) {
 	for _, c := range h.d.state.Condemned() {
 		if k, ok := quarantine.KeyFrom(c.Key); ok {
@@ -146,7 +147,7 @@
 	return all
 }
 
-// pushQuarantine sends gateways what has changed in the list.
+// pushQuarantine sends changes of the list to the gateways.
 func (h *hub) pushQuarantine() {
 	now := h.evidence.seen.Suspects()
 	for _, e := range h.condemned() {
@@ -171,7 +172,7 @@
 	h.broadcast(quarantineMessage(set, gone))
 }
 
-// quarantineMessage returns the message for a change of a list.
+// quarantineMessage returns the message for a change of the list.
 func quarantineMessage(set []quarantine.Entry, gone []quarantine.Key) protocol.Quarantine {
 	slices.SortFunc(set, func(a, b quarantine.Entry) int { return bytes.Compare(a.Key[:], b.Key[:]) })
 	slices.SortFunc(gone, func(a, b quarantine.Key) int { return bytes.Compare(a[:], b[:]) })
@@ -187,7 +188,7 @@
 	return m
 }
 
-// wholeQuarantine returns the list with which a session opens.
+// fullQuarantine returns the message with the whole list, which a session starts with.
 func wholeQuarantine(l quarantine.List) protocol.Quarantine {
 	var all []quarantine.Entry
 	for _, e := range l.Entries() {
@@ -198,7 +199,7 @@
 	return m
 }
 
-// sendQuarantine sends a gateway or a relay that opens a session the whole list.
+// sendQuarantine sends the whole list to a gateway or a relay that opens a session.
 func (h *hub) sendQuarantine(s *session) {
 	l := h.evidence.list
 	if h.relay != nil {
@@ -207,13 +208,13 @@
 	s.out.Send(wholeQuarantine(l))
 }
 
-// takeQuarantine takes the leader's list, and passes it on.
+// applyQuarantine applies a list message of the leader and forwards it to the gateways.
 func (r *relay) takeQuarantine(m protocol.Quarantine) {
 	r.quarantine = r.quarantine.Apply(m)
 	r.h.broadcast(m)
 }
 
-// bufferLosses keeps what a gateway reports of ends until the next report to the leader.
+// bufferLosses holds the losses that a gateway reports until the next report to the leader.
 func (r *relay) bufferLosses(u protocol.Usage) {
 	now := r.h.d.replica.Now()
 	for _, l := range u.Losses {
@@ -222,7 +223,7 @@
 	r.cleared = append(r.cleared, u.Cleared...)
 }
 
-// takeLosses adds to a report what was kept, as old as it is by now.
+// appendLosses moves the buffered losses to a report and updates their ages.
 func (r *relay) takeLosses(u protocol.Usage) protocol.Usage {
 	now := r.h.d.replica.Now()
 	for _, l := range r.losses {
@@ -234,7 +235,7 @@
 	return u
 }
 
-// agedLoss is a loss that waits at a relay.
+// bufferedLoss is a loss that waits at a relay.
 type agedLoss struct {
 	protocol.Loss
 	came time.Duration
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -12,7 +12,7 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines what operators ask about condemned requests.
+// This file implements operators' orders about condemned requests.
 
 // NotCondemned refuses the release of a request that is not condemned. Nothing was changed.
 type NotCondemned struct{ Key string }
@@ -20,8 +20,8 @@
 // Error names the key.
 func (e NotCondemned) Error() string { return "no request with the key " + e.Key + " is condemned" }
 
-// Condemned returns the requests that are sent to no backend server, oldest first. The error is
-// [NotLeader] or [Unavailable].
+// Condemned returns the condemned requests, which are sent to no backend server, oldest first. The
+// error is [NotLeader] or [Unavailable].
 func (d *Directory) Condemned() ([]document.Condemned, error) {
 	if err := d.checkLeading(); err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	return d.state.Condemned(), nil
 }
 
-// Release lets a condemned request be sent to backend servers again. When it returns nil, that is
+// Release allows a condemned request to be sent to backend servers again. It returns nil once that is
 // on the disks of a majority. The error is [NotCondemned], [NotLeader] or [Unavailable].
 func (d *Directory) Release(ctx context.Context, k quarantine.Key) error {
 	if err := d.checkLeading(); err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// forgetKey forgets the evidence against a request. The error is [Unavailable].
+// dropEvidence discards the evidence against a request. The error is [Unavailable].
 func (h *hub) forgetKey(k quarantine.Key) error {
 	if h.term == 0 {
 		return Unavailable{}
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// serveQuarantineOrder answers an operator's command on a link that its first message has opened.
+// serveQuarantineOrder answers an operator's command that arrived as the first message of a link.
 func (d *Directory) serveQuarantineOrder(ctx context.Context, l *link.Link, o protocol.QuarantineOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
-		return // its sender sends it again
+		return // the sender repeats the order
 	}
 	answering, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	_ = l.Send(ctx, d.obeyQuarantine(answering, o)) // not in the order's time: it may be over
+	_ = l.Send(ctx, d.obeyQuarantine(answering, o)) // not bounded by commandTimeout, which may have expired
 }
 
 func (d *Directory) obeyQuarantine(ctx context.Context, o protocol.QuarantineOrder) protocol.QuarantineAnswer {
@@ -91,7 +91,7 @@
 	return answer
 }
 
-// quarantineAnswerTo returns the answer to an order that ended with an error.
+// quarantineErrorAnswer returns the answer to an order that failed.
 func quarantineAnswerTo(err error) protocol.QuarantineAnswer {
 	a := answerTo(err)
 	return protocol.QuarantineAnswer{Outcome: a.Outcome, Reason: a.Reason, Leader: a.Leader}
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -10,51 +10,52 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines which replica serves a gateway, in a fleet with several regions or with
-// sessions that are spread.
+// This file decides which replica serves a gateway, in a fleet with several regions or with spread
+// sessions.
 
 const (
-	// relayWait is how long a gateway waits at a replica that may serve it in a moment, and for how
-	// long a new leader expects relays: below registry.SilenceLimit, after which a gateway leaves. A
-	// dial between regions takes three of their round trips.
+	// relayWait is how long a gateway waits at a replica that may serve it shortly, and how long a new
+	// leader expects relays to connect. It is below registry.SilenceLimit, after which a gateway leaves. A
+	// dial between regions takes three round trips.
 	relayWait = 600 * time.Millisecond
-	// directStay is how long the leader serves a gateway itself that had lost a relay, before it names
-	// one again. A gateway that reaches none is without the directory for the time of one dial or two
-	// each time.
+	// directServeTime is how long the leader itself serves a gateway that had lost a relay, before it
+	// redirects the gateway to one again. Each redirect to an unreachable relay costs the gateway one or
+	// two dials without the directory.
 	directStay = 15 * time.Second
-	// minMovesPerTick is the number of gateways that a replica sends to others in a tick, at the least:
-	// each is sent the whole list there.
+	// minMovesPerTick is the lower bound of the number of gateways that a replica may redirect per tick.
+	// Each of them is sent the whole list by its new replica.
 	minMovesPerTick = 8
 )
 
-// servedElsewhere refuses a gateway because another replica is to serve it.
+// servedElsewhere refuses a gateway that another replica is to serve.
 type servedElsewhere struct{ by string } // fleet address
 
 // Error names the replica.
 func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
 
-// notYetServing refuses a gateway that this replica, or a relay that it knows then, may serve in a moment.
+// notYetServing refuses a gateway that this replica, or a relay that connects meanwhile, may serve
+// shortly.
 type notYetServing struct{}
 
 // Error implements error.
-func (notYetServing) Error() string { return "it shows in a moment who serves the gateway" }
+func (notYetServing) Error() string { return "no replica serves the gateway yet" }
 
-// hasMultipleRegions reports whether the fleet has regions of which this replica knows its own.
+// hasMultipleRegions reports whether the fleet has several regions and this replica's region is set.
 func (d *Directory) hasMultipleRegions() bool {
 	return d.cfg.Region != "" && d.cfg.Topology.MultipleRegions()
 }
 
-// unknownRegion labels, in metrics, nodes that have not named one of the fleet's regions.
+// unknownRegion is the metric label of nodes that have not named one of the fleet's regions.
 const unknownRegion = "unknown"
 
-// recordRegion keeps the region that a node names.
+// recordRegion stores the region that a node names, if the fleet has it.
 func (d *Directory) recordRegion(node, region string) {
 	if slices.Contains(d.cfg.Topology.Regions(), region) {
 		d.nodeRegions.Store(node, region)
 	}
 }
 
-// regionOf returns the region of a node, for metrics.
+// regionOf returns a node's region, for metrics.
 func (d *Directory) regionOf(node string) string {
 	if region, ok := d.nodeRegions.Load(node); ok {
 		return region.(string)
@@ -62,12 +63,12 @@
 	return unknownRegion
 }
 
-// isOtherRegion reports whether a region that a node named is known to be another one.
+// isOtherRegion reports whether a region that a node named differs from this replica's.
 func (h *hub) isOtherRegion(region string) bool {
 	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
-// checkServes returns nil if this replica is to serve a node, else as [hub.open] does.
+// checkServes returns nil if this replica is to serve a node, and otherwise the error of [hub.open].
 func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
 		return h.mayLead(w, mayWait)
@@ -84,8 +85,9 @@
 	return Unavailable{}
 }
 
-// mayPassOn is mayServe at a relay that has a leader. A gateway that another replica has named this one
-// to is served, unless one of its own data hall can: replicas may know of each other at other times.
+// checkRelayServes is checkServes at a relay that has a session with the leader. A gateway that was
+// redirected here is served, unless a replica in its own data hall can serve it: replicas may learn of
+// each other at different times.
 func (h *hub) mayPassOn(r *relay, w protocol.Watch, mayWait bool) error {
 	if !h.isSpread() {
 		return nil
@@ -101,7 +103,7 @@
 	return nil
 }
 
-// mayLead is mayServe at the leader.
+// checkLeaderServes is checkServes at the leader.
 func (h *hub) mayLead(w protocol.Watch, mayWait bool) error {
 	if w.Term > h.term {
 		return Unavailable{}
@@ -118,7 +120,7 @@
 	places := h.places(w.Region)
 	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
-			return notYetServing{} // its hall's relay may just be coming
+			return notYetServing{} // its hall's relay may be about to connect
 		}
 		return servedElsewhere{by: place}
 	} else if place != "" {
@@ -130,13 +132,13 @@
 	return nil
 }
 
-// young reports whether relays may just be looking for this leader.
+// isTermNew reports whether relays may still be looking for this leader.
 func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
-// relayed reports whether gateways of a region are served by relays.
+// isRelayServed reports whether relays serve the gateways of a region.
 func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
-// avoidsPreferred reports whether a gateway has replicas to serve it that it is not to be sent to now.
+// avoidsPreferred reports whether a gateway avoids, for now, the replica that is preferred for it.
 func (h *hub) avoidsPreferred(w protocol.Watch) bool {
 	if !h.relayed(w.Region) || len(w.Avoid) == 0 {
 		return false
@@ -145,7 +147,7 @@
 	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
 }
 
-// moveMisplacedSessions sends gateways that another replica is to serve to it, where there is one now.
+// moveMisplacedSessions redirects gateways that another available replica is to serve.
 func (h *hub) moveMisplacedSessions() {
 	moved := 0
 	places := map[string][]protocol.Place{}
@@ -165,9 +167,10 @@
 	}
 }
 
-// mayMove reports whether a gateway that should be elsewhere may be sent there now. One that came
-// here since it could not be there, or was named this replica, stays for a while, unless one of its own
-// data hall can serve it. A leader that has just begun to spread sessions waits for its hall's relays.
+// canMove reports whether a gateway that belongs elsewhere may be redirected now. A gateway that came
+// here because it reached no relay stays for directServeTime. So does one that was redirected here,
+// unless a replica in its own data hall can serve it. A leader that has just begun to spread sessions
+// waits for the relays of the gateway's hall.
 func (h *hub) mayMove(s *session, places []protocol.Place) bool {
 	now := h.d.replica.Now()
 	hall := h.hallOf(s.hall)
@@ -183,7 +186,7 @@
 	return true
 }
 
-// placesFor returns the replicas that may serve gateways of a region; none if that is not known.
+// placesFor returns the replicas that may serve the gateways of a region; none if they are not known.
 func (h *hub) placesFor(region string) []protocol.Place {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
@@ -194,8 +197,8 @@
 	return nil
 }
 
-// hallOf returns the data hall whose replicas go first for a gateway: its own, where sessions are
-// spread.
+// preferredHall returns the data hall whose replicas are preferred for a gateway: its own hall if
+// sessions are spread, otherwise none.
 func (h *hub) hallOf(hall string) string {
 	if h.isSpread() {
 		return hall
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -16,20 +16,20 @@
 	"github.com/badgerspoke/badgerspoke/replica"
 )
 
-// This file adds regions to the fixture: five replicas, three in the north and two in the
-// south, and a link between the regions.
+// This file adds regions to the fixture: three replicas in the north, two in the south, and a link
+// between the regions.
 
 const (
 	north, south = "north", "south"
 	farLatency   = 30 * time.Millisecond // one way
 )
 
-// inRegions runs f in two regions with a link of some bytes a second each way.
+// inRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each way.
 func inRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
 	inFleetWith(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
 		x.syncTime = 5 * time.Millisecond
-		x.tuning = replica.Tuning{Election: 400 * time.Millisecond, Heartbeat: 80 * time.Millisecond} // as a process has it
+		x.tuning = replica.Tuning{Election: 400 * time.Millisecond, Heartbeat: 80 * time.Millisecond} // the values of a process
 		x.net.Far(farLatency, bytesPerSecond)
 		for i := range voters {
 			x.place(fmt.Sprintf("10.0.1.%d", i+1), []string{north, north, north, south, south}[i])
@@ -42,7 +42,7 @@
 	x.net.Place(ip, region)
 }
 
-// topology of the fleet: a data hall in each region, of the same name.
+// topology returns the fleet's topology: each region has one data hall of the same name.
 func (x *fleet) topology() topology.Topology {
 	halls := map[string]string{}
 	for _, region := range x.regions {
@@ -55,7 +55,7 @@
 	return t
 }
 
-// gatewaysIn starts gateways in a region, each with an address of its own.
+// gatewaysIn starts gateways in a region, each with its own address.
 func (x *fleet) gatewaysIn(region string, n int) (all []*gateway.Gateway) {
 	for range n {
 		ip := fmt.Sprintf("10.0.2.%d", len(x.gateways)+1)
@@ -65,7 +65,7 @@
 	return all
 }
 
-// announceMany lets backend servers announce themselves at the leader.
+// announceMany announces n backend servers at the leader.
 func (x *fleet) announceMany(n int) {
 	is := is.New(x.t)
 	for i := range n {
@@ -73,14 +73,14 @@
 	}
 }
 
-// manyServer is one announcement of one of many backend servers.
+// manyServer returns the announcement of backend server number i.
 func manyServer(i int, seq uint64) registry.Announcement {
 	return registry.Announcement{Registration: protocol.Registration{
 		ID: fmt.Sprintf("b%d", i), Pool: "p", Address: fmt.Sprintf("10.1.%d.%d:80", i/200, i%200), Slots: 4,
 	}, Seq: seq}
 }
 
-// relays returns the replicas of a region, without the leader.
+// relays returns the running replicas of a region except the leader.
 func (x *fleet) relays(region string) (all []*directoryNode) {
 	for _, ip := range x.order {
 		if n := x.nodes[ip]; x.regions[ip] == region && n.d != nil && !n.d.Leads() {
@@ -90,10 +90,10 @@
 	return all
 }
 
-// leadIn makes a replica of a region lead, for long enough that it stays so.
+// leadIn makes a replica of a region the leader, with enough time between restarts for it to stay so.
 func (x *fleet) leadIn(region string) { x.leadAfter(region, 2*time.Second) }
 
-// leadAfter kills leaders until one in a region leads, with a pause after each start.
+// leadAfter kills leaders until a replica of the region leads, and pauses after each restart.
 func (x *fleet) leadAfter(region string, pause time.Duration) {
 	for range 20 {
 		n := x.mustLead()
@@ -105,7 +105,7 @@
 		x.start(n.ip, false)
 		time.Sleep(pause)
 	}
-	x.t.Fatalf("nobody in the %s leads", region)
+	x.t.Fatalf("no replica in the %s became the leader", region)
 }
 
 // addresses returns the fleet addresses of all replicas.
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -14,11 +14,11 @@
 	"github.com/badgerspoke/badgerspoke/internal/sleep"
 )
 
-// This file tests what crosses between regions, and what it costs.
+// This file tests the traffic between regions.
 
-// TestBytesBetweenRegions: what the leader and the gateways of another region send each other
-// does not grow with those gateways, and a document is in force at all of them at once,
-// although the link carries little and every backend server has just announced itself.
+// TestBytesBetweenRegions checks that the traffic between the leader and another region does not grow
+// with the gateways there. It also checks that all gateways receive a document at once, although the
+// link is slow and every backend server has just been announced.
 func TestBytesBetweenRegions(t *testing.T) {
 	t.Parallel()
 	const servers, measured = 600, 10 * time.Second
@@ -47,8 +47,8 @@
 	is.New(t).True(crossed[40] < crossed[5]*3/2)
 }
 
-// TestBusyRegionsKeepToTheirBudget: what runs on every server changes with every report of every
-// gateway, and what crosses between regions stays below 50 KB/s both ways together.
+// TestBusyRegionsKeepToTheirBudget checks that the traffic between regions stays below 50 KB/s in both
+// directions together while the load of every server changes with every report of every gateway.
 func TestBusyRegionsKeepToTheirBudget(t *testing.T) {
 	t.Parallel()
 	const servers, gateways, measured = 600, 30, 10
@@ -71,12 +71,12 @@
 	})
 }
 
-// TestAnnouncementsCrossAsNumbers: backend servers that announce themselves at the replicas of
-// a region without the leader take few bytes of the link once the leader lists them, and stay
-// listed for longer than one that is silent does.
+// TestAnnouncementsCrossAsNumbers checks that servers announced at the replicas of another region take
+// few bytes of the link once the leader lists them, and stay listed beyond the time after which silent
+// servers are removed.
 func TestAnnouncementsCrossAsNumbers(t *testing.T) {
 	t.Parallel()
-	const servers, seconds = 300, 45 // a silent one is forgotten after 40
+	const servers, seconds = 300, 45 // a silent server is removed after 40 s
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
@@ -104,15 +104,15 @@
 			least = min(least, len(g.Servers()))
 		}
 		announcing.Wait()
-		x.t.Logf("%d bytes a second for each server, listed at all times: %d", perServer, least)
+		x.t.Logf("%d bytes per second and server, at least %d servers listed", perServer, least)
 		is.True(perServer < 25)
 		is.Equal(least, servers)
 	})
 }
 
-// TestFleetReturnsOverRegions: all replicas and all gateways lose power at once while backend
-// servers go on announcing themselves. Soon after the start every gateway serves again: it has
-// the document and nearly all servers.
+// TestFleetReturnsOverRegions cuts the power of all replicas and gateways while backend servers keep
+// announcing themselves. Soon after the restart every gateway must serve again, with the document and
+// nearly all servers.
 func TestFleetReturnsOverRegions(t *testing.T) {
 	t.Parallel()
 	const servers, gateways = 1200, 40
@@ -151,8 +151,8 @@
 	})
 }
 
-// keepAnnouncing lets backend servers announce themselves once a second, each at any replica
-// that answers, until the returned function is called.
+// keepAnnouncing announces backend servers once per interval, each at any replica that answers, until
+// stop is called.
 func (x *fleet) keepAnnouncing(servers int) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var announcing sync.WaitGroup
@@ -168,7 +168,7 @@
 	return func() { cancel(); announcing.Wait() }
 }
 
-// announceAnywhere tries the replicas in turn until one takes an announcement.
+// announceAnywhere tries the replicas in turn until one accepts the announcement.
 func (x *fleet) announceAnywhere(ctx context.Context, i int, seq uint64) {
 	for try := i; try < i+2*len(x.order) && ctx.Err() == nil; try++ {
 		n := x.nodes[x.order[try%len(x.order)]]
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -13,54 +13,57 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines relay, with which a replica in another region than the leader serves its
-// region's gateways: it passes on what the leader sends, and their reports as one.
+// This file implements relay. A replica in another region than the leader's serves the gateways of its
+// region: it forwards the leader's messages to them, and combines their reports into one.
 //
-// A relay has one session with the leader, like a gateway's. Documents it takes from the log,
-// which it has in any case. In another region than the leader's its gateways keep their sessions
-// until it has a session with the next leader, and then open new ones; where sessions are spread
-// they stay (lasting.go).
+// A relay has one session with the leader, as a gateway has. It reads documents from the replicated log,
+// which it has anyway. In another region than the leader's, its gateways keep their sessions until the
+// relay has a session with the next leader, and then open new ones. Where sessions are spread they
+// outlive the leader (lasting.go).
 
 const (
-	// relayPollInterval is how often a replica looks whether it should open a session with the leader, and how
-	// long it waits after one that failed. A dial between regions takes longer.
+	// relayPollInterval is how often a replica checks whether to open a session with the leader, and how
+	// long it waits after a failed one. A dial between regions takes longer.
 	relayPollInterval = 50 * time.Millisecond
-	// relayDialTimeout is the time for one connection to the leader. As for a gateway.
+	// relayDialTimeout bounds a dial to the leader. It is the same as for gateways.
 	relayDialTimeout = 700 * time.Millisecond
-	// relayGrace is how long a relay keeps its gateways without the leader: an election, twice.
+	// relayGracePeriod is how long a relay keeps its gateways without the leader: the time of two
+	// elections.
 	relayGrace = 3 * time.Second
-	// spreadGrace is the same where sessions are spread: a replica that is cut off from the others,
-	// and not from its gateways, shows so after registry.SilenceLimit, and they have a second then to
-	// be sent a document within 3.5 s of its acknowledgement. An election, and a dial.
+	// spreadGracePeriod is the same where sessions are spread. A replica that is cut off from the others,
+	// but not from its gateways, detects that after registry.SilenceLimit. After this period its gateways
+	// have one second left to be sent a document within 3.5 s of its acknowledgement. The period covers an
+	// election and a dial.
 	spreadGrace = 1500 * time.Millisecond
 )
 
-// relay is what a replica passes on. All runs in the hub's goroutine.
+// relay is the state of a replica that forwards the leader's messages. Everything runs in the hub's
+// goroutine.
 type relay struct {
 	h               *hub
-	out             *link.Outbox // to the leader; nil while it is lost
+	out             *link.Outbox // to the leader; nil without a session
 	lostAt          time.Duration
 	list            registry.Copy
 	sums            registry.Sums
-	gatewaysChanged bool // the gateways, since the leader was sent them
+	gatewaysChanged bool // since the leader was last sent the gateways
 	sumDue          time.Duration
 
-	loads    map[uint32]protocol.ServerLoad // sums of the leader, by handle
-	feed     registry.Feed                  // what the gateways were sent of them
-	fleet    *protocol.Fleet                // the newest, without its loads; nil before the first
-	fleetNew bool                           // it was not sent on yet
+	loads    map[uint32]protocol.ServerLoad // the leader's sums, by handle
+	feed     registry.Feed                  // sums that the gateways were sent
+	fleet    *protocol.Fleet                // newest message without its loads; nil before the first
+	fleetNew bool                           // fleet was not forwarded yet
 	fleetDue time.Duration
 	rollouts *protocol.Rollouts
 
-	places []protocol.Place // who serves the region's gateways; of relays of the leader's region
+	places []protocol.Place // replicas that serve the region's gateways; set at relays in the leader's region
 
 	quarantine quarantine.List
-	losses     []agedLoss // reported since the last report to the leader
-	cleared    [][]byte   // keys, the same
+	losses     []agedLoss // not yet reported to the leader
+	cleared    [][]byte   // keys not yet reported to the leader
 }
 
-// relayFrom takes what the leader sends until the session ends: the first list, what came before it,
-// and all that follows.
+// relayFrom handles the messages of a session with the leader until it ends: first those that came
+// before the first list, then the list and all that follows.
 func (h *hub) relayFrom(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
 	var r *relay
 	if err := h.do(ctx, func() (err error) { r, err = h.beginRelay(l, leader, first, before); return err }); err != nil {
@@ -85,8 +88,8 @@
 	}
 }
 
-// beginRelay begins to pass on what a leader sends. It returns [Unavailable] if this replica
-// leads itself, or knows of a later term.
+// beginRelay starts a session with a leader. It returns [Unavailable] if this replica leads itself, or
+// has seen a later term.
 func (h *hub) beginRelay(l *link.Link, leader string, first protocol.Servers, before []protocol.Message) (*relay, error) {
 	h.syncLeadership()
 	if known := h.leadership.Load(); known.leads || first.Term < known.term {
@@ -112,7 +115,7 @@
 	return r, nil
 }
 
-// followTerm goes on with the gateways whose sessions outlive the leader, and ends the others.
+// carryOverSessions keeps the gateways whose sessions outlive the leader, and ends the other sessions.
 func (h *hub) followTerm() {
 	if !h.isSpread() {
 		h.endRelay(h.d.Address())
@@ -121,7 +124,8 @@
 	h.endTermBoundSessions(h.d.Address())
 }
 
-// lose ends the session with the leader whose outbox it is. The gateways stay for a while.
+// disconnectLeader ends the session with the leader that uses this outbox. The gateways are kept for the
+// grace period.
 func (r *relay) lose(out *link.Outbox) {
 	if r.h.relay != r || r.out != out {
 		return
@@ -131,8 +135,8 @@
 	r.h.d.cfg.Log.StateChange("leader lost", slog.Uint64("term", r.list.Term()), slog.Int("gateways", len(r.h.sessions)))
 }
 
-// syncRelay ends what is of an older term, and a relay that has been without the leader for
-// too long.
+// syncRelay ends a session with a leader of an older term, and a relay that has been without the leader
+// for the grace period.
 func (h *hub) syncRelay(l *leadership) {
 	r := h.relay
 	switch {
@@ -144,8 +148,9 @@
 	}
 }
 
-// elsewhere is where gateways go that a relay without a leader sends away: to it again, as soon as
-// it has one, in a region with few; to any other where sessions are spread.
+// redirectTarget returns the replica to which a relay without a leader redirects its gateways. Where
+// sessions are spread it is "", for any other replica. Otherwise a region has few relays, and it is this
+// one, which serves them as soon as it has a leader again.
 func (h *hub) elsewhere() string {
 	if h.isSpread() {
 		return ""
@@ -153,7 +158,7 @@
 	return h.d.Address()
 }
 
-// grace is how long a relay keeps its gateways without the leader.
+// gracePeriod returns how long a relay keeps its gateways without the leader.
 func (h *hub) grace() time.Duration {
 	if h.isSpread() {
 		return spreadGrace
@@ -161,7 +166,7 @@
 	return relayGrace
 }
 
-// endRelay ends the sessions of the gateways, who go to the replica named.
+// endRelay ends the sessions of all gateways and redirects them to a replica.
 func (h *hub) endRelay(to string) {
 	if h.relay == nil {
 		return
@@ -176,7 +181,7 @@
 	h.relay, h.list, h.heldServers = nil, nil, registry.Change{}
 }
 
-// redirectSession ends a gateway's session and names the replica to go to.
+// redirectSession ends a gateway's session and names the replica to connect to.
 func (h *hub) redirectSession(s *session, to string) {
 	h.closeSession(s)
 	s.out.Send(protocol.WatchRedirect{Leader: to, Members: h.leadership.Load().voters})
@@ -187,7 +192,7 @@
 	}()
 }
 
-// take takes a message of the leader.
+// receive handles a message from the leader.
 func (r *relay) take(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Servers:
@@ -211,13 +216,13 @@
 	}
 }
 
-// addGateway takes a gateway whose session opens.
+// addGateway adds a gateway whose session opens.
 func (r *relay) addGateway(s *session) {
 	r.sums.Open(s.gateway, s.supportsRollouts)
 	r.gatewaysChanged = true
 }
 
-// sendSums sends a gateway, after its list, what the others were sent.
+// sendSums sends a gateway, after its list, the sums that the others were sent.
 func (r *relay) sendSums(s *session) {
 	if sent := r.feed.Sent(); r.fleet != nil && len(sent) > 0 {
 		m := *r.fleet
@@ -227,17 +232,17 @@
 	}
 }
 
-// sendRollouts sends a gateway that opens all rollouts.
+// sendRollouts sends the leader's rollouts to a gateway that opens a session.
 func (r *relay) sendRollouts(s *session) {
 	if r.rollouts != nil {
 		s.out.Send(*r.rollouts)
 	}
 }
 
-// tick sends the leader what the gateways reported, and them what is due.
+// tick sends the gateways' combined report to the leader, and due messages to the gateways.
 func (r *relay) tick() {
 	if r.out == nil {
-		for s := range r.h.sessions { // a relay that is silent is left
+		for s := range r.h.sessions { // gateways leave a silent relay
 			s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		}
 		return
@@ -263,7 +268,7 @@
 	}
 }
 
-// pushFleet sends the gateways the sums over all, as often as the budget of a link allows.
+// pushFleet sends the gateways the sums over the fleet, as often as a link's budget allows.
 func (r *relay) pushFleet() {
 	now := r.h.d.replica.Now()
 	if !r.fleetNew || now < r.fleetDue || len(r.h.sessions) == 0 {
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -12,10 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/gateway"
 )
 
-// This file tests relays: what their gateways are sent, and what happens when one of the two
-// fails.
+// This file tests relays: the messages that their gateways receive, and failures of relays and leaders.
 
-// inRelayed runs f with the leader in the north, some servers and gateways, and a document.
+// withRelays runs f with the leader in the north, servers, gateways in both regions, and a document.
 func inRelayed(t *testing.T, servers, gateways int, f func(x *fleet, near, far []*gateway.Gateway)) {
 	inRegions(t, 1_000_000, func(x *fleet) {
 		x.leadIn(north)
@@ -27,8 +26,8 @@
 	})
 }
 
-// mustFollow waits until all gateways have a document that is put now, and returns how long it
-// takes.
+// awaitDocument puts a document, waits until it is in force at all gateways, and returns how long that
+// took.
 func (x *fleet) mustFollow(number uint64, all ...*gateway.Gateway) time.Duration {
 	x.put(number)
 	began := time.Now()
@@ -43,18 +42,19 @@
 	return time.Since(began)
 }
 
-// sent returns the messages of a kind that a replica has sent.
+// messagesSent returns the number of messages of a kind that a replica has sent.
 func (n *directoryNode) sent(kind string) uint64 {
 	return n.metrics.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_control_messages_total{direction="out",kind=%q}`, kind)).Get()
 }
 
-// bytesTo returns the bytes of a kind that a replica has sent to a region.
+// bytesSentTo returns the bytes of a kind that a replica has sent to a region.
 func (n *directoryNode) bytesTo(kind, region string) uint64 {
 	return n.metrics.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_directory_region_bytes_total{direction="out",kind=%q,region=%q}`, kind, region)).Get()
 }
 
-// TestRelayServesItsRegion: gateways of the region without the leader are served by its two
-// replicas, those of the other by the leader, and all know all servers, changes and departures.
+// TestRelayServesItsRegion checks that the two replicas in the region without the leader serve the
+// gateways there, that the leader serves those of its own region, and that all receive servers, changes
+// and departures.
 func TestRelayServesItsRegion(t *testing.T) {
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
@@ -63,13 +63,13 @@
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
 		fleets := leader.sent("fleet") - before
-		is.True(fleets > 8*90) // its own region's
+		is.True(fleets > 8*90) // to the gateways of its own region
 		is.True(fleets < 11*101)
 		for _, r := range x.relays(south) {
-			is.True(r.sent("fleet") > 0) // spread over both
+			is.True(r.sent("fleet") > 0) // gateways are spread over both
 		}
 		is.True(leader.bytesTo("fleet", south) > 0)
-		is.True(leader.bytesTo("fleet", south) < leader.bytesTo("fleet", north)) // two relays, eight gateways
+		is.True(leader.bytesTo("fleet", south) < leader.bytesTo("fleet", north)) // two relays against eight gateways
 		is.True(x.mustFollow(2, append(near, far...)...) < 200*time.Millisecond)
 		is.NoErr(leader.d.Announce(x.t.Context(), manyServer(30, 1)))
 		is.NoErr(leader.d.Withdraw(x.t.Context(), "b3"))
@@ -80,8 +80,8 @@
 	})
 }
 
-// TestRelayEnds: one of two relays is killed, falls silent, or is cut off and comes back. Its
-// gateways are served by the other one within about a second, and get documents again.
+// TestRelayEnds kills, silences or cuts off one of two relays, which then returns. Its gateways must be
+// served by the other relay within about a second, and receive documents again.
 func TestRelayEnds(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "cut"} {
 		t.Run(how, func(t *testing.T) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// TestAllRelaysEnd: without a relay in its region the leader serves the gateways itself; when
-// one is back, it serves them.
+// TestAllRelaysEnd checks that the leader serves the gateways of a region that has lost its relays, and
+// that a relay serves them once it is back.
 func TestAllRelaysEnd(t *testing.T) {
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
@@ -127,13 +127,13 @@
 		leader := x.mustLead()
 		before := leader.sent("fleet")
 		time.Sleep(10 * time.Second)
-		is.True(leader.sent("fleet")-before <= 9*101) // eight gateways, and the relay
+		is.True(leader.sent("fleet")-before <= 9*101) // to eight gateways and the relay
 		is.True(x.mustFollow(3, append(near, far...)...) < 300*time.Millisecond)
 	})
 }
 
-// TestRelaysAreOutOfReach: gateways that reach the leader and no relay, while the leader reaches
-// both, are served by the leader, and by the relays again when they can be reached.
+// TestRelaysAreOutOfReach checks that gateways that reach the leader but no relay, while the leader
+// reaches both, are served by the leader until they reach the relays again.
 func TestRelaysAreOutOfReach(t *testing.T) {
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
@@ -147,7 +147,7 @@
 				apart = append(apart, ip)
 			}
 		}
-		defer x.net.Reunite() // also when the test fails, or dials would wait for ever
+		defer x.net.Reunite() // also if the test fails, as dials would block forever
 		x.net.Isolate(apart...)
 		time.Sleep(4 * time.Second)
 		took := x.mustFollow(2, far...)
@@ -158,13 +158,13 @@
 		leader := x.mustLead()
 		before := leader.sent("fleet")
 		time.Sleep(5 * time.Second)
-		is.True(leader.sent("fleet")-before < 10*51+10) // eight gateways, and two relays
+		is.True(leader.sent("fleet")-before < 10*51+10) // to eight gateways and two relays
 		is.True(x.mustFollow(3, append(near, far...)...) < 300*time.Millisecond)
 	})
 }
 
-// TestLeaderChangesBehindRelays: the leader is killed again and again, wherever it is. After each
-// time all gateways are served, by the relays of their region and not by the leader.
+// TestLeaderChangesBehindRelays kills the leader six times, whichever region it is in. After each time
+// all gateways must be served, by the relays of their region and not by the leader.
 func TestLeaderChangesBehindRelays(t *testing.T) {
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
@@ -176,20 +176,20 @@
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
 			x.start(old.ip, false)
-			time.Sleep(20 * time.Second) // also one that had lost the only relay is back there
+			time.Sleep(20 * time.Second) // until gateways that had lost their only relay return to it
 			leader := x.mustLead()
 			before := leader.sent("fleet")
 			time.Sleep(5 * time.Second)
 			served := 8 + len(x.relays(map[string]string{north: south, south: north}[x.regions[leader.ip]]))
 			fleets := leader.sent("fleet") - before
-			x.t.Logf("%d of %d", fleets, served*51)
-			is.True(fleets <= uint64(served)*51) // the tick at either end of the time counts or not
+			x.t.Logf("the leader sent %d Fleet messages of at most %d", fleets, served*51)
+			is.True(fleets <= uint64(served)*51) // the ticks at both ends of the period may count
 		}
 	})
 }
 
-// TestRegionIsCutOff: while a region is cut off its gateways keep what they have, and when it is
-// joined again they follow.
+// TestRegionIsCutOff checks that the gateways of a region that is cut off keep their state, and catch up
+// when it is reconnected.
 func TestRegionIsCutOff(t *testing.T) {
 	t.Parallel()
 	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -12,10 +12,10 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests rollouts on their way through relays.
+// This file tests rollouts that reach gateways through relays.
 
-// TestRelayPassesRolloutsOn: a relay whose session opens while there are rollouts serves its
-// region, and a gateway there knows what is barred before it knows any server.
+// TestRelayPassesRolloutsOn checks that a relay whose session opens while there are rollouts serves its
+// region, and that a gateway there receives the barred versions before any server.
 func TestRelayPassesRolloutsOn(t *testing.T) {
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
@@ -39,11 +39,11 @@
 		m, err := session.ReceiveWithin(x.t.Context(), time.Second)
 		is.NoErr(err)
 		list, ok := m.(protocol.Rollouts)
-		is.True(ok) // else it was redirected, or got the servers first
+		is.True(ok) // otherwise it was redirected, or received the servers first
 		is.Equal(list.List, []protocol.Rollout{{Pool: "p", Attempt: 1, Barred: []string{"v2"}}})
 		m, err = session.ReceiveWithin(x.t.Context(), time.Second)
 		is.NoErr(err)
-		is.Equal(m, protocol.Message(protocol.Quarantine{Whole: true})) // before the servers as well
+		is.Equal(m, protocol.Message(protocol.Quarantine{Whole: true})) // also before the servers
 		m, err = session.ReceiveWithin(x.t.Context(), time.Second)
 		is.NoErr(err)
 		servers, ok := m.(protocol.Servers)
@@ -52,13 +52,14 @@
 	})
 }
 
-// TestUnawareGatewayBehindARelay: the leader names it as one that has its own session.
+// TestUnawareGatewayBehindARelay checks that the leader reports gateways without support for rollouts
+// behind relays as well.
 func TestUnawareGatewayBehindARelay(t *testing.T) {
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
 		x.put(1)
-		time.Sleep(2 * time.Second) // the relays have their sessions
+		time.Sleep(2 * time.Second) // until the relays have their sessions
 		x.place("10.0.2.1", south)
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), x.relays(south)[0].ip+":7400", id, nil)
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -17,15 +17,15 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests the sums of what runs and of what was demanded, across relays.
+// This file tests the sums of running requests and of demand across relays.
 
-// reporter is a gateway's side of a session: it reports the same work again and again, and
-// keeps what it is sent as a gateway does.
+// reportingGateway is a gateway's side of a session: it reports the same work repeatedly and applies
+// received messages as a gateway does.
 type reporter struct {
 	x    *fleet
 	ip   string
 	runs uint32 // requests on each server
-	vary bool   // more or less with each report
+	vary bool   // the number of requests changes with each report
 
 	mu       sync.Mutex
 	term     uint64
@@ -36,10 +36,10 @@
 	gateways int
 	short    bool
 	stop     context.CancelFunc
-	served   string // by which replica; empty while by none
+	served   string // address of the replica that serves it; empty without one
 }
 
-// report starts a reporter in a region that dials these replicas in turn.
+// startReporter starts a reporting gateway in a region that dials these replicas in turn.
 func (x *fleet) report(ip, region string, runs uint32, addresses ...string) *reporter {
 	x.place(ip, region)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -53,7 +53,7 @@
 	return r
 }
 
-// session runs one session, and that with the replica to which it is redirected.
+// session runs one session, and one with the replica that it is redirected to.
 func (r *reporter) session(ctx context.Context, address string) {
 	id := link.Identity{Name: r.ip + ":7400", Key: fleetKey, Dial: r.x.net.Box(r.ip).DialContext}
 	dialing, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 }
 
-// take takes a message.
+// apply applies a received message.
 func (r *reporter) take(m protocol.Message, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// send reports until ctx ends.
+// send sends reports until ctx ends.
 func (r *reporter) send(ctx context.Context, l *link.Link) {
 	for range sleep.Every(ctx, registry.ReportPeriod) {
 		r.mu.Lock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// more returns by how much a server's requests exceed runs now. The caller holds mu.
+// extraRequests returns by how much a server's requests exceed the base number now. The caller holds mu.
 func (r *reporter) more(handle uint32) uint32 {
 	if !r.vary {
 		return 0
@@ -138,21 +138,22 @@
 	return uint32(r.seq+uint64(handle)) % 3
 }
 
-// sum returns what runs on a server by the sums, and whether this reporter's own part is in.
+// sum returns the number of requests on a server by the sums, and whether they include this gateway's
+// own reports.
 func (r *reporter) sum(id string) (requests uint32, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sums[r.handles[id]].Requests, r.counted > 0
 }
 
-// seen returns the term of the list and b1's handle in it.
+// listTerm returns the term of the list and b1's handle in it.
 func (r *reporter) seen() (term uint64, handle uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.term, r.handles["b1"]
 }
 
-// strays returns how many servers but b1 have something running by the sums.
+// countStrays returns how many servers but b1 have running requests by the sums.
 func (r *reporter) strays() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,14 +172,14 @@
 	return r.served
 }
 
-// mustSum waits until every reporter has this sum on a server, its own part included, and
-// returns how long it takes.
+// awaitSum waits until all gateways have this sum for server b1, their own reports included, and returns
+// how long that took.
 func mustSum(x *fleet, want uint32, all ...*reporter) time.Duration {
 	began := time.Now()
 	for _, r := range all {
 		for got, own := r.sum("b1"); got != want || !own; got, own = r.sum("b1") {
 			if time.Since(began) > 5*time.Second {
-				x.t.Fatalf("%s has %d of %d on b1, own part in: %v, served by %q", r.ip, got, want, own, r.by())
+				x.t.Fatalf("%s has %d of %d requests on b1, own reports included: %v, served by %q", r.ip, got, want, own, r.by())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -186,10 +187,9 @@
 	return time.Since(began)
 }
 
-// TestSumsAcrossRelays: gateways behind two relays and at the leader report what runs, and
-// everybody's sums are what runs, with its own part; when one moves from relay to relay, when
-// one ends, when a relay ends, and when the leader does. What runs is at no time counted beside
-// its sum by more than the moving gateway's part.
+// TestSumsAcrossRelays checks that the sums at all gateways, behind two relays and at the leader, become
+// what runs in total after a gateway moves between relays, a gateway ends, a relay ends, and the leader
+// ends. While a gateway moves, its requests may count twice, but nothing else may.
 func TestSumsAcrossRelays(t *testing.T) {
 	t.Parallel()
 	inRegions(t, 1_000_000, func(x *fleet) {
@@ -211,7 +211,7 @@
 		is.Equal(all[1].by(), a)
 		is.Equal(all[2].by(), b)
 
-		all[3].stop() // it moves: a session with the other relay, no other end of the old one
+		all[3].stop() // it moves to the other relay and does not end its session otherwise
 		all[3] = x.report("10.0.5.4", south, 1000, b, a)
 		most := uint32(0)
 		for range 50 {
@@ -219,7 +219,7 @@
 			got, _ := all[0].sum("b1")
 			most = max(most, got)
 		}
-		x.t.Logf("at most %d while one moves", most)
+		x.t.Logf("sum of at most %d while a gateway moves", most)
 		is.True(most <= 1111+1000)
 		x.t.Logf("sums after %v", mustSum(x, 1111, all...))
 		is.Equal(all[3].by(), b)
@@ -231,7 +231,7 @@
 		x.start(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
 
-		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // the next leader gives other handles
+		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // so that the next leader assigns other handles
 		time.Sleep(300 * time.Millisecond)
 		term, handle := all[0].seen()
 		x.mustLead().kill()
@@ -259,16 +259,16 @@
 	})
 }
 
-// TestFrozenRelayWakes: a relay's links carry nothing for a while in either direction, as when
-// its box is frozen, and then all that was written meanwhile. Its gateways are served elsewhere
-// before, and what it had reported counts no more.
+// TestFrozenRelayWakes freezes a relay: its links carry nothing in either direction for a while, and then
+// all that was written meanwhile. Before that its gateways must be served elsewhere, and its old reports
+// must no longer count.
 func TestFrozenRelayWakes(t *testing.T) {
 	t.Parallel()
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
 		x.announceMany(5)
-		time.Sleep(2 * time.Second) // relays have their sessions
+		time.Sleep(2 * time.Second) // until the relays have their sessions
 		relays := x.relays(south)
 		a, b := relays[0].ip+":7400", relays[1].ip+":7400"
 		all := []*reporter{
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -14,22 +14,22 @@
 	"github.com/badgerspoke/badgerspoke/directory"
 )
 
-// This file tests requests that end servers while something else fails, and requests that end
-// nothing where servers end by themselves.
+// This file tests requests that end servers while other faults occur, and harmless requests while
+// servers end by themselves.
 
-// deadlyPeriod is the time between two tries of a deadly request's caller: the second one comes
+// deadlyPeriod is the time between two attempts of a deadly request's caller: the second one is sent
 // after the first has ended two servers.
 const deadlyPeriod = 250 * time.Millisecond
 
-// TestDeadlyRequestThroughFaults: what fails between the second and the third end, or after it,
-// costs a few ends, and none later than the contact time.
+// TestDeadlyRequestThroughFaults checks that a fault between the second and the third end, or after it,
+// costs only a few more ends, and that few requests begin later than contactTime.
 func TestDeadlyRequestThroughFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name  string
 		m     func(m *mortals)
 		do    func(x *fleet, m *mortals, c *callers)
-		after time.Duration // from the first try
-		most  int           // servers that end
+		after time.Duration // from the first attempt
+		most  int           // bound of the number of servers that end
 	}{
 		{name: "streams", m: func(m *mortals) { m.streams = true }, most: 3},
 		{name: "servers keep their identifiers", m: func(m *mortals) { m.keepIDs = true }, most: 3},
@@ -86,7 +86,7 @@
 			do: func(x *fleet, _ *mortals, _ *callers) { x.net.Silence() },
 		},
 		{
-			name: "no gateway reaches the directory", most: 16, // three ends at each, and the second attempt of the first try
+			name: "no gateway reaches the directory", most: 16, // three ends at each of four gateways, and the second attempts
 			do: func(x *fleet, _ *mortals, _ *callers) {
 				for _, ip := range x.order {
 					x.net.Cut(ip)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestManyDeadlyRequests: a new one each second ends three servers each, and does not
-// make room for those that were condemned before.
+// TestManyDeadlyRequests checks that each of a series of deadly requests, one every two seconds, ends a
+// few servers only, and that new ones do not displace those that were condemned before.
 func TestManyDeadlyRequests(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -151,7 +151,8 @@
 	})
 }
 
-// TestTwoDeadlyRequestsAtOnce: each is stopped, though both are at some ends together.
+// TestTwoDeadlyRequestsAtOnce checks that two deadly requests are both stopped, although both run on some
+// servers that end.
 func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -173,15 +174,15 @@
 	})
 }
 
-// TestInnocentRequests: servers end by themselves, one after the other, alone or a third of them at
-// once, under requests of which one is asked for everywhere all the time. None is refused for it.
+// TestInnocentRequests checks that no request is refused while servers end by themselves, one at a time
+// or a third of them at once, under requests one of which is sent to all gateways all the time.
 func TestInnocentRequests(t *testing.T) {
 	for _, tt := range []struct {
 		servers, together int
 		run               time.Duration
 	}{
 		{3, 1, 100 * time.Millisecond}, {3, 2, 100 * time.Millisecond}, {60, 1, 100 * time.Millisecond}, {60, 20, 100 * time.Millisecond},
-		{3, 1, time.Second}, {60, 20, time.Second}, // longer than callers wait, so that nothing is answered
+		{3, 1, time.Second}, {60, 20, time.Second}, // longer than callers wait, so that no request is answered
 	} {
 		servers, together := tt.servers, tt.together
 		t.Run(fmt.Sprintf("%d of %d %v", together, servers, tt.run), func(t *testing.T) {
@@ -211,8 +212,8 @@
 	}
 }
 
-// TestConnectionsThatBreak: a request whose connection breaks each time, while its server goes on,
-// ends nothing and is tried each time.
+// TestConnectionsThatBreak checks that a request is never refused if its connection breaks each time
+// while the server keeps running.
 func TestConnectionsThatBreak(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -228,8 +229,8 @@
 	})
 }
 
-// TestRefusalOfDeadlyRequest: its caller gets an answer at once that tells it not to come back, and
-// what it asks for besides is served.
+// TestRefusalOfDeadlyRequest checks that the caller of a condemned request is refused at once with a
+// status that asks for no retry, and that its other requests are served.
 func TestRefusalOfDeadlyRequest(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -246,8 +247,8 @@
 	})
 }
 
-// TestDeadlyRequestInTwoRegions: gateways behind relays report ends, and learn of them, a little
-// later.
+// TestDeadlyRequestInTwoRegions checks that a deadly request is stopped although gateways behind relays
+// report ends and receive the list with some delay.
 func TestDeadlyRequestInTwoRegions(t *testing.T) {
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
@@ -272,8 +273,8 @@
 	})
 }
 
-// TestReleaseOfACondemnedRequest: an operator lists it and lets it go again; it is condemned again
-// after three more ends.
+// TestReleaseOfACondemnedRequest checks that an operator can list and release a condemned request, and
+// that it is condemned again after three more ends.
 func TestReleaseOfACondemnedRequest(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -309,8 +310,8 @@
 	})
 }
 
-// TestDeadlyRequestWhileARelayIsLost: what a relay has not passed on yet is told again by its
-// gateways, and costs a few ends.
+// TestDeadlyRequestWhileARelayIsLost checks that gateways report losses again that a lost relay had not
+// forwarded, at the cost of a few more ends.
 func TestDeadlyRequestWhileARelayIsLost(t *testing.T) {
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -14,9 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests a rollout while a request ends servers of both versions.
+// This file tests a rollout during which a request ends servers of both versions.
 
-// TestGoodVersionBesideADeadlyRequest: the ends of its servers are not held against the version.
+// TestGoodVersionBesideADeadlyRequest checks that server ends caused by a request do not count against
+// the version.
 func TestGoodVersionBesideADeadlyRequest(t *testing.T) {
 	for _, at := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -9,24 +9,19 @@
 	"github.com/matryer/is"
 )
 
-// A caller sent one request, whose run ends the server that begins it, again and again under new
-// identifiers, to one gateway after the other. Twenty servers of a fleet of nine ended within
-// twelve seconds, with all that ran there.
-//
-// Each gateway counted the attempts of one arrival only. Nothing outlived the arrival and nothing
-// was shared, so every arrival was given its two attempts for good.
-//
-// What settled it were the gateways' logs. Servers ended in pairs, 90 to 430 ms apart, and what the
-// log says of the second of a pair is "cause":"stream broken","error":"unexpected EOF","attempt":2,
-// "took_ms":358,"again":false,"last_event":"": the fleet's own second attempt. Of 573 failed attempts
-// none had a number above 2, so no arrival was sent too often; the same came again.
+// These tests guard against a request that crashes every server that begins it and is sent repeatedly,
+// under new identifiers and to different gateways. Twenty servers of a fleet of nine (they restart)
+// ended within twelve seconds, with all requests that ran there: each gateway bounded the attempts of
+// one arrival only, so every arrival got two attempts. Nothing about it outlived the arrival or was
+// shared between gateways. The logs showed pairs of ends 90 to 430 ms apart, the second of each pair by
+// the fleet's own second attempt, and no attempt number above 2 among 573 failed attempts.
 
-// contactTime is within how long after the third end the whole fleet has to know.
+// contactTime bounds the time from the third end until the whole fleet has the verdict.
 const contactTime = 3 * time.Second
 
-// TestRequestThatEndsServers: of a request that ends each server that begins it no more than
-// three are begun later than the contact time after the third end; it is stopped after four ends
-// at the most, and what else is asked for is served.
+// TestRequestThatEndsServers checks that a request that ends every server is begun at most three times
+// later than contactTime after the third end, and ends at most four servers, while other requests are
+// served.
 func TestRequestThatEndsServers(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -14,21 +14,20 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines the operators' orders about rollouts: one begins, one is aborted, and what
-// became of the newest.
+// This file implements operators' rollout orders: start, abort and status.
 
 // UnknownPool refuses an announcement for a pool that the document in force does not name, and an
-// order for one that no backend server announced either. Nothing was changed.
+// order for a pool that neither the document nor a backend server names. Nothing was changed.
 type UnknownPool struct{ Pool string }
 
 // Error names the pool.
 func (e UnknownPool) Error() string { return "no pool is called " + e.Pool }
 
-// RolloutConflict refuses an order while another version of the pool is under way. Nothing was
+// RolloutConflict refuses an order while another version of the pool is being rolled out. Nothing was
 // changed.
 type RolloutConflict struct {
 	Pool   string
-	Target string // that is under way
+	Target string // version that is under way
 }
 
 // Error names the version that is under way.
@@ -36,16 +35,16 @@
 	return "a rollout of " + e.Pool + " to " + e.Target + " is under way"
 }
 
-// NoRollout is the error of a read for a pool that had no rollout, and of an abort of one that is
-// not under way.
+// NoRollout is the error of a read for a pool that never had a rollout, and of an abort of an attempt
+// that is not under way.
 type NoRollout struct{ Pool string }
 
 // Error names the pool.
 func (e NoRollout) Error() string { return "no rollout of " + e.Pool }
 
-// StartRollout asks that a pool's requests move to a version. When it returns nil, the rollout is
-// on the disks of a majority, or the order is a copy, or the version has the pool's requests by a
-// rollout. The error is [rollout.InvalidOrder], [UnknownPool], [RolloutConflict], [NotLeader] or
+// StartRollout moves a pool's requests to a version. It returns nil once the rollout is on the disks of
+// a majority, if the order repeats an earlier one, or if a rollout has already moved the pool to that
+// version. The error is [rollout.InvalidOrder], [UnknownPool], [RolloutConflict], [NotLeader] or
 // [Unavailable].
 func (d *Directory) StartRollout(ctx context.Context, o rollout.Order) error {
 	if err := o.Check(); err != nil {
@@ -78,8 +77,8 @@
 	return Unavailable{}
 }
 
-// decideRollout returns what is to be done about an order by the newest acknowledged state, which
-// only the leader knows, and the pool's rollout in it.
+// decideRollout decides on an order by the newest acknowledged state, which only the leader has. It also
+// returns the pool's newest rollout in that state.
 func (d *Directory) decideRollout(ctx context.Context, o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout, error) {
 	var verdict rollout.Verdict
 	var change document.RolloutChange
@@ -88,7 +87,7 @@
 	return verdict, change, newest, err
 }
 
-// Rollout returns the newest rollout of a pool by the newest acknowledged state. The error is
+// Rollout returns the newest rollout of a pool in the newest acknowledged state. The error is
 // [NoRollout], [NotLeader] or [Unavailable].
 func (d *Directory) Rollout(ctx context.Context, pool string) (document.Rollout, error) {
 	var newest document.Rollout
@@ -103,10 +102,10 @@
 	return newest, nil
 }
 
-// AbortRollout ends a pool's attempt as rolled back, if it is under way. When it returns nil, that
-// is on the disks of a majority; so it is if the attempt was rolled back already. The error is
-// [rollout.InvalidOrder] without an attempt, [NoRollout], [NotLeader] or [Unavailable]; the last
-// also once the next attempt has begun, because how this one ended is not known then.
+// AbortRollout ends a pool's attempt as rolled back if it is under way. It returns nil once that is on
+// the disks of a majority, or if the attempt was already rolled back. The error is
+// [rollout.InvalidOrder] without an attempt, [NoRollout], [NotLeader] or [Unavailable]. It is
+// [Unavailable] also once a later attempt has begun, because the end of this one is no longer recorded.
 func (d *Directory) AbortRollout(ctx context.Context, pool string, attempt uint64) error {
 	if attempt == 0 {
 		return rollout.InvalidOrder{What: "an abort names no attempt"}
@@ -137,15 +136,15 @@
 	return Unavailable{}
 }
 
-// knowsPool reports whether the document in force or a backend server names a pool.
+// isPoolKnown reports whether the document in force or a backend server names a pool.
 func (d *Directory) knowsPool(pool string) bool {
 	held, _ := d.state.Held()
 	return slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool }) ||
 		slices.ContainsFunc(d.state.Joined(), func(s protocol.Registration) bool { return s.Pool == pool })
 }
 
-// logOrder logs an order, what was decided on it, and the gateways whose version does not know
-// rollouts: they send to all versions by load until they are upgraded. The hub knows them.
+// logOrder logs an order, the decision on it, and the gateways whose version does not support rollouts:
+// these balance over all versions by load until they are upgraded. Only the hub has the gateways.
 func (d *Directory) logOrder(o rollout.Order, verdict string, newest document.Rollout) {
 	d.hub.post(func() {
 		d.cfg.Log.StateChange("rollout order", slog.String("pool", o.Pool), slog.String("target", o.Target),
@@ -154,8 +153,8 @@
 	})
 }
 
-// gatewaysWithoutRollouts returns the gateways whose version does not know rollouts, those behind
-// relays included.
+// gatewaysWithoutRollouts returns the gateways whose version does not support rollouts, including those
+// behind relays.
 func (h *hub) gatewaysWithoutRollouts() []string {
 	var names []string
 	for name, g := range h.gateways() {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -18,15 +18,15 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests operators' orders about rollouts. Their times are long, so that no schedule
-// ends one while a test runs.
+// This file tests operators' rollout orders. Their durations are long, so that no schedule ends one
+// during a test.
 
-// orderTo is an order orderTo move pool p orderTo a version.
+// orderTo returns an order to move pool p to a version.
 func orderTo(target string) rollout.Order {
 	return rollout.Order{Pool: "p", Target: target, Duration: 24 * time.Hour}
 }
 
-// newestRollout returns the newest rollout of pool p by whoever leads.
+// newestRollout returns the newest rollout of pool p from the current leader.
 func (x *fleet) newestRollout() document.Rollout {
 	for range 1000 {
 		r, err := x.mustLead().d.Rollout(x.t.Context(), "p")
@@ -38,11 +38,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.t.Fatal("no rollout is read after 10 s")
+	x.t.Fatal("no leader returned the rollout within 10 s")
 	return document.Rollout{}
 }
 
-// orderRollout gives an order to whoever leads until it is answered, and returns the answer.
+// orderRollout gives an order to the current leader until it is answered, and returns the answer.
 func (x *fleet) orderRollout(o rollout.Order) error {
 	for range 1000 {
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
@@ -66,8 +66,8 @@
 		is.Equal(err, error(directory.NoRollout{Pool: "p"}))
 		is.Equal(l.d.AbortRollout(ctx, "p", 1), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.announce("b1", false))
-		time.Sleep(time.Second)                        // it is in the log
-		is.NoErr(l.d.StartRollout(ctx, orderTo("v2"))) // no document names the pool, but a server
+		time.Sleep(time.Second)                        // until the server is in the log
+		is.NoErr(l.d.StartRollout(ctx, orderTo("v2"))) // a server names the pool, no document does
 		is.Equal(x.newestRollout(), document.Rollout{
 			Pool: "p", Target: "v2", Duration: 24 * time.Hour, State: document.RolloutUnderWay, Attempt: 1, Changes: 1,
 		})
@@ -83,7 +83,7 @@
 	})
 }
 
-// TestDocumentNamesPools: the servers of a pool need not be there yet.
+// TestDocumentNamesPools checks that a pool named by the document needs no servers yet.
 func TestDocumentNamesPools(t *testing.T) {
 	inFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
@@ -95,8 +95,8 @@
 	})
 }
 
-// TestOneRolloutAtATime gives orders while one is under way, after its end, and after the time
-// for which orders are repeated.
+// TestOneRolloutAtATime gives orders while a rollout is under way, after its end, and after the period
+// in which orders are repeated.
 func TestOneRolloutAtATime(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -111,21 +111,21 @@
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		shorter := orderTo("v2")
 		shorter.Duration = time.Hour
-		is.NoErr(x.orderRollout(shorter)) // a copy
+		is.NoErr(x.orderRollout(shorter)) // a repeat
 		is.Equal(x.newestRollout().Duration, 24*time.Hour)
 		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // again
+		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // a repeat
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
-		is.NoErr(x.orderRollout(orderTo("v2"))) // a copy after the end
+		is.NoErr(x.orderRollout(orderTo("v2"))) // a repeat after the end
 		attempt(1, "v2", document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late copy
+		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late repeat
 		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
 		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
 		attempt(2, "v2", document.RolloutUnderWay)
@@ -136,7 +136,7 @@
 		})
 		is.NoErr(err)
 		is.True(changed)
-		is.NoErr(x.orderRollout(orderTo("v2"))) // it has the requests
+		is.NoErr(x.orderRollout(orderTo("v2"))) // already complete
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutComplete)
@@ -146,15 +146,15 @@
 
 		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(orderTo("v2"))) // that has had the requests all the while
+		is.NoErr(x.orderRollout(orderTo("v2"))) // v2 has had the requests all the time
 		time.Sleep(time.Second)
 		attempt(4, "v2", document.RolloutComplete)
 		is.Equal(x.newestRollout().Barred, []string{"v3"})
 	})
 }
 
-// TestAcknowledgedRolloutOutlives loses the leader, its disk, or all power right after an order
-// was acknowledged, and right after its end was. A copy of the order changes nothing then.
+// TestAcknowledgedRolloutOutlives loses the leader, its disk, or all power right after an order was
+// acknowledged, and right after the abort was. A repeat of the order then changes nothing.
 func TestAcknowledgedRolloutOutlives(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
 		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.start(l.ip, false) },
@@ -192,7 +192,7 @@
 					is.Equal(r.State, document.RolloutUnderWay)
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					is.Equal(x.newestRollout().Attempt, n)
-					time.Sleep(8 * time.Second) // the lost ones have caught up
+					time.Sleep(8 * time.Second) // the lost replicas catch up
 					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
 					lose(x)
 					is.Equal(x.newestRollout().State, document.RolloutRolledBack)
@@ -204,8 +204,8 @@
 	}
 }
 
-// TestCopyReachesTheNextLeader: an order is taken and its rollout rolled back, and the leader is
-// lost. The next one, to which the order never came, takes a repeat for a copy.
+// TestCopyReachesTheNextLeader checks that a new leader, which never received the order itself, takes a
+// repeat for one: the previous leader had accepted the order and rolled it back before it was lost.
 func TestCopyReachesTheNextLeader(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -219,8 +219,8 @@
 	})
 }
 
-// TestOrdersAtOnce gives many orders at once: copies of two, for two versions, at every replica.
-// One rollout begins, and what was acknowledged is what is under way.
+// TestOrdersAtOnce gives orders for two versions several times at every replica, all at once. One
+// rollout begins, and only orders for its version are acknowledged.
 func TestOrdersAtOnce(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -234,7 +234,7 @@
 					ordering.Go(func() {
 						err := n.d.StartRollout(x.t.Context(), orderTo(target))
 						if errors.As(err, new(directory.NotLeader)) {
-							err = x.orderRollout(orderTo(target)) // where the answer points
+							err = x.orderRollout(orderTo(target)) // at the leader
 						}
 						mu.Lock()
 						defer mu.Unlock()
@@ -260,8 +260,8 @@
 	})
 }
 
-// TestMinorityRefusesRollouts: a leader that is cut off acknowledges nothing and reads nothing
-// old, while the others go on.
+// TestMinorityRefusesRollouts checks that a leader that is cut off acknowledges no orders and returns no
+// stale state while the majority continues.
 func TestMinorityRefusesRollouts(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -293,7 +293,7 @@
 	})
 }
 
-// command sends an order on a fleet link, as an operator's command does.
+// sendOrder sends an order on a fleet link, as an operator's command does.
 func (x *fleet) command(n *directoryNode, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	is := is.New(x.t)
 	id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(n.ip).DialContext}
@@ -308,7 +308,7 @@
 	return answer
 }
 
-// TestCommandsAboutRollouts gives orders on fleet links, at the leader and elsewhere.
+// TestCommandsAboutRollouts gives orders on fleet links, at the leader and at other replicas.
 func TestCommandsAboutRollouts(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -342,13 +342,14 @@
 				x.net.Cut(ip)
 			}
 		}
-		is.Equal(x.command(l, other).Outcome, protocol.OrderUnclear) // it leads still, and waits for the others
+		is.Equal(x.command(l, other).Outcome, protocol.OrderUnclear) // still leads, but waits for the others
 		time.Sleep(3 * time.Second)
 		is.Equal(x.command(l, start).Outcome, protocol.OrderUnclear)
 	})
 }
 
-// TestCommandThatHasGone: an order that comes when its command has closed the link changes nothing.
+// TestCommandThatHasGone checks that an order changes nothing if its sender has closed the link before it
+// is processed.
 func TestCommandThatHasGone(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -364,8 +365,8 @@
 	})
 }
 
-// TestOrderNamesGatewaysWithoutRollouts: a gateway says whether its version knows rollouts when
-// it opens its session.
+// TestOrderNamesGatewaysWithoutRollouts checks that gateways that open a session without support for
+// rollouts are reported.
 func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
 	inFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -15,63 +15,64 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the leader carries out the rollouts of pools: it has package rollout
-// decide on what gateways report (outcomes.go), and sends them the shares. All runs in the hub's
-// goroutine.
+// This file implements the leader's side of pool rollouts. Package rollout decides from the outcomes that
+// gateways report (outcomes.go), and the leader sends the resulting shares to the gateways. Everything
+// runs in the hub's goroutine.
 
-// informedAfter is how long a new leader waits for the gateways' first reports before it gives a
-// target anything: it does not know yet what was seen. Gateways leave a silent leader after
-// registry.SilenceLimit, and come at once when their link closes.
+// initialReportWait is how long a new leader waits for the gateways' first reports before it gives a
+// target any share, since it has no outcomes before. Gateways leave a silent leader after
+// registry.SilenceLimit, and reconnect at once when their link closes.
 const informedAfter = time.Second
 
-// Notes in the log of how far a rollout is, at the shortest after a second. A new leader takes at most
-// as much too little for elapsed.
+// The progress of a rollout is written to the log every Duration/progressSteps, but at most once per
+// progressPeriod. A new leader underestimates the elapsed time by at most one such interval.
 const (
 	notedPeriod = time.Second
-	notedPart   = 50 // of the rollout's duration
+	notedPart   = 50 // progress records per rollout duration
 )
 
-// endTimeout bounds one try to put a change of a rollout into the log; the next step tries again.
+// rolloutProposeTimeout bounds one attempt to commit a rollout change; the next step retries.
 const endTimeout = time.Second
 
-// rollouts is the rollouts of one term.
+// rollouts is the state of all rollouts during one term.
 type rollouts struct {
 	began    time.Duration
 	underWay map[string]*leadRollout // by pool
 	obeyed   map[*session]obedience
 	list     []protocol.Rollout // as last sent
-	seq      uint64             // of that
+	seq      uint64             // number of list
 	encoded  protocol.Encoded
 }
 
-// leadRollout is one rollout under way.
+// activeRollout is the leader's state of a rollout under way.
 type leadRollout struct {
 	document.Rollout
 	schedule  rollout.Schedule
-	ordered   time.Duration // when, at the latest
+	ordered   time.Duration // latest possible time of the order, by this replica's clock
 	reported  map[reporter]map[outcomeKey]protocol.Outcomes
 	totals    map[string]*rollout.RouteTallies
 	decision  rollout.Decision
-	sent      rollout.Decision // whose shares the gateways were sent
-	fullSeq   uint64           // of the first list that gives the target all requests; 0: none does
-	finalSeq  uint64           // of the first list that says that complete follows; 0: none does
-	finalAt   time.Duration    // when that was sent
-	forgot    bool             // what a relay had reported was taken back since the last step
-	forgotAt  time.Duration    // when that was seen last, before the switch
+	sent      rollout.Decision // decision whose shares were last sent to the gateways
+	fullSeq   uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
+	finalSeq  uint64           // number of the first list that announces completion; 0 if none was sent
+	finalAt   time.Duration    // when finalSeq was sent
+	forgot    bool             // totals were reduced since the last step because a relay's session ended
+	forgotAt  time.Duration    // last time that totalsReduced was seen before the switch
 	proposing bool
 	loggedAt  time.Duration
 }
 
-// beginRollouts begins a term with the rollouts that the log holds. Lists are numbered on: a
-// replica that finds itself leading again in one term would else send what gateways have passed.
+// beginRollouts resets the state for a new term; the next step fills it from the log. Lists keep their
+// numbering: a replica that leads again in the same term would otherwise send numbers that gateways
+// have already passed.
 func (h *hub) beginRollouts() {
 	h.rollouts = rollouts{
 		seq: h.rollouts.seq, began: h.d.replica.Now(), underWay: map[string]*leadRollout{}, obeyed: map[*session]obedience{},
 	}
 }
 
-// stepRollouts decides on each rollout under way. It is called with each tick and each change
-// of the applied state.
+// stepRollouts decides on each rollout under way. It is called on every tick and whenever the applied
+// state changes.
 func (h *hub) stepRollouts() {
 	now := h.d.replica.Now()
 	state := h.d.state.Rollouts()
@@ -82,7 +83,8 @@
 	h.pushRollouts(state)
 }
 
-// takeRollouts takes what is applied: rollouts that have begun, are noted, or have ended.
+// syncRollouts updates underWay from the applied state: rollouts that have begun, recorded progress or
+// ended.
 func (h *hub) takeRollouts(now time.Duration, state []document.Rollout) {
 	for _, d := range state {
 		r := h.rollouts.underWay[d.Pool]
@@ -108,18 +110,18 @@
 	}
 }
 
-// elapsed returns the time since the order, at least.
+// elapsed returns a lower bound of the time since the order.
 func (r *leadRollout) elapsed(now time.Duration) time.Duration { return now - r.ordered }
 
-// attemptKey is one attempt of a pool's rollouts.
+// attemptKey identifies one attempt of a pool's rollouts.
 type attemptKey struct {
 	pool    string
 	attempt uint64
 }
 
-// recordOrderTimes notes by this replica's clock when rollouts under way were ordered at the latest:
-// what the log says of them may have been applied late, never early. It is called whether this
-// replica leads or not, so that a new leader knows.
+// recordOrderTimes records, by this replica's clock, the latest time at which each rollout under way
+// can have been ordered: log entries may be applied late, never early. It runs whether or not this
+// replica leads, so that a new leader already has these times.
 func (h *hub) recordOrderTimes() {
 	now := h.d.replica.Now()
 	ordered := map[attemptKey]time.Duration{}
@@ -136,7 +138,7 @@
 	h.ordered = ordered
 }
 
-// stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
+// stepRollout updates the decision on one rollout. A final decision stands until it is in the log.
 func (h *hub) stepRollout(now time.Duration, r *leadRollout) {
 	switch {
 	case r.decision.Action != rollout.Continue:
@@ -158,9 +160,9 @@
 	h.proposeStep(now, r)
 }
 
-// noteForgotten notes when totals fell, because a relay's session ended. Before the switch the
-// target then gets nothing until its gateways have reported elsewhere, since what it has had
-// bounds what it may get.
+// recordReducedTotals records when totals fell because a relay's session ended. Before the switch the
+// target then gets no requests until the relay's gateways have reported elsewhere, because its share
+// is bounded by the requests that it has already received.
 func (r *leadRollout) noteForgotten(now time.Duration) {
 	if r.forgot && !r.schedule.Switched() {
 		r.forgotAt = now
@@ -168,7 +170,8 @@
 	r.forgot = false
 }
 
-// proposeStep puts into the log how the rollout ends, or now and then how far it is.
+// proposeProgress writes the end of a rollout to the log once it is decided, and its progress at
+// intervals before that.
 func (h *hub) proposeStep(now time.Duration, r *leadRollout) {
 	c := document.RolloutChange{
 		Pool: r.Pool, Target: r.Target, After: r.Changes, Elapsed: max(r.elapsed(now), r.Elapsed), State: document.RolloutUnderWay,
@@ -195,14 +198,14 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, endTimeout)
 		defer cancel()
-		// What was not applied is proposed again with a later step.
+		// A change that was not applied is proposed again by a later step.
 		_ = h.d.propose(ctx, command{Rollout: &c})
 		h.post(func() { r.proposing = false })
 	}()
 }
 
-// otherVersions returns the versions that the target replaces: those of servers that are
-// announced, and those that gateways have sent requests to, whose servers may be away.
+// replacedVersions returns the versions that the target replaces: those of announced servers, and those
+// that gateways have sent requests to, whose servers may be absent now.
 func (h *hub) otherVersions(r *leadRollout) []string {
 	others := map[string]bool{}
 	for _, v := range h.registry.Versions(r.Pool) {
@@ -220,9 +223,9 @@
 	return slices.Sorted(maps.Keys(others))
 }
 
-// oldIdle reports whether all gateways obey the list that gives the target all requests, and
-// nothing runs on servers of other versions. A relay says what all its gateways obey
-// (registry.Sums), and one that has just opened has not said so, nor what runs there.
+// oldVersionsIdle reports whether all gateways apply the list that gives the target all requests, and no
+// request runs on servers of other versions. A relay reports for all its gateways (registry.Sums); one
+// whose session has just opened has reported neither their lists nor their load.
 func (h *hub) oldIdle(r *leadRollout) bool {
 	if r.fullSeq == 0 {
 		return false
@@ -240,12 +243,14 @@
 	})
 }
 
-// finalWait is how long the leader waits for all gateways to obey the list that says that complete
-// follows, or half of the time that is left: one that does not obey is out of touch. Several reports.
+// finalListTimeout bounds how long the leader waits for all gateways to apply the list that announces
+// completion. It waits for half of the remaining time if that is shorter. The timeout covers several
+// reports, so a gateway that takes longer is out of touch.
 const finalWait = time.Second
 
-// finalObeyed reports whether a rollout may be put into the log as complete: all gateways know
-// that the old servers may stop. Else one that loses its session meanwhile would go back to them.
+// finalListApplied reports whether a rollout may be committed as complete, because all gateways have
+// been informed that the old servers may stop. Otherwise a gateway that loses its session in the
+// meantime would return to them.
 func (h *hub) finalObeyed(now time.Duration, r *leadRollout) bool {
 	if r.finalSeq == 0 {
 		return false
@@ -261,13 +266,14 @@
 	return true
 }
 
-// targetHalls returns the data halls in service in which a server of the target is listed.
+// targetHalls returns the data halls in service that have a listed server of the target.
 func (h *hub) targetHalls(r *leadRollout) []string {
 	out, _ := h.d.state.HallsOut()
 	return slices.DeleteFunc(h.registry.HallsOf(r.Pool, r.Target), func(hall string) bool { return slices.Contains(out, hall) })
 }
 
-// keptAway returns the routes whose homes have no server of a target that stands in some halls.
+// routesWithoutTarget returns the routes that are bound to home regions none of which contains any of
+// the halls of the target's servers.
 func (h *hub) keptAway(halls []string) map[string]bool {
 	held, _ := h.d.state.Held()
 	away := map[string]bool{}
@@ -282,7 +288,7 @@
 	return away
 }
 
-// pushRollouts sends all sessions the list, if it has changed.
+// pushRollouts sends the list to all sessions if it has changed.
 func (h *hub) pushRollouts(state []document.Rollout) {
 	list := make([]protocol.Rollout, 0, len(state))
 	changed := len(state) != len(h.rollouts.list)
@@ -313,9 +319,9 @@
 	}
 }
 
-// entry returns what gateways are to do about a rollout under way. A target that is rolled back
-// gets nothing from now on, whenever the log has it. Shares that have hardly changed stay as
-// they were sent.
+// listEntry completes a rollout's entry in the list for gateways. A target that is rolled back gets no
+// requests from now on, even before the log records it. Shares that have hardly changed stay as last
+// sent.
 func (r *leadRollout) entry(e protocol.Rollout) protocol.Rollout {
 	e.Target = r.Target
 	switch r.decision.Action {
@@ -336,7 +342,7 @@
 	return e
 }
 
-// noteSent takes the entry of a list that was sent.
+// recordSent records that a list with this entry was sent.
 func (r *leadRollout) noteSent(now time.Duration, seq uint64, e protocol.Rollout) {
 	if e.Final && r.finalSeq == 0 {
 		r.finalSeq, r.finalAt = seq, now
@@ -354,7 +360,7 @@
 		slices.Equal(a.Barred, b.Barred) && slices.Equal(a.Replaced, b.Replaced) && slices.Equal(a.Routes, b.Routes)
 }
 
-// sendRollouts sends a session that opens all rollouts.
+// sendRollouts sends the current list to a session that opens.
 func (h *hub) sendRollouts(s *session) {
 	if h.relay != nil {
 		h.relay.sendRollouts(s)
@@ -365,13 +371,13 @@
 	}
 }
 
-// logStep logs what a rollout rests on.
+// logStep logs a rollout's decision and the evidence for it.
 func (h *hub) logStep(now time.Duration, r *leadRollout) {
 	r.loggedAt = now
 	h.d.cfg.Log.StateChange("rollout step", h.rolloutAttrs(now, r)...)
 }
 
-// logEnd logs that the log has a rollout's end.
+// logEnd logs the committed end of a rollout.
 func (h *hub) logEnd(now time.Duration, r *leadRollout, d document.Rollout) {
 	h.d.cfg.Log.StateChange("rollout ended", append(h.rolloutAttrs(now, r),
 		slog.Bool("complete", d.State == document.RolloutComplete), slog.Any("barred", d.Barred), slog.Any("replaced", d.Replaced))...)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -16,12 +16,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests whole rollouts: a leader, gateways under load, and servers of two versions.
+// This file tests complete rollouts with a leader, gateways under load, and servers of two versions.
 
-// propagationTime is how long a list takes to all gateways in touch, and what is on its way to arrive.
+// propagationTime bounds how long a list takes to reach all connected gateways, and requests in flight
+// to arrive.
 const propagationTime = 100 * time.Millisecond
 
-// faults are what happens to the fleet in the middle of a rollout, some time after the order.
+// faults are injected into the fleet during a rollout.
 var faults = []struct {
 	name string
 	do   func(x *fleet, v *versionedServers)
@@ -52,11 +53,12 @@
 	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
 }
 
-// faultTimes are when it happens: in the trial, about the switch, and before complete is said.
+// faultTimes are the times from the order to the fault: in the trial, around the switch, and before
+// completion is announced.
 var faultTimes = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
 
-// TestGoodVersionCompletes: in time, whatever fails meanwhile; from then on nothing reaches an
-// old server, since they may stop at once.
+// TestGoodVersionCompletes checks that a good version completes in time whatever fails meanwhile. From
+// then on no request reaches an old server, since they may stop at once.
 func TestGoodVersionCompletes(t *testing.T) {
 	for _, fault := range faults {
 		for _, at := range faultTimes {
@@ -87,7 +89,7 @@
 	}
 }
 
-// TestUnnamedVersion: as any other; servers that name none are replaced as well.
+// TestUnnamedVersion checks that servers that name no version are replaced like those of any other.
 func TestUnnamedVersion(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestServersOfTheTargetGo: one that crashes in the trial rolls a good version back as little as
-// one of the old version would stop; a version that cannot be reached at all is rolled back.
+// TestServersOfTheTargetGo checks that a crash of one target server during the trial does not roll a
+// good version back, and that a version none of whose servers can be reached is rolled back.
 func TestServersOfTheTargetGo(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
@@ -128,7 +130,8 @@
 	}
 }
 
-// TestBadVersionIsRolledBack: within the bounds, whatever fails meanwhile, and for good.
+// TestBadVersionIsRolledBack checks that a bad version is rolled back for good and within its bounds,
+// whatever fails meanwhile.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	versions := []struct {
 		name  string
@@ -173,7 +176,7 @@
 	}
 }
 
-// TestRolloutBytes measures what a rollout adds to a gateway's session, in the trial.
+// TestRolloutBytes checks how many bytes a rollout adds to a gateway's session during the trial.
 func TestRolloutBytes(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -200,7 +203,7 @@
 	})
 }
 
-// TestRolloutsComeFirst: a gateway that has just started knows what is barred before it knows
+// TestRolloutsComeFirst checks that a gateway that has just started receives the barred versions before
 // any server.
 func TestRolloutsComeFirst(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
@@ -222,8 +225,8 @@
 	})
 }
 
-// TestCompleteWaits for a gateway that does not obey the switch yet, and for one that still has
-// a request at an old server, until the time is nearly over.
+// TestCompleteWaits checks that completion waits, until the time is nearly over, for a gateway that does
+// not apply the switch, and for one that still runs a request at an old server.
 func TestCompleteWaits(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
@@ -246,7 +249,7 @@
 	}
 }
 
-// busyAtOld is a gateway that, if it obeys lists, always runs a request at server b1.
+// runGatewayAtOldServer runs a gateway that, if it applies lists, always runs a request at server b1.
 func (x *fleet) busyAtOld(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
@@ -273,7 +276,7 @@
 			}
 		case protocol.Fleet:
 			u.Seq++
-			_ = l.Send(ctx, u) // it fails when the test is over
+			_ = l.Send(ctx, u) // fails when the test is over
 		}
 	}
 }
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -16,18 +16,18 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests rollouts to a version half of whose servers are cold.
+// This file tests rollouts to a version with some cold servers.
 
 const (
-	coldRate = 18 // requests a second that a cold server bears
+	coldRate = 18 // requests per second that a cold server can serve
 	coldTime = 9 * time.Second
 )
 
-// coldStarting is servers b1 to b9, the target's from b4 on. From the order on those of even
-// numbers are cold: they answer five times slower, and fail what is above their rate.
+// coldServers are servers b1 to b9, of the target's version from b4 on. From the order on, those with
+// even numbers from b4 are cold: they answer five times slower, and fail requests above coldRate.
 type coldStarting struct{ counted }
 
-// coldLeft returns for how long a server is cold.
+// coldLeft returns how long a server stays cold.
 func (c *coldStarting) coldLeft(n int) time.Duration {
 	c.versionedServers.mu.Lock()
 	defer c.versionedServers.mu.Unlock()
@@ -57,8 +57,8 @@
 	return answer, err
 }
 
-// goodAndBad are a version that fails nothing and one that fails a fifth, with how their
-// rollouts end.
+// goodAndBad lists a version that fails nothing and one that fails a fifth of its requests, with the
+// ends of their rollouts.
 var goodAndBad = []struct {
 	name  string
 	fails func(time.Duration) float64
@@ -68,8 +68,9 @@
 	{"bad", func(time.Duration) float64 { return 0.2 }, document.RolloutRolledBack},
 }
 
-// TestRolloutToColdServers: no cold server gets more than it bears, of all gateways together and
-// at any moment; a good version is complete in time, and a bad one rolled back within its bound.
+// TestRolloutToColdServers checks that no cold server gets more requests than its rate from all gateways
+// together in any second, that a good version completes in time, and that a bad one is rolled back
+// within its bound.
 func TestRolloutToColdServers(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -19,13 +19,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests a rollout whose target has servers in one region only, while a route's home is
-// the other.
+// This file tests a rollout whose target has servers in one region only, while the other region is the
+// home of a route.
 
-// routeServers notes which route's requests reach which server, and how they end.
+// routeServers records which route's requests reach which server, and how many fail.
 type routeServers struct {
 	from
-	failed map[string]int // by route, guarded by the versioned's mu
+	failed map[string]int // by route; guarded by mu of versionedServers
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
@@ -33,7 +33,7 @@
 	return h.from.Send(ctx, at, call)
 }
 
-// ask asks on both routes in each period.
+// sendRequests sends a request on both routes in each period.
 func (h routeServers) ask(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 	for range sleep.Every(ctx, rolloutPeriod) {
 		for _, route := range []string{"any", "home"} {
@@ -51,7 +51,7 @@
 	}
 }
 
-// countFailed counts what fails from the order on.
+// countFailed counts requests that fail after the order.
 func (h routeServers) countFailed(route string) {
 	h.versionedServers.mu.Lock()
 	defer h.versionedServers.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// homeHeld has route "any", and route "home" whose home is the south.
+// homeDocument returns a document with the routes "any" and "home"; the home of the latter is the south.
 func homeHeld() document.Held {
 	h := held(1)
 	home := h.Document.Routes[0]
@@ -69,9 +69,9 @@
 	return h
 }
 
-// TestTargetInOneRegionOnly: the route with the other as its home never leaves it, and does not
-// keep the others from the target; its requests are served by the old servers there, also after
-// the end, for as long as those are there.
+// TestTargetInOneRegionOnly checks that the requests of a route with the other region as its home never
+// leave that region and do not hold up the rollout for other routes. The old servers there serve them
+// after the end as well, for as long as they run.
 func TestTargetInOneRegionOnly(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -20,18 +20,18 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests rollouts over two regions: one that is cut off, and servers of the target in
-// one region only.
+// This file tests rollouts over two regions: one region is cut off, or the target has servers in one
+// region only.
 
-// regional is servers in two regions, each in the hall of its region's name.
+// regionalServers are servers in two regions, each in the hall that has its region's name.
 type regional struct {
 	counted
 	x     *fleet
-	halls [7]string // by the number of the server
+	halls [7]string // by server number
 	cut   atomic.Bool
 }
 
-// from is the servers as a gateway of a region reaches them.
+// regionView is the servers as the gateways of a region reach them.
 type from struct {
 	*regional
 	region string
@@ -63,12 +63,12 @@
 	}
 }
 
-// among counts what reached some servers between two moments.
+// arrivalsBetween counts the requests that reached some servers between two times.
 func (r *regional) among(begin, end time.Time, servers ...int) int {
 	return r.sinceAll(begin, servers...) - r.sinceAll(end, servers...)
 }
 
-// rollingOver is a rollout with two gateways in the north and one in the south.
+// withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
 func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
 	r := &regional{counted: newCounted(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
@@ -79,10 +79,10 @@
 	x.rollingIn(v, scene{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
 
-// bothHalls has servers of both versions in both regions.
+// bothHalls places servers of both versions in both regions.
 var bothHalls = [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: south}
 
-// mustRefuse checks that no replica of a region that is cut off acknowledges an order.
+// requireOrdersRefused checks that no replica of a region that is cut off acknowledges an order.
 func (x *fleet) mustRefuse(region string) {
 	is := is.New(x.t)
 	for _, ip := range x.order {
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestRegionIsCutOffInARollout: from some moment on, for 4 s. Both sides go on, orders at the
-// minority's are refused, and the rollout ends as the target deserves, within the bound over both.
+// TestRegionIsCutOffInARollout cuts a region off for 4 s during a rollout. Both sides must keep serving
+// requests, the minority must refuse orders, and the rollout must end as the target's quality requires,
+// within the bound over both regions.
 func TestRegionIsCutOffInARollout(t *testing.T) {
 	fails20 := func(time.Duration) float64 { return 0.2 }
 	fails60 := func(at time.Duration) float64 { return 0.6 * float64(at/(4*time.Second)) }
@@ -107,7 +108,7 @@
 		name   string
 		fails  func(time.Duration) float64
 		state  document.RolloutState
-		leader string // where it stands
+		leader string // region of the leader
 		at     []time.Duration
 	}{
 		{"good", nil, document.RolloutComplete, north, faultTimes},
@@ -133,14 +134,15 @@
 	}
 }
 
-// contact is how long a gateway that was cut off needs at most until it obeys the directory
-// again, the bound of most deployments.
+// reconnectTime bounds the time until a gateway that was cut off follows the directory again. It is the
+// bound of most deployments.
 const contact = 3 * time.Second
 
-// lease is how long a gateway's share lasts after its leader is lost, and what is on its way.
+// shareLeaseTime is how long a gateway applies its share after the loss of the leader, plus the time for
+// requests in flight.
 const lease = 2*time.Second + propagationTime
 
-// cutOff cuts the south off for 4 s, and checks how the rollout ends.
+// cutOffDuringRollout cuts the south off for 4 s and checks how the rollout ends.
 func cutOff(x *fleet, v *versionedServers, r *regional, want document.RolloutState) {
 	is := is.New(x.t)
 	cut := time.Now()
@@ -161,7 +163,7 @@
 	time.Sleep(max(time.Until(joined), 0) + contact + time.Second)
 	is.True(r.among(cut, joined, 1, 2, 4, 5) > 100)
 	is.True(r.among(cut, joined, 3, 6) > 100)
-	for _, n := range []int{4, 5, 6} { // without a leader nobody has a share
+	for _, n := range []int{4, 5, 6} { // without a leader no gateway has a share
 		unled, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(lease))
 		ledAgain, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), joined)
 		is.Equal(unled, ledAgain)
@@ -181,8 +183,8 @@
 	is.Equal(r.sinceAll(both, left...), 0)
 }
 
-// TestRolloutOverTwoRegions: once complete is said, no gateway sends to old servers, wherever it
-// and they stand.
+// TestRolloutOverTwoRegions checks that after completion no gateway in either region sends requests to
+// old servers in either region.
 func TestRolloutOverTwoRegions(t *testing.T) {
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -22,33 +22,33 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines a fleet with servers of two versions, gateways under load, and a rollout.
+// This file adds servers of two versions, gateways under load, and a rollout to the fixture.
 
-// Of each test's rollout.
+// Times of each test's rollout.
 const (
 	rolloutTime   = 12 * time.Second
 	rolloutPeriod = 20 * time.Millisecond // between two requests of a gateway
 )
 
-// versionedServers is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
-// answer after 20 ms; the target's fail a part.
+// versionedServers are backend servers that answer after 20 ms: b1 to b3 run the old version, b4 to b6
+// the target, which fails a part of its requests.
 type versionedServers struct {
 	unnamed bool // the old servers name no version
 	fails   func(sinceOrder time.Duration) float64
-	// gone is after which time since the order servers of the target cannot be reached: the one
-	// that had a request first, or all. 0: none.
+	// gone is the time from the order until servers of the target become unreachable: the one that
+	// received the first request, or all. Zero means never.
 	gone    time.Duration
 	allGone bool
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	orderedAt   time.Time
-	target      []time.Time // arrivals at it
-	old         []time.Time
-	first       string  // server of the target that had a request
-	minHeadroom float64 // the least that the bound left, at any moment
-	bad         int     // answers of the target
-	fifty       time.Time
+	target      []time.Time // arrivals at the target
+	old         []time.Time // arrivals at the old version
+	first       string      // address of the target server with the first request
+	minHeadroom float64     // smallest difference between the bound and the requests sent to the target
+	bad         int         // failed answers of the target
+	fifty       time.Time   // time of the 50th failed answer
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -56,7 +56,7 @@
 
 func (*versionedServers) Refuses(context.Context, string) bool { return false }
 
-// recordArrival counts an arrival and returns whether it fails.
+// recordArrival records a request and reports whether it fails.
 func (v *versionedServers) recordArrival(address string) (fails bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -109,8 +109,8 @@
 	}
 }
 
-// exposed returns how many requests the target had, the least that the bound left, and how long
-// after its 50th bad answer the last came, 0 if there was none.
+// exposed returns the number of requests sent to the target, the smallest headroom below the bound, and
+// the time from the target's 50th failed answer to its last request, or 0 without such an answer.
 func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -120,7 +120,7 @@
 	return len(v.target), v.minHeadroom, late
 }
 
-// arrivalsAfter counts the arrivals at both versions arrivalsAfter a time.
+// arrivalsAfter counts the arrivals at both versions after a time.
 func (v *versionedServers) arrivalsAfter(from time.Time) (target, old int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -135,7 +135,7 @@
 	return count(v.target), count(v.old)
 }
 
-// rolling is a fleet with gateways under load and a rollout to the target that begins now.
+// withRollout runs f in a fleet with gateways under load while a rollout to the target begins.
 func (x *fleet) rolling(v *versionedServers, f func()) {
 	is := is.New(x.t)
 	x.put(1)
@@ -157,8 +157,8 @@
 
 func rolloutGateway(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
-// keepVersions announces the servers of both versions in each interval, until stop. Before the
-// order the target's do not run.
+// announceVersions announces the servers of both versions in each interval until stop is called. The
+// target's servers do not run before the order.
 func (x *fleet) keepVersions(v *versionedServers) (stop func()) {
 	versions := []string{"v1", "v2"}
 	if v.unnamed {
@@ -178,8 +178,8 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// announceVersion announces a server of the target only once a rollout is under way: without
-// one it would get its part of the requests.
+// announceVersion announces a server. One of the target is announced only once a rollout is under way,
+// since it would otherwise get requests by load.
 func (x *fleet) announceVersion(id, version string) {
 	d := x.leading()
 	if d == nil {
@@ -191,13 +191,13 @@
 		return
 	}
 	x.beats[id]++
-	// Whoever does not lead any more refuses it.
+	// A replica that has lost the lead refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.beats[id],
 	})
 }
 
-// awaitRolloutEnd waits for the rollout's end and returns it, and how long after the order it was.
+// awaitRolloutEnd waits for the rollout's end and returns its state and the time since the order.
 func (x *fleet) awaitRolloutEnd(v *versionedServers) (state document.RolloutState, after time.Duration) {
 	for time.Since(v.orderedAt) < 2*rolloutTime {
 		if state = x.newestRollout().State; state != document.RolloutUnderWay {
