--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -16,7 +16,7 @@
 // This file tests how many requests a whole fleet sends to cold backend servers.
 
 // coldDocument returns a document whose pool limits the request rate of cold servers.
-func coldHeld(number uint64, rate float64) document.Held {
+func coldDocument(number uint64, rate float64) document.Held {
 	h := held(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
@@ -29,7 +29,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{}
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
@@ -43,14 +43,14 @@
 		stop()
 		back := time.Now()
 		for i := range 21 {
-			is.NoErr(x.announceIn(fmt.Sprint("b", i+11), "hall-b", cold))
+			is.NoErr(x.announceInHall(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
 		time.Sleep(2500 * time.Millisecond)
 		x.mustLead().kill()
 		next := x.mustLead()
 		for i := range 21 {
 			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
-				_ = x.announceIn(fmt.Sprint("b", i+11), "hall-b", left)
+				_ = x.announceInHall(fmt.Sprint("b", i+11), "hall-b", left)
 			}
 		}
 		time.Sleep(cold - time.Since(back))
@@ -73,7 +73,7 @@
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -27,11 +27,11 @@
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
-				x.rolling(v, func() {
+				x.withRollout(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
 					var waited time.Duration
-					session.Go(func() { waited = x.untilComplete(ctx, obeys) })
+					session.Go(func() { waited = x.runGatewayUntilComplete(ctx, obeys) })
 					state, after := x.awaitRolloutEnd(v)
 					session.Wait()
 					cancel()
@@ -47,7 +47,7 @@
 
 // runGatewayUntilComplete runs a gateway that applies every list, but the final one only if obeysFinal.
 // It returns the time from the final list to the next one.
-func (x *fleet) untilComplete(ctx context.Context, obeysFinal bool) time.Duration {
+func (x *fleet) runGatewayUntilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
@@ -83,7 +83,7 @@
 // maxTakeoverTime bounds the time from the end of the leader to the completion of a rollout that is past
 // the switch: an election (two timeouts of 0.4 s), a new leader's wait for reports (1 s), and the steps
 // until all gateways apply the list. If the switch were missing in the log, it would take 2.8 to 3.2 s.
-const goesOn = 2500 * time.Millisecond
+const maxTakeoverTime = 2500 * time.Millisecond
 
 // TestSwitchOutlivesTheLeader checks that a new leader continues after the switch that its predecessor
 // made. The new leader has no record of the trial, whose bound is used up.
@@ -93,13 +93,13 @@
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
-				x.rolling(v, func() {
+				x.withRollout(v, func() {
 					time.Sleep(at)
 					x.mustLead().kill()
 					state, after := x.awaitRolloutEnd(v)
 					x.t.Logf("complete after %v", after)
 					is.Equal(state, document.RolloutComplete)
-					is.True(after < at+goesOn)
+					is.True(after < at+maxTakeoverTime)
 				})
 			})
 		})
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -24,7 +24,7 @@
 					is := is.New(x.t)
 					time.Sleep(3 * time.Second) // until all vote
 					is.Equal(len(x.voters()), n)
-					is.NoErr(x.announceIn("b1", "hall-a", 0))
+					is.NoErr(x.announceInHall("b1", "hall-a", 0))
 					time.Sleep(time.Second)
 					for round := range 2 {
 						is.Equal(len(x.voters()), n)
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -56,12 +56,12 @@
 
 // maxOrderAttempts bounds how often an order is decided when concurrent changes precede its own. At most
 // two operators give orders at the same time.
-const orderTries = 4
+const maxOrderAttempts = 4
 
 // orderHall executes an order. If another change was committed first, the order is decided again.
 func (d *Directory) orderHall(ctx context.Context, hall string, out bool) error {
-	for range orderTries {
-		verdict, change, err := d.decideHall(ctx, hall, out)
+	for range maxOrderAttempts {
+		verdict, change, err := d.decideHallOrder(ctx, hall, out)
 		switch {
 		case err != nil:
 			return err
@@ -70,7 +70,7 @@
 		case verdict == evacuation.Ambiguous:
 			d.cfg.Log.Failure("hall order unclear", slog.String("hall", hall), slog.Bool("out", out))
 			return UnclearOrder{Hall: hall}
-		case !d.knowsHall(hall):
+		case !d.isHallKnown(hall):
 			return UnknownHall{Hall: hall}
 		}
 		if err := d.propose(ctx, command{Hall: &change}); err != nil {
@@ -81,7 +81,7 @@
 }
 
 // decideHallOrder decides on an order by the newest acknowledged state, which only the leader has.
-func (d *Directory) decideHall(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
+func (d *Directory) decideHallOrder(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
 	var verdict evacuation.Verdict
 	var change document.HallChange
 	err := d.inspectAsLeader(ctx, func() { verdict, change = d.state.decideHallOrder(hall, out) })
@@ -111,7 +111,7 @@
 }
 
 // isHallKnown reports whether the settings or a backend server name a hall.
-func (d *Directory) knowsHall(hall string) bool {
+func (d *Directory) isHallKnown(hall string) bool {
 	if hall == "" || len(hall) > maxHallName {
 		return false
 	}
@@ -132,12 +132,12 @@
 	h.pendingChange = h.pendingChange.Merge(h.registry.PresumeCold(now, returned, h.d.state.coldRates()))
 	h.sendChanges()
 	h.d.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes),
-		slog.Any("returned", returned), slog.Int("gateways", len(h.gateways())), slog.Any("unaware", h.unawareOfHalls()))
+		slog.Any("returned", returned), slog.Int("gateways", len(h.gateways())), slog.Any("unaware", h.gatewaysWithoutHalls()))
 }
 
 // gatewaysWithoutHalls returns the gateways whose version does not support halls out of service: they
 // keep sending requests there until they are upgraded.
-func (h *hub) unawareOfHalls() []string {
+func (h *hub) gatewaysWithoutHalls() []string {
 	var names []string
 	for name, g := range h.gateways() {
 		if !g.KnowsHalls {
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -101,8 +101,8 @@
 	return g
 }
 
-// announceIn announces a backend server of a hall that stays cold for some time.
-func (x *fleet) announceIn(id, hall string, cold time.Duration) error {
+// announceInHall announces a backend server of a hall that stays cold for some time.
+func (x *fleet) announceInHall(id, hall string, cold time.Duration) error {
 	x.beats[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
@@ -138,7 +138,7 @@
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "nowhere"), error(directory.UnknownHall{Hall: "nowhere"}))
 		is.Equal(l.d.TakeHallOut(x.t.Context(), ""), error(directory.UnknownHall{}))
 		is.NoErr(l.d.PutHallBack(x.t.Context(), "nowhere")) // it is in service already
-		is.NoErr(x.announceIn("b1", "hall-a", 0))
+		is.NoErr(x.announceInHall("b1", "hall-a", 0))
 		time.Sleep(time.Second) // until the server is in the log
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a"))
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a")) // a repeat
@@ -202,7 +202,7 @@
 	running.Go(func() {
 		for range sleep.Every(ctx, interval) {
 			for _, id := range slices.Sorted(maps.Keys(halls)) {
-				_ = x.announceIn(id, halls[id], 0) // a replica that has lost the lead refuses it
+				_ = x.announceInHall(id, halls[id], 0) // a replica that has lost the lead refuses it
 			}
 		}
 	})
@@ -214,7 +214,7 @@
 func TestOrderOfAHallIsForGood(t *testing.T) {
 	inFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		is.NoErr(x.announceIn("b1", "hall-a", 0))
+		is.NoErr(x.announceInHall("b1", "hall-a", 0))
 		time.Sleep(time.Second)
 		for round := range 6 {
 			out := round%2 == 0
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -17,8 +17,8 @@
 
 // This file tests the leader's state of one rollout.
 
-func newLeadRollout(d document.Rollout) *leadRollout {
-	return &leadRollout{Rollout: d, reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
+func newLeadRollout(d document.Rollout) *activeRollout {
+	return &activeRollout{Rollout: d, reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
 // TestTotalsReplaceTotals checks that lost or repeated reports change nothing, and that the totals of a
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Target: "v2"})
 	report := func(boot, sent, failed uint64, version string, paces ...uint32) {
-		r.add(reporter{gateway: "g", boot: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
+		r.addOutcomes(reporter{gateway: "g", bootID: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
 	}
 	report(1, 3, 1, "v2", 0, 2)
 	report(1, 10, 4, "v2", 0, 2, 7)
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
 		h.addOutcomes(s, protocol.Usage{Outcomes: []protocol.Outcomes{
 			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces},
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(list ...protocol.Barred) {
 		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
@@ -90,7 +90,7 @@
 	is.Equal(r.decision.Action, rollout.Continue)
 	report(protocol.Barred{Pool: "p", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.RollBack)
-	is.Equal(r.entry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
+	is.Equal(r.listEntry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
 
 // TestOtherVersions checks that the replaced versions include those whose servers are absent when the
@@ -105,9 +105,9 @@
 	}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Barred: []string{"v3"}})
 	for _, v := range []string{"v0", "v2", "v3"} {
-		r.add(reporter{gateway: "g", boot: 1}, protocol.Outcomes{Version: v, Route: "r", Sent: 1})
+		r.addOutcomes(reporter{gateway: "g", bootID: 1}, protocol.Outcomes{Version: v, Route: "r", Sent: 1})
 	}
-	is.Equal(h.otherVersions(r), []string{"", "v0", "v1"})
+	is.Equal(h.replacedVersions(r), []string{"", "v0", "v1"})
 }
 
 // TestBarredBeforeTheLogHasIt checks that a list with the verdict is sent at once, without a change to
@@ -117,12 +117,12 @@
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 3, Barred: make([]string, 0, 4)})
 	r.decision = rollout.Decision{Share: 0.04, Routes: map[string]float64{"b": 0.5, "a": 0.25}}
 	base := protocol.Rollout{Pool: "p", Attempt: 3, Barred: r.Barred}
-	is.Equal(r.entry(base), protocol.Rollout{
+	is.Equal(r.listEntry(base), protocol.Rollout{
 		Pool: "p", Attempt: 3, Target: "v2", Share: 0.04, Barred: []string{},
 		Routes: []protocol.RouteShare{{Route: "a", Share: 0.25}, {Route: "b", Share: 0.5}},
 	})
 	r.decision = rollout.Decision{Action: rollout.RollBack}
-	is.Equal(r.entry(base), protocol.Rollout{Pool: "p", Attempt: 3, Target: "v2", Barred: []string{"v2"}})
+	is.Equal(r.listEntry(base), protocol.Rollout{Pool: "p", Attempt: 3, Target: "v2", Barred: []string{"v2"}})
 	is.Equal(len(r.Barred), 0)
 }
 
@@ -132,7 +132,7 @@
 	r := newLeadRollout(document.Rollout{Target: "v2"})
 	for _, step := range []struct{ decided, sent float64 }{{0.04, 0.04}, {0.045, 0.04}, {0.05, 0.05}, {0.99, 0.99}, {1, 1}, {0, 0}} {
 		r.decision = rollout.Decision{Share: step.decided}
-		is.Equal(r.entry(protocol.Rollout{}).Share, step.sent)
+		is.Equal(r.listEntry(protocol.Rollout{}).Share, step.sent)
 	}
 }
 
@@ -146,7 +146,7 @@
 		share float64
 		want  uint64
 	}{{1, 0.04, 0}, {2, 1, 2}, {3, 1, 2}, {4, 0, 0}, {5, 1, 5}} {
-		r.noteSent(0, step.seq, protocol.Rollout{Share: step.share})
+		r.recordSent(0, step.seq, protocol.Rollout{Share: step.share})
 		is.Equal(r.fullSeq, step.want)
 	}
 }
@@ -156,16 +156,16 @@
 func TestTotalsFall(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
-	silent, relay := reporter{relayed: &session{}}, reporter{relayed: &session{bootID: 1}}
-	r.add(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
-	r.forget(silent)
-	r.noteForgotten(time.Second)
-	is.Equal(r.forgotAt, time.Duration(0))
-	r.forget(relay)
-	r.noteForgotten(3 * time.Second)
-	is.Equal(r.forgotAt, 3*time.Second)
-	r.noteForgotten(4 * time.Second)
-	is.Equal(r.forgotAt, 3*time.Second)
+	silent, relay := reporter{relaySession: &session{}}, reporter{relaySession: &session{bootID: 1}}
+	r.addOutcomes(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
+	r.removeReporter(silent)
+	r.recordReducedTotals(time.Second)
+	is.Equal(r.totalsReducedAt, time.Duration(0))
+	r.removeReporter(relay)
+	r.recordReducedTotals(3 * time.Second)
+	is.Equal(r.totalsReducedAt, 3*time.Second)
+	r.recordReducedTotals(4 * time.Second)
+	is.Equal(r.totalsReducedAt, 3*time.Second)
 }
 
 // TestRelayThatHasJustOpened checks that a new relay session delays completion until it has reported
@@ -175,11 +175,11 @@
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // its version does not support rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
-	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{applied: map[*session]appliedLists{}}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2"})
 	r.fullSeq = 2
 	for _, want := range []bool{false, false, true} {
-		is.Equal(h.oldIdle(r), want)
+		is.Equal(h.oldVersionsIdle(r), want)
 		h.addOutcomes(s, protocol.Usage{Obeyed: 2})
 	}
 }
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -33,13 +33,13 @@
 
 // crashingServers are backend servers of one pool. A request whose body begins with "deadly" ends the
 // server that begins it.
-type mortals struct {
+type crashingServers struct {
 	x       *fleet
-	run     time.Duration // run time of a request
+	runTime     time.Duration // run time of a request
 	streams bool          // the header of an answer is sent at once, its body after the run
 	keepIDs bool          // a server restarts with its earlier identifier
 	halls   []string      // halls of the servers, in turn
-	target  int           // number of the first server of another version, which is announced after the order; 0 for none
+	firstTarget  int           // number of the first server of another version, which is announced after the order; 0 for none
 	resets  bool          // a deadly request breaks its own connection and ends no server
 
 	mu        sync.Mutex
@@ -47,7 +47,7 @@
 	processes map[string]*process // by address
 	starts    int
 	ends      []time.Time
-	sent      map[string][]time.Time // when servers began deadly requests, by body
+	deadlyStarts      map[string][]time.Time // when servers began deadly requests, by body
 }
 
 // process is one run of the server at an address.
@@ -59,23 +59,23 @@
 }
 
 // startCrashingServers starts n servers.
-func (x *fleet) startCrashingServers(n int, run time.Duration) *mortals {
-	m := &mortals{x: x, run: run, processes: map[string]*process{}, sent: map[string][]time.Time{}}
+func (x *fleet) startCrashingServers(n int, run time.Duration) *crashingServers {
+	m := &crashingServers{x: x, runTime: run, processes: map[string]*process{}, deadlyStarts: map[string][]time.Time{}}
 	for i := range n {
 		m.start(address(fmt.Sprint("b", i+1)))
 	}
 	return m
 }
 
-func (m *mortals) start(at string) {
+func (m *crashingServers) start(at string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.starts++
 	m.processes[at] = &process{id: fmt.Sprint("s", m.starts), up: true, ended: make(chan struct{})}
 }
 
-// startAgain restarts a server at the address of one that has ended.
-func (m *mortals) startAgain(at string, before *process) {
+// restart restarts a server at the address of one that has ended.
+func (m *crashingServers) restart(at string, before *process) {
 	m.start(at)
 	if !m.keepIDs {
 		return
@@ -87,7 +87,7 @@
 
 // end ends the servers at some addresses at once. They restart later, with new identifiers unless
 // keepIDs is set.
-func (m *mortals) end(addresses ...string) {
+func (m *crashingServers) end(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, at := range addresses {
@@ -99,14 +99,14 @@
 		close(p.ended)
 		m.ends = append(m.ends, time.Now())
 		time.AfterFunc(backAfter, func() {
-			m.startAgain(at, p)
+			m.restart(at, p)
 			m.announce()
 		})
 	}
 }
 
 // announce announces all servers that run.
-func (m *mortals) announce() {
+func (m *crashingServers) announce() {
 	d := m.x.leading()
 	if d == nil {
 		return
@@ -118,7 +118,7 @@
 	}
 }
 
-func (m *mortals) announcements() (all []registry.Announcement) {
+func (m *crashingServers) announcements() (all []registry.Announcement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for at, p := range m.processes {
@@ -138,7 +138,7 @@
 }
 
 // hall returns the hall of the server at an address.
-func (m *mortals) hall(at string) string {
+func (m *crashingServers) hall(at string) string {
 	if len(m.halls) == 0 {
 		return ""
 	}
@@ -146,11 +146,11 @@
 }
 
 // version returns the version of the server at an address.
-func (m *mortals) version(at string) string {
+func (m *crashingServers) version(at string) string {
 	switch {
-	case m.target == 0:
+	case m.firstTarget == 0:
 		return ""
-	case numberOf(at) < m.target:
+	case numberOf(at) < m.firstTarget:
 		return "v1"
 	}
 	return "v2"
@@ -162,39 +162,39 @@
 	return n
 }
 
-func (m *mortals) DropIdle(string) {}
-func (m *mortals) DropAllIdle()    {}
+func (m *crashingServers) DropIdle(string) {}
+func (m *crashingServers) DropAllIdle()    {}
 
 // Refuses implements gateway.Server.
-func (m *mortals) Refuses(ctx context.Context, at string) bool {
-	return sleep.For(ctx, latency) && !m.at(at).up
+func (m *crashingServers) Refuses(ctx context.Context, at string) bool {
+	return sleep.For(ctx, latency) && !m.processAt(at).up
 }
 
-func (m *mortals) at(at string) process {
+func (m *crashingServers) processAt(at string) process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return *m.processes[at]
 }
 
 // Send implements gateway.Server.
-func (m *mortals) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (m *crashingServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	if !sleep.For(ctx, latency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
 	}
-	p := m.at(at)
+	p := m.processAt(at)
 	if !p.up {
 		return nil, forward.NotRun{Server: at, Err: syscall.ECONNREFUSED}
 	}
-	run := m.run
+	run := m.runTime
 	if strings.HasPrefix(string(call.Body), "deadly") {
-		m.began(string(call.Body))
+		m.recordStart(string(call.Body))
 		if m.resets {
 			return nil, forward.Unknown{Server: at, Err: syscall.ECONNRESET}
 		}
 		run = time.Hour
 		time.AfterFunc(deadlyAfter, func() { m.end(at) })
 	}
-	body := &mortalBody{ctx: ctx, done: time.After(run), ended: p.ended}
+	body := &crashingBody{ctx: ctx, done: time.After(run), ended: p.ended}
 	if !m.streams {
 		if err := body.wait(); err != nil {
 			return nil, forward.Unknown{Server: at, Err: err}
@@ -204,7 +204,7 @@
 }
 
 // crashingBody is an answer's body, which can be read when the run is over.
-type mortalBody struct {
+type crashingBody struct {
 	ctx   context.Context
 	done  <-chan time.Time
 	ended chan struct{}
@@ -213,7 +213,7 @@
 }
 
 // wait waits for the end of the run.
-func (b *mortalBody) wait() error {
+func (b *crashingBody) wait() error {
 	if b.over {
 		return nil
 	}
@@ -229,7 +229,7 @@
 }
 
 // Read implements io.Reader.
-func (b *mortalBody) Read(to []byte) (int, error) {
+func (b *crashingBody) Read(to []byte) (int, error) {
 	if err := b.wait(); err != nil {
 		return 0, err
 	}
@@ -237,29 +237,29 @@
 }
 
 // Close implements io.Closer.
-func (b *mortalBody) Close() error { return nil }
+func (b *crashingBody) Close() error { return nil }
 
-func (m *mortals) began(body string) {
+func (m *crashingServers) recordStart(body string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sent[body] = append(m.sent[body], time.Now())
+	m.deadlyStarts[body] = append(m.deadlyStarts[body], time.Now())
 }
 
 // countDeadly returns how often a deadly request was begun, and how often later than contactTime after it
 // had ended the third server.
-func (m *mortals) countDeadly(body string) (sent, late int) {
+func (m *crashingServers) countDeadly(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for i, at := range m.sent[body] {
-		if i >= 3 && at.Sub(m.sent[body][2]) > deadlyAfter+contactTime {
+	for i, at := range m.deadlyStarts[body] {
+		if i >= 3 && at.Sub(m.deadlyStarts[body][2]) > deadlyAfter+contactTime {
 			late++
 		}
 	}
-	return len(m.sent[body]), late
+	return len(m.deadlyStarts[body]), late
 }
 
-// countEnds returns how many servers have ended.
-func (m *mortals) ended() int {
+// countEnds returns how many servers have countEnds.
+func (m *crashingServers) countEnds() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.ends)
@@ -284,7 +284,7 @@
 
 // withCallers runs f in a fleet with servers, gateways, and callers that send different requests to each
 // gateway and, less often, the same request to all.
-func (x *fleet) withCallers(m *mortals, gateways int, f func(c *callers)) {
+func (x *fleet) withCallers(m *crashingServers, gateways int, f func(c *callers)) {
 	is := is.New(x.t)
 	kind := document.Repeatable
 	if m.streams {
@@ -313,18 +313,18 @@
 )
 
 // gateway starts a gateway with its own callers.
-func (c *callers) gateway(m *mortals, ip string) {
+func (c *callers) gateway(m *crashingServers, ip string) {
 	g := c.x.startGatewayWithLoad(ip, idHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
-				asking.Go(func() { c.ask(g, "hot", http.MethodGet, "") })
+				asking.Go(func() { c.send(g, "hot", http.MethodGet, "") })
 			}
 		})
 		n := 0
 		for range sleep.Every(ctx, otherPeriod) {
 			n++
 			body := fmt.Sprint(ip, " ", n)
-			asking.Go(func() { c.ask(g, "other", http.MethodPost, body) })
+			asking.Go(func() { c.send(g, "other", http.MethodPost, body) })
 		}
 	})
 	c.mu.Lock()
@@ -332,22 +332,22 @@
 	c.gateways[ip] = g
 }
 
-// gatewayAt returns the gateway that was last started at an address.
-func (c *callers) at(ip string) *gateway.Gateway {
+// gatewayAt returns the gateway that was last started gatewayAt an address.
+func (c *callers) gatewayAt(ip string) *gateway.Gateway {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gateways[ip]
 }
 
 // removeGateway stops sending requests to a gateway.
-func (c *callers) without(ip string) {
+func (c *callers) removeGateway(ip string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.gateways[ip] = nil
 }
 
 // send sends a request under a new identifier and counts its answer.
-func (c *callers) ask(g *gateway.Gateway, kind, method, body string) (status int) {
+func (c *callers) send(g *gateway.Gateway, kind, method, body string) (status int) {
 	c.mu.Lock()
 	c.n++
 	id := fmt.Sprint("r", c.n)
@@ -376,8 +376,8 @@
 	i := 0
 	for began := time.Now(); time.Since(began) < length; time.Sleep(period) {
 		i = (i*5 + 3) % 16 // all remainders, but not in the order of the gateways
-		if g := c.at(gatewayIP(i % gateways)); g != nil {
-			asking.Go(func() { c.ask(g, "deadly", http.MethodPost, body) })
+		if g := c.gatewayAt(gatewayIP(i % gateways)); g != nil {
+			asking.Go(func() { c.send(g, "deadly", http.MethodPost, body) })
 		}
 	}
 }
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -29,28 +29,28 @@
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
 	}
-	_ = l.Send(ctx, d.obey(ctx, o)) // not bounded by commandTimeout, which may have expired
+	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by commandTimeout, which may have expired
 }
 
 // executeRolloutOrder executes an operator's command and returns the answer.
-func (d *Directory) obey(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
+func (d *Directory) executeRolloutOrder(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := d.change(ctx, o); err != nil {
-		return answerTo(err)
+	if err := d.applyRolloutOrder(ctx, o); err != nil {
+		return errorAnswer(err)
 	}
 	newest, err := d.Rollout(ctx, o.Pool)
 	switch {
 	case err == nil:
-		return protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: statusOf(newest)}
+		return protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: rolloutStatus(newest)}
 	case o.Act == protocol.OrderStatus:
-		return answerTo(err)
+		return errorAnswer(err)
 	}
 	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order itself is acknowledged
 }
 
-// applyRolloutOrder makes the change that an operator's command requests, if any.
-func (d *Directory) change(ctx context.Context, o protocol.RolloutOrder) error {
+// applyRolloutOrder makes the applyRolloutOrder that an operator's command requests, if any.
+func (d *Directory) applyRolloutOrder(ctx context.Context, o protocol.RolloutOrder) error {
 	switch o.Act {
 	case protocol.OrderStart:
 		return d.StartRollout(ctx, rollout.Order{Pool: o.Pool, Target: o.Target, Duration: o.Duration})
@@ -63,7 +63,7 @@
 }
 
 // errorAnswer returns the answer to an order that failed.
-func answerTo(err error) protocol.RolloutAnswer {
+func errorAnswer(err error) protocol.RolloutAnswer {
 	var elsewhere NotLeader
 	answer := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: err.Error()}
 	switch {
@@ -77,7 +77,7 @@
 	return answer
 }
 
-func statusOf(r document.Rollout) *protocol.RolloutStatus {
+func rolloutStatus(r document.Rollout) *protocol.RolloutStatus {
 	return &protocol.RolloutStatus{
 		Target: r.Target, State: uint8(r.State), Attempt: r.Attempt, Duration: r.Duration, Elapsed: r.Elapsed,
 		Barred: r.Barred, Replaced: r.Replaced,
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -12,22 +12,22 @@
 
 // appliedLists holds the numbers of the lists that a session's last two reports confirmed. A report's
 // loads are sampled before its list takes effect, so only the next report shows the load under it.
-type obedience struct{ last, before uint64 }
+type appliedLists struct{ newest, previous uint64 }
 
 // reporter identifies a source of totals: one run of a gateway, or a relay's session. A gateway's totals
 // restart at zero with each run, and those of earlier runs still count. A relay reports the totals of
 // its gateways, which may report elsewhere next, so they count only while the relay's session lives.
 type reporter struct {
 	gateway string
-	boot    uint64
-	relayed *session // the relay's session; nil for a gateway's own reports
+	bootID    uint64
+	relaySession *session // the relay's session; nil for a gateway's own reports
 }
 
 func (s *session) reporter() reporter {
 	if s.relay {
-		return reporter{relayed: s}
+		return reporter{relaySession: s}
 	}
-	return reporter{gateway: s.gateway, boot: s.bootID}
+	return reporter{gateway: s.gateway, bootID: s.bootID}
 }
 
 type outcomeKey struct{ version, route string }
@@ -37,35 +37,35 @@
 	if u.Term != 0 && u.Term != h.term {
 		u.Obeyed = 0 // a list of another leader
 	}
-	h.rollouts.obeyed[s] = obedience{last: u.Obeyed, before: h.rollouts.obeyed[s].last}
+	h.rollouts.applied[s] = appliedLists{newest: u.Obeyed, previous: h.rollouts.applied[s].newest}
 	for _, o := range u.Outcomes {
 		if r := h.rollouts.underWay[o.Pool]; r != nil && r.Attempt == o.Attempt {
-			r.add(s.reporter(), o)
+			r.addOutcomes(s.reporter(), o)
 		}
 	}
-	h.takeBarred(u.Barred)
+	h.applyBarred(u.Barred)
 }
 
 // reasonBarredByPreviousLeader is the logged reason for rolling back a target that the previous leader
 // has barred.
-const barredBefore = "barred by the leader before"
+const reasonBarredByPreviousLeader = "barred by the leader before"
 
 // applyBarred rolls back targets that a gateway has barred by a verdict that the log may lack.
-func (h *hub) takeBarred(list []protocol.Barred) {
+func (h *hub) applyBarred(list []protocol.Barred) {
 	for _, b := range list {
 		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Action != rollout.RollBack {
-			r.decision.Action, r.decision.Reason = rollout.RollBack, barredBefore
+			r.decision.Action, r.decision.Reason = rollout.RollBack, reasonBarredByPreviousLeader
 		}
 	}
 }
 
 // addOutcomes replaces a reporter's earlier totals. Only a relay's totals may decrease, when a gateway
 // has left it.
-func (r *leadRollout) add(from reporter, o protocol.Outcomes) {
-	mine := r.reported[from]
+func (r *activeRollout) addOutcomes(from reporter, o protocol.Outcomes) {
+	mine := r.reports[from]
 	if mine == nil {
 		mine = map[outcomeKey]protocol.Outcomes{}
-		r.reported[from] = mine
+		r.reports[from] = mine
 	}
 	key := outcomeKey{o.Version, o.Route}
 	before := mine[key]
@@ -97,20 +97,20 @@
 // removeOutcomes drops the state of a session that has ended. A gateway's totals are kept, since the
 // target has received those requests.
 func (h *hub) removeOutcomes(s *session) {
-	delete(h.rollouts.obeyed, s)
+	delete(h.rollouts.applied, s)
 	if !s.relay {
 		return
 	}
 	for _, r := range h.rollouts.underWay {
-		r.forget(s.reporter())
+		r.removeReporter(s.reporter())
 	}
 }
 
 // removeReporter subtracts all totals of a reporter.
-func (r *leadRollout) forget(from reporter) {
-	r.forgot = r.forgot || len(r.reported[from]) > 0
-	for key := range r.reported[from] {
-		r.add(from, protocol.Outcomes{Version: key.version, Route: key.route})
+func (r *activeRollout) removeReporter(from reporter) {
+	r.totalsReduced = r.totalsReduced || len(r.reports[from]) > 0
+	for key := range r.reports[from] {
+		r.addOutcomes(from, protocol.Outcomes{Version: key.version, Route: key.route})
 	}
-	delete(r.reported, from)
+	delete(r.reports, from)
 }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -27,11 +27,11 @@
 
 // evidence is the leader's state about server losses during one term.
 type evidence struct {
-	seen     *quarantine.Evidence
+	tracker     *quarantine.Evidence
 	list     quarantine.List                       // as last sent to the gateways
 	revision uint64                                // of the log's condemned requests that the list includes
 	unlogged map[quarantine.Key]document.Condemned // condemned, not yet in the log
-	logging  bool                                  // a change is being proposed
+	proposing  bool                                  // a change is being proposed
 }
 
 // beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
@@ -40,10 +40,10 @@
 	if h.d.hasMultipleRegions() {
 		settle = quarantine.SettleViaRelay
 	}
-	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
-	condemned := h.condemned()
+	h.evidence = evidence{tracker: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
+	condemned := h.condemnedEntries()
 	for _, e := range condemned {
-		h.evidence.seen.AddCondemned(e)
+		h.evidence.tracker.AddCondemned(e)
 	}
 	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
@@ -53,7 +53,7 @@
 	now := h.d.replica.Now()
 	for _, l := range u.Losses {
 		if loss, ok := timedLoss(now, l); ok {
-			h.evidence.seen.Add(now, loss)
+			h.evidence.tracker.Add(now, loss)
 		}
 	}
 	if len(u.Losses) > 0 {
@@ -61,7 +61,7 @@
 	}
 	for _, b := range u.Cleared {
 		if k, ok := quarantine.KeyFrom(b); ok {
-			h.clearKey(k)
+			h.clearAnswered(k)
 		}
 	}
 }
@@ -75,14 +75,14 @@
 	}}, ok
 }
 
-// clearKey clears a listed request that was answered in full. If it was condemned meanwhile, that was a
+// clearAnswered clears a listed request that was answered in full. If it was condemned meanwhile, that was a
 // mistake, since it was still running, and it is released.
-func (h *hub) clearKey(k quarantine.Key) {
-	h.evidence.seen.Clear(k)
+func (h *hub) clearAnswered(k quarantine.Key) {
+	h.evidence.tracker.Clear(k)
 	delete(h.evidence.unlogged, k)
 	if e, listed := h.evidence.list.Find(k); listed && e.Condemned {
 		h.d.cfg.Log.StateChange("request released", slog.String("key", k.String()), slog.String("why", "answered"))
-		h.logCondemned(document.CondemnedChange{Release: k[:]})
+		h.proposeCondemned(document.CondemnedChange{Release: k[:]})
 	}
 }
 
@@ -90,7 +90,7 @@
 // gateways.
 func (h *hub) stepEvidence() {
 	v := &h.evidence
-	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
+	for _, verdict := range v.tracker.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
 			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
@@ -98,27 +98,27 @@
 			Key: verdict.Key[:], Hint: uint32(verdict.Hint), Account: verdict.Account, Pool: verdict.Pool, Servers: verdict.Servers,
 		}
 	}
-	h.logUnlogged()
-	if revision := h.d.state.condemnedRevision(); revision != v.revision || v.seen.TakeChanged() {
+	h.proposeUnlogged()
+	if revision := h.d.state.condemnedRevision(); revision != v.revision || v.tracker.TakeChanged() {
 		v.revision = revision
 		h.pushQuarantine()
 	}
 }
 
 // proposeUnlogged proposes the condemned requests that are not in the log, one at a time.
-func (h *hub) logUnlogged() {
-	if h.evidence.logging {
+func (h *hub) proposeUnlogged() {
+	if h.evidence.proposing {
 		return
 	}
 	for _, c := range h.evidence.unlogged {
-		h.logCondemned(document.CondemnedChange{Condemn: &c})
+		h.proposeCondemned(document.CondemnedChange{Condemn: &c})
 		return
 	}
 }
 
 // proposeCondemned proposes a change of the condemned requests without waiting for the result.
-func (h *hub) logCondemned(c document.CondemnedChange) {
-	h.evidence.logging = true
+func (h *hub) proposeCondemned(c document.CondemnedChange) {
+	h.evidence.proposing = true
 	term := h.term
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, condemnTimeout)
@@ -128,7 +128,7 @@
 			if h.term != term {
 				return
 			}
-			h.evidence.logging = false
+			h.evidence.proposing = false
 			if err == nil && c.Condemn != nil {
 				k, _ := quarantine.KeyFrom(c.Condemn.Key) // valid: it was made from a key
 				delete(h.evidence.unlogged, k)
@@ -137,8 +137,8 @@
 	}()
 }
 
-// condemnedEntries returns the log's condemned requests as list entries.
-func (h *hub) condemned() (all []quarantine.Entry) {
+// condemnedEntries returns the log's condemnedEntries requests as list entries.
+func (h *hub) condemnedEntries() (all []quarantine.Entry) {
 	for _, c := range h.d.state.Condemned() {
 		if k, ok := quarantine.KeyFrom(c.Key); ok {
 			all = append(all, quarantine.Entry{Key: k, Hint: quarantine.Hint(c.Hint), Ends: len(c.Servers), Condemned: true})
@@ -149,8 +149,8 @@
 
 // pushQuarantine sends changes of the list to the gateways.
 func (h *hub) pushQuarantine() {
-	now := h.evidence.seen.Suspects()
-	for _, e := range h.condemned() {
+	now := h.evidence.tracker.Suspects()
+	for _, e := range h.condemnedEntries() {
 		now[e.Key] = e
 	}
 	var set []quarantine.Entry
@@ -189,7 +189,7 @@
 }
 
 // fullQuarantine returns the message with the whole list, which a session starts with.
-func wholeQuarantine(l quarantine.List) protocol.Quarantine {
+func fullQuarantine(l quarantine.List) protocol.Quarantine {
 	var all []quarantine.Entry
 	for _, e := range l.Entries() {
 		all = append(all, e)
@@ -205,11 +205,11 @@
 	if h.relay != nil {
 		l = h.relay.quarantine
 	}
-	s.out.Send(wholeQuarantine(l))
+	s.out.Send(fullQuarantine(l))
 }
 
 // applyQuarantine applies a list message of the leader and forwards it to the gateways.
-func (r *relay) takeQuarantine(m protocol.Quarantine) {
+func (r *relay) applyQuarantine(m protocol.Quarantine) {
 	r.quarantine = r.quarantine.Apply(m)
 	r.h.broadcast(m)
 }
@@ -218,16 +218,16 @@
 func (r *relay) bufferLosses(u protocol.Usage) {
 	now := r.h.d.replica.Now()
 	for _, l := range u.Losses {
-		r.losses = append(r.losses, agedLoss{Loss: l, came: now})
+		r.losses = append(r.losses, bufferedLoss{Loss: l, receivedAt: now})
 	}
 	r.cleared = append(r.cleared, u.Cleared...)
 }
 
 // appendLosses moves the buffered losses to a report and updates their ages.
-func (r *relay) takeLosses(u protocol.Usage) protocol.Usage {
+func (r *relay) appendLosses(u protocol.Usage) protocol.Usage {
 	now := r.h.d.replica.Now()
 	for _, l := range r.losses {
-		l.Age += uint32((now - l.came).Milliseconds())
+		l.Age += uint32((now - l.receivedAt).Milliseconds())
 		u.Losses = append(u.Losses, l.Loss)
 	}
 	u.Cleared = r.cleared
@@ -236,7 +236,7 @@
 }
 
 // bufferedLoss is a loss that waits at a relay.
-type agedLoss struct {
+type bufferedLoss struct {
 	protocol.Loss
-	came time.Duration
+	receivedAt time.Duration
 }
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -35,7 +35,7 @@
 	if err := d.checkLeading(); err != nil {
 		return err
 	}
-	if err := d.hub.do(ctx, func() error { return d.hub.forgetKey(k) }); err != nil {
+	if err := d.hub.do(ctx, func() error { return d.hub.dropEvidence(k) }); err != nil {
 		return err
 	}
 	released, err := d.proposeChange(ctx, command{Condemned: &document.CondemnedChange{Release: k[:]}})
@@ -50,11 +50,11 @@
 }
 
 // dropEvidence discards the evidence against a request. The error is [Unavailable].
-func (h *hub) forgetKey(k quarantine.Key) error {
+func (h *hub) dropEvidence(k quarantine.Key) error {
 	if h.term == 0 {
 		return Unavailable{}
 	}
-	h.evidence.seen.Clear(k)
+	h.evidence.tracker.Clear(k)
 	delete(h.evidence.unlogged, k)
 	return nil
 }
@@ -67,22 +67,22 @@
 	}
 	answering, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	_ = l.Send(ctx, d.obeyQuarantine(answering, o)) // not bounded by commandTimeout, which may have expired
+	_ = l.Send(ctx, d.executeQuarantineOrder(answering, o)) // not bounded by commandTimeout, which may have expired
 }
 
-func (d *Directory) obeyQuarantine(ctx context.Context, o protocol.QuarantineOrder) protocol.QuarantineAnswer {
+func (d *Directory) executeQuarantineOrder(ctx context.Context, o protocol.QuarantineOrder) protocol.QuarantineAnswer {
 	if len(o.Release) > 0 {
 		k, ok := quarantine.KeyFrom(o.Release)
 		if !ok {
 			return protocol.QuarantineAnswer{Outcome: protocol.OrderRefused, Reason: "a key has 16 bytes"}
 		}
 		if err := d.Release(ctx, k); err != nil {
-			return quarantineAnswerTo(err)
+			return quarantineErrorAnswer(err)
 		}
 	}
 	condemned, err := d.Condemned()
 	if err != nil {
-		return quarantineAnswerTo(err)
+		return quarantineErrorAnswer(err)
 	}
 	answer := protocol.QuarantineAnswer{Outcome: protocol.OrderDone}
 	for _, c := range condemned {
@@ -92,7 +92,7 @@
 }
 
 // quarantineErrorAnswer returns the answer to an order that failed.
-func quarantineAnswerTo(err error) protocol.QuarantineAnswer {
-	a := answerTo(err)
+func quarantineErrorAnswer(err error) protocol.QuarantineAnswer {
+	a := errorAnswer(err)
 	return protocol.QuarantineAnswer{Outcome: a.Outcome, Reason: a.Reason, Leader: a.Leader}
 }
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -21,7 +21,7 @@
 	// directServeTime is how long the leader itself serves a gateway that had lost a relay, before it
 	// redirects the gateway to one again. Each redirect to an unreachable relay costs the gateway one or
 	// two dials without the directory.
-	directStay = 15 * time.Second
+	directServeTime = 15 * time.Second
 	// minMovesPerTick is the lower bound of the number of gateways that a replica may redirect per tick.
 	// Each of them is sent the whole list by its new replica.
 	minMovesPerTick = 8
@@ -71,14 +71,14 @@
 // checkServes returns nil if this replica is to serve a node, and otherwise the error of [hub.open].
 func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
-		return h.mayLead(w, mayWait)
+		return h.checkLeaderServes(w, mayWait)
 	}
 	if w.Relay || !h.canRelay() || w.Region != h.d.cfg.Region {
 		return Unavailable{}
 	}
 	switch r := h.relay; {
 	case r != nil && r.out != nil && w.Term <= r.list.Term():
-		return h.mayPassOn(r, w, mayWait)
+		return h.checkRelayServes(r, w, mayWait)
 	case mayWait && !h.isRelayRefused():
 		return notYetServing{}
 	}
@@ -88,7 +88,7 @@
 // checkRelayServes is checkServes at a relay that has a session with the leader. A gateway that was
 // redirected here is served, unless a replica in its own data hall can serve it: replicas may learn of
 // each other at different times.
-func (h *hub) mayPassOn(r *relay, w protocol.Watch, mayWait bool) error {
+func (h *hub) checkRelayServes(r *relay, w protocol.Watch, mayWait bool) error {
 	if !h.isSpread() {
 		return nil
 	}
@@ -104,47 +104,47 @@
 }
 
 // checkLeaderServes is checkServes at the leader.
-func (h *hub) mayLead(w protocol.Watch, mayWait bool) error {
+func (h *hub) checkLeaderServes(w protocol.Watch, mayWait bool) error {
 	if w.Term > h.term {
 		return Unavailable{}
 	}
 	if w.Relay {
-		if !h.relayed(w.Region) {
+		if !h.isRelayServed(w.Region) {
 			return servedElsewhere{by: h.d.Address()}
 		}
 		return nil
 	}
-	if !h.relayed(w.Region) {
+	if !h.isRelayServed(w.Region) {
 		return nil
 	}
 	places := h.places(w.Region)
-	if place := registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
-		if mayWait && h.young() && h.hallOf(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
+	if place := registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
+		if mayWait && h.isTermNew() && h.preferredHall(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return notYetServing{} // its hall's relay may be about to connect
 		}
 		return servedElsewhere{by: place}
 	} else if place != "" {
 		return nil
 	}
-	if mayWait && h.young() && !h.avoidsPreferred(w) {
+	if mayWait && h.isTermNew() && !h.avoidsPreferred(w) {
 		return notYetServing{}
 	}
 	return nil
 }
 
 // isTermNew reports whether relays may still be looking for this leader.
-func (h *hub) young() bool { return h.d.replica.Now()-h.termBegan < relayWait }
+func (h *hub) isTermNew() bool { return h.d.replica.Now()-h.termBegan < relayWait }
 
 // isRelayServed reports whether relays serve the gateways of a region.
-func (h *hub) relayed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
+func (h *hub) isRelayServed(region string) bool { return h.isOtherRegion(region) || h.isSpread() }
 
 // avoidsPreferred reports whether a gateway avoids, for now, the replica that is preferred for it.
 func (h *hub) avoidsPreferred(w protocol.Watch) bool {
-	if !h.relayed(w.Region) || len(w.Avoid) == 0 {
+	if !h.isRelayServed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
 	places := h.placesFor(w.Region)
-	return registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.hallOf(w.Hall), w.Gateway, w.Avoid)
+	return registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid)
 }
 
 // moveMisplacedSessions redirects gateways that another available replica is to serve.
@@ -159,8 +159,8 @@
 			places[s.region] = h.placesFor(s.region)
 		}
 		there := places[s.region]
-		place := registry.SelectReplica(there, h.hallOf(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.mayMove(s, there) && moved < h.maxMoves(len(there)) {
+		place := registry.SelectReplica(there, h.preferredHall(s.hall), s.gateway, nil)
+		if place != "" && place != h.d.Address() && h.canMove(s, there) && moved < h.maxMoves(len(there)) {
 			h.redirectSession(s, place)
 			moved++
 		}
@@ -171,15 +171,15 @@
 // here because it reached no relay stays for directServeTime. So does one that was redirected here,
 // unless a replica in its own data hall can serve it. A leader that has just begun to spread sessions
 // waits for the relays of the gateway's hall.
-func (h *hub) mayMove(s *session, places []protocol.Place) bool {
+func (h *hub) canMove(s *session, places []protocol.Place) bool {
 	now := h.d.replica.Now()
-	hall := h.hallOf(s.hall)
+	hall := h.preferredHall(s.hall)
 	abroad := hall != "" && hall != h.d.cfg.Hall
 	switch {
 	case s.avoidsRelays:
-		return now-s.opened >= directStay
+		return now-s.opened >= directServeTime
 	case h.relay != nil && s.redirectedHere:
-		return now-s.opened >= directStay || (abroad && registry.AnyInHall(places, hall))
+		return now-s.opened >= directServeTime || (abroad && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
 		return now-h.spreadSince >= relayWait
 	}
@@ -191,7 +191,7 @@
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
-	case h.relay == nil && h.relayed(region):
+	case h.relay == nil && h.isRelayServed(region):
 		return h.places(region)
 	}
 	return nil
@@ -199,7 +199,7 @@
 
 // preferredHall returns the data hall whose replicas are preferred for a gateway: its own hall if
 // sessions are spread, otherwise none.
-func (h *hub) hallOf(hall string) string {
+func (h *hub) preferredHall(hall string) string {
 	if h.isSpread() {
 		return hall
 	}
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -58,8 +58,8 @@
 		x.announceMany(servers)
 		for i := range 2 * gateways {
 			region := []string{north, south}[i%2]
-			r := x.report(fmt.Sprintf("10.0.5.%d", i+1), region, uint32(i+1), x.addresses()...)
-			r.vary = true
+			r := x.startReporter(fmt.Sprintf("10.0.5.%d", i+1), region, uint32(i+1), x.addresses()...)
+			r.varies = true
 			defer r.stop()
 		}
 		time.Sleep(10 * time.Second)
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -29,12 +29,12 @@
 	relayDialTimeout = 700 * time.Millisecond
 	// relayGracePeriod is how long a relay keeps its gateways without the leader: the time of two
 	// elections.
-	relayGrace = 3 * time.Second
+	relayGracePeriod = 3 * time.Second
 	// spreadGracePeriod is the same where sessions are spread. A replica that is cut off from the others,
 	// but not from its gateways, detects that after registry.SilenceLimit. After this period its gateways
 	// have one second left to be sent a document within 3.5 s of its acknowledgement. The period covers an
 	// election and a dial.
-	spreadGrace = 1500 * time.Millisecond
+	spreadGracePeriod = 1500 * time.Millisecond
 )
 
 // relay is the state of a replica that forwards the leader's messages. Everything runs in the hub's
@@ -46,19 +46,19 @@
 	list            registry.Copy
 	sums            registry.Sums
 	gatewaysChanged bool // since the leader was last sent the gateways
-	sumDue          time.Duration
+	nextReportAt          time.Duration
 
 	loads    map[uint32]protocol.ServerLoad // the leader's sums, by handle
 	feed     registry.Feed                  // sums that the gateways were sent
 	fleet    *protocol.Fleet                // newest message without its loads; nil before the first
-	fleetNew bool                           // fleet was not forwarded yet
-	fleetDue time.Duration
+	fleetUnsent bool                           // fleet was not forwarded yet
+	nextFleetAt time.Duration
 	rollouts *protocol.Rollouts
 
 	places []protocol.Place // replicas that serve the region's gateways; set at relays in the leader's region
 
 	quarantine quarantine.List
-	losses     []agedLoss // not yet reported to the leader
+	losses     []bufferedLoss // not yet reported to the leader
 	cleared    [][]byte   // keys not yet reported to the leader
 }
 
@@ -71,7 +71,7 @@
 	}
 	out := r.out
 	defer out.Close()
-	defer h.post(func() { r.lose(out) })
+	defer h.post(func() { r.disconnectLeader(out) })
 	for {
 		m, err := l.ReceiveWithin(ctx, registry.SilenceLimit)
 		if err != nil {
@@ -82,7 +82,7 @@
 		}
 		h.post(func() {
 			if h.relay == r && r.out == out {
-				r.take(m)
+				r.receive(m)
 			}
 		})
 	}
@@ -96,19 +96,19 @@
 		return nil, Unavailable{}
 	}
 	if h.relay != nil && h.relay.list.Term() != first.Term {
-		h.followTerm()
+		h.carryOverSessions()
 	}
 	if h.relay == nil {
 		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
-	r.out, r.gatewaysChanged, r.sumDue = link.NewOutbox(l, sessionQueueSize), true, 0
-	r.loads, r.fleet, r.fleetNew = map[uint32]protocol.ServerLoad{}, nil, false
+	r.out, r.gatewaysChanged, r.nextReportAt = link.NewOutbox(l, sessionQueueSize), true, 0
+	r.loads, r.fleet, r.fleetUnsent = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
 	for _, m := range before {
-		r.take(m)
+		r.receive(m)
 	}
-	r.take(first)
+	r.receive(first)
 	r.tick()
 	h.d.cfg.Log.StateChange("relaying", slog.String("leader", leader), slog.Uint64("term", first.Term),
 		slog.Int("gateways", len(h.sessions)))
@@ -116,7 +116,7 @@
 }
 
 // carryOverSessions keeps the gateways whose sessions outlive the leader, and ends the other sessions.
-func (h *hub) followTerm() {
+func (h *hub) carryOverSessions() {
 	if !h.isSpread() {
 		h.endRelay(h.d.Address())
 		return
@@ -126,7 +126,7 @@
 
 // disconnectLeader ends the session with the leader that uses this outbox. The gateways are kept for the
 // grace period.
-func (r *relay) lose(out *link.Outbox) {
+func (r *relay) disconnectLeader(out *link.Outbox) {
 	if r.h.relay != r || r.out != out {
 		return
 	}
@@ -142,16 +142,16 @@
 	switch {
 	case r == nil:
 	case r.out != nil && l.term > r.list.Term():
-		r.lose(r.out)
-	case r.out == nil && h.d.replica.Now()-r.lostAt > h.grace():
-		h.endRelay(h.elsewhere())
+		r.disconnectLeader(r.out)
+	case r.out == nil && h.d.replica.Now()-r.lostAt > h.gracePeriod():
+		h.endRelay(h.redirectTarget())
 	}
 }
 
 // redirectTarget returns the replica to which a relay without a leader redirects its gateways. Where
 // sessions are spread it is "", for any other replica. Otherwise a region has few relays, and it is this
 // one, which serves them as soon as it has a leader again.
-func (h *hub) elsewhere() string {
+func (h *hub) redirectTarget() string {
 	if h.isSpread() {
 		return ""
 	}
@@ -159,11 +159,11 @@
 }
 
 // gracePeriod returns how long a relay keeps its gateways without the leader.
-func (h *hub) grace() time.Duration {
+func (h *hub) gracePeriod() time.Duration {
 	if h.isSpread() {
-		return spreadGrace
+		return spreadGracePeriod
 	}
-	return relayGrace
+	return relayGracePeriod
 }
 
 // endRelay ends the sessions of all gateways and redirects them to a replica.
@@ -193,7 +193,7 @@
 }
 
 // receive handles a message from the leader.
-func (r *relay) take(m protocol.Message) {
+func (r *relay) receive(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Servers:
 		r.h.list = nil
@@ -203,7 +203,7 @@
 		r.sums.ApplyRollouts(m)
 		r.h.broadcast(m)
 	case protocol.Quarantine:
-		r.takeQuarantine(m)
+		r.applyQuarantine(m)
 	case protocol.Places:
 		r.places = m.List
 	case protocol.Counted:
@@ -211,7 +211,7 @@
 	case protocol.Fleet:
 		registry.ApplyLoads(r.loads, r.list.WithOwnHandles(m.Loads))
 		m.Loads = nil
-		r.fleet, r.fleetNew = &m, true
+		r.fleet, r.fleetUnsent = &m, true
 		r.pushFleet()
 	}
 }
@@ -257,13 +257,13 @@
 		r.out.Send(m)
 	}
 	now := r.h.d.replica.Now()
-	if now < r.sumDue {
+	if now < r.nextReportAt {
 		return
 	}
-	report := r.takeLosses(r.sums.Next())
+	report := r.appendLosses(r.sums.Next())
 	report.Loads = r.list.WithLeaderHandles(report.Loads)
 	if m, ok := r.h.encode(report); ok {
-		r.sumDue = now + registry.SumPause(m.Size())
+		r.nextReportAt = now + registry.SumPause(m.Size())
 		r.out.Send(m)
 	}
 }
@@ -271,7 +271,7 @@
 // pushFleet sends the gateways the sums over the fleet, as often as a link's budget allows.
 func (r *relay) pushFleet() {
 	now := r.h.d.replica.Now()
-	if !r.fleetNew || now < r.fleetDue || len(r.h.sessions) == 0 {
+	if !r.fleetUnsent || now < r.nextFleetAt || len(r.h.sessions) == 0 {
 		return
 	}
 	fleet := *r.fleet
@@ -281,7 +281,7 @@
 	if !ok {
 		return
 	}
-	r.fleetNew, r.fleetDue = false, now+budget.Pause(m.Size(), links)
+	r.fleetUnsent, r.nextFleetAt = false, now+budget.Pause(m.Size(), links)
 	for s := range r.h.sessions {
 		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		s.out.Send(m)
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -15,7 +15,7 @@
 // This file tests relays: the messages that their gateways receive, and failures of relays and leaders.
 
 // withRelays runs f with the leader in the north, servers, gateways in both regions, and a document.
-func inRelayed(t *testing.T, servers, gateways int, f func(x *fleet, near, far []*gateway.Gateway)) {
+func withRelays(t *testing.T, servers, gateways int, f func(x *fleet, near, far []*gateway.Gateway)) {
 	inRegions(t, 1_000_000, func(x *fleet) {
 		x.leadIn(north)
 		x.announceMany(servers)
@@ -28,7 +28,7 @@
 
 // awaitDocument puts a document, waits until it is in force at all gateways, and returns how long that
 // took.
-func (x *fleet) mustFollow(number uint64, all ...*gateway.Gateway) time.Duration {
+func (x *fleet) awaitDocument(number uint64, all ...*gateway.Gateway) time.Duration {
 	x.put(number)
 	began := time.Now()
 	for _, g := range all {
@@ -42,13 +42,13 @@
 	return time.Since(began)
 }
 
-// messagesSent returns the number of messages of a kind that a replica has sent.
-func (n *directoryNode) sent(kind string) uint64 {
+// messagesSent returns the number of messages of a kind that a replica has messagesSent.
+func (n *directoryNode) messagesSent(kind string) uint64 {
 	return n.metrics.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_control_messages_total{direction="out",kind=%q}`, kind)).Get()
 }
 
 // bytesSentTo returns the bytes of a kind that a replica has sent to a region.
-func (n *directoryNode) bytesTo(kind, region string) uint64 {
+func (n *directoryNode) bytesSentTo(kind, region string) uint64 {
 	return n.metrics.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_directory_region_bytes_total{direction="out",kind=%q,region=%q}`, kind, region)).Get()
 }
 
@@ -57,20 +57,20 @@
 // and departures.
 func TestRelayServesItsRegion(t *testing.T) {
 	t.Parallel()
-	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		leader := x.mustLead()
-		before := leader.sent("fleet")
+		before := leader.messagesSent("fleet")
 		time.Sleep(10 * time.Second)
-		fleets := leader.sent("fleet") - before
+		fleets := leader.messagesSent("fleet") - before
 		is.True(fleets > 8*90) // to the gateways of its own region
 		is.True(fleets < 11*101)
 		for _, r := range x.relays(south) {
-			is.True(r.sent("fleet") > 0) // gateways are spread over both
+			is.True(r.messagesSent("fleet") > 0) // gateways are spread over both
 		}
-		is.True(leader.bytesTo("fleet", south) > 0)
-		is.True(leader.bytesTo("fleet", south) < leader.bytesTo("fleet", north)) // two relays against eight gateways
-		is.True(x.mustFollow(2, append(near, far...)...) < 200*time.Millisecond)
+		is.True(leader.bytesSentTo("fleet", south) > 0)
+		is.True(leader.bytesSentTo("fleet", south) < leader.bytesSentTo("fleet", north)) // two relays against eight gateways
+		is.True(x.awaitDocument(2, append(near, far...)...) < 200*time.Millisecond)
 		is.NoErr(leader.d.Announce(x.t.Context(), manyServer(30, 1)))
 		is.NoErr(leader.d.Withdraw(x.t.Context(), "b3"))
 		time.Sleep(300 * time.Millisecond)
@@ -86,7 +86,7 @@
 	for _, how := range []string{"killed", "silent", "cut"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
-			inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+			withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 				is := is.New(x.t)
 				relays := x.relays(south)
 				gone := relays[0]
@@ -98,12 +98,12 @@
 				case "cut":
 					x.net.Cut(gone.ip)
 				}
-				took := x.mustFollow(2, append(near, far...)...)
+				took := x.awaitDocument(2, append(near, far...)...)
 				x.t.Logf("in force after %v", took)
 				is.True(took < 2500*time.Millisecond)
 				x.net.Join(gone.ip)
 				time.Sleep(6 * time.Second)
-				is.True(x.mustFollow(3, append(near, far...)...) < 300*time.Millisecond)
+				is.True(x.awaitDocument(3, append(near, far...)...) < 300*time.Millisecond)
 			})
 		})
 	}
@@ -113,22 +113,22 @@
 // that a relay serves them once it is back.
 func TestAllRelaysEnd(t *testing.T) {
 	t.Parallel()
-	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		relays := x.relays(south)
 		for _, r := range relays {
 			r.kill()
 		}
-		took := x.mustFollow(2, far...)
+		took := x.awaitDocument(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2500*time.Millisecond)
 		x.start(relays[0].ip, false)
 		time.Sleep(20 * time.Second)
 		leader := x.mustLead()
-		before := leader.sent("fleet")
+		before := leader.messagesSent("fleet")
 		time.Sleep(10 * time.Second)
-		is.True(leader.sent("fleet")-before <= 9*101) // to eight gateways and the relay
-		is.True(x.mustFollow(3, append(near, far...)...) < 300*time.Millisecond)
+		is.True(leader.messagesSent("fleet")-before <= 9*101) // to eight gateways and the relay
+		is.True(x.awaitDocument(3, append(near, far...)...) < 300*time.Millisecond)
 	})
 }
 
@@ -136,7 +136,7 @@
 // reaches both, are served by the leader until they reach the relays again.
 func TestRelaysAreOutOfReach(t *testing.T) {
 	t.Parallel()
-	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		var apart []string
 		for _, r := range x.relays(south) {
@@ -150,16 +150,16 @@
 		defer x.net.Reunite() // also if the test fails, as dials would block forever
 		x.net.Isolate(apart...)
 		time.Sleep(4 * time.Second)
-		took := x.mustFollow(2, far...)
+		took := x.awaitDocument(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2*time.Second)
 		x.net.Reunite()
 		time.Sleep(20 * time.Second)
 		leader := x.mustLead()
-		before := leader.sent("fleet")
+		before := leader.messagesSent("fleet")
 		time.Sleep(5 * time.Second)
-		is.True(leader.sent("fleet")-before < 10*51+10) // to eight gateways and two relays
-		is.True(x.mustFollow(3, append(near, far...)...) < 300*time.Millisecond)
+		is.True(leader.messagesSent("fleet")-before < 10*51+10) // to eight gateways and two relays
+		is.True(x.awaitDocument(3, append(near, far...)...) < 300*time.Millisecond)
 	})
 }
 
@@ -167,21 +167,21 @@
 // all gateways must be served, by the relays of their region and not by the leader.
 func TestLeaderChangesBehindRelays(t *testing.T) {
 	t.Parallel()
-	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		for round := range uint64(6) {
 			old := x.mustLead()
 			old.kill()
-			took := x.mustFollow(round+2, append(near, far...)...)
+			took := x.awaitDocument(round+2, append(near, far...)...)
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
 			x.start(old.ip, false)
 			time.Sleep(20 * time.Second) // until gateways that had lost their only relay return to it
 			leader := x.mustLead()
-			before := leader.sent("fleet")
+			before := leader.messagesSent("fleet")
 			time.Sleep(5 * time.Second)
 			served := 8 + len(x.relays(map[string]string{north: south, south: north}[x.regions[leader.ip]]))
-			fleets := leader.sent("fleet") - before
+			fleets := leader.messagesSent("fleet") - before
 			x.t.Logf("the leader sent %d Fleet messages of at most %d", fleets, served*51)
 			is.True(fleets <= uint64(served)*51) // the ticks at both ends of the period may count
 		}
@@ -192,11 +192,11 @@
 // when it is reconnected.
 func TestRegionIsCutOff(t *testing.T) {
 	t.Parallel()
-	inRelayed(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
+	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		x.net.CutRegion(south)
 		time.Sleep(10 * time.Second)
-		is.True(x.mustFollow(2, near...) < 300*time.Millisecond)
+		is.True(x.awaitDocument(2, near...) < 300*time.Millisecond)
 		for _, g := range far {
 			is.Equal(g.DocumentNumber(), uint64(1))
 			is.Equal(len(g.Servers()), 20)
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -21,29 +21,29 @@
 
 // reportingGateway is a gateway's side of a session: it reports the same work repeatedly and applies
 // received messages as a gateway does.
-type reporter struct {
+type reportingGateway struct {
 	x    *fleet
 	ip   string
-	runs uint32 // requests on each server
-	vary bool   // the number of requests changes with each report
+	baseRequests uint32 // requests on each server
+	varies bool   // the number of requests changes with each report
 
 	mu       sync.Mutex
 	term     uint64
 	handles  map[string]uint32
 	sums     map[uint32]protocol.ServerLoad
-	counted  uint64
+	countedSeq  uint64
 	seq      uint64
 	gateways int
 	short    bool
 	stop     context.CancelFunc
-	served   string // address of the replica that serves it; empty without one
+	servedBy   string // address of the replica that serves it; empty without one
 }
 
 // startReporter starts a reporting gateway in a region that dials these replicas in turn.
-func (x *fleet) report(ip, region string, runs uint32, addresses ...string) *reporter {
+func (x *fleet) startReporter(ip, region string, runs uint32, addresses ...string) *reportingGateway {
 	x.place(ip, region)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &reporter{x: x, ip: ip, runs: runs, stop: cancel}
+	r := &reportingGateway{x: x, ip: ip, baseRequests: runs, stop: cancel}
 	go func() {
 		for i := 0; ctx.Err() == nil; i++ {
 			r.session(ctx, addresses[i%len(addresses)])
@@ -54,7 +54,7 @@
 }
 
 // session runs one session, and one with the replica that it is redirected to.
-func (r *reporter) session(ctx context.Context, address string) {
+func (r *reportingGateway) session(ctx context.Context, address string) {
 	id := link.Identity{Name: r.ip + ":7400", Key: fleetKey, Dial: r.x.net.Box(r.ip).DialContext}
 	dialing, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	l, err := link.Dial(dialing, address, id, nil)
@@ -69,7 +69,7 @@
 		return
 	}
 	first := true
-	defer func() { r.mu.Lock(); r.served = ""; r.mu.Unlock() }()
+	defer func() { r.mu.Lock(); r.servedBy = ""; r.mu.Unlock() }()
 	for {
 		m, err := l.ReceiveWithin(ctx, registry.SilenceLimit)
 		if err != nil {
@@ -82,7 +82,7 @@
 			}
 			return
 		}
-		r.take(m, address)
+		r.apply(m, address)
 		if first {
 			first = false
 			go r.send(ctx, l)
@@ -91,20 +91,20 @@
 }
 
 // apply applies a received message.
-func (r *reporter) take(m protocol.Message, address string) {
+func (r *reportingGateway) apply(m protocol.Message, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch m := m.(type) {
 	case protocol.Servers:
-		r.term, r.served = m.Term, address
+		r.term, r.servedBy = m.Term, address
 		if m.Whole {
-			r.handles, r.sums, r.seq, r.counted = map[string]uint32{}, map[uint32]protocol.ServerLoad{}, 0, 0
+			r.handles, r.sums, r.seq, r.countedSeq = map[string]uint32{}, map[uint32]protocol.ServerLoad{}, 0, 0
 		}
 		for _, s := range m.Set {
 			r.handles[s.ID] = s.Handle
 		}
 	case protocol.Counted:
-		r.counted = m.Seq
+		r.countedSeq = m.Seq
 	case protocol.Fleet:
 		registry.ApplyLoads(r.sums, m.Loads)
 		r.gateways, r.short = m.Gateways, m.Short
@@ -112,16 +112,16 @@
 }
 
 // send sends reports until ctx ends.
-func (r *reporter) send(ctx context.Context, l *link.Link) {
+func (r *reportingGateway) send(ctx context.Context, l *link.Link) {
 	for range sleep.Every(ctx, registry.ReportPeriod) {
 		r.mu.Lock()
 		r.seq++
 		u := protocol.Usage{Seq: r.seq, Demands: []protocol.Demand{{Account: "a", Tokens: 100}}, Started: 100}
 		for id, h := range r.handles {
-			if id != "b1" && !r.vary {
+			if id != "b1" && !r.varies {
 				continue
 			}
-			u.Loads = append(u.Loads, protocol.ServerLoad{Handle: h, Requests: r.runs + r.more(h)})
+			u.Loads = append(u.Loads, protocol.ServerLoad{Handle: h, Requests: r.baseRequests + r.extraRequests(h)})
 		}
 		r.mu.Unlock()
 		if l.Send(ctx, u) != nil {
@@ -131,8 +131,8 @@
 }
 
 // extraRequests returns by how much a server's requests exceed the base number now. The caller holds mu.
-func (r *reporter) more(handle uint32) uint32 {
-	if !r.vary {
+func (r *reportingGateway) extraRequests(handle uint32) uint32 {
+	if !r.varies {
 		return 0
 	}
 	return uint32(r.seq+uint64(handle)) % 3
@@ -140,21 +140,21 @@
 
 // sum returns the number of requests on a server by the sums, and whether they include this gateway's
 // own reports.
-func (r *reporter) sum(id string) (requests uint32, own bool) {
+func (r *reportingGateway) sum(id string) (requests uint32, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sums[r.handles[id]].Requests, r.counted > 0
+	return r.sums[r.handles[id]].Requests, r.countedSeq > 0
 }
 
 // listTerm returns the term of the list and b1's handle in it.
-func (r *reporter) seen() (term uint64, handle uint32) {
+func (r *reportingGateway) listTerm() (term uint64, handle uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.term, r.handles["b1"]
 }
 
 // countStrays returns how many servers but b1 have running requests by the sums.
-func (r *reporter) strays() int {
+func (r *reportingGateway) countStrays() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -166,20 +166,20 @@
 	return n
 }
 
-func (r *reporter) by() string {
+func (r *reportingGateway) servingReplica() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.served
+	return r.servedBy
 }
 
 // awaitSum waits until all gateways have this sum for server b1, their own reports included, and returns
 // how long that took.
-func mustSum(x *fleet, want uint32, all ...*reporter) time.Duration {
+func awaitSum(x *fleet, want uint32, all ...*reportingGateway) time.Duration {
 	began := time.Now()
 	for _, r := range all {
 		for got, own := r.sum("b1"); got != want || !own; got, own = r.sum("b1") {
 			if time.Since(began) > 5*time.Second {
-				x.t.Fatalf("%s has %d of %d requests on b1, own reports included: %v, served by %q", r.ip, got, want, own, r.by())
+				x.t.Fatalf("%s has %d of %d requests on b1, own reports included: %v, served by %q", r.ip, got, want, own, r.servingReplica())
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -198,21 +198,21 @@
 		x.announceMany(5)
 		relays := x.relays(south)
 		a, b := relays[0].ip+":7400", relays[1].ip+":7400"
-		all := []*reporter{
-			x.report("10.0.5.1", north, 1, x.addresses()...), x.report("10.0.5.2", south, 10, a, b),
-			x.report("10.0.5.3", south, 100, b, a), x.report("10.0.5.4", south, 1000, a, b),
+		all := []*reportingGateway{
+			x.startReporter("10.0.5.1", north, 1, x.addresses()...), x.startReporter("10.0.5.2", south, 10, a, b),
+			x.startReporter("10.0.5.3", south, 100, b, a), x.startReporter("10.0.5.4", south, 1000, a, b),
 		}
 		defer func() {
 			for _, r := range all {
 				r.stop()
 			}
 		}()
-		x.t.Logf("sums after %v", mustSum(x, 1111, all...))
-		is.Equal(all[1].by(), a)
-		is.Equal(all[2].by(), b)
+		x.t.Logf("sums after %v", awaitSum(x, 1111, all...))
+		is.Equal(all[1].servingReplica(), a)
+		is.Equal(all[2].servingReplica(), b)
 
 		all[3].stop() // it moves to the other relay and does not end its session otherwise
-		all[3] = x.report("10.0.5.4", south, 1000, b, a)
+		all[3] = x.startReporter("10.0.5.4", south, 1000, b, a)
 		most := uint32(0)
 		for range 50 {
 			time.Sleep(10 * time.Millisecond)
@@ -221,40 +221,40 @@
 		}
 		x.t.Logf("sum of at most %d while a gateway moves", most)
 		is.True(most <= 1111+1000)
-		x.t.Logf("sums after %v", mustSum(x, 1111, all...))
-		is.Equal(all[3].by(), b)
+		x.t.Logf("sums after %v", awaitSum(x, 1111, all...))
+		is.Equal(all[3].servingReplica(), b)
 
 		relays[1].kill()
 		time.Sleep(100 * time.Millisecond)
-		x.t.Logf("sums after the end of a relay after %v", mustSum(x, 1111, all...))
-		is.Equal(all[3].by(), a)
+		x.t.Logf("sums after the end of a relay after %v", awaitSum(x, 1111, all...))
+		is.Equal(all[3].servingReplica(), a)
 		x.start(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
 
 		is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "b0")) // so that the next leader assigns other handles
 		time.Sleep(300 * time.Millisecond)
-		term, handle := all[0].seen()
+		term, handle := all[0].listTerm()
 		x.mustLead().kill()
 		began := time.Now()
 		for _, r := range all {
-			for now, _ := r.seen(); now == term; now, _ = r.seen() {
+			for now, _ := r.listTerm(); now == term; now, _ = r.listTerm() {
 				time.Sleep(10 * time.Millisecond)
-				is.Equal(all[0].strays(), 0)
+				is.Equal(all[0].countStrays(), 0)
 			}
 		}
-		_, next := all[0].seen()
+		_, next := all[0].listTerm()
 		is.True(next != handle)
 		for range 100 {
-			is.Equal(all[0].strays(), 0)
+			is.Equal(all[0].countStrays(), 0)
 			time.Sleep(10 * time.Millisecond)
 		}
-		mustSum(x, 1111, all...)
+		awaitSum(x, 1111, all...)
 		x.t.Logf("sums after the end of the leader after %v", time.Since(began))
 		is.True(time.Since(began) < 3*time.Second)
 
 		all[2].stop()
 		time.Sleep(600 * time.Millisecond)
-		x.t.Logf("sums after the end of a gateway after %v", mustSum(x, 1011, all[0], all[1], all[3]))
+		x.t.Logf("sums after the end of a gateway after %v", awaitSum(x, 1011, all[0], all[1], all[3]))
 		is.Equal(all[0].gateways, 3)
 	})
 }
@@ -271,26 +271,26 @@
 		time.Sleep(2 * time.Second) // until the relays have their sessions
 		relays := x.relays(south)
 		a, b := relays[0].ip+":7400", relays[1].ip+":7400"
-		all := []*reporter{
-			x.report("10.0.5.2", south, 10, a, b), x.report("10.0.5.3", south, 100, b, a), x.report("10.0.5.4", south, 1000, a, b),
+		all := []*reportingGateway{
+			x.startReporter("10.0.5.2", south, 10, a, b), x.startReporter("10.0.5.3", south, 100, b, a), x.startReporter("10.0.5.4", south, 1000, a, b),
 		}
 		defer func() {
 			for _, r := range all {
 				r.stop()
 			}
 		}()
-		mustSum(x, 1110, all...)
-		is.Equal([]string{all[0].by(), all[1].by(), all[2].by()}, []string{a, b, a})
+		awaitSum(x, 1110, all...)
+		is.Equal([]string{all[0].servingReplica(), all[1].servingReplica(), all[2].servingReplica()}, []string{a, b, a})
 		x.net.Cut(relays[0].ip)
 		time.Sleep(1200 * time.Millisecond)
-		x.t.Logf("sums after %v", 1200*time.Millisecond+mustSum(x, 1110, all...))
+		x.t.Logf("sums after %v", 1200*time.Millisecond+awaitSum(x, 1110, all...))
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
 			got, _ := all[1].sum("b1")
 			is.Equal(fmt.Sprint(got), "1110")
 		}
 		for _, r := range all {
-			is.Equal(r.by(), b)
+			is.Equal(r.servingReplica(), b)
 		}
 		time.Sleep(2 * time.Second)
 		x.net.Join(relays[0].ip)
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -26,31 +26,31 @@
 func TestDeadlyRequestThroughFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name  string
-		m     func(m *mortals)
-		do    func(x *fleet, m *mortals, c *callers)
+		m     func(m *crashingServers)
+		do    func(x *fleet, m *crashingServers, c *callers)
 		after time.Duration // from the first attempt
 		most  int           // bound of the number of servers that end
 	}{
-		{name: "streams", m: func(m *mortals) { m.streams = true }, most: 3},
-		{name: "servers keep their identifiers", m: func(m *mortals) { m.keepIDs = true }, most: 3},
+		{name: "streams", m: func(m *crashingServers) { m.streams = true }, most: 3},
+		{name: "servers keep their identifiers", m: func(m *crashingServers) { m.keepIDs = true }, most: 3},
 		{
 			name: "the leader is killed after two ends", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *crashingServers, _ *callers) { x.mustLead().kill() },
 		},
 		{
 			name: "the leader is killed after it was condemned", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *crashingServers, _ *callers) { x.mustLead().kill() },
 		},
 		{
 			name: "a gateway that was at the first ends is killed", after: 200 * time.Millisecond, most: 5,
-			do: func(x *fleet, _ *mortals, c *callers) {
+			do: func(x *fleet, _ *crashingServers, c *callers) {
 				x.gateways[gatewayIP(3)].kill()
-				c.without(gatewayIP(3))
+				c.removeGateway(gatewayIP(3))
 			},
 		},
 		{
 			name: "gateways start", after: time.Second, most: 3,
-			do: func(x *fleet, m *mortals, c *callers) {
+			do: func(x *fleet, m *crashingServers, c *callers) {
 				for i := range 4 {
 					x.gateways[gatewayIP(i)].kill()
 					c.gateway(m, gatewayIP(i))
@@ -59,7 +59,7 @@
 		},
 		{
 			name: "power of the directory is lost", after: time.Second, most: 3,
-			do: func(x *fleet, _ *mortals, _ *callers) {
+			do: func(x *fleet, _ *crashingServers, _ *callers) {
 				x.losePower()
 				for _, ip := range x.order {
 					x.start(ip, false)
@@ -68,7 +68,7 @@
 		},
 		{
 			name: "power of everything is lost", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, m *mortals, c *callers) {
+			do: func(x *fleet, m *crashingServers, c *callers) {
 				for i := range 4 {
 					x.gateways[gatewayIP(i)].kill()
 				}
@@ -83,11 +83,11 @@
 		},
 		{
 			name: "connections between nodes are silent", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *mortals, _ *callers) { x.net.Silence() },
+			do: func(x *fleet, _ *crashingServers, _ *callers) { x.net.Silence() },
 		},
 		{
 			name: "no gateway reaches the directory", most: 16, // three ends at each of four gateways, and the second attempts
-			do: func(x *fleet, _ *mortals, _ *callers) {
+			do: func(x *fleet, _ *crashingServers, _ *callers) {
 				for _, ip := range x.order {
 					x.net.Cut(ip)
 				}
@@ -144,7 +144,7 @@
 				is.True(late <= 3)
 			}
 			others, refused := c.answeredShare("other")
-			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.ended(), others)
+			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.countEnds(), others)
 			is.True(most <= 6)
 			is.Equal(refused, 0)
 		})
@@ -167,7 +167,7 @@
 			<-other
 			a, lateA := m.countDeadly("deadly a")
 			b, lateB := m.countDeadly("deadly b")
-			t.Logf("begun %d and %d times, %d servers ended", a, b, m.ended())
+			t.Logf("begun %d and %d times, %d servers ended", a, b, m.countEnds())
 			is.True(a <= 6 && b <= 6)
 			is.True(lateA <= 3 && lateB <= 3)
 		})
@@ -202,9 +202,9 @@
 					time.Sleep(2 * time.Second)
 					others, refusedOthers := c.answeredShare("other")
 					hot, refusedHot := c.answeredShare("hot")
-					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.ended(), others, hot)
+					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.countEnds(), others, hot)
 					is.Equal(refusedOthers+refusedHot, 0)
-					is.True(m.ended() > 10)
+					is.True(m.countEnds() > 10)
 					is.Equal(others > 0, tt.run < time.Second)
 				})
 			})
@@ -239,9 +239,9 @@
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
 			for _, n := range x.gateways {
 				began := time.Now()
-				is.Equal(c.ask(n.g, "deadly", http.MethodPost, "deadly"), http.StatusBadRequest)
+				is.Equal(c.send(n.g, "deadly", http.MethodPost, "deadly"), http.StatusBadRequest)
 				is.True(time.Since(began) < 10*time.Millisecond)
-				is.Equal(c.ask(n.g, "other", http.MethodPost, "harmless"), http.StatusOK)
+				is.Equal(c.send(n.g, "other", http.MethodPost, "harmless"), http.StatusOK)
 			}
 		})
 	})
@@ -267,7 +267,7 @@
 			is.Equal(late, 0)
 			is.Equal(refused, 0)
 			for _, n := range x.gateways {
-				is.Equal(c.ask(n.g, "deadly", http.MethodPost, "deadly"), http.StatusBadRequest)
+				is.Equal(c.send(n.g, "deadly", http.MethodPost, "deadly"), http.StatusBadRequest)
 			}
 		})
 	})
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -25,7 +25,7 @@
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(6, 250*time.Millisecond)
-				m.target = 4
+				m.firstTarget = 4
 				x.withCallers(m, 4, func(c *callers) {
 					is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 					m.mu.Lock()
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -29,7 +29,7 @@
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
 			_, late := m.countDeadly("deadly")
-			ended := m.ended()
+			ended := m.countEnds()
 			others, refusedOthers := c.answeredShare("other")
 			hot, refusedHot := c.answeredShare("hot")
 			t.Logf("%d servers ended, %d begun late; served %.4f of others, %.4f of the hot key", ended, late, others, hot)
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -50,7 +50,7 @@
 	if err := o.Check(); err != nil {
 		return err
 	}
-	for range orderTries {
+	for range maxOrderAttempts {
 		verdict, change, newest, err := d.decideRollout(ctx, o)
 		switch {
 		case err != nil:
@@ -61,7 +61,7 @@
 		case verdict == rollout.Conflict:
 			d.logOrder(o, verdict.String(), newest)
 			return RolloutConflict{Pool: o.Pool, Target: newest.Target}
-		case newest.State == 0 && !d.knowsPool(o.Pool):
+		case newest.State == 0 && !d.isPoolKnown(o.Pool):
 			return UnknownPool{Pool: o.Pool}
 		}
 		changed, err := d.proposeChange(ctx, command{Rollout: &change})
@@ -110,7 +110,7 @@
 	if attempt == 0 {
 		return rollout.InvalidOrder{What: "an abort names no attempt"}
 	}
-	for range orderTries {
+	for range maxOrderAttempts {
 		newest, err := d.Rollout(ctx, pool)
 		if err != nil {
 			return err
@@ -137,7 +137,7 @@
 }
 
 // isPoolKnown reports whether the document in force or a backend server names a pool.
-func (d *Directory) knowsPool(pool string) bool {
+func (d *Directory) isPoolKnown(pool string) bool {
 	held, _ := d.state.Held()
 	return slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool }) ||
 		slices.ContainsFunc(d.state.Joined(), func(s protocol.Registration) bool { return s.Pool == pool })
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -293,8 +293,8 @@
 	})
 }
 
-// sendOrder sends an order on a fleet link, as an operator's command does.
-func (x *fleet) command(n *directoryNode, o protocol.RolloutOrder) protocol.RolloutAnswer {
+// sendOrder sends an order on a fleet link, as an operator's sendOrder does.
+func (x *fleet) sendOrder(n *directoryNode, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	is := is.New(x.t)
 	id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(n.ip).DialContext}
 	l, err := link.Dial(x.t.Context(), n.ip+":7400", id, nil)
@@ -314,25 +314,25 @@
 		is := is.New(x.t)
 		l := x.mustLead()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
-		is.Equal(x.command(l, start).Outcome, protocol.OrderRefused) // no such pool
+		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderRefused) // no such pool
 		x.put(1)
-		is.Equal(x.command(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
-		is.Equal(x.command(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
-		answer := x.command(l, start)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
+		answer := x.sendOrder(l, start)
 		is.Equal(answer, protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{
 			Target: "v2", State: uint8(document.RolloutUnderWay), Attempt: 1, Duration: time.Hour,
 		}})
 		other := start
 		other.Target = "v3"
-		is.Equal(x.command(l, other).Outcome, protocol.OrderConflict)
-		is.Equal(x.command(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 2}).Outcome, protocol.OrderRefused)
-		is.Equal(x.command(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 1}).Newest.State, uint8(document.RolloutRolledBack))
-		status := x.command(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"})
+		is.Equal(x.sendOrder(l, other).Outcome, protocol.OrderConflict)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 2}).Outcome, protocol.OrderRefused)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 1}).Newest.State, uint8(document.RolloutRolledBack))
+		status := x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"})
 		is.Equal(status.Outcome, protocol.OrderDone)
 		is.Equal(status.Newest.Barred, []string{"v2"})
 		for _, n := range x.nodes {
 			if n != l {
-				answer := x.command(n, start)
+				answer := x.sendOrder(n, start)
 				is.Equal(answer.Outcome, protocol.OrderElsewhere)
 				is.Equal(answer.Leader, l.ip+":7400")
 			}
@@ -342,9 +342,9 @@
 				x.net.Cut(ip)
 			}
 		}
-		is.Equal(x.command(l, other).Outcome, protocol.OrderUnclear) // still leads, but waits for the others
+		is.Equal(x.sendOrder(l, other).Outcome, protocol.OrderUnclear) // still leads, but waits for the others
 		time.Sleep(3 * time.Second)
-		is.Equal(x.command(l, start).Outcome, protocol.OrderUnclear)
+		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderUnclear)
 	})
 }
 
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -22,42 +22,42 @@
 // initialReportWait is how long a new leader waits for the gateways' first reports before it gives a
 // target any share, since it has no outcomes before. Gateways leave a silent leader after
 // registry.SilenceLimit, and reconnect at once when their link closes.
-const informedAfter = time.Second
+const initialReportWait = time.Second
 
 // The progress of a rollout is written to the log every Duration/progressSteps, but at most once per
 // progressPeriod. A new leader underestimates the elapsed time by at most one such interval.
 const (
-	notedPeriod = time.Second
-	notedPart   = 50 // progress records per rollout duration
+	progressPeriod = time.Second
+	progressSteps   = 50 // progress records per rollout duration
 )
 
 // rolloutProposeTimeout bounds one attempt to commit a rollout change; the next step retries.
-const endTimeout = time.Second
+const rolloutProposeTimeout = time.Second
 
 // rollouts is the state of all rollouts during one term.
 type rollouts struct {
-	began    time.Duration
-	underWay map[string]*leadRollout // by pool
-	obeyed   map[*session]obedience
+	startedAt    time.Duration
+	underWay map[string]*activeRollout // by pool
+	applied   map[*session]appliedLists
 	list     []protocol.Rollout // as last sent
 	seq      uint64             // number of list
 	encoded  protocol.Encoded
 }
 
 // activeRollout is the leader's state of a rollout under way.
-type leadRollout struct {
+type activeRollout struct {
 	document.Rollout
 	schedule  rollout.Schedule
-	ordered   time.Duration // latest possible time of the order, by this replica's clock
-	reported  map[reporter]map[outcomeKey]protocol.Outcomes
+	orderedAt   time.Duration // latest possible time of the order, by this replica's clock
+	reports  map[reporter]map[outcomeKey]protocol.Outcomes
 	totals    map[string]*rollout.RouteTallies
 	decision  rollout.Decision
-	sent      rollout.Decision // decision whose shares were last sent to the gateways
+	sentDecision      rollout.Decision // decision whose shares were last sent to the gateways
 	fullSeq   uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
 	finalSeq  uint64           // number of the first list that announces completion; 0 if none was sent
-	finalAt   time.Duration    // when finalSeq was sent
-	forgot    bool             // totals were reduced since the last step because a relay's session ended
-	forgotAt  time.Duration    // last time that totalsReduced was seen before the switch
+	finalSentAt   time.Duration    // when finalSeq was sent
+	totalsReduced    bool             // totals were reduced since the last step because a relay's session ended
+	totalsReducedAt  time.Duration    // last time that totalsReduced was seen before the switch
 	proposing bool
 	loggedAt  time.Duration
 }
@@ -67,7 +67,7 @@
 // have already passed.
 func (h *hub) beginRollouts() {
 	h.rollouts = rollouts{
-		seq: h.rollouts.seq, began: h.d.replica.Now(), underWay: map[string]*leadRollout{}, obeyed: map[*session]obedience{},
+		seq: h.rollouts.seq, startedAt: h.d.replica.Now(), underWay: map[string]*activeRollout{}, applied: map[*session]appliedLists{},
 	}
 }
 
@@ -76,7 +76,7 @@
 func (h *hub) stepRollouts() {
 	now := h.d.replica.Now()
 	state := h.d.state.Rollouts()
-	h.takeRollouts(now, state)
+	h.syncRollouts(now, state)
 	for _, pool := range slices.Sorted(maps.Keys(h.rollouts.underWay)) {
 		h.stepRollout(now, h.rollouts.underWay[pool])
 	}
@@ -85,7 +85,7 @@
 
 // syncRollouts updates underWay from the applied state: rollouts that have begun, recorded progress or
 // ended.
-func (h *hub) takeRollouts(now time.Duration, state []document.Rollout) {
+func (h *hub) syncRollouts(now time.Duration, state []document.Rollout) {
 	for _, d := range state {
 		r := h.rollouts.underWay[d.Pool]
 		if r != nil && (r.Attempt != d.Attempt || d.State != document.RolloutUnderWay) {
@@ -97,8 +97,8 @@
 			continue
 		}
 		if r == nil {
-			r = &leadRollout{
-				reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{},
+			r = &activeRollout{
+				reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{},
 				schedule: rollout.Schedule{Duration: d.Duration, Bounds: h.d.cfg.Rollouts},
 			}
 			if d.Switched > 0 {
@@ -106,12 +106,12 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
+		r.Rollout, r.orderedAt = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
 	}
 }
 
 // elapsed returns a lower bound of the time since the order.
-func (r *leadRollout) elapsed(now time.Duration) time.Duration { return now - r.ordered }
+func (r *activeRollout) elapsed(now time.Duration) time.Duration { return now - r.orderedAt }
 
 // attemptKey identifies one attempt of a pool's rollouts.
 type attemptKey struct {
@@ -139,55 +139,55 @@
 }
 
 // stepRollout updates the decision on one rollout. A final decision stands until it is in the log.
-func (h *hub) stepRollout(now time.Duration, r *leadRollout) {
+func (h *hub) stepRollout(now time.Duration, r *activeRollout) {
 	switch {
 	case r.decision.Action != rollout.Continue:
 	case r.Target == r.Completed:
 		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "it has the requests"}
 		h.logStep(now, r)
 	default:
-		r.noteForgotten(now)
+		r.recordReducedTotals(now)
 		before, halls := r.decision, h.targetHalls(r)
 		r.decision = r.schedule.Step(rollout.Observation{
-			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
-			RoutesWithoutTarget: h.keptAway(halls),
-			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.checkLeading() == nil,
+			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldVersionsIdle(r), TargetListed: len(halls) > 0,
+			RoutesWithoutTarget: h.routesWithoutTarget(halls),
+			ReportsComplete:     now-max(h.rollouts.startedAt, r.totalsReducedAt) >= initialReportWait && h.d.checkLeading() == nil,
 		})
-		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
+		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(progressPeriod, r.Duration/progressSteps) {
 			h.logStep(now, r)
 		}
 	}
-	h.proposeStep(now, r)
+	h.proposeProgress(now, r)
 }
 
 // recordReducedTotals records when totals fell because a relay's session ended. Before the switch the
 // target then gets no requests until the relay's gateways have reported elsewhere, because its share
 // is bounded by the requests that it has already received.
-func (r *leadRollout) noteForgotten(now time.Duration) {
-	if r.forgot && !r.schedule.Switched() {
-		r.forgotAt = now
+func (r *activeRollout) recordReducedTotals(now time.Duration) {
+	if r.totalsReduced && !r.schedule.Switched() {
+		r.totalsReducedAt = now
 	}
-	r.forgot = false
+	r.totalsReduced = false
 }
 
 // proposeProgress writes the end of a rollout to the log once it is decided, and its progress at
 // intervals before that.
-func (h *hub) proposeStep(now time.Duration, r *leadRollout) {
+func (h *hub) proposeProgress(now time.Duration, r *activeRollout) {
 	c := document.RolloutChange{
 		Pool: r.Pool, Target: r.Target, After: r.Changes, Elapsed: max(r.elapsed(now), r.Elapsed), State: document.RolloutUnderWay,
 	}
 	switch r.decision.Action {
 	case rollout.Complete:
-		if !h.finalObeyed(now, r) {
+		if !h.finalListApplied(now, r) {
 			return
 		}
-		c.State, c.Replaced = document.RolloutComplete, h.otherVersions(r)
+		c.State, c.Replaced = document.RolloutComplete, h.replacedVersions(r)
 	case rollout.RollBack:
 		c.State = document.RolloutRolledBack
 	default:
 		if r.schedule.Switched() && r.Switched == 0 {
 			c.Switched = c.Elapsed
-		} else if c.Elapsed-r.Elapsed < max(notedPeriod, r.Duration/notedPart) {
+		} else if c.Elapsed-r.Elapsed < max(progressPeriod, r.Duration/progressSteps) {
 			return
 		}
 	}
@@ -196,7 +196,7 @@
 	}
 	r.proposing = true
 	go func() {
-		ctx, cancel := context.WithTimeout(h.d.ctx, endTimeout)
+		ctx, cancel := context.WithTimeout(h.d.ctx, rolloutProposeTimeout)
 		defer cancel()
 		// A change that was not applied is proposed again by a later step.
 		_ = h.d.propose(ctx, command{Rollout: &c})
@@ -206,12 +206,12 @@
 
 // replacedVersions returns the versions that the target replaces: those of announced servers, and those
 // that gateways have sent requests to, whose servers may be absent now.
-func (h *hub) otherVersions(r *leadRollout) []string {
+func (h *hub) replacedVersions(r *activeRollout) []string {
 	others := map[string]bool{}
 	for _, v := range h.registry.Versions(r.Pool) {
 		others[v] = true
 	}
-	for _, mine := range r.reported {
+	for _, mine := range r.reports {
 		for key := range mine {
 			others[key.version] = true
 		}
@@ -226,12 +226,12 @@
 // oldVersionsIdle reports whether all gateways apply the list that gives the target all requests, and no
 // request runs on servers of other versions. A relay reports for all its gateways (registry.Sums); one
 // whose session has just opened has reported neither their lists nor their load.
-func (h *hub) oldIdle(r *leadRollout) bool {
+func (h *hub) oldVersionsIdle(r *activeRollout) bool {
 	if r.fullSeq == 0 {
 		return false
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.obeyed[s].before < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.applied[s].previous < r.fullSeq {
 			return false
 		}
 	}
@@ -246,20 +246,20 @@
 // finalListTimeout bounds how long the leader waits for all gateways to apply the list that announces
 // completion. It waits for half of the remaining time if that is shorter. The timeout covers several
 // reports, so a gateway that takes longer is out of touch.
-const finalWait = time.Second
+const finalListTimeout = time.Second
 
 // finalListApplied reports whether a rollout may be committed as complete, because all gateways have
 // been informed that the old servers may stop. Otherwise a gateway that loses its session in the
 // meantime would return to them.
-func (h *hub) finalObeyed(now time.Duration, r *leadRollout) bool {
+func (h *hub) finalListApplied(now time.Duration, r *activeRollout) bool {
 	if r.finalSeq == 0 {
 		return false
 	}
-	if now-r.finalAt >= min(finalWait, (r.Duration-r.elapsed(r.finalAt))/2) {
+	if now-r.finalSentAt >= min(finalListTimeout, (r.Duration-r.elapsed(r.finalSentAt))/2) {
 		return true
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.obeyed[s].last < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.applied[s].newest < r.finalSeq {
 			return false
 		}
 	}
@@ -267,14 +267,14 @@
 }
 
 // targetHalls returns the data halls in service that have a listed server of the target.
-func (h *hub) targetHalls(r *leadRollout) []string {
+func (h *hub) targetHalls(r *activeRollout) []string {
 	out, _ := h.d.state.HallsOut()
 	return slices.DeleteFunc(h.registry.HallsOf(r.Pool, r.Target), func(hall string) bool { return slices.Contains(out, hall) })
 }
 
 // routesWithoutTarget returns the routes that are bound to home regions none of which contains any of
 // the halls of the target's servers.
-func (h *hub) keptAway(halls []string) map[string]bool {
+func (h *hub) routesWithoutTarget(halls []string) map[string]bool {
 	held, _ := h.d.state.Held()
 	away := map[string]bool{}
 	for _, route := range held.Document.Routes {
@@ -295,10 +295,10 @@
 	for i, d := range state {
 		e := protocol.Rollout{Pool: d.Pool, Attempt: d.Attempt, Barred: d.Barred, Replaced: d.Replaced}
 		if r := h.rollouts.underWay[d.Pool]; r != nil {
-			e = r.entry(e)
+			e = r.listEntry(e)
 		}
 		list = append(list, e)
-		changed = changed || !sameEntry(h.rollouts.list[i], e)
+		changed = changed || !equalEntries(h.rollouts.list[i], e)
 	}
 	if !changed {
 		return
@@ -311,7 +311,7 @@
 	h.rollouts.list, h.rollouts.seq, h.rollouts.encoded = list, m.Seq, encoded
 	for _, e := range list {
 		if r := h.rollouts.underWay[e.Pool]; r != nil {
-			r.noteSent(h.d.replica.Now(), m.Seq, e)
+			r.recordSent(h.d.replica.Now(), m.Seq, e)
 		}
 	}
 	for s := range h.sessions {
@@ -319,10 +319,10 @@
 	}
 }
 
-// listEntry completes a rollout's entry in the list for gateways. A target that is rolled back gets no
+// listEntry completes a rollout's listEntry in the list for gateways. A target that is rolled back gets no
 // requests from now on, even before the log records it. Shares that have hardly changed stay as last
 // sent.
-func (r *leadRollout) entry(e protocol.Rollout) protocol.Rollout {
+func (r *activeRollout) listEntry(e protocol.Rollout) protocol.Rollout {
 	e.Target = r.Target
 	switch r.decision.Action {
 	case rollout.RollBack:
@@ -332,20 +332,20 @@
 		e.Share, e.Final = 1, true
 		return e
 	}
-	if r.decision.Differs(r.sent) {
-		r.sent = r.decision
+	if r.decision.Differs(r.sentDecision) {
+		r.sentDecision = r.decision
 	}
-	e.Share = r.sent.Share
-	for _, route := range slices.Sorted(maps.Keys(r.sent.Routes)) {
-		e.Routes = append(e.Routes, protocol.RouteShare{Route: route, Share: float32(r.sent.Routes[route])})
+	e.Share = r.sentDecision.Share
+	for _, route := range slices.Sorted(maps.Keys(r.sentDecision.Routes)) {
+		e.Routes = append(e.Routes, protocol.RouteShare{Route: route, Share: float32(r.sentDecision.Routes[route])})
 	}
 	return e
 }
 
 // recordSent records that a list with this entry was sent.
-func (r *leadRollout) noteSent(now time.Duration, seq uint64, e protocol.Rollout) {
+func (r *activeRollout) recordSent(now time.Duration, seq uint64, e protocol.Rollout) {
 	if e.Final && r.finalSeq == 0 {
-		r.finalSeq, r.finalAt = seq, now
+		r.finalSeq, r.finalSentAt = seq, now
 	}
 	switch {
 	case e.Share < 1:
@@ -355,7 +355,7 @@
 	}
 }
 
-func sameEntry(a, b protocol.Rollout) bool {
+func equalEntries(a, b protocol.Rollout) bool {
 	return a.Pool == b.Pool && a.Attempt == b.Attempt && a.Target == b.Target && a.Share == b.Share && a.Final == b.Final &&
 		slices.Equal(a.Barred, b.Barred) && slices.Equal(a.Replaced, b.Replaced) && slices.Equal(a.Routes, b.Routes)
 }
@@ -372,18 +372,18 @@
 }
 
 // logStep logs a rollout's decision and the evidence for it.
-func (h *hub) logStep(now time.Duration, r *leadRollout) {
+func (h *hub) logStep(now time.Duration, r *activeRollout) {
 	r.loggedAt = now
 	h.d.cfg.Log.StateChange("rollout step", h.rolloutAttrs(now, r)...)
 }
 
 // logEnd logs the committed end of a rollout.
-func (h *hub) logEnd(now time.Duration, r *leadRollout, d document.Rollout) {
+func (h *hub) logEnd(now time.Duration, r *activeRollout, d document.Rollout) {
 	h.d.cfg.Log.StateChange("rollout ended", append(h.rolloutAttrs(now, r),
 		slog.Bool("complete", d.State == document.RolloutComplete), slog.Any("barred", d.Barred), slog.Any("replaced", d.Replaced))...)
 }
 
-func (h *hub) rolloutAttrs(now time.Duration, r *leadRollout) []slog.Attr {
+func (h *hub) rolloutAttrs(now time.Duration, r *activeRollout) []slog.Attr {
 	d := r.decision
 	kind := "slow"
 	if d.Evidence.FromFailures {
@@ -394,6 +394,6 @@
 		slog.Int64("elapsed_ms", r.elapsed(now).Milliseconds()), slog.Float64("share", d.Share), slog.Uint64("sent", d.Sent),
 		slog.Uint64("of", d.Total), slog.Uint64("known", d.Evidence.KnownOutcomes), slog.Uint64("failed", d.Evidence.Failed),
 		slog.String("worst_route", d.Evidence.Route), slog.String("worst_for", kind),
-		slog.Float64("evidence", math.Round(10*d.Evidence.Sum)/10), slog.Bool("old_idle", h.oldIdle(r)), slog.String("why", d.Reason),
+		slog.Float64("evidence", math.Round(10*d.Evidence.Sum)/10), slog.Bool("old_idle", h.oldVersionsIdle(r)), slog.String("why", d.Reason),
 	}
 }
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -67,7 +67,7 @@
 				inFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{}
-					x.rolling(v, func() {
+					x.withRollout(v, func() {
 						time.Sleep(at)
 						fault.do(x, v)
 						state, after := x.awaitRolloutEnd(v)
@@ -93,8 +93,8 @@
 func TestUnnamedVersion(t *testing.T) {
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versionedServers{unnamed: true}
-		x.rolling(v, func() {
+		v := &versionedServers{oldUnnamed: true}
+		x.withRollout(v, func() {
 			state, _ := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
@@ -114,8 +114,8 @@
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
 				inFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versionedServers{gone: at, allGone: all}
-					x.rolling(v, func() {
+					v := &versionedServers{unreachableAfter: at, allUnreachable: all}
+					x.withRollout(v, func() {
 						state, after := x.awaitRolloutEnd(v)
 						sent, room, _ := v.exposed()
 						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
@@ -153,7 +153,7 @@
 					inFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
 						v := &versionedServers{fails: version.fails}
-						x.rolling(v, func() {
+						x.withRollout(v, func() {
 							time.Sleep(at)
 							fault.do(x, v)
 							state, after := x.awaitRolloutEnd(v)
@@ -181,7 +181,7 @@
 	inFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.rolling(v, func() {
+		x.withRollout(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
 			sent, reports := n.count("out", "usage")
@@ -233,10 +233,10 @@
 			inFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
-				x.rolling(v, func() {
+				x.withRollout(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
-					session.Go(func() { x.busyAtOld(ctx, obeys) })
+					session.Go(func() { x.runGatewayAtOldServer(ctx, obeys) })
 					state, after := x.awaitRolloutEnd(v)
 					cancel()
 					session.Wait()
@@ -250,7 +250,7 @@
 }
 
 // runGatewayAtOldServer runs a gateway that, if it applies lists, always runs a request at server b1.
-func (x *fleet) busyAtOld(ctx context.Context, obeys bool) {
+func (x *fleet) runGatewayAtOldServer(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -25,10 +25,10 @@
 
 // coldServers are servers b1 to b9, of the target's version from b4 on. From the order on, those with
 // even numbers from b4 are cold: they answer five times slower, and fail requests above coldRate.
-type coldStarting struct{ counted }
+type coldServers struct{ counted }
 
 // coldLeft returns how long a server stays cold.
-func (c *coldStarting) coldLeft(n int) time.Duration {
+func (c *coldServers) coldLeft(n int) time.Duration {
 	c.versionedServers.mu.Lock()
 	defer c.versionedServers.mu.Unlock()
 	if n < 4 || n%2 == 1 || c.orderedAt.IsZero() {
@@ -37,7 +37,7 @@
 	return max(coldTime-time.Since(c.orderedAt), 0)
 }
 
-func (c *coldStarting) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (c *coldServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
 		cold = cold || at == address(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
@@ -77,8 +77,8 @@
 			inFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
-				c := &coldStarting{counted: newCounted(v)}
-				x.rollingIn(v, scene{document: coldHeld(1, coldRate), load: x.evenly(c, rolloutPeriod), announce: func() {
+				c := &coldServers{counted: newCounted(v)}
+				x.rollingIn(v, scene{document: coldDocument(1, coldRate), load: x.evenly(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
 						x.announceAs(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -34,7 +34,7 @@
 }
 
 // sendRequests sends a request on both routes in each period.
-func (h routeServers) ask(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+func (h routeServers) sendRequests(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 	for range sleep.Every(ctx, rolloutPeriod) {
 		for _, route := range []string{"any", "home"} {
 			asking.Go(func() {
@@ -61,7 +61,7 @@
 }
 
 // homeDocument returns a document with the routes "any" and "home"; the home of the latter is the south.
-func homeHeld() document.Held {
+func homeDocument() document.Held {
 	h := held(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
@@ -79,13 +79,13 @@
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
-				r := &regional{counted: newCounted(v), x: x, halls: halls}
+				r := &regionalServers{counted: newCounted(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
-				x.rollingIn(v, scene{document: homeHeld(), announce: r.announce, load: func(ip string) {
+				x.rollingIn(v, scene{document: homeDocument(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
 					h.from = from{r, region}
-					x.startGatewayWithLoad(ip, idHeaders{}, h, h.ask)
+					x.startGatewayWithLoad(ip, idHeaders{}, h, h.sendRequests)
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -24,7 +24,7 @@
 // region only.
 
 // regionalServers are servers in two regions, each in the hall that has its region's name.
-type regional struct {
+type regionalServers struct {
 	counted
 	x     *fleet
 	halls [7]string // by server number
@@ -33,7 +33,7 @@
 
 // regionView is the servers as the gateways of a region reach them.
 type from struct {
-	*regional
+	*regionalServers
 	region string
 }
 
@@ -48,7 +48,7 @@
 }
 
 // announce announces the servers that reach the leader.
-func (r *regional) announce() {
+func (r *regionalServers) announce() {
 	l := r.x.leading()
 	if l == nil {
 		return
@@ -64,13 +64,13 @@
 }
 
 // arrivalsBetween counts the requests that reached some servers between two times.
-func (r *regional) among(begin, end time.Time, servers ...int) int {
+func (r *regionalServers) arrivalsBetween(begin, end time.Time, servers ...int) int {
 	return r.sinceAll(begin, servers...) - r.sinceAll(end, servers...)
 }
 
 // withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
-func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
-	r := &regional{counted: newCounted(v), x: x, halls: halls}
+func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.Held, halls [7]string, f func(r *regionalServers)) {
+	r := &regionalServers{counted: newCounted(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
@@ -83,7 +83,7 @@
 var bothHalls = [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: south}
 
 // requireOrdersRefused checks that no replica of a region that is cut off acknowledges an order.
-func (x *fleet) mustRefuse(region string) {
+func (x *fleet) requireOrdersRefused(region string) {
 	is := is.New(x.t)
 	for _, ip := range x.order {
 		n := x.nodes[ip]
@@ -122,10 +122,10 @@
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
 				inRegions(t, 1_000_000, func(x *fleet) {
 					v := &versionedServers{fails: test.fails}
-					x.rollingOver(v, held(1), bothHalls, func(r *regional) {
+					x.withRolloutOverRegions(v, held(1), bothHalls, func(r *regionalServers) {
 						time.Sleep(at)
 						x.leadAfter(test.leader, 0)
-						cutOff(x, v, r, test.state)
+						cutOffDuringRollout(x, v, r, test.state)
 						is.New(x.t).True(test.fails == nil || leastRoom(v) >= 0)
 					})
 				})
@@ -136,14 +136,14 @@
 
 // reconnectTime bounds the time until a gateway that was cut off follows the directory again. It is the
 // bound of most deployments.
-const contact = 3 * time.Second
+const reconnectTime = 3 * time.Second
 
 // shareLeaseTime is how long a gateway applies its share after the loss of the leader, plus the time for
 // requests in flight.
-const lease = 2*time.Second + propagationTime
+const shareLeaseTime = 2*time.Second + propagationTime
 
 // cutOffDuringRollout cuts the south off for 4 s and checks how the rollout ends.
-func cutOff(x *fleet, v *versionedServers, r *regional, want document.RolloutState) {
+func cutOffDuringRollout(x *fleet, v *versionedServers, r *regionalServers, want document.RolloutState) {
 	is := is.New(x.t)
 	cut := time.Now()
 	joined := cut.Add(4 * time.Second)
@@ -154,17 +154,17 @@
 		r.cut.Store(false)
 	})
 	time.Sleep(time.Second)
-	x.mustRefuse(south)
+	x.requireOrdersRefused(south)
 	state, after := x.awaitRolloutEnd(v)
 	end := time.Now()
 	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, leastRoom(v))
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
-	time.Sleep(max(time.Until(joined), 0) + contact + time.Second)
-	is.True(r.among(cut, joined, 1, 2, 4, 5) > 100)
-	is.True(r.among(cut, joined, 3, 6) > 100)
+	time.Sleep(max(time.Until(joined), 0) + reconnectTime + time.Second)
+	is.True(r.arrivalsBetween(cut, joined, 1, 2, 4, 5) > 100)
+	is.True(r.arrivalsBetween(cut, joined, 3, 6) > 100)
 	for _, n := range []int{4, 5, 6} { // without a leader no gateway has a share
-		unled, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(lease))
+		unled, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
 		ledAgain, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), joined)
 		is.Equal(unled, ledAgain)
 	}
@@ -177,7 +177,7 @@
 		is.Equal(inTouch, 0)
 	}
 	both := end.Add(propagationTime)
-	if inTouch := joined.Add(contact); inTouch.After(both) {
+	if inTouch := joined.Add(reconnectTime); inTouch.After(both) {
 		both = inTouch
 	}
 	is.Equal(r.sinceAll(both, left...), 0)
@@ -189,7 +189,7 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.rollingOver(v, held(1), bothHalls, func(r *regional) {
+		x.withRolloutOverRegions(v, held(1), bothHalls, func(r *regionalServers) {
 			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -33,22 +33,22 @@
 // versionedServers are backend servers that answer after 20 ms: b1 to b3 run the old version, b4 to b6
 // the target, which fails a part of its requests.
 type versionedServers struct {
-	unnamed bool // the old servers name no version
+	oldUnnamed bool // the old servers name no version
 	fails   func(sinceOrder time.Duration) float64
-	// gone is the time from the order until servers of the target become unreachable: the one that
+	// unreachableAfter is the time from the order until servers of the target become unreachable: the one that
 	// received the first request, or all. Zero means never.
-	gone    time.Duration
-	allGone bool
+	unreachableAfter    time.Duration
+	allUnreachable bool
 
 	mu          sync.Mutex
 	rng         *rand.Rand
 	orderedAt   time.Time
-	target      []time.Time // arrivals at the target
-	old         []time.Time // arrivals at the old version
-	first       string      // address of the target server with the first request
+	targetArrivals      []time.Time // arrivals at the target
+	oldArrivals         []time.Time // arrivals at the old version
+	firstTarget       string      // address of the target server with the first request
 	minHeadroom float64     // smallest difference between the bound and the requests sent to the target
-	bad         int         // failed answers of the target
-	fifty       time.Time   // time of the 50th failed answer
+	badAnswers         int         // failed answers of the target
+	fiftiethBadAt       time.Time   // time of the 50th failed answer
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -64,24 +64,24 @@
 	if v.orderedAt.IsZero() {
 		return false
 	}
-	if address < address4 {
-		v.old = append(v.old, now)
+	if address < firstTargetAddress {
+		v.oldArrivals = append(v.oldArrivals, now)
 		return false
 	}
-	v.target = append(v.target, now)
-	if v.first == "" {
-		v.first = address
+	v.targetArrivals = append(v.targetArrivals, now)
+	if v.firstTarget == "" {
+		v.firstTarget = address
 	}
-	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
+	sent, of := float64(len(v.targetArrivals)), float64(len(v.targetArrivals)+len(v.oldArrivals))
 	v.minHeadroom = min(v.minHeadroom, exposure.Share*of+exposure.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
-var address4 = address("b4")
+var firstTargetAddress = address("b4")
 
 func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := v.recordArrival(at)
-	if v.hasGone(at) {
+	if v.isUnreachable(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 	}
 	if !sleep.For(ctx, 20*time.Millisecond) {
@@ -90,22 +90,22 @@
 	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
 		answer.Status = 500
-		v.countBad()
+		v.recordBadAnswer()
 	}
 	return answer, nil
 }
 
-func (v *versionedServers) hasGone(address string) bool {
+func (v *versionedServers) isUnreachable(address string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gone > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.gone && address >= address4 && (v.allGone || address == v.first)
+	return v.unreachableAfter > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.unreachableAfter && address >= firstTargetAddress && (v.allUnreachable || address == v.firstTarget)
 }
 
-func (v *versionedServers) countBad() {
+func (v *versionedServers) recordBadAnswer() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.bad++; v.bad == 50 {
-		v.fifty = time.Now()
+	if v.badAnswers++; v.badAnswers == 50 {
+		v.fiftiethBadAt = time.Now()
 	}
 }
 
@@ -114,10 +114,10 @@
 func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.fifty.IsZero() {
-		late = v.target[len(v.target)-1].Sub(v.fifty)
+	if !v.fiftiethBadAt.IsZero() {
+		late = v.targetArrivals[len(v.targetArrivals)-1].Sub(v.fiftiethBadAt)
 	}
-	return len(v.target), v.minHeadroom, late
+	return len(v.targetArrivals), v.minHeadroom, late
 }
 
 // arrivalsAfter counts the arrivals at both versions after a time.
@@ -132,14 +132,14 @@
 		}
 		return n
 	}
-	return count(v.target), count(v.old)
+	return count(v.targetArrivals), count(v.oldArrivals)
 }
 
 // withRollout runs f in a fleet with gateways under load while a rollout to the target begins.
-func (x *fleet) rolling(v *versionedServers, f func()) {
+func (x *fleet) withRollout(v *versionedServers, f func()) {
 	is := is.New(x.t)
 	x.put(1)
-	stop := x.keepVersions(v)
+	stop := x.announceVersions(v)
 	defer stop()
 	for i := range 3 {
 		x.startLoadedGateway(rolloutGateway(i), v, rolloutPeriod)
@@ -159,9 +159,9 @@
 
 // announceVersions announces the servers of both versions in each interval until stop is called. The
 // target's servers do not run before the order.
-func (x *fleet) keepVersions(v *versionedServers) (stop func()) {
+func (x *fleet) announceVersions(v *versionedServers) (stop func()) {
 	versions := []string{"v1", "v2"}
-	if v.unnamed {
+	if v.oldUnnamed {
 		versions[0] = ""
 	}
 	ctx, cancel := context.WithCancel(x.t.Context())
@@ -169,7 +169,7 @@
 	running.Go(func() {
 		for range sleep.Every(ctx, interval) {
 			for i := range 6 {
-				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(address(id)) {
+				if id := fmt.Sprint("b", i+1); v.allUnreachable || !v.isUnreachable(address(id)) {
 					x.announceVersion(id, versions[i/3])
 				}
 			}
