--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -117,11 +117,11 @@
 	for range 1000 {
 		d := x.mustLead().d
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := d.PutHallBack
+		order := d.PutHallBack
 		if out {
-			err = d.TakeHallOut
+			order = d.TakeHallOut
 		}
-		failed := err(ctx, hall)
+		failed := order(ctx, hall)
 		cancel()
 		if failed == nil {
 			return
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -34,20 +34,20 @@
 // crashingServers are backend servers of one pool. A request whose body begins with "deadly" ends the
 // server that begins it.
 type crashingServers struct {
-	x       *fleet
+	x           *fleet
 	runTime     time.Duration // run time of a request
-	streams bool          // the header of an answer is sent at once, its body after the run
-	keepIDs bool          // a server restarts with its earlier identifier
-	halls   []string      // halls of the servers, in turn
-	firstTarget  int           // number of the first server of another version, which is announced after the order; 0 for none
-	resets  bool          // a deadly request breaks its own connection and ends no server
-
-	mu        sync.Mutex
-	ordered   bool                // the rollout to the other version was ordered
-	processes map[string]*process // by address
-	starts    int
-	ends      []time.Time
-	deadlyStarts      map[string][]time.Time // when servers began deadly requests, by body
+	streams     bool          // the header of an answer is sent at once, its body after the run
+	keepIDs     bool          // a server restarts with its earlier identifier
+	halls       []string      // halls of the servers, in turn
+	firstTarget int           // number of the first server of another version, which is announced after the order; 0 for none
+	resets      bool          // a deadly request breaks its own connection and ends no server
+
+	mu           sync.Mutex
+	ordered      bool                // the rollout to the other version was ordered
+	processes    map[string]*process // by address
+	starts       int
+	ends         []time.Time
+	deadlyStarts map[string][]time.Time // when servers began deadly requests, by body
 }
 
 // process is one run of the server at an address.
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -64,11 +64,11 @@
 
 // errorAnswer returns the answer to an order that failed.
 func errorAnswer(err error) protocol.RolloutAnswer {
-	var elsewhere NotLeader
+	var notLeader NotLeader
 	answer := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: err.Error()}
 	switch {
-	case errors.As(err, &elsewhere):
-		answer.Outcome, answer.Leader = protocol.OrderElsewhere, elsewhere.Leader
+	case errors.As(err, &notLeader):
+		answer.Outcome, answer.Leader = protocol.OrderElsewhere, notLeader.Leader
 	case errors.As(err, new(RolloutConflict)):
 		answer.Outcome = protocol.OrderConflict
 	case errors.As(err, new(Unavailable)):
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -18,8 +18,8 @@
 // restart at zero with each run, and those of earlier runs still count. A relay reports the totals of
 // its gateways, which may report elsewhere next, so they count only while the relay's session lives.
 type reporter struct {
-	gateway string
-	bootID    uint64
+	gateway      string
+	bootID       uint64
 	relaySession *session // the relay's session; nil for a gateway's own reports
 }
 
@@ -61,15 +61,15 @@
 
 // addOutcomes replaces a reporter's earlier totals. Only a relay's totals may decrease, when a gateway
 // has left it.
-func (r *activeRollout) addOutcomes(from reporter, o protocol.Outcomes) {
-	mine := r.reports[from]
-	if mine == nil {
-		mine = map[outcomeKey]protocol.Outcomes{}
-		r.reports[from] = mine
+func (r *activeRollout) addOutcomes(source reporter, o protocol.Outcomes) {
+	byKey := r.reports[source]
+	if byKey == nil {
+		byKey = map[outcomeKey]protocol.Outcomes{}
+		r.reports[source] = byKey
 	}
 	key := outcomeKey{o.Version, o.Route}
-	before := mine[key]
-	mine[key] = o
+	previous := byKey[key]
+	byKey[key] = o
 	pair := r.totals[o.Route]
 	if pair == nil {
 		pair = &rollout.RouteTallies{}
@@ -79,11 +79,11 @@
 	if o.Version == r.Target {
 		t = &pair.Target
 	}
-	t.Sent += o.Sent - before.Sent // unsigned arithmetic: a decrease wraps around
-	t.Answered += o.Answered - before.Answered
-	t.Failed += o.Failed - before.Failed
+	t.Sent += o.Sent - previous.Sent // unsigned arithmetic: a decrease wraps around
+	t.Answered += o.Answered - previous.Answered
+	t.Failed += o.Failed - previous.Failed
 	for i := range t.Paces {
-		t.Paces[i] += paces(o, i) - paces(before, i)
+		t.Paces[i] += paces(o, i) - paces(previous, i)
 	}
 }
 
@@ -107,10 +107,10 @@
 }
 
 // removeReporter subtracts all totals of a reporter.
-func (r *activeRollout) removeReporter(from reporter) {
-	r.totalsReduced = r.totalsReduced || len(r.reports[from]) > 0
-	for key := range r.reports[from] {
-		r.addOutcomes(from, protocol.Outcomes{Version: key.version, Route: key.route})
+func (r *activeRollout) removeReporter(source reporter) {
+	r.totalsReduced = r.totalsReduced || len(r.reports[source]) > 0
+	for key := range r.reports[source] {
+		r.addOutcomes(source, protocol.Outcomes{Version: key.version, Route: key.route})
 	}
-	delete(r.reports, from)
+	delete(r.reports, source)
 }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -27,11 +27,11 @@
 
 // evidence is the leader's state about server losses during one term.
 type evidence struct {
-	tracker     *quarantine.Evidence
-	list     quarantine.List                       // as last sent to the gateways
-	revision uint64                                // of the log's condemned requests that the list includes
-	unlogged map[quarantine.Key]document.Condemned // condemned, not yet in the log
-	proposing  bool                                  // a change is being proposed
+	tracker   *quarantine.Evidence
+	list      quarantine.List                       // as last sent to the gateways
+	revision  uint64                                // of the log's condemned requests that the list includes
+	unlogged  map[quarantine.Key]document.Condemned // condemned, not yet in the log
+	proposing bool                                  // a change is being proposed
 }
 
 // beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
@@ -149,19 +149,19 @@
 
 // pushQuarantine sends changes of the list to the gateways.
 func (h *hub) pushQuarantine() {
-	now := h.evidence.tracker.Suspects()
+	current := h.evidence.tracker.Suspects()
 	for _, e := range h.condemnedEntries() {
-		now[e.Key] = e
+		current[e.Key] = e
 	}
 	var set []quarantine.Entry
 	var gone []quarantine.Key
-	for k, e := range now {
-		if before, listed := h.evidence.list.Find(k); !listed || before != e {
+	for k, e := range current {
+		if previous, listed := h.evidence.list.Find(k); !listed || previous != e {
 			set = append(set, e)
 		}
 	}
 	for k := range h.evidence.list.Entries() {
-		if _, still := now[k]; !still {
+		if _, remains := current[k]; !remains {
 			gone = append(gone, k)
 		}
 	}
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -96,8 +96,8 @@
 		return notYetServing{}
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
-	foreign := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
-	if place != "" && place != h.d.Address() && (!w.Named || foreign) {
+	ownHallServes := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
+	if place != "" && place != h.d.Address() && (!w.Named || ownHallServes) {
 		return servedElsewhere{by: place}
 	}
 	return nil
@@ -158,9 +158,9 @@
 		if _, known := places[s.region]; !known {
 			places[s.region] = h.placesFor(s.region)
 		}
-		there := places[s.region]
-		place := registry.SelectReplica(there, h.preferredHall(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.canMove(s, there) && moved < h.maxMoves(len(there)) {
+		candidates := places[s.region]
+		place := registry.SelectReplica(candidates, h.preferredHall(s.hall), s.gateway, nil)
+		if place != "" && place != h.d.Address() && h.canMove(s, candidates) && moved < h.maxMoves(len(candidates)) {
 			h.redirectSession(s, place)
 			moved++
 		}
@@ -174,12 +174,12 @@
 func (h *hub) canMove(s *session, places []protocol.Place) bool {
 	now := h.d.replica.Now()
 	hall := h.preferredHall(s.hall)
-	abroad := hall != "" && hall != h.d.cfg.Hall
+	inOtherHall := hall != "" && hall != h.d.cfg.Hall
 	switch {
 	case s.avoidsRelays:
 		return now-s.opened >= directServeTime
 	case h.relay != nil && s.redirectedHere:
-		return now-s.opened >= directServeTime || (abroad && registry.AnyInHall(places, hall))
+		return now-s.opened >= directServeTime || (inOtherHall && registry.AnyInHall(places, hall))
 	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
 		return now-h.spreadSince >= relayWait
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -46,20 +46,20 @@
 	list            registry.Copy
 	sums            registry.Sums
 	gatewaysChanged bool // since the leader was last sent the gateways
-	nextReportAt          time.Duration
+	nextReportAt    time.Duration
 
-	loads    map[uint32]protocol.ServerLoad // the leader's sums, by handle
-	feed     registry.Feed                  // sums that the gateways were sent
-	fleet    *protocol.Fleet                // newest message without its loads; nil before the first
+	loads       map[uint32]protocol.ServerLoad // the leader's sums, by handle
+	feed        registry.Feed                  // sums that the gateways were sent
+	fleet       *protocol.Fleet                // newest message without its loads; nil before the first
 	fleetUnsent bool                           // fleet was not forwarded yet
 	nextFleetAt time.Duration
-	rollouts *protocol.Rollouts
+	rollouts    *protocol.Rollouts
 
 	places []protocol.Place // replicas that serve the region's gateways; set at relays in the leader's region
 
 	quarantine quarantine.List
 	losses     []bufferedLoss // not yet reported to the leader
-	cleared    [][]byte   // keys not yet reported to the leader
+	cleared    [][]byte       // keys not yet reported to the leader
 }
 
 // relayFrom handles the messages of a session with the leader until it ends: first those that came
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -22,20 +22,20 @@
 // reportingGateway is a gateway's side of a session: it reports the same work repeatedly and applies
 // received messages as a gateway does.
 type reportingGateway struct {
-	x    *fleet
-	ip   string
+	x            *fleet
+	ip           string
 	baseRequests uint32 // requests on each server
-	varies bool   // the number of requests changes with each report
+	varies       bool   // the number of requests changes with each report
 
-	mu       sync.Mutex
-	term     uint64
-	handles  map[string]uint32
-	sums     map[uint32]protocol.ServerLoad
-	countedSeq  uint64
-	seq      uint64
-	gateways int
-	short    bool
-	stop     context.CancelFunc
+	mu         sync.Mutex
+	term       uint64
+	handles    map[string]uint32
+	sums       map[uint32]protocol.ServerLoad
+	countedSeq uint64
+	seq        uint64
+	gateways   int
+	short      bool
+	stop       context.CancelFunc
 	servedBy   string // address of the replica that serves it; empty without one
 }
 
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -20,7 +20,7 @@
 // runs in the hub's goroutine.
 
 // initialReportWait is how long a new leader waits for the gateways' first reports before it gives a
-// target any share, since it has no outcomes before. Gateways leave a silent leader after
+// target any share, because it has no outcomes until then. Gateways leave a silent leader after
 // registry.SilenceLimit, and reconnect at once when their link closes.
 const initialReportWait = time.Second
 
@@ -28,7 +28,7 @@
 // progressPeriod. A new leader underestimates the elapsed time by at most one such interval.
 const (
 	progressPeriod = time.Second
-	progressSteps   = 50 // progress records per rollout duration
+	progressSteps  = 50 // progress records per rollout duration
 )
 
 // rolloutProposeTimeout bounds one attempt to commit a rollout change; the next step retries.
@@ -36,30 +36,30 @@
 
 // rollouts is the state of all rollouts during one term.
 type rollouts struct {
-	startedAt    time.Duration
-	underWay map[string]*activeRollout // by pool
-	applied   map[*session]appliedLists
-	list     []protocol.Rollout // as last sent
-	seq      uint64             // number of list
-	encoded  protocol.Encoded
+	startedAt time.Duration             // of the term
+	underWay  map[string]*activeRollout // by pool
+	applied   map[*session]appliedLists // list numbers that the gateways confirmed
+	list      []protocol.Rollout        // as last sent
+	seq       uint64                    // number of the list
+	encoded   protocol.Encoded
 }
 
 // activeRollout is the leader's state of a rollout under way.
 type activeRollout struct {
 	document.Rollout
-	schedule  rollout.Schedule
-	orderedAt   time.Duration // latest possible time of the order, by this replica's clock
-	reports  map[reporter]map[outcomeKey]protocol.Outcomes
-	totals    map[string]*rollout.RouteTallies
-	decision  rollout.Decision
-	sentDecision      rollout.Decision // decision whose shares were last sent to the gateways
-	fullSeq   uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
-	finalSeq  uint64           // number of the first list that announces completion; 0 if none was sent
-	finalSentAt   time.Duration    // when finalSeq was sent
-	totalsReduced    bool             // totals were reduced since the last step because a relay's session ended
-	totalsReducedAt  time.Duration    // last time that totalsReduced was seen before the switch
-	proposing bool
-	loggedAt  time.Duration
+	schedule        rollout.Schedule
+	orderedAt       time.Duration // latest possible time of the order, by this replica's clock
+	reports         map[reporter]map[outcomeKey]protocol.Outcomes
+	totals          map[string]*rollout.RouteTallies
+	decision        rollout.Decision
+	sentDecision    rollout.Decision // decision whose shares were last sent to the gateways
+	fullSeq         uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
+	finalSeq        uint64           // number of the first list that announces completion; 0 if none was sent
+	finalSentAt     time.Duration    // when finalSeq was sent
+	totalsReduced   bool             // totals were reduced since the last step because a relay's session ended
+	totalsReducedAt time.Duration    // last time that totalsReduced was seen before the switch
+	proposing       bool
+	loggedAt        time.Duration
 }
 
 // beginRollouts resets the state for a new term; the next step fills it from the log. Lists keep their
@@ -147,13 +147,13 @@
 		h.logStep(now, r)
 	default:
 		r.recordReducedTotals(now)
-		before, halls := r.decision, h.targetHalls(r)
+		previous, halls := r.decision, h.targetHalls(r)
 		r.decision = r.schedule.Step(rollout.Observation{
 			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldVersionsIdle(r), TargetListed: len(halls) > 0,
 			RoutesWithoutTarget: h.routesWithoutTarget(halls),
 			ReportsComplete:     now-max(h.rollouts.startedAt, r.totalsReducedAt) >= initialReportWait && h.d.checkLeading() == nil,
 		})
-		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(progressPeriod, r.Duration/progressSteps) {
+		if r.decision.Reason != previous.Reason || now-r.loggedAt >= max(progressPeriod, r.Duration/progressSteps) {
 			h.logStep(now, r)
 		}
 	}
@@ -207,20 +207,20 @@
 // replacedVersions returns the versions that the target replaces: those of announced servers, and those
 // that gateways have sent requests to, whose servers may be absent now.
 func (h *hub) replacedVersions(r *activeRollout) []string {
-	others := map[string]bool{}
+	versions := map[string]bool{}
 	for _, v := range h.registry.Versions(r.Pool) {
-		others[v] = true
+		versions[v] = true
 	}
-	for _, mine := range r.reports {
-		for key := range mine {
-			others[key.version] = true
+	for _, byKey := range r.reports {
+		for key := range byKey {
+			versions[key.version] = true
 		}
 	}
-	delete(others, r.Target)
+	delete(versions, r.Target)
 	for _, v := range r.Barred {
-		delete(others, v)
+		delete(versions, v)
 	}
-	return slices.Sorted(maps.Keys(others))
+	return slices.Sorted(maps.Keys(versions))
 }
 
 // oldVersionsIdle reports whether all gateways apply the list that gives the target all requests, and no
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -164,23 +164,23 @@
 	is.True(r.arrivalsBetween(cut, joined, 1, 2, 4, 5) > 100)
 	is.True(r.arrivalsBetween(cut, joined, 3, 6) > 100)
 	for _, n := range []int{4, 5, 6} { // without a leader no gateway has a share
-		unled, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
-		ledAgain, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), joined)
-		is.Equal(unled, ledAgain)
+		afterLease, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
+		afterJoin, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), joined)
+		is.Equal(afterLease, afterJoin)
 	}
-	left := []int{4, 5, 6}
+	drained := []int{4, 5, 6}
 	if want == document.RolloutComplete {
-		left = []int{1, 2, 3}
+		drained = []int{1, 2, 3}
 	}
-	for _, n := range left {
+	for _, n := range drained {
 		inTouch, _ := r.reached.countSince(north+address(fmt.Sprint("b", n)), end.Add(propagationTime))
 		is.Equal(inTouch, 0)
 	}
-	both := end.Add(propagationTime)
-	if inTouch := joined.Add(reconnectTime); inTouch.After(both) {
-		both = inTouch
+	reconnected := end.Add(propagationTime)
+	if inTouch := joined.Add(reconnectTime); inTouch.After(reconnected) {
+		reconnected = inTouch
 	}
-	is.Equal(r.sinceAll(both, left...), 0)
+	is.Equal(r.sinceAll(reconnected, drained...), 0)
 }
 
 // TestRolloutOverTwoRegions checks that after completion no gateway in either region sends requests to
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -34,21 +34,21 @@
 // the target, which fails a part of its requests.
 type versionedServers struct {
 	oldUnnamed bool // the old servers name no version
-	fails   func(sinceOrder time.Duration) float64
+	fails      func(sinceOrder time.Duration) float64
 	// unreachableAfter is the time from the order until servers of the target become unreachable: the one that
 	// received the first request, or all. Zero means never.
-	unreachableAfter    time.Duration
-	allUnreachable bool
-
-	mu          sync.Mutex
-	rng         *rand.Rand
-	orderedAt   time.Time
-	targetArrivals      []time.Time // arrivals at the target
-	oldArrivals         []time.Time // arrivals at the old version
-	firstTarget       string      // address of the target server with the first request
-	minHeadroom float64     // smallest difference between the bound and the requests sent to the target
-	badAnswers         int         // failed answers of the target
-	fiftiethBadAt       time.Time   // time of the 50th failed answer
+	unreachableAfter time.Duration
+	allUnreachable   bool
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	orderedAt      time.Time
+	targetArrivals []time.Time // arrivals at the target
+	oldArrivals    []time.Time // arrivals at the old version
+	firstTarget    string      // address of the target server with the first request
+	minHeadroom    float64     // smallest difference between the bound and the requests sent to the target
+	badAnswers     int         // failed answers of the target
+	fiftiethBadAt  time.Time   // time of the 50th failed answer
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -72,8 +72,8 @@
 	if v.firstTarget == "" {
 		v.firstTarget = address
 	}
-	sent, of := float64(len(v.targetArrivals)), float64(len(v.targetArrivals)+len(v.oldArrivals))
-	v.minHeadroom = min(v.minHeadroom, exposure.Share*of+exposure.Slack-sent)
+	sent, total := float64(len(v.targetArrivals)), float64(len(v.targetArrivals)+len(v.oldArrivals))
+	v.minHeadroom = min(v.minHeadroom, exposure.Share*total+exposure.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
