--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -19,20 +19,20 @@
 // does not lead reaches the gateways as well, also after the leader is lost; a replica
 // that cannot reach the leader says so within the time that the backend server waits.
 func TestAnyReplicaTakesAnnouncements(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		g := x.gateway("10.0.2.1")
 		announceAt := func(n *directoryNode, id string) error {
-			x.beats[id]++
+			x.announceSeqs[id]++
 			ctx, cancel := context.WithTimeout(x.t.Context(), 900*time.Millisecond)
 			defer cancel()
 			return n.d.Announce(ctx, registry.Announcement{
-				Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4}, Seq: x.beats[id],
+				Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4}, Seq: x.announceSeqs[id],
 			})
 		}
 		var ids []string
-		for i, ip := range x.order {
+		for i, ip := range x.ips {
 			id := fmt.Sprint("b", i+1)
 			ids = append(ids, id)
 			is.NoErr(announceAt(x.nodes[ip], id))
@@ -40,10 +40,10 @@
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(g.Servers(), ids)
 
-		x.mustLead().kill()
-		next := x.mustLead()
+		x.awaitLeader().kill()
+		next := x.awaitLeader()
 		time.Sleep(time.Second)
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			n := x.nodes[ip]
 			if n.d == nil || n == next {
 				continue
@@ -68,17 +68,17 @@
 // TestVersionsReachTheLog: the version of a backend server is known to the next leader, at
 // whichever replica the server announced itself.
 func TestVersionsReachTheLog(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		var want []protocol.Registration
-		for i, ip := range x.order {
+		for i, ip := range x.ips {
 			id := fmt.Sprint("b", i+1)
-			r := protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 4, Version: fmt.Sprint("v", i)}
+			r := protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 4, Version: fmt.Sprint("v", i)}
 			is.NoErr(x.nodes[ip].d.Announce(x.t.Context(), registry.Announcement{Registration: r, Seq: 1}))
 			want = append(want, r)
 		}
 		time.Sleep(time.Second)
-		x.mustLead().kill()
-		is.Equal(x.mustLead().d.Joined(), want)
+		x.awaitLeader().kill()
+		is.Equal(x.awaitLeader().d.Joined(), want)
 	})
 }
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -17,7 +17,7 @@
 
 // coldDocument returns a document whose pool limits the request rate of cold servers.
 func coldDocument(number uint64, rate float64) document.Held {
-	h := held(number)
+	h := testDocument(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
 }
@@ -26,10 +26,10 @@
 // would get most, and kills the leader meanwhile. No cold server may get more requests than its rate in
 // any second, and together they must get more than half of what that rate allows.
 func TestColdHallGetsWhatItBears(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldDocument(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{}
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
@@ -46,8 +46,8 @@
 			is.NoErr(x.announceInHall(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
 		time.Sleep(2500 * time.Millisecond)
-		x.mustLead().kill()
-		next := x.mustLead()
+		x.awaitLeader().kill()
+		next := x.awaitLeader()
 		for i := range 21 {
 			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
 				_ = x.announceInHall(fmt.Sprint("b", i+11), "hall-b", left)
@@ -57,7 +57,7 @@
 		synctest.Wait()
 		sum := 0
 		for i := range 21 {
-			all, most := a.countSince(address(fmt.Sprint("b", i+11)), back)
+			all, most := a.countSince(serverAddress(fmt.Sprint("b", i+11)), back)
 			is.True(most <= rate)
 			sum += all
 		}
@@ -70,10 +70,10 @@
 // TestHallThatReturnsIsTakenForCold checks that the servers of a returned hall are treated as cold, since
 // they may have become cold unobserved while it was out of service.
 func TestHallThatReturnsIsTakenForCold(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
-		is.NoErr(x.mustLead().d.Put(x.t.Context(), coldDocument(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
@@ -86,12 +86,12 @@
 		time.Sleep(2 * time.Second)
 		back := time.Now()
 		x.orderHall("hall-a", false)
-		time.Sleep(2*interval - 50*time.Millisecond)
-		all, most := a.countSince(address("b1"), back)
+		time.Sleep(2*announceInterval - 50*time.Millisecond)
+		all, most := a.countSince(serverAddress("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
 		time.Sleep(3 * time.Second) // until it has announced that it is warm
-		_, most = a.countSince(address("b1"), back)
+		_, most = a.countSince(serverAddress("b1"), back)
 		is.True(most > 2*rate)
 	})
 }
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -18,25 +18,25 @@
 // gateways too, right after changes were acknowledged. Nothing acknowledged is lost, and all is
 // served again.
 func TestDisksAndAllPowerAreLost(t *testing.T) {
-	inFleet(t, voters, func(x *fleet) {
+	withFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
-			is.NoErr(x.mustLead().d.Withdraw(x.t.Context(), "s1"))
+			is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
+			is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "s1"))
 			for i := range 4 {
 				x.gateways[gatewayIP(i)].kill()
 			}
 			x.losePower()
-			for _, ip := range x.order[:2] {
+			for _, ip := range x.ips[:2] {
 				x.replaceDisk(ip)
 			}
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 			began := time.Now()
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			read, err := l.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(read.Document.Number, uint64(2))
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -24,7 +24,7 @@
 func TestCompleteIsAnnounced(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.withRollout(v, func() {
@@ -50,7 +50,7 @@
 func (x *fleet) runGatewayUntilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
@@ -90,12 +90,12 @@
 func TestSwitchOutlivesTheLeader(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.withRollout(v, func() {
 					time.Sleep(at)
-					x.mustLead().kill()
+					x.awaitLeader().kill()
 					state, after := x.awaitRolloutEnd(v)
 					x.t.Logf("complete after %v", after)
 					is.Equal(state, document.RolloutComplete)
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -78,9 +78,9 @@
 
 // startLoadedGateway starts a gateway that receives a request in each period and sends to a.
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
-	return x.startGatewayWithLoad(ip, idHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	return x.startGatewayWithLoad(ip, testHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
-			asking.Go(func() { x.request(g, "r") })
+			asking.Go(func() { x.sendRequest(g, "r") })
 		}
 	})
 }
@@ -103,19 +103,19 @@
 
 // announceInHall announces a backend server of a hall that stays cold for some time.
 func (x *fleet) announceInHall(id, hall string, cold time.Duration) error {
-	x.beats[id]++
+	x.announceSeqs[id]++
 	ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 	defer cancel()
-	return x.mustLead().d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Hall: hall, Slots: 4},
-		Seq:          x.beats[id], ColdLeft: cold,
+	return x.awaitLeader().d.Announce(ctx, registry.Announcement{
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Hall: hall, Slots: 4},
+		Seq:          x.announceSeqs[id], ColdLeft: cold,
 	})
 }
 
 // orderHall gives an order about a hall to the current leader until it is acknowledged.
 func (x *fleet) orderHall(hall string, out bool) {
 	for range 1000 {
-		d := x.mustLead().d
+		d := x.awaitLeader().d
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
 		order := d.PutHallBack
 		if out {
@@ -132,9 +132,9 @@
 }
 
 func TestHallOrdersAreChecked(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		is.Equal(l.d.TakeHallOut(x.t.Context(), "nowhere"), error(directory.UnknownHall{Hall: "nowhere"}))
 		is.Equal(l.d.TakeHallOut(x.t.Context(), ""), error(directory.UnknownHall{}))
 		is.NoErr(l.d.PutHallBack(x.t.Context(), "nowhere")) // it is in service already
@@ -157,9 +157,9 @@
 // TestHallOutGetsNothing takes a hall out of service under load while gateways start, restart and lose
 // the leader. No request may reach its servers until it is put back.
 func TestHallOutGetsNothing(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-a", "b3": "hall-b"}
 		stop := x.keepAnnounced(halls)
 		defer stop()
@@ -172,25 +172,25 @@
 		time.Sleep(200 * time.Millisecond)
 		out := time.Now()
 		time.Sleep(time.Second)
-		x.mustLead().kill()
+		x.awaitLeader().kill()
 		x.gateways["10.0.2.1"].kill()
 		x.startLoadedGateway("10.0.2.1", a, 50*time.Millisecond)
 		x.startLoadedGateway("10.0.2.4", a, 50*time.Millisecond)
 		time.Sleep(4 * time.Second)
 		x.losePower() // of the remaining directory replicas
-		for _, ip := range x.order {
-			x.start(ip, false)
+		for _, ip := range x.ips {
+			x.startReplica(ip, false)
 		}
 		time.Sleep(4 * time.Second)
 		for _, id := range []string{"b1", "b2"} {
-			n, _ := a.countSince(address(id), out)
+			n, _ := a.countSince(serverAddress(id), out)
 			is.Equal(n, 0)
 		}
-		n, _ := a.countSince(address("b3"), out)
+		n, _ := a.countSince(serverAddress("b3"), out)
 		is.True(n > 100)
 		x.orderHall("hall-a", false)
 		time.Sleep(2 * time.Second)
-		n, _ = a.countSince(address("b1"), out)
+		n, _ = a.countSince(serverAddress("b1"), out)
 		is.True(n > 10)
 	})
 }
@@ -200,7 +200,7 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			for _, id := range slices.Sorted(maps.Keys(halls)) {
 				_ = x.announceInHall(id, halls[id], 0) // a replica that has lost the lead refuses it
 			}
@@ -212,28 +212,28 @@
 // TestOrderOfAHallIsForGood loses all power, and two of five disks, right after orders were
 // acknowledged. The orders must stay in force.
 func TestOrderOfAHallIsForGood(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		is.NoErr(x.announceInHall("b1", "hall-a", 0))
 		time.Sleep(time.Second)
 		for round := range 6 {
 			out := round%2 == 0
 			x.orderHall("hall-a", out)
-			leader := x.mustLead().ip
+			leader := x.awaitLeader().ip
 			x.losePower()
 			lost := []string{leader}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != leader && len(lost) < 2 {
 					lost = append(lost, ip)
 				}
 			}
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip == lost[0] || ip == lost[1] {
 					x.replaceDisk(ip)
 				}
-				x.start(ip, false)
+				x.startReplica(ip, false)
 			}
-			halls, _ := x.mustLead().d.HallsOut(x.t.Context())
+			halls, _ := x.awaitLeader().d.HallsOut(x.t.Context())
 			is.Equal(len(halls) == 1, out)
 			time.Sleep(8 * time.Second) // the lost replicas catch up, and the next order is no repeat
 		}
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -18,12 +18,12 @@
 func (x *fleet) acknowledgedAfter(number uint64, first int) time.Duration {
 	began := time.Now()
 	for i := first; time.Since(began) < 20*time.Second; i++ {
-		n := x.nodes[x.order[i%len(x.order)]]
+		n := x.nodes[x.ips[i%len(x.ips)]]
 		if n.d == nil {
 			continue // refused at once
 		}
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := n.d.Put(ctx, held(number))
+		err := n.d.Put(ctx, testDocument(number))
 		cancel()
 		if err == nil {
 			return time.Since(began)
@@ -49,10 +49,10 @@
 				time.Sleep(10 * time.Second)
 				longest := time.Duration(0)
 				for round := range rounds {
-					old := x.mustLead()
+					old := x.awaitLeader()
 					old.kill()
 					longest = max(longest, x.acknowledgedAfter(uint64(round+1), round))
-					x.start(old.ip, false)
+					x.startReplica(old.ip, false)
 					time.Sleep(10 * time.Second)
 				}
 				x.t.Logf("%d gateways in each region: acknowledged after %v at worst", gateways, longest)
@@ -70,27 +70,27 @@
 		is := is.New(x.t)
 		changes, number := 0, uint64(0)
 		for round := range 5 {
-			for _, ip := range x.order[:3] { // what stands in the north
+			for _, ip := range x.ips[:3] { // what stands in the north
 				x.nodes[ip].kill()
-				if round%2 == 0 && ip == x.order[0] {
-					x.start(ip, false)
+				if round%2 == 0 && ip == x.ips[0] {
+					x.startReplica(ip, false)
 				}
 			}
 			time.Sleep(2 * time.Second)
-			for _, ip := range x.order[:3] {
+			for _, ip := range x.ips[:3] {
 				if x.nodes[ip].d == nil {
-					x.start(ip, false)
+					x.startReplica(ip, false)
 				}
 			}
 			number++
 			is.True(x.acknowledgedAfter(number, round) < 2*time.Second)
-			last := x.mustLead().ip
+			last := x.awaitLeader().ip
 			changes = 0
 			longest := time.Duration(0)
 			for began := time.Now(); time.Since(began) < 12*time.Second; time.Sleep(200 * time.Millisecond) {
 				number++
 				longest = max(longest, x.acknowledgedAfter(number, int(number)))
-				if l := x.mustLead().ip; l != last {
+				if l := x.awaitLeader().ip; l != last {
 					last, changes = l, changes+1
 				}
 			}
@@ -105,25 +105,25 @@
 // TestLeaderWithASlowDisk: a leader whose disk has become slow hands over to one whose has not.
 func TestLeaderWithASlowDisk(t *testing.T) {
 	t.Parallel()
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		for _, n := range x.nodes {
 			n.disk.SyncTime(5 * time.Millisecond)
 		}
 		for number := range uint64(10) {
-			x.put(number + 1)
+			x.putDocument(number + 1)
 		}
-		old := x.mustLead()
+		old := x.awaitLeader()
 		old.disk.SyncTime(150 * time.Millisecond)
 		for number := range uint64(30) {
-			x.put(number + 11)
+			x.putDocument(number + 11)
 			time.Sleep(200 * time.Millisecond)
 		}
-		is.True(x.mustLead() != old)
+		is.True(x.awaitLeader() != old)
 		time.Sleep(20 * time.Second)
-		is.True(x.mustLead() != old)
+		is.True(x.awaitLeader() != old)
 		began := time.Now()
-		x.put(100)
+		x.putDocument(100)
 		is.True(time.Since(began) < 100*time.Millisecond)
 	})
 }
@@ -135,11 +135,11 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(south)
-		leader, other := x.mustLead(), x.relays(south)[0]
-		x.nodes[x.order[1]].kill()
-		x.nodes[x.order[2]].kill()
+		leader, other := x.awaitLeader(), x.relays(south)[0]
+		x.nodes[x.ips[1]].kill()
+		x.nodes[x.ips[2]].kill()
 		defer x.net.Reunite() // also when the test fails, or dials would wait for ever
-		x.net.Isolate(x.order[0], other.ip)
+		x.net.Isolate(x.ips[0], other.ip)
 		time.Sleep(5 * time.Second)
 		const sample, again = 20 * time.Millisecond, 10 * time.Second
 		losses, last := 0, -again
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -41,7 +41,7 @@
 	l.x.t.Helper()
 	ctx, cancel := context.WithTimeout(l.x.t.Context(), time.Second)
 	defer cancel()
-	if err := l.x.mustLead().d.Announce(ctx, l.announcement(leaving)); err != nil {
+	if err := l.x.awaitLeader().d.Announce(ctx, l.announcement(leaving)); err != nil {
 		l.x.t.Fatal(err)
 	}
 }
@@ -50,7 +50,7 @@
 func (l *life) beat(times int) {
 	for range times {
 		l.announce(false)
-		time.Sleep(interval)
+		time.Sleep(announceInterval)
 	}
 }
 
@@ -70,29 +70,29 @@
 		{name: "after a life that said no start", at: "10.0.4.1:80", unborn: true},
 		{name: "after it drained", at: "10.0.4.1:80", ends: func(l *life) { l.announce(true) }},
 		{name: "after it took leave by its name", ends: func(l *life) {
-			if err := l.x.mustLead().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
+			if err := l.x.awaitLeader().d.Withdraw(l.x.t.Context(), "b1"); err != nil {
 				l.x.t.Fatal(err)
 			}
 		}},
 		{name: "late announcements", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(false) }},
 		{name: "a late departure", at: "10.0.4.1:80", meanwhile: func(_ *fleet, earlier *life) { earlier.announce(true) }},
 		{name: "the leader is killed", at: "10.0.4.1:80", meanwhile: func(x *fleet, earlier *life) {
-			x.mustLead().kill()
-			x.mustLead()
+			x.awaitLeader().kill()
+			x.awaitLeader()
 			earlier.announce(false)
 		}},
 		{name: "power of the directory is lost", at: "10.0.4.1:80", meanwhile: func(x *fleet, _ *life) {
 			x.losePower()
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
-				x.put(1)
+				x.putDocument(1)
 				earlier := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80", seq: 1000}
 				if tt.unborn {
 					earlier.born = 0
@@ -133,7 +133,7 @@
 	inRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		x.put(1)
+		x.putDocument(1)
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
@@ -155,12 +155,12 @@
 // TestVersionsWithoutLives: a gateway that takes the name for the identifier, as versions before
 // did, has the server that is listed under it, and none once that has departed.
 func TestVersionsWithoutLives(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		l := &life{x: x, born: 1_790_000_000_000, at: "10.0.3.1:80"}
 		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-		session, err := link.Dial(x.t.Context(), x.mustLead().ip+":7400", id, nil)
+		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name}))
@@ -199,13 +199,13 @@
 // TestLifeInAHallOutOfService: a server that starts again in a hall that is out of service gets
 // nothing, and one that starts again in another hall does.
 func TestLifeInAHallOutOfService(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
 		x.startLoadedGateway("10.0.2.1", a, 20*time.Millisecond)
 		announce := func(name string, born, seq uint64, at, hall string) {
-			is.NoErr(x.mustLead().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
+			is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{Registration: protocol.Registration{
 				ID: protocol.LifeID(name, born), Pool: "p", Address: at, Hall: hall, Slots: 4,
 			}, Seq: seq}))
 		}
@@ -229,15 +229,15 @@
 // TestLifeOfAnotherVersion: a server of the old version that starts again with a rollout's target
 // belongs to that from then on.
 func TestLifeOfAnotherVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
-		x.put(1)
+		x.putDocument(1)
 		a := &arrivals{at: map[string][]time.Time{}}
 		var life atomic.Uint64 // of b1, which runs the version of this number
 		life.Store(1)
 		seqs := map[string]uint64{}
-		stop := x.keeping(func() {
-			d := x.leading()
+		stop := x.announceRepeatedly(func() {
+			d := x.leaderDirectory()
 			if d == nil {
 				return
 			}
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -62,7 +62,7 @@
 func (x *fleet) startCrashingServers(n int, run time.Duration) *crashingServers {
 	m := &crashingServers{x: x, runTime: run, processes: map[string]*process{}, deadlyStarts: map[string][]time.Time{}}
 	for i := range n {
-		m.start(address(fmt.Sprint("b", i+1)))
+		m.start(serverAddress(fmt.Sprint("b", i+1)))
 	}
 	return m
 }
@@ -107,7 +107,7 @@
 
 // announce announces all servers that run.
 func (m *crashingServers) announce() {
-	d := m.x.leading()
+	d := m.x.leaderDirectory()
 	if d == nil {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // Refuses implements gateway.Server.
 func (m *crashingServers) Refuses(ctx context.Context, at string) bool {
-	return sleep.For(ctx, latency) && !m.processAt(at).up
+	return sleep.For(ctx, networkLatency) && !m.processAt(at).up
 }
 
 func (m *crashingServers) processAt(at string) process {
@@ -178,7 +178,7 @@
 
 // Send implements gateway.Server.
 func (m *crashingServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	if !sleep.For(ctx, latency) {
+	if !sleep.For(ctx, networkLatency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
 	}
 	p := m.processAt(at)
@@ -267,7 +267,7 @@
 
 // retryDocument returns a document with one route, which allows a second attempt.
 func retryDocument(number uint64, kind document.Kind) document.Held {
-	h := held(number)
+	h := testDocument(number)
 	r := &h.Document.Routes[0]
 	r.Kind, r.MaxAttempts, r.Timeout = kind, 2, 2*time.Second
 	return h
@@ -290,8 +290,8 @@
 	if m.streams {
 		kind = document.Stream
 	}
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), retryDocument(1, kind)))
-	stop := x.keeping(m.announce)
+	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(1, kind)))
+	stop := x.announceRepeatedly(m.announce)
 	defer stop()
 	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
 	for i := range gateways {
@@ -314,7 +314,7 @@
 
 // gateway starts a gateway with its own callers.
 func (c *callers) gateway(m *crashingServers, ip string) {
-	g := c.x.startGatewayWithLoad(ip, idHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
 				asking.Go(func() { c.send(g, "hot", http.MethodGet, "") })
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -26,7 +26,7 @@
 
 // inRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each way.
 func inRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
-	inFleetWith(t, voters, voters, func(x *fleet) {
+	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
 		x.syncTime = 5 * time.Millisecond
 		x.tuning = replica.Tuning{Election: 400 * time.Millisecond, Heartbeat: 80 * time.Millisecond} // the values of a process
@@ -69,7 +69,7 @@
 func (x *fleet) announceMany(n int) {
 	is := is.New(x.t)
 	for i := range n {
-		is.NoErr(x.mustLead().d.Announce(x.t.Context(), manyServer(i, 1)))
+		is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), manyServer(i, 1)))
 	}
 }
 
@@ -82,7 +82,7 @@
 
 // relays returns the running replicas of a region except the leader.
 func (x *fleet) relays(region string) (all []*directoryNode) {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		if n := x.nodes[ip]; x.regions[ip] == region && n.d != nil && !n.d.Leads() {
 			all = append(all, n)
 		}
@@ -96,13 +96,13 @@
 // leadAfter kills leaders until a replica of the region leads, and pauses after each restart.
 func (x *fleet) leadAfter(region string, pause time.Duration) {
 	for range 20 {
-		n := x.mustLead()
+		n := x.awaitLeader()
 		if x.regions[n.ip] == region {
 			return
 		}
 		n.kill()
-		x.mustLead()
-		x.start(n.ip, false)
+		x.awaitLeader()
+		x.startReplica(n.ip, false)
 		time.Sleep(pause)
 	}
 	x.t.Fatalf("no replica in the %s became the leader", region)
@@ -110,7 +110,7 @@
 
 // addresses returns the fleet addresses of all replicas.
 func (x *fleet) addresses() (all []string) {
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		all = append(all, ip+":7400")
 	}
 	return all
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -20,7 +20,7 @@
 		x.leadIn(north)
 		x.announceMany(servers)
 		near, far := x.gatewaysIn(north, gateways), x.gatewaysIn(south, gateways)
-		x.put(1)
+		x.putDocument(1)
 		time.Sleep(3 * time.Second)
 		f(x, near, far)
 	})
@@ -29,7 +29,7 @@
 // awaitDocument puts a document, waits until it is in force at all gateways, and returns how long that
 // took.
 func (x *fleet) awaitDocument(number uint64, all ...*gateway.Gateway) time.Duration {
-	x.put(number)
+	x.putDocument(number)
 	began := time.Now()
 	for _, g := range all {
 		for g.DocumentNumber() < number {
@@ -59,7 +59,7 @@
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.messagesSent("fleet")
 		time.Sleep(10 * time.Second)
 		fleets := leader.messagesSent("fleet") - before
@@ -122,9 +122,9 @@
 		took := x.awaitDocument(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2500*time.Millisecond)
-		x.start(relays[0].ip, false)
+		x.startReplica(relays[0].ip, false)
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.messagesSent("fleet")
 		time.Sleep(10 * time.Second)
 		is.True(leader.messagesSent("fleet")-before <= 9*101) // to eight gateways and the relay
@@ -155,7 +155,7 @@
 		is.True(took < 2*time.Second)
 		x.net.Reunite()
 		time.Sleep(20 * time.Second)
-		leader := x.mustLead()
+		leader := x.awaitLeader()
 		before := leader.messagesSent("fleet")
 		time.Sleep(5 * time.Second)
 		is.True(leader.messagesSent("fleet")-before < 10*51+10) // to eight gateways and two relays
@@ -170,14 +170,14 @@
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
 		for round := range uint64(6) {
-			old := x.mustLead()
+			old := x.awaitLeader()
 			old.kill()
 			took := x.awaitDocument(round+2, append(near, far...)...)
 			x.t.Logf("in force after %v", took)
 			is.True(took < 2*time.Second)
-			x.start(old.ip, false)
+			x.startReplica(old.ip, false)
 			time.Sleep(20 * time.Second) // until gateways that had lost their only relay return to it
-			leader := x.mustLead()
+			leader := x.awaitLeader()
 			before := leader.messagesSent("fleet")
 			time.Sleep(5 * time.Second)
 			served := 8 + len(x.relays(map[string]string{north: south, south: north}[x.regions[leader.ip]]))
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -35,11 +35,11 @@
 		{name: "servers keep their identifiers", m: func(m *crashingServers) { m.keepIDs = true }, most: 3},
 		{
 			name: "the leader is killed after two ends", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *crashingServers, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "the leader is killed after it was condemned", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, _ *crashingServers, _ *callers) { x.mustLead().kill() },
+			do: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
 			name: "a gateway that was at the first ends is killed", after: 200 * time.Millisecond, most: 5,
@@ -61,8 +61,8 @@
 			name: "power of the directory is lost", after: time.Second, most: 3,
 			do: func(x *fleet, _ *crashingServers, _ *callers) {
 				x.losePower()
-				for _, ip := range x.order {
-					x.start(ip, false)
+				for _, ip := range x.ips {
+					x.startReplica(ip, false)
 				}
 			},
 		},
@@ -73,8 +73,8 @@
 					x.gateways[gatewayIP(i)].kill()
 				}
 				x.losePower()
-				for _, ip := range x.order {
-					x.start(ip, false)
+				for _, ip := range x.ips {
+					x.startReplica(ip, false)
 				}
 				for i := range 4 {
 					c.gateway(m, gatewayIP(i))
@@ -88,11 +88,11 @@
 		{
 			name: "no gateway reaches the directory", most: 16, // three ends at each of four gateways, and the second attempts
 			do: func(x *fleet, _ *crashingServers, _ *callers) {
-				for _, ip := range x.order {
+				for _, ip := range x.ips {
 					x.net.Cut(ip)
 				}
 				time.AfterFunc(12*time.Second, func() {
-					for _, ip := range x.order {
+					for _, ip := range x.ips {
 						x.net.Join(ip)
 					}
 				})
@@ -101,7 +101,7 @@
 	} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(10, 100*time.Millisecond)
 				if fault.m != nil {
@@ -127,7 +127,7 @@
 // TestManyDeadlyRequests checks that each of a series of deadly requests, one every two seconds, ends a
 // few servers only, and that new ones do not displace those that were condemned before.
 func TestManyDeadlyRequests(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(12, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -154,7 +154,7 @@
 // TestTwoDeadlyRequestsAtOnce checks that two deadly requests are both stopped, although both run on some
 // servers that end.
 func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -187,14 +187,14 @@
 		servers, together := tt.servers, tt.together
 		t.Run(fmt.Sprintf("%d of %d %v", together, servers, tt.run), func(t *testing.T) {
 			t.Parallel()
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(servers, tt.run)
 				x.withCallers(m, 4, func(c *callers) {
 					for n := range 20 {
 						var at []string
 						for i := range together {
-							at = append(at, address(fmt.Sprint("b", 1+(n*together+i)%servers)))
+							at = append(at, serverAddress(fmt.Sprint("b", 1+(n*together+i)%servers)))
 						}
 						m.end(at...)
 						time.Sleep(400 * time.Millisecond)
@@ -215,7 +215,7 @@
 // TestConnectionsThatBreak checks that a request is never refused if its connection breaks each time
 // while the server keeps running.
 func TestConnectionsThatBreak(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
@@ -232,7 +232,7 @@
 // TestRefusalOfDeadlyRequest checks that the caller of a condemned request is refused at once with a
 // status that asks for no retry, and that its other requests are served.
 func TestRefusalOfDeadlyRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
@@ -276,12 +276,12 @@
 // TestReleaseOfACondemnedRequest checks that an operator can list and release a condemned request, and
 // that it is condemned again after three more ends.
 func TestReleaseOfACondemnedRequest(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			l := x.mustLead().d
+			l := x.awaitLeader().d
 			condemned, err := l.Condemned()
 			is.NoErr(err)
 			is.Equal(len(condemned), 1)
@@ -291,9 +291,9 @@
 			is.True(ok)
 			is.NoErr(l.Release(x.t.Context(), k))
 			is.Equal(l.Release(x.t.Context(), k), error(directory.NotCondemned{Key: k.String()}))
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if d := x.nodes[ip].d; !d.Leads() {
-					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.mustLead().ip + ":7400"}))
+					is.Equal(d.Release(x.t.Context(), k), error(directory.NotLeader{Leader: x.awaitLeader().ip + ":7400"}))
 				}
 			}
 			time.Sleep(time.Second)
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -23,7 +23,7 @@
 // later than contactTime after the third end, and ends at most four servers, while other requests are
 // served.
 func TestRequestThatEndsServers(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -29,7 +29,7 @@
 // newestRollout returns the newest rollout of pool p from the current leader.
 func (x *fleet) newestRollout() document.Rollout {
 	for range 1000 {
-		r, err := x.mustLead().d.Rollout(x.t.Context(), "p")
+		r, err := x.awaitLeader().d.Rollout(x.t.Context(), "p")
 		switch {
 		case err == nil:
 			return r
@@ -46,7 +46,7 @@
 func (x *fleet) orderRollout(o rollout.Order) error {
 	for range 1000 {
 		ctx, cancel := context.WithTimeout(x.t.Context(), time.Second)
-		err := x.mustLead().d.StartRollout(ctx, o)
+		err := x.awaitLeader().d.StartRollout(ctx, o)
 		cancel()
 		if !errors.As(err, new(directory.Unavailable)) && !errors.As(err, new(directory.NotLeader)) {
 			return err
@@ -57,9 +57,9 @@
 }
 
 func TestRolloutOrdersAreChecked(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l, ctx := x.mustLead(), x.t.Context()
+		l, ctx := x.awaitLeader(), x.t.Context()
 		is.Equal(l.d.StartRollout(ctx, orderTo("v2")), error(directory.UnknownPool{Pool: "p"}))
 		is.True(errors.As(l.d.StartRollout(ctx, orderTo("")), new(rollout.InvalidOrder)))
 		_, err := l.d.Rollout(ctx, "p")
@@ -85,9 +85,9 @@
 
 // TestDocumentNamesPools checks that a pool named by the document needs no servers yet.
 func TestDocumentNamesPools(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		other := orderTo("v2")
 		other.Pool = "q"
@@ -98,9 +98,9 @@
 // TestOneRolloutAtATime gives orders while a rollout is under way, after its end, and after the period
 // in which orders are repeated.
 func TestOneRolloutAtATime(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		attempt := func(n uint64, target string, state document.RolloutState) {
 			x.t.Helper()
 			r := x.newestRollout()
@@ -116,22 +116,22 @@
 		is.Equal(x.orderRollout(orderTo("v3")), error(directory.RolloutConflict{Pool: "p", Target: "v2"}))
 		attempt(1, "v2", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1)) // a repeat
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1)) // a repeat
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"}))
 		is.NoErr(x.orderRollout(orderTo("v2"))) // a repeat after the end
 		attempt(1, "v2", document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Barred, []string{"v2"})
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutUnderWay)
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late repeat
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
-		is.True(errors.As(x.mustLead().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1), new(directory.Unavailable))) // a late repeat
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3), error(directory.NoRollout{Pool: "p"}))
+		is.True(errors.As(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 0), new(rollout.InvalidOrder)))
 		attempt(2, "v2", document.RolloutUnderWay)
 
 		newest := x.newestRollout()
-		changed, err := x.mustLead().d.ChangeRollout(x.t.Context(), document.RolloutChange{
+		changed, err := x.awaitLeader().d.ChangeRollout(x.t.Context(), document.RolloutChange{
 			Pool: "p", Target: "v2", State: document.RolloutComplete, After: newest.Changes, Elapsed: newest.Elapsed, Replaced: []string{"v1"},
 		})
 		is.NoErr(err)
@@ -140,11 +140,11 @@
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		attempt(2, "v2", document.RolloutComplete)
-		is.Equal(x.mustLead().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
+		is.Equal(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 2), error(directory.NoRollout{Pool: "p"})) // the old servers may be gone
 		is.NoErr(x.orderRollout(orderTo("v3")))
 		attempt(3, "v3", document.RolloutUnderWay)
 
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 3))
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
 		is.NoErr(x.orderRollout(orderTo("v2"))) // v2 has had the requests all the time
 		time.Sleep(time.Second)
@@ -157,33 +157,39 @@
 // acknowledged, and right after the abort was. A repeat of the order then changes nothing.
 func TestAcknowledgedRolloutOutlives(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
-		"the leader": func(x *fleet) { l := x.mustLead(); l.kill(); x.mustLead(); x.start(l.ip, false) },
-		"its disk":   func(x *fleet) { l := x.mustLead(); l.kill(); x.replaceDisk(l.ip); x.mustLead(); x.start(l.ip, false) },
+		"the leader": func(x *fleet) { l := x.awaitLeader(); l.kill(); x.awaitLeader(); x.startReplica(l.ip, false) },
+		"its disk": func(x *fleet) {
+			l := x.awaitLeader()
+			l.kill()
+			x.replaceDisk(l.ip)
+			x.awaitLeader()
+			x.startReplica(l.ip, false)
+		},
 		"all power": func(x *fleet) {
 			x.losePower()
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		},
 		"all power and two disks": func(x *fleet) {
-			lost := []string{x.mustLead().ip, ""}
+			lost := []string{x.awaitLeader().ip, ""}
 			x.losePower()
-			for _, ip := range x.order {
+			for _, ip := range x.ips {
 				if ip != lost[0] {
 					lost[1] = ip
 				}
 			}
 			x.replaceDisk(lost[0])
 			x.replaceDisk(lost[1])
-			for _, ip := range x.order {
-				x.start(ip, false)
+			for _, ip := range x.ips {
+				x.startReplica(ip, false)
 			}
 		},
 	} {
 		t.Run(how, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
-				x.put(1)
+				x.putDocument(1)
 				for n := uint64(1); n <= 3; n++ {
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					lose(x)
@@ -193,7 +199,7 @@
 					is.NoErr(x.orderRollout(orderTo("v2")))
 					is.Equal(x.newestRollout().Attempt, n)
 					time.Sleep(8 * time.Second) // the lost replicas catch up
-					is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", n))
+					is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", n))
 					lose(x)
 					is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 					is.Equal(x.newestRollout().Barred, []string{"v2"})
@@ -207,12 +213,12 @@
 // TestCopyReachesTheNextLeader checks that a new leader, which never received the order itself, takes a
 // repeat for one: the previous leader had accepted the order and rolled it back before it was lost.
 func TestCopyReachesTheNextLeader(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		is.NoErr(x.mustLead().d.AbortRollout(x.t.Context(), "p", 1))
-		x.mustLead().kill()
+		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 1))
+		x.awaitLeader().kill()
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Attempt, uint64(1))
@@ -222,9 +228,9 @@
 // TestOrdersAtOnce gives orders for two versions several times at every replica, all at once. One
 // rollout begins, and only orders for its version are acknowledged.
 func TestOrdersAtOnce(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		var mu sync.Mutex
 		answers := map[string][]error{}
 		var ordering sync.WaitGroup
@@ -263,11 +269,11 @@
 // TestMinorityRefusesRollouts checks that a leader that is cut off acknowledges no orders and returns no
 // stale state while the majority continues.
 func TestMinorityRefusesRollouts(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		old := x.mustLead()
+		old := x.awaitLeader()
 		x.net.Cut(old.ip)
 		time.Sleep(3 * time.Second)
 		refused := func() {
@@ -310,12 +316,12 @@
 
 // TestCommandsAboutRollouts gives orders on fleet links, at the leader and at other replicas.
 func TestCommandsAboutRollouts(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
 		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderRefused) // no such pool
-		x.put(1)
+		x.putDocument(1)
 		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
 		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
 		answer := x.sendOrder(l, start)
@@ -337,7 +343,7 @@
 				is.Equal(answer.Leader, l.ip+":7400")
 			}
 		}
-		for _, ip := range x.order {
+		for _, ip := range x.ips {
 			if ip != l.ip {
 				x.net.Cut(ip)
 			}
@@ -351,10 +357,10 @@
 // TestCommandThatHasGone checks that an order changes nothing if its sender has closed the link before it
 // is processed.
 func TestCommandThatHasGone(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
-		x.put(1)
+		l := x.awaitLeader()
+		x.putDocument(1)
 		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
@@ -368,9 +374,9 @@
 // TestOrderNamesGatewaysWithoutRollouts checks that gateways that open a session without support for
 // rollouts are reported.
 func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
-	inFleet(t, 1, func(x *fleet) {
+	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
-		l := x.mustLead()
+		l := x.awaitLeader()
 		for i, knows := range []bool{true, false} {
 			name := []string{"10.0.2.1:7400", "10.0.2.2:7400"}[i]
 			id := link.Identity{Name: name, Key: fleetKey, Dial: x.net.Box(name[:8]).DialContext}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -28,9 +28,9 @@
 	do   func(x *fleet, v *versionedServers)
 }{
 	{"none", func(*fleet, *versionedServers) {}},
-	{"leader killed", func(x *fleet, _ *versionedServers) { x.mustLead().kill() }},
+	{"leader killed", func(x *fleet, _ *versionedServers) { x.awaitLeader().kill() }},
 	{"leader cut off", func(x *fleet, _ *versionedServers) {
-		l := x.mustLead().ip
+		l := x.awaitLeader().ip
 		x.net.Cut(l)
 		time.Sleep(3 * time.Second)
 		x.net.Join(l)
@@ -46,8 +46,8 @@
 	}},
 	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
-		for _, ip := range x.order {
-			x.start(ip, false)
+		for _, ip := range x.ips {
+			x.startReplica(ip, false)
 		}
 	}},
 	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
@@ -64,7 +64,7 @@
 		for _, at := range faultTimes {
 			t.Run(fmt.Sprint(fault.name, " ", at), func(t *testing.T) {
 				t.Parallel()
-				inFleet(t, 5, func(x *fleet) {
+				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{}
 					x.withRollout(v, func() {
@@ -91,7 +91,7 @@
 
 // TestUnnamedVersion checks that servers that name no version are replaced like those of any other.
 func TestUnnamedVersion(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{oldUnnamed: true}
 		x.withRollout(v, func() {
@@ -112,7 +112,7 @@
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
-				inFleet(t, 3, func(x *fleet) {
+				withFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{unreachableAfter: at, allUnreachable: all}
 					x.withRollout(v, func() {
@@ -150,7 +150,7 @@
 			for _, at := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 4500 * time.Millisecond} {
 				t.Run(fmt.Sprint(version.name, " ", fault.name, " ", at), func(t *testing.T) {
 					t.Parallel()
-					inFleet(t, 5, func(x *fleet) {
+					withFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
 						v := &versionedServers{fails: version.fails}
 						x.withRollout(v, func() {
@@ -167,7 +167,7 @@
 							is.Equal(target, 0)
 							is.True(old > 400)
 							is.True(room >= 0)
-							is.True(late < exposure.RollbackTime)
+							is.True(late < rolloutBounds.RollbackTime)
 						})
 					})
 				})
@@ -178,22 +178,22 @@
 
 // TestRolloutBytes checks how many bytes a rollout adds to a gateway's session during the trial.
 func TestRolloutBytes(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		x.withRollout(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
-			sent, reports := n.count("out", "usage")
-			got, lists := n.count("in", "rollouts")
+			sent, reports := n.controlTraffic("out", "usage")
+			got, lists := n.controlTraffic("in", "rollouts")
 			time.Sleep(4 * time.Second)
-			sentThen, reportsThen := n.count("out", "usage")
-			gotThen, listsThen := n.count("in", "rollouts")
+			sentThen, reportsThen := n.controlTraffic("out", "usage")
+			gotThen, listsThen := n.controlTraffic("in", "rollouts")
 			_, after := x.awaitRolloutEnd(v)
 			time.Sleep(rolloutTime - after)
-			sentEnd, reportsEnd := n.count("out", "usage")
+			sentEnd, reportsEnd := n.controlTraffic("out", "usage")
 			time.Sleep(4 * time.Second)
-			sentLast, reportsLast := n.count("out", "usage")
+			sentLast, reportsLast := n.controlTraffic("out", "usage")
 			under, without := (sentThen-sent)/(reportsThen-reports), (sentLast-sentEnd)/(reportsLast-reportsEnd)
 			x.t.Logf("a report has %d bytes under way and %d without; %d lists in 4 s, %d bytes each",
 				under, without, listsThen-lists, (gotThen-got)/max(listsThen-lists, 1))
@@ -206,11 +206,11 @@
 // TestRolloutsComeFirst checks that a gateway that has just started receives the barred versions before
 // any server.
 func TestRolloutsComeFirst(t *testing.T) {
-	inFleet(t, 3, func(x *fleet) {
+	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		x.put(1)
+		x.putDocument(1)
 		is.NoErr(x.orderRollout(orderTo("v2")))
-		l := x.mustLead()
+		l := x.awaitLeader()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
 		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
@@ -230,7 +230,7 @@
 func TestCompleteWaits(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
-			inFleet(t, 3, func(x *fleet) {
+			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.withRollout(v, func() {
@@ -253,7 +253,7 @@
 func (x *fleet) runGatewayAtOldServer(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
-	l, err := link.Dial(ctx, x.mustLead().ip+":7400", id, nil)
+	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -25,7 +25,7 @@
 
 // coldServers are servers b1 to b9, of the target's version from b4 on. From the order on, those with
 // even numbers from b4 are cold: they answer five times slower, and fail requests above coldRate.
-type coldServers struct{ counted }
+type coldServers struct{ countedServers }
 
 // coldLeft returns how long a server stays cold.
 func (c *coldServers) coldLeft(n int) time.Duration {
@@ -40,13 +40,13 @@
 func (c *coldServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
-		cold = cold || at == address(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
+		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
 	}
 	if !cold {
-		return c.counted.Send(ctx, at, call)
+		return c.countedServers.Send(ctx, at, call)
 	}
-	c.reached.record(at)
-	_, lately := c.reached.countSince(at, time.Now().Add(-time.Second))
+	c.arrivalLog.record(at)
+	_, lately := c.arrivalLog.countSince(at, time.Now().Add(-time.Second))
 	if !sleep.For(ctx, 80*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
@@ -74,13 +74,13 @@
 func TestRolloutToColdServers(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 5, func(x *fleet) {
+			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
-				c := &coldServers{counted: newCounted(v)}
-				x.rollingIn(v, scene{document: coldDocument(1, coldRate), load: x.evenly(c, rolloutPeriod), announce: func() {
+				c := &coldServers{countedServers: newCountedServers(v)}
+				x.runScenario(v, rolloutScenario{document: coldDocument(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
-						x.announceAs(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
+						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
@@ -88,12 +88,12 @@
 					is.True(after <= rolloutTime)
 					time.Sleep(coldTime - time.Since(v.orderedAt))
 					for n := 4; n <= 9; n += 2 {
-						all, most := c.reached.countSince(address(fmt.Sprint("b", n)), v.orderedAt)
+						all, most := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", n)), v.orderedAt)
 						x.t.Logf("ended after %v; cold server b%d got %d, %d in one second", after, n, all, most)
 						is.True(most <= coldRate)
 						is.True(all > 0 || test.fails != nil)
 					}
-					is.True(test.fails == nil || leastRoom(v) >= 0)
+					is.True(test.fails == nil || minHeadroom(v) >= 0)
 				})
 			})
 		})
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -23,28 +23,28 @@
 // This file defines rollouts that meet something else: servers with halls, cold servers, other
 // loads.
 
-// scene is what a rollout runs in.
-type scene struct {
-	document document.Held
-	load     func(gateway string) // starts it, and its requests
-	announce func()               // of the servers, once in each interval
-	without  bool                 // no rollout is ordered
+// rolloutScenario is what a rollout runs in.
+type rolloutScenario struct {
+	document  document.Held
+	load      func(gateway string) // starts it, and its requests
+	announce  func()               // of the servers, once in each interval
+	noRollout bool                 // no rollout is ordered
 }
 
-// rollingIn does what rolling does, in a scene.
-func (x *fleet) rollingIn(v *versionedServers, s scene, f func()) {
+// runScenario does what rolling does, in a scene.
+func (x *fleet) runScenario(v *versionedServers, s rolloutScenario, f func()) {
 	is := is.New(x.t)
-	is.NoErr(x.mustLead().d.Put(x.t.Context(), s.document))
-	stop := x.keeping(s.announce)
+	is.NoErr(x.awaitLeader().d.Put(x.t.Context(), s.document))
+	stop := x.announceRepeatedly(s.announce)
 	defer stop()
 	for i := range 3 {
 		s.load(rolloutGateway(i))
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), rolloutBounds.Slack
 	v.mu.Unlock()
-	if !s.without {
+	if !s.noRollout {
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	}
 	v.mu.Lock()
@@ -53,24 +53,24 @@
 	f()
 }
 
-// evenly starts gateways with a request in each period.
-func (x *fleet) evenly(server gateway.Transport, period time.Duration) func(ip string) {
+// steadyLoad starts gateways with a request in each period.
+func (x *fleet) steadyLoad(server gateway.Transport, period time.Duration) func(ip string) {
 	return func(ip string) { x.startLoadedGateway(ip, server, period) }
 }
 
-// leastRoom returns the least that the bound left, at any moment.
-func leastRoom(v *versionedServers) float64 {
+// minHeadroom returns the least that the bound left, at any moment.
+func minHeadroom(v *versionedServers) float64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.minHeadroom
 }
 
-// keeping calls announce in each interval, until stop.
-func (x *fleet) keeping(announce func()) (stop func()) {
+// announceRepeatedly calls announce in each interval, until stop.
+func (x *fleet) announceRepeatedly(announce func()) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			announce()
 		}
 	})
@@ -84,13 +84,13 @@
 	if n > 3 {
 		version = "v2"
 	}
-	return protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}
+	return protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}
 }
 
-// announceAs announces a server of the target only once a rollout is under way: without one it
+// announceVersioned announces a server of the target only once a rollout is under way: without one it
 // would get its part of the requests.
-func (x *fleet) announceAs(a registry.Announcement) {
-	d := x.leading()
+func (x *fleet) announceVersioned(a registry.Announcement) {
+	d := x.leaderDirectory()
 	if d == nil {
 		return
 	}
@@ -99,30 +99,30 @@
 	if _, err := d.Rollout(ctx, "p"); err != nil && a.Version == "v2" {
 		return
 	}
-	x.beats[a.ID]++
-	a.Seq = x.beats[a.ID]
+	x.announceSeqs[a.ID]++
+	a.Seq = x.announceSeqs[a.ID]
 	_ = d.Announce(ctx, a) // whoever does not lead any more refuses it
 }
 
-// counted counts what reaches each server of a versioned.
-type counted struct {
+// countedServers counts what reaches each server of a versioned.
+type countedServers struct {
 	*versionedServers
-	reached *arrivals
+	arrivalLog *arrivals
 }
 
-func newCounted(v *versionedServers) counted {
-	return counted{versionedServers: v, reached: &arrivals{at: map[string][]time.Time{}}}
+func newCountedServers(v *versionedServers) countedServers {
+	return countedServers{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
 }
 
-func (c counted) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	c.reached.record(at)
+func (c countedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+	c.arrivalLog.record(at)
 	return c.versionedServers.Send(ctx, at, call)
 }
 
-// sinceAll returns how many requests came to some servers, by their numbers, after a time.
-func (c counted) sinceAll(from time.Time, servers ...int) (n int) {
+// requestsSince returns how many requests came to some servers, by their numbers, after a time.
+func (c countedServers) requestsSince(from time.Time, servers ...int) (n int) {
 	for _, i := range servers {
-		all, _ := c.reached.countSince(address(fmt.Sprint("b", i)), from)
+		all, _ := c.arrivalLog.countSince(serverAddress(fmt.Sprint("b", i)), from)
 		n += all
 	}
 	return n
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -40,7 +40,7 @@
 const floods = "f"
 
 // accountHeaders read what a request costs, and whose it is.
-type accountHeaders struct{ idHeaders }
+type accountHeaders struct{ testHeaders }
 
 func (accountHeaders) DecodeRequest(r *http.Request) gateway.RequestHead {
 	return gateway.RequestHead{
@@ -121,7 +121,7 @@
 }
 
 func enginesHeld() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	h.Document.Pools[0].Engine = true
 	h.Document.Routes[0].Timeout, h.Document.Routes[0].Objective = 2*time.Second, time.Second
 	for _, name := range append(coveredAccounts, floods) {
@@ -133,7 +133,7 @@
 // flood runs a rollout, or none, and the flood in it, and returns the least part of what a
 // covered account asked for that it was served in time.
 func flood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		e := &engines{versionedServers: v, x: x, busy: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
 			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
@@ -143,14 +143,14 @@
 				e.ask(ctx, asking, g, floods, floodLoad, e.flooded)
 			})
 		}
-		s := scene{document: enginesHeld(), load: load, without: !rolls, announce: func() {
+		s := rolloutScenario{document: enginesHeld(), load: load, noRollout: !rolls, announce: func() {
 			for n := range 6 {
 				r := versionedServer(n + 1)
 				r.Slots = engineSlots
-				x.announceAs(registry.Announcement{Registration: r})
+				x.announceVersioned(registry.Announcement{Registration: r})
 			}
 		}}
-		x.rollingIn(v, s, func() {
+		x.runScenario(v, s, func() {
 			f(x)
 			time.Sleep(rolloutTime - time.Since(v.orderedAt))
 			e.mu.Lock()
@@ -159,7 +159,7 @@
 			for _, account := range coveredAccounts {
 				least = min(least, float64(e.served[account])/float64(e.asked[account]))
 			}
-			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, leastRoom(v))
+			x.t.Logf("asked %v, served in time %v, %.0f below the bound at least", e.asked, e.served, minHeadroom(v))
 		})
 	})
 	return least
@@ -182,7 +182,7 @@
 func TestBadVersionUnderAFlood(t *testing.T) {
 	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
 	flood(t, v, true, func(x *fleet) { mustEnd(x, v, document.RolloutRolledBack) })
-	is.New(t).True(leastRoom(v) >= 0)
+	is.New(t).True(minHeadroom(v) >= 0)
 }
 
 func mustEnd(x *fleet, v *versionedServers, want document.RolloutState) {
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -29,7 +29,7 @@
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	h.reached.record(call.Header.Get("Id") + at)
+	h.arrivalLog.record(call.Header.Get("Id") + at)
 	return h.from.Send(ctx, at, call)
 }
 
@@ -62,7 +62,7 @@
 
 // homeDocument returns a document with the routes "any" and "home"; the home of the latter is the south.
 func homeDocument() document.Held {
-	h := held(1)
+	h := testDocument(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
 	h.Document.Routes = append(h.Document.Routes, home)
@@ -79,22 +79,22 @@
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
-				r := &regionalServers{counted: newCounted(v), x: x, halls: halls}
+				r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
-				x.rollingIn(v, scene{document: homeDocument(), announce: r.announce, load: func(ip string) {
+				x.runScenario(v, rolloutScenario{document: homeDocument(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
 					h.from = from{r, region}
-					x.startGatewayWithLoad(ip, idHeaders{}, h, h.sendRequests)
+					x.startGatewayWithLoad(ip, testHeaders{}, h, h.sendRequests)
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
-					x.t.Logf("ended after %v, %.0f below the bound at least", after, leastRoom(v))
+					x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
 					at := func(route, server string, from time.Time) int {
-						n, _ := r.reached.countSince(route+address(server), from)
+						n, _ := r.arrivalLog.countSince(route+serverAddress(server), from)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
@@ -108,7 +108,7 @@
 						is.Equal(at("any", "b1", end.Add(propagationTime))+at("any", "b2", end.Add(propagationTime))+at("any", "b3", end.Add(propagationTime)), 0)
 					} else {
 						is.Equal(at("any", "b4", end.Add(propagationTime))+at("any", "b5", end.Add(propagationTime))+at("any", "b6", end.Add(propagationTime)), 0)
-						is.True(leastRoom(v) >= 0)
+						is.True(minHeadroom(v) >= 0)
 					}
 				})
 			})
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -25,7 +25,7 @@
 
 // regionalServers are servers in two regions, each in the hall that has its region's name.
 type regionalServers struct {
-	counted
+	countedServers
 	x     *fleet
 	halls [7]string // by server number
 	cut   atomic.Bool
@@ -38,18 +38,18 @@
 }
 
 func (f from) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
-	f.reached.record(f.region + at)
+	f.arrivalLog.record(f.region + at)
 	for n, hall := range f.halls {
-		if f.cut.Load() && at == address(fmt.Sprint("b", n)) && hall != f.region {
+		if f.cut.Load() && at == serverAddress(fmt.Sprint("b", n)) && hall != f.region {
 			return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 		}
 	}
-	return f.counted.Send(ctx, at, call)
+	return f.countedServers.Send(ctx, at, call)
 }
 
 // announce announces the servers that reach the leader.
 func (r *regionalServers) announce() {
-	l := r.x.leading()
+	l := r.x.leaderDirectory()
 	if l == nil {
 		return
 	}
@@ -58,25 +58,25 @@
 		s := versionedServer(n)
 		s.Hall = r.halls[n]
 		if r.halls[n] != "" && (!r.cut.Load() || r.halls[n] == region) {
-			r.x.announceAs(registry.Announcement{Registration: s})
+			r.x.announceVersioned(registry.Announcement{Registration: s})
 		}
 	}
 }
 
 // arrivalsBetween counts the requests that reached some servers between two times.
 func (r *regionalServers) arrivalsBetween(begin, end time.Time, servers ...int) int {
-	return r.sinceAll(begin, servers...) - r.sinceAll(end, servers...)
+	return r.requestsSince(begin, servers...) - r.requestsSince(end, servers...)
 }
 
 // withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
 func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.Held, halls [7]string, f func(r *regionalServers)) {
-	r := &regionalServers{counted: newCounted(v), x: x, halls: halls}
+	r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
 		x.startLoadedGateway(ip, from{r, regions[ip]}, rolloutPeriod)
 	}
-	x.rollingIn(v, scene{document: d, load: load, announce: r.announce}, func() { f(r) })
+	x.runScenario(v, rolloutScenario{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
 
 // bothHalls places servers of both versions in both regions.
@@ -85,7 +85,7 @@
 // requireOrdersRefused checks that no replica of a region that is cut off acknowledges an order.
 func (x *fleet) requireOrdersRefused(region string) {
 	is := is.New(x.t)
-	for _, ip := range x.order {
+	for _, ip := range x.ips {
 		n := x.nodes[ip]
 		if x.regions[ip] != region {
 			continue
@@ -122,11 +122,11 @@
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
 				inRegions(t, 1_000_000, func(x *fleet) {
 					v := &versionedServers{fails: test.fails}
-					x.withRolloutOverRegions(v, held(1), bothHalls, func(r *regionalServers) {
+					x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
 						time.Sleep(at)
 						x.leadAfter(test.leader, 0)
 						cutOffDuringRollout(x, v, r, test.state)
-						is.New(x.t).True(test.fails == nil || leastRoom(v) >= 0)
+						is.New(x.t).True(test.fails == nil || minHeadroom(v) >= 0)
 					})
 				})
 			})
@@ -157,15 +157,15 @@
 	x.requireOrdersRefused(south)
 	state, after := x.awaitRolloutEnd(v)
 	end := time.Now()
-	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, leastRoom(v))
+	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, minHeadroom(v))
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
 	time.Sleep(max(time.Until(joined), 0) + reconnectTime + time.Second)
 	is.True(r.arrivalsBetween(cut, joined, 1, 2, 4, 5) > 100)
 	is.True(r.arrivalsBetween(cut, joined, 3, 6) > 100)
 	for _, n := range []int{4, 5, 6} { // without a leader no gateway has a share
-		afterLease, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
-		afterJoin, _ := r.reached.countSince(south+address(fmt.Sprint("b", n)), joined)
+		afterLease, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
+		afterJoin, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), joined)
 		is.Equal(afterLease, afterJoin)
 	}
 	drained := []int{4, 5, 6}
@@ -173,14 +173,14 @@
 		drained = []int{1, 2, 3}
 	}
 	for _, n := range drained {
-		inTouch, _ := r.reached.countSince(north+address(fmt.Sprint("b", n)), end.Add(propagationTime))
+		inTouch, _ := r.arrivalLog.countSince(north+serverAddress(fmt.Sprint("b", n)), end.Add(propagationTime))
 		is.Equal(inTouch, 0)
 	}
 	reconnected := end.Add(propagationTime)
 	if inTouch := joined.Add(reconnectTime); inTouch.After(reconnected) {
 		reconnected = inTouch
 	}
-	is.Equal(r.sinceAll(reconnected, drained...), 0)
+	is.Equal(r.requestsSince(reconnected, drained...), 0)
 }
 
 // TestRolloutOverTwoRegions checks that after completion no gateway in either region sends requests to
@@ -189,14 +189,14 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.withRolloutOverRegions(v, held(1), bothHalls, func(r *regionalServers) {
+		x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
 			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
 			is.True(after < 10*time.Second)
 			time.Sleep(2 * time.Second)
-			is.Equal(r.sinceAll(end.Add(propagationTime), 1, 2, 3), 0)
-			is.True(r.sinceAll(end, 6) > 50)
+			is.Equal(r.requestsSince(end.Add(propagationTime), 1, 2, 3), 0)
+			is.True(r.requestsSince(end, 6) > 50)
 		})
 	})
 }
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -16,13 +16,13 @@
 // This file tests rollouts together with data halls that are taken out of service.
 
 // inHalls is a rollout of which each server stands in a hall.
-func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c counted)) {
-	c := newCounted(v)
-	x.rollingIn(v, scene{document: held(1), load: x.evenly(c, period), announce: func() {
+func (x *fleet) inHalls(v *versionedServers, halls [7]string, period time.Duration, f func(c countedServers)) {
+	c := newCountedServers(v)
+	x.runScenario(v, rolloutScenario{document: testDocument(1), load: x.steadyLoad(c, period), announce: func() {
 		for n := 1; n < len(halls); n++ {
 			r := versionedServer(n)
 			r.Hall = halls[n]
-			x.announceAs(registry.Announcement{Registration: r})
+			x.announceVersioned(registry.Announcement{Registration: r})
 		}
 	}}, func() { f(c) })
 }
@@ -50,28 +50,28 @@
 	} {
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " ", at), func(t *testing.T) {
-				inFleet(t, 5, func(x *fleet) {
+				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{fails: test.fails}
-					x.inHalls(v, test.halls, rolloutPeriod, func(c counted) {
+					x.inHalls(v, test.halls, rolloutPeriod, func(c countedServers) {
 						time.Sleep(at)
 						x.orderHall("hall-a", true)
 						out := time.Now()
 						state, after := x.awaitRolloutEnd(v)
 						end := time.Now()
-						x.t.Logf("ended after %v, %.0f below the bound at least", after, leastRoom(v))
+						x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
 						is.Equal(state, test.state)
 						is.True(after <= rolloutTime)
 						time.Sleep(3 * time.Second)
 						for n, hall := range test.halls {
 							if hall == "hall-a" {
-								is.Equal(c.sinceAll(out.Add(propagationTime), n), 0)
+								is.Equal(c.requestsSince(out.Add(propagationTime), n), 0)
 							}
 						}
 						target, old := v.arrivalsAfter(end.Add(propagationTime))
 						is.True(max(target, old) > 300)
 						is.Equal(min(target, old), 0)
-						is.True(test.fails == nil || leastRoom(v) >= 0)
+						is.True(test.fails == nil || minHeadroom(v) >= 0)
 					})
 				})
 			})
@@ -82,15 +82,15 @@
 // TestTrialsHallIsTakenOut: all of the target's servers that the trial goes to stand in the hall;
 // others take their place.
 func TestTrialsHallIsTakenOut(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		halls := [7]string{1: "hall-1", 2: "hall-1", 3: "hall-1", 4: "hall-4", 5: "hall-5", 6: "hall-6"}
-		x.inHalls(v, halls, rolloutPeriod, func(c counted) {
+		x.inHalls(v, halls, rolloutPeriod, func(c countedServers) {
 			time.Sleep(3 * time.Second)
 			var tried []int
 			for n := 4; n <= 6; n++ {
-				if c.sinceAll(v.orderedAt, n) > 0 {
+				if c.requestsSince(v.orderedAt, n) > 0 {
 					tried = append(tried, n)
 				}
 			}
@@ -104,7 +104,7 @@
 			is.Equal(state, document.RolloutComplete)
 			is.True(after <= rolloutTime)
 			time.Sleep(2 * time.Second)
-			is.Equal(c.sinceAll(out.Add(propagationTime), tried...), 0)
+			is.Equal(c.requestsSince(out.Add(propagationTime), tried...), 0)
 		})
 	})
 }
@@ -112,10 +112,10 @@
 // TestHallOfAQuietPoolsTarget: so few requests come that they may all go to an untried version;
 // but none of its servers may have any, and the old ones must not stop.
 func TestHallOfAQuietPoolsTarget(t *testing.T) {
-	inFleet(t, 5, func(x *fleet) {
+	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.inHalls(v, apartHalls, 3*time.Second, func(c counted) {
+		x.inHalls(v, apartHalls, 3*time.Second, func(c countedServers) {
 			time.Sleep(time.Second)
 			x.orderHall("hall-a", true)
 			state, after := x.awaitRolloutEnd(v)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -73,11 +73,11 @@
 		v.firstTarget = address
 	}
 	sent, total := float64(len(v.targetArrivals)), float64(len(v.targetArrivals)+len(v.oldArrivals))
-	v.minHeadroom = min(v.minHeadroom, exposure.Share*total+exposure.Slack-sent)
+	v.minHeadroom = min(v.minHeadroom, rolloutBounds.Share*total+rolloutBounds.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
-var firstTargetAddress = address("b4")
+var firstTargetAddress = serverAddress("b4")
 
 func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := v.recordArrival(at)
@@ -138,7 +138,7 @@
 // withRollout runs f in a fleet with gateways under load while a rollout to the target begins.
 func (x *fleet) withRollout(v *versionedServers, f func()) {
 	is := is.New(x.t)
-	x.put(1)
+	x.putDocument(1)
 	stop := x.announceVersions(v)
 	defer stop()
 	for i := range 3 {
@@ -146,7 +146,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
-	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), exposure.Slack
+	v.rng, v.minHeadroom = rand.New(rand.NewPCG(1, 2)), rolloutBounds.Slack
 	v.mu.Unlock()
 	is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
 	v.mu.Lock()
@@ -167,9 +167,9 @@
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
-		for range sleep.Every(ctx, interval) {
+		for range sleep.Every(ctx, announceInterval) {
 			for i := range 6 {
-				if id := fmt.Sprint("b", i+1); v.allUnreachable || !v.isUnreachable(address(id)) {
+				if id := fmt.Sprint("b", i+1); v.allUnreachable || !v.isUnreachable(serverAddress(id)) {
 					x.announceVersion(id, versions[i/3])
 				}
 			}
@@ -181,7 +181,7 @@
 // announceVersion announces a server. One of the target is announced only once a rollout is under way,
 // since it would otherwise get requests by load.
 func (x *fleet) announceVersion(id, version string) {
-	d := x.leading()
+	d := x.leaderDirectory()
 	if d == nil {
 		return
 	}
@@ -190,10 +190,10 @@
 	if _, err := d.Rollout(ctx, "p"); err != nil && version == "v2" {
 		return
 	}
-	x.beats[id]++
+	x.announceSeqs[id]++
 	// A replica that has lost the lead refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
-		Registration: protocol.Registration{ID: id, Pool: "p", Address: address(id), Slots: 40, Version: version}, Seq: x.beats[id],
+		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
 }
 
