--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -27,7 +27,7 @@
 // of a fleet of them.
 
 const (
-	deadlyAfter = 60 * time.Millisecond   // from the begin of a deadly request to the crash of its server
+	deadlyAfter = 60 * time.Millisecond   // from the start of a deadly request to the crash of its server
 	backAfter   = 1500 * time.Millisecond // from the crash of a server to its restart
 )
 
@@ -74,7 +74,7 @@
 	m.processes[at] = &process{id: fmt.Sprint("s", m.starts), up: true, ended: make(chan struct{})}
 }
 
-// restart restarts a server at the address of one that has ended.
+// restart starts a server again at the address of one that has ended.
 func (m *crashingServers) restart(at string, before *process) {
 	m.start(at)
 	if !m.keepIDs {
@@ -158,7 +158,7 @@
 
 // numberOf returns the number of the server at an address.
 func numberOf(at string) (n int) {
-	_, _ = fmt.Sscanf(at, "10.0.3.%d:", &n) // as address makes it
+	_, _ = fmt.Sscanf(at, "10.0.3.%d:", &n) // the format of serverAddress
 	return n
 }
 
@@ -258,7 +258,7 @@
 	return len(m.deadlyStarts[body]), late
 }
 
-// countEnds returns how many servers have countEnds.
+// countEnds returns how many servers have ended.
 func (m *crashingServers) countEnds() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -332,7 +332,7 @@
 	c.gateways[ip] = g
 }
 
-// gatewayAt returns the gateway that was last started gatewayAt an address.
+// gatewayAt returns the gateway that was last started at an address.
 func (c *callers) gatewayAt(ip string) *gateway.Gateway {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -49,7 +49,7 @@
 	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order itself is acknowledged
 }
 
-// applyRolloutOrder makes the applyRolloutOrder that an operator's command requests, if any.
+// applyRolloutOrder makes the change that an operator's command requests, if any.
 func (d *Directory) applyRolloutOrder(ctx context.Context, o protocol.RolloutOrder) error {
 	switch o.Act {
 	case protocol.OrderStart:
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -75,8 +75,8 @@
 	}}, ok
 }
 
-// clearAnswered clears a listed request that was answered in full. If it was condemned meanwhile, that was a
-// mistake, since it was still running, and it is released.
+// clearAnswered clears a listed request that was answered in full. If it was condemned while it was still
+// running, it is released.
 func (h *hub) clearAnswered(k quarantine.Key) {
 	h.evidence.tracker.Clear(k)
 	delete(h.evidence.unlogged, k)
@@ -137,7 +137,7 @@
 	}()
 }
 
-// condemnedEntries returns the log's condemnedEntries requests as list entries.
+// condemnedEntries returns the log's condemned requests as list entries.
 func (h *hub) condemnedEntries() (all []quarantine.Entry) {
 	for _, c := range h.d.state.Condemned() {
 		if k, ok := quarantine.KeyFrom(c.Key); ok {
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -42,7 +42,7 @@
 	return time.Since(began)
 }
 
-// messagesSent returns the number of messages of a kind that a replica has messagesSent.
+// messagesSent returns the number of messages of a kind that a replica has sent.
 func (n *directoryNode) messagesSent(kind string) uint64 {
 	return n.metrics.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_control_messages_total{direction="out",kind=%q}`, kind)).Get()
 }
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -299,7 +299,7 @@
 	})
 }
 
-// sendOrder sends an order on a fleet link, as an operator's sendOrder does.
+// sendOrder sends an order on a fleet link, as an operator's command does.
 func (x *fleet) sendOrder(n *directoryNode, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	is := is.New(x.t)
 	id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(n.ip).DialContext}
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -36,7 +36,7 @@
 
 // rollouts is the state of all rollouts during one term.
 type rollouts struct {
-	startedAt time.Duration             // of the term
+	startedAt time.Duration             // start of the term
 	underWay  map[string]*activeRollout // by pool
 	applied   map[*session]appliedLists // list numbers that the gateways confirmed
 	list      []protocol.Rollout        // as last sent
@@ -319,9 +319,8 @@
 	}
 }
 
-// listEntry completes a rollout's listEntry in the list for gateways. A target that is rolled back gets no
-// requests from now on, even before the log records it. Shares that have hardly changed stay as last
-// sent.
+// listEntry completes a rollout's entry in the list for gateways. A target that is rolled back gets no
+// more requests, even before the log has the end. Shares that have hardly changed stay as last sent.
 func (r *activeRollout) listEntry(e protocol.Rollout) protocol.Rollout {
 	e.Target = r.Target
 	switch r.decision.Action {
@@ -342,7 +341,7 @@
 	return e
 }
 
-// recordSent records that a list with this entry was sent.
+// recordSent updates the list numbers after a list with this entry was sent.
 func (r *activeRollout) recordSent(now time.Duration, seq uint64, e protocol.Rollout) {
 	if e.Final && r.finalSeq == 0 {
 		r.finalSeq, r.finalSentAt = seq, now
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -35,8 +35,8 @@
 type versionedServers struct {
 	oldUnnamed bool // the old servers name no version
 	fails      func(sinceOrder time.Duration) float64
-	// unreachableAfter is the time from the order until servers of the target become unreachable: the one that
-	// received the first request, or all. Zero means never.
+	// unreachableAfter is the time from the order until the target server with the first request, or all
+	// of them, become unreachable. Zero means never.
 	unreachableAfter time.Duration
 	allUnreachable   bool
 
