--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -34,7 +34,7 @@
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
 		}
-		stop := x.keepAnnounced(halls)
+		stop := x.announceServersRepeatedly(halls)
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 12 {
 			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
@@ -75,7 +75,7 @@
 		const rate = 18
 		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
-		stop := x.keepAnnounced(halls)
+		stop := x.announceServersRepeatedly(halls)
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 6 {
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -161,7 +161,7 @@
 		is := is.New(x.t)
 		x.putDocument(1)
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-a", "b3": "hall-b"}
-		stop := x.keepAnnounced(halls)
+		stop := x.announceServersRepeatedly(halls)
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 3 {
@@ -195,8 +195,8 @@
 	})
 }
 
-// keepAnnounced announces backend servers once in each interval until stop is called.
-func (x *fleet) keepAnnounced(halls map[string]string) (stop func()) {
+// announceServersRepeatedly announces backend servers once in each interval until stop is called.
+func (x *fleet) announceServersRepeatedly(halls map[string]string) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -186,7 +186,7 @@
 	return true
 }
 
-// placesFor returns the replicas that may serve the gateways of a region; none if they are not known.
+// placesFor returns the replicas that may serve the gateways of a region, or nil if they are not known.
 func (h *hub) placesFor(region string) []protocol.Place {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -119,7 +119,7 @@
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		x.leadIn(north)
-		stop := x.keepAnnouncing(servers)
+		stop := x.announceAnywhereRepeatedly(servers)
 		x.gatewaysIn(north, gateways)
 		x.gatewaysIn(south, gateways)
 		x.putDocument(1)
@@ -151,9 +151,9 @@
 	})
 }
 
-// keepAnnouncing announces backend servers once per interval, each at any replica that answers, until
+// announceAnywhereRepeatedly announces backend servers once per interval, each at any replica that answers, until
 // stop is called.
-func (x *fleet) keepAnnouncing(servers int) (stop func()) {
+func (x *fleet) announceAnywhereRepeatedly(servers int) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var announcing sync.WaitGroup
 	for i := range servers {
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -272,8 +272,8 @@
 	return slices.DeleteFunc(h.registry.HallsOf(r.Pool, r.Target), func(hall string) bool { return slices.Contains(out, hall) })
 }
 
-// routesWithoutTarget returns the routes that are bound to home regions none of which contains any of
-// the halls of the target's servers.
+// routesWithoutTarget returns the routes with home regions that contain none of these halls, which are
+// those of the target's servers.
 func (h *hub) routesWithoutTarget(halls []string) map[string]bool {
 	held, _ := h.d.state.Held()
 	away := map[string]bool{}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -117,7 +117,7 @@
 					v := &versionedServers{unreachableAfter: at, allUnreachable: all}
 					x.withRollout(v, func() {
 						state, after := x.awaitRolloutEnd(v)
-						sent, room, _ := v.exposed()
+						sent, room, _ := v.measureExposure()
 						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
 						is.Equal(state == document.RolloutRolledBack, all)
 						is.Equal(state == document.RolloutComplete, !all)
@@ -162,7 +162,7 @@
 							is.True(after <= rolloutTime)
 							time.Sleep(4 * time.Second)
 							target, old := v.arrivalsAfter(end.Add(propagationTime))
-							sent, room, late := v.exposed()
+							sent, room, late := v.measureExposure()
 							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, room)
 							is.Equal(target, 0)
 							is.True(old > 400)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -24,13 +24,13 @@
 
 // routeServers records which route's requests reach which server, and how many fail.
 type routeServers struct {
-	from
+	regionView
 	failed map[string]int // by route; guarded by mu of versionedServers
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	h.arrivalLog.record(call.Header.Get("Id") + at)
-	return h.from.Send(ctx, at, call)
+	return h.regionView.Send(ctx, at, call)
 }
 
 // sendRequests sends a request on both routes in each period.
@@ -84,7 +84,7 @@
 				x.runScenario(v, rolloutScenario{document: homeDocument(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
-					h.from = from{r, region}
+					h.regionView = regionView{r, region}
 					x.startGatewayWithLoad(ip, testHeaders{}, h, h.sendRequests)
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
@@ -93,8 +93,8 @@
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
-					at := func(route, server string, from time.Time) int {
-						n, _ := r.arrivalLog.countSince(route+serverAddress(server), from)
+					at := func(route, server string, begin time.Time) int {
+						n, _ := r.arrivalLog.countSince(route+serverAddress(server), begin)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -32,12 +32,12 @@
 }
 
 // regionView is the servers as the gateways of a region reach them.
-type from struct {
+type regionView struct {
 	*regionalServers
 	region string
 }
 
-func (f from) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (f regionView) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	f.arrivalLog.record(f.region + at)
 	for n, hall := range f.halls {
 		if f.cut.Load() && at == serverAddress(fmt.Sprint("b", n)) && hall != f.region {
@@ -74,7 +74,7 @@
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
-		x.startLoadedGateway(ip, from{r, regions[ip]}, rolloutPeriod)
+		x.startLoadedGateway(ip, regionView{r, regions[ip]}, rolloutPeriod)
 	}
 	x.runScenario(v, rolloutScenario{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -109,9 +109,10 @@
 	}
 }
 
-// exposed returns the number of requests sent to the target, the smallest headroom below the bound, and
-// the time from the target's 50th failed answer to its last request, or 0 without such an answer.
-func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
+// measureExposure returns the number of requests sent to the target, the smallest headroom below the
+// bound, and the time from the target's 50th failed answer to its last request, or 0 without such an
+// answer.
+func (v *versionedServers) measureExposure() (sent int, headroom float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.fiftiethBadAt.IsZero() {
