--- a/router/leader.go
+++ b/router/leader.go
@@ -15,38 +15,36 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines leaderClient, which finds the control replica that leads,
-// and extends the lease while a majority of the replicas has no leader. The
-// session with a leader is in session.go.
-
-// Times of the search for a leader. A router whose lease still runs searches
-// more often: an election takes about half a lease, and with pauses of a second,
-// slower elections and silentPart of 1 the lease ran out in 3 of 60 runs of
-// TestLeaderIsKilledUnderLoad, since then in none (commit 8ab89cd).
+// This file defines leaderClient, which finds the leading control replica, and extends the lease
+// while a majority of the replicas has no leader. The session with a leader is in session.go.
+
+// Times of the search for a leader. An election takes about half a lease, so a router whose lease
+// is still valid searches more often: with pauses of a second the lease can expire during an
+// election.
 const (
-	shortestRetry = 20 * time.Millisecond  // first pause, doubled with every failure
-	leasedRetry   = 250 * time.Millisecond // longest pause while the lease runs; by TestLeaderIsKilledUnderLoad
+	shortestRetry = 20 * time.Millisecond  // first pause, doubled after every failure
+	leasedRetry   = 250 * time.Millisecond // longest pause while the lease is valid
 	longestRetry  = time.Second            // longest pause without a lease
-	helloTimeout  = 2 * time.Second        // for a replica's answer, the dial included
-	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has given its own
+	helloTimeout  = 2 * time.Second        // for a replica's answer, including the dial
+	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has announced its own
 )
 
-// leaderClient keeps a session with the control replica that leads.
+// leaderClient keeps a session with the leading control replica.
 type leaderClient struct {
-	r       *Router
-	routine chan struct{}           // there is something for the next full report
-	urgent  chan struct{}           // there is something that a slot or a request waits for
-	session atomic.Pointer[session] // nil while there is none
-
-	// What follows belongs to the goroutine of run. Those of survey read it
-	// while run waits for them.
-	leader string        // name of the replica that led the last session
-	epoch  uint64        // highest of all sessions
-	length time.Duration // of the lease, as the last leader gave it
+	r             *Router
+	routineReport chan struct{}           // signals changes for the next full report
+	urgentReport  chan struct{}           // signals changes that a slot or a request waits for
+	session       atomic.Pointer[session] // nil while there is none
+
+	// The fields below are written only by the goroutine of run. The goroutines of survey read them
+	// while run waits.
+	leader        string        // name of the replica that led the last session
+	epoch         uint64        // highest epoch of all sessions
+	leaseDuration time.Duration // as announced by the last leader
 }
 
 func newLeaderClient(r *Router) *leaderClient {
-	return &leaderClient{r: r, routine: make(chan struct{}, 1), urgent: make(chan struct{}, 1), length: defaultLease}
+	return &leaderClient{r: r, routineReport: make(chan struct{}, 1), urgentReport: make(chan struct{}, 1), leaseDuration: defaultLease}
 }
 
 // run keeps a session until the router stops.
@@ -54,13 +52,13 @@
 	wait := shortestRetry
 	for l.r.ctx.Err() == nil {
 		began := l.r.now()
-		got := l.find()
-		if got.link != nil {
-			l.follow(got)
+		found := l.find()
+		if found.link != nil {
+			l.follow(found)
 			wait = shortestRetry
 		}
-		if l.r.now()-began < wait || got.link == nil {
-			sleep.For(l.r.ctx, wait/2+l.r.jitter(wait)) // jitter keeps a rack of routers from dialling at once
+		if l.r.now()-began < wait || found.link == nil {
+			sleep.For(l.r.ctx, wait/2+l.r.jitter(wait)) // jitter keeps many routers from dialling at the same time
 			wait = min(2*wait, l.longestPause())
 		}
 	}
@@ -74,18 +72,17 @@
 	return longestRetry
 }
 
-// reply is a replica's answer to a hello. One that did not answer has the zero
-// reply.
-type reply struct {
+// helloReply is a replica's answer to a hello. It is the zero value if the replica did not answer.
+type helloReply struct {
 	link     *link.Link // open if the replica leads
 	welcome  protocol.Welcome
-	redirect protocol.Redirect // of a replica that does not lead
+	redirect protocol.Redirect // from a replica that does not lead
 	sent     time.Duration     // when the hello was sent
 }
 
-// find opens a link to the leader: at the last one known, at the one that it
-// names instead, then by a hello to every replica. The link is nil when nobody leads.
-func (l *leaderClient) find() reply {
+// find opens a link to the leader. It tries the last known leader, then the one that this replica
+// names, then sends a hello to every replica. The link is nil if no replica leads.
+func (l *leaderClient) find() helloReply {
 	name := l.leader
 	for range 2 {
 		address, ok := l.r.cfg.Replicas[name]
@@ -104,20 +101,19 @@
 	return l.survey()
 }
 
-// survey sends a hello to every replica at once. If a majority answers that it
-// has no leader, that it holds no newer configuration than this router, and
-// that nothing in its log waits to be applied, then no newer configuration can
-// have been accepted before the hello was sent, and every later leader waits
-// for this router's lease: the lease is extended as by a renewal.
-func (l *leaderClient) survey() reply {
+// survey sends a hello to every replica concurrently. If a majority answers that it has no leader,
+// no newer configuration than this router, and no log entries to be applied, then no newer
+// configuration can have been accepted before the hello was sent, and every later leader waits for
+// this router's lease. The lease is then extended as by a renewal.
+func (l *leaderClient) survey() helloReply {
 	names := slices.Sorted(maps.Keys(l.r.cfg.Replicas))
-	replies := make(chan reply, len(names))
+	replies := make(chan helloReply, len(names))
 	sent := l.r.now()
 	for _, name := range names {
 		go func() { replies <- l.hello(l.r.cfg.Replicas[name]) }()
 	}
 	leaderless := 0
-	var best reply
+	var best helloReply
 	for range names {
 		got := <-replies
 		switch {
@@ -125,7 +121,7 @@
 			best = got
 		case got.link != nil:
 			got.link.Close()
-		case provesStandstill(got.redirect, l.r.Revision()):
+		case provesNoNewerRevision(got.redirect, l.r.Revision()):
 			leaderless++
 		}
 	}
@@ -135,44 +131,43 @@
 	return best
 }
 
-// provesStandstill reports whether a replica that answered with r has no
-// leader and nothing newer than revision. The zero Redirect proves nothing.
-func provesStandstill(r protocol.Redirect, revision uint64) bool {
+// provesNoNewerRevision reports whether a replica that answered with r has no leader and nothing
+// newer than revision. The zero Redirect proves nothing.
+func provesNoNewerRevision(r protocol.Redirect, revision uint64) bool {
 	return r.Group != 0 && !r.Follows && !r.Pending && r.Revision <= revision
 }
 
-// extendWithoutLeader extends a lease that still runs. One that has run out
-// needs an allocator: its slots may have been granted to another router.
+// extendWithoutLeader extends a lease that is still valid. An expired lease needs an allocator,
+// because its slots may have been granted to another router.
 func (l *leaderClient) extendWithoutLeader(sent time.Duration) {
 	if l.r.lease.valid(l.r.now()) {
-		l.r.lease.extend(sent, l.length)
+		l.r.lease.extend(sent, l.leaseDuration)
 	}
 }
 
-// hello opens a link to one replica and sends a hello. Its errors are not logged:
-// during an election every replica fails several times a second, and the end
-// of the last session has its line.
-func (l *leaderClient) hello(address string) reply {
+// hello opens a link to one replica and sends a hello. Errors are not logged: during an election
+// every replica fails several times per second, and the end of the last session has been logged.
+func (l *leaderClient) hello(address string) helloReply {
 	ctx, cancel := context.WithTimeout(l.r.ctx, helloTimeout)
 	defer cancel()
 	lk, err := link.Dial(ctx, address, l.r.cfg.Identity, l.r.meter)
 	if err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	sent := l.r.now()
 	if err := lk.Send(ctx, l.newHello()); err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	m, err := lk.Receive(ctx)
 	if err != nil {
-		return reply{}
+		return helloReply{}
 	}
 	if welcome, ok := m.(protocol.Welcome); ok {
-		return reply{link: lk, welcome: welcome, sent: sent}
+		return helloReply{link: lk, welcome: welcome, sent: sent}
 	}
 	lk.Close()
 	redirect, _ := m.(protocol.Redirect) // any other message counts as no answer
-	return reply{redirect: redirect}
+	return helloReply{redirect: redirect}
 }
 
 func (l *leaderClient) newHello() protocol.Hello {
@@ -182,7 +177,7 @@
 	}
 	leased := l.r.lease.valid(l.r.now())
 	for _, p := range l.r.poolList() {
-		p.locked(func(pl *pool.Pool) {
+		p.withLock(func(pl *pool.Pool) {
 			held, view := pl.Hello(leased)
 			h.Held = append(h.Held, held...)
 			h.Pools = append(h.Pools, view)
