--- a/directory/relay.go
+++ b/directory/relay.go
@@ -149,8 +149,8 @@
 }
 
 // redirectTarget returns the replica to which a relay without a leader redirects its gateways. Where
-// sessions are spread it is "", for any other replica. Otherwise a region has few relays, and it is this
-// one, which serves them as soon as it has a leader again.
+// sessions are spread this is "", which means any other replica. Otherwise it is this replica, because a
+// region has few relays, and this one serves again as soon as it has a leader.
 func (h *hub) redirectTarget() string {
 	if h.isSpread() {
 		return ""
