--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -15,19 +15,19 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what the leader keeps of one rollout.
+// This file tests the leader's state of one rollout.
 
-func newLeadRollout(d document.Rollout) *leadRollout {
-	return &leadRollout{Rollout: d, reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
+func newLeadRollout(d document.Rollout) *activeRollout {
+	return &activeRollout{Rollout: d, reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
-// TestTotalsReplaceTotals: a report that is lost or comes twice changes nothing, and a gateway
-// that starts again adds to what it had sent before.
+// TestTotalsReplaceTotals checks that lost or repeated reports change nothing, and that the totals of a
+// restarted gateway add to those of its earlier run.
 func TestTotalsReplaceTotals(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Target: "v2"})
 	report := func(boot, sent, failed uint64, version string, paces ...uint32) {
-		r.add(reporter{gateway: "g", boot: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
+		r.addOutcomes(reporter{gateway: "g", bootID: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
 	}
 	report(1, 3, 1, "v2", 0, 2)
 	report(1, 10, 4, "v2", 0, 2, 7)
@@ -41,13 +41,13 @@
 	is.Equal([]uint64{old.Sent, old.Answered, old.Failed}, []uint64{11, 11, 0})
 }
 
-// TestRelaysCountOnce: what a relay reported counts while its session lives, since its gateways
-// report it elsewhere then, to the relay's next run, to another relay or to the leader itself.
+// TestRelaysCountOnce checks that a relay's totals count only while its session lives: its gateways then
+// report them elsewhere, to the relay's next run, another relay or the leader.
 func TestRelaysCountOnce(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
 		h.addOutcomes(s, protocol.Usage{Outcomes: []protocol.Outcomes{
 			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces},
@@ -64,25 +64,25 @@
 	h.removeOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
 	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
-	report(again, 20, 3, 0, 6)                                  // one of its gateways is not back yet
-	h.removeOutcomes(north)                                     // the end of its link is noticed last
+	report(again, 20, 3, 0, 6)                                  // one of its gateways has not reconnected yet
+	h.removeOutcomes(north)                                     // the end of its link is detected last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
-	report(again, 21, 1, 0, 3) // and goes to another relay
+	report(again, 21, 1, 0, 3) // one gateway moves to another relay
 	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	gone := &session{gateway: "g", bootID: 1}
-	h.removeOutcomes(gone) // a gateway's own stay
+	h.removeOutcomes(gone) // a gateway's own totals are kept
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
 
-// TestVerdictOfTheLeaderBefore: it may have reached gateways and not the log; what was seen since
-// need not repeat it.
+// TestVerdictOfTheLeaderBefore checks that a new leader adopts its predecessor's verdict from gateways:
+// it may have reached them and not the log, and outcomes seen since need not repeat it.
 func TestVerdictOfTheLeaderBefore(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*leadRollout{"p": r}, obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(list ...protocol.Barred) {
 		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
@@ -90,11 +90,11 @@
 	is.Equal(r.decision.Action, rollout.Continue)
 	report(protocol.Barred{Pool: "p", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.RollBack)
-	is.Equal(r.entry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
+	is.Equal(r.listEntry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
 
-// TestOtherVersions: also those whose servers are away when the rollout is complete, but none
-// that is barred.
+// TestOtherVersions checks that the replaced versions include those whose servers are absent when the
+// rollout completes, but no barred version.
 func TestOtherVersions(t *testing.T) {
 	is := is.New(t)
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1))}
@@ -105,38 +105,39 @@
 	}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Barred: []string{"v3"}})
 	for _, v := range []string{"v0", "v2", "v3"} {
-		r.add(reporter{gateway: "g", boot: 1}, protocol.Outcomes{Version: v, Route: "r", Sent: 1})
+		r.addOutcomes(reporter{gateway: "g", bootID: 1}, protocol.Outcomes{Version: v, Route: "r", Sent: 1})
 	}
-	is.Equal(h.otherVersions(r), []string{"", "v0", "v1"})
+	is.Equal(h.replacedVersions(r), []string{"", "v0", "v1"})
 }
 
-// TestBarredBeforeTheLogHasIt: the list with the verdict goes out at once, and what the log
-// holds is not touched.
+// TestBarredBeforeTheLogHasIt checks that a list with the verdict is sent at once, without a change to
+// the state that the log holds.
 func TestBarredBeforeTheLogHasIt(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 3, Barred: make([]string, 0, 4)})
 	r.decision = rollout.Decision{Share: 0.04, Routes: map[string]float64{"b": 0.5, "a": 0.25}}
 	base := protocol.Rollout{Pool: "p", Attempt: 3, Barred: r.Barred}
-	is.Equal(r.entry(base), protocol.Rollout{
+	is.Equal(r.listEntry(base), protocol.Rollout{
 		Pool: "p", Attempt: 3, Target: "v2", Share: 0.04, Barred: []string{},
 		Routes: []protocol.RouteShare{{Route: "a", Share: 0.25}, {Route: "b", Share: 0.5}},
 	})
 	r.decision = rollout.Decision{Action: rollout.RollBack}
-	is.Equal(r.entry(base), protocol.Rollout{Pool: "p", Attempt: 3, Target: "v2", Barred: []string{"v2"}})
+	is.Equal(r.listEntry(base), protocol.Rollout{Pool: "p", Attempt: 3, Target: "v2", Barred: []string{"v2"}})
 	is.Equal(len(r.Barred), 0)
 }
 
-// TestShareThatHardlyChanges is not sent.
+// TestShareThatHardlyChanges checks that small changes of a share are not sent.
 func TestShareThatHardlyChanges(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Target: "v2"})
 	for _, step := range []struct{ decided, sent float64 }{{0.04, 0.04}, {0.045, 0.04}, {0.05, 0.05}, {0.99, 0.99}, {1, 1}, {0, 0}} {
 		r.decision = rollout.Decision{Share: step.decided}
-		is.Equal(r.entry(protocol.Rollout{}).Share, step.sent)
+		is.Equal(r.listEntry(protocol.Rollout{}).Share, step.sent)
 	}
 }
 
-// TestFirstListWithAll: gateways have to obey the first of the newest lists that give all.
+// TestFirstListWithAll checks that gateways have to apply the first of the latest lists that give the
+// target all requests.
 func TestFirstListWithAll(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{})
@@ -145,40 +146,40 @@
 		share float64
 		want  uint64
 	}{{1, 0.04, 0}, {2, 1, 2}, {3, 1, 2}, {4, 0, 0}, {5, 1, 5}} {
-		r.noteSent(0, step.seq, protocol.Rollout{Share: step.share})
+		r.recordSent(0, step.seq, protocol.Rollout{Share: step.share})
 		is.Equal(r.fullSeq, step.want)
 	}
 }
 
-// TestTotalsFall when a relay's session ends that has reported something: that is noted, until its
-// gateways have reported elsewhere.
+// TestTotalsFall checks that a fall of the totals is recorded when a relay's session ends that has
+// reported outcomes, until its gateways have reported elsewhere.
 func TestTotalsFall(t *testing.T) {
 	is := is.New(t)
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
-	silent, relay := reporter{relayed: &session{}}, reporter{relayed: &session{bootID: 1}}
-	r.add(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
-	r.forget(silent)
-	r.noteForgotten(time.Second)
-	is.Equal(r.forgotAt, time.Duration(0))
-	r.forget(relay)
-	r.noteForgotten(3 * time.Second)
-	is.Equal(r.forgotAt, 3*time.Second)
-	r.noteForgotten(4 * time.Second)
-	is.Equal(r.forgotAt, 3*time.Second)
+	silent, relay := reporter{relaySession: &session{}}, reporter{relaySession: &session{bootID: 1}}
+	r.addOutcomes(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
+	r.removeReporter(silent)
+	r.recordReducedTotals(time.Second)
+	is.Equal(r.totalsReducedAt, time.Duration(0))
+	r.removeReporter(relay)
+	r.recordReducedTotals(3 * time.Second)
+	is.Equal(r.totalsReducedAt, 3*time.Second)
+	r.recordReducedTotals(4 * time.Second)
+	is.Equal(r.totalsReducedAt, 3*time.Second)
 }
 
-// TestRelayThatHasJustOpened keeps a rollout from being complete until it has reported twice:
-// before it has named its gateways, what runs there is not in the sums either.
+// TestRelayThatHasJustOpened checks that a new relay session delays completion until it has reported
+// twice: before the relay has named its gateways, their load is not in the sums either.
 func TestRelayThatHasJustOpened(t *testing.T) {
 	is := is.New(t)
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
-	earlier := &session{gateway: "g"} // of a version that does not know rollouts
+	earlier := &session{gateway: "g"} // its version does not support rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
-	h.rollouts = rollouts{obeyed: map[*session]obedience{}}
+	h.rollouts = rollouts{applied: map[*session]appliedLists{}}
 	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2"})
 	r.fullSeq = 2
 	for _, want := range []bool{false, false, true} {
-		is.Equal(h.oldIdle(r), want)
+		is.Equal(h.oldVersionsIdle(r), want)
 		h.addOutcomes(s, protocol.Usage{Obeyed: 2})
 	}
 }
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -14,43 +14,43 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines how operators' commands about rollouts are answered on fleet links.
+// This file answers operators' rollout commands on fleet links.
 
-// commandTimeout bounds what one command waits for. A commit takes milliseconds, an election some
+// commandTimeout bounds the execution of one command. A commit takes milliseconds, an election some
 // hundred.
 const commandTimeout = 2 * time.Second
 
-// serveRolloutOrder answers an operator's command on a link that its first message has opened. An operator
-// that gets no answer sends the order again. An order of one that waits no longer is passed over:
-// it was held up on the way.
+// serveRolloutOrder answers an operator's command that arrived as the first message of a link. An
+// operator that gets no answer repeats the order. An order whose sender no longer waits was delayed on
+// the way and is dropped.
 func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
 	}
-	_ = l.Send(ctx, d.obey(ctx, o)) // not in the order's time: it may be over
+	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by commandTimeout, which may have expired
 }
 
-// obey does what an operator's command asks for and returns the answer.
-func (d *Directory) obey(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
+// executeRolloutOrder executes an operator's command and returns the answer.
+func (d *Directory) executeRolloutOrder(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	if err := d.change(ctx, o); err != nil {
-		return answerTo(err)
+	if err := d.applyRolloutOrder(ctx, o); err != nil {
+		return errorAnswer(err)
 	}
 	newest, err := d.Rollout(ctx, o.Pool)
 	switch {
 	case err == nil:
-		return protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: statusOf(newest)}
+		return protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: rolloutStatus(newest)}
 	case o.Act == protocol.OrderStatus:
-		return answerTo(err)
+		return errorAnswer(err)
 	}
 	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order itself is acknowledged
 }
 
-// change does what an operator's command asks to be changed, if it does.
-func (d *Directory) change(ctx context.Context, o protocol.RolloutOrder) error {
+// applyRolloutOrder makes the change that an operator's command requests, if any.
+func (d *Directory) applyRolloutOrder(ctx context.Context, o protocol.RolloutOrder) error {
 	switch o.Act {
 	case protocol.OrderStart:
 		return d.StartRollout(ctx, rollout.Order{Pool: o.Pool, Target: o.Target, Duration: o.Duration})
@@ -62,13 +62,13 @@
 	return rollout.InvalidOrder{What: "this version does not know what it asks for"}
 }
 
-// answerTo returns the answer to an order that ended with an error.
-func answerTo(err error) protocol.RolloutAnswer {
-	var elsewhere NotLeader
+// errorAnswer returns the answer to an order that failed.
+func errorAnswer(err error) protocol.RolloutAnswer {
+	var notLeader NotLeader
 	answer := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: err.Error()}
 	switch {
-	case errors.As(err, &elsewhere):
-		answer.Outcome, answer.Leader = protocol.OrderElsewhere, elsewhere.Leader
+	case errors.As(err, &notLeader):
+		answer.Outcome, answer.Leader = protocol.OrderElsewhere, notLeader.Leader
 	case errors.As(err, new(RolloutConflict)):
 		answer.Outcome = protocol.OrderConflict
 	case errors.As(err, new(Unavailable)):
@@ -77,7 +77,7 @@
 	return answer
 }
 
-func statusOf(r document.Rollout) *protocol.RolloutStatus {
+func rolloutStatus(r document.Rollout) *protocol.RolloutStatus {
 	return &protocol.RolloutStatus{
 		Target: r.Target, State: uint8(r.State), Attempt: r.Attempt, Duration: r.Duration, Elapsed: r.Elapsed,
 		Barred: r.Barred, Replaced: r.Replaced,
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -15,75 +15,77 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the leader carries out the rollouts of pools: it has package rollout
-// decide on what gateways report (outcomes.go), and sends them the shares. All runs in the hub's
-// goroutine.
+// This file implements the leader's side of pool rollouts. Package rollout decides from the outcomes that
+// gateways report (outcomes.go), and the leader sends the resulting shares to the gateways. Everything
+// runs in the hub's goroutine.
 
-// informedAfter is how long a new leader waits for the gateways' first reports before it gives a
-// target anything: it does not know yet what was seen. Gateways leave a silent leader after
-// registry.SilenceLimit, and come at once when their link closes.
-const informedAfter = time.Second
+// initialReportWait is how long a new leader waits for the gateways' first reports before it gives a
+// target any share, because it has no outcomes until then. Gateways leave a silent leader after
+// registry.SilenceLimit, and reconnect at once when their link closes.
+const initialReportWait = time.Second
 
-// Notes in the log of how far a rollout is, at the shortest after a second. A new leader takes at most
-// as much too little for elapsed.
+// The progress of a rollout is written to the log every Duration/progressSteps, but at most once per
+// progressPeriod. A new leader underestimates the elapsed time by at most one such interval.
 const (
-	notedPeriod = time.Second
-	notedPart   = 50 // of the rollout's duration
+	progressPeriod = time.Second
+	progressSteps  = 50 // progress records per rollout duration
 )
 
-// endTimeout bounds one try to put a change of a rollout into the log; the next step tries again.
-const endTimeout = time.Second
+// rolloutProposeTimeout bounds one attempt to commit a rollout change; the next step retries.
+const rolloutProposeTimeout = time.Second
 
-// rollouts is the rollouts of one term.
+// rollouts is the state of all rollouts during one term.
 type rollouts struct {
-	began    time.Duration
-	underWay map[string]*leadRollout // by pool
-	obeyed   map[*session]obedience
-	list     []protocol.Rollout // as last sent
-	seq      uint64             // of that
-	encoded  protocol.Encoded
+	startedAt time.Duration             // start of the term
+	underWay  map[string]*activeRollout // by pool
+	applied   map[*session]appliedLists // list numbers that the gateways confirmed
+	list      []protocol.Rollout        // as last sent
+	seq       uint64                    // number of the list
+	encoded   protocol.Encoded
 }
 
-// leadRollout is one rollout under way.
-type leadRollout struct {
+// activeRollout is the leader's state of a rollout under way.
+type activeRollout struct {
 	document.Rollout
-	schedule  rollout.Schedule
-	ordered   time.Duration // when, at the latest
-	reported  map[reporter]map[outcomeKey]protocol.Outcomes
-	totals    map[string]*rollout.RouteTallies
-	decision  rollout.Decision
-	sent      rollout.Decision // whose shares the gateways were sent
-	fullSeq   uint64           // of the first list that gives the target all requests; 0: none does
-	finalSeq  uint64           // of the first list that says that complete follows; 0: none does
-	finalAt   time.Duration    // when that was sent
-	forgot    bool             // what a relay had reported was taken back since the last step
-	forgotAt  time.Duration    // when that was seen last, before the switch
-	proposing bool
-	loggedAt  time.Duration
+	schedule        rollout.Schedule
+	orderedAt       time.Duration // latest possible time of the order, by this replica's clock
+	reports         map[reporter]map[outcomeKey]protocol.Outcomes
+	totals          map[string]*rollout.RouteTallies
+	decision        rollout.Decision
+	sentDecision    rollout.Decision // decision whose shares were last sent to the gateways
+	fullSeq         uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
+	finalSeq        uint64           // number of the first list that announces completion; 0 if none was sent
+	finalSentAt     time.Duration    // when finalSeq was sent
+	totalsReduced   bool             // totals were reduced since the last step because a relay's session ended
+	totalsReducedAt time.Duration    // last time that totalsReduced was seen before the switch
+	proposing       bool
+	loggedAt        time.Duration
 }
 
-// beginRollouts begins a term with the rollouts that the log holds. Lists are numbered on: a
-// replica that finds itself leading again in one term would else send what gateways have passed.
+// beginRollouts resets the state for a new term; the next step fills it from the log. Lists keep their
+// numbering: a replica that leads again in the same term would otherwise send numbers that gateways
+// have already passed.
 func (h *hub) beginRollouts() {
 	h.rollouts = rollouts{
-		seq: h.rollouts.seq, began: h.d.replica.Now(), underWay: map[string]*leadRollout{}, obeyed: map[*session]obedience{},
+		seq: h.rollouts.seq, startedAt: h.d.replica.Now(), underWay: map[string]*activeRollout{}, applied: map[*session]appliedLists{},
 	}
 }
 
-// stepRollouts decides on each rollout under way. It is called with each tick and each change
-// of the applied state.
+// stepRollouts decides on each rollout under way. It is called on every tick and whenever the applied
+// state changes.
 func (h *hub) stepRollouts() {
 	now := h.d.replica.Now()
 	state := h.d.state.Rollouts()
-	h.takeRollouts(now, state)
+	h.syncRollouts(now, state)
 	for _, pool := range slices.Sorted(maps.Keys(h.rollouts.underWay)) {
 		h.stepRollout(now, h.rollouts.underWay[pool])
 	}
 	h.pushRollouts(state)
 }
 
-// takeRollouts takes what is applied: rollouts that have begun, are noted, or have ended.
-func (h *hub) takeRollouts(now time.Duration, state []document.Rollout) {
+// syncRollouts updates underWay from the applied state: rollouts that have begun, recorded progress or
+// ended.
+func (h *hub) syncRollouts(now time.Duration, state []document.Rollout) {
 	for _, d := range state {
 		r := h.rollouts.underWay[d.Pool]
 		if r != nil && (r.Attempt != d.Attempt || d.State != document.RolloutUnderWay) {
@@ -95,8 +97,8 @@
 			continue
 		}
 		if r == nil {
-			r = &leadRollout{
-				reported: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{},
+			r = &activeRollout{
+				reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{},
 				schedule: rollout.Schedule{Duration: d.Duration, Bounds: h.d.cfg.Rollouts},
 			}
 			if d.Switched > 0 {
@@ -104,22 +106,22 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.ordered = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
+		r.Rollout, r.orderedAt = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
 	}
 }
 
-// elapsed returns the time since the order, at least.
-func (r *leadRollout) elapsed(now time.Duration) time.Duration { return now - r.ordered }
+// elapsed returns a lower bound of the time since the order.
+func (r *activeRollout) elapsed(now time.Duration) time.Duration { return now - r.orderedAt }
 
-// attemptKey is one attempt of a pool's rollouts.
+// attemptKey identifies one attempt of a pool's rollouts.
 type attemptKey struct {
 	pool    string
 	attempt uint64
 }
 
-// recordOrderTimes notes by this replica's clock when rollouts under way were ordered at the latest:
-// what the log says of them may have been applied late, never early. It is called whether this
-// replica leads or not, so that a new leader knows.
+// recordOrderTimes records, by this replica's clock, the latest time at which each rollout under way
+// can have been ordered: log entries may be applied late, never early. It runs whether or not this
+// replica leads, so that a new leader already has these times.
 func (h *hub) recordOrderTimes() {
 	now := h.d.replica.Now()
 	ordered := map[attemptKey]time.Duration{}
@@ -136,55 +138,56 @@
 	h.ordered = ordered
 }
 
-// stepRollout decides on one rollout. A decision that ends it stays, until the log has it.
-func (h *hub) stepRollout(now time.Duration, r *leadRollout) {
+// stepRollout updates the decision on one rollout. A final decision stands until it is in the log.
+func (h *hub) stepRollout(now time.Duration, r *activeRollout) {
 	switch {
 	case r.decision.Action != rollout.Continue:
 	case r.Target == r.Completed:
 		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "it has the requests"}
 		h.logStep(now, r)
 	default:
-		r.noteForgotten(now)
-		before, halls := r.decision, h.targetHalls(r)
+		r.recordReducedTotals(now)
+		previous, halls := r.decision, h.targetHalls(r)
 		r.decision = r.schedule.Step(rollout.Observation{
-			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldIdle(r), TargetListed: len(halls) > 0,
-			RoutesWithoutTarget: h.keptAway(halls),
-			ReportsComplete:     now-max(h.rollouts.began, r.forgotAt) >= informedAfter && h.d.checkLeading() == nil,
+			Elapsed: r.elapsed(now), Totals: r.totals, OldIdle: h.oldVersionsIdle(r), TargetListed: len(halls) > 0,
+			RoutesWithoutTarget: h.routesWithoutTarget(halls),
+			ReportsComplete:     now-max(h.rollouts.startedAt, r.totalsReducedAt) >= initialReportWait && h.d.checkLeading() == nil,
 		})
-		if r.decision.Reason != before.Reason || now-r.loggedAt >= max(notedPeriod, r.Duration/notedPart) {
+		if r.decision.Reason != previous.Reason || now-r.loggedAt >= max(progressPeriod, r.Duration/progressSteps) {
 			h.logStep(now, r)
 		}
 	}
-	h.proposeStep(now, r)
+	h.proposeProgress(now, r)
 }
 
-// noteForgotten notes when totals fell, because a relay's session ended. Before the switch the
-// target then gets nothing until its gateways have reported elsewhere, since what it has had
-// bounds what it may get.
-func (r *leadRollout) noteForgotten(now time.Duration) {
-	if r.forgot && !r.schedule.Switched() {
-		r.forgotAt = now
+// recordReducedTotals records when totals fell because a relay's session ended. Before the switch the
+// target then gets no requests until the relay's gateways have reported elsewhere, because its share
+// is bounded by the requests that it has already received.
+func (r *activeRollout) recordReducedTotals(now time.Duration) {
+	if r.totalsReduced && !r.schedule.Switched() {
+		r.totalsReducedAt = now
 	}
-	r.forgot = false
+	r.totalsReduced = false
 }
 
-// proposeStep puts into the log how the rollout ends, or now and then how far it is.
-func (h *hub) proposeStep(now time.Duration, r *leadRollout) {
+// proposeProgress writes the end of a rollout to the log once it is decided, and its progress at
+// intervals before that.
+func (h *hub) proposeProgress(now time.Duration, r *activeRollout) {
 	c := document.RolloutChange{
 		Pool: r.Pool, Target: r.Target, After: r.Changes, Elapsed: max(r.elapsed(now), r.Elapsed), State: document.RolloutUnderWay,
 	}
 	switch r.decision.Action {
 	case rollout.Complete:
-		if !h.finalObeyed(now, r) {
+		if !h.finalListApplied(now, r) {
 			return
 		}
-		c.State, c.Replaced = document.RolloutComplete, h.otherVersions(r)
+		c.State, c.Replaced = document.RolloutComplete, h.replacedVersions(r)
 	case rollout.RollBack:
 		c.State = document.RolloutRolledBack
 	default:
 		if r.schedule.Switched() && r.Switched == 0 {
 			c.Switched = c.Elapsed
-		} else if c.Elapsed-r.Elapsed < max(notedPeriod, r.Duration/notedPart) {
+		} else if c.Elapsed-r.Elapsed < max(progressPeriod, r.Duration/progressSteps) {
 			return
 		}
 	}
@@ -193,42 +196,42 @@
 	}
 	r.proposing = true
 	go func() {
-		ctx, cancel := context.WithTimeout(h.d.ctx, endTimeout)
+		ctx, cancel := context.WithTimeout(h.d.ctx, rolloutProposeTimeout)
 		defer cancel()
-		// What was not applied is proposed again with a later step.
+		// A change that was not applied is proposed again by a later step.
 		_ = h.d.propose(ctx, command{Rollout: &c})
 		h.post(func() { r.proposing = false })
 	}()
 }
 
-// otherVersions returns the versions that the target replaces: those of servers that are
-// announced, and those that gateways have sent requests to, whose servers may be away.
-func (h *hub) otherVersions(r *leadRollout) []string {
-	others := map[string]bool{}
+// replacedVersions returns the versions that the target replaces: those of announced servers, and those
+// that gateways have sent requests to, whose servers may be absent now.
+func (h *hub) replacedVersions(r *activeRollout) []string {
+	versions := map[string]bool{}
 	for _, v := range h.registry.Versions(r.Pool) {
-		others[v] = true
+		versions[v] = true
 	}
-	for _, mine := range r.reported {
-		for key := range mine {
-			others[key.version] = true
+	for _, byKey := range r.reports {
+		for key := range byKey {
+			versions[key.version] = true
 		}
 	}
-	delete(others, r.Target)
+	delete(versions, r.Target)
 	for _, v := range r.Barred {
-		delete(others, v)
+		delete(versions, v)
 	}
-	return slices.Sorted(maps.Keys(others))
+	return slices.Sorted(maps.Keys(versions))
 }
 
-// oldIdle reports whether all gateways obey the list that gives the target all requests, and
-// nothing runs on servers of other versions. A relay says what all its gateways obey
-// (registry.Sums), and one that has just opened has not said so, nor what runs there.
-func (h *hub) oldIdle(r *leadRollout) bool {
+// oldVersionsIdle reports whether all gateways apply the list that gives the target all requests, and no
+// request runs on servers of other versions. A relay reports for all its gateways (registry.Sums); one
+// whose session has just opened has reported neither their lists nor their load.
+func (h *hub) oldVersionsIdle(r *activeRollout) bool {
 	if r.fullSeq == 0 {
 		return false
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.obeyed[s].before < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.applied[s].previous < r.fullSeq {
 			return false
 		}
 	}
@@ -240,35 +243,38 @@
 	})
 }
 
-// finalWait is how long the leader waits for all gateways to obey the list that says that complete
-// follows, or half of the time that is left: one that does not obey is out of touch. Several reports.
-const finalWait = time.Second
+// finalListTimeout bounds how long the leader waits for all gateways to apply the list that announces
+// completion. It waits for half of the remaining time if that is shorter. The timeout covers several
+// reports, so a gateway that takes longer is out of touch.
+const finalListTimeout = time.Second
 
-// finalObeyed reports whether a rollout may be put into the log as complete: all gateways know
-// that the old servers may stop. Else one that loses its session meanwhile would go back to them.
-func (h *hub) finalObeyed(now time.Duration, r *leadRollout) bool {
+// finalListApplied reports whether a rollout may be committed as complete, because all gateways have
+// been informed that the old servers may stop. Otherwise a gateway that loses its session in the
+// meantime would return to them.
+func (h *hub) finalListApplied(now time.Duration, r *activeRollout) bool {
 	if r.finalSeq == 0 {
 		return false
 	}
-	if now-r.finalAt >= min(finalWait, (r.Duration-r.elapsed(r.finalAt))/2) {
+	if now-r.finalSentAt >= min(finalListTimeout, (r.Duration-r.elapsed(r.finalSentAt))/2) {
 		return true
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.obeyed[s].last < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.applied[s].newest < r.finalSeq {
 			return false
 		}
 	}
 	return true
 }
 
-// targetHalls returns the data halls in service in which a server of the target is listed.
-func (h *hub) targetHalls(r *leadRollout) []string {
+// targetHalls returns the data halls in service that have a listed server of the target.
+func (h *hub) targetHalls(r *activeRollout) []string {
 	out, _ := h.d.state.HallsOut()
 	return slices.DeleteFunc(h.registry.HallsOf(r.Pool, r.Target), func(hall string) bool { return slices.Contains(out, hall) })
 }
 
-// keptAway returns the routes whose homes have no server of a target that stands in some halls.
-func (h *hub) keptAway(halls []string) map[string]bool {
+// routesWithoutTarget returns the routes with home regions that contain none of these halls, which are
+// those of the target's servers.
+func (h *hub) routesWithoutTarget(halls []string) map[string]bool {
 	held, _ := h.d.state.Held()
 	away := map[string]bool{}
 	for _, route := range held.Document.Routes {
@@ -282,17 +288,17 @@
 	return away
 }
 
-// pushRollouts sends all sessions the list, if it has changed.
+// pushRollouts sends the list to all sessions if it has changed.
 func (h *hub) pushRollouts(state []document.Rollout) {
 	list := make([]protocol.Rollout, 0, len(state))
 	changed := len(state) != len(h.rollouts.list)
 	for i, d := range state {
 		e := protocol.Rollout{Pool: d.Pool, Attempt: d.Attempt, Barred: d.Barred, Replaced: d.Replaced}
 		if r := h.rollouts.underWay[d.Pool]; r != nil {
-			e = r.entry(e)
+			e = r.listEntry(e)
 		}
 		list = append(list, e)
-		changed = changed || !sameEntry(h.rollouts.list[i], e)
+		changed = changed || !equalEntries(h.rollouts.list[i], e)
 	}
 	if !changed {
 		return
@@ -305,7 +311,7 @@
 	h.rollouts.list, h.rollouts.seq, h.rollouts.encoded = list, m.Seq, encoded
 	for _, e := range list {
 		if r := h.rollouts.underWay[e.Pool]; r != nil {
-			r.noteSent(h.d.replica.Now(), m.Seq, e)
+			r.recordSent(h.d.replica.Now(), m.Seq, e)
 		}
 	}
 	for s := range h.sessions {
@@ -313,10 +319,9 @@
 	}
 }
 
-// entry returns what gateways are to do about a rollout under way. A target that is rolled back
-// gets nothing from now on, whenever the log has it. Shares that have hardly changed stay as
-// they were sent.
-func (r *leadRollout) entry(e protocol.Rollout) protocol.Rollout {
+// listEntry completes a rollout's entry in the list for gateways. A target that is rolled back gets no
+// more requests, even before the log has the end. Shares that have hardly changed stay as last sent.
+func (r *activeRollout) listEntry(e protocol.Rollout) protocol.Rollout {
 	e.Target = r.Target
 	switch r.decision.Action {
 	case rollout.RollBack:
@@ -326,20 +331,20 @@
 		e.Share, e.Final = 1, true
 		return e
 	}
-	if r.decision.Differs(r.sent) {
-		r.sent = r.decision
+	if r.decision.Differs(r.sentDecision) {
+		r.sentDecision = r.decision
 	}
-	e.Share = r.sent.Share
-	for _, route := range slices.Sorted(maps.Keys(r.sent.Routes)) {
-		e.Routes = append(e.Routes, protocol.RouteShare{Route: route, Share: float32(r.sent.Routes[route])})
+	e.Share = r.sentDecision.Share
+	for _, route := range slices.Sorted(maps.Keys(r.sentDecision.Routes)) {
+		e.Routes = append(e.Routes, protocol.RouteShare{Route: route, Share: float32(r.sentDecision.Routes[route])})
 	}
 	return e
 }
 
-// noteSent takes the entry of a list that was sent.
-func (r *leadRollout) noteSent(now time.Duration, seq uint64, e protocol.Rollout) {
+// recordSent updates the list numbers after a list with this entry was sent.
+func (r *activeRollout) recordSent(now time.Duration, seq uint64, e protocol.Rollout) {
 	if e.Final && r.finalSeq == 0 {
-		r.finalSeq, r.finalAt = seq, now
+		r.finalSeq, r.finalSentAt = seq, now
 	}
 	switch {
 	case e.Share < 1:
@@ -349,12 +354,12 @@
 	}
 }
 
-func sameEntry(a, b protocol.Rollout) bool {
+func equalEntries(a, b protocol.Rollout) bool {
 	return a.Pool == b.Pool && a.Attempt == b.Attempt && a.Target == b.Target && a.Share == b.Share && a.Final == b.Final &&
 		slices.Equal(a.Barred, b.Barred) && slices.Equal(a.Replaced, b.Replaced) && slices.Equal(a.Routes, b.Routes)
 }
 
-// sendRollouts sends a session that opens all rollouts.
+// sendRollouts sends the current list to a session that opens.
 func (h *hub) sendRollouts(s *session) {
 	if h.relay != nil {
 		h.relay.sendRollouts(s)
@@ -365,19 +370,19 @@
 	}
 }
 
-// logStep logs what a rollout rests on.
-func (h *hub) logStep(now time.Duration, r *leadRollout) {
+// logStep logs a rollout's decision and the evidence for it.
+func (h *hub) logStep(now time.Duration, r *activeRollout) {
 	r.loggedAt = now
 	h.d.cfg.Log.StateChange("rollout step", h.rolloutAttrs(now, r)...)
 }
 
-// logEnd logs that the log has a rollout's end.
-func (h *hub) logEnd(now time.Duration, r *leadRollout, d document.Rollout) {
+// logEnd logs the committed end of a rollout.
+func (h *hub) logEnd(now time.Duration, r *activeRollout, d document.Rollout) {
 	h.d.cfg.Log.StateChange("rollout ended", append(h.rolloutAttrs(now, r),
 		slog.Bool("complete", d.State == document.RolloutComplete), slog.Any("barred", d.Barred), slog.Any("replaced", d.Replaced))...)
 }
 
-func (h *hub) rolloutAttrs(now time.Duration, r *leadRollout) []slog.Attr {
+func (h *hub) rolloutAttrs(now time.Duration, r *activeRollout) []slog.Attr {
 	d := r.decision
 	kind := "slow"
 	if d.Evidence.FromFailures {
@@ -388,6 +393,6 @@
 		slog.Int64("elapsed_ms", r.elapsed(now).Milliseconds()), slog.Float64("share", d.Share), slog.Uint64("sent", d.Sent),
 		slog.Uint64("of", d.Total), slog.Uint64("known", d.Evidence.KnownOutcomes), slog.Uint64("failed", d.Evidence.Failed),
 		slog.String("worst_route", d.Evidence.Route), slog.String("worst_for", kind),
-		slog.Float64("evidence", math.Round(10*d.Evidence.Sum)/10), slog.Bool("old_idle", h.oldIdle(r)), slog.String("why", d.Reason),
+		slog.Float64("evidence", math.Round(10*d.Evidence.Sum)/10), slog.Bool("old_idle", h.oldVersionsIdle(r)), slog.String("why", d.Reason),
 	}
 }
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -16,12 +16,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests whole rollouts: a leader, gateways under load, and servers of two versions.
+// This file tests complete rollouts with a leader, gateways under load, and servers of two versions.
 
-// propagationTime is how long a list takes to all gateways in touch, and what is on its way to arrive.
+// propagationTime bounds how long a list takes to reach all connected gateways, and requests in flight
+// to arrive.
 const propagationTime = 100 * time.Millisecond
 
-// faults are what happens to the fleet in the middle of a rollout, some time after the order.
+// faults are injected into the fleet during a rollout.
 var faults = []struct {
 	name string
 	do   func(x *fleet, v *versionedServers)
@@ -52,11 +53,12 @@
 	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
 }
 
-// faultTimes are when it happens: in the trial, about the switch, and before complete is said.
+// faultTimes are the times from the order to the fault: in the trial, around the switch, and before
+// completion is announced.
 var faultTimes = []time.Duration{3 * time.Second, 7300 * time.Millisecond, 8 * time.Second}
 
-// TestGoodVersionCompletes: in time, whatever fails meanwhile; from then on nothing reaches an
-// old server, since they may stop at once.
+// TestGoodVersionCompletes checks that a good version completes in time whatever fails meanwhile. From
+// then on no request reaches an old server, since they may stop at once.
 func TestGoodVersionCompletes(t *testing.T) {
 	for _, fault := range faults {
 		for _, at := range faultTimes {
@@ -65,7 +67,7 @@
 				withFleet(t, 5, func(x *fleet) {
 					is := is.New(x.t)
 					v := &versionedServers{}
-					x.rolling(v, func() {
+					x.withRollout(v, func() {
 						time.Sleep(at)
 						fault.do(x, v)
 						state, after := x.awaitRolloutEnd(v)
@@ -87,12 +89,12 @@
 	}
 }
 
-// TestUnnamedVersion: as any other; servers that name none are replaced as well.
+// TestUnnamedVersion checks that servers that name no version are replaced like those of any other.
 func TestUnnamedVersion(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
-		v := &versionedServers{unnamed: true}
-		x.rolling(v, func() {
+		v := &versionedServers{oldUnnamed: true}
+		x.withRollout(v, func() {
 			state, _ := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
@@ -104,18 +106,18 @@
 	})
 }
 
-// TestServersOfTheTargetGo: one that crashes in the trial rolls a good version back as little as
-// one of the old version would stop; a version that cannot be reached at all is rolled back.
+// TestServersOfTheTargetGo checks that a crash of one target server during the trial does not roll a
+// good version back, and that a version none of whose servers can be reached is rolled back.
 func TestServersOfTheTargetGo(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
 				withFleet(t, 3, func(x *fleet) {
 					is := is.New(x.t)
-					v := &versionedServers{gone: at, allGone: all}
-					x.rolling(v, func() {
+					v := &versionedServers{unreachableAfter: at, allUnreachable: all}
+					x.withRollout(v, func() {
 						state, after := x.awaitRolloutEnd(v)
-						sent, room, _ := v.exposed()
+						sent, room, _ := v.measureExposure()
 						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
 						is.Equal(state == document.RolloutRolledBack, all)
 						is.Equal(state == document.RolloutComplete, !all)
@@ -128,7 +130,8 @@
 	}
 }
 
-// TestBadVersionIsRolledBack: within the bounds, whatever fails meanwhile, and for good.
+// TestBadVersionIsRolledBack checks that a bad version is rolled back for good and within its bounds,
+// whatever fails meanwhile.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	versions := []struct {
 		name  string
@@ -150,7 +153,7 @@
 					withFleet(t, 5, func(x *fleet) {
 						is := is.New(x.t)
 						v := &versionedServers{fails: version.fails}
-						x.rolling(v, func() {
+						x.withRollout(v, func() {
 							time.Sleep(at)
 							fault.do(x, v)
 							state, after := x.awaitRolloutEnd(v)
@@ -159,7 +162,7 @@
 							is.True(after <= rolloutTime)
 							time.Sleep(4 * time.Second)
 							target, old := v.arrivalsAfter(end.Add(propagationTime))
-							sent, room, late := v.exposed()
+							sent, room, late := v.measureExposure()
 							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, room)
 							is.Equal(target, 0)
 							is.True(old > 400)
@@ -173,12 +176,12 @@
 	}
 }
 
-// TestRolloutBytes measures what a rollout adds to a gateway's session, in the trial.
+// TestRolloutBytes checks how many bytes a rollout adds to a gateway's session during the trial.
 func TestRolloutBytes(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.rolling(v, func() {
+		x.withRollout(v, func() {
 			time.Sleep(2 * time.Second)
 			n := x.gateways[rolloutGateway(0)]
 			sent, reports := n.controlTraffic("out", "usage")
@@ -200,7 +203,7 @@
 	})
 }
 
-// TestRolloutsComeFirst: a gateway that has just started knows what is barred before it knows
+// TestRolloutsComeFirst checks that a gateway that has just started receives the barred versions before
 // any server.
 func TestRolloutsComeFirst(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
@@ -222,18 +225,18 @@
 	})
 }
 
-// TestCompleteWaits for a gateway that does not obey the switch yet, and for one that still has
-// a request at an old server, until the time is nearly over.
+// TestCompleteWaits checks that completion waits, until the time is nearly over, for a gateway that does
+// not apply the switch, and for one that still runs a request at an old server.
 func TestCompleteWaits(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
 			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
-				x.rolling(v, func() {
+				x.withRollout(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
-					session.Go(func() { x.busyAtOld(ctx, obeys) })
+					session.Go(func() { x.runGatewayAtOldServer(ctx, obeys) })
 					state, after := x.awaitRolloutEnd(v)
 					cancel()
 					session.Wait()
@@ -246,8 +249,8 @@
 	}
 }
 
-// busyAtOld is a gateway that, if it obeys lists, always runs a request at server b1.
-func (x *fleet) busyAtOld(ctx context.Context, obeys bool) {
+// runGatewayAtOldServer runs a gateway that, if it applies lists, always runs a request at server b1.
+func (x *fleet) runGatewayAtOldServer(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
@@ -273,7 +276,7 @@
 			}
 		case protocol.Fleet:
 			u.Seq++
-			_ = l.Send(ctx, u) // it fails when the test is over
+			_ = l.Send(ctx, u) // fails when the test is over
 		}
 	}
 }
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -20,24 +20,24 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests rollouts over two regions: one that is cut off, and servers of the target in
-// one region only.
+// This file tests rollouts over two regions: one region is cut off, or the target has servers in one
+// region only.
 
-// regional is servers in two regions, each in the hall of its region's name.
-type regional struct {
+// regionalServers are servers in two regions, each in the hall that has its region's name.
+type regionalServers struct {
 	countedServers
 	x     *fleet
-	halls [7]string // by the number of the server
+	halls [7]string // by server number
 	cut   atomic.Bool
 }
 
-// from is the servers as a gateway of a region reaches them.
-type from struct {
-	*regional
+// regionView is the servers as the gateways of a region reach them.
+type regionView struct {
+	*regionalServers
 	region string
 }
 
-func (f from) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (f regionView) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	f.arrivalLog.record(f.region + at)
 	for n, hall := range f.halls {
 		if f.cut.Load() && at == serverAddress(fmt.Sprint("b", n)) && hall != f.region {
@@ -48,7 +48,7 @@
 }
 
 // announce announces the servers that reach the leader.
-func (r *regional) announce() {
+func (r *regionalServers) announce() {
 	l := r.x.leaderDirectory()
 	if l == nil {
 		return
@@ -63,27 +63,27 @@
 	}
 }
 
-// among counts what reached some servers between two moments.
-func (r *regional) among(begin, end time.Time, servers ...int) int {
+// arrivalsBetween counts the requests that reached some servers between two times.
+func (r *regionalServers) arrivalsBetween(begin, end time.Time, servers ...int) int {
 	return r.requestsSince(begin, servers...) - r.requestsSince(end, servers...)
 }
 
-// rollingOver is a rollout with two gateways in the north and one in the south.
-func (x *fleet) rollingOver(v *versionedServers, d document.Held, halls [7]string, f func(r *regional)) {
-	r := &regional{countedServers: newCountedServers(v), x: x, halls: halls}
+// withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
+func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.Held, halls [7]string, f func(r *regionalServers)) {
+	r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
-		x.startLoadedGateway(ip, from{r, regions[ip]}, rolloutPeriod)
+		x.startLoadedGateway(ip, regionView{r, regions[ip]}, rolloutPeriod)
 	}
 	x.runScenario(v, rolloutScenario{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
 
-// bothHalls has servers of both versions in both regions.
+// bothHalls places servers of both versions in both regions.
 var bothHalls = [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: south}
 
-// mustRefuse checks that no replica of a region that is cut off acknowledges an order.
-func (x *fleet) mustRefuse(region string) {
+// requireOrdersRefused checks that no replica of a region that is cut off acknowledges an order.
+func (x *fleet) requireOrdersRefused(region string) {
 	is := is.New(x.t)
 	for _, ip := range x.ips {
 		n := x.nodes[ip]
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestRegionIsCutOffInARollout: from some moment on, for 4 s. Both sides go on, orders at the
-// minority's are refused, and the rollout ends as the target deserves, within the bound over both.
+// TestRegionIsCutOffInARollout cuts a region off for 4 s during a rollout. Both sides must keep serving
+// requests, the minority must refuse orders, and the rollout must end as the target's quality requires,
+// within the bound over both regions.
 func TestRegionIsCutOffInARollout(t *testing.T) {
 	fails20 := func(time.Duration) float64 { return 0.2 }
 	fails60 := func(at time.Duration) float64 { return 0.6 * float64(at/(4*time.Second)) }
@@ -107,7 +108,7 @@
 		name   string
 		fails  func(time.Duration) float64
 		state  document.RolloutState
-		leader string // where it stands
+		leader string // region of the leader
 		at     []time.Duration
 	}{
 		{"good", nil, document.RolloutComplete, north, faultTimes},
@@ -121,10 +122,10 @@
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
 				inRegions(t, 1_000_000, func(x *fleet) {
 					v := &versionedServers{fails: test.fails}
-					x.rollingOver(v, testDocument(1), bothHalls, func(r *regional) {
+					x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
 						time.Sleep(at)
 						x.leadAfter(test.leader, 0)
-						cutOff(x, v, r, test.state)
+						cutOffDuringRollout(x, v, r, test.state)
 						is.New(x.t).True(test.fails == nil || minHeadroom(v) >= 0)
 					})
 				})
@@ -133,15 +134,16 @@
 	}
 }
 
-// contact is how long a gateway that was cut off needs at most until it obeys the directory
-// again, the bound of most deployments.
-const contact = 3 * time.Second
+// reconnectTime bounds the time until a gateway that was cut off follows the directory again. It is the
+// bound of most deployments.
+const reconnectTime = 3 * time.Second
 
-// lease is how long a gateway's share lasts after its leader is lost, and what is on its way.
-const lease = 2*time.Second + propagationTime
+// shareLeaseTime is how long a gateway applies its share after the loss of the leader, plus the time for
+// requests in flight.
+const shareLeaseTime = 2*time.Second + propagationTime
 
-// cutOff cuts the south off for 4 s, and checks how the rollout ends.
-func cutOff(x *fleet, v *versionedServers, r *regional, want document.RolloutState) {
+// cutOffDuringRollout cuts the south off for 4 s and checks how the rollout ends.
+func cutOffDuringRollout(x *fleet, v *versionedServers, r *regionalServers, want document.RolloutState) {
 	is := is.New(x.t)
 	cut := time.Now()
 	joined := cut.Add(4 * time.Second)
@@ -152,42 +154,42 @@
 		r.cut.Store(false)
 	})
 	time.Sleep(time.Second)
-	x.mustRefuse(south)
+	x.requireOrdersRefused(south)
 	state, after := x.awaitRolloutEnd(v)
 	end := time.Now()
 	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, minHeadroom(v))
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
-	time.Sleep(max(time.Until(joined), 0) + contact + time.Second)
-	is.True(r.among(cut, joined, 1, 2, 4, 5) > 100)
-	is.True(r.among(cut, joined, 3, 6) > 100)
-	for _, n := range []int{4, 5, 6} { // without a leader nobody has a share
-		unled, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), cut.Add(lease))
-		ledAgain, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), joined)
-		is.Equal(unled, ledAgain)
+	time.Sleep(max(time.Until(joined), 0) + reconnectTime + time.Second)
+	is.True(r.arrivalsBetween(cut, joined, 1, 2, 4, 5) > 100)
+	is.True(r.arrivalsBetween(cut, joined, 3, 6) > 100)
+	for _, n := range []int{4, 5, 6} { // without a leader no gateway has a share
+		afterLease, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), cut.Add(shareLeaseTime))
+		afterJoin, _ := r.arrivalLog.countSince(south+serverAddress(fmt.Sprint("b", n)), joined)
+		is.Equal(afterLease, afterJoin)
 	}
-	left := []int{4, 5, 6}
+	drained := []int{4, 5, 6}
 	if want == document.RolloutComplete {
-		left = []int{1, 2, 3}
+		drained = []int{1, 2, 3}
 	}
-	for _, n := range left {
+	for _, n := range drained {
 		inTouch, _ := r.arrivalLog.countSince(north+serverAddress(fmt.Sprint("b", n)), end.Add(propagationTime))
 		is.Equal(inTouch, 0)
 	}
-	both := end.Add(propagationTime)
-	if inTouch := joined.Add(contact); inTouch.After(both) {
-		both = inTouch
+	reconnected := end.Add(propagationTime)
+	if inTouch := joined.Add(reconnectTime); inTouch.After(reconnected) {
+		reconnected = inTouch
 	}
-	is.Equal(r.requestsSince(both, left...), 0)
+	is.Equal(r.requestsSince(reconnected, drained...), 0)
 }
 
-// TestRolloutOverTwoRegions: once complete is said, no gateway sends to old servers, wherever it
-// and they stand.
+// TestRolloutOverTwoRegions checks that after completion no gateway in either region sends requests to
+// old servers in either region.
 func TestRolloutOverTwoRegions(t *testing.T) {
 	inRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.rollingOver(v, testDocument(1), bothHalls, func(r *regional) {
+		x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
 			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
