--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -14,59 +14,59 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines how the leader finds the requests under which backend servers end: it has
-// package quarantine decide on what gateways report, puts what is condemned into the log, and
-// sends gateways the list. All runs in the hub's goroutine.
+// This file implements the leader's side of quarantine. Package quarantine evaluates the server losses
+// that gateways report; the leader writes condemned requests to the log and sends the list to the
+// gateways. Everything runs in the hub's goroutine.
 //
-// The evidence is lost with the leader. Gateways report again what they have seen when they open
-// a session with the next one. What is condemned is in the log, since gateways and directory may
-// end together, and none of them is to try such a request anew.
+// The evidence is not replicated: gateways report their losses again when they open a session with the
+// next leader. Condemned requests are in the log, because gateways and directory replicas may fail
+// together, and none of them may try such a request again.
 
-// condemnTimeout bounds one try to put a condemned request into the log. Until one succeeds the next
-// tick tries again.
+// condemnTimeout bounds one attempt to commit a condemned request; the next tick retries.
 const condemnTimeout = time.Second
 
-// evidence is what the leader of one term knows of ends.
+// evidence is the leader's state about server losses during one term.
 type evidence struct {
-	seen     *quarantine.Evidence
-	list     quarantine.List // as gateways were last sent it
-	revision uint64          // of the condemned requests of the log, in list
-	unlogged map[quarantine.Key]document.Condemned
-	logging  bool
+	tracker   *quarantine.Evidence
+	list      quarantine.List                       // as last sent to the gateways
+	revision  uint64                                // of the log's condemned requests that the list includes
+	unlogged  map[quarantine.Key]document.Condemned // condemned, not yet in the log
+	proposing bool                                  // a change is being proposed
 }
 
+// beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
 	if h.d.hasMultipleRegions() {
 		settle = quarantine.SettleViaRelay
 	}
-	h.evidence = evidence{seen: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
-	condemned := h.condemned()
+	h.evidence = evidence{tracker: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
+	condemned := h.condemnedEntries()
 	for _, e := range condemned {
-		h.evidence.seen.AddCondemned(e)
+		h.evidence.tracker.AddCondemned(e)
 	}
 	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
-// addLosses takes what a gateway or a relay reports of ends.
+// addLosses adds the losses in a report of a gateway or a relay to the evidence.
 func (h *hub) addLosses(u protocol.Usage) {
 	now := h.d.replica.Now()
 	for _, l := range u.Losses {
 		if loss, ok := timedLoss(now, l); ok {
-			h.evidence.seen.Add(now, loss)
+			h.evidence.tracker.Add(now, loss)
 		}
 	}
 	if len(u.Losses) > 0 {
-		h.pushQuarantine() // not with the next tick: until gateways know they try it twice
+		h.pushQuarantine() // not with the next tick: until gateways have the list they retry the request
 	}
 	for _, b := range u.Cleared {
 		if k, ok := quarantine.KeyFrom(b); ok {
-			h.clearKey(k)
+			h.clearAnswered(k)
 		}
 	}
 }
 
-// timedLoss translates a reported loss. It reports false for one without a key.
+// timedLoss converts a reported loss. It returns false if the loss has no key.
 func timedLoss(now time.Duration, l protocol.Loss) (quarantine.TimedLoss, bool) {
 	k, ok := quarantine.KeyFrom(l.Key)
 	return quarantine.TimedLoss{At: now - time.Duration(l.Age)*time.Millisecond, Loss: quarantine.Loss{
@@ -75,21 +75,22 @@
 	}}, ok
 }
 
-// clearKey takes a whole answer to a listed request. One that was condemned meanwhile was so
-// by mistake: it was still running when it was.
-func (h *hub) clearKey(k quarantine.Key) {
-	h.evidence.seen.Clear(k)
+// clearAnswered clears a listed request that was answered in full. If it was condemned while it was still
+// running, it is released.
+func (h *hub) clearAnswered(k quarantine.Key) {
+	h.evidence.tracker.Clear(k)
 	delete(h.evidence.unlogged, k)
 	if e, listed := h.evidence.list.Find(k); listed && e.Condemned {
 		h.d.cfg.Log.StateChange("request released", slog.String("key", k.String()), slog.String("why", "answered"))
-		h.logCondemned(document.CondemnedChange{Release: k[:]})
+		h.proposeCondemned(document.CondemnedChange{Release: k[:]})
 	}
 }
 
-// stepEvidence condemns what the evidence is enough for, and sends gateways what has changed.
+// stepEvidence condemns the requests with sufficient evidence, and sends changes of the list to the
+// gateways.
 func (h *hub) stepEvidence() {
 	v := &h.evidence
-	for _, verdict := range v.seen.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
+	for _, verdict := range v.tracker.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
 			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
@@ -97,27 +98,27 @@
 			Key: verdict.Key[:], Hint: uint32(verdict.Hint), Account: verdict.Account, Pool: verdict.Pool, Servers: verdict.Servers,
 		}
 	}
-	h.logUnlogged()
-	if revision := h.d.state.condemnedRevision(); revision != v.revision || v.seen.TakeChanged() {
+	h.proposeUnlogged()
+	if revision := h.d.state.condemnedRevision(); revision != v.revision || v.tracker.TakeChanged() {
 		v.revision = revision
 		h.pushQuarantine()
 	}
 }
 
-// logUnlogged puts what was condemned into the log, one after the other.
-func (h *hub) logUnlogged() {
-	if h.evidence.logging {
+// proposeUnlogged proposes the condemned requests that are not in the log, one at a time.
+func (h *hub) proposeUnlogged() {
+	if h.evidence.proposing {
 		return
 	}
 	for _, c := range h.evidence.unlogged {
-		h.logCondemned(document.CondemnedChange{Condemn: &c})
+		h.proposeCondemned(document.CondemnedChange{Condemn: &c})
 		return
 	}
 }
 
-// logCondemned puts a change of the condemned requests into the log, with nobody waiting.
-func (h *hub) logCondemned(c document.CondemnedChange) {
-	h.evidence.logging = true
+// proposeCondemned proposes a change of the condemned requests without waiting for the result.
+func (h *hub) proposeCondemned(c document.CondemnedChange) {
+	h.evidence.proposing = true
 	term := h.term
 	go func() {
 		ctx, cancel := context.WithTimeout(h.d.ctx, condemnTimeout)
@@ -127,17 +128,17 @@
 			if h.term != term {
 				return
 			}
-			h.evidence.logging = false
+			h.evidence.proposing = false
 			if err == nil && c.Condemn != nil {
-				k, _ := quarantine.KeyFrom(c.Condemn.Key) // it was made from one
+				k, _ := quarantine.KeyFrom(c.Condemn.Key) // valid: it was made from a key
 				delete(h.evidence.unlogged, k)
 			}
 		})
 	}()
 }
 
-// condemned returns the entries of what the log holds.
-func (h *hub) condemned() (all []quarantine.Entry) {
+// condemnedEntries returns the log's condemned requests as list entries.
+func (h *hub) condemnedEntries() (all []quarantine.Entry) {
 	for _, c := range h.d.state.Condemned() {
 		if k, ok := quarantine.KeyFrom(c.Key); ok {
 			all = append(all, quarantine.Entry{Key: k, Hint: quarantine.Hint(c.Hint), Ends: len(c.Servers), Condemned: true})
@@ -146,21 +147,21 @@
 	return all
 }
 
-// pushQuarantine sends gateways what has changed in the list.
+// pushQuarantine sends changes of the list to the gateways.
 func (h *hub) pushQuarantine() {
-	now := h.evidence.seen.Suspects()
-	for _, e := range h.condemned() {
-		now[e.Key] = e
+	current := h.evidence.tracker.Suspects()
+	for _, e := range h.condemnedEntries() {
+		current[e.Key] = e
 	}
 	var set []quarantine.Entry
 	var gone []quarantine.Key
-	for k, e := range now {
-		if before, listed := h.evidence.list.Find(k); !listed || before != e {
+	for k, e := range current {
+		if previous, listed := h.evidence.list.Find(k); !listed || previous != e {
 			set = append(set, e)
 		}
 	}
 	for k := range h.evidence.list.Entries() {
-		if _, still := now[k]; !still {
+		if _, remains := current[k]; !remains {
 			gone = append(gone, k)
 		}
 	}
@@ -171,7 +172,7 @@
 	h.broadcast(quarantineMessage(set, gone))
 }
 
-// quarantineMessage returns the message for a change of a list.
+// quarantineMessage returns the message for a change of the list.
 func quarantineMessage(set []quarantine.Entry, gone []quarantine.Key) protocol.Quarantine {
 	slices.SortFunc(set, func(a, b quarantine.Entry) int { return bytes.Compare(a.Key[:], b.Key[:]) })
 	slices.SortFunc(gone, func(a, b quarantine.Key) int { return bytes.Compare(a[:], b[:]) })
@@ -187,8 +188,8 @@
 	return m
 }
 
-// wholeQuarantine returns the list with which a session opens.
-func wholeQuarantine(l quarantine.List) protocol.Quarantine {
+// fullQuarantine returns the message with the whole list, which a session starts with.
+func fullQuarantine(l quarantine.List) protocol.Quarantine {
 	var all []quarantine.Entry
 	for _, e := range l.Entries() {
 		all = append(all, e)
@@ -198,35 +199,35 @@
 	return m
 }
 
-// sendQuarantine sends a gateway or a relay that opens a session the whole list.
+// sendQuarantine sends the whole list to a gateway or a relay that opens a session.
 func (h *hub) sendQuarantine(s *session) {
 	l := h.evidence.list
 	if h.relay != nil {
 		l = h.relay.quarantine
 	}
-	s.out.Send(wholeQuarantine(l))
+	s.out.Send(fullQuarantine(l))
 }
 
-// takeQuarantine takes the leader's list, and passes it on.
-func (r *relay) takeQuarantine(m protocol.Quarantine) {
+// applyQuarantine applies a list message of the leader and forwards it to the gateways.
+func (r *relay) applyQuarantine(m protocol.Quarantine) {
 	r.quarantine = r.quarantine.Apply(m)
 	r.h.broadcast(m)
 }
 
-// bufferLosses keeps what a gateway reports of ends until the next report to the leader.
+// bufferLosses holds the losses that a gateway reports until the next report to the leader.
 func (r *relay) bufferLosses(u protocol.Usage) {
 	now := r.h.d.replica.Now()
 	for _, l := range u.Losses {
-		r.losses = append(r.losses, agedLoss{Loss: l, came: now})
+		r.losses = append(r.losses, bufferedLoss{Loss: l, receivedAt: now})
 	}
 	r.cleared = append(r.cleared, u.Cleared...)
 }
 
-// takeLosses adds to a report what was kept, as old as it is by now.
-func (r *relay) takeLosses(u protocol.Usage) protocol.Usage {
+// appendLosses moves the buffered losses to a report and updates their ages.
+func (r *relay) appendLosses(u protocol.Usage) protocol.Usage {
 	now := r.h.d.replica.Now()
 	for _, l := range r.losses {
-		l.Age += uint32((now - l.came).Milliseconds())
+		l.Age += uint32((now - l.receivedAt).Milliseconds())
 		u.Losses = append(u.Losses, l.Loss)
 	}
 	u.Cleared = r.cleared
@@ -234,8 +235,8 @@
 	return u
 }
 
-// agedLoss is a loss that waits at a relay.
-type agedLoss struct {
+// bufferedLoss is a loss that waits at a relay.
+type bufferedLoss struct {
 	protocol.Loss
-	came time.Duration
+	receivedAt time.Duration
 }
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -19,22 +19,22 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests a rollout whose target has servers in one region only, while a route's home is
-// the other.
+// This file tests a rollout whose target has servers in one region only, while the other region is the
+// home of a route.
 
-// routeServers notes which route's requests reach which server, and how they end.
+// routeServers records which route's requests reach which server, and how many fail.
 type routeServers struct {
-	from
-	failed map[string]int // by route, guarded by the versioned's mu
+	regionView
+	failed map[string]int // by route; guarded by mu of versionedServers
 }
 
 func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	h.arrivalLog.record(call.Header.Get("Id") + at)
-	return h.from.Send(ctx, at, call)
+	return h.regionView.Send(ctx, at, call)
 }
 
-// ask asks on both routes in each period.
-func (h routeServers) ask(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+// sendRequests sends a request on both routes in each period.
+func (h routeServers) sendRequests(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 	for range sleep.Every(ctx, rolloutPeriod) {
 		for _, route := range []string{"any", "home"} {
 			asking.Go(func() {
@@ -51,7 +51,7 @@
 	}
 }
 
-// countFailed counts what fails from the order on.
+// countFailed counts requests that fail after the order.
 func (h routeServers) countFailed(route string) {
 	h.versionedServers.mu.Lock()
 	defer h.versionedServers.mu.Unlock()
@@ -60,8 +60,8 @@
 	}
 }
 
-// homeHeld has route "any", and route "home" whose home is the south.
-func homeHeld() document.Held {
+// homeDocument returns a document with the routes "any" and "home"; the home of the latter is the south.
+func homeDocument() document.Held {
 	h := testDocument(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
@@ -69,9 +69,9 @@
 	return h
 }
 
-// TestTargetInOneRegionOnly: the route with the other as its home never leaves it, and does not
-// keep the others from the target; its requests are served by the old servers there, also after
-// the end, for as long as those are there.
+// TestTargetInOneRegionOnly checks that the requests of a route with the other region as its home never
+// leave that region and do not hold up the rollout for other routes. The old servers there serve them
+// after the end as well, for as long as they run.
 func TestTargetInOneRegionOnly(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
@@ -79,13 +79,13 @@
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
-				r := &regional{countedServers: newCountedServers(v), x: x, halls: halls}
+				r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
-				x.runScenario(v, rolloutScenario{document: homeHeld(), announce: r.announce, load: func(ip string) {
+				x.runScenario(v, rolloutScenario{document: homeDocument(), announce: r.announce, load: func(ip string) {
 					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
 					x.place(ip, region)
-					h.from = from{r, region}
-					x.startGatewayWithLoad(ip, testHeaders{}, h, h.ask)
+					h.regionView = regionView{r, region}
+					x.startGatewayWithLoad(ip, testHeaders{}, h, h.sendRequests)
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
@@ -93,8 +93,8 @@
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
-					at := func(route, server string, from time.Time) int {
-						n, _ := r.arrivalLog.countSince(route+serverAddress(server), from)
+					at := func(route, server string, begin time.Time) int {
+						n, _ := r.arrivalLog.countSince(route+serverAddress(server), begin)
 						return n
 					}
 					for _, server := range []string{"b1", "b2", "b4", "b5", "b6"} {
