--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -3,17 +3,18 @@
 // Package badgerspoke assembles a box of a router fleet: the router role, the
 // control role, or both, with the listeners that they need.
 //
-// The model: a [Box] is built from values and owns its listeners, its HTTP
-// servers, its metrics and the connections to backend servers. Routers take
-// callers' requests and share them fairly over backend servers; control
-// replicas keep the configuration and hand out the routers' slots. Boxes find
-// each other by the addresses in [Settings.Replicas] and trust each other by
-// one fleet key. A Box has no lock: its fields don't change after [Start]. It
-// stops in the order of dependence: router, control role, connections to
-// backend servers, listeners. The parts are packages of their own and may be
-// embedded without this one: [github.com/badgerspoke/badgerspoke/router],
-// [github.com/badgerspoke/badgerspoke/control], and the pure decisions under
-// coordination/.
+// A [Box] is built from [Settings] and owns its listeners, its HTTP servers,
+// its metrics and the connections to backend servers. Routers accept callers'
+// requests and distribute them fairly over backend servers. Control replicas
+// store the configuration and grant slots to the routers. Boxes find each
+// other by the addresses in [Settings.Replicas] and authenticate each other
+// with a shared fleet key. A Box has no lock: its fields don't change after
+// [Start]. It stops in the order of dependence: router, control role,
+// connections to backend servers, listeners. The roles are separate packages
+// that can be embedded without this one:
+// [github.com/badgerspoke/badgerspoke/router] and
+// [github.com/badgerspoke/badgerspoke/control]. The decision algorithms,
+// which perform no I/O, are under coordination/.
 package badgerspoke
 
 import (
@@ -42,13 +43,14 @@
 
 // This file defines Box, the assembled process.
 
-// Settings of a box. Listeners are opened by the caller, so that tests need
-// no fixed ports and the daemon can report a taken one before it starts.
+// Settings are the settings of a box. The caller opens the listeners, so that
+// tests need no fixed ports and the daemon can report a port that is already
+// in use before it starts.
 type Settings struct {
 	Name     string // unique in the fleet
 	Hall     string // the data hall
-	FleetKey []byte // equal on all boxes; badgerspoked wants settings.MinFleetKey bytes
-	// Replicas are the fleet addresses (IP:PORT) of all control replicas by
+	FleetKey []byte // equal on all boxes; badgerspoked requires at least settings.MinFleetKey bytes
+	// Replicas are the fleet addresses (IP:PORT) of all control replicas, by
 	// name.
 	Replicas map[string]string
 
@@ -56,33 +58,33 @@
 	Callers net.Listener // for the router role
 
 	Control       bool
-	Operators     net.Listener // for the control role; metrics on any role
+	Operators     net.Listener // for the control role; serves metrics for either role
 	Fleet         net.Listener // for the control role
-	DataDir       string       // folder of the control role; it is made if missing
-	OperatorToken string       // every operator's call has to carry it
-	Overcommit    float64      // part of an engine's slots that is granted beyond them
+	DataDir       string       // data folder of the control role; created if missing
+	OperatorToken string       // required in every operator call
+	Overcommit    float64      // fraction of an engine's slots that is granted in addition to them
 
-	TLS *settings.TLS // nil leaves all connections plain
-	// Zero values of these five are the defaults of their packages.
+	TLS *settings.TLS // nil means unencrypted connections
+	// Zero values of the next five fields select the defaults of their packages.
 	Lease     slots.Lease
 	Pace      slots.Pace
-	Election  time.Duration // silence after which a control replica begins an election
-	Heartbeat time.Duration // between two messages of a leading control replica
+	Election  time.Duration // time without a message from the leader until a control replica starts an election
+	Heartbeat time.Duration // interval between messages of the leading control replica
 	Limits    router.Limits
 	// StopWithoutLeader makes a router without a leader stop serving, even if a majority
 	// of the control replicas reports that there is no leader.
 	StopWithoutLeader bool
-	// Grace is how long a stopping router still takes requests, for the
-	// balancer to notice.
+	// Grace is the time for which a stopping router still accepts requests, so
+	// that the load balancer can remove it.
 	Grace time.Duration
-	Log   *slog.Logger // nil logs nothing
+	Log   *slog.Logger // nil disables logging
 
-	// Replacements for network, disk and random numbers in tests. Nil is the machine's own.
+	// Replacements of network, disk and random numbers for tests. Nil means those of the machine.
 	Dialer forward.Dialer
-	Dir    func(group string) (wal.Dir, error) // folder of one group of the control role
+	Dir    func(group string) (wal.Dir, error) // data folder of one consensus group of the control role
 	Random func() uint64
-	// Clock is a monotonic clock that goes on while the box is suspended; nil is Go's, which does
-	// not.
+	// Clock is a monotonic clock that advances while the box is suspended. Nil means Go's monotonic
+	// clock, which doesn't.
 	Clock func() time.Duration
 }
 
@@ -96,21 +98,21 @@
 	servers []*http.Server
 }
 
-// Bounds of every listener.
+// Limits of every listener.
 const (
-	// readHeaderTimeout is the longest time for a caller to send its headers.
+	// readHeaderTimeout is the time limit for receiving the headers of a request.
 	readHeaderTimeout = 5 * time.Second
-	// idleTimeout is how long a connection without a request is kept.
+	// idleTimeout is the time after which an idle connection is closed.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds the headers of one request.
+	// maxHeaderBytes limits the headers of one request.
 	maxHeaderBytes = 64 << 10
-	// maxConnections bounds the open connections of one listener.
+	// maxConnections limits the open connections of one listener.
 	maxConnections = 8192
 )
 
-// Start assembles and starts a box, which runs until Stop. The end of ctx ends its
-// roles at once. The only errors are those of the data folder (DataDir or Dir); the
-// listeners are then left open.
+// Start assembles and starts a box, which runs until Stop. If ctx ends, its roles end
+// at once. The only errors are those of the data folder (DataDir or Dir). After an
+// error the listeners remain open.
 func Start(ctx context.Context, cfg Settings) (*Box, error) {
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
@@ -199,8 +201,8 @@
 	return mux
 }
 
-// serve serves one listener with HTTP/1.1 and, for gRPC without certificates,
-// HTTP/2.
+// serve serves HTTP/1.1 and HTTP/2 on a listener. HTTP/2 is enabled without TLS
+// too, for gRPC without certificates.
 func (b *Box) serve(l net.Listener, h http.Handler, cfg *tls.Config) {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -212,7 +214,8 @@
 	}
 	b.servers = append(b.servers, s)
 	limited := socket.Limit(l, maxConnections)
-	// Serve ends with the listener, which only Stop closes: its error adds nothing.
+	// Serve returns when the listener is closed, which only Stop does. Its error carries no
+	// information.
 	if cfg == nil {
 		go func() { _ = s.Serve(limited) }()
 		return
@@ -222,16 +225,17 @@
 	go func() { _ = s.ServeTLS(limited, "", "") }()
 }
 
-// Router returns the router role, or nil without it. Its Revision is the revision of
-// the configuration in force here.
+// Router returns the router role, or nil if the box doesn't have it. Its Revision is
+// the revision of the configuration in force on this box.
 func (b *Box) Router() *router.Router { return b.router }
 
-// Ready reports whether the box takes callers' requests: its router holds a lease
+// Ready reports whether the box accepts callers' requests: its router holds a lease
 // and is not stopping.
 func (b *Box) Ready() bool { return b.router != nil && b.router.Ready() }
 
-// Done is closed when the control role has ended, after a failure of its disk or by
-// Stop. Without that role it is nil: a router alone ends only by Stop.
+// Done returns a channel that is closed when the control role has ended, after a
+// disk failure or by Stop. It returns nil if the box has no control role: a router
+// ends only by Stop.
 func (b *Box) Done() <-chan struct{} {
 	if b.control == nil {
 		return nil
@@ -239,11 +243,13 @@
 	return b.control.Done()
 }
 
-// Err returns why the control role has ended. It may be called only after Done.
+// Err returns the reason why the control role has ended. It may be called only after
+// the channel returned by Done is closed.
 func (b *Box) Err() error { return b.control.Err() }
 
-// Stop ends the box without cutting off a request, unless ctx ends first:
-// the router drains while its own control role, if it has one, still leads.
+// Stop stops the box without interrupting requests, unless ctx ends first. The
+// router drains before the control role stops, so that a leader on the same box
+// remains the leader meanwhile.
 func (b *Box) Stop(ctx context.Context) {
 	if b.router != nil {
 		b.router.Stop(ctx, b.cfg.Grace)
--- a/bench_test.go
+++ b/bench_test.go
@@ -26,10 +26,10 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file measures what a router costs a request, on the machine's loopback.
+// This file measures the overhead of a router per request, on the loopback.
 
-// oneBox starts one box with both roles and one engine, and returns the
-// callers' and the engine's address.
+// oneBox starts one box with both roles, an engine and a plain service. It
+// returns the callers' address and the address of the engine.
 func oneBox(b *testing.B, engine standin.EngineSettings) (callers, direct string) {
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -95,6 +95,7 @@
 	return cl.Addr().String(), el.Addr().String()
 }
 
+// retry calls f until it succeeds, up to 200 times.
 func retry(b *testing.B, f func(ctx context.Context) error) {
 	var err error
 	for range 200 {
@@ -108,6 +109,7 @@
 
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
+// post sends a streamed completion and checks that the stream is complete.
 func post(address string, tokens int) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions",
 		strings.NewReader(fmt.Sprintf(`{"model":"m","max_tokens":%d,"stream":true}`, tokens)))
@@ -127,8 +129,8 @@
 	return err
 }
 
-// BenchmarkRouterLatency sends each request once directly and once through
-// the router, in turns, and reports what the router adds.
+// BenchmarkRouterLatency alternates between requests to the engine and requests
+// through the router, and reports the latency that the router adds.
 func BenchmarkRouterLatency(b *testing.B) {
 	callers, direct := oneBox(b, standin.EngineSettings{Slots: 64})
 	var straight, through []time.Duration
@@ -153,9 +155,9 @@
 	b.ReportMetric(at(through, 0.5)/at(straight, 0.5), "p50-ratio")
 }
 
-// BenchmarkClaimLatency sends an order without and one with an idempotency key,
-// in turns, and reports what the claim adds: a commit on this machine's disk,
-// with one replica.
+// BenchmarkClaimLatency alternates between orders without and with an
+// idempotency key, and reports the latency that the claim adds: a commit to the
+// local disk, with one replica.
 func BenchmarkClaimLatency(b *testing.B) {
 	callers, _ := oneBox(b, standin.EngineSettings{Slots: 1})
 	var without, with []time.Duration
@@ -191,8 +193,8 @@
 	b.ReportMetric(at(with, 0.99)-at(without, 0.99), "added-p99-µs")
 }
 
-// BenchmarkRouterThroughput sends requests from many callers at once; client,
-// router and engine share the machine's cores.
+// BenchmarkRouterThroughput sends requests from many callers concurrently.
+// Client, router and engine share the machine's cores.
 func BenchmarkRouterThroughput(b *testing.B) {
 	callers, direct := oneBox(b, standin.EngineSettings{Slots: 64})
 	for name, address := range map[string]string{"direct": direct, "router": callers} {
@@ -212,8 +214,8 @@
 	}
 }
 
-// BenchmarkRouterMemory reports the bytes that a waiting request and a
-// running stream take, client and engine included for the latter.
+// BenchmarkRouterMemory reports the memory of a waiting request and of a
+// running stream. The latter includes the client and the engine.
 func BenchmarkRouterMemory(b *testing.B) {
 	const n = 1000
 	for _, c := range []struct {
@@ -243,6 +245,7 @@
 	}
 }
 
+// heap returns the bytes of live heap objects and stacks.
 func heap() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/callers_test.go
+++ b/callers_test.go
@@ -15,9 +15,11 @@
 	"github.com/badgerspoke/badgerspoke/standin"
 )
 
-// This file checks the callers' interface against a whole fleet: good answers
-// byte for byte, and every failure with its status, code and true outcome.
+// This file tests the callers' interface with a complete fleet: the bytes of
+// successful responses, and the status, code and outcome of every failure.
 
+// smallFleet starts a fleet of one control box, one router, one engine and one
+// plain service.
 func smallFleet(t *testing.T) *testFleet {
 	f := newFleet(t, 1, 1)
 	f.account("hotel", 1)
@@ -36,7 +38,7 @@
 		is.Equal(a.status, http.StatusOK)
 		is.Equal(strings.Count(a.body, "data: "), 5) // three tokens, usage, end
 		is.True(strings.HasSuffix(a.body, "data: [DONE]\n\n"))
-		is.Equal(a.outcome, "")                        // not a failure
+		is.Equal(a.outcome, "")                        // only failures have an outcome
 		is.Equal(a.header.Get("Badgerspoke-Load"), "") // between servers and routers only
 
 		a = f.do(completion("r1", "hotel", 3, false))
@@ -97,7 +99,7 @@
 			var e struct {
 				Error struct{ Code, Outcome, Message string }
 			}
-			is.NoErr(json.Unmarshal([]byte(a.body), &e)) // the protocol's usual error
+			is.NoErr(json.Unmarshal([]byte(a.body), &e)) // the error format of the protocol
 			is.Equal(a.status, tt.status)                // status
 			is.Equal(e.Error.Code, tt.code)              // code
 			is.Equal(a.outcome, "not-run")               // outcome header
@@ -117,8 +119,8 @@
 		r       request
 		how     standin.Failure
 		status  int
-		outcome string // of the failure; "" is a whole answer
-		runs    int    // how often it was started
+		outcome string // outcome of the failure; "" means a complete response
+		runs    int    // number of executions
 	}{
 		{"refused, then taken", plain, standin.Refuse, 200, "", 1},
 		{"refused though it may not be repeated", never, standin.Refuse, 200, "", 1},
@@ -134,7 +136,7 @@
 			inBubble(t, func(t *testing.T) {
 				is := is.New(t)
 				f := smallFleet(t)
-				for range 12 { // earn a retry
+				for range 12 { // earn budget for a retry
 					f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 				}
 				f.engines["e1"].FailNext(tt.how)
@@ -147,7 +149,7 @@
 				switch {
 				case tt.outcome == "":
 					is.Equal(a.outcome, "")
-				case tt.status == 200: // the stream has an error event, and does not look whole
+				case tt.status == 200: // the stream has an error event and no end mark
 					is.True(strings.Contains(a.body, "event: error"))
 					is.True(strings.Contains(a.body, `"outcome":"`+tt.outcome+`"`))
 					is.True(!strings.Contains(a.body, "[DONE]"))
@@ -159,13 +161,14 @@
 	}
 }
 
-// TestRouterLeavesABackedOffServerAlone: a server that refuses and asks for backoff gets nothing from the router
-// until that is over, however long the router would have suspected it.
+// TestRouterLeavesABackedOffServerAlone checks that a server that refuses a request and requests
+// backoff receives nothing from the router during the backoff, even if the router would have
+// suspected it for a shorter time.
 func TestRouterLeavesABackedOffServerAlone(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 1)
-		for range 200 { // earn retries
+		for range 200 { // earn budget for retries
 			f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 		}
 		at := f.engines["e1"]
@@ -185,17 +188,18 @@
 	})
 }
 
-// TestRepeatedCallMayHaveRun: a call that was lost and sent again may have run,
-// whatever becomes of it afterwards.
+// TestRepeatedCallMayHaveRun checks that the outcome of a call that was lost and
+// sent again is unknown, since the first attempt may have run, even if the retry
+// is refused.
 func TestRepeatedCallMayHaveRun(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
-		for range 12 { // earn one retry
+		for range 12 { // earn budget for one retry
 			f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 		}
 		f.engines["e1"].FailNext(standin.DieEarly)
-		f.engines["e1"].FailNext(standin.Refuse) // and no retry is left
+		f.engines["e1"].FailNext(standin.Refuse) // no retry budget is left
 		a := f.do(completion("r1", "hotel", 4, false))
 		is.Equal(f.engines["e1"].Runs(), 1)
 		is.Equal(a.status, 502)
@@ -231,10 +235,10 @@
 		r.header = map[string]string{"Badgerspoke-Repeat": "never"}
 		a := f.do(r)
 		is.NoErr(a.err)
-		is.Equal(a.body, whole)                          // byte for byte, nothing twice
-		is.Equal(e.Runs(), 2)                            // and not run again
+		is.Equal(a.body, whole)                          // identical bytes, no duplicates
+		is.Equal(e.Runs(), 2)                            // not executed again
 		is.Equal(a.header.Get("Badgerspoke-Resume"), "") // between servers and routers only
-		// A caller that goes away ends the run, though the engine could keep it.
+		// If the caller disconnects, the execution is cancelled although the engine could resume it.
 		ctx, cancel := context.WithCancel(context.Background())
 		r = completion("r1", "hotel", 10000, true)
 		r.ctx = ctx
@@ -258,7 +262,7 @@
 				failed++
 			}
 		}
-		is.True(f.engines["e1"].Runs() <= 110) // at most a tenth more than was sent
+		is.True(f.engines["e1"].Runs() <= 110) // retries are at most a tenth of the requests
 		is.True(failed > 0)
 	})
 }
@@ -277,13 +281,13 @@
 		wait()
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(f.engines["e1"].Running(), 0)        // cancelled at the engine
-		a := f.do(completion("r1", "hotel", 1, true)) // and the slots are free
+		a := f.do(completion("r1", "hotel", 1, true)) // the slots are free again
 		is.Equal(a.status, 200)
 	})
 }
 
-// TestSlowCallersHoldNothing: a caller that sends no body, or takes no answer,
-// is given up, and its slot is free.
+// TestSlowCallersHoldNothing checks that a caller that doesn't send its body is
+// cut off after the time limit for bodies.
 func TestSlowCallersHoldNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -296,7 +300,7 @@
 		b := make([]byte, 64)
 		n, err := c.Read(b)
 		is.NoErr(err)
-		is.True(strings.HasPrefix(string(b[:n]), "HTTP/1.1 400")) // after the time for a body
+		is.True(strings.HasPrefix(string(b[:n]), "HTTP/1.1 400")) // after the time limit for the body
 	})
 }
 
@@ -318,7 +322,7 @@
 			}
 		}
 		is.True(full >= 12)
-		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200) // and all is given back
+		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200) // all memory is released
 	})
 }
 
@@ -339,6 +343,6 @@
 			}
 		}
 		is.Equal(full, 12)
-		is.Equal(f.engines["e1"].Runs(), len(rs)-full) // "not run" was true
+		is.Equal(f.engines["e1"].Runs(), len(rs)-full) // "not-run" was correct
 	})
 }
--- a/chaos_test.go
+++ b/chaos_test.go
@@ -16,14 +16,15 @@
 	"github.com/matryer/is"
 )
 
-// This file lets faults come at any moment, together and twice, on whole
-// fleets under load, and checks what must always hold.
+// This file injects random faults, which may overlap and recur, into complete
+// fleets under load, and checks the invariants of the service.
 
 const (
 	chaosTime  = 60 * time.Second
-	chaosPause = 1500 * time.Millisecond // between two faults, at the most
+	chaosPause = 1500 * time.Millisecond // maximum time between two faults
 )
 
+// TestChaos runs a fleet with random faults for each seed.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(6) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -32,7 +33,7 @@
 	}
 }
 
-// chaos runs one fleet through a minute of random faults.
+// chaos runs one fleet with random faults for chaosTime, and checks that it recovers.
 func chaos(t *testing.T, seed uint64) {
 	is := is.New(t)
 	f := wholeFleet(t, 3)
@@ -51,7 +52,7 @@
 	close(stop)
 	running.Wait()
 	f.settle()
-	is.True(c.whole > 0) // how many depends on how long no majority was left
+	is.True(c.whole > 0) // the number depends on how long there was no majority
 	for key := range c.keys {
 		is.True(f.services["s1"].Runs(key) <= 1) // at most once
 	}
@@ -62,7 +63,7 @@
 	f.account("after", 1) // and changes are accepted
 }
 
-// calls are the callers of a fleet and what they recorded.
+// calls are the callers of a fleet and the results that they recorded.
 type calls struct {
 	f  *testFleet
 	mu sync.Mutex
@@ -71,8 +72,8 @@
 	keys  map[string]bool // bodies of keyed orders
 }
 
-// make sends requests in turn until stop: streams, and keyed orders that are
-// sent a second time elsewhere when their outcome is unknown.
+// make sends requests one by one until stop is closed: streams, and keyed
+// orders, each of which is sent again to another router.
 func (c *calls) make(caller int, stop chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -92,7 +93,7 @@
 	}
 }
 
-// callerTimeout is how long a caller waits for an answer.
+// callerTimeout is the time limit of a caller for a response.
 const callerTimeout = 5 * time.Second
 
 func (c *calls) do(r request) answer {
@@ -111,7 +112,7 @@
 		c.whole++
 	}
 	if a.err == nil && a.status != 200 && a.outcome == "" {
-		c.f.t.Errorf("order failed with %d and no outcome", a.status)
+		c.f.t.Errorf("order failed with status %d and without an outcome", a.status)
 	}
 }
 
@@ -120,23 +121,24 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case a.err != nil: // the router died: the caller sees a broken connection
+	case a.err != nil: // the router was killed: the connection broke
 	case a.status != 200:
 		if a.outcome == "" {
-			c.f.t.Errorf("completion failed with %d and no outcome", a.status)
+			c.f.t.Errorf("completion failed with status %d and without an outcome", a.status)
 		}
 	case strings.HasSuffix(a.body, "[DONE]\n\n"):
 		c.whole++
 		if n := strings.Count(a.body, "data: "); n != 7 {
-			c.f.t.Errorf("a whole stream has %d events, want 7", n)
+			c.f.t.Errorf("a complete stream has %d events, want 7", n)
 		}
 	case !strings.Contains(a.body, "event: error"):
-		c.f.t.Errorf("a stream ended early and does not say so: %q", a.body)
+		c.f.t.Errorf("a stream ended early without an error event: %q", a.body)
 	}
 }
 
-// randomFault does one of: kill and restart a box, cut one off or join it,
-// cut the control boxes off from each other, lose one disk of a whole group.
+// randomFault injects or repairs one random fault: it kills or restarts a box,
+// cuts a box off or reconnects it, separates the control boxes from each other or
+// reconnects them, or empties one disk of a complete group.
 func (f *testFleet) randomFault(rng *rand.Rand) {
 	names := []string{"c1", "c2", "c3", "r1", "r2", "r3"}
 	name := names[rng.IntN(len(names))]
@@ -159,19 +161,20 @@
 	}
 }
 
-// loseDiskOfWholeGroup empties a control box's disks once the groups are whole:
-// no system survives the loss of a majority of its disks.
+// loseDiskOfWholeGroup empties a control box's disks once the groups are
+// complete, since no system survives the loss of a majority of its disks.
 func (f *testFleet) loseDiskOfWholeGroup(b *testBox) {
 	if !b.control {
 		return
 	}
 	f.mendEverything()
 	f.awaitVoters(3)
-	time.Sleep(3 * time.Second) // the claims group is whole too
+	time.Sleep(3 * time.Second) // the claims group is complete too
 	f.loseDisk(b.name)
 	time.Sleep(3 * time.Second)
 }
 
+// mendEverything reconnects all boxes and restarts those that are down.
 func (f *testFleet) mendEverything() {
 	f.net.Reunite()
 	for _, name := range slices.Sorted(maps.Keys(f.boxes)) {
--- a/example_test.go
+++ b/example_test.go
@@ -14,8 +14,8 @@
 	"github.com/badgerspoke/badgerspoke/dev"
 )
 
-// Example assembles one box that is router and control replica at once, fills
-// it with stand-ins, and waits until it serves.
+// Example assembles one box with both roles, configures stand-ins as its backend
+// servers, waits until it is ready, and sends a request.
 func Example() {
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/faults_test.go
+++ b/faults_test.go
@@ -14,8 +14,8 @@
 	operatorv1 "github.com/badgerspoke/badgerspoke/protocol/operator/v1"
 )
 
-// This file brings about the failures that the promises are made for, one
-// test each, on a fleet of three control boxes and one or two routers.
+// This file tests the guarantees of the service under failures, one test per
+// failure, on a fleet of three control boxes and one or two routers.
 
 func TestLeaderIsKilledUnderLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
@@ -31,7 +31,7 @@
 		f.account("late", 1) // changes are accepted again
 		f.start(old)
 		time.Sleep(4 * time.Second)
-		checkWhole(is, append(stop1(), stop2()...), 150) // no caller noticed
+		checkWhole(is, append(stop1(), stop2()...), 150) // no request failed
 		f.settle()
 	})
 }
@@ -53,9 +53,9 @@
 		_, err := f.operators(old).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
 			Change: &operatorv1.Change{Id: "stale", BaseRevision: revision}, Name: "e1", Mark: operatorv1.Mark_MARK_LEAVING,
 		}))
-		is.Equal(connect.CodeOf(err), connect.CodeUnavailable) // it accepts nothing
+		is.Equal(connect.CodeOf(err), connect.CodeUnavailable) // the old leader accepts no changes
 		time.Sleep(5 * time.Second)
-		is.Equal(f.leader(), next) // and does not disturb
+		is.Equal(f.leader(), next) // and doesn't cause an election
 	})
 }
 
@@ -63,12 +63,12 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 1)
-		f.do(completion("r1", "hotel", 1, true)) // holds a slot
+		f.do(completion("r1", "hotel", 1, true)) // the router holds a slot
 		stop := f.load(2, completion("r1", "hotel", 10, true))
 		time.Sleep(time.Second)
-		// Control boxes can talk to the router, not to each other: no leader.
+		// Control boxes can reach the router, but not each other, so there is no leader.
 		f.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
-		time.Sleep(12 * time.Second) // four leases
+		time.Sleep(12 * time.Second) // four lease periods
 		is.True(f.boxes["r1"].box.Ready())
 		f.net.Reunite()
 		time.Sleep(5 * time.Second)
@@ -82,7 +82,7 @@
 		f := wholeFleet(t, 1)
 		is.Equal(f.do(order("r1", "hotel", "first", "k9")).status, 200)
 		revision := f.status(f.leader()).GetRevision()
-		for _, lost := range []string{"c1", "c2", "c3"} { // one after the other, each right after the repair of the last
+		for _, lost := range []string{"c1", "c2", "c3"} { // one after the other, each right after the repair of the previous one
 			f.loseDisk(lost)
 			time.Sleep(2 * time.Second) // the claims group is repaired too
 		}
@@ -100,7 +100,7 @@
 		f := wholeFleet(t, 2)
 		long := f.startAll(completion("r1", "hotel", 400, true)) // 8 s
 		time.Sleep(500 * time.Millisecond)
-		for name := range f.replicas { // cut off from control, not from its servers and callers
+		for name := range f.replicas { // the routers still reach their servers and callers
 			f.net.Cut(f.boxes[name].ip)
 		}
 		time.Sleep(3500 * time.Millisecond)
@@ -108,7 +108,7 @@
 		a := f.do(completion("r1", "hotel", 1, true))
 		is.Equal(a.status, 503)
 		is.Equal(a.outcome, "not-run")
-		checkWhole(is, long(), 1) // what ran goes on to its end
+		checkWhole(is, long(), 1) // requests in flight complete
 		for name := range f.replicas {
 			f.net.Join(f.boxes[name].ip)
 		}
@@ -131,7 +131,7 @@
 		time.Sleep(5 * time.Second)
 		held := 0
 		for _, r := range f.status(f.leader()).GetRouters() {
-			is.True(!strings.Contains(r.GetName(), "restarted")) // the old process is forgotten
+			is.True(!strings.Contains(r.GetName(), "restarted")) // the old process is no longer listed
 			held += int(r.GetSlotsHeld())
 		}
 		is.True(held <= 8)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -22,9 +22,10 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-// This file defines testFleet, a whole fleet in one bubble of virtual time:
-// real boxes on a network and disks in memory, in front of stand-ins. What its
-// callers do is in requests_test.go, what its operators do in operators_test.go.
+// This file defines testFleet, a complete fleet in a synctest bubble: real boxes
+// with a simulated network and simulated disks, and stand-ins as backend servers.
+// Requests of callers are in requests_test.go, calls of operators in
+// operators_test.go.
 
 const (
 	latency   = 1500 * time.Microsecond
@@ -32,9 +33,10 @@
 	clientIP  = "10.0.9.1"
 	tokenTime = 20 * time.Millisecond
 
-	callTimeout = 500 * time.Millisecond // of an operator's call to a box that may be cut off
+	callTimeout = 500 * time.Millisecond // of an operator's call to a box that may be unreachable
 )
 
+// testFleet is a fleet, its backend servers and its client.
 type testFleet struct {
 	t        *testing.T
 	net      *fakenet.Network
@@ -51,7 +53,7 @@
 	changes  int
 }
 
-// testBox is one box and what survives its restarts.
+// testBox is one box, including the state that survives its restarts.
 type testBox struct {
 	name, ip string
 	control  bool
@@ -60,14 +62,12 @@
 	kill     context.CancelFunc
 }
 
-// newFleet starts controls c1… and routers r1…, and waits until they are
-// ready.
+// newFleet starts control boxes c1… and routers r1… without TLS.
 func newFleet(t *testing.T, controls, routers int) *testFleet {
 	return newFleetWith(t, controls, routers, nil)
 }
 
-// newFleetWith starts a fleet whose boxes have certificates, unless certify is
-// nil.
+// newFleetWith starts a fleet whose boxes use TLS, unless certify is nil.
 func newFleetWith(t *testing.T, controls, routers int, certify func(ip string) *settings.TLS) *testFleet {
 	f := &testFleet{
 		certify: certify, scheme: "http://",
@@ -92,6 +92,8 @@
 	return f
 }
 
+// wholeFleet starts a fleet of three control boxes, the given number of routers, two engines and one
+// plain service, with two accounts, and waits until the routers are ready.
 func wholeFleet(t *testing.T, routers int) *testFleet {
 	f := newFleet(t, 3, routers)
 	f.account("hotel", 1)
@@ -115,7 +117,7 @@
 	return f.rng.Uint64()
 }
 
-// start starts a box, again or for the first time.
+// start starts or restarts a box.
 func (f *testFleet) start(name string) {
 	b := f.boxes[name]
 	ctx, cancel := context.WithCancel(context.Background())
@@ -154,7 +156,7 @@
 	return l
 }
 
-// crash ends a box as kill -9 and a power cut would.
+// crash stops a box as kill -9 followed by a power failure would.
 func (f *testFleet) crash(name string) {
 	b := f.boxes[name]
 	b.kill()
@@ -165,6 +167,7 @@
 	}
 }
 
+// stopNow stops a box without waiting for its requests.
 func (f *testFleet) stopNow(b *testBox) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -172,7 +175,7 @@
 	b.box = nil
 }
 
-// stop ends a box as SIGTERM would.
+// stop stops a box gracefully, as SIGTERM would.
 func (f *testFleet) stop(name string) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -193,11 +196,12 @@
 		s.Close()
 	}
 	f.client.CloseIdleConnections()
-	time.Sleep(10 * time.Second) // let timers of closed connections end
+	time.Sleep(10 * time.Second) // timers of closed connections expire
 }
 
-// loseDisk ends a control box, empties its disks, and waits until it has been
-// repaired in the configuration group. The claims group may take longer.
+// loseDisk crashes a control box, empties its disks, restarts it, and waits until
+// it is a voter of the configuration group again. The repair of the claims group
+// may take longer.
 func (f *testFleet) loseDisk(name string) {
 	f.crash(name)
 	clear(f.boxes[name].disks)
@@ -205,7 +209,7 @@
 	f.awaitVoters(3)
 }
 
-// standIn serves a stand-in at an address.
+// standIn serves requests at an address with a stand-in.
 func (f *testFleet) standIn(address string, h http.Handler) {
 	s := &http.Server{Handler: h}
 	f.servers = append(f.servers, s)
@@ -213,7 +217,7 @@
 	go func() { _ = s.Serve(l) }()
 }
 
-// engine starts an engine and adds it to pool "llm", model "m".
+// engine starts an engine and adds it to pool "llm" with model "m".
 func (f *testFleet) engine(name string, i, slots int) *standin.Engine {
 	return f.engineWith(name, i, standin.EngineSettings{Slots: slots})
 }
@@ -260,10 +264,10 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.t.Fatal("the routers never got ready")
+	f.t.Fatal("the routers were not ready with the newest configuration within 20 s")
 }
 
-// inBubble runs a test in virtual time.
+// inBubble runs a test with virtual time.
 func inBubble(t *testing.T, f func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, f)
--- a/golden_test.go
+++ b/golden_test.go
@@ -17,12 +17,12 @@
 	"github.com/badgerspoke/badgerspoke/standin"
 )
 
-// This file writes transcripts of whole sessions, as callers and operators see
-// them, and compares them with testdata/sessions. What depends on an election
-// is left out or waited for, so that a transcript is the same every time. Run
-// with -update to write them anew.
+// This file records transcripts of complete sessions, as observed by callers and
+// operators, and compares them with testdata/sessions. Effects of the timing of
+// elections are omitted or waited for, so that transcripts are deterministic. Run
+// with -update to rewrite them.
 
-// transcript is a fleet whose visible events are written down.
+// transcript is a fleet whose externally visible events are recorded.
 type transcript struct {
 	*testFleet
 	mu    sync.Mutex
@@ -30,7 +30,7 @@
 	began time.Time
 }
 
-// write writes one line with the virtual time, in tenths of a second.
+// write records one line with the virtual time, in tenths of a second.
 func (s *transcript) write(who, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,14 +38,14 @@
 	s.lines = append(s.lines, fmt.Sprintf("%5.1fs  %-18s %s", at, who, fmt.Sprintf(format, args...)))
 }
 
-// align waits until the next full ten seconds, after steps whose length
-// depends on an election or on the order of equal events.
+// align waits until the next multiple of ten seconds. It follows steps whose
+// duration depends on an election or on the order of simultaneous events.
 func (s *transcript) align() {
 	const step = 10 * time.Second
 	time.Sleep(step - time.Since(s.began)%step)
 }
 
-// call makes a request and writes down the answer.
+// call sends a request and records the response.
 func (s *transcript) call(r request) answer {
 	a := s.do(r)
 	s.write(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), describe(a))
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// describe gives an answer without what differs between runs.
+// describe summarizes a response without the parts that differ between runs.
 func describe(a answer) string {
 	if a.err != nil {
 		return "connection broken"
@@ -93,8 +93,8 @@
 	return text
 }
 
-// together makes requests at once and writes their answers down in order of
-// the requests.
+// together sends requests concurrently and records their responses in the order
+// of the requests.
 func (s *transcript) together(rs ...request) {
 	for i, a := range s.startAll(rs...)() {
 		s.write(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), describe(a))
@@ -116,7 +116,7 @@
 		s.call(order("r1", "stranger", "30 sheets", ""))
 	}},
 	{"late-and-crossed", 2, func(s *transcript) {
-		// Four answers that end in the opposite order of their requests.
+		// Four responses that end in the reverse order of their requests.
 		s.together(completion("r1", "hotel", 40, true), completion("r2", "notary", 30, true),
 			completion("r1", "notary", 20, true), completion("r2", "hotel", 10, true))
 	}},
@@ -164,7 +164,7 @@
 	}},
 	{"router-partitioned-and-rejoined", 2, func(s *transcript) {
 		for name := range s.replicas {
-			s.net.Isolate("10.0.2.1", s.boxes[name].ip) // r1 reaches no control box
+			s.net.Isolate("10.0.2.1", s.boxes[name].ip) // r1 can't reach any control box
 		}
 		s.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
 		s.write("network", "r1 and the control boxes are cut off from each other")
@@ -261,12 +261,13 @@
 
 const leaderName = "the leader"
 
+// TestSessions compares the transcript of each session with its golden file.
 func TestSessions(t *testing.T) {
 	for _, session := range sessions {
 		t.Run(session.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				f := wholeFleet(t, session.routers)
-				time.Sleep(10 * time.Second) // both groups have their leader in one place
+				time.Sleep(10 * time.Second) // the leaders of both groups are on the same box by now
 				s := &transcript{testFleet: f, began: time.Now()}
 				session.play(s)
 				s.compare(session.name)
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -13,14 +13,14 @@
 	"github.com/badgerspoke/badgerspoke/standin"
 )
 
-// This file checks that a keyed request runs at most once, wherever it is sent
-// and whatever fails meanwhile, and that its outcome is true for callers.
+// This file tests that a request with an idempotency key runs at most once, on
+// any router and under failures, and that callers receive its true outcome.
 
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 2)
-		// At two routers at the same moment: one runs it, both get its answer.
+		// Sent to two routers at the same time: it runs once, and both respond with its result.
 		got := f.startAll(order("r1", "hotel", "30 sheets", "k1"), order("r2", "hotel", "30 sheets", "k1"))()
 		is.Equal(f.services["s1"].Runs("30 sheets"), 1)
 		for _, a := range got {
@@ -28,13 +28,13 @@
 			is.Equal(a.status, 200)
 			is.Equal(a.body, got[0].body)
 		}
-		// Sent again later, to either.
+		// Sent again later.
 		a := f.do(order("r2", "hotel", "30 sheets", "k1"))
 		is.Equal(a.body, got[0].body)
 		is.Equal(a.outcome, "ran")
 		is.Equal(a.header.Get("Badgerspoke-Replayed"), "true")
 		is.Equal(f.services["s1"].Runs("30 sheets"), 1)
-		// The same key with another body, and of another account.
+		// The same key with another body, and with another account.
 		a = f.do(order("r1", "hotel", "99 sheets", "k1"))
 		is.Equal(a.status, 422)
 		is.Equal(a.outcome, "not-run")
@@ -50,17 +50,17 @@
 		f.services["s1"].FailNext(standin.Hang)
 		first := f.startAll(order("r1", "hotel", "towels", "k2"))
 		time.Sleep(time.Second)
-		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // it must not wait for ever
+		ctx, cancel := context.WithTimeout(context.Background(), time.Minute) // it must not wait indefinitely
 		defer cancel()
 		again := order("r2", "hotel", "towels", "k2")
 		again.ctx = ctx
-		second := f.startAll(again) // waits for the first
+		second := f.startAll(again) // waits for the first request
 		time.Sleep(time.Second)
 		f.crash("r1")
 		first()
 		a := second()[0]
 		is.Equal(a.status, 409)
-		is.Equal(a.outcome, "unknown") // not guessed
+		is.Equal(a.outcome, "unknown") // the outcome can't be determined
 		is.Equal(f.services["s1"].Runs("towels"), 1)
 		f.start("r1")
 		f.settle()
@@ -78,7 +78,7 @@
 			f.services["s1"].FailNext(standin.Refuse)
 		}
 		a := f.do(order("r1", "hotel", "soap", "k3"))
-		for a.status != 200 { // the retry budget is small; "not run" is true each time
+		for a.status != 200 { // the retry budget is small; "not-run" must be correct each time
 			is.Equal(a.outcome, "not-run")
 			is.Equal(f.services["s1"].Runs("soap"), 0)
 			time.Sleep(2 * time.Second)
--- a/names_test.go
+++ b/names_test.go
@@ -22,13 +22,12 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file writes down names that others rely on, as they stand in the
-// source, and compares them with testdata/golden: names of metrics, of
-// environment variables, and the flags and exit codes of the commands. The
-// files pin outward names: a change of one is a change for users. Run with
-// -update to write them anew.
+// This file extracts public names from the source and compares them with
+// testdata/golden: names of metrics and environment variables, and the flags and
+// exit codes of the commands. A change of one of these names affects users. Run
+// with -update to rewrite the files.
 
-// eachSource calls f for every Go file of a folder that is no test.
+// eachSource calls f for every Go file under a folder, except tests.
 func eachSource(t *testing.T, root string, f func(set *gotoken.FileSet, path string, file *ast.File)) {
 	t.Helper()
 	is.New(t).NoErr(filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -69,8 +68,8 @@
 	golden.Text(t, "environment.txt", literals(t, `^BADGERSPOKE_`))
 }
 
-// TestGoldenFlags lists the flags that the commands define by themselves and
-// their exit codes. Packages with a flag set of their own have their own test.
+// TestGoldenFlags compares the flags that the commands define with package flag,
+// and their exit codes. Packages that define a flag set have their own test.
 func TestGoldenFlags(t *testing.T) {
 	var lines []string
 	eachSource(t, "cmd", func(set *gotoken.FileSet, path string, file *ast.File) {
@@ -99,13 +98,13 @@
 	golden.Text(t, "command-flags.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// TestGoldenMetricLabels lists the names and labels that the control boxes of a
-// fleet expose after answers of several kinds.
+// TestGoldenMetricLabels compares the names and labels of the metrics that the
+// control boxes of a fleet expose after responses of several kinds.
 func TestGoldenMetricLabels(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := wholeFleet(t, 1)
 		var rs []request
-		for range 20 { // more than the slots
+		for range 20 { // more than there are slots
 			rs = append(rs, completion("r1", "hotel", 20, true))
 		}
 		rs = append(rs, order("r1", "hotel", "30 sheets", ""), order("r1", "stranger", "30 sheets", ""))
--- a/operators_test.go
+++ b/operators_test.go
@@ -22,9 +22,9 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines what operators do at a testFleet, and checks what holds for
-// them: changes, revisions in force, servers that leave, planned stops,
-// and metrics.
+// This file defines the operator calls of a testFleet and tests the guarantees
+// for operators: changes, revisions in force, leaving servers, planned stops and
+// metrics.
 
 // operators returns a client of one control box.
 func (f *testFleet) operators(name string) operatorv1connect.OperatorServiceClient {
@@ -32,7 +32,7 @@
 		connect.WithInterceptors(cli.Authorize(token)))
 }
 
-// leader returns the control box that leads.
+// leader returns the name of the control box that leads.
 func (f *testFleet) leader() string {
 	f.t.Helper()
 	return f.atLeader(func(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
@@ -41,8 +41,8 @@
 	})
 }
 
-// atLeader makes a call at one running control box after the other until one
-// answers, and returns that one.
+// atLeader makes a call to one running control box after the other until one
+// succeeds, and returns its name.
 func (f *testFleet) atLeader(call func(context.Context, operatorv1connect.OperatorServiceClient) error) string {
 	f.t.Helper()
 	var last error
@@ -60,12 +60,12 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	f.t.Fatalf("no control box took the call: %v", last)
+	f.t.Fatalf("no control box accepted the call; last error: %v", last)
 	return ""
 }
 
-// mustChange makes a change at whoever leads, sending it again with the same
-// identifier until it is accepted.
+// mustChange makes a change at the leader, retrying with the same ID until it is
+// accepted.
 func (f *testFleet) mustChange(do func(context.Context, operatorv1connect.OperatorServiceClient, *operatorv1.Change) error) {
 	f.t.Helper()
 	f.changes++
@@ -98,7 +98,7 @@
 	})
 }
 
-// markAt marks e1 at one control box, building on base.
+// markAt marks server e1 through one control box, with a base revision.
 func (f *testFleet) markAt(control, id string, base uint64, m operatorv1.Mark) (uint64, error) {
 	resp, err := f.operators(control).MarkServer(context.Background(), connect.NewRequest(&operatorv1.MarkServerRequest{
 		Change: &operatorv1.Change{Id: id, BaseRevision: base}, Name: "e1", Mark: m,
@@ -154,6 +154,7 @@
 	return string(b)
 }
 
+// detail returns the error detail of type T.
 func detail[T any](t *testing.T, err error) T {
 	t.Helper()
 	var ce *connect.Error
@@ -167,7 +168,7 @@
 			}
 		}
 	}
-	t.Fatalf("no such detail in %v", err)
+	t.Fatalf("no detail of the wanted type in error: %v", err)
 	var zero T
 	return zero
 }
@@ -184,21 +185,21 @@
 		revision, err := mark(leader, "ada", operatorv1.Mark_MARK_LEAVING)
 		is.NoErr(err)
 		is.Equal(revision, base+1)
-		_, err = mark(leader, "bob", operatorv1.Mark_MARK_JOINING) // equal number, other content
+		_, err = mark(leader, "bob", operatorv1.Mark_MARK_JOINING) // same base revision, different content
 		is.Equal(connect.CodeOf(err), connect.CodeAborted)
 		conflict := detail[*operatorv1.Conflict](t, err)
 		is.Equal(conflict.GetWinnerId(), "ada")
 		is.Equal(conflict.GetWinnerSubjects(), []string{"server e1"})
 		f.crash(leader)
 		next := f.leader()
-		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // the answer was lost: send it again
+		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // a retry after a lost response
 		is.NoErr(err)
-		is.Equal(revision, base+1) // the first answer, from another leader
+		is.Equal(revision, base+1) // the original response, from another leader
 		revision, err = mark(next, "carol", operatorv1.Mark_MARK_LEAVING)
-		is.NoErr(err) // equal number, equal content
+		is.NoErr(err) // same base revision, same content
 		is.Equal(revision, base+1)
 		_, err = mark(next, "ada", operatorv1.Mark_MARK_SERVING)
-		is.Equal(connect.CodeOf(err), connect.CodeAlreadyExists) // the identifier means something else
+		is.Equal(connect.CodeOf(err), connect.CodeAlreadyExists) // the ID belongs to another change
 	})
 }
 
@@ -216,7 +217,7 @@
 		is.NoErr(err)
 		is.True(resp.Msg.GetInForce())
 		is.Equal(resp.Msg.GetConfirmed(), []string{"r1"})
-		is.True(time.Since(began) < 5*time.Second) // a lease, its margin, and a little
+		is.True(time.Since(began) < 5*time.Second) // a lease, its margin, and some slack
 		f.net.Join(f.boxes["r2"].ip)
 	})
 }
@@ -231,16 +232,16 @@
 		stop2 := f.load(2, completion("r2", "notary", 5, true))
 		time.Sleep(time.Second)
 		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
-		f.net.Cut(f.boxes["r2"].ip) // gets no message of it, and reaches no server either
+		f.net.Cut(f.boxes["r2"].ip) // r2 receives no message about it, but can't reach the servers either
 		time.Sleep(3 * time.Second)
 		before := f.engines["e1"].Runs()
 		f.net.Join(f.boxes["r2"].ip)
 		time.Sleep(4 * time.Second)
-		is.Equal(f.engines["e1"].Runs(), before) // nothing new after 3 s, from anybody
+		is.Equal(f.engines["e1"].Runs(), before) // no new requests after 3 s, from any router
 		for _, a := range append(stop1(), stop2()...) {
 			is.True(a.status == 200 || a.outcome == "not-run")
 		}
-		checkWhole(is, long(), 4) // and what ran there ended whole
+		checkWhole(is, long(), 4) // requests in flight on e1 completed
 		time.Sleep(2 * time.Second)
 		for _, s := range f.status(f.leader()).GetServers() {
 			if s.GetName() == "e1" {
@@ -250,8 +251,9 @@
 	})
 }
 
-// TestPoolWhoseOnlyServerLeavesAnswersAtOnce: what runs there ends whole, what waits
-// or comes is not kept waiting for a server that takes nothing new.
+// TestPoolWhoseOnlyServerLeavesAnswersAtOnce checks that when the only server of a
+// pool leaves, requests in flight complete, and queued and new requests are refused
+// at once. They would otherwise wait for a server that accepts no new requests.
 func TestPoolWhoseOnlyServerLeavesAnswersAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -282,8 +284,8 @@
 	})
 }
 
-// TestPoolWhoseServerJoinsKeepsCallsWaiting: it will take them, and beside one that
-// leaves as well.
+// TestPoolWhoseServerJoinsKeepsCallsWaiting checks that requests wait for a joining
+// server, which will accept them, even if another server of the pool is leaving.
 func TestPoolWhoseServerJoinsKeepsCallsWaiting(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
@@ -311,7 +313,7 @@
 		stopped := make(chan struct{})
 		go func() { f.stop("r1"); close(stopped) }()
 		time.Sleep(time.Second)
-		is.Equal(f.slotsHeld("r1"), 2) // what still runs there is not granted to others
+		is.Equal(f.slotsHeld("r1"), 2) // slots in use aren't granted to other routers
 		<-stopped
 		checkWhole(is, running(), 2)
 		leader := f.leader()
@@ -319,7 +321,7 @@
 		time.Sleep(time.Second)
 		for _, name := range slices.Sorted(maps.Keys(f.replicas)) {
 			if f.boxes[name].box != nil && name != f.leader() {
-				f.stop(name) // a follower; one of three is left, no majority
+				f.stop(name) // a follower; one of three control boxes remains, which is no majority
 				break
 			}
 		}
@@ -333,13 +335,13 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := wholeFleet(t, 2)
-		for range 8 { // r1 takes slots
+		for range 8 { // r1 is granted slots
 			f.startAll(completion("r1", "hotel", 10, true))
 		}
 		time.Sleep(time.Second)
 		f.stop("r1")
 		time.Sleep(10 * time.Millisecond)
-		is.Equal(f.slotsHeld("r1"), -1) // not even listed, with no lease waited for
+		is.Equal(f.slotsHeld("r1"), -1) // no longer listed, without waiting for the lease to expire
 		a := f.do(completion("r2", "hotel", 1, true))
 		is.Equal(a.status, 200)
 		is.True(a.took < 200*time.Millisecond) // far less than a lease
@@ -363,7 +365,7 @@
 			`badgerspoke_waiting{pool="llm",account="hotel"} 16`, `badgerspoke_gap{pool="llm"} `,
 			`badgerspoke_control_bytes_total{direction="in",kind="report"}`,
 		} {
-			is.True(strings.Contains(got, want)) // each of the three measures
+			is.True(strings.Contains(got, want)) // each metric is exposed
 		}
 		for name := range f.replicas {
 			if name != leader {
--- a/pages_test.go
+++ b/pages_test.go
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// This file holds the pages to the repository: what they name has to exist.
+// This file checks that files, directories and tests that the documentation pages name exist.
 
 var (
 	repoPath     = regexp.MustCompile(`^[.\w][-.\w]*(/[-.\w*]+)+/?$|^[a-z]\w*/$`)
 	namedTest    = regexp.MustCompile(`\b(?:Test|Fuzz|Benchmark)[A-Z]\w*`)
 	testFunction = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w*)\(`)
-	// A command's package: ./dir, ./dir/... or ./..., after a space or a quote.
+	// The package argument of a command: ./dir, ./dir/... or ./..., after a space or a backtick.
 	commandDir = regexp.MustCompile("(?:^|[ `])\\./([-.\\w/]*)")
 )
 
-// readRepository gives the pages, the functions of the test files, one a line,
-// and the top-level directories that may begin a path in a page.
+// readRepository returns the text of the pages by file name, the test functions,
+// one per line, and the top-level directories, with which paths in pages may begin.
 func readRepository(t *testing.T) (pages map[string]string, functions string, top map[string]bool) {
 	pages, top = map[string]string{}, map[string]bool{}
 	var names strings.Builder
@@ -66,14 +66,14 @@
 	return pages, names.String(), top
 }
 
-// stale gives what a line of a page names and the repository does not have.
+// stale returns the names in a line of a page that don't exist in the repository.
 func stale(line, functions string, top map[string]bool) (missing []string) {
-	// Every part between two backticks is looked at, whichever of them opens a
-	// quotation: one may have begun on the line before.
+	// Every part between two backticks is checked, since a code span may have
+	// started on the previous line.
 	parts := strings.Split(line, "`")
 	for _, name := range parts[min(1, len(parts)-1) : len(parts)-1] {
 		first, _, _ := strings.Cut(name, "/")
-		// A Go file is the repository's also when its whole directory is gone.
+		// A Go file is assumed to belong to the repository even if its directory doesn't exist.
 		if !repoPath.MatchString(name) || !top[first] && path.Ext(name) != ".go" {
 			continue
 		}
@@ -95,10 +95,11 @@
 	return missing
 }
 
+// TestPagesNameWhatExists checks all pages for stale names.
 func TestPagesNameWhatExists(t *testing.T) {
 	pages, functions, top := readRepository(t)
 	if len(pages) < 3 || !top["docs"] || !strings.Contains(functions, "\nTestPagesNameWhatExists\n") {
-		t.Fatalf("the repository was not read: %d pages", len(pages))
+		t.Fatalf("the repository was not read completely: found %d pages", len(pages))
 	}
 	for page, text := range pages {
 		for i, line := range strings.Split(text, "\n") {
@@ -109,7 +110,8 @@
 	}
 }
 
-// What exists is passed over, and so is what is no path of the repository.
+// TestStaleNamesAreFound checks that stale reports names that don't exist, and neither existing names
+// nor text that isn't a path in the repository.
 func TestStaleNamesAreFound(t *testing.T) {
 	_, functions, top := readRepository(t)
 	for line, want := range map[string]string{
@@ -125,7 +127,7 @@
 		"`go test . ./docs ./no-such/...`":                                                         "./no-such/...",
 	} {
 		if got := strings.Join(stale(line, functions, top), " "); got != want {
-			t.Errorf("%s: found %q, want %q", line, got, want)
+			t.Errorf("stale names in %s: got %q, want %q", line, got, want)
 		}
 	}
 }
--- a/requests_test.go
+++ b/requests_test.go
@@ -15,19 +15,20 @@
 	"github.com/matryer/is"
 )
 
-// This file defines what callers do at a testFleet: requests, one by one, at
-// once, or as a load, and how their answers are checked.
+// This file defines the requests of callers to a testFleet, sent one by one,
+// concurrently or as a load, and the checks of their responses.
 
 type request struct {
 	router string
 	method string
 	path   string
-	key    string // of the account
+	key    string // API key of the account
 	body   string
 	header map[string]string
 	ctx    context.Context
 }
 
+// completion returns a request for a completion by model "m".
 func completion(router, account string, tokens int, stream bool) request {
 	return request{
 		router: router, path: "/v1/chat/completions", key: account,
@@ -35,6 +36,7 @@
 	}
 }
 
+// order returns a request to the plain service, with an idempotency key unless it is empty.
 func order(router, account, body, idempotencyKey string) request {
 	r := request{router: router, path: "/services/stock/orders", key: account, body: body}
 	if idempotencyKey != "" {
@@ -43,7 +45,7 @@
 	return r
 }
 
-// answer is what a caller got.
+// answer is a response as received by a caller.
 type answer struct {
 	status  int
 	outcome string
@@ -53,6 +55,7 @@
 	took    time.Duration
 }
 
+// do sends a request and reads its response.
 func (f *testFleet) do(r request) answer {
 	began := time.Now()
 	if r.method == "" {
@@ -84,8 +87,8 @@
 	}
 }
 
-// startAll runs requests at once and returns a function that waits for their
-// answers.
+// startAll sends requests concurrently and returns a function that waits for
+// their responses.
 func (f *testFleet) startAll(rs ...request) func() []answer {
 	out := make([]answer, len(rs))
 	var wg sync.WaitGroup
@@ -95,8 +98,8 @@
 	return func() []answer { wg.Wait(); return out }
 }
 
-// load keeps requests running on routers until stop is called, and returns
-// their answers.
+// load sends the same request from n concurrent callers, each in a loop, until
+// stop is called. stop returns all responses.
 func (f *testFleet) load(n int, r request) (stop func() []answer) {
 	done := make(chan struct{})
 	out := make(chan []answer, n)
@@ -124,14 +127,14 @@
 	}
 }
 
-// checkWhole checks that every answer is whole, and that there are some.
+// checkWhole checks that every response is a complete stream, and that there are at least atLeast.
 func checkWhole(is *is.I, all []answer, atLeast int) {
 	is.Helper()
 	is.True(len(all) >= atLeast)
 	for _, a := range all {
 		is.NoErr(a.err)
 		if a.status != 200 {
-			is.Equal(a.body, "") // a whole answer, not a failure
+			is.Equal(a.body, "") // the status isn't 200; shows the body
 		}
 		is.True(strings.HasSuffix(a.body, "data: [DONE]\n\n"))
 	}
--- a/tls_test.go
+++ b/tls_test.go
@@ -22,9 +22,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file checks a fleet whose boxes have certificates.
+// This file tests a fleet that uses TLS.
 
-// authority signs certificates for IP numbers.
+// authority is a certificate authority for IP addresses.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -78,18 +78,18 @@
 		a := f.do(completion("r2", "hotel", 3, true))
 		is.NoErr(a.err)
 		is.True(strings.HasSuffix(a.body, "data: [DONE]\n\n"))
-		// A plain caller is not served.
+		// An unencrypted request is refused.
 		plain := &http.Client{Transport: &http.Transport{DialContext: f.net.Box(clientIP).DialContext, DisableKeepAlives: true}}
 		resp, err := plain.Get("http://10.0.2.1:8080/readyz")
-		is.NoErr(err) // Go's server says so in plain text
+		is.NoErr(err) // net/http responds in plain text
 		resp.Body.Close()
 		is.Equal(resp.StatusCode, http.StatusBadRequest)
-		// A box that knows the key and has no certificate is not a box.
+		// A box with the fleet key but without a certificate is refused.
 		stranger := link.Identity{Name: "r9", Key: []byte("a key that all boxes share"), Dial: f.net.Box("10.0.2.9").DialContext,
 			TLS: &tls.Config{RootCAs: ca.pool, MinVersion: tls.VersionTLS13}}
 		_, err = link.Dial(t.Context(), "10.0.1.1:8082", stranger, nil)
 		is.True(err != nil)
-		// Nor is one whose certificate somebody else signed.
+		// A box with a certificate of another authority is refused.
 		stranger.TLS = settings.NewTLS(newAuthority(t).sign(t, "10.0.2.9"), ca.pool).Dial
 		_, err = link.Dial(t.Context(), "10.0.1.1:8082", stranger, nil)
 		is.True(err != nil)
