--- a/bench_test.go
+++ b/bench_test.go
@@ -28,9 +28,9 @@
 
 // This file measures the overhead of a router per request, on the loopback.
 
-// oneBox starts one box with both roles, an engine and a plain service. It
+// startBox starts one box with both roles, an engine and a plain service. It
 // returns the callers' address and the address of the engine.
-func oneBox(b *testing.B, engine standin.EngineSettings) (callers, direct string) {
+func startBox(b *testing.B, engine standin.EngineSettings) (callers, direct string) {
 	listen := func() net.Listener {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -132,8 +132,8 @@
 // BenchmarkRouterLatency alternates between requests to the engine and requests
 // through the router, and reports the latency that the router adds.
 func BenchmarkRouterLatency(b *testing.B) {
-	callers, direct := oneBox(b, standin.EngineSettings{Slots: 64})
-	var straight, through []time.Duration
+	callers, direct := startBox(b, standin.EngineSettings{Slots: 64})
+	var directTimes, routedTimes []time.Duration
 	timed := func(address string) time.Duration {
 		began := time.Now()
 		if err := post(address, 4); err != nil {
@@ -142,25 +142,25 @@
 		return time.Since(began)
 	}
 	for b.Loop() {
-		straight = append(straight, timed(direct))
-		through = append(through, timed(callers))
+		directTimes = append(directTimes, timed(direct))
+		routedTimes = append(routedTimes, timed(callers))
 	}
-	slices.Sort(straight)
-	slices.Sort(through)
-	at := func(d []time.Duration, q float64) float64 {
+	slices.Sort(directTimes)
+	slices.Sort(routedTimes)
+	quantile := func(d []time.Duration, q float64) float64 {
 		return float64(d[min(int(q*float64(len(d))), len(d)-1)].Microseconds())
 	}
-	b.ReportMetric(at(through, 0.5)-at(straight, 0.5), "added-p50-µs")
-	b.ReportMetric(at(through, 0.99)-at(straight, 0.99), "added-p99-µs")
-	b.ReportMetric(at(through, 0.5)/at(straight, 0.5), "p50-ratio")
+	b.ReportMetric(quantile(routedTimes, 0.5)-quantile(directTimes, 0.5), "added-p50-µs")
+	b.ReportMetric(quantile(routedTimes, 0.99)-quantile(directTimes, 0.99), "added-p99-µs")
+	b.ReportMetric(quantile(routedTimes, 0.5)/quantile(directTimes, 0.5), "p50-ratio")
 }
 
 // BenchmarkClaimLatency alternates between orders without and with an
 // idempotency key, and reports the latency that the claim adds: a commit to the
 // local disk, with one replica.
 func BenchmarkClaimLatency(b *testing.B) {
-	callers, _ := oneBox(b, standin.EngineSettings{Slots: 1})
-	var without, with []time.Duration
+	callers, _ := startBox(b, standin.EngineSettings{Slots: 1})
+	var unkeyedTimes, keyedTimes []time.Duration
 	timed := func(key string) time.Duration {
 		req, err := http.NewRequest(http.MethodPost, "http://"+callers+"/services/stock/orders", strings.NewReader("sheets"))
 		if err != nil {
@@ -183,20 +183,20 @@
 		return time.Since(began)
 	}
 	for i := 0; b.Loop(); i++ {
-		without = append(without, timed(""))
-		with = append(with, timed(fmt.Sprint(i)))
+		unkeyedTimes = append(unkeyedTimes, timed(""))
+		keyedTimes = append(keyedTimes, timed(fmt.Sprint(i)))
 	}
-	slices.Sort(without)
-	slices.Sort(with)
-	at := func(d []time.Duration, q float64) float64 { return float64(d[int(q*float64(len(d)-1))].Microseconds()) }
-	b.ReportMetric(at(with, 0.5)-at(without, 0.5), "added-p50-µs")
-	b.ReportMetric(at(with, 0.99)-at(without, 0.99), "added-p99-µs")
+	slices.Sort(unkeyedTimes)
+	slices.Sort(keyedTimes)
+	quantile := func(d []time.Duration, q float64) float64 { return float64(d[int(q*float64(len(d)-1))].Microseconds()) }
+	b.ReportMetric(quantile(keyedTimes, 0.5)-quantile(unkeyedTimes, 0.5), "added-p50-µs")
+	b.ReportMetric(quantile(keyedTimes, 0.99)-quantile(unkeyedTimes, 0.99), "added-p99-µs")
 }
 
 // BenchmarkRouterThroughput sends requests from many callers concurrently.
 // Client, router and engine share the machine's cores.
 func BenchmarkRouterThroughput(b *testing.B) {
-	callers, direct := oneBox(b, standin.EngineSettings{Slots: 64})
+	callers, direct := startBox(b, standin.EngineSettings{Slots: 64})
 	for name, address := range map[string]string{"direct": direct, "router": callers} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -224,7 +224,7 @@
 	}{{"waiting", 1}, {"running", n}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				callers, _ := oneBox(b, standin.EngineSettings{Slots: c.slots, TokenTime: time.Hour})
+				callers, _ := startBox(b, standin.EngineSettings{Slots: c.slots, TokenTime: time.Hour})
 				before := heap()
 				ctx, cancel := context.WithCancel(context.Background())
 				for range n {
--- a/callers_test.go
+++ b/callers_test.go
@@ -117,7 +117,7 @@
 	tests := []struct {
 		name    string
 		r       request
-		how     standin.Failure
+		failure standin.Failure
 		status  int
 		outcome string // outcome of the failure; "" means a complete response
 		runs    int    // number of executions
@@ -139,8 +139,8 @@
 				for range 12 { // earn budget for a retry
 					f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 				}
-				f.engines["e1"].FailNext(tt.how)
-				f.services["s1"].FailNext(tt.how)
+				f.engines["e1"].FailNext(tt.failure)
+				f.services["s1"].FailNext(tt.failure)
 				a := f.do(tt.r)
 				is.NoErr(a.err)
 				is.Equal(a.status, tt.status)
@@ -167,24 +167,24 @@
 func TestRouterLeavesABackedOffServerAlone(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		for range 200 { // earn budget for retries
 			f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 		}
-		at := f.engines["e1"]
-		at.AskForBackoff(8 * time.Second)
-		ask := func(times int) {
-			for range times {
+		engine := f.engines["e1"]
+		engine.AskForBackoff(8 * time.Second)
+		sendCompletions := func(n int) {
+			for range n {
 				is.Equal(f.do(completion("r1", "hotel", 4, false)).status, 200)
 				time.Sleep(50 * time.Millisecond)
 			}
 		}
-		ask(60)
-		is.Equal(at.RefusedInBackoff(), 1)
+		sendCompletions(60)
+		is.Equal(engine.RefusedInBackoff(), 1)
 		time.Sleep(8 * time.Second)
-		before := at.Runs()
-		ask(60)
-		is.True(at.Runs() > before)
+		before := engine.Runs()
+		sendCompletions(60)
+		is.True(engine.Runs() > before)
 	})
 }
 
@@ -229,13 +229,13 @@
 		f.account("hotel", 1)
 		e := f.engineWith("e1", 1, standin.EngineSettings{Slots: 1, Resumable: true})
 		f.settle()
-		whole := f.do(completion("r1", "hotel", 10, true)).body
+		want := f.do(completion("r1", "hotel", 10, true)).body
 		e.FailNext(standin.DieMid)
 		r := completion("r1", "hotel", 10, true)
 		r.header = map[string]string{"Badgerspoke-Repeat": "never"}
 		a := f.do(r)
 		is.NoErr(a.err)
-		is.Equal(a.body, whole)                          // identical bytes, no duplicates
+		is.Equal(a.body, want)                           // identical bytes, no duplicates
 		is.Equal(e.Runs(), 2)                            // not executed again
 		is.Equal(a.header.Get("Badgerspoke-Resume"), "") // between servers and routers only
 		// If the caller disconnects, the execution is cancelled although the engine could resume it.
--- a/chaos_test.go
+++ b/chaos_test.go
@@ -36,23 +36,23 @@
 // chaos runs one fleet with random faults for chaosTime, and checks that it recovers.
 func chaos(t *testing.T, seed uint64) {
 	is := is.New(t)
-	f := wholeFleet(t, 3)
+	f := standardFleet(t, 3)
 	c := &calls{f: f, keys: map[string]bool{}}
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	for caller := range 6 {
-		running.Go(func() { c.make(caller, stop) })
+		running.Go(func() { c.run(caller, stop) })
 	}
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for began := time.Now(); time.Since(began) < chaosTime; {
 		f.randomFault(rng)
 		time.Sleep(time.Duration(rng.Int64N(int64(chaosPause))))
 	}
-	f.mendEverything()
+	f.repairAll()
 	close(stop)
 	running.Wait()
 	f.settle()
-	is.True(c.whole > 0) // the number depends on how long there was no majority
+	is.True(c.complete > 0) // the number depends on how long there was no majority
 	for key := range c.keys {
 		is.True(f.services["s1"].Runs(key) <= 1) // at most once
 	}
@@ -68,13 +68,13 @@
 	f  *testFleet
 	mu sync.Mutex
 
-	whole int
-	keys  map[string]bool // bodies of keyed orders
+	complete int
+	keys     map[string]bool // bodies of keyed orders
 }
 
-// make sends requests one by one until stop is closed: streams, and keyed
+// run sends requests one by one until stop is closed: streams, and keyed
 // orders, each of which is sent again to another router.
-func (c *calls) make(caller int, stop chan struct{}) {
+func (c *calls) run(caller int, stop chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -109,7 +109,7 @@
 	defer c.mu.Unlock()
 	c.keys[body] = true
 	if a.err == nil && a.status == 200 {
-		c.whole++
+		c.complete++
 	}
 	if a.err == nil && a.status != 200 && a.outcome == "" {
 		c.f.t.Errorf("order failed with status %d and without an outcome", a.status)
@@ -127,7 +127,7 @@
 			c.f.t.Errorf("completion failed with status %d and without an outcome", a.status)
 		}
 	case strings.HasSuffix(a.body, "[DONE]\n\n"):
-		c.whole++
+		c.complete++
 		if n := strings.Count(a.body, "data: "); n != 7 {
 			c.f.t.Errorf("a complete stream has %d events, want 7", n)
 		}
@@ -157,25 +157,25 @@
 	case p < 96:
 		f.net.Reunite()
 	default:
-		f.loseDiskOfWholeGroup(b)
+		f.loseDiskOfCompleteGroup(b)
 	}
 }
 
-// loseDiskOfWholeGroup empties a control box's disks once the groups are
+// loseDiskOfCompleteGroup empties a control box's disks once the groups are
 // complete, since no system survives the loss of a majority of its disks.
-func (f *testFleet) loseDiskOfWholeGroup(b *testBox) {
+func (f *testFleet) loseDiskOfCompleteGroup(b *testBox) {
 	if !b.control {
 		return
 	}
-	f.mendEverything()
+	f.repairAll()
 	f.awaitVoters(3)
 	time.Sleep(3 * time.Second) // the claims group is complete too
 	f.loseDisk(b.name)
 	time.Sleep(3 * time.Second)
 }
 
-// mendEverything reconnects all boxes and restarts those that are down.
-func (f *testFleet) mendEverything() {
+// repairAll reconnects all boxes and restarts those that are down.
+func (f *testFleet) repairAll() {
 	f.net.Reunite()
 	for _, name := range slices.Sorted(maps.Keys(f.boxes)) {
 		b := f.boxes[name]
--- a/faults_test.go
+++ b/faults_test.go
@@ -20,18 +20,18 @@
 func TestLeaderIsKilledUnderLoad(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		stop1 := f.load(6, completion("r1", "hotel", 20, true))
 		stop2 := f.load(2, completion("r2", "notary", 20, true))
 		time.Sleep(2 * time.Second)
-		old := f.leader()
-		f.crash(old)
+		oldLeader := f.leader()
+		f.crash(oldLeader)
 		time.Sleep(6 * time.Second)
-		is.True(f.leader() != old)
+		is.True(f.leader() != oldLeader)
 		f.account("late", 1) // changes are accepted again
-		f.start(old)
+		f.start(oldLeader)
 		time.Sleep(4 * time.Second)
-		checkWhole(is, append(stop1(), stop2()...), 150) // no request failed
+		checkComplete(is, append(stop1(), stop2()...), 150) // no request failed
 		f.settle()
 	})
 }
@@ -39,30 +39,30 @@
 func TestLeaderIsCutOffInSilence(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
-		old := f.leader()
-		f.net.Cut(f.boxes[old].ip)
+		f := standardFleet(t, 2)
+		oldLeader := f.leader()
+		f.net.Cut(f.boxes[oldLeader].ip)
 		time.Sleep(10 * time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		next := f.leader()
-		is.True(next != old)
+		newLeader := f.leader()
+		is.True(newLeader != oldLeader)
 		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200)
-		revision := f.status(next).GetRevision()
-		f.net.Join(f.boxes[old].ip)
-		_, err := f.operators(old).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
+		revision := f.status(newLeader).GetRevision()
+		f.net.Join(f.boxes[oldLeader].ip)
+		_, err := f.operators(oldLeader).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
 			Change: &operatorv1.Change{Id: "stale", BaseRevision: revision}, Name: "e1", Mark: operatorv1.Mark_MARK_LEAVING,
 		}))
 		is.Equal(connect.CodeOf(err), connect.CodeUnavailable) // the old leader accepts no changes
 		time.Sleep(5 * time.Second)
-		is.Equal(f.leader(), next) // and doesn't cause an election
+		is.Equal(f.leader(), newLeader) // and doesn't cause an election
 	})
 }
 
 func TestMajorityWithoutLeaderExtendsLeases(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		f.do(completion("r1", "hotel", 1, true)) // the router holds a slot
 		stop := f.load(2, completion("r1", "hotel", 10, true))
 		time.Sleep(time.Second)
@@ -72,14 +72,14 @@
 		is.True(f.boxes["r1"].box.Ready())
 		f.net.Reunite()
 		time.Sleep(5 * time.Second)
-		checkWhole(is, stop(), 100)
+		checkComplete(is, stop(), 100)
 	})
 }
 
 func TestControlBoxLosesItsDisk(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		is.Equal(f.do(order("r1", "hotel", "first", "k9")).status, 200)
 		revision := f.status(f.leader()).GetRevision()
 		for _, lost := range []string{"c1", "c2", "c3"} { // one after the other, each right after the repair of the previous one
@@ -97,8 +97,8 @@
 func TestRouterIsPartitionedAndRejoins(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
-		long := f.startAll(completion("r1", "hotel", 400, true)) // 8 s
+		f := standardFleet(t, 2)
+		inFlight := f.startAll(completion("r1", "hotel", 400, true)) // 8 s
 		time.Sleep(500 * time.Millisecond)
 		for name := range f.replicas { // the routers still reach their servers and callers
 			f.net.Cut(f.boxes[name].ip)
@@ -108,7 +108,7 @@
 		a := f.do(completion("r1", "hotel", 1, true))
 		is.Equal(a.status, 503)
 		is.Equal(a.outcome, "not-run")
-		checkWhole(is, long(), 1) // requests in flight complete
+		checkComplete(is, inFlight(), 1) // requests in flight complete
 		for name := range f.replicas {
 			f.net.Join(f.boxes[name].ip)
 		}
@@ -120,7 +120,7 @@
 func TestRouterRestartsWithNoMemory(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		f.startAll(completion("r1", "hotel", 100, true), completion("r1", "hotel", 100, true))
 		time.Sleep(200 * time.Millisecond)
 		f.crash("r1")
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -92,9 +92,9 @@
 	return f
 }
 
-// wholeFleet starts a fleet of three control boxes, the given number of routers, two engines and one
+// standardFleet starts a fleet of three control boxes, the given number of routers, two engines and one
 // plain service, with two accounts, and waits until the routers are ready.
-func wholeFleet(t *testing.T, routers int) *testFleet {
+func standardFleet(t *testing.T, routers int) *testFleet {
 	f := newFleet(t, 3, routers)
 	f.account("hotel", 1)
 	f.account("notary", 1)
@@ -209,8 +209,8 @@
 	f.awaitVoters(3)
 }
 
-// standIn serves requests at an address with a stand-in.
-func (f *testFleet) standIn(address string, h http.Handler) {
+// serveStandIn serves requests at an address with a stand-in.
+func (f *testFleet) serveStandIn(address string, h http.Handler) {
 	s := &http.Server{Handler: h}
 	f.servers = append(f.servers, s)
 	l := f.listen(address)
@@ -226,7 +226,7 @@
 	set.TokenTime = tokenTime
 	e := standin.NewEngine(set)
 	address := fmt.Sprintf("10.0.3.%d:9000", i)
-	f.standIn(address, e)
+	f.serveStandIn(address, e)
 	f.engines[name] = e
 	f.addServer(&operatorv1.Server{
 		Name: name, Pool: "llm", Address: address, Kind: operatorv1.Kind_KIND_ENGINE, Slots: uint32(set.Slots),
@@ -239,7 +239,7 @@
 func (f *testFleet) service(name string, i int, slots uint32, takes time.Duration) *standin.Service {
 	s := &standin.Service{Time: takes}
 	address := fmt.Sprintf("10.0.4.%d:9000", i)
-	f.standIn(address, s)
+	f.serveStandIn(address, s)
 	f.services[name] = s
 	f.addServer(&operatorv1.Server{
 		Name: name, Pool: "stock", Address: address, Kind: operatorv1.Kind_KIND_SERVICE, Slots: slots,
--- a/golden_test.go
+++ b/golden_test.go
@@ -30,8 +30,8 @@
 	began time.Time
 }
 
-// write records one line with the virtual time, in tenths of a second.
-func (s *transcript) write(who, format string, args ...any) {
+// record records one line with the virtual time, in tenths of a second.
+func (s *transcript) record(who, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := time.Since(s.began).Round(100 * time.Millisecond).Seconds()
@@ -48,11 +48,11 @@
 // call sends a request and records the response.
 func (s *transcript) call(r request) answer {
 	a := s.do(r)
-	s.write(r.key+" → "+r.router, "%s%s  ←  %s", what(r), keyOf(r), describe(a))
+	s.record(r.key+" → "+r.router, "%s%s  ←  %s", requestText(r), keyOf(r), describe(a))
 	return a
 }
 
-func what(r request) string {
+func requestText(r request) string {
 	if strings.HasPrefix(r.path, "/v1/") {
 		return "completion " + r.body
 	}
@@ -93,15 +93,15 @@
 	return text
 }
 
-// together sends requests concurrently and records their responses in the order
+// callConcurrently sends requests concurrently and records their responses in the order
 // of the requests.
-func (s *transcript) together(rs ...request) {
+func (s *transcript) callConcurrently(rs ...request) {
 	for i, a := range s.startAll(rs...)() {
-		s.write(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", what(rs[i]), keyOf(rs[i]), describe(a))
+		s.record(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", requestText(rs[i]), keyOf(rs[i]), describe(a))
 	}
 }
 
-func (s *transcript) operator(format string, args ...any) { s.write("operator", format, args...) }
+func (s *transcript) operator(format string, args ...any) { s.record("operator", format, args...) }
 
 var sessions = []struct {
 	name    string
@@ -117,7 +117,7 @@
 	}},
 	{"late-and-crossed", 2, func(s *transcript) {
 		// Four responses that end in the reverse order of their requests.
-		s.together(completion("r1", "hotel", 40, true), completion("r2", "notary", 30, true),
+		s.callConcurrently(completion("r1", "hotel", 40, true), completion("r2", "notary", 30, true),
 			completion("r1", "notary", 20, true), completion("r2", "hotel", 10, true))
 	}},
 	{"engine-dies-mid-stream", 1, func(s *transcript) {
@@ -134,9 +134,9 @@
 		}
 		wait := s.startAll(flood...)
 		time.Sleep(2 * time.Second)
-		s.write("hotel → r1", "300 completions at once, 2 s ago")
+		s.record("hotel → r1", "300 completions at once, 2 s ago")
 		a := s.do(completion("r2", "notary", 20, true))
-		s.write("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
+		s.record("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
 		whole := 0
 		for _, a := range wait() {
 			if strings.HasSuffix(a.body, "[DONE]\n\n") {
@@ -144,7 +144,7 @@
 			}
 		}
 		s.align()
-		s.write("hotel → r1", "%d answers whole", whole)
+		s.record("hotel → r1", "%d answers whole", whole)
 	}},
 	{"server-leaving-under-load", 2, func(s *transcript) {
 		wait := s.startAll(completion("r1", "hotel", 250, true), completion("r1", "hotel", 250, true),
@@ -157,9 +157,9 @@
 		for range 6 {
 			s.call(completion("r1", "hotel", 2, true))
 		}
-		s.write("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
+		s.record("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
 		for _, a := range wait() {
-			s.write("long streams", "%s", describe(a))
+			s.record("long streams", "%s", describe(a))
 		}
 	}},
 	{"router-partitioned-and-rejoined", 2, func(s *transcript) {
@@ -167,11 +167,11 @@
 			s.net.Isolate("10.0.2.1", s.boxes[name].ip) // r1 can't reach any control box
 		}
 		s.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
-		s.write("network", "r1 and the control boxes are cut off from each other")
+		s.record("network", "r1 and the control boxes are cut off from each other")
 		time.Sleep(4 * time.Second)
 		s.call(completion("r1", "hotel", 2, true))
 		s.net.Reunite()
-		s.write("network", "whole again")
+		s.record("network", "whole again")
 		s.settle()
 		s.align()
 		s.call(completion("r1", "hotel", 2, true))
@@ -181,12 +181,12 @@
 		wait := s.startAll(completion("r1", "hotel", 100, true))
 		time.Sleep(time.Second)
 		s.crash("r1")
-		s.write("r1", "killed while it streams")
-		s.write("hotel → r1", "completion  ←  %s", describe(wait()[0]))
+		s.record("r1", "killed while it streams")
+		s.record("hotel → r1", "completion  ←  %s", describe(wait()[0]))
 		s.start("r1")
 		s.settle()
 		s.align()
-		s.write("r1", "ready again, with no memory")
+		s.record("r1", "ready again, with no memory")
 		s.call(completion("r1", "hotel", 2, true))
 	}},
 	{"operators-racing", 1, func(s *transcript) {
@@ -206,7 +206,7 @@
 		try("ada-1", operatorv1.Mark_MARK_LEAVING)
 		try("eve-1", operatorv1.Mark_MARK_LEAVING)
 		s.crash(leader)
-		s.write(leaderName, "killed")
+		s.record(leaderName, "killed")
 		leader = s.leader()
 		s.align()
 		try("ada-1", operatorv1.Mark_MARK_LEAVING)
@@ -215,7 +215,7 @@
 	{"leader-cut-off-in-silence", 2, func(s *transcript) {
 		old := s.leader()
 		s.net.Cut(s.boxes[old].ip)
-		s.write(leaderName, "cut off in silence")
+		s.record(leaderName, "cut off in silence")
 		time.Sleep(10 * time.Second)
 		s.call(completion("r1", "hotel", 2, true))
 		s.account("late", 1)
@@ -226,7 +226,7 @@
 		back := s.leader() == old
 		s.settle()
 		s.align()
-		s.write("the old leader", "is back; leads: %t", back)
+		s.record("the old leader", "is back; leads: %t", back)
 		s.call(completion("r2", "late", 2, true))
 	}},
 	{"second-box-lost-after-a-repair", 1, func(s *transcript) {
@@ -235,12 +235,12 @@
 			s.loseDisk(lost)
 			time.Sleep(2 * time.Second)
 			s.align()
-			s.write(lost, "lost its disk, was repaired and votes again")
+			s.record(lost, "lost its disk, was repaired and votes again")
 		}
 		s.settle()
 		s.align()
 		s.call(order("r1", "hotel", "12 towels", "k1"))
-		s.write("s1", "ran it %d time", s.services["s1"].Runs("12 towels"))
+		s.record("s1", "ran it %d time", s.services["s1"].Runs("12 towels"))
 	}},
 	{"keyed-request-at-two-routers", 2, func(s *transcript) {
 		rs := []request{order("r1", "hotel", "5 robes", "k2"), order("r2", "hotel", "5 robes", "k2")}
@@ -248,14 +248,14 @@
 		for _, a := range s.startAll(rs...)() {
 			bodies[a.body] = a.status == 200
 		}
-		s.write("hotel → r1 and r2", "at once: /services/stock/orders 5 robes (key k2)  ←  both 200, %d answer", len(bodies))
-		s.write("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
+		s.record("hotel → r1 and r2", "at once: /services/stock/orders 5 robes (key k2)  ←  both 200, %d answer", len(bodies))
+		s.record("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
 		s.call(rs[1])
 		s.call(order("r1", "hotel", "6 robes", "k2"))
 		s.services["s1"].FailNext(standin.DieEarly)
 		s.call(order("r1", "hotel", "7 robes", "k3"))
 		s.call(order("r2", "hotel", "7 robes", "k3"))
-		s.write("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
+		s.record("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
 	}},
 }
 
@@ -266,7 +266,7 @@
 	for _, session := range sessions {
 		t.Run(session.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
-				f := wholeFleet(t, session.routers)
+				f := standardFleet(t, session.routers)
 				time.Sleep(10 * time.Second) // the leaders of both groups are on the same box by now
 				s := &transcript{testFleet: f, began: time.Now()}
 				session.play(s)
@@ -293,10 +293,10 @@
 	if got == string(want) {
 		return
 	}
-	wants := strings.Split(string(want), "\n")
+	wantLines := strings.Split(string(want), "\n")
 	for i, line := range strings.Split(got, "\n") {
-		if i >= len(wants) || line != wants[i] {
-			s.t.Errorf("line %d is\n%s\nwant\n%s", i+1, line, slices.Concat(wants, make([]string, i+1))[i])
+		if i >= len(wantLines) || line != wantLines[i] {
+			s.t.Errorf("line %d is\n%s\nwant\n%s", i+1, line, slices.Concat(wantLines, make([]string, i+1))[i])
 		}
 	}
 }
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -19,7 +19,7 @@
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		// Sent to two routers at the same time: it runs once, and both respond with its result.
 		got := f.startAll(order("r1", "hotel", "30 sheets", "k1"), order("r2", "hotel", "30 sheets", "k1"))()
 		is.Equal(f.services["s1"].Runs("30 sheets"), 1)
@@ -46,7 +46,7 @@
 func TestKeyedRequestWhoseRouterDies(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		f.services["s1"].FailNext(standin.Hang)
 		first := f.startAll(order("r1", "hotel", "towels", "k2"))
 		time.Sleep(time.Second)
@@ -73,7 +73,7 @@
 func TestKeyedRequestThatDidNotRunMayRunLater(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		for range 3 {
 			f.services["s1"].FailNext(standin.Refuse)
 		}
@@ -91,7 +91,7 @@
 func TestKeyedRequestsWhileLeadersDie(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		for i := range 3 {
 			var rs []request
 			for j := range 4 {
--- a/names_test.go
+++ b/names_test.go
@@ -102,7 +102,7 @@
 // control boxes of a fleet expose after responses of several kinds.
 func TestGoldenMetricLabels(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		var rs []request
 		for range 20 { // more than there are slots
 			rs = append(rs, completion("r1", "hotel", 20, true))
@@ -110,11 +110,11 @@
 		rs = append(rs, order("r1", "hotel", "30 sheets", ""), order("r1", "stranger", "30 sheets", ""))
 		f.startAll(rs...)()
 		found := map[string]bool{}
-		own := regexp.MustCompile(`(?m)^(badgerspoke_[a-z_]+)(?:\{(.*)\})? `)
-		value := regexp.MustCompile(`="[^"]*"`)
+		metric := regexp.MustCompile(`(?m)^(badgerspoke_[a-z_]+)(?:\{(.*)\})? `)
+		labelValue := regexp.MustCompile(`="[^"]*"`)
 		for name := range f.replicas {
-			for _, m := range own.FindAllStringSubmatch(f.scrape(name), -1) {
-				found[m[1]+"{"+value.ReplaceAllString(m[2], "")+"}"] = true
+			for _, m := range metric.FindAllStringSubmatch(f.scrape(name), -1) {
+				found[m[1]+"{"+labelValue.ReplaceAllString(m[2], "")+"}"] = true
 			}
 		}
 		golden.Text(t, "metric-labels.txt", strings.Join(slices.Sorted(maps.Keys(found)), "\n")+"\n")
--- a/operators_test.go
+++ b/operators_test.go
@@ -176,7 +176,7 @@
 func TestOperatorsRace(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		leader := f.leader()
 		base := f.status(leader).GetRevision()
 		mark := func(control, id string, m operatorv1.Mark) (uint64, error) {
@@ -191,14 +191,14 @@
 		is.Equal(conflict.GetWinnerId(), "ada")
 		is.Equal(conflict.GetWinnerSubjects(), []string{"server e1"})
 		f.crash(leader)
-		next := f.leader()
-		revision, err = mark(next, "ada", operatorv1.Mark_MARK_LEAVING) // a retry after a lost response
+		newLeader := f.leader()
+		revision, err = mark(newLeader, "ada", operatorv1.Mark_MARK_LEAVING) // a retry after a lost response
 		is.NoErr(err)
 		is.Equal(revision, base+1) // the original response, from another leader
-		revision, err = mark(next, "carol", operatorv1.Mark_MARK_LEAVING)
+		revision, err = mark(newLeader, "carol", operatorv1.Mark_MARK_LEAVING)
 		is.NoErr(err) // same base revision, same content
 		is.Equal(revision, base+1)
-		_, err = mark(next, "ada", operatorv1.Mark_MARK_SERVING)
+		_, err = mark(newLeader, "ada", operatorv1.Mark_MARK_SERVING)
 		is.Equal(connect.CodeOf(err), connect.CodeAlreadyExists) // the ID belongs to another change
 	})
 }
@@ -206,7 +206,7 @@
 func TestRevisionInForceEverywhere(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		f.net.Cut(f.boxes["r2"].ip)
 		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
 		leader := f.leader()
@@ -225,8 +225,8 @@
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
-		long := f.startAll(completion("r1", "hotel", 500, true), completion("r1", "hotel", 500, true),
+		f := standardFleet(t, 2)
+		inFlight := f.startAll(completion("r1", "hotel", 500, true), completion("r1", "hotel", 500, true),
 			completion("r2", "hotel", 500, true), completion("r2", "hotel", 500, true)) // 10 s
 		stop1 := f.load(2, completion("r1", "hotel", 5, true))
 		stop2 := f.load(2, completion("r2", "notary", 5, true))
@@ -241,7 +241,7 @@
 		for _, a := range append(stop1(), stop2()...) {
 			is.True(a.status == 200 || a.outcome == "not-run")
 		}
-		checkWhole(is, long(), 4) // requests in flight on e1 completed
+		checkComplete(is, inFlight(), 4) // requests in flight on e1 completed
 		time.Sleep(2 * time.Second)
 		for _, s := range f.status(f.leader()).GetServers() {
 			if s.GetName() == "e1" {
@@ -257,7 +257,7 @@
 func TestPoolWhoseOnlyServerLeavesAnswersAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		refused := func(a answer) bool {
 			return a.status == 503 && a.outcome == "not-run" && a.header.Get("Retry-After") == "1" &&
 				strings.Contains(a.body, `"no_server"`) && a.took < time.Second
@@ -269,16 +269,16 @@
 		wait := f.startAll(rs...)
 		time.Sleep(50 * time.Millisecond)
 		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
-		whole, notRun := 0, 0
+		completed, notRun := 0, 0
 		for _, a := range wait() {
 			switch {
 			case a.status == 200:
-				whole++
+				completed++
 			case refused(a):
 				notRun++
 			}
 		}
-		is.Equal(whole, 8)
+		is.Equal(completed, 8)
 		is.Equal(notRun, 12)
 		is.True(refused(f.do(order("r1", "hotel", "one more", ""))))
 	})
@@ -289,7 +289,7 @@
 func TestPoolWhoseServerJoinsKeepsCallsWaiting(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		f.service("s2", 2, 8, 200*time.Millisecond)
 		f.mark("s2", operatorv1.Mark_MARK_JOINING)
 		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
@@ -306,8 +306,8 @@
 func TestPlannedStopsCutOffNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
-		running := f.startAll(completion("r1", "hotel", 200, true), completion("r1", "notary", 200, true)) // 4 s
+		f := standardFleet(t, 2)
+		inFlight := f.startAll(completion("r1", "hotel", 200, true), completion("r1", "notary", 200, true)) // 4 s
 		stop2 := f.load(4, completion("r2", "hotel", 10, true))
 		time.Sleep(time.Second)
 		stopped := make(chan struct{})
@@ -315,7 +315,7 @@
 		time.Sleep(time.Second)
 		is.Equal(f.slotsHeld("r1"), 2) // slots in use aren't granted to other routers
 		<-stopped
-		checkWhole(is, running(), 2)
+		checkComplete(is, inFlight(), 2)
 		leader := f.leader()
 		f.stop(leader) // hands leadership over first
 		time.Sleep(time.Second)
@@ -327,14 +327,14 @@
 		}
 		f.start(leader)
 		time.Sleep(3 * time.Second)
-		checkWhole(is, stop2(), 100)
+		checkComplete(is, stop2(), 100)
 	})
 }
 
 func TestSlotsOfAStoppedRouterAreFreeAtOnce(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 2)
+		f := standardFleet(t, 2)
 		for range 8 { // r1 is granted slots
 			f.startAll(completion("r1", "hotel", 10, true))
 		}
@@ -351,7 +351,7 @@
 func TestMetricsOfTheFleet(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
-		f := wholeFleet(t, 1)
+		f := standardFleet(t, 1)
 		var rs []request
 		for range 20 { // 8 slots; the rest waits
 			rs = append(rs, completion("r1", "hotel", 100, true), completion("r1", "notary", 100, true))
--- a/pages_test.go
+++ b/pages_test.go
@@ -66,8 +66,8 @@
 	return pages, names.String(), top
 }
 
-// stale returns the names in a line of a page that don't exist in the repository.
-func stale(line, functions string, top map[string]bool) (missing []string) {
+// staleNames returns the names in a line of a page that don't exist in the repository.
+func staleNames(line, functions string, top map[string]bool) (missing []string) {
 	// Every part between two backticks is checked, since a code span may have
 	// started on the previous line.
 	parts := strings.Split(line, "`")
@@ -103,7 +103,7 @@
 	}
 	for page, text := range pages {
 		for i, line := range strings.Split(text, "\n") {
-			for _, name := range stale(line, functions, top) {
+			for _, name := range staleNames(line, functions, top) {
 				t.Errorf("%s:%d: %s does not exist", page, i+1, name)
 			}
 		}
@@ -126,7 +126,7 @@
 		"    go test -run '^$' ./docs/no-such":                                                     "./docs/no-such",
 		"`go test . ./docs ./no-such/...`":                                                         "./no-such/...",
 	} {
-		if got := strings.Join(stale(line, functions, top), " "); got != want {
+		if got := strings.Join(staleNames(line, functions, top), " "); got != want {
 			t.Errorf("stale names in %s: got %q, want %q", line, got, want)
 		}
 	}
--- a/requests_test.go
+++ b/requests_test.go
@@ -105,14 +105,14 @@
 	out := make(chan []answer, n)
 	for range n {
 		go func() {
-			var mine []answer
+			var answers []answer
 			for {
 				select {
 				case <-done:
-					out <- mine
+					out <- answers
 					return
 				default:
-					mine = append(mine, f.do(r))
+					answers = append(answers, f.do(r))
 				}
 			}
 		}()
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkWhole checks that every response is a complete stream, and that there are at least atLeast.
-func checkWhole(is *is.I, all []answer, atLeast int) {
+// checkComplete checks that every response is a complete stream, and that there are at least atLeast.
+func checkComplete(is *is.I, all []answer, atLeast int) {
 	is.Helper()
 	is.True(len(all) >= atLeast)
 	for _, a := range all {
