--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -13,28 +13,28 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests what cold backend servers get from a whole fleet.
+// This file tests how many requests a whole fleet sends to cold backend servers.
 
-// coldHeld is a document whose pool states what cold servers bear.
-func coldHeld(number uint64, rate float64) document.Held {
+// coldDocument returns a document whose pool limits the request rate of cold servers.
+func coldDocument(number uint64, rate float64) document.Held {
 	h := testDocument(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
 }
 
-// TestColdHallGetsWhatItBears brings 21 servers of a hall back cold under a load of which
-// they would get most, and loses the leader meanwhile. No cold server gets more than its
-// rate in any second, and together they get a good part of what they bear.
+// TestColdHallGetsWhatItBears returns 21 cold servers of a hall to service under a load of which they
+// would get most, and kills the leader meanwhile. No cold server may get more requests than its rate in
+// any second, and together they must get more than half of what that rate allows.
 func TestColdHallGetsWhatItBears(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
-		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{}
 		for i := range 4 {
 			halls[fmt.Sprint("b", i+1)] = "hall-a"
 		}
-		stop := x.keepAnnounced(halls)
+		stop := x.announceServersRepeatedly(halls)
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 12 {
 			x.startLoadedGateway(fmt.Sprintf("10.0.2.%d", i+1), a, 5*time.Millisecond)
@@ -43,14 +43,14 @@
 		stop()
 		back := time.Now()
 		for i := range 21 {
-			is.NoErr(x.announceIn(fmt.Sprint("b", i+11), "hall-b", cold))
+			is.NoErr(x.announceInHall(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
 		time.Sleep(2500 * time.Millisecond)
 		x.awaitLeader().kill()
 		next := x.awaitLeader()
 		for i := range 21 {
 			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
-				_ = x.announceIn(fmt.Sprint("b", i+11), "hall-b", left)
+				_ = x.announceInHall(fmt.Sprint("b", i+11), "hall-b", left)
 			}
 		}
 		time.Sleep(cold - time.Since(back))
@@ -62,19 +62,20 @@
 			sum += all
 		}
 		part := float64(sum) / (21 * rate * cold.Seconds())
-		x.t.Logf("the cold servers got %.2f of what they bear", part)
+		x.t.Logf("the cold servers got %.2f of what their rate allows", part)
 		is.True(part > 0.5)
 	})
 }
 
-// TestHallThatReturnsIsTakenForCold: its servers may have become cold while nobody saw it.
+// TestHallThatReturnsIsTakenForCold checks that the servers of a returned hall are treated as cold, since
+// they may have become cold unobserved while it was out of service.
 func TestHallThatReturnsIsTakenForCold(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
-		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldHeld(1, rate)))
+		is.NoErr(x.awaitLeader().d.Put(x.t.Context(), coldDocument(1, rate)))
 		halls := map[string]string{"b1": "hall-a", "b2": "hall-b"}
-		stop := x.keepAnnounced(halls)
+		stop := x.announceServersRepeatedly(halls)
 		defer stop()
 		a := &arrivals{at: map[string][]time.Time{}}
 		for i := range 6 {
@@ -89,7 +90,7 @@
 		all, most := a.countSince(serverAddress("b1"), back)
 		is.True(most <= rate)
 		is.True(all > rate/2)
-		time.Sleep(3 * time.Second) // it announces that it is warm
+		time.Sleep(3 * time.Second) // until it has announced that it is warm
 		_, most = a.countSince(serverAddress("b1"), back)
 		is.True(most > 2*rate)
 	})
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -7,68 +7,69 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines what the leader gathers of gateways' reports about rollouts. All runs in the
-// hub's goroutine.
+// This file aggregates the gateways' rollout reports at the leader. Everything runs in the hub's
+// goroutine.
 
-// obedience is the newest lists that a session's last two reports obeyed: a report's loads were
-// taken before its list, so that only the one after says what runs under it.
-type obedience struct{ last, before uint64 }
+// appliedLists holds the numbers of the lists that a session's last two reports confirmed. A report's
+// loads are sampled before its list takes effect, so only the next report shows the load under it.
+type appliedLists struct{ newest, previous uint64 }
 
-// reporter is one run of a gateway: its totals begin at none when it starts again, and what the
-// run before had sent counts on. What a relay reports is the totals of its gateways, which may
-// report elsewhere next: it counts while the relay's session lives.
+// reporter identifies a source of totals: one run of a gateway, or a relay's session. A gateway's totals
+// restart at zero with each run, and those of earlier runs still count. A relay reports the totals of
+// its gateways, which may report elsewhere next, so they count only while the relay's session lives.
 type reporter struct {
-	gateway string
-	boot    uint64
-	relayed *session // a relay's session; nil: a gateway's own
+	gateway      string
+	bootID       uint64
+	relaySession *session // the relay's session; nil for a gateway's own reports
 }
 
 func (s *session) reporter() reporter {
 	if s.relay {
-		return reporter{relayed: s}
+		return reporter{relaySession: s}
 	}
-	return reporter{gateway: s.gateway, boot: s.bootID}
+	return reporter{gateway: s.gateway, bootID: s.bootID}
 }
 
 type outcomeKey struct{ version, route string }
 
-// addOutcomes takes a gateway's report.
+// addOutcomes applies a gateway's report.
 func (h *hub) addOutcomes(s *session, u protocol.Usage) {
 	if u.Term != 0 && u.Term != h.term {
-		u.Obeyed = 0 // of the lists of the leader before
+		u.Obeyed = 0 // a list of another leader
 	}
-	h.rollouts.obeyed[s] = obedience{last: u.Obeyed, before: h.rollouts.obeyed[s].last}
+	h.rollouts.applied[s] = appliedLists{newest: u.Obeyed, previous: h.rollouts.applied[s].newest}
 	for _, o := range u.Outcomes {
 		if r := h.rollouts.underWay[o.Pool]; r != nil && r.Attempt == o.Attempt {
-			r.add(s.reporter(), o)
+			r.addOutcomes(s.reporter(), o)
 		}
 	}
-	h.takeBarred(u.Barred)
+	h.applyBarred(u.Barred)
 }
 
-// barredBefore is why a target is rolled back that the leader before has barred, for the log.
-const barredBefore = "barred by the leader before"
+// reasonBarredByPreviousLeader is the logged reason for rolling back a target that the previous leader
+// has barred.
+const reasonBarredByPreviousLeader = "barred by the leader before"
 
-// takeBarred takes what a gateway has barred by a verdict that the log may lack.
-func (h *hub) takeBarred(list []protocol.Barred) {
+// applyBarred rolls back targets that a gateway has barred by a verdict that the log may lack.
+func (h *hub) applyBarred(list []protocol.Barred) {
 	for _, b := range list {
 		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Action != rollout.RollBack {
-			r.decision.Action, r.decision.Reason = rollout.RollBack, barredBefore
+			r.decision.Action, r.decision.Reason = rollout.RollBack, reasonBarredByPreviousLeader
 		}
 	}
 }
 
-// add takes one reporter's totals in place of those before. Only a relay's may be less: a
-// gateway has left it.
-func (r *leadRollout) add(from reporter, o protocol.Outcomes) {
-	mine := r.reported[from]
-	if mine == nil {
-		mine = map[outcomeKey]protocol.Outcomes{}
-		r.reported[from] = mine
+// addOutcomes replaces a reporter's earlier totals. Only a relay's totals may decrease, when a gateway
+// has left it.
+func (r *activeRollout) addOutcomes(source reporter, o protocol.Outcomes) {
+	byKey := r.reports[source]
+	if byKey == nil {
+		byKey = map[outcomeKey]protocol.Outcomes{}
+		r.reports[source] = byKey
 	}
 	key := outcomeKey{o.Version, o.Route}
-	before := mine[key]
-	mine[key] = o
+	previous := byKey[key]
+	byKey[key] = o
 	pair := r.totals[o.Route]
 	if pair == nil {
 		pair = &rollout.RouteTallies{}
@@ -78,11 +79,11 @@
 	if o.Version == r.Target {
 		t = &pair.Target
 	}
-	t.Sent += o.Sent - before.Sent // wraps around where it is less
-	t.Answered += o.Answered - before.Answered
-	t.Failed += o.Failed - before.Failed
+	t.Sent += o.Sent - previous.Sent // unsigned arithmetic: a decrease wraps around
+	t.Answered += o.Answered - previous.Answered
+	t.Failed += o.Failed - previous.Failed
 	for i := range t.Paces {
-		t.Paces[i] += paces(o, i) - paces(before, i)
+		t.Paces[i] += paces(o, i) - paces(previous, i)
 	}
 }
 
@@ -93,23 +94,23 @@
 	return 0
 }
 
-// removeOutcomes forgets what a session that has ended obeys. What a gateway reported stays: the
-// target has had those requests.
+// removeOutcomes drops the state of a session that has ended. A gateway's totals are kept, since the
+// target has received those requests.
 func (h *hub) removeOutcomes(s *session) {
-	delete(h.rollouts.obeyed, s)
+	delete(h.rollouts.applied, s)
 	if !s.relay {
 		return
 	}
 	for _, r := range h.rollouts.underWay {
-		r.forget(s.reporter())
+		r.removeReporter(s.reporter())
 	}
 }
 
-// forget takes back what a reporter has reported.
-func (r *leadRollout) forget(from reporter) {
-	r.forgot = r.forgot || len(r.reported[from]) > 0
-	for key := range r.reported[from] {
-		r.add(from, protocol.Outcomes{Version: key.version, Route: key.route})
+// removeReporter subtracts all totals of a reporter.
+func (r *activeRollout) removeReporter(source reporter) {
+	r.totalsReduced = r.totalsReduced || len(r.reports[source]) > 0
+	for key := range r.reports[source] {
+		r.addOutcomes(source, protocol.Outcomes{Version: key.version, Route: key.route})
 	}
-	delete(r.reported, from)
+	delete(r.reports, source)
 }
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -16,19 +16,19 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests rollouts to a version half of whose servers are cold.
+// This file tests rollouts to a version with some cold servers.
 
 const (
-	coldRate = 18 // requests a second that a cold server bears
+	coldRate = 18 // requests per second that a cold server can serve
 	coldTime = 9 * time.Second
 )
 
-// coldStarting is servers b1 to b9, the target's from b4 on. From the order on those of even
-// numbers are cold: they answer five times slower, and fail what is above their rate.
-type coldStarting struct{ countedServers }
+// coldServers are servers b1 to b9, of the target's version from b4 on. From the order on, those with
+// even numbers from b4 are cold: they answer five times slower, and fail requests above coldRate.
+type coldServers struct{ countedServers }
 
-// coldLeft returns for how long a server is cold.
-func (c *coldStarting) coldLeft(n int) time.Duration {
+// coldLeft returns how long a server stays cold.
+func (c *coldServers) coldLeft(n int) time.Duration {
 	c.versionedServers.mu.Lock()
 	defer c.versionedServers.mu.Unlock()
 	if n < 4 || n%2 == 1 || c.orderedAt.IsZero() {
@@ -37,7 +37,7 @@
 	return max(coldTime-time.Since(c.orderedAt), 0)
 }
 
-func (c *coldStarting) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (c *coldServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
 		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
@@ -57,8 +57,8 @@
 	return answer, err
 }
 
-// goodAndBad are a version that fails nothing and one that fails a fifth, with how their
-// rollouts end.
+// goodAndBad lists a version that fails nothing and one that fails a fifth of its requests, with the
+// ends of their rollouts.
 var goodAndBad = []struct {
 	name  string
 	fails func(time.Duration) float64
@@ -68,16 +68,17 @@
 	{"bad", func(time.Duration) float64 { return 0.2 }, document.RolloutRolledBack},
 }
 
-// TestRolloutToColdServers: no cold server gets more than it bears, of all gateways together and
-// at any moment; a good version is complete in time, and a bad one rolled back within its bound.
+// TestRolloutToColdServers checks that no cold server gets more requests than its rate from all gateways
+// together in any second, that a good version completes in time, and that a bad one is rolled back
+// within its bound.
 func TestRolloutToColdServers(t *testing.T) {
 	for _, test := range goodAndBad {
 		t.Run(test.name, func(t *testing.T) {
 			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
-				c := &coldStarting{countedServers: newCountedServers(v)}
-				x.runScenario(v, rolloutScenario{document: coldHeld(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
+				c := &coldServers{countedServers: newCountedServers(v)}
+				x.runScenario(v, rolloutScenario{document: coldDocument(1, coldRate), load: x.steadyLoad(c, rolloutPeriod), announce: func() {
 					for n := range 9 {
 						x.announceVersioned(registry.Announcement{Registration: versionedServer(n + 1), ColdLeft: c.coldLeft(n + 1)})
 					}
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -22,33 +22,33 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file defines a fleet with servers of two versions, gateways under load, and a rollout.
+// This file adds servers of two versions, gateways under load, and a rollout to the fixture.
 
-// Of each test's rollout.
+// Times of each test's rollout.
 const (
 	rolloutTime   = 12 * time.Second
 	rolloutPeriod = 20 * time.Millisecond // between two requests of a gateway
 )
 
-// versionedServers is backend servers b1 to b3 of the old version and b4 to b6 of the target, which
-// answer after 20 ms; the target's fail a part.
+// versionedServers are backend servers that answer after 20 ms: b1 to b3 run the old version, b4 to b6
+// the target, which fails a part of its requests.
 type versionedServers struct {
-	unnamed bool // the old servers name no version
-	fails   func(sinceOrder time.Duration) float64
-	// gone is after which time since the order servers of the target cannot be reached: the one
-	// that had a request first, or all. 0: none.
-	gone    time.Duration
-	allGone bool
-
-	mu          sync.Mutex
-	rng         *rand.Rand
-	orderedAt   time.Time
-	target      []time.Time // arrivals at it
-	old         []time.Time
-	first       string  // server of the target that had a request
-	minHeadroom float64 // the least that the bound left, at any moment
-	bad         int     // answers of the target
-	fifty       time.Time
+	oldUnnamed bool // the old servers name no version
+	fails      func(sinceOrder time.Duration) float64
+	// unreachableAfter is the time from the order until the target server with the first request, or all
+	// of them, become unreachable. Zero means never.
+	unreachableAfter time.Duration
+	allUnreachable   bool
+
+	mu             sync.Mutex
+	rng            *rand.Rand
+	orderedAt      time.Time
+	targetArrivals []time.Time // arrivals at the target
+	oldArrivals    []time.Time // arrivals at the old version
+	firstTarget    string      // address of the target server with the first request
+	minHeadroom    float64     // smallest difference between the bound and the requests sent to the target
+	badAnswers     int         // failed answers of the target
+	fiftiethBadAt  time.Time   // time of the 50th failed answer
 }
 
 func (v *versionedServers) DropIdle(string) {}
@@ -56,7 +56,7 @@
 
 func (*versionedServers) Refuses(context.Context, string) bool { return false }
 
-// recordArrival counts an arrival and returns whether it fails.
+// recordArrival records a request and reports whether it fails.
 func (v *versionedServers) recordArrival(address string) (fails bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -64,24 +64,24 @@
 	if v.orderedAt.IsZero() {
 		return false
 	}
-	if address < address4 {
-		v.old = append(v.old, now)
+	if address < firstTargetAddress {
+		v.oldArrivals = append(v.oldArrivals, now)
 		return false
 	}
-	v.target = append(v.target, now)
-	if v.first == "" {
-		v.first = address
+	v.targetArrivals = append(v.targetArrivals, now)
+	if v.firstTarget == "" {
+		v.firstTarget = address
 	}
-	sent, of := float64(len(v.target)), float64(len(v.target)+len(v.old))
-	v.minHeadroom = min(v.minHeadroom, rolloutBounds.Share*of+rolloutBounds.Slack-sent)
+	sent, total := float64(len(v.targetArrivals)), float64(len(v.targetArrivals)+len(v.oldArrivals))
+	v.minHeadroom = min(v.minHeadroom, rolloutBounds.Share*total+rolloutBounds.Slack-sent)
 	return v.fails != nil && v.rng.Float64() < v.fails(now.Sub(v.orderedAt))
 }
 
-var address4 = serverAddress("b4")
+var firstTargetAddress = serverAddress("b4")
 
 func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	fails := v.recordArrival(at)
-	if v.hasGone(at) {
+	if v.isUnreachable(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 	}
 	if !sleep.For(ctx, 20*time.Millisecond) {
@@ -90,37 +90,38 @@
 	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
 		answer.Status = 500
-		v.countBad()
+		v.recordBadAnswer()
 	}
 	return answer, nil
 }
 
-func (v *versionedServers) hasGone(address string) bool {
+func (v *versionedServers) isUnreachable(address string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gone > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.gone && address >= address4 && (v.allGone || address == v.first)
+	return v.unreachableAfter > 0 && !v.orderedAt.IsZero() && time.Since(v.orderedAt) >= v.unreachableAfter && address >= firstTargetAddress && (v.allUnreachable || address == v.firstTarget)
 }
 
-func (v *versionedServers) countBad() {
+func (v *versionedServers) recordBadAnswer() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.bad++; v.bad == 50 {
-		v.fifty = time.Now()
+	if v.badAnswers++; v.badAnswers == 50 {
+		v.fiftiethBadAt = time.Now()
 	}
 }
 
-// exposed returns how many requests the target had, the least that the bound left, and how long
-// after its 50th bad answer the last came, 0 if there was none.
-func (v *versionedServers) exposed() (sent int, room float64, late time.Duration) {
+// measureExposure returns the number of requests sent to the target, the smallest headroom below the
+// bound, and the time from the target's 50th failed answer to its last request, or 0 without such an
+// answer.
+func (v *versionedServers) measureExposure() (sent int, headroom float64, late time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if !v.fifty.IsZero() {
-		late = v.target[len(v.target)-1].Sub(v.fifty)
+	if !v.fiftiethBadAt.IsZero() {
+		late = v.targetArrivals[len(v.targetArrivals)-1].Sub(v.fiftiethBadAt)
 	}
-	return len(v.target), v.minHeadroom, late
+	return len(v.targetArrivals), v.minHeadroom, late
 }
 
-// arrivalsAfter counts the arrivals at both versions arrivalsAfter a time.
+// arrivalsAfter counts the arrivals at both versions after a time.
 func (v *versionedServers) arrivalsAfter(from time.Time) (target, old int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -132,14 +133,14 @@
 		}
 		return n
 	}
-	return count(v.target), count(v.old)
+	return count(v.targetArrivals), count(v.oldArrivals)
 }
 
-// rolling is a fleet with gateways under load and a rollout to the target that begins now.
-func (x *fleet) rolling(v *versionedServers, f func()) {
+// withRollout runs f in a fleet with gateways under load while a rollout to the target begins.
+func (x *fleet) withRollout(v *versionedServers, f func()) {
 	is := is.New(x.t)
 	x.putDocument(1)
-	stop := x.keepVersions(v)
+	stop := x.announceVersions(v)
 	defer stop()
 	for i := range 3 {
 		x.startLoadedGateway(rolloutGateway(i), v, rolloutPeriod)
@@ -157,11 +158,11 @@
 
 func rolloutGateway(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
-// keepVersions announces the servers of both versions in each interval, until stop. Before the
-// order the target's do not run.
-func (x *fleet) keepVersions(v *versionedServers) (stop func()) {
+// announceVersions announces the servers of both versions in each interval until stop is called. The
+// target's servers do not run before the order.
+func (x *fleet) announceVersions(v *versionedServers) (stop func()) {
 	versions := []string{"v1", "v2"}
-	if v.unnamed {
+	if v.oldUnnamed {
 		versions[0] = ""
 	}
 	ctx, cancel := context.WithCancel(x.t.Context())
@@ -169,7 +170,7 @@
 	running.Go(func() {
 		for range sleep.Every(ctx, announceInterval) {
 			for i := range 6 {
-				if id := fmt.Sprint("b", i+1); v.allGone || !v.hasGone(serverAddress(id)) {
+				if id := fmt.Sprint("b", i+1); v.allUnreachable || !v.isUnreachable(serverAddress(id)) {
 					x.announceVersion(id, versions[i/3])
 				}
 			}
@@ -178,8 +179,8 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// announceVersion announces a server of the target only once a rollout is under way: without
-// one it would get its part of the requests.
+// announceVersion announces a server. One of the target is announced only once a rollout is under way,
+// since it would otherwise get requests by load.
 func (x *fleet) announceVersion(id, version string) {
 	d := x.leaderDirectory()
 	if d == nil {
@@ -191,13 +192,13 @@
 		return
 	}
 	x.announceSeqs[id]++
-	// Whoever does not lead any more refuses it.
+	// A replica that has lost the lead refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
 }
 
-// awaitRolloutEnd waits for the rollout's end and returns it, and how long after the order it was.
+// awaitRolloutEnd waits for the rollout's end and returns its state and the time since the order.
 func (x *fleet) awaitRolloutEnd(v *versionedServers) (state document.RolloutState, after time.Duration) {
 	for time.Since(v.orderedAt) < 2*rolloutTime {
 		if state = x.newestRollout().State; state != document.RolloutUnderWay {
