--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -31,7 +31,7 @@
 	BeyondShare       Cause = "beyond-share"       // no room for requests beyond the account's share - retry.After
 	NoServer          Cause = "no-backend"         // no server is listed or reachable - retry.After
 	NoBudget          Cause = "no-retry-budget"    // refused by a server, and the retry budget is used up - retry.After
-	RefusedByBackends Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
+	RefusedByServers  Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
 	MayHaveRun        Cause = "may-have-run"       // an answer was lost and the request may not run twice
 	TooLate           Cause = "too-late"           // no answer can arrive before the deadline
 	HallsOut          Cause = "halls-out"          // all servers are in halls out of service - retry.LongDelay
@@ -65,7 +65,7 @@
 	BeyondShare:       {http.StatusTooManyRequests, true, false},
 	NoServer:          {http.StatusServiceUnavailable, true, true},
 	NoBudget:          {http.StatusServiceUnavailable, true, true},
-	RefusedByBackends: {http.StatusServiceUnavailable, true, true},
+	RefusedByServers:  {http.StatusServiceUnavailable, true, true},
 	HallsOut:          {http.StatusServiceUnavailable, true, false},
 	BackingOff:        {http.StatusServiceUnavailable, true, true}, // another gateway's servers may accept it
 	TooLate:           {http.StatusServiceUnavailable, true, false},
@@ -87,7 +87,7 @@
 // causesByEnding maps the retry policy's endings to causes. retry.EndBroken and retry.EndServerError are
 // missing, because they lead to no error response of the gateway's own.
 var causesByEnding = map[retry.Ending]Cause{
-	retry.EndTimedOut: TimedOut, retry.EndMayHaveRun: MayHaveRun, retry.EndNoBudget: NoBudget, retry.EndRefused: RefusedByBackends,
+	retry.EndTimedOut: TimedOut, retry.EndMayHaveRun: MayHaveRun, retry.EndNoBudget: NoBudget, retry.EndRefused: RefusedByServers,
 	retry.EndNoServer: NoServer, retry.EndBeyondShare: BeyondShare, retry.EndOverloaded: Overloaded,
 }
 
