--- a/control/control.go
+++ b/control/control.go
@@ -177,7 +177,7 @@
 	defer cancel()
 	// If a transfer fails, the other replicas elect a leader after an election timeout.
 	_ = c.claims.Transfer(ctx)
-	_ = c.config.Transfer(ctx)
+	_ = c.config.Transfer(ctx) // as above
 }
 
 // Stop transfers leadership, if another replica can take it before ctx ends, and
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -76,8 +76,7 @@
 	})
 }
 
-// TestStreamThatEndsInsideAnEventIsBroken checks that a stream that ends without an error in the
-// middle of an event counts as broken.
+// TestStreamThatEndsInsideAnEventIsBroken: an end inside an event counts as broken, also without an error.
 func TestStreamThatEndsInsideAnEventIsBroken(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
