--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -257,7 +257,7 @@
 func (p *Pool) CacheEvent(server string, e place.Event) { p.placer.Index.Take(server, e) }
 
 // UsableSlots returns the number of slots held on each server, used or free.
-func (p *Pool) UsableSlots() map[string]int { return p.holder.Usable() }
+func (p *Pool) UsableSlots() map[string]int { return p.holder.HeldByServer() }
 
 func workOf(tickets []*share.Ticket) []*Work {
 	out := make([]*Work, 0, len(tickets))
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// Usable returns the number of slots held of each server, in use or free.
-func (h *Holder) Usable() map[string]int {
+// HeldByServer returns the number of slots held on each server, in use or free.
+func (h *Holder) HeldByServer() map[string]int {
 	out := map[string]int{}
 	for name, s := range h.servers {
 		out[name] = s.held
