--- a/directory/directory.go
+++ b/directory/directory.go
@@ -41,8 +41,8 @@
 	Bootstrap bool     // true on the first start of the whole group
 	Voters    int      // target number of voters
 	Dir       wal.Dir
-	// Interval is the period of a backend server's announcements.
-	Interval time.Duration
+	// AnnounceInterval is the period of a backend server's announcements.
+	AnnounceInterval time.Duration
 	// Halls lists the data halls that exist, besides those that backend servers name.
 	Halls []string
 	// OrderWindow is how long an operator repeats an order about a hall. Zero means
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -143,7 +143,7 @@
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
-		Seeds:    x.seeds, Bootstrap: first, Voters: x.voterCount, Dir: n.disk, Interval: announceInterval, Rollouts: rolloutBounds,
+		Seeds:    x.seeds, Bootstrap: first, Voters: x.voterCount, Dir: n.disk, AnnounceInterval: announceInterval, Rollouts: rolloutBounds,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
 	})
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -98,7 +98,7 @@
 		disk := fakedisk.New(1)
 		d, err := directory.Start(ctx, directory.Settings{
 			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.Box("10.0.1.1").DialContext},
-			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, Interval: announceInterval, Random: x.random, Log: directoryLog, Metrics: directorySet,
+			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, AnnounceInterval: announceInterval, Random: x.random, Log: directoryLog, Metrics: directorySet,
 		})
 		is.New(t).NoErr(err)
 		stop := x.serve(seeds[0], d)
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -54,7 +54,7 @@
 
 func (h *hub) beginTerm(term uint64) {
 	h.term, h.termBegan = term, h.d.replica.Now()
-	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.Interval, h.handles)
+	h.registry = registry.New(h.d.replica.Now(), h.d.cfg.AnnounceInterval, h.handles)
 	h.appliedDepartures = 0
 	h.complete = false
 	h.unloggedJoins = nil
