--- a/directory/directory.go
+++ b/directory/directory.go
@@ -45,10 +45,10 @@
 	AnnounceInterval time.Duration
 	// Halls lists the data halls that exist, besides those that backend servers name.
 	Halls []string
-	// OrderWindow is how long an operator repeats an order about a hall. Zero means
+	// HallOrderWindow is how long an operator repeats an order about a hall. Zero means
 	// evacuation.DefaultWindow.
-	OrderWindow time.Duration
-	Hall        string // the data hall of this replica; empty if not configured
+	HallOrderWindow time.Duration
+	Hall            string // the data hall of this replica; empty if not configured
 	// Region is the region of this replica; empty if not configured.
 	Region   string
 	Topology topology.Topology // of the fleet
@@ -90,7 +90,7 @@
 	if d.hasMultipleRegions() {
 		d.meter = d.meter.WithRegions(d.regionOf)
 	}
-	d.state = newReplicated(cfg.OrderWindow, cfg.Rollouts.RepeatWindow, d.hub.stateChanged)
+	d.state = newReplicated(cfg.HallOrderWindow, cfg.Rollouts.RepeatWindow, d.hub.stateChanged)
 	d.mesh = mesh.New(ctx, cfg.Identity, func(name string) string { return name }, d.meter)
 	var err error
 	d.replica, err = replica.Start(ctx, replica.Settings{
