--- a/directory/halls.go
+++ b/directory/halls.go
@@ -26,18 +26,18 @@
 // Error names the hall.
 func (e UnknownHall) Error() string { return "no data hall is called " + e.Hall }
 
-// UnclearOrder refuses an order that may be a delayed copy of an earlier one. Nothing was changed; the
+// AmbiguousOrder refuses an order that may be a delayed copy of an earlier one. Nothing was changed; the
 // order may be repeated.
-type UnclearOrder struct{ Hall string }
+type AmbiguousOrder struct{ Hall string }
 
 // Error names the hall.
-func (e UnclearOrder) Error() string {
+func (e AmbiguousOrder) Error() string {
 	return "an equal order for " + e.Hall + " was followed by its opposite a moment ago; this may be a late copy of it"
 }
 
 // TakeHallOut stops all requests to the backend servers of a data hall until PutHallBack. It returns nil
 // once the order is on the disks of a majority and on its way to the gateways. The error is
-// [UnknownHall], [UnclearOrder], [NotLeader] or [Unavailable].
+// [UnknownHall], [AmbiguousOrder], [NotLeader] or [Unavailable].
 func (d *Directory) TakeHallOut(ctx context.Context, hall string) error {
 	return d.orderHall(ctx, hall, true)
 }
@@ -69,7 +69,7 @@
 			return nil
 		case verdict == evacuation.Ambiguous:
 			d.cfg.Log.Failure("hall order unclear", slog.String("hall", hall), slog.Bool("out", out))
-			return UnclearOrder{Hall: hall}
+			return AmbiguousOrder{Hall: hall}
 		case !d.isHallKnown(hall):
 			return UnknownHall{Hall: hall}
 		}
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -143,7 +143,7 @@
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a"))
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a")) // a repeat
 		is.NoErr(l.d.PutHallBack(x.t.Context(), "hall-a"))
-		is.Equal(l.d.TakeHallOut(x.t.Context(), "hall-a"), error(directory.UnclearOrder{Hall: "hall-a"}))
+		is.Equal(l.d.TakeHallOut(x.t.Context(), "hall-a"), error(directory.AmbiguousOrder{Hall: "hall-a"}))
 		time.Sleep(5 * time.Second)
 		is.NoErr(l.d.TakeHallOut(x.t.Context(), "hall-a"))
 		for ip, n := range x.nodes {
