--- a/directory/directory.go
+++ b/directory/directory.go
@@ -220,9 +220,9 @@
 // Leader returns the leader's fleet address, or "" if it is unknown.
 func (d *Directory) Leader() string { return d.hub.leadership.Load().leader }
 
-// Formed reports whether this replica belongs to a group. Before that, it has only its list of
+// InGroup reports whether this replica belongs to a group. Before that, it has only its list of
 // seeds.
-func (d *Directory) Formed() bool { return d.hub.leadership.Load().formed }
+func (d *Directory) InGroup() bool { return d.hub.leadership.Load().formed }
 
 // Leads reports whether this replica is the leader and its lease is valid.
 func (d *Directory) Leads() bool { return d.checkLeading() == nil }
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -59,7 +59,7 @@
 						is.Equal(len(halls) == 1, round%2 == 0)
 						time.Sleep(10 * time.Second)
 						for _, ip := range x.ips { // the returned replicas have caught up
-							is.True(x.nodes[ip].d.Formed())
+							is.True(x.nodes[ip].d.InGroup())
 						}
 					}
 				})
--- a/process/directory.go
+++ b/process/directory.go
@@ -185,7 +185,7 @@
 		return
 	}
 	p.cfg.Seeds = seeds
-	if p.running != nil && !p.running.Formed() {
+	if p.running != nil && !p.running.InGroup() {
 		p.stopReplica(0)
 	}
 }
