--- a/directory/export_test.go
+++ b/directory/export_test.go
@@ -20,9 +20,9 @@
 	return d.proposeChange(ctx, command{Rollout: &c})
 }
 
-// UnawareOfVersions returns the gateways that an order's log line lists as unaware of versions, for
+// GatewaysWithoutRollouts returns the gateways that an order's log line lists as unaware of versions, for
 // tests.
-func (d *Directory) UnawareOfVersions(ctx context.Context) (names []string, err error) {
+func (d *Directory) GatewaysWithoutRollouts(ctx context.Context) (names []string, err error) {
 	err = d.hub.do(ctx, func() error { names = d.hub.gatewaysWithoutRollouts(); return nil })
 	return names, err
 }
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -67,7 +67,7 @@
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, Region: south}))
 		time.Sleep(500 * time.Millisecond)
-		names, err := x.awaitLeader().d.UnawareOfVersions(x.t.Context())
+		names, err := x.awaitLeader().d.GatewaysWithoutRollouts(x.t.Context())
 		is.NoErr(err)
 		is.Equal(names, []string{id.Name})
 	})
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -386,7 +386,7 @@
 			is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: name, KnowsVersions: knows}))
 		}
 		time.Sleep(100 * time.Millisecond)
-		names, err := l.d.UnawareOfVersions(x.t.Context())
+		names, err := l.d.GatewaysWithoutRollouts(x.t.Context())
 		is.NoErr(err)
 		is.Equal(names, []string{"10.0.2.2:7400"})
 	})
