--- a/coordination/registry/pace.go
+++ b/coordination/registry/pace.go
@@ -52,9 +52,9 @@
 	return FleetBudget(total)
 }
 
-// SilenceLimit is the silence of a leader after which a gateway leaves it. It is longer than
+// LeaderTimeout is the silence of a leader after which a gateway leaves it. It is longer than
 // maxFleetPeriod.
-const SilenceLimit = time.Second
+const LeaderTimeout = time.Second
 
 // ReportSilence is the silence of a gateway after which the leader ends its session, so that its
 // last report does not count forever. A gateway with a silent connection has left it after
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -153,7 +153,7 @@
 	is.Equal(RedialPause(1), redialPause)
 	is.Equal(RedialPause(fastRedials), redialPause) // the length of one or two elections
 	is.Equal(RedialPause(fastRedials+1), slowRedialPause)
-	is.True(maxFleetPeriod < SilenceLimit) // a leader with little to send is not taken for silent
+	is.True(maxFleetPeriod < LeaderTimeout) // a leader with little to send is not taken for silent
 }
 
 // TestLateAnnouncementOfADeadServer: at one address "a" has crashed and "b" has started. A delayed
--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -40,7 +40,7 @@
 // RelaySilence is the silence of a relay after which the leader ends its session. It equals the
 // limit for a leader: a relay's reports count for a whole region, and by then its gateways have
 // left it and report elsewhere.
-const RelaySilence = SilenceLimit
+const RelaySilence = LeaderTimeout
 
 // Sums adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
 // for concurrent use.
