--- a/coordination/registry/pace.go
+++ b/coordination/registry/pace.go
@@ -56,11 +56,11 @@
 // maxFleetPeriod.
 const LeaderTimeout = time.Second
 
-// ReportSilence is the silence of a gateway after which the leader ends its session, so that its
+// ReportTimeout is the silence of a gateway after which the leader ends its session, so that its
 // last report does not count forever. A gateway with a silent connection has left it after
 // SilenceLimit and opened another one. The limit is 30 reports, so that a gateway that is merely
 // late is rarely sent the whole list again.
-const ReportSilence = 3 * time.Second
+const ReportTimeout = 3 * time.Second
 
 // perLink returns the bytes per second of Fleet messages on each of the links that share the
 // budget.
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -119,7 +119,7 @@
 	}
 	defer s.out.Close()
 	defer h.post(func() { h.closeSession(s) })
-	silence := registry.ReportSilence
+	silence := registry.ReportTimeout
 	if s.relay {
 		silence = registry.RelaySilence
 	}
