--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -37,10 +37,10 @@
 	return min(max(byBudget, ReportPeriod), maxSumPeriod) - ReportPeriod/2
 }
 
-// RelaySilence is the silence of a relay after which the leader ends its session. It equals the
+// RelayTimeout is the silence of a relay after which the leader ends its session. It equals the
 // limit for a leader: a relay's reports count for a whole region, and by then its gateways have
 // left it and report elsewhere.
-const RelaySilence = LeaderTimeout
+const RelayTimeout = LeaderTimeout
 
 // Sums adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
 // for concurrent use.
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -121,7 +121,7 @@
 	defer h.post(func() { h.closeSession(s) })
 	silence := registry.ReportTimeout
 	if s.relay {
-		silence = registry.RelaySilence
+		silence = registry.RelayTimeout
 	}
 	for {
 		m, err := l.ReceiveWithin(ctx, silence)
