--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -151,8 +151,8 @@
 	return orderTime{at: at, attempt: newest.Attempt}
 }
 
-// WithRepeat returns the orders after one was acknowledged that began nothing.
-func (o Orders) WithRepeat(now time.Duration, order Order) Orders {
+// WithAcknowledged returns the orders after one was acknowledged that began nothing.
+func (o Orders) WithAcknowledged(now time.Duration, order Order) Orders {
 	acknowledged := o.withinWindow(now, o.acknowledged)
 	acknowledged[version{order.Pool, order.Target}] = orderTime{at: now}
 	return Orders{Window: o.Window, accepted: o.accepted, acknowledged: acknowledged}
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -161,7 +161,7 @@
 		case Accept:
 			proposed = append(proposed, entry{change: change, order: c.number})
 		case AlreadyApplied:
-			r.orders = r.orders.WithRepeat(m.now+r.offset, c.order)
+			r.orders = r.orders.WithAcknowledged(m.now+r.offset, c.order)
 			if !m.begun[c.number] {
 				m.leaderFixedUntil = m.now + modelWindow
 			}
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -139,7 +139,7 @@
 func TestRepeatsAreRemembered(t *testing.T) {
 	is := is.New(t)
 	complete := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutComplete, Elapsed: time.Hour}
-	orders := Orders{}.WithRollout(0, complete).WithRepeat(time.Minute, order("v2"))
+	orders := Orders{}.WithRollout(0, complete).WithAcknowledged(time.Minute, order("v2"))
 	next := document.Rollout{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Elapsed: time.Second}
 	orders = orders.WithRollout(time.Minute+2*time.Second, next)
 	verdict, _ := orders.Decide(time.Minute+DefaultWindow, order("v2"), next)
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -137,7 +137,7 @@
 	newest, _ := r.store.Rollout(o.Pool)
 	verdict, change := r.rolloutOrders.Decide(r.now(), o, newest)
 	if verdict == rollout.AlreadyApplied {
-		r.rolloutOrders = r.rolloutOrders.WithRepeat(r.now(), o)
+		r.rolloutOrders = r.rolloutOrders.WithAcknowledged(r.now(), o)
 	}
 	return verdict, change, newest
 }
