--- a/coordination/evacuation/evacuation.go
+++ b/coordination/evacuation/evacuation.go
@@ -58,8 +58,8 @@
 	out  bool // out of service, else back into service
 }
 
-// WithTaken returns the orders after one was accepted now.
-func (o Orders) WithTaken(now time.Duration, hall string, out bool) Orders {
+// WithAccepted returns the orders after one was accepted now.
+func (o Orders) WithAccepted(now time.Duration, hall string, out bool) Orders {
 	accepted := maps.Clone(o.accepted)
 	if accepted == nil {
 		accepted = map[orderKey]time.Duration{}
--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -17,10 +17,10 @@
 	orders := Orders{Window: 5 * time.Second}
 	is.Equal(orders.Decide(0, hall, false, false), AlreadyApplied) // already in service
 	is.Equal(orders.Decide(0, hall, true, false), Accept)
-	orders = orders.WithTaken(0, hall, true)
+	orders = orders.WithAccepted(0, hall, true)
 	is.Equal(orders.Decide(time.Second, hall, true, true), AlreadyApplied) // repeated
 	is.Equal(orders.Decide(time.Second, hall, false, true), Accept)
-	orders = orders.WithTaken(time.Second, hall, false)
+	orders = orders.WithAccepted(time.Second, hall, false)
 	is.Equal(orders.Decide(4*time.Second, hall, true, false), Ambiguous) // a copy of the first order, or a new one
 	is.Equal(orders.Decide(4*time.Second, "hall-b", true, false), Accept)
 	is.Equal(orders.Decide(5*time.Second+1, hall, true, false), Accept)
@@ -60,7 +60,7 @@
 			t.Errorf("at %v a copy of order %d takes effect after order %d", o.now, c.order, currentOrder)
 		}
 		o.out = c.out
-		o.orders = o.orders.WithTaken(o.now, "hall", c.out)
+		o.orders = o.orders.WithAccepted(o.now, "hall", c.out)
 	}
 	return c, true
 }
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -188,7 +188,7 @@
 	case c.Hall != nil:
 		applied := r.store.ChangeHall(*c.Hall)
 		if applied {
-			r.hallOrders = r.hallOrders.WithTaken(r.now(), c.Hall.Hall, c.Hall.Out)
+			r.hallOrders = r.hallOrders.WithAccepted(r.now(), c.Hall.Hall, c.Hall.Out)
 		}
 		return applied
 	case c.Rollout != nil:
