--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -208,9 +208,9 @@
 	return Change{Set: []protocol.Server{e.toServer(now)}, Gone: gone}
 }
 
-// Again returns the full announcement of a listed backend server that has not changed and is not
+// FullAnnouncement returns the full announcement of a listed backend server that has not changed and is not
 // cold. ok is false if no server has the handle.
-func (r *Registry) Again(m protocol.AnnouncedAgain) (a Announcement, ok bool) {
+func (r *Registry) FullAnnouncement(m protocol.AnnouncedAgain) (a Announcement, ok bool) {
 	id, ok := r.byHandle[m.Handle]
 	if !ok {
 		return Announcement{}, false
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -245,7 +245,7 @@
 		}
 	}
 	for _, a := range m.Again {
-		if announcement, ok := h.registry.Again(a); ok {
+		if announcement, ok := h.registry.FullAnnouncement(a); ok {
 			if err := h.applyAnnouncement(announcement); err != nil {
 				return err
 			}
