--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -186,9 +186,9 @@
 // remaining time.
 func (c *Copy) AnyCold(now time.Duration) bool { return now < c.coldUntil }
 
-// Handle returns the leader's handle of a server, and false if the server is cold or not listed
+// LeaderHandle returns the leader's handle of a server, and false if the server is cold or not listed
 // exactly as registered.
-func (c *Copy) Handle(now time.Duration, r protocol.Registration) (uint32, bool) {
+func (c *Copy) LeaderHandle(now time.Duration, r protocol.Registration) (uint32, bool) {
 	e, ok := c.servers[r.ID]
 	leaderHandle, hasHandle := c.leaderHandles[e.Handle]
 	return leaderHandle, ok && hasHandle && e.Registration == r && now >= e.coldUntil
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -143,12 +143,12 @@
 		Term: 3, Space: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
-	_, ok := c.Handle(time.Second, server("b", "2", 2, 0).Registration)
+	_, ok := c.LeaderHandle(time.Second, server("b", "2", 2, 0).Registration)
 	is.True(!ok) // it is cold
-	handle, ok := c.Handle(5*time.Second, server("b", "2", 2, 0).Registration)
+	handle, ok := c.LeaderHandle(5*time.Second, server("b", "2", 2, 0).Registration)
 	is.True(ok)
 	is.Equal(handle, uint32(2))
-	_, ok = c.Handle(0, protocol.Registration{ID: "a", Pool: "q", Address: "1"})
+	_, ok = c.LeaderHandle(0, protocol.Registration{ID: "a", Pool: "q", Address: "1"})
 	is.True(!ok) // it has changed
 
 	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
@@ -189,7 +189,7 @@
 	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // changed and new servers
 	is.Equal(c.WithOwnHandles([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
 	is.Equal(c.Len(), 4) // c may still announce itself
-	handle, ok := c.Handle(time.Second, server("a", "1", 0).Registration)
+	handle, ok := c.LeaderHandle(time.Second, server("a", "1", 0).Registration)
 	is.True(ok)
 	is.Equal(handle, uint32(43))
 
