--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -42,9 +42,9 @@
 // left it and report elsewhere.
 const RelayTimeout = LeaderTimeout
 
-// Sums adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
+// ReportAggregator adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
 // for concurrent use.
-type Sums struct {
+type ReportAggregator struct {
 	term          uint64 // of the leader
 	gateways      map[string]gatewayReport
 	pendingCounts pendingCounts
@@ -96,19 +96,19 @@
 
 // Restart begins a session with the leader of a term. The first report contains all that runs, but
 // no demand from before, which an earlier leader may have counted.
-func (s *Sums) Restart(term uint64) {
+func (s *ReportAggregator) Restart(term uint64) {
 	for name, g := range s.gateways {
 		if s.term != term { // the numbers belong to lists of the earlier leader
 			g.previousObeyed, g.lastObeyed = 0, 0
 			s.gateways[name] = g
 		}
 	}
-	*s = Sums{gateways: s.gateways, pendingCounts: newPendingCounts(), term: term}
+	*s = ReportAggregator{gateways: s.gateways, pendingCounts: newPendingCounts(), term: term}
 }
 
 // Open begins the session of a gateway, whose reports are numbered from 1 again. obeys is whether
 // it applies rollouts.
-func (s *Sums) Open(gateway string, obeys bool) {
+func (s *ReportAggregator) Open(gateway string, obeys bool) {
 	if s.gateways == nil {
 		s.gateways, s.pendingCounts = map[string]gatewayReport{}, newPendingCounts()
 	}
@@ -120,11 +120,11 @@
 }
 
 // Close ends the session of a gateway and drops its reports.
-func (s *Sums) Close(gateway string) { delete(s.gateways, gateway) }
+func (s *ReportAggregator) Close(gateway string) { delete(s.gateways, gateway) }
 
 // Add adds a gateway's report. Since the first one of a session may cover any time, only its loads
 // and totals count.
-func (s *Sums) Add(gateway string, m protocol.Usage) {
+func (s *ReportAggregator) Add(gateway string, m protocol.Usage) {
 	g, open := s.gateways[gateway]
 	if !open {
 		return
@@ -177,7 +177,7 @@
 
 // Next returns the next report to the leader. It costs O(n log n) in the size of the gateways'
 // reports.
-func (s *Sums) Next() protocol.Usage {
+func (s *ReportAggregator) Next() protocol.Usage {
 	s.seq++
 	sent := sentSum{seq: s.seq, gateways: make(map[string]uint64, len(s.gateways))}
 	loads := map[uint32]protocol.ServerLoad{}
@@ -202,7 +202,7 @@
 }
 
 // mergedBarred returns the versions barred at any gateway, without duplicates.
-func (s *Sums) mergedBarred() []protocol.Barred {
+func (s *ReportAggregator) mergedBarred() []protocol.Barred {
 	var all []protocol.Barred
 	for _, g := range s.gateways {
 		all = append(all, g.barred...)
@@ -216,7 +216,7 @@
 // minimums returns the smallest number of a document in force at a gateway, and the smallest number
 // of a list of rollouts under which running requests may have begun. Without a gateway that applies
 // rollouts, the latter is the newest list received here.
-func (s *Sums) minimums() (number, obeyed uint64) {
+func (s *ReportAggregator) minimums() (number, obeyed uint64) {
 	var numbers, obeys []uint64
 	for _, g := range s.gateways {
 		numbers = append(numbers, g.number)
@@ -234,7 +234,7 @@
 }
 
 // changedOutcomes returns the totals that differ from those sent, ordered by their keys.
-func (s *Sums) changedOutcomes() []protocol.Outcomes {
+func (s *ReportAggregator) changedOutcomes() []protocol.Outcomes {
 	totals := map[outcomeKey]protocol.Outcomes{}
 	for _, g := range s.gateways {
 		for k, o := range g.outcomes {
@@ -280,7 +280,7 @@
 }
 
 // ApplyRollouts records the leader's list of rollouts, and drops the outcomes of others.
-func (s *Sums) ApplyRollouts(m protocol.Rollouts) {
+func (s *ReportAggregator) ApplyRollouts(m protocol.Rollouts) {
 	s.listedSeq = m.Seq
 	attempts := map[string]uint64{}
 	for _, r := range m.List {
@@ -294,7 +294,7 @@
 }
 
 // Counted records the number of the newest report that the leader's sums include.
-func (s *Sums) Counted(seq uint64) {
+func (s *ReportAggregator) Counted(seq uint64) {
 	for _, sent := range s.sent {
 		if sent.seq == seq {
 			s.counted = sent
@@ -305,7 +305,7 @@
 
 // CountedReport returns the number of a gateway's newest report that the leader's sums include, or
 // 0 if they include none of its session.
-func (s *Sums) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
+func (s *ReportAggregator) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
 
 // AddLoads adds loads to sums by handle.
 func AddLoads(sums map[uint32]protocol.ServerLoad, loads []protocol.ServerLoad) {
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -21,7 +21,7 @@
 // count, and the leader's count of a report is mapped to a report of each gateway.
 func TestSumsCountOnce(t *testing.T) {
 	is := is.New(t)
-	var s Sums
+	var s ReportAggregator
 	s.Restart(1)
 	s.Open("g1", true)
 	s.Open("g2", true)
@@ -79,7 +79,7 @@
 // counts with none. Without a gateway that applies rollouts, the relay reports its own list.
 func TestSumsObey(t *testing.T) {
 	is := is.New(t)
-	var s Sums
+	var s ReportAggregator
 	s.Restart(1)
 	s.ApplyRollouts(protocol.Rollouts{Seq: 3})
 	is.Equal(s.Next().Obeyed, uint64(3))
@@ -100,7 +100,7 @@
 // TestSumsOfOutcomes: a relay sends the totals over its gateways when they change.
 func TestSumsOfOutcomes(t *testing.T) {
 	is := is.New(t)
-	var s Sums
+	var s ReportAggregator
 	s.Restart(1)
 	s.Open("g1", true)
 	s.Open("g2", true)
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -44,7 +44,7 @@
 	out             *link.Outbox // to the leader; nil without a session
 	lostAt          time.Duration
 	list            registry.Copy
-	sums            registry.Sums
+	sums            registry.ReportAggregator
 	gatewaysChanged bool // since the leader was last sent the gateways
 	nextReportAt    time.Duration
 
