--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -293,8 +293,8 @@
 	maps.DeleteFunc(s.totals, old)
 }
 
-// Counted records the number of the newest report that the leader's sums include.
-func (s *ReportAggregator) Counted(seq uint64) {
+// RecordCounted records the number of the newest report that the leader's sums include.
+func (s *ReportAggregator) RecordCounted(seq uint64) {
 	for _, sent := range s.sent {
 		if sent.seq == seq {
 			s.counted = sent
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -49,16 +49,16 @@
 	})
 	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // reported once
 
-	s.Counted(1)
+	s.RecordCounted(1)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
-	s.Counted(2)
+	s.RecordCounted(2)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{2, 2})
-	s.Counted(9) // no such report
+	s.RecordCounted(9) // no such report
 	is.Equal(s.CountedReport("g1"), uint64(2))
 
 	s.Open("g1", false) // a new session: its reports are numbered again, and it does not apply rollouts
 	is.Equal(s.CountedReport("g1"), uint64(0))
-	s.Counted(3)
+	s.RecordCounted(3)
 	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Close("g2")
 	m = s.Next()
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -207,7 +207,7 @@
 	case protocol.Places:
 		r.places = m.List
 	case protocol.Counted:
-		r.sums.Counted(m.Seq)
+		r.sums.RecordCounted(m.Seq)
 	case protocol.Fleet:
 		registry.ApplyLoads(r.loads, r.list.WithOwnHandles(m.Loads))
 		m.Loads = nil
