--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -30,9 +30,9 @@
 // of the bytes allowed in maxSumPeriod, since accounts need the rest.
 const MaxSumLoads = int(sumBytesPerSecond*maxSumPeriod/time.Second) / 2 / loadBytes
 
-// SumPause returns how long a relay waits after a report of a size in bytes. Half a period is
+// RelayReportPause returns how long a relay waits after a report of a size in bytes. Half a period is
 // subtracted because the caller checks once per period.
-func SumPause(size int) time.Duration {
+func RelayReportPause(size int) time.Duration {
 	byBudget := time.Duration(size) * time.Second / sumBytesPerSecond
 	return min(max(byBudget, ReportPeriod), maxSumPeriod) - ReportPeriod/2
 }
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/sums_test.go
@@ -203,7 +203,7 @@
 // TestSumPause: reports are sent at most ten times a second and at least every 300 ms.
 func TestSumPause(t *testing.T) {
 	is := is.New(t)
-	is.Equal(SumPause(10), ReportPeriod-ReportPeriod/2)
-	is.Equal(SumPause(1<<20), 300*time.Millisecond-ReportPeriod/2)
-	is.Equal(SumPause(1638).Round(10*time.Millisecond), 150*time.Millisecond)
+	is.Equal(RelayReportPause(10), ReportPeriod-ReportPeriod/2)
+	is.Equal(RelayReportPause(1<<20), 300*time.Millisecond-ReportPeriod/2)
+	is.Equal(RelayReportPause(1638).Round(10*time.Millisecond), 150*time.Millisecond)
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -263,7 +263,7 @@
 	report := r.appendLosses(r.sums.Next())
 	report.Loads = r.list.WithLeaderHandles(report.Loads)
 	if m, ok := r.h.encode(report); ok {
-		r.nextReportAt = now + registry.SumPause(m.Size())
+		r.nextReportAt = now + registry.RelayReportPause(m.Size())
 		r.out.Send(m)
 	}
 }
