--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -26,9 +26,9 @@
 	maxSentSums = 32
 )
 
-// MaxSumLoads is the largest number of changed loads in a report, at ten bytes each. They take half
+// MaxRelayReportLoads is the largest number of changed loads in a report, at ten bytes each. They take half
 // of the bytes allowed in maxSumPeriod, since accounts need the rest.
-const MaxSumLoads = int(sumBytesPerSecond*maxSumPeriod/time.Second) / 2 / loadBytes
+const MaxRelayReportLoads = int(sumBytesPerSecond*maxSumPeriod/time.Second) / 2 / loadBytes
 
 // RelayReportPause returns how long a relay waits after a report of a size in bytes. Half a period is
 // subtracted because the caller checks once per period.
@@ -190,7 +190,7 @@
 	}
 	m.Number, m.Obeyed = s.minimums()
 	m.Barred = s.mergedBarred()
-	m.Loads = s.feed.Next(SortedLoads(loads), MaxSumLoads)
+	m.Loads = s.feed.Next(SortedLoads(loads), MaxRelayReportLoads)
 	m.Outcomes = s.changedOutcomes()
 	m.Demands, m.Served, m.Late = byAccount(s.pendingCounts.demands), byAccount(s.pendingCounts.served), byAccount(s.pendingCounts.late)
 	m.Unread = byAccount(s.pendingCounts.unread)
