--- a/coordination/registry/feed.go
+++ b/coordination/registry/feed.go
@@ -19,17 +19,17 @@
 // fit into a message: a short prompt.
 const requestWeight = 500
 
-// Feed records the sums that the gateways were sent. All gateways are sent the same ones: messages
+// LoadFeed records the sums that the gateways were sent. All gateways are sent the same ones: messages
 // of their own would cost the leader the number of gateways times that of servers, ten times a
 // second. The zero value has sent nothing.
-type Feed struct {
+type LoadFeed struct {
 	sent map[uint32]protocol.ServerLoad // by handle, without idle servers
 }
 
 // Next returns the sums that differ from those sent, ordered by handle. If there are more than
 // limit, it returns those with the largest differences. A server that has become idle has zeros.
 // sums holds each busy server once. The cost is O(n log n).
-func (f *Feed) Next(sums []protocol.ServerLoad, limit int) []protocol.ServerLoad {
+func (f *LoadFeed) Next(sums []protocol.ServerLoad, limit int) []protocol.ServerLoad {
 	changed := f.changedSums(sums)
 	if len(changed) > limit {
 		slices.SortFunc(changed, func(a, b protocol.ServerLoad) int {
@@ -43,12 +43,12 @@
 }
 
 // Sent returns all sums sent that are not idle, ordered by handle. A new session begins with them.
-func (f *Feed) Sent() []protocol.ServerLoad {
+func (f *LoadFeed) Sent() []protocol.ServerLoad {
 	return slices.SortedFunc(maps.Values(f.sent), func(a, b protocol.ServerLoad) int { return cmp.Compare(a.Handle, b.Handle) })
 }
 
 // changedSums returns the sums that differ from those sent, in no particular order.
-func (f *Feed) changedSums(sums []protocol.ServerLoad) []protocol.ServerLoad {
+func (f *LoadFeed) changedSums(sums []protocol.ServerLoad) []protocol.ServerLoad {
 	var changed []protocol.ServerLoad
 	running := make(map[uint32]bool, len(sums))
 	for _, l := range sums {
@@ -66,7 +66,7 @@
 }
 
 // weightedDifference returns the size of the difference between a sum and the one sent.
-func (f *Feed) weightedDifference(l protocol.ServerLoad) uint64 {
+func (f *LoadFeed) weightedDifference(l protocol.ServerLoad) uint64 {
 	was := f.sent[l.Handle]
 	return requestWeight*absDiff(l.Requests, was.Requests) + absDiff(l.Tokens, was.Tokens)
 }
@@ -74,7 +74,7 @@
 func absDiff(a, b uint32) uint64 { return uint64(max(a, b) - min(a, b)) }
 
 // recordSent records the sums that are sent.
-func (f *Feed) recordSent(changed []protocol.ServerLoad) {
+func (f *LoadFeed) recordSent(changed []protocol.ServerLoad) {
 	if f.sent == nil {
 		f.sent = map[uint32]protocol.ServerLoad{}
 	}
--- a/coordination/registry/feed_test.go
+++ b/coordination/registry/feed_test.go
@@ -17,7 +17,7 @@
 
 func TestFeedSendsWhatChanged(t *testing.T) {
 	is := is.New(t)
-	var f Feed
+	var f LoadFeed
 	is.Equal(f.Next([]protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)}, 9), []protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)})
 	is.Equal(len(f.Next([]protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)}, 9)), 0)
 	is.Equal(f.Next([]protocol.ServerLoad{load(1, 3, 10)}, 9), []protocol.ServerLoad{load(1, 3, 10), load(2, 0, 0)})
@@ -34,7 +34,7 @@
 func TestFeedCatchesUp(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
-	var f Feed
+	var f LoadFeed
 	received := map[uint32]protocol.ServerLoad{}
 	sums := []protocol.ServerLoad{}
 	send := func() int {
--- a/coordination/registry/sums.go
+++ b/coordination/registry/sums.go
@@ -49,7 +49,7 @@
 	gateways      map[string]gatewayReport
 	pendingCounts pendingCounts
 	totals        map[outcomeKey]protocol.Outcomes // as last sent
-	feed          Feed
+	feed          LoadFeed
 	seq           uint64
 	sent          []sentSum // in this session with the leader, newest last
 	counted       sentSum
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -26,7 +26,7 @@
 				entitlements = append(entitlements, protocol.Entitlement{Account: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
 			}
 			sums := make([]protocol.ServerLoad, size.servers)
-			var feed registry.Feed
+			var feed registry.LoadFeed
 			bytes := 0
 			n := uint32(0)
 			for b.Loop() {
@@ -108,7 +108,7 @@
 type loadedLeader struct {
 	registry         *registry.Registry
 	usage            *usage
-	feed             registry.Feed
+	feed             registry.LoadFeed
 	gateways, relays []*session
 	servers          int
 	accounts         []protocol.Demand
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -61,7 +61,7 @@
 	sentHallChanges   uint64          // number of hall changes as of the last hall state sent
 	list              *wholeList      // for new sessions; nil means that it must be rebuilt
 	usage             *usage
-	feed              registry.Feed
+	feed              registry.LoadFeed
 	nextFleetAt       time.Duration     // earliest time of the next Fleet message
 	encodedDocument   protocol.Document // newest document, encoded once
 
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -49,7 +49,7 @@
 	nextReportAt    time.Duration
 
 	loads       map[uint32]protocol.ServerLoad // the leader's sums, by handle
-	feed        registry.Feed                  // sums that the gateways were sent
+	feed        registry.LoadFeed              // sums that the gateways were sent
 	fleet       *protocol.Fleet                // newest message without its loads; nil before the first
 	fleetUnsent bool                           // fleet was not forwarded yet
 	nextFleetAt time.Duration
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -61,7 +61,7 @@
 	for _, s := range h.d.state.Joined() {
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
-	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.Feed{}, 0
+	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.LoadFeed{}, 0
 	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
 	h.missingLives, h.sentPlaces, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
