--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -51,32 +51,32 @@
 	ColdLeft time.Duration // remaining time in which it can serve only few requests
 }
 
-// Invalid is the error for an announcement that fails [Announcement.Check].
-type Invalid struct{ What string }
+// InvalidAnnouncement is the error for an announcement that fails [Announcement.Check].
+type InvalidAnnouncement struct{ What string }
 
 // Error returns the reason.
-func (e Invalid) Error() string { return "invalid announcement: " + e.What }
+func (e InvalidAnnouncement) Error() string { return "invalid announcement: " + e.What }
 
-// Check returns an [Invalid] error if a field is missing or out of range.
+// Check returns an [InvalidAnnouncement] error if a field is missing or out of range.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
-		return Invalid{What: "no identifier or no pool"}
+		return InvalidAnnouncement{What: "no identifier or no pool"}
 	}
 	address, err := netip.ParseAddrPort(a.Address)
 	if err != nil {
-		return Invalid{What: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
+		return InvalidAnnouncement{What: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
 	}
 	if ip := address.Addr(); address.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast() {
-		return Invalid{What: fmt.Sprintf("address %q is of no single server", a.Address)}
+		return InvalidAnnouncement{What: fmt.Sprintf("address %q is of no single server", a.Address)}
 	}
 	if len(a.Version) > document.MaxVersionName {
-		return Invalid{What: fmt.Sprintf("a version's name of %d bytes", len(a.Version))}
+		return InvalidAnnouncement{What: fmt.Sprintf("a version's name of %d bytes", len(a.Version))}
 	}
 	if a.Slots < 0 {
-		return Invalid{What: fmt.Sprintf("%d slots", a.Slots)}
+		return InvalidAnnouncement{What: fmt.Sprintf("%d slots", a.Slots)}
 	}
 	if a.ColdLeft < 0 || a.ColdLeft > maxColdTime {
-		return Invalid{What: fmt.Sprintf("cold for %v", a.ColdLeft)}
+		return InvalidAnnouncement{What: fmt.Sprintf("cold for %v", a.ColdLeft)}
 	}
 	return nil
 }
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -41,7 +41,7 @@
 		"a long version": {ID: "a", Pool: "p", Address: "10.0.0.1:80", Version: strings.Repeat("v", document.MaxVersionName+1)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).True(errors.As(Announcement{Registration: s}.Check(), new(Invalid)))
+			is.New(t).True(errors.As(Announcement{Registration: s}.Check(), new(InvalidAnnouncement)))
 		})
 	}
 	is.New(t).NoErr(announcement("a", "10.0.0.1:80", 1).Check())
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -161,7 +161,7 @@
 
 // Announce registers a backend server, at any replica. When it returns nil, the announcement is on
 // its way to the gateways; if the server is leaving, its departure is on the disks of a majority.
-// The error is [registry.Invalid], [UnknownPool], [NotLeader] or [Unavailable].
+// The error is [registry.InvalidAnnouncement], [UnknownPool], [NotLeader] or [Unavailable].
 func (d *Directory) Announce(ctx context.Context, a registry.Announcement) error {
 	if err := a.Check(); err != nil {
 		return err
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -218,7 +218,7 @@
 		err := x.awaitLeader().d.Announce(x.t.Context(), registry.Announcement{
 			Registration: protocol.Registration{ID: "b1", Pool: "p", Address: "nowhere"},
 		})
-		is.New(x.t).True(errors.As(err, new(registry.Invalid)))
+		is.New(x.t).True(errors.As(err, new(registry.InvalidAnnouncement)))
 	})
 }
 
