--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -52,31 +52,31 @@
 }
 
 // InvalidAnnouncement is the error for an announcement that fails [Announcement.Check].
-type InvalidAnnouncement struct{ What string }
+type InvalidAnnouncement struct{ Reason string }
 
 // Error returns the reason.
-func (e InvalidAnnouncement) Error() string { return "invalid announcement: " + e.What }
+func (e InvalidAnnouncement) Error() string { return "invalid announcement: " + e.Reason }
 
 // Check returns an [InvalidAnnouncement] error if a field is missing or out of range.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
-		return InvalidAnnouncement{What: "no identifier or no pool"}
+		return InvalidAnnouncement{Reason: "no identifier or no pool"}
 	}
 	address, err := netip.ParseAddrPort(a.Address)
 	if err != nil {
-		return InvalidAnnouncement{What: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
 	}
 	if ip := address.Addr(); address.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast() {
-		return InvalidAnnouncement{What: fmt.Sprintf("address %q is of no single server", a.Address)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("address %q is of no single server", a.Address)}
 	}
 	if len(a.Version) > document.MaxVersionName {
-		return InvalidAnnouncement{What: fmt.Sprintf("a version's name of %d bytes", len(a.Version))}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("a version's name of %d bytes", len(a.Version))}
 	}
 	if a.Slots < 0 {
-		return InvalidAnnouncement{What: fmt.Sprintf("%d slots", a.Slots)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("%d slots", a.Slots)}
 	}
 	if a.ColdLeft < 0 || a.ColdLeft > maxColdTime {
-		return InvalidAnnouncement{What: fmt.Sprintf("cold for %v", a.ColdLeft)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("cold for %v", a.ColdLeft)}
 	}
 	return nil
 }
