--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -46,20 +46,20 @@
 const maxDuration = 30 * 24 * time.Hour
 
 // InvalidOrder is the error for an order that fails [Order.Check].
-type InvalidOrder struct{ What string }
+type InvalidOrder struct{ Reason string }
 
 // Error returns the reason.
-func (e InvalidOrder) Error() string { return "invalid rollout order: " + e.What }
+func (e InvalidOrder) Error() string { return "invalid rollout order: " + e.Reason }
 
 // Check returns an [InvalidOrder] error if a field is missing or out of range.
 func (o Order) Check() error {
 	switch {
 	case o.Pool == "" || len(o.Pool) > document.MaxVersionName:
-		return InvalidOrder{What: fmt.Sprintf("the pool's name has %d bytes", len(o.Pool))}
+		return InvalidOrder{Reason: fmt.Sprintf("the pool's name has %d bytes", len(o.Pool))}
 	case o.Target == "" || len(o.Target) > document.MaxVersionName:
-		return InvalidOrder{What: fmt.Sprintf("the version's name has %d bytes", len(o.Target))}
+		return InvalidOrder{Reason: fmt.Sprintf("the version's name has %d bytes", len(o.Target))}
 	case o.Duration <= 0 || o.Duration > maxDuration:
-		return InvalidOrder{What: fmt.Sprintf("the time is %v", o.Duration)}
+		return InvalidOrder{Reason: fmt.Sprintf("the time is %v", o.Duration)}
 	}
 	return nil
 }
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -59,7 +59,7 @@
 	case protocol.OrderAbort:
 		return d.AbortRollout(ctx, o.Pool, o.Attempt)
 	}
-	return rollout.InvalidOrder{What: "this version does not know what it asks for"}
+	return rollout.InvalidOrder{Reason: "this version does not know what it asks for"}
 }
 
 // errorAnswer returns the answer to an order that failed.
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -108,7 +108,7 @@
 // [Unavailable] also once a later attempt has begun, because the end of this one is no longer recorded.
 func (d *Directory) AbortRollout(ctx context.Context, pool string, attempt uint64) error {
 	if attempt == 0 {
-		return rollout.InvalidOrder{What: "an abort names no attempt"}
+		return rollout.InvalidOrder{Reason: "an abort names no attempt"}
 	}
 	for range maxOrderAttempts {
 		newest, err := d.Rollout(ctx, pool)
