--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -228,7 +228,7 @@
 
 // AddCondemned adds a request that was condemned by other evidence.
 func (v *Evidence) AddCondemned(e Entry) {
-	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Ends)}}
+	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Failures)}}
 }
 
 func (v *Evidence) forget(k Key) {
@@ -291,9 +291,9 @@
 	case s == nil:
 		return Entry{}, false
 	case s.verdict != nil:
-		return Entry{Key: k, Hint: s.hint, Ends: len(s.verdict.Servers), Condemned: true}, true
+		return Entry{Key: k, Hint: s.hint, Failures: len(s.verdict.Servers), Condemned: true}, true
 	}
-	return Entry{Key: k, Hint: s.hint, Ends: s.unexplained()}, true
+	return Entry{Key: k, Hint: s.hint, Failures: s.unexplained()}, true
 }
 
 // unexplained returns the number of consecutive failures at which no condemned request was running.
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -56,7 +56,7 @@
 	is.Equal(s.condemned(SettleTime-1, "deadly"), []bool{false})
 	is.Equal(s.condemned(1, "deadly", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
 	e, _ := s.v.Find(keyNamed("other 0"))
-	is.Equal(e.Ends, 0) // the failure is explained
+	is.Equal(e.Failures, 0) // the failure is explained
 }
 
 // TestEndlessRepeats: a request that is repeated before its failures settle is condemned for the
@@ -94,7 +94,7 @@
 	}
 	is.Equal(s.condemned(time.Second, "hot"), []bool{false})
 	e, _ := s.v.Find(keyNamed("hot"))
-	is.Equal(e.Ends, 1)
+	is.Equal(e.Failures, 1)
 }
 
 // TestSecondAttempt: a second attempt counts however soon it follows the first one.
@@ -121,7 +121,7 @@
 	}
 	is.Equal(s.condemned(time.Second, "deadly", "unlucky"), []bool{true, false})
 	e, _ := s.v.Find(keyNamed("unlucky"))
-	is.Equal(e.Ends, 0)
+	is.Equal(e.Failures, 0)
 }
 
 // TestTwoThatNeverPart: two requests at the same six failures are both condemned.
@@ -200,7 +200,7 @@
 		s.v.Add(s.now, loss)
 	}
 	e, _ := s.v.Find(keyNamed("deadly"))
-	is.Equal(e.Ends, 3)
+	is.Equal(e.Failures, 3)
 	is.Equal(len(s.v.Losses()), 3)
 	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
 	s.v.Clear(keyNamed("deadly"))
@@ -247,7 +247,7 @@
 	is.True(found)
 	v = NewEvidence(SettleTime)
 	for i := range maxSuspects { // condemned requests do not count towards the limit
-		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Ends: 3, Condemned: true})
+		v.AddCondemned(Entry{Key: keyNamed(fmt.Sprint("condemned ", i)), Failures: 3, Condemned: true})
 	}
 	add("late", "one", "s5", 4*time.Second)
 	add("late", "two", "s5", 4*time.Second)
@@ -347,7 +347,7 @@
 			case 0:
 				v.Clear(key)
 			case 1:
-				v.AddCondemned(Entry{Key: key, Ends: 3, Condemned: true})
+				v.AddCondemned(Entry{Key: key, Failures: 3, Condemned: true})
 			case 2, 3:
 				for _, verdict := range v.Evaluate(now, nine) {
 					if len(verdict.Servers) < minFailures || verdict.Probability > maxProbability {
--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -15,7 +15,7 @@
 type Entry struct {
 	Key       Key
 	Hint      Hint
-	Ends      int // consecutive server failures at which it was running
+	Failures  int // consecutive server failures at which it was running
 	Condemned bool
 }
 
@@ -63,7 +63,7 @@
 	var gone []Key
 	for _, q := range m.Set {
 		if k, ok := KeyFrom(q.Key); ok {
-			set = append(set, Entry{Key: k, Hint: Hint(q.Hint), Ends: int(q.Ends), Condemned: q.Condemned})
+			set = append(set, Entry{Key: k, Hint: Hint(q.Hint), Failures: int(q.Ends), Condemned: q.Condemned})
 		}
 	}
 	for _, b := range m.Gone {
@@ -91,7 +91,7 @@
 
 // Undecided reports whether a request was running at so many failures that it is either about to be
 // condemned, or shares them with another request.
-func (e Entry) Undecided() bool { return !e.Condemned && e.Ends >= minFailures }
+func (e Entry) Undecided() bool { return !e.Condemned && e.Failures >= minFailures }
 
 // DecisionWait is how long an undecided request waits for the decision. It covers SettleTime and
 // the messages before and after it.
@@ -100,4 +100,4 @@
 // MayRetry reports whether a request may be retried after an attempt was lost. losses is the number
 // of attempts lost since it arrived. Together with the failures in the list they must be fewer than
 // three.
-func (e Entry) MayRetry(losses int) bool { return e.Ends+losses < minFailures }
+func (e Entry) MayRetry(losses int) bool { return e.Failures+losses < minFailures }
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -141,7 +141,7 @@
 func (h *hub) condemnedEntries() (all []quarantine.Entry) {
 	for _, c := range h.d.state.Condemned() {
 		if k, ok := quarantine.KeyFrom(c.Key); ok {
-			all = append(all, quarantine.Entry{Key: k, Hint: quarantine.Hint(c.Hint), Ends: len(c.Servers), Condemned: true})
+			all = append(all, quarantine.Entry{Key: k, Hint: quarantine.Hint(c.Hint), Failures: len(c.Servers), Condemned: true})
 		}
 	}
 	return all
@@ -179,7 +179,7 @@
 	var m protocol.Quarantine
 	for _, e := range set {
 		m.Set = append(m.Set, protocol.Quarantined{
-			Key: e.Key[:], Hint: uint32(e.Hint), Ends: uint8(min(e.Ends, 255)), Condemned: e.Condemned,
+			Key: e.Key[:], Hint: uint32(e.Hint), Ends: uint8(min(e.Failures, 255)), Condemned: e.Condemned,
 		})
 	}
 	for _, k := range gone {
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -265,10 +265,10 @@
 	for i := range 1024 {
 		path := fmt.Sprint("/other/", i)
 		others = append(others, quarantine.Entry{
-			Key: quarantine.KeyOf("t", "POST", "host", path, body), Hint: quarantine.HintOf("t", "POST", "host", path, len(body)), Ends: 1,
+			Key: quarantine.KeyOf("t", "POST", "host", path, body), Hint: quarantine.HintOf("t", "POST", "host", path, len(body)), Failures: 1,
 		})
 	}
-	same := quarantine.Entry{Hint: quarantine.HintOf("t", "POST", "host", "/again/", len(body)), Ends: 1}
+	same := quarantine.Entry{Hint: quarantine.HintOf("t", "POST", "host", "/again/", len(body)), Failures: 1}
 	for _, tt := range []struct {
 		name string
 		list []quarantine.Entry
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -84,7 +84,7 @@
 		slog.Int("attempts", c.counts.Runs), slog.Int("sends", c.counts.Arrived), milliseconds("took_ms", took),
 	}
 	if c.listed {
-		attrs = append(attrs, slog.String("key", c.suspicion.Key.String()), slog.Int("ends", c.suspicion.Ends))
+		attrs = append(attrs, slog.String("key", c.suspicion.Key.String()), slog.Int("ends", c.suspicion.Failures))
 	}
 	if c.spent > 0 {
 		attrs = append(attrs, milliseconds("spent_ms", c.spent))
