--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -31,9 +31,9 @@
 	// region. It covers two report periods, after which all requests that were running are
 	// recorded, and one in which gateways learn of suspects and report answers.
 	SettleTime = 250 * time.Millisecond
-	// SettleViaRelay replaces SettleTime where reports pass through a relay, which holds them for
+	// SettleTimeViaRelay replaces SettleTime where reports pass through a relay, which holds them for
 	// up to 300 ms and is 30 ms away.
-	SettleViaRelay = 700 * time.Millisecond
+	SettleTimeViaRelay = 700 * time.Millisecond
 	// maxSuspects bounds the suspects: the slots of 16 large engines.
 	maxSuspects = 1024
 	// maxSuspectsPerAccount bounds the suspects of one account: the slots of two large engines.
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -38,7 +38,7 @@
 func (h *hub) beginEvidence() {
 	settle := quarantine.SettleTime
 	if h.d.hasMultipleRegions() {
-		settle = quarantine.SettleViaRelay
+		settle = quarantine.SettleTimeViaRelay
 	}
 	h.evidence = evidence{tracker: quarantine.NewEvidence(settle), unlogged: map[quarantine.Key]document.Condemned{}}
 	condemned := h.condemnedEntries()
