--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -311,8 +311,8 @@
 	return set, missing
 }
 
-// ForgetUnlisted releases the handles of those lives that are not listed, and returns them.
-func (r *Registry) ForgetUnlisted(lives []string) []string {
+// ReleaseUnlisted releases the handles of those lives that are not listed, and returns them.
+func (r *Registry) ReleaseUnlisted(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
 		r.handles.Release(id)
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -76,7 +76,7 @@
 		HallsOut: out, HallChanges: changes,
 	}
 	if h.complete && len(h.missingLives) > 0 {
-		m.Unlisted, h.missingLives = h.registry.ForgetUnlisted(h.missingLives), nil
+		m.Unlisted, h.missingLives = h.registry.ReleaseUnlisted(h.missingLives), nil
 	}
 	h.pendingChange, h.list = registry.Change{}, nil
 	h.sendServerChanges(m.Sent(h.registry.IsListed))
