--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -44,7 +44,7 @@
 
 // A gateway chooses the cheapest server and learns whether it has capacity now.
 func ExampleRoomPlacer() {
-	var p place.RoomPlacer
+	var p place.CapacityPlacer
 	r := place.Request{
 		Prompt: place.Prompt{Own: 2000}, Engine: true,
 		Class: entitlement.Entitled, Objective: 400 * time.Millisecond,
--- a/coordination/place/inorder_test.go
+++ b/coordination/place/inorder_test.go
@@ -85,7 +85,7 @@
 	for i := range servers {
 		servers[i] = Server{ID: fmt.Sprintf("e%d", i), Slots: engineSlots}
 	}
-	var p RoomPlacer
+	var p CapacityPlacer
 	within, late, beyond := 0, 0, 0
 	ask := func(now time.Duration, c entitlement.Class, own int) (began bool, waits time.Duration) {
 		shared := Part{Name: fmt.Sprint(rng.IntN(sharedPrompts)), Tokens: sharedTokens}
@@ -132,7 +132,7 @@
 		Class: entitlement.Entitled, Objective: modelObjective, Engine: true,
 		Prompt: Prompt{Shared: []Part{{Name: "p", Tokens: sharedTokens}}, Own: shortPrompt},
 	}
-	var p RoomPlacer
+	var p CapacityPlacer
 	first := p.Choose(r, servers)
 	servers[first.Index].Own = Work{Requests: 1, Tokens: longPrompt}
 	left := p.Choose(r, servers)
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -129,7 +129,7 @@
 }
 
 // ChooseSpread chooses an engine among the first servers of the request's order, for pools too large
-// to price every server. Load determines how many of these are considered ([RoomPlacer.width]). It
+// to price every server. Load determines how many of these are considered ([CapacityPlacer.width]). It
 // takes the cheaper of two drawn at random; if that has no capacity, the cheaper of two drawn from
 // the whole order; if that has none either, the cheapest of the order. ok is false if no server of
 // the order is usable.
@@ -138,7 +138,7 @@
 // gateways regard the same server as the cheapest. That is harmless at low request rates. At 150
 // requests a second for one prompt, however, 90 of them would choose the same server before its load
 // is reported, and it would queue seconds of reading.
-func (p *RoomPlacer) ChooseSpread(r Request, order []Server, typical float64) (c Choice, ok bool) {
+func (p *CapacityPlacer) ChooseSpread(r Request, order []Server, typical float64) (c Choice, ok bool) {
 	usable := usableServers(r, order, typical)
 	if len(usable) == 0 {
 		return Choice{Index: -1}, false
@@ -180,7 +180,7 @@
 // each busy one. Servers beyond the width do not count: the order is long enough for a prompt with
 // many requests, and in a large pool some of its servers are nearly always busy with other prompts,
 // occasionally even one of the leading ones.
-func (p *RoomPlacer) width(r Request, usable []pricedCandidate) int {
+func (p *CapacityPlacer) width(r Request, usable []pricedCandidate) int {
 	width, busy := 1, 0
 	if !p.busy(r, usable[0].candidate) {
 		busy = -1
@@ -198,7 +198,7 @@
 
 // busy reports whether a request would have to wait at a server, now or at its recent peak, for longer
 // than reading the shared parts again elsewhere would take.
-func (p *RoomPlacer) busy(r Request, c candidate) bool {
+func (p *CapacityPlacer) busy(r Request, c candidate) bool {
 	ahead := float64(max(c.load.Tokens, c.RecentPeak.Tokens)) * c.slowness
 	limit := max(busyWaitPart*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
 	return ahead > limit || p.bound(r, c) != Free ||
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -53,7 +53,7 @@
 func TestPromptStaysWhileItsServerIsNotBusy(t *testing.T) {
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
-	var p RoomPlacer
+	var p CapacityPlacer
 	at := func(random float64) int {
 		c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
 		is.True(ok)
@@ -82,7 +82,7 @@
 	for i := 1; i < len(order); i += 8 {
 		order[i].Others = busy
 	}
-	var p RoomPlacer
+	var p CapacityPlacer
 	used := func() map[int]bool {
 		all := map[int]bool{}
 		for random := 0.0005; random < 1; random += 0.001 {
@@ -126,7 +126,7 @@
 func TestManyRequestsOfOnePrompt(t *testing.T) {
 	is := is.New(t)
 	one := promptLoad{engines: 300, prompts: 1, rate: 152, own: 11_000, shared: 512}
-	all := one.play(func(p *RoomPlacer, r Request, pool, _ []Server, _ []int) int {
+	all := one.play(func(p *CapacityPlacer, r Request, pool, _ []Server, _ []int) int {
 		return p.Choose(r, pool).Index
 	})
 	t.Logf("the cheapest of all: worst wait %.0f ms, %.3f over 250 ms", all.worst, all.late)
@@ -162,7 +162,7 @@
 }
 
 // chooseSpread chooses as gateways do for a large pool.
-func chooseSpread(p *RoomPlacer, r Request, _, order []Server, at []int) int {
+func chooseSpread(p *CapacityPlacer, r Request, _, order []Server, at []int) int {
 	c, _ := p.ChooseSpread(r, order, 0) // ok, since all servers are usable
 	return at[c.Index]
 }
@@ -186,10 +186,10 @@
 }
 
 // play runs the load for ten seconds.
-func (l promptLoad) play(choose func(p *RoomPlacer, r Request, pool, order []Server, at []int) int) (o promptOutcome) {
+func (l promptLoad) play(choose func(p *CapacityPlacer, r Request, pool, order []Server, at []int) int) (o promptOutcome) {
 	const gateways, ends, settled, long = 300, 10.0, 2.0, 0.25 // seconds
 	x := newPromptPool(l)
-	p := RoomPlacer{learnedRate: l.assumedRate}
+	p := CapacityPlacer{learnedRate: l.assumedRate}
 	sent, counted, late, moved := 0.0, 0.0, 0.0, 0.0
 	for now := 0.0; now < ends; now += x.rng.ExpFloat64() / l.rate {
 		x.advance(now)
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -53,7 +53,7 @@
 
 // ChooseInRegion is like Choose for the servers of one region, and also returns the reason for the
 // request to leave it, if any.
-func (p *RoomPlacer) ChooseInRegion(r Request, servers []Server) (Choice, LeaveReason) {
+func (p *CapacityPlacer) ChooseInRegion(r Request, servers []Server) (Choice, LeaveReason) {
 	cands, healthy := candidates(r, servers)
 	c := p.choose(r, cands)
 	switch {
@@ -69,6 +69,6 @@
 
 // anyFree reports whether any candidate has capacity. It costs O(candidates) and is called only if
 // the best candidate has none.
-func (p *RoomPlacer) anyFree(r Request, cands []candidate) bool {
+func (p *CapacityPlacer) anyFree(r Request, cands []candidate) bool {
 	return slices.ContainsFunc(cands, func(c candidate) bool { return p.bound(r, c) == Free })
 }
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -34,7 +34,7 @@
 // TestWhenARequestMayLeave checks the reasons for leaving a region. While another engine of the region
 // has capacity, a request does not leave at once even if its best engine is full.
 func TestWhenARequestMayLeave(t *testing.T) {
-	p, r := &RoomPlacer{}, engineRequest(promptOf("a"))
+	p, r := &CapacityPlacer{}, engineRequest(promptOf("a"))
 	first, _ := p.ChooseInRegion(r, engines("n", 4))
 	for _, tt := range []struct {
 		name   string
@@ -89,7 +89,7 @@
 // its own region alone.
 func TestOrderIsOneInEachRegion(t *testing.T) {
 	is := is.New(t)
-	p := &RoomPlacer{}
+	p := &CapacityPlacer{}
 	for i := range 50 {
 		r := engineRequest(promptOf(fmt.Sprint(i)))
 		near, _ := p.ChooseInRegion(r, engines("n", 6))
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -72,7 +72,7 @@
 func (b Bound) String() string { return [...]string{"", "connections", "slots", "reading", "link"}[b] }
 
 // bound returns the limit that keeps a server from accepting one more request now.
-func (p *RoomPlacer) bound(r Request, c candidate) Bound {
+func (p *CapacityPlacer) bound(r Request, c candidate) Bound {
 	if r.Connections > 0 && c.Own.Requests >= ownConnections(r.Connections, r.Gateways, c.Slots) {
 		return Connections
 	}
@@ -90,7 +90,7 @@
 }
 
 // perSlot returns the maximum number of requests per slot of a server.
-func (p *RoomPlacer) perSlot(r Request) float64 {
+func (p *CapacityPlacer) perSlot(r Request) float64 {
 	switch {
 	case !r.Engine:
 		return plainPerSlot
@@ -117,7 +117,7 @@
 }
 
 // Learned returns the current estimates, for the log and the metrics.
-func (p *RoomPlacer) Learned() Learned {
+func (p *CapacityPlacer) Learned() Learned {
 	return Learned{Rate: p.learnedRate, PerSlot: p.requestsPerSlot()}
 }
 
@@ -135,12 +135,12 @@
 
 // requestsPerSlot returns how many requests an engine is sent for each of its slots. Engines do not
 // report the length of their queue, so refusals lower the number and answers raise it.
-func (p *RoomPlacer) requestsPerSlot() float64 {
+func (p *CapacityPlacer) requestsPerSlot() float64 {
 	return enginePerSlot - p.refusalLevel*(enginePerSlot-minEnginePerSlot)
 }
 
 // ObserveAnswer records whether a server answered a request or refused it because it was full.
-func (p *RoomPlacer) ObserveAnswer(refused bool) {
+func (p *CapacityPlacer) ObserveAnswer(refused bool) {
 	if refused {
 		p.refusalLevel += refusalWeight * (1 - p.refusalLevel)
 		return
@@ -149,7 +149,7 @@
 }
 
 // readRate returns the estimated tokens that an engine reads in a millisecond.
-func (p *RoomPlacer) readRate() float64 {
+func (p *CapacityPlacer) readRate() float64 {
 	if p.learnedRate == 0 {
 		return initialReadRate
 	}
@@ -158,7 +158,7 @@
 
 // ExpectedTimeToFirst returns how long an otherwise idle server is expected to take until the first
 // part of its answer, given the number of tokens it has to read.
-func (p *RoomPlacer) ExpectedTimeToFirst(engine bool, tokens int) time.Duration {
+func (p *CapacityPlacer) ExpectedTimeToFirst(engine bool, tokens int) time.Duration {
 	ms := plainLatency
 	if engine {
 		ms = engineOverhead + float64(tokens)/p.readRate()
@@ -168,7 +168,7 @@
 
 // ObserveTimeToFirst records how long an answer took to begin, and the number of tokens that an
 // engine had to read before. It returns the ratio to the expected time.
-func (p *RoomPlacer) ObserveTimeToFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
+func (p *CapacityPlacer) ObserveTimeToFirst(engine bool, tokens int, took time.Duration) (ratio float64) {
 	ms := milliseconds(took)
 	if !engine {
 		return ms / plainLatency
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -51,7 +51,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			got := new(RoomPlacer).Choose(tt.r, []Server{tt.s})
+			got := new(CapacityPlacer).Choose(tt.r, []Server{tt.s})
 			is.Equal(got.Index, 0)
 			is.Equal(got.Bound == Free, tt.room)
 			is.Equal(got.Before, tt.s.totalWork())
@@ -89,7 +89,7 @@
 // be refused otherwise, and that this server then reads the whole prompt.
 func TestFullServerIsWaitedFor(t *testing.T) {
 	is := is.New(t)
-	var p RoomPlacer
+	var p CapacityPlacer
 	r := Request{Prompt: promptOf("a"), Class: entitlement.Covered, Objective: 400 * time.Millisecond, Engine: true}
 	servers := []Server{{ID: "e0"}, {ID: "e1"}}
 	first := p.Choose(r, servers)
@@ -114,7 +114,7 @@
 
 func TestLearnedRoom(t *testing.T) {
 	is := is.New(t)
-	var p RoomPlacer
+	var p CapacityPlacer
 	for range 500 {
 		p.ObserveAnswer(true)
 		p.ObserveTimeToFirst(true, 50_000, 125*time.Millisecond) // 500 tokens a millisecond
@@ -153,6 +153,6 @@
 	}
 	found, _ := candidates(r, servers)
 	for _, c := range found {
-		is.Equal(new(RoomPlacer).bound(r, c) == Free, c.index != 2)
+		is.Equal(new(CapacityPlacer).bound(r, c) == Free, c.index != 2)
 	}
 }
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -72,9 +72,9 @@
 	Slowness float64 // how many times slower than a typical server it is
 }
 
-// RoomPlacer chooses servers of one pool and holds the estimates used for that. The zero value has
+// CapacityPlacer chooses servers of one pool and holds the estimates used for that. The zero value has
 // none.
-type RoomPlacer struct {
+type CapacityPlacer struct {
 	refusalLevel float64 // how consistently engines refuse requests beyond their slots, 0 to 1
 	learnedRate  float64 // tokens that an engine reads in a millisecond; zero means unknown
 }
@@ -85,13 +85,13 @@
 // For an engine it is the best one regardless of its capacity. Moving the request to an engine that
 // has capacity would make that one read the shared parts again, which takes capacity from other
 // requests and pushes ever more of them off their first engine.
-func (p *RoomPlacer) Choose(r Request, servers []Server) Choice {
+func (p *CapacityPlacer) Choose(r Request, servers []Server) Choice {
 	cands, _ := candidates(r, servers)
 	return p.choose(r, cands)
 }
 
 // choose is like Choose for a list of candidates.
-func (p *RoomPlacer) choose(r Request, cands []candidate) Choice {
+func (p *CapacityPlacer) choose(r Request, cands []candidate) Choice {
 	if !r.Engine {
 		return p.spread(r, cands)
 	}
@@ -116,13 +116,13 @@
 // ChooseWithRoom returns the best server among those with capacity. It is a last resort for requests
 // that would otherwise be refused and should be rare, because reading shared parts again takes
 // capacity from other requests.
-func (p *RoomPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
+func (p *CapacityPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
 	cands, _ := candidates(r, servers)
 	return p.chooseWithRoom(r, cands)
 }
 
 // chooseWithRoom is like ChooseWithRoom for a list of candidates, which it overwrites.
-func (p *RoomPlacer) chooseWithRoom(r Request, cands []candidate) Choice {
+func (p *CapacityPlacer) chooseWithRoom(r Request, cands []candidate) Choice {
 	if !r.Engine {
 		if c := p.spread(r, cands); c.Bound == Free {
 			return c
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -15,7 +15,7 @@
 
 // spread chooses a random server among those with capacity, or among all if there are none. Servers
 // are weighted by their slots divided by their slowness, and less if requests were lost there.
-func (p *RoomPlacer) spread(r Request, cands []candidate) Choice {
+func (p *CapacityPlacer) spread(r Request, cands []candidate) Choice {
 	withRoom := slices.DeleteFunc(slices.Clone(cands), func(c candidate) bool { return p.bound(r, c) != Free })
 	if len(withRoom) == 0 {
 		withRoom = cands
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -138,7 +138,7 @@
 
 // leastLoaded chooses the cheapest server by the reported load, however old the report is.
 func leastLoaded(_ *rand.Rand, servers []Server) Choice {
-	p := &RoomPlacer{}
+	p := &CapacityPlacer{}
 	r := Request{}
 	found, _ := candidates(r, servers)
 	best, read, ok := cheapest(r.Prompt, found)
@@ -165,7 +165,7 @@
 
 // placerChoice chooses as RoomPlacer does.
 func placerChoice(rng *rand.Rand, servers []Server) Choice {
-	return new(RoomPlacer).Choose(Request{Random: rng.Float64()}, servers)
+	return new(CapacityPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
 // TestSmallPool compares strategies for 330 requests a second of 30 ms each, on three servers with six
@@ -220,7 +220,7 @@
 			seen[s] = Server{ID: string(rune('a' + s)), Slots: 6, Health: health[g][s].State(now)}
 			view(g, s, &seen[s], health[g][s].LostInARow())
 		}
-		c := new(RoomPlacer).Choose(Request{Random: rng.Float64()}, seen)
+		c := new(CapacityPlacer).Choose(Request{Random: rng.Float64()}, seen)
 		asked++
 		verdict, trial := outlier.Answered, health[g][c.Index].Sent(now)
 		if off(c.Index) {
--- a/coordination/place/twosides_test.go
+++ b/coordination/place/twosides_test.go
@@ -91,7 +91,7 @@
 type twoSides struct {
 	rng          *rand.Rand
 	strategy     regionStrategy
-	placers      [2 * sideGateways]RoomPlacer
+	placers      [2 * sideGateways]CapacityPlacer
 	own          [2 * sideGateways][2 * sideEngines]Work
 	reported     [7][2 * sideGateways][2 * sideEngines]Work // load of each engine by gateway, as of 0, 100, … ms ago
 	totals       [7][2 * sideEngines]Work                   // load of each engine from all gateways
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -16,14 +16,14 @@
 }
 
 // regionStrategy chooses an engine, and reports whether that is in the other region.
-type regionStrategy func(p *RoomPlacer, r Request, s sideView) (c Choice, far bool)
+type regionStrategy func(p *CapacityPlacer, r Request, s sideView) (c Choice, far bool)
 
-func ownRegionOnly(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+func ownRegionOnly(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 	return p.Choose(r, s.own), false
 }
 
 // oneOrder uses one rendezvous order over both regions.
-func oneOrder(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+func oneOrder(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 	c := p.Choose(r, slices.Concat(s.own, s.far))
 	if c.Index >= len(s.own) {
 		c.Index -= len(s.own)
@@ -33,7 +33,7 @@
 }
 
 // whenSooner leaves if the other region is expected to send the first event sooner.
-func whenSooner(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+func whenSooner(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 	near, far := p.Choose(r, s.own), p.Choose(r, s.far)
 	ms := func(c Choice) float64 { return float64(c.Before.Tokens+c.Read) / sideRate }
 	if far.Bound == Free && ms(far)+milliseconds(sideRoundTrip) < ms(near) {
@@ -43,7 +43,7 @@
 }
 
 // whenFull leaves if no engine of the own region has capacity.
-func whenFull(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+func whenFull(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 	c, why := p.ChooseInRegion(r, s.own)
 	if far, _ := p.ChooseInRegion(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
 		return far, true
@@ -53,7 +53,7 @@
 
 // afterWait also leaves once a request has waited for its best engine for the given time.
 func afterWait(minWait time.Duration) regionStrategy {
-	return func(p *RoomPlacer, r Request, s sideView) (Choice, bool) {
+	return func(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 		c, why := p.ChooseInRegion(r, s.own)
 		far, _ := p.ChooseInRegion(r, s.far)
 		if why.Due(s.waited, minWait) && MayLeave(r.Class) && far.Bound == Free {
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -189,7 +189,7 @@
 }
 
 // minSpreadServers is the pool size from which requests with a shared prompt are spread at random
-// over the first servers of its ranking, as many as they need ([place.RoomPlacer.ChooseSpread]). In
+// over the first servers of its ranking, as many as they need ([place.CapacityPlacer.ChooseSpread]). In
 // smaller pools the load totals cover every busy server, and examining all servers is cheap.
 const minSpreadServers = 256
 
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -189,7 +189,7 @@
 		r := place.Request{Prompt: prompt, Objective: 400 * time.Millisecond, Engine: true, Gateways: 1}
 		left := slices.Clone(servers)
 		for range 2 {
-			choice := (&place.RoomPlacer{}).Choose(r, left)
+			choice := (&place.CapacityPlacer{}).Choose(r, left)
 			left[choice.Index].Avoid = true
 		}
 		if !left[last].Avoid {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -78,7 +78,7 @@
 	servers      []*knownServer  // ordered by ID
 	parts        []regionServers // servers by region, the gateway's own region first; empty without a far side
 	waiting      []*waiter
-	placer       place.RoomPlacer
+	placer       place.CapacityPlacer
 	failures     outlier.PoolRate
 	candidateBuf []place.Server // reused by every selection
 	ranks        place.Ranks
