--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -97,9 +97,9 @@
 	is.Equal(first.Read, 1000)
 	servers[first.Index].Own.Tokens = 20_000
 	is.Equal(p.Choose(r, servers), Choice{Index: first.Index, Bound: Reading, Read: 1000, Before: Work{Tokens: 20_000}, Slowness: 1})
-	is.Equal(p.ChooseWithRoom(r, servers), Choice{Index: 1 - first.Index, Read: 6500, Slowness: 1})
+	is.Equal(p.ChooseWithCapacity(r, servers), Choice{Index: 1 - first.Index, Read: 6500, Slowness: 1})
 	servers[1-first.Index].Own.Tokens = 20_000
-	is.Equal(p.ChooseWithRoom(r, servers).Index, -1)
+	is.Equal(p.ChooseWithCapacity(r, servers).Index, -1)
 }
 
 func TestOwnConnections(t *testing.T) {
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -113,10 +113,10 @@
 	return cands[order.indexes[0]], r.Prompt.Own, true
 }
 
-// ChooseWithRoom returns the best server among those with capacity. It is a last resort for requests
+// ChooseWithCapacity returns the best server among those with capacity. It is a last resort for requests
 // that would otherwise be refused and should be rare, because reading shared parts again takes
 // capacity from other requests.
-func (p *CapacityPlacer) ChooseWithRoom(r Request, servers []Server) Choice {
+func (p *CapacityPlacer) ChooseWithCapacity(r Request, servers []Server) Choice {
 	cands, _ := candidates(r, servers)
 	return p.chooseWithRoom(r, cands)
 }
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -205,7 +205,7 @@
 func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
-		return p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
+		return p.placer.ChooseWithCapacity(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
 	own := p.parts[0].servers
 	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
@@ -214,7 +214,7 @@
 			return remote, regionDecision{reason: reason}
 		}
 	}
-	c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, own, now, req))
+	c := p.placer.ChooseWithCapacity(req.placeRequest(), t.candidates(p, own, now, req))
 	if c.Index >= 0 || reason == place.NoServer {
 		return p.withPoolIndex(c, own), regionDecision{}
 	}
@@ -238,7 +238,7 @@
 		if reason == place.NoServer && ownEjected {
 			continue
 		}
-		if c := p.placer.ChooseWithRoom(req.placeRequest(), t.candidates(p, remote.servers, now, req)); c.Index >= 0 {
+		if c := p.placer.ChooseWithCapacity(req.placeRequest(), t.candidates(p, remote.servers, now, req)); c.Index >= 0 {
 			return p.withPoolIndex(c, remote.servers)
 		}
 	}
