--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -31,10 +31,10 @@
 
 // Reasons for leaving a region.
 const (
-	Stay     LeaveReason = iota // it may not leave
-	NoServer                    // no server of the region is usable for it, or only ejected ones are
-	NoRoom                      // no server of the region has capacity for it
-	BestFull                    // its best engine has no capacity, but another one in the region has
+	Stay       LeaveReason = iota // it may not leave
+	NoServer                      // no server of the region is usable for it, or only ejected ones are
+	NoCapacity                    // no server of the region has capacity for it
+	BestFull                      // its best engine has no capacity, but another one in the region has
 )
 
 // String returns the reason's name as used in log lines and counters.
@@ -43,7 +43,7 @@
 // Due reports whether a request that has waited for the given time may leave now. If only its best
 // engine is full, it first waits for one round trip to the other region.
 func (l LeaveReason) Due(waited, rtt time.Duration) bool {
-	return l == NoServer || l == NoRoom || (l == BestFull && waited >= rtt)
+	return l == NoServer || l == NoCapacity || (l == BestFull && waited >= rtt)
 }
 
 // MayLeave reports whether a request of the given class may leave its region for lack of capacity.
@@ -64,7 +64,7 @@
 	case r.Engine && p.anyFree(r, cands):
 		return c, BestFull
 	}
-	return c, NoRoom
+	return c, NoCapacity
 }
 
 // anyFree reports whether any candidate has capacity. It costs O(candidates) and is called only if
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -47,8 +47,8 @@
 				fill(s)
 			}
 		}, BestFull},
-		{"all are full", func(_ int, s *Server) { fill(s) }, NoRoom},
-		{"all but one are closed, and that one is full", func(i int, s *Server) { fill(s); s.Closed = i != 2 }, NoRoom},
+		{"all are full", func(_ int, s *Server) { fill(s) }, NoCapacity},
+		{"all but one are closed, and that one is full", func(i int, s *Server) { fill(s); s.Closed = i != 2 }, NoCapacity},
 		{"all are closed", func(_ int, s *Server) { s.Closed = true }, NoServer},
 		{"all are ejected", func(_ int, s *Server) { s.Health = outlier.Ejected }, NoServer},
 		{"all have failed it", func(_ int, s *Server) { s.Avoid = true }, NoServer},
@@ -78,7 +78,7 @@
 	is.Equal(why, NoServer)
 	is.True(!BestFull.Due(59*time.Millisecond, 60*time.Millisecond))
 	is.True(BestFull.Due(60*time.Millisecond, 60*time.Millisecond))
-	is.True(NoRoom.Due(0, 60*time.Millisecond))
+	is.True(NoCapacity.Due(0, 60*time.Millisecond))
 	is.True(NoServer.Due(0, 60*time.Millisecond))
 	is.True(!Stay.Due(time.Second, 60*time.Millisecond))
 	is.True(!MayLeave(entitlement.Beyond))
--- a/coordination/place/ways_test.go
+++ b/coordination/place/ways_test.go
@@ -45,7 +45,7 @@
 // whenFull leaves if no engine of the own region has capacity.
 func whenFull(p *CapacityPlacer, r Request, s sideView) (Choice, bool) {
 	c, why := p.ChooseInRegion(r, s.own)
-	if far, _ := p.ChooseInRegion(r, s.far); why == NoRoom && MayLeave(r.Class) && far.Bound == Free {
+	if far, _ := p.ChooseInRegion(r, s.far); why == NoCapacity && MayLeave(r.Class) && far.Bound == Free {
 		return far, true
 	}
 	return c, false
