--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -128,7 +128,7 @@
 	return k.work
 }
 
-// ChooseSpread chooses an engine among the first servers of the request's order, for pools too large
+// ChooseFromOrder chooses an engine among the first servers of the request's order, for pools too large
 // to price every server. Load determines how many of these are considered ([CapacityPlacer.width]). It
 // takes the cheaper of two drawn at random; if that has no capacity, the cheaper of two drawn from
 // the whole order; if that has none either, the cheapest of the order. ok is false if no server of
@@ -138,7 +138,7 @@
 // gateways regard the same server as the cheapest. That is harmless at low request rates. At 150
 // requests a second for one prompt, however, 90 of them would choose the same server before its load
 // is reported, and it would queue seconds of reading.
-func (p *CapacityPlacer) ChooseSpread(r Request, order []Server, typical float64) (c Choice, ok bool) {
+func (p *CapacityPlacer) ChooseFromOrder(r Request, order []Server, typical float64) (c Choice, ok bool) {
 	usable := usableServers(r, order, typical)
 	if len(usable) == 0 {
 		return Choice{Index: -1}, false
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -55,7 +55,7 @@
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	var p CapacityPlacer
 	at := func(random float64) int {
-		c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
+		c, ok := p.ChooseFromOrder(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
 		is.True(ok)
 		return c.Index
 	}
@@ -69,7 +69,7 @@
 	for _, random := range []float64{0.1, 0.3, 0.7, 0.99} {
 		is.True(at(random) >= 1 && at(random) < 5) // one of the next servers, none of which is busy
 	}
-	_, ok := p.ChooseSpread(Request{Engine: true}, nil, 0)
+	_, ok := p.ChooseFromOrder(Request{Engine: true}, nil, 0)
 	is.True(!ok)
 }
 
@@ -86,7 +86,7 @@
 	used := func() map[int]bool {
 		all := map[int]bool{}
 		for random := 0.0005; random < 1; random += 0.001 {
-			c, ok := p.ChooseSpread(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
+			c, ok := p.ChooseFromOrder(Request{Engine: true, Objective: 500 * time.Millisecond, Prompt: promptOf("a"), Random: random}, order, 0)
 			is.True(ok)
 			all[c.Index] = true
 		}
@@ -163,7 +163,7 @@
 
 // chooseSpread chooses as gateways do for a large pool.
 func chooseSpread(p *CapacityPlacer, r Request, _, order []Server, at []int) int {
-	c, _ := p.ChooseSpread(r, order, 0) // ok, since all servers are usable
+	c, _ := p.ChooseFromOrder(r, order, 0) // ok, since all servers are usable
 	return at[c.Index]
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -189,7 +189,7 @@
 }
 
 // minSpreadServers is the pool size from which requests with a shared prompt are spread at random
-// over the first servers of its ranking, as many as they need ([place.CapacityPlacer.ChooseSpread]). In
+// over the first servers of its ranking, as many as they need ([place.CapacityPlacer.ChooseFromOrder]). In
 // smaller pools the load totals cover every busy server, and examining all servers is cheap.
 const minSpreadServers = 256
 
@@ -200,7 +200,7 @@
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
-	c, ok = p.placer.ChooseSpread(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalPace())
+	c, ok = p.placer.ChooseFromOrder(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalPace())
 	if ok {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, ids[c.Index], compareID)
 	}
