--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -191,15 +191,15 @@
 	maxSlowness    = 16  // upper bound of the slowness
 )
 
-// Pace is the moving average of the time until a server's answers begin, relative to the expected
+// LatencyRatio is the moving average of the time until a server's answers begin, relative to the expected
 // time. The zero value is unknown.
-type Pace struct {
+type LatencyRatio struct {
 	ratio   float64
 	answers int
 }
 
 // Observe records the ratio of one answer.
-func (p *Pace) Observe(ratio float64) {
+func (p *LatencyRatio) Observe(ratio float64) {
 	p.answers++
 	if p.answers == 1 {
 		p.ratio = ratio
@@ -209,7 +209,7 @@
 }
 
 // slowness returns how many times slower than a typical server this one is, at least 1.
-func (p Pace) slowness(typical float64) float64 {
+func (p LatencyRatio) slowness(typical float64) float64 {
 	if p.answers < minPaceSamples || typical <= 0 || p.ratio < slowThreshold*typical {
 		return 1
 	}
@@ -217,10 +217,10 @@
 }
 
 // Reliable reports whether enough answers were observed for the pace to be used.
-func (p Pace) Reliable() bool { return p.answers >= minPaceSamples }
+func (p LatencyRatio) Reliable() bool { return p.answers >= minPaceSamples }
 
 // TypicalPace returns the median of the reliable paces, or 0 if there are fewer than two.
-func TypicalPace(all []Pace) float64 {
+func TypicalPace(all []LatencyRatio) float64 {
 	ratios := make([]float64, 0, len(all))
 	for _, pace := range all {
 		if pace.Reliable() {
@@ -236,7 +236,7 @@
 
 // typicalPace returns the TypicalPace of the given servers.
 func typicalPace(servers []Server) float64 {
-	paces := make([]Pace, 0, len(servers))
+	paces := make([]LatencyRatio, 0, len(servers))
 	for i := range servers {
 		if servers[i].Pace.Reliable() {
 			paces = append(paces, servers[i].Pace)
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -144,7 +144,7 @@
 	is.Equal(typical, 1.5)
 	is.Equal(servers[1].Pace.slowness(1), 1.0) // the difference is too small
 	is.Equal(servers[2].Pace.slowness(typical), float64(maxSlowness))
-	is.Equal(Pace{}.slowness(typical), 1.0)
+	is.Equal(LatencyRatio{}.slowness(typical), 1.0)
 
 	// A slow engine takes as many times longer to read.
 	r := Request{Class: entitlement.Covered, Objective: 400 * time.Millisecond, Engine: true}
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -42,7 +42,7 @@
 	Others     Work // sent by all other gateways
 	OthersAge  time.Duration
 	RecentPeak Work // highest recent load from all gateways
-	Pace       Pace
+	Pace       LatencyRatio
 	Health     outlier.State
 	Avoid      bool // whether an attempt of the request has failed there
 	Closed     bool // whether it accepts no requests at present
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -62,9 +62,9 @@
 func (p smallPool) play(choose strategy) poolResult {
 	rng := rand.New(rand.NewPCG(7, 8))
 	own := make([][]Work, p.gateways) // by gateway and server
-	paces := make([][]Pace, p.gateways)
+	paces := make([][]LatencyRatio, p.gateways)
 	for g := range own {
-		own[g], paces[g] = make([]Work, p.servers), make([]Pace, p.servers)
+		own[g], paces[g] = make([]Work, p.servers), make([]LatencyRatio, p.servers)
 	}
 	running, reported := make([]int, p.servers), make([]int, p.servers)
 	ownReported := make([][]int, p.gateways)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -220,7 +220,7 @@
 // typicalPace returns the median pace of the pool's servers, in O(n) of the servers that have
 // answered.
 func (p *pool) typicalPace() float64 {
-	paces := make([]place.Pace, 0, len(p.paced))
+	paces := make([]place.LatencyRatio, 0, len(p.paced))
 	for k := range p.paced {
 		paces = append(paces, k.pace)
 	}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -23,7 +23,7 @@
 	protocol.Server
 	health     outlier.FailureRate
 	silence    outlier.ServerSilence
-	pace       place.Pace
+	pace       place.LatencyRatio
 	ownLoad    place.Work // from this gateway; prompts count until their first event
 	totalLoad  place.Work // from all gateways, as last sent by the leader
 	othersLoad place.Work // from all other gateways, as of table.othersUpdatedAt
