--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -219,8 +219,8 @@
 // Reliable reports whether enough answers were observed for the pace to be used.
 func (p LatencyRatio) Reliable() bool { return p.answers >= minPaceSamples }
 
-// TypicalPace returns the median of the reliable paces, or 0 if there are fewer than two.
-func TypicalPace(all []LatencyRatio) float64 {
+// TypicalLatencyRatio returns the median of the reliable paces, or 0 if there are fewer than two.
+func TypicalLatencyRatio(all []LatencyRatio) float64 {
 	ratios := make([]float64, 0, len(all))
 	for _, pace := range all {
 		if pace.Reliable() {
@@ -242,5 +242,5 @@
 			paces = append(paces, servers[i].Pace)
 		}
 	}
-	return TypicalPace(paces)
+	return TypicalLatencyRatio(paces)
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -224,7 +224,7 @@
 	for k := range p.paced {
 		paces = append(paces, k.pace)
 	}
-	return place.TypicalPace(paces)
+	return place.TypicalLatencyRatio(paces)
 }
 
 // assign records a request on the selected backend server.
