--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -168,7 +168,7 @@
 		if !usableFor(r, s) || s.Avoid || s.Closed {
 			continue
 		}
-		c := candidate{Server: s, index: i, load: s.totalWork(), slowness: s.Pace.slowness(typical)}
+		c := candidate{Server: s, index: i, load: s.totalWork(), slowness: s.LatencyRatio.slowness(typical)}
 		read, price := priceAt(r.Prompt, c, 0)
 		usable = append(usable, pricedCandidate{candidate: c, price: price, read: read})
 	}
--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -238,8 +238,8 @@
 func typicalPace(servers []Server) float64 {
 	paces := make([]LatencyRatio, 0, len(servers))
 	for i := range servers {
-		if servers[i].Pace.Reliable() {
-			paces = append(paces, servers[i].Pace)
+		if servers[i].LatencyRatio.Reliable() {
+			paces = append(paces, servers[i].LatencyRatio)
 		}
 	}
 	return TypicalLatencyRatio(paces)
--- a/coordination/place/room_test.go
+++ b/coordination/place/room_test.go
@@ -137,13 +137,13 @@
 	for i, ratio := range []float64{1, 1.5, 100} {
 		for range minPaceSamples {
 			is.Equal(typicalPace(servers[i:i+1]), 0.0) // a single server is not compared
-			servers[i].Pace.Observe(ratio)
+			servers[i].LatencyRatio.Observe(ratio)
 		}
 	}
 	typical := typicalPace(servers)
 	is.Equal(typical, 1.5)
-	is.Equal(servers[1].Pace.slowness(1), 1.0) // the difference is too small
-	is.Equal(servers[2].Pace.slowness(typical), float64(maxSlowness))
+	is.Equal(servers[1].LatencyRatio.slowness(1), 1.0) // the difference is too small
+	is.Equal(servers[2].LatencyRatio.slowness(typical), float64(maxSlowness))
 	is.Equal(LatencyRatio{}.slowness(typical), 1.0)
 
 	// A slow engine takes as many times longer to read.
--- a/coordination/place/roomplacer.go
+++ b/coordination/place/roomplacer.go
@@ -35,18 +35,18 @@
 
 // Server is a backend server of the pool.
 type Server struct {
-	ID         string
-	Slots      int // zero means unknown
-	SameHall   bool
-	Own        Work // sent by this gateway
-	Others     Work // sent by all other gateways
-	OthersAge  time.Duration
-	RecentPeak Work // highest recent load from all gateways
-	Pace       LatencyRatio
-	Health     outlier.State
-	Avoid      bool // whether an attempt of the request has failed there
-	Closed     bool // whether it accepts no requests at present
-	LostInARow int  // consecutive requests of this gateway that were lost there
+	ID           string
+	Slots        int // zero means unknown
+	SameHall     bool
+	Own          Work // sent by this gateway
+	Others       Work // sent by all other gateways
+	OthersAge    time.Duration
+	RecentPeak   Work // highest recent load from all gateways
+	LatencyRatio LatencyRatio
+	Health       outlier.State
+	Avoid        bool // whether an attempt of the request has failed there
+	Closed       bool // whether it accepts no requests at present
+	LostInARow   int  // consecutive requests of this gateway that were lost there
 }
 
 // MaxOthersAge is the age from which the reported work of other gateways is ignored, so that a
@@ -157,7 +157,7 @@
 			s := &servers[i]
 			notAvoided := !s.Avoid || (anyHealth && len(servers) == 1)
 			if notAvoided && (usableFor(r, s) || anyHealth) && !s.Closed {
-				cands = append(cands, candidate{Server: s, index: i, load: s.totalWork(), slowness: s.Pace.slowness(typical)})
+				cands = append(cands, candidate{Server: s, index: i, load: s.totalWork(), slowness: s.LatencyRatio.slowness(typical)})
 			}
 		}
 		if len(cands) > 0 {
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -99,7 +99,7 @@
 		hall := p.drawHall(rng)
 		view := make([]Server, p.servers)
 		for s := range view {
-			view[s] = Server{ID: string(rune('a' + s)), Slots: p.slots, Own: own[g][s], Others: Work{Requests: reported[s] - ownReported[g][s]}, Pace: paces[g][s]}
+			view[s] = Server{ID: string(rune('a' + s)), Slots: p.slots, Own: own[g][s], Others: Work{Requests: reported[s] - ownReported[g][s]}, LatencyRatio: paces[g][s]}
 			view[s].SameHall = len(p.halls) > 0 && s%len(p.halls) == hall
 		}
 		c := choose(rng, view)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -171,7 +171,7 @@
 func (t *table) candidate(k *knownServer, now time.Duration, req *requirements, v candidateContext) place.Server {
 	return place.Server{
 		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersUpdatedAt,
-		RecentPeak: k.peakLoad.At(now), Pace: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
+		RecentPeak: k.peakLoad.At(now), LatencyRatio: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
 }
