--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -110,15 +110,15 @@
 	return c.load.Tokens
 }
 
-// Learned holds the placer's estimates of its servers.
-type Learned struct {
+// Estimates holds the placer's estimates of its servers.
+type Estimates struct {
 	Rate    float64 // tokens that an engine reads in a millisecond; zero means unknown
 	PerSlot float64 // requests sent to an engine for each of its slots
 }
 
 // Learned returns the current estimates, for the log and the metrics.
-func (p *CapacityPlacer) Learned() Learned {
-	return Learned{Rate: p.learnedRate, PerSlot: p.requestsPerSlot()}
+func (p *CapacityPlacer) Learned() Estimates {
+	return Estimates{Rate: p.learnedRate, PerSlot: p.requestsPerSlot()}
 }
 
 // ownConnections returns one gateway's part of the connections that a server accepts. If these are
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -55,7 +55,7 @@
 	serverRequests int
 	serverTokens   int
 	slowness       float64
-	learned        place.Learned
+	learned        place.Estimates
 	loadAge        time.Duration // age of the data on other gateways' load
 	hallsOut       []string      // halls out of service, if they hold all servers of the pool
 	homesCause     Cause         // set if the homes exclude every server
