--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -116,8 +116,8 @@
 	PerSlot float64 // requests sent to an engine for each of its slots
 }
 
-// Learned returns the current estimates, for the log and the metrics.
-func (p *CapacityPlacer) Learned() Estimates {
+// Estimates returns the current estimates, for the log and the metrics.
+func (p *CapacityPlacer) Estimates() Estimates {
 	return Estimates{Rate: p.learnedRate, PerSlot: p.requestsPerSlot()}
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -99,7 +99,7 @@
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
-			slowness: choice.Slowness, learned: p.placer.Learned(), loadAge: now - t.othersUpdatedAt,
+			slowness: choice.Slowness, learned: p.placer.Estimates(), loadAge: now - t.othersUpdatedAt,
 			stayReason: leave.stayReason,
 		}, true
 	}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -138,7 +138,7 @@
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			is.Equal(x.request("/engine/x", "Tokens", "6000").status, 200)
 			release()
-			learned := x.g.table.pools["engines"].placer.Learned()
+			learned := x.g.table.pools["engines"].placer.Estimates()
 			is.Equal(learned.Rate != 0, tt.learns)
 		})
 	}
