--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -139,7 +139,7 @@
 			is.Equal(x.request("/engine/x", "Tokens", "6000").status, 200)
 			release()
 			learned := x.g.table.pools["engines"].placer.Estimates()
-			is.Equal(learned.Rate != 0, tt.learns)
+			is.Equal(learned.ReadRate != 0, tt.learns)
 		})
 	}
 }
