--- a/coordination/place/room.go
+++ b/coordination/place/room.go
@@ -112,13 +112,13 @@
 
 // Estimates holds the placer's estimates of its servers.
 type Estimates struct {
-	ReadRate float64 // tokens that an engine reads in a millisecond; zero means unknown
-	PerSlot  float64 // requests sent to an engine for each of its slots
+	ReadRate        float64 // tokens that an engine reads in a millisecond; zero means unknown
+	RequestsPerSlot float64 // requests sent to an engine for each of its slots
 }
 
 // Estimates returns the current estimates, for the log and the metrics.
 func (p *CapacityPlacer) Estimates() Estimates {
-	return Estimates{ReadRate: p.learnedRate, PerSlot: p.requestsPerSlot()}
+	return Estimates{ReadRate: p.learnedRate, RequestsPerSlot: p.requestsPerSlot()}
 }
 
 // ownConnections returns one gateway's part of the connections that a server accepts. If these are
