--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// Event is a change to a server's cache.
-type Event struct {
+// CacheEvent is a change to a server's cache.
+type CacheEvent struct {
 	Seq     uint64
 	Stored  []Block
 	Evicted []Block
@@ -112,7 +112,7 @@
 
 // Take applies a cache event of a server. Events with an old sequence number are dropped. After a
 // gap in the sequence the server's entries are uncertain until it clears its cache.
-func (x *Index) Take(server string, e Event) {
+func (x *Index) Take(server string, e CacheEvent) {
 	c := x.servers[server]
 	if c == nil {
 		c = &serverCache{next: e.Seq}
