--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -16,11 +16,11 @@
 func ExampleIndex_Take() {
 	x := place.NewIndex(1000)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 2*place.BlockBytes))
-	x.Take("s1", place.CacheEvent{Seq: 1, Stored: prompt})
+	x.Apply("s1", place.CacheEvent{Seq: 1, Stored: prompt})
 	fmt.Println("after storing:", x.Benefit("s1", prompt))
-	x.Take("s1", place.CacheEvent{Seq: 3}) // event 2 was lost
+	x.Apply("s1", place.CacheEvent{Seq: 3}) // event 2 was lost
 	fmt.Println("after a gap:", x.Benefit("s1", prompt))
-	x.Take("s1", place.CacheEvent{Seq: 4, Cleared: true})
+	x.Apply("s1", place.CacheEvent{Seq: 4, Cleared: true})
 	fmt.Println("after clearing:", x.Benefit("s1", prompt))
 	// Output:
 	// after storing: 2
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -110,9 +110,9 @@
 	Cleared bool
 }
 
-// Take applies a cache event of a server. Events with an old sequence number are dropped. After a
+// Apply applies a cache event of a server. Events with an old sequence number are dropped. After a
 // gap in the sequence the server's entries are uncertain until it clears its cache.
-func (x *Index) Take(server string, e CacheEvent) {
+func (x *Index) Apply(server string, e CacheEvent) {
 	c := x.servers[server]
 	if c == nil {
 		c = &serverCache{next: e.Seq}
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -58,8 +58,8 @@
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
 		{"an uncertain cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
-			pl.Index.Take("s2", CacheEvent{Seq: 1})
-			pl.Index.Take("s2", CacheEvent{Seq: 3, Stored: p}) // event 2 was lost
+			pl.Index.Apply("s2", CacheEvent{Seq: 1})
+			pl.Index.Apply("s2", CacheEvent{Seq: 3, Stored: p}) // event 2 was lost
 			pl.Index.Sent("s1", p[:10])
 		}, "s1"},
 	}
@@ -103,15 +103,15 @@
 	is := is.New(t)
 	x := NewIndex(100)
 	p := prompt(4, "map sheet 12")
-	x.Take("s", CacheEvent{Seq: 5, Stored: p})
+	x.Apply("s", CacheEvent{Seq: 5, Stored: p})
 	is.Equal(x.Benefit("s", p), 4.0)
-	x.Take("s", CacheEvent{Seq: 5, Evicted: p}) // duplicate
+	x.Apply("s", CacheEvent{Seq: 5, Evicted: p}) // duplicate
 	is.Equal(x.Benefit("s", p), 4.0)
-	x.Take("s", CacheEvent{Seq: 6, Evicted: p[2:]})
+	x.Apply("s", CacheEvent{Seq: 6, Evicted: p[2:]})
 	is.Equal(x.Benefit("s", p), 2.0)
-	x.Take("s", CacheEvent{Seq: 9}) // gap in the sequence
+	x.Apply("s", CacheEvent{Seq: 9}) // gap in the sequence
 	is.Equal(x.Benefit("s", p), 1.0)
-	x.Take("s", CacheEvent{Seq: 10, Cleared: true, Stored: p[:1]})
+	x.Apply("s", CacheEvent{Seq: 10, Cleared: true, Stored: p[:1]})
 	is.Equal(x.Benefit("s", p), 1.0) // certain again
 }
 
@@ -125,7 +125,7 @@
 			p := prompt(rapid.IntRange(0, 8).Draw(t, "blocks"), fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "text")))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				x.Take(server, CacheEvent{Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), Evicted: p})
+				x.Apply(server, CacheEvent{Seq: uint64(rapid.IntRange(0, 9).Draw(t, "seq")), Evicted: p})
 			case 1:
 				x.Forget(server)
 			default:
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -254,7 +254,7 @@
 func (p *Pool) Report(server string, l place.Load) { p.placer.Report(server, l) }
 
 // CacheEvent records an event of a server's cache.
-func (p *Pool) CacheEvent(server string, e place.CacheEvent) { p.placer.Index.Take(server, e) }
+func (p *Pool) CacheEvent(server string, e place.CacheEvent) { p.placer.Index.Apply(server, e) }
 
 // UsableSlots returns the number of slots held on each server, used or free.
 func (p *Pool) UsableSlots() map[string]int { return p.holder.HeldByServer() }
