--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -23,8 +23,8 @@
 	Running int // requests sent by this router
 }
 
-// Load is the load that a backend server reports with its answers.
-type Load struct {
+// LoadReport is the load that a backend server reports with its answers.
+type LoadReport struct {
 	Running int           // requests
 	Waiting int           // requests
 	At      time.Duration // time of the report, by this router's clock
@@ -43,14 +43,14 @@
 type SlotPlacer struct {
 	Index  *Index
 	Health *outlier.Consecutive
-	loads  map[string]Load
+	loads  map[string]LoadReport
 	// notices holds the back-pressure of servers that have asked for a backoff.
 	notices map[string]backpressure.Notice
 }
 
 // NewSlotPlacer returns a placer whose index holds at most the given number of prompt blocks.
 func NewSlotPlacer(blocks int) *SlotPlacer {
-	return &SlotPlacer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]Load{}, notices: map[string]backpressure.Notice{}}
+	return &SlotPlacer{Index: NewIndex(blocks), Health: outlier.NewConsecutive(), loads: map[string]LoadReport{}, notices: map[string]backpressure.Notice{}}
 }
 
 // SetBackoff records that a server has asked to receive no requests for a while.
@@ -69,7 +69,7 @@
 }
 
 // Report records a server's load report unless it is older than the current one.
-func (p *SlotPlacer) Report(server string, l Load) {
+func (p *SlotPlacer) Report(server string, l LoadReport) {
 	if old, ok := p.loads[server]; !ok || l.At > old.At {
 		p.loads[server] = l
 	}
