--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -35,7 +35,7 @@
 	p.Index.Sent("s2", prompt)
 	free := []place.FreeServer{{Server: "s1", Slots: 4}, {Server: "s2", Slots: 4, Running: 1}}
 	fmt.Println(p.Choose(0, free, prompt))
-	p.Report("s2", place.LoadReport{Running: 4, Waiting: 8})
+	p.RecordLoad("s2", place.LoadReport{Running: 4, Waiting: 8})
 	fmt.Println(p.Choose(0, free, prompt))
 	// Output:
 	// s2 true
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -68,8 +68,8 @@
 	return p.Health.Usable(now, server) && p.notices[server].Admits(now)
 }
 
-// Report records a server's load report unless it is older than the current one.
-func (p *SlotPlacer) Report(server string, l LoadReport) {
+// RecordLoad records a server's load report unless it is older than the current one.
+func (p *SlotPlacer) RecordLoad(server string, l LoadReport) {
 	if old, ok := p.loads[server]; !ok || l.At > old.At {
 		p.loads[server] = l
 	}
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -46,7 +46,7 @@
 		}, "s1"},
 		{"least loaded by fresh reports", func(pl *SlotPlacer, _ []FreeServer) {
 			for _, s := range []string{"s0", "s1", "s2"} {
-				pl.Report(s, LoadReport{Running: 8, Waiting: 8, At: 10 * time.Second})
+				pl.RecordLoad(s, LoadReport{Running: 8, Waiting: 8, At: 10 * time.Second})
 			}
 		}, "s3"},
 		{"not to an ejected server", func(pl *SlotPlacer, _ []FreeServer) {
@@ -93,8 +93,8 @@
 	is := is.New(t)
 	pl := NewSlotPlacer(10)
 	c := FreeServer{Server: "s0", Slots: 8}
-	pl.Report("s0", LoadReport{Running: 8, At: 0})
-	pl.Report("s0", LoadReport{Running: 0, At: -time.Second}) // dropped as older
+	pl.RecordLoad("s0", LoadReport{Running: 8, At: 0})
+	pl.RecordLoad("s0", LoadReport{Running: 0, At: -time.Second}) // dropped as older
 	is.Equal(pl.load(0, c), 1.0)
 	is.Equal(pl.load(loadHalfLife, c), 0.5)
 }
