--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -58,8 +58,8 @@
 	p.notices[server] = p.notices[server].WithBackoff(now, backoff)
 }
 
-// Forget drops the notices of all servers that are not listed.
-func (p *SlotPlacer) Forget(listed func(server string) bool) {
+// RetainNotices drops the notices of all servers that are not listed.
+func (p *SlotPlacer) RetainNotices(listed func(server string) bool) {
 	maps.DeleteFunc(p.notices, func(server string, _ backpressure.Notice) bool { return !listed(server) })
 }
 
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -100,7 +100,7 @@
 		p.servers[s.Name] = s
 	}
 	p.placer.Health.SetSize(len(p.servers))
-	p.placer.Forget(func(name string) bool { _, ok := p.servers[name]; return ok })
+	p.placer.RetainNotices(func(name string) bool { _, ok := p.servers[name]; return ok })
 	for _, name := range p.holder.FreeServers() {
 		if _, ok := p.servers[name]; !ok {
 			p.holder.Return(name, math.MaxInt)
