--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -250,8 +250,8 @@
 	p.placer.SetBackoff(now, server, backoff)
 }
 
-// Report records a server's load report.
-func (p *Pool) Report(server string, l place.LoadReport) { p.placer.RecordLoad(server, l) }
+// RecordLoad records a server's load report.
+func (p *Pool) RecordLoad(server string, l place.LoadReport) { p.placer.RecordLoad(server, l) }
 
 // CacheEvent records an event of a server's cache.
 func (p *Pool) CacheEvent(server string, e place.CacheEvent) { p.placer.Index.Apply(server, e) }
--- a/router/call.go
+++ b/router/call.go
@@ -168,7 +168,7 @@
 	defer func() { a.Body.Close() }() // the relay may have replaced the body
 	if running, waiting, ok := a.Load(); ok {
 		p.withLock(func(pl *pool.Pool) {
-			pl.Report(server.ID, place.LoadReport{Running: running, Waiting: waiting, At: r.now()})
+			pl.RecordLoad(server.ID, place.LoadReport{Running: running, Waiting: waiting, At: r.now()})
 		})
 	}
 	rel := relay{router: r, ctx: ctx, server: server.Address, call: c, pool: p, answer: a, startedAt: began}
