--- a/coordination/pool/example_test.go
+++ b/coordination/pool/example_test.go
@@ -20,7 +20,7 @@
 		[]pool.Server{{Name: "s1", Slots: 4}, {Name: "s2", Slots: 4}},
 	)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 4*place.BlockBytes))
-	p.CacheEvent("s2", place.CacheEvent{Seq: 1, Stored: prompt})
+	p.RecordCacheEvent("s2", place.CacheEvent{Seq: 1, Stored: prompt})
 	if err := p.Push(&pool.Work{Account: "hotel", Blocks: prompt}); err != nil {
 		fmt.Println(err)
 	}
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -253,8 +253,8 @@
 // RecordLoad records a server's load report.
 func (p *Pool) RecordLoad(server string, l place.LoadReport) { p.placer.RecordLoad(server, l) }
 
-// CacheEvent records an event of a server's cache.
-func (p *Pool) CacheEvent(server string, e place.CacheEvent) { p.placer.Index.Apply(server, e) }
+// RecordCacheEvent records an event of a server's cache.
+func (p *Pool) RecordCacheEvent(server string, e place.CacheEvent) { p.placer.Index.Apply(server, e) }
 
 // UsableSlots returns the number of slots held on each server, used or free.
 func (p *Pool) UsableSlots() map[string]int { return p.holder.HeldByServer() }
