--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -62,9 +62,9 @@
 // Grant adds granted slots on one of the pool's servers.
 func (p *Pool) Grant(now time.Duration, h protocol.Held) { p.holder.Grant(now, h.Server, h.Slots) }
 
-// Linger returns the free slots to the allocator if no request is waiting and none was used for
-// Settings.Linger.
-func (p *Pool) Linger(now time.Duration) {
+// ReturnIdleAfterLinger returns the free slots to the allocator if no request is waiting and none was used for
+// Settings.ReturnIdleAfterLinger.
+func (p *Pool) ReturnIdleAfterLinger(now time.Duration) {
 	if p.Waiting() == 0 {
 		p.holder.ReturnIdleAfter(now, p.cfg.Linger)
 	}
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -256,7 +256,7 @@
 			}
 			continue
 		}
-		p.Linger(r.f.now)
+		p.ReturnIdleAfterLinger(r.f.now)
 		r.dispatch(i)
 	}
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -144,7 +144,7 @@
 		failAll(p.pool.Drop(), failLease)
 		return
 	}
-	p.pool.Linger(now)
+	p.pool.ReturnIdleAfterLinger(now)
 	p.dispatch()
 }
 
