--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -70,7 +70,7 @@
 type modelGateway struct {
 	classifier   *entitlement.Classifier
 	detector     overload.Detector
-	pace         overload.Pace
+	pace         overload.AcceptLimit
 	accepted     int // connections accepted since the timer last fired
 	lag          time.Duration
 	relayBacklog time.Duration // processor time still needed for streaming answers
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -11,7 +11,7 @@
 //   - The gateway reports that it is not ready, since balancers spread callers unevenly and other
 //     gateways may be idle. Requests beyond their account's share are refused, those furthest beyond
 //     first.
-//   - New connections are accepted no faster than the processor can handle them ([Pace]).
+//   - New connections are accepted no faster than the processor can handle them ([AcceptLimit]).
 //   - While the delay is too long, every new request is refused as not run and its connection closed, so
 //     that its caller reaches another gateway.
 //
--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -43,8 +43,8 @@
 // fifth of a core.
 const MinPace = 300.0
 
-// Pace is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
-type Pace struct {
+// AcceptLimit is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
+type AcceptLimit struct {
 	rate    float64       // connections a second; zero if the gateway is not late
 	credit  float64       // connections that a gateway which is not late may accept at once
 	arrived float64       // moving average of accepted connections a second
@@ -52,10 +52,10 @@
 }
 
 // Bounded reports whether the rate is limited because the gateway is late.
-func (p Pace) Bounded() bool { return p.rate > 0 }
+func (p AcceptLimit) Bounded() bool { return p.rate > 0 }
 
 // Allowance returns how many connections may be accepted until the next tick.
-func (p Pace) Allowance() int {
+func (p AcceptLimit) Allowance() int {
 	switch {
 	case p.Bounded():
 		return max(int(p.rate*TickPeriod.Seconds()), 1)
@@ -67,7 +67,7 @@
 
 // Next returns the pace after a tick, given the detector's delay and the number of connections accepted
 // since the last tick.
-func (p Pace) Next(now, delay time.Duration, accepted int) Pace {
+func (p AcceptLimit) Next(now, delay time.Duration, accepted int) AcceptLimit {
 	elapsed := max(now-p.at, time.Millisecond)
 	if p.at == 0 {
 		elapsed = TickPeriod
@@ -92,7 +92,7 @@
 }
 
 // refilled returns the credit after some time in which connections were accepted.
-func (p Pace) refilled(elapsed time.Duration, accepted int) float64 {
+func (p AcceptLimit) refilled(elapsed time.Duration, accepted int) float64 {
 	if p.Bounded() {
 		return 0
 	}
--- a/coordination/overload/pace_test.go
+++ b/coordination/overload/pace_test.go
@@ -17,7 +17,7 @@
 	for _, offered := range []int{2000, 6000, 20000} { // a second, of which 500 can be handled
 		is := is.New(t)
 		const cost = 2 * time.Millisecond
-		d, p := New(time.Second), Pace{}
+		d, p := New(time.Second), AcceptLimit{}
 		now, backlog, accepted, most := time.Second, time.Duration(0), 0, time.Duration(0)
 		fire := func(offered int) {
 			came := min(offered/int(time.Second/TickPeriod), p.Allowance())
@@ -55,7 +55,7 @@
 	)
 	for _, usual := range []int{0, 40, 150} { // connections a second, of which 200 can be served
 		is := is.New(t)
-		d, p := New(time.Second), Pace{}
+		d, p := New(time.Second), AcceptLimit{}
 		var backlog, relays, longest time.Duration
 		fires, accepted := time.Second+TickPeriod, 0
 		for now := time.Second; now < 10*time.Second; now += TickPeriod {
@@ -89,7 +89,7 @@
 // that double in a tenth of a second.
 func TestBurstsAreTaken(t *testing.T) {
 	is := is.New(t)
-	p := Pace{}
+	p := AcceptLimit{}
 	is.Equal(p.Allowance(), int(freeBurst))
 	now, rate := time.Second, 100.0
 	for range 40 {
@@ -104,7 +104,7 @@
 
 func TestNoPaceWithoutDelay(t *testing.T) {
 	is := is.New(t)
-	var p Pace
+	var p AcceptLimit
 	for n := range 1000 {
 		p = p.Next(time.Duration(n+1)*TickPeriod, DelayBeyond-1, 100)
 		is.True(!p.Bounded())
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -124,7 +124,7 @@
 	g.gatewayCount.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
 	g.overload.Store(&detector)
-	g.connectionAllowance.Store(int64(overload.Pace{}.Allowance()))
+	g.connectionAllowance.Store(int64(overload.AcceptLimit{}.Allowance()))
 	go (&watcher{g: g, startID: cfg.Random() | 1}).run()
 	go g.tick()
 	go g.logTokens()
@@ -203,7 +203,7 @@
 // the overload detector and the connection pace, and grants servers to queued requests whose
 // candidates have room again because other gateways' load has dropped.
 func (g *Gateway) tick() {
-	var pace overload.Pace
+	var pace overload.AcceptLimit
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
 		previous := g.overload.Load()
 		d := previous.Tick(g.now(), g.cfg.ProcessorWait())
@@ -219,7 +219,7 @@
 }
 
 // setPace applies a new pace of callers' connections and returns it.
-func (g *Gateway) setPace(old, p overload.Pace, delay time.Duration) overload.Pace {
+func (g *Gateway) setPace(old, p overload.AcceptLimit, delay time.Duration) overload.AcceptLimit {
 	n, bounded := p.Allowance(), p.Bounded()
 	g.connectionAllowance.Store(int64(n))
 	g.paced.Store(bounded)
