--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -35,13 +35,13 @@
 const (
 	freeBurst      = 64.0           // connections at once: the length of the kernel's short queue
 	freeGrowth     = 2.0            // multiple of the recent rate
-	freeMinRate    = MinPace        // connections a second, however few arrived
+	freeMinRate    = MinAcceptRate  // connections a second, however few arrived
 	freeMaxElapsed = 5 * TickPeriod // maximum time that a late tick makes up for
 )
 
-// MinPace is the lowest rate, in connections a second. At 250 µs per connection it takes two fifths of a
+// MinAcceptRate is the lowest rate, in connections a second. At 250 µs per connection it takes two fifths of a
 // fifth of a core.
-const MinPace = 300.0
+const MinAcceptRate = 300.0
 
 // AcceptLimit is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
 type AcceptLimit struct {
@@ -79,12 +79,12 @@
 	p.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - p.arrived)
 	switch {
 	case delay >= DelayBeyond && p.rate == 0:
-		p.rate = max(p.arrived, MinPace)
+		p.rate = max(p.arrived, MinAcceptRate)
 	case delay >= DelayBeyond:
-		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinPace)
+		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinAcceptRate)
 	case delay < DelayNoticed && p.rate > 0:
 		p.rate *= math.Pow(paceRise, periods)
-		if p.rate > unboundFactor*max(p.arrived, MinPace) {
+		if p.rate > unboundFactor*max(p.arrived, MinAcceptRate) {
 			p.rate = 0
 		}
 	}
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -67,10 +67,10 @@
 // most are 300 ms or more.
 func TestQueueOfAPacedGateway(t *testing.T) {
 	is := is.New(t)
-	is.True(float64(shortBacklog)/overload.MinPace < 0.25) // seconds
+	is.True(float64(shortBacklog)/overload.MinAcceptRate < 0.25) // seconds
 	// Connections queued before pacing began are accepted before their callers disconnect, who
 	// wait up to a second until a request is read.
-	is.True(float64(longBacklog)/overload.MinPace < 1)
+	is.True(float64(longBacklog)/overload.MinAcceptRate < 1)
 }
 
 // TestQueueThatTheKernelShows checks that the reported queue length is the number of
