--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -37,7 +37,7 @@
 
 // Thresholds of the averaged delay.
 const (
-	DelayNoticed = 5 * time.Millisecond  // pieces of streams are coalesced
+	DelayLate    = 5 * time.Millisecond  // pieces of streams are coalesced
 	DelayBeyond  = 12 * time.Millisecond // pieces wait longer; the gateway is not ready; requests beyond every share are refused
 	delayExtra   = 20 * time.Millisecond // requests beyond the named share are refused
 	DelayTooLong = 35 * time.Millisecond // all new requests are refused
@@ -101,8 +101,8 @@
 // Late reports whether the gateway cannot keep up now, or was paused until a moment ago and may not have
 // read everything that has arrived.
 func (d Detector) Late(now time.Duration) bool {
-	overdue := now-d.lastTick > TickPeriod+DelayNoticed
-	return overdue || d.Delay > DelayNoticed
+	overdue := now-d.lastTick > TickPeriod+DelayLate
+	return overdue || d.Delay > DelayLate
 }
 
 // Admits reports whether a request of the given class may begin. Only the present delay counts, without
@@ -123,7 +123,7 @@
 // that callers notice, or 0 if unknown.
 func (d Detector) Coalesce(gap time.Duration) time.Duration {
 	switch {
-	case d.Delay <= DelayNoticed:
+	case d.Delay <= DelayLate:
 		return 0
 	case d.Delay <= DelayBeyond || gap == 0:
 		return coalesceMin
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -97,8 +97,8 @@
 	is := is.New(t)
 	start := time.Second
 	d := New(start)
-	is.True(!d.Late(start + TickPeriod + DelayNoticed))
-	is.True(d.Late(start + TickPeriod + DelayNoticed + 1)) // the timer is overdue
+	is.True(!d.Late(start + TickPeriod + DelayLate))
+	is.True(d.Late(start + TickPeriod + DelayLate + 1)) // the timer is overdue
 	d = d.fire(time.Second)
 	is.True(d.Late(d.lastTick))
 	is.True(!d.Unready(d.lastTick)) // only from the next tick on
--- a/coordination/overload/pace.go
+++ b/coordination/overload/pace.go
@@ -82,7 +82,7 @@
 		p.rate = max(p.arrived, MinAcceptRate)
 	case delay >= DelayBeyond:
 		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinAcceptRate)
-	case delay < DelayNoticed && p.rate > 0:
+	case delay < DelayLate && p.rate > 0:
 		p.rate *= math.Pow(paceRise, periods)
 		if p.rate > unboundFactor*max(p.arrived, MinAcceptRate) {
 			p.rate = 0
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -107,7 +107,7 @@
 	for _, tt := range []struct {
 		level   time.Duration
 		trusted bool
-	}{{0, false}, {2 * overload.DelayNoticed, true}} {
+	}{{0, false}, {2 * overload.DelayLate, true}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.announceServers("plain", fails(forward.NotRun{Err: errReset}))
@@ -130,7 +130,7 @@
 	for _, tt := range []struct {
 		level  time.Duration
 		learns bool
-	}{{0, true}, {2 * overload.DelayNoticed, false}} {
+	}{{0, true}, {2 * overload.DelayLate, false}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.announceServers("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -263,7 +263,7 @@
 	for _, tt := range []struct {
 		level    time.Duration
 		arrivals int
-	}{{0, 2}, {2 * overload.DelayNoticed, 1}} {
+	}{{0, 2}, {2 * overload.DelayLate, 1}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			release := x.holdPressure(tt.level)
@@ -290,7 +290,7 @@
 			is := is.New(x.t)
 			level := time.Duration(0)
 			if pressed {
-				level = 2 * overload.DelayNoticed
+				level = 2 * overload.DelayLate
 			}
 			release := x.holdPressure(level)
 			got := x.request("/resume/x")
