--- a/coordination/outlier/example_test.go
+++ b/coordination/outlier/example_test.go
@@ -41,8 +41,8 @@
 	for range outlier.MinSamples {
 		fmt.Println("ejected:", pool.Record(0, &bad, outlier.Faulty, false))
 	}
-	fmt.Println("left alone:", bad.State(outlier.ShortestWait-1) == outlier.Ejected)
-	fmt.Println("trial due:", bad.State(outlier.ShortestWait) == outlier.Trial)
+	fmt.Println("left alone:", bad.State(outlier.MinGatewayEjection-1) == outlier.Ejected)
+	fmt.Println("trial due:", bad.State(outlier.MinGatewayEjection) == outlier.Trial)
 	// Output:
 	// ejected: false
 	// ejected: false
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -33,8 +33,8 @@
 
 	// MinSamples is the minimum number of attempts since the last ejection for a server's rate to count.
 	MinSamples = 4
-	// ShortestWait is the duration of a server's first ejection.
-	ShortestWait = 1500 * time.Millisecond
+	// MinGatewayEjection is the duration of a server's first ejection.
+	MinGatewayEjection = 1500 * time.Millisecond
 )
 
 // PoolRate is the average weighted failure rate of all servers of one pool. The zero value has no failures.
@@ -71,7 +71,7 @@
 		return false
 	}
 	ejected = f.until == 0 || f.inTrial
-	f.eject(now, ShortestWait, longestWait)
+	f.eject(now, MinGatewayEjection, longestWait)
 	f.samples, f.rate, f.lost = 0, 0, 0
 	return ejected
 }
@@ -83,7 +83,7 @@
 // succeeded ends an ejection and halves the duration of the next one.
 func (f *FailureRate) succeeded() {
 	f.until, f.inTrial, f.lost = 0, false, 0
-	f.nextWait = max(f.nextWait/2, ShortestWait)
+	f.nextWait = max(f.nextWait/2, MinGatewayEjection)
 }
 
 // count updates the average, over all attempts at first and later over about serverSamples of them.
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -46,7 +46,7 @@
 		p.Record(now, &s, Lost, false)
 	}
 	is.True(!p.Record(now, &s, Lost, false)) // ejected already
-	for wait := ShortestWait; ; wait = min(2*wait, longestWait) {
+	for wait := MinGatewayEjection; ; wait = min(2*wait, longestWait) {
 		is.Equal(s.State(now+wait-1), Ejected)
 		now += wait
 		is.True(s.Sent(now))
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -258,7 +258,7 @@
 		wasted := x.servers.count() - 12
 		is.True(wasted <= 3) // then it was ejected
 		x.servers.behaviours["10.0.5.0:80"] = answers(200, "fine", 0)
-		time.Sleep(outlier.ShortestWait)
+		time.Sleep(outlier.MinGatewayEjection)
 		is.Equal(x.request("/again/x").status, 200) // a repeatable request may try an ejected server
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	})
@@ -274,7 +274,7 @@
 		for range 3 {
 			p.failures.Record(x.g.now(), &x.g.table.servers["p0"].health, outlier.Lost, false)
 		}
-		time.Sleep(2 * outlier.ShortestWait)
+		time.Sleep(2 * outlier.MinGatewayEjection)
 		for range 5 {
 			x.request("/once/x")
 		}
