--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -6,7 +6,7 @@
 
 // Budget allows retries in proportion to first attempts. If every router keeps to the same ratio, so
 // does the fleet. It is the router's only limit on attempts, so each further attempt is charged, even
-// after one that reached no server; gateways do not charge for those ([Request.Again]). The zero
+// after one that reached no server; gateways do not charge for those ([Request.MayRetry]). The zero
 // value allows no retries.
 type Budget struct {
 	Ratio float64 // retries allowed per request
--- a/coordination/retry/doc.go
+++ b/coordination/retry/doc.go
@@ -4,7 +4,7 @@
 // not, and the timeouts that apply.
 //
 // The policy depends on the outcome of an attempt ([Execution]). A request that has not run may be
-// sent elsewhere; one that may have run only if its route allows a second run ([Request.Again]). The
+// sent elsewhere; one that may have run only if its route allows a second run ([Request.MayRetry]). The
 // number of attempts is limited for each request ([Counts]), and for the fleet as a whole by one of
 // two budgets:
 //
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -17,7 +17,7 @@
 	for _, last := range []retry.Execution{retry.NotSent, retry.Refused, retry.MayHaveRun} {
 		after := r
 		after.Counts = r.With(last)
-		fmt.Println(after.Again(last))
+		fmt.Println(after.MayRetry(last))
 	}
 	// Output:
 	// true false
--- a/coordination/retry/outcome.go
+++ b/coordination/retry/outcome.go
@@ -20,7 +20,7 @@
 
 // MayGoElsewhere is the rule shared by gateway and router: a request that has not run may be sent to
 // another server, and one that may have run only if it is repeatable. Limits and budgets apply in
-// addition: those of [Request.Again] in the gateway, [Budget] alone in the router.
+// addition: those of [Request.MayRetry] in the gateway, [Budget] alone in the router.
 func (e Execution) MayGoElsewhere(repeatable bool) bool { return e <= Refused || repeatable }
 
 // Counts holds the number of attempts of a request so far.
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -29,11 +29,11 @@
 	TimeLeft    bool // whether the limits of the caller and the route have not expired
 }
 
-// Again reports whether another attempt is allowed after one that ended without a complete answer, and
+// MayRetry reports whether another attempt is allowed after one that ended without a complete answer, and
 // whether it is charged to the retry budget. Within the limits, a request that has not run may always
 // be sent elsewhere, and one that may have run only if its route allows a second run. An attempt that
 // reached no server caused no load, so the next one is not charged.
-func (r Request) Again(last Execution) (allowed, fromBudget bool) {
+func (r Request) MayRetry(last Execution) (allowed, fromBudget bool) {
 	maxRuns := max(r.Route.MaxAttempts, 1)
 	switch {
 	case !r.TimeLeft,
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -66,7 +66,7 @@
 				r.Counts = r.Counts.With(e)
 			}
 			last := tt.attempts[len(tt.attempts)-1]
-			allowed, fromBudget := r.Again(last)
+			allowed, fromBudget := r.MayRetry(last)
 			is.Equal(next{allowed, fromBudget}, tt.next)
 			is.Equal(r.AfterAttempt(last, tt.noBudget), tt.ending)
 		})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -178,7 +178,7 @@
 	}
 	c.avoid[a.serverID] = true
 	policy := c.policy(ctx)
-	allowed, fromBudget := policy.Again(out.execution)
+	allowed, fromBudget := policy.MayRetry(out.execution)
 	// Each further attempt of a request that was lost with three servers might crash another one.
 	allowed = allowed && c.suspicion.MayRetry(c.losses)
 	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
