--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -63,9 +63,9 @@
 	EndOverloaded                // no capacity
 )
 
-// AfterAttempt returns how the request ends after its last attempt. noBudget is whether the retry
+// EndingAfterAttempt returns how the request ends after its last attempt. noBudget is whether the retry
 // budget was exhausted.
-func (r Request) AfterAttempt(last Execution, noBudget bool) Ending {
+func (r Request) EndingAfterAttempt(last Execution, noBudget bool) Ending {
 	switch {
 	case r.HeadWritten:
 		return EndBroken
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -68,7 +68,7 @@
 			last := tt.attempts[len(tt.attempts)-1]
 			allowed, fromBudget := r.MayRetry(last)
 			is.Equal(next{allowed, fromBudget}, tt.next)
-			is.Equal(r.AfterAttempt(last, tt.noBudget), tt.ending)
+			is.Equal(r.EndingAfterAttempt(last, tt.noBudget), tt.ending)
 		})
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -186,7 +186,7 @@
 	if again {
 		return true, nil
 	}
-	switch ending := policy.AfterAttempt(out.execution, allowed); ending {
+	switch ending := policy.EndingAfterAttempt(out.execution, allowed); ending {
 	case retry.EndBroken:
 		return false, brokenAnswer{err: out.err}
 	case retry.EndServerError:
