--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -83,9 +83,9 @@
 	return EndNoServer
 }
 
-// WithoutServer returns how the request ends if no server was available. allTried is whether every
+// EndingWithoutServer returns how the request ends if no server was available. allTried is whether every
 // server of its pool was tried already.
-func (r Request) WithoutServer(class entitlement.Class, allTried bool) Ending {
+func (r Request) EndingWithoutServer(class entitlement.Class, allTried bool) Ending {
 	switch {
 	case !r.TimeLeft && r.Arrived > 0:
 		return EndTimedOut
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -94,7 +94,7 @@
 		{Counts{Begun: 1, Arrived: 1, Runs: 1}, false, covered, true, EndTimedOut},
 	} {
 		r := Request{Counts: tt.counts, TimeLeft: tt.left}
-		is.Equal(r.WithoutServer(tt.class, tt.allTried), tt.ending) // tt
+		is.Equal(r.EndingWithoutServer(tt.class, tt.allTried), tt.ending) // tt
 	}
 }
 
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -68,7 +68,7 @@
 		}
 	}
 	allTried := c.g.table.countReachable(req) <= len(c.avoid)
-	return c.refusal(policy.WithoutServer(c.class, allTried))
+	return c.refusal(policy.EndingWithoutServer(c.class, allTried))
 }
 
 // queuedRequest returns the inputs for the queue timeout.
