--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -38,8 +38,8 @@
 // NewWindow returns an empty window.
 func NewWindow(limits Limits) *Window { return &Window{limits: limits} }
 
-// Request records the first attempt of a request.
-func (w *Window) Request(now time.Duration) {
+// RecordRequest records the first attempt of a request.
+func (w *Window) RecordRequest(now time.Duration) {
 	w.advance(now)
 	w.requests[w.slice%sliceCount]++
 }
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -31,7 +31,7 @@
 	is := is.New(t)
 	w := NewWindow(limits)
 	for range 1000 {
-		w.Request(0)
+		w.RecordRequest(0)
 	}
 	allowed := 0
 	for range 1000 {
@@ -68,7 +68,7 @@
 			now := time.Duration(s) * step
 			for i, r := range gateways {
 				for range rng.IntN(1 + i*2) {
-					r.Request(now)
+					r.RecordRequest(now)
 					requests[s]++
 				}
 				for rng.IntN(3) > 0 && r.Retry(now, n) {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -242,7 +242,7 @@
 func (g *Gateway) countRequest(pool string) {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	g.retryWindow(pool).Request(g.now())
+	g.retryWindow(pool).RecordRequest(g.now())
 }
 
 // retryWindow returns the retry budget of a pool. The caller holds retriesMu.
