--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -39,7 +39,7 @@
 func ExampleWindow() {
 	w := retry.NewWindow(retry.Limits{Ratio: 0.1, Extra: 10, Window: 10 * time.Second})
 	allowed := 0
-	for w.Retry(time.Second, 2) {
+	for w.AllowRetry(time.Second, 2) {
 		allowed++
 	}
 	fmt.Println(allowed)
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -44,8 +44,8 @@
 	w.requests[w.slice%sliceCount]++
 }
 
-// Retry reports whether one more attempt is within the budget of one of n gateways, and if so charges it.
-func (w *Window) Retry(now time.Duration, n int) bool {
+// AllowRetry reports whether one more attempt is within the budget of one of n gateways, and if so charges it.
+func (w *Window) AllowRetry(now time.Duration, n int) bool {
 	w.advance(now)
 	allowed := safety * (w.limits.Ratio*float64(sum(w.requests[:])) + w.limits.Extra/float64(max(n, 1)))
 	if float64(sum(w.retries[:])+1) > allowed {
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -20,7 +20,7 @@
 	w := NewWindow(limits)
 	allowed := 0
 	for range 100 {
-		if w.Retry(0, 6) {
+		if w.AllowRetry(0, 6) {
 			allowed++
 		}
 	}
@@ -35,7 +35,7 @@
 	}
 	allowed := 0
 	for range 1000 {
-		if w.Retry(0, 6) {
+		if w.AllowRetry(0, 6) {
 			allowed++
 		}
 	}
@@ -45,11 +45,11 @@
 func TestRetriesComeBackWithTime(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(Limits{Extra: 10, Window: 10 * time.Second})
-	for w.Retry(0, 1) {
+	for w.AllowRetry(0, 1) {
 	}
-	is.True(!w.Retry(10*time.Second, 1)) // retries expire one slice after the window
-	is.True(w.Retry(12*time.Second, 1))
-	is.True(w.Retry(time.Hour, 1)) // after many windows
+	is.True(!w.AllowRetry(10*time.Second, 1)) // retries expire one slice after the window
+	is.True(w.AllowRetry(12*time.Second, 1))
+	is.True(w.AllowRetry(time.Hour, 1)) // after many windows
 }
 
 // TestFleetKeepsToItsBudget lets several gateways with uneven traffic retry as often as allowed, and checks
@@ -71,7 +71,7 @@
 					r.RecordRequest(now)
 					requests[s]++
 				}
-				for rng.IntN(3) > 0 && r.Retry(now, n) {
+				for rng.IntN(3) > 0 && r.AllowRetry(now, n) {
 					retries[s]++
 				}
 			}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -235,7 +235,7 @@
 func (g *Gateway) allowRetry(pool string) bool {
 	g.retriesMu.Lock()
 	defer g.retriesMu.Unlock()
-	return g.retryWindow(pool).Retry(g.now(), int(g.gatewayCount.Load()))
+	return g.retryWindow(pool).AllowRetry(g.now(), int(g.gatewayCount.Load()))
 }
 
 // countRequest counts a request towards the retry budget of its pool.
