--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -17,8 +17,8 @@
 // DefaultBudget is the budget of one router: a tenth of its requests (docs/design/outcomes.md).
 var DefaultBudget = Budget{Ratio: 0.1, Burst: 10}
 
-// Request records the first attempt of a request.
-func (b *Budget) Request() { b.saved = min(b.saved+b.Ratio, b.Burst) }
+// RecordRequest records the first attempt of a request.
+func (b *Budget) RecordRequest() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
 // Retry reports whether a retry is allowed, and if so charges it.
 func (b *Budget) Retry() bool {
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -13,7 +13,7 @@
 	b := Budget{Ratio: 0.1, Burst: 5}
 	retries := 0
 	for range 1000 {
-		b.Request()
+		b.RecordRequest()
 		if b.Retry() {
 			retries++
 		}
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -29,7 +29,7 @@
 func ExampleBudget() {
 	b := retry.DefaultBudget
 	for range 11 {
-		b.Request()
+		b.RecordRequest()
 	}
 	fmt.Println(b.Retry(), b.Retry())
 	// Output: true false
--- a/router/router.go
+++ b/router/router.go
@@ -221,7 +221,7 @@
 func (r *Router) countRequest() {
 	r.budgetMu.Lock()
 	defer r.budgetMu.Unlock()
-	r.budget.Request()
+	r.budget.RecordRequest()
 }
 
 var _ http.Handler = (*Router)(nil)
