--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -20,8 +20,8 @@
 // RecordRequest records the first attempt of a request.
 func (b *Budget) RecordRequest() { b.saved = min(b.saved+b.Ratio, b.Burst) }
 
-// Retry reports whether a retry is allowed, and if so charges it.
-func (b *Budget) Retry() bool {
+// AllowRetry reports whether a retry is allowed, and if so charges it.
+func (b *Budget) AllowRetry() bool {
 	if b.saved < 1 {
 		return false
 	}
--- a/coordination/retry/budget_test.go
+++ b/coordination/retry/budget_test.go
@@ -14,7 +14,7 @@
 	retries := 0
 	for range 1000 {
 		b.RecordRequest()
-		if b.Retry() {
+		if b.AllowRetry() {
 			retries++
 		}
 	}
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -31,7 +31,7 @@
 	for range 11 {
 		b.RecordRequest()
 	}
-	fmt.Println(b.Retry(), b.Retry())
+	fmt.Println(b.AllowRetry(), b.AllowRetry())
 	// Output: true false
 }
 
--- a/router/call.go
+++ b/router/call.go
@@ -226,7 +226,7 @@
 // allowRetry takes one retry out of the retry budget and reports whether one was left.
 func (r *Router) allowRetry() bool {
 	r.budgetMu.Lock()
-	allowed := r.budget.Retry()
+	allowed := r.budget.AllowRetry()
 	r.budgetMu.Unlock()
 	if allowed {
 		r.stats.retried.Inc()
