--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -103,7 +103,7 @@
 		return
 	}
 	e, _ := m.classifier.Entitlement(m.now, r.account)
-	share := UncoveredRequest{CoveredPart: float64(e.Extra), Left: sharePatience}
+	share := UncoveredRequest{CoveredFraction: float64(e.Extra), Left: sharePatience}
 	if m.withinObjective {
 		share.Objective = shareObjective
 	}
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -93,16 +93,16 @@
 
 // UncoveredRequest is a request refused because its account's share does not cover it.
 type UncoveredRequest struct {
-	CoveredPart float64       // fraction of the account's requests that the share covers
-	Objective   time.Duration // of its route; zero means none
-	Spent       time.Duration // since the caller's first request
-	Left        time.Duration // until its deadline
+	CoveredFraction float64       // fraction of the account's requests that the share covers
+	Objective       time.Duration // of its route; zero means none
+	Spent           time.Duration // since the caller's first request
+	Left            time.Duration // until its deadline
 }
 
 // After returns when the request should return. random is between 0 and 1.
 func (r UncoveredRequest) After(random float64) time.Duration {
 	delay := max(scale(r.Objective, minReturnPart+(maxReturnPart-minReturnPart)*random), ShortDelay)
-	if r.CoveredPart >= minCoveredPart && r.Spent+delay < r.Objective {
+	if r.CoveredFraction >= minCoveredPart && r.Spent+delay < r.Objective {
 		return delay
 	}
 	return max(scale(r.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -63,11 +63,11 @@
 // of its account's requests and it can still be in time.
 func TestWhenToComeBackToAShare(t *testing.T) {
 	is := is.New(t)
-	some := UncoveredRequest{CoveredPart: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
+	some := UncoveredRequest{CoveredFraction: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
 	is.Equal(some.After(0), 80*ms)
 	is.Equal(some.After(1), 180*ms)
 	little := some
-	little.CoveredPart = 0.09
+	little.CoveredFraction = 0.09
 	is.Equal(little.After(0), 3960*ms)
 	late := some
 	late.Spent = 300 * ms
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -161,7 +161,7 @@
 // afterShare returns the Retry-After time for a request that exceeds its account's share.
 func (c *call) afterShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
-	share := retry.UncoveredRequest{CoveredPart: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
+	share := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
 	return share.After(c.g.randomFraction())
 }
 
