--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -13,8 +13,8 @@
 
 import "time"
 
-// LongestBackoff bounds a backoff, so that a server with faulty answers is not lost for the rest of its life.
-const LongestBackoff = time.Hour
+// MaxBackoff bounds a backoff, so that a server with faulty answers is not lost for the rest of its life.
+const MaxBackoff = time.Hour
 
 // Notice is the back-pressure that one life of a backend server has signalled. The zero value is none.
 type Notice struct {
@@ -25,7 +25,7 @@
 // WithBackoff returns the notice after the server has asked for a backoff, starting now. It never shortens a
 // backoff in progress, and a duration of zero or less has no effect.
 func (n Notice) WithBackoff(now, backoff time.Duration) Notice {
-	n.backoffUntil = max(n.backoffUntil, now+min(backoff, LongestBackoff))
+	n.backoffUntil = max(n.backoffUntil, now+min(backoff, MaxBackoff))
 	return n
 }
 
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -27,9 +27,9 @@
 	is.Equal(n.BackoffLeft(11*time.Second), 2*time.Second)
 	is.True(!n.Admits(13*time.Second - 1))
 	is.True(n.Admits(13 * time.Second))
-	is.Equal(n.WithBackoff(11*time.Second, time.Second), n)                                            // shorter
-	is.Equal(n.WithBackoff(11*time.Second, 0), n)                                                      // zero
-	is.Equal(n.WithBackoff(11*time.Second, -time.Minute), n)                                           // negative
-	is.Equal(n.WithBackoff(12*time.Second, 3*time.Second).BackoffLeft(13*time.Second), 2*time.Second)  // longer
-	is.Equal(n.WithBackoff(10*time.Second, math.MaxInt64).BackoffLeft(10*time.Second), LongestBackoff) // clamped
+	is.Equal(n.WithBackoff(11*time.Second, time.Second), n)                                           // shorter
+	is.Equal(n.WithBackoff(11*time.Second, 0), n)                                                     // zero
+	is.Equal(n.WithBackoff(11*time.Second, -time.Minute), n)                                          // negative
+	is.Equal(n.WithBackoff(12*time.Second, 3*time.Second).BackoffLeft(13*time.Second), 2*time.Second) // longer
+	is.Equal(n.WithBackoff(10*time.Second, math.MaxInt64).BackoffLeft(10*time.Second), MaxBackoff)    // clamped
 }
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -130,7 +130,7 @@
 		is.Equal(request(), int64(2))
 		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-again"}})
 		is.Equal(len(x.g.table.unlistedNotices), 2)
-		time.Sleep(backpressure.LongestBackoff + time.Minute)
+		time.Sleep(backpressure.MaxBackoff + time.Minute)
 		listed.ID = "p0-more"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
 		is.Equal(request(), int64(3))
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -75,7 +75,7 @@
 // expired reports whether the notice can be dropped. A server that is leaving ends and is not
 // listed again after LongestBackoff.
 func (n unlistedNotice) expired(now time.Duration) bool {
-	return n.Admits(now) || now-n.since > backpressure.LongestBackoff
+	return n.Admits(now) || now-n.since > backpressure.MaxBackoff
 }
 
 // setNotice stores a backend server's notice. The notice of an unlisted server is kept for as long
@@ -96,7 +96,7 @@
 // than the request waits; servers that are leaving are ignored. It also returns the time until the
 // first of all usable servers accepts requests again. The caller holds mu.
 func (t *table) allBackingOff(p *pool, now time.Duration, req *requirements) (soonest time.Duration, all bool) {
-	soonest = backpressure.LongestBackoff
+	soonest = backpressure.MaxBackoff
 	for _, k := range p.servers {
 		if !t.inService(k) || k.versionSet&req.versionSet == 0 || !t.mayBeServedAt(req, k) {
 			continue
