--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -31,9 +31,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// Holders is the number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
+// MaxHolders is the number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
 // them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
-const Holders = 4
+const MaxHolders = 4
 
 // Lease is how long a share is valid after the report that last renewed it. It exceeds the longest interval
 // between two messages of the leader (registry.FleetBudget).
@@ -50,7 +50,7 @@
 // order. Shares are whole numbers of at least one.
 func Divide(server string, gateways []string, rate float64) []protocol.ColdShare {
 	whole := int(rate)
-	holders := min(Holders, len(gateways), whole)
+	holders := min(MaxHolders, len(gateways), whole)
 	if holders <= 0 {
 		return nil
 	}
--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -30,7 +30,7 @@
 		}
 		return n
 	}
-	is.Equal(len(Divide("a", names(62), 18)), Holders)
+	is.Equal(len(Divide("a", names(62), 18)), MaxHolders)
 	is.Equal(sum(Divide("a", names(62), 18)), 18)
 	is.Equal(sum(Divide("a", names(3), 18)), 18)
 	is.Equal(sum(Divide("a", names(1), 18.9)), 18)
