--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -35,9 +35,9 @@
 // them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
 const MaxHolders = 4
 
-// Lease is how long a share is valid after the report that last renewed it. It exceeds the longest interval
+// LeaseDuration is how long a share is valid after the report that last renewed it. It exceeds the longest interval
 // between two messages of the leader (registry.FleetBudget).
-const Lease = time.Second
+const LeaseDuration = time.Second
 
 // window is the period over which requests are counted, since rates are per second.
 const window = time.Second
--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -88,7 +88,7 @@
 // nothing until the shares of its predecessor have expired.
 func (r *Registry) DivideColdRates(now time.Duration, gateways []string, rates map[string]float64) Change {
 	var change Change
-	if now-r.leaderSince < coldstart.Lease || len(gateways) == 0 {
+	if now-r.leaderSince < coldstart.LeaseDuration || len(gateways) == 0 {
 		return change
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.servers)) {
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -51,7 +51,7 @@
 		x.g.table.takeReport(1)
 		x.g.table.updateLoads(x.g.now(), 1, nil)
 		is.Equal([]int{ask(), ask(), ask()}, []int{200, 200, 503})
-		time.Sleep(coldstart.Lease)
+		time.Sleep(coldstart.LeaseDuration)
 		is.Equal(ask(), 503) // the lease has expired
 		x.g.table.updateLoads(x.g.now(), 1, nil)
 		is.Equal(ask(), 503) // a late message about an old report renews nothing
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -47,7 +47,7 @@
 	for _, r := range t.reports {
 		if r.seq == counted {
 			t.subtractOwn(r.loads)
-			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.Lease)
+			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.LeaseDuration)
 			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
 		}
 	}
