--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -33,9 +33,9 @@
 
 // Steps of a stop.
 const (
-	GoOn   Step = iota // continue: requests are running or may still begin
-	End                // end: no requests are running and no more are expected
-	CutOff             // cut off requests that are still running
+	Continue Step = iota // continue: requests are running or may still begin
+	End                  // end: no requests are running and no more are expected
+	CutOff               // cut off requests that are still running
 )
 
 // Next returns the next action, given the time since the stop began and the number of running requests.
@@ -46,7 +46,7 @@
 	case since > g.part(acceptPart) && running == 0:
 		return End
 	}
-	return GoOn
+	return Continue
 }
 
 func (g Grace) part(p float64) time.Duration { return time.Duration(p * float64(g)) }
--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -39,11 +39,11 @@
 		running int64
 		step    Step
 	}{
-		{100 * ms, 0, GoOn}, // balancers may still send some
-		{3400 * ms, 0, GoOn},
+		{100 * ms, 0, Continue}, // balancers may still send some
+		{3400 * ms, 0, Continue},
 		{3401 * ms, 0, End},
-		{3401 * ms, 1, GoOn},
-		{8800 * ms, 1, GoOn},
+		{3401 * ms, 1, Continue},
+		{8800 * ms, 1, Continue},
 		{8801 * ms, 1, CutOff},
 		{8801 * ms, 0, CutOff},
 	} {
