--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -13,7 +13,7 @@
 
 // Cache events published by an engine are recorded in the index, even if this router has sent it no
 // request yet.
-func ExampleIndex_Take() {
+func ExampleIndex_Apply() {
 	x := place.NewIndex(1000)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 2*place.BlockBytes))
 	x.Apply("s1", place.CacheEvent{Seq: 1, Stored: prompt})
@@ -43,7 +43,7 @@
 }
 
 // A gateway chooses the cheapest server and learns whether it has capacity now.
-func ExampleRoomPlacer() {
+func ExampleCapacityPlacer() {
 	var p place.CapacityPlacer
 	r := place.Request{
 		Prompt: place.Prompt{Own: 2000}, Engine: true,
--- a/coordination/retry/example_test.go
+++ b/coordination/retry/example_test.go
@@ -12,7 +12,7 @@
 
 // A request that a server refused may be sent elsewhere, which is charged to the budget. One that may
 // have run may not, unless its route allows a second run.
-func ExampleRequest_Again() {
+func ExampleRequest_MayRetry() {
 	r := retry.Request{Route: document.Route{MaxAttempts: 1}, TimeLeft: true}
 	for _, last := range []retry.Execution{retry.NotSent, retry.Refused, retry.MayHaveRun} {
 		after := r
