--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -56,8 +56,8 @@
 	Orphan bool `cbor:"5,keyasint,omitempty"`
 }
 
-// claimName identifies a request with an idempotency key.
-type claimName struct{ account, key string }
+// requestKey identifies a request with an idempotency key.
+type requestKey struct{ account, key string }
 
 // entry is one claim.
 type entry struct {
@@ -76,14 +76,14 @@
 // Register is the state machine. It is not safe for concurrent use.
 type Register struct {
 	millis  int64 // highest time of a command so far, Unix time in milliseconds
-	entries map[claimName]*entry
+	entries map[requestKey]*entry
 	settled list.List // elements are *entry, in settlement order
 	// OnSettled, if set, is called whenever a claim stops running.
 	OnSettled func(account, key string, c protocol.Claimed)
 }
 
 // New returns an empty register.
-func New() *Register { return &Register{entries: map[claimName]*entry{}} }
+func New() *Register { return &Register{entries: map[requestKey]*entry{}} }
 
 // Len returns the number of claims kept.
 func (r *Register) Len() int { return len(r.entries) }
@@ -105,7 +105,7 @@
 
 // Lookup returns the state and answer of a claim without making one.
 func (r *Register) Lookup(account, key string) (protocol.Claimed, bool) {
-	e := r.entries[claimName{account, key}]
+	e := r.entries[requestKey{account, key}]
 	if e == nil {
 		return protocol.Claimed{}, false
 	}
@@ -113,7 +113,7 @@
 }
 
 func (r *Register) claim(h Holder, c protocol.Claim) protocol.Claimed {
-	n := claimName{c.Account, c.Key}
+	n := requestKey{c.Account, c.Key}
 	e := r.entries[n]
 	if e == nil {
 		r.entries[n] = &entry{
@@ -134,7 +134,7 @@
 // settle records the outcome that the holder reports. A late outcome replaces the state
 // unknown, because the holder observed how the request ended.
 func (r *Register) settle(h Holder, s protocol.Settle) protocol.Claimed {
-	e := r.entries[claimName{s.Account, s.Key}]
+	e := r.entries[requestKey{s.Account, s.Key}]
 	if e == nil || e.Holder != h || e.Attempt != s.Attempt || e.State == protocol.ClaimRan {
 		return protocol.Claimed{Call: s.Call, State: s.State}
 	}
@@ -188,7 +188,7 @@
 		r.settled.Remove(e.element)
 		e.element = nil
 	}
-	delete(r.entries, claimName{e.Account, e.Key})
+	delete(r.entries, requestKey{e.Account, e.Key})
 }
 
 // image is the serialized form of a Register: settled entries in settlement order, then
@@ -219,10 +219,10 @@
 		return err
 	}
 	r.millis = im.Millis
-	r.entries = make(map[claimName]*entry, len(im.Entries))
+	r.entries = make(map[requestKey]*entry, len(im.Entries))
 	r.settled.Init()
 	for _, e := range im.Entries {
-		r.entries[claimName{e.Account, e.Key}] = e
+		r.entries[requestKey{e.Account, e.Key}] = e
 		if e.State != protocol.ClaimRunning {
 			e.element = r.settled.PushBack(e)
 		}
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -29,7 +29,7 @@
 	}}
 }
 
-func TestClaims(t *testing.T) {
+func TestClaimResult(t *testing.T) {
 	orphan := Command{Holder: r1, Orphan: true}
 	ran := settleOf(r1, "k", 1, protocol.ClaimRan, "done")
 	tests := []struct {
@@ -79,7 +79,7 @@
 	is.True(got.Answer == nil)
 }
 
-func TestClaimsAreForgottenAfterTheWindow(t *testing.T) {
+func TestSettledClaimsAreDroppedAfterRetention(t *testing.T) {
 	is := is.New(t)
 	r := New()
 	at := func(c Command, millis int64) protocol.ClaimState { c.Millis = millis; return r.Apply(c).State }
@@ -93,9 +93,9 @@
 	is.Equal(r.Len(), 2)
 }
 
-// TestGrantedOnce runs random commands of three routers. Between two releases a key must be
+// TestKeyIsGrantedOnce runs random commands of three routers. Between two releases a key must be
 // granted to at most one attempt.
-func TestGrantedOnce(t *testing.T) {
+func TestKeyIsGrantedOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		r := New()
 		granted := map[string]string{}
@@ -115,7 +115,7 @@
 			case 3:
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimRan, ""))
 			case 4:
-				if granted[key] == claimant && r.entries[claimName{"a", key}].State != protocol.ClaimRan {
+				if granted[key] == claimant && r.entries[requestKey{"a", key}].State != protocol.ClaimRan {
 					delete(granted, key) // released: the request did not run
 				}
 				r.Apply(settleOf(h, key, attempt, protocol.ClaimReleased, ""))
--- a/coordination/entitlement/balance_test.go
+++ b/coordination/entitlement/balance_test.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestBalanceMakesUp: of two accounts with equal demand, one is served half of what it is
+// TestUnderservedAccountIsCoveredMore: of two accounts with equal demand, one is served half of what it is
 // due. Its covered fraction must rise above the other's, and output beyond the shares must be
 // held back. Reports that do not list the accounts served must change nothing.
-func TestBalanceMakesUp(t *testing.T) {
+func TestUnderservedAccountIsCoveredMore(t *testing.T) {
 	is := is.New(t)
 	demands := []protocol.Demand{{Account: "even", Tokens: 2000}, {Account: "short", Tokens: 2000}}
 	parts := func(served ...protocol.Demand) (even, short protocol.Entitlement) {
@@ -32,9 +32,9 @@
 	is.True(even.Extra < fair.Extra)
 }
 
-// TestBalanceTakesBack: an account that was served too much is served less for a while, and
+// TestOverservedAccountIsCoveredLess: an account that was served too much is served less for a while, and
 // is covered in full again as soon as it demands no more than its share.
-func TestBalanceTakesBack(t *testing.T) {
+func TestOverservedAccountIsCoveredLess(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
 	report := func(demand, served uint64) protocol.Usage {
--- a/coordination/entitlement/bench_test.go
+++ b/coordination/entitlement/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// BenchmarkSettle adds the reports of 1,600 gateways with ten accounts each and recomputes
+// BenchmarkRecompute adds the reports of 1,600 gateways with ten accounts each and recomputes
 // the shares of 5,800 accounts, a tenth of which demand more than their share. A leader does
 // this ten times a second.
-func BenchmarkSettle(b *testing.B) {
+func BenchmarkRecompute(b *testing.B) {
 	const gateways, accounts, each = 1600, 5800, 10
 	reports := make([]protocol.Usage, gateways)
 	for i := range reports {
--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -43,8 +43,8 @@
 
 // Limits on what a gateway serves one account while it receives nothing from the leader.
 const (
-	leaderTimeout  = time.Second // lists normally arrive every 0.1 to 0.6 s
-	silentFraction = 0.5         // an account's callers often arrive at two or three gateways
+	leaderTimeout      = time.Second // lists normally arrive every 0.1 to 0.6 s
+	leaderlessFraction = 0.5         // an account's callers often arrive at two or three gateways
 )
 
 // Classifier assigns classes to the requests that arrive at one gateway, using the fleet's
@@ -97,7 +97,7 @@
 // because other gateways may serve the account as much and nothing limits the sum.
 func (c *Classifier) currentMaxRate(now time.Duration) float64 {
 	if now-c.updatedAt > leaderTimeout {
-		return c.maxRate * silentFraction
+		return c.maxRate * leaderlessFraction
 	}
 	return c.maxRate
 }
--- a/coordination/entitlement/class_test.go
+++ b/coordination/entitlement/class_test.go
@@ -11,8 +11,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestStaleList: a list older than maxListAge is treated like no list.
-func TestStaleList(t *testing.T) {
+// TestStaleListIsIgnored: a list older than maxListAge is treated like no list.
+func TestStaleListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
 	is.Equal(c.Classify(time.Second, "big", 100, false), Entitled) // no list yet
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestClassesHoldTheirParts: of one account's requests, a fifth is entitled, three tenths are
+// TestClassesMatchFractions: of one account's requests, a fifth is entitled, three tenths are
 // extra and the rest is beyond.
-func TestClassesHoldTheirParts(t *testing.T) {
+func TestClassesMatchFractions(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
 	c.Update(1, []protocol.Entitlement{{Account: "big", Part: 0.2, Extra: 0.5}}, nil, false)
@@ -51,9 +51,9 @@
 	is.True(counts[Extra] >= 298 && counts[Extra] <= 302)
 }
 
-// TestOneGatewayGivesNoMore: a gateway limits what it serves one account whatever the list
+// TestOneGatewayKeepsToMaxAccountRate: a gateway limits what it serves one account whatever the list
 // says, and to half of that without contact to the leader.
-func TestOneGatewayGivesNoMore(t *testing.T) {
+func TestOneGatewayKeepsToMaxAccountRate(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
 	c.SetMaxAccountRate(1000)
--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -141,15 +141,15 @@
 			factor = a.balance.factor(d.extraLevel)
 		}
 		if factor*d.level < demand {
-			d.listAccount(name, a, factor)
+			d.appendEntitlement(name, a, factor)
 		}
 	}
 }
 
-// listAccount adds an account to the lists. Requests that can still be answered in time are
+// appendEntitlement adds an account to the lists. Requests that can still be answered in time are
 // covered first: a late answer is worth less to its caller, and the share it uses would make
 // another request late.
-func (d *DemandEstimator) listAccount(name string, a *account, factor float64) {
+func (d *DemandEstimator) appendEntitlement(name string, a *account, factor float64) {
 	late := min(a.late.average, a.demand.average)
 	fresh := a.demand.average - late
 	level, extra := factor*d.level, factor*d.extraLevel
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestEntitlements lets three accounts demand at two gateways twice the configured rate,
+// TestEntitlementsOfAccountAboveItsShare lets three accounts demand at two gateways twice the configured rate,
 // while the engines produce half as much again as that rate.
-func TestEntitlements(t *testing.T) {
+func TestEntitlementsOfAccountAboveItsShare(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
 	reports := []protocol.Usage{
@@ -46,9 +46,9 @@
 	is.True(!d.Contended())
 }
 
-// TestFloodIsKnownSoon: a new leader's averages start empty, and an account that demands
+// TestNewLeaderListsFloodWithin400ms: a new leader's averages start empty, and an account that demands
 // three times its share must still be listed after 400 ms.
-func TestFloodIsKnownSoon(t *testing.T) {
+func TestNewLeaderListsFloodWithin400ms(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
 	report := protocol.Usage{
@@ -61,7 +61,7 @@
 	is.True(math.Abs(float64(d.Entitlements()[0].Part)-9500.0/30000) < 0.02)
 }
 
-func TestShortWhenSharesAreMissed(t *testing.T) {
+func TestContendedWhenSharesAreMissed(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
 	recomputeFor(d, 5*time.Second, 10000, protocol.Usage{Started: 1000, Missed: 10})
@@ -70,9 +70,9 @@
 	is.True(d.Contended())
 }
 
-// TestExtraFallsWithWhatIsMissed: the more requests within shares are missed, the less any
+// TestMissedRequestsLowerExtra: the more requests within shares are missed, the less any
 // account is served beyond the configured rate.
-func TestExtraFallsWithWhatIsMissed(t *testing.T) {
+func TestMissedRequestsLowerExtra(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		missed uint64 // tokens per 100 ms
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestIdleEnginesRefuseNobody: while most engines run nothing, accounts that demand more than
+// TestIdleEnginesRaiseExtra: while most engines run nothing, accounts that demand more than
 // the configured rate are covered in full from the first list on. While all engines are busy
 // they are covered for little more than the recent output, and while requests within shares
 // are missed for no more than the configured rate, whatever is idle.
-func TestIdleEnginesRefuseNobody(t *testing.T) {
+func TestIdleEnginesRaiseExtra(t *testing.T) {
 	is := is.New(t)
 	reports := func(missed uint64) protocol.Usage {
 		return protocol.Usage{
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestSeveralWaitForTheRest: requests beyond every share are served only while a single
+// TestContendedWhenSeveralAccountsExceedTheirShare: requests beyond every share are served only while a single
 // account sends them.
-func TestSeveralWaitForTheRest(t *testing.T) {
+func TestContendedWhenSeveralAccountsExceedTheirShare(t *testing.T) {
 	is := is.New(t)
 	big := protocol.Demand{Account: "big", Tokens: 2000}
 	d := NewDemandEstimator()
@@ -125,9 +125,9 @@
 	is.True(d.Contended())
 }
 
-// TestNewLeaderKnowsNothing: a new leader's averages must cover 300 ms before it decides by
+// TestNewLeaderIsNotReadyAtFirst: a new leader's averages must cover 300 ms before it decides by
 // them.
-func TestNewLeaderKnowsNothing(t *testing.T) {
+func TestNewLeaderIsNotReadyAtFirst(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
 	report := protocol.Usage{Demands: []protocol.Demand{{Account: "big", Tokens: 3000}}}
--- a/coordination/entitlement/doc.go
+++ b/coordination/entitlement/doc.go
@@ -14,7 +14,7 @@
 //
 // The guarantee: over any six seconds, an account with requests waiting throughout is served
 // at least half of what it requested or half of what any other account was served, whichever
-// is less (TestWhoWaitsGetsHalf checks it on a model of a fleet). Covered fractions alone do
+// is less (TestWaitingAccountIsServedHalf checks it on a model of a fleet). Covered fractions alone do
 // not ensure it, because a gateway may lack the processor time or memory to serve them and
 // demands change. The control loop is therefore closed: gateways report what each account was
 // served, and the account's share is corrected by the difference from what it was due
--- a/coordination/entitlement/promise_test.go
+++ b/coordination/entitlement/guarantee_test.go
@@ -31,11 +31,11 @@
 	return all
 }
 
-// TestWhoWaitsGetsHalf runs floods that begin, end and overlap, at all gateways and at two,
+// TestWaitingAccountIsServedHalf runs floods that begin, end and overlap, at all gateways and at two,
 // across a change of leaders, and then random floods.
-func TestWhoWaitsGetsHalf(t *testing.T) {
-	t.Run("chosen", func(t *testing.T) { fixedFloods(t, engineRate) })
-	runSeeds(t, 20, cappedFloods, engineRate)
+func TestWaitingAccountIsServedHalf(t *testing.T) {
+	t.Run("chosen", func(t *testing.T) { runFixedFloods(t, engineRate) })
+	runSeeds(t, 20, capSeedsBusy, engineRate)
 }
 
 // runSeeds runs random floods for the seeds below first and for those in more.
@@ -45,49 +45,49 @@
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) { randomFloods(t, seed, rate) })
+		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) { runRandomFloods(t, seed, rate) })
 	}
 }
 
-// cappedFloods lists the seeds, of the first 300, whose floods violate the guarantee where
-// engines are busy unless an underserved account caps the others. cappedBesideIdle lists the
+// capSeedsBusy lists the seeds, of the first 300, whose floods violate the guarantee where
+// engines are busy unless an underserved account caps the others. capSeedsIdle lists the
 // same where engines are idle.
 var (
-	cappedFloods     = []uint64{54}
-	cappedBesideIdle = []uint64{77, 125, 235, 261}
+	capSeedsBusy = []uint64{54}
+	capSeedsIdle = []uint64{77, 125, 235, 261}
 )
 
-// unreadBesideIdle lists the seeds, of the first 300, that violate the guarantee beside idle
+// unreadSeedsIdle lists the seeds, of the first 300, that violate the guarantee beside idle
 // engines unless gateways report the demand on connections that they do not accept.
-var unreadBesideIdle = []uint64{34, 40, 59, 153, 185, 196, 219, 287}
+var unreadSeedsIdle = []uint64{34, 40, 59, 153, 185, 196, 219, 287}
 
-// burstsBesideIdle lists the seeds that violate it unless gateways limit the connections that
+// burstSeedsIdle lists the seeds that violate it unless gateways limit the connections that
 // they accept before their processors lag.
-var burstsBesideIdle = []uint64{19, 54, 161, 343, 619, 783, 790}
+var burstSeedsIdle = []uint64{19, 54, 161, 343, 619, 783, 790}
 
-// TestWhoWaitsGetsHalfBesideIdleEngines runs the same where most engines run nothing, so that
+// TestWaitingAccountIsServedHalfBesideIdleEngines runs the same where most engines run nothing, so that
 // an account lacks only processor time at its gateways.
-func TestWhoWaitsGetsHalfBesideIdleEngines(t *testing.T) {
-	t.Run("chosen", func(t *testing.T) { fixedFloods(t, idleEngineRate) })
-	runSeeds(t, 20, slices.Concat(cappedBesideIdle, unreadBesideIdle, burstsBesideIdle), idleEngineRate)
+func TestWaitingAccountIsServedHalfBesideIdleEngines(t *testing.T) {
+	t.Run("chosen", func(t *testing.T) { runFixedFloods(t, idleEngineRate) })
+	runSeeds(t, 20, slices.Concat(capSeedsIdle, unreadSeedsIdle, burstSeedsIdle), idleEngineRate)
 }
 
-// failingBesideIdle lists the seeds, of the first 900, whose floods violate the guarantee
-// beside idle engines, and failingWhereBusy those where engines are busy. In 803, 834 and 876
+// failingSeedsIdle lists the seeds, of the first 900, whose floods violate the guarantee
+// beside idle engines, and failingSeedsBusy those where engines are busy. In 803, 834 and 876
 // an account's callers arrive at gateways where those of another account flood, and too few
 // of them are accepted.
 var (
-	failingBesideIdle = []uint64{262, 687, 803, 834, 876}
-	failingWhereBusy  = []uint64{834, 876}
+	failingSeedsIdle = []uint64{262, 687, 803, 834, 876}
+	failingSeedsBusy = []uint64{834, 876}
 )
 
 // TestFloodsBesideIdleEngines runs the seeds that fail beside idle engines.
-func TestFloodsBesideIdleEngines(t *testing.T) { runSeeds(t, 0, failingBesideIdle, idleEngineRate) }
+func TestFloodsBesideIdleEngines(t *testing.T) { runSeeds(t, 0, failingSeedsIdle, idleEngineRate) }
 
 // TestFloodsThatMeetAtGateways runs the seeds that fail where engines are busy.
-func TestFloodsThatMeetAtGateways(t *testing.T) { runSeeds(t, 0, failingWhereBusy, engineRate) }
+func TestFloodsThatMeetAtGateways(t *testing.T) { runSeeds(t, 0, failingSeedsBusy, engineRate) }
 
-func fixedFloods(t *testing.T, rate float64) {
+func runFixedFloods(t *testing.T, rate float64) {
 	const s = time.Second
 	for _, tt := range []struct {
 		name   string
@@ -124,7 +124,7 @@
 	}
 }
 
-func randomFloods(t *testing.T, seed uint64, rate float64) {
+func runRandomFloods(t *testing.T, seed uint64, rate float64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	accounts := baseAccounts(30)
 	for range 2 + rng.IntN(6) {
--- a/coordination/entitlement/level_test.go
+++ b/coordination/entitlement/level_test.go
@@ -12,7 +12,7 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-func TestLevel(t *testing.T) {
+func TestMaxMinLevel(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		demands  []float64
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestLevelUsesTheWholeCapacity(t *testing.T) {
+func TestMaxMinLevelCoversTheWholeCapacity(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		demands := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 30).Draw(t, "demands")
 		capacity := rapid.Float64Range(1, 10000).Draw(t, "capacity")
--- a/coordination/entitlement/hold_test.go
+++ b/coordination/entitlement/levelcap_test.go
@@ -12,9 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestHold: a cap follows what the least served account is served, is never below the level,
+// TestLevelCap: a cap follows what the least served account is served, is never below the level,
 // and grows by its rate per second once no account causes it.
-func TestHold(t *testing.T) {
+func TestLevelCap(t *testing.T) {
 	is := is.New(t)
 	const tick, level = 100 * time.Millisecond, 1000.0
 	nobody := math.Inf(1)
@@ -34,9 +34,9 @@
 	is.Equal(c.apply(5000), 5000.0)
 }
 
-// TestWhoGetsTooLittleHoldsTheOthers: an account whose gateways serve it a fifth of what
+// TestUnderservedAccountCapsTheLevel: an account whose gateways serve it a fifth of what
 // other accounts are served caps these near that rate, unless it demands little.
-func TestWhoGetsTooLittleHoldsTheOthers(t *testing.T) {
+func TestUnderservedAccountCapsTheLevel(t *testing.T) {
 	is := is.New(t)
 	extra := func(demand, served uint64) float64 {
 		d := NewDemandEstimator()
@@ -52,10 +52,10 @@
 	is.True(extra(60, 10) > 7000)                       // its demand is below half of the level
 }
 
-// TestWhatIsNotReadHoldsTheOthers: an account whose gateways accept few of its connections
+// TestUnreadDemandCapsTheLevel: an account whose gateways accept few of its connections
 // caps the others according to what it is served. One that is served most of its demand
 // causes no cap. The estimate of unread demand changes no share.
-func TestWhatIsNotReadHoldsTheOthers(t *testing.T) {
+func TestUnreadDemandCapsTheLevel(t *testing.T) {
 	is := is.New(t)
 	settled := func(unread uint64) *DemandEstimator {
 		d := NewDemandEstimator()
--- a/coordination/entitlement/marker_test.go
+++ b/coordination/entitlement/marker_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-// TestMarkerMarksThePart checks that the marked cost is the given fraction of the total cost,
+// TestMarkerMarksTheFraction checks that the marked cost is the given fraction of the total cost,
 // within a few of the largest requests, for any mix of sizes.
-func TestMarkerMarksThePart(t *testing.T) {
+func TestMarkerMarksTheFraction(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		const largest = 50000
 		part := rapid.Float64Range(0.02, 0.98).Draw(t, "part")
@@ -32,7 +32,7 @@
 	})
 }
 
-func TestMarkerWithoutAShortage(t *testing.T) {
+func TestFullFractionLeavesNoCredit(t *testing.T) {
 	is := is.New(t)
 	var m Marker
 	for range 10 {
--- a/coordination/entitlement/rate.go
+++ b/coordination/entitlement/rate.go
@@ -17,7 +17,7 @@
 // within a constant factor of the fast one.
 
 // Time constants of an average and the bound of its ratio. The slow average alone violates
-// the guarantee that TestWhoWaitsGetsHalf checks.
+// the guarantee that TestWaitingAccountIsServedHalf checks.
 const (
 	slowTimeConstant = 1500 * time.Millisecond // some hundred requests of an account at its share
 	fastTimeConstant = 300 * time.Millisecond  // three reports
--- a/coordination/entitlement/served_test.go
+++ b/coordination/entitlement/recentservice_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-func TestOrderOfWaiting(t *testing.T) {
+func TestWaitingRequestOrder(t *testing.T) {
 	served := RecentService{}
 	served.Add(time.Second, "busy", 1000)
 	for _, tt := range []struct {
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestServiceIsForgotten(t *testing.T) {
+func TestRecentServiceDecays(t *testing.T) {
 	is := is.New(t)
 	served := RecentService{}
 	served.Add(time.Second, "a", 1000)
--- a/coordination/entitlement/late_test.go
+++ b/coordination/entitlement/retrymodel_test.go
@@ -150,10 +150,10 @@
 	return all
 }
 
-// TestFreshRequestsGoFirst: classifying late retries separately serves accounts beyond their
+// TestRequestsInTimeAreServedBeforeLateRetries: classifying late retries separately serves accounts beyond their
 // share as much as classifying all requests alike, but nearly all of it in time, where
 // otherwise up to two fifths are late. An account within its share is unaffected.
-func TestFreshRequestsGoFirst(t *testing.T) {
+func TestRequestsInTimeAreServedBeforeLateRetries(t *testing.T) {
 	for _, floods := range []int{1, 4} {
 		for _, after := range []time.Duration{time.Second, 3300 * time.Millisecond} {
 			for _, offered := range []float64{0.8, 1.5, 3, 5} {
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -111,7 +111,7 @@
 	if a == nil {
 		return nil
 	}
-	dropped := q.dropAccount(a)
+	dropped := q.dropWaiting(a)
 	delete(q.accounts, name)
 	delete(q.changed, name)
 	return dropped
@@ -121,12 +121,12 @@
 func (q *Queue) DropAll() []*Ticket {
 	var dropped []*Ticket
 	for _, name := range sortedNames(q.accounts) {
-		dropped = append(dropped, q.dropAccount(q.accounts[name])...)
+		dropped = append(dropped, q.dropWaiting(q.accounts[name])...)
 	}
 	return dropped
 }
 
-func (q *Queue) dropAccount(a *account) []*Ticket {
+func (q *Queue) dropWaiting(a *account) []*Ticket {
 	var dropped []*Ticket
 	for a.waiting > 0 {
 		t := a.busy.Min().oldest()
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -23,8 +23,8 @@
 	return q
 }
 
-// next starts the next request at the given cost and returns its value.
-func next(q *Queue, cost float64) any {
+// serveNext starts the serveNext request at the given cost and returns its value.
+func serveNext(q *Queue, cost float64) any {
 	t, _ := q.Next()
 	if t == nil {
 		return nil
@@ -52,30 +52,30 @@
 	}
 	got := map[any]int{}
 	for range 40 {
-		got[next(q, 10)]++
+		got[serveNext(q, 10)]++
 	}
 	is.Equal(got["a"], 30)
 	is.Equal(got["b"], 10)
 	q.SetAccount("b", 3, Limits{}) // a change of share affects later charges only
 	clear(got)
 	for range 40 {
-		got[next(q, 10)]++
+		got[serveNext(q, 10)]++
 	}
 	is.Equal(got["a"], 20)
 }
 
-func TestFairInsideAnAccount(t *testing.T) {
+func TestFlowsOfAnAccountAreServedFairly(t *testing.T) {
 	is := is.New(t)
 	q := queueOf(map[string]float64{"a": 1})
 	for range 50 {
 		push(t, q, Request{Account: "a", Flow: "loud", Value: "loud"})
 	}
 	push(t, q, Request{Account: "a", Flow: "quiet", Value: "quiet"})
-	is.Equal(next(q, 5), "loud")
-	is.Equal(next(q, 5), "quiet") // not after all requests of loud
+	is.Equal(serveNext(q, 5), "loud")
+	is.Equal(serveNext(q, 5), "quiet") // not after all requests of loud
 }
 
-func TestFlowsAreBounded(t *testing.T) {
+func TestNumberOfFlowsIsBounded(t *testing.T) {
 	is := is.New(t)
 	q := queueOf(map[string]float64{"a": 1})
 	push(t, q, Request{Account: "a", Flow: "keeps the account busy"})
@@ -86,7 +86,7 @@
 	is.True(len(q.accounts["a"].flows) <= maxFlows+1)
 }
 
-func TestLimits(t *testing.T) {
+func TestPushFailsBeyondALimit(t *testing.T) {
 	tests := []struct {
 		name  string
 		limit Limits
@@ -122,7 +122,7 @@
 	}
 }
 
-func TestRunningLimitHoldsBack(t *testing.T) {
+func TestRunningLimitDelaysTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Limits{})
 	q.SetAccount("a", 1, Limits{Running: 1})
@@ -136,7 +136,7 @@
 	is.True(second.element != nil)
 }
 
-func TestDeadlinesAndCancelling(t *testing.T) {
+func TestExpireAndCancelRemoveRequests(t *testing.T) {
 	is := is.New(t)
 	q := queueOf(map[string]float64{"a": 1})
 	late := push(t, q, Request{Account: "a", Deadline: 3 * time.Second})
@@ -150,7 +150,7 @@
 	is.True(never.element != nil)
 }
 
-func TestMeterSettlesWhatWasCharged(t *testing.T) {
+func TestMeterChargesTheFinalCost(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var m Meter
 		total := m.Start(rapid.Float64Range(0, 1000).Draw(t, "estimate"))
@@ -170,9 +170,9 @@
 	})
 }
 
-// TestFleetTimesAddUp interleaves reports and fleet-wide virtual times in random orders.
+// TestVirtualTimeMatchesTheAllocator interleaves reports and fleet-wide virtual times in random orders.
 // After all have arrived, the router's virtual time must equal the allocator's.
-func TestFleetTimesAddUp(t *testing.T) {
+func TestVirtualTimeMatchesTheAllocator(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		q := queueOf(map[string]float64{"a": 2})
 		var arrived, seq uint64
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -17,12 +17,12 @@
 // linen is Petrovi Linen: 9 boxes, 12 workers of a language model and 3 of a plain service,
 // and ten accounts, three of which are large and send two thirds of their requests to one
 // router.
-func linen() shape {
-	return shape{
+func linen() fleetConfig {
+	return fleetConfig{
 		name: "linen", routers: 9, latency: 1500 * time.Microsecond, duration: 60 * time.Second,
-		pools: []poolShape{
-			{name: "llm", workers: 12, slots: 16, rate: 40, meanCost: 80, overcommit: overcommit},
-			{name: "app", workers: 3, slots: 8, rate: 1000, meanCost: 60},
+		pools: []poolConfig{
+			{name: "llm", serverCount: 12, slots: 16, rate: 40, meanCost: 80, overcommit: overcommit},
+			{name: "app", serverCount: 3, slots: 8, rate: 1000, meanCost: 60},
 		},
 		accounts: tenAccounts(1.6),
 	}
@@ -32,19 +32,19 @@
 const overcommit = 0.125
 
 // viewer is the cadastral map viewer: 7 boxes, with 9 and 3 workers.
-func viewer() shape {
+func viewer() fleetConfig {
 	s := linen()
 	s.name, s.routers = "viewer", 7
-	s.pools[0].workers = 9
+	s.pools[0].serverCount = 9
 	return s
 }
 
 // tenAccounts returns three large accounts that request more than their share and seven small
 // ones that request less.
-func tenAccounts(large float64) []accountShape {
-	var out []accountShape
+func tenAccounts(large float64) []accountConfig {
+	var out []accountConfig
 	for i := range 10 {
-		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.1, small: true}
+		a := accountConfig{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.1, small: true}
 		if i < 3 {
 			a.share, a.offered, a.homeFraction, a.small = 3, large, 2.0/3, false
 		}
@@ -57,7 +57,7 @@
 type variant struct {
 	name      string
 	staleness time.Duration // maximum age of views
-	change    func(*shape)
+	change    func(*fleetConfig)
 }
 
 const (
@@ -66,30 +66,30 @@
 )
 
 var variants = []variant{
-	{"even", freshViewAge, func(*shape) {}},
-	{"idle", freshViewAge, func(s *shape) {
+	{"even", freshViewAge, func(*fleetConfig) {}},
+	{"idle", freshViewAge, func(s *fleetConfig) {
 		for i := range s.accounts {
 			s.accounts[i].offered = 0.5
 		}
 	}},
-	{"flood", freshViewAge, func(s *shape) { s.accounts[0].offered, s.accounts[0].homeFraction = 8, 0 }},
-	{"onoff", freshViewAge, func(s *shape) {
+	{"flood", freshViewAge, func(s *fleetConfig) { s.accounts[0].offered, s.accounts[0].homeFraction = 8, 0 }},
+	{"onoff", freshViewAge, func(s *fleetConfig) {
 		for i := 3; i < 6; i++ {
 			s.accounts[i].on, s.accounts[i].off, s.accounts[i].offered = time.Second, 2*time.Second, 6
 			s.accounts[i].small = false
 		}
 	}},
-	{"longtail", freshViewAge, func(s *shape) { s.longTail = true; s.pools = s.pools[:1] }},
-	{"allocator-lost", faultViewAge, func(s *shape) {
+	{"longtail", freshViewAge, func(s *fleetConfig) { s.longTail = true; s.pools = s.pools[:1] }},
+	{"allocator-lost", faultViewAge, func(s *fleetConfig) {
 		s.faults = []fault{{20 * time.Second, loseAllocator}}
 	}},
-	{"partition", faultViewAge, func(s *shape) {
+	{"partition", faultViewAge, func(s *fleetConfig) {
 		s.faults = []fault{
-			{15 * time.Second, func(f *fleet) { f.cutOff(0) }},
+			{15 * time.Second, func(f *fleet) { f.partition(0) }},
 			{45 * time.Second, func(f *fleet) { f.routers[0].isPartitioned = false }},
 		}
 	}},
-	{"restart-half", faultViewAge, func(s *shape) {
+	{"restart-half", faultViewAge, func(s *fleetConfig) {
 		s.faults = []fault{{20 * time.Second, func(f *fleet) {
 			for i := 0; i < len(f.routers); i += 2 {
 				f.restart(i)
@@ -114,8 +114,8 @@
 	f.after(1500*time.Millisecond, func() { f.newAllocator(expected) })
 }
 
-// cutOff partitions a router without closing its connection.
-func (f *fleet) cutOff(i int) {
+// partition partitions a router without closing its connection.
+func (f *fleet) partition(i int) {
 	r := f.routers[i]
 	r.isPartitioned = true
 	if f.policy != fleetFair {
@@ -129,8 +129,8 @@
 // restart discards a router's state and cancels the requests that it was running.
 func (f *fleet) restart(i int) {
 	r := f.routers[i]
-	for p := range f.shape.pools {
-		for a := range f.shape.accounts {
+	for p := range f.config.pools {
+		for a := range f.config.accounts {
 			for _, req := range slices.Clone(f.m.running[p][a]) {
 				if req.router == r && !req.ended {
 					f.cancel(req)
@@ -156,7 +156,7 @@
 	f.m.cancelled(req)
 	f.m.lost++
 	if req.inBatch {
-		req.server.leave(f)
+		req.server.freeSlot(f)
 		return
 	}
 	queue := req.server.queue
@@ -164,9 +164,9 @@
 }
 
 func BenchmarkFleet(b *testing.B) {
-	for _, base := range []func() shape{linen, viewer} {
+	for _, base := range []func() fleetConfig{linen, viewer} {
 		for _, v := range variants {
-			for p := range policy(numPolicy) {
+			for p := range policy(numPolicies) {
 				s := base()
 				v.change(&s)
 				b.Run(fmt.Sprintf("%s/%s/%s", s.name, v.name, p), func(b *testing.B) {
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -13,15 +13,15 @@
 // This file runs the allocator in the fixture, and the baselines that need none.
 
 func (f *fleet) newAllocator(expected []slots.Process) {
-	f.alloc = slots.NewAllocator(f.epoch, f.now, testLease, f.shape.pace, expected)
+	f.alloc = slots.NewAllocator(f.epoch, f.now, testLease, f.config.pace, expected)
 	f.epoch++
 	var servers []slots.Server
 	for _, name := range sortedKeys(f.servers) {
 		s := f.servers[name]
-		servers = append(servers, slots.Server{Name: name, Pool: f.shape.pools[s.pool].name, Slots: s.slots, Overcommit: f.shape.pools[s.pool].overcommitted(), Serving: true})
+		servers = append(servers, slots.Server{Name: name, Pool: f.config.pools[s.pool].name, Slots: s.slots, Overcommit: f.config.pools[s.pool].overcommitted(), Serving: true})
 	}
 	var accounts []slots.Account
-	for _, a := range f.shape.accounts {
+	for _, a := range f.config.accounts {
 		accounts = append(accounts, slots.Account{Name: a.name, Share: a.share})
 	}
 	f.alloc.Configure(servers, accounts)
@@ -29,9 +29,9 @@
 
 // wakeAllocator schedules an allocation after everything that arrives at this instant.
 func (f *fleet) wakeAllocator() {
-	if !f.turnScheduled {
-		f.turnScheduled = true
-		f.at(max(f.now, f.lastTurn+slots.MinAllocationInterval), func() { f.turnScheduled = false; f.runAllocator() })
+	if !f.allocationScheduled {
+		f.allocationScheduled = true
+		f.at(max(f.now, f.lastAllocation+slots.MinAllocationInterval), func() { f.allocationScheduled = false; f.runAllocator() })
 	}
 }
 
@@ -39,8 +39,8 @@
 	if f.alloc == nil {
 		return
 	}
-	f.turns++
-	f.lastTurn = f.now
+	f.allocations++
+	f.lastAllocation = f.now
 	began := time.Now()
 	f.alloc.Allocate(f.now)
 	views := f.alloc.Views(f.now)
@@ -49,9 +49,9 @@
 		r := f.byName[o.Router]
 		f.alloc.RecordSent(f.now, o, r.count(o.View))
 		link := r.link
-		f.after(f.shape.latency, func() {
+		f.after(f.config.latency, func() {
 			if r.link == link && !r.isPartitioned {
-				r.takeView(o.View)
+				r.applyView(o.View)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 // baselineDispatch uses every free slot at once, without messages or delay. This favors the
 // baselines.
 func (f *fleet) baselineDispatch(p int) {
-	for _, srv := range f.byPool[f.shape.pools[p].name] {
+	for _, srv := range f.byPool[f.config.pools[p].name] {
 		for srv.running < srv.slots {
 			req := f.baselineNext(p, srv)
 			if req == nil {
--- a/coordination/slots/fixture_same_test.go
+++ b/coordination/slots/fixture_determinism_test.go
@@ -10,15 +10,15 @@
 
 // This file checks that the fixture is deterministic, so that a seed identifies one run.
 
-// TestOneSeedIsOneRun restarts a router with requests in its servers' batches and queues. The
+// TestEqualSeedsGiveEqualRuns restarts a router with requests in its servers' batches and queues. The
 // order in which they are cancelled must not vary between runs.
-func TestOneSeedIsOneRun(t *testing.T) {
+func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	s := linen()
 	s.duration = 12 * time.Second
 	s.routers = 1
 	s.pools = s.pools[:1]
-	s.pools[0].workers, s.pools[0].slots = 3, 3
-	s.accounts = []accountShape{{name: "a", share: 1, offered: 4}, {name: "b", share: 2, offered: 4}}
+	s.pools[0].serverCount, s.pools[0].slots = 3, 3
+	s.accounts = []accountConfig{{name: "a", share: 1, offered: 4}, {name: "b", share: 2, offered: 4}}
 	for at := 3 * time.Second; at < s.duration; at += 500 * time.Millisecond {
 		s.faults = append(s.faults, fault{at, func(f *fleet) { f.restart(0) }})
 	}
@@ -31,7 +31,7 @@
 }
 
 // eventCounts returns the number of events so far, every 50 ms.
-func eventCounts(s shape) []int {
+func eventCounts(s fleetConfig) []int {
 	f := newFleet(s, fleetFair, 1)
 	var counts []int
 	f.every(50*time.Millisecond, func() { counts = append(counts, f.seq) })
--- a/coordination/slots/measure_test.go
+++ b/coordination/slots/fixture_measures_test.go
@@ -42,8 +42,8 @@
 
 func newMeasures(f *fleet) *measures {
 	m := &measures{f: f}
-	n := len(f.shape.accounts)
-	for range f.shape.pools {
+	n := len(f.config.accounts)
+	for range f.config.pools {
 		m.service = append(m.service, make([]float64, n))
 		m.waiting = append(m.waiting, make([]int, n))
 		m.running = append(m.running, make([][]*request, n))
@@ -53,11 +53,11 @@
 		m.idleTime = append(m.idleTime, 0)
 	}
 	for i := range n {
-		if len(m.measuredAccounts) < maxMeasuredAccounts && (n <= maxMeasuredAccounts || f.shape.accounts[i].offered > 1) {
+		if len(m.measuredAccounts) < maxMeasuredAccounts && (n <= maxMeasuredAccounts || f.config.accounts[i].offered > 1) {
 			m.measuredAccounts = append(m.measuredAccounts, i)
 		}
 	}
-	for p := range f.shape.pools {
+	for p := range f.config.pools {
 		for i, a := range m.measuredAccounts {
 			for _, b := range m.measuredAccounts[i+1:] {
 				m.pairs = append(m.pairs, &pair{pool: p, a: a, b: b})
@@ -77,7 +77,7 @@
 	m.running[r.pool][r.account] = append(m.running[r.pool][r.account], r)
 	wait := m.f.now - r.arrivedAt
 	m.longestWait = max(m.longestWait, wait)
-	if m.f.shape.accounts[r.account].small {
+	if m.f.config.accounts[r.account].small {
 		m.waits = append(m.waits, wait)
 	}
 }
@@ -127,7 +127,7 @@
 	if !r.inBatch {
 		return 0
 	}
-	return min((m.f.now-r.startedAt).Seconds()*m.f.shape.pools[r.pool].rate, r.cost)
+	return min((m.f.now-r.startedAt).Seconds()*m.f.config.pools[r.pool].rate, r.cost)
 }
 
 // normalized returns the service that an account has received so far, divided by its share.
@@ -136,14 +136,14 @@
 	for _, r := range m.running[p][a] {
 		s += m.received(r)
 	}
-	return s / m.f.shape.accounts[a].share
+	return s / m.f.config.accounts[a].share
 }
 
 const sampleEvery = 10 * time.Millisecond
 
 func (m *measures) sample() {
 	warm := m.f.now > 2*time.Second
-	for p := range m.f.shape.pools {
+	for p := range m.f.config.pools {
 		normalized := map[int]float64{}
 		for _, a := range m.measuredAccounts {
 			if m.waiting[p][a] > 0 {
@@ -183,7 +183,7 @@
 		waits += n
 	}
 	all, busy := 0, 0
-	for _, s := range m.f.byPool[m.f.shape.pools[p].name] {
+	for _, s := range m.f.byPool[m.f.config.pools[p].name] {
 		all += s.slots
 		busy += min(s.running, s.slots)
 	}
@@ -224,7 +224,7 @@
 func (m *measures) results(staleness time.Duration) results {
 	var r results
 	minShare := math.Inf(1)
-	for _, a := range m.f.shape.accounts {
+	for _, a := range m.f.config.accounts {
 		minShare = min(minShare, a.share)
 	}
 	for _, pr := range m.pairs {
@@ -263,9 +263,9 @@
 // bound is the bound of the package comment, (M+1)·L/w + slack + 2·C·D/w, with the slack of
 // one request.
 func (m *measures) bound(pr *pair, staleness time.Duration) float64 {
-	ps := m.f.shape.pools[pr.pool]
-	slotCount := float64(ps.workers * ps.slots)
-	w := min(m.f.shape.accounts[pr.a].share, m.f.shape.accounts[pr.b].share)
+	ps := m.f.config.pools[pr.pool]
+	slotCount := float64(ps.serverCount * ps.slots)
+	w := min(m.f.config.accounts[pr.a].share, m.f.config.accounts[pr.b].share)
 	capacity := slotCount * ps.rate
 	return (slotCount+1)*m.largest/w + m.largest/w + 2*capacity*staleness.Seconds()/w
 }
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -38,8 +38,8 @@
 	r.configured = map[int]bool{}
 	r.linked, r.lease, r.reports, r.viewSeq, r.reportDue = false, 0, 0, 0, 0
 	r.link++
-	r.pacer = slots.Pacer{Pace: r.f.shape.pace}
-	for _, ps := range r.f.shape.pools {
+	r.pacer = slots.Pacer{Pace: r.f.config.pace}
+	for _, ps := range r.f.config.pools {
 		pl := pool.New(ps.name, pool.Settings{Linger: 50 * time.Millisecond, FirstEstimate: 256, PrefixBlocks: 16})
 		var servers []pool.Server
 		for _, s := range r.f.byPool[ps.name] {
@@ -64,7 +64,7 @@
 		r.f.m.dropped(req)
 		return
 	}
-	a := r.f.shape.accounts[req.account]
+	a := r.f.config.accounts[req.account]
 	if !r.configured[req.account] { // lazily, because a fleet may have thousands of accounts and of routers
 		r.configured[req.account] = true
 		for _, p := range r.pools {
@@ -137,7 +137,7 @@
 func (r *testRouter) send(m protocol.Message, do func(*slots.Allocator)) int {
 	n := r.count(m)
 	link := r.link
-	r.f.after(r.f.shape.latency, func() {
+	r.f.after(r.f.config.latency, func() {
 		if r.link == link && !r.isPartitioned && r.f.alloc != nil {
 			began := time.Now()
 			do(r.f.alloc)
@@ -180,7 +180,7 @@
 	sent := f.now
 	r.count(hello)
 	r.linked = true
-	f.after(f.shape.latency, func() {
+	f.after(f.config.latency, func() {
 		if r.link != link {
 			return // another link has replaced this one
 		}
@@ -193,15 +193,15 @@
 		w := protocol.Welcome{Epoch: f.alloc.Epoch(), Known: known, Reports: reports, Void: void}
 		f.wakeAllocator()
 		r.count(w)
-		f.after(f.shape.latency, func() {
+		f.after(f.config.latency, func() {
 			if r.link == link {
-				r.welcomed(w, sent)
+				r.handleWelcome(w, sent)
 			}
 		})
 	})
 }
 
-func (r *testRouter) welcomed(w protocol.Welcome, sent time.Duration) {
+func (r *testRouter) handleWelcome(w protocol.Welcome, sent time.Duration) {
 	r.lease = max(r.lease, sent+testLease.Length)
 	r.reports, r.viewSeq, r.reportDue = 0, 0, 0
 	for i, p := range r.pools {
@@ -220,7 +220,7 @@
 	r.send(protocol.Renew{Seq: 1}, func(a *slots.Allocator) {
 		a.Renew(r.f.now, r.name)
 		r.count(protocol.Renewed{Seq: 1})
-		r.f.after(r.f.shape.latency, func() {
+		r.f.after(r.f.config.latency, func() {
 			if r.link == link && !r.isPartitioned {
 				r.lease = max(r.lease, sent+testLease.Length)
 			}
@@ -261,11 +261,11 @@
 	}
 }
 
-func (r *testRouter) takeView(v protocol.View) {
+func (r *testRouter) applyView(v protocol.View) {
 	r.viewSeq = v.Seq
 	for i, p := range r.pools {
 		for _, pv := range v.Pools {
-			if pv.Pool == r.f.shape.pools[i].name {
+			if pv.Pool == r.f.config.pools[i].name {
 				p.ApplyView(r.f.now, pv, v.ReportSeq)
 			}
 		}
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -22,45 +22,45 @@
 type policy int
 
 const (
-	fleetFair  policy = iota // the product
-	fifo                     // baseline: one first-come, first-served queue for the fleet
-	perRouter                // baseline: fair queueing on each router without exchange
-	numPolicy  = 3
-	wsOverhead = 6 // bytes of a WebSocket frame header; half of the frames carry a mask
+	fleetFair   policy = iota // the product
+	fifo                      // baseline: one first-come, first-served queue for the fleet
+	perRouter                 // baseline: fair queueing on each router without exchange
+	numPolicies = 3
+	wsOverhead  = 6 // bytes of a WebSocket frame header; half of the frames carry a mask
 )
 
 func (p policy) String() string { return [...]string{"fleet", "fifo", "per-router"}[p] }
 
-// shape is the configuration of a fleet and its load.
-type shape struct {
+// fleetConfig is the configuration of a fleet and its load.
+type fleetConfig struct {
 	name     string
 	routers  int
-	pools    []poolShape
+	pools    []poolConfig
 	latency  time.Duration // one-way latency between boxes
-	accounts []accountShape
+	accounts []accountConfig
 	duration time.Duration
 	faults   []fault
 	longTail bool
 	pace     slots.Pace
 }
 
-// poolShape is the configuration of one pool: workers whose slots each serve rate units of
+// poolConfig is the configuration of one pool: workers whose slots each serve rate units of
 // cost per second.
-type poolShape struct {
-	name       string
-	workers    int
-	slots      int
-	rate       float64
-	meanCost   float64 // mean cost of a request
-	overcommit float64 // overcommitted slots as a fraction of a server's slots
+type poolConfig struct {
+	name        string
+	serverCount int
+	slots       int
+	rate        float64
+	meanCost    float64 // mean cost of a request
+	overcommit  float64 // overcommitted slots as a fraction of a server's slots
 }
 
-func (p poolShape) overcommitted() int { return int(math.Ceil(p.overcommit * float64(p.slots))) }
+func (p poolConfig) overcommitted() int { return int(math.Ceil(p.overcommit * float64(p.slots))) }
 
-// accountShape is the load of one account. offered is a multiple of its fair share of each
+// accountConfig is the load of one account. offered is a multiple of its fair share of each
 // pool, homeFraction the fraction of its requests that arrive at one router, and on and off
 // the lengths of its active and idle periods; with on at 0 it is always active.
-type accountShape struct {
+type accountConfig struct {
 	name         string
 	share        float64
 	offered      float64
@@ -98,26 +98,26 @@
 
 // fleet is a running fixture.
 type fleet struct {
-	shape         shape
-	policy        policy
-	rng           *rand.Rand
-	now           time.Duration
-	events        events
-	seq           int
-	alloc         *slots.Allocator // nil while there is none
-	epoch         uint64
-	routers       []*testRouter
-	byName        map[string]*testRouter
-	servers       map[string]*testServer
-	byPool        map[string][]*testServer
-	queue         []*request // waiting requests of the baseline fifo, in arrival order
-	m             *measures
-	wakeAt        time.Duration
-	turnScheduled bool // an allocation is scheduled
-	arrivalsEnded bool // no more requests arrive
-	turns         int
-	lastTurn      time.Duration
-	allocatorTime time.Duration
+	config              fleetConfig
+	policy              policy
+	rng                 *rand.Rand
+	now                 time.Duration
+	events              events
+	seq                 int
+	alloc               *slots.Allocator // nil while there is none
+	epoch               uint64
+	routers             []*testRouter
+	byName              map[string]*testRouter
+	servers             map[string]*testServer
+	byPool              map[string][]*testServer
+	queue               []*request // waiting requests of the baseline fifo, in arrival order
+	m                   *measures
+	wakeAt              time.Duration
+	allocationScheduled bool // an allocation is scheduled
+	arrivalsEnded       bool // no more requests arrive
+	allocations         int
+	lastAllocation      time.Duration
+	allocatorTime       time.Duration
 }
 
 type testServer struct {
@@ -145,16 +145,16 @@
 
 var testLease = slots.Lease{Length: 3 * time.Second, Margin: 400 * time.Millisecond}
 
-func newFleet(s shape, p policy, seed uint64) *fleet {
+func newFleet(s fleetConfig, p policy, seed uint64) *fleet {
 	if s.pace == (slots.Pace{}) {
 		s.pace = slots.DefaultPace
 	}
 	f := &fleet{
-		shape: s, policy: p, rng: rand.New(rand.NewPCG(seed, 3)), epoch: 1,
+		config: s, policy: p, rng: rand.New(rand.NewPCG(seed, 3)), epoch: 1,
 		byName: map[string]*testRouter{}, servers: map[string]*testServer{}, byPool: map[string][]*testServer{},
 	}
 	for i, ps := range s.pools {
-		for w := range ps.workers {
+		for w := range ps.serverCount {
 			srv := &testServer{name: fmt.Sprintf("%c%d", 'a'+i, w), pool: i, slots: ps.slots}
 			f.servers[srv.name] = srv
 			f.byPool[ps.name] = append(f.byPool[ps.name], srv)
@@ -199,7 +199,7 @@
 func (f *fleet) run() *measures {
 	for len(f.events) > 0 {
 		e := heap.Pop(&f.events).(event)
-		if e.at > f.shape.duration {
+		if e.at > f.config.duration {
 			break
 		}
 		f.now = e.at
@@ -211,12 +211,12 @@
 // scheduleArrivals schedules an account's requests in every pool.
 func (f *fleet) scheduleArrivals(account int) {
 	total := 0.0
-	for _, a := range f.shape.accounts {
+	for _, a := range f.config.accounts {
 		total += a.share
 	}
-	a := f.shape.accounts[account]
-	for p, ps := range f.shape.pools {
-		capacity := float64(ps.workers*ps.slots) * ps.rate
+	a := f.config.accounts[account]
+	for p, ps := range f.config.pools {
+		capacity := float64(ps.serverCount*ps.slots) * ps.rate
 		perSecond := a.offered * capacity * a.share / total / ps.meanCost
 		var next func()
 		next = func() {
@@ -238,7 +238,7 @@
 // arrive sends one request to a router that the load balancer considers ready.
 func (f *fleet) arrive(account, p int) {
 	r := f.routers[account%len(f.routers)]
-	if f.rng.Float64() >= f.shape.accounts[account].homeFraction || !r.ready() {
+	if f.rng.Float64() >= f.config.accounts[account].homeFraction || !r.ready() {
 		for range 20 {
 			r = f.routers[f.rng.IntN(len(f.routers))]
 			if r.ready() {
@@ -246,7 +246,7 @@
 			}
 		}
 	}
-	req := &request{account: account, pool: p, cost: f.drawCost(f.shape.pools[p].meanCost), arrivedAt: f.now, router: r, boot: r.boot}
+	req := &request{account: account, pool: p, cost: f.drawCost(f.config.pools[p].meanCost), arrivedAt: f.now, router: r, boot: r.boot}
 	f.m.arrived(req)
 	r.submit(req)
 }
@@ -254,7 +254,7 @@
 // drawCost returns a random cost: log-normal around the mean or, with a long tail,
 // log-uniform from 1 to 10,000 (mean about 1,085) and scaled to the mean.
 func (f *fleet) drawCost(mean float64) float64 {
-	if f.shape.longTail {
+	if f.config.longTail {
 		return math.Pow(10, 4*f.rng.Float64()) * mean / 1085
 	}
 	const sigma = 0.5
@@ -283,7 +283,7 @@
 		}
 		req.ended = true
 		f.m.finished(req)
-		srv.leave(f)
+		srv.freeSlot(f)
 		req.router.finished(req, srv)
 	})
 	req.router.charge(req)
@@ -291,7 +291,7 @@
 
 // serviceTime returns how long a request runs.
 func (f *fleet) serviceTime(req *request) time.Duration {
-	return time.Duration(req.cost / f.shape.pools[req.pool].rate * float64(time.Second))
+	return time.Duration(req.cost / f.config.pools[req.pool].rate * float64(time.Second))
 }
 
 // charge reports the streamed cost every 250 ms while the request runs.
@@ -300,13 +300,13 @@
 		if req.ended || r.f.policy == fifo {
 			return
 		}
-		r.pools[req.pool].Progress(req.work, (r.f.now-req.startedAt).Seconds()*r.f.shape.pools[req.pool].rate)
+		r.pools[req.pool].Progress(req.work, (r.f.now-req.startedAt).Seconds()*r.f.config.pools[req.pool].rate)
 		r.charge(req)
 	})
 }
 
-// leave frees a place in the batch for the next request in the server's queue.
-func (s *testServer) leave(f *fleet) {
+// freeSlot frees a place in the batch for the next request in the server's queue.
+func (s *testServer) freeSlot(f *fleet) {
 	s.running--
 	for len(s.queue) > 0 && s.running < s.slots {
 		next := s.queue[0]
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -10,9 +10,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestNothingStaysOnItsWayToAVanishedRouter ends a session at each stage of a grant's
+// TestEndedSessionLeavesNoGrantsInFlight ends a session at each stage of a grant's
 // delivery. The account must not stay charged for slots that never arrive.
-func TestNothingStaysOnItsWayToAVanishedRouter(t *testing.T) {
+func TestEndedSessionLeavesNoGrantsInFlight(t *testing.T) {
 	ends := map[string]func(a *Allocator){
 		"link breaks":        func(a *Allocator) { a.Disconnect("r", 1) },
 		"lease runs out":     func(a *Allocator) { a.EndSession("r") },
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestEveryRunIsTheSame ends a session that holds slots of several servers and has work of
+// TestEndOfSessionIsDeterministic ends a session that holds slots of several servers and has work of
 // several accounts, and checks the order of the free servers afterwards. If it depended on
 // map iteration, the same steps would lead to different grants.
-func TestEveryRunIsTheSame(t *testing.T) {
+func TestEndOfSessionIsDeterministic(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var servers []Server
 	var accounts []Account
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -16,14 +16,14 @@
 // faults: the gap stays within the bound, no slot is granted twice, no slot stays free for
 // long while requests wait, and every account is served.
 
-// TestPromisesOverRandomSchedules checks the guarantees on random fleets.
-func TestPromisesOverRandomSchedules(t *testing.T) {
+// TestGuaranteesOverRandomSchedules checks the guarantees on random fleets.
+func TestGuaranteesOverRandomSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		s, faulty, partitioned := randomShape(t)
+		s, faulty, partitioned := randomConfig(t)
 		f := newFleet(s, fleetFair, rapid.Uint64().Draw(t, "seed"))
 		f.every(50*time.Millisecond, func() { f.checkGrants(t, partitioned) })
 		f.at(s.duration, f.drain)
-		f.shape.duration = time.Hour // drain sets the end
+		f.config.duration = time.Hour // drain sets the end
 		m := f.run()
 		staleness := freshViewAge
 		if faulty {
@@ -44,19 +44,19 @@
 // full messages plus the round trip.
 const maxIdleTime = slots.MaxStretch*250*time.Millisecond + 50*time.Millisecond
 
-func randomShape(t *rapid.T) (s shape, faulty, partitioned bool) {
+func randomConfig(t *rapid.T) (s fleetConfig, faulty, partitioned bool) {
 	s = linen()
 	s.duration = 12 * time.Second
 	s.routers = rapid.IntRange(1, 6).Draw(t, "routers")
 	s.latency = time.Duration(rapid.IntRange(0, 5).Draw(t, "latency")) * time.Millisecond
 	s.pools = s.pools[:1]
-	s.pools[0].workers = rapid.IntRange(1, 4).Draw(t, "workers")
+	s.pools[0].serverCount = rapid.IntRange(1, 4).Draw(t, "workers")
 	s.pools[0].slots = rapid.IntRange(1, 8).Draw(t, "slots")
 	s.longTail = rapid.Bool().Draw(t, "long tail")
 	n := rapid.IntRange(2, 5).Draw(t, "accounts")
 	s.accounts = nil
 	for i := range n {
-		a := accountShape{
+		a := accountConfig{
 			name:         string(rune('a' + i)),
 			share:        float64(rapid.IntRange(1, 5).Draw(t, "share")),
 			offered:      float64(rapid.IntRange(1, 40).Draw(t, "offered")) / 10,
@@ -89,7 +89,7 @@
 	case 1:
 		return []fault{{at, func(f *fleet) {
 			if f.alloc != nil && !f.routers[router].isPartitioned {
-				f.cutOff(router)
+				f.partition(router)
 			}
 		}}, {at + 4*time.Second, func(f *fleet) { f.routers[router].isPartitioned = false }}}, true
 	case 2:
@@ -106,17 +106,17 @@
 	}}}, false
 }
 
-// TestLongWorkIsDrained runs a schedule in which 16 requests wait when the arrivals end and
+// TestLongRequestsAreDrained runs a schedule in which 16 requests wait when the arrivals end and
 // take 77.2 s on the one slot, although 16 requests of mean cost take 32 s. The time allowed
 // for draining must follow the actual costs. The slot is never free until the last request
 // starts.
-func TestLongWorkIsDrained(t *testing.T) {
+func TestLongRequestsAreDrained(t *testing.T) {
 	s := linen()
 	s.duration = 12 * time.Second
 	s.routers, s.latency, s.longTail = 2, 0, true
 	s.pools = s.pools[:1]
-	s.pools[0].workers, s.pools[0].slots = 1, 1
-	s.accounts = []accountShape{
+	s.pools[0].serverCount, s.pools[0].slots = 1, 1
+	s.accounts = []accountConfig{
 		{name: "a", share: 4, offered: 4},
 		{name: "b", share: 5, offered: 3.1, homeFraction: 1},
 		{name: "c", share: 2, offered: 0.1, on: 300 * time.Millisecond, off: 700 * time.Millisecond},
@@ -127,7 +127,7 @@
 		f.drain()
 		f.m.maxIdle = 0 // it was free while there was no allocator
 	})
-	f.shape.duration = time.Hour // drain sets the end
+	f.config.duration = time.Hour // drain sets the end
 	m := f.run()
 	m.checkDrained(t)
 	if m.maxIdle > 0 {
@@ -139,7 +139,7 @@
 // server than it has. After a partition, a router reports the requests that outlived its
 // lease when it is back, and these may exceed the slots.
 func (f *fleet) checkGrants(t *rapid.T, partitioned bool) {
-	extra := f.shape.pools[0].overcommitted()
+	extra := f.config.pools[0].overcommitted()
 	used := map[string]int{}
 	for _, r := range f.routers {
 		if f.now >= r.lease {
@@ -170,8 +170,8 @@
 // requests with a long tail may take sixty times as long.
 func (f *fleet) drain() {
 	f.arrivalsEnded = true
-	ps := f.shape.pools[0]
-	f.shape.duration = f.now + f.m.remainingWork(0)/time.Duration(ps.workers*ps.slots) + 2*faultViewAge
+	ps := f.config.pools[0]
+	f.config.duration = f.now + f.m.remainingWork(0)/time.Duration(ps.serverCount*ps.slots) + 2*faultViewAge
 }
 
 // checkDrained checks that all waiting requests were granted.
--- a/coordination/slots/recall.go
+++ b/coordination/slots/recall.go
@@ -32,7 +32,7 @@
 		r.recallSlots(now, n)
 	}
 	for ; slotlessUnmet > 0; slotlessUnmet-- {
-		r := p.mostSpareRouter()
+		r := p.routerWithMostSpare()
 		if r == nil {
 			break
 		}
@@ -41,9 +41,9 @@
 	return unmet > 0
 }
 
-// mostSpareRouter returns the router with the most slots to spare, or nil if none has more
+// routerWithMostSpare returns the router with the most slots to spare, or nil if none has more
 // than one.
-func (p *fleetPool) mostSpareRouter() *routerPool {
+func (p *fleetPool) routerWithMostSpare() *routerPool {
 	var best *routerPool
 	most := 1
 	for _, r := range p.routers {
--- a/coordination/slots/scale_bench_test.go
+++ b/coordination/slots/scale_bench_test.go
@@ -18,18 +18,18 @@
 // requests per second each, in front of 4 pools. Requests are six times shorter than
 // projected (2 s) so that the fixture fits the machine, so slots change hands six times as
 // often. A tenth of the accounts is backlogged.
-func large(routers, accounts int) shape {
-	s := shape{
+func large(routers, accounts int) fleetConfig {
+	s := fleetConfig{
 		name: "large", routers: routers, latency: 1500 * time.Microsecond, duration: 12 * time.Second,
 	}
 	s.pace = slots.DefaultPace
 	s.pace.Budget, s.pace.Burst = 4500, 9000 // out of 10 KB per second in both directions
 	workers := routers * 10 / 16 / 4 * 10
 	for i := range 4 {
-		s.pools = append(s.pools, poolShape{name: fmt.Sprintf("m%d", i), workers: workers, slots: 30, rate: 110, meanCost: 220, overcommit: overcommit})
+		s.pools = append(s.pools, poolConfig{name: fmt.Sprintf("m%d", i), serverCount: workers, slots: 30, rate: 110, meanCost: 220, overcommit: overcommit})
 	}
 	for i := range accounts {
-		a := accountShape{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.5, small: true}
+		a := accountConfig{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.5, small: true}
 		if i%10 == 0 {
 			a.share, a.offered, a.small = 9, 1.6, false
 		}
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -33,8 +33,8 @@
 // session is one router process, from its first message until its lease and margin have
 // passed.
 type session struct {
-	router          string // key in Allocator.sessions
-	name            string // the router's own name; differs from router for an orphaned session
+	key             string // key in Allocator.sessions
+	routerName      string // the router's own name; differs from router for an orphaned session
 	boot            uint64
 	renewedAt       time.Duration // time of the last lease renewal
 	linked          bool
@@ -73,7 +73,7 @@
 		}
 	}
 	s := &session{
-		router: h.Router, name: h.Router, boot: h.Boot, renewedAt: now, linked: true,
+		key: h.Router, routerName: h.Router, boot: h.Boot, renewedAt: now, linked: true,
 		held: map[string]int{}, suspectUntil: map[string]time.Duration{},
 		pools: map[string]*routerPool{}, unsentGrants: map[string]int{},
 		backlogs: map[backlogKey]*routerBacklog{}, pacer: Pacer{Pace: a.pace},
@@ -85,15 +85,15 @@
 	a.sortSessions()
 	delete(a.unreported, Process{Router: h.Router, Boot: h.Boot})
 	if !known {
-		a.rebuild(h.Pools)
+		a.restoreVirtualTimes(h.Pools)
 	}
 	return reports, known
 }
 
-// rebuild raises the counters to the virtual times that a router received from an earlier
+// restoreVirtualTimes raises the counters to the virtual times that a router received from an earlier
 // allocator, so that debts survive a takeover. Of the times that several routers report, a
 // lower one is older.
-func (a *Allocator) rebuild(views []protocol.PoolView) {
+func (a *Allocator) restoreVirtualTimes(views []protocol.PoolView) {
 	for _, pv := range views {
 		p := a.pools[pv.Pool]
 		if p == nil || !isFinite(pv.Floor) {
@@ -114,9 +114,9 @@
 func (a *Allocator) orphan(s *session) {
 	a.clearBacklogs(s)
 	s.linked = false
-	delete(a.sessions, s.router)
-	s.router = fmt.Sprintf("%s restarted %016x", s.router, s.boot)
-	a.sessions[s.router] = s
+	delete(a.sessions, s.key)
+	s.key = fmt.Sprintf("%s restarted %016x", s.key, s.boot)
+	a.sessions[s.key] = s
 }
 
 // HasSession reports whether the allocator has a session of the process. It does until the
@@ -165,8 +165,8 @@
 	var ended []string
 	for _, s := range a.sortedSessions {
 		if now >= s.renewedAt+a.lease.total() {
-			ended = append(ended, s.router)
-			a.EndSession(s.router)
+			ended = append(ended, s.key)
+			a.EndSession(s.key)
 		}
 	}
 	if now >= a.takeoverEnds {
@@ -179,6 +179,6 @@
 // while it iterates over the old one.
 func (a *Allocator) sortSessions() {
 	a.sortedSessions = slices.SortedFunc(maps.Values(a.sessions), func(x, y *session) int {
-		return cmp.Compare(x.router, y.router)
+		return cmp.Compare(x.key, y.key)
 	})
 }
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -86,7 +86,7 @@
 	return out
 }
 
-func TestGrantsWhatWaits(t *testing.T) {
+func TestSlotsAreGrantedToEachBackloggedAccount(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
@@ -106,7 +106,7 @@
 	is.Equal(len(granted(a, 0)), 0)
 }
 
-func TestTakeoverWaitsForThoseWhoMayHoldSlots(t *testing.T) {
+func TestTakeoverWaitsForRoutersThatMayHoldSlots(t *testing.T) {
 	tests := []struct {
 		name string
 		do   func(a *slots.Allocator)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestRestartedRouterKeepsItsOldSlotsTaken(t *testing.T) {
+func TestSlotsOfARestartedRouterStayHeldUntilItsLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
@@ -151,7 +151,7 @@
 	is.Equal(granted(a, lease.Length+lease.Margin)["r1"], 2)
 }
 
-func TestReconnectedRouterIsNotCountedTwice(t *testing.T) {
+func TestSlotsOfAReconnectedRouterAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
@@ -165,7 +165,7 @@
 	is.Equal(granted(a, 1)["r1"], 1) // the other grant was lost in transit and is free again
 }
 
-func TestNonsenseIsBounded(t *testing.T) {
+func TestInvalidMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
@@ -210,7 +210,7 @@
 	is.Equal(time("b"), 1700.0) // going idle did not reduce b's lead
 }
 
-func TestRecallFindsFreeSlotsElsewhere(t *testing.T) {
+func TestFreeSlotIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
@@ -221,7 +221,7 @@
 	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one request waits, so one slot is recalled, not both
 }
 
-func TestFreeSlotElsewhereIsRecalledForARouterWithSlots(t *testing.T) {
+func TestFreeSlotIsRecalledForARouterWithSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
@@ -232,7 +232,7 @@
 	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // free at one router and needed at the other
 }
 
-func TestRouterWithoutAnySlotIsGivenOneInUse(t *testing.T) {
+func TestSlotInUseIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
@@ -244,7 +244,7 @@
 	is.Equal(viewsOf(a, 0)["rich"].Recall, 0) // not recalled again while in flight
 }
 
-func TestShortnessIsSent(t *testing.T) {
+func TestShortageIsSent(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
 	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
@@ -277,7 +277,7 @@
 	return out
 }
 
-func TestHolderGivesBackWhatIsRecalled(t *testing.T) {
+func TestHolderReturnsRecalledSlots(t *testing.T) {
 	is := is.New(t)
 	h := slots.NewHolder()
 	h.Grant(0, "s", 3)
@@ -292,7 +292,7 @@
 	is.Equal(h.Idle(), 1)
 }
 
-func TestHolderWithoutLease(t *testing.T) {
+func TestHolderAfterLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	h := slots.NewHolder()
 	h.Grant(0, "s", 3)
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -70,7 +70,7 @@
 		for _, n := range s.held {
 			held += n
 		}
-		out = append(out, RouterState{Router: s.router, Linked: s.linked, Renewed: s.renewedAt, Held: held})
+		out = append(out, RouterState{Router: s.key, Linked: s.linked, Renewed: s.renewedAt, Held: held})
 	}
 	return out
 }
@@ -79,7 +79,7 @@
 func (a *Allocator) Processes() []Process {
 	out := make([]Process, 0, len(a.sortedSessions))
 	for _, s := range a.sortedSessions {
-		out = append(out, Process{Router: s.name, Boot: s.boot})
+		out = append(out, Process{Router: s.routerName, Boot: s.boot})
 	}
 	return out
 }
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -35,7 +35,7 @@
 		s.urgentPending = false
 		s.viewPending = s.viewPending && !full
 		if hasNews {
-			out = append(out, OutgoingView{Router: s.router, View: v, full: full})
+			out = append(out, OutgoingView{Router: s.key, View: v, full: full})
 		}
 	}
 	return out
--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -10,7 +10,7 @@
 
 // This file tests the regions of data halls, and invalid topologies.
 
-func TestTopology(t *testing.T) {
+func TestRegionsOfHalls(t *testing.T) {
 	is := is.New(t)
 	regions := map[string]string{"north-a": "north", "south-a": "south", "north-b": "north"}
 	topology, err := New(regions)
@@ -29,7 +29,7 @@
 	is.Equal(Topology{}.Region("a"), "")
 }
 
-func TestInvalidTopology(t *testing.T) {
+func TestHallsAndRegionsNeedNames(t *testing.T) {
 	is := is.New(t)
 	_, err := New(map[string]string{"a": "north", "b": ""})
 	is.Equal(err, error(Invalid{Hall: "b", What: "lies in a region without a name"}))
