--- a/coordination/claim/claim.go
+++ b/coordination/claim/claim.go
@@ -3,21 +3,21 @@
 // Package claim implements the register that makes a request with an idempotency key run at
 // most once in the whole fleet.
 //
-// A request is named by its account and its idempotency key. Just before a router dispatches
-// it, the router claims the name, and the register grants each name once. The router settles
-// the claim with the outcome: ran (with the answer if it is small), released (the request did
-// not run, so the name is free again), or unknown. When a router's lease has expired, its
-// unsettled claims become unknown, and a resent request is answered that the original may
-// have run.
+// A request is identified by its account and its idempotency key. Just before a router
+// dispatches a request, it claims the key, and the register grants each key once. The router
+// settles the claim with the outcome: ran (with the answer if it is small), released (the
+// request did not run, so the key may be claimed again), or unknown. When a router's lease has
+// expired, its unsettled claims become unknown, and the answer to a resent request states that
+// the original may have run.
 //
-// The package owns the claims and their answers. Package control proposes the commands and
-// orphans the claims of a router whose lease has expired.
+// The package owns the claims and their answers. Package control proposes the commands,
+// including those that orphan the claims of a router whose lease has expired.
 //
 // A [Register] is a state machine driven by a replicated log. It reads no clock: commands
 // carry the time of the leader that proposed them, and the register's own time is the highest
 // one so far, so every replica drops the same claims at the same position of the log. A claim
-// is dropped [RetentionMillis] after it was settled; a request resent later runs again. A
-// claim that is still running is never dropped.
+// is dropped [RetentionMillis] after it was settled, and a request resent later runs again. An
+// unsettled claim is never dropped.
 package claim
 
 import (
@@ -73,12 +73,12 @@
 	element *list.Element // position in Register.settled; nil while running
 }
 
-// Register is the state machine. It is not safe for concurrent use.
+// Register is the state machine that holds the claims. It is not safe for concurrent use.
 type Register struct {
-	millis  int64 // highest time of a command so far, Unix time in milliseconds
+	millis  int64 // the register's time: the highest time of a command so far, Unix time in milliseconds
 	entries map[requestKey]*entry
 	settled list.List // elements are *entry, in settlement order
-	// OnSettled, if set, is called whenever a claim stops running.
+	// OnSettled, if set, is called whenever a claim is settled, released or orphaned.
 	OnSettled func(account, key string, c protocol.Claimed)
 }
 
@@ -113,10 +113,10 @@
 }
 
 func (r *Register) claim(h Holder, c protocol.Claim) protocol.Claimed {
-	n := requestKey{c.Account, c.Key}
-	e := r.entries[n]
+	k := requestKey{c.Account, c.Key}
+	e := r.entries[k]
 	if e == nil {
-		r.entries[n] = &entry{
+		r.entries[k] = &entry{
 			Account: c.Account, Key: c.Key, Digest: c.Digest, Holder: h, Attempt: c.Attempt,
 			State: protocol.ClaimRunning,
 		}
@@ -150,6 +150,7 @@
 	return protocol.Claimed{Call: s.Call, State: s.State}
 }
 
+// orphan makes the unsettled claims of a holder unknown.
 func (r *Register) orphan(h Holder) {
 	for _, e := range r.entries {
 		if e.Holder == h && e.State == protocol.ClaimRunning {
--- a/coordination/claim/claim_test.go
+++ b/coordination/claim/claim_test.go
@@ -29,6 +29,8 @@
 	}}
 }
 
+// TestClaimResult checks the state that a claim returns after other commands, also from a
+// register that was restored from a snapshot.
 func TestClaimResult(t *testing.T) {
 	orphan := Command{Holder: r1, Orphan: true}
 	ran := settleOf(r1, "k", 1, protocol.ClaimRan, "done")
@@ -64,7 +66,7 @@
 			restored := New()
 			is.NoErr(restored.UnmarshalBinary(image))
 			is.Equal(r.Apply(tt.cmd).State, tt.want)
-			is.Equal(restored.Apply(tt.cmd).State, tt.want) // the same result after restoring a snapshot
+			is.Equal(restored.Apply(tt.cmd).State, tt.want)
 		})
 	}
 }
@@ -93,8 +95,8 @@
 	is.Equal(r.Len(), 2)
 }
 
-// TestKeyIsGrantedOnce runs random commands of three routers. Between two releases a key must be
-// granted to at most one attempt.
+// TestKeyIsGrantedOnce runs random commands of three routers. Between two releases a key must
+// be granted to at most one attempt.
 func TestKeyIsGrantedOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		r := New()
--- a/coordination/claim/golden_test.go
+++ b/coordination/claim/golden_test.go
@@ -13,9 +13,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file pins the encoding of the register's commands and snapshot in testdata/golden.
-// They are stored on disks and in the logs of running fleets. Running with -update rewrites
-// the files, which only a deliberate change of the stored format justifies.
+// This file compares the encoding of the register's commands and snapshot with the files in
+// testdata/golden. Running fleets have both encodings on their disks. Run with -update to
+// rewrite the files, but only after a deliberate change of the stored format.
 
 var (
 	goldenHolder   = Holder{Router: "router-1", Boot: 1<<64 - 2}
@@ -35,7 +35,7 @@
 	is.NoErr(err)
 	var got []Command
 	is.NoErr(cbor.Unmarshal(golden.Bytes(t, "commands", b), &got))
-	is.True(reflect.DeepEqual(got, goldenCommands)) // the pinned bytes decode to the same value
+	is.True(reflect.DeepEqual(got, goldenCommands)) // the stored bytes decode to the same value
 	golden.AllSet(t, "claim", goldenCommands[0].Claim)
 	golden.AllSet(t, "settle", goldenCommands[1].Settle)
 }
@@ -54,8 +54,8 @@
 	is.NoErr(got.UnmarshalBinary(golden.Bytes(t, "register", b)))
 	is.Equal(got.millis, int64(5000))
 	is.Equal(got.Len(), 3)
-	for n, e := range r.entries {
-		other := *got.entries[n]
+	for k, e := range r.entries {
+		other := *got.entries[k]
 		is.Equal(other.element == nil, e.element == nil)
 		other.element = e.element
 		is.Equal(other, *e)
--- a/coordination/entitlement/balance.go
+++ b/coordination/entitlement/balance.go
@@ -9,7 +9,7 @@
 //
 // The covered fraction of a demand is only a target: the gateways where the account's callers
 // arrive may lack the processor time or memory to serve it, and an estimate that was wrong
-// for a second has already taken effect. Neither shows without this comparison.
+// for a second has already taken effect. Only this comparison detects either.
 
 // Constants of a balance.
 const (
--- a/coordination/entitlement/balance_test.go
+++ b/coordination/entitlement/balance_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestUnderservedAccountIsCoveredMore: of two accounts with equal demand, one is served half of what it is
-// due. Its covered fraction must rise above the other's, and output beyond the shares must be
-// held back. Reports that do not list the accounts served must change nothing.
+// TestUnderservedAccountIsCoveredMore serves one of two accounts with equal demand half of
+// what it is due. Its covered fraction must rise above the other's, and output beyond the
+// shares must be reduced. Reports that do not list the accounts served must change nothing.
 func TestUnderservedAccountIsCoveredMore(t *testing.T) {
 	is := is.New(t)
 	demands := []protocol.Demand{{Account: "even", Tokens: 2000}, {Account: "short", Tokens: 2000}}
@@ -32,8 +32,8 @@
 	is.True(even.Extra < fair.Extra)
 }
 
-// TestOverservedAccountIsCoveredLess: an account that was served too much is served less for a while, and
-// is covered in full again as soon as it demands no more than its share.
+// TestOverservedAccountIsCoveredLess checks that an account that was served too much is served
+// less for a while, and is covered in full again as soon as it demands no more than its share.
 func TestOverservedAccountIsCoveredLess(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
--- a/coordination/entitlement/bucket.go
+++ b/coordination/entitlement/bucket.go
@@ -6,8 +6,8 @@
 
 // This file defines bucket, a leaky bucket that limits what one gateway serves one account.
 
-// bucketBurst is the allowed burst, as time at the rate that drains the bucket. Bursts that
-// the account's share covers must pass.
+// bucketBurst is the allowed burst, expressed as a time at the rate that drains the bucket. It
+// lets bursts pass that the account's share covers.
 const bucketBurst = 500 * time.Millisecond
 
 // bucket holds the tokens that an account was served and that its rate has not yet drained.
@@ -22,12 +22,12 @@
 	return max(b.debt-rate*(now-b.updatedAt).Seconds(), 0)
 }
 
-// exhausted reports whether nothing more may be served now.
+// exhausted reports whether the burst is used up, so that no request may start now.
 func (b bucket) exhausted(now time.Duration, rate float64) bool {
 	return b.debtAt(now, rate) >= rate*bucketBurst.Seconds()
 }
 
-// spend returns the bucket after a request.
+// spend returns the bucket after a request of that cost.
 func (b bucket) spend(now time.Duration, rate, cost float64) bucket {
 	return bucket{debt: b.debtAt(now, rate) + cost, updatedAt: now}
 }
--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -27,24 +27,26 @@
 
 // CountsAsMissed reports whether a request of class c that is refused without a backend
 // server counts as missed. Requests within shares of the configured rate always count.
-// Requests within shares of the output beyond it (Extra) count only if the gateway itself
-// lacked a resource: Extra starts where an engine has almost nothing queued, so engines often
-// refuse it, and counting those refusals would hold the levels near the configured rate and
-// leave engines idle. A gateway's own shortage is invisible to other gateways and must still
-// keep other accounts from running ahead. Requests beyond every share never count, because
-// their own refusals would then keep them out.
-func CountsAsMissed(c Class, gatewayLacks bool) bool {
-	return c <= Entitled || (c == Extra && gatewayLacks)
+// Requests within shares of the output beyond it (Extra) count only if the gateway itself was
+// short of a resource (gatewayShort): Extra requests start only on engines with almost nothing
+// queued, so they are often refused for lack of such an engine. Counting these refusals would
+// keep the levels near the configured rate and leave engines idle. A gateway's own shortage is
+// invisible to other gateways, but must still limit what these serve to other accounts.
+// Requests beyond every share never count, because their own refusals would then keep them
+// out.
+func CountsAsMissed(c Class, gatewayShort bool) bool {
+	return c <= Entitled || (c == Extra && gatewayShort)
 }
 
-// maxListAge is the age above which the fleet's list is ignored. It lets shares outlast a
-// change of leaders (docs/design/platform.md, "Which promises need the lease").
+// maxListAge is the age above which the fleet's list is ignored. It is long enough for shares
+// to stay in force during a change of leaders (docs/design/platform.md, "Which promises need
+// the lease").
 const maxListAge = 10 * time.Second
 
 // Limits on what a gateway serves one account while it receives nothing from the leader.
 const (
 	leaderTimeout      = time.Second // lists normally arrive every 0.1 to 0.6 s
-	leaderlessFraction = 0.5         // an account's callers often arrive at two or three gateways
+	leaderlessFraction = 0.5         // fraction of the maximum rate; an account's callers often arrive at two or three gateways
 )
 
 // Classifier assigns classes to the requests that arrive at one gateway, using the fleet's
--- a/coordination/entitlement/class_test.go
+++ b/coordination/entitlement/class_test.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestStaleListIsIgnored: a list older than maxListAge is treated like no list.
+// TestStaleListIsIgnored checks that a list older than maxListAge is treated like no list.
 func TestStaleListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestClassesMatchFractions: of one account's requests, a fifth is entitled, three tenths are
-// extra and the rest is beyond.
+// TestClassesMatchFractions checks that of one account's requests a fifth is entitled, three
+// tenths are extra and the rest is beyond.
 func TestClassesMatchFractions(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
@@ -51,14 +51,14 @@
 	is.True(counts[Extra] >= 298 && counts[Extra] <= 302)
 }
 
-// TestOneGatewayKeepsToMaxAccountRate: a gateway limits what it serves one account whatever the list
-// says, and to half of that without contact to the leader.
+// TestOneGatewayKeepsToMaxAccountRate checks that a gateway limits what it serves one account
+// to the maximum rate whatever the list says, and to half of it without contact to the leader.
 func TestOneGatewayKeepsToMaxAccountRate(t *testing.T) {
 	is := is.New(t)
 	c := NewClassifier()
 	c.SetMaxAccountRate(1000)
 	c.Update(time.Second, nil, nil, false)
-	given := func(from, to time.Duration) (tokens float64) {
+	served := func(from, to time.Duration) (tokens float64) {
 		for now := from; now < to; now += 10 * time.Millisecond {
 			if class := c.Classify(now, "a", 100, false); c.Admits(now, "a", class) {
 				c.RecordStart(now, "a", 100)
@@ -67,10 +67,10 @@
 		}
 		return tokens
 	}
-	is.True(given(time.Second, 2*time.Second) <= 1000*(1+bucketBurst.Seconds())+100)
-	silent := given(2*time.Second, 6*time.Second) // no update since the first second
-	is.True(silent > 1500 && silent <= 2000)
+	is.True(served(time.Second, 2*time.Second) <= 1000*(1+bucketBurst.Seconds())+100)
+	leaderless := served(2*time.Second, 6*time.Second) // no update since the first second
+	is.True(leaderless > 1500 && leaderless <= 2000)
 	c.Update(6*time.Second, nil, nil, false)
-	is.True(given(6*time.Second, 7*time.Second) >= 1000)
+	is.True(served(6*time.Second, 7*time.Second) >= 1000)
 	is.True(c.Admits(7*time.Second, "b", Covered)) // other accounts have limits of their own
 }
--- a/coordination/entitlement/demand.go
+++ b/coordination/entitlement/demand.go
@@ -13,8 +13,8 @@
 // This file defines DemandEstimator, the leader's estimate of what each account demands and
 // is served and of what the engines produce, and the entitlements computed from it.
 
-// minDemand is the demand, in tokens per second, below which an account counts as idle. Any
-// request exceeds it.
+// minDemand is the demand, in tokens per second, below which an account counts as idle. A
+// single request exceeds it.
 const minDemand = 1
 
 // DemandEstimator estimates the accounts' demands from the gateways' reports.
@@ -146,9 +146,9 @@
 	}
 }
 
-// appendEntitlement adds an account to the lists. Requests that can still be answered in time are
-// covered first: a late answer is worth less to its caller, and the share it uses would make
-// another request late.
+// appendEntitlement adds an account's covered fractions to the lists. Requests that can still
+// be answered in time are covered first: a late answer is worth less to its caller, and the
+// share it uses would make another request late.
 func (d *DemandEstimator) appendEntitlement(name string, a *account, factor float64) {
 	late := min(a.late.average, a.demand.average)
 	fresh := a.demand.average - late
@@ -190,9 +190,9 @@
 // Entitlements. The caller must not modify them.
 func (d *DemandEstimator) LateEntitlements() []protocol.Entitlement { return d.late }
 
-// maxRateLevels is how many times the level one gateway may serve one account. It exceeds 1
-// so that an account can catch up, and stays well below 2 because no account may be served
-// twice what another is.
+// maxRateLevels is the multiple of the level that one gateway may serve one account. It
+// exceeds 1 so that an account can catch up, and stays well below 2 because no account may be
+// served twice what another is.
 const maxRateLevels = 1.25
 
 // MaxAccountRate returns what one account may be served, in tokens per second: somewhat more
--- a/coordination/entitlement/demand_test.go
+++ b/coordination/entitlement/demand_test.go
@@ -25,8 +25,9 @@
 	}
 }
 
-// TestEntitlementsOfAccountAboveItsShare lets three accounts demand at two gateways twice the configured rate,
-// while the engines produce half as much again as that rate.
+// TestEntitlementsOfAccountAboveItsShare checks the entitlements of three accounts that
+// together demand twice the configured rate at two gateways, while the engines produce one and
+// a half times that rate.
 func TestEntitlementsOfAccountAboveItsShare(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
@@ -46,8 +47,8 @@
 	is.True(!d.Contended())
 }
 
-// TestNewLeaderListsFloodWithin400ms: a new leader's averages start empty, and an account that demands
-// three times its share must still be listed after 400 ms.
+// TestNewLeaderListsFloodWithin400ms checks that a new leader, whose averages start empty,
+// lists an account that demands three times its share after 400 ms.
 func TestNewLeaderListsFloodWithin400ms(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
@@ -70,8 +71,8 @@
 	is.True(d.Contended())
 }
 
-// TestMissedRequestsLowerExtra: the more requests within shares are missed, the less any
-// account is served beyond the configured rate.
+// TestMissedRequestsLowerExtra checks that the more requests within shares are missed, the
+// less any account is served beyond the configured rate.
 func TestMissedRequestsLowerExtra(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
@@ -87,10 +88,10 @@
 	}
 }
 
-// TestIdleEnginesRaiseExtra: while most engines run nothing, accounts that demand more than
-// the configured rate are covered in full from the first list on. While all engines are busy
-// they are covered for little more than the recent output, and while requests within shares
-// are missed for no more than the configured rate, whatever is idle.
+// TestIdleEnginesRaiseExtra checks that while most engines run nothing, accounts that demand
+// more than the configured rate are covered in full from the first list on. While all engines
+// are busy, the covered sum is little more than the recent output, and while requests within
+// shares are missed, no more than the configured rate, even if engines are idle.
 func TestIdleEnginesRaiseExtra(t *testing.T) {
 	is := is.New(t)
 	reports := func(missed uint64) protocol.Usage {
@@ -112,8 +113,8 @@
 	}
 }
 
-// TestContendedWhenSeveralAccountsExceedTheirShare: requests beyond every share are served only while a single
-// account sends them.
+// TestContendedWhenSeveralAccountsExceedTheirShare checks that requests beyond every share must
+// wait as soon as a second account sends them.
 func TestContendedWhenSeveralAccountsExceedTheirShare(t *testing.T) {
 	is := is.New(t)
 	big := protocol.Demand{Account: "big", Tokens: 2000}
@@ -125,8 +126,8 @@
 	is.True(d.Contended())
 }
 
-// TestNewLeaderIsNotReadyAtFirst: a new leader's averages must cover 300 ms before it decides by
-// them.
+// TestNewLeaderIsNotReadyAtFirst checks that a new leader's averages are not used before they
+// cover 300 ms.
 func TestNewLeaderIsNotReadyAtFirst(t *testing.T) {
 	is := is.New(t)
 	d := NewDemandEstimator()
--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -46,8 +46,8 @@
 	pendingTokens float64 // tokens still to be requested, carried over between steps
 }
 
-// maxFloodFactor limits overlapping floods: more requests than a gateway can refuse are not a
-// matter of shares.
+// maxFloodFactor limits overlapping floods. Where more requests arrive than a gateway can even
+// refuse, fair shares cannot be kept.
 const maxFloodFactor = 40
 
 // flood multiplies an account's demand during a period.
--- a/coordination/entitlement/guarantee_test.go
+++ b/coordination/entitlement/guarantee_test.go
@@ -38,7 +38,7 @@
 	runSeeds(t, 20, capSeedsBusy, engineRate)
 }
 
-// runSeeds runs random floods for the seeds below first and for those in more.
+// runSeeds runs random floods for the seeds in more and for all seeds below first.
 func runSeeds(t *testing.T, first uint64, more []uint64, rate float64) {
 	seeds := more
 	for seed := range first {
@@ -50,8 +50,8 @@
 }
 
 // capSeedsBusy lists the seeds, of the first 300, whose floods violate the guarantee where
-// engines are busy unless an underserved account caps the others. capSeedsIdle lists the
-// same where engines are idle.
+// engines are busy unless an underserved account caps the level of the others. capSeedsIdle
+// lists the same where engines are idle.
 var (
 	capSeedsBusy = []uint64{54}
 	capSeedsIdle = []uint64{77, 125, 235, 261}
@@ -61,12 +61,12 @@
 // engines unless gateways report the demand on connections that they do not accept.
 var unreadSeedsIdle = []uint64{34, 40, 59, 153, 185, 196, 219, 287}
 
-// burstSeedsIdle lists the seeds that violate it unless gateways limit the connections that
-// they accept before their processors lag.
+// burstSeedsIdle lists the seeds that violate the guarantee beside idle engines unless
+// gateways limit the connections that they accept before their processors lag.
 var burstSeedsIdle = []uint64{19, 54, 161, 343, 619, 783, 790}
 
-// TestWaitingAccountIsServedHalfBesideIdleEngines runs the same where most engines run nothing, so that
-// an account lacks only processor time at its gateways.
+// TestWaitingAccountIsServedHalfBesideIdleEngines runs the same floods where most engines run
+// nothing, so that an account lacks only processor time at its gateways.
 func TestWaitingAccountIsServedHalfBesideIdleEngines(t *testing.T) {
 	t.Run("chosen", func(t *testing.T) { runFixedFloods(t, idleEngineRate) })
 	runSeeds(t, 20, slices.Concat(capSeedsIdle, unreadSeedsIdle, burstSeedsIdle), idleEngineRate)
--- a/coordination/entitlement/levelcap.go
+++ b/coordination/entitlement/levelcap.go
@@ -10,17 +10,18 @@
 // This file defines levelCap, which limits the level of the engines' output beyond the
 // configured rate while an account is served much less than it is due.
 //
-// Such an account does not lack engines, which have room for the other accounts. It lacks
+// Such an account does not lack engines, which have capacity for the other accounts. It lacks
 // processor time or memory at the gateways where its callers arrive, which no level can
-// provide. The others are therefore held near what it is served, so that none is served twice
-// as much. The sum of missed requests reveals the shortage late and by the wrong measure: it
-// lowers the level for all accounts by the size of the shortage, whichever account has it.
+// provide. The other accounts are therefore limited to little more than it is served, so that
+// none is served twice as much. The sum of missed requests would not suffice: it shows the
+// shortage late, and it lowers the level for all accounts by the size of the shortage,
+// whichever account has it.
 //
-// Most of an overloaded gateway's shortage shows as connections that it does not accept.
+// Most of an overloaded gateway's shortage consists of connections that it does not accept.
 // Demand is measured after acceptance, so the amount due would fall together with the amount
 // served. Gateways therefore report an estimate of the unaccepted demand, which is used only
-// here. In a share it would stand for requests that nobody has read, and in the target output
-// for a shortage that is not the engines'.
+// here. It does not enter the shares, because no gateway has read these requests, nor the
+// target output, because the engines do not cause this shortage.
 
 // Constants of a levelCap.
 const (
@@ -30,18 +31,21 @@
 	// one half.
 	minServedFractionUnread = 0.6
 	capMultiple             = 1.5 // multiple of what the underserved account is served
-	capMinDemand            = 0.5 // fraction of the level; accounts that demand less lose nothing to the others
+	// capMinDemand is the fraction of the level below which an account's demand causes no
+	// cap, because the account loses nothing to the others.
+	capMinDemand = 0.5
 	// capGrowthPerSecond is the relative growth of a cap per second once no account causes
-	// it. A cap that ended at once would return as soon as the others were served more.
+	// it. A cap that was removed at once would be set again as soon as the other accounts
+	// were served more.
 	capGrowthPerSecond = 0.4
 )
 
 // levelCap is an upper bound of the level in tokens per second. 0 means unbounded.
 type levelCap float64
 
-// update returns the cap after elapsed time. lowest is what the least served underserved
-// account is served, +Inf without one. The cap is never below level, the level of the
-// configured rate.
+// update returns the cap after elapsed time. lowest is the lowest rate at which an
+// underserved account is served, +Inf if there is none. The cap is never below level, the
+// level of the configured rate.
 func (c levelCap) update(elapsed time.Duration, lowest, level float64) levelCap {
 	if bound := levelCap(max(capMultiple*lowest, level)); c == 0 || bound < c {
 		return bound
--- a/coordination/entitlement/levelcap_test.go
+++ b/coordination/entitlement/levelcap_test.go
@@ -12,29 +12,29 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestLevelCap: a cap follows what the least served account is served, is never below the level,
-// and grows by its rate per second once no account causes it.
+// TestLevelCap checks that a cap follows what the least served account is served, is never
+// below the level, and grows by capGrowthPerSecond once no account causes it.
 func TestLevelCap(t *testing.T) {
 	is := is.New(t)
 	const tick, level = 100 * time.Millisecond, 1000.0
-	nobody := math.Inf(1)
+	noneUnderserved := math.Inf(1)
 	var c levelCap
 	is.Equal(c.apply(5000), 5000.0)
-	c = c.update(tick, nobody, level)
+	c = c.update(tick, noneUnderserved, level)
 	is.Equal(c.apply(5000), 5000.0)
 	c = c.update(tick, 2000, level)
 	is.Equal(c.apply(5000), capMultiple*2000)
 	c = c.update(tick, 100, level)
 	is.Equal(c.apply(5000), level)
-	c = c.update(tick, nobody, level)
+	c = c.update(tick, noneUnderserved, level)
 	is.True(math.Abs(c.apply(5000)-(1+capGrowthPerSecond/10)*level) < 1)
 	for range 50 {
-		c = c.update(tick, nobody, level)
+		c = c.update(tick, noneUnderserved, level)
 	}
 	is.Equal(c.apply(5000), 5000.0)
 }
 
-// TestUnderservedAccountCapsTheLevel: an account whose gateways serve it a fifth of what
+// TestUnderservedAccountCapsTheLevel checks that an account whose gateways serve it a fifth of what
 // other accounts are served caps these near that rate, unless it demands little.
 func TestUnderservedAccountCapsTheLevel(t *testing.T) {
 	is := is.New(t)
@@ -52,12 +52,12 @@
 	is.True(extra(60, 10) > 7000)                       // its demand is below half of the level
 }
 
-// TestUnreadDemandCapsTheLevel: an account whose gateways accept few of its connections
+// TestUnreadDemandCapsTheLevel checks that an account whose gateways accept few of its connections
 // caps the others according to what it is served. One that is served most of its demand
 // causes no cap. The estimate of unread demand changes no share.
 func TestUnreadDemandCapsTheLevel(t *testing.T) {
 	is := is.New(t)
-	settled := func(unread uint64) *DemandEstimator {
+	estimate := func(unread uint64) *DemandEstimator {
 		d := NewDemandEstimator()
 		few := protocol.Demand{Account: "few", Tokens: 400}
 		recomputeFor(d, 10*time.Second, 10_000, protocol.Usage{
@@ -67,13 +67,13 @@
 		})
 		return d
 	}
-	for unread, held := range map[uint64]bool{0: false, 200: false, 1200: true, 1e9: true} {
-		d := settled(unread)
-		is.Equal(d.extraLevel < 7000, held)
-		if held {
+	for unread, capped := range map[uint64]bool{0: false, 200: false, 1200: true, 1e9: true} {
+		d := estimate(unread)
+		is.Equal(d.extraLevel < 7000, capped)
+		if capped {
 			is.True(d.extraLevel <= 2*4000) // no account is served twice as much
 		}
 		is.Equal(d.Rates(9).Accounts[3], AccountRates{Account: "few", Demand: 4000, Served: 4000, Unread: int64(10 * unread)})
-		is.Equal(d.level, settled(0).level)
+		is.Equal(d.level, estimate(0).level)
 	}
 }
--- a/coordination/entitlement/marker.go
+++ b/coordination/entitlement/marker.go
@@ -20,7 +20,7 @@
 // requests.
 const largestDecay = 0.98
 
-// Mark reports whether a request of that cost falls within the fraction.
+// Mark adds a request of that cost and reports whether it is entitled.
 func (m *Marker) Mark(fraction, cost float64) bool {
 	if fraction >= 1 {
 		m.credit = 0
--- a/coordination/entitlement/output.go
+++ b/coordination/entitlement/output.go
@@ -3,11 +3,11 @@
 package entitlement
 
 // This file computes the target for the engines' output. Engines do not report their
-// capacity, so it is estimated from what they were given before.
+// capacity, so it is estimated from the requests that they were given recently.
 
-// missedWeight is how many tokens of output beyond the configured rate are held back per
-// token missed within shares. A miss means that some gateway cannot serve its part, and
-// service beyond the shares elsewhere must not run ahead of it.
+// missedWeight is the number of tokens by which the output beyond the configured rate is
+// reduced per token missed within shares. A miss means that some gateway cannot serve the
+// shares of its callers, and other gateways must not serve much beyond the shares meanwhile.
 const missedWeight = 3
 
 // probeFactor is how much more than their recent output the engines are given. Their capacity
@@ -30,13 +30,13 @@
 // targetOutput returns the output to request from the engines, in tokens per second. While
 // requests within shares are missed or an account is served less than it is due, it is below
 // the recent output; otherwise it is somewhat above it. Where most engines run nothing, it
-// includes the output that these would add, because no request is then missed for lack of
-// engines. Growing by probeFactor alone would refuse part of a risen demand for seconds while
-// engines are idle.
+// includes the output that the idle ones could add, because no request is then missed for
+// lack of engines. If it grew by probeFactor alone, part of an increased demand would be
+// refused for seconds while engines are idle.
 func (d *DemandEstimator) targetOutput() float64 {
-	lacking := d.missed.average + d.totalShortfall()
-	if lacking > toleratedMissFraction*d.started.average {
-		return d.started.average - missedWeight*lacking
+	shortage := d.missed.average + d.totalShortfall()
+	if shortage > toleratedMissFraction*d.started.average {
+		return d.started.average - missedWeight*shortage
 	}
 	if d.mostlyIdle() {
 		return idleUtilization / d.busyFraction * d.started.average
--- a/coordination/entitlement/rate.go
+++ b/coordination/entitlement/rate.go
@@ -19,8 +19,8 @@
 // Time constants of an average and the bound of its ratio. The slow average alone violates
 // the guarantee that TestWaitingAccountIsServedHalf checks.
 const (
-	slowTimeConstant = 1500 * time.Millisecond // some hundred requests of an account at its share
-	fastTimeConstant = 300 * time.Millisecond  // three reports
+	slowTimeConstant = 1500 * time.Millisecond // covers some hundred requests of an account at its share
+	fastTimeConstant = 300 * time.Millisecond  // covers three reports
 	// maxFastRatio is the largest factor between the slow and the fast average. It must
 	// exceed random variation: 45 requests in 300 ms at a share of 400,000 tokens per second
 	// have a standard deviation of a third of their sum.
--- a/coordination/entitlement/recentservice.go
+++ b/coordination/entitlement/recentservice.go
@@ -49,7 +49,7 @@
 	return cmp.Compare(s.recent(now, a.Account), s.recent(now, b.Account))
 }
 
-// priorityScale exceeds every route priority, so that the account's priority dominates.
+// priorityScale must exceed every route priority, so that the account's priority dominates.
 // Documents are not validated against it.
 const priorityScale = 1000
 
--- a/coordination/entitlement/retrymodel_test.go
+++ b/coordination/entitlement/retrymodel_test.go
@@ -150,9 +150,10 @@
 	return all
 }
 
-// TestRequestsInTimeAreServedBeforeLateRetries: classifying late retries separately serves accounts beyond their
-// share as much as classifying all requests alike, but nearly all of it in time, where
-// otherwise up to two fifths are late. An account within its share is unaffected.
+// TestRequestsInTimeAreServedBeforeLateRetries checks that accounts beyond their share are
+// served as much when late retries are classified separately as when all requests are
+// classified alike, but nearly all of it in time, where otherwise up to two fifths are late.
+// An account within its share is unaffected.
 func TestRequestsInTimeAreServedBeforeLateRetries(t *testing.T) {
 	for _, floods := range []int{1, 4} {
 		for _, after := range []time.Duration{time.Second, 3300 * time.Millisecond} {
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -18,7 +18,7 @@
 // Request holds the properties of a request that the queue uses.
 type Request struct {
 	Account  string
-	Flow     string // user or class within the account; empty is a flow too
+	Flow     string // user or class within the account; the empty name is a flow as well
 	Bytes    int64
 	Deadline time.Duration // time when waiting ends; 0 means never
 	Value    any           // not interpreted
@@ -126,6 +126,7 @@
 	return dropped
 }
 
+// dropWaiting removes and returns the account's waiting requests.
 func (q *Queue) dropWaiting(a *account) []*Ticket {
 	var dropped []*Ticket
 	for a.waiting > 0 {
@@ -136,8 +137,8 @@
 	return dropped
 }
 
-// Push adds a request. An account that becomes backlogged is raised to the lift. The error is
-// [QueueFullError] or [UnknownAccountError].
+// Push adds a request. The virtual time of an account that was idle is raised to the lift. The
+// error is [QueueFullError] or [UnknownAccountError].
 func (q *Queue) Push(r Request) (*Ticket, error) {
 	a := q.accounts[r.Account]
 	if a == nil {
--- a/coordination/share/share_test.go
+++ b/coordination/share/share_test.go
@@ -23,7 +23,7 @@
 	return q
 }
 
-// serveNext starts the serveNext request at the given cost and returns its value.
+// serveNext starts the next request at the given cost and returns its value.
 func serveNext(q *Queue, cost float64) any {
 	t, _ := q.Next()
 	if t == nil {
@@ -78,7 +78,7 @@
 func TestNumberOfFlowsIsBounded(t *testing.T) {
 	is := is.New(t)
 	q := queueOf(map[string]float64{"a": 1})
-	push(t, q, Request{Account: "a", Flow: "keeps the account busy"})
+	push(t, q, Request{Account: "a", Flow: "keeps the account busy"}) // idle flows are dropped once no flow waits
 	for i := range 5 * maxFlows {
 		ticket := push(t, q, Request{Account: "a", Flow: fmt.Sprint(i)})
 		q.Cancel(ticket)
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestVirtualTimeMatchesTheAllocator interleaves reports and fleet-wide virtual times in random orders.
-// After all have arrived, the router's virtual time must equal the allocator's.
+// TestVirtualTimeMatchesTheAllocator interleaves reports and fleet-wide virtual times in random
+// orders. After all have arrived, the router's virtual time must equal the allocator's.
 func TestVirtualTimeMatchesTheAllocator(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		q := queueOf(map[string]float64{"a": 2})
--- a/coordination/topology/topology.go
+++ b/coordination/topology/topology.go
@@ -2,9 +2,9 @@
 
 // Package topology maps data halls to regions. Boxes and backend servers are in data halls.
 //
-// Only a process's settings define the region of a data hall. A hall that they do not name is in no
-// known region: it is far from all others, and no request with homes is sent there. If the settings
-// name at most one region, all halls are near to each other.
+// Only a process's settings define the region of a data hall. The region of a hall that they do not
+// name is unknown: the hall counts as far from all others, and no request with homes is sent there.
+// If the settings name at most one region, all halls count as near each other.
 //
 // A Topology is immutable and safe for concurrent use. The zero value names no region.
 package topology
@@ -20,13 +20,13 @@
 // Topology holds the region of each data hall.
 type Topology struct {
 	regions map[string]string // by data hall
-	names   []string          // of the regions, sorted
+	names   []string          // names of the regions, sorted
 }
 
 // Invalid is the error for a data hall or a region without a name.
 type Invalid struct{ Hall, What string }
 
-// Error returns the data hall and the reason.
+// Error names the data hall and the reason.
 func (e Invalid) Error() string { return fmt.Sprintf("data hall %q %s", e.Hall, e.What) }
 
 // New returns a topology with the given regions by data hall. The error is [Invalid].
