--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -15,8 +15,8 @@
 )
 
 // This file defines fleet, a model of many gateways, the leader and the engines in virtual
-// time. The decisions are those of entitlement and overload; callers, processors, engines and
-// links are models of a few lines each.
+// time. The decisions are those of packages entitlement and overload; callers, processors,
+// engines and links are simple models.
 
 // Times and rates of the model.
 const (
@@ -261,12 +261,12 @@
 func (f *fleet) submit(t attempt) {
 	g := f.gateway(t)
 	if g.lag > callerTimeout {
-		f.refuse(t, step) // it was not read, and its caller retries at once
+		f.refuse(t, step) // the attempt was not read, and its caller retries at once
 		return
 	}
 	g.queue.arrived++
 	if g.accepted >= g.pace.Allowance() {
-		f.refuse(t, callerTimeout) // its connection was not accepted
+		f.refuse(t, callerTimeout) // the connection was not accepted
 		return
 	}
 	g.accepted++
@@ -320,20 +320,20 @@
 	w := worstCase{fraction: math.Inf(1)}
 	for from := 2; from+span <= int(f.now/time.Second); from++ { // the first second is incomplete
 		for _, a := range f.accounts {
-			sum, waited := worstCase{account: a.name, from: from}, true
+			current, waited := worstCase{account: a.name, from: from}, true
 			for _, s := range f.seconds[a.name][from : from+span] {
 				waited = waited && s.waited
-				sum.requested += s.requested
-				sum.served += s.served
+				current.requested += s.requested
+				current.served += s.served
 			}
 			if !waited {
 				continue
 			}
 			for _, other := range f.accounts {
-				sum.guaranteed = max(sum.guaranteed, f.guaranteed(a, other, from, span))
+				current.guaranteed = max(current.guaranteed, f.guaranteed(a, other, from, span))
 			}
-			if sum.fraction = sum.served / sum.guaranteed; sum.fraction < w.fraction {
-				w = sum
+			if current.fraction = current.served / current.guaranteed; current.fraction < w.fraction {
+				w = current
 			}
 		}
 	}
--- a/coordination/entitlement/retrymodel_test.go
+++ b/coordination/entitlement/retrymodel_test.go
@@ -26,11 +26,11 @@
 	servedInTime, servedLate float64       // tokens served to flooding accounts, in time and late
 	smallInTime              float64       // fraction of the small account's tokens that were served in time
 
-	now      time.Duration
-	gateways [2]modelGateway // first attempts arrive at the first, retries at the second
-	demand   *DemandEstimator
-	unsent   []float64 // tokens of each account not yet requested
-	retries  map[time.Duration][]arrival
+	now           time.Duration
+	gateways      [2]modelGateway // first attempts arrive at the first, retries at the second
+	demand        *DemandEstimator
+	pendingTokens []float64 // tokens of each account not yet requested
+	retries       map[time.Duration][]arrival
 }
 
 // modelGateway is a classifier and the counts that it reports.
@@ -55,7 +55,7 @@
 
 // run runs the model.
 func (m *retryModel) run() {
-	m.demand, m.retries, m.unsent = NewDemandEstimator(), map[time.Duration][]arrival{}, make([]float64, m.floodingAccounts+1)
+	m.demand, m.retries, m.pendingTokens = NewDemandEstimator(), map[time.Duration][]arrival{}, make([]float64, m.floodingAccounts+1)
 	for i := range m.gateways {
 		m.gateways[i] = modelGateway{NewClassifier(), map[string]uint64{}, map[string]uint64{}, map[string]uint64{}}
 	}
@@ -86,12 +86,12 @@
 func (m *retryModel) arrivals() []arrival {
 	all := m.retries[m.now]
 	delete(m.retries, m.now)
-	for i := range m.unsent {
+	for i := range m.pendingTokens {
 		rate := m.demandFactor * modelShare
 		if i == m.floodingAccounts {
 			rate = modelShare / 5
 		}
-		for m.unsent[i] += rate * modelTick.Seconds(); m.unsent[i] >= modelCost; m.unsent[i] -= modelCost {
+		for m.pendingTokens[i] += rate * modelTick.Seconds(); m.pendingTokens[i] >= modelCost; m.pendingTokens[i] -= modelCost {
 			all = append(all, arrival{account: fmt.Sprint(i)})
 		}
 	}
--- a/coordination/slots/allocator.go
+++ b/coordination/slots/allocator.go
@@ -26,7 +26,7 @@
 	Share float64
 }
 
-// Process is one run of a router's process.
+// Process identifies one run of a router. Boot differs between the runs.
 type Process struct {
 	Router string
 	Boot   uint64
@@ -66,17 +66,17 @@
 // Configure applies the backend servers and accounts of a configuration.
 func (a *Allocator) Configure(servers []Server, accounts []Account) {
 	seen := map[string]bool{}
-	for _, b := range servers {
-		seen[b.Name] = true
-		s := a.servers[b.Name]
+	for _, config := range servers {
+		seen[config.Name] = true
+		s := a.servers[config.Name]
 		if s == nil {
 			s = &server{freeIndex: -1}
-			a.servers[b.Name] = s
+			a.servers[config.Name] = s
 		}
 		if s.pool != nil {
 			s.pool.removeFree(s)
 		}
-		s.Server, s.pool = b, a.pool(b.Pool)
+		s.Server, s.pool = config, a.pool(config.Pool)
 		s.pool.updateFree(s)
 	}
 	for _, name := range slices.Sorted(maps.Keys(a.servers)) {
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -14,7 +14,7 @@
 // This file defines the measured fleet configurations and the benchmark that runs each of
 // them under the product's policy and both baselines.
 
-// linen is Petrovi Linen: 9 boxes, 12 workers of a language model and 3 of a plain service,
+// linen models Petrovi Linen: 9 boxes, 12 servers of a language model and 3 of a plain service,
 // and ten accounts, three of which are large and send two thirds of their requests to one
 // router.
 func linen() fleetConfig {
@@ -28,10 +28,10 @@
 	}
 }
 
-// overcommit is the product's default.
+// overcommit is the product's default fraction of overcommitted slots.
 const overcommit = 0.125
 
-// viewer is the cadastral map viewer: 7 boxes, with 9 and 3 workers.
+// viewer models the cadastral map viewer: 7 boxes, with 9 and 3 servers.
 func viewer() fleetConfig {
 	s := linen()
 	s.name, s.routers = "viewer", 7
@@ -98,7 +98,7 @@
 	}},
 }
 
-// loseAllocator removes the allocator. Another one starts after an election.
+// loseAllocator stops the allocator. Another one starts after 1.5 s, the time of an election.
 func loseAllocator(f *fleet) {
 	if f.policy != fleetFair {
 		return
--- a/coordination/slots/doc.go
+++ b/coordination/slots/doc.go
@@ -9,7 +9,7 @@
 // reuses a slot without any message as long as its own next account is not further ahead than
 // the fleet's floor plus some slack ([Decide]). Otherwise it returns the slot, and the
 // allocator grants it to a router where the account that is furthest behind has work waiting.
-// Messages are therefore sent when shares shift, not per request.
+// Messages are therefore sent when slots move between routers, not per request.
 //
 // Where each rule is implemented:
 //
@@ -27,20 +27,22 @@
 // allocator has to guess what runs where. Fair queueing per router without any exchange is
 // the baseline and does not bound the gap.
 //
-// The package owns the slot counts on both sides and the fleet-wide virtual times. It relies
-// on coordination/pool to apply views at a router and to report, on protocol for the
-// messages, and on the replicated log for the epoch and the processes that may hold slots.
+// The package owns the slot counts of the allocator and the routers, and the fleet-wide
+// virtual times. It relies on coordination/pool to apply views at a router and to report, on
+// protocol for the messages, and on the replicated log for the epoch and the processes that
+// may hold slots.
 //
 // Invariants:
 //
 //   - Nothing is granted on a server whose slots, overcommitted ones included, are all held.
-//   - A slot of a router that vanished is granted again only after its lease and margin.
+//   - A slot of a router that stopped or stays disconnected is granted again only after its
+//     lease and the margin have passed.
 //   - An allocator grants nothing until every router that may hold slots has reported what it
 //     holds, or the lease and the margin have passed.
 //
-// Only requests that outlive a lease exceed a server's slots. A router counts its lease from
-// when it sent the renewal and the allocator from when it received it, so the router's always
-// ends first.
+// Only requests that still run when their router's lease expires can exceed a server's slots.
+// A router counts its lease from when it sent the renewal and the allocator from when it
+// received it, so the router's always ends first.
 //
 // While accounts a and b are both backlogged for a pool, with weights w, slots M, the largest
 // request L, the service C that the pool can do per second, and views at most D seconds old,
--- a/coordination/slots/example_test.go
+++ b/coordination/slots/example_test.go
@@ -40,11 +40,11 @@
 		case slots.Use:
 			fmt.Println(best, "use")
 		case slots.Return:
-			fmt.Println(best, "give back")
+			fmt.Println(best, "return")
 		}
 	}
 	// Output:
 	// 105 use
-	// 120 give back
-	// +Inf give back
+	// 120 return
+	// +Inf return
 }
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -10,7 +10,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file runs the allocator in the fixture, and the baselines that need none.
+// This file runs the allocator in the fixture, and the baselines that have no allocator.
 
 func (f *fleet) newAllocator(expected []slots.Process) {
 	f.alloc = slots.NewAllocator(f.epoch, f.now, testLease, f.config.pace, expected)
@@ -61,8 +61,8 @@
 	}
 }
 
-// baselineDispatch uses every free slot at once, without messages or delay. This favors the
-// baselines.
+// baselineDispatch uses every free slot at once, without messages or delay, which favors the
+// baselines in comparisons.
 func (f *fleet) baselineDispatch(p int) {
 	for _, srv := range f.byPool[f.config.pools[p].name] {
 		for srv.running < srv.slots {
--- a/coordination/slots/fixture_measures_test.go
+++ b/coordination/slots/fixture_measures_test.go
@@ -139,7 +139,7 @@
 	return s / m.f.config.accounts[a].share
 }
 
-const sampleEvery = 10 * time.Millisecond
+const sampleInterval = 10 * time.Millisecond
 
 func (m *measures) sample() {
 	warm := m.f.now > 2*time.Second
@@ -198,7 +198,7 @@
 	m.busy[p] += float64(busy)
 	m.usable[p] += float64(all)
 	if busy < all {
-		m.idleTime[p] += sampleEvery
+		m.idleTime[p] += sampleInterval
 		m.maxIdle = max(m.maxIdle, m.idleTime[p])
 	} else {
 		m.idleTime[p] = 0
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -14,9 +14,10 @@
 	"github.com/badgerspoke/badgerspoke/coordination/slots"
 )
 
-// This file defines fleet, a test fixture. It connects the real decisions of routers
-// (coordination/pool) and of the allocator by in-memory links that have latency and count
-// bytes, in front of servers that only keep time. Time is virtual, a heap of events.
+// This file defines fleet, a test fixture. It connects the product's routers (coordination/pool)
+// and allocator by in-memory links that have latency and count bytes, in front of model servers
+// that only occupy a slot for a request's duration. Time is virtual and advances from event to
+// event.
 
 // policy determines how slots are assigned.
 type policy int
@@ -44,12 +45,12 @@
 	pace     slots.Pace
 }
 
-// poolConfig is the configuration of one pool: workers whose slots each serve rate units of
+// poolConfig is the configuration of one pool: servers whose slots each serve rate units of
 // cost per second.
 type poolConfig struct {
 	name        string
 	serverCount int
-	slots       int
+	slots       int // per server
 	rate        float64
 	meanCost    float64 // mean cost of a request
 	overcommit  float64 // overcommitted slots as a fraction of a server's slots
@@ -57,16 +58,17 @@
 
 func (p poolConfig) overcommitted() int { return int(math.Ceil(p.overcommit * float64(p.slots))) }
 
-// accountConfig is the load of one account. offered is a multiple of its fair share of each
-// pool, homeFraction the fraction of its requests that arrive at one router, and on and off
-// the lengths of its active and idle periods; with on at 0 it is always active.
+// accountConfig is the share and the load of one account. offered is its demand as a multiple
+// of its fair share of each pool, homeFraction the fraction of its requests that arrive at one
+// router, and on and off the lengths of its active and idle periods; with on at 0 it is always
+// active.
 type accountConfig struct {
 	name         string
 	share        float64
 	offered      float64
 	homeFraction float64
 	on, off      time.Duration
-	small        bool
+	small        bool // its waits are included in results.p99
 }
 
 type fault struct {
@@ -305,7 +307,7 @@
 	})
 }
 
-// freeSlot frees a place in the batch for the next request in the server's queue.
+// freeSlot removes a request from the batch and starts the next ones in the server's queue.
 func (s *testServer) freeSlot(f *fleet) {
 	s.running--
 	for len(s.queue) > 0 && s.running < s.slots {
--- a/coordination/slots/fleetpool.go
+++ b/coordination/slots/fleetpool.go
@@ -66,7 +66,7 @@
 // backlogKey identifies an account in a pool.
 type backlogKey struct{ pool, account string }
 
-// routerBacklog is the work of one account at one router.
+// routerBacklog counts the requests of one account in one pool at one router.
 type routerBacklog struct {
 	session        *session
 	router         *routerPool
@@ -79,7 +79,7 @@
 }
 
 // unmet returns the number of requests that no grant in flight covers.
-func (w *routerBacklog) unmet() int { return max(w.waiting-w.grantsInFlight, 0) }
+func (b *routerBacklog) unmet() int { return max(b.waiting-b.grantsInFlight, 0) }
 
 func newFleetPool(name string) *fleetPool {
 	return &fleetPool{
@@ -131,7 +131,7 @@
 	}
 }
 
-// removeFree removes a server from that list.
+// removeFree removes a server from the list of those with a free slot.
 func (p *fleetPool) removeFree(s *server) {
 	if s.freeIndex < 0 {
 		return
@@ -161,10 +161,10 @@
 }
 
 func (p *fleetPool) removeAccount(acc *account) {
-	for _, w := range slices.Clone(acc.backlogs) {
-		w.waiting, w.grantsInFlight = 0, 0
-		p.updateBacklog(w)
-		delete(w.session.backlogs, backlogKey{p.name, acc.name})
+	for _, b := range slices.Clone(acc.backlogs) {
+		b.waiting, b.grantsInFlight = 0, 0
+		p.updateBacklog(b)
+		delete(b.session.backlogs, backlogKey{p.name, acc.name})
 	}
 	p.backlogged.Remove(acc)
 	delete(p.accounts, acc.name)
@@ -176,40 +176,40 @@
 		return
 	}
 	k := backlogKey{p.name, acc.name}
-	w := s.backlogs[k]
-	if w == nil {
+	b := s.backlogs[k]
+	if b == nil {
 		if n == 0 && running == 0 {
 			return
 		}
-		w = &routerBacklog{session: s, router: s.pool(p), account: acc, backlogIndex: -1}
-		s.backlogs[k] = w
+		b = &routerBacklog{session: s, router: s.pool(p), account: acc, backlogIndex: -1}
+		s.backlogs[k] = b
 	}
-	acc.running += running - w.running
-	w.waiting, w.running = n, running
-	p.updateBacklog(w)
+	acc.running += running - b.running
+	b.waiting, b.running = n, running
+	p.updateBacklog(b)
 }
 
 // updateBacklog re-indexes a backlog and its account after a change, and removes the backlog
 // once it is empty.
-func (p *fleetPool) updateBacklog(w *routerBacklog) {
-	acc := w.account
-	p.unmetRequests += w.unmet() - w.countedUnmet
-	w.countedUnmet = w.unmet()
+func (p *fleetPool) updateBacklog(b *routerBacklog) {
+	acc := b.account
+	p.unmetRequests += b.unmet() - b.countedUnmet
+	b.countedUnmet = b.unmet()
 	switch {
-	case w.unmet() > 0 && w.backlogIndex < 0:
-		w.router.addUnmet(1)
-		w.backlogIndex = len(acc.backlogs)
-		acc.backlogs = append(acc.backlogs, w)
-	case w.unmet() == 0 && w.backlogIndex >= 0:
-		w.router.addUnmet(-1)
+	case b.unmet() > 0 && b.backlogIndex < 0:
+		b.router.addUnmet(1)
+		b.backlogIndex = len(acc.backlogs)
+		acc.backlogs = append(acc.backlogs, b)
+	case b.unmet() == 0 && b.backlogIndex >= 0:
+		b.router.addUnmet(-1)
 		last := len(acc.backlogs) - 1
-		acc.backlogs[w.backlogIndex] = acc.backlogs[last]
-		acc.backlogs[w.backlogIndex].backlogIndex = w.backlogIndex
+		acc.backlogs[b.backlogIndex] = acc.backlogs[last]
+		acc.backlogs[b.backlogIndex].backlogIndex = b.backlogIndex
 		acc.backlogs = acc.backlogs[:last]
-		w.backlogIndex = -1
+		b.backlogIndex = -1
 	}
-	if w.waiting == 0 && w.grantsInFlight == 0 && w.running == 0 {
-		delete(w.session.backlogs, backlogKey{p.name, acc.name})
+	if b.waiting == 0 && b.grantsInFlight == 0 && b.running == 0 {
+		delete(b.session.backlogs, backlogKey{p.name, acc.name})
 	}
 	p.reorder(acc)
 }
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -44,9 +44,9 @@
 	var unreachable []*account // accounts whose routers can reach no free server at present
 	for p.backlogged.Len() > 0 && len(p.freeServers) > 0 {
 		acc := p.backlogged.Min()
-		w := acc.nextBacklog()
-		if srv := p.freestServer(now, w.session); srv != nil {
-			a.grant(p, w, srv)
+		b := acc.nextBacklog()
+		if srv := p.freestServer(now, b.session); srv != nil {
+			a.grant(p, b, srv)
 			continue
 		}
 		p.backlogged.Remove(acc)
@@ -67,9 +67,9 @@
 	var best *routerBacklog
 	n := len(a.backlogs)
 	for i := range min(n, candidateLimit) {
-		w := a.backlogs[(a.backlogCursor+i)%n]
-		if best == nil || w.unmet() > best.unmet() {
-			best = w
+		b := a.backlogs[(a.backlogCursor+i)%n]
+		if best == nil || b.unmet() > best.unmet() {
+			best = b
 		}
 	}
 	a.backlogCursor++
@@ -97,15 +97,15 @@
 	return best
 }
 
-func (a *Allocator) grant(p *fleetPool, w *routerBacklog, srv *server) {
-	s := w.session
+func (a *Allocator) grant(p *fleetPool, b *routerBacklog, srv *server) {
+	s := b.session
 	a.assign(s, srv.Name, 1)
 	s.unsentGrants[srv.Name]++
-	s.unackedGrants = append(s.unackedGrants, grant{pool: p.name, account: w.account.name})
+	s.unackedGrants = append(s.unackedGrants, grant{pool: p.name, account: b.account.name})
 	s.urgentPending = true
-	w.grantsInFlight++
-	w.account.grantsInFlight++
-	p.updateBacklog(w)
+	b.grantsInFlight++
+	b.account.grantsInFlight++
+	p.updateBacklog(b)
 }
 
 // acknowledge removes the grants that a router has applied: the waiting requests in its
@@ -122,11 +122,11 @@
 
 // finishGrant removes a grant from the counts of grants in flight.
 func (a *Allocator) finishGrant(s *session, g grant) {
-	w := s.backlogs[backlogKey{g.pool, g.account}]
-	if w == nil {
+	b := s.backlogs[backlogKey{g.pool, g.account}]
+	if b == nil {
 		return
 	}
-	w.grantsInFlight = max(w.grantsInFlight-1, 0)
-	w.account.grantsInFlight = max(w.account.grantsInFlight-1, 0)
-	a.pools[g.pool].updateBacklog(w)
+	b.grantsInFlight = max(b.grantsInFlight-1, 0)
+	b.account.grantsInFlight = max(b.account.grantsInFlight-1, 0)
+	a.pools[g.pool].updateBacklog(b)
 }
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -43,7 +43,7 @@
 	h.lastFreed = now
 }
 
-// Start uses one free slot of a server that FreeServers returned.
+// Start uses one free slot of a server, which must be among FreeServers.
 func (h *Holder) Start(server string) {
 	h.server(server).running++
 	h.unusedGrants = max(h.unusedGrants-1, 0)
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -14,12 +14,12 @@
 // delivery. The account must not stay charged for slots that never arrive.
 func TestEndedSessionLeavesNoGrantsInFlight(t *testing.T) {
 	ends := map[string]func(a *Allocator){
-		"link breaks":        func(a *Allocator) { a.Disconnect("r", 1) },
-		"lease runs out":     func(a *Allocator) { a.EndSession("r") },
-		"session replaced":   func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
-		"restarted process":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
-		"goodbye with work":  func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
-		"account is removed": func(a *Allocator) { a.configureAccounts(nil) },
+		"link breaks":         func(a *Allocator) { a.Disconnect("r", 1) },
+		"lease expires":       func(a *Allocator) { a.EndSession("r") },
+		"session is replaced": func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
+		"process restarts":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
+		"goodbye with work":   func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
+		"account is removed":  func(a *Allocator) { a.configureAccounts(nil) },
 	}
 	for name, end := range ends {
 		for _, sent := range []bool{false, true} {
@@ -68,7 +68,7 @@
 	}
 	report := protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: waiting}}}
 	ends := map[string]func(a *Allocator){
-		"lease runs out":       func(a *Allocator) { a.EndSession("r1") },
+		"lease expires":        func(a *Allocator) { a.EndSession("r1") },
 		"link breaks, unsent":  func(a *Allocator) { a.Disconnect("r1", 1) },
 		"servers are removed":  func(a *Allocator) { a.EndSession("r1"); a.Configure(servers[3:], accounts) },
 		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -16,7 +16,7 @@
 // faults: the gap stays within the bound, no slot is granted twice, no slot stays free for
 // long while requests wait, and every account is served.
 
-// TestGuaranteesOverRandomSchedules checks the guarantees on random fleets.
+// TestGuaranteesOverRandomSchedules runs random fleets and checks all four guarantees.
 func TestGuaranteesOverRandomSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		s, faulty, partitioned := randomConfig(t)
@@ -50,7 +50,7 @@
 	s.routers = rapid.IntRange(1, 6).Draw(t, "routers")
 	s.latency = time.Duration(rapid.IntRange(0, 5).Draw(t, "latency")) * time.Millisecond
 	s.pools = s.pools[:1]
-	s.pools[0].serverCount = rapid.IntRange(1, 4).Draw(t, "workers")
+	s.pools[0].serverCount = rapid.IntRange(1, 4).Draw(t, "servers")
 	s.pools[0].slots = rapid.IntRange(1, 8).Draw(t, "slots")
 	s.longTail = rapid.Bool().Draw(t, "long tail")
 	n := rapid.IntRange(2, 5).Draw(t, "accounts")
@@ -71,14 +71,16 @@
 		faulty = true
 		at := time.Duration(rapid.IntRange(1, 8).Draw(t, "at")) * time.Second
 		router := rapid.IntRange(0, s.routers-1).Draw(t, "router")
-		faults, cuts := randomFault(t, at, router)
+		faults, isPartition := randomFault(t, at, router)
 		s.faults = append(s.faults, faults...)
-		partitioned = partitioned || cuts
+		partitioned = partitioned || isPartition
 	}
 	return s, faulty, partitioned
 }
 
-func randomFault(t *rapid.T, at time.Duration, router int) (faults []fault, cuts bool) {
+// randomFault returns the loss of the allocator, a partition or restart of the router, or a
+// broken link, and whether it is a partition.
+func randomFault(t *rapid.T, at time.Duration, router int) (faults []fault, isPartition bool) {
 	switch rapid.IntRange(0, 3).Draw(t, "fault") {
 	case 0:
 		return []fault{{at, func(f *fleet) {
@@ -106,10 +108,10 @@
 	}}}, false
 }
 
-// TestLongRequestsAreDrained runs a schedule in which 16 requests wait when the arrivals end and
-// take 77.2 s on the one slot, although 16 requests of mean cost take 32 s. The time allowed
-// for draining must follow the actual costs. The slot is never free until the last request
-// starts.
+// TestLongRequestsAreDrained runs a schedule in which 16 requests wait when the arrivals end
+// and take 77.2 s on the one slot, although 16 requests of mean cost take 32 s. The time
+// allowed for draining must follow the actual costs. The slot must not be free until the last
+// request starts.
 func TestLongRequestsAreDrained(t *testing.T) {
 	s := linen()
 	s.duration = 12 * time.Second
--- a/coordination/slots/recall.go
+++ b/coordination/slots/recall.go
@@ -7,8 +7,8 @@
 // This file defines which slots are recalled from routers, and when a pool counts as short of
 // slots.
 
-// recallTimeout is how long the allocator counts on a recalled slot. A slot in use may be
-// returned later, and can still be granted then.
+// recallTimeout is the time after which a recalled slot that was not returned no longer counts
+// as outstanding. A slot in use may be returned later, and can still be granted then.
 const recallTimeout = time.Second
 
 // recall recalls slots for requests that wait elsewhere: as many free slots as requests wait
--- a/coordination/slots/report.go
+++ b/coordination/slots/report.go
@@ -15,8 +15,8 @@
 // not reach.
 const suspectDuration = 2 * time.Second
 
-// maxReportedService bounds the service in one report, in units of cost. No router can do as
-// much between two reports.
+// maxReportedService bounds the service in one report, in units of cost. No router can provide
+// as much between two reports.
 const maxReportedService = 1e12
 
 // Report applies a router's report. A report of an unlinked session is dropped, because the
@@ -47,6 +47,7 @@
 	}
 }
 
+// report applies a router's report of one pool.
 func (p *fleetPool) report(s *session, pr protocol.PoolReport) {
 	r := s.pool(p)
 	r.reportedIdle = max(pr.Idle, 0)
--- a/coordination/slots/scale_bench_test.go
+++ b/coordination/slots/scale_bench_test.go
@@ -14,19 +14,19 @@
 // This file measures the cost of the fleet's message exchange as the fleet grows, for the
 // slopes in docs/CAPACITY.md.
 
-// large is a part of the fleet projected for two years from now: 1,600 routers with 94
-// requests per second each, in front of 4 pools. Requests are six times shorter than
-// projected (2 s) so that the fixture fits the machine, so slots change hands six times as
-// often. A tenth of the accounts is backlogged.
+// large models a part of the fleet projected for two years from now: 1,600 routers with 94
+// requests per second each, in front of 4 pools. Requests take a sixth of the projected time
+// (2 s), so that the fixture fits on one machine. Slots therefore move between routers six
+// times as often. A tenth of the accounts is backlogged.
 func large(routers, accounts int) fleetConfig {
 	s := fleetConfig{
 		name: "large", routers: routers, latency: 1500 * time.Microsecond, duration: 12 * time.Second,
 	}
 	s.pace = slots.DefaultPace
 	s.pace.Budget, s.pace.Burst = 4500, 9000 // out of 10 KB per second in both directions
-	workers := routers * 10 / 16 / 4 * 10
+	serverCount := routers * 10 / 16 / 4 * 10
 	for i := range 4 {
-		s.pools = append(s.pools, poolConfig{name: fmt.Sprintf("m%d", i), serverCount: workers, slots: 30, rate: 110, meanCost: 220, overcommit: overcommit})
+		s.pools = append(s.pools, poolConfig{name: fmt.Sprintf("m%d", i), serverCount: serverCount, slots: 30, rate: 110, meanCost: 220, overcommit: overcommit})
 	}
 	for i := range accounts {
 		a := accountConfig{name: fmt.Sprintf("a%d", i), share: 1, offered: 0.5, homeFraction: 0.5, small: true}
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -33,8 +33,8 @@
 // session is one router process, from its first message until its lease and margin have
 // passed.
 type session struct {
-	key             string // key in Allocator.sessions
-	routerName      string // the router's own name; differs from router for an orphaned session
+	key             string // key in Allocator.sessions: routerName, or a unique one if orphaned
+	routerName      string
 	boot            uint64
 	renewedAt       time.Duration // time of the last lease renewal
 	linked          bool
@@ -90,9 +90,9 @@
 	return reports, known
 }
 
-// restoreVirtualTimes raises the counters to the virtual times that a router received from an earlier
-// allocator, so that debts survive a takeover. Of the times that several routers report, a
-// lower one is older.
+// restoreVirtualTimes raises the accounts' virtual times to those that a router received from
+// an earlier allocator, so that a takeover cancels no debt. If several routers report different
+// times of an account, the highest is the newest.
 func (a *Allocator) restoreVirtualTimes(views []protocol.PoolView) {
 	for _, pv := range views {
 		p := a.pools[pv.Pool]
@@ -110,7 +110,8 @@
 	}
 }
 
-// orphan keeps a vanished process's slots under a separate name until its lease has expired.
+// orphan moves the session of a process that was replaced to a key of its own, where its slots
+// stay held until its lease has expired.
 func (a *Allocator) orphan(s *session) {
 	a.clearBacklogs(s)
 	s.linked = false
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -23,8 +23,8 @@
 	stale.ReceivedAt = now - slots.MaxViewAge - 1
 	aged := view
 	aged.ReceivedAt = now - 200*time.Millisecond // the floor has risen by 10 since
-	enough := view
-	enough.Short = false
+	notShort := view
+	notShort.Short = false
 	tests := []struct {
 		name    string
 		best    float64
@@ -39,10 +39,10 @@
 		{"ahead of the risen floor", 121, false, aged, slots.Return},
 		{"ahead, but the slot was just granted", 500, true, view, slots.Use},
 		{"ahead, but the view is stale", 500, false, stale, slots.Use},
-		{"ahead, but the pool is not short", 500, false, enough, slots.Use},
+		{"ahead, but the pool is not short", 500, false, notShort, slots.Use},
 		{"nothing waits here, the pool is short", math.Inf(1), false, view, slots.Return},
 		{"nothing waits here, stale view", math.Inf(1), false, stale, slots.Keep},
-		{"nothing waits here, the pool is not short", math.Inf(1), false, enough, slots.Keep},
+		{"nothing waits here, the pool is not short", math.Inf(1), false, notShort, slots.Keep},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -165,6 +165,8 @@
 	is.Equal(granted(a, 1)["r1"], 1) // the other grant was lost in transit and is free again
 }
 
+// TestInvalidMessagesAreBounded checks that impossible counts are ignored or bounded, and that
+// unknown servers, pools, accounts and routers are ignored.
 func TestInvalidMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
@@ -174,7 +176,7 @@
 	a.Report(0, "r2", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: -3, Accounts: []protocol.AccountReport{
 		{Account: "a", Waiting: -1}, {Account: "b", Waiting: 1, Service: math.NaN()}, {Account: "?", Waiting: 9},
 	}}, {Pool: "none"}}})
-	a.Report(0, "stranger", waitingReport("a", 5))
+	a.Report(0, "unknown", waitingReport("a", 5))
 	is.Equal(len(granted(a, 0)), 0)
 	is.Equal(a.Occupancies()[0].Granted, 2) // not the 1<<30 that the router claims
 	a.Report(0, "r2", waitingReport("b", 1))
@@ -192,7 +194,7 @@
 		}}}})
 		a.Allocate(0)
 	}
-	time := func(account string) float64 {
+	virtualTime := func(account string) float64 {
 		for _, s := range a.Standings() {
 			if s.Account == account {
 				return s.VirtualTime
@@ -203,22 +205,22 @@
 	serve("a", 5, 0)
 	serve("a", 5, 1000) // a is served alone while b is idle
 	serve("b", 1, 0)
-	is.Equal(time("b"), 1000.0) // b starts at a's virtual time, not 1,000 behind
+	is.Equal(virtualTime("b"), 1000.0) // b starts at a's virtual time, not 1,000 behind
 	serve("b", 0, 700)
 	serve("a", 5, 10)
 	serve("b", 1, 0)
-	is.Equal(time("b"), 1700.0) // going idle did not reduce b's lead
+	is.Equal(virtualTime("b"), 1700.0) // going idle did not reduce b's lead
 }
 
 func TestFreeSlotIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
-	a.Report(0, "rich", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
-	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
-	a.Report(0, "poor", waitingReport("a", 1))
+	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
+	a.Report(0, "holding", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
+	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
+	a.Report(0, "empty", waitingReport("a", 1))
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one request waits, so one slot is recalled, not both
+	is.Equal(viewsOf(a, 0)["holding"].Recall, 1) // one request waits, so one slot is recalled, not both
 }
 
 func TestFreeSlotIsRecalledForARouterWithSlots(t *testing.T) {
@@ -235,13 +237,13 @@
 func TestSlotInUseIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "rich", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
-	a.OpenSession(0, protocol.Hello{Router: "poor", Boot: 2})
-	a.Report(0, "poor", waitingReport("a", 3))
+	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
+	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
+	a.Report(0, "empty", waitingReport("a", 3))
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["rich"].Recall, 1) // one slot for a router that has none, not three
+	is.Equal(viewsOf(a, 0)["holding"].Recall, 1) // one slot for a router that has none, not three
 	a.Allocate(0)
-	is.Equal(viewsOf(a, 0)["rich"].Recall, 0) // not recalled again while in flight
+	is.Equal(viewsOf(a, 0)["holding"].Recall, 0) // not recalled again while in flight
 }
 
 func TestShortageIsSent(t *testing.T) {
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -27,8 +27,8 @@
 		for _, an := range slices.Sorted(maps.Keys(p.accounts)) {
 			acc := p.accounts[an]
 			st := Standing{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.virtualTime}
-			for _, w := range acc.backlogs {
-				st.Waiting += w.waiting
+			for _, b := range acc.backlogs {
+				st.Waiting += b.waiting
 			}
 			out = append(out, st)
 		}
--- a/coordination/slots/view.go
+++ b/coordination/slots/view.go
@@ -101,8 +101,8 @@
 // the router needs just these to order its queue.
 //
 // Slack, rate and each account's time above the floor are rounded to 32-bit precision, which
-// halves their bytes on the link. Unlike absolute virtual times, these values do not lose
-// precision as the fleet grows old.
+// halves their bytes on the link. Absolute virtual times are not rounded, because they grow
+// without bound and would lose precision.
 func (r *routerPool) view(full bool) (protocol.PoolView, bool) {
 	p := r.pool
 	pv := protocol.PoolView{
