--- a/coordination/entitlement/fleet_test.go
+++ b/coordination/entitlement/fleet_test.go
@@ -93,7 +93,7 @@
 // accountSecond holds one account's tokens in one second.
 type accountSecond struct {
 	requested, served float64
-	waited            bool
+	waited            bool // a request was refused or not read in this second
 }
 
 // fleet is the whole model.
--- a/coordination/entitlement/level_test.go
+++ b/coordination/entitlement/level_test.go
@@ -19,7 +19,7 @@
 		capacity float64
 		want     float64
 	}{
-		{"nobody", nil, 10, 10},
+		{"no accounts", nil, 10, 10},
 		{"no shortage", []float64{1, 2, 3}, 10, 3},
 		{"all demand more", []float64{20, 30, 40}, 30, 10},
 		{"small demands are covered in full", []float64{1, 2, 30, 40}, 23, 10},
--- a/coordination/entitlement/levelcap.go
+++ b/coordination/entitlement/levelcap.go
@@ -12,8 +12,8 @@
 //
 // Such an account does not lack engines, which have capacity for the other accounts. It lacks
 // processor time or memory at the gateways where its callers arrive, which no level can
-// provide. The other accounts are therefore limited to little more than it is served, so that
-// none is served twice as much. The sum of missed requests would not suffice: it shows the
+// provide. The other accounts are therefore limited to capMultiple times what it is served, so
+// that none is served twice as much. The sum of missed requests would not suffice: it shows the
 // shortage late, and it lowers the level for all accounts by the size of the shortage,
 // whichever account has it.
 //
--- a/coordination/entitlement/modelqueue_test.go
+++ b/coordination/entitlement/modelqueue_test.go
@@ -22,8 +22,8 @@
 }
 
 const (
-	queueCapacity  = 64 // capacity in connections
-	samplesPerStep = 4  // samples per step
+	queueCapacity  = 64 // connections
+	samplesPerStep = 4  // samples of the queue's length
 )
 
 // step simulates the queue for one step. Connections arrive evenly and are accepted at the
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -21,7 +21,7 @@
 	Flow     string // user or class within the account; the empty name is a flow as well
 	Bytes    int64
 	Deadline time.Duration // time when waiting ends; 0 means never
-	Value    any           // not interpreted
+	Value    any           // the caller's value, not used by the queue
 }
 
 // Limits bounds what one account, or a whole queue, may hold. Zero means unlimited.
--- a/coordination/slots/bench_test.go
+++ b/coordination/slots/bench_test.go
@@ -53,7 +53,7 @@
 	return out
 }
 
-// variant modifies a shape.
+// variant modifies a configuration.
 type variant struct {
 	name      string
 	staleness time.Duration // maximum age of views
--- a/coordination/slots/fixture_measures_test.go
+++ b/coordination/slots/fixture_measures_test.go
@@ -17,16 +17,16 @@
 	waiting          [][]int
 	totalWork        []time.Duration // by pool, time that one slot needs for all requests there, including time already served
 	pairs            []*pair
-	measuredAccounts []int // accounts whose gaps are measured
-	busy             []float64
-	usable           []float64
+	measuredAccounts []int           // accounts whose gaps are measured
+	busy             []float64       // by pool, slots in use, summed over the samples while requests wait
+	usable           []float64       // by pool, slots that requests could use, summed likewise
 	waits            []time.Duration // waits of small accounts
 	largest          float64         // largest cost of a request
 	ended            int
-	lost             int
-	longestWait      time.Duration // longest wait of any request
-	idleTime         []time.Duration
-	maxIdle          time.Duration // longest time that a slot was free while requests waited
+	lost             int             // dropped or cancelled requests
+	longestWait      time.Duration   // longest wait of any request
+	idleTime         []time.Duration // by pool, how long a slot has been free while requests wait
+	maxIdle          time.Duration   // longest time that a slot was free while requests waited
 }
 
 // pair tracks the difference of two accounts' normalized service while both are backlogged in
@@ -34,8 +34,8 @@
 type pair struct {
 	pool, a, b     int
 	bothBacklogged bool
-	low, high      float64
-	gap            float64
+	low, high      float64 // bounds of the difference since both became backlogged
+	gap            float64 // largest high - low so far
 }
 
 const maxMeasuredAccounts = 24
--- a/coordination/slots/fixture_test.go
+++ b/coordination/slots/fixture_test.go
@@ -114,9 +114,9 @@
 	byPool              map[string][]*testServer
 	queue               []*request // waiting requests of the baseline fifo, in arrival order
 	m                   *measures
-	wakeAt              time.Duration
-	allocationScheduled bool // an allocation is scheduled
-	arrivalsEnded       bool // no more requests arrive
+	wakeAt              time.Duration // time at which the allocator is next woken to send views
+	allocationScheduled bool          // an allocation is scheduled
+	arrivalsEnded       bool          // no more requests arrive
 	allocations         int
 	lastAllocation      time.Duration
 	allocatorTime       time.Duration
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -56,7 +56,7 @@
 
 // RouterState is the state of one session.
 type RouterState struct {
-	Router  string
+	Router  string // name, with a suffix for a process that was replaced
 	Linked  bool
 	Renewed time.Duration // time of the last lease renewal
 	Held    int           // slots
