--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -131,7 +131,7 @@
 	return r
 }
 
-// expected returns the rate of bad answers to allow a version that is as good as the old one.
+// expected returns the rate of bad answers that a version as good as the old one may have.
 func (r badRate) expected(minRate float64) float64 {
 	overall := (r.overall.bad + 0.5) / (r.overall.total + 1) // Jeffreys' prior: half an answer of each kind
 	p := max(overall, minRate)
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -55,11 +55,11 @@
 func (o Order) Check() error {
 	switch {
 	case o.Pool == "" || len(o.Pool) > document.MaxVersionName:
-		return InvalidOrder{Reason: fmt.Sprintf("the pool's name has %d bytes", len(o.Pool))}
+		return InvalidOrder{Reason: fmt.Sprintf("the pool name has %d bytes, not 1 to %d", len(o.Pool), document.MaxVersionName)}
 	case o.Target == "" || len(o.Target) > document.MaxVersionName:
-		return InvalidOrder{Reason: fmt.Sprintf("the version's name has %d bytes", len(o.Target))}
+		return InvalidOrder{Reason: fmt.Sprintf("the version name has %d bytes, not 1 to %d", len(o.Target), document.MaxVersionName)}
 	case o.Duration <= 0 || o.Duration > maxDuration:
-		return InvalidOrder{Reason: fmt.Sprintf("the time is %v", o.Duration)}
+		return InvalidOrder{Reason: fmt.Sprintf("the duration is %v, not above 0 and at most %v", o.Duration, maxDuration)}
 	}
 	return nil
 }
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -192,16 +192,16 @@
 		m.injectFault()
 		acknowledged = m.deliver()
 	}
-	for pause := m.now + time.Duration(m.rng.Int64N(int64(8*time.Second))); m.now < pause; m.now += modelTick {
+	for until := m.now + time.Duration(m.rng.Int64N(int64(8*time.Second))); m.now < until; m.now += modelTick {
 		m.injectFault()
 		m.deliver()
 	}
 	return acknowledged
 }
 
-// TestCopiesBeginNothing: an order begins at most one rollout, and none after a later order. Copies
+// TestLateCopiesBeginNoRollout: an order begins at most one rollout, and none after a later order. Copies
 // arrive in any order at any replica while leaders change, replicas restart and rollouts end.
-func TestCopiesBeginNothing(t *testing.T) {
+func TestLateCopiesBeginNoRollout(t *testing.T) {
 	acknowledged, begun := 0, 0
 	const seeds, orders = 300, 20
 	for seed := range uint64(seeds) {
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestCopyWhileAnotherIsUnderWay: a copy is acknowledged like its order, and changes nothing.
-func TestCopyWhileAnotherIsUnderWay(t *testing.T) {
+// TestCopyIsAcknowledgedDuringLaterRollout: a copy is acknowledged like its order, and changes nothing.
+func TestCopyIsAcknowledgedDuringLaterRollout(t *testing.T) {
 	is := is.New(t)
 	orders := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay})
 	next := document.Rollout{Pool: "p", Target: "v3", State: document.RolloutUnderWay, Changes: 3}
@@ -96,9 +96,9 @@
 	is.Equal(verdict, Accept) // another pool
 }
 
-// TestOrdersKnowTheAgeOfARollout: a replica that reads the log or a snapshot computes the age of an
+// TestOrderAgeFromElapsedTime: a replica that reads the log or a snapshot computes the age of an
 // order from the recorded elapsed time, and takes it for neither younger nor older.
-func TestOrdersKnowTheAgeOfARollout(t *testing.T) {
+func TestOrderAgeFromElapsedTime(t *testing.T) {
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1, Elapsed: 3 * time.Second}
 	verdict, _ := Orders{}.WithRollout(0, back).Decide(2*time.Second, order("v2"), back)
@@ -121,9 +121,9 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestWindowHasALeast: the window is at least MinWindow, for which the command line repeats an
+// TestWindowIsAtLeastMinWindow: the window is at least MinWindow, for which the command line repeats an
 // order.
-func TestWindowHasALeast(t *testing.T) {
+func TestWindowIsAtLeastMinWindow(t *testing.T) {
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1}
 	orders := Orders{Window: time.Second}.WithRollout(0, back)
@@ -135,8 +135,8 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestRepeatsAreRemembered: an acknowledged order that began nothing may have late copies too.
-func TestRepeatsAreRemembered(t *testing.T) {
+// TestAcknowledgedOrderIsRemembered: an acknowledged order that began nothing may have late copies too.
+func TestAcknowledgedOrderIsRemembered(t *testing.T) {
 	is := is.New(t)
 	complete := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutComplete, Elapsed: time.Hour}
 	orders := Orders{}.WithRollout(0, complete).WithAcknowledged(time.Minute, order("v2"))
@@ -148,9 +148,9 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotsSayLittle: a snapshot does not hold when a version was ordered that was rolled back
+// TestSnapshotLacksOrderTimes: a snapshot does not hold when a version was ordered that was rolled back
 // before the newest rollout. A replica that observed the order itself keeps its time.
-func TestSnapshotsSayLittle(t *testing.T) {
+func TestSnapshotLacksOrderTimes(t *testing.T) {
 	is := is.New(t)
 	newest := []document.Rollout{{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2", "v3"}, Elapsed: time.Hour}}
 	orders := Orders{}.WithSnapshot(0, newest)
@@ -165,9 +165,9 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotsSkipAttempts: the times that a replica recorded for earlier attempts do not apply to
+// TestSnapshotWithUnobservedAttempts: the times that a replica recorded for earlier attempts do not apply to
 // attempts that it did not observe.
-func TestSnapshotsSkipAttempts(t *testing.T) {
+func TestSnapshotWithUnobservedAttempts(t *testing.T) {
 	is := is.New(t)
 	first := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	again := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2"}, Elapsed: time.Second}
--- a/coordination/rollout/poolmodel_test.go
+++ b/coordination/rollout/poolmodel_test.go
@@ -15,7 +15,7 @@
 const (
 	poolTick  = 10 * time.Millisecond
 	stepTicks = 10 // between two steps of the leader, and between two reports
-	// reportSteps and sendTicks are the delays of a report and of a new share.
+	// reportSteps and sendTicks are the delays of a report, in steps, and of a new share, in ticks.
 	reportSteps, sendTicks = 1, 5
 )
 
@@ -48,12 +48,12 @@
 	reports    []map[string]*RouteTallies
 }
 
-// event is the begin or the end of an answer.
+// event is the start or the end of an answer.
 type event struct {
 	at      time.Duration
 	tally   *Tally
 	onOld   bool
-	pace    int // bucket of the answer's pace, at its begin; -1 at a separate end
+	pace    int // bucket of the answer's pace, at its start; -1 at a separate end
 	final   bool
 	failed  bool
 	wasSlow bool
--- a/coordination/rollout/schedule.go
+++ b/coordination/rollout/schedule.go
@@ -232,7 +232,7 @@
 	case d.Evidence.Sum >= alarmSum:
 		d.Action, d.Reason = RollBack, "bad answers"
 	case !o.ReportsComplete:
-		d.Reason = "reports are awaited"
+		d.Reason = "waiting for reports"
 	case s.Switched():
 		s.stepAfterSwitch(o, &d)
 	default:
@@ -254,7 +254,7 @@
 	case longEnough && o.Elapsed >= s.timeAt(completeByFraction) && (!o.TargetListed || s.targetUnused(o)):
 		d.Action, d.Reason = RollBack, "the target gets no requests"
 	case longEnough && o.Elapsed >= s.timeAt(completeByFraction):
-		d.Action, d.Reason = Complete, "the time is nearly over"
+		d.Action, d.Reason = Complete, "the deadline is near"
 	case longEnough && o.OldIdle && o.TargetListed && d.Evidence.Sum < suspicionSum:
 		d.Action, d.Reason = Complete, "nothing runs on the old servers"
 	default:
@@ -283,15 +283,15 @@
 	remainderAllowed := rateKnown && d.Evidence.Sum < lateSuspicionSum && s.remainderFits(rate, o.Elapsed, d)
 	switch {
 	case late && !o.TargetListed:
-		d.Action, d.Reason = RollBack, "no server of the target"
+		d.Action, d.Reason = RollBack, "no server of the target is listed"
 	case late && !rateKnown:
-		d.Reason = "the rate is not known yet"
+		d.Reason = "the request rate is not known yet"
 	case o.Elapsed >= s.timeAt(trialEndFraction) && o.TargetListed && good && (hasReserve || late):
 		s.switchToTarget(o, d, "good answers")
 	case late && remainderAllowed:
-		s.switchToTarget(o, d, "few requests, and nothing speaks against it")
+		s.switchToTarget(o, d, "few requests, and no evidence against the target")
 	case late:
-		d.Action, d.Reason = RollBack, "too little is known in time"
+		d.Action, d.Reason = RollBack, "not enough evidence in time"
 	default:
 		s.setTrialShare(o, d, rate, rateKnown)
 	}
@@ -352,7 +352,7 @@
 	wantedShare := max(d.Share, float64(targetSamples*len(o.Totals))/(float64(d.Total)+rate*untilSwitch))
 	d.Share = max(min((budget-float64(d.Sent))/(rate*untilSwitch), wantedShare, maxTrialShare), minBoundFraction*bound)
 	if float64(d.Sent)+d.Share*rate*reactionTime.Seconds() > s.allowedTargetRequests(d.Total) {
-		d.Share, d.Reason = 0, "the bound is used up"
+		d.Share, d.Reason = 0, "the bound is reached"
 		return
 	}
 	d.Share = math.Round(1000*d.Share) / 1000 // as logged
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -10,7 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// This file tests a schedule with little or no evidence.
+// This file tests a schedule with little or no evidence, with missing reports and without a usable
+// target.
 
 // runSchedule steps a schedule of 10 s with the observations of observe until it ends, and returns
 // all decisions.
@@ -30,8 +31,9 @@
 	return all
 }
 
-// TestNoRequests: a pool without requests is switched, since the bound holds in any case.
-func TestNoRequests(t *testing.T) {
+// TestPoolWithoutRequestsCompletes: a rollout of a pool without requests completes, since no version can exceed the
+// bound.
+func TestPoolWithoutRequestsCompletes(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(time.Duration, Decision) Observation {
 		return Observation{ReportsComplete: true, TargetListed: true, OldIdle: true}
@@ -40,9 +42,9 @@
 	is.True(len(all) < 96) // 9.5 s
 }
 
-// TestBoundsByDefault: bounds that set neither share nor slack get both defaults; bounds that set
+// TestDefaultBounds: bounds that set neither share nor slack get both defaults; bounds that set
 // one of them stay unchanged.
-func TestBoundsByDefault(t *testing.T) {
+func TestDefaultBounds(t *testing.T) {
 	is := is.New(t)
 	observe := func(at time.Duration, d Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
@@ -62,9 +64,9 @@
 	}
 }
 
-// TestNoServerOfTheTarget: without a server of the target there is no switch, with or without
+// TestNoSwitchWithoutTargetServer: without a server of the target there is no switch, with or without
 // requests.
-func TestNoServerOfTheTarget(t *testing.T) {
+func TestNoSwitchWithoutTargetServer(t *testing.T) {
 	is := is.New(t)
 	for _, perStep := range []uint64{0, 1, 15} {
 		all := runSchedule(func(at time.Duration, _ Decision) Observation {
@@ -78,21 +80,21 @@
 	}
 }
 
-// TestTooLittleIsKnown: a rollout is rolled back if the target gets none of many requests, for
+// TestRollBackWithoutTargetRequests: a rollout is rolled back if the target gets none of many requests, for
 // example for lack of capacity.
-func TestTooLittleIsKnown(t *testing.T) {
+func TestRollBackWithoutTargetRequests(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(at time.Duration, _ Decision) Observation {
 		n := 15 * uint64(at/(100*time.Millisecond))
 		return Observation{ReportsComplete: true, TargetListed: true, Totals: map[string]*RouteTallies{"r": {Old: Tally{Sent: n, Answered: n}}}}
 	})
 	is.Equal(all[len(all)-1].Action, RollBack)
-	is.Equal(all[len(all)-1].Reason, "too little is known in time")
+	is.Equal(all[len(all)-1].Reason, "not enough evidence in time")
 }
 
-// TestNewLeaderWaits: the target gets no requests before the gateways have reported to a new
+// TestNewLeaderWaitsForReports: the target gets no requests before the gateways have reported to a new
 // leader. The first reports cover an unknown time; they count as evidence, but not for the rate.
-func TestNewLeaderWaits(t *testing.T) {
+func TestNewLeaderWaitsForReports(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	is.Equal(s.Step(Observation{Elapsed: 2 * time.Second, TargetListed: true}).Share, 0.0)
@@ -110,9 +112,9 @@
 	is.Equal(d.Sent, uint64(40))
 }
 
-// TestBoundIsUsedUp: when the target has had too many requests, for example because a leader failed
-// during the switch, the trial sends it no more.
-func TestBoundIsUsedUp(t *testing.T) {
+// TestTrialStopsAtBound: when the target has had more requests than the bound allows, for example
+// because a leader failed during the switch, the trial sends it no more.
+func TestTrialStopsAtBound(t *testing.T) {
 	is := is.New(t)
 	target, old := uint64(300), uint64(0)
 	all := runSchedule(func(_ time.Duration, d Decision) Observation {
@@ -126,13 +128,13 @@
 		}}
 	})
 	is.Equal(all[40].Share, 0.0)
-	is.Equal(all[40].Reason, "the bound is used up")
-	is.Equal(all[len(all)-1].Action, Complete) // switched at the latest moment, by the good answers so far
+	is.Equal(all[40].Reason, "the bound is reached")
+	is.Equal(all[len(all)-1].Action, Complete) // switched at the latest moment, because of the good answers so far
 }
 
-// TestTargetUnusedAfterTheSwitch: while the target's servers are gone or get no requests, the
+// TestUnusedTargetIsRolledBack: while the target's servers are gone or get no requests, the
 // rollout does not complete, even if the old servers are idle.
-func TestTargetUnusedAfterTheSwitch(t *testing.T) {
+func TestUnusedTargetIsRolledBack(t *testing.T) {
 	for _, listed := range []bool{false, true} {
 		for _, idle := range []bool{false, true} {
 			is := is.New(t)
@@ -156,9 +158,9 @@
 	}
 }
 
-// TestTotalsThatFall: while a relay's gateways report to nobody, the totals fall. The decision
+// TestFallingTotals: while a relay's gateways are not connected, the totals fall. The decision
 // still counts all requests sent, and the rate does not change.
-func TestTotalsThatFall(t *testing.T) {
+func TestFallingTotals(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	for at := time.Duration(0); at < 5*time.Second; at += 100 * time.Millisecond {
@@ -177,9 +179,9 @@
 	}
 }
 
-// TestLateLeaderMeasuresFirst: a leader that starts after the latest moment to decide measures the
+// TestLateLeaderMeasuresRateFirst: a leader that starts after the latest moment to decide measures the
 // rate before it rolls back. A pool without requests then completes.
-func TestLateLeaderMeasuresFirst(t *testing.T) {
+func TestLateLeaderMeasuresRateFirst(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
 	var d Decision
@@ -189,8 +191,8 @@
 	is.Equal(d.Action, Complete)
 }
 
-// TestRouteMustBeTried: there is no switch while the target has served no request of a route.
-func TestRouteMustBeTried(t *testing.T) {
+// TestUntestedRoutePreventsSwitch: there is no switch while the target has served no request of a route.
+func TestUntestedRoutePreventsSwitch(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(at time.Duration, _ Decision) Observation {
 		n := uint64(at / (100 * time.Millisecond))
--- a/coordination/rollout/model_test.go
+++ b/coordination/rollout/simulation_test.go
@@ -87,7 +87,7 @@
 // seedCount returns how many of n runs are made. Under the race detector it is a tenth: the runs
 // take ten times as long, and a run in a single goroutine has no races to detect.
 func seedCount(n int) int {
-	if raced {
+	if raceEnabled {
 		return max(n/10, 1)
 	}
 	return n
--- a/coordination/rollout/together_test.go
+++ b/coordination/rollout/unusable_routes_test.go
@@ -11,15 +11,15 @@
 
 // This file tests the schedule with routes that cannot use the target.
 
-// TestRouteKeptAwayIsNotAwaited: a route whose homes have no server of the target delays neither
-// the switch nor the end of a rollout. If no route can use the target, there is too little evidence
+// TestRouteWithoutTargetIsNotAwaited: a route whose homes have no server of the target delays neither
+// the switch nor the end of a rollout. If no route can use the target, there is not enough evidence
 // for a switch.
-func TestRouteKeptAwayIsNotAwaited(t *testing.T) {
+func TestRouteWithoutTargetIsNotAwaited(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		keptAway map[string]bool
-		ending   Action
-		switches bool
+		name          string
+		withoutTarget map[string]bool
+		ending        Action
+		switches      bool
 	}{
 		{"one", map[string]bool{"b": true}, Complete, true},
 		{"none", nil, RollBack, false},
@@ -30,11 +30,11 @@
 			var switched uint64 // number of steps before the switch
 			all := runSchedule(func(at time.Duration, d Decision) Observation {
 				n := uint64(at / (100 * time.Millisecond))
-				o := Observation{ReportsComplete: true, TargetListed: true, RoutesWithoutTarget: test.keptAway, Totals: map[string]*RouteTallies{
+				o := Observation{ReportsComplete: true, TargetListed: true, RoutesWithoutTarget: test.withoutTarget, Totals: map[string]*RouteTallies{
 					"a": {Target: Tally{Sent: n, Answered: n}, Old: Tally{Sent: 14 * n, Answered: 14 * n}},
 					"b": {Old: Tally{Sent: 3 * n, Answered: 3 * n}},
 				}}
-				if test.keptAway["a"] {
+				if test.withoutTarget["a"] {
 					o.Totals["a"].Target = Tally{}
 				}
 				if d.Share == 1 && switched == 0 {
