--- a/coordination/evacuation/evacuation_test.go
+++ b/coordination/evacuation/evacuation_test.go
@@ -85,14 +85,14 @@
 	for order := range 20 {
 		out := order%2 == 0
 		longest = max(longest, o.giveOrder(t, order, out))
-		pause := o.now + time.Duration(o.rng.Int64N(int64(8*time.Second)))
-		for len(o.pending) > 0 && slices.ContainsFunc(o.pending, func(c orderCopy) bool { return c.arrives <= pause }) {
+		until := o.now + time.Duration(o.rng.Int64N(int64(8*time.Second)))
+		for len(o.pending) > 0 && slices.ContainsFunc(o.pending, func(c orderCopy) bool { return c.arrives <= until }) {
 			o.deliver(t, order, true)
 		}
 		if o.out != out {
 			t.Fatalf("order %d was acknowledged and is not in force", order)
 		}
-		o.now = pause
+		o.now = until
 	}
 	for len(o.pending) > 0 {
 		o.deliver(t, 19, true)
