--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -16,13 +16,13 @@
 //     the next failure distinguishes them. A failure at which a condemned request was running no
 //     longer counts against others.
 //
-// A complete answer clears a key at once, so a key that is requested all the time is never
-// condemned for being everywhere. Gateways hold a [List] of condemned keys, which they refuse, and
-// of suspects, whose answers they report.
+// A complete answer clears a key at once, so a key that is requested all the time, and is therefore
+// running at most failures, is not condemned. Gateways hold a [List] of condemned keys, which they
+// refuse, and of suspects, whose answers they report.
 //
 // Alternatives considered:
-//   - Counting failures alone: of 230 requests that ran at 16 servers failing by themselves, one was
-//     running at three failures.
+//   - Counting failures alone: of 230 requests that ran at 16 servers failing by themselves, one
+//     was running at three failures.
 //   - Trying a suspect once more alone: this costs one more server and all requests running there.
 //   - Condemning by the time from a request's start to the failure: this depends on the server's
 //     queue.
--- a/coordination/quarantine/evidence.go
+++ b/coordination/quarantine/evidence.go
@@ -16,7 +16,7 @@
 	// not be sent more than three times once the fleet has recorded its failures.
 	minFailures = 3
 	// decisiveFailures is the number of failures from which a request is condemned even if another
-	// one was running at all of them. Users then bear at most three failures after the third.
+	// one was running at all of them. Users then see at most three failures after the third.
 	decisiveFailures = 6
 	// retention is how long a failure counts. A request that is sent too rarely to be condemned
 	// makes a server fail at most every five minutes.
@@ -27,16 +27,16 @@
 	// minGap is the shortest time between two failures for which the run lost at the second counts
 	// as begun after the first. It covers the differences between gateways' reports.
 	minGap = 25 * time.Millisecond
-	// SettleTime is how long after a failure no request is condemned for it, in a fleet of one
-	// region. It covers two report periods, after which all requests that were running are
-	// recorded, and one in which gateways learn of suspects and report answers.
+	// SettleTime is the time from the report of a failure until a request may be condemned for it,
+	// in a fleet of one region. It covers two report periods, after which all requests that were
+	// running are recorded, and one in which gateways learn of suspects and report answers.
 	SettleTime = 250 * time.Millisecond
-	// SettleTimeViaRelay replaces SettleTime where reports pass through a relay, which holds them for
-	// up to 300 ms and is 30 ms away.
+	// SettleTimeViaRelay replaces SettleTime where reports pass through a relay, which holds them
+	// for up to 300 ms and is 30 ms away.
 	SettleTimeViaRelay = 700 * time.Millisecond
-	// maxSuspects bounds the suspects: the slots of 16 large engines.
+	// maxSuspects bounds the suspects: the slots of 16 large servers.
 	maxSuspects = 1024
-	// maxSuspectsPerAccount bounds the suspects of one account: the slots of two large engines.
+	// maxSuspectsPerAccount bounds the suspects of one account: the slots of two large servers.
 	maxSuspectsPerAccount = 128
 	// maxServers is the number of servers whose failures are kept: those of a data hall of the
 	// largest fleet.
@@ -136,7 +136,7 @@
 	f.keys[loss.Key] = true
 	if s == nil {
 		s = &suspect{account: loss.Account, hint: loss.Hint}
-		v.makeRoom(loss.Account)
+		v.evictIfFull(loss.Account)
 		v.suspects[loss.Key] = s
 	}
 	s.add(recordedLoss{TimedLoss: loss, failure: f, reported: now})
@@ -176,10 +176,10 @@
 	return l.Retry || l.At-before.At >= max(l.RunTime/2, minGap)
 }
 
-// makeRoom drops a suspect if the account has too many, or if there are too many in total. In the
-// latter case it is one of the account with the most suspects. The suspect with the fewest losses
-// is dropped, and among equals the oldest.
-func (v *Evidence) makeRoom(account string) {
+// evictIfFull drops a suspect if the account has too many, or if there are too many in total. In
+// the latter case it is one of the account with the most suspects. The suspect with the fewest
+// losses is dropped, and among equals the oldest.
+func (v *Evidence) evictIfFull(account string) {
 	perAccount, total := map[string]int{}, 0
 	for _, s := range v.suspects {
 		if s.verdict == nil {
@@ -198,11 +198,11 @@
 	var weakestKey Key
 	var weakest *suspect
 	for k, s := range v.suspects {
-		if s.account == target && s.verdict == nil && (weakest == nil || s.weaker(weakest)) {
+		if s.account == target && s.verdict == nil && (weakest == nil || s.evictedBefore(weakest)) {
 			weakestKey, weakest = k, s
 		}
 	}
-	v.forget(weakestKey)
+	v.remove(weakestKey)
 }
 
 // largestAccount returns the account with the highest count, and among equals the first by name.
@@ -215,8 +215,8 @@
 	return account
 }
 
-// weaker reports whether a suspect is dropped before another one.
-func (s *suspect) weaker(o *suspect) bool {
+// evictedBefore reports whether a suspect is dropped before another one.
+func (s *suspect) evictedBefore(o *suspect) bool {
 	if len(s.losses) != len(o.losses) {
 		return len(s.losses) < len(o.losses)
 	}
@@ -224,14 +224,14 @@
 }
 
 // Clear records a complete answer to a request, which is no longer a suspect.
-func (v *Evidence) Clear(k Key) { v.forget(k) }
+func (v *Evidence) Clear(k Key) { v.remove(k) }
 
 // AddCondemned adds a request that was condemned by other evidence.
 func (v *Evidence) AddCondemned(e Entry) {
 	v.suspects[e.Key] = &suspect{hint: e.Hint, verdict: &Verdict{Key: e.Key, Hint: e.Hint, Servers: make([]string, e.Failures)}}
 }
 
-func (v *Evidence) forget(k Key) {
+func (v *Evidence) remove(k Key) {
 	if v.suspects[k] == nil {
 		return
 	}
@@ -255,7 +255,7 @@
 	for k, s := range v.suspects {
 		s.losses = slices.DeleteFunc(s.losses, func(loss recordedLoss) bool { return old(loss.failure) })
 		if len(s.losses) == 0 && s.verdict == nil {
-			v.forget(k)
+			v.remove(k)
 		}
 	}
 }
@@ -293,11 +293,12 @@
 	case s.verdict != nil:
 		return Entry{Key: k, Hint: s.hint, Failures: len(s.verdict.Servers), Condemned: true}, true
 	}
-	return Entry{Key: k, Hint: s.hint, Failures: s.unexplained()}, true
+	return Entry{Key: k, Hint: s.hint, Failures: s.unexplainedFailures()}, true
 }
 
-// unexplained returns the number of consecutive failures at which no condemned request was running.
-func (s *suspect) unexplained() (n int) {
+// unexplainedFailures returns the number of consecutive failures at which no condemned request was
+// running.
+func (s *suspect) unexplainedFailures() (n int) {
 	for _, loss := range s.losses {
 		if !loss.failure.explained {
 			n++
--- a/coordination/quarantine/evidence_test.go
+++ b/coordination/quarantine/evidence_test.go
@@ -15,18 +15,18 @@
 
 func keyNamed(name string) Key { return KeyOf("a", "POST", "h", name, nil) }
 
-func nine(string) int { return 9 }
+func nineServers(string) int { return 9 }
 
-// script feeds evidence with losses and answers over time.
-type script struct {
+// scenario records losses over time and evaluates the evidence.
+type scenario struct {
 	v   *Evidence
 	now time.Duration
 }
 
-func newScript() *script { return &script{v: NewEvidence(SettleTime), now: time.Minute} }
+func newScenario() *scenario { return &scenario{v: NewEvidence(SettleTime), now: time.Minute} }
 
 // fail makes a server fail while running requests for a time.
-func (s *script) fail(server string, ran time.Duration, names ...string) {
+func (s *scenario) fail(server string, ran time.Duration, names ...string) {
 	for _, name := range names {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
 			Key: keyNamed(name), Account: "a", Pool: "p", Server: server, Address: "at " + server, RunTime: ran, PoolAnswering: true,
@@ -35,9 +35,9 @@
 }
 
 // condemned advances the clock and returns whether each of the requests is condemned then.
-func (s *script) condemned(after time.Duration, names ...string) (all []bool) {
+func (s *scenario) condemned(after time.Duration, names ...string) (all []bool) {
 	s.now += after
-	s.v.Evaluate(s.now, nine)
+	s.v.Evaluate(s.now, nineServers)
 	for _, name := range names {
 		e, _ := s.v.Find(keyNamed(name))
 		all = append(all, e.Condemned)
@@ -45,35 +45,37 @@
 	return all
 }
 
-// TestThreeEndsInARow: a request is condemned once the third failure has settled, and not before.
-func TestThreeEndsInARow(t *testing.T) {
+// TestThreeConsecutiveFailuresCondemn: a request is condemned once the third failure has settled,
+// and not before.
+func TestThreeConsecutiveFailuresCondemn(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 3 {
-		is.Equal(s.condemned(time.Second, "deadly"), []bool{false})
-		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "deadly", fmt.Sprint("other ", i))
+		is.Equal(s.condemned(time.Second, "poison"), []bool{false})
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "poison", fmt.Sprint("other ", i))
 	}
-	is.Equal(s.condemned(SettleTime-1, "deadly"), []bool{false})
-	is.Equal(s.condemned(1, "deadly", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
+	is.Equal(s.condemned(SettleTime-1, "poison"), []bool{false})
+	is.Equal(s.condemned(1, "poison", "other 0", "other 1", "other 2"), []bool{true, false, false, false})
 	e, _ := s.v.Find(keyNamed("other 0"))
 	is.Equal(e.Failures, 0) // the failure is explained
 }
 
-// TestEndlessRepeats: a request that is repeated before its failures settle is condemned for the
-// settled ones.
-func TestEndlessRepeats(t *testing.T) {
+// TestRepeatsBeforeFailuresSettle: a request that is repeated before its failures settle is
+// condemned for the settled ones.
+func TestRepeatsBeforeFailuresSettle(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 5 {
-		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "deadly")
-		is.Equal(s.condemned(SettleTime*4/5, "deadly"), []bool{i >= 3})
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "poison")
+		is.Equal(s.condemned(SettleTime*4/5, "poison"), []bool{i >= 3})
 	}
 }
 
-// TestAnswerClears: after a complete answer the count starts again, even for a condemned request.
-func TestAnswerClears(t *testing.T) {
+// TestAnswerClearsKey: after a complete answer the count starts again, even for a condemned
+// request.
+func TestAnswerClearsKey(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 9 {
 		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "hot")
 		is.Equal(s.condemned(time.Second, "hot"), []bool{i%3 == 2})
@@ -84,10 +86,11 @@
 	}
 }
 
-// TestSideBySide: overlapping runs count once, however many servers fail.
-func TestSideBySide(t *testing.T) {
+// TestOverlappingRunsCountOnce: the losses of overlapping runs of a request count as one, however
+// many servers fail.
+func TestOverlappingRunsCountOnce(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 20 {
 		s.fail(fmt.Sprint("s", i), 300*time.Millisecond, "hot")
 		s.now += 2 * time.Millisecond
@@ -97,37 +100,39 @@
 	is.Equal(e.Failures, 1)
 }
 
-// TestSecondAttempt: a second attempt counts however soon it follows the first one.
-func TestSecondAttempt(t *testing.T) {
+// TestRetryCountsHoweverSoon: the loss of a retry counts however soon it follows the loss before.
+func TestRetryCountsHoweverSoon(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 3 {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 2 * time.Millisecond, Retry: true, PoolAnswering: true,
+			Key: keyNamed("poison"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 2 * time.Millisecond, Retry: true, PoolAnswering: true,
 		}})
 		s.now += 3 * time.Millisecond
 	}
-	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
+	is.Equal(s.condemned(time.Second, "poison"), []bool{true})
 }
 
-// TestTwoAtAllEnds: of two requests at the same failures, the next failure shows the cause. The
-// other one is cleared.
-func TestTwoAtAllEnds(t *testing.T) {
+// TestNextFailureSeparatesSuspects: while two requests were running at the same failures, neither
+// is condemned. The next failure, at which only one of them was running, condemns that one, and the
+// failures no longer count against the other.
+func TestNextFailureSeparatesSuspects(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 4 {
-		is.Equal(s.condemned(time.Second, "deadly", "unlucky"), []bool{false, false})
-		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, []string{"deadly", "unlucky"}[:min(4-i, 2)]...)
+		is.Equal(s.condemned(time.Second, "poison", "innocent"), []bool{false, false})
+		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, []string{"poison", "innocent"}[:min(4-i, 2)]...)
 	}
-	is.Equal(s.condemned(time.Second, "deadly", "unlucky"), []bool{true, false})
-	e, _ := s.v.Find(keyNamed("unlucky"))
+	is.Equal(s.condemned(time.Second, "poison", "innocent"), []bool{true, false})
+	e, _ := s.v.Find(keyNamed("innocent"))
 	is.Equal(e.Failures, 0)
 }
 
-// TestTwoThatNeverPart: two requests at the same six failures are both condemned.
-func TestTwoThatNeverPart(t *testing.T) {
+// TestInseparableSuspectsAreBothCondemned: two requests that were running at the same
+// decisiveFailures failures are both condemned.
+func TestInseparableSuspectsAreBothCondemned(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range decisiveFailures {
 		is.Equal(s.condemned(time.Second, "one", "two"), []bool{false, false})
 		s.fail(fmt.Sprint("s", i), 100*time.Millisecond, "one", "two")
@@ -135,15 +140,15 @@
 	is.Equal(s.condemned(time.Second, "one", "two"), []bool{true, true})
 }
 
-// TestServersThatEndByThemselves: the more often servers fail by themselves and the longer a
+// TestUnrelatedFailuresRaiseThreshold: the more often servers fail by themselves and the longer a
 // request runs, the more failures it takes to condemn it.
-func TestServersThatEndByThemselves(t *testing.T) {
+func TestUnrelatedFailuresRaiseThreshold(t *testing.T) {
 	for _, tt := range []struct {
 		unrelated int // in the last seconds, one per second
 		runTime   time.Duration
 		failures  int
 	}{{0, 100 * time.Millisecond, 3}, {0, 4 * time.Second, 5}, {4, 100 * time.Millisecond, 4}, {4, time.Second, 6}, {18, 100 * time.Millisecond, 5}, {18, time.Second, 10}} {
-		s := newScript()
+		s := newScenario()
 		for i := range tt.unrelated {
 			s.fail(fmt.Sprint("by itself ", i), 100*time.Millisecond, fmt.Sprint("other ", i))
 			s.now += time.Second
@@ -151,8 +156,8 @@
 		failures := 0
 		for condemned := false; !condemned && failures < 20; failures++ {
 			s.now += tt.runTime
-			s.fail(fmt.Sprint("s", failures), tt.runTime, "deadly")
-			condemned = s.condemned(time.Second, "deadly")[0]
+			s.fail(fmt.Sprint("s", failures), tt.runTime, "poison")
+			condemned = s.condemned(time.Second, "poison")[0]
 		}
 		if failures != tt.failures {
 			t.Errorf("%+v: condemned after %d failures", tt, failures)
@@ -160,69 +165,70 @@
 	}
 }
 
-// TestOutage: while no server of the pool answers, no request is suspected.
-func TestOutage(t *testing.T) {
+// TestNoSuspectsDuringPoolOutage: while no server of the pool answers, no request is suspected.
+func TestNoSuspectsDuringPoolOutage(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 20 {
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("hot"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: time.Second}})
 		is.Equal(s.condemned(time.Second, "hot"), []bool{false})
 	}
 }
 
-// TestSomeGatewaysAreServed: requests lost at a gateway that saw no answers are not suspected, and
-// do not keep others from being condemned.
-func TestSomeGatewaysAreServed(t *testing.T) {
+// TestLossWithoutPoolAnswersIsIgnored: requests lost at a gateway that saw no answers of the pool
+// are not suspected, and do not keep others from being condemned.
+func TestLossWithoutPoolAnswersIsIgnored(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for i := range 3 {
 		server := fmt.Sprint("s", i)
 		s.v.Add(s.now, TimedLoss{At: s.now, Loss: Loss{Key: keyNamed("unserved"), Pool: "p", Server: server, RunTime: time.Second}})
-		s.fail(server, 100*time.Millisecond, "deadly")
+		s.fail(server, 100*time.Millisecond, "poison")
 		s.now += time.Second
 	}
-	is.Equal(s.condemned(time.Second, "deadly", "unserved"), []bool{true, false})
+	is.Equal(s.condemned(time.Second, "poison", "unserved"), []bool{true, false})
 }
 
-// TestLateAndTwice: each loss counts once and in the order of the failures, whatever the order of
-// the reports. Old losses do not count.
-func TestLateAndTwice(t *testing.T) {
+// TestLateAndDuplicateLosses: each loss counts once and in the order of the failures, whatever the
+// order of the reports. Losses older than the retention do not count.
+func TestLateAndDuplicateLosses(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	var all []TimedLoss
 	for i := range 3 {
 		all = append(all, TimedLoss{At: time.Duration(i) * time.Second, Loss: Loss{
-			Key: keyNamed("deadly"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 100 * time.Millisecond, PoolAnswering: true,
+			Key: keyNamed("poison"), Pool: "p", Server: fmt.Sprint("s", i), RunTime: 100 * time.Millisecond, PoolAnswering: true,
 		}})
 	}
 	slices.Reverse(all)
 	for _, loss := range append(all, all...) {
 		s.v.Add(s.now, loss)
 	}
-	e, _ := s.v.Find(keyNamed("deadly"))
+	e, _ := s.v.Find(keyNamed("poison"))
 	is.Equal(e.Failures, 3)
 	is.Equal(len(s.v.Losses()), 3)
-	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
-	s.v.Clear(keyNamed("deadly"))
+	is.Equal(s.condemned(time.Second, "poison"), []bool{true})
+	s.v.Clear(keyNamed("poison"))
 	s.now += retention
 	s.v.Add(s.now, all[0])
 	is.True(s.v.Empty())
 }
 
-// TestOneServerAgain: each failure of a server counts, even if the server keeps its identifier.
-func TestOneServerAgain(t *testing.T) {
+// TestRepeatedFailuresOfOneServer: each failure of a server counts, even if the server keeps its
+// identifier.
+func TestRepeatedFailuresOfOneServer(t *testing.T) {
 	is := is.New(t)
-	s := newScript()
+	s := newScenario()
 	for range 3 {
-		s.fail("s", 100*time.Millisecond, "deadly")
+		s.fail("s", 100*time.Millisecond, "poison")
 		s.now += 2 * time.Second
 	}
-	is.Equal(s.condemned(time.Second, "deadly"), []bool{true})
+	is.Equal(s.condemned(time.Second, "poison"), []bool{true})
 }
 
-// TestBounds: many suspects of one account do not displace those of others, and suspects with more
-// losses are kept.
-func TestBounds(t *testing.T) {
+// TestSuspectLimits: many suspects of one account do not displace those of others, and suspects
+// with more losses are kept.
+func TestSuspectLimits(t *testing.T) {
 	is := is.New(t)
 	v := NewEvidence(SettleTime)
 	add := func(account, name, server string, at time.Duration) {
@@ -256,9 +262,9 @@
 	is.True(one && two)
 }
 
-// TestChanceOfInnocents: no request is condemned in pools whose servers fail by themselves, each up
-// to every ten seconds.
-func TestChanceOfInnocents(t *testing.T) {
+// TestInnocentRequestsAreNotCondemned: no request is condemned in pools whose servers fail by
+// themselves, each up to every ten seconds.
+func TestInnocentRequestsAreNotCondemned(t *testing.T) {
 	for _, tt := range []struct {
 		servers      int
 		meanInterval time.Duration // mean time between two failures of a server
@@ -269,30 +275,31 @@
 	} {
 		t.Run(fmt.Sprintf("%d servers, %v, %v", tt.servers, tt.meanInterval, tt.run), func(t *testing.T) {
 			is := is.New(t)
-			losses, requests, condemned := playInnocents(tt.servers, tt.meanInterval, tt.run)
+			losses, requests, condemned := simulateInnocentRequests(tt.servers, tt.meanInterval, tt.run)
 			t.Logf("%d requests, %d runs lost, %d condemned", requests, losses, condemned)
 			is.Equal(condemned, 0)
 		})
 	}
 }
 
-// occurrence is a loss, or a complete answer if h is nil.
+// occurrence is a loss, or a complete answer if loss is nil.
 type occurrence struct {
 	at   time.Duration
 	key  Key
 	loss *TimedLoss
 }
 
-// playInnocents returns the number of lost runs, of requests, and of condemned requests. Each
-// request has two attempts, and its caller repeats it once.
-func playInnocents(servers int, meanInterval, run time.Duration) (lost, requests, condemned int) {
+// simulateInnocentRequests simulates a pool whose servers fail by themselves, and returns the
+// number of lost runs, of requests, and of condemned requests. Each request has two attempts, and
+// its caller repeats it once.
+func simulateInnocentRequests(servers int, meanInterval, run time.Duration) (lost, requests, condemned int) {
 	const length = 20 * time.Minute
 	rng := rand.New(rand.NewPCG(1, uint64(servers)))
 	exponential := func(mean time.Duration) time.Duration { return time.Duration(rng.ExpFloat64() * float64(mean)) }
-	ends := make([][]time.Duration, servers)
-	for i := range ends {
+	failureTimes := make([][]time.Duration, servers)
+	for i := range failureTimes {
 		for at := exponential(meanInterval); at < length+time.Minute; at += exponential(meanInterval) {
-			ends[i] = append(ends[i], at)
+			failureTimes[i] = append(failureTimes[i], at)
 		}
 	}
 	var all []occurrence
@@ -301,13 +308,13 @@
 		key, begin := keyNamed(fmt.Sprint(requests)), at
 		for n := range 4 {
 			server, ran := rng.IntN(servers), exponential(run)
-			next, _ := slices.BinarySearch(ends[server], begin)
-			if next == len(ends[server]) || ends[server][next] > begin+ran {
+			next, _ := slices.BinarySearch(failureTimes[server], begin)
+			if next == len(failureTimes[server]) || failureTimes[server][next] > begin+ran {
 				all = append(all, occurrence{at: begin + ran, key: key})
 				break
 			}
 			lost++
-			end := ends[server][next]
+			end := failureTimes[server][next]
 			all = append(all, occurrence{at: end, key: key, loss: &TimedLoss{At: end, Loss: Loss{
 				Key: key, Account: "a", Pool: "p", Server: fmt.Sprint(server), Address: fmt.Sprint(server),
 				RunTime: end - begin, Retry: n%2 == 1, PoolAnswering: true,
@@ -319,24 +326,24 @@
 	}
 	slices.SortFunc(all, func(a, b occurrence) int { return cmp.Compare(a.at, b.at) })
 	v := NewEvidence(SettleTime)
-	judged := time.Duration(0)
+	evaluatedAt := time.Duration(0)
 	for _, o := range all {
 		if o.loss == nil {
 			v.Clear(o.key)
 			continue
 		}
 		v.Add(o.at, *o.loss)
-		if o.at-judged >= 100*time.Millisecond {
-			judged = o.at
+		if o.at-evaluatedAt >= 100*time.Millisecond {
+			evaluatedAt = o.at
 			condemned += len(v.Evaluate(o.at, func(string) int { return servers }))
 		}
 	}
 	return lost, requests, condemned
 }
 
-// TestAnyEvidence applies losses, answers, known verdicts and evaluations in random order. The
-// limits hold, and no request is condemned for fewer than three failures.
-func TestAnyEvidence(t *testing.T) {
+// TestRandomEvidence applies losses, answers, known verdicts and evaluations in random order. The
+// limits on losses and suspects hold, and no request is condemned for fewer than three failures.
+func TestRandomEvidence(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		v, now := NewEvidence(SettleTime), time.Hour
@@ -349,7 +356,7 @@
 			case 1:
 				v.AddCondemned(Entry{Key: key, Failures: 3, Condemned: true})
 			case 2, 3:
-				for _, verdict := range v.Evaluate(now, nine) {
+				for _, verdict := range v.Evaluate(now, nineServers) {
 					if len(verdict.Servers) < minFailures || verdict.Probability > maxProbability {
 						t.Fatalf("seed %d: %+v", seed, verdict)
 					}
--- a/coordination/quarantine/key_test.go
+++ b/coordination/quarantine/key_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestKey: each part of a request changes its key, and parts are delimited from each other.
-func TestKey(t *testing.T) {
+// TestKeyDependsOnEachPart: each part of a request changes its key, and parts are delimited from
+// each other.
+func TestKeyDependsOnEachPart(t *testing.T) {
 	is := is.New(t)
 	k := KeyOf("a", "POST", "h", "/p", []byte("body"))
 	is.Equal(k, KeyOf("a", "POST", "h", "/p", []byte("body")))
--- a/coordination/quarantine/verdict.go
+++ b/coordination/quarantine/verdict.go
@@ -14,7 +14,7 @@
 	// maxProbability is the largest probability that an innocent request has the record of a
 	// condemned one, if servers fail independently of each other. Of 600,000 requests in five pools
 	// whose servers failed by themselves, each up to every 10 s, none was condemned
-	// (TestChanceOfInnocents). With 1e-6 for the plain product of the probabilities, one was.
+	// (TestInnocentRequestsAreNotCondemned). With 1e-6 for the plain product of the probabilities, one was.
 	maxProbability = 1e-6
 	// minRunTime is the shortest time that a run counts as. For shorter times the rate of failures
 	// cannot be estimated.
