--- a/coordination/registry/busy_test.go
+++ b/coordination/registry/busyshare_test.go
@@ -12,9 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestBusy: the result is the busy share of the group where it is largest, among the groups asked
-// for. Servers that leave or change their pool are counted where they are.
-func TestBusy(t *testing.T) {
+// TestMaxBusyShare: the result is the busy share of the group where it is largest, among the groups
+// asked for. Servers that leave or change their pool are counted where they are.
+func TestMaxBusyShare(t *testing.T) {
 	is := is.New(t)
 	r := New(0, time.Second, NewHandles(1))
 	var loads []protocol.ServerLoad
--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -12,13 +12,14 @@
 
 // This file defines Copy, a replica's copy of the leader's list, which it passes on to gateways.
 //
-// A copy outlives its leader. When the next leader sends its whole list, only the differences are
-// passed on to gateways: the servers keep their handles, which this replica assigned.
+// A replica keeps its copy when the leader changes. When the next leader sends its whole list, only
+// the differences are passed on to gateways: the servers keep their handles, which this replica
+// assigned.
 
-// maxGone is the number of newest departures that a copy keeps for whole lists: an incomplete list
-// does not show which servers are gone. The leader sends as many itself (listedDepartures of
+// maxDepartures is the number of newest departures that a copy keeps for whole lists: an incomplete
+// list does not show which servers are gone. The leader sends as many itself (listedDepartures of
 // package directory).
-const maxGone = 256
+const maxDepartures = 256
 
 // Copy is the list of backend servers as received from leaders.
 type Copy struct {
@@ -37,7 +38,7 @@
 	leaderHandles map[uint32]uint32 // the leader's handles by this replica's
 }
 
-// copiedServer is a server with this replica's handle.
+// copiedServer is a server as listed by the leader, but with this replica's handle.
 type copiedServer struct {
 	protocol.Server
 	coldUntil time.Duration // by this box's clock
@@ -74,7 +75,7 @@
 		c.drop(id)
 	}
 	c.gone = append(c.gone, m.Gone...)
-	c.gone = c.gone[max(len(c.gone)-maxGone, 0):]
+	c.gone = c.gone[max(len(c.gone)-maxDepartures, 0):]
 	passed := c.Header()
 	passed.Gone, passed.Complete = m.Gone, m.Complete
 	for _, s := range m.Set {
@@ -96,7 +97,7 @@
 	clear(c.leaderHandles)
 }
 
-// setServer adds or changes a server, and removes any other one at its address. It returns the
+// setServer adds or changes a server, and removes any other server at its address. It returns the
 // server with this replica's handle, and whether the entry is new or different.
 func (c *Copy) setServer(now time.Duration, s protocol.Server) (own protocol.Server, changed bool) {
 	before, listed := c.servers[s.ID]
@@ -153,8 +154,8 @@
 // Len returns the number of servers.
 func (c *Copy) Len() int { return len(c.servers) }
 
-// Header returns a list without servers, which names the space of the handles and the halls out of
-// service.
+// Header returns a list without servers, which contains the space of the handles and the halls out
+// of service.
 func (c *Copy) Header() protocol.Servers {
 	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
@@ -186,8 +187,8 @@
 // remaining time.
 func (c *Copy) AnyCold(now time.Duration) bool { return now < c.coldUntil }
 
-// LeaderHandle returns the leader's handle of a server, and false if the server is cold or not listed
-// exactly as registered.
+// LeaderHandle returns the leader's handle of a server, and false if the server is cold or not
+// listed exactly as registered.
 func (c *Copy) LeaderHandle(now time.Duration, r protocol.Registration) (uint32, bool) {
 	e, ok := c.servers[r.ID]
 	leaderHandle, hasHandle := c.leaderHandles[e.Handle]
--- a/coordination/registry/handles.go
+++ b/coordination/registry/handles.go
@@ -8,19 +8,19 @@
 // gateways. A life is one run of a server's process. Numbers outlive a leader's term, so that
 // gateways keep their lists when the leader changes. If numbers belonged to a term, every gateway
 // would read the whole list again after each change, 740 KB with 9,998 servers. No number is used
-// twice, and 0 is none.
+// twice, and 0 stands for no handle.
 type Handles struct {
 	space uint64
 	byID  map[string]uint32
 	last  uint32
 }
 
-// spaceMark is set in the number of every space, so that none equals a leader's term.
-const spaceMark = 1 << 63
+// spaceFlag is set in the number of every space, so that none equals a leader's term.
+const spaceFlag = 1 << 63
 
 // NewHandles returns an empty set of handles in a space with a random number.
 func NewHandles(random uint64) *Handles {
-	return &Handles{space: random | spaceMark, byID: map[string]uint32{}}
+	return &Handles{space: random | spaceFlag, byID: map[string]uint32{}}
 }
 
 // Space returns the number that distinguishes these handles from those of other replicas and of
--- a/coordination/registry/listpace_test.go
+++ b/coordination/registry/listpace_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 )
 
-// TestListsKeepToTheirPace: lists for many simultaneous requests take half of a link, and are never
+// TestListRate: lists for many simultaneous requests take half of a link, and are never
 // ahead of that by more than a list and 20 ms. A link of unknown rate is not paced.
-func TestListsKeepToTheirPace(t *testing.T) {
+func TestListRate(t *testing.T) {
 	is := is.New(t)
 	const rate, size = 125e6, 740_000 // 1 Gbit/s
 	pace := registry.NewListPace(rate / 2)
@@ -35,9 +35,9 @@
 	is.Equal(unknown.Wait(now), time.Duration(0))
 }
 
-// TestChangesOfListsKeepToTheirPace: entries of servers for many sessions go out at the same pace,
+// TestListChangeRate: entries of servers for many sessions go out at the same pace,
 // in one message per period.
-func TestChangesOfListsKeepToTheirPace(t *testing.T) {
+func TestListChangeRate(t *testing.T) {
 	is := is.New(t)
 	for _, rate := range []float64{125e6, 3e6} {
 		const sessions, bytes = 985, 75
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestEntriesAreMeasured: entries that are larger or smaller than defaultEntryBytes keep to the
+// TestEntrySizeIsMeasured: entries that are larger or smaller than defaultEntryBytes keep to the
 // pace too, because their size is measured.
-func TestEntriesAreMeasured(t *testing.T) {
+func TestEntrySizeIsMeasured(t *testing.T) {
 	is := is.New(t)
 	const rate, sessions = 4e6, 20
 	for _, bytes := range []int{45, 75, 150} {
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -14,7 +14,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// partedList is a leader's list that changes while it is sent in parts.
+// changingList is a leader's list that changes while it is sent in parts.
 type changingList struct {
 	rng  *rand.Rand
 	list protocol.Servers
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestListAtOnce: a list that fits into one message is sent unchanged.
-func TestListAtOnce(t *testing.T) {
+// TestListThatFitsIsNotSplit: a list that fits into one message is sent unchanged.
+func TestListThatFitsIsNotSplit(t *testing.T) {
 	is := is.New(t)
 	l := listOf(rand.New(rand.NewPCG(1, 1)), 40)
 	m, last := ListPart(l.list, "", 40)
--- a/coordination/registry/lives.go
+++ b/coordination/registry/lives.go
@@ -12,13 +12,13 @@
 // server that restarts begins a new one under the same name.
 //
 // A life is later than another if it began later by the server's own clock. Since the clock may
-// step back between two lives, an earlier start counts as late only while the later life is alive,
-// or once that has replaced it here.
+// step back between two lives, an announcement of an earlier life is ignored only while the later
+// life is alive, or if the later life has replaced it here.
 
-// maxSucceeded is the number of replaced lives that are remembered. A late announcement of one
+// maxReplaced is the number of replaced lives that are kept. A late announcement of a replaced life
 // changes nothing, even if the later life is gone. It allows for a restart of all servers of a data
 // hall.
-const maxSucceeded = 4096
+const maxReplaced = 4096
 
 // sameServer reports whether two identifiers belong to lives of the same server.
 func sameServer(a, b string) bool {
@@ -39,10 +39,10 @@
 	name, born := protocol.SplitLife(id)
 	present := r.servers[r.byName[name]]
 	if present == nil {
-		return r.succeeded[id]
+		return r.replaced[id]
 	}
 	_, presentBorn := protocol.SplitLife(present.ID)
-	return r.succeeded[id] || (born < presentBorn && now-present.lastSeen <= aliveIntervals*r.interval)
+	return r.replaced[id] || (born < presentBorn && now-present.lastSeen <= aliveIntervals*r.interval)
 }
 
 // replaceEarlierLife removes the server's listed life when another one has announced itself, and
@@ -54,10 +54,10 @@
 		return nil
 	}
 	r.Remove(before)
-	if len(r.succeededOrder) == maxSucceeded {
-		delete(r.succeeded, r.succeededOrder[0])
-		r.succeededOrder = r.succeededOrder[1:]
+	if len(r.replacedOrder) == maxReplaced {
+		delete(r.replaced, r.replacedOrder[0])
+		r.replacedOrder = r.replacedOrder[1:]
 	}
-	r.succeeded[before], r.succeededOrder = true, append(r.succeededOrder, before)
+	r.replaced[before], r.replacedOrder = true, append(r.replacedOrder, before)
 	return []string{before}
 }
--- a/coordination/registry/feed.go
+++ b/coordination/registry/loadfeed.go
@@ -10,7 +10,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Feed, which selects the backend servers' load sums to send to gateways next.
+// This file defines LoadFeed, which selects the backend servers' load sums to send to gateways
+// next.
 
 // loadBytes is the size of one sum in a Fleet message.
 const loadBytes = 10
@@ -19,9 +20,9 @@
 // fit into a message: a short prompt.
 const requestWeight = 500
 
-// LoadFeed records the sums that the gateways were sent. All gateways are sent the same ones: messages
-// of their own would cost the leader the number of gateways times that of servers, ten times a
-// second. The zero value has sent nothing.
+// LoadFeed records the sums that the gateways were sent. All gateways are sent the same ones:
+// messages of their own would cost the leader the number of gateways times that of servers, ten
+// times a second. The zero value has sent nothing.
 type LoadFeed struct {
 	sent map[uint32]protocol.ServerLoad // by handle, without idle servers
 }
--- a/coordination/registry/feed_test.go
+++ b/coordination/registry/loadfeed_test.go
@@ -15,7 +15,7 @@
 	return protocol.ServerLoad{Handle: handle, Requests: requests, Tokens: tokens}
 }
 
-func TestFeedSendsWhatChanged(t *testing.T) {
+func TestLoadFeedSendsChanges(t *testing.T) {
 	is := is.New(t)
 	var f LoadFeed
 	is.Equal(f.Next([]protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)}, 9), []protocol.ServerLoad{load(1, 2, 10), load(2, 1, 0)})
@@ -29,9 +29,9 @@
 	is.Equal(f.Sent(), sums)
 }
 
-// TestFeedCatchesUp changes sums at random, more of them than fit into a message. A receiver of all
-// messages has the same sums once they stop changing, and so has a session that opens then.
-func TestFeedCatchesUp(t *testing.T) {
+// TestLoadFeedConverges changes sums at random, more of them than fit into a message. A receiver of
+// all messages has the same sums once they stop changing, and so has a session that opens then.
+func TestLoadFeedConverges(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var f LoadFeed
--- a/coordination/registry/pace.go
+++ b/coordination/registry/pace.go
@@ -5,8 +5,7 @@
 import "time"
 
 // This file defines the pace of a gateway's session with the leader: the periods of reports and of
-// Fleet messages, the silence after which a leader is left, and the pauses between attempts to
-// connect.
+// Fleet messages, the timeouts of both sides, and the pauses between attempts to connect.
 
 // ReportPeriod is the time between two reports of a gateway.
 const ReportPeriod = 100 * time.Millisecond
@@ -16,7 +15,7 @@
 
 const (
 	// maxFleetPeriod is the longest time between two Fleet messages on one link. It is shorter than
-	// SilenceLimit.
+	// LeaderTimeout.
 	maxFleetPeriod = 600 * time.Millisecond
 	// linkBytesPerSecond bounds the Fleet messages on one link. It is below the 10 KB/s per node
 	// that docs/CAPACITY.md allows for control.
@@ -52,14 +51,14 @@
 	return FleetBudget(total)
 }
 
-// LeaderTimeout is the silence of a leader after which a gateway leaves it. It is longer than
-// maxFleetPeriod.
+// LeaderTimeout is how long a gateway waits for a message from the leader before it closes the
+// session. It is longer than maxFleetPeriod.
 const LeaderTimeout = time.Second
 
-// ReportTimeout is the silence of a gateway after which the leader ends its session, so that its
-// last report does not count forever. A gateway with a silent connection has left it after
-// SilenceLimit and opened another one. The limit is 30 reports, so that a gateway that is merely
-// late is rarely sent the whole list again.
+// ReportTimeout is how long the leader waits for a gateway's report before it ends the session, so
+// that the last report does not count forever. A gateway that receives nothing has by then closed
+// the connection, after LeaderTimeout, and opened another one. The timeout covers 30 reports, so
+// that a gateway that is merely late is rarely sent the whole list again.
 const ReportTimeout = 3 * time.Second
 
 // perLink returns the bytes per second of Fleet messages on each of the links that share the
--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -18,8 +18,8 @@
 //   - Replaced identifiers are kept for a while: a server that was wrongly replaced must be able to
 //     come back, and a new leader does not have them.
 //
-// A relay that serves gateways in place of the leader holds the leader's list as a Copy, and adds
-// up its gateways' reports in Sums.
+// A relay that serves gateways in place of the leader holds the leader's list as a [Copy], and
+// merges its gateways' reports in a [ReportAggregator].
 //
 // Departures are not soft state: the caller keeps them in a replicated log, and passes on
 // announcements only of backend servers that have not departed. A new leader starts from the
@@ -60,23 +60,23 @@
 // Check returns an [InvalidAnnouncement] error if a field is missing or out of range.
 func (a Announcement) Check() error {
 	if a.ID == "" || a.Pool == "" {
-		return InvalidAnnouncement{Reason: "no identifier or no pool"}
+		return InvalidAnnouncement{Reason: "the identifier or the pool is missing"}
 	}
 	address, err := netip.ParseAddrPort(a.Address)
 	if err != nil {
 		return InvalidAnnouncement{Reason: fmt.Sprintf("address %q is not IP:PORT", a.Address)}
 	}
 	if ip := address.Addr(); address.Port() == 0 || ip.IsUnspecified() || ip.IsMulticast() {
-		return InvalidAnnouncement{Reason: fmt.Sprintf("address %q is of no single server", a.Address)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("address %q does not identify one server", a.Address)}
 	}
 	if len(a.Version) > document.MaxVersionName {
-		return InvalidAnnouncement{Reason: fmt.Sprintf("a version's name of %d bytes", len(a.Version))}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("the version name has %d bytes, more than %d", len(a.Version), document.MaxVersionName)}
 	}
 	if a.Slots < 0 {
-		return InvalidAnnouncement{Reason: fmt.Sprintf("%d slots", a.Slots)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("the number of slots is %d", a.Slots)}
 	}
 	if a.ColdLeft < 0 || a.ColdLeft > maxColdTime {
-		return InvalidAnnouncement{Reason: fmt.Sprintf("cold for %v", a.ColdLeft)}
+		return InvalidAnnouncement{Reason: fmt.Sprintf("the cold time of %v is not between 0 and %v", a.ColdLeft, maxColdTime)}
 	}
 	return nil
 }
@@ -112,17 +112,17 @@
 
 // Registry is the table of announced backend servers.
 type Registry struct {
-	leaderSince    time.Duration
-	interval       time.Duration // between two announcements of one backend server
-	servers        map[string]*entry
-	byAddress      map[string]string // identifiers by address
-	byHandle       map[uint32]string // identifiers by handle
-	byName         map[string]string // identifiers of the newest lives by server name
-	handles        *Handles
-	coldUntil      time.Duration    // no server is cold from then on
-	counts         map[location]int // number of servers
-	succeeded      map[string]bool  // identifiers of replaced lives
-	succeededOrder []string         // the same, oldest first
+	leaderSince   time.Duration
+	interval      time.Duration // between two announcements of one backend server
+	servers       map[string]*entry
+	byAddress     map[string]string // identifiers by address
+	byHandle      map[uint32]string // identifiers by handle
+	byName        map[string]string // identifiers of the newest lives by server name
+	handles       *Handles
+	coldUntil     time.Duration    // no server is cold from then on
+	counts        map[location]int // number of servers
+	replaced      map[string]bool  // identifiers of replaced lives
+	replacedOrder []string         // the same, oldest first
 }
 
 type entry struct {
@@ -157,7 +157,7 @@
 	return &Registry{
 		leaderSince: now, interval: interval, handles: handles,
 		servers: map[string]*entry{}, byAddress: map[string]string{}, byHandle: map[uint32]string{}, byName: map[string]string{},
-		counts: map[location]int{}, succeeded: map[string]bool{},
+		counts: map[location]int{}, replaced: map[string]bool{},
 	}
 }
 
@@ -208,8 +208,8 @@
 	return Change{Set: []protocol.Server{e.toServer(now)}, Gone: gone}
 }
 
-// FullAnnouncement returns the full announcement of a listed backend server that has not changed and is not
-// cold. ok is false if no server has the handle.
+// FullAnnouncement returns the announcement for which m stands: that of a listed backend server
+// that has not changed and is not cold. ok is false if no server has the handle.
 func (r *Registry) FullAnnouncement(m protocol.AnnouncedAgain) (a Announcement, ok bool) {
 	id, ok := r.byHandle[m.Handle]
 	if !ok {
@@ -311,7 +311,8 @@
 	return set, missing
 }
 
-// ReleaseUnlisted releases the handles of those lives that are not listed, and returns them.
+// ReleaseUnlisted releases the handles of those of the lives that are not listed, and returns these
+// lives.
 func (r *Registry) ReleaseUnlisted(lives []string) []string {
 	missing := slices.DeleteFunc(slices.Clone(lives), func(id string) bool { return r.servers[id] != nil })
 	for _, id := range missing {
--- a/coordination/registry/registry_test.go
+++ b/coordination/registry/registry_test.go
@@ -50,7 +50,7 @@
 	is.New(t).NoErr(longest.Check())
 }
 
-func TestAnnounceAgainChangesNothing(t *testing.T) {
+func TestRepeatedAnnouncementChangesNothing(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
 	is.Equal(ids(r.Announce(0, announcement("a", "10.0.0.1:80", 1)).Set), []string{"a"})
@@ -70,7 +70,7 @@
 	is.Equal(r.List(0)[0].Slots, 4)
 }
 
-func TestReusedAddressReplaces(t *testing.T) {
+func TestReusedAddressReplacesServer(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
 	r.Announce(0, announcement("old", "10.0.0.1:80", 1))
@@ -109,7 +109,7 @@
 	is.True(first != 0 && second != 0 && first != second)
 }
 
-func TestSilentBackendIsForgottenLate(t *testing.T) {
+func TestSilentServerExpires(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
 	r.Announce(0, announcement("a", "10.0.0.1:80", 1))
@@ -119,14 +119,14 @@
 	is.Equal(r.ExpireSilent((expireAfterIntervals+1)*interval).Gone, []string{"a"})
 }
 
-func TestCompleteOnceEverybodyCouldSpeak(t *testing.T) {
+func TestCompleteAfterThreeIntervals(t *testing.T) {
 	is := is.New(t)
 	r := New(10*interval, interval, NewHandles(1))
 	is.True(!r.Complete(12 * interval))
 	is.True(r.Complete(13 * interval))
 }
 
-func TestRememberedBackends(t *testing.T) {
+func TestRestore(t *testing.T) {
 	is := is.New(t)
 	r := New(0, interval, NewHandles(1))
 	r.Announce(0, announcement("new", "10.0.0.1:80", 1))
@@ -156,9 +156,9 @@
 	is.True(maxFleetPeriod < LeaderTimeout) // a leader with little to send is not taken for silent
 }
 
-// TestLateAnnouncementOfADeadServer: at one address "a" has crashed and "b" has started. A delayed
+// TestLateAnnouncementOfDeadServer: at one address "a" has crashed and "b" has started. A delayed
 // announcement of "a" must not replace "b".
-func TestLateAnnouncementOfADeadServer(t *testing.T) {
+func TestLateAnnouncementOfDeadServer(t *testing.T) {
 	const address = "10.0.0.1:80"
 	announceTwenty := func(r *Registry) {
 		for n := range uint64(20) {
@@ -201,8 +201,8 @@
 	is.Equal(r.Announce(aliveIntervals*interval+1, announcement("b", address, 10)).Gone, []string{"a"})
 }
 
-// TestChangesAreGathered: of two changes to one server, the later one counts.
-func TestChangesAreGathered(t *testing.T) {
+// TestMergeChanges: of two changes to one server, the later one counts.
+func TestMergeChanges(t *testing.T) {
 	is := is.New(t)
 	a, b := protocol.Server{Registration: protocol.Registration{ID: "a"}}, protocol.Server{Registration: protocol.Registration{ID: "b"}}
 	moved := protocol.Server{Registration: protocol.Registration{ID: "a", Address: "x"}}
@@ -227,10 +227,10 @@
 	is.Equal(NewFleetBudget(false, 0).Loads(300), 188)
 }
 
-// TestSpreadSendersHaveBudgetsOfTheirOwn: where sessions are spread, the budget of a gateway
+// TestFleetBudgetOfSpreadSessions: where sessions are spread, the budget of a gateway
 // depends on the number of gateways at its replica, not on the fleet. A replica stays within 256
 // KiB/s, and on a slow link within a tenth of its rate.
-func TestSpreadSendersHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestFleetBudgetOfSpreadSessions(t *testing.T) {
 	is := is.New(t)
 	const gigabit = 125e6
 	is.Equal(NewFleetBudget(false, gigabit).Loads(985), 57)
--- a/coordination/registry/sums_test.go
+++ b/coordination/registry/relay_test.go
@@ -17,9 +17,10 @@
 	return protocol.ServerLoad{Handle: handle, Requests: requests, Tokens: 10 * requests}
 }
 
-// TestSumsCountOnce: the demand of a gateway is reported once, of its first report only the loads
-// count, and the leader's count of a report is mapped to a report of each gateway.
-func TestSumsCountOnce(t *testing.T) {
+// TestReportsAreCountedOnce: a gateway's demand is reported to the leader once, and of the first
+// report of its session only the loads count. The number of a merged report that the leader has
+// counted is mapped to the number of a report of each gateway.
+func TestReportsAreCountedOnce(t *testing.T) {
 	is := is.New(t)
 	var s ReportAggregator
 	s.Restart(1)
@@ -62,7 +63,7 @@
 	is.Equal(s.CountedReport("g1"), uint64(0))
 	s.Close("g2")
 	m = s.Next()
-	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // nothing runs there any more
+	is.Equal(m.Loads, []protocol.ServerLoad{{Handle: 7}}) // the requests of g2 are no longer counted
 	s.Add("g2", protocol.Usage{Seq: 3, Loads: []protocol.ServerLoad{loadOf(7, 3)}})
 	is.Equal(len(s.Next().Loads), 0) // the session has ended
 
@@ -74,10 +75,11 @@
 	is.Equal(m.Loads, []protocol.ServerLoad{loadOf(9, 1)}) // all loads, since the leader may be another one
 }
 
-// TestSumsObey: a relay reports the oldest list that its gateways had applied one report before
-// their last, since a report's loads may be older than its list. A gateway that has just opened
-// counts with none. Without a gateway that applies rollouts, the relay reports its own list.
-func TestSumsObey(t *testing.T) {
+// TestReportedRolloutList: a relay reports the oldest list of rollouts among those that its
+// gateways named in their last report but one, because the requests of a report may have begun
+// under an older list than the one it names. For a gateway that has just connected it reports 0.
+// Without a gateway that applies rollouts, the relay reports the list that it received itself.
+func TestReportedRolloutList(t *testing.T) {
 	is := is.New(t)
 	var s ReportAggregator
 	s.Restart(1)
@@ -97,8 +99,8 @@
 	is.Equal(s.Next().Obeyed, uint64(0)) // the numbers belong to the earlier leader
 }
 
-// TestSumsOfOutcomes: a relay sends the totals over its gateways when they change.
-func TestSumsOfOutcomes(t *testing.T) {
+// TestOutcomeTotals: a relay sends the totals over its gateways when they change.
+func TestOutcomeTotals(t *testing.T) {
 	is := is.New(t)
 	var s ReportAggregator
 	s.Restart(1)
@@ -123,9 +125,9 @@
 	is.Equal(len(s.Next().Outcomes), 0)
 }
 
-// TestCopy: a copy equals the leader's list, and a cold server stays cold for the time that
-// remained when the leader sent it.
-func TestCopy(t *testing.T) {
+// TestCopyEqualsLeaderList: a copy equals the leader's list, and a cold server stays cold for the
+// time that remained when the leader sent it.
+func TestCopyEqualsLeaderList(t *testing.T) {
 	is := is.New(t)
 	server := func(id, address string, handle uint32, cold time.Duration) protocol.Server {
 		s := protocol.Server{Registration: protocol.Registration{ID: id, Pool: "p", Address: address}, Handle: handle}
@@ -159,10 +161,10 @@
 	})
 }
 
-// TestCopyOutlivesItsLeader: when another leader, with other handles, sends its whole list,
+// TestCopySurvivesLeaderChange: when another leader, with other handles, sends its whole list,
 // gateways are sent only the differences. Servers that it lacks stay until the list is complete,
 // and are then reported as unlisted.
-func TestCopyOutlivesItsLeader(t *testing.T) {
+func TestCopySurvivesLeaderChange(t *testing.T) {
 	is := is.New(t)
 	server := func(id, address string, handle uint32) protocol.Server {
 		return protocol.Server{Registration: protocol.Registration{ID: id, Pool: "p", Address: address}, Handle: handle}
@@ -200,8 +202,8 @@
 	is.True(again.Set[0].Handle > 5) // no handle is used twice
 }
 
-// TestSumPause: reports are sent at most ten times a second and at least every 300 ms.
-func TestSumPause(t *testing.T) {
+// TestRelayReportPause: reports are sent at most ten times a second and at least every 300 ms.
+func TestRelayReportPause(t *testing.T) {
 	is := is.New(t)
 	is.Equal(RelayReportPause(10), ReportPeriod-ReportPeriod/2)
 	is.Equal(RelayReportPause(1<<20), 300*time.Millisecond-ReportPeriod/2)
--- a/coordination/registry/sums.go
+++ b/coordination/registry/reportaggregator.go
@@ -11,39 +11,41 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines Sums, which merges the reports of several gateways into one, and its pace.
+// This file defines ReportAggregator, which merges the reports of several gateways into one, and
+// the pace of the merged reports.
 
 // Limits of a relay's reports to the leader.
 const (
-	// sumBytesPerSecond bounds one relay's reports. Together with linkBytesPerSecond in the other
-	// direction, two relays of a region take two thirds of the 50 KB/s allowed for the fleet's own
-	// messages between two regions (docs/CAPACITY.md).
-	sumBytesPerSecond = 8 << 10
-	// maxSumPeriod is the longest time between two reports: a third of RelaySilence.
-	maxSumPeriod = 300 * time.Millisecond
-	// maxSentSums is the number of latest reports that are kept to identify the one that the leader
-	// has counted. They cover at least 3.2 s, longer than any silence that a session survives.
-	maxSentSums = 32
+	// relayReportBytesPerSecond bounds one relay's reports. Together with linkBytesPerSecond in the
+	// other direction, two relays of a region take two thirds of the 50 KB/s allowed for the
+	// fleet's own messages between two regions (docs/CAPACITY.md).
+	relayReportBytesPerSecond = 8 << 10
+	// maxRelayReportPeriod is the longest time between two reports: a third of RelayTimeout.
+	maxRelayReportPeriod = 300 * time.Millisecond
+	// maxSentReports is the number of latest reports that are kept to identify the one that the
+	// leader has counted. They cover at least 3.2 s, longer than any silence that a session
+	// survives.
+	maxSentReports = 32
 )
 
-// MaxRelayReportLoads is the largest number of changed loads in a report, at ten bytes each. They take half
-// of the bytes allowed in maxSumPeriod, since accounts need the rest.
-const MaxRelayReportLoads = int(sumBytesPerSecond*maxSumPeriod/time.Second) / 2 / loadBytes
+// MaxRelayReportLoads is the largest number of changed loads in a report, at ten bytes each. They
+// take half of the bytes allowed in maxRelayReportPeriod, since accounts need the rest.
+const MaxRelayReportLoads = int(relayReportBytesPerSecond*maxRelayReportPeriod/time.Second) / 2 / loadBytes
 
-// RelayReportPause returns how long a relay waits after a report of a size in bytes. Half a period is
-// subtracted because the caller checks once per period.
+// RelayReportPause returns how long a relay waits after a report of a size in bytes. Half a period
+// is subtracted because the caller checks once per period.
 func RelayReportPause(size int) time.Duration {
-	byBudget := time.Duration(size) * time.Second / sumBytesPerSecond
-	return min(max(byBudget, ReportPeriod), maxSumPeriod) - ReportPeriod/2
+	byBudget := time.Duration(size) * time.Second / relayReportBytesPerSecond
+	return min(max(byBudget, ReportPeriod), maxRelayReportPeriod) - ReportPeriod/2
 }
 
-// RelayTimeout is the silence of a relay after which the leader ends its session. It equals the
-// limit for a leader: a relay's reports count for a whole region, and by then its gateways have
+// RelayTimeout is how long the leader waits for a relay's report before it ends the session. It
+// equals LeaderTimeout: a relay's reports count for a whole region, and by then its gateways have
 // left it and report elsewhere.
 const RelayTimeout = LeaderTimeout
 
-// ReportAggregator adds up the reports of a relay's gateways. The zero value has no gateways. It is not safe
-// for concurrent use.
+// ReportAggregator merges the reports of a relay's gateways. The zero value has no gateways. It is
+// not safe for concurrent use.
 type ReportAggregator struct {
 	term          uint64 // of the leader
 	gateways      map[string]gatewayReport
@@ -51,22 +53,22 @@
 	totals        map[outcomeKey]protocol.Outcomes // as last sent
 	feed          LoadFeed
 	seq           uint64
-	sent          []sentSum // in this session with the leader, newest last
-	counted       sentSum
-	listedSeq     uint64 // Seq of the newest list of rollouts in this session with the leader
+	sent          []sentReport // in this session with the leader, newest last
+	counted       sentReport
+	rolloutsSeq   uint64 // Seq of the newest list of rollouts in this session with the leader
 }
 
 // gatewayReport is the latest report of one gateway.
 type gatewayReport struct {
-	obeys          bool // whether it applies rollouts
-	reported       bool
-	seq            uint64
-	loads          []protocol.ServerLoad
-	outcomes       map[outcomeKey]protocol.Outcomes
-	number         uint64 // number of its document
-	lastObeyed     uint64 // newest list of rollouts applied, by the latest report
-	previousObeyed uint64 // the same by the report before: the loads of a report may have begun under an older list
-	barred         []protocol.Barred
+	appliesRollouts bool // whether it applies the leader's list of rollouts
+	reported        bool
+	seq             uint64
+	loads           []protocol.ServerLoad
+	outcomes        map[outcomeKey]protocol.Outcomes
+	documentNumber  uint64 // number of the document in force there
+	lastApplied     uint64 // Seq of the newest list of rollouts applied, by the latest report
+	previousApplied uint64 // the same by the report before: the requests of a report may have begun under an older list
+	barred          []protocol.Barred
 }
 
 // pendingCounts holds the counts since the last report to the leader.
@@ -79,8 +81,8 @@
 	return pendingCounts{demands: map[string]uint64{}, served: map[string]uint64{}, late: map[string]uint64{}, unread: map[string]uint64{}}
 }
 
-// sentSum records which report of each gateway is included in a report to the leader.
-type sentSum struct {
+// sentReport records which report of each gateway is included in a report to the leader.
+type sentReport struct {
 	seq      uint64
 	gateways map[string]uint64
 }
@@ -94,25 +96,25 @@
 	return outcomeKey{pool: o.Pool, version: o.Version, route: o.Route, attempt: o.Attempt}
 }
 
-// Restart begins a session with the leader of a term. The first report contains all that runs, but
-// no demand from before, which an earlier leader may have counted.
+// Restart begins a session with the leader of a term. The first report contains the loads of all
+// running requests, but no earlier demand, which an earlier leader may have counted.
 func (s *ReportAggregator) Restart(term uint64) {
 	for name, g := range s.gateways {
 		if s.term != term { // the numbers belong to lists of the earlier leader
-			g.previousObeyed, g.lastObeyed = 0, 0
+			g.previousApplied, g.lastApplied = 0, 0
 			s.gateways[name] = g
 		}
 	}
 	*s = ReportAggregator{gateways: s.gateways, pendingCounts: newPendingCounts(), term: term}
 }
 
-// Open begins the session of a gateway, whose reports are numbered from 1 again. obeys is whether
-// it applies rollouts.
-func (s *ReportAggregator) Open(gateway string, obeys bool) {
+// Open begins the session of a gateway, whose reports are numbered from 1 again. appliesRollouts is
+// whether the gateway applies the leader's list of rollouts.
+func (s *ReportAggregator) Open(gateway string, appliesRollouts bool) {
 	if s.gateways == nil {
 		s.gateways, s.pendingCounts = map[string]gatewayReport{}, newPendingCounts()
 	}
-	s.gateways[gateway] = gatewayReport{obeys: obeys}
+	s.gateways[gateway] = gatewayReport{appliesRollouts: appliesRollouts}
 	delete(s.counted.gateways, gateway)
 	for _, sent := range s.sent {
 		delete(sent.gateways, gateway)
@@ -132,11 +134,11 @@
 	if g.reported {
 		s.pendingCounts.add(m)
 	}
-	g.reported, g.seq, g.loads, g.number, g.barred = true, m.Seq, m.Loads, m.Number, m.Barred
+	g.reported, g.seq, g.loads, g.documentNumber, g.barred = true, m.Seq, m.Loads, m.Number, m.Barred
 	if m.Term != 0 && m.Term != s.term {
 		m.Obeyed = 0
 	}
-	g.previousObeyed, g.lastObeyed = g.lastObeyed, m.Obeyed
+	g.previousApplied, g.lastApplied = g.lastApplied, m.Obeyed
 	if len(m.Outcomes) > 0 {
 		g.outcomes = maps.Clone(g.outcomes)
 		if g.outcomes == nil {
@@ -149,20 +151,20 @@
 	s.gateways[gateway] = g
 }
 
-func (g *pendingCounts) add(m protocol.Usage) {
-	g.started += m.Started
-	g.missed += m.Missed
+func (p *pendingCounts) add(m protocol.Usage) {
+	p.started += m.Started
+	p.missed += m.Missed
 	for _, d := range m.Demands {
-		g.demands[d.Account] += d.Tokens
+		p.demands[d.Account] += d.Tokens
 	}
 	for _, d := range m.Served {
-		g.served[d.Account] += d.Tokens
+		p.served[d.Account] += d.Tokens
 	}
 	for _, d := range m.Late {
-		g.late[d.Account] += d.Tokens
+		p.late[d.Account] += d.Tokens
 	}
 	for _, d := range m.Unread {
-		g.unread[d.Account] += d.Tokens
+		p.unread[d.Account] += d.Tokens
 	}
 }
 
@@ -179,7 +181,7 @@
 // reports.
 func (s *ReportAggregator) Next() protocol.Usage {
 	s.seq++
-	sent := sentSum{seq: s.seq, gateways: make(map[string]uint64, len(s.gateways))}
+	sent := sentReport{seq: s.seq, gateways: make(map[string]uint64, len(s.gateways))}
 	loads := map[uint32]protocol.ServerLoad{}
 	m := protocol.Usage{Seq: s.seq, Changes: true}
 	for name, g := range s.gateways {
@@ -188,7 +190,7 @@
 			AddLoads(loads, g.loads)
 		}
 	}
-	m.Number, m.Obeyed = s.minimums()
+	m.Number, m.Obeyed = s.minApplied()
 	m.Barred = s.mergedBarred()
 	m.Loads = s.feed.Next(SortedLoads(loads), MaxRelayReportLoads)
 	m.Outcomes = s.changedOutcomes()
@@ -197,7 +199,7 @@
 	m.Started, m.Missed = s.pendingCounts.started, s.pendingCounts.missed
 	s.pendingCounts = newPendingCounts()
 	s.sent = append(s.sent, sent)
-	s.sent = s.sent[max(len(s.sent)-maxSentSums, 0):]
+	s.sent = s.sent[max(len(s.sent)-maxSentReports, 0):]
 	return m
 }
 
@@ -213,24 +215,24 @@
 	return slices.Compact(all)
 }
 
-// minimums returns the smallest number of a document in force at a gateway, and the smallest number
-// of a list of rollouts under which running requests may have begun. Without a gateway that applies
-// rollouts, the latter is the newest list received here.
-func (s *ReportAggregator) minimums() (number, obeyed uint64) {
-	var numbers, obeys []uint64
+// minApplied returns the smallest number of a document in force at a gateway, and the smallest
+// number of a list of rollouts under which running requests may have begun. Without a gateway that
+// applies rollouts, the latter is the newest list received here.
+func (s *ReportAggregator) minApplied() (document, rollouts uint64) {
+	var numbers, applied []uint64
 	for _, g := range s.gateways {
-		numbers = append(numbers, g.number)
-		if g.obeys {
-			obeys = append(obeys, g.previousObeyed)
+		numbers = append(numbers, g.documentNumber)
+		if g.appliesRollouts {
+			applied = append(applied, g.previousApplied)
 		}
 	}
 	if len(numbers) > 0 {
-		number = slices.Min(numbers)
+		document = slices.Min(numbers)
 	}
-	if len(obeys) == 0 {
-		return number, s.listedSeq
+	if len(applied) == 0 {
+		return document, s.rolloutsSeq
 	}
-	return number, slices.Min(obeys)
+	return document, slices.Min(applied)
 }
 
 // changedOutcomes returns the totals that differ from those sent, ordered by their keys.
@@ -281,7 +283,7 @@
 
 // ApplyRollouts records the leader's list of rollouts, and drops the outcomes of others.
 func (s *ReportAggregator) ApplyRollouts(m protocol.Rollouts) {
-	s.listedSeq = m.Seq
+	s.rolloutsSeq = m.Seq
 	attempts := map[string]uint64{}
 	for _, r := range m.List {
 		attempts[r.Pool] = r.Attempt
@@ -293,18 +295,18 @@
 	maps.DeleteFunc(s.totals, old)
 }
 
-// RecordCounted records the number of the newest report that the leader's sums include.
+// RecordCounted records the number of the newest merged report that the leader's sums include.
 func (s *ReportAggregator) RecordCounted(seq uint64) {
 	for _, sent := range s.sent {
 		if sent.seq == seq {
 			s.counted = sent
 		}
 	}
-	s.sent = slices.DeleteFunc(s.sent, func(sent sentSum) bool { return sent.seq <= seq })
+	s.sent = slices.DeleteFunc(s.sent, func(sent sentReport) bool { return sent.seq <= seq })
 }
 
 // CountedReport returns the number of a gateway's newest report that the leader's sums include, or
-// 0 if they include none of its session.
+// 0 if they include none of the gateway's session.
 func (s *ReportAggregator) CountedReport(gateway string) uint64 { return s.counted.gateways[gateway] }
 
 // AddLoads adds loads to sums by handle.
--- a/coordination/registry/replicaof.go
+++ b/coordination/registry/selectreplica.go
@@ -26,7 +26,7 @@
 		return ""
 	}
 	return slices.MaxFunc(places, func(a, b protocol.Place) int {
-		return cmp.Or(cmp.Compare(weight(gateway, a.Address), weight(gateway, b.Address)), cmp.Compare(a.Address, b.Address))
+		return cmp.Or(cmp.Compare(rendezvousWeight(gateway, a.Address), rendezvousWeight(gateway, b.Address)), cmp.Compare(a.Address, b.Address))
 	}).Address
 }
 
@@ -35,9 +35,9 @@
 	return hall != "" && slices.ContainsFunc(places, func(p protocol.Place) bool { return p.Hall == hall })
 }
 
-// weight is a replica's weight for a gateway, which is served by the replica with the largest one.
-// It must not change, since replicas of different versions have to agree.
-func weight(gateway, replica string) uint64 {
+// rendezvousWeight is a replica's rendezvousWeight for a gateway, which is served by the replica
+// with the largest one. It must not change, since replicas of different versions have to agree.
+func rendezvousWeight(gateway, replica string) uint64 {
 	hash := fnv.New64a()
 	_, _ = io.WriteString(hash, gateway+" "+replica) // a hash returns no error
 	return mix.Bits(hash.Sum64())
--- a/coordination/registry/spread_test.go
+++ b/coordination/registry/spread_test.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/coordination/registry"
 )
 
-// TestSpreadIsSteady: sessions are spread when the lists of all gateways take the leader's link for
-// longer than a tenth of a second. They stay spread while gateways are away for less than five
-// minutes.
-func TestSpreadIsSteady(t *testing.T) {
+// TestSpreadHysteresis: sessions are spread when the lists of all gateways take the leader's link
+// for longer than a tenth of a second. They stay spread while gateways are disconnected for less
+// than five minutes.
+func TestSpreadHysteresis(t *testing.T) {
 	is := is.New(t)
 	const gigabit = 125e6
 	var s registry.Spread
