--- a/coordination/rollout/evidence.go
+++ b/coordination/rollout/evidence.go
@@ -158,14 +158,14 @@
 	return c.bad*math.Log(p/expected) + (c.total-c.bad)*math.Log((1-p)/(1-expected))
 }
 
-// sums holds the CUSUM values by kind of bad answer and tested excess.
-type sums struct {
+// cusums holds the CUSUM values, or the gains of one step, by kind of bad answer and tested excess.
+type cusums struct {
 	failed [len(failedExcesses)]float64
 	slow   [len(slowExcesses)]float64
 }
 
-// plusGains returns the sum of two gains, without a lower limit.
-func (s sums) plusGains(g sums) sums {
+// plusGains returns the sum of the gains of two routes, without a lower limit.
+func (s cusums) plusGains(g cusums) cusums {
 	for i := range s.failed {
 		s.failed[i] += g.failed[i]
 	}
@@ -176,7 +176,7 @@
 }
 
 // plus returns the CUSUM values after further gains. No value falls below 0.
-func (s sums) plus(g sums) sums {
+func (s cusums) plus(g cusums) cusums {
 	for i := range s.failed {
 		s.failed[i] = max(s.failed[i]+g.failed[i], 0)
 	}
@@ -187,7 +187,7 @@
 }
 
 // largest returns the largest value, and whether it belongs to failures.
-func (s sums) largest() (sum float64, failures bool) {
+func (s cusums) largest() (sum float64, failures bool) {
 	failed, slow := slices.Max(s.failed[:]), slices.Max(s.slow[:])
 	return max(failed, slow), failed >= slow
 }
@@ -196,7 +196,7 @@
 type routeState struct {
 	totals       RouteTallies // as of the last step
 	failed, slow badRate      // of the old version
-	sums         sums
+	sums         cusums
 
 	// Of the last step:
 	slowAbove         int // bucket above which an answer is slow; -1 without enough data
@@ -208,7 +208,7 @@
 type detector struct {
 	routes       map[string]*routeState
 	failed, slow badRate // of the old version on all routes
-	overall      sums
+	overall      cusums
 }
 
 // Evidence summarizes the evidence behind a decision, for the log.
@@ -242,7 +242,7 @@
 	}
 	d.failed = d.failed.update(passed, oldOverall.failed, newOld.failed)
 	d.slow = d.slow.update(passed, oldOverall.slow, newOld.slow)
-	var all sums
+	var all cusums
 	for _, t := range d.routes {
 		g := t.gains(minRate, d.failed.recentRate(), d.slow.recentRate())
 		t.sums = t.sums.plus(g)
@@ -263,7 +263,7 @@
 
 // gains returns the log likelihood ratios of the route's newest answers. failed and slow are the
 // old version's recent rates over all routes.
-func (t *routeState) gains(minRate, failed, slow float64) (g sums) {
+func (t *routeState) gains(minRate, failed, slow float64) (g cusums) {
 	expected := max(t.failed.expected(minRate), failed)
 	for i, excess := range failedExcesses {
 		g.failed[i] = logLikelihoodRatio(t.newTarget.failed, expected, excess)
--- a/coordination/rollout/orders.go
+++ b/coordination/rollout/orders.go
@@ -20,9 +20,9 @@
 //   - Begin a new attempt: a bad version gets requests again although nobody ordered it.
 //   - Refuse it as ambiguous within the window, as for orders about halls: a sender that lost the
 //     acknowledgement repeats the order until the window has passed and begins a new attempt.
-//   - Acknowledge it without an effect within the window (used here): a new order for a version that
-//     was rolled back changes nothing within the window of the last acknowledged order. Operators can
-//     read in the rollout's state that the version was rolled back.
+//   - Acknowledge it without an effect within the window (used here): a new order for a version
+//     that was rolled back changes nothing within the window of the last acknowledged order.
+//     Operators can read in the rollout's state that the version was rolled back.
 //
 // Only the leader that acknowledges an order without an effect remembers it. If another leader
 // follows within the window, a copy of such an order may begin a rollout there. The same applies to
--- a/coordination/rollout/orders_model_test.go
+++ b/coordination/rollout/orders_model_test.go
@@ -22,7 +22,7 @@
 	t                *testing.T
 	rng              *rand.Rand
 	now              time.Duration
-	log              []entry
+	log              []logEntry
 	committed        document.Store // state after the whole log
 	replicas         [3]replicaState
 	leader           int
@@ -33,7 +33,7 @@
 	leaderFixedUntil time.Duration // the leader stays until then: it alone remembers an order that began nothing
 }
 
-type entry struct {
+type logEntry struct {
 	change document.RolloutChange
 	order  int // number of the order; 0 for an entry that ends a rollout
 }
@@ -72,7 +72,7 @@
 }
 
 // commit appends an entry to the log and checks that no late copy begins a rollout.
-func (m *orderModel) commit(e entry) {
+func (m *orderModel) commit(e logEntry) {
 	m.log = append(m.log, e)
 	if !m.committed.ChangeRollout(e.change) || e.order == 0 {
 		return
@@ -130,7 +130,7 @@
 			change.State = document.RolloutComplete
 		}
 		change.Elapsed = time.Duration(m.rng.Int64N(int64(m.now-m.lastBegan) + 1)) // a new leader may record too short a time
-		m.commit(entry{change: change})
+		m.commit(logEntry{change: change})
 	case 7:
 		if i := m.rng.IntN(3); i != m.leader {
 			m.install(i)
@@ -152,14 +152,14 @@
 	due := func(c orderCopy) bool { return c.arrives <= m.now }
 	arrived := slices.DeleteFunc(slices.Clone(m.inTransit), func(c orderCopy) bool { return !due(c) })
 	m.inTransit = slices.DeleteFunc(m.inTransit, due)
-	var proposed []entry // all decided on the same state, as by two replicas that both believe to lead
+	var proposed []logEntry // all decided on the same state, as by two replicas that both believe to lead
 	for _, c := range arrived {
 		r := m.applyLog(m.leader) // a follower redirects to the leader
 		newest, _ := r.store.Rollout("p")
 		verdict, change := r.orders.Decide(m.now+r.offset, c.order, newest)
 		switch verdict {
 		case Accept:
-			proposed = append(proposed, entry{change: change, order: c.number})
+			proposed = append(proposed, logEntry{change: change, order: c.number})
 		case AlreadyApplied:
 			r.orders = r.orders.WithAcknowledged(m.now+r.offset, c.order)
 			if !m.begun[c.number] {
@@ -199,8 +199,9 @@
 	return acknowledged
 }
 
-// TestLateCopiesBeginNoRollout: an order begins at most one rollout, and none after a later order. Copies
-// arrive in any order at any replica while leaders change, replicas restart and rollouts end.
+// TestLateCopiesBeginNoRollout: an order begins at most one rollout, and none after a later order.
+// Copies arrive in any order at any replica while leaders change, replicas restart and rollouts
+// end.
 func TestLateCopiesBeginNoRollout(t *testing.T) {
 	acknowledged, begun := 0, 0
 	const seeds, orders = 300, 20
--- a/coordination/rollout/orders_test.go
+++ b/coordination/rollout/orders_test.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// TestCopyIsAcknowledgedDuringLaterRollout: a copy is acknowledged like its order, and changes nothing.
+// TestCopyIsAcknowledgedDuringLaterRollout: a copy is acknowledged like its order, and changes
+// nothing.
 func TestCopyIsAcknowledgedDuringLaterRollout(t *testing.T) {
 	is := is.New(t)
 	orders := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", State: document.RolloutUnderWay})
@@ -121,8 +122,8 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestWindowIsAtLeastMinWindow: the window is at least MinWindow, for which the command line repeats an
-// order.
+// TestWindowIsAtLeastMinWindow: the window is at least MinWindow, for which the command line
+// repeats an order.
 func TestWindowIsAtLeastMinWindow(t *testing.T) {
 	is := is.New(t)
 	back := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutRolledBack, Attempt: 1}
@@ -135,7 +136,8 @@
 	is.Equal(verdict, AlreadyApplied)
 }
 
-// TestAcknowledgedOrderIsRemembered: an acknowledged order that began nothing may have late copies too.
+// TestAcknowledgedOrderIsRemembered: an acknowledged order that began nothing may have late copies
+// too.
 func TestAcknowledgedOrderIsRemembered(t *testing.T) {
 	is := is.New(t)
 	complete := document.Rollout{Pool: "p", Target: "v2", State: document.RolloutComplete, Elapsed: time.Hour}
@@ -148,8 +150,8 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotLacksOrderTimes: a snapshot does not hold when a version was ordered that was rolled back
-// before the newest rollout. A replica that observed the order itself keeps its time.
+// TestSnapshotLacksOrderTimes: a snapshot does not hold when a version was ordered that was rolled
+// back before the newest rollout. A replica that observed the order itself keeps its time.
 func TestSnapshotLacksOrderTimes(t *testing.T) {
 	is := is.New(t)
 	newest := []document.Rollout{{Pool: "p", Target: "v3", State: document.RolloutRolledBack, Attempt: 2, Barred: []string{"v2", "v3"}, Elapsed: time.Hour}}
@@ -165,8 +167,8 @@
 	is.Equal(verdict, Accept)
 }
 
-// TestSnapshotWithUnobservedAttempts: the times that a replica recorded for earlier attempts do not apply to
-// attempts that it did not observe.
+// TestSnapshotWithUnobservedAttempts: the times that a replica recorded for earlier attempts do not
+// apply to attempts that it did not observe.
 func TestSnapshotWithUnobservedAttempts(t *testing.T) {
 	is := is.New(t)
 	first := Orders{}.WithRollout(0, document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
--- a/coordination/rollout/schedule_test.go
+++ b/coordination/rollout/schedule_test.go
@@ -31,8 +31,8 @@
 	return all
 }
 
-// TestPoolWithoutRequestsCompletes: a rollout of a pool without requests completes, since no version can exceed the
-// bound.
+// TestPoolWithoutRequestsCompletes: a rollout of a pool without requests completes, since no
+// version can exceed the bound.
 func TestPoolWithoutRequestsCompletes(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(time.Duration, Decision) Observation {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestNoSwitchWithoutTargetServer: without a server of the target there is no switch, with or without
-// requests.
+// TestNoSwitchWithoutTargetServer: without a server of the target there is no switch, with or
+// without requests.
 func TestNoSwitchWithoutTargetServer(t *testing.T) {
 	is := is.New(t)
 	for _, perStep := range []uint64{0, 1, 15} {
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestRollBackWithoutTargetRequests: a rollout is rolled back if the target gets none of many requests, for
-// example for lack of capacity.
+// TestRollBackWithoutTargetRequests: a rollout is rolled back if the target gets none of many
+// requests, for example for lack of capacity.
 func TestRollBackWithoutTargetRequests(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(at time.Duration, _ Decision) Observation {
@@ -92,8 +92,9 @@
 	is.Equal(all[len(all)-1].Reason, "not enough evidence in time")
 }
 
-// TestNewLeaderWaitsForReports: the target gets no requests before the gateways have reported to a new
-// leader. The first reports cover an unknown time; they count as evidence, but not for the rate.
+// TestNewLeaderWaitsForReports: the target gets no requests before the gateways have reported to a
+// new leader. The first reports cover an unknown time; they count as evidence, but not for the
+// rate.
 func TestNewLeaderWaitsForReports(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
@@ -179,8 +180,8 @@
 	}
 }
 
-// TestLateLeaderMeasuresRateFirst: a leader that starts after the latest moment to decide measures the
-// rate before it rolls back. A pool without requests then completes.
+// TestLateLeaderMeasuresRateFirst: a leader that starts after the latest moment to decide measures
+// the rate before it rolls back. A pool without requests then completes.
 func TestLateLeaderMeasuresRateFirst(t *testing.T) {
 	is := is.New(t)
 	s := &Schedule{Duration: 10 * time.Second, Bounds: Bounds{Share: 0.1, Slack: 50}}
@@ -191,7 +192,8 @@
 	is.Equal(d.Action, Complete)
 }
 
-// TestUntestedRoutePreventsSwitch: there is no switch while the target has served no request of a route.
+// TestUntestedRoutePreventsSwitch: there is no switch while the target has served no request of a
+// route.
 func TestUntestedRoutePreventsSwitch(t *testing.T) {
 	is := is.New(t)
 	all := runSchedule(func(at time.Duration, _ Decision) Observation {
--- a/coordination/rollout/unusable_routes_test.go
+++ b/coordination/rollout/unusable_routes_test.go
@@ -11,9 +11,9 @@
 
 // This file tests the schedule with routes that cannot use the target.
 
-// TestRouteWithoutTargetIsNotAwaited: a route whose homes have no server of the target delays neither
-// the switch nor the end of a rollout. If no route can use the target, there is not enough evidence
-// for a switch.
+// TestRouteWithoutTargetIsNotAwaited: a route whose homes have no server of the target delays
+// neither the switch nor the end of a rollout. If no route can use the target, there is not enough
+// evidence for a switch.
 func TestRouteWithoutTargetIsNotAwaited(t *testing.T) {
 	for _, test := range []struct {
 		name          string
