--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -17,8 +17,8 @@
 // assigned.
 
 // maxDepartures is the number of newest departures that a copy keeps for whole lists: an incomplete
-// list does not show which servers are gone. The leader sends as many itself (listedDepartures of
-// package directory).
+// list does not show which servers are gone. The leader sends as many itself (maxListedDepartures
+// of package directory).
 const maxDepartures = 256
 
 // Copy is the list of backend servers as received from leaders.
