--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -62,7 +62,7 @@
 		reused     config.Reused
 		notLeader  consensus.NotLeader
 		notLeading NotLeading
-		handover   consensus.Handover
+		handover   consensus.TransferPending
 		undecided  replica.Undecided
 	)
 	switch {
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -22,11 +22,11 @@
 	return "not the leader; the leader is " + e.Leader.Name
 }
 
-// Handover rejects a proposal during a leadership transfer.
-type Handover struct{ To protocol.Peer }
+// TransferPending rejects a proposal during a leadership transfer.
+type TransferPending struct{ To protocol.Peer }
 
 // Error names the successor.
-func (e Handover) Error() string { return "leadership is being handed to " + e.To.Name }
+func (e TransferPending) Error() string { return "leadership is being handed to " + e.To.Name }
 
 // ChangePending rejects a membership change while another one is uncommitted.
 type ChangePending struct{ Index uint64 }
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -32,7 +32,7 @@
 	repairTimeouts = 5
 )
 
-// ChangeMembership appends a new membership. The error is [NotLeader], [Handover]
+// ChangeMembership appends a new membership. The error is [NotLeader], [TransferPending]
 // or [ChangePending]. A membership that differs by more than one voter counts as
 // several changes and is also rejected with [ChangePending].
 func (r *Replica) ChangeMembership(m protocol.Membership) error {
@@ -40,7 +40,7 @@
 		return NotLeader{Leader: r.leader}
 	}
 	if !r.transferTo.IsZero() {
-		return Handover{To: r.transferTo}
+		return TransferPending{To: r.transferTo}
 	}
 	if r.changePending() || voterDifference(r.log.members(), m) > 1 {
 		return ChangePending{Index: r.log.lastChange()}
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -161,13 +161,13 @@
 }
 
 // Propose appends a command and returns its index and term, which it keeps if it
-// is committed. The error is [NotLeader] or [Handover].
+// is committed. The error is [NotLeader] or [TransferPending].
 func (r *Replica) Propose(data []byte) (index, term uint64, err error) {
 	if r.role != Leader {
 		return 0, 0, NotLeader{Leader: r.leader}
 	}
 	if !r.transferTo.IsZero() {
-		return 0, 0, Handover{To: r.transferTo}
+		return 0, 0, TransferPending{To: r.transferTo}
 	}
 	e := r.appendOwn(protocol.EntryCommand, data)
 	return e.Index, e.Term, nil
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -196,7 +196,7 @@
 }
 
 // Propose appends a command and waits until it is applied here. The error is
-// [consensus.NotLeader], [consensus.Handover], [Undecided], [Stopped] or the
+// [consensus.NotLeader], [consensus.TransferPending], [Undecided], [Stopped] or the
 // context's. After Undecided, also with Stopped as its cause, the command may still be
 // committed. After Stopped alone the command was not appended.
 func (r *Replica) Propose(ctx context.Context, data []byte) (any, error) {
