--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -28,13 +28,13 @@
 // disk holds the durable state of a replica.
 type disk struct {
 	incarnation uint64
-	durable     Durable
+	durable     DurableState
 }
 
 func (d *disk) save(ready Ready, r *Replica) {
 	if ready.Snapshot != nil {
 		hard, entries := r.Tail()
-		d.durable = Durable{Hard: hard, Snapshot: *ready.Snapshot, Entries: slices.Clone(entries)}
+		d.durable = DurableState{Hard: hard, Snapshot: *ready.Snapshot, Entries: slices.Clone(entries)}
 		return
 	}
 	if ready.Hard != nil {
@@ -131,7 +131,7 @@
 	m.startReplica(c, m.disk.durable)
 }
 
-func (m *member) startReplica(c *cluster, d Durable) {
+func (m *member) startReplica(c *cluster, d DurableState) {
 	m.formation = nil
 	m.r = New(Config{
 		Name: "g", Self: m.self(), Election: testElection, Heartbeat: testHeartbeat,
@@ -182,7 +182,7 @@
 
 func (m *member) foundGroup(c *cluster, s protocol.Snapshot) {
 	c.inFlight = append(c.inFlight, m.formation.Messages()...)
-	m.disk.durable = Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s}
+	m.disk.durable = DurableState{Hard: protocol.HardState{Term: s.Term}, Snapshot: s}
 	m.startReplica(c, m.disk.durable)
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	if msg.To == m.self() && (msg.Kind == protocol.MsgAppend || msg.Kind == protocol.MsgSnapshot) {
-		m.startReplica(c, Durable{})
+		m.startReplica(c, DurableState{})
 		m.r.Step(c.now, msg)
 		return
 	}
@@ -304,7 +304,7 @@
 	}
 	s := m.r.Compact(m.snapshotData())
 	hard, entries := m.r.Tail()
-	m.disk.durable = Durable{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
+	m.disk.durable = DurableState{Hard: hard, Snapshot: s, Entries: slices.Clone(entries)}
 }
 
 // run runs the cluster for d without new faults.
--- a/coordination/consensus/example_test.go
+++ b/coordination/consensus/example_test.go
@@ -20,7 +20,7 @@
 	r := consensus.New(consensus.Config{
 		Name: "config", Self: self, Election: time.Second, Heartbeat: 200 * time.Millisecond,
 		Rand: func(int64) int64 { return 0 },
-	}, 0, consensus.Durable{Hard: protocol.HardState{Term: 1}, Snapshot: group})
+	}, 0, consensus.DurableState{Hard: protocol.HardState{Term: 1}, Snapshot: group})
 	carryOut := func() {
 		for ready := r.Ready(); !ready.Empty(); ready = r.Ready() {
 			for _, e := range ready.Committed {
--- a/coordination/consensus/membership_test.go
+++ b/coordination/consensus/membership_test.go
@@ -20,7 +20,7 @@
 	learner := protocol.Peer{Name: "c", Incarnation: 3}
 	r := New(Config{
 		Name: "g", Self: a, Election: testElection, Heartbeat: testHeartbeat, Rand: func(int64) int64 { return 0 },
-	}, 0, Durable{
+	}, 0, DurableState{
 		Hard: protocol.HardState{Term: 3},
 		Snapshot: protocol.Snapshot{Group: 7, Index: 1, Term: 1, Members: protocol.Membership{
 			Voters: []protocol.Peer{a, b}, Learners: []protocol.Peer{learner},
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -48,8 +48,8 @@
 	return c
 }
 
-// Durable is the state that a replica recovered from its disk.
-type Durable struct {
+// DurableState is the state that a replica recovered from its disk.
+type DurableState struct {
 	Hard     protocol.HardState
 	Snapshot protocol.Snapshot // zero on a blank disk
 	Entries  []protocol.Entry
@@ -126,7 +126,7 @@
 }
 
 // New returns a replica that starts at time now with the state from its disk.
-func New(cfg Config, now time.Duration, d Durable) *Replica {
+func New(cfg Config, now time.Duration, d DurableState) *Replica {
 	r := &Replica{
 		cfg:               cfg.withDefaults(),
 		now:               now,
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -57,7 +57,7 @@
 	if err := l.restore(c.Snapshot.Data); err != nil {
 		return err
 	}
-	l.startMember(0, consensus.Durable{Hard: c.Hard, Snapshot: c.Snapshot, Entries: c.Entries})
+	l.startMember(0, consensus.DurableState{Hard: c.Hard, Snapshot: c.Snapshot, Entries: c.Entries})
 	return nil
 }
 
@@ -77,7 +77,7 @@
 
 // startMember runs the replica as a member with the state from its disk, or without a log if
 // a leader repairs it.
-func (l *loop) startMember(now time.Duration, d consensus.Durable) {
+func (l *loop) startMember(now time.Duration, d consensus.DurableState) {
 	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
@@ -184,7 +184,7 @@
 	}
 	if m.To == l.self && (m.Kind == protocol.MsgAppend || m.Kind == protocol.MsgSnapshot) {
 		// A leader repairs this replica: run as a member without a log.
-		l.startMember(now, consensus.Durable{})
+		l.startMember(now, consensus.DurableState{})
 		l.member.Step(now, m)
 		return nil
 	}
@@ -214,7 +214,7 @@
 		return err
 	}
 	l.r.cfg.Log.Info("group formed", "group", l.r.cfg.Group, "voters", len(s.Members.Voters))
-	l.startMember(now, consensus.Durable{Hard: protocol.HardState{Term: s.Term}, Snapshot: s})
+	l.startMember(now, consensus.DurableState{Hard: protocol.HardState{Term: s.Term}, Snapshot: s})
 	return nil
 }
 
