--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -272,7 +272,7 @@
 	Commit        uint64
 	Applied       uint64
 	Last          uint64 // index of the newest entry
-	First         uint64 // index of the snapshot
+	SnapshotIndex uint64 // index of the snapshot
 	Members       protocol.Membership
 	LeaseEnd      time.Duration // on the replica's clock; zero without a lease
 	LeadershipEnd LeadershipEnd // end of this replica's last leadership
@@ -283,7 +283,7 @@
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
 		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
-		First: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.leadershipEnd(),
+		SnapshotIndex: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.leadershipEnd(),
 	}
 }
 
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -336,7 +336,7 @@
 		return nil
 	}
 	s := l.member.Status()
-	if s.Applied <= s.First {
+	if s.Applied <= s.SnapshotIndex {
 		return nil
 	}
 	image, err := l.r.cfg.Machine.Snapshot()
