--- a/control/session.go
+++ b/control/session.go
@@ -51,7 +51,7 @@
 	d.call(func() {
 		r = protocol.Redirect{
 			Leader: d.group.Leader.Name, Follows: !d.group.Leader.IsZero(), Group: d.group.Group,
-			Revision: d.c.state.Config().Revision(), Pending: d.group.Last > d.group.Applied,
+			Revision: d.c.state.Config().Revision(), Pending: d.group.LastIndex > d.group.Applied,
 		}
 		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.recordingEnd[holder]
 		if admitted {
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -271,7 +271,7 @@
 	Leader        protocol.Peer // zero when none is known
 	Commit        uint64
 	Applied       uint64
-	Last          uint64 // index of the newest entry
+	LastIndex     uint64 // index of the newest entry
 	SnapshotIndex uint64 // index of the snapshot
 	Members       protocol.Membership
 	LeaseEnd      time.Duration // on the replica's clock; zero without a lease
@@ -282,7 +282,7 @@
 func (r *Replica) Status() Status {
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
-		Leader: r.leader, Commit: r.commit, Applied: r.applied, Last: r.log.last(),
+		Leader: r.leader, Commit: r.commit, Applied: r.applied, LastIndex: r.log.last(),
 		SnapshotIndex: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.leadershipEnd(),
 	}
 }
