--- a/control/claims.go
+++ b/control/claims.go
@@ -22,9 +22,9 @@
 // claimMachine is the state machine of the claims group.
 type claimMachine struct{ register *claim.Register }
 
-var _ replica.Machine = claimMachine{}
+var _ replica.StateMachine = claimMachine{}
 
-// Apply implements [replica.Machine].
+// Apply implements [replica.StateMachine].
 func (c claimMachine) Apply(data []byte) any {
 	var cmd claim.Command
 	if err := cbor.Unmarshal(data, &cmd); err != nil {
@@ -33,10 +33,10 @@
 	return c.register.Apply(cmd)
 }
 
-// Snapshot implements [replica.Machine].
+// Snapshot implements [replica.StateMachine].
 func (c claimMachine) Snapshot() ([]byte, error) { return c.register.MarshalBinary() }
 
-// Restore implements [replica.Machine].
+// Restore implements [replica.StateMachine].
 func (c claimMachine) Restore(image []byte) error { return c.register.UnmarshalBinary(image) }
 
 // proposeClaim proposes a command to the claims group, stamped with this box's wall
--- a/control/control.go
+++ b/control/control.go
@@ -107,7 +107,7 @@
 	return err
 }
 
-func (c *Control) startGroup(name string, m replica.Machine,
+func (c *Control) startGroup(name string, m replica.StateMachine,
 	observe func(consensus.Status, bool)) (*replica.Replica, error) {
 	dir, err := c.cfg.Dir(name)
 	if err != nil {
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -50,7 +50,7 @@
 	onApplied func()            // must not block
 }
 
-var _ replica.Machine = (*Replicated)(nil)
+var _ replica.StateMachine = (*Replicated)(nil)
 
 func newReplicated(onApplied func()) *Replicated {
 	return &Replicated{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, onApplied: onApplied}
@@ -91,7 +91,7 @@
 	return r.store.DeltaFrom(revision)
 }
 
-// Apply implements [replica.Machine].
+// Apply implements [replica.StateMachine].
 func (r *Replicated) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
@@ -128,7 +128,7 @@
 	Adverts []advert       `cbor:"3,keyasint,omitempty"`
 }
 
-// Snapshot implements [replica.Machine].
+// Snapshot implements [replica.StateMachine].
 func (r *Replicated) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -143,7 +143,7 @@
 	return cbor.Marshal(im)
 }
 
-// Restore implements [replica.Machine].
+// Restore implements [replica.StateMachine].
 func (r *Replicated) Restore(image []byte) error {
 	var im replicatedImage
 	if err := cbor.Unmarshal(image, &im); err != nil {
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -57,7 +57,7 @@
 	}
 }
 
-var _ replica.Machine = (*Replicated)(nil)
+var _ replica.StateMachine = (*Replicated)(nil)
 
 // Held returns the document applied at this replica.
 func (r *Replicated) Held() (document.Held, bool) {
@@ -171,7 +171,7 @@
 	return r.hallOrders.Decide(r.now(), hall, out, state.Out), document.HallChange{Hall: hall, Out: out, After: state.Changes}
 }
 
-// Apply implements [replica.Machine].
+// Apply implements [replica.StateMachine].
 func (r *Replicated) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
@@ -214,14 +214,14 @@
 	return applied
 }
 
-// Snapshot implements [replica.Machine].
+// Snapshot implements [replica.StateMachine].
 func (r *Replicated) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.MarshalBinary()
 }
 
-// Restore implements [replica.Machine].
+// Restore implements [replica.StateMachine].
 func (r *Replicated) Restore(image []byte) error {
 	r.mu.Lock()
 	err := r.store.UnmarshalBinary(image)
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -34,9 +34,9 @@
 
 // This file defines Replica, its settings and its API. Its goroutine is in loop.go.
 
-// Machine is the state machine that the log drives. The replica calls it only from
+// StateMachine is the state machine that the log drives. The replica calls it only from
 // its own goroutine.
-type Machine interface {
+type StateMachine interface {
 	// Apply applies a committed command and returns the result for its proposer.
 	Apply(data []byte) any
 	// Snapshot returns an image of the state.
@@ -58,7 +58,7 @@
 	// any replica may join.
 	Open    *OpenGroup
 	Dir     wal.Dir
-	Machine Machine
+	Machine StateMachine
 	Send    Sender
 	Tuning
 	Random func() uint64
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -39,7 +39,7 @@
 	return err
 }
 
-func testSettings(dir wal.Dir, m Machine) Settings {
+func testSettings(dir wal.Dir, m StateMachine) Settings {
 	return Settings{
 		Group: "g", Name: "a", Names: []string{"a"}, Dir: dir, Machine: m, Send: func(protocol.Consensus) {},
 		Tuning: Tuning{Election: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, CompactAt: 2000},
