--- a/control/control.go
+++ b/control/control.go
@@ -115,7 +115,7 @@
 	}
 	names := slices.Sorted(maps.Keys(c.cfg.Replicas))
 	return replica.Start(c.ctx, replica.Settings{
-		Group: name, Name: c.cfg.Identity.Name, Names: names, Dir: dir, Machine: m,
+		Group: name, Name: c.cfg.Identity.Name, Names: names, Dir: dir, StateMachine: m,
 		Send: c.mesh.Send, Tuning: c.cfg.Tuning, Random: c.cfg.Random, Clock: c.cfg.Clock,
 		Log: c.cfg.Log, Observe: observe,
 	})
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -96,7 +96,7 @@
 	d.replica, err = replica.Start(ctx, replica.Settings{
 		Group: groupName, Name: cfg.Identity.Name, Names: cfg.Seeds,
 		Open: &replica.OpenGroup{Bootstrap: cfg.Bootstrap, Voters: cfg.Voters},
-		Dir:  cfg.Dir, Machine: d.state, Send: d.mesh.Send, Tuning: cfg.Tuning,
+		Dir:  cfg.Dir, StateMachine: d.state, Send: d.mesh.Send, Tuning: cfg.Tuning,
 		Random: cfg.Random, Clock: cfg.Clock, Log: cfg.Log.Slog(), Observe: d.hub.observe,
 	})
 	if err != nil {
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -67,7 +67,7 @@
 	if len(image) == 0 {
 		return nil
 	}
-	return l.r.cfg.Machine.Restore(image)
+	return l.r.cfg.StateMachine.Restore(image)
 }
 
 func (l *loop) newFormation() *consensus.Formation {
@@ -285,7 +285,7 @@
 func (l *loop) apply(e protocol.Entry) {
 	var result any
 	if e.Kind == protocol.EntryCommand && len(e.Data) > 0 {
-		result = l.r.cfg.Machine.Apply(e.Data)
+		result = l.r.cfg.StateMachine.Apply(e.Data)
 	}
 	w, ok := l.proposals[e.Index]
 	if !ok {
@@ -339,7 +339,7 @@
 	if s.Applied <= s.SnapshotIndex {
 		return nil
 	}
-	image, err := l.r.cfg.Machine.Snapshot()
+	image, err := l.r.cfg.StateMachine.Snapshot()
 	if err != nil {
 		return err
 	}
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -56,10 +56,10 @@
 	Names []string // names of all replicas
 	// Open, if set, makes the group an open one: Names are then its seeds, and
 	// any replica may join.
-	Open    *OpenGroup
-	Dir     wal.Dir
-	Machine StateMachine
-	Send    Sender
+	Open         *OpenGroup
+	Dir          wal.Dir
+	StateMachine StateMachine
+	Send         Sender
 	Tuning
 	Random func() uint64
 	// Clock is a monotonic clock that keeps running while the box is suspended, so that a leader's
