--- a/control/operators.go
+++ b/control/operators.go
@@ -98,7 +98,7 @@
 	}
 	if accepted, revision, ok := o.c.state.Find(ch.GetId()); ok {
 		if accepted.Request != digest {
-			return 0, config.Reused{ID: ch.GetId()}
+			return 0, config.ReusedID{ID: ch.GetId()}
 		}
 		return revision, nil
 	}
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -59,7 +59,7 @@
 	var (
 		invalid    config.Invalid
 		conflict   config.Conflict
-		reused     config.Reused
+		reused     config.ReusedID
 		notLeader  consensus.NotLeader
 		notLeading NotLeading
 		handover   consensus.TransferPending
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -100,7 +100,7 @@
 		is.NoErr(err)
 		is.Equal(revision, uint64(1)) // same base revision, same content
 		_, err = st.Apply(Change{ID: "ada", Base: 2, Ops: []Op{putAccount("b", 1)}})
-		is.Equal(err, Reused{ID: "ada"})
+		is.Equal(err, ReusedID{ID: "ada"})
 	}
 }
 
--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -49,11 +49,13 @@
 		e.Base, e.Winner.ID, e.Current)
 }
 
-// Reused rejects a change identifier that was used for different content.
-type Reused struct{ ID string }
+// ReusedID rejects a change identifier that was used for different content.
+type ReusedID struct{ ID string }
 
 // Error names the identifier.
-func (e Reused) Error() string { return fmt.Sprintf("change id %q was used for another change", e.ID) }
+func (e ReusedID) Error() string {
+	return fmt.Sprintf("change id %q was used for another change", e.ID)
+}
 
 // Gap rejects a delta that starts after the current revision.
 type Gap struct{ Held, From uint64 }
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -93,7 +93,7 @@
 
 // Apply applies a change and returns the revision that it produced. A resend returns
 // the revision that the first one produced. The error is [Invalid], [Conflict] or
-// [Reused].
+// [ReusedID].
 func (s *Store) Apply(ch Change) (uint64, error) {
 	if err := ch.check(); err != nil {
 		return 0, err
@@ -102,7 +102,7 @@
 		if first, ok := s.changeAt(rev); ok && first.digest() == ch.digest() {
 			return rev, nil
 		}
-		return 0, Reused{ID: ch.ID}
+		return 0, ReusedID{ID: ch.ID}
 	}
 	if ch.Base != s.current.revision {
 		return s.resolveStaleBase(ch)
