--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -156,7 +156,7 @@
 			d, _ := s.DeltaFrom(uint64(from))
 			d.Steps = d.Steps[:to-from]
 			next, err := held.ApplyDelta(d)
-			var gap Gap
+			var gap DeltaGap
 			if (uint64(from) > held.Revision()) != errors.As(err, &gap) {
 				t.Fatalf("delta %d..%d at %d: %v", from, to, held.Revision(), err)
 			}
--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -57,11 +57,11 @@
 	return fmt.Sprintf("change id %q was used for another change", e.ID)
 }
 
-// Gap rejects a delta that starts after the current revision.
-type Gap struct{ Held, From uint64 }
+// DeltaGap rejects a delta that starts after the current revision.
+type DeltaGap struct{ Held, From uint64 }
 
 // Error names both revisions.
-func (e Gap) Error() string {
+func (e DeltaGap) Error() string {
 	return fmt.Sprintf("delta starts at revision %d, held is %d", e.From, e.Held)
 }
 
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -58,11 +58,11 @@
 func (d Delta) To() uint64 { return d.From + uint64(len(d.Steps)) }
 
 // ApplyDelta returns c after d. A delta that was applied already has no effect. A delta
-// that starts after c is rejected with [Gap]. The revision therefore never decreases and
+// that starts after c is rejected with [DeltaGap]. The revision therefore never decreases and
 // no change is skipped.
 func (c Config) ApplyDelta(d Delta) (Config, error) {
 	if d.From > c.revision {
-		return c, Gap{Held: c.revision, From: d.From}
+		return c, DeltaGap{Held: c.revision, From: d.From}
 	}
 	skip := c.revision - d.From
 	if skip >= uint64(len(d.Steps)) {
