--- a/control/control.go
+++ b/control/control.go
@@ -173,7 +173,7 @@
 	if len(c.cfg.Replicas) == 1 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.Election)
+	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.ElectionTimeout)
 	defer cancel()
 	// If a transfer fails, the other replicas elect a leader after an election timeout.
 	_ = c.claims.Transfer(ctx)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -279,7 +279,7 @@
 
 // Stop transfers the leadership to another replica if one is available, and stops this one.
 func (d *Directory) Stop(ctx context.Context) {
-	handover, cancel := context.WithTimeout(ctx, maxHandoverElections*d.cfg.Election)
+	handover, cancel := context.WithTimeout(ctx, maxHandoverElections*d.cfg.ElectionTimeout)
 	// On failure the other replicas elect a leader once they miss this one's heartbeats.
 	_ = d.replica.Transfer(handover)
 	cancel()
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -82,8 +82,8 @@
 
 // Tuning holds the times and sizes for which a role may use the defaults.
 type Tuning struct {
-	Election  time.Duration // shortest silence of the leader before a replica campaigns
-	Heartbeat time.Duration // interval between messages of an idle leader
+	ElectionTimeout time.Duration // shortest silence of the leader before a replica campaigns
+	Heartbeat       time.Duration // interval between messages of an idle leader
 	// CompactAt is the size of the journal, in bytes, at which a snapshot replaces
 	// it. Zero or less disables compaction; WithDefaults replaces zero.
 	CompactAt int64
@@ -101,9 +101,9 @@
 // WithDefaults replaces zero values by the defaults.
 func (t Tuning) WithDefaults() Tuning {
 	return Tuning{
-		Election:  cmp.Or(t.Election, defaultElection),
-		Heartbeat: cmp.Or(t.Heartbeat, defaultHeartbeat),
-		CompactAt: cmp.Or(t.CompactAt, defaultCompactAt),
+		ElectionTimeout: cmp.Or(t.ElectionTimeout, defaultElection),
+		Heartbeat:       cmp.Or(t.Heartbeat, defaultHeartbeat),
+		CompactAt:       cmp.Or(t.CompactAt, defaultCompactAt),
 	}
 }
 
