--- a/control/claims.go
+++ b/control/claims.go
@@ -92,7 +92,7 @@
 // leads only the claims group transfers its leadership to that leader. Until the
 // transfer is done, claims are answered with ClaimRetry.
 func (c *Control) followLeader() {
-	for sleep.For(c.ctx, c.cfg.Heartbeat) {
+	for sleep.For(c.ctx, c.cfg.HeartbeatInterval) {
 		var leader string
 		c.dispatcher.call(func() { leader = c.dispatcher.group.Leader.Name })
 		if leader == "" || leader == c.cfg.Identity.Name {
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -29,7 +29,7 @@
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
 		x.syncTime = 5 * time.Millisecond
-		x.tuning = replica.Tuning{ElectionTimeout: 400 * time.Millisecond, Heartbeat: 80 * time.Millisecond} // the values of a process
+		x.tuning = replica.Tuning{ElectionTimeout: 400 * time.Millisecond, HeartbeatInterval: 80 * time.Millisecond} // the values of a process
 		x.net.SetRegionLink(farLatency, bytesPerSecond)
 		for i := range voters {
 			x.place(fmt.Sprintf("10.0.1.%d", i+1), []string{north, north, north, south, south}[i])
--- a/replica/example_test.go
+++ b/replica/example_test.go
@@ -30,7 +30,7 @@
 	defer cancel()
 	r, err := replica.Start(ctx, replica.Settings{
 		Group: "config", Name: "a", Names: []string{"a"}, Dir: fakedisk.New(1), StateMachine: &register{},
-		Send: func(protocol.Consensus) {}, Tuning: replica.Tuning{Heartbeat: 5 * time.Millisecond}.WithDefaults(),
+		Send: func(protocol.Consensus) {}, Tuning: replica.Tuning{HeartbeatInterval: 5 * time.Millisecond}.WithDefaults(),
 		Random: rand.New(rand.NewPCG(1, 1)).Uint64, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -72,7 +72,7 @@
 
 func (l *loop) newFormation() *consensus.Formation {
 	cfg := l.r.cfg
-	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.Heartbeat)
+	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.HeartbeatInterval)
 }
 
 // startMember runs the replica as a member with the state from its disk, or without a log if
@@ -81,7 +81,7 @@
 	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
-		Name: settings.Group, Self: l.self, Election: settings.ElectionTimeout, Heartbeat: settings.Heartbeat,
+		Name: settings.Group, Self: l.self, Election: settings.ElectionTimeout, Heartbeat: settings.HeartbeatInterval,
 		Rand: func(n int64) int64 { return int64(settings.Random() % uint64(n)) },
 		Admit: func(name string) bool {
 			return settings.Open != nil || slices.Contains(settings.Names, name)
@@ -96,7 +96,7 @@
 func (r *Replica) run(ctx context.Context) {
 	defer close(r.stopped)
 	defer r.loop.journal.Close() // anything that Close fails to write was never acknowledged
-	tick := time.NewTicker(max(r.cfg.Heartbeat/ticksPerHeartbeat, minTick))
+	tick := time.NewTicker(max(r.cfg.HeartbeatInterval/ticksPerHeartbeat, minTick))
 	defer tick.Stop()
 	for {
 		var first input
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -82,8 +82,8 @@
 
 // Tuning holds the times and sizes for which a role may use the defaults.
 type Tuning struct {
-	ElectionTimeout time.Duration // shortest silence of the leader before a replica campaigns
-	Heartbeat       time.Duration // interval between messages of an idle leader
+	ElectionTimeout   time.Duration // shortest silence of the leader before a replica campaigns
+	HeartbeatInterval time.Duration // interval between messages of an idle leader
 	// CompactAt is the size of the journal, in bytes, at which a snapshot replaces
 	// it. Zero or less disables compaction; WithDefaults replaces zero.
 	CompactAt int64
@@ -101,9 +101,9 @@
 // WithDefaults replaces zero values by the defaults.
 func (t Tuning) WithDefaults() Tuning {
 	return Tuning{
-		ElectionTimeout: cmp.Or(t.ElectionTimeout, defaultElection),
-		Heartbeat:       cmp.Or(t.Heartbeat, defaultHeartbeat),
-		CompactAt:       cmp.Or(t.CompactAt, defaultCompactAt),
+		ElectionTimeout:   cmp.Or(t.ElectionTimeout, defaultElection),
+		HeartbeatInterval: cmp.Or(t.HeartbeatInterval, defaultHeartbeat),
+		CompactAt:         cmp.Or(t.CompactAt, defaultCompactAt),
 	}
 }
 
@@ -238,7 +238,7 @@
 		if err != nil || !leads {
 			return err
 		}
-		if !sleep.For(ctx, r.cfg.Heartbeat/transferPollsPerHeartbeat) {
+		if !sleep.For(ctx, r.cfg.HeartbeatInterval/transferPollsPerHeartbeat) {
 			return ctx.Err()
 		}
 	}
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -42,7 +42,7 @@
 func testSettings(dir wal.Dir, m StateMachine) Settings {
 	return Settings{
 		Group: "g", Name: "a", Names: []string{"a"}, Dir: dir, StateMachine: m, Send: func(protocol.Consensus) {},
-		Tuning: Tuning{ElectionTimeout: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, CompactAt: 2000},
+		Tuning: Tuning{ElectionTimeout: 100 * time.Millisecond, HeartbeatInterval: 20 * time.Millisecond, CompactAt: 2000},
 		Random: rand.New(rand.NewPCG(1, 1)).Uint64, Log: slog.New(slog.DiscardHandler),
 	}
 }
