--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -13,7 +13,7 @@
 // resetElectionTimer sets the next time to campaign at random, one to two election
 // timeouts from now.
 func (r *Replica) resetElectionTimer() {
-	r.campaignAt = r.now + r.cfg.Election + time.Duration(r.cfg.Rand(int64(r.cfg.Election)))
+	r.campaignAt = r.now + r.cfg.ElectionTimeout + time.Duration(r.cfg.Rand(int64(r.cfg.ElectionTimeout)))
 }
 
 // becomeFollower follows leader, which is zero if unknown, in a term that is not
@@ -42,7 +42,7 @@
 // short: pre-votes change no state, and replicas that have just started ignore them
 // for an election timeout, because they may have followed a leader before they stopped.
 func (r *Replica) resetPreVoteTimer() {
-	pause := r.cfg.Election / preVotesPerElection
+	pause := r.cfg.ElectionTimeout / preVotesPerElection
 	r.campaignAt = r.now + pause + time.Duration(r.cfg.Rand(int64(pause)))
 }
 
@@ -118,7 +118,7 @@
 	if r.role == Leader {
 		return r.now < r.leaseEnd()
 	}
-	return r.now-r.lastLeaderContact < r.cfg.Election
+	return r.now-r.lastLeaderContact < r.cfg.ElectionTimeout
 }
 
 // raisesTerm reports whether this replica adopts the higher term of a message. The
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -74,7 +74,7 @@
 	if slices.Contains(all, r.cfg.Self) || r.now < r.nextJoin {
 		return
 	}
-	r.nextJoin = r.now + r.cfg.Election
+	r.nextJoin = r.now + r.cfg.ElectionTimeout
 	for _, p := range all {
 		r.send(protocol.Consensus{Kind: protocol.MsgJoin, To: p})
 	}
@@ -85,7 +85,7 @@
 // leader may have no record of it, so it must search for its group again as after a
 // restart. This is safe because the replica was never a voter and has cast no vote.
 func (r *Replica) RepairStopped() bool {
-	return r.log.snapshot.Group == 0 && r.now-r.lastLeaderContact > repairTimeouts*r.cfg.Election
+	return r.log.snapshot.Group == 0 && r.now-r.lastLeaderContact > repairTimeouts*r.cfg.ElectionTimeout
 }
 
 // stepJoin takes, at the leader, the next step in the repair of a replica that is not
@@ -126,7 +126,7 @@
 // never shrinks: a quorum of a smaller group could be as few as two disks.
 func (r *Replica) dueChange(m protocol.Membership) (protocol.Membership, bool) {
 	open := r.cfg.Voters > 0
-	silence := voterSilenceTimeouts * r.cfg.Election
+	silence := voterSilenceTimeouts * r.cfg.ElectionTimeout
 	silent := r.firstSilent(m.Voters, silence)
 	if open && len(m.Voters) > r.cfg.Voters && !silent.IsZero() {
 		return protocol.Membership{Voters: without(m.Voters, silent.Name), Learners: m.Learners}, true
@@ -149,7 +149,7 @@
 // an election timeout.
 func (r *Replica) promotable(p protocol.Peer) bool {
 	pr := r.peers[p]
-	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.acked <= r.cfg.Election
+	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.acked <= r.cfg.ElectionTimeout
 }
 
 // firstSilent returns the first peer without a reply for longer than limit, or the
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -55,7 +55,7 @@
 // tickLeader steps down without a majority (check-quorum), cancels a leadership
 // transfer that timed out, sends heartbeats and starts a membership change that is due.
 func (r *Replica) tickLeader() {
-	if r.now >= r.lastQuorumContact()+r.cfg.Election {
+	if r.now >= r.lastQuorumContact()+r.cfg.ElectionTimeout {
 		r.recordEnd(EndedWithoutQuorum)
 		r.becomeFollower(r.hard.Term, protocol.Peer{})
 		return
@@ -84,7 +84,7 @@
 // sendHeartbeat sends an append, even without new entries. A message without a reply
 // within an election timeout counts as lost.
 func (r *Replica) sendHeartbeat(p protocol.Peer, pr *progress) {
-	if r.now-pr.sentAt >= r.cfg.Election || pr.probeInFlight {
+	if r.now-pr.sentAt >= r.cfg.ElectionTimeout || pr.probeInFlight {
 		pr.probing, pr.probeInFlight, pr.inflight = true, false, 0
 		if pr.outgoing != nil {
 			r.sendChunk(p, pr)
@@ -253,7 +253,7 @@
 	if r.role != Leader || pr == nil {
 		return false, 0
 	}
-	return pr.match >= r.log.last() && r.now-pr.acked <= r.cfg.Election/2, pr.syncTime
+	return pr.match >= r.log.last() && r.now-pr.acked <= r.cfg.ElectionTimeout/2, pr.syncTime
 }
 
 // backtrack moves next back to where the follower's log may match.
@@ -316,6 +316,6 @@
 	if r.role != Leader || r.leaseVoid {
 		return 0
 	}
-	lease := time.Duration(float64(r.cfg.Election) * (1 - DriftMargin))
+	lease := time.Duration(float64(r.cfg.ElectionTimeout) * (1 - DriftMargin))
 	return r.lastQuorumContact() + lease
 }
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -123,7 +123,7 @@
 		return false
 	}
 	r.transferTo = best
-	r.transferDeadline = r.now + r.cfg.Election
+	r.transferDeadline = r.now + r.cfg.ElectionTimeout
 	r.tryHandover()
 	return true
 }
