--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -134,7 +134,7 @@
 func (m *member) startReplica(c *cluster, d DurableState) {
 	m.formation = nil
 	m.r = New(Config{
-		Name: "g", Self: m.self(), ElectionTimeout: testElection, Heartbeat: testHeartbeat,
+		Name: "g", Self: m.self(), ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat,
 		Rand: c.rng.Int64N, MaxAppend: 64, MaxChunk: 16, MaxInflight: 4,
 		Admit: func(name string) bool { return slices.Contains(c.names, name) }, Voters: c.voterCount,
 	}, c.now, d)
--- a/coordination/consensus/example_test.go
+++ b/coordination/consensus/example_test.go
@@ -18,7 +18,7 @@
 		Group: 7, Index: 1, Term: 1, Members: protocol.Membership{Voters: []protocol.Peer{self}},
 	}
 	r := consensus.New(consensus.Config{
-		Name: "config", Self: self, ElectionTimeout: time.Second, Heartbeat: 200 * time.Millisecond,
+		Name: "config", Self: self, ElectionTimeout: time.Second, HeartbeatInterval: 200 * time.Millisecond,
 		Rand: func(int64) int64 { return 0 },
 	}, 0, consensus.DurableState{Hard: protocol.HardState{Term: 1}, Snapshot: group})
 	carryOut := func() {
--- a/coordination/consensus/membership_test.go
+++ b/coordination/consensus/membership_test.go
@@ -19,7 +19,7 @@
 	a, b := protocol.Peer{Name: "a", Incarnation: 1}, protocol.Peer{Name: "b", Incarnation: 2}
 	learner := protocol.Peer{Name: "c", Incarnation: 3}
 	r := New(Config{
-		Name: "g", Self: a, ElectionTimeout: testElection, Heartbeat: testHeartbeat, Rand: func(int64) int64 { return 0 },
+		Name: "g", Self: a, ElectionTimeout: testElection, HeartbeatInterval: testHeartbeat, Rand: func(int64) int64 { return 0 },
 	}, 0, DurableState{
 		Hard: protocol.HardState{Term: 3},
 		Snapshot: protocol.Snapshot{Group: 7, Index: 1, Term: 1, Members: protocol.Membership{
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -15,10 +15,10 @@
 
 // Config configures one replica of one group.
 type Config struct {
-	Name            string        // name of the group
-	Self            protocol.Peer // this replica on this disk
-	ElectionTimeout time.Duration // shortest time without a leader before an election
-	Heartbeat       time.Duration // time between appends of an idle leader
+	Name              string        // name of the group
+	Self              protocol.Peer // this replica on this disk
+	ElectionTimeout   time.Duration // shortest time without a leader before an election
+	HeartbeatInterval time.Duration // time between appends of an idle leader
 	// Rand returns a random value in [0, n), which spreads elections over time.
 	Rand func(n int64) int64
 	// Admit reports whether the settings allow a replica with that name in the group.
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -65,7 +65,7 @@
 		return
 	}
 	if r.now >= r.nextHeartbeat {
-		r.nextHeartbeat = r.now + r.cfg.Heartbeat
+		r.nextHeartbeat = r.now + r.cfg.HeartbeatInterval
 		for _, p := range r.otherMembers() {
 			r.sendHeartbeat(p, r.peers[p])
 		}
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -81,7 +81,7 @@
 	settings := l.r.cfg
 	l.formation = nil
 	cfg := consensus.Config{
-		Name: settings.Group, Self: l.self, ElectionTimeout: settings.ElectionTimeout, Heartbeat: settings.HeartbeatInterval,
+		Name: settings.Group, Self: l.self, ElectionTimeout: settings.ElectionTimeout, HeartbeatInterval: settings.HeartbeatInterval,
 		Rand: func(n int64) int64 { return int64(settings.Random() % uint64(n)) },
 		Admit: func(name string) bool {
 			return settings.Open != nil || slices.Contains(settings.Names, name)
