--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -20,7 +20,7 @@
 // stored format.
 
 var goldenCommands = []command{
-	{Change: &config.Change{ID: "first", Ops: []config.Op{{PutAccount: &config.Account{Name: "hotel-a", Share: 2, ID: "1"}}}, Request: 9}},
+	{Change: &config.Change{ID: "first", Ops: []config.Op{{PutAccount: &config.Account{Name: "hotel-a", Share: 2, ID: "1"}}}, RequestDigest: 9}},
 	{Open: &claim.Holder{Router: "router-2", Boot: 1<<64 - 2}},
 	{Open: &claim.Holder{Router: "router-1", Boot: 12}},
 	{Open: &claim.Holder{Router: "router-1", Boot: 11}},
--- a/control/operators.go
+++ b/control/operators.go
@@ -97,13 +97,13 @@
 		return 0, err
 	}
 	if accepted, revision, ok := o.c.state.Find(ch.GetId()); ok {
-		if accepted.Request != digest {
+		if accepted.RequestDigest != digest {
 			return 0, config.ReusedID{ID: ch.GetId()}
 		}
 		return revision, nil
 	}
 	cfg := o.c.state.Config()
-	proposal := config.Change{ID: ch.GetId(), Base: ch.GetBaseRevision(), Request: digest}
+	proposal := config.Change{ID: ch.GetId(), Base: ch.GetBaseRevision(), RequestDigest: digest}
 	if proposal.Base == 0 {
 		proposal.Base = cfg.Revision()
 	}
--- a/state/config/golden_test.go
+++ b/state/config/golden_test.go
@@ -30,7 +30,7 @@
 	}
 	goldenService = Server{Name: "web-1", Pool: "web", Address: "10.0.0.2:80", Kind: Service, Mark: Joining, Slots: 1, ID: "3"}
 	goldenChanges = []Change{
-		{ID: "first", Base: 0, Ops: []Op{{PutAccount: &goldenAccount}, {PutServer: &goldenServer}, {PutServer: &goldenService}}, Request: 1<<64 - 2},
+		{ID: "first", Base: 0, Ops: []Op{{PutAccount: &goldenAccount}, {PutServer: &goldenServer}, {PutServer: &goldenService}}, RequestDigest: 1<<64 - 2},
 		{ID: "second", Base: 1, Ops: []Op{{PutAccount: &Account{Name: "hotel-b", Share: 0.1, ID: "4"}}}},
 		{ID: "third", Base: 2, Ops: []Op{{RemoveAccount: "hotel-b"}, {RemoveServer: "web-1"}}},
 	}
@@ -69,7 +69,7 @@
 		digests = binary.BigEndian.AppendUint64(digests, ch.digest())
 	}
 	golden.Bytes(t, "digests", digests)
-	is.Equal(goldenChanges[0].digest(), goldenChanges[0].Request)
+	is.Equal(goldenChanges[0].digest(), goldenChanges[0].RequestDigest)
 }
 
 func TestGoldenDelta(t *testing.T) {
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -22,16 +22,16 @@
 	ID   string `cbor:"1,keyasint"` // unique identifier, assigned by the author
 	Base uint64 `cbor:"2,keyasint"` // revision that the change builds on
 	Ops  []Op   `cbor:"3,keyasint"`
-	// Request is a digest of the author's request, set if Ops was derived from it
+	// RequestDigest is a digest of the author's request, set if Ops was derived from it
 	// (with a random key, or by changing a field of the current value). A resend may
 	// derive different operations from the same request.
-	Request uint64 `cbor:"4,keyasint,omitempty"`
+	RequestDigest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // digest identifies the content of the change without its identifier.
 func (c Change) digest() uint64 {
-	if c.Request != 0 {
-		return c.Request
+	if c.RequestDigest != 0 {
+		return c.RequestDigest
 	}
 	b, err := cbor.Marshal(c.Ops)
 	if err != nil {
