--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -16,7 +16,7 @@
 // This file tests how many requests a whole fleet sends to cold backend servers.
 
 // coldDocument returns a document whose pool limits the request rate of cold servers.
-func coldDocument(number uint64, rate float64) document.Held {
+func coldDocument(number uint64, rate float64) document.StoredDocument {
 	h := testDocument(number)
 	h.Document.Pools[0].ColdRate = rate
 	return h
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -128,7 +128,7 @@
 
 // Put replicates a document. When it returns nil, this document or one with a higher number is on
 // the disks of a majority. The error is [document.Invalid], [NotLeader] or [Unavailable].
-func (d *Directory) Put(ctx context.Context, h document.Held) error {
+func (d *Directory) Put(ctx context.Context, h document.StoredDocument) error {
 	if err := h.Document.Check(); err != nil {
 		return err
 	}
@@ -146,8 +146,8 @@
 
 // Read returns the newest acknowledged document. The error is [NoDocument],
 // [NotLeader] or [Unavailable].
-func (d *Directory) Read(ctx context.Context) (document.Held, error) {
-	var held document.Held
+func (d *Directory) Read(ctx context.Context) (document.StoredDocument, error) {
+	var held document.StoredDocument
 	var exists bool
 	err := d.inspectAsLeader(ctx, func() { held, exists = d.state.Held() })
 	switch {
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -246,14 +246,14 @@
 	return nil
 }
 
-func testDocument(number uint64) document.Held {
+func testDocument(number uint64) document.StoredDocument {
 	d := document.Document{
 		Number: number, Pools: []document.Pool{{Name: "p"}},
 		Routes: []document.Route{{
 			Name: "r", Host: "h", Prefix: "/", Timeout: time.Second, Targets: []document.Target{{Pool: "p", Weight: 1}},
 		}},
 	}
-	return document.Held{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
+	return document.StoredDocument{Document: d, Source: fmt.Appendf(nil, "source of %d", number)}
 }
 
 // putDocument sends a document to the replicas in turn until one acknowledges it.
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -25,7 +25,7 @@
 // change of the stored format justifies that.
 
 var goldenCommands = []command{
-	{Put: &document.Held{Document: document.Document{Number: 7, Pools: []document.Pool{{Name: "llm"}}}, Source: []byte("source")}},
+	{Put: &document.StoredDocument{Document: document.Document{Number: 7, Pools: []document.Pool{{Name: "llm"}}}, Source: []byte("source")}},
 	{Depart: "engine-1#a"},
 	{Join: []protocol.Registration{
 		{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.1:80", Hall: "hall-a", Slots: 16},
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -266,7 +266,7 @@
 }
 
 // retryDocument returns a document with one route, which allows a second attempt.
-func retryDocument(number uint64, kind document.Kind) document.Held {
+func retryDocument(number uint64, kind document.Kind) document.StoredDocument {
 	h := testDocument(number)
 	r := &h.Document.Routes[0]
 	r.Kind, r.MaxAttempts, r.Timeout = kind, 2, 2*time.Second
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -19,8 +19,8 @@
 
 // command is one command of the log. Exactly one field is set.
 type command struct {
-	Put    *document.Held `cbor:"1,keyasint,omitempty"`
-	Depart string         `cbor:"2,keyasint,omitempty"`
+	Put    *document.StoredDocument `cbor:"1,keyasint,omitempty"`
+	Depart string                   `cbor:"2,keyasint,omitempty"`
 	// Join holds backend servers that announced themselves. No caller waits for it: it only lets a
 	// new leader list the servers before they have announced themselves again.
 	Join []protocol.Registration `cbor:"3,keyasint,omitempty"`
@@ -60,7 +60,7 @@
 var _ replica.StateMachine = (*Replicated)(nil)
 
 // Held returns the document applied at this replica.
-func (r *Replicated) Held() (document.Held, bool) {
+func (r *Replicated) Held() (document.StoredDocument, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Held()
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -25,7 +25,7 @@
 
 // rolloutScenario describes the environment of a rollout.
 type rolloutScenario struct {
-	document  document.Held
+	document  document.StoredDocument
 	load      func(gateway string) // starts the gateway and its requests
 	announce  func()               // announces the servers; called once per interval
 	noRollout bool                 // no rollout is ordered
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -121,7 +121,7 @@
 	return !e.orderedAt.IsZero() && time.Since(e.orderedAt) >= floodDelay
 }
 
-func engineDocument() document.Held {
+func engineDocument() document.StoredDocument {
 	h := testDocument(1)
 	h.Document.Pools[0].Engine = true
 	h.Document.Routes[0].Timeout, h.Document.Routes[0].Objective = 2*time.Second, time.Second
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -61,7 +61,7 @@
 }
 
 // homeDocument returns a document with the routes "any" and "home"; the home of the latter is the south.
-func homeDocument() document.Held {
+func homeDocument() document.StoredDocument {
 	h := testDocument(1)
 	home := h.Document.Routes[0]
 	home.Name, home.Prefix, home.Homes = "home", "/home", []string{south}
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -69,7 +69,7 @@
 }
 
 // withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
-func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.Held, halls [7]string, f func(r *regionalServers)) {
+func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.StoredDocument, halls [7]string, f func(r *regionalServers)) {
 	r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
 	load := func(ip string) {
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -82,7 +82,7 @@
 	_, ok := s.Held()
 	is.True(!ok)
 	put := func(number uint64, source string) bool {
-		return s.Put(Held{Document: Document{Number: number}, Source: []byte(source)})
+		return s.Put(StoredDocument{Document: Document{Number: number}, Source: []byte(source)})
 	}
 	is.True(put(5, "five"))
 	is.True(!put(5, "another five")) // other content with the same number
@@ -154,7 +154,7 @@
 func TestImageHoldsEverything(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	s.Put(Held{Document: validDocument(), Source: []byte("as it was sent")})
+	s.Put(StoredDocument{Document: validDocument(), Source: []byte("as it was sent")})
 	s.Depart("x")
 	s.Depart("y")
 	s.Join(protocol.Registration{ID: "z", Pool: "p", Address: "10.0.0.1:80", Slots: 4})
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -46,7 +46,7 @@
 	},
 }
 
-var goldenStored = Held{Document: goldenDocument, Source: []byte("as its author sent it")}
+var goldenStored = StoredDocument{Document: goldenDocument, Source: []byte("as its author sent it")}
 
 // goldenRecords returns the pinned encodings of one value: the old one with the two
 // unused keys, and the current one, which must equal got.
@@ -112,7 +112,7 @@
 	b, err := cbor.Marshal(goldenStored)
 	is.NoErr(err)
 	for _, record := range goldenRecords(t, "held", b) {
-		var got Held
+		var got StoredDocument
 		is.NoErr(cbor.Unmarshal(record, &got))
 		is.True(reflect.DeepEqual(got, goldenStored))
 	}
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -18,8 +18,8 @@
 // announcement of a server whose departure was dropped adds the server again.
 const MaxDepartures = 8192
 
-// Held is a document together with the bytes that its author sent.
-type Held struct {
+// StoredDocument is a document together with the bytes that its author sent.
+type StoredDocument struct {
 	Document Document `cbor:"1,keyasint"`
 	Source   []byte   `cbor:"2,keyasint"`
 }
@@ -34,7 +34,7 @@
 // rollouts, the condemned requests, and whether gateways' sessions are spread. It is
 // not safe for concurrent use. The zero value is empty.
 type Store struct {
-	current        *Held
+	current        *StoredDocument
 	joined         map[string]protocol.Registration // by identifier, at most one per address
 	idByAddress    map[string]string                // key of joined by address
 	idByName       map[string]string                // key of joined by server name
@@ -49,16 +49,16 @@
 }
 
 // Held returns the document in force, or false before the first one.
-func (s *Store) Held() (Held, bool) {
+func (s *Store) Held() (StoredDocument, bool) {
 	if s.current == nil {
-		return Held{}, false
+		return StoredDocument{}, false
 	}
 	return *s.current, true
 }
 
 // Put offers a document and reports whether it is in force now. A document whose
 // number is not above the current one has no effect.
-func (s *Store) Put(h Held) bool {
+func (s *Store) Put(h StoredDocument) bool {
 	if s.current != nil && h.Document.Number <= s.current.Document.Number {
 		return false
 	}
@@ -147,7 +147,7 @@
 
 // image is the serialized form of a Store.
 type image struct {
-	Held    *Held                   `cbor:"1,keyasint,omitempty"`
+	Held    *StoredDocument         `cbor:"1,keyasint,omitempty"`
 	Departs []string                `cbor:"2,keyasint,omitempty"`
 	Total   uint64                  `cbor:"3,keyasint,omitempty"`
 	Joined  []protocol.Registration `cbor:"4,keyasint,omitempty"`
