--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -63,7 +63,7 @@
 func (r *Replicated) Held() (document.StoredDocument, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.store.Held()
+	return r.store.Current()
 }
 
 // Departed reports whether a backend server is leaving or has left.
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -79,7 +79,7 @@
 func TestHighestNumberWins(t *testing.T) {
 	is := is.New(t)
 	var s Store
-	_, ok := s.Held()
+	_, ok := s.Current()
 	is.True(!ok)
 	put := func(number uint64, source string) bool {
 		return s.Put(StoredDocument{Document: Document{Number: number}, Source: []byte(source)})
@@ -88,7 +88,7 @@
 	is.True(!put(5, "another five")) // other content with the same number
 	is.True(!put(4, "four"))         // an older document arrives late
 	is.True(put(9, "nine"))
-	held, _ := s.Held()
+	held, _ := s.Current()
 	is.Equal(string(held.Source), "nine")
 }
 
@@ -162,7 +162,7 @@
 	is.NoErr(err)
 	var restored Store
 	is.NoErr(restored.UnmarshalBinary(image))
-	held, _ := restored.Held()
+	held, _ := restored.Current()
 	is.Equal(held.Document, validDocument())
 	is.Equal(string(held.Source), "as it was sent")
 	ids, total := restored.DeparturesSince(0)
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -138,7 +138,7 @@
 	for _, record := range goldenRecords(t, "store", b) {
 		var got Store
 		is.NoErr(got.UnmarshalBinary(record))
-		held, ok := got.Held()
+		held, ok := got.Current()
 		is.True(ok)
 		is.True(reflect.DeepEqual(held, goldenStored))
 		is.Equal(got.Joined(), joined)
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -48,8 +48,8 @@
 	spread    bool
 }
 
-// Held returns the document in force, or false before the first one.
-func (s *Store) Held() (StoredDocument, bool) {
+// Current returns the document in force, or false before the first one.
+func (s *Store) Current() (StoredDocument, bool) {
 	if s.current == nil {
 		return StoredDocument{}, false
 	}
