--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -98,7 +98,7 @@
 func (r *Replicated) Spread() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.store.Spread()
+	return r.store.SpreadsSessions()
 }
 
 // Rollouts returns the newest rollout of each pool, ordered by pool. Pools without one are omitted.
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -134,8 +134,8 @@
 	return slices.Clone(s.departureOrder[uint64(len(s.departureOrder))-fresh:]), s.departureCount
 }
 
-// Spread reports whether the gateways' sessions are spread over the replicas.
-func (s *Store) Spread() bool { return s.spread }
+// SpreadsSessions reports whether the gateways' sessions are spread over the replicas.
+func (s *Store) SpreadsSessions() bool { return s.spread }
 
 // ChangeSpread sets whether the gateways' sessions are spread, and reports whether this
 // is a change.
