--- a/state/document/condemned.go
+++ b/state/document/condemned.go
@@ -15,9 +15,9 @@
 const (
 	// MaxCondemned is the largest number of condemned requests. Each of them has crashed three servers.
 	MaxCondemned = 1024
-	// MaxCondemnedOfAccount is the limit per account, so that one account cannot evict the requests of
+	// MaxCondemnedPerAccount is the limit per account, so that one account cannot evict the requests of
 	// others.
-	MaxCondemnedOfAccount = 128
+	MaxCondemnedPerAccount = 128
 )
 
 // Condemned identifies a condemned request and records how it was condemned.
@@ -52,7 +52,7 @@
 		counts[o.Account]++
 	}
 	switch {
-	case counts[c.Condemn.Account] >= MaxCondemnedOfAccount:
+	case counts[c.Condemn.Account] >= MaxCondemnedPerAccount:
 		s.removeOldestCondemned(c.Condemn.Account)
 	case len(s.condemned) >= MaxCondemned:
 		s.removeOldestCondemned(largestAccount(s.condemned, counts))
--- a/state/document/condemned_test.go
+++ b/state/document/condemned_test.go
@@ -36,13 +36,13 @@
 	is := is.New(t)
 	var s Store
 	condemn(&s, "quiet", 0)
-	for n := range 2 * MaxCondemnedOfAccount {
+	for n := range 2 * MaxCondemnedPerAccount {
 		condemn(&s, "loud", n)
 	}
-	is.Equal(len(s.Condemned()), MaxCondemnedOfAccount+1)
-	is.Equal(string(s.Condemned()[1].Key), fmt.Sprint("loud ", MaxCondemnedOfAccount))
+	is.Equal(len(s.Condemned()), MaxCondemnedPerAccount+1)
+	is.Equal(string(s.Condemned()[1].Key), fmt.Sprint("loud ", MaxCondemnedPerAccount))
 	for a := range 20 {
-		for n := range MaxCondemnedOfAccount / 2 {
+		for n := range MaxCondemnedPerAccount / 2 {
 			condemn(&s, fmt.Sprint("account ", a), n)
 		}
 	}
@@ -52,5 +52,5 @@
 		counts[c.Account]++
 	}
 	is.Equal(counts["quiet"], 1)
-	is.True(counts["loud"] < MaxCondemnedOfAccount)
+	is.True(counts["loud"] < MaxCondemnedPerAccount)
 }
