--- a/state/document/document.go
+++ b/state/document/document.go
@@ -115,7 +115,7 @@
 // Mistake is one error in a document.
 type Mistake struct {
 	Subject string // location, such as `route "a"`
-	What    string
+	Reason  string
 }
 
 // Invalid rejects a document and lists all of its mistakes. It implies that nothing changed.
@@ -125,7 +125,7 @@
 func (e Invalid) Error() string {
 	parts := make([]string, 0, len(e.Mistakes))
 	for _, m := range e.Mistakes {
-		parts = append(parts, m.Subject+": "+m.What)
+		parts = append(parts, m.Subject+": "+m.Reason)
 	}
 	return "invalid document: " + strings.Join(parts, "; ")
 }
@@ -133,7 +133,7 @@
 type mistakes []Mistake
 
 func (m *mistakes) add(where, format string, args ...any) {
-	*m = append(*m, Mistake{Subject: where, What: fmt.Sprintf(format, args...)})
+	*m = append(*m, Mistake{Subject: where, Reason: fmt.Sprintf(format, args...)})
 }
 
 // Check returns [Invalid] with all mistakes in the document, or nil.
