--- a/process/caller.go
+++ b/process/caller.go
@@ -43,7 +43,7 @@
 // kept-alive one. It sets a later deadline while the connection is idle. The first kind is
 // shortened to the document's header timeout.
 func (c *callerConn) SetReadDeadline(t time.Time) error {
-	limit := c.limits().HeaderTime
+	limit := c.limits().HeaderTimeout
 	remaining := time.Until(t)
 	if limit > 0 && limit < remaining && remaining <= readHeaderTimeout && !c.serving.Load() {
 		t = time.Now().Add(limit)
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -84,7 +84,7 @@
 		answer, ended := send(t, conn, "Content-Length: 2\r\n\r\nok")
 		is.True(strings.HasSuffix(answer, "ok") && !ended) // after 3 s of 5 s
 
-		limits.Store(&document.Limits{HeaderTime: 1500 * time.Millisecond, IdleTime: 15 * time.Second})
+		limits.Store(&document.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTime: 15 * time.Second})
 		time.Sleep(10 * time.Second) // the idle timeout is separate
 		_, ended = send(t, conn, "POST / HTTP/1.1\r\n")
 		is.True(!ended) // after 1 s
@@ -102,7 +102,7 @@
 func TestBodyMayTakeLonger(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
-		limits.Store(&document.Limits{HeaderTime: 500 * time.Millisecond})
+		limits.Store(&document.Limits{HeaderTimeout: 500 * time.Millisecond})
 		conn := connect()
 		for range 2 { // a new connection, then a kept-alive one
 			_, ended := send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\no")
@@ -117,7 +117,7 @@
 func TestHeadTimeHasABound(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
-		limits.Store(&document.Limits{HeaderTime: time.Minute})
+		limits.Store(&document.Limits{HeaderTimeout: time.Minute})
 		conn := connect()
 		time.Sleep(readHeaderTimeout - 500*time.Millisecond)
 		_, ended := send(t, conn, "POST / HTTP/1.1\r\n")
