--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -84,7 +84,7 @@
 		answer, ended := send(t, conn, "Content-Length: 2\r\n\r\nok")
 		is.True(strings.HasSuffix(answer, "ok") && !ended) // after 3 s of 5 s
 
-		limits.Store(&document.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTime: 15 * time.Second})
+		limits.Store(&document.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTimeout: 15 * time.Second})
 		time.Sleep(10 * time.Second) // the idle timeout is separate
 		_, ended = send(t, conn, "POST / HTTP/1.1\r\n")
 		is.True(!ended) // after 1 s
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -111,7 +111,7 @@
 		conn.(*callerConn).serving.Store(state == http.StateActive)
 		idle.track(conn, state)
 	}})
-	go idle.sweep(ctx, func() time.Duration { return limits().IdleTime })
+	go idle.sweep(ctx, func() time.Duration { return limits().IdleTimeout })
 	return limited
 }
 
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -108,7 +108,7 @@
 	HeaderBytes     int           `cbor:"1,keyasint,omitempty"`
 	BodyBytes       int64         `cbor:"2,keyasint,omitempty"`
 	HeaderTimeout   time.Duration `cbor:"3,keyasint,omitempty"`
-	IdleTime        time.Duration `cbor:"4,keyasint,omitempty"`
+	IdleTimeout     time.Duration `cbor:"4,keyasint,omitempty"`
 	TokensPerSecond float64       `cbor:"5,keyasint,omitempty"` // output of all engines together; zero means unknown
 }
 
--- a/state/document/golden_test.go
+++ b/state/document/golden_test.go
@@ -42,7 +42,7 @@
 	Pools:    []Pool{{Name: "llm", Connections: 64, Engine: true}, {Name: "web"}},
 	Accounts: []Account{{Name: "t1", Keys: []string{"k1", "k2"}, Priority: 4}, {Name: "t2"}},
 	Limits: Limits{
-		HeaderBytes: 8192, BodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTime: time.Minute, TokensPerSecond: 1234.5678,
+		HeaderBytes: 8192, BodyBytes: 1 << 33, HeaderTimeout: 5 * time.Second, IdleTimeout: time.Minute, TokensPerSecond: 1234.5678,
 	},
 }
 
