--- a/state/wal/golden_test.go
+++ b/state/wal/golden_test.go
@@ -59,7 +59,7 @@
 			for i, r := range rec.Records {
 				is.Equal(string(r), string(goldenRecords[i]))
 			}
-			is.Equal(rec.Dropped, 0)
+			is.Equal(rec.DroppedBytes, 0)
 		})
 	}
 }
--- a/state/wal/log.go
+++ b/state/wal/log.go
@@ -24,9 +24,9 @@
 
 // Recovered is the content of a folder at the time of opening.
 type Recovered struct {
-	Snapshot []byte   // nil in generation 0
-	Records  [][]byte // in the order in which they were appended
-	Dropped  int      // bytes of a torn last frame
+	Snapshot     []byte   // nil in generation 0
+	Records      [][]byte // in the order in which they were appended
+	DroppedBytes int      // bytes of a torn last frame
 }
 
 // Open reads a folder and returns its log, ready for appending, and its content. The
@@ -172,7 +172,7 @@
 		if !isTornTail(b, at) {
 			return Damaged{File: name, Offset: int64(at), Reason: "frame checksum fails"}
 		}
-		rec.Dropped = len(b) - at
+		rec.DroppedBytes = len(b) - at
 		break
 	}
 	l.size = int64(at)
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -134,7 +134,7 @@
 	d.SetFreeSpace(-1)
 	_, texts, rec := open(t, d)
 	is.Equal(texts, []string{"one", "two", "three"})
-	is.Equal(rec.Dropped, 7)
+	is.Equal(rec.DroppedBytes, 7)
 }
 
 // TestCrashes appends, rotates and crashes in random order. Acknowledged records must
