--- a/replica/replica.go
+++ b/replica/replica.go
@@ -162,8 +162,8 @@
 		j.Close()
 		return nil, err
 	}
-	if contents.Dropped > 0 {
-		cfg.Log.Warn("dropped a torn last write", "group", cfg.Group, "bytes", contents.Dropped)
+	if contents.DroppedBytes > 0 {
+		cfg.Log.Warn("dropped a torn last write", "group", cfg.Group, "bytes", contents.DroppedBytes)
 	}
 	go r.run(ctx)
 	return r, nil
