--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -5,18 +5,18 @@
 //
 // It is separate from health checking (package outlier): a server that reports its overload is healthy, and is
 // not tried before the time it named has passed. A server that is leaving is not tried at all. The state covers
-// one gateway and one life of a server: each gateway receives its own notice, and a restarted server has sent
-// none.
+// one gateway and one run of a server process: each gateway receives its own notice, and a restarted server has
+// sent none.
 //
 // All types are pure values.
 package backpressure
 
 import "time"
 
-// MaxBackoff bounds a backoff, so that a server with faulty answers is not lost for the rest of its life.
+// MaxBackoff bounds a backoff, so that a faulty value in an answer does not exclude a server until it restarts.
 const MaxBackoff = time.Hour
 
-// Notice is the back-pressure that one life of a backend server has signalled. The zero value is none.
+// Notice is the back-pressure that a backend server has signalled since it started. The zero value is none.
 type Notice struct {
 	backoffUntil time.Duration
 	leaving      bool
@@ -29,8 +29,8 @@
 	return n
 }
 
-// WithLeaving returns the notice after the server has announced that it is leaving, which it cannot revoke in
-// the same life.
+// WithLeaving returns the notice after the server has announced that it is leaving, which it cannot revoke
+// before it restarts.
 func (n Notice) WithLeaving() Notice {
 	n.leaving = true
 	return n
--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -5,10 +5,10 @@
 // A server that has just started, or has become cold again, can handle a request rate that its pool states, and
 // fails above it. To every gateway it looks like the least loaded server at the same moment, and the reported
 // load of other gateways is up to 600 ms old, so the rate has to be divided before any request is sent. For each
-// cold server the leader chooses Holders gateways, in an order that differs between servers, and assigns them
-// whole requests a second that add up to the rate ([Divide]). No other gateway sends to it. A share is leased: it
-// is valid for Lease after the gateway sent its latest report that the leader has received. A new leader assigns
-// no shares for the same time. The valid shares therefore never add up to more than the rate, even if messages
+// cold server the leader chooses up to MaxHolders gateways, in an order that differs between servers, and assigns
+// them whole requests a second that add up to the rate ([Divide]). No other gateway sends to it. A share is
+// leased: it is valid for LeaseDuration after the gateway sent its latest report that the leader has received. A
+// new leader assigns no shares for the same time. The valid shares therefore never add up to more than the rate, even if messages
 // are lost or gateways and leaders are cut off, frozen or replaced ([Allowance]).
 //
 // Alternatives, for a server that can handle 18 requests a second for 3 s:
@@ -31,7 +31,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// MaxHolders is the number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
+// MaxHolders is the maximum number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
 // them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
 const MaxHolders = 4
 
@@ -39,15 +39,15 @@
 // between two messages of the leader (registry.FleetBudget).
 const LeaseDuration = time.Second
 
-// window is the period over which requests are counted, since rates are per second.
+// window is the period over which requests are counted. Rates are per second.
 const window = time.Second
 
 // WarmSpread is the period over which the gateways begin to use a server that is no longer cold, each at its own
 // time, so that its load does not jump.
 const WarmSpread = time.Second
 
-// Divide divides a cold server's rate, in requests a second, among the first Holders gateways in the server's
-// order. Shares are whole numbers of at least one.
+// Divide divides a cold server's rate, in requests a second, among the first MaxHolders gateways in the
+// server's order. Shares are whole numbers of at least one.
 func Divide(server string, gateways []string, rate float64) []protocol.ColdShare {
 	whole := int(rate)
 	holders := min(MaxHolders, len(gateways), whole)
--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -68,7 +68,7 @@
 	is.True(other.Admits(3*time.Second+WarmSpread, false))
 }
 
-// TestWarmServersDoNotJump checks that the gateways begin to use a server one after the other once it is no
+// TestWarmServersDoNotJump checks that the gateways begin to use a server at evenly spread times once it is no
 // longer cold.
 func TestWarmServersDoNotJump(t *testing.T) {
 	is := is.New(t)
@@ -83,7 +83,7 @@
 	}
 }
 
-// strategy divides a cold server's rate: it reports whether a gateway may begin a request now.
+// strategy is a way to divide a cold server's rate. It reports whether a gateway may begin a request now.
 type strategy func(gateway int, now time.Duration) bool
 
 // partsOfRequests gives each gateway an equal fraction of the rate, starting at a random time.
@@ -102,7 +102,7 @@
 	}
 }
 
-// wholeShares uses Divide, with an Allowance on each gateway.
+// wholeShares divides the rate with Divide, and each gateway applies its Allowance.
 func wholeShares(gateways int, rate float64) strategy {
 	all := names(gateways)
 	shares := Divide("server", all, rate)
@@ -119,8 +119,8 @@
 	}
 }
 
-// play lets a range of gateways send whenever they are allowed to, every 10 ms of a cold period of 3 s. It returns
-// the number of requests and the maximum in one second.
+// play lets the gateways from (inclusive) to (exclusive) send all requests they are allowed to, every 10 ms of a
+// cold period of 3 s. It returns the number of requests and the maximum in one second.
 func play(w strategy, from, to int) (sent, most int) {
 	var times []time.Duration
 	for now := time.Duration(0); now < 3*time.Second; now += 10 * time.Millisecond {
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -19,7 +19,7 @@
 	finishPart = 0.88
 )
 
-// Grace is the time between the request to stop a process and the kill.
+// Grace is the grace period: the time between the request to stop a process and its forced termination.
 type Grace time.Duration
 
 // Admits reports whether a request that takes at most patience may begin, given the time since the stop began, or 0
@@ -28,14 +28,14 @@
 	return since <= g.part(acceptPart) || since+patience <= g.part(finishPart)
 }
 
-// Step is the next action of a stopping gateway.
+// Step is an action of a stopping gateway.
 type Step uint8
 
 // Steps of a stop.
 const (
-	Continue Step = iota // continue: requests are running or may still begin
-	End                  // end: no requests are running and no more are expected
-	CutOff               // cut off requests that are still running
+	Continue Step = iota // requests are running or may still begin
+	End                  // no requests are running and no more are expected
+	CutOff               // the grace period is nearly over: end the requests that are still running
 )
 
 // Next returns the next action, given the time since the stop began and the number of running requests.
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -8,7 +8,7 @@
 
 // Limits of a router's ejections.
 const (
-	failuresToEject = 3 // consecutive
+	failuresToEject = 3 // consecutive failures
 	shortestEject   = time.Second
 	longestEject    = 30 * time.Second // maximum, reached after failed trials
 )
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -7,7 +7,7 @@
 // This file defines FailureRate and PoolRate, the gateways' rule: the failure rate of a server compared
 // with that of its pool.
 
-// Verdict is what the result of an attempt shows about the server. The zero value is an answer.
+// Verdict classifies the result of an attempt by what it shows about the server. The zero value is Answered.
 type Verdict uint8
 
 // Verdicts on an attempt.
@@ -28,7 +28,7 @@
 	serverSamples = 12               // attempts in the average of a server
 	poolWeight    = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
 	rateToEject   = 0.35             // difference to the pool's rate from which a server is ejected
-	lostToEject   = 3                // consecutive lost requests, at any rate
+	lostToEject   = 3                // consecutive lost requests, whatever the failure rate
 	longestWait   = 12 * time.Second // maximum ejection, reached after failed trials
 
 	// MinSamples is the minimum number of attempts since the last ejection for a server's rate to count.
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestTrial ejects a server and tries it repeatedly. A failed trial doubles the next ejection up to the
+// TestTrial ejects a server and sends it trials. A failed trial doubles the next ejection up to the
 // maximum, a trial without a verdict allows another one, and an answer ends the ejection.
 func TestTrial(t *testing.T) {
 	is := is.New(t)
--- a/coordination/outlier/silence.go
+++ b/coordination/outlier/silence.go
@@ -10,10 +10,10 @@
 // a reused connection is therefore no evidence against the server until a connection opened later is silent
 // too. ServerSilence distinguishes the two cases for one server. Outage detects that the connections to
 // several servers are affected, so that the idle connections to the others can be closed before requests
-// wait on them in vain.
+// wait for answers on them.
 
-// silenceMemory is how long silence on one connection excuses others that were opened before it. It is
-// longer than the time for which idle connections are kept.
+// silenceMemory is how long silence on a reused connection makes silence on connections opened before it
+// inconclusive. It is longer than the time for which idle connections are kept.
 const silenceMemory = 10 * time.Second
 
 // ServerSilence tracks silent connections to one server. The zero value has recorded none.
--- a/coordination/outlier/silence_test.go
+++ b/coordination/outlier/silence_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// TestSilentConnections follows attempts at one server; times are in seconds.
+// TestSilentConnections checks the verdicts on a sequence of silent attempts at one server. Times are in seconds.
 func TestSilentConnections(t *testing.T) {
 	var d ServerSilence
 	for _, tt := range []struct {
--- a/coordination/overload/acceptlimit.go
+++ b/coordination/overload/acceptlimit.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// This file defines Pace, the rate at which a gateway accepts new connections.
+// This file defines AcceptLimit, which limits the rate at which a gateway accepts new connections.
 //
 // The processor's delay shows only after the work that causes it has begun. A gateway that accepts all
 // connections of a flood starts as much in a tenth of a second as it can relay in two, and reads nothing
-// meanwhile. Its acceptance rate therefore grows no faster than the delay can show.
+// meanwhile. The acceptance rate therefore grows no faster than the delay can show.
 //
 // Anything done with a connection costs more than leaving it alone. Closing connections unread costs a
 // fifth of a core at 6,000 a second, and nothing else would be served for seconds
@@ -25,9 +25,9 @@
 const (
 	paceFall = 0.95 // while the gateway is late
 	paceRise = 1.03 // while it is not
-	// unboundFactor ends the limit, once the rate is this multiple of the arrivals.
+	// unboundFactor is the multiple of the average of accepted connections above which the limit ends.
 	unboundFactor = 3.0
-	// arrivedTimeConstant is the time constant of the average of arrivals.
+	// arrivedTimeConstant is the time constant of the average of accepted connections.
 	arrivedTimeConstant = 100 * time.Millisecond
 )
 
@@ -39,8 +39,8 @@
 	freeMaxElapsed = 5 * TickPeriod // maximum time that a late tick makes up for
 )
 
-// MinAcceptRate is the lowest rate, in connections a second. At 250 µs per connection it takes two fifths of a
-// fifth of a core.
+// MinAcceptRate is the lowest rate, in connections a second. At 250 µs per connection it takes two
+// fifths of the processor time of a gateway with a fifth of a core.
 const MinAcceptRate = 300.0
 
 // AcceptLimit is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
@@ -52,51 +52,51 @@
 }
 
 // Bounded reports whether the rate is limited because the gateway is late.
-func (p AcceptLimit) Bounded() bool { return p.rate > 0 }
+func (l AcceptLimit) Bounded() bool { return l.rate > 0 }
 
 // Allowance returns how many connections may be accepted until the next tick.
-func (p AcceptLimit) Allowance() int {
+func (l AcceptLimit) Allowance() int {
 	switch {
-	case p.Bounded():
-		return max(int(p.rate*TickPeriod.Seconds()), 1)
-	case p.at == 0:
+	case l.Bounded():
+		return max(int(l.rate*TickPeriod.Seconds()), 1)
+	case l.at == 0:
 		return int(freeBurst)
 	}
-	return int(p.credit)
+	return int(l.credit)
 }
 
-// Next returns the pace after a tick, given the detector's delay and the number of connections accepted
+// Next returns the limit after a tick, given the detector's delay and the number of connections accepted
 // since the last tick.
-func (p AcceptLimit) Next(now, delay time.Duration, accepted int) AcceptLimit {
-	elapsed := max(now-p.at, time.Millisecond)
-	if p.at == 0 {
+func (l AcceptLimit) Next(now, delay time.Duration, accepted int) AcceptLimit {
+	elapsed := max(now-l.at, time.Millisecond)
+	if l.at == 0 {
 		elapsed = TickPeriod
-		p.credit = freeBurst
+		l.credit = freeBurst
 	}
-	p.at = now
+	l.at = now
 	periods := elapsed.Seconds() / TickPeriod.Seconds()
-	p.credit = p.refilled(elapsed, accepted)
-	p.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - p.arrived)
+	l.credit = l.refilled(elapsed, accepted)
+	l.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - l.arrived)
 	switch {
-	case delay >= DelayBeyond && p.rate == 0:
-		p.rate = max(p.arrived, MinAcceptRate)
+	case delay >= DelayBeyond && l.rate == 0:
+		l.rate = max(l.arrived, MinAcceptRate)
 	case delay >= DelayBeyond:
-		p.rate = max(math.Pow(paceFall, periods)*p.rate, MinAcceptRate)
-	case delay < DelayLate && p.rate > 0:
-		p.rate *= math.Pow(paceRise, periods)
-		if p.rate > unboundFactor*max(p.arrived, MinAcceptRate) {
-			p.rate = 0
+		l.rate = max(math.Pow(paceFall, periods)*l.rate, MinAcceptRate)
+	case delay < DelayLate && l.rate > 0:
+		l.rate *= math.Pow(paceRise, periods)
+		if l.rate > unboundFactor*max(l.arrived, MinAcceptRate) {
+			l.rate = 0
 		}
 	}
-	return p
+	return l
 }
 
 // refilled returns the credit after some time in which connections were accepted.
-func (p AcceptLimit) refilled(elapsed time.Duration, accepted int) float64 {
-	if p.Bounded() {
+func (l AcceptLimit) refilled(elapsed time.Duration, accepted int) float64 {
+	if l.Bounded() {
 		return 0
 	}
-	rate := max(freeMinRate, freeGrowth*p.arrived)
+	rate := max(freeMinRate, freeGrowth*l.arrived)
 	maxCredit := max(freeBurst, rate*TickPeriod.Seconds())
-	return min(max(p.credit-float64(accepted), 0)+rate*min(elapsed, freeMaxElapsed).Seconds(), maxCredit)
+	return min(max(l.credit-float64(accepted), 0)+rate*min(elapsed, freeMaxElapsed).Seconds(), maxCredit)
 }
--- a/coordination/overload/acceptlimit_test.go
+++ b/coordination/overload/acceptlimit_test.go
@@ -20,12 +20,12 @@
 		d, p := New(time.Second), AcceptLimit{}
 		now, backlog, accepted, most := time.Second, time.Duration(0), 0, time.Duration(0)
 		fire := func(offered int) {
-			came := min(offered/int(time.Second/TickPeriod), p.Allowance())
-			accepted += came
-			backlog = max(backlog+time.Duration(came)*cost-TickPeriod, 0)
+			admitted := min(offered/int(time.Second/TickPeriod), p.Allowance())
+			accepted += admitted
+			backlog = max(backlog+time.Duration(admitted)*cost-TickPeriod, 0)
 			now += TickPeriod + min(backlog, time.Second)
 			d = d.Tick(now, 0)
-			p = p.Next(now, d.Delay, came)
+			p = p.Next(now, d.Delay, admitted)
 		}
 		for range 200 {
 			fire(offered)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestFloodBeginsBeforeItShows starts a flood. Until the gateway is late and refuses requests, it must have
-// started no more than it can relay before callers leave and sessions are lost.
+// TestFloodBeginsBeforeItShows starts a flood. Until the gateway detects that it is late and refuses requests,
+// it must not start more than it can relay before callers give up and sessions are lost.
 func TestFloodBeginsBeforeItShows(t *testing.T) {
 	const (
 		serve  = 5 * time.Millisecond // relayed over stream
@@ -94,9 +94,9 @@
 	now, rate := time.Second, 100.0
 	for range 40 {
 		now += TickPeriod
-		came := int(rate * TickPeriod.Seconds())
-		is.True(p.Allowance() >= came)
-		p = p.Next(now, 0, came)
+		admitted := int(rate * TickPeriod.Seconds())
+		is.True(p.Allowance() >= admitted)
+		p = p.Next(now, 0, admitted)
 		rate *= 1.1 // doubles in 7 ticks
 	}
 	is.True(rate > 4000)
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -42,7 +42,7 @@
 	return unaccepted
 }
 
-// TestArrivals covers arrivals at a constant rate.
+// TestArrivals checks the estimate for arrivals at a constant rate.
 func TestArrivals(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -37,16 +37,16 @@
 
 // Thresholds of the averaged delay.
 const (
-	DelayLate    = 5 * time.Millisecond  // pieces of streams are coalesced
+	DelayLate    = 5 * time.Millisecond  // the gateway is late; pieces of streams are coalesced
 	DelayBeyond  = 12 * time.Millisecond // pieces wait longer; the gateway is not ready; requests beyond every share are refused
 	delayExtra   = 20 * time.Millisecond // requests beyond the named share are refused
 	DelayTooLong = 35 * time.Millisecond // all new requests are refused
 	delayShort   = 10 * time.Millisecond // high pressure has ended
 )
 
-// A tick is weighted by the time since the last one, because a starved timer fires rarely. A machine that
-// was paused looks the same for the first half second afterwards. With these values, one tick that is
-// seconds late is forgotten within 700 ms.
+// A tick is weighted by the time since the last one, because a starved timer fires rarely. A gateway
+// whose machine was paused cannot be told from a starved one for the first half second afterwards. With these
+// values, the effect of one tick that is seconds late ends within 700 ms.
 const (
 	maxTickDelay      = 120 * time.Millisecond // upper bound on the delay of one tick
 	delayTimeConstant = 250 * time.Millisecond // time constant of the average
@@ -66,7 +66,7 @@
 // Detector is the state of a gateway's delay as of one tick of its timer.
 type Detector struct {
 	Delay        time.Duration // moving average
-	High         bool          // whether it was too long and has not been short since; used for the log
+	High         bool          // whether it has exceeded DelayTooLong and not fallen below delayShort since; for the log
 	unreadyUntil time.Duration // when the gateway may be ready again
 	lastTick     time.Duration // when the timer last fired
 }
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -51,7 +51,8 @@
 	is.True(fall*int(TickPeriod) < int(700*time.Millisecond))
 }
 
-// TestPressureRefusesByStanding covers the classes admitted at increasing delays.
+// TestPressureRefusesByStanding checks which classes are admitted, and how long streams wait, at increasing
+// delays.
 func TestPressureRefusesByStanding(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
@@ -76,8 +77,8 @@
 	is.True(!d.Admits(entitlement.Entitled))
 }
 
-// TestNoClassIsAdmittedThatABetterOneIsNot checks the order of classes at all delays, with high pressure and
-// without. The delay may be falling after it was too long.
+// TestNoClassIsAdmittedThatABetterOneIsNot checks at all delays, rising or falling after high pressure, that a
+// class is admitted only if all higher ones are.
 func TestNoClassIsAdmittedThatABetterOneIsNot(t *testing.T) {
 	classes := []entitlement.Class{entitlement.Covered, entitlement.Entitled, entitlement.Extra, entitlement.Beyond}
 	for delay := time.Duration(0); delay <= 2*DelayTooLong; delay += time.Millisecond / 2 {
@@ -92,7 +93,7 @@
 	}
 }
 
-// TestLateAndUnready follows one late tick and the ones after it.
+// TestLateAndUnready checks when one late tick makes the gateway late, and for how long it is not ready.
 func TestLateAndUnready(t *testing.T) {
 	is := is.New(t)
 	start := time.Second
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -38,7 +38,7 @@
 	is.True(p.Spent(4*time.Second) > 700*time.Millisecond)
 }
 
-// longestWait is an alternative estimate: a remaining wait counts as a return if it is shorter than the
+// longestWait is an alternative estimate that Patience is compared with: a remaining wait counts as a return if it is shorter than the
 // longest one seen by more than the allowed part.
 type longestWait struct {
 	longest time.Duration
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestFewCallersTellLittle takes samples from eight callers only, and checks that few first requests of
-// others are counted as late.
+// TestFewCallersTellLittle checks that few first requests are counted as late if the estimate is based on
+// samples from only eight callers.
 func TestFewCallersTellLittle(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -63,8 +63,8 @@
 	EndOverloaded                // no capacity
 )
 
-// EndingAfterAttempt returns how the request ends after its last attempt. noBudget is whether the retry
-// budget was exhausted.
+// EndingAfterAttempt returns how the request ends after its last attempt. noBudget is whether a further
+// attempt was refused because the retry budget was exhausted.
 func (r Request) EndingAfterAttempt(last Execution, noBudget bool) Ending {
 	switch {
 	case r.HeadWritten:
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -19,8 +19,8 @@
 	unbounded  = document.Route{Kind: document.Repeatable, MaxAttempts: 100}
 )
 
-// TestAfterAnAttempt covers what follows the last of a series of attempts, and how the request ends if
-// there is no further one.
+// TestAfterAnAttempt checks whether another attempt is allowed after a series of attempts, whether it is
+// charged to the budget, and how the request ends if there is none.
 func TestAfterAnAttempt(t *testing.T) {
 	const late, head, noBudget = true, true, true // timed out; head written; budget exhausted
 	type executions []Execution
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests when refused requests beyond their account's share return, with a model of one
-// gateway, the leader and engines in virtual time. It uses the real shares.
+// This file tests when refused requests beyond their account's share return. It models callers, one
+// gateway and engines in virtual time; the shares are computed by package entitlement.
 
 // Parameters of the model.
 const (
@@ -30,7 +30,7 @@
 	shareMaxAhead   = 40_000.0  // maximum tokens ahead of a request at the engines: a quarter of the objective
 )
 
-// sharedAccounts models two accounts with the same load.
+// sharedAccounts is the state of the model: two accounts with the same load.
 type sharedAccounts struct {
 	rng             *rand.Rand
 	now             time.Duration
@@ -44,10 +44,10 @@
 	submitted, inTime, served int // requests
 }
 
-// returningRequest is a request that will return.
+// returningRequest is a request that was refused and will return.
 type returningRequest struct {
 	account string
-	since   time.Duration
+	since   time.Duration // when it was first sent
 }
 
 // play sends requests of both accounts at the given multiple of their shares.
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -36,8 +36,8 @@
 }
 
 // QueueTimeout returns how much longer a request may wait for a server: as long as its answer can still
-// begin in time. A request that is late already, or that may have run, waits longer. A refusal would
-// make the caller of the first give up, and for the second could not promise that it has not run.
+// begin in time. A request that is late already, or that may have run, waits longer: refusing the
+// first would make its caller give up, and refusing the second could not promise that it has not run.
 func QueueTimeout(w QueuedRequest) time.Duration {
 	objective := w.Route.Objective
 	limit := objective - w.Spent - w.Expected - scale(objective, reserve)
@@ -52,13 +52,13 @@
 	return min(limit-w.Waited, w.Left)
 }
 
-// minExpectedPart is the fraction of the expected time to an answer below which none will arrive: a
-// server may be twice as fast as expected.
+// minExpectedPart is the fraction of the expected time to an answer that must be left for one to arrive
+// in time: a server may be twice as fast as expected.
 const minExpectedPart = 0.5
 
 // CanAnswerInTime reports whether the request may still be answered before its deadline. If it cannot, it
-// is refused at once and sent to no server, since its caller would be gone before the first part of the
-// answer. A request that may have run is not refused.
+// is refused at once and sent to no server, since its caller would be gone before the answer
+// begins. A request that may have run is not refused.
 func CanAnswerInTime(w QueuedRequest) bool {
 	return w.Runs > 0 || w.Left >= scale(w.Expected, minExpectedPart)
 }
@@ -70,8 +70,9 @@
 
 	delayPart = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
-	// beyondDelayPart is the same for requests that their account's share barely covers: the flood lasts,
-	// and a second refusal is of no use to the caller. Callers wait for up to a third.
+	// beyondDelayPart replaces delayPart for requests of an account whose share covers few of them. The
+	// excess demand lasts, so a caller that returned soon would be refused again. It waits for up to a
+	// third of its remaining time.
 	beyondDelayPart = 0.33
 	jitter          = 0.25 // maximum relative reduction, so that callers do not return at the same time
 )
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -35,7 +35,7 @@
 	slice    int64 // number of the current slice since time zero
 }
 
-// NewWindow returns an empty window.
+// NewWindow returns a budget without requests or retries.
 func NewWindow(limits Limits) *Window { return &Window{limits: limits} }
 
 // RecordRequest records the first attempt of a request.
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -53,7 +53,7 @@
 }
 
 // TestFleetKeepsToItsBudget lets several gateways with uneven traffic retry as often as allowed, and checks
-// the limit of the whole fleet over every window.
+// that the fleet as a whole stays within its allowance in every window.
 func TestFleetKeepsToItsBudget(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -79,7 +79,7 @@
 		window := int(limits.Window / step)
 		for s := window; s < steps; s++ {
 			asked, again := sum(requests[s-window:s]), sum(retries[s-window:s])
-			before := sum(requests[max(s-2*window, 0) : s-window]) // the higher of the two counts applies
+			before := sum(requests[max(s-2*window, 0) : s-window]) // the allowance is that of the window with more requests
 			allowed := limits.Ratio*float64(max(asked, before)) + limits.Extra
 			if float64(again) > allowed {
 				t.Fatalf("%d retries in the window to %d, %.0f allowed", again, s, allowed)
