--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -18,7 +18,7 @@
 const (
 	NothingNew Urgency = iota
 	Routine            // with the next full report
-	Urgent             // a slot or a request is waiting for it
+	Urgent             // at once, because a slot or a request is waiting for it
 )
 
 // Urgency returns how soon the next report should be sent, if there is anything to report.
@@ -46,8 +46,8 @@
 	p.idle = pr.Idle
 }
 
-// ApplyView applies the allocator's view of this pool, which includes this router's reports up to the number
-// reports.
+// ApplyView applies the allocator's view of this pool. reports is the number of the latest report from this
+// router that the view includes.
 func (p *Pool) ApplyView(now time.Duration, v protocol.PoolView, reports uint64) {
 	p.view = slots.FleetView{Short: v.Short, Floor: v.Floor, Slack: v.Slack, Rate: v.Rate, ReceivedAt: now}
 	p.queue.SetLift(v.Lift)
--- a/coordination/pool/pool.go
+++ b/coordination/pool/pool.go
@@ -62,7 +62,7 @@
 	meter  share.Meter
 }
 
-// Start is work that starts now on a slot of Server.
+// Start is the start of a request on a slot of Server.
 type Start struct {
 	Work   *Work
 	Server string
@@ -79,7 +79,7 @@
 	view     slots.FleetView
 	servers  map[string]Server
 	accounts map[string]bool
-	suspects []string // failing servers, for the next report
+	suspects []string // servers that are ejected or back off, for the next report
 	idle     int      // free slots in the last report
 }
 
