--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -9,7 +9,7 @@
 	"github.com/zeebo/xxh3"
 )
 
-// This file defines Prompt and the price by which RoomPlacer compares candidates for it.
+// This file defines Prompt and the price by which CapacityPlacer compares candidates for it.
 //
 // The shared parts of a prompt determine a rendezvous order of the servers, which is the same on
 // all gateways without any message. The first server in that order is assumed to cache the shared
@@ -85,8 +85,8 @@
 	return best, read, !math.IsInf(bestPrice, 1)
 }
 
-// priceAt returns the price of a candidate at a given rank of the prompt's order, and the number
-// of tokens it has to read.
+// priceAt returns the price of a candidate at a given rank of the prompt's order, and the number of
+// tokens it has to read.
 func priceAt(p Prompt, c candidate, rank int) (read int, price float64) {
 	read = p.Own
 	if rank > 0 {
--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -27,18 +27,18 @@
 	return clone
 }
 
-func promptOf(thing string) Prompt {
-	return Prompt{Shared: []Part{{"system", 500}, {thing, 5000}}, Own: 1000}
+func promptOf(part string) Prompt {
+	return Prompt{Shared: []Part{{"system", 500}, {part, 5000}}, Own: 1000}
 }
 
-func TestNoEngine(t *testing.T) {
+func TestCheapestWithoutCandidates(t *testing.T) {
 	_, _, ok := cheapest(promptOf("a"), nil)
 	is.New(t).True(!ok)
 }
 
-// TestEqualPromptsMeet checks that gateways agree on the first choice of a prompt without exchanging
+// TestGatewaysAgreeOnFirstEngine checks that gateways agree on the first choice of a prompt without exchanging
 // messages, and that it has no shared tokens to read.
-func TestEqualPromptsMeet(t *testing.T) {
+func TestGatewaysAgreeOnFirstEngine(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(12)
 	for i := range 50 {
@@ -48,7 +48,7 @@
 		is.Equal(read, 1000)
 		far := cloneOf(engines)
 		for i := range far {
-			far[i].SameHall = i%3 == 0 // as seen from another data hall
+			far[i].SameHall = i%3 == 0 // for a gateway in another data hall
 		}
 		second, _, _ := cheapest(p, far)
 		is.Equal(first.index, second.index)
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestLostEngineMovesOnlyItsOwn checks that the loss of an engine moves none of the prompts whose
+// TestLostEngineMovesOnlyItsOwnPrompts checks that the loss of an engine moves none of the prompts whose
 // shared parts are cached on another one.
-func TestLostEngineMovesOnlyItsOwn(t *testing.T) {
+func TestLostEngineMovesOnlyItsOwnPrompts(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(12)
 	rest := engines[1:]
--- a/coordination/place/capacity.go
+++ b/coordination/place/capacity.go
@@ -10,12 +10,12 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines whether a server has capacity for one more request, and the estimates of the
-// pool's behavior that this depends on.
+// This file defines the conditions under which a server has capacity for one more request, and the
+// estimates of the pool's behavior on which they depend.
 
-// maxWaitParts are the fractions of the objective that may pass until an engine begins to read a
+// maxWaitFractions are the fractions of the objective that may pass until an engine begins to read a
 // request, or has read it (see [admissionTokens]).
-var maxWaitParts = [...]float64{
+var maxWaitFractions = [...]float64{
 	entitlement.Covered: 0.45, entitlement.Entitled: 0.25, entitlement.Extra: 0.12,
 	entitlement.Beyond: 0, // only if nothing is waiting to be read
 }
@@ -49,8 +49,8 @@
 
 // Division of a server's connections among the gateways.
 const (
-	connectionsPart = 0.9 // fraction that is used; the rest is reserve
-	minConnections  = 2   // per gateway, even if that exceeds the total
+	connectionsFraction = 0.9 // fraction that is used; the rest is reserve
+	minConnections      = 2   // per gateway, even if that exceeds the total
 	// ampleConnectionsPerSlot is the number of connections per slot from which the slots limit a
 	// server's load long before its connections do.
 	ampleConnectionsPerSlot = 32
@@ -59,7 +59,7 @@
 // Bound is the limit that keeps a server from accepting one more request.
 type Bound uint8
 
-// Bounds, in the order in which they are checked.
+// Limits of a server, in the order in which they are checked.
 const (
 	Free        Bound = iota // none: the server may have the request
 	Connections              // this gateway's part of the server's connections
@@ -76,21 +76,21 @@
 	if r.Connections > 0 && c.Own.Requests >= ownConnections(r.Connections, r.Gateways, c.Slots) {
 		return Connections
 	}
-	if c.Slots > 0 && float64(c.load.Requests) >= p.perSlot(r)*float64(c.Slots) {
+	if c.Slots > 0 && float64(c.load.Requests) >= p.maxRequestsPerSlot(r)*float64(c.Slots) {
 		return Slots
 	}
 	if !r.Engine {
 		return Free
 	}
 	wait := float64(admissionTokens(r, c)) * c.slowness / p.readRate() // ms
-	if wait > maxWaitParts[r.Class]*float64(r.Objective)/float64(time.Millisecond) {
+	if wait > maxWaitFractions[r.Class]*float64(r.Objective)/float64(time.Millisecond) {
 		return Reading
 	}
 	return Free
 }
 
-// perSlot returns the maximum number of requests per slot of a server.
-func (p *CapacityPlacer) perSlot(r Request) float64 {
+// maxRequestsPerSlot returns the maximum number of requests per slot of a server.
+func (p *CapacityPlacer) maxRequestsPerSlot(r Request) float64 {
 	switch {
 	case !r.Engine:
 		return plainPerSlot
@@ -126,7 +126,7 @@
 // grows, to two of 1,900 connections at 985 gateways, and the gateway with the busiest callers would
 // then queue requests for servers that are idle.
 func ownConnections(accepted, gateways, slots int) int {
-	part := int(connectionsPart * float64(accepted) / float64(max(gateways, 1)))
+	part := int(connectionsFraction * float64(accepted) / float64(max(gateways, 1)))
 	if accepted >= ampleConnectionsPerSlot*slots {
 		part = max(part, slots)
 	}
@@ -183,12 +183,12 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Parameters of a server's pace.
+// Parameters of a server's latency ratio.
 const (
-	paceWeight     = 0.1 // weight of one answer
-	minPaceSamples = 4   // answers before a pace is reliable
-	slowThreshold  = 1.6 // multiple of the typical pace; smaller differences are ignored
-	maxSlowness    = 16  // upper bound of the slowness
+	latencyRatioWeight = 0.1 // weight of one answer
+	minLatencySamples  = 4   // answers before a ratio is reliable
+	slowThreshold      = 1.6 // multiple of the typical ratio; smaller differences are ignored
+	maxSlowness        = 16  // upper bound of the slowness
 )
 
 // LatencyRatio is the moving average of the time until a server's answers begin, relative to the expected
@@ -199,32 +199,33 @@
 }
 
 // Observe records the ratio of one answer.
-func (p *LatencyRatio) Observe(ratio float64) {
-	p.answers++
-	if p.answers == 1 {
-		p.ratio = ratio
+func (l *LatencyRatio) Observe(ratio float64) {
+	l.answers++
+	if l.answers == 1 {
+		l.ratio = ratio
 		return
 	}
-	p.ratio += paceWeight * (ratio - p.ratio)
+	l.ratio += latencyRatioWeight * (ratio - l.ratio)
 }
 
-// slowness returns how many times slower than a typical server this one is, at least 1.
-func (p LatencyRatio) slowness(typical float64) float64 {
-	if p.answers < minPaceSamples || typical <= 0 || p.ratio < slowThreshold*typical {
+// slowness returns how many times slower than a typical server this one is, at least 1. typical is the
+// TypicalLatencyRatio of the pool.
+func (l LatencyRatio) slowness(typical float64) float64 {
+	if l.answers < minLatencySamples || typical <= 0 || l.ratio < slowThreshold*typical {
 		return 1
 	}
-	return math.Min(p.ratio/typical, maxSlowness)
+	return math.Min(l.ratio/typical, maxSlowness)
 }
 
-// Reliable reports whether enough answers were observed for the pace to be used.
-func (p LatencyRatio) Reliable() bool { return p.answers >= minPaceSamples }
+// Reliable reports whether enough answers were observed for the ratio to be used.
+func (l LatencyRatio) Reliable() bool { return l.answers >= minLatencySamples }
 
-// TypicalLatencyRatio returns the median of the reliable paces, or 0 if there are fewer than two.
+// TypicalLatencyRatio returns the median of the reliable ratios, or 0 if there are fewer than two.
 func TypicalLatencyRatio(all []LatencyRatio) float64 {
 	ratios := make([]float64, 0, len(all))
-	for _, pace := range all {
-		if pace.Reliable() {
-			ratios = append(ratios, pace.ratio)
+	for _, l := range all {
+		if l.Reliable() {
+			ratios = append(ratios, l.ratio)
 		}
 	}
 	if len(ratios) < 2 {
@@ -234,13 +235,13 @@
 	return ratios[(len(ratios)-1)/2]
 }
 
-// typicalPace returns the TypicalPace of the given servers.
-func typicalPace(servers []Server) float64 {
-	paces := make([]LatencyRatio, 0, len(servers))
+// typicalLatencyRatio returns the TypicalLatencyRatio of the given servers.
+func typicalLatencyRatio(servers []Server) float64 {
+	ratios := make([]LatencyRatio, 0, len(servers))
 	for i := range servers {
 		if servers[i].LatencyRatio.Reliable() {
-			paces = append(paces, servers[i].LatencyRatio)
+			ratios = append(ratios, servers[i].LatencyRatio)
 		}
 	}
-	return TypicalLatencyRatio(paces)
+	return TypicalLatencyRatio(ratios)
 }
--- a/coordination/place/capacity_test.go
+++ b/coordination/place/capacity_test.go
@@ -12,9 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRoom covers the limits of one server, with an objective of 400 ms. Without estimates an engine is
+// TestCapacityLimits covers the limits that keep one server from accepting a request, with an objective of 400 ms. Without estimates an engine is
 // assumed to read 100 tokens a millisecond.
-func TestRoom(t *testing.T) {
+func TestCapacityLimits(t *testing.T) {
 	engine := func(c entitlement.Class) Request {
 		return Request{Class: c, Objective: 400 * time.Millisecond, Engine: true}
 	}
@@ -26,7 +26,7 @@
 		name string
 		r    Request
 		s    Server
-		room bool
+		free bool
 	}{
 		{"covered", engine(entitlement.Covered), Server{Own: Work{Tokens: 18_000}}, true},
 		{"covered, too late", engine(entitlement.Covered), Server{Own: Work{Tokens: 18_001}}, false},
@@ -53,7 +53,7 @@
 			is := is.New(t)
 			got := new(CapacityPlacer).Choose(tt.r, []Server{tt.s})
 			is.Equal(got.Index, 0)
-			is.Equal(got.Bound == Free, tt.room)
+			is.Equal(got.Bound == Free, tt.free)
 			is.Equal(got.Before, tt.s.totalWork())
 		})
 	}
@@ -69,10 +69,10 @@
 		want       []int
 	}{
 		{"in use", false, []Server{inUse, ejected, avoided, trial}, []int{0}},
-		{"a trial, for what may run again", true, []Server{inUse, ejected, avoided, trial}, []int{0, 3}},
-		{"ejected ones rather than none", false, []Server{ejected, avoided, trial}, []int{0, 2}},
-		{"none that had the request", true, []Server{avoided, avoided}, nil},
-		{"but the only one again", true, []Server{avoided}, []int{0}},
+		{"a trial, for a repeatable request", true, []Server{inUse, ejected, avoided, trial}, []int{0, 3}},
+		{"ejected ones if no others are left", false, []Server{ejected, avoided, trial}, []int{0, 2}},
+		{"none if the request failed on all", true, []Server{avoided, avoided}, nil},
+		{"the only server, although the request failed there", true, []Server{avoided}, []int{0}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []int
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestFullServerIsWaitedFor checks that a request is not moved to a server with capacity unless it would
+// TestRequestWaitsForFullServer checks that a request is not moved to a server with capacity unless it would
 // be refused otherwise, and that this server then reads the whole prompt.
-func TestFullServerIsWaitedFor(t *testing.T) {
+func TestRequestWaitsForFullServer(t *testing.T) {
 	is := is.New(t)
 	var p CapacityPlacer
 	r := Request{Prompt: promptOf("a"), Class: entitlement.Covered, Objective: 400 * time.Millisecond, Engine: true}
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestLearnedRoom(t *testing.T) {
+func TestEstimatesFollowObservations(t *testing.T) {
 	is := is.New(t)
 	var p CapacityPlacer
 	for range 500 {
@@ -123,7 +123,7 @@
 	is.True(p.readRate() > 490 && p.readRate() < 501)
 	learned := p.readRate()
 	p.ObserveTimeToFirst(true, minRateSample-1, time.Hour)                     // too short for a sample
-	p.ObserveTimeToFirst(true, minRateSample, engineOverhead*time.Millisecond) // no time left for reading
+	p.ObserveTimeToFirst(true, minRateSample, engineOverhead*time.Millisecond) // no time is left for reading
 	is.Equal(p.readRate(), learned)
 	for range 5000 {
 		p.ObserveAnswer(false)
@@ -135,12 +135,12 @@
 	is := is.New(t)
 	servers := make([]Server, 3)
 	for i, ratio := range []float64{1, 1.5, 100} {
-		for range minPaceSamples {
-			is.Equal(typicalPace(servers[i:i+1]), 0.0) // a single server is not compared
+		for range minLatencySamples {
+			is.Equal(typicalLatencyRatio(servers[i:i+1]), 0.0) // a single server is not compared
 			servers[i].LatencyRatio.Observe(ratio)
 		}
 	}
-	typical := typicalPace(servers)
+	typical := typicalLatencyRatio(servers)
 	is.Equal(typical, 1.5)
 	is.Equal(servers[1].LatencyRatio.slowness(1), 1.0) // the difference is too small
 	is.Equal(servers[2].LatencyRatio.slowness(typical), float64(maxSlowness))
--- a/coordination/place/capacityplacer.go
+++ b/coordination/place/capacityplacer.go
@@ -10,7 +10,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// This file defines RoomPlacer, which gateways use to choose a server: the candidates for a request,
+// This file defines CapacityPlacer, which gateways use to choose a server: the candidates for a request,
 // the best one among them, and whether that one has capacity for it now.
 
 // Request holds the inputs of a choice: the request and the properties of its pool.
@@ -27,7 +27,7 @@
 	Random float64 // between 0 and 1, drawn for this choice
 }
 
-// Work is the load of a server.
+// Work is the outstanding work of a server.
 type Work struct {
 	Requests int
 	Tokens   int // prompt tokens still to be read
@@ -118,19 +118,19 @@
 // capacity from other requests.
 func (p *CapacityPlacer) ChooseWithCapacity(r Request, servers []Server) Choice {
 	cands, _ := candidates(r, servers)
-	return p.chooseWithRoom(r, cands)
+	return p.chooseWithCapacity(r, cands)
 }
 
-// chooseWithRoom is like ChooseWithRoom for a list of candidates, which it overwrites.
-func (p *CapacityPlacer) chooseWithRoom(r Request, cands []candidate) Choice {
+// chooseWithCapacity is like ChooseWithCapacity for a list of candidates, which it overwrites.
+func (p *CapacityPlacer) chooseWithCapacity(r Request, cands []candidate) Choice {
 	if !r.Engine {
 		if c := p.spread(r, cands); c.Bound == Free {
 			return c
 		}
 		return Choice{Index: -1}
 	}
-	withRoom := slices.DeleteFunc(cands, func(c candidate) bool { return p.bound(r, c) != Free })
-	best, _, ok := cheapest(r.Prompt, withRoom)
+	withCapacity := slices.DeleteFunc(cands, func(c candidate) bool { return p.bound(r, c) != Free })
+	best, _, ok := cheapest(r.Prompt, withCapacity)
 	if !ok {
 		return Choice{Index: -1}
 	}
@@ -151,7 +151,7 @@
 // and healthy is false; only then may the sole server of a pool get the same request again.
 func candidates(r Request, servers []Server) (cands []candidate, healthy bool) {
 	cands = make([]candidate, 0, len(servers))
-	typical := typicalPace(servers)
+	typical := typicalLatencyRatio(servers)
 	for _, anyHealth := range []bool{false, true} {
 		for i := range servers {
 			s := &servers[i]
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -9,12 +9,12 @@
 //
 // There are two placers, one for each way of sharing servers:
 //
-//	                  SlotPlacer                   RoomPlacer
+//	                  SlotPlacer                   CapacityPlacer
 //	used by           routers (package pool)       gateways
 //	candidates        servers with a free slot     all servers of the pool
 //	                  held by this router
 //	no capacity       cannot happen: holding a     the request waits for its cheapest
-//	                  slot implies capacity        server, see RoomPlacer.Choose
+//	                  slot implies capacity        server, see CapacityPlacer.Choose
 //	cached prompts    Index: blocks of bytes and   the first server in the rendezvous
 //	                  the servers they were        order of the prompt's named parts
 //	                  sent to
@@ -24,12 +24,12 @@
 //	failing servers   outlier.Consecutive          outlier.FailureRate
 //
 // The allocator's slots bound the load of a server, so a router never queues a request for the
-// sake of affinity: a hot server only costs its price and leaves no capacity idle elsewhere.
+// sake of affinity: a busy server only has a higher price, and no capacity is left idle elsewhere.
 // Gateways hold no slots and bound the wait on a server themselves. There are many of them, so a
 // prompt has to reach the same engine from any gateway. Moving it to another engine consumes
-// capacity for all gateways, which makes a short wait cheaper.
+// capacity for all gateways, so a short wait is cheaper.
 //
-// In a fleet of several regions, RoomPlacer chooses among the servers of one region (regions.go
+// In a fleet of several regions, CapacityPlacer chooses among the servers of one region (regions.go
 // defines when another region is considered), and LinkBudget bounds the bytes that a gateway
 // sends over the link between regions.
 //
--- a/coordination/place/excess_test.go
+++ b/coordination/place/excess_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file tests how requests beyond their shares affect those within them, with a model of engines
-// that read prompts in order of arrival. The placer is the real one.
+// This file tests how requests beyond their account's share affect those within it. It runs
+// CapacityPlacer on a model of engines that read prompts in order of arrival.
 
 // Parameters of the model.
 const (
@@ -22,7 +22,7 @@
 	engineReadRate = 60.0 // tokens a millisecond
 	engineSlots    = 48
 	streamDuration = 2500 * time.Millisecond
-	reportInterval = 100 * time.Millisecond // interval between reports of the others' load; gateways see each other's load only by these
+	reportInterval = 100 * time.Millisecond // interval between reports of the others' load, all that gateways know of it
 	modelStep      = time.Millisecond
 	modelEnd       = 30 * time.Second
 	modelObjective = 400 * time.Millisecond
@@ -74,10 +74,10 @@
 	return wait
 }
 
-// TestWhatIsBeyondSharesHoldsUpNobody offers engines several times the load they can read, most of it
+// TestExcessRequestsDoNotDelayEntitledOnes offers engines several times the load they can read, most of it
 // beyond the shares and some of that with long prompts. Requests within the shares must still begin
 // in time.
-func TestWhatIsBeyondSharesHoldsUpNobody(t *testing.T) {
+func TestExcessRequestsDoNotDelayEntitledOnes(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
 	servers := make([]Server, orderEngines)
@@ -123,9 +123,9 @@
 	is.True(beyond >= within)   // and engines are not kept idle for that
 }
 
-// TestWhatIsBeyondSharesStays checks that, while the engine that caches a prompt's shared parts is
+// TestExcessRequestsStayAtCachingEngine checks that, while the engine that caches a prompt's shared parts is
 // full, requests within their share use another one and requests beyond it wait.
-func TestWhatIsBeyondSharesStays(t *testing.T) {
+func TestExcessRequestsStayAtCachingEngine(t *testing.T) {
 	is := is.New(t)
 	servers := []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	r := Request{
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -37,8 +37,8 @@
 	return blocks
 }
 
-// Index records the most recently used blocks, up to a bound, with the servers that are expected
-// to have them cached.
+// Index is a bounded LRU list of prompt blocks, with the servers that are expected to have them
+// cached.
 type Index struct {
 	max     int
 	byBlock map[Block]*list.Element
--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -29,12 +29,12 @@
 // power loss. Each direction carries the requests of one region and the answers to the other, so
 // each region may use half of the remainder.
 const (
-	fleetMessagesPart = 0.3  // fraction of the capacity, for the fleet's own messages
-	regionPart        = 0.5  // fraction of the rest, for the requests of one region
-	optionalPart      = 0.7  // fraction of that, for requests that could be served in their own region
-	entitledReserve   = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
-	burstSeconds      = 1.0  // seconds at the gateway's rate that a bucket holds
-	minBurst          = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
+	fleetMessagesFraction = 0.3  // fraction of the capacity, for the fleet's own messages
+	regionFraction        = 0.5  // fraction of the rest, for the requests of one region
+	optionalFraction      = 0.7  // fraction of that, for requests that could be served in their own region
+	entitledReserve       = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
+	burstSeconds          = 1.0  // seconds at the gateway's rate that a bucket holds
+	minBurst              = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
 )
 
 // Round-trip times to other regions.
@@ -70,7 +70,7 @@
 	if total <= 0 {
 		total = DefaultLinkRate
 	}
-	return total * (1 - fleetMessagesPart) * regionPart / float64(max(s.Gateways, 1))
+	return total * (1 - fleetMessagesFraction) * regionFraction / float64(max(s.Gateways, 1))
 }
 
 // Transfer is a request that is about to leave its region.
@@ -91,11 +91,11 @@
 	if now < l.pausedUntil {
 		return false
 	}
-	needed := min(t.Bytes, full*optionalPart)
+	needed := min(t.Bytes, full*optionalFraction)
 	if t.Class > entitlement.Entitled {
-		needed = max(needed, full*optionalPart*entitledReserve)
+		needed = max(needed, full*optionalFraction*entitledReserve)
 	}
-	return full-l.spent >= min(t.Bytes, full) && full*optionalPart-l.optionalSpent >= needed
+	return full-l.spent >= min(t.Bytes, full) && full*optionalFraction-l.optionalSpent >= needed
 }
 
 // Spend takes bytes from the budget. A negative number returns bytes that were expected but not
@@ -111,7 +111,7 @@
 	accrued := s.rate() * max(now-l.refilledAt, 0).Seconds()
 	l.refilledAt = max(now, l.refilledAt)
 	l.spent = max(l.spent-accrued, 0)
-	l.optionalSpent = max(l.optionalSpent-accrued*optionalPart, 0)
+	l.optionalSpent = max(l.optionalSpent-accrued*optionalFraction, 0)
 }
 
 // RoundTrip returns the estimated round-trip time to a region.
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -37,8 +37,8 @@
 		least float64
 		span  time.Duration
 	}{
-		{"must", Transfer{Bytes: 10_000, Required: true}, 0.75, 0.65, 20 * time.Second},
-		{"by choice", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
+		{"required", Transfer{Bytes: 10_000, Required: true}, 0.75, 0.65, 20 * time.Second},
+		{"optional", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
 		{"beyond the share", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
 		{"larger than a bucket", Transfer{Bytes: 4e6, Required: true}, 0.75, 0.65, 2000 * time.Second}, // each gateway sends one at first, then as the debt is repaid
 	} {
@@ -56,31 +56,31 @@
 	}
 }
 
-// TestSharesFirstOnTheLink uses up the bucket step by step. Requests beyond their account's share are
+// TestLinkBudgetPriorities uses up the bucket step by step. Requests beyond their account's share are
 // refused first, then other optional transfers, and required transfers last.
-func TestSharesFirstOnTheLink(t *testing.T) {
+func TestLinkBudgetPriorities(t *testing.T) {
 	is := is.New(t)
 	share := LinkShare{Rate: 6e6, Gateways: 44}
 	l := &LinkBudget{}
-	entitled, extra, must := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Required: true}
+	entitled, extra, required := Transfer{Bytes: 1000}, Transfer{Bytes: 1000, Class: entitlement.Extra}, Transfer{Bytes: 1000, Required: true}
 	is.True(l.Admits(time.Second, share, extra))
-	l.Spend(time.Second, share, share.rate()*optionalPart*0.6)
+	l.Spend(time.Second, share, share.rate()*optionalFraction*0.6)
 	is.True(!l.Admits(time.Second, share, extra))
 	is.True(l.Admits(time.Second, share, entitled))
-	l.Spend(time.Second, share, share.rate()*optionalPart*0.4)
+	l.Spend(time.Second, share, share.rate()*optionalFraction*0.4)
 	is.True(!l.Admits(time.Second, share, entitled))
-	is.True(l.Admits(time.Second, share, must))
+	is.True(l.Admits(time.Second, share, required))
 	l.Spend(time.Second, share, share.rate())
-	is.True(!l.Admits(time.Second, share, must))
-	is.True(l.Admits(3*time.Second, share, must)) // the bucket has refilled
+	is.True(!l.Admits(time.Second, share, required))
+	is.True(l.Admits(3*time.Second, share, required)) // the bucket has refilled
 	l.Spend(3*time.Second, share, 4000)
 	l.Spend(3*time.Second, share, -4000) // the answer was not sent
 	is.True(l.Admits(3*time.Second, share, extra))
 }
 
-// TestWayIsLearned checks that the estimated round-trip time follows new connections, and that one
+// TestRoundTripEstimate checks that the estimated round-trip time follows new connections, and that one
 // which takes several times as long suspends optional transfers for a while.
-func TestWayIsLearned(t *testing.T) {
+func TestRoundTripEstimate(t *testing.T) {
 	is := is.New(t)
 	share, l := LinkShare{Gateways: 10}, &LinkBudget{}
 	is.Equal(l.RoundTrip("south"), AssumedRoundTrip)
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -13,7 +13,7 @@
 )
 
 // This file defines Ranks, the first servers of each prompt's rendezvous order in a large pool, and
-// ChooseSpread, the choice among these alone.
+// ChooseFromOrder, the choice among these alone.
 //
 // Pricing every server takes 0.7 to 1.2 ms among 10,000, which limits a gateway with a fifth of a
 // core to 200 requests a second from one busy caller (BenchmarkChoose of package gateway). A prompt
@@ -95,13 +95,13 @@
 
 // Limits that determine how many servers a prompt is spread over in a large pool.
 const (
-	busyWaitPart   = 0.125 // fraction of the objective: queue wait from which a server is busy
-	busySlotsPart  = 0.75  // fraction of the slots in use from which a server is busy
-	serversPerBusy = 4     // servers used for each busy one
-	// peakSpan is how long a load peak marks a server as busy: five of the longest intervals between
+	busyWaitFraction  = 0.125 // fraction of the objective: queue wait from which a server is busy
+	busySlotsFraction = 0.75  // fraction of the slots in use from which a server is busy
+	serversPerBusy    = 4     // servers used for each busy one
+	// peakDuration is how long a load peak marks a server as busy: five of the longest intervals between
 	// load reports. Without it, a prompt with many requests falls back to a single server after each
 	// report that shows its servers idle, and requests queue there.
-	peakSpan = 3 * time.Second
+	peakDuration = 3 * time.Second
 )
 
 // Peak is the highest recent load of a server according to the reports over all gateways. The zero
@@ -122,7 +122,7 @@
 
 // At returns the peak as of now, or zero if it has expired.
 func (k Peak) At(now time.Duration) Work {
-	if now-k.at >= peakSpan {
+	if now-k.at >= peakDuration {
 		return Work{}
 	}
 	return k.work
@@ -200,9 +200,9 @@
 // than reading the shared parts again elsewhere would take.
 func (p *CapacityPlacer) busy(r Request, c candidate) bool {
 	ahead := float64(max(c.load.Tokens, c.RecentPeak.Tokens)) * c.slowness
-	limit := max(busyWaitPart*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
+	limit := max(busyWaitFraction*milliseconds(r.Objective)*p.readRate(), float64(r.Prompt.SharedTokens()))
 	return ahead > limit || p.bound(r, c) != Free ||
-		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlotsPart*float64(c.Slots))
+		(c.Slots > 0 && float64(max(c.load.Requests, c.RecentPeak.Requests)) >= busySlotsFraction*float64(c.Slots))
 }
 
 // cheaperOfTwo returns the cheaper of two random servers, and the unused rest of the random number,
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -15,9 +15,10 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRanksAgree checks that a prompt's order does not depend on the order in which servers were added,
-// that each server is first for a similar number of prompts, and that removing one moves only its own.
-func TestRanksAgree(t *testing.T) {
+// TestRanksAreDeterministicAndBalanced checks that a prompt's order does not depend on the order in which servers were added,
+// that each server is first for a similar number of prompts, and that removing a server moves only the
+// prompts for which it was first.
+func TestRanksAreDeterministicAndBalanced(t *testing.T) {
 	is := is.New(t)
 	const servers, prompts = 2000, 20_000
 	var ranks, other Ranks
@@ -48,9 +49,9 @@
 	is.Equal(moved, first["e00007"])
 }
 
-// TestPromptStaysWhileItsServerIsNotBusy checks that the first server of the order is used while it is
+// TestFirstServerIsUsedUnlessBusy checks that the first server of the order is used while it is
 // not busy, and skipped while it is busy, ejected or closed.
-func TestPromptStaysWhileItsServerIsNotBusy(t *testing.T) {
+func TestFirstServerIsUsedUnlessBusy(t *testing.T) {
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	var p CapacityPlacer
@@ -73,9 +74,9 @@
 	is.True(!ok)
 }
 
-// TestPromptStaysWhateverOthersDo checks that a prompt's requests stay on its first server while servers
+// TestWidthIgnoresServersBeyondIt checks that a prompt's requests stay on its first server while servers
 // beyond its width are busy with other prompts, and that its width grows once its own servers are busy.
-func TestPromptStaysWhateverOthersDo(t *testing.T) {
+func TestWidthIgnoresServersBeyondIt(t *testing.T) {
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	busy := Work{Requests: 13, Tokens: 9_000}
@@ -119,11 +120,11 @@
 	return first, at
 }
 
-// TestManyRequestsOfOnePrompt sends 152 requests a second for one prompt, with 11,000 own tokens each,
+// TestHotPromptIsSpread sends 152 requests a second for one prompt, with 11,000 own tokens each,
 // through 300 gateways to 300 otherwise idle engines. Load is reported every 0.6 s. If every gateway took
-// the cheapest engine, requests would wait for seconds. Spread over the order, hardly any request may
-// have more than 250 ms of reading ahead of it, and few engines read the shared part.
-func TestManyRequestsOfOnePrompt(t *testing.T) {
+// the cheapest engine, requests would wait for seconds. If they are spread over the order, hardly any may
+// wait more than 250 ms for prompts ahead of it, and few engines may read the shared part.
+func TestHotPromptIsSpread(t *testing.T) {
 	is := is.New(t)
 	one := promptLoad{engines: 300, prompts: 1, rate: 152, own: 11_000, shared: 512}
 	all := one.play(func(p *CapacityPlacer, r Request, pool, _ []Server, _ []int) int {
@@ -137,9 +138,9 @@
 	is.True(spread.engines <= rankDepth)
 }
 
-// TestManyRarePrompts sends many prompts, each once in six seconds, which keep one engine in a hundred
+// TestRarePromptsStayOnFirstEngine sends many prompts, each once in six seconds, which keep one engine in a hundred
 // busy. Nearly all requests must find their shared parts cached by the previous one.
-func TestManyRarePrompts(t *testing.T) {
+func TestRarePromptsStayOnFirstEngine(t *testing.T) {
 	is := is.New(t)
 	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
 	t.Logf("worst wait %.0f ms, %.3f over 250 ms, %.3f of the requests not at their prompt's first engine", rare.worst, rare.late, rare.moved)
@@ -147,9 +148,9 @@
 	is.True(rare.late < 0.02)
 }
 
-// TestPromptsWithMuchInCommon sends one prompt with a large shared part. A low rate must use few engines,
+// TestEnginesUsedGrowWithRate sends one prompt with a large shared part. A low rate must use few engines,
 // since each of them reads the shared part again; a high rate must use as many as it needs.
-func TestPromptsWithMuchInCommon(t *testing.T) {
+func TestEnginesUsedGrowWithRate(t *testing.T) {
 	is := is.New(t)
 	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
 	t.Logf("3 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", few.worst, few.late, few.engines)
@@ -251,7 +252,7 @@
 
 // advance brings the engines and the load reports up to now.
 func (x *promptPool) advance(now float64) {
-	const period = 0.6 // seconds between sums
+	const period = 0.6 // seconds between load reports
 	for i := range x.pool {
 		x.runs[i] = slices.DeleteFunc(x.runs[i], func(r promptRun) bool { return r.end < now })
 	}
@@ -272,8 +273,8 @@
 	}
 }
 
-// begin starts a request on an engine, which reads the shared part too if it is not cached. It returns
-// how long the request waits for prompts ahead of it, in seconds.
+// begin starts a request on an engine, which also reads the shared part if that is not cached. It returns
+// how long the request waits until prompts ahead of it are read, in seconds.
 func (x *promptPool) begin(i int, prompt Prompt, now float64) (wait float64) {
 	const perSecond, streams = 157_000.0, 1.4 // tokens, seconds
 	wait = max(x.busyUntil[i]-now, 0)
--- a/coordination/place/regionmodel_test.go
+++ b/coordination/place/regionmodel_test.go
@@ -18,8 +18,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file models engines in two regions behind many gateways in virtual time. It uses the real
-// RoomPlacer and account shares, and simple models of engines, reports and callers. Gateways receive
+// This file models engines in two regions behind many gateways in virtual time. It runs
+// CapacityPlacer and package entitlement on simple models of engines, reports and callers. Gateways receive
 // reports of the others' load that are 100 to 600 ms old.
 
 // Parameters of the model.
@@ -198,6 +198,7 @@
 	return tokens
 }
 
+// second returns the counters of an account for the second that now is in.
 func (m *twoSides) second(now time.Duration, account string) *accountSecond {
 	for len(m.seconds[account]) <= int(now/time.Second) {
 		m.seconds[account] = append(m.seconds[account], accountSecond{})
@@ -351,9 +352,9 @@
 	"waits 0 ms": afterWait(0), "waits 120 ms": afterWait(2 * AssumedRoundTrip), "waits a round trip": afterWait(AssumedRoundTrip),
 }
 
-// TestTwoRegions compares strategies for leaving a region, under a load that all engines together can
+// TestRegionStrategies compares strategies for leaving a region, under a load that all engines together can
 // serve and that is either even or comes mostly from a large account in one region.
-func TestTwoRegions(t *testing.T) {
+func TestRegionStrategies(t *testing.T) {
 	is := is.New(t)
 	both := [2]float64{0.5, 0.5}
 	small := func(rate float64) (accounts []sideAccount) {
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -31,9 +31,9 @@
 // fill uses up the capacity of a server.
 func fill(s *Server) { s.Own.Tokens = 30_000 }
 
-// TestWhenARequestMayLeave checks the reasons for leaving a region. While another engine of the region
+// TestReasonsForLeavingRegion checks the reasons for leaving a region. While another engine of the region
 // has capacity, a request does not leave at once even if its best engine is full.
-func TestWhenARequestMayLeave(t *testing.T) {
+func TestReasonsForLeavingRegion(t *testing.T) {
 	p, r := &CapacityPlacer{}, engineRequest(promptOf("a"))
 	first, _ := p.ChooseInRegion(r, engines("n", 4))
 	for _, tt := range []struct {
@@ -85,9 +85,9 @@
 	is.True(MayLeave(entitlement.Extra))
 }
 
-// TestOrderIsOneInEachRegion checks that the first engine of a prompt is determined by the engines of
+// TestFirstEngineDependsOnRegionAlone checks that the first engine of a prompt is determined by the engines of
 // its own region alone.
-func TestOrderIsOneInEachRegion(t *testing.T) {
+func TestFirstEngineDependsOnRegionAlone(t *testing.T) {
 	is := is.New(t)
 	p := &CapacityPlacer{}
 	for i := range 50 {
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -27,15 +27,15 @@
 	return out
 }
 
-func TestChoice(t *testing.T) {
+func TestSlotPlacerChoice(t *testing.T) {
 	p := prompt(16, "the parcel history of")
 	tests := []struct {
 		name string
 		set  func(pl *SlotPlacer, c []FreeServer)
 		want string
 	}{
-		{"where the prompt's prefix is", func(pl *SlotPlacer, _ []FreeServer) { pl.Index.Sent("s2", p) }, "s2"},
-		{"not where it is, when that is loaded", func(pl *SlotPlacer, c []FreeServer) {
+		{"server that caches the prefix", func(pl *SlotPlacer, _ []FreeServer) { pl.Index.Sent("s2", p) }, "s2"},
+		{"loaded server that caches the prefix", func(pl *SlotPlacer, c []FreeServer) {
 			pl.Index.Sent("s2", p[:4])
 			c[2].Running = 8
 			for i := range c {
@@ -44,12 +44,12 @@
 				}
 			}
 		}, "s1"},
-		{"least loaded by fresh reports", func(pl *SlotPlacer, _ []FreeServer) {
+		{"least loaded server by recent reports", func(pl *SlotPlacer, _ []FreeServer) {
 			for _, s := range []string{"s0", "s1", "s2"} {
 				pl.RecordLoad(s, LoadReport{Running: 8, Waiting: 8, At: 10 * time.Second})
 			}
 		}, "s3"},
-		{"not to an ejected server", func(pl *SlotPlacer, _ []FreeServer) {
+		{"ejected server", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Health.SetSize(4)
 			pl.Index.Sent("s2", p)
 			for pl.Health.Usable(10*time.Second, "s2") {
@@ -57,7 +57,7 @@
 			}
 			pl.Index.Sent("s1", p[:2])
 		}, "s1"},
-		{"an uncertain cache counts half", func(pl *SlotPlacer, _ []FreeServer) {
+		{"uncertain cache entries count half", func(pl *SlotPlacer, _ []FreeServer) {
 			pl.Index.Apply("s2", CacheEvent{Seq: 1})
 			pl.Index.Apply("s2", CacheEvent{Seq: 3, Stored: p}) // event 2 was lost
 			pl.Index.Sent("s1", p[:10])
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestRoutersAgreeWithoutAMessage(t *testing.T) {
+func TestRoutersAgreeOnPreferredServer(t *testing.T) {
 	is := is.New(t)
 	spread := map[string]bool{}
 	for i := range 50 {
@@ -89,7 +89,7 @@
 	is.Equal(len(spread), 6) // they are spread over all servers
 }
 
-func TestOldLoadReportFades(t *testing.T) {
+func TestLoadReportDecays(t *testing.T) {
 	is := is.New(t)
 	pl := NewSlotPlacer(10)
 	c := FreeServer{Server: "s0", Slots: 8}
@@ -99,7 +99,7 @@
 	is.Equal(pl.load(loadHalfLife, c), 0.5)
 }
 
-func TestEvents(t *testing.T) {
+func TestIndexCacheEvents(t *testing.T) {
 	is := is.New(t)
 	x := NewIndex(100)
 	p := prompt(4, "map sheet 12")
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -16,14 +16,14 @@
 // spread chooses a random server among those with capacity, or among all if there are none. Servers
 // are weighted by their slots divided by their slowness, and less if requests were lost there.
 func (p *CapacityPlacer) spread(r Request, cands []candidate) Choice {
-	withRoom := slices.DeleteFunc(slices.Clone(cands), func(c candidate) bool { return p.bound(r, c) != Free })
-	if len(withRoom) == 0 {
-		withRoom = cands
+	withCapacity := slices.DeleteFunc(slices.Clone(cands), func(c candidate) bool { return p.bound(r, c) != Free })
+	if len(withCapacity) == 0 {
+		withCapacity = cands
 	}
-	if len(withRoom) == 0 {
+	if len(withCapacity) == 0 {
 		return Choice{Index: -1}
 	}
-	c := weightedRandom(r.Random, withRoom, hallWeight(cands))
+	c := weightedRandom(r.Random, withCapacity, hallWeight(cands))
 	return Choice{Index: c.index, Bound: p.bound(r, c), Read: r.Prompt.Tokens(), Before: c.load, Slowness: c.slowness}
 }
 
@@ -32,9 +32,9 @@
 func weightedRandom(random float64, cands []candidate, ownHall float64) candidate {
 	weight := func(c candidate) float64 {
 		if c.SameHall {
-			return ownHall * capacity(c)
+			return ownHall * serverWeight(c)
 		}
-		return capacity(c)
+		return serverWeight(c)
 	}
 	sum := 0.0
 	for _, c := range cands {
@@ -52,11 +52,11 @@
 // Preference for the gateway's own data hall. It reduces the requests that are lost when another hall
 // fails, and the traffic between halls. It only applies if the hall has several servers, since halls
 // differ in the load of their callers. It does not follow the servers' load: that is reported too late
-// for short requests, so all gateways of a hall would leave and return at the same time. On a day when a
-// hall with one server has most of the callers, a quarter of what a route should serve would be lost
+// for short requests, so all gateways of a hall would leave and return at the same time. If it applied to
+// a hall with one server and most of the callers, a quarter of what a route should serve would be lost
 // (docs/design/shifted-work.md).
 const (
-	ownHallWeight     = 4.0 // multiple of the capacity of its servers
+	ownHallWeight     = 4.0 // factor for the weight of its servers
 	minOwnHallServers = 3   // minimum number of servers in the hall
 )
 
@@ -80,7 +80,7 @@
 // requests in the first ten seconds.
 const lossPenalty = 9
 
-// capacity returns the weight of a server relative to others of its pool.
-func capacity(c candidate) float64 {
+// serverWeight returns the weight of a server relative to others of its pool.
+func serverWeight(c candidate) float64 {
 	return float64(max(c.Slots, 1)) / max(c.slowness, 1) / float64(1+lossPenalty*c.LostInARow)
 }
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -15,7 +15,8 @@
 )
 
 // This file models a small pool of plain servers behind many gateways. Each gateway sends a small part of
-// the requests and receives reports of the others' load that are some 100 ms old.
+// the requests and receives reports of the others' load that are a few hundred milliseconds old at
+// most.
 
 // strategy chooses a server, given the state that a gateway has.
 type strategy func(rng *rand.Rand, servers []Server) Choice
@@ -151,8 +152,8 @@
 // anyServer chooses any server at random.
 func anyServer(rng *rand.Rand, servers []Server) Choice { return Choice{Index: rng.IntN(len(servers))} }
 
-// betterOfTwo chooses the less loaded of two random servers.
-func betterOfTwo(rng *rand.Rand, servers []Server) Choice {
+// lessLoadedOfTwo chooses the less loaded of two random servers.
+func lessLoadedOfTwo(rng *rand.Rand, servers []Server) Choice {
 	a, b := rng.IntN(len(servers)), rng.IntN(len(servers)-1)
 	if b >= a {
 		b++
@@ -163,14 +164,14 @@
 	return Choice{Index: a}
 }
 
-// placerChoice chooses as RoomPlacer does.
+// placerChoice chooses as CapacityPlacer does.
 func placerChoice(rng *rand.Rand, servers []Server) Choice {
 	return new(CapacityPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
-// TestSmallPool compares strategies for 330 requests a second of 30 ms each, on three servers with six
+// TestPlacerLosesFewPlainRequests compares strategies for 330 requests a second of 30 ms each, on three servers with six
 // slots behind 62 gateways. The median is 30 ms if no request waits.
-func TestSmallPool(t *testing.T) {
+func TestPlacerLosesFewPlainRequests(t *testing.T) {
 	is := is.New(t)
 	load := smallPool{gateways: 62, servers: 3, slots: 6, queue: 6, work: 30 * time.Millisecond, rate: 330, period: 300 * time.Millisecond}
 	slow := load
@@ -186,13 +187,13 @@
 		name string
 		pool smallPool
 	}{{"62 gateways", load}, {"one server is 3 times slower", slow}, {"3 gateways", few}, {"requests of 1 s", long}, {"three halls", halls}, {"uneven halls", uneven}, {"uneven halls of five servers", large}} {
-		for _, way := range []struct {
+		for _, alternative := range []struct {
 			name string
 			c    strategy
-		}{{"least loaded", leastLoaded}, {"random", anyServer}, {"better of two", betterOfTwo}, {"placer", placerChoice}} {
-			o := tt.pool.play(way.c)
-			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, way.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
-			results[tt.name+" "+way.name] = o
+		}{{"least loaded", leastLoaded}, {"random", anyServer}, {"better of two", lessLoadedOfTwo}, {"placer", placerChoice}} {
+			o := tt.pool.play(alternative.c)
+			t.Logf("%-28s %-14s p50 %3d ms, p99 %4d ms, lost %.3f", tt.name, alternative.name, o.p50.Milliseconds(), o.p99.Milliseconds(), o.lost)
+			results[tt.name+" "+alternative.name] = o
 		}
 	}
 	is.True(results["62 gateways placer"].lost < 0.01)
@@ -203,9 +204,9 @@
 	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways placer"].lost)
 }
 
-// offPool sends 300 requests a second for ten seconds to servers of which some are down, and returns the
+// lostWithServersDown sends 300 requests a second for ten seconds to servers of which some are down, and returns the
 // fraction of requests that are lost. A gateway ejects a server for 1.5 s after three consecutive losses.
-func offPool(gateways, servers int, off func(s int) bool, view func(g, s int, v *Server, lostInARow int)) float64 {
+func lostWithServersDown(gateways, servers int, down func(s int) bool, view func(g, s int, v *Server, lostInARow int)) float64 {
 	rng := rand.New(rand.NewPCG(5, 6))
 	health := make([][]outlier.FailureRate, gateways)
 	pool := make([]outlier.PoolRate, gateways)
@@ -223,7 +224,7 @@
 		c := new(CapacityPlacer).Choose(Request{Random: rng.Float64()}, seen)
 		asked++
 		verdict, trial := outlier.Answered, health[g][c.Index].Sent(now)
-		if off(c.Index) {
+		if down(c.Index) {
 			verdict = outlier.Lost
 			lost++
 		}
@@ -232,24 +233,24 @@
 	return float64(lost) / float64(asked)
 }
 
-// TestServersThatAreOff checks that lossPenalty reduces the losses of 62 gateways when 4 of 14 servers
+// TestLossPenaltyReducesLosses checks that lossPenalty reduces the losses of 62 gateways when 4 of 14 servers
 // are down.
-func TestServersThatAreOff(t *testing.T) {
+func TestLossPenaltyReducesLosses(t *testing.T) {
 	is := is.New(t)
-	off := func(s int) bool { return s < 4 }
-	penalized := offPool(62, 14, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
-	without := offPool(62, 14, off, func(int, int, *Server, int) {})
+	down := func(s int) bool { return s < 4 }
+	penalized := lostWithServersDown(62, 14, down, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
+	without := lostWithServersDown(62, 14, down, func(int, int, *Server, int) {})
 	t.Logf("lost %.3f, without the penalty %.3f", penalized, without)
 	is.True(penalized < 0.75*without)
 }
 
-// TestHallIsPreferred takes down one of three data halls with its five servers and its gateways. The
+// TestOwnHallPreferenceReducesLosses takes down one of three data halls with its five servers and its gateways. The
 // preference for the own hall must reduce the losses of the remaining 41 gateways.
-func TestHallIsPreferred(t *testing.T) {
+func TestOwnHallPreferenceReducesLosses(t *testing.T) {
 	is := is.New(t)
-	off := func(s int) bool { return s%3 == 2 }
-	preferring := offPool(41, 15, off, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
-	without := offPool(41, 15, off, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
+	down := func(s int) bool { return s%3 == 2 }
+	preferring := lostWithServersDown(41, 15, down, func(g, s int, v *Server, lost int) { v.LostInARow, v.SameHall = lost, s%3 == g%2 })
+	without := lostWithServersDown(41, 15, down, func(_, _ int, v *Server, lost int) { v.LostInARow = lost })
 	t.Logf("lost %.3f, without the preference %.3f", preferring, without)
 	is.True(preferring < 0.85*without)
 }
