--- a/coordination/place/affinity_test.go
+++ b/coordination/place/affinity_test.go
@@ -36,8 +36,8 @@
 	is.New(t).True(!ok)
 }
 
-// TestGatewaysAgreeOnFirstEngine checks that gateways agree on the first choice of a prompt without exchanging
-// messages, and that it has no shared tokens to read.
+// TestGatewaysAgreeOnFirstEngine checks that gateways agree on the first choice of a prompt without
+// exchanging messages, and that it has no shared tokens to read.
 func TestGatewaysAgreeOnFirstEngine(t *testing.T) {
 	is := is.New(t)
 	engines := idleEngines(12)
--- a/coordination/place/capacity_test.go
+++ b/coordination/place/capacity_test.go
@@ -12,8 +12,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestCapacityLimits covers the limits that keep one server from accepting a request, with an objective of 400 ms. Without estimates an engine is
-// assumed to read 100 tokens a millisecond.
+// TestCapacityLimits covers the limits that keep one server from accepting a request, with an objective
+// of 400 ms. Without estimates an engine is assumed to read 100 tokens a millisecond.
 func TestCapacityLimits(t *testing.T) {
 	engine := func(c entitlement.Class) Request {
 		return Request{Class: c, Objective: 400 * time.Millisecond, Engine: true}
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -15,9 +15,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRanksAreDeterministicAndBalanced checks that a prompt's order does not depend on the order in which servers were added,
-// that each server is first for a similar number of prompts, and that removing a server moves only the
-// prompts for which it was first.
+// TestRanksAreDeterministicAndBalanced checks that a prompt's order does not depend on the order in
+// which servers were added, that each server is first for a similar number of prompts, and that
+// removing a server moves only the prompts for which it was first.
 func TestRanksAreDeterministicAndBalanced(t *testing.T) {
 	is := is.New(t)
 	const servers, prompts = 2000, 20_000
@@ -138,8 +138,8 @@
 	is.True(spread.engines <= rankDepth)
 }
 
-// TestRarePromptsStayOnFirstEngine sends many prompts, each once in six seconds, which keep one engine in a hundred
-// busy. Nearly all requests must find their shared parts cached by the previous one.
+// TestRarePromptsStayOnFirstEngine sends many prompts, each once in six seconds, which keep one engine
+// in a hundred busy. Nearly all requests must find their shared parts cached by the previous one.
 func TestRarePromptsStayOnFirstEngine(t *testing.T) {
 	is := is.New(t)
 	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -17,8 +17,8 @@
 // A request never crosses the link for the sake of its rank, and in another region it may only use
 // its best engine there.
 //
-// TestRegionStrategies compares the wait of one round trip with alternatives, for an account whose callers
-// are all in one region and that needs more than half of the fleet:
+// The wait of one round trip is preferred to these alternatives, for an account whose callers are all in
+// one region and that needs more than half of the fleet (TestRegionStrategies):
 //   - Staying in the own region serves a quarter of its requests in time.
 //   - One order over both regions sends half of all requests across the link under any load.
 //   - Leaving whenever the other region is expected to answer sooner, or as soon as the best engine
--- a/coordination/place/regions_test.go
+++ b/coordination/place/regions_test.go
@@ -85,8 +85,8 @@
 	is.True(MayLeave(entitlement.Extra))
 }
 
-// TestFirstEngineDependsOnRegionAlone checks that the first engine of a prompt is determined by the engines of
-// its own region alone.
+// TestFirstEngineDependsOnRegionAlone checks that the first engine of a prompt is determined by the
+// engines of its own region alone.
 func TestFirstEngineDependsOnRegionAlone(t *testing.T) {
 	is := is.New(t)
 	p := &CapacityPlacer{}
--- a/coordination/place/spread_test.go
+++ b/coordination/place/spread_test.go
@@ -169,8 +169,8 @@
 	return new(CapacityPlacer).Choose(Request{Random: rng.Float64()}, servers)
 }
 
-// TestPlacerLosesFewPlainRequests compares strategies for 330 requests a second of 30 ms each, on three servers with six
-// slots behind 62 gateways. The median is 30 ms if no request waits.
+// TestPlacerLosesFewPlainRequests compares strategies for 330 requests a second of 30 ms each, on three
+// servers with six slots behind 62 gateways. The median is 30 ms if no request waits.
 func TestPlacerLosesFewPlainRequests(t *testing.T) {
 	is := is.New(t)
 	load := smallPool{gateways: 62, servers: 3, slots: 6, queue: 6, work: 30 * time.Millisecond, rate: 330, period: 300 * time.Millisecond}
@@ -204,8 +204,9 @@
 	is.True(results["62 gateways least loaded"].lost > 5*results["62 gateways placer"].lost)
 }
 
-// lostWithServersDown sends 300 requests a second for ten seconds to servers of which some are down, and returns the
-// fraction of requests that are lost. A gateway ejects a server for 1.5 s after three consecutive losses.
+// lostWithServersDown sends 300 requests a second for ten seconds to servers of which some are down,
+// and returns the fraction of requests that are lost. A gateway ejects a server for 1.5 s after three
+// consecutive losses.
 func lostWithServersDown(gateways, servers int, down func(s int) bool, view func(g, s int, v *Server, lostInARow int)) float64 {
 	rng := rand.New(rand.NewPCG(5, 6))
 	health := make([][]outlier.FailureRate, gateways)
@@ -244,8 +245,8 @@
 	is.True(penalized < 0.75*without)
 }
 
-// TestOwnHallPreferenceReducesLosses takes down one of three data halls with its five servers and its gateways. The
-// preference for the own hall must reduce the losses of the remaining 41 gateways.
+// TestOwnHallPreferenceReducesLosses takes down one of three data halls with its five servers and its
+// gateways. The preference for the own hall must reduce the losses of the remaining 41 gateways.
 func TestOwnHallPreferenceReducesLosses(t *testing.T) {
 	is := is.New(t)
 	down := func(s int) bool { return s%3 == 2 }
