--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -4,12 +4,13 @@
 //
 // A server that has just started, or has become cold again, can handle a request rate that its pool states, and
 // fails above it. To every gateway it looks like the least loaded server at the same moment, and the reported
-// load of other gateways is up to 600 ms old, so the rate has to be divided before any request is sent. For each
-// cold server the leader chooses up to MaxHolders gateways, in an order that differs between servers, and assigns
-// them whole requests a second that add up to the rate ([Divide]). No other gateway sends to it. A share is
-// leased: it is valid for LeaseDuration after the gateway sent its latest report that the leader has received. A
-// new leader assigns no shares for the same time. The valid shares therefore never add up to more than the rate, even if messages
-// are lost or gateways and leaders are cut off, frozen or replaced ([Allowance]).
+// load of other gateways is up to 600 ms old, so the rate has to be divided before any request is sent. For
+// each cold server the leader chooses up to MaxHolders gateways, in an order that differs between servers, and
+// assigns them whole requests a second that add up to the rate ([Divide]). No other gateway sends to it. A
+// share is leased: it is valid for LeaseDuration after the gateway sent its latest report that the leader has
+// received. A new leader assigns no shares for the same time. The valid shares therefore never add up to more
+// than the rate, even if messages are lost or gateways and leaders are cut off, frozen or replaced
+// ([Allowance]).
 //
 // Alternatives, for a server that can handle 18 requests a second for 3 s:
 //   - If each gateway gets an equal fraction of a request a second, starting at a random time, up to 35 requests
@@ -31,8 +32,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// MaxHolders is the maximum number of gateways that share one cold server. With fewer, more of the rate is wasted if one of
-// them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
+// MaxHolders is the maximum number of gateways that share one cold server. With fewer, more of the rate is
+// wasted if one of them is idle or lost. With more, shares would fall below one
+// request a second at a rate of 18.
 const MaxHolders = 4
 
 // LeaseDuration is how long a share is valid after the report that last renewed it. It exceeds the longest interval
@@ -56,7 +58,7 @@
 	}
 	order := slices.Clone(gateways)
 	slices.SortFunc(order, func(a, b string) int {
-		return cmp.Or(cmp.Compare(rank(server, b), rank(server, a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(rendezvousScore(server, b), rendezvousScore(server, a)), cmp.Compare(a, b))
 	})
 	shares := make([]protocol.ColdShare, holders)
 	for i := range shares {
@@ -68,8 +70,10 @@
 	return shares
 }
 
-// rank returns the value by which gateways are ordered for a server.
-func rank(server, gateway string) uint64 { return xxh3.HashString(server + "\x00" + gateway) }
+// rendezvousScore returns the value by which gateways are ordered for a server.
+func rendezvousScore(server, gateway string) uint64 {
+	return xxh3.HashString(server + "\x00" + gateway)
+}
 
 // Allowance determines how many requests one gateway may send to one server. The zero value is a server that is
 // not cold.
@@ -84,7 +88,7 @@
 func (a Allowance) WithCold(now, left time.Duration, server, gateway string, shares []protocol.ColdShare) Allowance {
 	until := now + left
 	a.coldUntil = until
-	a.opensAt = until + WarmSpread*time.Duration(rank(server, gateway)%1024)/1024
+	a.opensAt = until + WarmSpread*time.Duration(rendezvousScore(server, gateway)%1024)/1024
 	a.share = 0
 	for _, s := range shares {
 		if s.Gateway == gateway {
--- a/coordination/coldstart/coldstart_test.go
+++ b/coordination/coldstart/coldstart_test.go
@@ -68,9 +68,9 @@
 	is.True(other.Admits(3*time.Second+WarmSpread, false))
 }
 
-// TestWarmServersDoNotJump checks that the gateways begin to use a server at evenly spread times once it is no
+// TestWarmServerIsOpenedGradually checks that the gateways begin to use a server at evenly spread times once it is no
 // longer cold.
-func TestWarmServersDoNotJump(t *testing.T) {
+func TestWarmServerIsOpenedGradually(t *testing.T) {
 	is := is.New(t)
 	for tenth := range 10 {
 		open := 0
@@ -140,9 +140,9 @@
 	return len(times), most
 }
 
-// TestWaysOfDividing compares strategies for a rate of 18 a second: with constant demand on all gateways, and with
-// all traffic on two of them.
-func TestWaysOfDividing(t *testing.T) {
+// TestDivisionStrategies compares strategies for a rate of 18 a second: with constant demand on all gateways,
+// and with all traffic on two of them.
+func TestDivisionStrategies(t *testing.T) {
 	is := is.New(t)
 	const rate = 18.0
 	for _, n := range []int{62, 300, 1600} {
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -12,11 +12,11 @@
 
 // Ends of the phases, as fractions of the grace period.
 const (
-	// acceptPart ends the phase of unrestricted admission. At 0.4, requests that a stopping gateway had admitted
+	// acceptFraction ends the phase of unrestricted admission. At 0.4, requests that a stopping gateway had admitted
 	// were cut off (docs/FINDINGS.md).
-	acceptPart = 0.34
-	// finishPart leaves the rest of the grace period to close connections and write the log.
-	finishPart = 0.88
+	acceptFraction = 0.34
+	// finishFraction leaves the rest of the grace period to close connections and write the log.
+	finishFraction = 0.88
 )
 
 // Grace is the grace period: the time between the request to stop a process and its forced termination.
@@ -25,7 +25,7 @@
 // Admits reports whether a request that takes at most patience may begin, given the time since the stop began, or 0
 // if it has not.
 func (g Grace) Admits(since, patience time.Duration) bool {
-	return since <= g.part(acceptPart) || since+patience <= g.part(finishPart)
+	return since <= g.fraction(acceptFraction) || since+patience <= g.fraction(finishFraction)
 }
 
 // Step is an action of a stopping gateway.
@@ -41,12 +41,12 @@
 // Next returns the next action, given the time since the stop began and the number of running requests.
 func (g Grace) Next(since time.Duration, running int64) Step {
 	switch {
-	case since > g.part(finishPart):
+	case since > g.fraction(finishFraction):
 		return CutOff
-	case since > g.part(acceptPart) && running == 0:
+	case since > g.fraction(acceptFraction) && running == 0:
 		return End
 	}
 	return Continue
 }
 
-func (g Grace) part(p float64) time.Duration { return time.Duration(p * float64(g)) }
+func (g Grace) fraction(p float64) time.Duration { return time.Duration(p * float64(g)) }
--- a/coordination/outlier/consecutive.go
+++ b/coordination/outlier/consecutive.go
@@ -8,9 +8,9 @@
 
 // Limits of a router's ejections.
 const (
-	failuresToEject = 3 // consecutive failures
-	shortestEject   = time.Second
-	longestEject    = 30 * time.Second // maximum, reached after failed trials
+	failuresToEject   = 3 // consecutive failures
+	minRouterEjection = time.Second
+	maxRouterEjection = 30 * time.Second // maximum, reached after failed trials
 )
 
 // Consecutive tracks the failures of the servers of one pool. Only failures of the server count, such as
@@ -76,7 +76,7 @@
 	if s.until == 0 && 2*(c.ejected()+1) > c.size {
 		return false
 	}
-	s.eject(now, shortestEject, longestEject)
+	s.eject(now, minRouterEjection, maxRouterEjection)
 	return true
 }
 
--- a/coordination/outlier/consecutive_test.go
+++ b/coordination/outlier/consecutive_test.go
@@ -24,21 +24,21 @@
 	is.True(!h.Failed(now, "a"))
 	is.True(h.Failed(now, "a"))
 	is.True(!h.Usable(now, "a"))
-	later := now + shortestEject
+	later := now + minRouterEjection
 	is.True(h.Usable(later, "a"))
 	h.Sent(later, "a")
 	is.True(!h.Usable(later, "a")) // one trial at a time
 	is.True(h.Failed(later, "a"))
-	is.True(!h.Usable(later+shortestEject, "a")) // twice as long as the first ejection
-	h.Sent(later+2*shortestEject, "a")
+	is.True(!h.Usable(later+minRouterEjection, "a")) // twice as long as the first ejection
+	h.Sent(later+2*minRouterEjection, "a")
 	h.Abandoned("a") // the caller gave up, so another request may be the trial
-	is.True(h.Usable(later+2*shortestEject, "a"))
-	h.Sent(later+2*shortestEject, "a")
+	is.True(h.Usable(later+2*minRouterEjection, "a"))
+	h.Sent(later+2*minRouterEjection, "a")
 	h.Succeeded("a")
 	is.True(h.Usable(later, "a"))
 }
 
-func TestNeverMoreThanHalfIsOut(t *testing.T) {
+func TestAtMostHalfOfThePoolIsEjected(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		h := NewConsecutive()
 		n := rapid.IntRange(1, 9).Draw(t, "servers")
--- a/coordination/outlier/ejection.go
+++ b/coordination/outlier/ejection.go
@@ -19,9 +19,9 @@
 
 // ejection is the ejection state of one server. The zero value is a server in use.
 type ejection struct {
-	until    time.Duration // zero if not ejected
-	nextWait time.Duration // duration of the next ejection, before limits apply
-	inTrial  bool          // whether the trial is under way
+	until        time.Duration // zero if not ejected
+	nextDuration time.Duration // duration of the next ejection, before limits apply
+	inTrial      bool          // whether the trial is under way
 }
 
 // State returns the server's state.
@@ -47,7 +47,7 @@
 // eject begins an ejection twice as long as the last one, within the limits.
 func (e *ejection) eject(now, shortest, longest time.Duration) {
 	e.inTrial = false
-	e.nextWait = min(max(e.nextWait, shortest), longest)
-	e.until = now + e.nextWait
-	e.nextWait *= 2
+	e.nextDuration = min(max(e.nextDuration, shortest), longest)
+	e.until = now + e.nextDuration
+	e.nextDuration *= 2
 }
--- a/coordination/outlier/rate.go
+++ b/coordination/outlier/rate.go
@@ -25,11 +25,11 @@
 
 // Parameters of the gateways' rule.
 const (
-	serverSamples = 12               // attempts in the average of a server
-	poolWeight    = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
-	rateToEject   = 0.35             // difference to the pool's rate from which a server is ejected
-	lostToEject   = 3                // consecutive lost requests, whatever the failure rate
-	longestWait   = 12 * time.Second // maximum ejection, reached after failed trials
+	serverSamples      = 12               // attempts in the average of a server
+	poolWeight         = 0.02             // weight of one attempt in the average of the pool, about 50 attempts
+	rateToEject        = 0.35             // difference to the pool's rate from which a server is ejected
+	lostToEject        = 3                // consecutive lost requests, whatever the failure rate
+	maxGatewayEjection = 12 * time.Second // maximum ejection, reached after failed trials
 
 	// MinSamples is the minimum number of attempts since the last ejection for a server's rate to count.
 	MinSamples = 4
@@ -71,7 +71,7 @@
 		return false
 	}
 	ejected = f.until == 0 || f.inTrial
-	f.eject(now, MinGatewayEjection, longestWait)
+	f.eject(now, MinGatewayEjection, maxGatewayEjection)
 	f.samples, f.rate, f.lost = 0, 0, 0
 	return ejected
 }
@@ -83,7 +83,7 @@
 // succeeded ends an ejection and halves the duration of the next one.
 func (f *FailureRate) succeeded() {
 	f.until, f.inTrial, f.lost = 0, false, 0
-	f.nextWait = max(f.nextWait/2, MinGatewayEjection)
+	f.nextDuration = max(f.nextDuration/2, MinGatewayEjection)
 }
 
 // count updates the average, over all attempts at first and later over about serverSamples of them.
--- a/coordination/outlier/rate_test.go
+++ b/coordination/outlier/rate_test.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// TestTrial ejects a server and sends it trials. A failed trial doubles the next ejection up to the
+// TestTrialAfterEjection ejects a server and sends it trials. A failed trial doubles the next ejection up to the
 // maximum, a trial without a verdict allows another one, and an answer ends the ejection.
-func TestTrial(t *testing.T) {
+func TestTrialAfterEjection(t *testing.T) {
 	is := is.New(t)
 	var p PoolRate
 	var s FailureRate
@@ -46,7 +46,7 @@
 		p.Record(now, &s, Lost, false)
 	}
 	is.True(!p.Record(now, &s, Lost, false)) // ejected already
-	for wait := MinGatewayEjection; ; wait = min(2*wait, longestWait) {
+	for wait := MinGatewayEjection; ; wait = min(2*wait, maxGatewayEjection) {
 		is.Equal(s.State(now+wait-1), Ejected)
 		now += wait
 		is.True(s.Sent(now))
@@ -54,7 +54,7 @@
 		is.Equal(s.State(now), Ejected)
 		p.Record(now, &s, NoVerdict, true)
 		is.True(s.Sent(now))
-		if wait == longestWait {
+		if wait == maxGatewayEjection {
 			break
 		}
 		is.True(p.Record(now, &s, Lost, true))
--- a/coordination/overload/acceptlimit.go
+++ b/coordination/overload/acceptlimit.go
@@ -23,12 +23,12 @@
 // Change of the rate per TickPeriod, however late the timer fires. Falling to a tenth of the rate takes
 // 0.9 s, and recovering takes 1.6 s.
 const (
-	paceFall = 0.95 // while the gateway is late
-	paceRise = 1.03 // while it is not
-	// unboundFactor is the multiple of the average of accepted connections above which the limit ends.
-	unboundFactor = 3.0
-	// arrivedTimeConstant is the time constant of the average of accepted connections.
-	arrivedTimeConstant = 100 * time.Millisecond
+	rateDecrease = 0.95 // while the gateway is late
+	rateIncrease = 1.03 // while it is not
+	// unlimitedFactor is the multiple of the average of accepted connections above which the limit ends.
+	unlimitedFactor = 3.0
+	// recentRateTimeConstant is the time constant of the average of accepted connections.
+	recentRateTimeConstant = 100 * time.Millisecond
 )
 
 // Limits of a gateway that is not late.
@@ -45,10 +45,10 @@
 
 // AcceptLimit is the acceptance limit as of one tick. The zero value is that of a gateway that is not late.
 type AcceptLimit struct {
-	rate    float64       // connections a second; zero if the gateway is not late
-	credit  float64       // connections that a gateway which is not late may accept at once
-	arrived float64       // moving average of accepted connections a second
-	at      time.Duration // time of the tick; zero before the first one
+	rate       float64       // connections a second; zero if the gateway is not late
+	credit     float64       // connections that a gateway which is not late may accept at once
+	recentRate float64       // moving average of accepted connections a second
+	at         time.Duration // time of the tick; zero before the first one
 }
 
 // Bounded reports whether the rate is limited because the gateway is late.
@@ -76,15 +76,15 @@
 	l.at = now
 	periods := elapsed.Seconds() / TickPeriod.Seconds()
 	l.credit = l.refilled(elapsed, accepted)
-	l.arrived += (1 - math.Exp(-elapsed.Seconds()/arrivedTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - l.arrived)
+	l.recentRate += (1 - math.Exp(-elapsed.Seconds()/recentRateTimeConstant.Seconds())) * (float64(accepted)/elapsed.Seconds() - l.recentRate)
 	switch {
 	case delay >= DelayBeyond && l.rate == 0:
-		l.rate = max(l.arrived, MinAcceptRate)
+		l.rate = max(l.recentRate, MinAcceptRate)
 	case delay >= DelayBeyond:
-		l.rate = max(math.Pow(paceFall, periods)*l.rate, MinAcceptRate)
+		l.rate = max(math.Pow(rateDecrease, periods)*l.rate, MinAcceptRate)
 	case delay < DelayLate && l.rate > 0:
-		l.rate *= math.Pow(paceRise, periods)
-		if l.rate > unboundFactor*max(l.arrived, MinAcceptRate) {
+		l.rate *= math.Pow(rateIncrease, periods)
+		if l.rate > unlimitedFactor*max(l.recentRate, MinAcceptRate) {
 			l.rate = 0
 		}
 	}
@@ -96,7 +96,7 @@
 	if l.Bounded() {
 		return 0
 	}
-	rate := max(freeMinRate, freeGrowth*l.arrived)
+	rate := max(freeMinRate, freeGrowth*l.recentRate)
 	maxCredit := max(freeBurst, rate*TickPeriod.Seconds())
 	return min(max(l.credit-float64(accepted), 0)+rate*min(elapsed, freeMaxElapsed).Seconds(), maxCredit)
 }
--- a/coordination/overload/acceptlimit_test.go
+++ b/coordination/overload/acceptlimit_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// TestPaceFollowsTheProcessor offers more connections than the processor can handle. The rate must settle
+// TestLimitFollowsTheProcessor offers more connections than the processor can handle. The rate must settle
 // where the gateway is just not late, and be unlimited again once few arrive.
-func TestPaceFollowsTheProcessor(t *testing.T) {
+func TestLimitFollowsTheProcessor(t *testing.T) {
 	for _, offered := range []int{2000, 6000, 20000} { // a second, of which 500 can be handled
 		is := is.New(t)
 		const cost = 2 * time.Millisecond
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestFloodBeginsBeforeItShows starts a flood. Until the gateway detects that it is late and refuses requests,
-// it must not start more than it can relay before callers give up and sessions are lost.
-func TestFloodBeginsBeforeItShows(t *testing.T) {
+// TestFloodIsBoundedBeforeItIsDetected starts a flood. Until the gateway detects that it is late and refuses
+// requests, it must not start more than it can relay before callers give up and sessions are lost.
+func TestFloodIsBoundedBeforeItIsDetected(t *testing.T) {
 	const (
 		serve  = 5 * time.Millisecond // relayed over stream
 		stream = 500 * time.Millisecond
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestBurstsAreTaken checks that a gateway which is not late accepts a burst at once, as well as arrivals
+// TestBurstsAreAccepted checks that a gateway which is not late accepts a burst at once, as well as arrivals
 // that double in a tenth of a second.
-func TestBurstsAreTaken(t *testing.T) {
+func TestBurstsAreAccepted(t *testing.T) {
 	is := is.New(t)
 	p := AcceptLimit{}
 	is.Equal(p.Allowance(), int(freeBurst))
@@ -102,7 +102,7 @@
 	is.True(rate > 4000)
 }
 
-func TestNoPaceWithoutDelay(t *testing.T) {
+func TestNoLimitWithoutDelay(t *testing.T) {
 	is := is.New(t)
 	var p AcceptLimit
 	for n := range 1000 {
--- a/coordination/overload/arrivals_test.go
+++ b/coordination/overload/arrivals_test.go
@@ -71,8 +71,9 @@
 	}
 }
 
-// TestBurstsThatWait checks that bursts of connections that wait in the queue are not counted as unaccepted.
-func TestBurstsThatWait(t *testing.T) {
+// TestWaitingConnectionsAreNotUnaccepted checks that bursts of connections that wait in the queue are not
+// counted as unaccepted.
+func TestWaitingConnectionsAreNotUnaccepted(t *testing.T) {
 	is := is.New(t)
 	unaccepted := simulateQueue(func(now time.Duration) int {
 		if now%(250*time.Millisecond) == 0 {
@@ -83,8 +84,9 @@
 	is.True(unaccepted <= 50) // of 800, from rounding at the intervals' ends
 }
 
-// TestArrivalsUnseen checks that there is no estimate without samples, or if the queue never had room.
-func TestArrivalsUnseen(t *testing.T) {
+// TestNoEstimateWithoutVisibleArrivals checks that there is no estimate without samples, or if the queue never
+// had room.
+func TestNoEstimateWithoutVisibleArrivals(t *testing.T) {
 	is := is.New(t)
 	var a Arrivals
 	n, a := a.Unaccepted(time.Second)
--- a/coordination/overload/overload.go
+++ b/coordination/overload/overload.go
@@ -58,9 +58,9 @@
 
 // Wait of a stream after each piece. Nearly all of the cost of an event is in system calls.
 const (
-	coalesceMin  = 40 * time.Millisecond  // minimum, whatever the gap between events
-	coalesceMax  = 100 * time.Millisecond // maximum, whatever that gap
-	coalesceGaps = 0.3                    // fraction of the gap that callers notice
+	coalesceMin         = 40 * time.Millisecond  // minimum, whatever the gap between events
+	coalesceMax         = 100 * time.Millisecond // maximum, whatever that gap
+	coalesceGapFraction = 0.3                    // fraction of the gap that callers notice
 )
 
 // Detector is the state of a gateway's delay as of one tick of its timer.
@@ -128,5 +128,5 @@
 	case d.Delay <= DelayBeyond || gap == 0:
 		return coalesceMin
 	}
-	return min(max(time.Duration(coalesceGaps*float64(gap)), coalesceMin), coalesceMax)
+	return min(max(time.Duration(coalesceGapFraction*float64(gap)), coalesceMin), coalesceMax)
 }
--- a/coordination/overload/overload_test.go
+++ b/coordination/overload/overload_test.go
@@ -51,9 +51,9 @@
 	is.True(fall*int(TickPeriod) < int(700*time.Millisecond))
 }
 
-// TestPressureRefusesByStanding checks which classes are admitted, and how long streams wait, at increasing
+// TestAdmittedClassesByDelay checks which classes are admitted, and how long streams wait, at increasing
 // delays.
-func TestPressureRefusesByStanding(t *testing.T) {
+func TestAdmittedClassesByDelay(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		delay                   time.Duration
@@ -77,9 +77,9 @@
 	is.True(!d.Admits(entitlement.Entitled))
 }
 
-// TestNoClassIsAdmittedThatABetterOneIsNot checks at all delays, rising or falling after high pressure, that a
+// TestHigherClassesAreAdmittedFirst checks at all delays, rising or falling after high pressure, that a
 // class is admitted only if all higher ones are.
-func TestNoClassIsAdmittedThatABetterOneIsNot(t *testing.T) {
+func TestHigherClassesAreAdmittedFirst(t *testing.T) {
 	classes := []entitlement.Class{entitlement.Covered, entitlement.Entitled, entitlement.Extra, entitlement.Beyond}
 	for delay := time.Duration(0); delay <= 2*DelayTooLong; delay += time.Millisecond / 2 {
 		for _, high := range []bool{false, true} {
@@ -108,8 +108,8 @@
 	is.True(!d.Unready(d.lastTick + unreadyFor))
 }
 
-// TestQueueBehindATimerInTime checks that waiting goroutines count as a delay even if the timer is on time.
-func TestQueueBehindATimerInTime(t *testing.T) {
+// TestWaitingGoroutinesCountAsDelay checks that waiting goroutines count as a delay even if the timer is on time.
+func TestWaitingGoroutinesCountAsDelay(t *testing.T) {
 	is := is.New(t)
 	d := New(time.Second)
 	for range 50 {
--- a/coordination/retry/patience.go
+++ b/coordination/retry/patience.go
@@ -33,14 +33,14 @@
 	// on average. With a factor of 1.5 and eight samples of waits that differ by half, 4% of first
 	// requests would count as returns, with 2.5 less than 2%.
 	unseenFactor = 2.5
-	// nearPart is the relative distance within which waits count as similar, since few samples leave
+	// nearFraction is the relative distance within which waits count as similar, since few samples leave
 	// gaps. It is less than the distance of returns, which come after a quarter of the wait or more.
-	nearPart = 0.05
-	// minNearPart is the fraction of first requests that must state a similar wait for that wait to be
+	nearFraction = 0.05
+	// minNearFraction is the fraction of first requests that must state a similar wait for that wait to be
 	// one of a first request, because some callers within their shares return as well. If one in twenty
 	// does, 0.03 would miss a large part of a flooding account's returns. If waits differ by more than
 	// half, fewer are similar to each, and no request counts as a return.
-	minNearPart = 0.08
+	minNearFraction = 0.08
 )
 
 // Patience is the recent distribution of the waits that callers of one route state in their first
@@ -100,8 +100,8 @@
 	}
 	own := int(left / p.width)
 	for i := own; i < patienceBins; i++ {
-		near := max(int(nearPart*float64(i)), 1)
-		if cumulative[min(i+near+1, patienceBins)]-cumulative[max(i-near, 0)] < minNearPart*p.total {
+		near := max(int(nearFraction*float64(i)), 1)
+		if cumulative[min(i+near+1, patienceBins)]-cumulative[max(i-near, 0)] < minNearFraction*p.total {
 			continue
 		}
 		if i == own {
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -38,8 +38,8 @@
 	is.True(p.Spent(4*time.Second) > 700*time.Millisecond)
 }
 
-// longestWait is an alternative estimate that Patience is compared with: a remaining wait counts as a return if it is shorter than the
-// longest one seen by more than the allowed part.
+// longestWait is an alternative estimate that Patience is compared with: a remaining wait counts as a return if
+// it is shorter than the longest one seen by more than the allowed part.
 type longestWait struct {
 	longest time.Duration
 	allowed float64
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestFewCallersTellLittle checks that few first requests are counted as late if the estimate is based on
+// TestPatienceWithFewSamples checks that few first requests are counted as late if the estimate is based on
 // samples from only eight callers.
-func TestFewCallersTellLittle(t *testing.T) {
+func TestPatienceWithFewSamples(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		name         string
--- a/coordination/retry/policy_test.go
+++ b/coordination/retry/policy_test.go
@@ -19,9 +19,9 @@
 	unbounded  = document.Route{Kind: document.Repeatable, MaxAttempts: 100}
 )
 
-// TestAfterAnAttempt checks whether another attempt is allowed after a series of attempts, whether it is
+// TestRetryAndEndingAfterAttempts checks whether another attempt is allowed after a series of attempts, whether it is
 // charged to the budget, and how the request ends if there is none.
-func TestAfterAnAttempt(t *testing.T) {
+func TestRetryAndEndingAfterAttempts(t *testing.T) {
 	const late, head, noBudget = true, true, true // timed out; head written; budget exhausted
 	type executions []Execution
 	type next struct{ allowed, fromBudget bool }
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestWithoutServer(t *testing.T) {
+func TestEndingWithoutServer(t *testing.T) {
 	is := is.New(t)
 	const covered, extra = entitlement.Covered, entitlement.Extra
 	for _, tt := range []struct {
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -14,12 +14,12 @@
 
 // Limits on the wait for a server, counted from the request's arrival.
 const (
-	// beyondWaitPart is the fraction of the objective that a request beyond its account's share waits.
+	// beyondWaitFraction is the fraction of the objective that a request beyond its account's share waits.
 	// It gets capacity either at once or only after others have ended.
-	beyondWaitPart = 0.1
-	// reserve is the fraction of the objective kept for delays after the wait: the server's own queue and
+	beyondWaitFraction = 0.1
+	// reservedFraction is the fraction of the objective kept for delays after the wait: the server's own queue and
 	// the network.
-	reserve = 0.3
+	reservedFraction = 0.3
 	// maxLateWait bounds the wait if the objective cannot be met, or there is none.
 	maxLateWait = time.Second
 )
@@ -40,27 +40,27 @@
 // first would make its caller give up, and refusing the second could not promise that it has not run.
 func QueueTimeout(w QueuedRequest) time.Duration {
 	objective := w.Route.Objective
-	limit := objective - w.Spent - w.Expected - scale(objective, reserve)
+	limit := objective - w.Spent - w.Expected - scale(objective, reservedFraction)
 	switch {
 	case w.Runs > 0, objective == 0:
 		limit = maxLateWait
 	case w.Class >= entitlement.Extra:
-		limit = scale(objective, beyondWaitPart)
+		limit = scale(objective, beyondWaitFraction)
 	case limit <= 0:
 		limit = maxLateWait
 	}
 	return min(limit-w.Waited, w.Left)
 }
 
-// minExpectedPart is the fraction of the expected time to an answer that must be left for one to arrive
+// minExpectedFraction is the fraction of the expected time to an answer that must be left for one to arrive
 // in time: a server may be twice as fast as expected.
-const minExpectedPart = 0.5
+const minExpectedFraction = 0.5
 
 // CanAnswerInTime reports whether the request may still be answered before its deadline. If it cannot, it
 // is refused at once and sent to no server, since its caller would be gone before the answer
 // begins. A request that may have run is not refused.
 func CanAnswerInTime(w QueuedRequest) bool {
-	return w.Runs > 0 || w.Left >= scale(w.Expected, minExpectedPart)
+	return w.Runs > 0 || w.Left >= scale(w.Expected, minExpectedFraction)
 }
 
 // Delays after which a refused caller should try again.
@@ -68,28 +68,28 @@
 	ShortDelay = 50 * time.Millisecond // for a short-lived cause, or one that other gateways do not share
 	LongDelay  = time.Second           // for a lasting cause
 
-	delayPart = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
+	delayFraction = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
-	// beyondDelayPart replaces delayPart for requests of an account whose share covers few of them. The
+	// beyondDelayFraction replaces delayFraction for requests of an account whose share covers few of them. The
 	// excess demand lasts, so a caller that returned soon would be refused again. It waits for up to a
 	// third of its remaining time.
-	beyondDelayPart = 0.33
-	jitter          = 0.25 // maximum relative reduction, so that callers do not return at the same time
+	beyondDelayFraction = 0.33
+	jitter              = 0.25 // maximum relative reduction, so that callers do not return at the same time
 )
 
 // If a share covers some of an account's requests, one that was refused returns within its objective: its
 // next try is as likely to be covered and can still be in time.
 const (
-	minCoveredPart = 0.1 // minimum fraction of the account's requests that the share covers
+	minCoveredFraction = 0.1 // minimum fraction of the account's requests that the share covers
 	// Random return time, as fractions of the objective: late enough for updated shares, early enough for
 	// the answer.
-	minReturnPart = 0.2  // earliest
-	maxReturnPart = 0.45 // latest
+	minReturnFraction = 0.2  // earliest
+	maxReturnFraction = 0.45 // latest
 )
 
 // After returns when a refused caller with the given remaining time should try again.
 func After(left time.Duration) time.Duration {
-	return min(max(scale(left, delayPart), ShortDelay), LongDelay)
+	return min(max(scale(left, delayFraction), ShortDelay), LongDelay)
 }
 
 // UncoveredRequest is a request refused because its account's share does not cover it.
@@ -102,11 +102,11 @@
 
 // After returns when the request should return. random is between 0 and 1.
 func (r UncoveredRequest) After(random float64) time.Duration {
-	delay := max(scale(r.Objective, minReturnPart+(maxReturnPart-minReturnPart)*random), ShortDelay)
-	if r.CoveredFraction >= minCoveredPart && r.Spent+delay < r.Objective {
+	delay := max(scale(r.Objective, minReturnFraction+(maxReturnFraction-minReturnFraction)*random), ShortDelay)
+	if r.CoveredFraction >= minCoveredFraction && r.Spent+delay < r.Objective {
 		return delay
 	}
-	return max(scale(r.Left, beyondDelayPart*(1-jitter*random)), ShortDelay)
+	return max(scale(r.Left, beyondDelayFraction*(1-jitter*random)), ShortDelay)
 }
 
 // AfterOverload returns when a caller refused because the gateway's processor is overloaded should try
@@ -121,7 +121,7 @@
 // AfterBackoff returns when a caller should try again if all its servers have asked for a backoff. random
 // is between 0 and 1 and keeps callers from returning at the same time.
 func AfterBackoff(backoff, left time.Duration, random float64) time.Duration {
-	return max(backoff+scale(max(left, 0), delayPart*random), ShortDelay)
+	return max(backoff+scale(max(left, 0), delayFraction*random), ShortDelay)
 }
 
 // Times after which a silent server is given up.
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryDelays(t *testing.T) {
 	is := is.New(t)
 	is.Equal(After(-time.Second), ShortDelay)
 	is.Equal(After(200*ms), ShortDelay)
@@ -59,9 +59,9 @@
 	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(1), 2475*ms)
 }
 
-// TestWhenToComeBackToAShare checks that a request returns within its objective if the share covers some
-// of its account's requests and it can still be in time.
-func TestWhenToComeBackToAShare(t *testing.T) {
+// TestPartlyCoveredRequestsReturnWithinTheObjective checks that a request returns within its objective if the
+// share covers some of its account's requests and it can still be in time.
+func TestPartlyCoveredRequestsReturnWithinTheObjective(t *testing.T) {
 	is := is.New(t)
 	some := UncoveredRequest{CoveredFraction: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
 	is.Equal(some.After(0), 80*ms)
@@ -99,8 +99,8 @@
 	is.True(!watched) // no other server may continue the answer
 }
 
-// TestCanEnd checks that requests which no server can answer before the deadline are not sent.
-func TestCanEnd(t *testing.T) {
+// TestCanAnswerInTime checks that requests which no server can answer before the deadline are not sent.
+func TestCanAnswerInTime(t *testing.T) {
 	is := is.New(t)
 	w := QueuedRequest{Expected: 100 * time.Millisecond, Left: 50 * time.Millisecond}
 	is.True(CanAnswerInTime(w))
@@ -112,8 +112,8 @@
 	is.True(CanAnswerInTime(w))
 }
 
-// TestWhenToComeBackAfterABackoff checks that callers return after the backoff, at different times.
-func TestWhenToComeBackAfterABackoff(t *testing.T) {
+// TestRetryDelayAfterBackoff checks that callers return after the backoff, at different times.
+func TestRetryDelayAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 0), 2*time.Second)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 1), 3*time.Second)
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -17,13 +17,13 @@
 // a gateway without a connection uses a small part of the extra retries.
 const AssumedGateways = 16
 
-// safety is the fraction of the allowance that is used. The windows of different gateways, and of whoever
+// usedFraction is the fraction of the allowance that is used. The windows of different gateways, and of whoever
 // checks the limit, do not start at the same time, and requests are counted at the gateway that sends
 // them. TestFleetKeepsToItsBudget checks that the fraction suffices.
-const safety = 0.7
+const usedFraction = 0.7
 
 // sliceCount is the number of slices of a window. Retries leave the window one slice late and requests
-// one slice early, an error of a tenth that safety has to cover.
+// one slice early, an error of a tenth that usedFraction has to cover.
 const sliceCount = 10
 
 // Window is one gateway's retry budget for one pool: the ratio of its own requests, plus an equal part of
@@ -47,7 +47,7 @@
 // AllowRetry reports whether one more attempt is within the budget of one of n gateways, and if so charges it.
 func (w *Window) AllowRetry(now time.Duration, n int) bool {
 	w.advance(now)
-	allowed := safety * (w.limits.Ratio*float64(sum(w.requests[:])) + w.limits.Extra/float64(max(n, 1)))
+	allowed := usedFraction * (w.limits.Ratio*float64(sum(w.requests[:])) + w.limits.Extra/float64(max(n, 1)))
 	if float64(sum(w.retries[:])+1) > allowed {
 		return false
 	}
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -15,7 +15,7 @@
 
 var limits = Limits{Ratio: 0.2, Extra: 60, Window: 10 * time.Second}
 
-func TestEvenPartOfTheExtra(t *testing.T) {
+func TestExtraRetriesAreDividedEvenly(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(limits)
 	allowed := 0
@@ -24,7 +24,7 @@
 			allowed++
 		}
 	}
-	is.Equal(allowed, 7) // safety x 60 / 6
+	is.Equal(allowed, 7) // usedFraction x 60 / 6
 }
 
 func TestRequestsEarnRetries(t *testing.T) {
@@ -39,10 +39,10 @@
 			allowed++
 		}
 	}
-	is.Equal(allowed, 147) // safety x (0.2 x 1000 + 10)
+	is.Equal(allowed, 147) // usedFraction x (0.2 x 1000 + 10)
 }
 
-func TestRetriesComeBackWithTime(t *testing.T) {
+func TestRetriesExpire(t *testing.T) {
 	is := is.New(t)
 	w := NewWindow(Limits{Extra: 10, Window: 10 * time.Second})
 	for w.AllowRetry(0, 1) {
