--- a/coordination/coldstart/coldstart.go
+++ b/coordination/coldstart/coldstart.go
@@ -32,9 +32,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// MaxHolders is the maximum number of gateways that share one cold server. With fewer, more of the rate is
-// wasted if one of them is idle or lost. With more, shares would fall below one
-// request a second at a rate of 18.
+// MaxHolders is the maximum number of gateways that share one cold server. With fewer, more of the rate is wasted
+// if one of them is idle or lost; with more, shares would fall below one request a second at a rate of 18.
 const MaxHolders = 4
 
 // LeaseDuration is how long a share is valid after the report that last renewed it. It exceeds the longest interval
