--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -112,7 +112,7 @@
 	// Attempts that were refused or never connected don't show whether the pool answers. While a
 	// server is down, they would soon displace all others.
 	if !a.unreached && v != outlier.Refused {
-		p.recordEnd(k.ID, v == outlier.Answered)
+		p.recordResult(k.ID, v == outlier.Answered)
 	}
 	g.countOutcome(p, a, v)
 	if v == outlier.Refused || v == outlier.Answered {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if out.execution == retry.MayHaveRun && out.verdict == outlier.Lost && ctx.Err() == nil {
-		c.lost(a)
+		c.recordLoss(a)
 		out.connectionBroke = true
 	}
 	c.counts = c.counts.With(out.execution)
@@ -76,7 +76,7 @@
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
 	answer, err := c.g.cfg.Transport.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
-		return c.sendFailed(a, err)
+		return c.handleSendError(a, err)
 	}
 	defer answer.Body.Close()
 	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
@@ -86,13 +86,13 @@
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(answer.Status, answer.Header)
 	c.g.applyNotice(a, head)
-	out := c.answered(ctx, a, answer, head)
+	out := c.checkAndRelay(ctx, a, answer, head)
 	out.status, out.backoff, out.leaving = answer.Status, head.Backoff, head.Leaving
 	return out
 }
 
-// answered relays an answer after checking that it belongs to this request.
-func (c *call) answered(ctx context.Context, a *assignment, answer *forward.Answer, head AnswerHead) outcome {
+// checkAndRelay relays an answer after checking that it belongs to this request.
+func (c *call) checkAndRelay(ctx context.Context, a *assignment, answer *forward.Answer, head AnswerHead) outcome {
 	if head.ID != c.head.ID {
 		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", verdict: outlier.Faulty, err: errCrossed}
 	}
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *call) sendFailed(a *assignment, err error) outcome {
+func (c *call) handleSendError(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
 		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
@@ -134,7 +134,7 @@
 	}
 	head := c.g.cfg.Headers.DecodeAnswer(notRun.Status, notRun.Header)
 	c.g.applyNotice(a, head)
-	out := c.refused(head, err)
+	out := c.refusedOutcome(head, err)
 	out.status, out.backoff, out.leaving = notRun.Status, head.Backoff, head.Leaving
 	return out
 }
@@ -147,8 +147,8 @@
 	return "backend wants none"
 }
 
-// refused returns the outcome of a refusal.
-func (c *call) refused(head AnswerHead, err error) outcome {
+// refusedOutcome returns the outcome of a refusal.
+func (c *call) refusedOutcome(head AnswerHead, err error) outcome {
 	switch {
 	case head.ID != "" && head.ID != c.head.ID:
 		return outcome{execution: retry.MayHaveRun, cause: "crossed refusal", verdict: outlier.Faulty, err: errCrossed}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,7 +29,7 @@
 
 	// Properties of the request.
 	head    RequestHead
-	rs      *routes
+	routes  *routes
 	route   document.Route
 	account document.Account
 	pool    document.Pool
@@ -86,7 +86,7 @@
 		patience = min(patience, c.head.Timeout)
 	}
 	c.deadline = c.arrived + patience
-	c.spent = c.rs.spent(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.covers(c.account.Name))
+	c.spent = c.routes.spent(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.covers(c.account.Name))
 	if err := c.classify(); err != nil {
 		return err
 	}
@@ -106,20 +106,20 @@
 
 // match looks up the request's route, account and pool in the document in force.
 func (c *call) match() error {
-	if c.rs = c.g.routes.Load(); c.rs == nil {
+	if c.routes = c.g.routes.Load(); c.routes == nil {
 		return Refusal{Cause: NoDocument, RetryAfter: retry.LongDelay}
 	}
-	if limit := c.rs.document.Limits.HeaderBytes; limit > 0 && headerBytes(c.r) > limit {
+	if limit := c.routes.document.Limits.HeaderBytes; limit > 0 && headerBytes(c.r) > limit {
 		return Refusal{Cause: HeaderTooLarge}
 	}
 	var known bool
-	if c.route, known = c.rs.match(c.r.Host, c.r.URL.EscapedPath()); !known {
+	if c.route, known = c.routes.match(c.r.Host, c.r.URL.EscapedPath()); !known {
 		return Refusal{Cause: NoRoute}
 	}
-	if c.account, known = c.rs.account(c.route, c.head.Key); !known {
+	if c.account, known = c.routes.account(c.route, c.head.Key); !known {
 		return Refusal{Cause: UnknownKey}
 	}
-	c.pool = c.rs.pools[pickPool(c.route, c.g.randomFraction())]
+	c.pool = c.routes.pools[pickPool(c.route, c.g.randomFraction())]
 	return nil
 }
 
@@ -149,7 +149,7 @@
 		return Refusal{Cause: ProcessorOverload, RetryAfter: retry.AfterOverload(c.class, c.timeLeft(), c.g.randomFraction())}
 	}
 	if c.pool.Engine && !c.g.accounts.admits(c.account.Name, c.class) {
-		return Refusal{Cause: BeyondShare, RetryAfter: c.afterShare()}
+		return Refusal{Cause: BeyondShare, RetryAfter: c.retryAfterBeyondShare()}
 	}
 	return nil
 }
@@ -158,8 +158,8 @@
 // answer can be in time.
 func (c *call) isPastObjective() bool { return c.route.Objective > 0 && c.spent >= c.route.Objective }
 
-// afterShare returns the Retry-After time for a request that exceeds its account's share.
-func (c *call) afterShare() time.Duration {
+// retryAfterBeyondShare returns the Retry-After time for a request that exceeds its account's share.
+func (c *call) retryAfterBeyondShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
 	share := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
 	return share.After(c.g.randomFraction())
@@ -199,7 +199,7 @@
 	if c.r.Body == http.NoBody || c.r.ContentLength == 0 {
 		return nil
 	}
-	limit := c.rs.document.Limits.BodyBytes
+	limit := c.routes.document.Limits.BodyBytes
 	if limit <= 0 {
 		limit = defaultMaxBodyBytes
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -114,7 +114,7 @@
 		return nil
 	}
 	for _, k := range p.servers {
-		if !t.hallsOut[k.Hall] && t.mayBeServedAt(req, k) {
+		if !t.hallsOut[k.Hall] && t.homesAllow(req, k) {
 			return nil
 		}
 	}
@@ -151,7 +151,7 @@
 	leased := now < t.coldSharesUntil
 	// A pool's only server may be retried. The only server of a region may not, if the pool has
 	// servers elsewhere.
-	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.bound
+	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.restricted
 	among := t.candidateVersions(p, req)
 	p.candidateBuf = p.candidateBuf[:0]
 	for _, k := range servers {
@@ -182,7 +182,7 @@
 	switch {
 	case v.alone && req.avoid[k.ID]:
 		return true
-	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.mayBeServedAt(req, k):
+	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.homesAllow(req, k):
 		return true
 	}
 	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
--- a/gateway/ends_test.go
+++ b/gateway/ends_test.go
@@ -14,8 +14,8 @@
 
 // This file tests how the gateway distinguishes the end of a server from a broken connection.
 
-// broken is a server that breaks each connection after the request has been sent.
-var broken = fails(forward.Unknown{Err: io.EOF})
+// breaksConnection is a server that breaks each connection after the request has been sent.
+var breaksConnection = fails(forward.Unknown{Err: io.EOF})
 
 // TestEndOfAServer checks that a server counts as ended if it breaks a connection and then refuses
 // new ones, but not if it accepts new ones.
@@ -29,7 +29,7 @@
 			}
 			time.Sleep(time.Second)
 			is.Equal(x.counter(`badgerspoke_gateway_backends_ended_total{pool="plain"}`) > 0, ended)
-		}, broken)
+		}, breaksConnection)
 	}
 }
 
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -100,7 +100,7 @@
 			slog.Float64("tokens_a_ms", s.learned.ReadRate), slog.Float64("per_slot", s.learned.RequestsPerSlot),
 			milliseconds("seen_ms_ago", s.loadAge))
 	}
-	if out, changes := c.g.table.halls(); len(out) > 0 {
+	if out, changes := c.g.table.listHallsOut(); len(out) > 0 {
 		attrs = append(attrs, slog.Any("halls_out", out), slog.Uint64("hall_changes", changes))
 	}
 	if a := c.assigned; a != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,7 +88,7 @@
 	inFlight            atomic.Int64 // requests being served
 	requestsSinceReport atomic.Int64 // requests received since the last report
 	bodyBytes           atomic.Int64 // bytes of the bodies of requests in flight
-	stopped             atomic.Int64 // when the stop began, by now(); 0 while running
+	stopBeganAt         atomic.Int64 // when the stop began, by now(); 0 while running
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
@@ -147,7 +147,7 @@
 
 // Ready reports whether load balancers should send new callers to this gateway.
 func (g *Gateway) Ready() bool {
-	return g.stopped.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.Load().Unready(g.now()) &&
+	return g.stopBeganAt.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.Load().Unready(g.now()) &&
 		!g.paced.Load()
 }
 
@@ -265,7 +265,7 @@
 // connection after its answer. Package drain decides which requests may still start and when the
 // remaining ones are cut off.
 func (g *Gateway) Stop(ctx context.Context) {
-	g.stopped.Store(int64(g.now()))
+	g.stopBeganAt.Store(int64(g.now()))
 	defer g.stop()
 	for range sleep.Every(ctx, stopPollInterval) {
 		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.inFlight.Load()) {
@@ -280,7 +280,7 @@
 
 // stopping returns how long the gateway has been stopping, or 0 if it is not.
 func (g *Gateway) stopping() time.Duration {
-	began := g.stopped.Load()
+	began := g.stopBeganAt.Load()
 	if began == 0 {
 		return 0
 	}
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -14,14 +14,14 @@
 
 // homes are the regions in which a request may be served. The zero value allows all.
 type homes struct {
-	bound   bool     // the request is restricted to regions
-	regions []string // if bound and empty, the request may be served nowhere
+	restricted bool     // the request is restricted to regions
+	regions    []string // if bound and empty, the request may be served nowhere
 }
 
 // allows reports whether a server in a region may take the request. An unknown region is not a home
 // of any request.
 func (h homes) allows(region string) bool {
-	return !h.bound || (region != "" && slices.Contains(h.regions, region))
+	return !h.restricted || (region != "" && slices.Contains(h.regions, region))
 }
 
 // homesIndex holds the homes of all routes and accounts in the document in force.
@@ -60,7 +60,7 @@
 		account = req.accountHomes
 	}
 	regions, bound := document.CommonHomes(route, account)
-	return homes{bound: bound, regions: regions}
+	return homes{restricted: bound, regions: regions}
 }
 
 // setHomes applies the homes of a document. It must be called before the document's routes are in
@@ -71,9 +71,9 @@
 	t.homes = newHomesIndex(d)
 }
 
-// mayBeServedAt reports whether the request's homes, as of the last choice, allow a server's region.
+// homesAllow reports whether the request's homes, as of the last choice, allow a server's region.
 // The caller holds mu.
-func (t *table) mayBeServedAt(req *requirements, k *knownServer) bool {
+func (t *table) homesAllow(req *requirements, k *knownServer) bool {
 	return req.homes.allows(k.region)
 }
 
@@ -82,7 +82,7 @@
 func (t *table) homesRefusal(p *pool, req *requirements) Cause {
 	h := t.homes.forRequest(req)
 	switch {
-	case !h.bound:
+	case !h.restricted:
 		return ""
 	case len(h.regions) == 0:
 		return NoCommonHome
@@ -92,12 +92,12 @@
 	return HomesWithoutServer
 }
 
-// countReachable returns how many servers of the request's pool its homes allow.
-func (t *table) countReachable(req *requirements) int {
+// countInHomes returns how many servers of the request's pool its homes allow.
+func (t *table) countInHomes(req *requirements) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	p, h := t.pool(req.pool.Name), t.homes.forRequest(req)
-	if !h.bound {
+	if !h.restricted {
 		return len(p.servers)
 	}
 	n := 0
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -79,7 +79,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, p := range t.pools {
-		if r := p.rollout; r == nil || (!r.underWay() && !r.barredHere) { // a barred target is reported, to show the next leader the reason
+		if r := p.rollout; r == nil || (!r.underWay() && !r.barredLocally) { // a barred target is reported, to show the next leader the reason
 			continue
 		}
 		for key, c := range p.rollout.outcomes.tallies {
@@ -101,7 +101,7 @@
 	defer t.mu.Unlock()
 	var barred []protocol.Barred
 	for name, p := range t.pools {
-		if r := p.rollout; r != nil && r.barredHere {
+		if r := p.rollout; r != nil && r.barredLocally {
 			barred = append(barred, protocol.Barred{Pool: name, Attempt: r.Attempt})
 		}
 	}
@@ -118,7 +118,7 @@
 		return 0
 	}
 	for _, p := range t.pools {
-		if r := p.rollout; r != nil && (r.barredHere || r.underWay() && (r.breaker.isOpen(now) || r.isRamping(now))) {
+		if r := p.rollout; r != nil && (r.barredLocally || r.underWay() && (r.breaker.isOpen(now) || r.isRamping(now))) {
 			return 0
 		}
 	}
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -111,7 +111,7 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.announceServers("plain", fails(forward.NotRun{Err: errReset}))
-			release := x.holdPressure(tt.level)
+			release := x.holdDelay(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			for range 2 * outlier.MinSamples {
 				is.Equal(x.request("/once/x").status, 503)
@@ -134,7 +134,7 @@
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
 			x.announceServers("engines", streams(piece{text: event(1), after: 300 * time.Millisecond}))
-			release := x.holdPressure(tt.level)
+			release := x.holdDelay(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // between two ticks
 			is.Equal(x.request("/engine/x", "Tokens", "6000").status, 200)
 			release()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -200,12 +200,12 @@
 	return quarantine.HintOf(c.account.Name, c.r.Method, c.r.Host, c.r.RequestURI, len(c.body))
 }
 
-// lost records an attempt whose connection broke while the request was running.
-func (c *call) lost(a *assignment) {
+// recordLoss records an attempt whose connection broke while the request was running.
+func (c *call) recordLoss(a *assignment) {
 	now := c.g.now()
 	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
 		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, RunTime: now - a.startedAt, Retry: c.losses > 0,
-		PoolAnswering: c.g.table.othersServe(c.pool.Name, a.serverID),
+		PoolAnswering: c.g.table.othersAnswering(c.pool.Name, a.serverID),
 	}})
 	c.losses++
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -67,7 +67,7 @@
 		behave  behaviour
 		cleared int
 	}{
-		{answers(200, "done", 0), 1}, {answers(404, "no", 0), 0}, {answers(500, "no", 0), 0}, {broken, 0},
+		{answers(200, "done", 0), 1}, {answers(404, "no", 0), 0}, {answers(500, "no", 0), 0}, {breaksConnection, 0},
 		{fails(forward.NotRun{Err: io.EOF}), 0},
 	} {
 		withGateway(t, func(x *fixture) {
@@ -95,7 +95,7 @@
 			x.listSuspects(listedEnds, false, "/again/deadly")
 			is.Equal(x.request("/again/deadly").status, 502)
 			is.Equal(x.servers.count(), sent)
-		}, broken, broken, broken)
+		}, breaksConnection, breaksConnection, breaksConnection)
 	}
 }
 
@@ -127,7 +127,7 @@
 		x.servers.stop("10.0.5.1:80")
 		time.Sleep(time.Second)
 		is.Equal(len(x.nextReport().Losses), 0)
-	}, broken, answers(200, "done", time.Millisecond))
+	}, breaksConnection, answers(200, "done", time.Millisecond))
 }
 
 // TestAloneAGatewayJudges checks that a gateway without a leader refuses a request that it has seen
@@ -152,7 +152,7 @@
 		is.Equal(len(x.nextReport().Losses), 3)
 		x.listSuspects(0, false) // the list of a new leader, which is empty, now decides
 		is.True(x.request("/again/deadly").status != 400)
-	}, broken, broken, broken)
+	}, breaksConnection, breaksConnection, breaksConnection)
 }
 
 // TestUnreachedSaysNothing checks that attempts that reach no server while one is down do not hide
@@ -164,9 +164,9 @@
 			is.Equal(x.request("/again/").status, 200)
 		}
 		x.servers.stop("10.0.5.0:80")
-		for range maxRecentEnds {
+		for range maxRecentResults {
 			x.request("/again/")
 		}
-		is.True(x.g.table.othersServe("plain", "another"))
+		is.True(x.g.table.othersAnswering("plain", "another"))
 	}, answers(200, "done", time.Millisecond))
 }
--- a/gateway/queued.go
+++ b/gateway/queued.go
@@ -38,8 +38,8 @@
 	q.arrivals = q.arrivals.WithSample(now, waiting, most)
 }
 
-// untaken returns the number of connections since the last call that arrived and were not accepted.
-func (q *acceptBacklog) untaken(now time.Duration) (n int) {
+// takeUnaccepted returns the number of connections since the last call that arrived and were not accepted.
+func (q *acceptBacklog) takeUnaccepted(now time.Duration) (n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	n, q.arrivals = q.arrivals.Unaccepted(now)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -66,22 +66,22 @@
 	if !t.site.hasRemoteRegions() {
 		return
 	}
-	if len(p.parts) == 0 {
-		p.parts = []regionServers{{region: t.site.region}}
+	if len(p.regions) == 0 {
+		p.regions = []regionServers{{region: t.site.region}}
 	}
-	i := slices.IndexFunc(p.parts, func(x regionServers) bool { return x.region == k.region })
+	i := slices.IndexFunc(p.regions, func(x regionServers) bool { return x.region == k.region })
 	if i < 0 {
-		i = len(p.parts)
-		p.parts = append(p.parts, regionServers{region: k.region})
+		i = len(p.regions)
+		p.regions = append(p.regions, regionServers{region: k.region})
 	}
-	p.parts[i].servers = insertServer(p.parts[i].servers, k)
+	p.regions[i].servers = insertServer(p.regions[i].servers, k)
 }
 
 // removeFromRegion removes a server from the pool's list for its region.
 func (p *pool) removeFromRegion(k *knownServer) {
-	for i, x := range p.parts {
+	for i, x := range p.regions {
 		if x.region == k.region {
-			p.parts[i].servers = slices.DeleteFunc(x.servers, func(o *knownServer) bool { return o == k })
+			p.regions[i].servers = slices.DeleteFunc(x.servers, func(o *knownServer) bool { return o == k })
 		}
 	}
 }
@@ -108,13 +108,13 @@
 // to leave. The caller holds mu.
 func (t *table) choose(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
-	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
+	if !t.site.hasRemoteRegions() || len(p.regions) == 0 {
 		if c, ok := t.chooseSpread(p, now, req); ok {
 			return c, regionDecision{}
 		}
 		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
-	own := p.parts[0].servers
+	own := p.regions[0].servers
 	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	local = p.withPoolIndex(local, own)
 	if reason == place.Stay {
@@ -173,7 +173,7 @@
 // remoteRegions returns the pool's servers in other regions, ordered by round trip. Servers whose
 // region is unknown come last.
 func (t *table) remoteRegions(p *pool) []regionServers {
-	remote := slices.Clone(p.parts[1:])
+	remote := slices.Clone(p.regions[1:])
 	slices.SortStableFunc(remote, func(a, b regionServers) int {
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
@@ -204,10 +204,10 @@
 // chooseWithRoom is choose restricted to servers that have room. The caller holds mu.
 func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
-	if !t.site.hasRemoteRegions() || len(p.parts) == 0 {
+	if !t.site.hasRemoteRegions() || len(p.regions) == 0 {
 		return p.placer.ChooseWithCapacity(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
 	}
-	own := p.parts[0].servers
+	own := p.regions[0].servers
 	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	if reason == place.NoServer {
 		if remote := t.chooseRemoteWithRoom(p, now, req, local.Index >= 0); remote.Index >= 0 {
@@ -332,7 +332,7 @@
 		if a.leaveReason != place.Stay {
 			attrs = append(attrs, slog.String("left_region", a.leaveReason.String()))
 		}
-		homes, restricted = a.homes.regions, a.homes.bound
+		homes, restricted = a.homes.regions, a.homes.restricted
 	}
 	if stay := c.shortage.stayReason; stay != "" {
 		attrs = append(attrs, slog.String("stayed", string(stay)))
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -369,7 +369,7 @@
 		}
 		table.update(m)
 		p, n := table.pool("p"), 0
-		for _, x := range p.parts {
+		for _, x := range p.regions {
 			is.True(slices.IsSortedFunc(x.servers, func(a, b *knownServer) int { return strings.Compare(a.ID, b.ID) }))
 			for _, k := range x.servers {
 				is.Equal(k.region, x.region)
@@ -379,7 +379,7 @@
 		}
 		is.Equal(n, len(p.servers))
 		if n > 0 {
-			is.Equal(p.parts[0].region, "north")
+			is.Equal(p.regions[0].region, "north")
 		}
 	}
 }
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -170,15 +170,15 @@
 		is := is.New(x.t)
 		unreachable := fails(forward.NotRun{Err: errReset})
 		x.announceServers("engines", unreachable, unreachable, streams(piece{text: event(1)}))
-		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedPartKeptLastBy(x, 2)).status, 200)
+		is.Equal(x.request("/engine/x", "Tokens", "700", "Shared", sharedPartRankedLastBy(x, 2)).status, 200)
 		is.Equal(x.servers.count(), 3)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(700+sharedTokens))
 	})
 }
 
-// sharedPartKeptLastBy returns the name of a shared part for which the engine of that number ranks
+// sharedPartRankedLastBy returns the name of a shared part for which the engine of that number ranks
 // last, so that a request with it goes to the other engines first.
-func sharedPartKeptLastBy(x *fixture, last int) string {
+func sharedPartRankedLastBy(x *fixture, last int) string {
 	var servers []place.Server
 	for i := range 3 {
 		servers = append(servers, place.Server{ID: fmt.Sprintf("e%d", i), Slots: 4, SameHall: true})
@@ -260,7 +260,7 @@
 		is.Equal(x.request("/engine/x", "Tokens", "700").status, 503)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(700))
 		x.g.bodyBytes.Store(0)
-		x.g.stopped.Store(int64(x.g.now()))
+		x.g.stopBeganAt.Store(int64(x.g.now()))
 		time.Sleep(x.g.cfg.Grace)
 		is.Equal(x.request("/engine/x", "Tokens", "900").status, 503)
 		is.Equal(x.g.accounts.takeReport().Missed, uint64(900))
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -20,9 +20,9 @@
 	expired atomic.Bool   // the attempt was ended because it stalled
 }
 
-// disarmed is the initial wait of the timer, until its function can refer to the timer itself. Any
+// initialTimeout is the initial wait of the timer, until its function can refer to the timer itself. Any
 // time longer than the call to Reset below will do.
-const disarmed = 24 * time.Hour
+const initialTimeout = 24 * time.Hour
 
 // watchStall cancels an attempt when its backend server stalls. While the gateway is delayed
 // itself, the timer is extended, since received data may not have been read yet.
@@ -33,7 +33,7 @@
 		return s
 	}
 	s.gap = gap
-	s.timer = time.AfterFunc(disarmed, func() {
+	s.timer = time.AfterFunc(initialTimeout, func() {
 		if c.g.overload.Load().Late(c.g.now()) {
 			s.timer.Reset(retry.MinStall)
 			return
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -14,8 +14,8 @@
 // document only, never values that callers send.
 
 type stats struct {
-	metricSet          *metrics.Set
-	connectionsUntaken *metrics.Counter // estimate of connections that were not accepted
+	metricSet             *metrics.Set
+	connectionsUnaccepted *metrics.Counter // estimate of connections that were not accepted
 
 	mu         sync.Mutex // leaf lock; guards the caches below
 	counters   map[counterKey]*metrics.Counter
@@ -56,7 +56,7 @@
 
 func newStats(set *metrics.Set) *stats {
 	return &stats{
-		metricSet: set, connectionsUntaken: set.GetOrCreateCounter("badgerspoke_gateway_connections_untaken_total"),
+		metricSet: set, connectionsUnaccepted: set.GetOrCreateCounter("badgerspoke_gateway_connections_untaken_total"),
 		counters: map[counterKey]*metrics.Counter{}, histograms: map[histogramKey]*metrics.Histogram{},
 	}
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -231,9 +231,9 @@
 
 func (r *timedBody) Close() error { return nil }
 
-// holdPressure keeps the averaged delay at a level until release is called. It sets the level
+// holdDelay keeps the averaged delay at a level until release is called. It sets the level
 // repeatedly, since the gateway's tick would lower it.
-func (x *fixture) holdPressure(level time.Duration) (release func()) {
+func (x *fixture) holdDelay(level time.Duration) (release func()) {
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -266,7 +266,7 @@
 	}{{0, 2}, {2 * overload.DelayLate, 1}} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
-			release := x.holdPressure(tt.level)
+			release := x.holdDelay(tt.level)
 			time.Sleep(overload.TickPeriod / 3) // so that the stall timeout is between two ticks
 			got := x.request("/resume/x")
 			release()
@@ -292,7 +292,7 @@
 			if pressed {
 				level = 2 * overload.DelayLate
 			}
-			release := x.holdPressure(level)
+			release := x.holdDelay(level)
 			got := x.request("/resume/x")
 			release()
 			is.Equal(got.body, wholeStream(40))
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -76,7 +76,7 @@
 // pool holds the backend servers of a pool and the requests waiting for them.
 type pool struct {
 	servers      []*knownServer  // ordered by ID
-	parts        []regionServers // servers by region, the gateway's own region first; empty without a far side
+	regions      []regionServers // servers by region, the gateway's own region first; empty without a far side
 	waiting      []*waiter
 	placer       place.CapacityPlacer
 	failures     outlier.PoolRate
@@ -88,40 +88,40 @@
 
 	answerBytes float64 // average size of an answer from another region; zero if unknown
 
-	recentEnds []attemptEnd // most recent attempts, oldest first
+	recentResults []attemptResult // most recent attempts, oldest first
 }
 
-// attemptEnd records whether an attempt ended with a complete answer.
-type attemptEnd struct {
+// attemptResult records whether an attempt ended with a complete answer.
+type attemptResult struct {
 	server   string
 	answered bool
 }
 
 const (
-	// maxRecentEnds is the number of a pool's most recent attempts that show whether it serves. It
+	// maxRecentResults is the number of a pool's most recent attempts that show whether it serves. It
 	// equals the number of slots of a large engine.
-	maxRecentEnds = 64
-	// servingRatio is the inverse of the fraction of recent attempts that must have been answered
+	maxRecentResults = 64
+	// maxAttemptsPerAnswer is the inverse of the fraction of recent attempts that must have been answered
 	// for a pool to count as serving. That holds even while three of four callers leave early, and
 	// does not hold in an outage.
-	servingRatio = 8
+	maxAttemptsPerAnswer = 8
 )
 
-// recordEnd records how an attempt ended. The caller holds mu.
-func (p *pool) recordEnd(server string, answered bool) {
-	if len(p.recentEnds) == maxRecentEnds {
-		p.recentEnds = p.recentEnds[1:]
+// recordResult records how an attempt ended. The caller holds mu.
+func (p *pool) recordResult(server string, answered bool) {
+	if len(p.recentResults) == maxRecentResults {
+		p.recentResults = p.recentResults[1:]
 	}
-	p.recentEnds = append(p.recentEnds, attemptEnd{server: server, answered: answered})
+	p.recentResults = append(p.recentResults, attemptResult{server: server, answered: answered})
 }
 
-// othersServe reports whether servers of the pool other than the given one recently returned
+// othersAnswering reports whether servers of the pool other than the given one recently returned
 // complete answers to this gateway. It returns true if there were no attempts.
-func (t *table) othersServe(name, except string) bool {
+func (t *table) othersAnswering(name, except string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	answered, all := 0, 0
-	for _, e := range t.pool(name).recentEnds {
+	for _, e := range t.pool(name).recentResults {
 		if e.server == except {
 			continue
 		}
@@ -130,7 +130,7 @@
 			answered++
 		}
 	}
-	return answered*servingRatio >= all
+	return answered*maxAttemptsPerAnswer >= all
 }
 
 func newTable(gateway, hall string, now func() time.Duration) *table {
@@ -178,7 +178,7 @@
 			joined = append(joined, s.ID)
 		}
 	}
-	t.setHalls(m)
+	t.setHallsOut(m)
 	for _, id := range m.Unlisted {
 		if k := t.servers[id]; k != nil {
 			k.lastList, k.unlisted = 0, true
@@ -208,9 +208,9 @@
 	return t.term
 }
 
-// setHalls applies a list of data halls out of service, unless the table holds a newer one. The
+// setHallsOut applies a list of data halls out of service, unless the table holds a newer one. The
 // caller holds mu.
-func (t *table) setHalls(m protocol.Servers) {
+func (t *table) setHallsOut(m protocol.Servers) {
 	if m.HallChanges <= t.hallChanges {
 		return
 	}
@@ -221,8 +221,8 @@
 	}
 }
 
-// halls returns the data halls that are out of service, in order, and the version of the list.
-func (t *table) halls() (out []string, changes uint64) {
+// listHallsOut returns the data listHallsOut that are out of service, in order, and the version of the list.
+func (t *table) listHallsOut() (out []string, changes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Sorted(maps.Keys(t.hallsOut)), t.hallChanges
--- a/gateway/take.go
+++ b/gateway/take.go
@@ -67,7 +67,7 @@
 			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.timeLeft(), c.g.randomFraction())}
 		}
 	}
-	allTried := c.g.table.countReachable(req) <= len(c.avoid)
+	allTried := c.g.table.countInHomes(req) <= len(c.avoid)
 	return c.refusal(policy.EndingWithoutServer(c.class, allTried))
 }
 
@@ -91,7 +91,7 @@
 	case !responsesByCause[cause].notRun:
 		return Refusal{Cause: cause}
 	case cause == BeyondShare:
-		return Refusal{Cause: cause, RetryAfter: c.afterShare()}
+		return Refusal{Cause: cause, RetryAfter: c.retryAfterBeyondShare()}
 	}
 	return Refusal{Cause: cause, RetryAfter: retry.After(c.timeLeft())}
 }
--- a/gateway/together_test.go
+++ b/gateway/together_test.go
@@ -15,9 +15,9 @@
 // This file tests rollouts together with homes, where only one region has servers of the target
 // version.
 
-// rolloutInTheNorth sets up a pool with both versions in the north and only the old one in the
+// setUpNorthRollout sets up a pool with both versions in the north and only the old one in the
 // south, which is the home of route "again".
-func (x *fixture) rolloutInTheNorth() {
+func (x *fixture) setUpNorthRollout() {
 	x.joinNorthRegion()
 	x.g.apply(homesDocument(4, []string{"south"}, nil))
 	x.announce("plain", 2, answers(200, "ok", 50*time.Millisecond), "n1", "s1")
@@ -68,7 +68,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
-				x.rolloutInTheNorth()
+				x.setUpNorthRollout()
 				x.sendRollout(1, 1, tt.list)
 				x.renewShares()
 				is.Equal(x.requestConcurrently("/again/x", 40), 40) // more than the home has room for
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -51,15 +51,15 @@
 // gateway has counted for it.
 type poolRollout struct {
 	protocol.Rollout
-	routeShares map[string]float64 // shares by route, where they differ from Share
-	switched    bool               // the last list gives the target all requests
-	rampEnd     time.Duration      // when this gateway sends it all requests, if isEngine
-	isEngine    bool               // the pool's servers are engines
-	barredHere  bool               // an earlier leader barred the target, but the newest list does not
-	oldListed   bool               // a server of the old version is listed and its hall is in service
-	outcomes    outcomes
-	breaker     breaker
-	unreached   unreached
+	routeShares   map[string]float64 // shares by route, where they differ from Share
+	switched      bool               // the last list gives the target all requests
+	rampEnd       time.Duration      // when this gateway sends it all requests, if isEngine
+	isEngine      bool               // the pool's servers are engines
+	barredLocally bool               // an earlier leader barred the target, but the newest list does not
+	oldListed     bool               // a server of the old version is listed and its hall is in service
+	outcomes      outcomes
+	breaker       breaker
+	unreached     unreached
 }
 
 // underWay reports whether there is a target and it is not barred.
@@ -107,9 +107,9 @@
 	// A leader announces a barred target before the verdict is in the replicated log, so the next
 	// leader may lack it. The target stays barred until the log ends this attempt or another attempt
 	// starts.
-	r.barredHere = next.Attempt == r.Attempt && next.Target != "" && slices.Contains(r.Barred, next.Target) &&
+	r.barredLocally = next.Attempt == r.Attempt && next.Target != "" && slices.Contains(r.Barred, next.Target) &&
 		!slices.Contains(next.Barred, next.Target)
-	if r.barredHere {
+	if r.barredLocally {
 		next.Barred = append(slices.Clone(next.Barred), next.Target)
 	}
 	if next.Attempt != r.Attempt {
@@ -231,7 +231,7 @@
 	switch {
 	case r == nil || !r.underWay():
 		return versionOrder{first: anyVersion, firstReason: reasonNone}
-	case !t.oldReachable(p, req):
+	case !t.oldInHomes(p, req):
 		return versionOrder{first: anyVersion, firstReason: reasonOldGone}
 	case r.Final:
 		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
@@ -255,11 +255,11 @@
 	return versionOrder{first: oldVersion, firstReason: reasonRest}
 }
 
-// oldReachable reports whether a server of the old version is listed in the request's homes. The
+// oldInHomes reports whether a server of the old version is listed in the request's homes. The
 // caller holds mu.
-func (t *table) oldReachable(p *pool, req *requirements) bool {
+func (t *table) oldInHomes(p *pool, req *requirements) bool {
 	h := t.homes.forRequest(req)
-	if !h.bound || !p.rollout.oldListed {
+	if !h.restricted || !p.rollout.oldListed {
 		return p.rollout.oldListed
 	}
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
@@ -293,7 +293,7 @@
 func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
 	leased := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.mayBeServedAt(req, k)
+		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.homesAllow(req, k)
 	})
 }
 
@@ -301,11 +301,11 @@
 // service in a request's homes run replaced versions, those serve it until they are removed. The
 // caller holds mu.
 func (t *table) candidateVersions(p *pool, req *requirements) versionSet {
-	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.bound {
+	if p.rollout == nil || len(p.rollout.Replaced) == 0 || !req.homes.restricted {
 		return req.versionSet
 	}
 	if slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versionSet&anyVersion != 0 && t.inService(k) && t.mayBeServedAt(req, k)
+		return k.versionSet&anyVersion != 0 && t.inService(k) && t.homesAllow(req, k)
 	}) {
 		return req.versionSet
 	}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -31,7 +31,7 @@
 	g               *Gateway
 	startID         uint64   // random; differs after a restart
 	term            uint64   // highest term of a leader that has sent servers
-	leader          string   // replica named by the last redirect; it is tried once
+	redirectTarget  string   // replica named by the last redirect; it is tried once
 	replicas        []string // addresses of the directory's voters, as last reported
 	candidatesTried int      // number of candidates tried so far; the first one is chosen at random
 	viaRedirect     bool     // the address being tried comes from a redirect
@@ -56,9 +56,9 @@
 // next returns the address to try: the one from a redirect if there is one, otherwise the
 // candidates in turn.
 func (w *watcher) next() string {
-	w.viaRedirect = w.leader != ""
-	if leader := w.leader; leader != "" {
-		w.leader = ""
+	w.viaRedirect = w.redirectTarget != ""
+	if leader := w.redirectTarget; leader != "" {
+		w.redirectTarget = ""
 		return leader
 	}
 	all := candidates(w.replicas, *w.g.seeds.Load())
@@ -143,7 +143,7 @@
 		w.replicas = e.Members
 	}
 	if e.Leader != address || served {
-		w.leader = e.Leader
+		w.redirectTarget = e.Leader
 	}
 }
 
@@ -214,12 +214,12 @@
 		w.term = m.Term
 		w.g.suspicions.beginSession()
 	}
-	_, oldChanges := w.g.table.halls()
+	_, oldChanges := w.g.table.listHallsOut()
 	if joined, left := w.g.table.update(m); len(joined)+len(left) > 0 {
 		w.g.cfg.Log.StateChange("backends changed", slog.Any("joined", joined), slog.Any("left", left),
 			slog.Uint64("term", m.Term), slog.Bool("whole", m.Whole), slog.Bool("complete", m.Complete))
 	}
-	if out, changes := w.g.table.halls(); changes != oldChanges {
+	if out, changes := w.g.table.listHallsOut(); changes != oldChanges {
 		w.g.cfg.Log.StateChange("halls out of service", slog.Any("halls", out), slog.Uint64("changes", changes))
 	}
 	w.g.grantAll()
@@ -233,8 +233,8 @@
 	for range w.reportTimes(ctx) {
 		seq++
 		u := w.g.accounts.takeReport()
-		untaken := w.g.acceptBacklog.untaken(w.g.now())
-		w.g.stats.connectionsUntaken.Add(untaken)
+		untaken := w.g.acceptBacklog.takeUnaccepted(w.g.now())
+		w.g.stats.connectionsUnaccepted.Add(untaken)
 		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
 		u.Term = w.g.table.leaderTerm() // read before Obeyed, which may already belong to the next leader's term
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -31,7 +31,7 @@
 		tried = append(tried, w.next())
 	}
 	is.Equal(tried, []string{"s", "t", "a", "s"}) // in turn, from a start that depends on startID
-	w.leader = "l"
+	w.redirectTarget = "l"
 	is.Equal([]string{w.next(), w.next()}, []string{"l", "t"}) // a redirect is tried first, and once
 }
 
@@ -65,7 +65,7 @@
 	g.cfg.Log = decision.New(&text, slog.LevelInfo, decision.DefaultBudget, metrics.NewSet())
 	w := &watcher{g: g, connected: true}
 	w.handleRedirect("a:1", protocol.WatchRedirect{Leader: "b:1", Members: []string{"a:1", "b:1"}})
-	is.Equal(w.leader, "b:1")
+	is.Equal(w.redirectTarget, "b:1")
 	w.handleRedirect("b:1", protocol.WatchRedirect{}) // no session was open
 	g.cfg.Log.Close()
 	is.Equal(strings.Count(text.String(), `"directory lost"`), 1)
