--- a/gateway/acceptbacklog.go
+++ b/gateway/acceptbacklog.go
@@ -32,13 +32,14 @@
 	q.arrivals = q.arrivals.WithAccepted()
 }
 
-func (q *acceptBacklog) observe(now time.Duration, waiting, most int) {
+func (q *acceptBacklog) observe(now time.Duration, waiting, capacity int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.arrivals = q.arrivals.WithSample(now, waiting, most)
+	q.arrivals = q.arrivals.WithSample(now, waiting, capacity)
 }
 
-// takeUnaccepted returns the number of connections since the last call that arrived and were not accepted.
+// takeUnaccepted returns the number of connections that arrived since the last call and were not
+// accepted.
 func (q *acceptBacklog) takeUnaccepted(now time.Duration) (n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -24,7 +24,7 @@
 	expectedFirst  time.Duration  // expected time to the first part of the answer
 	timeToFirst    time.Duration  // actual time to the first part of the answer; zero before it
 	connOpenedAt   time.Duration  // zero if no connection was established
-	trial          bool           // of an ejected server
+	trial          bool           // the attempt tests an ejected server
 	versionAttempt versionAttempt // how it counts in the pool's rollout
 	answering      bool           // the first part of the answer was received
 	unreached      bool           // no connection was established
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -5,6 +5,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"net/http"
 	"time"
@@ -24,8 +25,8 @@
 	execution retry.Execution
 	cause     string          // for logs and metrics
 	verdict   outlier.Verdict // on the backend server
-	// held is the complete answer of a failure (retry.HasRun). It is returned to the caller if no
-	// later attempt does better.
+	// held is a complete answer that reports a failure (retry.HasRun). It is returned to the caller
+	// if no later attempt gets a better result.
 	held            *heldAnswer
 	misdirected     bool  // another backend server now has the address
 	err             error // nil only after retry.Answered
@@ -73,6 +74,7 @@
 	return out
 }
 
+// exchange sends the request to the assigned server and relays its answer.
 func (c *call) exchange(ctx context.Context, a *assignment) outcome {
 	answer, err := c.g.cfg.Transport.Send(ctx, a.address, c.outgoing(a))
 	if err != nil {
@@ -91,7 +93,8 @@
 	return out
 }
 
-// checkAndRelay relays an answer after checking that it belongs to this request.
+// checkAndRelay relays an answer after checking that it belongs to this request and, if it is a
+// success, that it carries the server's signature.
 func (c *call) checkAndRelay(ctx context.Context, a *assignment, answer *forward.Answer, head AnswerHead) outcome {
 	if head.ID != c.head.ID {
 		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", verdict: outlier.Faulty, err: errCrossed}
@@ -116,6 +119,7 @@
 	}
 }
 
+// handleSendError returns the outcome of an attempt for which Send returned an error.
 func (c *call) handleSendError(a *assignment, err error) outcome {
 	var unknown forward.Unknown
 	if errors.As(err, &unknown) {
@@ -139,7 +143,7 @@
 	return out
 }
 
-// unwantedCause returns why a call was not sent after its connection had opened.
+// unwantedCause returns why a call was not sent although its connection had opened.
 func (c *call) unwantedCause() string {
 	if callerHasLeft(c.r.Context()) {
 		return "caller left"
@@ -179,7 +183,7 @@
 	c.avoid[a.serverID] = true
 	policy := c.policy(ctx)
 	allowed, fromBudget := policy.MayRetry(out.execution)
-	// Each further attempt of a request that was lost with three servers might crash another one.
+	// A request during which three servers ended might crash another one.
 	allowed = allowed && c.suspicion.MayRetry(c.losses)
 	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
 	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
@@ -235,8 +239,8 @@
 var (
 	errCrossed  = faultyAnswer("the answer belongs to another request")
 	errUnsealed = faultyAnswer("the answer is not sealed")
-	errShort    = faultyAnswer("the answer is cut off")
-	errTooLarge = faultyAnswer("an event is too large")
+	errShort    = faultyAnswer("the stream ended inside an event")
+	errTooLarge = faultyAnswer(fmt.Sprintf("an event exceeds %d bytes", maxEvent))
 )
 
 // faultyAnswer describes a fault in a backend server's answer.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -158,7 +158,8 @@
 // answer can be in time.
 func (c *call) isPastObjective() bool { return c.route.Objective > 0 && c.spent >= c.route.Objective }
 
-// retryAfterBeyondShare returns the Retry-After time for a request that exceeds its account's share.
+// retryAfterBeyondShare returns the Retry-After time for a request that exceeds its account's
+// share.
 func (c *call) retryAfterBeyondShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
 	share := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
@@ -184,7 +185,7 @@
 	}
 }
 
-// countTokens adds the request's tokens to the counter for the given end.
+// countTokens adds the request's tokens to the counter for the given value of the label "end".
 func (c *call) countTokens(end string) {
 	if c.pool.Engine {
 		c.g.tokenCounters.add(c.account.Name, c.class, end, c.cost)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -26,8 +26,9 @@
 	avoid      map[string]bool // IDs of servers that have already been tried
 	gateways   int
 	random     float64 // in [0, 1)
-	// maxBackoff is the longest backoff of all servers that the request waits out. A request that
-	// has not run is refused at once instead, because the servers of another gateway may accept it.
+	// maxBackoff is how long the request waits if all servers are in backoff. It is zero for a
+	// request that has not run, which is refused at once because another gateway's servers may
+	// accept it.
 	maxBackoff time.Duration
 
 	versionSet versionSet // server versions that the current selection is limited to
@@ -60,7 +61,7 @@
 	hallsOut       []string      // halls out of service, if they hold all servers of the pool
 	homesCause     Cause         // set if the homes exclude every server
 	stayReason     stayReason    // why the request stayed in its region, if it had a reason to leave
-	backingOff     bool          // every server asked for a longer backoff than the request waits
+	backingOff     bool          // every server is in backoff for longer than the request waits
 	backoff        time.Duration // until the first server accepts requests again; set with backingOff
 }
 
@@ -85,7 +86,7 @@
 }
 
 // acquireAmong is acquire limited to some versions. It also reports whether there was a candidate.
-// reason is recorded in the log. The caller holds mu.
+// The log gives reason as the cause of the choice of version. The caller holds mu.
 func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versionSet, reason string) (a *assignment, shortfall shortage, found bool) {
 	req.versionSet = among
 	choice, leave := t.choose(p, now, &req)
@@ -176,7 +177,7 @@
 	}
 }
 
-// closed reports whether a server is excluded for the request regardless of the alternatives. The
+// closed reports whether the request may not go to a server even if no other is available. The
 // caller holds mu.
 func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v candidateContext) bool {
 	switch {
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -20,8 +20,8 @@
 //     (routes.go), classifies it by the account's share (accounts.go), checks the processor's
 //     scheduling delay, and only then reads the body. call.serve acquires servers and makes
 //     attempts until one answers.
-//   - queue.go: the call gets a server at once if the most suitable one has room (choose.go), and
-//     waits in fair order otherwise. The candidates depend on the regions (regions.go), on the
+//   - acquire.go, queue.go: the call gets a server at once if the most suitable one has room
+//     (choose.go), and waits in fair order otherwise. The candidates depend on the regions (regions.go), on the
 //     homes of its route and account (homes.go) and, during a rollout of the pool, on their
 //     versions (versions.go).
 //   - attempt.go: one attempt sends the request and reports whether it ran;
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -41,7 +41,7 @@
 type brokenAnswer struct{ err error }
 
 // Error implements error.
-func (b brokenAnswer) Error() string { return "answer broken off: " + b.err.Error() }
+func (b brokenAnswer) Error() string { return "answer cut off: " + b.err.Error() }
 
 // finish writes the gateway's own error response if there is one, and updates counters and the log.
 func (c *call) finish(err error) {
@@ -66,7 +66,7 @@
 		refusal.write(c.w)
 	case errors.As(err, &broken):
 		c.g.stats.count("broken", "route", c.route.Name)
-		c.g.cfg.Log.Failure("broken off", append(c.logAttrs(took), slog.String("error", broken.err.Error()))...)
+		c.g.cfg.Log.Failure("answer cut off", append(c.logAttrs(took), slog.String("error", broken.err.Error()))...)
 		panic(http.ErrAbortHandler)
 	default:
 		c.g.stats.count("left", "route", c.route.Name)
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -9,13 +9,13 @@
 )
 
 // This file defines in which regions a request may be served: the homes of its route and of its
-// account, from the newest document. An attempt that has started ends at its server. Queued requests
-// and later attempts obey the document that is in force at that time.
+// account, from the newest document. An attempt that has started stays at its server even if
+// the homes change. Queued requests and later attempts obey the document in force at that time.
 
 // homes are the regions in which a request may be served. The zero value allows all.
 type homes struct {
 	restricted bool     // the request is restricted to regions
-	regions    []string // if bound and empty, the request may be served nowhere
+	regions    []string // if restricted and empty, the request may be served nowhere
 }
 
 // allows reports whether a server in a region may take the request. An unknown region is not a home
@@ -59,8 +59,8 @@
 	if !ok {
 		account = req.accountHomes
 	}
-	regions, bound := document.CommonHomes(route, account)
-	return homes{restricted: bound, regions: regions}
+	regions, restricted := document.CommonHomes(route, account)
+	return homes{restricted: restricted, regions: regions}
 }
 
 // setHomes applies the homes of a document. It must be called before the document's routes are in
@@ -71,8 +71,8 @@
 	t.homes = newHomesIndex(d)
 }
 
-// homesAllow reports whether the request's homes, as of the last choice, allow a server's region.
-// The caller holds mu.
+// homesAllow reports whether the request's homes, as of its last selection, include a server's
+// region. The caller holds mu.
 func (t *table) homesAllow(req *requirements, k *knownServer) bool {
 	return req.homes.allows(k.region)
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// recordUnreached records an attempt at an unreachable server, if the target has several, and
+// recordUnreached records an attempt at an unreachable server if the target has several servers. It
 // reports whether the attempt is not to be counted as failed. The caller holds mu.
 func (g *Gateway) recordUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
@@ -207,7 +207,7 @@
 // Limits of the breaker.
 const (
 	breakerThreshold = 4               // failures in a row; a version that fails 20 % of requests reaches 4 once in 600
-	breakerOpenTime  = 2 * time.Second // time for which the target gets no requests from this gateway
+	breakerOpenTime  = 2 * time.Second // for which the target gets no requests from this gateway
 )
 
 // breaker is a circuit breaker for the target version. It counts this gateway's own failures, so
@@ -221,12 +221,12 @@
 func (b breaker) isOpen(now time.Duration) bool { return now < b.openUntil }
 
 // withAnswer returns the breaker after one more answer.
-func (b breaker) withAnswer(now time.Duration, target, bad bool) breaker {
+func (b breaker) withAnswer(now time.Duration, target, failed bool) breaker {
 	failures := &b.oldFailures
 	if target {
 		failures = &b.targetFailures
 	}
-	if !bad {
+	if !failed {
 		*failures = 0
 		return b
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -19,8 +19,8 @@
 
 const (
 	// maxUnreported bounds the losses that wait to be reported, and likewise the cleared keys. If
-	// many servers end at once, excess losses are not suspected, and excess keys are cleared by the
-	// next answer.
+	// many servers end at once, excess losses are not reported, and excess keys are cleared by the
+	// next answer to their request.
 	maxUnreported = 1024
 	// maxLossesPerReport bounds the losses in one report, at about 100 bytes each. It is the number
 	// of slots of a large engine.
@@ -64,7 +64,7 @@
 	}
 }
 
-// clear records a whole answer to a request that is listed or that this gateway has lost.
+// clear records a whole answer to a request that is listed or was lost at this gateway.
 func (s *suspicions) clear(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +163,8 @@
 	}
 }
 
-// decisionPollInterval is how often a request checks whether the decision about it has been made.
+// decisionPollInterval is how often a waiting request checks whether it has been condemned or
+// cleared.
 const decisionPollInterval = 20 * time.Millisecond
 
 // checkQuarantine refuses the request if it is condemned. A request that is about to be condemned
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -38,8 +38,8 @@
 	t.site = site{region: region, topology: fleet, regionCount: len(fleet.Regions()), linkRate: linkRate}
 }
 
-// linkShare returns this gateway's share of the link's capacity. The gateways per region are assumed
-// to be equal and rounded up, so that no gateway uses more than its share.
+// linkShare returns this gateway's share of the link's capacity. It assumes the same number of
+// gateways in each region, rounded up so that no gateway uses more than its share.
 func (s *site) linkShare(gateways int) place.LinkShare {
 	regions := max(s.regionCount, 1)
 	return place.LinkShare{Rate: s.linkRate, Gateways: (gateways + regions - 1) / regions}
@@ -60,7 +60,7 @@
 func compareID(k *knownServer, id string) int { return strings.Compare(k.ID, id) }
 
 // addToRegion sets a server's region and, if there are remote regions, adds the server to the
-// pool's list for its region. The gateway's own region comes first in p.parts.
+// pool's list for its region. The gateway's own region comes first in p.regions.
 func (t *table) addToRegion(p *pool, k *knownServer) {
 	k.region = t.site.topology.Region(k.Hall)
 	if !t.site.hasRemoteRegions() {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -76,7 +76,7 @@
 // pool holds the backend servers of a pool and the requests waiting for them.
 type pool struct {
 	servers      []*knownServer  // ordered by ID
-	regions      []regionServers // servers by region, the gateway's own region first; empty without a far side
+	regions      []regionServers // servers by region, the gateway's own first; empty without remote regions
 	waiting      []*waiter
 	placer       place.CapacityPlacer
 	failures     outlier.PoolRate
@@ -98,16 +98,16 @@
 }
 
 const (
-	// maxRecentResults is the number of a pool's most recent attempts that show whether it serves. It
-	// equals the number of slots of a large engine.
+	// maxRecentResults is the number of a pool's most recent attempts that show whether it answers.
+	// It equals the number of slots of a large engine.
 	maxRecentResults = 64
-	// maxAttemptsPerAnswer is the inverse of the fraction of recent attempts that must have been answered
-	// for a pool to count as serving. That holds even while three of four callers leave early, and
-	// does not hold in an outage.
+	// maxAttemptsPerAnswer is the highest ratio of recent attempts to complete answers at which a
+	// pool counts as answering. The ratio stays below it even while three of four callers leave
+	// early, and exceeds it in an outage.
 	maxAttemptsPerAnswer = 8
 )
 
-// recordResult records how an attempt ended. The caller holds mu.
+// recordResult records whether an attempt ended with a complete answer. The caller holds mu.
 func (p *pool) recordResult(server string, answered bool) {
 	if len(p.recentResults) == maxRecentResults {
 		p.recentResults = p.recentResults[1:]
@@ -116,7 +116,7 @@
 }
 
 // othersAnswering reports whether servers of the pool other than the given one recently returned
-// complete answers to this gateway. It returns true if there were no attempts.
+// complete answers to this gateway. It also returns true if they received no attempts.
 func (t *table) othersAnswering(name, except string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -221,7 +221,8 @@
 	}
 }
 
-// listHallsOut returns the data listHallsOut that are out of service, in order, and the version of the list.
+// listHallsOut returns the data halls that are out of service, in order, and the version of the
+// list.
 func (t *table) listHallsOut() (out []string, changes uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/tokens.go
+++ b/gateway/tokens.go
@@ -22,7 +22,8 @@
 // gateway: demanded, begun, or refused for a cause, each by class. Log lines of single requests are
 // dropped first during a flood; these totals are complete.
 
-// Ends of a request's tokens. The causes of refusals are further ones.
+// Values of the label "end" for requests that are not refused. For a refused request it is the
+// [Cause].
 const (
 	tokensDemanded = "demanded" // every request to an engine, on arrival
 	tokensBegun    = "begun"    // requests that were assigned a backend server
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -32,14 +32,14 @@
 // add records an attempt at a server that could not be reached. If more than one server is
 // unreachable, the version itself may be at fault, and all recorded attempts are counted as failed.
 func (u unreached) add(now time.Duration, server string, c *tally) {
-	g := u[server]
-	if g == nil {
-		g = &unreachedAttempts{}
-		u[server] = g
+	a := u[server]
+	if a == nil {
+		a = &unreachedAttempts{}
+		u[server] = a
 	}
-	g.lastAttempt = now
-	if len(g.tallies) < maxUnreachedAttempts {
-		g.tallies = append(g.tallies, c)
+	a.lastAttempt = now
+	if len(a.tallies) < maxUnreachedAttempts {
+		a.tallies = append(a.tallies, c)
 	}
 	fresh := 0
 	for id, other := range u {
@@ -59,12 +59,12 @@
 
 // recordAnswer records an answer of a server and reports whether the server was unreachable before.
 func (u unreached) recordAnswer(now time.Duration, server string) bool {
-	g := u[server]
-	if g == nil {
+	a := u[server]
+	if a == nil {
 		return false
 	}
-	if now-g.lastAttempt < minRestartTime {
-		g.count()
+	if now-a.lastAttempt < minRestartTime {
+		a.count()
 	}
 	delete(u, server)
 	return true
@@ -89,10 +89,10 @@
 }
 
 // count counts the recorded attempts as failed.
-func (g *unreachedAttempts) count() {
-	for _, c := range g.tallies {
+func (a *unreachedAttempts) count() {
+	for _, c := range a.tallies {
 		c.failed++
 		c.changed = true
 	}
-	g.tallies = nil
+	a.tallies = nil
 }
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -19,15 +19,16 @@
 // This file defines which versions of a pool's backend servers a request may go to while the
 // pool has a rollout. The outcomes of the attempts are counted in outcomes.go.
 
-// sharesLease is how long rollout shares stay in force after the last report that the leader has
-// counted was sent. It is twice the longest pause between two of the leader's sums, plus a few
-// report periods.
+// sharesLease is how long rollout shares stay in force after the gateway sent the last report that
+// the leader has counted. It is twice the longest interval between two of the leader's load totals,
+// plus a few report periods.
 const sharesLease = 2 * time.Second
 
 // switchDuration is how long a gateway takes after the switch to move all requests to engines of
-// the target. It covers the longest pause between two of the leader's sums. If requests moved at
-// once, the queues of all gateways would flood the idle engines before any gateway sees the others'
-// load: 68 requests reached 24 slots in 200 ms, and the slow answers rolled a good version back.
+// the target. It covers the longest interval between two of the leader's load totals. If requests
+// moved at once, the queues of all gateways would flood the idle engines before any gateway sees the
+// others' load: 68 requests reached 24 slots in 200 ms, and the slow answers caused the rollback of
+// a good version.
 const switchDuration = 600 * time.Millisecond
 
 // versionSet is a set of server kinds, which are derived from the servers' versions.
@@ -284,8 +285,8 @@
 	return rest
 }
 
-// inService reports whether a server accepts new requests in principle: its data hall is in service
-// and it is not leaving. It may be full or back off. The caller holds mu.
+// inService reports whether a server's data hall is in service and the server is not leaving. The
+// server may still be full or in backoff. The caller holds mu.
 func (t *table) inService(k *knownServer) bool { return !t.hallsOut[k.Hall] && !k.notice.Leaving() }
 
 // anyUsable reports whether a server of the given versions may take the request now, if it has room.
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -37,7 +37,7 @@
 	viaRedirect     bool     // the address being tried comes from a redirect
 	connected       bool     // a session with a leader or a relay is open
 	avoided         []string // replicas that were lost, or unreachable after a redirect, since the last session
-	countedReport   uint64   // number of the last report that the next sums include
+	countedReport   uint64   // number of the last report included in the next load totals
 }
 
 // run keeps a session with the current leader until the gateway stops.
