--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -136,13 +136,13 @@
 // estimateUnread estimates the demand of connections that were not accepted. It assumes one request
 // per connection, with the same accounts and sizes as the read requests counted in demands. It
 // returns nil if no request was read.
-func estimateUnread(demands []protocol.Demand, untaken, read int) []protocol.Demand {
-	if untaken == 0 || read == 0 {
+func estimateUnread(demands []protocol.Demand, unaccepted, read int) []protocol.Demand {
+	if unaccepted == 0 || read == 0 {
 		return nil
 	}
 	unread := make([]protocol.Demand, 0, len(demands))
 	for _, d := range demands {
-		unread = append(unread, protocol.Demand{Account: d.Account, Tokens: d.Tokens * uint64(untaken) / uint64(read)})
+		unread = append(unread, protocol.Demand{Account: d.Account, Tokens: d.Tokens * uint64(unaccepted) / uint64(read)})
 	}
 	return unread
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -162,8 +162,8 @@
 // share.
 func (c *call) retryAfterBeyondShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
-	share := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
-	return share.After(c.g.randomFraction())
+	uncovered := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
+	return uncovered.After(c.g.randomFraction())
 }
 
 // countStarted counts the request when it gets its first backend server. Another attempt after an
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -72,13 +72,13 @@
 // the reason. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
-	versionOrder := t.versionOrder(p, now, &req)
-	a, shortfall, found := t.acquireAmong(p, now, req, versionOrder.first, versionOrder.firstReason)
+	order := t.versionOrder(p, now, &req)
+	a, shortfall, found := t.acquireAmong(p, now, req, order.first, order.firstReason)
 	usable := found && shortfall.bound != place.RegionLink || shortfall.backingOff // a backoff does not re-enable the old version
-	if a != nil || versionOrder.second == 0 || (versionOrder.onlyIfNone && usable) {
+	if a != nil || order.second == 0 || (order.onlyIfNone && usable) {
 		return a, shortfall
 	}
-	a, other, foundOther := t.acquireAmong(p, now, req, versionOrder.second, versionOrder.secondReason)
+	a, other, foundOther := t.acquireAmong(p, now, req, order.second, order.secondReason)
 	if a == nil && found && !foundOther {
 		return nil, shortfall
 	}
@@ -126,14 +126,14 @@
 // The caller holds mu.
 func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
-	versionOrder := t.versionOrder(p, now, &req)
-	for i, among := range []versionSet{versionOrder.first, versionOrder.second} {
+	order := t.versionOrder(p, now, &req)
+	for i, among := range []versionSet{order.first, order.second} {
 		req.versionSet = among
-		if among == 0 || (i > 0 && versionOrder.onlyIfNone && t.anyUsable(p, now, &req, versionOrder.first)) {
+		if among == 0 || (i > 0 && order.onlyIfNone && t.anyUsable(p, now, &req, order.first)) {
 			continue
 		}
 		if choice, leave := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
-			return t.recordDestination(p.assign(now, choice, &req, []string{versionOrder.firstReason, versionOrder.secondReason}[i]), now, &req, leave)
+			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.secondReason}[i]), now, &req, leave)
 		}
 	}
 	return nil
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -21,9 +21,9 @@
 //     scheduling delay, and only then reads the body. call.serve acquires servers and makes
 //     attempts until one answers.
 //   - acquire.go, queue.go: the call gets a server at once if the most suitable one has room
-//     (choose.go), and waits in fair order otherwise. The candidates depend on the regions (regions.go), on the
-//     homes of its route and account (homes.go) and, during a rollout of the pool, on their
-//     versions (versions.go).
+//     (choose.go), and waits in fair order otherwise. The candidates depend on the regions
+//     (regions.go), on the homes of its route and account (homes.go) and, during a rollout of the
+//     pool, on their versions (versions.go).
 //   - attempt.go: one attempt sends the request and reports whether it ran;
 //     coordination/retry decides from that alone whether to retry. stall.go ends an attempt whose
 //     server sends nothing. outcomes.go and unreached.go count the results per version during a
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -270,7 +270,7 @@
 	for range sleep.Every(ctx, stopPollInterval) {
 		switch drain.Grace(g.cfg.Grace).Next(g.stopping(), g.inFlight.Load()) {
 		case drain.CutOff:
-			g.cfg.Log.StateChange("stopping: requests cut off", slog.Int64("requests", g.inFlight.Load()))
+			g.cfg.Log.StateChange("requests cut off by stop", slog.Int64("requests", g.inFlight.Load()))
 			return
 		case drain.End:
 			return
--- a/gateway/homes.go
+++ b/gateway/homes.go
@@ -9,8 +9,8 @@
 )
 
 // This file defines in which regions a request may be served: the homes of its route and of its
-// account, from the newest document. An attempt that has started stays at its server even if
-// the homes change. Queued requests and later attempts obey the document in force at that time.
+// account, from the newest document. An attempt that has started stays at its server even if the
+// homes change. Queued requests and later attempts obey the document in force at that time.
 
 // homes are the regions in which a request may be served. The zero value allows all.
 type homes struct {
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -20,8 +20,8 @@
 	expired atomic.Bool   // the attempt was ended because it stalled
 }
 
-// initialTimeout is the duration with which the timer is created. watchStall resets the timer at
-// once; only then may its function run, because the function refers to the timer.
+// initialTimeout is the duration with which watchStall creates its timer and which it replaces at
+// once. Until then the timer must not fire, because its function refers to the timer.
 const initialTimeout = 24 * time.Hour
 
 // watchStall cancels an attempt when its backend server stalls. While the gateway is delayed
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -57,9 +57,9 @@
 // candidates in turn.
 func (w *watcher) next() string {
 	w.viaRedirect = w.redirectTarget != ""
-	if leader := w.redirectTarget; leader != "" {
+	if target := w.redirectTarget; target != "" {
 		w.redirectTarget = ""
-		return leader
+		return target
 	}
 	all := candidates(w.replicas, *w.g.seeds.Load())
 	if len(all) == 0 {
@@ -233,9 +233,9 @@
 	for range w.reportTimes(ctx) {
 		seq++
 		u := w.g.accounts.takeReport()
-		untaken := w.g.acceptBacklog.takeUnaccepted(w.g.now())
-		w.g.stats.connectionsUnaccepted.Add(untaken)
-		u.Unread = estimateUnread(u.Demands, untaken, int(w.g.requestsSinceReport.Swap(0)))
+		unaccepted := w.g.acceptBacklog.takeUnaccepted(w.g.now())
+		w.g.stats.connectionsUnaccepted.Add(unaccepted)
+		u.Unread = estimateUnread(u.Demands, unaccepted, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.Number = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
 		u.Term = w.g.table.leaderTerm() // read before Obeyed, which may already belong to the next leader's term
 		u.Outcomes, u.Obeyed = w.g.table.takeOutcomes(w.g.now())
