--- a/decision/decision_test.go
+++ b/decision/decision_test.go
@@ -89,9 +89,9 @@
 	})
 }
 
-// TestStuckReaderDelaysNobody fills the queue several times over while the writer is blocked.
-// Logging must not block.
-func TestStuckReaderDelaysNobody(t *testing.T) {
+// TestBlockedWriterDoesNotBlockLogging fills the queue several times over while the writer is
+// blocked. Logging must not block.
+func TestBlockedWriterDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := blockedWriter{release: make(chan struct{})}
@@ -120,8 +120,8 @@
 	is.Equal(set.GetOrCreateCounter("badgerspoke_log_lines_dropped_total").Get(), uint64(1))
 }
 
-// TestFactsOfDroppedLinesAreNotMade checks that attributes of dropped lines are not computed.
-func TestFactsOfDroppedLinesAreNotMade(t *testing.T) {
+// TestAttrsOfDroppedLinesAreNotComputed checks that attributes of dropped lines are not computed.
+func TestAttrsOfDroppedLinesAreNotComputed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := New(io.Discard, slog.LevelInfo, Budget{Routine: 2, Failure: 3}, metrics.NewSet())
--- a/gateway/accounts_test.go
+++ b/gateway/accounts_test.go
@@ -10,9 +10,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestUnreadIsLikeWhatIsRead checks that connections not accepted are estimated as one request
+// TestEstimateUnread checks that connections not accepted are estimated as one request
 // each, with the accounts and sizes of the requests that were read.
-func TestUnreadIsLikeWhatIsRead(t *testing.T) {
+func TestEstimateUnread(t *testing.T) {
 	is := is.New(t)
 	read := []protocol.Demand{{Account: "a", Tokens: 900}, {Account: "b", Tokens: 300}}
 	is.Equal(estimateUnread(read, 8, 4), []protocol.Demand{{Account: "a", Tokens: 1800}, {Account: "b", Tokens: 600}})
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestServerAskingForBackoffGetsNothing checks that neither first attempts, nor retries, nor
+// TestServerInBackoffGetsNoRequests checks that neither first attempts, nor retries, nor
 // resumed streams go to a server during its backoff, and that it gets requests again afterwards.
-func TestServerAskingForBackoffGetsNothing(t *testing.T) {
+func TestServerInBackoffGetsNoRequests(t *testing.T) {
 	const backoff = 3 * time.Second
 	whole := streams(piece{event(1) + event(2), 0, io.EOF})
 	for _, tt := range []struct {
@@ -73,9 +73,10 @@
 	}
 }
 
-// TestAllServersBackedOff checks that a request is refused at once, as not run, while all servers
-// are in backoff. Retry-After is the time until the first server accepts requests again.
-func TestAllServersBackedOff(t *testing.T) {
+// TestRequestIsRefusedIfAllServersAreInBackoff checks that a request is refused at once, as not
+// run, while all servers are in backoff. Retry-After is the time until the first server accepts
+// requests again.
+func TestRequestIsRefusedIfAllServersAreInBackoff(t *testing.T) {
 	for _, pool := range []string{"plain", "engines"} {
 		t.Run(pool, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestLastServerAsksForBackoffWhileOthersWait checks that waiting requests are refused at once when
-// the only server asks for backoff.
-func TestLastServerAsksForBackoffWhileOthersWait(t *testing.T) {
+// TestWaitingRequestsAreRefusedIfOnlyServerBacksOff checks that waiting requests are refused at
+// once when the only server asks for backoff.
+func TestWaitingRequestsAreRefusedIfOnlyServerBacksOff(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -124,9 +125,9 @@
 	})
 }
 
-// TestMayHaveRunOutlastsAShortBackoff checks that a request that may have run waits for the end of
-// a backoff if that comes early enough. It cannot be refused as not run.
-func TestMayHaveRunOutlastsAShortBackoff(t *testing.T) {
+// TestRequestThatMayHaveRunWaitsForShortBackoff checks that a request that may have run waits for
+// the end of a backoff if that comes early enough. It cannot be refused as not run.
+func TestRequestThatMayHaveRunWaitsForShortBackoff(t *testing.T) {
 	for backoff, status := range map[time.Duration]int{300 * time.Millisecond: 200, 2 * time.Second: 502} {
 		t.Run(backoff.String(), func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
@@ -147,9 +148,9 @@
 	}
 }
 
-// TestConnectionThatOpensAfterTheRefusal checks that a call still waiting for its connection when
-// the server asks for backoff is not sent, and goes to another server.
-func TestConnectionThatOpensAfterTheRefusal(t *testing.T) {
+// TestCallIsNotSentIfBackoffBeginsWhileConnecting checks that a call still waiting for its
+// connection when the server asks for backoff is not sent, and goes to another server.
+func TestCallIsNotSentIfBackoffBeginsWhileConnecting(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls, sent atomic.Int64
@@ -176,9 +177,9 @@
 	})
 }
 
-// TestBackoffOfAnotherLife checks that a backoff lasts until the server process ends, even if the
-// directory removes the server from its list and adds it again.
-func TestBackoffOfAnotherLife(t *testing.T) {
+// TestBackoffLastsUntilServerProcessEnds checks that a backoff lasts until the server process ends,
+// even if the directory removes the server from its list and adds it again.
+func TestBackoffLastsUntilServerProcessEnds(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -204,10 +205,10 @@
 	})
 }
 
-// TestBackoffBringsNoOldVersionBack checks that after a rollout has switched all requests to a
+// TestBackoffDoesNotReenableOldVersion checks that after a rollout has switched all requests to a
 // version, they are refused while all servers of that version are in backoff, rather than sent to
 // the old version.
-func TestBackoffBringsNoOldVersionBack(t *testing.T) {
+func TestBackoffDoesNotReenableOldVersion(t *testing.T) {
 	var calls atomic.Int64
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -223,9 +224,9 @@
 	}, answers(200, "old", time.Millisecond), refusesWithBackoff(3*time.Second, &calls))
 }
 
-// TestBackoffOfAnAnswerThatRan checks that the backoff in a 503 answer applies even if the request
-// has run.
-func TestBackoffOfAnAnswerThatRan(t *testing.T) {
+// TestBackoffAppliesIfRequestRan checks that the backoff in a 503 answer applies even if the
+// request has run.
+func TestBackoffAppliesIfRequestRan(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -243,9 +244,9 @@
 	})
 }
 
-// TestWaitingRequestsGoToNoBackedOffServer checks that requests waiting for room are not assigned
+// TestWaitingRequestsAvoidServerInBackoff checks that requests waiting for room are not assigned
 // to a server in backoff when the other servers fill up.
-func TestWaitingRequestsGoToNoBackedOffServer(t *testing.T) {
+func TestWaitingRequestsAvoidServerInBackoff(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -256,10 +256,10 @@
 	}
 }
 
-// BenchmarkSuspect measures the quarantine lookup for a request with a body of 64 KiB: with an
-// empty list, with 1,024 other entries, and with an entry of the same hint that differs only by its
-// body, so that the key has to be computed.
-func BenchmarkSuspect(b *testing.B) {
+// BenchmarkCheckQuarantine measures the quarantine lookup for a request with a body of 64 KiB: with
+// an empty list, with 1,024 other entries, and with an entry of the same hint that differs only by
+// its body, so that the key has to be computed.
+func BenchmarkCheckQuarantine(b *testing.B) {
 	body := make([]byte, 64<<10)
 	var others []quarantine.Entry
 	for i := range 1024 {
@@ -291,9 +291,9 @@
 	}
 }
 
-// BenchmarkTick measures the periodic work of a gateway with two requests in flight and 10,000
-// listed servers: its report and the update from the leader's sums, ten times per second.
-func BenchmarkTick(b *testing.B) {
+// BenchmarkLoadReport measures the periodic work of a gateway with two requests in flight and
+// 10,000 listed servers: its report and the update from the leader's sums, ten times per second.
+func BenchmarkLoadReport(b *testing.B) {
 	t := newTable("g", "hall-0", monotonic())
 	t.setSite("", topology.Topology{}, 0)
 	m := protocol.Servers{Term: 1, Whole: true}
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -15,10 +15,10 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// TestLargePoolChoosesFromTheOrder checks the choice in a large pool: equal prompts go to the same
+// TestLargePoolChoosesByRanking checks the choice in a large pool: equal prompts go to the same
 // engine. If that engine has left, is in a hall out of service or has been tried already, the
 // prompt goes to another one. Prompts without shared parts find an engine as well.
-func TestLargePoolChoosesFromTheOrder(t *testing.T) {
+func TestLargePoolChoosesByRanking(t *testing.T) {
 	is := is.New(t)
 	table := newTable("g", "hall-0", monotonic())
 	table.setSite("", topology.Topology{}, 0)
--- a/gateway/enddetector_test.go
+++ b/gateway/enddetector_test.go
@@ -17,9 +17,9 @@
 // breaksConnection is a server that breaks each connection after the request has been sent.
 var breaksConnection = fails(forward.Unknown{Err: io.EOF})
 
-// TestEndOfAServer checks that a server counts as ended if it breaks a connection and then refuses
-// new ones, but not if it accepts new ones.
-func TestEndOfAServer(t *testing.T) {
+// TestServerEndIsDetected checks that a server counts as ended if it breaks a connection and then
+// refuses new ones, but not if it accepts new ones.
+func TestServerEndIsDetected(t *testing.T) {
 	for _, ended := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -75,7 +75,7 @@
 // behaviour is a backend server's handling of a call.
 type behaviour func(ctx context.Context, call forward.Call) (*forward.Answer, error)
 
-// fakeServers implements Server with behaviours and records the calls.
+// fakeServers implements [Transport] with behaviours and records the calls.
 type fakeServers struct {
 	mu         sync.Mutex
 	behaviours map[string]behaviour // by address
@@ -102,7 +102,7 @@
 
 func (f *fakeServers) DropAllIdle() { f.DropIdle("all") }
 
-// Refuses implements Server. Addresses without a behaviour refuse connections.
+// Refuses implements [Transport]. Addresses without a behaviour refuse connections.
 func (f *fakeServers) Refuses(_ context.Context, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -24,9 +24,9 @@
 
 var errReset = errors.New("connection reset")
 
-// TestOutcomes lists failures with the response to the caller and the number of times the request
-// arrived at a backend server.
-func TestOutcomes(t *testing.T) {
+// TestResponsesToServerFailures lists failures with the response to the caller and the number of
+// times the request arrived at a backend server.
+func TestResponsesToServerFailures(t *testing.T) {
 	unreachable := fails(forward.NotRun{Err: errReset})
 	lostAnswer := fails(forward.Unknown{Err: errReset})
 	ok := answers(200, "fine", 0)
@@ -110,7 +110,7 @@
 	x.announceServers("plain", all...)
 }
 
-func TestOwnAnswers(t *testing.T) {
+func TestUnmatchedRequestsAreRefused(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		path   string
@@ -157,9 +157,9 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestBeforeTheFirstDocument checks that a gateway without a document refuses requests as not run,
-// not as unknown.
-func TestBeforeTheFirstDocument(t *testing.T) {
+// TestRequestsBeforeFirstDocumentAreRefusedAsNotRun checks that a gateway without a document
+// refuses requests as not run, not as unknown.
+func TestRequestsBeforeFirstDocumentAreRefusedAsNotRun(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.routes.Store(nil)
@@ -168,7 +168,7 @@
 	}, answers(200, "fine", 0))
 }
 
-func TestDocumentNeverGoesBack(t *testing.T) {
+func TestOlderDocumentIsIgnored(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		older := testDocument()
@@ -179,8 +179,8 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestWhatTheBackendGets checks the forwarded request head and body.
-func TestWhatTheBackendGets(t *testing.T) {
+// TestForwardedRequest checks the forwarded request head and body.
+func TestForwardedRequest(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.request("/once/a%2Fb?q=1", "Patience", "1000", "Tenant", "forged", "Other", "kept")
@@ -196,9 +196,9 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLeftOverTime checks that a second backend server receives the remaining time, and that the
-// route's timeout limits the caller's.
-func TestLeftOverTime(t *testing.T) {
+// TestForwardedTimeout checks that a second backend server receives the remaining time, and that
+// the route's timeout limits the caller's.
+func TestForwardedTimeout(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{hangs, answers(200, "fine", 0)})
@@ -208,7 +208,7 @@
 	})
 }
 
-func TestTimeOutIsOnTime(t *testing.T) {
+func TestCallerTimeout(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.request("/once/x", "Patience", "1500")
@@ -217,9 +217,9 @@
 	}, hangs)
 }
 
-// TestLeavingCallerCancels checks that the call to the backend server is canceled when the caller
-// leaves.
-func TestLeavingCallerCancels(t *testing.T) {
+// TestLeavingCallerCancelsAttempt checks that the call to the backend server is canceled when the
+// caller leaves.
+func TestLeavingCallerCancelsAttempt(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		ctx, cancel := context.WithTimeout(x.t.Context(), 300*time.Millisecond)
@@ -237,9 +237,9 @@
 	}, hangs)
 }
 
-// TestMisplacedBackendIsDropped checks that if another backend server has taken over an address,
+// TestMisdirectedServerIsRemoved checks that if another backend server has taken over an address,
 // the request, which has not run, goes to another server, and the table drops the entry.
-func TestMisplacedBackendIsDropped(t *testing.T) {
+func TestMisdirectedServerIsRemoved(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{refuses(http.StatusMisdirectedRequest), answers(200, "fine", 0)})
@@ -248,7 +248,7 @@
 	})
 }
 
-func TestSuspectedBackendIsLeftAlone(t *testing.T) {
+func TestServerIsEjectedAndRecovers(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("plain", fails(forward.NotRun{Err: errReset}), answers(200, "fine", 0))
@@ -264,9 +264,9 @@
 	})
 }
 
-// TestOnceIsNoTrial checks that a request that may not be repeated never goes to an ejected backend
-// server while another one is available.
-func TestOnceIsNoTrial(t *testing.T) {
+// TestNonRepeatableRequestAvoidsEjectedServer checks that a request that may not be repeated never
+// goes to an ejected backend server while another one is available.
+func TestNonRepeatableRequestAvoidsEjectedServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("plain", answers(200, "fine", 0), answers(200, "fine", 0))
@@ -298,9 +298,9 @@
 	})
 }
 
-// TestSpentBudgetIsSaid checks the refusal of a request that another server might have accepted,
-// but for the retry budget.
-func TestSpentBudgetIsSaid(t *testing.T) {
+// TestRefusalWithoutRetryBudget checks the refusal of a request that another server might have
+// accepted, but for the retry budget.
+func TestRefusalWithoutRetryBudget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.cfg.Retries.Extra = 0
@@ -312,9 +312,9 @@
 	})
 }
 
-// TestDoubtfulBackendIsDroppedOnceItFails checks that a backend server missing from a complete list
+// TestUnlistedServerIsRemovedOnceItFails checks that a backend server missing from a complete list
 // is used only as long as it answers.
-func TestDoubtfulBackendIsDroppedOnceItFails(t *testing.T) {
+func TestUnlistedServerIsRemovedOnceItFails(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("plain", answers(200, "fine", 0), answers(200, "fine", 0))
@@ -363,7 +363,7 @@
 	}, answers(200, "fine", 900*time.Millisecond))
 }
 
-func TestCallersBodyBreaks(t *testing.T) {
+func TestBrokenRequestBody(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.requestWithBody(&pieceReader{ctx: x.t.Context(), pieces: []piece{{text: "a b", err: errReset}}}, 10)
@@ -372,7 +372,7 @@
 	}, answers(200, "fine", 0))
 }
 
-func TestManyRequestsAtOnce(t *testing.T) {
+func TestConcurrentRequestsReleaseServers(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -15,10 +15,10 @@
 // This file tests how a gateway treats data halls out of service and cold backend servers, as
 // reported by the directory.
 
-// TestAllHallsOut checks that requests are refused at once as not run, with a Retry-After, while
-// all halls of a pool are out of service, and that a hall list older than the one in force is
-// ignored.
-func TestAllHallsOut(t *testing.T) {
+// TestRequestsAreRefusedWhileAllHallsAreOut checks that requests are refused at once as not run,
+// with a Retry-After, while all halls of a pool are out of service, and that a hall list older than
+// the one in force is ignored.
+func TestRequestsAreRefusedWhileAllHallsAreOut(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.Equal(x.request("/once/1", "Patience", "2000").status, 200)
@@ -37,10 +37,10 @@
 	}, answers(200, "ok", time.Millisecond))
 }
 
-// TestColdServerNeedsALease checks that a gateway sends to a cold server only within its share, and
-// only while the leader has recently counted one of its reports. Otherwise a gateway that was
+// TestColdServerShareNeedsLease checks that a gateway sends to a cold server only within its share,
+// and only while the leader has recently counted one of its reports. Otherwise a gateway that was
 // frozen or partitioned would overload the server with an outdated share.
-func TestColdServerNeedsALease(t *testing.T) {
+func TestColdServerShareNeedsLease(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		s := x.g.table.servers["p0"].Server
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -21,8 +21,9 @@
 
 // This file tests that a request is served only in its home regions.
 
-// TestHomes checks which region serves a request for combinations of route and account homes.
-func TestHomes(t *testing.T) {
+// TestHomesLimitServingRegions checks which region serves a request for combinations of route and
+// account homes.
+func TestHomesLimitServingRegions(t *testing.T) {
 	for _, tt := range []struct {
 		name           string
 		route, account []string
@@ -66,10 +67,10 @@
 	}
 }
 
-// TestHomeIsFullOrGone checks that a request with a home waits for its home and is refused there
-// even if servers elsewhere are idle, and that it is refused at once if its homes have no listed
-// server.
-func TestHomeIsFullOrGone(t *testing.T) {
+// TestRequestStaysInFullOrEmptyHome checks that a request with a home waits for its home and is
+// refused there even if servers elsewhere are idle, and that it is refused at once if its homes
+// have no listed server.
+func TestRequestStaysInFullOrEmptyHome(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
@@ -97,9 +98,9 @@
 	}
 }
 
-// TestRepeatsKeepToTheHomes checks that second attempts and resumed streams stay in the request's
+// TestRetriesStayInHomes checks that second attempts and resumed streams stay in the request's
 // homes.
-func TestRepeatsKeepToTheHomes(t *testing.T) {
+func TestRetriesStayInHomes(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -117,9 +118,10 @@
 	})
 }
 
-// TestHomesGivenLater checks a change of homes by a new document: running attempts end where they
-// are, while queued requests and later attempts obey the new document, also if it removes homes.
-func TestHomesGivenLater(t *testing.T) {
+// TestHomesChangedByNewDocument checks a change of homes by a new document: running attempts end
+// where they are, while queued requests and later attempts obey the new document, also if it
+// removes homes.
+func TestHomesChangedByNewDocument(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -156,9 +158,9 @@
 	})
 }
 
-// TestHomesWithoutRegions checks that without a configured topology no hall is in any home, and
+// TestHomesWithoutTopology checks that without a configured topology no hall is in any home, and
 // that with one configured region only its halls are.
-func TestHomesWithoutRegions(t *testing.T) {
+func TestHomesWithoutTopology(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		ok := answers(200, "ok", time.Millisecond)
@@ -179,10 +181,10 @@
 	})
 }
 
-// TestHomeBeyondTheLink checks that a request that only another region may serve crosses when the
-// link budget admits no optional crossings, and that it waits or is refused as not run when the
-// whole budget is used up.
-func TestHomeBeyondTheLink(t *testing.T) {
+// TestRequiredCrossingUsesWholeLinkBudget checks that a request that only another region may serve
+// crosses when the link budget admits no optional crossings, and that it waits or is refused as not
+// run when the whole budget is used up.
+func TestRequiredCrossingUsesWholeLinkBudget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
--- a/gateway/homes_versions_test.go
+++ b/gateway/homes_versions_test.go
@@ -52,11 +52,11 @@
 	return served
 }
 
-// TestHomeWithoutTheTarget checks that requests of a route whose home has no server of the target
-// stay in that home. The old version serves them there, after a wait if necessary: during the
-// trial, after the switch, and after the old version was replaced, for as long as its servers
-// exist.
-func TestHomeWithoutTheTarget(t *testing.T) {
+// TestOldVersionServesHomeWithoutTarget checks that requests of a route whose home has no server of
+// the target stay in that home. The old version serves them there, after a wait if necessary:
+// during the trial, after the switch, and after the old version was replaced, for as long as its
+// servers exist.
+func TestOldVersionServesHomeWithoutTarget(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		list protocol.Rollout
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestServerSaidThatItLeaves checks that a server gets no more requests once the head of any answer
-// has announced that it is leaving: no first attempts, no retries and no resumed streams.
-func TestServerSaidThatItLeaves(t *testing.T) {
+// TestLeavingServerGetsNoRequests checks that a server gets no more requests once the head of any
+// answer has announced that it is leaving: no first attempts, no retries and no resumed streams.
+func TestLeavingServerGetsNoRequests(t *testing.T) {
 	ok := answers(200, "ok", time.Millisecond)
 	whole := streams(piece{event(1) + event(2), 0, io.EOF})
 	for _, tt := range []struct {
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestWaitingRequestsGoToNoLeavingServer checks that requests waiting for room are not assigned to
+// TestWaitingRequestsAvoidLeavingServer checks that requests waiting for room are not assigned to
 // a server that is leaving, even while streams on it continue.
-func TestWaitingRequestsGoToNoLeavingServer(t *testing.T) {
+func TestWaitingRequestsAvoidLeavingServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -102,9 +102,9 @@
 	})
 }
 
-// TestLeavingServerIsListedAgain checks that the announcement holds until the server process ends,
-// whatever the directory lists, and does not apply to its successor.
-func TestLeavingServerIsListedAgain(t *testing.T) {
+// TestLeavingNoticeOutlastsRelisting checks that the announcement holds until the server process
+// ends, whatever the directory lists, and does not apply to its successor.
+func TestLeavingNoticeOutlastsRelisting(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -139,9 +139,9 @@
 	})
 }
 
-// TestAllServersLeave checks that a request waits for a new server if all listed ones are leaving.
-// If the remaining ones are in backoff instead, it is refused at once.
-func TestAllServersLeave(t *testing.T) {
+// TestRequestWaitsIfAllServersAreLeaving checks that a request waits for a new server if all listed
+// ones are leaving. If the remaining ones are in backoff instead, it is refused at once.
+func TestRequestWaitsIfAllServersAreLeaving(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
@@ -171,9 +171,9 @@
 	g.grantAll()
 }
 
-// TestLeavingServersOfAVersion checks that an old version counts as gone if all its servers are
+// TestLeavingServersDuringRollout checks that an old version counts as gone if all its servers are
 // leaving, and that a trial uses servers of the target that are not leaving.
-func TestLeavingServersOfAVersion(t *testing.T) {
+func TestLeavingServersDuringRollout(t *testing.T) {
 	ok := answers(200, "ok", time.Millisecond)
 	t.Run("old", func(t *testing.T) {
 		var calls atomic.Int64
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -29,7 +29,7 @@
 // updateLoads applies the changed totals over all gateways. They include this gateway's report
 // number counted. The cost is O(totals and own requests) rather than O(servers), because it runs
 // ten times a second: passes over 10,000 servers here and for the report take 0.41 ms
-// (BenchmarkTick).
+// (BenchmarkLoadReport).
 func (t *table) updateLoads(now time.Duration, counted uint64, loads []protocol.ServerLoad) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestUnderPressureRequestsAreRefusedAtOnce(t *testing.T) {
+func TestOverloadRefusesRequestsAtOnce(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
@@ -44,9 +44,9 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestUnderPressureCallersGoElsewhere checks that an overloaded gateway is not ready for long
+// TestOverloadedGatewayIsNotReady checks that an overloaded gateway is not ready for long
 // enough that a load balancer probing once a second sees it twice.
-func TestUnderPressureCallersGoElsewhere(t *testing.T) {
+func TestOverloadedGatewayIsNotReady(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		is.True(x.g.Ready())
@@ -61,9 +61,9 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestRefusalsUnderPressureAreMissed checks that requests within a share that are refused because
+// TestOverloadRefusalsCountAsMissed checks that requests within a share that are refused because
 // of processor overload are reported to the leader as missed, like requests that find no engine.
-func TestRefusalsUnderPressureAreMissed(t *testing.T) {
+func TestOverloadRefusalsCountAsMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setOverload(func(d *overload.Detector) { d.Delay = overload.DelayTooLong + 1 })
@@ -82,9 +82,9 @@
 	return 0, io.EOF
 }
 
-// TestFloodIsRefusedWithoutItsBody checks that a request beyond its account's share is refused
-// without reading its body, while another account is served.
-func TestFloodIsRefusedWithoutItsBody(t *testing.T) {
+// TestRequestBeyondShareIsRefusedBeforeItsBody checks that a request beyond its account's share is
+// refused without reading its body, while another account is served.
+func TestRequestBeyondShareIsRefusedBeforeItsBody(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.accounts.update([]protocol.Entitlement{{Account: "t", Part: 0.001, Extra: 0.002}}, nil, true)
@@ -101,9 +101,10 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestLateGatewayBlamesNobody makes the only backend server unreachable. A gateway with a high
-// scheduling delay must not eject it, because its own delay may have used up the connect timeout.
-func TestLateGatewayBlamesNobody(t *testing.T) {
+// TestDelayedGatewayDoesNotEjectServer makes the only backend server unreachable. A gateway with a
+// high scheduling delay must not eject it, because its own delay may have used up the connect
+// timeout.
+func TestDelayedGatewayDoesNotEjectServer(t *testing.T) {
 	for _, tt := range []struct {
 		level   time.Duration
 		trusted bool
@@ -123,10 +124,10 @@
 	}
 }
 
-// TestLateGatewayLearnsNothing checks that a gateway with a high scheduling delay does not learn
-// the engines' pace. Otherwise it would attribute its own delay to them, treat idle engines as
-// full, and refuse its callers.
-func TestLateGatewayLearnsNothing(t *testing.T) {
+// TestDelayedGatewayDoesNotLearnPace checks that a gateway with a high scheduling delay does not
+// learn the engines' pace. Otherwise it would attribute its own delay to them, treat idle engines
+// as full, and refuse its callers.
+func TestDelayedGatewayDoesNotLearnPace(t *testing.T) {
 	for _, tt := range []struct {
 		level  time.Duration
 		learns bool
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -41,9 +41,9 @@
 	return u
 }
 
-// TestCondemnedIsRefused checks that exactly the condemned request is refused, and only while it is
-// listed.
-func TestCondemnedIsRefused(t *testing.T) {
+// TestCondemnedRequestIsRefused checks that exactly the condemned request is refused, and only
+// while it is listed.
+func TestCondemnedRequestIsRefused(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		x.listSuspects(3, true, "/again/deadly")
@@ -60,9 +60,9 @@
 	}, answers(200, "done", time.Millisecond))
 }
 
-// TestAnsweredSuspectIsReported checks that a whole answer clears a suspected request, and that a
-// server error or a broken answer does not.
-func TestAnsweredSuspectIsReported(t *testing.T) {
+// TestWholeAnswerClearsSuspectedRequest checks that a whole answer clears a suspected request, and
+// that a server error or a broken answer does not.
+func TestWholeAnswerClearsSuspectedRequest(t *testing.T) {
 	for _, tt := range []struct {
 		behave  behaviour
 		cleared int
@@ -86,9 +86,9 @@
 	}
 }
 
-// TestThirdEndIsTheLast checks that no attempt is made after servers ended under three attempts, no
-// matter how many of the ends are known from the list.
-func TestThirdEndIsTheLast(t *testing.T) {
+// TestNoAttemptAfterThreeServerEnds checks that no attempt is made after servers ended under three
+// attempts, no matter how many of the ends are known from the list.
+func TestNoAttemptAfterThreeServerEnds(t *testing.T) {
 	for listedEnds, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two attempts
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
@@ -99,9 +99,9 @@
 	}
 }
 
-// TestUndecidedWaits checks that a request with three ends waits for the leader's decision and is
-// sent if there is none in time.
-func TestUndecidedWaits(t *testing.T) {
+// TestUndecidedRequestWaitsForDecision checks that a request with three ends waits for the leader's
+// decision and is sent if there is none in time.
+func TestUndecidedRequestWaitsForDecision(t *testing.T) {
 	for _, condemned := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
@@ -117,9 +117,9 @@
 	}
 }
 
-// TestAnswerBeforeTheEndIsKnown checks that a request is not suspected if its second attempt is
-// answered before the first attempt's server is found to have ended.
-func TestAnswerBeforeTheEndIsKnown(t *testing.T) {
+// TestAnsweredRequestIsNotSuspectedLater checks that a request is not suspected if its second
+// attempt is answered before the first attempt's server is found to have ended.
+func TestAnsweredRequestIsNotSuspectedLater(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		is.Equal(x.request("/again/unlucky").status, 200)
@@ -130,9 +130,9 @@
 	}, breaksConnection, answers(200, "done", time.Millisecond))
 }
 
-// TestAloneAGatewayJudges checks that a gateway without a leader refuses a request that it has seen
-// at three ends, and reports all its evidence to the next leader.
-func TestAloneAGatewayJudges(t *testing.T) {
+// TestGatewayWithoutLeaderCondemnsByItsOwnEvidence checks that a gateway without a leader refuses a
+// request that it has seen at three ends, and reports all its evidence to the next leader.
+func TestGatewayWithoutLeaderCondemnsByItsOwnEvidence(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		is.Equal(x.request("/again/fine").status, 502) // all servers break connections
@@ -155,9 +155,9 @@
 	}, breaksConnection, breaksConnection, breaksConnection)
 }
 
-// TestUnreachedSaysNothing checks that attempts that reach no server while one is down do not hide
-// that the rest of the pool answers.
-func TestUnreachedSaysNothing(t *testing.T) {
+// TestUnreachedAttemptsDoNotHideAnswers checks that attempts that reach no server while one is down
+// do not hide that the rest of the pool answers.
+func TestUnreachedAttemptsDoNotHideAnswers(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
 		for range 10 {
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -16,9 +16,10 @@
 
 // This file tests the order of waiting requests and the limits on them.
 
-// TestWaitingGoInOrder fills the only backend server and lets three requests wait. The one from the
-// account that received the least service must go first, whatever the order of arrival.
-func TestWaitingGoInOrder(t *testing.T) {
+// TestWaitingRequestsAreOrderedByService fills the only backend server and lets three requests
+// wait. The one from the account that received the least service must go first, whatever the order
+// of arrival.
+func TestWaitingRequestsAreOrderedByService(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		d := testDocument()
@@ -48,9 +49,9 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestConnectionsAreShared checks that the gateways divide a backend server's connections among
-// them.
-func TestConnectionsAreShared(t *testing.T) {
+// TestConnectionsAreDividedAmongGateways checks that the gateways divide a backend server's
+// connections among them.
+func TestConnectionsAreDividedAmongGateways(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.gatewayCount.Store(45) // this gateway gets two of 100 connections
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -21,9 +21,10 @@
 // This file tests the side effects of attempts in another region and of attempts that stay in their
 // own.
 
-// TestBudgetFollowsWhatWasSent checks that an attempt that reaches no server returns its whole
-// charge to the link budget, and that a large answer is charged in full. A full bucket holds 32 KB.
-func TestBudgetFollowsWhatWasSent(t *testing.T) {
+// TestLinkBudgetIsChargedForBytesSent checks that an attempt that reaches no server returns its
+// whole charge to the link budget, and that a large answer is charged in full. A full bucket holds
+// 32 KB.
+func TestLinkBudgetIsChargedForBytesSent(t *testing.T) {
 	for _, tt := range []struct {
 		behave        behaviour
 		left, notLeft float64
@@ -50,10 +51,10 @@
 	}
 }
 
-// TestOnlyServerOfARegionIsNotAskedAgain checks that the only server of a region does not get a
+// TestOnlyServerOfRegionIsNotRetried checks that the only server of a region does not get a
 // request again while its pool has servers in other regions, even if the link budget admits no
 // crossing.
-func TestOnlyServerOfARegionIsNotAskedAgain(t *testing.T) {
+func TestOnlyServerOfRegionIsNotRetried(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -67,9 +68,9 @@
 	})
 }
 
-// TestWayIsNotLearnedFrom checks that the round trip is not learned from a connection that was
-// already open, nor while the gateway is delayed.
-func TestWayIsNotLearnedFrom(t *testing.T) {
+// TestUnusableRoundTripSamplesAreIgnored checks that the round trip is not learned from a
+// connection that was already open, nor while the gateway is delayed.
+func TestUnusableRoundTripSamplesAreIgnored(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -90,10 +91,10 @@
 	})
 }
 
-// TestHomesOfWhatIsGone checks that the homes from a request's admission apply if its route or
-// account is no longer in the document. If it still is, its current homes apply, even if there are
-// none.
-func TestHomesOfWhatIsGone(t *testing.T) {
+// TestHomesOfRemovedRouteOrAccount checks that the homes from a request's admission apply if its
+// route or account is no longer in the document. If it still is, its current homes apply, even if
+// there are none.
+func TestHomesOfRemovedRouteOrAccount(t *testing.T) {
 	south := []string{"south"}
 	for _, tt := range []struct {
 		name     string
@@ -116,9 +117,9 @@
 	}
 }
 
-// TestHomesAreNotMissed checks that requests that no server can serve because of their homes do not
-// count as missed, since they show no lack of engines.
-func TestHomesAreNotMissed(t *testing.T) {
+// TestRefusalsForHomesAreNotMissed checks that requests that no server can serve because of their
+// homes do not count as missed, since they show no lack of engines.
+func TestRefusalsForHomesAreNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -102,9 +102,9 @@
 	return n
 }
 
-// TestIdleFleetStaysInItsRegion checks that requests to engines and to plain services stay in the
+// TestRequestsStayInIdleRegion checks that requests to engines and to plain services stay in the
 // own region while it is idle, even if a pool has only one server per hall.
-func TestIdleFleetStaysInItsRegion(t *testing.T) {
+func TestRequestsStayInIdleRegion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -125,10 +125,10 @@
 	})
 }
 
-// TestRegionWithoutServers checks that the nearest other region serves if the own region has no
-// servers, servers of unknown region only as the last resort, and that the own region serves again
-// once it has servers.
-func TestRegionWithoutServers(t *testing.T) {
+// TestNearestRegionServesForRegionWithoutServers checks that the nearest other region serves if the
+// own region has no servers, servers of unknown region only as the last resort, and that the own
+// region serves again once it has servers.
+func TestNearestRegionServesForRegionWithoutServers(t *testing.T) {
 	for _, path := range []string{"/again/x", "/engine/x"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
@@ -161,9 +161,9 @@
 	return b.String()
 }
 
-// TestRegionOutOfServiceOrEjected checks that servers of the own region that are out of service or
+// TestUnusableServersCountAsAbsent checks that servers of the own region that are out of service or
 // ejected count as absent.
-func TestRegionOutOfServiceOrEjected(t *testing.T) {
+func TestUnusableServersCountAsAbsent(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -198,10 +198,10 @@
 	})
 }
 
-// TestNoRoomInTheRegion checks a request whose own region has no room: it crosses if another region
-// has room, the round trip fits its objective, and it is within its account's share. Otherwise it
-// waits, and crosses once there is room.
-func TestNoRoomInTheRegion(t *testing.T) {
+// TestRequestCrossesIfRegionHasNoRoom checks a request whose own region has no room: it crosses if
+// another region has room, the round trip fits its objective, and it is within its account's share.
+// Otherwise it waits, and crosses once there is room.
+func TestRequestCrossesIfRegionHasNoRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -247,10 +247,10 @@
 	})
 }
 
-// TestBestEngineIsWaitedFor checks a request whose best engine is full: it neither takes another
-// engine of its region nor leaves the region before it has waited for the time of a round trip. A
-// request with a home keeps waiting in its home.
-func TestBestEngineIsWaitedFor(t *testing.T) {
+// TestRequestWaitsForBestEngine checks a request whose best engine is full: it neither takes
+// another engine of its region nor leaves the region before it has waited for the time of a round
+// trip. A request with a home keeps waiting in its home.
+func TestRequestWaitsForBestEngine(t *testing.T) {
 	for _, home := range []string{"", "north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
@@ -290,10 +290,10 @@
 	}
 }
 
-// TestFloodStaysWithinTheLink offers seven times the load that a region's servers can take, with
-// bodies of 10 KB and a narrow link. It checks that crossing requests stay within the gateway's
-// share of the link and that the rest is refused as not run.
-func TestFloodStaysWithinTheLink(t *testing.T) {
+// TestCrossingFloodStaysWithinLinkShare offers seven times the load that a region's servers can
+// take, with bodies of 10 KB and a narrow link. It checks that crossing requests stay within the
+// gateway's share of the link and that the rest is refused as not run.
+func TestCrossingFloodStaysWithinLinkShare(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -318,17 +318,17 @@
 			})
 		}
 		group.Wait()
-		over := 20_000 * (x.arrivalsIn("s1") + x.arrivalsIn("s2"))
-		x.t.Logf("%.2f of the link, %d refused", float64(over)/span.Seconds()/rate, refused)
-		is.True(over > 0)
-		is.True(float64(over) < 0.35*rate*(span.Seconds()+1)) // one region's share plus the initial bucket
+		crossing := 20_000 * (x.arrivalsIn("s1") + x.arrivalsIn("s2"))
+		x.t.Logf("%.2f of the link, %d refused", float64(crossing)/span.Seconds()/rate, refused)
+		is.True(crossing > 0)
+		is.True(float64(crossing) < 0.35*rate*(span.Seconds()+1)) // one region's share plus the initial bucket
 		is.True(refused > 1000)
 	})
 }
 
-// TestConnectionsTellOfTheLink checks that the round trip is learned from new connections to
-// another region, and that a connection that takes much longer to open stops optional crossings.
-func TestConnectionsTellOfTheLink(t *testing.T) {
+// TestRoundTripIsLearnedFromConnections checks that the round trip is learned from new connections
+// to another region, and that a connection that takes much longer to open stops optional crossings.
+func TestRoundTripIsLearnedFromConnections(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -350,9 +350,9 @@
 	})
 }
 
-// TestPartsFollowTheList checks that each server is in the list of its region after any sequence of
-// changes.
-func TestPartsFollowTheList(t *testing.T) {
+// TestServersAreGroupedByRegion checks that each server is in the list of its region after any
+// sequence of changes.
+func TestServersAreGroupedByRegion(t *testing.T) {
 	is := is.New(t)
 	table := newTable("g", "n1", monotonic())
 	fleet, err := topology.New(map[string]string{"n1": "north", "s1": "south"})
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -35,9 +35,9 @@
 	x.g.table.update(m)
 }
 
-// TestTrialInEachRegion checks that each region has its own trial servers, so that no request
-// crosses regions for a trial.
-func TestTrialInEachRegion(t *testing.T) {
+// TestEachRegionHasTrialServers checks that each region has its own trial servers, so that no
+// request crosses regions for a trial.
+func TestEachRegionHasTrialServers(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -58,9 +58,9 @@
 	})
 }
 
-// TestHomeWithoutTheOldVersion checks that servers of the target serve a request whose homes have
-// no others.
-func TestHomeWithoutTheOldVersion(t *testing.T) {
+// TestTargetServesHomeWithoutOldVersion checks that servers of the target serve a request whose
+// homes have no others.
+func TestTargetServesHomeWithoutOldVersion(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestLinkKeepsFromTheTarget checks that after the switch, requests that the link budget does not
-// admit go to the old version in the own region instead of being refused.
-func TestLinkKeepsFromTheTarget(t *testing.T) {
+// TestOldVersionServesIfLinkBudgetExcludesTarget checks that after the switch, requests that the
+// link budget does not admit go to the old version in the own region instead of being refused.
+func TestOldVersionServesIfLinkBudgetExcludesTarget(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -98,9 +98,9 @@
 	})
 }
 
-// TestHomeServesWhatItsAccountIsOwed checks that a request within its account's share takes any
-// engine of its home, in the own region or another, rather than being refused.
-func TestHomeServesWhatItsAccountIsOwed(t *testing.T) {
+// TestCoveredRequestTakesAnyEngineOfItsHome checks that a request within its account's share takes
+// any engine of its home, in the own region or another, rather than being refused.
+func TestCoveredRequestTakesAnyEngineOfItsHome(t *testing.T) {
 	for _, home := range []string{"north", "south"} {
 		withGateway(t, func(x *fixture) {
 			x.joinNorthRegion()
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestServerMovesToAnotherRegion checks that an attempt is counted for the region in which its
-// server was when the attempt started.
-func TestServerMovesToAnotherRegion(t *testing.T) {
+// TestAttemptCountsForServersRegionAtStart checks that an attempt is counted for the region in
+// which its server was when the attempt started.
+func TestAttemptCountsForServersRegionAtStart(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -133,9 +133,9 @@
 	})
 }
 
-// TestWhatWasNotSentIsNotCounted checks that an attempt that reaches no server does not count as
-// bytes on the link.
-func TestWhatWasNotSentIsNotCounted(t *testing.T) {
+// TestUnsentAttemptCountsNoLinkBytes checks that an attempt that reaches no server does not count
+// as bytes on the link.
+func TestUnsentAttemptCountsNoLinkBytes(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
@@ -146,9 +146,9 @@
 	})
 }
 
-// TestShareOfTheLink checks that the gateways of a region together do not use more than the
+// TestLinkShareOfGateway checks that the gateways of a region together do not use more than the
 // region's share, also if the gateways cannot be divided evenly among the regions.
-func TestShareOfTheLink(t *testing.T) {
+func TestLinkShareOfGateway(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct{ gateways, regions, each int }{
 		{1, 2, 1}, {2, 2, 1}, {3, 2, 2}, {44, 2, 22}, {45, 2, 23}, {10, 3, 4}, {5, 0, 5},
@@ -158,10 +158,10 @@
 	}
 }
 
-// TestHomeOfTheOldVersionAfterTheSwitch checks that after the switch, all engines of a home that
-// only has the old version serve requests within the account's share, also those that are not the
-// best choice.
-func TestHomeOfTheOldVersionAfterTheSwitch(t *testing.T) {
+// TestCoveredRequestTakesAnyOldEngineAfterSwitch checks that after the switch, all engines of a
+// home that only has the old version serve requests within the account's share, also those that are
+// not the best choice.
+func TestCoveredRequestTakesAnyOldEngineAfterSwitch(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		x.joinNorthRegion()
 		x.g.apply(homesDocument(4, nil, []string{"north"}))
@@ -198,9 +198,10 @@
 	is.Equal(x.arrivalsIn(region), 2)
 }
 
-// TestEjectedRegionComesAfterOneWithoutRoom checks that a request that must leave its region waits
-// for a healthy server in a distant region rather than go to an ejected one in a nearer region.
-func TestEjectedRegionComesAfterOneWithoutRoom(t *testing.T) {
+// TestHealthyFullRegionIsPreferredToEjectedOne checks that a request that must leave its region
+// waits for a healthy server in a distant region rather than go to an ejected one in a nearer
+// region.
+func TestHealthyFullRegionIsPreferredToEjectedOne(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -17,8 +17,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests whether the caller or the server is blamed for an answer that did not reach its
-// caller.
+// This file tests to which side, the caller or the server, the gateway attributes an answer that did
+// not reach its caller.
 
 // brokenCaller is a caller whose connection accepts some writes and then fails, while the request's
 // context stays alive.
@@ -49,13 +49,13 @@
 	x.g.ServeHTTP(w, r)
 }
 
-// TestFailedRelayNamesItsCause checks that a failed write is attributed to the caller and ejects no
+// TestRelayFailureIsAttributed checks that a failed write is attributed to the caller and ejects no
 // server, and that an oversized event and a cut-off answer are attributed to the server.
-func TestFailedRelayNamesItsCause(t *testing.T) {
+func TestRelayFailureIsAttributed(t *testing.T) {
 	large := answers(200, strings.Repeat("x", 2*maxHeldAnswer), 0)
 	for _, tt := range []struct {
 		name, path, cause string
-		takes             int
+		writes            int // that the caller accepts
 		behave            behaviour
 		ejects            bool
 	}{
@@ -70,7 +70,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				for range 5 { // enough failures to eject a server
-					x.requestInto(tt.path, &brokenCaller{ResponseRecorder: httptest.NewRecorder(), writesLeft: tt.takes})
+					x.requestInto(tt.path, &brokenCaller{ResponseRecorder: httptest.NewRecorder(), writesLeft: tt.writes})
 				}
 				failed := func(cause string) uint64 {
 					name := fmt.Sprintf("badgerspoke_gateway_attempts_failed_total{cause=%q}", cause)
--- a/gateway/rollout_switch_test.go
+++ b/gateway/rollout_switch_test.go
@@ -14,9 +14,9 @@
 // This file tests what a gateway does after the switch of a rollout, and with a verdict that may be
 // missing from the replicated log.
 
-// TestRequestsMoveToEngines checks that requests move gradually to engines of the target after the
-// switch, and at once to a plain service.
-func TestRequestsMoveToEngines(t *testing.T) {
+// TestRequestsMoveGraduallyToEngines checks that requests move gradually to engines of the target
+// after the switch, and at once to a plain service.
+func TestRequestsMoveGraduallyToEngines(t *testing.T) {
 	is := is.New(t)
 	p := &pool{}
 	p.applyRollout(time.Second, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.04})
@@ -30,10 +30,10 @@
 	is.True(!r.isRamping(10*time.Second + switchDuration))
 }
 
-// TestFinalShareStays checks that once the rollout is about to be reported complete, the target
-// gets all requests even without a session, since the old servers may stop, until another list says
-// otherwise.
-func TestFinalShareStays(t *testing.T) {
+// TestFinalShareStaysWithoutSession checks that once the rollout is about to be reported complete,
+// the target gets all requests even without a session, since the old servers may stop, until
+// another list says otherwise.
+func TestFinalShareStaysWithoutSession(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
@@ -48,11 +48,11 @@
 	}, oldAndNew...)
 }
 
-// TestNextLeaderLearnsWhyAVersionIsBarred checks that outcomes are reported again to a new leader.
+// TestOutcomesAreReportedAgainToNextLeader checks that outcomes are reported again to a new leader.
 // A verdict that is not yet in the replicated log is lost with its leader, and the next one must
 // see its evidence again: otherwise it would take the absence of requests for the absence of
 // failures.
-func TestNextLeaderLearnsWhyAVersionIsBarred(t *testing.T) {
+func TestOutcomesAreReportedAgainToNextLeader(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.cycleDraws()
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -22,9 +22,9 @@
 
 // This file tests how room on backend servers is divided, and which requests wait or are refused.
 
-// TestRoomIsShared occupies every slot. One more request waits for its part of the objective and is
-// refused; a later one that finds room in time is served.
-func TestRoomIsShared(t *testing.T) {
+// TestRequestWaitsForRoom occupies every slot. One more request waits for its part of the objective
+// and is refused; a later one that finds room in time is served.
+func TestRequestWaitsForRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
@@ -43,8 +43,9 @@
 	}, answers(200, "fine", 500*time.Millisecond))
 }
 
-// TestOthersLoadCounts checks that load from other gateways reduces the room on a server.
-func TestOthersLoadCounts(t *testing.T) {
+// TestLoadFromOtherGatewaysReducesRoom checks that load from other gateways reduces the room on a
+// server.
+func TestLoadFromOtherGatewaysReducesRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 50, Requests: 8}})
@@ -54,11 +55,11 @@
 	}, answers(200, "fine", 0))
 }
 
-// TestWhatComesBackLateGoesLast checks how requests are treated whose callers have less time left
+// TestLateRetriesAreServedLast checks how requests are treated whose callers have less time left
 // than any first attempt on their route, which shows that they are retries. Those of an account
 // beyond its share get only the capacity that others leave. Those of an account within its share
 // are served normally and show how long callers wait. Both are reported as late.
-func TestWhatComesBackLateGoesLast(t *testing.T) {
+func TestLateRetriesAreServedLast(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -89,10 +90,10 @@
 	})
 }
 
-// TestOthersAreTheSumLessThisGateway checks that the load of other gateways is the total minus this
-// gateway's own report. Totals may include an older report than the last one, and only changed
+// TestOthersLoadIsTotalMinusOwnReport checks that the load of other gateways is the total minus
+// this gateway's own report. Totals may include an older report than the last one, and only changed
 // totals are sent.
-func TestOthersAreTheSumLessThisGateway(t *testing.T) {
+func TestOthersLoadIsTotalMinusOwnReport(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", hangs, hangs)
@@ -124,10 +125,10 @@
 	})
 }
 
-// TestBeyondTheShareWaitsForIdleEngines gives an account a tenth of its demand. While the engine
-// has a backlog, nine in ten of its requests are refused with 429, and the other account's requests
-// are served.
-func TestBeyondTheShareWaitsForIdleEngines(t *testing.T) {
+// TestRequestsBeyondShareAreRefusedByBusyEngine gives an account a tenth of its demand. While the
+// engine has a backlog, nine in ten of its requests are refused with 429, and the other account's
+// requests are served.
+func TestRequestsBeyondShareAreRefusedByBusyEngine(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -148,9 +149,9 @@
 	})
 }
 
-// TestNobodyWaitsWhileEnginesAreIdle checks that requests beyond a share are served at once if
-// engines are idle.
-func TestNobodyWaitsWhileEnginesAreIdle(t *testing.T) {
+// TestRequestsBeyondShareAreServedByIdleEngine checks that requests beyond a share are served at
+// once if engines are idle.
+func TestRequestsBeyondShareAreServedByIdleEngine(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -176,8 +177,8 @@
 	})
 }
 
-// sharedPartRankedLastBy returns the name of a shared part for which the engine of that number ranks
-// last, so that a request with it goes to the other engines first.
+// sharedPartRankedLastBy returns the name of a shared part for which the engine with number last ranks
+// last, so that a request with this part goes to the other two engines first.
 func sharedPartRankedLastBy(x *fixture, last int) string {
 	var servers []place.Server
 	for i := range 3 {
@@ -198,9 +199,9 @@
 	}
 }
 
-// TestWhatGetsNoAnswerIsNotServed checks that requests are deducted from the started ones if no
-// engine was reachable or the caller left before the answer.
-func TestWhatGetsNoAnswerIsNotServed(t *testing.T) {
+// TestRequestWithoutAnswerIsNotCountedAsStarted checks that requests are deducted from the started
+// ones if no engine was reachable or the caller left before the answer.
+func TestRequestWithoutAnswerIsNotCountedAsStarted(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", fails(forward.NotRun{Err: errReset}))
@@ -215,9 +216,9 @@
 	})
 }
 
-// TestNothingRunsForACallerThatHasLeft checks that no attempt is made for a caller that closed its
+// TestNoAttemptForCallerThatHasLeft checks that no attempt is made for a caller that closed its
 // connection before its request was read. net/http may notice that later.
-func TestNothingRunsForACallerThatHasLeft(t *testing.T) {
+func TestNoAttemptForCallerThatHasLeft(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -231,9 +232,9 @@
 	})
 }
 
-// TestReportSaysWhoWasServed checks that a report with started tokens names their accounts, even
+// TestReportNamesServedAccounts checks that a report with started tokens names their accounts, even
 // after deductions. The leader would take a report that doesn't for one of an older gateway.
-func TestReportSaysWhoWasServed(t *testing.T) {
+func TestReportNamesServedAccounts(t *testing.T) {
 	is := is.New(t)
 	a := newAccounts(func() time.Duration { return time.Second })
 	a.countStarted("a", 100)
@@ -251,9 +252,9 @@
 	is.Equal(u.Served, []protocol.Demand{{Account: "b", Tokens: 20}})
 }
 
-// TestRefusalsOfThisGatewayAreMissed checks that requests refused for lack of memory for bodies, or
-// because the gateway is stopping, count as missed, like requests that find no engine.
-func TestRefusalsOfThisGatewayAreMissed(t *testing.T) {
+// TestRefusalsForLackOfGatewayCapacityAreMissed checks that requests refused for lack of memory for
+// bodies, or because the gateway is stopping, count as missed, like requests that find no engine.
+func TestRefusalsForLackOfGatewayCapacityAreMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.bodyBytes.Store(x.g.cfg.MaxTotalBodyBytes)
@@ -267,9 +268,9 @@
 	})
 }
 
-// TestExtraWithoutRoomIsNotMissed checks that a request beyond the named shares does not count as
-// missed if no engine has room, but does if this gateway lacks memory.
-func TestExtraWithoutRoomIsNotMissed(t *testing.T) {
+// TestRequestBeyondShareWithoutRoomIsNotMissed checks that a request beyond the named shares does
+// not count as missed if no engine has room, but does if this gateway lacks memory.
+func TestRequestBeyondShareWithoutRoomIsNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -283,9 +284,9 @@
 	})
 }
 
-// TestOnlyBackendIsUnreachable checks that the attempts at a single dead address are limited,
+// TestAttemptsAtOnlyServerAreLimited checks that the attempts at a single dead address are limited,
 // however long the caller waits.
-func TestOnlyBackendIsUnreachable(t *testing.T) {
+func TestAttemptsAtOnlyServerAreLimited(t *testing.T) {
 	refusing := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		time.Sleep(time.Millisecond)
 		return nil, forward.NotRun{Err: errReset}
@@ -299,10 +300,10 @@
 	}, refusing)
 }
 
-// TestCoveredTenantIsServedElsewhere fills the engine that holds a prompt's shared parts. Requests
-// of an account beyond its share wait and are refused; those of other accounts go to another engine
-// in the end.
-func TestCoveredTenantIsServedElsewhere(t *testing.T) {
+// TestCoveredRequestIsServedByAnotherEngine fills the engine that holds a prompt's shared parts.
+// Requests of an account beyond its share wait and are refused; those of other accounts go to
+// another engine in the end.
+func TestCoveredRequestIsServedByAnotherEngine(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		served := streams(piece{text: event(1)})
@@ -311,8 +312,8 @@
 		before := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(before.status, 200)
 		is.Equal(before.took, time.Duration(0))
-		keeps := x.g.table.servers[x.servers.arrivals[0].Header.Get("Backend")]
-		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: keeps.Handle, Requests: 1, Tokens: 25_000}})
+		cached := x.g.table.servers[x.servers.arrivals[0].Header.Get("Backend")]
+		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: cached.Handle, Requests: 1, Tokens: 25_000}})
 
 		refused := x.request("/engine/x", "Tokens", "100", "Shared", "a")
 		is.Equal(refused.status, 503)
@@ -320,13 +321,13 @@
 		got := x.request("/engine/x", "Tokens", "100", "Shared", "a", "Key", "other")
 		is.Equal(got.status, 200)
 		is.Equal(got.took, 224*time.Millisecond)
-		is.True(x.servers.arrivals[1].Header.Get("Backend") != keeps.ID)
+		is.True(x.servers.arrivals[1].Header.Get("Backend") != cached.ID)
 	})
 }
 
-// TestCoveredTenantHasMoreRoom checks that an engine whose backlog takes a third of the objective
+// TestCoveredRequestHasMoreRoom checks that an engine whose backlog takes a third of the objective
 // accepts requests of an account within its share at once, and none of an account beyond it.
-func TestCoveredTenantHasMoreRoom(t *testing.T) {
+func TestCoveredRequestHasMoreRoom(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
@@ -339,9 +340,10 @@
 	})
 }
 
-// TestShortFleetLetsNobodyBeyond checks that requests beyond the extra share are refused although
-// engines are idle here, because requests within a share wait elsewhere in the fleet.
-func TestShortFleetLetsNobodyBeyond(t *testing.T) {
+// TestShortFleetRefusesRequestsBeyondExtraShare checks that requests beyond the extra share are
+// refused although engines are idle here, because requests within a share wait elsewhere in the
+// fleet.
+func TestShortFleetRefusesRequestsBeyondExtraShare(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -51,8 +51,8 @@
 	return text
 }
 
-// TestStreamIsPassedOn checks that a whole stream reaches its caller with the server's header.
-func TestStreamIsPassedOn(t *testing.T) {
+// TestStreamIsRelayed checks that a whole stream reaches its caller with the server's header.
+func TestStreamIsRelayed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.request("/stream/x")
@@ -63,9 +63,9 @@
 	}, resuming(5, 0, nil))
 }
 
-// TestBrokenStreamIsTakenUp breaks a stream in the middle of an event and checks that the second
+// TestBrokenStreamIsResumed breaks a stream in the middle of an event and checks that the second
 // backend server continues after the last whole event.
-func TestBrokenStreamIsTakenUp(t *testing.T) {
+func TestBrokenStreamIsResumed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
@@ -76,8 +76,9 @@
 	})
 }
 
-// TestStreamThatEndsInsideAnEventIsBroken: an end inside an event counts as broken, also without an error.
-func TestStreamThatEndsInsideAnEventIsBroken(t *testing.T) {
+// TestStreamEndingInsideAnEventIsResumed checks that a stream whose body ends inside an event
+// counts as broken and is resumed, even if reading it returns no error but io.EOF.
+func TestStreamEndingInsideAnEventIsResumed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{resuming(6, 3, io.EOF), resuming(6, 0, nil)})
@@ -86,9 +87,9 @@
 	})
 }
 
-// TestStreamThatMayNotRunAgainIsCut checks that a broken stream that is not resumable is visibly
+// TestNonResumableStreamIsCutOff checks that a broken stream that is not resumable is visibly
 // cut off for its caller and reaches no other backend server.
-func TestStreamThatMayNotRunAgainIsCut(t *testing.T) {
+func TestNonResumableStreamIsCutOff(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{resuming(6, 3, errReset), resuming(6, 0, nil)})
@@ -99,9 +100,9 @@
 	})
 }
 
-// TestBrokenStreamWithNobodyLeftIsCut checks that the gateway writes no answer of its own into a
-// stream that has begun.
-func TestBrokenStreamWithNobodyLeftIsCut(t *testing.T) {
+// TestBrokenStreamWithoutOtherServerIsCutOff checks that the gateway writes no answer of its own
+// into a stream that has begun.
+func TestBrokenStreamWithoutOtherServerIsCutOff(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{resuming(6, 3, errReset), fails(forward.NotRun{Err: errReset})})
@@ -111,9 +112,9 @@
 	})
 }
 
-// TestBrokenStreamGoesOnAtItsOnlyBackend checks that a broken stream resumes at the same backend
+// TestBrokenStreamResumesAtOnlyServer checks that a broken stream resumes at the same backend
 // server if there is no other.
-func TestBrokenStreamGoesOnAtItsOnlyBackend(t *testing.T) {
+func TestBrokenStreamResumesAtOnlyServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.request("/resume/x")
@@ -122,8 +123,9 @@
 	}, resuming(6, 3, errReset))
 }
 
-// TestStreamBreaksAgain checks that a stream is cut off when its last attempt breaks as well.
-func TestStreamBreaksAgain(t *testing.T) {
+// TestStreamIsCutOffAfterLastAttempt checks that a stream is cut off when its last attempt breaks
+// as well.
+func TestStreamIsCutOffAfterLastAttempt(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceInOrder([]behaviour{resuming(9, 2, errReset), resuming(9, 4, errReset), resuming(9, 0, nil)})
@@ -134,9 +136,9 @@
 	})
 }
 
-// TestSilentStreamIsTakenUp checks that a stream is resumed elsewhere if its backend server stalls
-// without closing the connection.
-func TestSilentStreamIsTakenUp(t *testing.T) {
+// TestStalledStreamIsResumedElsewhere checks that a stream is resumed elsewhere if its backend
+// server stalls without closing the connection.
+func TestStalledStreamIsResumedElsewhere(t *testing.T) {
 	silent := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return streams(piece{text: event(1)}, piece{text: event(2), after: time.Hour})(ctx, call)
 	}
@@ -149,9 +151,9 @@
 	})
 }
 
-// TestPausingStreamIsNotCut checks that a pause does not end a stream that no other backend server
-// may resume, because it is not resumable or because all attempts are used.
-func TestPausingStreamIsNotCut(t *testing.T) {
+// TestPauseDoesNotEndStreamThatCannotResume checks that a pause does not end a stream that no other
+// backend server may resume, because it is not resumable or because all attempts are used.
+func TestPauseDoesNotEndStreamThatCannotResume(t *testing.T) {
 	pausing := streams(piece{text: event(1)}, piece{text: event(2), after: 1500 * time.Millisecond})
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -171,8 +173,8 @@
 	})
 }
 
-// TestRouteTimeEndsAStream checks that a stream that exceeds its route's timeout is cut off.
-func TestRouteTimeEndsAStream(t *testing.T) {
+// TestRouteTimeoutCutsOffStream checks that a stream that exceeds its route's timeout is cut off.
+func TestRouteTimeoutCutsOffStream(t *testing.T) {
 	endless := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		return resuming(1000, 0, nil)(ctx, call)
 	}
@@ -184,9 +186,9 @@
 	}, endless)
 }
 
-// TestCallerTakesUpItsOwnStream checks that the position from which a caller resumes its stream is
+// TestCallerResumesStream checks that the position from which a caller resumes its stream is
 // passed on to the backend server.
-func TestCallerTakesUpItsOwnStream(t *testing.T) {
+func TestCallerResumesStream(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		got := x.request("/resume/x", "After", "3")
@@ -194,8 +196,9 @@
 	}, resuming(5, 0, nil))
 }
 
-// TestEventsInOddPieces checks that the relayed bytes do not depend on how the events are split.
-func TestEventsInOddPieces(t *testing.T) {
+// TestRelayedStreamIsIndependentOfChunks checks that the relayed bytes do not depend on how the
+// events are split.
+func TestRelayedStreamIsIndependentOfChunks(t *testing.T) {
 	whole := wholeStream(4)
 	var pieces []piece
 	for i := 0; i < len(whole); i += 7 {
@@ -249,9 +252,9 @@
 	return func() { close(stop); <-stopped }
 }
 
-// TestLateGatewayDoesNotTakeABackendForSilent checks that a stalled backend server is abandoned for
+// TestDelayedGatewayDoesNotAbandonSlowServer checks that a stalled backend server is abandoned for
 // another one, but not by a gateway that is delayed itself and may not have read what has arrived.
-func TestLateGatewayDoesNotTakeABackendForSilent(t *testing.T) {
+func TestDelayedGatewayDoesNotAbandonSlowServer(t *testing.T) {
 	const begins = 1500 * time.Millisecond // longer than the stall timeout
 	slow := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
 		if !sleep.For(ctx, begins) {
@@ -277,9 +280,9 @@
 	}
 }
 
-// TestUnderPressureEventsAreGathered checks that a gateway under processor pressure relays the same
-// bytes with fewer reads, and one without pressure reads each event by itself.
-func TestUnderPressureEventsAreGathered(t *testing.T) {
+// TestOverloadedGatewayCoalescesEvents checks that a gateway under processor pressure relays the
+// same bytes with fewer reads, and one without pressure reads each event by itself.
+func TestOverloadedGatewayCoalescesEvents(t *testing.T) {
 	for _, pressed := range []bool{false, true} {
 		var body *timedBody
 		behave := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
@@ -305,7 +308,7 @@
 	}
 }
 
-func TestLastID(t *testing.T) {
+func TestParseLastEventID(t *testing.T) {
 	for _, tt := range []struct {
 		events, want string
 		ok           bool
@@ -334,10 +337,10 @@
 	return reply{status: w.Code, header: w.Result().Header, body: w.Body.String()}
 }
 
-// TestSilentConnectionsEjectNobody makes the kept connections to both servers go silent. Their
-// streams must resume elsewhere, no server may be ejected, and the idle connections must be
+// TestSilentIdleConnectionsEjectNoServer makes the kept connections to both servers go silent.
+// Their streams must resume elsewhere, no server may be ejected, and the idle connections must be
 // dropped. If new connections are silent too, the server must be ejected.
-func TestSilentConnectionsEjectNobody(t *testing.T) {
+func TestSilentIdleConnectionsEjectNoServer(t *testing.T) {
 	var x *fixture
 	openedAt, silent := time.Time{}, false
 	onKeptConn := func(behave behaviour) behaviour {
@@ -380,9 +383,9 @@
 	}, onKeptConn(resuming(5, 0, nil)), onKeptConn(resuming(5, 0, nil)))
 }
 
-// TestRequestThatMayNotRunAgainOnASilentConnection checks that such a request waits until its
+// TestTimeoutOnSilentConnectionDropsIdleConnections checks that such a request waits until its
 // timeout, since a slow server looks the same, but that the next one is sent on a new connection.
-func TestRequestThatMayNotRunAgainOnASilentConnection(t *testing.T) {
+func TestTimeoutOnSilentConnectionDropsIdleConnections(t *testing.T) {
 	openedAt := time.Time{}
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/gateway/unreached_test.go
+++ b/gateway/unreached_test.go
@@ -35,9 +35,10 @@
 	}
 }
 
-// TestOneServerIsGone checks that attempts at one unreachable server of several do not count as
-// failures of the version, and that attempts at two unreachable ones, or at the only one, do.
-func TestOneServerIsGone(t *testing.T) {
+// TestOneUnreachableServerIsNoVersionFailure checks that attempts at one unreachable server of
+// several do not count as failures of the version, and that attempts at two unreachable ones, or at
+// the only one, do.
+func TestOneUnreachableServerIsNoVersionFailure(t *testing.T) {
 	unreachable, fine := fails(forward.NotRun{Err: errReset}), answers(200, "new", time.Millisecond)
 	old := answers(200, "old", time.Millisecond)
 	for _, tt := range []struct {
@@ -60,9 +61,9 @@
 	}
 }
 
-// TestUnreachedThatAnswers checks that attempts count as failed if a server refuses some
-// connections and answers others, but not if it has restarted.
-func TestUnreachedThatAnswers(t *testing.T) {
+// TestUnreachableServerThatAnswersCountsAsFailed checks that attempts count as failed if a server
+// refuses some connections and answers others, but not if it has restarted.
+func TestUnreachableServerThatAnswersCountsAsFailed(t *testing.T) {
 	is := is.New(t)
 	c := &tally{}
 	u := unreached{}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -66,10 +66,10 @@
 
 var oldAndNew = []behaviour{answers(200, "old", time.Millisecond), answers(200, "new", time.Millisecond)}
 
-// TestShareNeedsALease checks that the target gets its share only while the leader counts this
+// TestTargetShareNeedsLease checks that the target gets its share only while the leader counts this
 // gateway's reports. Otherwise the old version gets all requests, and the target only if there is
 // no other.
-func TestShareNeedsALease(t *testing.T) {
+func TestTargetShareNeedsLease(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.cycleDraws()
@@ -94,8 +94,8 @@
 	}, oldAndNew...)
 }
 
-// TestSharesByRoute checks that a route may have its own share.
-func TestSharesByRoute(t *testing.T) {
+// TestRouteShareOverridesPoolShare checks that a route may have its own share.
+func TestRouteShareOverridesPoolShare(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.cycleDraws()
@@ -107,9 +107,9 @@
 	}, oldAndNew...)
 }
 
-// TestBarredVersionGetsNothing checks that a barred version stays barred, also if a later leader's
-// list lacks the verdict, until the log has the attempt's end or another attempt starts.
-func TestBarredVersionGetsNothing(t *testing.T) {
+// TestBarredVersionGetsNoRequests checks that a barred version stays barred, also if a later
+// leader's list lacks the verdict, until the log has the attempt's end or another attempt starts.
+func TestBarredVersionGetsNoRequests(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.cycleDraws()
@@ -136,9 +136,9 @@
 	}, oldAndNew...)
 }
 
-// TestReplacedVersion checks that a replaced version gets requests only if all other versions are
-// barred.
-func TestReplacedVersion(t *testing.T) {
+// TestReplacedVersionServesOnlyIfOthersAreBarred checks that a replaced version gets requests only
+// if all other versions are barred.
+func TestReplacedVersionServesOnlyIfOthersAreBarred(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
@@ -151,9 +151,9 @@
 	}, oldAndNew...)
 }
 
-// TestLastOldServerTurnsOut checks that the target gets all requests once the last old server is
-// found to be another one, as without any old server.
-func TestLastOldServerTurnsOut(t *testing.T) {
+// TestTargetServesAfterLastOldServerIsMisdirected checks that the target gets all requests once the
+// address of the last old server turns out to belong to another server.
+func TestTargetServesAfterLastOldServerIsMisdirected(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
@@ -164,9 +164,9 @@
 	}, oldAndNew...)
 }
 
-// TestObeyed checks that a list is reported as obeyed only while its shares are in force and
-// nothing keeps requests from the target. Otherwise the old servers are still needed.
-func TestObeyed(t *testing.T) {
+// TestObeyedListNumber checks that a list is reported as obeyed only while its shares are in force
+// and nothing keeps requests from the target. Otherwise the old servers are still needed.
+func TestObeyedListNumber(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		obeyed := func() uint64 {
@@ -249,22 +249,22 @@
 	}, oldAndNew...)
 }
 
-// TestOwnMistrust checks that consecutive bad answers of the target stop requests to it for a
-// while.
-func TestOwnMistrust(t *testing.T) {
+// TestBreakerOpensAfterTargetFailures checks that consecutive bad answers of the target stop
+// requests to it for a while.
+func TestBreakerOpensAfterTargetFailures(t *testing.T) {
 	is := is.New(t)
-	m := breaker{}
+	b := breaker{}
 	for range breakerThreshold {
-		is.True(!m.isOpen(time.Second))
-		m = m.withAnswer(time.Second, true, true)
+		is.True(!b.isOpen(time.Second))
+		b = b.withAnswer(time.Second, true, true)
 	}
-	is.True(m.isOpen(time.Second))
-	is.True(!m.isOpen(time.Second + breakerOpenTime))
-	m = breaker{}.withAnswer(0, false, true) // the old version's answers are bad as well
+	is.True(b.isOpen(time.Second))
+	is.True(!b.isOpen(time.Second + breakerOpenTime))
+	b = breaker{}.withAnswer(0, false, true) // the old version's answers are bad as well
 	for range 2 * breakerThreshold {
-		m = m.withAnswer(time.Second, true, true)
+		b = b.withAnswer(time.Second, true, true)
 	}
-	is.True(!m.isOpen(time.Second))
+	is.True(!b.isOpen(time.Second))
 }
 
 // TestTrialServers checks that the number of trial servers is the share of all, rounded up, that
@@ -301,9 +301,9 @@
 	}
 }
 
-// TestTargetWithoutUse checks that after the switch the old version gets requests only if no server
-// of the target is usable.
-func TestTargetWithoutUse(t *testing.T) {
+// TestOldVersionServesIfTargetIsUnusable checks that after the switch the old version gets requests
+// only if no server of the target is usable.
+func TestOldVersionServesIfTargetIsUnusable(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
@@ -317,9 +317,10 @@
 	}, oldAndNew...)
 }
 
-// TestColdTarget checks that a cold server of the target gets no more than its share as a cold
-// server, that the remaining requests go to the old version, and that no pace is counted for it.
-func TestColdTarget(t *testing.T) {
+// TestColdTargetServerKeepsToItsColdShare checks that a cold server of the target gets no more than
+// its share as a cold server, that the remaining requests go to the old version, and that no pace
+// is counted for it.
+func TestColdTargetServerKeepsToItsColdShare(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
@@ -337,10 +338,10 @@
 	}, oldAndNew...)
 }
 
-// TestOutcomesAreTotals checks that each report has the outcomes that have changed, and the first
-// one of a session all. An answer that had not begun at its timeout counts with that time as its
-// pace.
-func TestOutcomesAreTotals(t *testing.T) {
+// TestReportedOutcomesAreCumulative checks that each report has the outcomes that have changed, and
+// the first one of a session all. An answer that had not begun at its timeout counts with that time
+// as its pace.
+func TestReportedOutcomesAreCumulative(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -19,7 +19,7 @@
 // This file tests where the watcher looks for the leader. Sessions are tested with real
 // directories, in package directory.
 
-func TestCandidates(t *testing.T) {
+func TestDialOrder(t *testing.T) {
 	is := is.New(t)
 	is.Equal(candidates(nil, []string{"s", "t"}), []string{"s", "t"})
 	is.Equal(candidates([]string{"a", "s"}, []string{"s", "t"}), []string{"a", "s", "t"}) // each address once
@@ -35,9 +35,9 @@
 	is.Equal([]string{w.next(), w.next()}, []string{"l", "t"}) // a redirect is tried first, and once
 }
 
-// TestNewLeadersListIsKeptOut checks that a leader that does not have enough reports yet does not
-// replace the previous leader's list of entitlements, nor its bound.
-func TestNewLeadersListIsKeptOut(t *testing.T) {
+// TestIncompleteEntitlementsAreIgnored checks that a leader that does not have enough reports yet
+// does not replace the previous leader's list of entitlements, nor its bound.
+func TestIncompleteEntitlementsAreIgnored(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		w := &watcher{g: x.g}
