--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -68,5 +68,5 @@
 	if role == platform.DirectoryRole {
 		return process.Directory(ctx, cfg, reloads, platform.NewAPI(cfg.API), log, metricSet)
 	}
-	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{Log: log}, platform.Refused, log, metricSet)
+	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{Log: log}, platform.IsRefusal, log, metricSet)
 }
