--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -53,21 +53,22 @@
 	// With a high scheduling delay, the gateway would attribute its own delay to the servers.
 	if !g.overload.Load().Late(g.now()) {
 		ratio := p.placer.ObserveTimeToFirst(engine, a.tokensToRead+a.tokensAhead, max(a.timeToFirst-a.roundTrip, 0))
-		a.entry.pace.Observe(ratio)
-		p.markPaced(a.entry)
+		a.entry.latencyRatio.Observe(ratio)
+		p.markMeasured(a.entry)
 		a.countPace(g.now(), ratio)
 	}
 }
 
-// markPaced records that a server has a pace, unless it has left the pool. The caller holds mu.
-func (p *pool) markPaced(k *knownServer) {
-	if !k.pace.Reliable() || k.removed {
+// markMeasured records that a server has a reliable latency ratio, unless it has left the pool. The
+// caller holds mu.
+func (p *pool) markMeasured(k *knownServer) {
+	if !k.latencyRatio.Reliable() || k.removed {
 		return
 	}
-	if p.paced == nil {
-		p.paced = map[*knownServer]bool{}
+	if p.measured == nil {
+		p.measured = map[*knownServer]bool{}
 	}
-	p.paced[k] = true
+	p.measured[k] = true
 }
 
 // silentVerdict returns the verdict for an attempt that ended because its backend server sent
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -56,7 +56,7 @@
 	serverRequests int
 	serverTokens   int
 	slowness       float64
-	learned        place.Estimates
+	estimates      place.Estimates
 	loadAge        time.Duration // age of the data on other gateways' load
 	hallsOut       []string      // halls out of service, if they hold all servers of the pool
 	homesCause     Cause         // set if the homes exclude every server
@@ -100,7 +100,7 @@
 		k := p.servers[choice.Index]
 		return nil, shortage{
 			serverID: k.ID, bound: choice.Bound, serverRequests: choice.Before.Requests, serverTokens: choice.Before.Tokens,
-			slowness: choice.Slowness, learned: p.placer.Estimates(), loadAge: now - t.othersUpdatedAt,
+			slowness: choice.Slowness, estimates: p.placer.Estimates(), loadAge: now - t.othersUpdatedAt,
 			stayReason: leave.stayReason,
 		}, true
 	}
@@ -122,9 +122,9 @@
 	return slices.Sorted(maps.Keys(t.hallsOut))
 }
 
-// acquireWithRoom assigns the most suitable of the backend servers that have room, or returns nil.
-// The caller holds mu.
-func (t *table) acquireWithRoom(now time.Duration, req requirements) *assignment {
+// acquireWithCapacity assigns the most suitable of the backend servers that have room, or returns
+// nil. The caller holds mu.
+func (t *table) acquireWithCapacity(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
 	order := t.versionOrder(p, now, &req)
 	for i, among := range []versionSet{order.first, order.second} {
@@ -132,7 +132,7 @@
 		if among == 0 || (i > 0 && order.onlyIfNone && t.anyUsable(p, now, &req, order.first)) {
 			continue
 		}
-		if choice, leave := t.chooseWithRoom(p, now, &req); choice.Index >= 0 {
+		if choice, leave := t.chooseWithCapacity(p, now, &req); choice.Index >= 0 {
 			return t.recordDestination(p.assign(now, choice, &req, []string{order.firstReason, order.secondReason}[i]), now, &req, leave)
 		}
 	}
@@ -172,7 +172,7 @@
 func (t *table) candidate(k *knownServer, now time.Duration, req *requirements, v candidateContext) place.Server {
 	return place.Server{
 		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersUpdatedAt,
-		RecentPeak: k.peakLoad.At(now), LatencyRatio: k.pace, Health: k.health.State(now), Avoid: req.avoid[k.ID],
+		RecentPeak: k.peakLoad.At(now), LatencyRatio: k.latencyRatio, Health: k.health.State(now), Avoid: req.avoid[k.ID],
 		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
 	}
 }
@@ -190,8 +190,9 @@
 }
 
 // minSpreadServers is the pool size from which requests with a shared prompt are spread at random
-// over the first servers of its ranking, as many as they need ([place.CapacityPlacer.ChooseFromOrder]). In
-// smaller pools the load totals cover every busy server, and examining all servers is cheap.
+// over the first servers of its ranking, as many as they need
+// ([place.CapacityPlacer.ChooseFromOrder]). In smaller pools the load totals cover every busy server,
+// and examining all servers is cheap.
 const minSpreadServers = 256
 
 // chooseSpread selects among the first servers of the request's ranking. ok is false if all servers
@@ -201,7 +202,7 @@
 		return c, false
 	}
 	ids := p.ranks.First(req.prompt)
-	c, ok = p.placer.ChooseFromOrder(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalPace())
+	c, ok = p.placer.ChooseFromOrder(req.placeRequest(), t.candidatesByID(p, ids, now, req), p.typicalLatencyRatio())
 	if ok {
 		c.Index, _ = slices.BinarySearchFunc(p.servers, ids[c.Index], compareID)
 	}
@@ -218,14 +219,14 @@
 	return p.candidateBuf
 }
 
-// typicalPace returns the median pace of the pool's servers, in O(n) of the servers that have
-// answered.
-func (p *pool) typicalPace() float64 {
-	paces := make([]place.LatencyRatio, 0, len(p.paced))
-	for k := range p.paced {
-		paces = append(paces, k.pace)
+// typicalLatencyRatio returns the median latency ratio of the pool's servers, in O(n) of those that
+// have answered.
+func (p *pool) typicalLatencyRatio() float64 {
+	ratios := make([]place.LatencyRatio, 0, len(p.measured))
+	for k := range p.measured {
+		ratios = append(ratios, k.latencyRatio)
 	}
-	return place.TypicalLatencyRatio(paces)
+	return place.TypicalLatencyRatio(ratios)
 }
 
 // assign records a request on the selected backend server.
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -84,8 +84,8 @@
 	Quarantined: {http.StatusBadRequest, false, false},
 }
 
-// causesByEnding maps the retry policy's endings to causes. retry.EndBroken and retry.EndServerError are
-// missing, because they lead to no error response of the gateway's own.
+// causesByEnding maps the retry policy's endings to causes. retry.EndBroken and
+// retry.EndServerError are missing, because they lead to no error response of the gateway's own.
 var causesByEnding = map[retry.Ending]Cause{
 	retry.EndTimedOut: TimedOut, retry.EndMayHaveRun: MayHaveRun, retry.EndNoBudget: NoRetryBudget, retry.EndRefused: RefusedByServers,
 	retry.EndNoServer: NoServer, retry.EndBeyondShare: BeyondShare, retry.EndOverloaded: Overloaded,
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -97,7 +97,7 @@
 	if s := c.shortage; s.serverID != "" {
 		attrs = append(attrs, slog.String("full", s.serverID), slog.String("full_for", s.bound.String()),
 			slog.Int("full_requests", s.serverRequests), slog.Int("full_tokens", s.serverTokens), slog.Float64("slowness", s.slowness),
-			slog.Float64("tokens_a_ms", s.learned.ReadRate), slog.Float64("per_slot", s.learned.RequestsPerSlot),
+			slog.Float64("tokens_a_ms", s.estimates.ReadRate), slog.Float64("per_slot", s.estimates.RequestsPerSlot),
 			milliseconds("seen_ms_ago", s.loadAge))
 	}
 	if out, changes := c.g.table.listHallsOut(); len(out) > 0 {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -200,15 +200,15 @@
 }
 
 // tick runs until the gateway stops. In each period it measures how late its timer fires, updates
-// the overload detector and the connection pace, and grants servers to queued requests whose
+// the overload detector and the accept limit, and grants servers to queued requests whose
 // candidates have room again because other gateways' load has dropped.
 func (g *Gateway) tick() {
-	var pace overload.AcceptLimit
+	var limit overload.AcceptLimit
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
 		previous := g.overload.Load()
 		d := previous.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
-		pace = g.setPace(pace, pace.Next(g.now(), d.Delay, int(g.connectionsTaken.Swap(0))), d.Delay)
+		limit = g.setAcceptLimit(limit, limit.Next(g.now(), d.Delay, int(g.connectionsTaken.Swap(0))), d.Delay)
 		if d.High != previous.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
 				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
@@ -218,9 +218,9 @@
 	}
 }
 
-// setPace applies a new pace of callers' connections and returns it.
-func (g *Gateway) setPace(old, p overload.AcceptLimit, delay time.Duration) overload.AcceptLimit {
-	n, bounded := p.Allowance(), p.Bounded()
+// setAcceptLimit applies a new limit on accepting callers' connections and returns it.
+func (g *Gateway) setAcceptLimit(old, limit overload.AcceptLimit, delay time.Duration) overload.AcceptLimit {
+	n, bounded := limit.Allowance(), limit.Bounded()
 	g.connectionAllowance.Store(int64(n))
 	g.paced.Store(bounded)
 	if bounded != old.Bounded() {
@@ -228,7 +228,7 @@
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
 			milliseconds("delay_ms", delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
 	}
-	return p
+	return limit
 }
 
 // allowRetry takes one attempt out of the pool's retry budget and reports whether one was left.
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -73,7 +73,7 @@
 }
 
 // expired reports whether the notice can be dropped. A server that is leaving ends and is not
-// listed again after LongestBackoff.
+// listed again after backpressure.MaxBackoff.
 func (n unlistedNotice) expired(now time.Duration) bool {
 	return n.Admits(now) || now-n.since > backpressure.MaxBackoff
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -52,8 +52,8 @@
 	return t
 }
 
-// reportAllOutcomes marks all tallies as changed, so that the first report of a session includes them.
-// Shares apply again once the leader has counted a report. The caller holds mu.
+// reportAllOutcomes marks all tallies as changed, so that the first report of a session includes
+// them. Shares apply again once the leader has counted a report. The caller holds mu.
 func (t *table) reportAllOutcomes() {
 	t.sharesUntil = 0
 	for _, p := range t.pools {
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -70,7 +70,7 @@
 	default:
 	}
 	if wt.pool.Engine && wt.Class == entitlement.Covered && ctx.Err() == nil {
-		if a := g.table.acquireWithRoom(g.now(), wt.requirements); a != nil {
+		if a := g.table.acquireWithCapacity(g.now(), wt.requirements); a != nil {
 			return a, shortage{}
 		}
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -201,8 +201,8 @@
 	return c
 }
 
-// chooseWithRoom is choose restricted to servers that have room. The caller holds mu.
-func (t *table) chooseWithRoom(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
+// chooseWithCapacity is choose restricted to servers that have room. The caller holds mu.
+func (t *table) chooseWithCapacity(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.regions) == 0 {
 		return p.placer.ChooseWithCapacity(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
@@ -210,7 +210,7 @@
 	own := p.regions[0].servers
 	local, reason := p.placer.ChooseInRegion(req.placeRequest(), t.candidates(p, own, now, req))
 	if reason == place.NoServer {
-		if remote := t.chooseRemoteWithRoom(p, now, req, local.Index >= 0); remote.Index >= 0 {
+		if remote := t.chooseRemoteWithCapacity(p, now, req, local.Index >= 0); remote.Index >= 0 {
 			return remote, regionDecision{reason: reason}
 		}
 	}
@@ -225,10 +225,10 @@
 	return remote, regionDecision{reason: reason}
 }
 
-// chooseRemoteWithRoom returns a server with room in the nearest other region, for a request that
+// chooseRemoteWithCapacity returns a server with room in the nearest other region, for a request that
 // its own region cannot serve. Ejected servers of other regions are considered only if the own
 // region has no ejected one either. The caller holds mu.
-func (t *table) chooseRemoteWithRoom(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
+func (t *table) chooseRemoteWithCapacity(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
 	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
 	if !t.link.Admits(now, t.site.linkShare(req.gateways), transfer) {
 		return place.Choice{Index: -1}
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -177,8 +177,8 @@
 	})
 }
 
-// sharedPartRankedLastBy returns the name of a shared part for which the engine with number last ranks
-// last, so that a request with this part goes to the other two engines first.
+// sharedPartRankedLastBy returns the name of a shared part for which the engine with number last
+// ranks last, so that a request with this part goes to the other two engines first.
 func sharedPartRankedLastBy(x *fixture, last int) string {
 	var servers []place.Server
 	for i := range 3 {
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -21,20 +21,20 @@
 // knownServer is the table's entry for one backend server.
 type knownServer struct {
 	protocol.Server
-	health     outlier.FailureRate
-	silence    outlier.ServerSilence
-	pace       place.LatencyRatio
-	ownLoad    place.Work // from this gateway; prompts count until their first event
-	totalLoad  place.Work // from all gateways, as last sent by the leader
-	othersLoad place.Work // from all other gateways, as of table.othersUpdatedAt
-	peakLoad   place.Peak // recent peak of totalLoad
-	cold       coldstart.Allowance
-	notice     backpressure.Notice // last notice of backoff or leaving
-	region     string              // region of its hall; empty if no setting assigns one
-	versionSet versionSet          // kinds of its version in the pool's rollout
-	lastList   uint64              // number of the last complete list that held it, itself or by a later change
-	unlisted   bool                // missing from a complete list of the directory
-	removed    bool                // no longer in the pool
+	health       outlier.FailureRate
+	silence      outlier.ServerSilence
+	latencyRatio place.LatencyRatio
+	ownLoad      place.Work // from this gateway; prompts count until their first event
+	totalLoad    place.Work // from all gateways, as last sent by the leader
+	othersLoad   place.Work // from all other gateways, as of table.othersUpdatedAt
+	peakLoad     place.Peak // recent peak of totalLoad
+	cold         coldstart.Allowance
+	notice       backpressure.Notice // last notice of backoff or leaving
+	region       string              // region of its hall; empty if no setting assigns one
+	versionSet   versionSet          // kinds of its version in the pool's rollout
+	lastList     uint64              // number of the last complete list that held it, itself or by a later change
+	unlisted     bool                // missing from a complete list of the directory
+	removed      bool                // no longer in the pool
 }
 
 // table holds the backend servers known to the gateway, by pool, with their load.
@@ -82,7 +82,7 @@
 	failures     outlier.PoolRate
 	candidateBuf []place.Server // reused by every selection
 	ranks        place.Ranks
-	paced        map[*knownServer]bool // servers whose pace counts
+	measured     map[*knownServer]bool // servers with a reliable latency ratio
 	busy         map[*knownServer]bool // servers with requests from this gateway, and some that had
 	rollout      *poolRollout          // nil if the pool never had one
 
@@ -293,7 +293,7 @@
 	p := t.pool(k.Pool)
 	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	p.ranks.Remove(k.ID)
-	delete(p.paced, k)
+	delete(p.measured, k)
 	delete(p.busy, k)
 	k.removed = true
 	p.removeFromRegion(k)
--- a/gateway/unreached.go
+++ b/gateway/unreached.go
@@ -10,7 +10,7 @@
 
 const (
 	// unreachedExpiry is how long a server counts as unreachable after the last failed attempt. An
-	// ejected server is tried again within that time (outlier.longestWait).
+	// ejected server is tried again within that time (outlier.maxGatewayEjection).
 	unreachedExpiry = 12 * time.Second
 	// minRestartTime is less than a stopped server takes to start again. If a server answers sooner
 	// after a failed attempt, it had not stopped but refuses some connections.
