--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -48,8 +48,8 @@
 	return a.classifier.Classify(a.now(), account, cost, late)
 }
 
-// covers reports whether the account's observed demand is within its share.
-func (a *accounts) covers(account string) bool {
+// withinShare reports whether the account's observed demand is within its share.
+func (a *accounts) withinShare(account string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.classifier.WithinShare(a.now(), account)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -86,7 +86,7 @@
 		patience = min(patience, c.head.Timeout)
 	}
 	c.deadline = c.arrived + patience
-	c.spent = c.routes.spent(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.covers(c.account.Name))
+	c.spent = c.routes.spent(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.withinShare(c.account.Name))
 	if err := c.classify(); err != nil {
 		return err
 	}
