--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -25,8 +25,7 @@
 //
 // Alternatives considered: redirecting announcements to the leader's address (the earlier protocol,
 // and the fallback of a replica that cannot reach the leader); acknowledging before the leader has
-// the announcement (if it is lost, the registration is late by one interval, and a new server waits
-// that long). Here an announcement is acknowledged once the leader has applied it, so that an
+// the announcement (if that is lost, the server is registered one interval later). Here an announcement is acknowledged once the leader has applied it, so that an
 // acknowledged announcement is on its way to the gateways, as at the leader itself.
 //
 // On a relay the leader is remote. An announcement that differs from the leader's list only in its
@@ -49,7 +48,7 @@
 	announceIdleTimeout = 30 * time.Second
 )
 
-// announcer forwards announcements. Only the goroutine of run uses its links.
+// announcer forwards announcements to the leader. Its links are used by the goroutine of run only.
 type announcer struct {
 	d     *Directory
 	queue chan pendingAnnouncement
@@ -104,7 +103,7 @@
 // session opens a link to the leader and forwards the first batch and further announcements, until
 // the link fails, the leader changes, or the queue stays empty for a while. It returns the
 // announcements that were not sent and may go to the next leader.
-func (n *announcer) session(batch []pendingAnnouncement) (left []pendingAnnouncement) {
+func (n *announcer) session(batch []pendingAnnouncement) (unsent []pendingAnnouncement) {
 	leader := n.d.Leader()
 	if leader == "" || leader == n.d.cfg.Identity.Name {
 		finishAll(append(batch, n.drainQueue()...), Unavailable{})
--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -15,14 +15,14 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestAnyReplicaTakesAnnouncements: an announcement at a follower must reach the gateways too, also
+// TestAnnouncementAtFollowerReachesGateways: an announcement at a follower must reach the gateways too, also
 // after the leader is lost. A replica that cannot reach the leader must return an error within the
 // time that the backend server waits.
-func TestAnyReplicaTakesAnnouncements(t *testing.T) {
+func TestAnnouncementAtFollowerReachesGateways(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		announceAt := func(n *directoryNode, id string) error {
 			x.announceSeqs[id]++
 			ctx, cancel := context.WithTimeout(x.t.Context(), 900*time.Millisecond)
@@ -65,9 +65,9 @@
 	})
 }
 
-// TestVersionsReachTheLog: the next leader must get a backend server's version from the log,
+// TestServerVersionsAreLogged: the next leader must get a backend server's version from the log,
 // whichever replica the server announced itself to.
-func TestVersionsReachTheLog(t *testing.T) {
+func TestServerVersionsAreLogged(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		var want []protocol.Registration
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -22,10 +22,10 @@
 	return h
 }
 
-// TestColdHallGetsWhatItBears returns 21 cold servers of a hall to service under a load of which they
+// TestColdServersGetAtMostTheirRate returns 21 cold servers of a hall to service under a load of which they
 // would get most, and kills the leader meanwhile. No cold server may get more requests than its rate in
 // any second, and together they must get more than half of what that rate allows.
-func TestColdHallGetsWhatItBears(t *testing.T) {
+func TestColdServersGetAtMostTheirRate(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate, cold = 18, 6 * time.Second
@@ -67,9 +67,9 @@
 	})
 }
 
-// TestHallThatReturnsIsTakenForCold checks that the servers of a returned hall are treated as cold, since
+// TestServersOfReturnedHallCountAsCold checks that the servers of a returned hall are treated as cold, since
 // they may have become cold unobserved while it was out of service.
-func TestHallThatReturnsIsTakenForCold(t *testing.T) {
+func TestServersOfReturnedHallCountAsCold(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		const rate = 18
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -14,15 +14,15 @@
 
 // This file tests the simultaneous loss of disks and of all power.
 
-// TestDisksAndAllPowerAreLost: two of five replicas lose their disks while everything loses power,
+// TestRecoveryFromDiskAndPowerLoss: two of five replicas lose their disks while everything loses power,
 // including the gateways, right after changes were acknowledged. No acknowledged change may be
 // lost, and service must resume.
-func TestDisksAndAllPowerAreLost(t *testing.T) {
+func TestRecoveryFromDiskAndPowerLoss(t *testing.T) {
 	withFleet(t, voters, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
-			c.repeat("deadly", deadlyPeriod, 2*time.Second)
+			c.repeat("deadly", crashingRequestPeriod, 2*time.Second)
 			is.NoErr(x.awaitLeader().d.Put(x.t.Context(), retryDocument(2, document.Repeatable)))
 			is.NoErr(x.awaitLeader().d.Withdraw(x.t.Context(), "s1"))
 			for i := range 4 {
@@ -44,14 +44,14 @@
 			is.NoErr(err)
 			is.Equal(len(condemned), 1)
 			for i := range 4 {
-				c.gateway(m, gatewayIP(i))
+				c.startGateway(m, gatewayIP(i))
 			}
 			time.Sleep(3*time.Second - time.Since(began))
 			c.mu.Lock()
 			clear(c.answers)
 			c.mu.Unlock()
-			c.repeat("deadly", deadlyPeriod, 2*time.Second)
-			sent, _ := m.countDeadly("deadly")
+			c.repeat("deadly", crashingRequestPeriod, 2*time.Second)
+			sent, _ := m.countCrashingRequest("deadly")
 			is.Equal(sent, 3)
 			others, _ := c.answeredShare("other")
 			is.True(others > 0.99)
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -45,7 +45,7 @@
 	AnnounceInterval time.Duration
 	// Halls lists the data halls that exist, besides those that backend servers name.
 	Halls []string
-	// HallOrderWindow is how long an operator repeats an order about a hall. Zero means
+	// HallOrderWindow is how long an operator may repeat an order for a data hall. Zero means
 	// evacuation.DefaultWindow.
 	HallOrderWindow time.Duration
 	Hall            string // the data hall of this replica; empty if not configured
@@ -58,7 +58,7 @@
 	Rollouts rollout.Bounds
 	replica.Tuning
 	Random  func() uint64
-	Clock   func() time.Duration // as of [replica.Settings]
+	Clock   func() time.Duration // see [replica.Settings]
 	Log     *decision.Log
 	Metrics *metrics.Set
 }
@@ -142,7 +142,7 @@
 type NoDocument struct{}
 
 // Error implements error.
-func (NoDocument) Error() string { return "no document was put yet" }
+func (NoDocument) Error() string { return "no document has been put yet" }
 
 // Read returns the newest acknowledged document. The error is [NoDocument],
 // [NotLeader] or [Unavailable].
@@ -220,9 +220,8 @@
 // Leader returns the leader's fleet address, or "" if it is unknown.
 func (d *Directory) Leader() string { return d.hub.leadership.Load().leader }
 
-// InGroup reports whether this replica belongs to a group. Before that, it has only its list of
-// seeds.
-func (d *Directory) InGroup() bool { return d.hub.leadership.Load().formed }
+// InGroup reports whether this replica belongs to a group. Until it does, it knows only its seeds.
+func (d *Directory) InGroup() bool { return d.hub.leadership.Load().inGroup }
 
 // Leads reports whether this replica is the leader and its lease is valid.
 func (d *Directory) Leads() bool { return d.checkLeading() == nil }
@@ -243,7 +242,7 @@
 	return NotLeader{Leader: leader}
 }
 
-// propose appends a command to the log and waits until it is applied at this replica.
+// propose replicates a command and waits until it is applied at this replica.
 func (d *Directory) propose(ctx context.Context, c command) error {
 	_, err := d.proposeChange(ctx, c)
 	return err
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestInvalidDocumentChangesNothing(t *testing.T) {
+func TestInvalidDocumentIsRefused(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader().d
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestFollowersNameTheLeader(t *testing.T) {
+func TestFollowersReturnNotLeader(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
@@ -67,9 +67,9 @@
 	})
 }
 
-// TestCutOffLeaderNeverReadsOld partitions the leader off silently, and the others accept a newer
+// TestPartitionedLeaderServesNoStaleReads partitions the leader off silently, and the others accept a newer
 // document. A leader that served reads past its lease would return the older document.
-func TestCutOffLeaderNeverReadsOld(t *testing.T) {
+func TestPartitionedLeaderServesNoStaleReads(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		old := x.awaitLeader()
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestAcknowledgedSurvivesPowerLoss crashes every disk right after an acknowledgement. Changes that
+// TestAcknowledgedChangesSurvivePowerLoss crashes every disk right after an acknowledgement. Changes that
 // were acknowledged before their sync would be lost.
-func TestAcknowledgedSurvivesPowerLoss(t *testing.T) {
+func TestAcknowledgedChangesSurvivePowerLoss(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 5; round++ {
@@ -119,9 +119,9 @@
 	})
 }
 
-// TestTwoDisksLostAfterAcknowledgement replaces two of five disks, including the leader's, right
+// TestAcknowledgedChangesSurviveLossOfTwoDisks replaces two of five disks, including the leader's, right
 // after an acknowledgement, while the other replicas lose power.
-func TestTwoDisksLostAfterAcknowledgement(t *testing.T) {
+func TestAcknowledgedChangesSurviveLossOfTwoDisks(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for round := uint64(1); round <= 4; round++ {
@@ -148,13 +148,13 @@
 	})
 }
 
-// TestOneHolderOutlivesAllPower: only the leader and two followers hold an acknowledged change. The
+// TestAcknowledgedChangeSurvivesOnOneDisk: only the leader and two followers hold an acknowledged change. The
 // leader and one of the two lose their disks while all other machines lose power, including
 // non-voting replicas and gateways. The change must survive on the one disk that is left.
-func TestOneHolderOutlivesAllPower(t *testing.T) {
+func TestAcknowledgedChangeSurvivesOnOneDisk(t *testing.T) {
 	withFleet(t, 7, func(x *fleet) { // five of them vote
 		is := is.New(x.t)
-		x.gateway("10.0.2.1")
+		x.startGateway("10.0.2.1")
 		for round := uint64(1); round <= 8; round++ {
 			leader := x.awaitLeader()
 			voters := x.voters()
@@ -180,7 +180,7 @@
 				}
 				x.startReplica(ip, false)
 			}
-			g := x.gateway("10.0.2.1")
+			g := x.startGateway("10.0.2.1")
 			h, err := x.awaitLeader().d.Read(x.t.Context())
 			is.NoErr(err)
 			is.Equal(h.Document.Number, round)
@@ -190,10 +190,10 @@
 	})
 }
 
-func TestDepartureIsForGood(t *testing.T) {
+func TestDepartureIsPermanent(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.announce("b2", false))
@@ -222,13 +222,13 @@
 	})
 }
 
-// TestGatewayFollows checks that a document is in force at every gateway soon after its
+// TestGatewaysReceiveNewDocuments checks that a document is in force at every gateway soon after its
 // acknowledgement, also when leaders are killed.
-func TestGatewayFollows(t *testing.T) {
+func TestGatewaysReceiveNewDocuments(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		for _, ip := range []string{"10.0.2.1", "10.0.2.2", "10.0.2.3"} {
-			x.gateway(ip)
+			x.startGateway(ip)
 		}
 		time.Sleep(time.Second)
 		for number := uint64(1); number <= 4; number++ {
@@ -241,7 +241,7 @@
 			l.kill()
 			x.putDocument(number + 100*number) // at the next leader
 			acked := time.Now()
-			for !allAt(x, number+100*number) {
+			for !allGatewaysHave(x, number+100*number) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			is.True(time.Since(acked) < 1500*time.Millisecond)
@@ -252,7 +252,7 @@
 	})
 }
 
-func allAt(x *fleet, number uint64) bool {
+func allGatewaysHave(x *fleet, number uint64) bool {
 	for _, g := range x.gateways {
 		if g.g.DocumentNumber() != number {
 			return false
@@ -261,12 +261,12 @@
 	return true
 }
 
-// TestGatewayKeepsBackendsOverANewLeader: a new leader's list is incomplete at first. Gateways must
+// TestGatewayKeepsServersAcrossLeaderChange: a new leader's list is incomplete at first. Gateways must
 // not drop the servers that it lacks.
-func TestGatewayKeepsBackendsOverANewLeader(t *testing.T) {
+func TestGatewayKeepsServersAcrossLeaderChange(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		time.Sleep(100 * time.Millisecond)
@@ -279,9 +279,9 @@
 	})
 }
 
-// TestBackendsOutliveAllPower: after all machines have lost power, gateways must get the backend
+// TestServersSurvivePowerLoss: after all machines have lost power, gateways must get the backend
 // servers from the log, before these announce themselves again.
-func TestBackendsOutliveAllPower(t *testing.T) {
+func TestServersSurvivePowerLoss(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -293,19 +293,19 @@
 		for _, ip := range x.ips {
 			x.startReplica(ip, false)
 		}
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		time.Sleep(3 * time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
 		is.Equal(g.Servers(), []string{"b2"})
 	})
 }
 
-// TestGatewayWhoseLeaderIsCutOff: the link to a leader that is partitioned off silently stays open.
+// TestGatewayLeavesPartitionedLeader: the link to a leader that is partitioned off silently stays open.
 // The gateway must detect this and find the next leader.
-func TestGatewayWhoseLeaderIsCutOff(t *testing.T) {
+func TestGatewayLeavesPartitionedLeader(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		x.putDocument(1)
 		time.Sleep(time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
@@ -318,24 +318,24 @@
 	})
 }
 
-// TestGatewayWithCutSeeds starts a gateway that can reach only one of its seeds, which is not the
+// TestGatewayStartsWithOneReachableSeed starts a gateway that can reach only one of its seeds, which is not the
 // leader.
-func TestGatewayWithCutSeeds(t *testing.T) {
+func TestGatewayStartsWithOneReachableSeed(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
 		x.net.Cut("10.0.1.1")
 		x.net.Cut("10.0.1.2")
 		x.awaitLeader()
-		g := x.gateway("10.0.2.1")
+		g := x.startGateway("10.0.2.1")
 		time.Sleep(5 * time.Second)
 		is.Equal(g.DocumentNumber(), uint64(1))
 	})
 }
 
-// TestReplacedMachine replaces a replica by an empty one at another address. The group must then
+// TestReplicaReplacement replaces a replica by an empty one at another address. The group must then
 // tolerate two more losses.
-func TestReplacedMachine(t *testing.T) {
+func TestReplicaReplacement(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -370,7 +370,7 @@
 	})
 }
 
-func TestStopHandsOver(t *testing.T) {
+func TestStopTransfersLeadership(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
--- a/directory/earlier_internal_test.go
+++ b/directory/earlier_internal_test.go
@@ -16,9 +16,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// TestLeaderOfAnEarlierVersion: a leader of a version without relays takes a relay for a gateway,
+// TestNoRelayingForLeaderWithoutRelaySupport: a leader of a version without relays takes a relay for a gateway,
 // and would misread its reports. The replica must not relay in that leader's term.
-func TestLeaderOfAnEarlierVersion(t *testing.T) {
+func TestNoRelayingForLeaderWithoutRelaySupport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
--- a/directory/errors.go
+++ b/directory/errors.go
@@ -2,16 +2,16 @@
 
 package directory
 
-// This file defines the errors with which operations are refused.
+// This file defines the errors of operations that may succeed elsewhere or later.
 
-// NotLeader refuses an operation at a replica that is not the leader.
+// NotLeader is the error of an operation at a replica that is not the leader.
 type NotLeader struct{ Leader string } // fleet address
 
 // Error names the leader.
 func (e NotLeader) Error() string { return "the directory's leader is " + e.Leader }
 
-// Unavailable refuses an operation because this replica has no leader, or because it cannot
-// determine whether the operation was carried out. The operation may be retried.
+// Unavailable is the error of an operation when the replica has no leader, or cannot determine
+// whether the operation was carried out. The operation may be retried.
 type Unavailable struct{ Err error }
 
 // Error names the cause.
@@ -19,7 +19,7 @@
 	if e.Err == nil {
 		return "the directory has no leader"
 	}
-	return "the directory cannot tell: " + e.Err.Error()
+	return "the directory cannot confirm the operation: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -19,9 +19,9 @@
 // This file tests the last step of a rollout: gateways are informed that the old servers may stop before
 // the log has the rollout as complete.
 
-// TestCompleteIsAnnounced checks that completion waits until all gateways apply the list that announces
+// TestCompletionWaitsForFinalList checks that completion waits until all gateways apply the list that announces
 // it, but only briefly for a gateway that does not.
-func TestCompleteIsAnnounced(t *testing.T) {
+func TestCompletionWaitsForFinalList(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
 			withFleet(t, 3, func(x *fleet) {
@@ -85,9 +85,9 @@
 // until all gateways apply the list. If the switch were missing in the log, it would take 2.8 to 3.2 s.
 const maxTakeoverTime = 2500 * time.Millisecond
 
-// TestSwitchOutlivesTheLeader checks that a new leader continues after the switch that its predecessor
+// TestNewLeaderContinuesAfterSwitch checks that a new leader continues after the switch that its predecessor
 // made. The new leader has no record of the trial, whose bound is used up.
-func TestSwitchOutlivesTheLeader(t *testing.T) {
+func TestNewLeaderContinuesAfterSwitch(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
 			withFleet(t, 5, func(x *fleet) {
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -51,11 +51,11 @@
 	is.Equal(c.termsLed(), led)
 }
 
-func TestFirstCrowdComesAtOnce(t *testing.T) {
+func TestAllGatewaysConnectOverSlowLinks(t *testing.T) {
 	withSlowLinkFleet(t, allListsTime, func(c *largeFleet) { checkSlowLinkConnect(c, allListsTime) })
 }
 
-func TestFirstCrowdComesAtOnceOnSlowerLinks(t *testing.T) {
+func TestAllGatewaysConnectOverSlowerLinks(t *testing.T) {
 	withSlowLinkFleet(t, 4*allListsTime, func(c *largeFleet) { checkSlowLinkConnect(c, 4*allListsTime) })
 }
 
@@ -74,10 +74,10 @@
 	is.Equal(c.termsLed(), led)
 }
 
-func TestFirstCrowdLosesItsLeader(t *testing.T) {
+func TestLeaderLossOverSlowLinks(t *testing.T) {
 	withSlowLinkFleet(t, allListsTime, checkSlowLinkLeaderLoss)
 }
 
-func TestFirstCrowdLosesItsLeaderOnSlowerLinks(t *testing.T) {
+func TestLeaderLossOverSlowerLinks(t *testing.T) {
 	withSlowLinkFleet(t, 4*allListsTime, checkSlowLinkLeaderLoss)
 }
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -296,7 +296,7 @@
 // noHeaders is for gateways that receive no requests.
 type noHeaders struct{ gateway.HeaderCodec }
 
-func (x *fleet) gateway(ip string) *gateway.Gateway {
+func (x *fleet) startGateway(ip string) *gateway.Gateway {
 	return x.startGatewayWithDial(ip, x.net.Box(ip).DialContext)
 }
 
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -77,7 +77,7 @@
 	}{{"earlier", 7, 0}, {"before-lives", 12, 1}} {
 		is := is.New(t)
 		var got []command
-		is.NoErr(cbor.Unmarshal(pinned(t, "commands-"+before.name), &got))
+		is.NoErr(cbor.Unmarshal(readPinned(t, "commands-"+before.name), &got))
 		is.True(reflect.DeepEqual(got, goldenCommands[:before.commands]))
 		r, snapshot := newReplicated(0, 0, func() {}), newReplicated(0, 0, func() {})
 		for _, c := range got {
@@ -85,15 +85,15 @@
 			is.NoErr(err)
 			r.Apply(b)
 		}
-		is.NoErr(snapshot.Restore(pinned(t, "snapshot-"+before.name)))
+		is.NoErr(snapshot.Restore(readPinned(t, "snapshot-"+before.name)))
 		is.True(reflect.DeepEqual(snapshot.store, r.store))
 		is.Equal(len(snapshot.Rollouts()), before.rollouts)
 		is.Equal(len(snapshot.Condemned()), 0)
 	}
 }
 
-// pinned returns the contents of a file written by an earlier version.
-func pinned(t *testing.T, name string) []byte {
+// readPinned returns the contents of a file written by an earlier version.
+func readPinned(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name+".hex"))
 	if err != nil {
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -12,10 +12,10 @@
 
 // This file tests the loss of all directory replicas of a data hall.
 
-// TestHallOfTheDirectoryIsLost cuts off, kills or wipes the replicas of a hall, the leader among them,
+// TestLossOfHallWithLeader cuts off, kills or wipes the replicas of a hall, the leader among them,
 // or kills them and wipes the disk of one. In all cases but the last a new leader must be elected within
 // three seconds; nothing acknowledged may be lost in any.
-func TestHallOfTheDirectoryIsLost(t *testing.T) {
+func TestLossOfHallWithLeader(t *testing.T) {
 	const votersOfHalls = 9 // configured where halls may be lost
 	for _, n := range []int{3, 5, 7} {
 		for _, how := range []string{"cut", "killed", "wiped", "wiped with one more disk"} {
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -32,7 +32,7 @@
 
 // Error names the hall.
 func (e AmbiguousOrder) Error() string {
-	return "an equal order for " + e.Hall + " was followed by its opposite a moment ago; this may be a late copy of it"
+	return "the same order for " + e.Hall + " was recently followed by its opposite; this may be a delayed copy of it"
 }
 
 // TakeHallOut stops all requests to the backend servers of a data hall until PutHallBack. It returns nil
@@ -54,11 +54,11 @@
 	return out, err
 }
 
-// maxOrderAttempts bounds how often an order is decided when concurrent changes precede its own. At most
-// two operators give orders at the same time.
+// maxOrderAttempts bounds the attempts to commit an order when concurrent changes are committed first.
+// At most two operators give orders at the same time.
 const maxOrderAttempts = 4
 
-// orderHall executes an order. If another change was committed first, the order is decided again.
+// orderHall executes an order. If another change was committed first, it evaluates the order again.
 func (d *Directory) orderHall(ctx context.Context, hall string, out bool) error {
 	for range maxOrderAttempts {
 		verdict, change, err := d.decideHallOrder(ctx, hall, out)
@@ -68,7 +68,7 @@
 		case verdict == evacuation.AlreadyApplied:
 			return nil
 		case verdict == evacuation.Ambiguous:
-			d.cfg.Log.Failure("hall order unclear", slog.String("hall", hall), slog.Bool("out", out))
+			d.cfg.Log.Failure("ambiguous hall order", slog.String("hall", hall), slog.Bool("out", out))
 			return AmbiguousOrder{Hall: hall}
 		case !d.isHallKnown(hall):
 			return UnknownHall{Hall: hall}
@@ -80,7 +80,7 @@
 	return Unavailable{}
 }
 
-// decideHallOrder decides on an order by the newest acknowledged state, which only the leader has.
+// decideHallOrder evaluates an order against the newest acknowledged state, which only the leader has.
 func (d *Directory) decideHallOrder(ctx context.Context, hall string, out bool) (evacuation.Verdict, document.HallChange, error) {
 	var verdict evacuation.Verdict
 	var change document.HallChange
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -131,7 +131,7 @@
 	x.t.Fatalf("the order about hall %q was not acknowledged", hall)
 }
 
-func TestHallOrdersAreChecked(t *testing.T) {
+func TestHallOrderErrors(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
@@ -154,9 +154,9 @@
 	})
 }
 
-// TestHallOutGetsNothing takes a hall out of service under load while gateways start, restart and lose
+// TestHallOutOfServiceGetsNoRequests takes a hall out of service under load while gateways start, restart and lose
 // the leader. No request may reach its servers until it is put back.
-func TestHallOutGetsNothing(t *testing.T) {
+func TestHallOutOfServiceGetsNoRequests(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -209,9 +209,9 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// TestOrderOfAHallIsForGood loses all power, and two of five disks, right after orders were
+// TestHallOrdersSurvivePowerAndDiskLoss loses all power, and two of five disks, right after orders were
 // acknowledged. The orders must stay in force.
-func TestOrderOfAHallIsForGood(t *testing.T) {
+func TestHallOrdersSurvivePowerAndDiskLoss(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		is.NoErr(x.announceInHall("b1", "hall-a", 0))
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -33,7 +33,7 @@
 	leader   string // fleet address
 	leaseEnd time.Duration
 	voters   []string // fleet addresses
-	formed   bool     // the replica has a log
+	inGroup  bool     // the replica has a log
 }
 
 // relayRefusal records that the leader of a term needed no relay here, and whether sessions were
@@ -67,7 +67,7 @@
 
 	rollouts       rollouts
 	evidence       evidence
-	ordered        map[attemptKey]time.Duration // when active rollouts were ordered; kept across terms
+	orderTimes     map[attemptKey]time.Duration // when active rollouts were ordered; kept across terms
 	sharesLoggedAt time.Duration                // when the shares were last logged
 
 	termBegan       time.Duration // start of the term
@@ -114,7 +114,7 @@
 // observe publishes the leadership. The replica's goroutine calls it after every batch.
 func (h *hub) observe(s consensus.Status, leads bool) {
 	old := h.leadership.Load()
-	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, formed: true}
+	next := &leadership{leads: leads, term: s.Term, leader: s.Leader.Name, leaseEnd: s.LeaseEnd, inGroup: true}
 	for _, p := range s.Members.Voters {
 		next.voters = append(next.voters, p.Name)
 	}
--- a/directory/leaderplace.go
+++ b/directory/leaderplace.go
@@ -66,7 +66,7 @@
 
 // betterLeader returns the voter that should lead in place of self, and the reason; "" if self
 // should lead. sync is the sync time of self.
-func betterLeader(self string, sync time.Duration, voters []voter) (name, why string) {
+func betterLeader(self string, sync time.Duration, voters []voter) (name, reason string) {
 	own := voters[max(slices.IndexFunc(voters, func(v voter) bool { return v.name == self }), 0)]
 	region := cmp.Or(majorityRegion(voters), own.region)
 	candidates := slices.DeleteFunc(slices.Clone(voters), func(v voter) bool {
@@ -93,7 +93,7 @@
 		return
 	}
 	h.nextPlacementAt = now + placementPeriod
-	go h.d.handOverLead(func() { h.post(func() { h.nextPlacementAt = h.d.replica.Now() + handoverRetryDelay }) })
+	go h.d.transferToBetterLeader(func() { h.post(func() { h.nextPlacementAt = h.d.replica.Now() + handoverRetryDelay }) })
 }
 
 // voterRegion returns the region of a replica, or "" if unknown. In a fleet with several regions, a
@@ -110,13 +110,13 @@
 	return known
 }
 
-// handOverLead checks once which voter should lead, transfers the leadership if it is another
-// replica, and then calls tried.
-func (d *Directory) handOverLead(tried func()) {
+// transferToBetterLeader checks once which voter should lead, transfers the leadership if it is another
+// replica, and then calls attempted.
+func (d *Directory) transferToBetterLeader(attempted func()) {
 	ctx, cancel := context.WithTimeout(d.ctx, placementPeriod)
 	defer cancel()
 	own := d.replica.SyncTime()
-	var to, why string
+	var to, reason string
 	err := d.replica.Inspect(ctx, func(_ time.Duration, n *consensus.Replica) {
 		if !n.Leads(d.replica.Now()) {
 			return
@@ -126,13 +126,13 @@
 			ready, sync := n.FollowerProgress(p)
 			voters = append(voters, voter{name: p.Name, region: d.voterRegion(p.Name), ready: ready, sync: sync})
 		}
-		if to, why = betterLeader(d.Address(), own, voters); to != "" {
+		if to, reason = betterLeader(d.Address(), own, voters); to != "" {
 			n.Transfer(to)
 		}
 	})
 	if err == nil && to != "" {
-		tried()
-		d.cfg.Log.StateChange("transferring leadership", slog.String("to", to), slog.String("why", why),
+		attempted()
+		d.cfg.Log.StateChange("transferring leadership", slog.String("to", to), slog.String("why", reason),
 			slog.Duration("sync", own), slog.String("region", d.voterRegion(to)))
 	}
 }
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -34,18 +34,18 @@
 	return 0
 }
 
-// TestAcknowledgesSoonAfterALeader: leaders are killed in turn. An operator's change must soon be
+// TestChangesAcknowledgedSoonAfterLeaderLoss: leaders are killed in turn. An operator's change must soon be
 // acknowledged again, whichever replica is tried first, also with so many gateways in the other
 // region that their lists fill the link for seconds.
-func TestAcknowledgesSoonAfterALeader(t *testing.T) {
+func TestChangesAcknowledgedSoonAfterLeaderLoss(t *testing.T) {
 	for gateways, rounds := range map[int]int{4: 10, 60: 4} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			t.Parallel()
-			inRegions(t, 1_000_000, func(x *fleet) {
+			withTwoRegions(t, 1_000_000, func(x *fleet) {
 				is := is.New(x.t)
 				x.announceMany(1500)
-				x.gatewaysIn(north, gateways)
-				x.gatewaysIn(south, gateways)
+				x.startGatewaysIn(north, gateways)
+				x.startGatewaysIn(south, gateways)
 				time.Sleep(10 * time.Second)
 				longest := time.Duration(0)
 				for round := range rounds {
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestLeaderStandsWithTheMajority: a leader in the region with fewer voters must hand over once to
+// TestLeaderMovesToMajorityRegion: a leader in the region with fewer voters must hand over once to
 // one in the region with the majority, and changes must soon be acknowledged meanwhile.
-func TestLeaderStandsWithTheMajority(t *testing.T) {
+func TestLeaderMovesToMajorityRegion(t *testing.T) {
 	t.Parallel()
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		changes, number := 0, uint64(0)
 		for round := range 5 {
@@ -102,9 +102,9 @@
 	})
 }
 
-// TestLeaderWithASlowDisk: a leader whose disk has become slow must hand over to one with a fast
+// TestLeaderWithSlowDiskHandsOver: a leader whose disk has become slow must hand over to one with a fast
 // disk.
-func TestLeaderWithASlowDisk(t *testing.T) {
+func TestLeaderWithSlowDiskHandsOver(t *testing.T) {
 	t.Parallel()
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -129,14 +129,14 @@
 	})
 }
 
-// TestHandoverThatFails: the only successor in the region with the majority cannot be elected,
+// TestFailedHandoverIsNotRetriedAtOnce: the only successor in the region with the majority cannot be elected,
 // since it reaches no voter except the leader. The leader is elected again, and must not retry at
 // once.
-func TestHandoverThatFails(t *testing.T) {
+func TestFailedHandoverIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(south)
+		x.electLeaderIn(south)
 		leader, other := x.awaitLeader(), x.relays(south)[0]
 		x.nodes[x.ips[1]].kill()
 		x.nodes[x.ips[2]].kill()
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -17,15 +17,15 @@
 
 // This file tests the leader's state of one rollout.
 
-func newLeadRollout(d document.Rollout) *activeRollout {
+func newTestRollout(d document.Rollout) *activeRollout {
 	return &activeRollout{Rollout: d, reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
-// TestTotalsReplaceTotals checks that lost or repeated reports change nothing, and that the totals of a
+// TestReportedTotalsReplaceEarlierOnes checks that lost or repeated reports change nothing, and that the totals of a
 // restarted gateway add to those of its earlier run.
-func TestTotalsReplaceTotals(t *testing.T) {
+func TestReportedTotalsReplaceEarlierOnes(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Target: "v2"})
+	r := newTestRollout(document.Rollout{Target: "v2"})
 	report := func(boot, sent, failed uint64, version string, paces ...uint32) {
 		r.addOutcomes(reporter{gateway: "g", bootID: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
 	}
@@ -41,11 +41,11 @@
 	is.Equal([]uint64{old.Sent, old.Answered, old.Failed}, []uint64{11, 11, 0})
 }
 
-// TestRelaysCountOnce checks that a relay's totals count only while its session lives: its gateways then
+// TestRelayTotalsCountOnlyDuringSession checks that a relay's totals count only while its session lives: its gateways then
 // report them elsewhere, to the relay's next run, another relay or the leader.
-func TestRelaysCountOnce(t *testing.T) {
+func TestRelayTotalsCountOnlyDuringSession(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	h := &hub{}
 	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
@@ -76,11 +76,11 @@
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
 
-// TestVerdictOfTheLeaderBefore checks that a new leader adopts its predecessor's verdict from gateways:
+// TestNewLeaderAdoptsPreviousVerdict checks that a new leader adopts its predecessor's verdict from gateways:
 // it may have reached them and not the log, and outcomes seen since need not repeat it.
-func TestVerdictOfTheLeaderBefore(t *testing.T) {
+func TestNewLeaderAdoptsPreviousVerdict(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
 	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(list ...protocol.Barred) {
@@ -93,9 +93,9 @@
 	is.Equal(r.listEntry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
 
-// TestOtherVersions checks that the replaced versions include those whose servers are absent when the
+// TestReplacedVersions checks that the replaced versions include those whose servers are absent when the
 // rollout completes, but no barred version.
-func TestOtherVersions(t *testing.T) {
+func TestReplacedVersions(t *testing.T) {
 	is := is.New(t)
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1))}
 	for i, v := range []string{"", "v1", "v2", "v3"} {
@@ -103,18 +103,18 @@
 			Registration: protocol.Registration{ID: fmt.Sprint("b", i), Pool: "p", Address: fmt.Sprintf("10.0.0.%d:1", i+1), Version: v}, Seq: 1,
 		})
 	}
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Barred: []string{"v3"}})
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Barred: []string{"v3"}})
 	for _, v := range []string{"v0", "v2", "v3"} {
 		r.addOutcomes(reporter{gateway: "g", bootID: 1}, protocol.Outcomes{Version: v, Route: "r", Sent: 1})
 	}
 	is.Equal(h.replacedVersions(r), []string{"", "v0", "v1"})
 }
 
-// TestBarredBeforeTheLogHasIt checks that a list with the verdict is sent at once, without a change to
+// TestVerdictIsSentBeforeCommit checks that a list with the verdict is sent at once, without a change to
 // the state that the log holds.
-func TestBarredBeforeTheLogHasIt(t *testing.T) {
+func TestVerdictIsSentBeforeCommit(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 3, Barred: make([]string, 0, 4)})
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 3, Barred: make([]string, 0, 4)})
 	r.decision = rollout.Decision{Share: 0.04, Routes: map[string]float64{"b": 0.5, "a": 0.25}}
 	base := protocol.Rollout{Pool: "p", Attempt: 3, Barred: r.Barred}
 	is.Equal(r.listEntry(base), protocol.Rollout{
@@ -126,36 +126,36 @@
 	is.Equal(len(r.Barred), 0)
 }
 
-// TestShareThatHardlyChanges checks that small changes of a share are not sent.
-func TestShareThatHardlyChanges(t *testing.T) {
+// TestSmallShareChangesAreNotSent checks that small changes of a share are not sent.
+func TestSmallShareChangesAreNotSent(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Target: "v2"})
+	r := newTestRollout(document.Rollout{Target: "v2"})
 	for _, step := range []struct{ decided, sent float64 }{{0.04, 0.04}, {0.045, 0.04}, {0.05, 0.05}, {0.99, 0.99}, {1, 1}, {0, 0}} {
 		r.decision = rollout.Decision{Share: step.decided}
 		is.Equal(r.listEntry(protocol.Rollout{}).Share, step.sent)
 	}
 }
 
-// TestFirstListWithAll checks that gateways have to apply the first of the latest lists that give the
+// TestFullShareListNumber checks that gateways have to apply the first of the latest lists that give the
 // target all requests.
-func TestFirstListWithAll(t *testing.T) {
+func TestFullShareListNumber(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{})
+	r := newTestRollout(document.Rollout{})
 	for _, step := range []struct {
 		seq   uint64
 		share float64
 		want  uint64
 	}{{1, 0.04, 0}, {2, 1, 2}, {3, 1, 2}, {4, 0, 0}, {5, 1, 5}} {
 		r.recordSent(0, step.seq, protocol.Rollout{Share: step.share})
-		is.Equal(r.fullSeq, step.want)
+		is.Equal(r.fullShareSeq, step.want)
 	}
 }
 
-// TestTotalsFall checks that a fall of the totals is recorded when a relay's session ends that has
+// TestReducedTotalsAreRecorded checks that a fall of the totals is recorded when a relay's session ends that has
 // reported outcomes, until its gateways have reported elsewhere.
-func TestTotalsFall(t *testing.T) {
+func TestReducedTotalsAreRecorded(t *testing.T) {
 	is := is.New(t)
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	silent, relay := reporter{relaySession: &session{}}, reporter{relaySession: &session{bootID: 1}}
 	r.addOutcomes(relay, protocol.Outcomes{Version: "v2", Route: "r", Sent: 5})
 	r.removeReporter(silent)
@@ -168,16 +168,16 @@
 	is.Equal(r.totalsReducedAt, 3*time.Second)
 }
 
-// TestRelayThatHasJustOpened checks that a new relay session delays completion until it has reported
+// TestNewRelaySessionDelaysCompletion checks that a new relay session delays completion until it has reported
 // twice: before the relay has named its gateways, their load is not in the sums either.
-func TestRelayThatHasJustOpened(t *testing.T) {
+func TestNewRelaySessionDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // its version does not support rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
 	h.rollouts = rollouts{applied: map[*session]appliedLists{}}
-	r := newLeadRollout(document.Rollout{Pool: "p", Target: "v2"})
-	r.fullSeq = 2
+	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2"})
+	r.fullShareSeq = 2
 	for _, want := range []bool{false, false, true} {
 		is.Equal(h.oldVersionsIdle(r), want)
 		h.addOutcomes(s, protocol.Usage{Obeyed: 2})
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -16,7 +16,7 @@
 // because gateways must stop sending to those servers.
 //
 // Without the pacing, a fleet of 985 gateways and 9,998 servers never had a leader for longer than
-// 1.4 s: the lists delayed its heartbeats (TestCrowdComesAtOnce).
+// 1.4 s: the lists delayed its heartbeats (TestAllGatewaysConnectAtOnce).
 
 // listLinkShare is the fraction of the box's link that whole lists and their changes may use. The
 // rest is for heartbeats, documents, reports and answers.
@@ -117,7 +117,7 @@
 func isRelaySession(s *session) bool { return s.relay }
 
 // relayAwaitsList reports whether a relay is waiting for the list. Until it has the list, the
-// leader serves its gateways too.
+// leader also serves its gateways.
 func (h *hub) relayAwaitsList() bool { return slices.ContainsFunc(h.awaitingList, isRelaySession) }
 
 // nextListIndex returns the index of the session to be sent a list next.
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -54,10 +54,10 @@
 	}
 }
 
-// TestServerStartsAgain: a server that restarts under its name must be served within two seconds,
+// TestServerRestart: a server that restarts under its name must be served within two seconds,
 // also at another address, however its previous life ended, and despite late messages of that life.
 // After that time nothing may be sent to the address of the previous life.
-func TestServerStartsAgain(t *testing.T) {
+func TestServerRestart(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		address     string // address of the later life; "" means the same
@@ -128,11 +128,11 @@
 	}
 }
 
-// TestServerStartsAgainBehindARelay: the restart must also reach gateways that a relay serves.
-func TestServerStartsAgainBehindARelay(t *testing.T) {
-	inRegions(t, 1<<20, func(x *fleet) {
+// TestServerRestartReachesGatewaysBehindRelay: the restart must also reach gateways that a relay serves.
+func TestServerRestartReachesGatewaysBehindRelay(t *testing.T) {
+	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.putDocument(1)
 		x.place("10.0.2.1", south)
 		a := &arrivals{at: map[string][]time.Time{}}
@@ -152,9 +152,9 @@
 	})
 }
 
-// TestVersionsWithoutLives: a gateway of an earlier version takes the name for the identifier. It
+// TestGatewayWithoutSupportForLives: a gateway of an earlier version takes the name for the identifier. It
 // must list the server's current life under that name, and nothing once the server has departed.
-func TestVersionsWithoutLives(t *testing.T) {
+func TestGatewayWithoutSupportForLives(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
@@ -196,9 +196,9 @@
 	})
 }
 
-// TestLifeInAHallOutOfService: a server that restarts in a hall that is out of service must get no
+// TestServerRestartInHallOutOfService: a server that restarts in a hall that is out of service must get no
 // requests, and one that restarts in another hall must.
-func TestLifeInAHallOutOfService(t *testing.T) {
+func TestServerRestartInHallOutOfService(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
@@ -226,9 +226,9 @@
 	})
 }
 
-// TestLifeOfAnotherVersion: a server of the old version that restarts with the target version of a
+// TestServerRestartWithTargetVersion: a server of the old version that restarts with the target version of a
 // rollout must count as a server of the target from then on.
-func TestLifeOfAnotherVersion(t *testing.T) {
+func TestServerRestartWithTargetVersion(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
@@ -254,7 +254,7 @@
 		})
 		defer stop()
 		for i := range 3 {
-			x.startLoadedGateway(rolloutGateway(i), a, rolloutPeriod)
+			x.startLoadedGateway(rolloutGatewayIP(i), a, rolloutPeriod)
 		}
 		time.Sleep(3 * time.Second)
 		is.NoErr(x.orderRollout(rollout.Order{Pool: "p", Target: "v2", Duration: rolloutTime}))
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -27,8 +27,8 @@
 // of a fleet of them.
 
 const (
-	deadlyAfter = 60 * time.Millisecond   // from the start of a deadly request to the crash of its server
-	backAfter   = 1500 * time.Millisecond // from the crash of a server to its restart
+	crashDelay   = 60 * time.Millisecond   // from the start of a deadly request to the crash of its server
+	restartDelay = 1500 * time.Millisecond // from the crash of a server to its restart
 )
 
 // crashingServers are backend servers of one pool. A request whose body begins with "deadly" ends the
@@ -42,12 +42,12 @@
 	firstTarget int           // number of the first server of another version, which is announced after the order; 0 for none
 	resets      bool          // a deadly request breaks its own connection and ends no server
 
-	mu           sync.Mutex
-	ordered      bool                // the rollout to the other version was ordered
-	processes    map[string]*process // by address
-	starts       int
-	ends         []time.Time
-	deadlyStarts map[string][]time.Time // when servers began deadly requests, by body
+	mu                    sync.Mutex
+	ordered               bool                // the rollout to the other version was ordered
+	processes             map[string]*process // by address
+	starts                int
+	crashes               []time.Time
+	crashingRequestStarts map[string][]time.Time // when servers began deadly requests, by body
 }
 
 // process is one run of the server at an address.
@@ -60,7 +60,7 @@
 
 // startCrashingServers starts n servers.
 func (x *fleet) startCrashingServers(n int, run time.Duration) *crashingServers {
-	m := &crashingServers{x: x, runTime: run, processes: map[string]*process{}, deadlyStarts: map[string][]time.Time{}}
+	m := &crashingServers{x: x, runTime: run, processes: map[string]*process{}, crashingRequestStarts: map[string][]time.Time{}}
 	for i := range n {
 		m.start(serverAddress(fmt.Sprint("b", i+1)))
 	}
@@ -85,9 +85,9 @@
 	m.processes[at].id, m.processes[at].seq = before.id, before.seq
 }
 
-// end ends the servers at some addresses at once. They restart later, with new identifiers unless
+// crash ends the servers at some addresses at once. They restart later, with new identifiers unless
 // keepIDs is set.
-func (m *crashingServers) end(addresses ...string) {
+func (m *crashingServers) crash(addresses ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, at := range addresses {
@@ -97,8 +97,8 @@
 		}
 		p.up = false
 		close(p.ended)
-		m.ends = append(m.ends, time.Now())
-		time.AfterFunc(backAfter, func() {
+		m.crashes = append(m.crashes, time.Now())
+		time.AfterFunc(restartDelay, func() {
 			m.restart(at, p)
 			m.announce()
 		})
@@ -192,7 +192,7 @@
 			return nil, forward.Unknown{Server: at, Err: syscall.ECONNRESET}
 		}
 		run = time.Hour
-		time.AfterFunc(deadlyAfter, func() { m.end(at) })
+		time.AfterFunc(crashDelay, func() { m.crash(at) })
 	}
 	body := &crashingBody{ctx: ctx, done: time.After(run), ended: p.ended}
 	if !m.streams {
@@ -242,27 +242,27 @@
 func (m *crashingServers) recordStart(body string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.deadlyStarts[body] = append(m.deadlyStarts[body], time.Now())
+	m.crashingRequestStarts[body] = append(m.crashingRequestStarts[body], time.Now())
 }
 
-// countDeadly returns how often a deadly request was begun, and how often later than contactTime after it
+// countCrashingRequest returns how often a deadly request was begun, and how often later than contactTime after it
 // had ended the third server.
-func (m *crashingServers) countDeadly(body string) (sent, late int) {
+func (m *crashingServers) countCrashingRequest(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for i, at := range m.deadlyStarts[body] {
-		if i >= 3 && at.Sub(m.deadlyStarts[body][2]) > deadlyAfter+contactTime {
+	for i, at := range m.crashingRequestStarts[body] {
+		if i >= 3 && at.Sub(m.crashingRequestStarts[body][2]) > crashDelay+verdictTime {
 			late++
 		}
 	}
-	return len(m.deadlyStarts[body]), late
+	return len(m.crashingRequestStarts[body]), late
 }
 
-// countEnds returns how many servers have ended.
-func (m *crashingServers) countEnds() int {
+// countCrashes returns how many servers have ended.
+func (m *crashingServers) countCrashes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.ends)
+	return len(m.crashes)
 }
 
 // retryDocument returns a document with one route, which allows a second attempt.
@@ -295,7 +295,7 @@
 	defer stop()
 	c := &callers{x: x, answers: map[string]map[int]int{}, gateways: map[string]*gateway.Gateway{}}
 	for i := range gateways {
-		c.gateway(m, gatewayIP(i))
+		c.startGateway(m, gatewayIP(i))
 	}
 	time.Sleep(3 * time.Second)
 	c.mu.Lock()
@@ -312,8 +312,8 @@
 	hotPeriod   = 50 * time.Millisecond
 )
 
-// gateway starts a gateway with its own callers.
-func (c *callers) gateway(m *crashingServers, ip string) {
+// startGateway starts a startGateway with its own callers.
+func (c *callers) startGateway(m *crashingServers, ip string) {
 	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 		asking.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -14,15 +14,15 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file answers operators' rollout commands on fleet links.
+// This file answers operators' rollout orders that arrive on fleet links.
 
-// commandTimeout bounds the execution of one command. A commit takes milliseconds, an election some
+// orderTimeout bounds the execution of one order. A commit takes milliseconds, an election some
 // hundred.
-const commandTimeout = 2 * time.Second
+const orderTimeout = 2 * time.Second
 
-// serveRolloutOrder answers an operator's command that arrived as the first message of a link. An
-// operator that gets no answer repeats the order. An order whose sender no longer waits was delayed on
-// the way and is dropped.
+// serveRolloutOrder answers an operator's order that arrived as the first message of a link. An
+// operator that gets no answer repeats the order. If the sender no longer waits, the order was delayed
+// on the way and is dropped.
 func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
@@ -32,9 +32,9 @@
 	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by commandTimeout, which may have expired
 }
 
-// executeRolloutOrder executes an operator's command and returns the answer.
+// executeRolloutOrder executes an operator's order and returns the answer.
 func (d *Directory) executeRolloutOrder(ctx context.Context, o protocol.RolloutOrder) protocol.RolloutAnswer {
-	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := d.applyRolloutOrder(ctx, o); err != nil {
 		return errorAnswer(err)
@@ -46,10 +46,10 @@
 	case o.Act == protocol.OrderStatus:
 		return errorAnswer(err)
 	}
-	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order itself is acknowledged
+	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order was executed; only reading the rollout failed
 }
 
-// applyRolloutOrder makes the change that an operator's command requests, if any.
+// applyRolloutOrder makes the change that an operator's order requests, if any.
 func (d *Directory) applyRolloutOrder(ctx context.Context, o protocol.RolloutOrder) error {
 	switch o.Act {
 	case protocol.OrderStart:
@@ -59,7 +59,7 @@
 	case protocol.OrderAbort:
 		return d.AbortRollout(ctx, o.Pool, o.Attempt)
 	}
-	return rollout.InvalidOrder{Reason: "this version does not know what it asks for"}
+	return rollout.InvalidOrder{Reason: "this version does not support the requested action"}
 }
 
 // errorAnswer returns the answer to an order that failed.
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -35,7 +35,7 @@
 // addOutcomes applies a gateway's report.
 func (h *hub) addOutcomes(s *session, u protocol.Usage) {
 	if u.Term != 0 && u.Term != h.term {
-		u.Obeyed = 0 // a list of another leader
+		u.Obeyed = 0 // the number is that of another leader's list
 	}
 	h.rollouts.applied[s] = appliedLists{newest: u.Obeyed, previous: h.rollouts.applied[s].newest}
 	for _, o := range u.Outcomes {
@@ -48,7 +48,7 @@
 
 // reasonBarredByPreviousLeader is the logged reason for rolling back a target that the previous leader
 // has barred.
-const reasonBarredByPreviousLeader = "barred by the leader before"
+const reasonBarredByPreviousLeader = "barred by the previous leader"
 
 // applyBarred rolls back targets that a gateway has barred by a verdict that the log may lack.
 func (h *hub) applyBarred(list []protocol.Barred) {
@@ -70,24 +70,24 @@
 	key := outcomeKey{o.Version, o.Route}
 	previous := byKey[key]
 	byKey[key] = o
-	pair := r.totals[o.Route]
-	if pair == nil {
-		pair = &rollout.RouteTallies{}
-		r.totals[o.Route] = pair
+	tallies := r.totals[o.Route]
+	if tallies == nil {
+		tallies = &rollout.RouteTallies{}
+		r.totals[o.Route] = tallies
 	}
-	t := &pair.Old
+	t := &tallies.Old
 	if o.Version == r.Target {
-		t = &pair.Target
+		t = &tallies.Target
 	}
 	t.Sent += o.Sent - previous.Sent // unsigned arithmetic: a decrease wraps around
 	t.Answered += o.Answered - previous.Answered
 	t.Failed += o.Failed - previous.Failed
 	for i := range t.Paces {
-		t.Paces[i] += paces(o, i) - paces(previous, i)
+		t.Paces[i] += paceCount(o, i) - paceCount(previous, i)
 	}
 }
 
-func paces(o protocol.Outcomes, bucket int) uint64 {
+func paceCount(o protocol.Outcomes, bucket int) uint64 {
 	if bucket < len(o.Paces) {
 		return uint64(o.Paces[bucket])
 	}
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -31,7 +31,7 @@
 	list      quarantine.List                       // as last sent to the gateways
 	revision  uint64                                // of the log's condemned requests that the list includes
 	unlogged  map[quarantine.Key]document.Condemned // condemned, not yet in the log
-	proposing bool                                  // a change is being proposed
+	proposing bool                                  // whether a change is being proposed
 }
 
 // beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
@@ -89,18 +89,18 @@
 // stepEvidence condemns the requests with sufficient evidence, and sends changes of the list to the
 // gateways.
 func (h *hub) stepEvidence() {
-	v := &h.evidence
-	for _, verdict := range v.tracker.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
+	e := &h.evidence
+	for _, verdict := range e.tracker.Evaluate(h.d.replica.Now(), h.registry.PoolSize) {
 		h.d.cfg.Log.StateChange("request condemned", slog.String("key", verdict.Key.String()),
 			slog.String("tenant", verdict.Account), slog.String("pool", verdict.Pool),
 			slog.Any("backends", verdict.Servers), slog.Float64("chance", verdict.Probability))
-		v.unlogged[verdict.Key] = document.Condemned{
+		e.unlogged[verdict.Key] = document.Condemned{
 			Key: verdict.Key[:], Hint: uint32(verdict.Hint), Account: verdict.Account, Pool: verdict.Pool, Servers: verdict.Servers,
 		}
 	}
 	h.proposeUnlogged()
-	if revision := h.d.state.condemnedRevision(); revision != v.revision || v.tracker.TakeChanged() {
-		v.revision = revision
+	if revision := h.d.state.condemnedRevision(); revision != e.revision || e.tracker.TakeChanged() {
+		e.revision = revision
 		h.pushQuarantine()
 	}
 }
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -59,22 +59,22 @@
 	return nil
 }
 
-// serveQuarantineOrder answers an operator's command that arrived as the first message of a link.
+// serveQuarantineOrder answers an operator's order that arrived as the first message of a link.
 func (d *Directory) serveQuarantineOrder(ctx context.Context, l *link.Link, o protocol.QuarantineOrder) {
 	ctx, waits := l.PeerWaits(ctx)
 	if !waits {
 		return // the sender repeats the order
 	}
-	answering, cancel := context.WithTimeout(ctx, commandTimeout)
+	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	_ = l.Send(ctx, d.executeQuarantineOrder(answering, o)) // not bounded by commandTimeout, which may have expired
+	_ = l.Send(ctx, d.executeQuarantineOrder(orderCtx, o)) // not bounded by commandTimeout, which may have expired
 }
 
 func (d *Directory) executeQuarantineOrder(ctx context.Context, o protocol.QuarantineOrder) protocol.QuarantineAnswer {
 	if len(o.Release) > 0 {
 		k, ok := quarantine.KeyFrom(o.Release)
 		if !ok {
-			return protocol.QuarantineAnswer{Outcome: protocol.OrderRefused, Reason: "a key has 16 bytes"}
+			return protocol.QuarantineAnswer{Outcome: protocol.OrderRefused, Reason: "a key must have 16 bytes"}
 		}
 		if err := d.Release(ctx, k); err != nil {
 			return quarantineErrorAnswer(err)
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -31,7 +31,7 @@
 type servedElsewhere struct{ by string } // fleet address
 
 // Error names the replica.
-func (e servedElsewhere) Error() string { return "the gateway is to be served by " + e.by }
+func (e servedElsewhere) Error() string { return "the gateway is assigned to " + e.by }
 
 // notYetServing refuses a gateway that this replica, or a relay that connects meanwhile, may serve
 // shortly.
@@ -68,7 +68,8 @@
 	return h.d.hasMultipleRegions() && region != "" && region != h.d.cfg.Region
 }
 
-// checkServes returns nil if this replica is to serve a node, and otherwise the error of [hub.open].
+// checkServes returns nil if this replica is to serve a node, and otherwise the error of
+// [hub.openSession].
 func (h *hub) checkServes(w protocol.Watch, mayWait bool) error {
 	if h.term != 0 {
 		return h.checkLeaderServes(w, mayWait)
@@ -117,7 +118,7 @@
 	if !h.isRelayServed(w.Region) {
 		return nil
 	}
-	places := h.places(w.Region)
+	places := h.leaderPlaces(w.Region)
 	if place := registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
 		if mayWait && h.isTermNew() && h.preferredHall(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
 			return notYetServing{} // its hall's relay may be about to connect
@@ -143,7 +144,7 @@
 	if !h.isRelayServed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
-	places := h.placesFor(w.Region)
+	places := h.knownPlaces(w.Region)
 	return registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid)
 }
 
@@ -156,7 +157,7 @@
 			continue
 		}
 		if _, known := places[s.region]; !known {
-			places[s.region] = h.placesFor(s.region)
+			places[s.region] = h.knownPlaces(s.region)
 		}
 		candidates := places[s.region]
 		place := registry.SelectReplica(candidates, h.preferredHall(s.hall), s.gateway, nil)
@@ -186,13 +187,13 @@
 	return true
 }
 
-// placesFor returns the replicas that may serve the gateways of a region, or nil if they are not known.
-func (h *hub) placesFor(region string) []protocol.Place {
+// knownPlaces returns the replicas that may serve the gateways of a region, or nil if they are not known.
+func (h *hub) knownPlaces(region string) []protocol.Place {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
 	case h.relay == nil && h.isRelayServed(region):
-		return h.places(region)
+		return h.leaderPlaces(region)
 	}
 	return nil
 }
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -20,17 +20,17 @@
 // between the regions.
 
 const (
-	north, south = "north", "south"
-	farLatency   = 30 * time.Millisecond // one way
+	north, south       = "north", "south"
+	interRegionLatency = 30 * time.Millisecond // one way
 )
 
-// inRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each way.
-func inRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
+// withTwoRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each way.
+func withTwoRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
 		x.syncTime = 5 * time.Millisecond
 		x.tuning = replica.Tuning{ElectionTimeout: 400 * time.Millisecond, HeartbeatInterval: 80 * time.Millisecond} // the values of a process
-		x.net.SetRegionLink(farLatency, bytesPerSecond)
+		x.net.SetRegionLink(interRegionLatency, bytesPerSecond)
 		for i := range voters {
 			x.place(fmt.Sprintf("10.0.1.%d", i+1), []string{north, north, north, south, south}[i])
 		}
@@ -55,12 +55,12 @@
 	return t
 }
 
-// gatewaysIn starts gateways in a region, each with its own address.
-func (x *fleet) gatewaysIn(region string, n int) (all []*gateway.Gateway) {
+// startGatewaysIn starts gateways in a region, each with its own address.
+func (x *fleet) startGatewaysIn(region string, n int) (all []*gateway.Gateway) {
 	for range n {
 		ip := fmt.Sprintf("10.0.2.%d", len(x.gateways)+1)
 		x.place(ip, region)
-		all = append(all, x.gateway(ip))
+		all = append(all, x.startGateway(ip))
 	}
 	return all
 }
@@ -69,12 +69,12 @@
 func (x *fleet) announceMany(n int) {
 	is := is.New(x.t)
 	for i := range n {
-		is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), manyServer(i, 1)))
+		is.NoErr(x.awaitLeader().d.Announce(x.t.Context(), numberedAnnouncement(i, 1)))
 	}
 }
 
-// manyServer returns the announcement of backend server number i.
-func manyServer(i int, seq uint64) registry.Announcement {
+// numberedAnnouncement returns the announcement of backend server number i.
+func numberedAnnouncement(i int, seq uint64) registry.Announcement {
 	return registry.Announcement{Registration: protocol.Registration{
 		ID: fmt.Sprintf("b%d", i), Pool: "p", Address: fmt.Sprintf("10.1.%d.%d:80", i/200, i%200), Slots: 4,
 	}, Seq: seq}
@@ -90,11 +90,11 @@
 	return all
 }
 
-// leadIn makes a replica of a region the leader, with enough time between restarts for it to stay so.
-func (x *fleet) leadIn(region string) { x.leadAfter(region, 2*time.Second) }
+// electLeaderIn makes a replica of a region the leader, with enough time between restarts for it to stay so.
+func (x *fleet) electLeaderIn(region string) { x.electLeaderInWithPause(region, 2*time.Second) }
 
-// leadAfter kills leaders until a replica of the region leads, and pauses after each restart.
-func (x *fleet) leadAfter(region string, pause time.Duration) {
+// electLeaderInWithPause kills leaders until a replica of the region leads, and pauses after each restart.
+func (x *fleet) electLeaderInWithPause(region string, pause time.Duration) {
 	for range 20 {
 		n := x.awaitLeader()
 		if x.regions[n.ip] == region {
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -16,19 +16,19 @@
 
 // This file tests the traffic between regions.
 
-// TestBytesBetweenRegions checks that the traffic between the leader and another region does not grow
+// TestRegionTrafficDoesNotGrowWithGateways checks that the traffic between the leader and another region does not grow
 // with the gateways there. It also checks that all gateways receive a document at once, although the
 // link is slow and every backend server has just been announced.
-func TestBytesBetweenRegions(t *testing.T) {
+func TestRegionTrafficDoesNotGrowWithGateways(t *testing.T) {
 	t.Parallel()
 	const servers, measured = 600, 10 * time.Second
 	crossed := map[int]uint64{}
 	for _, gateways := range []int{5, 40} {
-		inRegions(t, 1_000_000, func(x *fleet) {
+		withTwoRegions(t, 1_000_000, func(x *fleet) {
 			is := is.New(x.t)
-			x.leadIn(north)
+			x.electLeaderIn(north)
 			x.announceMany(servers)
-			all := append(x.gatewaysIn(north, gateways), x.gatewaysIn(south, gateways)...)
+			all := append(x.startGatewaysIn(north, gateways), x.startGatewaysIn(south, gateways)...)
 			time.Sleep(10 * time.Second)
 			before := x.net.Crossed(north, south) + x.net.Crossed(south, north)
 			time.Sleep(measured)
@@ -47,14 +47,14 @@
 	is.New(t).True(crossed[40] < crossed[5]*3/2)
 }
 
-// TestBusyRegionsKeepToTheirBudget checks that the traffic between regions stays below 50 KB/s in both
+// TestRegionTrafficStaysWithinBudget checks that the traffic between regions stays below 50 KB/s in both
 // directions together while the load of every server changes with every report of every gateway.
-func TestBusyRegionsKeepToTheirBudget(t *testing.T) {
+func TestRegionTrafficStaysWithinBudget(t *testing.T) {
 	t.Parallel()
 	const servers, gateways, measured = 600, 30, 10
-	inRegions(t, 7_500_000, func(x *fleet) {
+	withTwoRegions(t, 7_500_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.announceMany(servers)
 		for i := range 2 * gateways {
 			region := []string{north, south}[i%2]
@@ -71,16 +71,16 @@
 	})
 }
 
-// TestAnnouncementsCrossAsNumbers checks that servers announced at the replicas of another region take
+// TestRepeatedAnnouncementsUseHandlesBetweenRegions checks that servers announced at the replicas of another region take
 // few bytes of the link once the leader lists them, and stay listed beyond the time after which silent
 // servers are removed.
-func TestAnnouncementsCrossAsNumbers(t *testing.T) {
+func TestRepeatedAnnouncementsUseHandlesBetweenRegions(t *testing.T) {
 	t.Parallel()
 	const servers, seconds = 300, 45 // a silent server is removed after 40 s
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
-		g := x.gatewaysIn(south, 1)[0]
+		x.electLeaderIn(north)
+		g := x.startGatewaysIn(south, 1)[0]
 		relays := x.relays(south)
 		ctx, stop := context.WithTimeout(x.t.Context(), seconds*time.Second)
 		defer stop()
@@ -89,7 +89,7 @@
 			announcing.Go(func() {
 				time.Sleep(time.Duration(i) * announceInterval / servers)
 				for seq := uint64(1); ctx.Err() == nil; seq++ {
-					is.NoErr(relays[i%2].d.Announce(x.t.Context(), manyServer(i, seq)))
+					is.NoErr(relays[i%2].d.Announce(x.t.Context(), numberedAnnouncement(i, seq)))
 					sleep.For(ctx, announceInterval)
 				}
 			})
@@ -110,18 +110,18 @@
 	})
 }
 
-// TestFleetReturnsOverRegions cuts the power of all replicas and gateways while backend servers keep
+// TestFleetRestartAcrossRegions cuts the power of all replicas and gateways while backend servers keep
 // announcing themselves. Soon after the restart every gateway must serve again, with the document and
 // nearly all servers.
-func TestFleetReturnsOverRegions(t *testing.T) {
+func TestFleetRestartAcrossRegions(t *testing.T) {
 	t.Parallel()
 	const servers, gateways = 1200, 40
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		stop := x.announceAnywhereRepeatedly(servers)
-		x.gatewaysIn(north, gateways)
-		x.gatewaysIn(south, gateways)
+		x.startGatewaysIn(north, gateways)
+		x.startGatewaysIn(south, gateways)
 		x.putDocument(1)
 		time.Sleep(10 * time.Second)
 		x.losePower()
@@ -134,7 +134,7 @@
 			x.startReplica(ip, false)
 		}
 		for ip := range x.gateways {
-			x.gateway(ip)
+			x.startGateway(ip)
 		}
 		began := time.Now()
 		for ip, g := range x.gateways {
@@ -174,7 +174,7 @@
 		n := x.nodes[x.ips[try%len(x.ips)]]
 		if d := n.current.Load(); d != nil {
 			trying, cancel := context.WithTimeout(ctx, time.Second)
-			err := d.Announce(trying, manyServer(i, seq))
+			err := d.Announce(trying, numberedAnnouncement(i, seq))
 			cancel()
 			if err == nil {
 				return
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -13,13 +13,13 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file implements relay. A replica in another region than the leader's serves the gateways of its
-// region: it forwards the leader's messages to them, and combines their reports into one.
+// This file defines relay, the state of a replica that serves the gateways of a region other than the
+// leader's: it forwards the leader's messages to them, and combines their reports into one.
 //
 // A relay has one session with the leader, as a gateway has. It reads documents from the replicated log,
 // which it has anyway. In another region than the leader's, its gateways keep their sessions until the
 // relay has a session with the next leader, and then open new ones. Where sessions are spread they
-// outlive the leader (lasting.go).
+// outlive the leader (sessioncarryover.go).
 
 const (
 	// relayPollInterval is how often a replica checks whether to open a session with the leader, and how
@@ -64,9 +64,9 @@
 
 // relayFrom handles the messages of a session with the leader until it ends: first those that came
 // before the first list, then the list and all that follows.
-func (h *hub) relayFrom(ctx context.Context, l *link.Link, leader string, first protocol.Servers, before []protocol.Message) {
+func (h *hub) relayFrom(ctx context.Context, l *link.Link, leader string, first protocol.Servers, preceding []protocol.Message) {
 	var r *relay
-	if err := h.do(ctx, func() (err error) { r, err = h.beginRelay(l, leader, first, before); return err }); err != nil {
+	if err := h.do(ctx, func() (err error) { r, err = h.beginRelay(l, leader, first, preceding); return err }); err != nil {
 		return
 	}
 	out := r.out
@@ -90,7 +90,7 @@
 
 // beginRelay starts a session with a leader. It returns [Unavailable] if this replica leads itself, or
 // has seen a later term.
-func (h *hub) beginRelay(l *link.Link, leader string, first protocol.Servers, before []protocol.Message) (*relay, error) {
+func (h *hub) beginRelay(l *link.Link, leader string, first protocol.Servers, preceding []protocol.Message) (*relay, error) {
 	h.syncLeadership()
 	if known := h.leadership.Load(); known.leads || first.Term < known.term {
 		return nil, Unavailable{}
@@ -105,7 +105,7 @@
 	r.out, r.gatewaysChanged, r.nextReportAt = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetUnsent = map[uint32]protocol.ServerLoad{}, nil, false
 	r.sums.Restart(first.Term)
-	for _, m := range before {
+	for _, m := range preceding {
 		r.receive(m)
 	}
 	r.receive(first)
@@ -171,7 +171,7 @@
 	if h.relay == nil {
 		return
 	}
-	h.d.cfg.Log.StateChange("relaying no more", slog.Uint64("term", h.relay.list.Term()), slog.Int("gateways", len(h.sessions)))
+	h.d.cfg.Log.StateChange("stopped relaying", slog.Uint64("term", h.relay.list.Term()), slog.Int("gateways", len(h.sessions)))
 	for s := range h.sessions {
 		h.redirectSession(s, to)
 	}
@@ -242,7 +242,7 @@
 // tick sends the gateways' combined report to the leader, and due messages to the gateways.
 func (r *relay) tick() {
 	if r.out == nil {
-		for s := range r.h.sessions { // gateways leave a silent relay
+		for s := range r.h.sessions { // keeps the sessions open: gateways leave a silent relay
 			s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
 		}
 		return
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -16,10 +16,10 @@
 
 // withRelays runs f with the leader in the north, servers, gateways in both regions, and a document.
 func withRelays(t *testing.T, servers, gateways int, f func(x *fleet, near, far []*gateway.Gateway)) {
-	inRegions(t, 1_000_000, func(x *fleet) {
-		x.leadIn(north)
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
+		x.electLeaderIn(north)
 		x.announceMany(servers)
-		near, far := x.gatewaysIn(north, gateways), x.gatewaysIn(south, gateways)
+		near, far := x.startGatewaysIn(north, gateways), x.startGatewaysIn(south, gateways)
 		x.putDocument(1)
 		time.Sleep(3 * time.Second)
 		f(x, near, far)
@@ -71,7 +71,7 @@
 		is.True(leader.bytesSentTo("fleet", south) > 0)
 		is.True(leader.bytesSentTo("fleet", south) < leader.bytesSentTo("fleet", north)) // two relays against eight gateways
 		is.True(x.awaitDocument(2, append(near, far...)...) < 200*time.Millisecond)
-		is.NoErr(leader.d.Announce(x.t.Context(), manyServer(30, 1)))
+		is.NoErr(leader.d.Announce(x.t.Context(), numberedAnnouncement(30, 1)))
 		is.NoErr(leader.d.Withdraw(x.t.Context(), "b3"))
 		time.Sleep(300 * time.Millisecond)
 		for _, g := range append(near, far...) {
@@ -80,9 +80,9 @@
 	})
 }
 
-// TestRelayEnds kills, silences or cuts off one of two relays, which then returns. Its gateways must be
+// TestRelayLoss kills, silences or cuts off one of two relays, which then returns. Its gateways must be
 // served by the other relay within about a second, and receive documents again.
-func TestRelayEnds(t *testing.T) {
+func TestRelayLoss(t *testing.T) {
 	for _, how := range []string{"killed", "silent", "cut"} {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestAllRelaysEnd checks that the leader serves the gateways of a region that has lost its relays, and
+// TestLossOfAllRelays checks that the leader serves the gateways of a region that has lost its relays, and
 // that a relay serves them once it is back.
-func TestAllRelaysEnd(t *testing.T) {
+func TestLossOfAllRelays(t *testing.T) {
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
@@ -132,9 +132,9 @@
 	})
 }
 
-// TestRelaysAreOutOfReach checks that gateways that reach the leader but no relay, while the leader
+// TestLeaderServesGatewaysThatReachNoRelay checks that gateways that reach the leader but no relay, while the leader
 // reaches both, are served by the leader until they reach the relays again.
-func TestRelaysAreOutOfReach(t *testing.T) {
+func TestLeaderServesGatewaysThatReachNoRelay(t *testing.T) {
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
@@ -163,9 +163,9 @@
 	})
 }
 
-// TestLeaderChangesBehindRelays kills the leader six times, whichever region it is in. After each time
+// TestLeaderLossBehindRelays kills the leader six times, whichever region it is in. After each time
 // all gateways must be served, by the relays of their region and not by the leader.
-func TestLeaderChangesBehindRelays(t *testing.T) {
+func TestLeaderLossBehindRelays(t *testing.T) {
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
@@ -188,9 +188,9 @@
 	})
 }
 
-// TestRegionIsCutOff checks that the gateways of a region that is cut off keep their state, and catch up
+// TestRegionPartition checks that the gateways of a region that is cut off keep their state, and catch up
 // when it is reconnected.
-func TestRegionIsCutOff(t *testing.T) {
+func TestRegionPartition(t *testing.T) {
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
 		is := is.New(x.t)
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -14,12 +14,12 @@
 
 // This file tests rollouts that reach gateways through relays.
 
-// TestRelayPassesRolloutsOn checks that a relay whose session opens while there are rollouts serves its
+// TestRelayForwardsRollouts checks that a relay whose session opens while there are rollouts serves its
 // region, and that a gateway there receives the barred versions before any server.
-func TestRelayPassesRolloutsOn(t *testing.T) {
-	inRegions(t, 1<<20, func(x *fleet) {
+func TestRelayForwardsRollouts(t *testing.T) {
+	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.putDocument(1)
 		is.NoErr(x.announce("b1", false))
 		is.NoErr(x.orderRollout(orderTo("v2")))
@@ -52,12 +52,12 @@
 	})
 }
 
-// TestUnawareGatewayBehindARelay checks that the leader reports gateways without support for rollouts
+// TestGatewayWithoutRolloutsBehindRelayIsReported checks that the leader reports gateways without support for rollouts
 // behind relays as well.
-func TestUnawareGatewayBehindARelay(t *testing.T) {
-	inRegions(t, 1<<20, func(x *fleet) {
+func TestGatewayWithoutRolloutsBehindRelayIsReported(t *testing.T) {
+	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.putDocument(1)
 		time.Sleep(2 * time.Second) // until the relays have their sessions
 		x.place("10.0.2.1", south)
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -153,8 +153,8 @@
 	return r.term, r.handles["b1"]
 }
 
-// countStrays returns how many servers but b1 have running requests by the sums.
-func (r *reportingGateway) countStrays() int {
+// countOtherLoadedServers returns how many servers but b1 have running requests by the sums.
+func (r *reportingGateway) countOtherLoadedServers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -192,9 +192,9 @@
 // ends. While a gateway moves, its requests may count twice, but nothing else may.
 func TestSumsAcrossRelays(t *testing.T) {
 	t.Parallel()
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.announceMany(5)
 		relays := x.relays(south)
 		a, b := relays[0].ip+":7400", relays[1].ip+":7400"
@@ -239,13 +239,13 @@
 		for _, r := range all {
 			for now, _ := r.listTerm(); now == term; now, _ = r.listTerm() {
 				time.Sleep(10 * time.Millisecond)
-				is.Equal(all[0].countStrays(), 0)
+				is.Equal(all[0].countOtherLoadedServers(), 0)
 			}
 		}
 		_, next := all[0].listTerm()
 		is.True(next != handle)
 		for range 100 {
-			is.Equal(all[0].countStrays(), 0)
+			is.Equal(all[0].countOtherLoadedServers(), 0)
 			time.Sleep(10 * time.Millisecond)
 		}
 		awaitSum(x, 1111, all...)
@@ -259,14 +259,14 @@
 	})
 }
 
-// TestFrozenRelayWakes freezes a relay: its links carry nothing in either direction for a while, and then
+// TestSumsExcludeFrozenRelay freezes a relay: its links carry nothing in either direction for a while, and then
 // all that was written meanwhile. Before that its gateways must be served elsewhere, and its old reports
 // must no longer count.
-func TestFrozenRelayWakes(t *testing.T) {
+func TestSumsExcludeFrozenRelay(t *testing.T) {
 	t.Parallel()
-	inRegions(t, 1_000_000, func(x *fleet) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		x.announceMany(5)
 		time.Sleep(2 * time.Second) // until the relays have their sessions
 		relays := x.relays(south)
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -17,13 +17,13 @@
 // This file tests requests that end servers while other faults occur, and harmless requests while
 // servers end by themselves.
 
-// deadlyPeriod is the time between two attempts of a deadly request's caller: the second one is sent
+// crashingRequestPeriod is the time between two attempts of a deadly request's caller: the second one is sent
 // after the first has ended two servers.
-const deadlyPeriod = 250 * time.Millisecond
+const crashingRequestPeriod = 250 * time.Millisecond
 
-// TestDeadlyRequestThroughFaults checks that a fault between the second and the third end, or after it,
+// TestCrashingRequestDuringFaults checks that a fault between the second and the third end, or after it,
 // costs only a few more ends, and that few requests begin later than contactTime.
-func TestDeadlyRequestThroughFaults(t *testing.T) {
+func TestCrashingRequestDuringFaults(t *testing.T) {
 	for _, fault := range []struct {
 		name  string
 		m     func(m *crashingServers)
@@ -53,7 +53,7 @@
 			do: func(x *fleet, m *crashingServers, c *callers) {
 				for i := range 4 {
 					x.gateways[gatewayIP(i)].kill()
-					c.gateway(m, gatewayIP(i))
+					c.startGateway(m, gatewayIP(i))
 				}
 			},
 		},
@@ -77,7 +77,7 @@
 					x.startReplica(ip, false)
 				}
 				for i := range 4 {
-					c.gateway(m, gatewayIP(i))
+					c.startGateway(m, gatewayIP(i))
 				}
 			},
 		},
@@ -111,8 +111,8 @@
 					if fault.do != nil {
 						time.AfterFunc(fault.after, func() { fault.do(x, m, c) })
 					}
-					c.repeat("deadly", deadlyPeriod, 14*time.Second)
-					sent, late := m.countDeadly("deadly")
+					c.repeat("deadly", crashingRequestPeriod, 14*time.Second)
+					sent, late := m.countCrashingRequest("deadly")
 					others, refused := c.answeredShare("other")
 					t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 					is.True(sent <= fault.most)
@@ -124,59 +124,59 @@
 	}
 }
 
-// TestManyDeadlyRequests checks that each of a series of deadly requests, one every two seconds, ends a
+// TestManyCrashingRequests checks that each of a series of deadly requests, one every two seconds, ends a
 // few servers only, and that new ones do not displace those that were condemned before.
-func TestManyDeadlyRequests(t *testing.T) {
+func TestManyCrashingRequests(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(12, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			for n := range 8 {
-				c.repeat(fmt.Sprint("deadly ", n), deadlyPeriod, 2*time.Second)
+				c.repeat(fmt.Sprint("deadly ", n), crashingRequestPeriod, 2*time.Second)
 			}
 			for n := range 8 {
-				c.repeat(fmt.Sprint("deadly ", n), deadlyPeriod, time.Second)
+				c.repeat(fmt.Sprint("deadly ", n), crashingRequestPeriod, time.Second)
 			}
 			most := 0
 			for n := range 8 {
-				sent, late := m.countDeadly(fmt.Sprint("deadly ", n))
+				sent, late := m.countCrashingRequest(fmt.Sprint("deadly ", n))
 				most = max(most, sent)
 				is.True(late <= 3)
 			}
 			others, refused := c.answeredShare("other")
-			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.countEnds(), others)
+			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.countCrashes(), others)
 			is.True(most <= 6)
 			is.Equal(refused, 0)
 		})
 	})
 }
 
-// TestTwoDeadlyRequestsAtOnce checks that two deadly requests are both stopped, although both run on some
+// TestTwoCrashingRequestsAtOnce checks that two deadly requests are both stopped, although both run on some
 // servers that end.
-func TestTwoDeadlyRequestsAtOnce(t *testing.T) {
+func TestTwoCrashingRequestsAtOnce(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			other := make(chan bool)
 			go func() {
-				c.repeat("deadly b", deadlyPeriod, 8*time.Second)
+				c.repeat("deadly b", crashingRequestPeriod, 8*time.Second)
 				close(other)
 			}()
-			c.repeat("deadly a", deadlyPeriod, 8*time.Second)
+			c.repeat("deadly a", crashingRequestPeriod, 8*time.Second)
 			<-other
-			a, lateA := m.countDeadly("deadly a")
-			b, lateB := m.countDeadly("deadly b")
-			t.Logf("begun %d and %d times, %d servers ended", a, b, m.countEnds())
+			a, lateA := m.countCrashingRequest("deadly a")
+			b, lateB := m.countCrashingRequest("deadly b")
+			t.Logf("begun %d and %d times, %d servers ended", a, b, m.countCrashes())
 			is.True(a <= 6 && b <= 6)
 			is.True(lateA <= 3 && lateB <= 3)
 		})
 	})
 }
 
-// TestInnocentRequests checks that no request is refused while servers end by themselves, one at a time
+// TestServerCrashesCondemnNoHarmlessRequest checks that no request is refused while servers end by themselves, one at a time
 // or a third of them at once, under requests one of which is sent to all gateways all the time.
-func TestInnocentRequests(t *testing.T) {
+func TestServerCrashesCondemnNoHarmlessRequest(t *testing.T) {
 	for _, tt := range []struct {
 		servers, together int
 		run               time.Duration
@@ -196,15 +196,15 @@
 						for i := range together {
 							at = append(at, serverAddress(fmt.Sprint("b", 1+(n*together+i)%servers)))
 						}
-						m.end(at...)
+						m.crash(at...)
 						time.Sleep(400 * time.Millisecond)
 					}
 					time.Sleep(2 * time.Second)
 					others, refusedOthers := c.answeredShare("other")
 					hot, refusedHot := c.answeredShare("hot")
-					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.countEnds(), others, hot)
+					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.countCrashes(), others, hot)
 					is.Equal(refusedOthers+refusedHot, 0)
-					is.True(m.countEnds() > 10)
+					is.True(m.countCrashes() > 10)
 					is.Equal(others > 0, tt.run < time.Second)
 				})
 			})
@@ -212,16 +212,16 @@
 	}
 }
 
-// TestConnectionsThatBreak checks that a request is never refused if its connection breaks each time
+// TestBrokenConnectionsCondemnNoRequest checks that a request is never refused if its connection breaks each time
 // while the server keeps running.
-func TestConnectionsThatBreak(t *testing.T) {
+func TestBrokenConnectionsCondemnNoRequest(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.resets = true
 		x.withCallers(m, 4, func(c *callers) {
-			c.repeat("deadly", deadlyPeriod, 5*time.Second)
-			sent, _ := m.countDeadly("deadly")
+			c.repeat("deadly", crashingRequestPeriod, 5*time.Second)
+			sent, _ := m.countCrashingRequest("deadly")
 			_, refused := c.answeredShare("deadly")
 			is.Equal(sent, 40)
 			is.Equal(refused, 0)
@@ -229,14 +229,14 @@
 	})
 }
 
-// TestRefusalOfDeadlyRequest checks that the caller of a condemned request is refused at once with a
+// TestCondemnedRequestIsRefused checks that the caller of a condemned request is refused at once with a
 // status that asks for no retry, and that its other requests are served.
-func TestRefusalOfDeadlyRequest(t *testing.T) {
+func TestCondemnedRequestIsRefused(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
-			c.repeat("deadly", deadlyPeriod, 2*time.Second)
+			c.repeat("deadly", crashingRequestPeriod, 2*time.Second)
 			for _, n := range x.gateways {
 				began := time.Now()
 				is.Equal(c.send(n.g, "deadly", http.MethodPost, "deadly"), http.StatusBadRequest)
@@ -247,20 +247,20 @@
 	})
 }
 
-// TestDeadlyRequestInTwoRegions checks that a deadly request is stopped although gateways behind relays
+// TestCrashingRequestInTwoRegions checks that a deadly request is stopped although gateways behind relays
 // report ends and receive the list with some delay.
-func TestDeadlyRequestInTwoRegions(t *testing.T) {
-	inRegions(t, 1<<20, func(x *fleet) {
+func TestCrashingRequestInTwoRegions(t *testing.T) {
+	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		for i := range 4 {
 			x.place(gatewayIP(i), []string{north, south}[i%2])
 		}
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		m.halls = []string{north, south}
 		x.withCallers(m, 4, func(c *callers) {
-			c.repeat("deadly", deadlyPeriod, 6*time.Second)
-			sent, late := m.countDeadly("deadly")
+			c.repeat("deadly", crashingRequestPeriod, 6*time.Second)
+			sent, late := m.countCrashingRequest("deadly")
 			others, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
 			is.True(sent <= 6)
@@ -273,14 +273,14 @@
 	})
 }
 
-// TestReleaseOfACondemnedRequest checks that an operator can list and release a condemned request, and
+// TestReleaseOfCondemnedRequest checks that an operator can list and release a condemned request, and
 // that it is condemned again after three more ends.
-func TestReleaseOfACondemnedRequest(t *testing.T) {
+func TestReleaseOfCondemnedRequest(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
-			c.repeat("deadly", deadlyPeriod, 2*time.Second)
+			c.repeat("deadly", crashingRequestPeriod, 2*time.Second)
 			l := x.awaitLeader().d
 			condemned, err := l.Condemned()
 			is.NoErr(err)
@@ -297,10 +297,10 @@
 				}
 			}
 			time.Sleep(time.Second)
-			sent, _ := m.countDeadly("deadly")
+			sent, _ := m.countCrashingRequest("deadly")
 			is.Equal(sent, 3)
-			c.repeat("deadly", deadlyPeriod, 3*time.Second)
-			sent, _ = m.countDeadly("deadly")
+			c.repeat("deadly", crashingRequestPeriod, 3*time.Second)
+			sent, _ = m.countCrashingRequest("deadly")
 			t.Logf("begun %d times", sent)
 			is.True(sent >= 6 && sent <= 8)
 			condemned, err = l.Condemned()
@@ -310,12 +310,12 @@
 	})
 }
 
-// TestDeadlyRequestWhileARelayIsLost checks that gateways report losses again that a lost relay had not
+// TestCrashingRequestDuringRelayLoss checks that gateways report losses again that a lost relay had not
 // forwarded, at the cost of a few more ends.
-func TestDeadlyRequestWhileARelayIsLost(t *testing.T) {
-	inRegions(t, 1<<20, func(x *fleet) {
+func TestCrashingRequestDuringRelayLoss(t *testing.T) {
+	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
-		x.leadIn(north)
+		x.electLeaderIn(north)
 		for i := range 4 {
 			x.place(gatewayIP(i), south)
 		}
@@ -323,8 +323,8 @@
 		m.halls = []string{south}
 		x.withCallers(m, 4, func(c *callers) {
 			time.AfterFunc(200*time.Millisecond, func() { x.relays(south)[0].kill() })
-			c.repeat("deadly", deadlyPeriod, 8*time.Second)
-			sent, late := m.countDeadly("deadly")
+			c.repeat("deadly", crashingRequestPeriod, 8*time.Second)
+			sent, late := m.countCrashingRequest("deadly")
 			_, refused := c.answeredShare("other")
 			t.Logf("begun %d times, %d late", sent, late)
 			is.True(sent <= 8)
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -16,9 +16,9 @@
 
 // This file tests a rollout during which a request ends servers of both versions.
 
-// TestGoodVersionBesideADeadlyRequest checks that server ends caused by a request do not count against
+// TestCrashingRequestDoesNotFailRollout checks that server ends caused by a request do not count against
 // the version.
-func TestGoodVersionBesideADeadlyRequest(t *testing.T) {
+func TestCrashingRequestDoesNotFailRollout(t *testing.T) {
 	for _, at := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second} {
 		t.Run(fmt.Sprint(at), func(t *testing.T) {
 			t.Parallel()
@@ -36,7 +36,7 @@
 					defer repeating.Wait()
 					repeating.Go(func() {
 						time.Sleep(at)
-						c.repeat("deadly", deadlyPeriod, 5*time.Second)
+						c.repeat("deadly", crashingRequestPeriod, 5*time.Second)
 					})
 					var state document.RolloutState
 					for began := time.Now(); time.Since(began) < rolloutTime; time.Sleep(20 * time.Millisecond) {
@@ -44,7 +44,7 @@
 							break
 						}
 					}
-					sent, _ := m.countDeadly("deadly")
+					sent, _ := m.countCrashingRequest("deadly")
 					t.Logf("begun %d times", sent)
 					is.Equal(state, document.RolloutComplete)
 				})
--- a/directory/repeated_ends_test.go
+++ b/directory/repeated_ends_test.go
@@ -16,20 +16,20 @@
 // shared between gateways. The logs showed pairs of ends 90 to 430 ms apart, the second of each pair by
 // the fleet's own second attempt, and no attempt number above 2 among 573 failed attempts.
 
-// contactTime bounds the time from the third end until the whole fleet has the verdict.
-const contactTime = 3 * time.Second
+// verdictTime bounds the time from the third end until the whole fleet has the verdict.
+const verdictTime = 3 * time.Second
 
-// TestRequestThatEndsServers checks that a request that ends every server is begun at most three times
+// TestCrashingRequestIsStopped checks that a request that ends every server is begun at most three times
 // later than contactTime after the third end, and ends at most four servers, while other requests are
 // served.
-func TestRequestThatEndsServers(t *testing.T) {
+func TestCrashingRequestIsStopped(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		m := x.startCrashingServers(10, 100*time.Millisecond)
 		x.withCallers(m, 4, func(c *callers) {
 			c.repeat("deadly", 250*time.Millisecond, 14*time.Second)
-			_, late := m.countDeadly("deadly")
-			ended := m.countEnds()
+			_, late := m.countCrashingRequest("deadly")
+			ended := m.countCrashes()
 			others, refusedOthers := c.answeredShare("other")
 			hot, refusedHot := c.answeredShare("hot")
 			t.Logf("%d servers ended, %d begun late; served %.4f of others, %.4f of the hot key", ended, late, others, hot)
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -28,7 +28,7 @@
 	Hall *document.HallChange `cbor:"4,keyasint,omitempty"`
 	// Rollout starts a rollout, records its progress, or ends it.
 	Rollout *document.RolloutChange `cbor:"5,keyasint,omitempty"`
-	// Condemned condemns a request that terminates servers, or releases it.
+	// Condemned condemns a request that crashes servers, or releases it.
 	Condemned *document.CondemnedChange `cbor:"6,keyasint,omitempty"`
 	// Spread sets whether gateways' sessions are spread over the replicas.
 	Spread *bool `cbor:"7,keyasint,omitempty"`
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -77,8 +77,8 @@
 	return Unavailable{}
 }
 
-// decideRollout decides on an order by the newest acknowledged state, which only the leader has. It also
-// returns the pool's newest rollout in that state.
+// decideRollout evaluates an order against the newest acknowledged state, which only the leader has. It
+// also returns the pool's newest rollout in that state.
 func (d *Directory) decideRollout(ctx context.Context, o rollout.Order) (rollout.Verdict, document.RolloutChange, document.Rollout, error) {
 	var verdict rollout.Verdict
 	var change document.RolloutChange
@@ -108,7 +108,7 @@
 // [Unavailable] also once a later attempt has begun, because the end of this one is no longer recorded.
 func (d *Directory) AbortRollout(ctx context.Context, pool string, attempt uint64) error {
 	if attempt == 0 {
-		return rollout.InvalidOrder{Reason: "an abort names no attempt"}
+		return rollout.InvalidOrder{Reason: "an abort must name an attempt"}
 	}
 	for range maxOrderAttempts {
 		newest, err := d.Rollout(ctx, pool)
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -56,7 +56,7 @@
 	return directory.Unavailable{}
 }
 
-func TestRolloutOrdersAreChecked(t *testing.T) {
+func TestRolloutOrderErrors(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l, ctx := x.awaitLeader(), x.t.Context()
@@ -83,8 +83,8 @@
 	})
 }
 
-// TestDocumentNamesPools checks that a pool named by the document needs no servers yet.
-func TestDocumentNamesPools(t *testing.T) {
+// TestRolloutOfPoolWithoutServers checks that a pool named by the document needs no servers yet.
+func TestRolloutOfPoolWithoutServers(t *testing.T) {
 	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestAcknowledgedRolloutOutlives loses the leader, its disk, or all power right after an order was
+// TestAcknowledgedRolloutOrdersSurviveFaults loses the leader, its disk, or all power right after an order was
 // acknowledged, and right after the abort was. A repeat of the order then changes nothing.
-func TestAcknowledgedRolloutOutlives(t *testing.T) {
+func TestAcknowledgedRolloutOrdersSurviveFaults(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
 		"the leader": func(x *fleet) { l := x.awaitLeader(); l.kill(); x.awaitLeader(); x.startReplica(l.ip, false) },
 		"its disk": func(x *fleet) {
@@ -210,9 +210,9 @@
 	}
 }
 
-// TestCopyReachesTheNextLeader checks that a new leader, which never received the order itself, takes a
+// TestRepeatedRolloutOrderAtNextLeader checks that a new leader, which never received the order itself, takes a
 // repeat for one: the previous leader had accepted the order and rolled it back before it was lost.
-func TestCopyReachesTheNextLeader(t *testing.T) {
+func TestRepeatedRolloutOrderAtNextLeader(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -225,9 +225,9 @@
 	})
 }
 
-// TestOrdersAtOnce gives orders for two versions several times at every replica, all at once. One
+// TestConcurrentRolloutOrders gives orders for two versions several times at every replica, all at once. One
 // rollout begins, and only orders for its version are acknowledged.
-func TestOrdersAtOnce(t *testing.T) {
+func TestConcurrentRolloutOrders(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -266,9 +266,9 @@
 	})
 }
 
-// TestMinorityRefusesRollouts checks that a leader that is cut off acknowledges no orders and returns no
+// TestPartitionedLeaderRefusesRolloutOrders checks that a leader that is cut off acknowledges no orders and returns no
 // stale state while the majority continues.
-func TestMinorityRefusesRollouts(t *testing.T) {
+func TestPartitionedLeaderRefusesRolloutOrders(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -314,8 +314,8 @@
 	return answer
 }
 
-// TestCommandsAboutRollouts gives orders on fleet links, at the leader and at other replicas.
-func TestCommandsAboutRollouts(t *testing.T) {
+// TestRolloutOrdersOverLinks gives orders on fleet links, at the leader and at other replicas.
+func TestRolloutOrdersOverLinks(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
@@ -354,9 +354,9 @@
 	})
 }
 
-// TestCommandThatHasGone checks that an order changes nothing if its sender has closed the link before it
+// TestRolloutOrderOfClosedLinkIsDropped checks that an order changes nothing if its sender has closed the link before it
 // is processed.
-func TestCommandThatHasGone(t *testing.T) {
+func TestRolloutOrderOfClosedLinkIsDropped(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
@@ -371,9 +371,9 @@
 	})
 }
 
-// TestOrderNamesGatewaysWithoutRollouts checks that gateways that open a session without support for
+// TestGatewayWithoutRolloutsIsReported checks that gateways that open a session without support for
 // rollouts are reported.
-func TestOrderNamesGatewaysWithoutRollouts(t *testing.T) {
+func TestGatewayWithoutRolloutsIsReported(t *testing.T) {
 	withFleet(t, 1, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -39,7 +39,7 @@
 	startedAt time.Duration             // start of the term
 	underWay  map[string]*activeRollout // by pool
 	applied   map[*session]appliedLists // list numbers that the gateways confirmed
-	list      []protocol.Rollout        // as last sent
+	list      []protocol.Rollout        // as last sent to the gateways
 	seq       uint64                    // number of the list
 	encoded   protocol.Encoded
 }
@@ -53,7 +53,7 @@
 	totals          map[string]*rollout.RouteTallies
 	decision        rollout.Decision
 	sentDecision    rollout.Decision // decision whose shares were last sent to the gateways
-	fullSeq         uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
+	fullShareSeq    uint64           // number of the first of the latest lists that give the target all requests; 0 if the latest does not
 	finalSeq        uint64           // number of the first list that announces completion; 0 if none was sent
 	finalSentAt     time.Duration    // when finalSeq was sent
 	totalsReduced   bool             // totals were reduced since the last step because a relay's session ended
@@ -106,7 +106,7 @@
 			}
 			h.rollouts.underWay[d.Pool] = r
 		}
-		r.Rollout, r.orderedAt = d, h.ordered[attemptKey{d.Pool, d.Attempt}]
+		r.Rollout, r.orderedAt = d, h.orderTimes[attemptKey{d.Pool, d.Attempt}]
 	}
 }
 
@@ -131,11 +131,11 @@
 		}
 		key := attemptKey{d.Pool, d.Attempt}
 		ordered[key] = now - d.Elapsed
-		if before, known := h.ordered[key]; known {
+		if before, known := h.orderTimes[key]; known {
 			ordered[key] = min(ordered[key], before)
 		}
 	}
-	h.ordered = ordered
+	h.orderTimes = ordered
 }
 
 // stepRollout updates the decision on one rollout. A final decision stands until it is in the log.
@@ -143,7 +143,7 @@
 	switch {
 	case r.decision.Action != rollout.Continue:
 	case r.Target == r.Completed:
-		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "it has the requests"}
+		r.decision = rollout.Decision{Action: rollout.Complete, Share: 1, Reason: "the target already gets all requests"}
 		h.logStep(now, r)
 	default:
 		r.recordReducedTotals(now)
@@ -227,11 +227,11 @@
 // request runs on servers of other versions. A relay reports for all its gateways (registry.Sums); one
 // whose session has just opened has reported neither their lists nor their load.
 func (h *hub) oldVersionsIdle(r *activeRollout) bool {
-	if r.fullSeq == 0 {
+	if r.fullShareSeq == 0 {
 		return false
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.applied[s].previous < r.fullSeq {
+		if s.supportsRollouts && h.rollouts.applied[s].previous < r.fullShareSeq {
 			return false
 		}
 	}
@@ -245,7 +245,7 @@
 
 // finalListTimeout bounds how long the leader waits for all gateways to apply the list that announces
 // completion. It waits for half of the remaining time if that is shorter. The timeout covers several
-// reports, so a gateway that takes longer is out of touch.
+// reports, so a gateway that takes longer has lost its link.
 const finalListTimeout = time.Second
 
 // finalListApplied reports whether a rollout may be committed as complete, because all gateways have
@@ -276,16 +276,16 @@
 // those of the target's servers.
 func (h *hub) routesWithoutTarget(halls []string) map[string]bool {
 	held, _ := h.d.state.Held()
-	away := map[string]bool{}
+	without := map[string]bool{}
 	for _, route := range held.Document.Routes {
 		if len(route.Homes) > 0 && !slices.ContainsFunc(halls, func(hall string) bool {
 			region := h.d.cfg.Topology.Region(hall)
 			return region != "" && slices.Contains(route.Homes, region)
 		}) {
-			away[route.Name] = true
+			without[route.Name] = true
 		}
 	}
-	return away
+	return without
 }
 
 // pushRollouts sends the list to all sessions if it has changed.
@@ -348,9 +348,9 @@
 	}
 	switch {
 	case e.Share < 1:
-		r.fullSeq = 0
-	case r.fullSeq == 0:
-		r.fullSeq = seq
+		r.fullShareSeq = 0
+	case r.fullShareSeq == 0:
+		r.fullShareSeq = seq
 	}
 }
 
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -36,13 +36,13 @@
 		x.net.Join(l)
 	}},
 	{"gateway cut off", func(x *fleet, _ *versionedServers) {
-		x.net.Cut(rolloutGateway(0))
+		x.net.Cut(rolloutGatewayIP(0))
 		time.Sleep(3 * time.Second)
-		x.net.Join(rolloutGateway(0))
+		x.net.Join(rolloutGatewayIP(0))
 	}},
 	{"gateway started again", func(x *fleet, v *versionedServers) {
-		x.gateways[rolloutGateway(0)].kill()
-		x.startLoadedGateway(rolloutGateway(0), v, rolloutPeriod)
+		x.gateways[rolloutGatewayIP(0)].kill()
+		x.startLoadedGateway(rolloutGatewayIP(0), v, rolloutPeriod)
 	}},
 	{"power of the directory lost", func(x *fleet, _ *versionedServers) {
 		x.losePower()
@@ -89,8 +89,8 @@
 	}
 }
 
-// TestUnnamedVersion checks that servers that name no version are replaced like those of any other.
-func TestUnnamedVersion(t *testing.T) {
+// TestServersWithoutVersionAreReplaced checks that servers that name no version are replaced like those of any other.
+func TestServersWithoutVersionAreReplaced(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{oldUnnamed: true}
@@ -106,9 +106,9 @@
 	})
 }
 
-// TestServersOfTheTargetGo checks that a crash of one target server during the trial does not roll a
+// TestLossOfTargetServers checks that a crash of one target server during the trial does not roll a
 // good version back, and that a version none of whose servers can be reached is rolled back.
-func TestServersOfTheTargetGo(t *testing.T) {
+func TestLossOfTargetServers(t *testing.T) {
 	for _, all := range []bool{false, true} {
 		for _, at := range []time.Duration{time.Millisecond, 3 * time.Second, 5 * time.Second} {
 			t.Run(fmt.Sprint("all ", all, " ", at), func(t *testing.T) {
@@ -176,14 +176,14 @@
 	}
 }
 
-// TestRolloutBytes checks how many bytes a rollout adds to a gateway's session during the trial.
-func TestRolloutBytes(t *testing.T) {
+// TestRolloutTrafficPerGateway checks how many bytes a rollout adds to a gateway's session during the trial.
+func TestRolloutTrafficPerGateway(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
 		x.withRollout(v, func() {
 			time.Sleep(2 * time.Second)
-			n := x.gateways[rolloutGateway(0)]
+			n := x.gateways[rolloutGatewayIP(0)]
 			sent, reports := n.controlTraffic("out", "usage")
 			got, lists := n.controlTraffic("in", "rollouts")
 			time.Sleep(4 * time.Second)
@@ -203,9 +203,9 @@
 	})
 }
 
-// TestRolloutsComeFirst checks that a gateway that has just started receives the barred versions before
+// TestRolloutsPrecedeServers checks that a gateway that has just started receives the barred versions before
 // any server.
-func TestRolloutsComeFirst(t *testing.T) {
+func TestRolloutsPrecedeServers(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		x.putDocument(1)
@@ -225,9 +225,9 @@
 	})
 }
 
-// TestCompleteWaits checks that completion waits, until the time is nearly over, for a gateway that does
+// TestCompletionWaitsForOldServers checks that completion waits, until the time is nearly over, for a gateway that does
 // not apply the switch, and for one that still runs a request at an old server.
-func TestCompleteWaits(t *testing.T) {
+func TestCompletionWaitsForOldServers(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
 			withFleet(t, 3, func(x *fleet) {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -23,7 +23,7 @@
 // The leader's cost per session must not grow with the fleet. Messages to all sessions are
 // therefore encoded once, and registry changes are batched until the next tick. Sent one by one,
 // the announcements of 3,000 starting backend servers overflowed the queues of 300 sessions, and
-// each reconnected for the whole list (TestManyAnnounceAtOnce). Lists and their changes do grow
+// each reconnected for the whole list (TestManyServersAnnounceAtOnce). Lists and their changes do grow
 // with the fleet; they are paced to the link's capacity (lists.go).
 
 // sessionQueueSize is the number of messages that may be queued for one gateway's link. At most ten
@@ -154,7 +154,7 @@
 
 // admit opens a session. In a fleet with several regions it retries for a while if this replica may
 // soon be able to serve the gateway, because it or the right relay is still connecting to the
-// leader. The error is [served] or [Unavailable].
+// leader. The error is [servedElsewhere] or [Unavailable].
 func (h *hub) admit(ctx context.Context, l *link.Link, w protocol.Watch) (s *session, err error) {
 	until := time.Now().Add(relayWait)
 	for {
@@ -166,9 +166,9 @@
 }
 
 // openSession opens the session of a gateway or a relay. It returns [Unavailable] if this replica
-// neither leads nor relays, or does so in an older term than the peer has observed; [served] if
-// another replica is responsible; and, with mayWait, [notYetServing] if the responsible replica will be
-// determined shortly.
+// neither leads nor relays, or does so in an older term than the peer has observed;
+// [servedElsewhere] if another replica is responsible; and, with mayWait, [notYetServing] if the
+// responsible replica will be determined shortly.
 func (h *hub) openSession(l *link.Link, w protocol.Watch, mayWait bool) (*session, error) {
 	h.syncLeadership()
 	if w.Gateway != l.Peer() {
@@ -187,7 +187,7 @@
 	if h.relay != nil {
 		h.relay.addGateway(s)
 	}
-	h.sendRollouts(s) // first, or gateways would use servers of a new version by load alone
+	h.sendRollouts(s) // before the servers; otherwise gateways would select servers of a new version by load alone
 	h.sendQuarantine(s)
 	if !h.sendOrQueueList(s) {
 		h.closeSession(s)
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -17,13 +17,13 @@
 
 // This file tests when the gateways' sessions with the leader end, and their cost under load.
 
-// TestConnectionsFallSilent: all open connections stop delivering without being closed, while new
+// TestRecoveryFromSilentConnections: all open connections stop delivering without being closed, while new
 // ones work. The group must elect a leader, accept a document and deliver it over new connections.
 // This does not cover the leader's own timeout of silent sessions (registry.ReportSilence).
-func TestConnectionsFallSilent(t *testing.T) {
+func TestRecoveryFromSilentConnections(t *testing.T) {
 	withFleet(t, voters, func(x *fleet) {
 		is := is.New(x.t)
-		gateways := []*gateway.Gateway{x.gateway("10.0.2.1"), x.gateway("10.0.2.2")}
+		gateways := []*gateway.Gateway{x.startGateway("10.0.2.1"), x.startGateway("10.0.2.2")}
 		is.NoErr(x.announce("b1", false))
 		x.putDocument(1)
 		time.Sleep(time.Second)
@@ -42,15 +42,15 @@
 	})
 }
 
-// TestManyAnnounceAtOnce starts more backend servers within a second than a session's queue holds
+// TestManyServersAnnounceAtOnce starts more backend servers within a second than a session's queue holds
 // messages, with many gateways connected. Sent one by one, the announcements overflowed the queues.
 // No session may be lost, and every gateway must soon list all servers after few messages.
-func TestManyAnnounceAtOnce(t *testing.T) {
+func TestManyServersAnnounceAtOnce(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const gateways, servers = 30, 1200
 		for i := range gateways {
-			x.gateway(fmt.Sprintf("10.0.2.%d", i+1))
+			x.startGateway(fmt.Sprintf("10.0.2.%d", i+1))
 		}
 		time.Sleep(time.Second)
 		leader := x.awaitLeader().d
@@ -76,10 +76,10 @@
 	})
 }
 
-// TestFleetReturnsOverASlowLink: all gateways reconnect at once and share the leader's link, so
+// TestGatewaysReconnectOverSlowLink: all gateways reconnect at once and share the leader's link, so
 // that each whole list takes several times longer than the silence after which a gateway leaves a
 // leader. No gateway may leave it, because all would then reconnect forever.
-func TestFleetReturnsOverASlowLink(t *testing.T) {
+func TestGatewaysReconnectOverSlowLink(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		const servers, gateways = 1500, 10
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -52,9 +52,9 @@
 	}()
 }
 
-// places returns the replicas that serve gateways of a region: the leader's relays there that have
+// leaderPlaces returns the replicas that serve gateways of a region: the leader's relays there that have
 // the list or will have it soon, and, where sessions are spread, the leader itself.
-func (h *hub) places(region string) (all []protocol.Place) {
+func (h *hub) leaderPlaces(region string) (all []protocol.Place) {
 	for s := range h.sessions {
 		if s.relay && s.region == region && h.willHaveListSoon(s) {
 			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
@@ -69,7 +69,7 @@
 // willHaveListSoon reports whether a relay has the list, or will have it before a gateway waiting
 // there gives up. A relay that waits longer cannot serve gateways: on a link that takes a second
 // per list, its gateways were without the directory for 4.3 s
-// (TestFirstCrowdComesAtOnceOnSlowerLinks). If the wait is short, excluding the relay would send
+// (TestAllGatewaysConnectOverSlowerLinks). If the wait is short, excluding the relay would send
 // the gateways all lists twice, first from the leader.
 func (h *hub) willHaveListSoon(s *session) bool {
 	ahead := slices.Index(h.awaitingList, s)
@@ -88,7 +88,7 @@
 // pushPlaces sends the relays the replicas that serve gateways, if they have changed. Each relay
 // can then redirect a gateway to the right replica without asking the leader.
 func (h *hub) pushPlaces() {
-	places := h.places(h.d.cfg.Region)
+	places := h.leaderPlaces(h.d.cfg.Region)
 	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
 	if !h.isSpread() || slices.Equal(places, h.sentPlaces) {
 		return
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -93,10 +93,10 @@
 	})
 }
 
-// TestReplicaIsCutOffFromTheOthers: a replica is partitioned from all other replicas but not from
+// TestPartitionedReplicaRedirectsGateways: a replica is partitioned from all other replicas but not from
 // its gateways. It must redirect them, so that a document that is accepted meanwhile is in force at
 // all gateways within 3.5 s. The same holds if this replica is the leader.
-func TestReplicaIsCutOffFromTheOthers(t *testing.T) {
+func TestPartitionedReplicaRedirectsGateways(t *testing.T) {
 	t.Parallel()
 	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
@@ -125,9 +125,9 @@
 	})
 }
 
-// TestGatewayCannotReachItsReplica: gateways that cannot reach their assigned replica must stay at
+// TestGatewayStaysAwayFromUnreachableReplica: gateways that cannot reach their assigned replica must stay at
 // another one, and not be sent back with each tick.
-func TestGatewayCannotReachItsReplica(t *testing.T) {
+func TestGatewayStaysAwayFromUnreachableReplica(t *testing.T) {
 	t.Parallel()
 	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
--- a/directory/together_cold_test.go
+++ b/directory/together_cold_test.go
@@ -57,9 +57,9 @@
 	return answer, err
 }
 
-// goodAndBad lists a version that fails nothing and one that fails a fifth of its requests, with the
+// versionQualities lists a version that fails nothing and one that fails a fifth of its requests, with the
 // ends of their rollouts.
-var goodAndBad = []struct {
+var versionQualities = []struct {
 	name  string
 	fails func(time.Duration) float64
 	state document.RolloutState
@@ -72,7 +72,7 @@
 // together in any second, that a good version completes in time, and that a bad one is rolled back
 // within its bound.
 func TestRolloutToColdServers(t *testing.T) {
-	for _, test := range goodAndBad {
+	for _, test := range versionQualities {
 		t.Run(test.name, func(t *testing.T) {
 			withFleet(t, 5, func(x *fleet) {
 				is := is.New(x.t)
--- a/directory/together_fixture_test.go
+++ b/directory/together_fixture_test.go
@@ -38,7 +38,7 @@
 	stop := x.announceRepeatedly(s.announce)
 	defer stop()
 	for i := range 3 {
-		s.load(rolloutGateway(i))
+		s.load(rolloutGatewayIP(i))
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -60,7 +60,7 @@
 
 	mu        sync.Mutex
 	busyUntil map[string]time.Time // end of the queued work, by address
-	asked     map[string]int       // requests by account, during the flood
+	requested map[string]int       // requests by account, during the flood
 	served    map[string]int       // of those, answered in time
 }
 
@@ -108,7 +108,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked[account]++
+	e.requested[account]++
 	if w.Code == http.StatusOK && time.Since(began) <= time.Second {
 		e.served[account]++
 	}
@@ -135,7 +135,7 @@
 // entitled account's requests that was answered in time.
 func runFlood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
 	withFleet(t, 5, func(x *fleet) {
-		e := &enginePool{versionedServers: v, x: x, busyUntil: map[string]time.Time{}, asked: map[string]int{}, served: map[string]int{}}
+		e := &enginePool{versionedServers: v, x: x, busyUntil: map[string]time.Time{}, requested: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
 			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
 				for _, account := range withinShareAccounts {
@@ -158,9 +158,9 @@
 			defer e.mu.Unlock()
 			least = 1
 			for _, account := range withinShareAccounts {
-				least = min(least, float64(e.served[account])/float64(e.asked[account]))
+				least = min(least, float64(e.served[account])/float64(e.requested[account]))
 			}
-			x.t.Logf("requests %v, answered in time %v, minimum headroom %.0f", e.asked, e.served, minHeadroom(v))
+			x.t.Logf("requests %v, answered in time %v, minimum headroom %.0f", e.requested, e.served, minHeadroom(v))
 		})
 	})
 	return least
@@ -170,24 +170,24 @@
 // without: one or two of 60 requests.
 const servedTolerance = 0.03
 
-// TestGoodVersionUnderAFlood: an account sends seven times its share from the trial phase on. This
+// TestGoodVersionCompletesDuringFlood: an account sends seven times its share from the trial phase on. This
 // must not roll back a good version, and accounts within their shares must be served as without a
 // rollout.
-func TestGoodVersionUnderAFlood(t *testing.T) {
+func TestGoodVersionCompletesDuringFlood(t *testing.T) {
 	without := runFlood(t, &versionedServers{}, false, func(*fleet) {})
 	v := &versionedServers{}
-	with := runFlood(t, v, true, func(x *fleet) { checkEnd(x, v, document.RolloutComplete) })
+	with := runFlood(t, v, true, func(x *fleet) { checkRolloutEnd(x, v, document.RolloutComplete) })
 	is.New(t).True(with >= without-servedTolerance)
 }
 
-// TestBadVersionUnderAFlood: a bad version must get no more than its exposure bound.
-func TestBadVersionUnderAFlood(t *testing.T) {
+// TestBadVersionIsRolledBackDuringFlood: a bad version must get no more than its exposure bound.
+func TestBadVersionIsRolledBackDuringFlood(t *testing.T) {
 	v := &versionedServers{fails: func(time.Duration) float64 { return 0.2 }}
-	runFlood(t, v, true, func(x *fleet) { checkEnd(x, v, document.RolloutRolledBack) })
+	runFlood(t, v, true, func(x *fleet) { checkRolloutEnd(x, v, document.RolloutRolledBack) })
 	is.New(t).True(minHeadroom(v) >= 0)
 }
 
-func checkEnd(x *fleet, v *versionedServers, want document.RolloutState) {
+func checkRolloutEnd(x *fleet, v *versionedServers, want document.RolloutState) {
 	is := is.New(x.t)
 	state, after := x.awaitRolloutEnd(v)
 	x.t.Logf("ended after %v", after)
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -69,20 +69,20 @@
 	return h
 }
 
-// TestTargetInOneRegionOnly checks that the requests of a route with the other region as its home never
+// TestRolloutWithTargetInOneRegion checks that the requests of a route with the other region as its home never
 // leave that region and do not hold up the rollout for other routes. The old servers there serve them
 // after the end as well, for as long as they run.
-func TestTargetInOneRegionOnly(t *testing.T) {
-	for _, test := range goodAndBad {
+func TestRolloutWithTargetInOneRegion(t *testing.T) {
+	for _, test := range versionQualities {
 		t.Run(test.name, func(t *testing.T) {
-			inRegions(t, 1_000_000, func(x *fleet) {
+			withTwoRegions(t, 1_000_000, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{fails: test.fails}
 				halls := [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: north}
 				r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
 				h := routeServers{failed: map[string]int{}}
 				x.runScenario(v, rolloutScenario{document: homeDocument(), announce: r.announce, load: func(ip string) {
-					region := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}[ip]
+					region := map[string]string{rolloutGatewayIP(0): north, rolloutGatewayIP(1): north, rolloutGatewayIP(2): south}[ip]
 					x.place(ip, region)
 					h.regionView = regionView{r, region}
 					x.startGatewayWithLoad(ip, testHeaders{}, h, h.sendRequests)
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -71,7 +71,7 @@
 // withRolloutOverRegions runs f during a rollout with two gateways in the north and one in the south.
 func (x *fleet) withRolloutOverRegions(v *versionedServers, d document.StoredDocument, halls [7]string, f func(r *regionalServers)) {
 	r := &regionalServers{countedServers: newCountedServers(v), x: x, halls: halls}
-	regions := map[string]string{rolloutGateway(0): north, rolloutGateway(1): north, rolloutGateway(2): south}
+	regions := map[string]string{rolloutGatewayIP(0): north, rolloutGatewayIP(1): north, rolloutGatewayIP(2): south}
 	load := func(ip string) {
 		x.place(ip, regions[ip])
 		x.startLoadedGateway(ip, regionView{r, regions[ip]}, rolloutPeriod)
@@ -79,8 +79,8 @@
 	x.runScenario(v, rolloutScenario{document: d, load: load, announce: r.announce}, func() { f(r) })
 }
 
-// bothHalls places servers of both versions in both regions.
-var bothHalls = [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: south}
+// serversInBothRegions places servers of both versions in both regions.
+var serversInBothRegions = [7]string{1: north, 2: north, 3: south, 4: north, 5: north, 6: south}
 
 // requireOrdersRefused checks that no replica of a region that is cut off acknowledges an order.
 func (x *fleet) requireOrdersRefused(region string) {
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestRegionIsCutOffInARollout cuts a region off for 4 s during a rollout. Both sides must keep serving
+// TestRegionPartitionDuringRollout cuts a region off for 4 s during a rollout. Both sides must keep serving
 // requests, the minority must refuse orders, and the rollout must end as the target's quality requires,
 // within the bound over both regions.
-func TestRegionIsCutOffInARollout(t *testing.T) {
+func TestRegionPartitionDuringRollout(t *testing.T) {
 	fails20 := func(time.Duration) float64 { return 0.2 }
 	fails60 := func(at time.Duration) float64 { return 0.6 * float64(at/(4*time.Second)) }
 	for _, test := range []struct {
@@ -120,11 +120,11 @@
 	} {
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " led from the ", test.leader, " ", at), func(t *testing.T) {
-				inRegions(t, 1_000_000, func(x *fleet) {
+				withTwoRegions(t, 1_000_000, func(x *fleet) {
 					v := &versionedServers{fails: test.fails}
-					x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
+					x.withRolloutOverRegions(v, testDocument(1), serversInBothRegions, func(r *regionalServers) {
 						time.Sleep(at)
-						x.leadAfter(test.leader, 0)
+						x.electLeaderInWithPause(test.leader, 0)
 						cutOffDuringRollout(x, v, r, test.state)
 						is.New(x.t).True(test.fails == nil || minHeadroom(v) >= 0)
 					})
@@ -183,13 +183,13 @@
 	is.Equal(r.requestsSince(reconnected, drained...), 0)
 }
 
-// TestRolloutOverTwoRegions checks that after completion no gateway in either region sends requests to
+// TestRolloutAcrossRegions checks that after completion no gateway in either region sends requests to
 // old servers in either region.
-func TestRolloutOverTwoRegions(t *testing.T) {
-	inRegions(t, 1_000_000, func(x *fleet) {
+func TestRolloutAcrossRegions(t *testing.T) {
+	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.withRolloutOverRegions(v, testDocument(1), bothHalls, func(r *regionalServers) {
+		x.withRolloutOverRegions(v, testDocument(1), serversInBothRegions, func(r *regionalServers) {
 			state, after := x.awaitRolloutEnd(v)
 			end := time.Now()
 			is.Equal(state, document.RolloutComplete)
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -31,12 +31,12 @@
 // target.
 var mixedHalls = [7]string{1: "hall-a", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-b", 6: "hall-b"}
 
-// apartHalls has the target's servers in a hall of their own.
-var apartHalls = [7]string{1: "hall-b", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-a", 6: "hall-a"}
+// separateHalls has the target's servers in a hall of their own.
+var separateHalls = [7]string{1: "hall-b", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-a", 6: "hall-a"}
 
-// TestHallIsTakenOutInARollout: a hall taken out of service during a rollout must get no requests,
+// TestHallTakenOutDuringRollout: a hall taken out of service during a rollout must get no requests,
 // and the rollout must end as the remaining servers of the target warrant.
-func TestHallIsTakenOutInARollout(t *testing.T) {
+func TestHallTakenOutDuringRollout(t *testing.T) {
 	bad := func(time.Duration) float64 { return 0.2 }
 	for _, test := range []struct {
 		name  string
@@ -47,7 +47,7 @@
 	}{
 		{"good", mixedHalls, nil, document.RolloutComplete, faultTimes},
 		{"bad", mixedHalls, bad, document.RolloutRolledBack, []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second}},
-		{"without a server left", apartHalls, nil, document.RolloutRolledBack, faultTimes},
+		{"without a server left", separateHalls, nil, document.RolloutRolledBack, faultTimes},
 	} {
 		for _, at := range test.at {
 			t.Run(fmt.Sprint(test.name, " ", at), func(t *testing.T) {
@@ -80,9 +80,9 @@
 	}
 }
 
-// TestTrialsHallIsTakenOut: the hall with all servers of the target that get trial requests is
+// TestHallOfTrialServersTakenOut: the hall with all servers of the target that get trial requests is
 // taken out of service. Other servers of the target must replace them.
-func TestTrialsHallIsTakenOut(t *testing.T) {
+func TestHallOfTrialServersTakenOut(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
@@ -110,13 +110,13 @@
 	})
 }
 
-// TestHallOfAQuietPoolsTarget: the pool gets so few requests that all of them may go to an untried
+// TestHallOfTargetTakenOutInIdlePool: the pool gets so few requests that all of them may go to an untried
 // version, but all servers of that version are out of service. The old servers must keep serving.
-func TestHallOfAQuietPoolsTarget(t *testing.T) {
+func TestHallOfTargetTakenOutInIdlePool(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
 		v := &versionedServers{}
-		x.runRolloutInHalls(v, apartHalls, 3*time.Second, func(c countedServers) {
+		x.runRolloutInHalls(v, separateHalls, 3*time.Second, func(c countedServers) {
 			time.Sleep(time.Second)
 			x.orderHall("hall-a", true)
 			state, after := x.awaitRolloutEnd(v)
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestFirstReportIsNotARate: a gateway that was without a leader for two seconds reports the demand
+// TestFirstReportAddsNoDemand: a gateway that was without a leader for two seconds reports the demand
 // of that whole time at once. Counted as a rate, it would look like a shortage.
-func TestFirstReportIsNotARate(t *testing.T) {
+func TestFirstReportAddsNoDemand(t *testing.T) {
 	is := is.New(t)
 	u := newUsage()
 	now := time.Duration(0)
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -143,7 +143,7 @@
 	stop := x.announceVersions(v)
 	defer stop()
 	for i := range 3 {
-		x.startLoadedGateway(rolloutGateway(i), v, rolloutPeriod)
+		x.startLoadedGateway(rolloutGatewayIP(i), v, rolloutPeriod)
 	}
 	time.Sleep(3 * time.Second)
 	v.mu.Lock()
@@ -156,7 +156,7 @@
 	f()
 }
 
-func rolloutGateway(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
+func rolloutGatewayIP(i int) string { return fmt.Sprintf("10.0.2.%d", i+1) }
 
 // announceVersions announces the servers of both versions in each interval until stop is called. The
 // target's servers do not run before the order.
--- a/directory/wholefleet_test.go
+++ b/directory/wholefleet_test.go
@@ -60,7 +60,7 @@
 	for i := range c.servers {
 		announcing.Go(func() {
 			if d := c.leaderDirectory(); d != nil {
-				_ = d.Announce(c.t.Context(), manyServer(i, seq)) // a later announcement replaces a lost one
+				_ = d.Announce(c.t.Context(), numberedAnnouncement(i, seq)) // a later announcement replaces a lost one
 			}
 		})
 	}
@@ -70,7 +70,7 @@
 // startGateways starts gateways, all at once.
 func (c *largeFleet) startGateways(n int) {
 	for i := range n {
-		c.gateways = append(c.gateways, c.gateway(fmt.Sprintf("10.0.2.%d", i+1)))
+		c.gateways = append(c.gateways, c.startGateway(fmt.Sprintf("10.0.2.%d", i+1)))
 	}
 }
 
@@ -146,10 +146,12 @@
 	}
 }
 
-// TestCrowdComesAtOnce: all gateways of a fleet open their sessions at the same moment. The leader
+// TestAllGatewaysConnectAtOnce: all gateways of a fleet open their sessions at the same moment. The leader
 // must keep its term, and documents must be in force within a second, also while lists are being
 // sent.
-func TestCrowdComesAtOnce(t *testing.T) { atBothSizes(t, largeFleetSizes, checkAllGatewaysConnect) }
+func TestAllGatewaysConnectAtOnce(t *testing.T) {
+	atBothSizes(t, largeFleetSizes, checkAllGatewaysConnect)
+}
 
 func checkAllGatewaysConnect(c *largeFleet, n fleetSize) {
 	is := is.New(c.t)
@@ -163,7 +165,7 @@
 	is.Equal(c.termsLed(), led)
 }
 
-// TestCrowdOfServersComesAtOnce: the gateways have their sessions when all servers announce
+// TestAllServersAnnounceAtOnce: the gateways have their sessions when all servers announce
 // themselves within a second, so that the list changes are as large as the lists. The leader must
 // keep its term, documents must be in force within a second, and all gateways must list all
 // servers.
@@ -171,7 +173,7 @@
 // With 985 gateways connected and 9,998 servers announcing themselves, the changes were twice the
 // capacity of the leader's link: it lost its leadership after 1.6 s, before it had reached any
 // other replica.
-func TestCrowdOfServersComesAtOnce(t *testing.T) {
+func TestAllServersAnnounceAtOnce(t *testing.T) {
 	atBothSizes(t, serverHeavySizes, checkAllServersAnnounce)
 }
 
@@ -192,7 +194,7 @@
 		go func() {
 			time.Sleep(time.Duration(i) * d / time.Duration(c.servers))
 			for range 5 {
-				if l := c.leaderDirectory(); l != nil && l.Announce(c.t.Context(), manyServer(i, 1)) == nil {
+				if l := c.leaderDirectory(); l != nil && l.Announce(c.t.Context(), numberedAnnouncement(i, 1)) == nil {
 					return
 				}
 				time.Sleep(announceInterval)
@@ -201,9 +203,9 @@
 	}
 }
 
-// TestCrowdLosesItsLeader: an idle fleet loses its leader. Three seconds later there must be a new
+// TestLargeFleetLosesLeader: an idle fleet loses its leader. Three seconds later there must be a new
 // one that keeps its term, and documents must be in force within a second.
-func TestCrowdLosesItsLeader(t *testing.T) { atBothSizes(t, largeFleetSizes, checkLeaderLoss) }
+func TestLargeFleetLosesLeader(t *testing.T) { atBothSizes(t, largeFleetSizes, checkLeaderLoss) }
 
 func checkLeaderLoss(c *largeFleet, n fleetSize) {
 	is := is.New(c.t)
