--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -23,10 +23,11 @@
 // recover within 30 s (docs/CAPACITY.md). Instead, every replica accepts a part of the
 // announcements.
 //
-// Alternatives considered: redirecting announcements to the leader's address (the earlier protocol,
-// and the fallback of a replica that cannot reach the leader); acknowledging before the leader has
-// the announcement (if that is lost, the server is registered one interval later). Here an announcement is acknowledged once the leader has applied it, so that an
-// acknowledged announcement is on its way to the gateways, as at the leader itself.
+// Alternatives considered: redirecting announcements to the leader's address (the earlier protocol, and
+// the fallback of a replica that cannot reach the leader); acknowledging before the leader has the
+// announcement (if that is lost, the server is registered one interval later). Here an announcement is
+// acknowledged once the leader has applied it, so that an acknowledged announcement is on its way to the
+// gateways, as at the leader itself.
 //
 // On a relay the leader is remote. An announcement that differs from the leader's list only in its
 // sequence number is sent as that number and a handle: otherwise 3,000 servers, half of them behind
--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -15,8 +15,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestAnnouncementAtFollowerReachesGateways: an announcement at a follower must reach the gateways too, also
-// after the leader is lost. A replica that cannot reach the leader must return an error within the
+// TestAnnouncementAtFollowerReachesGateways: an announcement at a follower must reach the gateways too,
+// also after the leader is lost. A replica that cannot reach the leader must return an error within the
 // time that the backend server waits.
 func TestAnnouncementAtFollowerReachesGateways(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
--- a/directory/cold_test.go
+++ b/directory/cold_test.go
@@ -22,9 +22,9 @@
 	return h
 }
 
-// TestColdServersGetAtMostTheirRate returns 21 cold servers of a hall to service under a load of which they
-// would get most, and kills the leader meanwhile. No cold server may get more requests than its rate in
-// any second, and together they must get more than half of what that rate allows.
+// TestColdServersGetAtMostTheirRate returns 21 cold servers of a hall to service under a load of which
+// they would get most, and kills the leader meanwhile. No cold server may get more requests than its
+// rate in any second, and together they must get more than half of what that rate allows.
 func TestColdServersGetAtMostTheirRate(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -41,7 +41,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		stop()
-		back := time.Now()
+		returnedAt := time.Now()
 		for i := range 21 {
 			is.NoErr(x.announceInHall(fmt.Sprint("b", i+11), "hall-b", cold))
 		}
@@ -49,26 +49,26 @@
 		x.awaitLeader().kill()
 		next := x.awaitLeader()
 		for i := range 21 {
-			if left := cold - time.Since(back); left > 0 && next.d.Leads() {
+			if left := cold - time.Since(returnedAt); left > 0 && next.d.Leads() {
 				_ = x.announceInHall(fmt.Sprint("b", i+11), "hall-b", left)
 			}
 		}
-		time.Sleep(cold - time.Since(back))
+		time.Sleep(cold - time.Since(returnedAt))
 		synctest.Wait()
 		sum := 0
 		for i := range 21 {
-			all, most := a.countSince(serverAddress(fmt.Sprint("b", i+11)), back)
+			all, most := a.countSince(serverAddress(fmt.Sprint("b", i+11)), returnedAt)
 			is.True(most <= rate)
 			sum += all
 		}
-		part := float64(sum) / (21 * rate * cold.Seconds())
-		x.t.Logf("the cold servers got %.2f of what their rate allows", part)
-		is.True(part > 0.5)
+		fraction := float64(sum) / (21 * rate * cold.Seconds())
+		x.t.Logf("the cold servers got %.2f of what their rate allows", fraction)
+		is.True(fraction > 0.5)
 	})
 }
 
-// TestServersOfReturnedHallCountAsCold checks that the servers of a returned hall are treated as cold, since
-// they may have become cold unobserved while it was out of service.
+// TestServersOfReturnedHallCountAsCold checks that the servers of a hall that returns to service are
+// treated as cold, since they may have become cold unobserved meanwhile.
 func TestServersOfReturnedHallCountAsCold(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -84,14 +84,14 @@
 		time.Sleep(3 * time.Second)
 		x.orderHall("hall-a", true)
 		time.Sleep(2 * time.Second)
-		back := time.Now()
+		returnedAt := time.Now()
 		x.orderHall("hall-a", false)
 		time.Sleep(2*announceInterval - 50*time.Millisecond)
-		all, most := a.countSince(serverAddress("b1"), back)
+		all, most := a.countSince(serverAddress("b1"), returnedAt)
 		is.True(most <= rate)
 		is.True(all > rate/2)
 		time.Sleep(3 * time.Second) // until it has announced that it is warm
-		_, most = a.countSince(serverAddress("b1"), back)
+		_, most = a.countSince(serverAddress("b1"), returnedAt)
 		is.True(most > 2*rate)
 	})
 }
--- a/directory/dayend_test.go
+++ b/directory/dayend_test.go
@@ -12,7 +12,7 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests the simultaneous loss of disks and of all power.
+// This file tests the simultaneous loss of disks and power.
 
 // TestRecoveryFromDiskAndPowerLoss: two of five replicas lose their disks while everything loses power,
 // including the gateways, right after changes were acknowledged. No acknowledged change may be
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestPartitionedLeaderServesNoStaleReads partitions the leader off silently, and the others accept a newer
-// document. A leader that served reads past its lease would return the older document.
+// TestPartitionedLeaderServesNoStaleReads partitions the leader off silently, and the others accept a
+// newer document. A leader that served reads past its lease would return the older document.
 func TestPartitionedLeaderServesNoStaleReads(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -148,8 +148,8 @@
 	})
 }
 
-// TestAcknowledgedChangeSurvivesOnOneDisk: only the leader and two followers hold an acknowledged change. The
-// leader and one of the two lose their disks while all other machines lose power, including
+// TestAcknowledgedChangeSurvivesOnOneDisk: only the leader and two followers hold an acknowledged
+// change. The leader and one of the two lose their disks while all other machines lose power, including
 // non-voting replicas and gateways. The change must survive on the one disk that is left.
 func TestAcknowledgedChangeSurvivesOnOneDisk(t *testing.T) {
 	withFleet(t, 7, func(x *fleet) { // five of them vote
@@ -318,8 +318,8 @@
 	})
 }
 
-// TestGatewayStartsWithOneReachableSeed starts a gateway that can reach only one of its seeds, which is not the
-// leader.
+// TestGatewayStartsWithOneReachableSeed starts a gateway that can reach only one of its seeds, which is
+// not the leader.
 func TestGatewayStartsWithOneReachableSeed(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/earlier_internal_test.go
+++ b/directory/earlier_internal_test.go
@@ -16,8 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// TestNoRelayingForLeaderWithoutRelaySupport: a leader of a version without relays takes a relay for a gateway,
-// and would misread its reports. The replica must not relay in that leader's term.
+// TestNoRelayingForLeaderWithoutRelaySupport: a leader of a version without relays takes a relay for a
+// gateway, and would misread its reports. The replica must not relay in that leader's term.
 func TestNoRelayingForLeaderWithoutRelaySupport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/directory/finalrollout_test.go
+++ b/directory/finalrollout_test.go
@@ -17,10 +17,10 @@
 )
 
 // This file tests the last step of a rollout: gateways are informed that the old servers may stop before
-// the log has the rollout as complete.
+// completion is committed to the log.
 
-// TestCompletionWaitsForFinalList checks that completion waits until all gateways apply the list that announces
-// it, but only briefly for a gateway that does not.
+// TestCompletionWaitsForFinalList checks that completion waits until all gateways apply the list that
+// announces it, but only briefly for a gateway that does not.
 func TestCompletionWaitsForFinalList(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
@@ -85,8 +85,8 @@
 // until all gateways apply the list. If the switch were missing in the log, it would take 2.8 to 3.2 s.
 const maxTakeoverTime = 2500 * time.Millisecond
 
-// TestNewLeaderContinuesAfterSwitch checks that a new leader continues after the switch that its predecessor
-// made. The new leader has no record of the trial, whose bound is used up.
+// TestNewLeaderContinuesAfterSwitch checks that a new leader continues after the switch that the previous
+// leader made. The new leader has no record of the trial, whose bound is used up.
 func TestNewLeaderContinuesAfterSwitch(t *testing.T) {
 	for _, at := range []time.Duration{7400 * time.Millisecond, 7700 * time.Millisecond, 8 * time.Second} {
 		t.Run(at.String(), func(t *testing.T) {
--- a/directory/firstcrowd_test.go
+++ b/directory/firstcrowd_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// This file keeps the scenario in which whole lists delayed heartbeats so that leaders were deposed
-// in a loop: 40 gateways, 1,500 servers, and links that need 5.8 s for the lists of all gateways,
-// or four times as long, at 75 bytes per server. One list takes 0.09 or 0.34 s of such a link.
+// This file tests the scenario in which whole lists delayed heartbeats, so that one leader after another
+// was deposed: 40 gateways, 1,500 servers, and links that need 5.8 s for the lists of all gateways, or
+// four times as long, at 75 bytes per server. One list takes 0.09 or 0.34 s of such a link.
 
 const (
 	slowLinkGateways = 40
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -54,7 +54,7 @@
 	return gateway.AnswerHead{ID: h.Get("Id"), Signed: true}
 }
 
-// scriptedServer behaves as the identifier of a request says.
+// scriptedServer answers or fails each request as its identifier says.
 type scriptedServer struct{}
 
 func (scriptedServer) DropIdle(string) {}
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -14,7 +14,7 @@
 
 // TestLossOfHallWithLeader cuts off, kills or wipes the replicas of a hall, the leader among them,
 // or kills them and wipes the disk of one. In all cases but the last a new leader must be elected within
-// three seconds; nothing acknowledged may be lost in any.
+// three seconds. No acknowledged change may be lost in any case.
 func TestLossOfHallWithLeader(t *testing.T) {
 	const votersOfHalls = 9 // configured where halls may be lost
 	for _, n := range []int{3, 5, 7} {
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -76,17 +76,18 @@
 	return len(times), most
 }
 
-// startLoadedGateway starts a gateway that receives a request in each period and sends to a.
+// startLoadedGateway starts a gateway that receives one request per period and forwards it to a.
 func (x *fleet) startLoadedGateway(ip string, a gateway.Transport, period time.Duration) *gateway.Gateway {
-	return x.startGatewayWithLoad(ip, testHeaders{}, a, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+	return x.startGatewayWithLoad(ip, testHeaders{}, a, func(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway) {
 		for range sleep.Every(ctx, period) {
-			asking.Go(func() { x.sendRequest(g, "r") })
+			inFlight.Go(func() { x.sendRequest(g, "r") })
 		}
 	})
 }
 
-// startGatewayWithLoad starts a gateway that receives the requests of ask, which ends with its context.
-func (x *fleet) startGatewayWithLoad(ip string, headers gateway.HeaderCodec, a gateway.Transport, ask func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
+// startGatewayWithLoad starts a gateway that receives the requests that generateLoad sends until its
+// context ends.
+func (x *fleet) startGatewayWithLoad(ip string, headers gateway.HeaderCodec, a gateway.Transport, generateLoad func(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway)) *gateway.Gateway {
 	ctx, cancel := context.WithCancel(context.Background())
 	set := metrics.NewSet()
 	log := x.log(set)
@@ -95,9 +96,9 @@
 		Seeds:    x.seeds, Headers: headers, Transport: a, Region: x.regions[ip], Topology: x.topology(), Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 		Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: x.random, Log: log, Metrics: set,
 	})
-	var asking sync.WaitGroup
-	asking.Go(func() { ask(ctx, &asking, g) })
-	x.gateways[ip] = &gatewayNode{ip: ip, g: g, metrics: set, kill: func() { cancel(); asking.Wait(); synctest.Wait(); log.Close() }}
+	var inFlight sync.WaitGroup
+	inFlight.Go(func() { generateLoad(ctx, &inFlight, g) })
+	x.gateways[ip] = &gatewayNode{ip: ip, g: g, metrics: set, kill: func() { cancel(); inFlight.Wait(); synctest.Wait(); log.Close() }}
 	return g
 }
 
@@ -154,8 +155,8 @@
 	})
 }
 
-// TestHallOutOfServiceGetsNoRequests takes a hall out of service under load while gateways start, restart and lose
-// the leader. No request may reach its servers until it is put back.
+// TestHallOutOfServiceGetsNoRequests takes a hall out of service under load while gateways start,
+// restart and lose the leader. No request may reach its servers until it is put back.
 func TestHallOutOfServiceGetsNoRequests(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -202,7 +203,7 @@
 	running.Go(func() {
 		for range sleep.Every(ctx, announceInterval) {
 			for _, id := range slices.Sorted(maps.Keys(halls)) {
-				_ = x.announceInHall(id, halls[id], 0) // a replica that has lost the lead refuses it
+				_ = x.announceInHall(id, halls[id], 0) // a replica that no longer leads refuses it
 			}
 		}
 	})
--- a/directory/leaderplace_test.go
+++ b/directory/leaderplace_test.go
@@ -34,8 +34,8 @@
 	return 0
 }
 
-// TestChangesAcknowledgedSoonAfterLeaderLoss: leaders are killed in turn. An operator's change must soon be
-// acknowledged again, whichever replica is tried first, also with so many gateways in the other
+// TestChangesAcknowledgedSoonAfterLeaderLoss: leaders are killed in turn. An operator's change must soon
+// be acknowledged again, whichever replica is tried first, also with so many gateways in the other
 // region that their lists fill the link for seconds.
 func TestChangesAcknowledgedSoonAfterLeaderLoss(t *testing.T) {
 	for gateways, rounds := range map[int]int{4: 10, 60: 4} {
@@ -129,9 +129,9 @@
 	})
 }
 
-// TestFailedHandoverIsNotRetriedAtOnce: the only successor in the region with the majority cannot be elected,
-// since it reaches no voter except the leader. The leader is elected again, and must not retry at
-// once.
+// TestFailedHandoverIsNotRetriedAtOnce: the only successor in the region with the majority cannot be
+// elected, since it reaches no voter except the leader. The leader is elected again, and must not retry
+// at once.
 func TestFailedHandoverIsNotRetriedAtOnce(t *testing.T) {
 	t.Parallel()
 	withTwoRegions(t, 1_000_000, func(x *fleet) {
--- a/directory/leadrollout_test.go
+++ b/directory/leadrollout_test.go
@@ -21,8 +21,8 @@
 	return &activeRollout{Rollout: d, reports: map[reporter]map[outcomeKey]protocol.Outcomes{}, totals: map[string]*rollout.RouteTallies{}}
 }
 
-// TestReportedTotalsReplaceEarlierOnes checks that lost or repeated reports change nothing, and that the totals of a
-// restarted gateway add to those of its earlier run.
+// TestReportedTotalsReplaceEarlierOnes checks that lost or repeated reports change nothing, and that the
+// totals of a restarted gateway add to those of its earlier run.
 func TestReportedTotalsReplaceEarlierOnes(t *testing.T) {
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Target: "v2"})
@@ -41,8 +41,8 @@
 	is.Equal([]uint64{old.Sent, old.Answered, old.Failed}, []uint64{11, 11, 0})
 }
 
-// TestRelayTotalsCountOnlyDuringSession checks that a relay's totals count only while its session lives: its gateways then
-// report them elsewhere, to the relay's next run, another relay or the leader.
+// TestRelayTotalsCountOnlyDuringSession checks that a relay's totals count only while its session lives:
+// its gateways then report them elsewhere, to the relay's next run, another relay or the leader.
 func TestRelayTotalsCountOnlyDuringSession(t *testing.T) {
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
@@ -76,8 +76,8 @@
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 }
 
-// TestNewLeaderAdoptsPreviousVerdict checks that a new leader adopts its predecessor's verdict from gateways:
-// it may have reached them and not the log, and outcomes seen since need not repeat it.
+// TestNewLeaderAdoptsPreviousVerdict checks that a new leader adopts its predecessor's verdict from
+// gateways: it may have reached them and not the log, and outcomes seen since need not repeat it.
 func TestNewLeaderAdoptsPreviousVerdict(t *testing.T) {
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestReducedTotalsAreRecorded checks that a fall of the totals is recorded when a relay's session ends that has
-// reported outcomes, until its gateways have reported elsewhere.
+// TestReducedTotalsAreRecorded checks that the time of a reduction of the totals is recorded when a
+// relay's session ends, if the relay had reported outcomes.
 func TestReducedTotalsAreRecorded(t *testing.T) {
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
@@ -168,8 +168,8 @@
 	is.Equal(r.totalsReducedAt, 3*time.Second)
 }
 
-// TestNewRelaySessionDelaysCompletion checks that a new relay session delays completion until it has reported
-// twice: before the relay has named its gateways, their load is not in the sums either.
+// TestNewRelaySessionDelaysCompletion checks that a new relay session delays completion until it has
+// reported twice: before the relay has named its gateways, their load is not in the sums either.
 func TestNewRelaySessionDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
--- a/directory/lives_test.go
+++ b/directory/lives_test.go
@@ -20,12 +20,12 @@
 
 // This file tests backend servers that restart under the same name.
 
-// life is one life of server "b1", from one start to the next, and its next announcement.
+// life is one life of server "b1", from one start to the next.
 type life struct {
 	x       *fleet
 	born    uint64
 	address string
-	seq     uint64
+	seq     uint64 // of the last announcement
 }
 
 func (l *life) announcement(leaving bool) registry.Announcement {
@@ -54,7 +54,7 @@
 	}
 }
 
-// TestServerRestart: a server that restarts under its name must be served within two seconds,
+// TestServerRestart: a server that restarts under its name must get requests within two seconds,
 // also at another address, however its previous life ended, and despite late messages of that life.
 // After that time nothing may be sent to the address of the previous life.
 func TestServerRestart(t *testing.T) {
@@ -165,7 +165,7 @@
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name}))
 		listed := map[string]string{}
-		take := func() {
+		receiveChanges := func() {
 			for until := time.Now().Add(300 * time.Millisecond); time.Now().Before(until); {
 				m, err := session.ReceiveWithin(x.t.Context(), 300*time.Millisecond)
 				is.NoErr(err)
@@ -182,16 +182,16 @@
 			}
 		}
 		l.announce(false)
-		take()
+		receiveChanges()
 		is.Equal(listed, map[string]string{"b1": "10.0.3.1:80"})
 		next := &life{x: x, born: 1_790_000_009_000, address: "10.0.4.1:80"}
 		next.announce(false)
-		take()
+		receiveChanges()
 		l.announce(true) // late
-		take()
+		receiveChanges()
 		is.Equal(listed, map[string]string{"b1": "10.0.4.1:80"})
 		next.announce(true)
-		take()
+		receiveChanges()
 		is.Equal(len(listed), 0)
 	})
 }
@@ -226,8 +226,8 @@
 	})
 }
 
-// TestServerRestartWithTargetVersion: a server of the old version that restarts with the target version of a
-// rollout must count as a server of the target from then on.
+// TestServerRestartWithTargetVersion: a server of the old version that restarts with the target version
+// of a rollout must count as a server of the target from then on.
 func TestServerRestartWithTargetVersion(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
--- a/directory/mortal_fixture_test.go
+++ b/directory/mortal_fixture_test.go
@@ -23,16 +23,16 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file adds to the fixture backend servers that crash, by themselves or under a request, and callers
-// of a fleet of them.
+// This file adds to the fixture backend servers that crash, by themselves or because of a request, and
+// callers of a fleet with such servers.
 
 const (
-	crashDelay   = 60 * time.Millisecond   // from the start of a deadly request to the crash of its server
+	crashDelay   = 60 * time.Millisecond   // from the start of a crashing request to the crash of its server
 	restartDelay = 1500 * time.Millisecond // from the crash of a server to its restart
 )
 
-// crashingServers are backend servers of one pool. A request whose body begins with "deadly" ends the
-// server that begins it.
+// crashingServers are backend servers of one pool. A crashing request, whose body begins with "deadly",
+// crashes the server that begins it.
 type crashingServers struct {
 	x           *fleet
 	runTime     time.Duration // run time of a request
@@ -40,14 +40,14 @@
 	keepIDs     bool          // a server restarts with its earlier identifier
 	halls       []string      // halls of the servers, in turn
 	firstTarget int           // number of the first server of another version, which is announced after the order; 0 for none
-	resets      bool          // a deadly request breaks its own connection and ends no server
+	resets      bool          // a crashing request only breaks its own connection
 
 	mu                    sync.Mutex
 	ordered               bool                // the rollout to the other version was ordered
 	processes             map[string]*process // by address
 	starts                int
 	crashes               []time.Time
-	crashingRequestStarts map[string][]time.Time // when servers began deadly requests, by body
+	crashingRequestStarts map[string][]time.Time // when servers began crashing requests, by body
 }
 
 // process is one run of the server at an address.
@@ -74,7 +74,7 @@
 	m.processes[at] = &process{id: fmt.Sprint("s", m.starts), up: true, ended: make(chan struct{})}
 }
 
-// restart starts a server again at the address of one that has ended.
+// restart starts a server at the address of one that has crashed.
 func (m *crashingServers) restart(at string, before *process) {
 	m.start(at)
 	if !m.keepIDs {
@@ -85,7 +85,7 @@
 	m.processes[at].id, m.processes[at].seq = before.id, before.seq
 }
 
-// crash ends the servers at some addresses at once. They restart later, with new identifiers unless
+// crash crashes the servers at some addresses at once. They restart later, with new identifiers unless
 // keepIDs is set.
 func (m *crashingServers) crash(addresses ...string) {
 	m.mu.Lock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// announce announces all servers that run.
+// announce announces all running servers.
 func (m *crashingServers) announce() {
 	d := m.x.leaderDirectory()
 	if d == nil {
@@ -113,7 +113,7 @@
 	}
 	for _, a := range m.announcements() {
 		ctx, cancel := context.WithTimeout(m.x.t.Context(), time.Second)
-		_ = d.Announce(ctx, a) // a replica that has lost the lead refuses it
+		_ = d.Announce(ctx, a) // a replica that no longer leads refuses it
 		cancel()
 	}
 }
@@ -165,7 +165,7 @@
 func (m *crashingServers) DropIdle(string) {}
 func (m *crashingServers) DropAllIdle()    {}
 
-// Refuses implements gateway.Server.
+// Refuses implements gateway.Transport.
 func (m *crashingServers) Refuses(ctx context.Context, at string) bool {
 	return sleep.For(ctx, networkLatency) && !m.processAt(at).up
 }
@@ -176,7 +176,7 @@
 	return *m.processes[at]
 }
 
-// Send implements gateway.Server.
+// Send implements gateway.Transport.
 func (m *crashingServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
 	if !sleep.For(ctx, networkLatency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
@@ -245,8 +245,8 @@
 	m.crashingRequestStarts[body] = append(m.crashingRequestStarts[body], time.Now())
 }
 
-// countCrashingRequest returns how often a deadly request was begun, and how often later than contactTime after it
-// had ended the third server.
+// countCrashingRequest returns how often servers began a crashing request, and how often later than
+// verdictTime after its third crash.
 func (m *crashingServers) countCrashingRequest(body string) (sent, late int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -258,7 +258,7 @@
 	return len(m.crashingRequestStarts[body]), late
 }
 
-// countCrashes returns how many servers have ended.
+// countCrashes returns how many servers have crashed.
 func (m *crashingServers) countCrashes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -273,7 +273,7 @@
 	return h
 }
 
-// callers are the callers of the fleet's gateways, and the answers that they received.
+// callers sends requests to the fleet's gateways and counts the answers.
 type callers struct {
 	x        *fleet
 	n        int // number of requests, for identifiers
@@ -308,23 +308,23 @@
 
 // Times between two requests of a gateway's callers.
 const (
-	otherPeriod = 20 * time.Millisecond
-	hotPeriod   = 50 * time.Millisecond
+	otherPeriod = 20 * time.Millisecond // of requests with different bodies
+	hotPeriod   = 50 * time.Millisecond // of the request that all gateways receive
 )
 
 // startGateway starts a startGateway with its own callers.
 func (c *callers) startGateway(m *crashingServers, ip string) {
-	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
-		asking.Go(func() {
+	g := c.x.startGatewayWithLoad(ip, testHeaders{}, m, func(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway) {
+		inFlight.Go(func() {
 			for range sleep.Every(ctx, hotPeriod) {
-				asking.Go(func() { c.send(g, "hot", http.MethodGet, "") })
+				inFlight.Go(func() { c.send(g, "hot", http.MethodGet, "") })
 			}
 		})
 		n := 0
 		for range sleep.Every(ctx, otherPeriod) {
 			n++
 			body := fmt.Sprint(ip, " ", n)
-			asking.Go(func() { c.send(g, "other", http.MethodPost, body) })
+			inFlight.Go(func() { c.send(g, "other", http.MethodPost, body) })
 		}
 	})
 	c.mu.Lock()
@@ -368,23 +368,23 @@
 
 // repeat sends a body to one gateway after another for some time.
 func (c *callers) repeat(body string, period, length time.Duration) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	c.mu.Lock()
 	gateways := len(c.gateways)
 	c.mu.Unlock()
 	i := 0
 	for began := time.Now(); time.Since(began) < length; time.Sleep(period) {
-		i = (i*5 + 3) % 16 // all remainders, but not in the order of the gateways
+		i = (i*5 + 3) % 16 // a permutation of 0 to 15, so that every gateway is used, but not in order
 		if g := c.gatewayAt(gatewayIP(i % gateways)); g != nil {
-			asking.Go(func() { c.send(g, "deadly", http.MethodPost, body) })
+			inFlight.Go(func() { c.send(g, "deadly", http.MethodPost, body) })
 		}
 	}
 }
 
-// answeredShare returns the share of the requests of a kind that were answered, and how many were refused
-// as condemned.
-func (c *callers) answeredShare(kind string) (part float64, refused int) {
+// answeredShare returns the fraction of the requests of a kind that were answered, and how many were
+// refused as condemned.
+func (c *callers) answeredShare(kind string) (fraction float64, refused int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := 0
--- a/directory/ordercalls.go
+++ b/directory/ordercalls.go
@@ -29,7 +29,7 @@
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
 	}
-	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by commandTimeout, which may have expired
+	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by orderTimeout, which may have expired
 }
 
 // executeRolloutOrder executes an operator's order and returns the answer.
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -67,7 +67,7 @@
 	}
 	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	_ = l.Send(ctx, d.executeQuarantineOrder(orderCtx, o)) // not bounded by commandTimeout, which may have expired
+	_ = l.Send(ctx, d.executeQuarantineOrder(orderCtx, o)) // not bounded by orderTimeout, which may have expired
 }
 
 func (d *Directory) executeQuarantineOrder(ctx context.Context, o protocol.QuarantineOrder) protocol.QuarantineAnswer {
--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -24,7 +24,8 @@
 	interRegionLatency = 30 * time.Millisecond // one way
 )
 
-// withTwoRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each way.
+// withTwoRegions runs f in a fleet with two regions. The link between them carries bytesPerSecond each
+// way.
 func withTwoRegions(t *testing.T, bytesPerSecond int, f func(x *fleet)) {
 	withPreparedFleet(t, voters, voters, func(x *fleet) {
 		x.regions = map[string]string{}
@@ -90,7 +91,8 @@
 	return all
 }
 
-// electLeaderIn makes a replica of a region the leader, with enough time between restarts for it to stay so.
+// electLeaderIn makes a replica of a region the leader, with enough time between restarts for it to
+// remain the leader.
 func (x *fleet) electLeaderIn(region string) { x.electLeaderInWithPause(region, 2*time.Second) }
 
 // electLeaderInWithPause kills leaders until a replica of the region leads, and pauses after each restart.
--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -16,9 +16,9 @@
 
 // This file tests the traffic between regions.
 
-// TestRegionTrafficDoesNotGrowWithGateways checks that the traffic between the leader and another region does not grow
-// with the gateways there. It also checks that all gateways receive a document at once, although the
-// link is slow and every backend server has just been announced.
+// TestRegionTrafficDoesNotGrowWithGateways checks that the traffic between the leader and another region
+// does not grow with the gateways there. It also checks that all gateways receive a document at once,
+// although the link is slow and every backend server has just been announced.
 func TestRegionTrafficDoesNotGrowWithGateways(t *testing.T) {
 	t.Parallel()
 	const servers, measured = 600, 10 * time.Second
@@ -71,9 +71,9 @@
 	})
 }
 
-// TestRepeatedAnnouncementsUseHandlesBetweenRegions checks that servers announced at the replicas of another region take
-// few bytes of the link once the leader lists them, and stay listed beyond the time after which silent
-// servers are removed.
+// TestRepeatedAnnouncementsUseHandlesBetweenRegions checks that servers announced at the replicas of
+// another region take few bytes of the link once the leader lists them, and stay listed beyond the time
+// after which silent servers are removed.
 func TestRepeatedAnnouncementsUseHandlesBetweenRegions(t *testing.T) {
 	t.Parallel()
 	const servers, seconds = 300, 45 // a silent server is removed after 40 s
@@ -151,8 +151,8 @@
 	})
 }
 
-// announceAnywhereRepeatedly announces backend servers once per interval, each at any replica that answers, until
-// stop is called.
+// announceAnywhereRepeatedly announces backend servers once per interval, each at any replica that
+// answers, until stop is called.
 func (x *fleet) announceAnywhereRepeatedly(servers int) (stop func()) {
 	ctx, cancel := context.WithCancel(x.t.Context())
 	var announcing sync.WaitGroup
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -132,8 +132,8 @@
 	})
 }
 
-// TestLeaderServesGatewaysThatReachNoRelay checks that gateways that reach the leader but no relay, while the leader
-// reaches both, are served by the leader until they reach the relays again.
+// TestLeaderServesGatewaysThatReachNoRelay checks that gateways that reach the leader but no relay,
+// while the leader reaches both, are served by the leader until they reach the relays again.
 func TestLeaderServesGatewaysThatReachNoRelay(t *testing.T) {
 	t.Parallel()
 	withRelays(t, 20, 8, func(x *fleet, near, far []*gateway.Gateway) {
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestGatewayWithoutRolloutsBehindRelayIsReported checks that the leader reports gateways without support for rollouts
-// behind relays as well.
+// TestGatewayWithoutRolloutsBehindRelayIsReported checks that the leader reports gateways without
+// support for rollouts behind relays as well.
 func TestGatewayWithoutRolloutsBehindRelayIsReported(t *testing.T) {
 	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -40,10 +40,10 @@
 }
 
 // startReporter starts a reporting gateway in a region that dials these replicas in turn.
-func (x *fleet) startReporter(ip, region string, runs uint32, addresses ...string) *reportingGateway {
+func (x *fleet) startReporter(ip, region string, baseRequests uint32, addresses ...string) *reportingGateway {
 	x.place(ip, region)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &reportingGateway{x: x, ip: ip, baseRequests: runs, stop: cancel}
+	r := &reportingGateway{x: x, ip: ip, baseRequests: baseRequests, stop: cancel}
 	go func() {
 		for i := 0; ctx.Err() == nil; i++ {
 			r.session(ctx, addresses[i%len(addresses)])
@@ -138,8 +138,8 @@
 	return uint32(r.seq+uint64(handle)) % 3
 }
 
-// sum returns the number of requests on a server by the sums, and whether they include this gateway's
-// own reports.
+// sum returns the number of requests on a server according to the sums, and whether these include this
+// gateway's own reports.
 func (r *reportingGateway) sum(id string) (requests uint32, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,7 +153,8 @@
 	return r.term, r.handles["b1"]
 }
 
-// countOtherLoadedServers returns how many servers but b1 have running requests by the sums.
+// countOtherLoadedServers returns how many servers other than b1 have running requests according
+// to the sums.
 func (r *reportingGateway) countOtherLoadedServers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -187,9 +188,10 @@
 	return time.Since(began)
 }
 
-// TestSumsAcrossRelays checks that the sums at all gateways, behind two relays and at the leader, become
-// what runs in total after a gateway moves between relays, a gateway ends, a relay ends, and the leader
-// ends. While a gateway moves, its requests may count twice, but nothing else may.
+// TestSumsAcrossRelays checks that the sums at all gateways, behind two relays and at the leader, equal
+// the total number of running requests after a gateway moves between relays, a gateway stops, a relay is
+// killed, and the leader is killed. While a gateway moves, its requests may count twice, but nothing
+// else may.
 func TestSumsAcrossRelays(t *testing.T) {
 	t.Parallel()
 	withTwoRegions(t, 1_000_000, func(x *fleet) {
@@ -211,16 +213,16 @@
 		is.Equal(all[1].servingReplica(), a)
 		is.Equal(all[2].servingReplica(), b)
 
-		all[3].stop() // it moves to the other relay and does not end its session otherwise
+		all[3].stop() // the gateway connects to the other relay instead
 		all[3] = x.startReporter("10.0.5.4", south, 1000, b, a)
-		most := uint32(0)
+		largest := uint32(0)
 		for range 50 {
 			time.Sleep(10 * time.Millisecond)
 			got, _ := all[0].sum("b1")
-			most = max(most, got)
+			largest = max(largest, got)
 		}
-		x.t.Logf("sum of at most %d while a gateway moves", most)
-		is.True(most <= 1111+1000)
+		x.t.Logf("sum of at most %d while a gateway moves", largest)
+		is.True(largest <= 1111+1000)
 		x.t.Logf("sums after %v", awaitSum(x, 1111, all...))
 		is.Equal(all[3].servingReplica(), b)
 
@@ -259,9 +261,9 @@
 	})
 }
 
-// TestSumsExcludeFrozenRelay freezes a relay: its links carry nothing in either direction for a while, and then
-// all that was written meanwhile. Before that its gateways must be served elsewhere, and its old reports
-// must no longer count.
+// TestSumsExcludeFrozenRelay freezes a relay: its links carry nothing in either direction for a while,
+// and then all that was written meanwhile. Before that its gateways must be served elsewhere, and its
+// old reports must no longer count.
 func TestSumsExcludeFrozenRelay(t *testing.T) {
 	t.Parallel()
 	withTwoRegions(t, 1_000_000, func(x *fleet) {
--- a/directory/repeated_ends_faults_test.go
+++ b/directory/repeated_ends_faults_test.go
@@ -14,43 +14,43 @@
 	"github.com/badgerspoke/badgerspoke/directory"
 )
 
-// This file tests requests that end servers while other faults occur, and harmless requests while
-// servers end by themselves.
+// This file tests requests that crash servers while other faults occur, and harmless requests while
+// servers crash by themselves.
 
-// crashingRequestPeriod is the time between two attempts of a deadly request's caller: the second one is sent
-// after the first has ended two servers.
+// crashingRequestPeriod is the time between two attempts of a crashing request's caller: the second one is
+// sent after the first has crashed two servers.
 const crashingRequestPeriod = 250 * time.Millisecond
 
-// TestCrashingRequestDuringFaults checks that a fault between the second and the third end, or after it,
-// costs only a few more ends, and that few requests begin later than contactTime.
+// TestCrashingRequestDuringFaults checks that a fault between the second and the third crash, or after
+// it, costs only a few more crashes, and that few requests begin later than verdictTime.
 func TestCrashingRequestDuringFaults(t *testing.T) {
 	for _, fault := range []struct {
-		name  string
-		m     func(m *crashingServers)
-		do    func(x *fleet, m *crashingServers, c *callers)
-		after time.Duration // from the first attempt
-		most  int           // bound of the number of servers that end
+		name      string
+		configure func(m *crashingServers)
+		inject    func(x *fleet, m *crashingServers, c *callers)
+		delay     time.Duration // from the first attempt to inject
+		maxStarts int           // bound on how often servers begin the request
 	}{
-		{name: "streams", m: func(m *crashingServers) { m.streams = true }, most: 3},
-		{name: "servers keep their identifiers", m: func(m *crashingServers) { m.keepIDs = true }, most: 3},
+		{name: "streams", configure: func(m *crashingServers) { m.streams = true }, maxStarts: 3},
+		{name: "servers keep their identifiers", configure: func(m *crashingServers) { m.keepIDs = true }, maxStarts: 3},
 		{
-			name: "the leader is killed after two ends", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
+			name: "the leader is killed after two ends", delay: 200 * time.Millisecond, maxStarts: 8,
+			inject: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
-			name: "the leader is killed after it was condemned", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
+			name: "the leader is killed after it was condemned", delay: 2 * time.Second, maxStarts: 3,
+			inject: func(x *fleet, _ *crashingServers, _ *callers) { x.awaitLeader().kill() },
 		},
 		{
-			name: "a gateway that was at the first ends is killed", after: 200 * time.Millisecond, most: 5,
-			do: func(x *fleet, _ *crashingServers, c *callers) {
+			name: "a gateway that was at the first ends is killed", delay: 200 * time.Millisecond, maxStarts: 5,
+			inject: func(x *fleet, _ *crashingServers, c *callers) {
 				x.gateways[gatewayIP(3)].kill()
 				c.removeGateway(gatewayIP(3))
 			},
 		},
 		{
-			name: "gateways start", after: time.Second, most: 3,
-			do: func(x *fleet, m *crashingServers, c *callers) {
+			name: "gateways start", delay: time.Second, maxStarts: 3,
+			inject: func(x *fleet, m *crashingServers, c *callers) {
 				for i := range 4 {
 					x.gateways[gatewayIP(i)].kill()
 					c.startGateway(m, gatewayIP(i))
@@ -58,8 +58,8 @@
 			},
 		},
 		{
-			name: "power of the directory is lost", after: time.Second, most: 3,
-			do: func(x *fleet, _ *crashingServers, _ *callers) {
+			name: "power of the directory is lost", delay: time.Second, maxStarts: 3,
+			inject: func(x *fleet, _ *crashingServers, _ *callers) {
 				x.losePower()
 				for _, ip := range x.ips {
 					x.startReplica(ip, false)
@@ -67,8 +67,8 @@
 			},
 		},
 		{
-			name: "power of everything is lost", after: 2 * time.Second, most: 3,
-			do: func(x *fleet, m *crashingServers, c *callers) {
+			name: "power of everything is lost", delay: 2 * time.Second, maxStarts: 3,
+			inject: func(x *fleet, m *crashingServers, c *callers) {
 				for i := range 4 {
 					x.gateways[gatewayIP(i)].kill()
 				}
@@ -82,12 +82,12 @@
 			},
 		},
 		{
-			name: "connections between nodes are silent", after: 200 * time.Millisecond, most: 8,
-			do: func(x *fleet, _ *crashingServers, _ *callers) { x.net.Silence() },
+			name: "connections between nodes are silent", delay: 200 * time.Millisecond, maxStarts: 8,
+			inject: func(x *fleet, _ *crashingServers, _ *callers) { x.net.Silence() },
 		},
 		{
-			name: "no gateway reaches the directory", most: 16, // three ends at each of four gateways, and the second attempts
-			do: func(x *fleet, _ *crashingServers, _ *callers) {
+			name: "no gateway reaches the directory", maxStarts: 16, // three crashes for each of four gateways, and the second attempts
+			inject: func(x *fleet, _ *crashingServers, _ *callers) {
 				for _, ip := range x.ips {
 					x.net.Cut(ip)
 				}
@@ -104,18 +104,18 @@
 			withFleet(t, 3, func(x *fleet) {
 				is := is.New(t)
 				m := x.startCrashingServers(10, 100*time.Millisecond)
-				if fault.m != nil {
-					fault.m(m)
+				if fault.configure != nil {
+					fault.configure(m)
 				}
 				x.withCallers(m, 4, func(c *callers) {
-					if fault.do != nil {
-						time.AfterFunc(fault.after, func() { fault.do(x, m, c) })
+					if fault.inject != nil {
+						time.AfterFunc(fault.delay, func() { fault.inject(x, m, c) })
 					}
 					c.repeat("deadly", crashingRequestPeriod, 14*time.Second)
 					sent, late := m.countCrashingRequest("deadly")
 					others, refused := c.answeredShare("other")
 					t.Logf("begun %d times, %d late; served %.4f of others", sent, late, others)
-					is.True(sent <= fault.most)
+					is.True(sent <= fault.maxStarts)
 					is.True(late <= 3)
 					is.Equal(refused, 0)
 				})
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestManyCrashingRequests checks that each of a series of deadly requests, one every two seconds, ends a
-// few servers only, and that new ones do not displace those that were condemned before.
+// TestManyCrashingRequests checks that each of a series of crashing requests, one every two seconds,
+// crashes few servers, and that new ones do not displace those that were condemned before.
 func TestManyCrashingRequests(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -144,15 +144,15 @@
 				is.True(late <= 3)
 			}
 			others, refused := c.answeredShare("other")
-			t.Logf("begun %d times at most, %d servers ended, served %.4f of others", most, m.countCrashes(), others)
+			t.Logf("begun %d times at most, %d servers crashed, served %.4f of others", most, m.countCrashes(), others)
 			is.True(most <= 6)
 			is.Equal(refused, 0)
 		})
 	})
 }
 
-// TestTwoCrashingRequestsAtOnce checks that two deadly requests are both stopped, although both run on some
-// servers that end.
+// TestTwoCrashingRequestsAtOnce checks that two crashing requests are both stopped, although some
+// servers run both when they crash.
 func TestTwoCrashingRequestsAtOnce(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -167,15 +167,16 @@
 			<-other
 			a, lateA := m.countCrashingRequest("deadly a")
 			b, lateB := m.countCrashingRequest("deadly b")
-			t.Logf("begun %d and %d times, %d servers ended", a, b, m.countCrashes())
+			t.Logf("begun %d and %d times, %d servers crashed", a, b, m.countCrashes())
 			is.True(a <= 6 && b <= 6)
 			is.True(lateA <= 3 && lateB <= 3)
 		})
 	})
 }
 
-// TestServerCrashesCondemnNoHarmlessRequest checks that no request is refused while servers end by themselves, one at a time
-// or a third of them at once, under requests one of which is sent to all gateways all the time.
+// TestServerCrashesCondemnNoHarmlessRequest checks that no request is refused while servers crash by
+// themselves, one at a time or a third of them at once. One of the requests is sent to all gateways all
+// the time.
 func TestServerCrashesCondemnNoHarmlessRequest(t *testing.T) {
 	for _, tt := range []struct {
 		servers, together int
@@ -202,7 +203,7 @@
 					time.Sleep(2 * time.Second)
 					others, refusedOthers := c.answeredShare("other")
 					hot, refusedHot := c.answeredShare("hot")
-					t.Logf("%d ends, served %.4f of others, %.4f of the hot key", m.countCrashes(), others, hot)
+					t.Logf("%d crashes, served %.4f of others, %.4f of the hot key", m.countCrashes(), others, hot)
 					is.Equal(refusedOthers+refusedHot, 0)
 					is.True(m.countCrashes() > 10)
 					is.Equal(others > 0, tt.run < time.Second)
@@ -212,8 +213,8 @@
 	}
 }
 
-// TestBrokenConnectionsCondemnNoRequest checks that a request is never refused if its connection breaks each time
-// while the server keeps running.
+// TestBrokenConnectionsCondemnNoRequest checks that a request is never refused if its connection breaks
+// each time while the server keeps running.
 func TestBrokenConnectionsCondemnNoRequest(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -247,8 +248,8 @@
 	})
 }
 
-// TestCrashingRequestInTwoRegions checks that a deadly request is stopped although gateways behind relays
-// report ends and receive the list with some delay.
+// TestCrashingRequestInTwoRegions checks that a crashing request is stopped although gateways behind
+// relays report crashes and receive the list with some delay.
 func TestCrashingRequestInTwoRegions(t *testing.T) {
 	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
@@ -274,7 +275,7 @@
 }
 
 // TestReleaseOfCondemnedRequest checks that an operator can list and release a condemned request, and
-// that it is condemned again after three more ends.
+// that it is condemned again after three more crashes.
 func TestReleaseOfCondemnedRequest(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
@@ -311,7 +312,7 @@
 }
 
 // TestCrashingRequestDuringRelayLoss checks that gateways report losses again that a lost relay had not
-// forwarded, at the cost of a few more ends.
+// forwarded, at the cost of a few more crashes.
 func TestCrashingRequestDuringRelayLoss(t *testing.T) {
 	withTwoRegions(t, 1<<20, func(x *fleet) {
 		is := is.New(t)
--- a/directory/repeated_ends_rollout_test.go
+++ b/directory/repeated_ends_rollout_test.go
@@ -14,9 +14,9 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file tests a rollout during which a request ends servers of both versions.
+// This file tests a rollout during which a request crashes servers of both versions.
 
-// TestCrashingRequestDoesNotFailRollout checks that server ends caused by a request do not count against
+// TestCrashingRequestDoesNotFailRollout checks that crashes caused by a request do not count against
 // the version.
 func TestCrashingRequestDoesNotFailRollout(t *testing.T) {
 	for _, at := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 4 * time.Second, 6 * time.Second} {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -146,15 +146,15 @@
 
 		is.NoErr(x.awaitLeader().d.AbortRollout(x.t.Context(), "p", 3))
 		time.Sleep(rollout.DefaultWindow + time.Second)
-		is.NoErr(x.orderRollout(orderTo("v2"))) // v2 has had the requests all the time
+		is.NoErr(x.orderRollout(orderTo("v2"))) // v2 still gets all requests
 		time.Sleep(time.Second)
 		attempt(4, "v2", document.RolloutComplete)
 		is.Equal(x.newestRollout().Barred, []string{"v3"})
 	})
 }
 
-// TestAcknowledgedRolloutOrdersSurviveFaults loses the leader, its disk, or all power right after an order was
-// acknowledged, and right after the abort was. A repeat of the order then changes nothing.
+// TestAcknowledgedRolloutOrdersSurviveFaults loses the leader, its disk, or all power right after an
+// order was acknowledged, and right after the abort was. A repeat of the order then changes nothing.
 func TestAcknowledgedRolloutOrdersSurviveFaults(t *testing.T) {
 	for how, lose := range map[string]func(x *fleet){
 		"the leader": func(x *fleet) { l := x.awaitLeader(); l.kill(); x.awaitLeader(); x.startReplica(l.ip, false) },
@@ -210,8 +210,9 @@
 	}
 }
 
-// TestRepeatedRolloutOrderAtNextLeader checks that a new leader, which never received the order itself, takes a
-// repeat for one: the previous leader had accepted the order and rolled it back before it was lost.
+// TestRepeatedRolloutOrderAtNextLeader checks that a new leader, which never received the order itself,
+// recognizes a repeat of it: the previous leader had accepted the order and rolled it back before it was
+// lost.
 func TestRepeatedRolloutOrderAtNextLeader(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -225,8 +226,8 @@
 	})
 }
 
-// TestConcurrentRolloutOrders gives orders for two versions several times at every replica, all at once. One
-// rollout begins, and only orders for its version are acknowledged.
+// TestConcurrentRolloutOrders gives orders for two versions several times at every replica, all at once.
+// One rollout begins, and only orders for its version are acknowledged.
 func TestConcurrentRolloutOrders(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -266,8 +267,8 @@
 	})
 }
 
-// TestPartitionedLeaderRefusesRolloutOrders checks that a leader that is cut off acknowledges no orders and returns no
-// stale state while the majority continues.
+// TestPartitionedLeaderRefusesRolloutOrders checks that a leader that is cut off acknowledges no orders
+// and returns no stale state while the majority continues.
 func TestPartitionedLeaderRefusesRolloutOrders(t *testing.T) {
 	withFleet(t, 5, func(x *fleet) {
 		is := is.New(x.t)
@@ -354,8 +355,8 @@
 	})
 }
 
-// TestRolloutOrderOfClosedLinkIsDropped checks that an order changes nothing if its sender has closed the link before it
-// is processed.
+// TestRolloutOrderOfClosedLinkIsDropped checks that an order changes nothing if its sender has closed
+// the link before it is processed.
 func TestRolloutOrderOfClosedLinkIsDropped(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// TestServersWithoutVersionAreReplaced checks that servers that name no version are replaced like those of any other.
+// TestServersWithoutVersionAreReplaced checks that servers that name no version are replaced like those
+// of any other.
 func TestServersWithoutVersionAreReplaced(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -117,12 +118,12 @@
 					v := &versionedServers{unreachableAfter: at, allUnreachable: all}
 					x.withRollout(v, func() {
 						state, after := x.awaitRolloutEnd(v)
-						sent, room, _ := v.measureExposure()
-						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, room)
+						sent, headroom, _ := v.measureExposure()
+						x.t.Logf("%v after %v, %d requests to the target, %.0f below the bound at least", state, after, sent, headroom)
 						is.Equal(state == document.RolloutRolledBack, all)
 						is.Equal(state == document.RolloutComplete, !all)
 						is.True(after <= rolloutTime)
-						is.True(!all || room >= 0)
+						is.True(!all || headroom >= 0)
 					})
 				})
 			})
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestBadVersionIsRolledBack checks that a bad version is rolled back for good and within its bounds,
-// whatever fails meanwhile.
+// TestBadVersionIsRolledBack checks that a bad version is rolled back permanently and within its
+// bounds, whatever fails meanwhile.
 func TestBadVersionIsRolledBack(t *testing.T) {
 	versions := []struct {
 		name  string
@@ -162,11 +163,11 @@
 							is.True(after <= rolloutTime)
 							time.Sleep(4 * time.Second)
 							target, old := v.arrivalsAfter(end.Add(propagationTime))
-							sent, room, late := v.measureExposure()
-							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, room)
+							sent, headroom, late := v.measureExposure()
+							x.t.Logf("rolled back after %v, %d requests to the target, %.0f below the bound at least", after, sent, headroom)
 							is.Equal(target, 0)
 							is.True(old > 400)
-							is.True(room >= 0)
+							is.True(headroom >= 0)
 							is.True(late < rolloutBounds.RollbackTime)
 						})
 					})
@@ -176,7 +177,8 @@
 	}
 }
 
-// TestRolloutTrafficPerGateway checks how many bytes a rollout adds to a gateway's session during the trial.
+// TestRolloutTrafficPerGateway checks how many bytes a rollout adds to a gateway's session during the
+// trial.
 func TestRolloutTrafficPerGateway(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -194,17 +196,17 @@
 			sentEnd, reportsEnd := n.controlTraffic("out", "usage")
 			time.Sleep(4 * time.Second)
 			sentLast, reportsLast := n.controlTraffic("out", "usage")
-			under, without := (sentThen-sent)/(reportsThen-reports), (sentLast-sentEnd)/(reportsLast-reportsEnd)
+			during, without := (sentThen-sent)/(reportsThen-reports), (sentLast-sentEnd)/(reportsLast-reportsEnd)
 			x.t.Logf("a report has %d bytes under way and %d without; %d lists in 4 s, %d bytes each",
-				under, without, listsThen-lists, (gotThen-got)/max(listsThen-lists, 1))
-			is.True(under < without+120)
+				during, without, listsThen-lists, (gotThen-got)/max(listsThen-lists, 1))
+			is.True(during < without+120)
 			is.True(listsThen-lists < 12)
 		})
 	})
 }
 
-// TestRolloutsPrecedeServers checks that a gateway that has just started receives the barred versions before
-// any server.
+// TestRolloutsPrecedeServers checks that a gateway that has just started receives the barred versions
+// before any server.
 func TestRolloutsPrecedeServers(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
@@ -225,8 +227,8 @@
 	})
 }
 
-// TestCompletionWaitsForOldServers checks that completion waits, until the time is nearly over, for a gateway that does
-// not apply the switch, and for one that still runs a request at an old server.
+// TestCompletionWaitsForOldServers checks that completion waits, until the time is nearly over, for a
+// gateway that does not apply the switch, and for one that still runs a request at an old server.
 func TestCompletionWaitsForOldServers(t *testing.T) {
 	for _, obeys := range []bool{false, true} {
 		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -44,7 +44,7 @@
 
 // servedGateways returns how many gateways have a session, and how many of these have it with a
 // replica of their own hall.
-func (c *largeFleet) servedGateways() (all, atHome int) {
+func (c *largeFleet) servedGateways() (all, inOwnHall int) {
 	for _, ip := range c.ips {
 		if c.nodes[ip].d == nil {
 			continue
@@ -54,42 +54,42 @@
 		for _, name := range names {
 			all++
 			if c.halls[strings.TrimSuffix(name, ":7400")] == c.halls[ip] {
-				atHome++
+				inOwnHall++
 			}
 		}
 	}
-	return all, atHome
+	return all, inOwnHall
 }
 
-// TestGatewaysAreServedInTheirHalls: soon after sessions are spread, replicas of the own hall serve
-// all gateways. If one replica is lost, the other one of the hall serves them; if both are lost,
-// replicas of other halls do, and the own ones again some seconds after they are back. Throughout,
+// TestGatewaysAreServedInTheirHalls: soon after sessions are spread, every gateway is served by a
+// replica of its own hall. If one replica is lost, the other one of the hall serves them; if both are
+// lost, replicas of other halls do until some seconds after the hall's own replicas are back. Throughout,
 // all gateways list all servers and get the newest document.
 func TestGatewaysAreServedInTheirHalls(t *testing.T) {
 	t.Parallel()
 	withHallFleet(t, func(c *largeFleet) {
 		is := is.New(c.t)
 		number := uint64(1)
-		settled := func(after time.Duration, wantHome int) {
+		checkServed := func(after time.Duration, wantInOwnHall int) {
 			c.t.Helper()
 			time.Sleep(after)
-			all, home := c.servedGateways()
-			c.t.Logf("%d gateways served, %d by replicas of their own hall", all, home)
+			all, inOwnHall := c.servedGateways()
+			c.t.Logf("%d gateways served, %d by replicas of their own hall", all, inOwnHall)
 			is.Equal(all, hallGateways)
-			is.Equal(home, wantHome)
+			is.Equal(inOwnHall, wantInOwnHall)
 			number++
 			c.putDocument(number)
 			is.True(c.awaitDocument(number, 5*time.Second) < time.Second)
 			is.True(c.awaitFullLists(10 * time.Second))
 		}
-		settled(4*time.Second, hallGateways)
+		checkServed(4*time.Second, hallGateways)
 		c.nodes["10.0.1.2"].kill()
-		settled(4*time.Second, hallGateways)
+		checkServed(4*time.Second, hallGateways)
 		c.nodes["10.0.1.5"].kill()
-		settled(4*time.Second, hallGateways*2/3)
+		checkServed(4*time.Second, hallGateways*2/3)
 		c.startReplica("10.0.1.2", false)
 		c.startReplica("10.0.1.5", false)
-		settled(20*time.Second, hallGateways)
+		checkServed(20*time.Second, hallGateways)
 	})
 }
 
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestGatewayStaysAwayFromUnreachableReplica: gateways that cannot reach their assigned replica must stay at
-// another one, and not be sent back with each tick.
+// TestGatewayStaysAwayFromUnreachableReplica: gateways that cannot reach their assigned replica must
+// stay at another one, and not be sent back with each tick.
 func TestGatewayStaysAwayFromUnreachableReplica(t *testing.T) {
 	t.Parallel()
 	withHallFleet(t, func(c *largeFleet) {
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -52,9 +52,9 @@
 	c.suspendedAt = time.Time{}
 }
 
-// TestSuspendedLeaderServesNoStaleReads: a leader that was suspended past its lease must not serve a read with a
-// document that others have replaced. With a clock that stops during the suspension it does serve
-// it.
+// TestSuspendedLeaderServesNoStaleReads: a leader that was suspended past its lease must not serve a
+// read with a document that others have replaced. With a clock that stops during the suspension it does
+// serve it.
 func TestSuspendedLeaderServesNoStaleReads(t *testing.T) {
 	for _, countsSuspension := range []bool{true, false} {
 		t.Run(fmt.Sprint("clock counts suspension: ", countsSuspension), func(t *testing.T) {
--- a/directory/together_disk_test.go
+++ b/directory/together_disk_test.go
@@ -39,8 +39,8 @@
 	return 0, 0
 }
 
-// TestRolloutOrderWithSlowLeaderDisk: while every sync of the leader's disk is slow, this leader or the next one
-// must acknowledge an order within the time for which it is repeated. The order must be applied
+// TestRolloutOrderWithSlowLeaderDisk: while every sync of the leader's disk is slow, this leader or the
+// next one must acknowledge an order within the time for which it is repeated. The order must be applied
 // exactly once, also when the disk is fast again, and survive the loss of all power.
 func TestRolloutOrderWithSlowLeaderDisk(t *testing.T) {
 	for _, takes := range []time.Duration{50 * time.Millisecond, 300 * time.Millisecond, time.Second, 4 * time.Second, time.Minute} {
--- a/directory/together_flood_test.go
+++ b/directory/together_flood_test.go
@@ -86,12 +86,12 @@
 }
 
 // sendSteadily sends requests of one account at a constant rate, while active returns true.
-func (e *enginePool) sendSteadily(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, active func() bool) {
+func (e *enginePool) sendSteadily(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway, account string, perSecond int, active func() bool) {
 	n := 0
 	for range sleep.Every(ctx, 3*time.Second/time.Duration(perSecond)) { // each of three gateways gets a third
 		if n++; active() {
 			id := account + strconv.Itoa(n)
-			asking.Go(func() { e.request(g, account, id) })
+			inFlight.Go(func() { e.request(g, account, id) })
 		}
 	}
 }
@@ -133,15 +133,15 @@
 
 // runFlood runs a flood, with or without a rollout, and returns the smallest fraction of an
 // entitled account's requests that was answered in time.
-func runFlood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (least float64) {
+func runFlood(t *testing.T, v *versionedServers, rolls bool, f func(x *fleet)) (smallest float64) {
 	withFleet(t, 5, func(x *fleet) {
 		e := &enginePool{versionedServers: v, x: x, busyUntil: map[string]time.Time{}, requested: map[string]int{}, served: map[string]int{}}
 		load := func(ip string) {
-			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+			x.startGatewayWithLoad(ip, accountHeaders{}, e, func(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway) {
 				for _, account := range withinShareAccounts {
-					asking.Go(func() { e.sendSteadily(ctx, asking, g, account, withinShareRate, func() bool { return true }) })
+					inFlight.Go(func() { e.sendSteadily(ctx, inFlight, g, account, withinShareRate, func() bool { return true }) })
 				}
-				e.sendSteadily(ctx, asking, g, floodingAccount, floodRate, e.flooded)
+				e.sendSteadily(ctx, inFlight, g, floodingAccount, floodRate, e.flooded)
 			})
 		}
 		s := rolloutScenario{document: engineDocument(), load: load, noRollout: !rolls, announce: func() {
@@ -156,22 +156,22 @@
 			time.Sleep(rolloutTime - time.Since(v.orderedAt))
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			least = 1
+			smallest = 1
 			for _, account := range withinShareAccounts {
-				least = min(least, float64(e.served[account])/float64(e.requested[account]))
+				smallest = min(smallest, float64(e.served[account])/float64(e.requested[account]))
 			}
 			x.t.Logf("requests %v, answered in time %v, minimum headroom %.0f", e.requested, e.served, minHeadroom(v))
 		})
 	})
-	return least
+	return smallest
 }
 
 // servedTolerance is how much smaller the fraction of answered requests may be with a rollout than
 // without: one or two of 60 requests.
 const servedTolerance = 0.03
 
-// TestGoodVersionCompletesDuringFlood: an account sends seven times its share from the trial phase on. This
-// must not roll back a good version, and accounts within their shares must be served as without a
+// TestGoodVersionCompletesDuringFlood: an account sends seven times its share from the trial phase on.
+// This must not roll back a good version, and accounts within their shares must be served as without a
 // rollout.
 func TestGoodVersionCompletesDuringFlood(t *testing.T) {
 	without := runFlood(t, &versionedServers{}, false, func(*fleet) {})
--- a/directory/together_homes_test.go
+++ b/directory/together_homes_test.go
@@ -34,10 +34,10 @@
 }
 
 // sendRequests sends a request on both routes in each period.
-func (h routeServers) sendRequests(ctx context.Context, asking *sync.WaitGroup, g *gateway.Gateway) {
+func (h routeServers) sendRequests(ctx context.Context, inFlight *sync.WaitGroup, g *gateway.Gateway) {
 	for range sleep.Every(ctx, rolloutPeriod) {
 		for _, route := range []string{"any", "home"} {
-			asking.Go(func() {
+			inFlight.Go(func() {
 				r := httptest.NewRequestWithContext(h.x.t.Context(), http.MethodPost, "/"+route, strings.NewReader("a body"))
 				r.Host = "h"
 				r.Header.Set("Id", route)
@@ -69,9 +69,9 @@
 	return h
 }
 
-// TestRolloutWithTargetInOneRegion checks that the requests of a route with the other region as its home never
-// leave that region and do not hold up the rollout for other routes. The old servers there serve them
-// after the end as well, for as long as they run.
+// TestRolloutWithTargetInOneRegion checks that the requests of a route with the other region as its home
+// never leave that region and do not hold up the rollout for other routes. The old servers there serve
+// them after the end as well, for as long as they run.
 func TestRolloutWithTargetInOneRegion(t *testing.T) {
 	for _, test := range versionQualities {
 		t.Run(test.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 				}}, func() {
 					state, after := x.awaitRolloutEnd(v)
 					end := time.Now()
-					x.t.Logf("ended after %v, %.0f below the bound at least", after, minHeadroom(v))
+					x.t.Logf("ended after %v, minimum headroom %.0f", after, minHeadroom(v))
 					is.Equal(state, test.state)
 					is.True(after <= rolloutTime)
 					time.Sleep(3 * time.Second)
--- a/directory/together_regions_test.go
+++ b/directory/together_regions_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestRegionPartitionDuringRollout cuts a region off for 4 s during a rollout. Both sides must keep serving
-// requests, the minority must refuse orders, and the rollout must end as the target's quality requires,
-// within the bound over both regions.
+// TestRegionPartitionDuringRollout cuts a region off for 4 s during a rollout. Both sides must keep
+// serving requests, the minority must refuse orders, and the rollout must end as the target's quality
+// requires, within the exposure bound of both regions together.
 func TestRegionPartitionDuringRollout(t *testing.T) {
 	fails20 := func(time.Duration) float64 { return 0.2 }
 	fails60 := func(at time.Duration) float64 { return 0.6 * float64(at/(4*time.Second)) }
@@ -157,7 +157,7 @@
 	x.requireOrdersRefused(south)
 	state, after := x.awaitRolloutEnd(v)
 	end := time.Now()
-	x.t.Logf("cut off after %v, ended after %v, %.0f below the bound at least", cut.Sub(v.orderedAt), after, minHeadroom(v))
+	x.t.Logf("cut off after %v, ended after %v, minimum headroom %.0f", cut.Sub(v.orderedAt), after, minHeadroom(v))
 	is.Equal(state, want)
 	is.True(after <= rolloutTime)
 	time.Sleep(max(time.Until(joined), 0) + reconnectTime + time.Second)
@@ -173,12 +173,12 @@
 		drained = []int{1, 2, 3}
 	}
 	for _, n := range drained {
-		inTouch, _ := r.arrivalLog.countSince(north+serverAddress(fmt.Sprint("b", n)), end.Add(propagationTime))
-		is.Equal(inTouch, 0)
+		fromNorth, _ := r.arrivalLog.countSince(north+serverAddress(fmt.Sprint("b", n)), end.Add(propagationTime))
+		is.Equal(fromNorth, 0)
 	}
 	reconnected := end.Add(propagationTime)
-	if inTouch := joined.Add(reconnectTime); inTouch.After(reconnected) {
-		reconnected = inTouch
+	if latest := joined.Add(reconnectTime); latest.After(reconnected) {
+		reconnected = latest
 	}
 	is.Equal(r.requestsSince(reconnected, drained...), 0)
 }
--- a/directory/together_test.go
+++ b/directory/together_test.go
@@ -35,7 +35,7 @@
 var separateHalls = [7]string{1: "hall-b", 2: "hall-b", 3: "hall-b", 4: "hall-a", 5: "hall-a", 6: "hall-a"}
 
 // TestHallTakenOutDuringRollout: a hall taken out of service during a rollout must get no requests,
-// and the rollout must end as the remaining servers of the target warrant.
+// and its result must follow from the target's remaining servers.
 func TestHallTakenOutDuringRollout(t *testing.T) {
 	bad := func(time.Duration) float64 { return 0.2 }
 	for _, test := range []struct {
--- a/directory/versioned_test.go
+++ b/directory/versioned_test.go
@@ -179,8 +179,8 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// announceVersion announces a server. One of the target is announced only once a rollout is under way,
-// since it would otherwise get requests by load.
+// announceVersion announces a server. Servers of the target are announced only once a rollout is under
+// way; without one they would get their part of the requests.
 func (x *fleet) announceVersion(id, version string) {
 	d := x.leaderDirectory()
 	if d == nil {
@@ -192,7 +192,7 @@
 		return
 	}
 	x.announceSeqs[id]++
-	// A replica that has lost the lead refuses it.
+	// A replica that no longer leads refuses it.
 	_ = d.Announce(ctx, registry.Announcement{
 		Registration: protocol.Registration{ID: id, Pool: "p", Address: serverAddress(id), Slots: 40, Version: version}, Seq: x.announceSeqs[id],
 	})
