--- a/directory/regions.go
+++ b/directory/regions.go
@@ -15,7 +15,7 @@
 
 const (
 	// relayWait is how long a gateway waits at a replica that may serve it shortly, and how long a new
-	// leader expects relays to connect. It is below registry.SilenceLimit, after which a gateway leaves. A
+	// leader expects relays to connect. It is below registry.LeaderTimeout, after which a gateway leaves. A
 	// dial between regions takes three round trips.
 	relayWait = 600 * time.Millisecond
 	// directServeTime is how long the leader itself serves a gateway that had lost a relay, before it
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -31,7 +31,7 @@
 	// elections.
 	relayGracePeriod = 3 * time.Second
 	// spreadGracePeriod is the same where sessions are spread. A replica that is cut off from the others,
-	// but not from its gateways, detects that after registry.SilenceLimit. After this period its gateways
+	// but not from its gateways, detects that after registry.LeaderTimeout. After this period its gateways
 	// have one second left to be sent a document within 3.5 s of its acknowledgement. The period covers an
 	// election and a dial.
 	spreadGracePeriod = 1500 * time.Millisecond
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -21,7 +21,7 @@
 
 // initialReportWait is how long a new leader waits for the gateways' first reports before it gives a
 // target any share, because it has no outcomes until then. Gateways leave a silent leader after
-// registry.SilenceLimit, and reconnect at once when their link closes.
+// registry.LeaderTimeout, and reconnect at once when their link closes.
 const initialReportWait = time.Second
 
 // The progress of a rollout is written to the log every Duration/progressSteps, but at most once per
@@ -224,7 +224,7 @@
 }
 
 // oldVersionsIdle reports whether all gateways apply the list that gives the target all requests, and no
-// request runs on servers of other versions. A relay reports for all its gateways (registry.Sums); one
+// request runs on servers of other versions. A relay reports for all its gateways (registry.ReportAggregator); one
 // whose session has just opened has reported neither their lists nor their load.
 func (h *hub) oldVersionsIdle(r *activeRollout) bool {
 	if r.fullShareSeq == 0 {
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -19,7 +19,7 @@
 
 // TestRecoveryFromSilentConnections: all open connections stop delivering without being closed, while new
 // ones work. The group must elect a leader, accept a document and deliver it over new connections.
-// This does not cover the leader's own timeout of silent sessions (registry.ReportSilence).
+// This does not cover the leader's own timeout of silent sessions (registry.ReportTimeout).
 func TestRecoveryFromSilentConnections(t *testing.T) {
 	withFleet(t, voters, func(x *fleet) {
 		is := is.New(x.t)
