--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFoundationLostOnItsWay(t *testing.T) {
+func TestGroupFormsAfterLostFoundationMessages(t *testing.T) {
 	c := newCluster(t, 2, "a", "b", "c")
 	for c.members["a"].r == nil { // a founds the group
 		c.tick(5 * time.Millisecond)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestLeaderCutOffInSilence(t *testing.T) {
+func TestReturningLeaderDoesNotDeposeSuccessor(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, "a", "b", "c")
 	old := c.awaitLeader()
@@ -119,7 +119,7 @@
 	is.Equal(c.leader(), "") // one of three voters is no majority
 }
 
-func TestMissedHundredsOfChanges(t *testing.T) {
+func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 6, "a", "b", "c")
 	l := c.awaitLeader()
@@ -138,7 +138,7 @@
 	c.checkConverged()
 }
 
-func TestLeadershipIsHandedOver(t *testing.T) {
+func TestLeadershipTransfer(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7, "a", "b", "c")
 	l := c.awaitLeader()
@@ -150,7 +150,7 @@
 	is.Equal(c.leader(), target)
 }
 
-func TestRestartedReplicaKeepsItsPromise(t *testing.T) {
+func TestRestartedReplicaRespectsLease(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 8, "a", "b", "c")
 	l := c.awaitLeader()
@@ -171,10 +171,10 @@
 	is.True(next != l)
 }
 
-// TestOldTermIsNotCommittedByCount covers figure 8 of the Raft paper: an entry of an
+// TestEntryOfOldTermIsNotCommittedByCount covers figure 8 of the Raft paper: an entry of an
 // earlier term may still be overwritten although a majority holds it, until a majority
 // also holds an entry of the leader's own term.
-func TestOldTermIsNotCommittedByCount(t *testing.T) {
+func TestEntryOfOldTermIsNotCommittedByCount(t *testing.T) {
 	is := is.New(t)
 	a, b, x := protocol.Peer{Name: "a", Incarnation: 1}, protocol.Peer{Name: "b", Incarnation: 2}, protocol.Peer{Name: "x", Incarnation: 3}
 	r := New(Config{
@@ -322,11 +322,11 @@
 	return out
 }
 
-// TestRestartInTurnElectsSoon stops a group and restarts its replicas one after the other.
+// TestRollingRestartElectsLeaderSoon stops a group and restarts its replicas one after the other.
 // Replicas that have just started ignore vote requests for an election timeout, so the first
 // requests of the earlier replicas fail. They must repeat them soon instead of waiting for
 // another election timeout.
-func TestRestartInTurnElectsSoon(t *testing.T) {
+func TestRollingRestartElectsLeaderSoon(t *testing.T) {
 	is := is.New(t)
 	const groups = 200
 	names := []string{"a", "b", "c", "d", "e"}
--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -23,33 +23,33 @@
 //   - A replica ignores vote requests for an election timeout after a leader's
 //     message. It drops the request instead of rejecting it, so that it does not
 //     adopt the candidate's term: a replica that was partitioned does not depose the
-//     leader when it returns (TestLeaderCutOffInSilence). A replica that starts
+//     leader when it returns (TestReturningLeaderDoesNotDeposeSuccessor). A replica that starts
 //     behaves as if it had just received a leader's message, because it may have
-//     received one before the crash (TestRestartedReplicaKeepsItsPromise). A
+//     received one before the crash (TestRestartedReplicaRespectsLease). A
 //     pre-candidate therefore repeats its request after a quarter to a half of an
-//     election timeout (TestRestartInTurnElectsSoon).
+//     election timeout (TestRollingRestartElectsLeaderSoon).
 //   - The leader's lease relies on that rule. The leader stamps its messages with
 //     its own clock, replies echo the stamp, and the lease runs from the stamp, not
 //     from the arrival of the reply. Only times of one clock are compared;
 //     [DriftMargin] allows for clocks that run at different speeds. The lease is void
 //     as soon as the leader offers leadership to another replica
-//     (TestLeadershipIsHandedOver).
+//     (TestLeadershipTransfer).
 //   - A replica is identified by a [protocol.Peer]: a name and the incarnation of its
 //     disk. A replica that lost its disk is a different peer and not a voter, so it
 //     never votes from a blank log (TestBlankReplicaNeverVotes). The leader removes
 //     the lost peer, adds the new one as a learner and promotes it
 //     (TestLostDiskIsRepaired) once it holds everything
-//     (TestLearnerIsPromotedOnlyWithEverything). A blank replica whose leader fails
-//     during the repair searches for its group again (TestRepairerIsLost).
+//     (TestLearnerIsPromotedOnlyWhenCaughtUp). A blank replica whose leader fails
+//     during the repair searches for its group again (TestRepairSurvivesLossOfLeader).
 //   - A closed group has the names of its replicas in the settings and forms only
 //     when all of them report blank disks (TestGroupFormsAndCommits). An open group
 //     is found through seeds and accepts any replica that requests to join
-//     (TestOpenGroupFormsAroundItsSeeds, TestJoinsThroughAnyMember); it forms only
+//     (TestNonSeedsJoinOpenGroup, TestBlankReplicaJoinsThroughFollower); it forms only
 //     if the operator marks the start as the first one
-//     (TestBlankReplicasNeverFoundTwice).
+//     (TestBlankReplicasNeverFoundSecondGroup).
 //   - An open group has a fixed number of voters. A learner replaces a silent voter:
 //     the learner is promoted first and the silent voter removed afterwards. Without
-//     a learner the silent replica stays a voter (TestReplacedReplica,
+//     a learner the silent replica stays a voter (TestBlankReplicaReplacesStoppedVoter,
 //     TestSilentVoterIsKeptWithoutReplacement).
 //
 // TestRandomSchedules and TestRandomOpenSchedules combine all of this with lost,
@@ -61,7 +61,7 @@
 //   - election.go: terms, pre-vote, votes.
 //   - replicate.go: appending, commitment, check-quorum, the lease.
 //   - transfer.go: chunked snapshots, leadership transfer.
-//   - ending.go: the reason for the end of a leadership.
+//   - leadership_end.go: the reason for the end of a leadership.
 //   - membership.go: membership changes, learners, repair of a lost disk.
 //   - formation.go: [Formation], which forms a group from blank replicas.
 //
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -35,7 +35,7 @@
 
 // preVotesPerElection is the highest number of times that a pre-candidate sends its requests in an
 // election timeout. Frequent requests shorten the election after a rolling restart
-// (TestRestartInTurnElectsSoon).
+// (TestRollingRestartElectsLeaderSoon).
 const preVotesPerElection = 4
 
 // resetPreVoteTimer sets the next time to request pre-votes at random. The interval is
--- a/coordination/consensus/far_test.go
+++ b/coordination/consensus/latency_test.go
@@ -53,10 +53,10 @@
 	return inTransit
 }
 
-// TestElectionsOverAFarLink checks that nearly every election after the loss of a leader succeeds in
+// TestElectionsWithHighLatency checks that nearly every election after the loss of a leader succeeds in
 // its first term, also when the latency is a considerable part of the interval between attempts.
 // Concurrent pre-candidates would otherwise split the votes.
-func TestElectionsOverAFarLink(t *testing.T) {
+func TestElectionsWithHighLatency(t *testing.T) {
 	is := is.New(t)
 	const rounds = 300
 	retried, longest, sum := 0, time.Duration(0), time.Duration(0)
--- a/coordination/consensus/ending_test.go
+++ b/coordination/consensus/leadership_end_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// TestLeaderSaysWhyItEnded checks the reasons that a partitioned leader reports: first that its lease
+// TestPartitionedLeaderReportsCauseOfEnd checks the reasons that a partitioned leader reports: first that its lease
 // expired, then that no majority replied, with the time since the last reply of a majority.
-func TestLeaderSaysWhyItEnded(t *testing.T) {
+func TestPartitionedLeaderReportsCauseOfEnd(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, "a", "b", "c")
 	old := c.awaitLeader()
--- a/coordination/consensus/membership_test.go
+++ b/coordination/consensus/membership_test.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// TestLearnerIsPromotedOnlyWithEverything checks that a leader does not promote a
+// TestLearnerIsPromotedOnlyWhenCaughtUp checks that a leader does not promote a
 // learner that replies in time but lacks the newest committed entry, nor one that
 // holds the entry but is silent.
-func TestLearnerIsPromotedOnlyWithEverything(t *testing.T) {
+func TestLearnerIsPromotedOnlyWhenCaughtUp(t *testing.T) {
 	is := is.New(t)
 	a, b := protocol.Peer{Name: "a", Incarnation: 1}, protocol.Peer{Name: "b", Incarnation: 2}
 	learner := protocol.Peer{Name: "c", Incarnation: 3}
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -36,7 +36,7 @@
 	return names
 }
 
-func TestOpenGroupFormsAroundItsSeeds(t *testing.T) {
+func TestNonSeedsJoinOpenGroup(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 1, "c", "b", "a", "e", "d")
 	c.awaitLeader()
@@ -44,7 +44,7 @@
 	is.Equal(len(c.voters()), 5) // replicas that are not seeds have joined
 }
 
-func TestOpenGroupKeepsToItsNumberOfVoters(t *testing.T) {
+func TestOpenGroupLimitsVoters(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 2, "a", "b", "c", "d", "e", "f", "g")
 	c.awaitLeader()
@@ -54,10 +54,10 @@
 	is.Equal(len(m.Learners), 2)
 }
 
-// TestReplacedReplica stops one replica permanently and adds a blank one with another
+// TestBlankReplicaReplacesStoppedVoter stops one replica permanently and adds a blank one with another
 // name. The group must reach its full number of voters again, without the stopped
 // replica.
-func TestReplacedReplica(t *testing.T) {
+func TestBlankReplicaReplacesStoppedVoter(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 3, "a", "b", "c", "d", "e")
 	c.awaitLeader()
@@ -87,9 +87,9 @@
 	is.Equal(len(c.voters()), openVoters)
 }
 
-// TestBlankReplicasNeverFoundTwice loses the disks of all seeds after the first start.
+// TestBlankReplicasNeverFoundSecondGroup loses the disks of all seeds after the first start.
 // No replica may found a second group.
-func TestBlankReplicasNeverFoundTwice(t *testing.T) {
+func TestBlankReplicasNeverFoundSecondGroup(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 5, "a", "b", "c")
 	c.awaitLeader()
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestLoneSeedNeverFoundsTwice is TestBlankReplicasNeverFoundTwice with a single seed,
+// TestSingleSeedNeverFoundsSecondGroup is TestBlankReplicasNeverFoundSecondGroup with a single seed,
 // which could found a group without a reply from another replica.
-func TestLoneSeedNeverFoundsTwice(t *testing.T) {
+func TestSingleSeedNeverFoundsSecondGroup(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 8, "a", "b", "c")
 	c.awaitLeader()
@@ -123,9 +123,9 @@
 	is.True(c.members["a"].r == nil)
 }
 
-// TestJoinsThroughAnyMember starts a blank replica whose only seed is a follower. It
+// TestBlankReplicaJoinsThroughFollower starts a blank replica whose only seed is a follower. It
 // must find the leader through the members that the follower names.
-func TestJoinsThroughAnyMember(t *testing.T) {
+func TestBlankReplicaJoinsThroughFollower(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 6, "a", "b", "c", "d")
 	c.awaitLeader()
@@ -137,9 +137,9 @@
 	is.True(c.voters()["n"])
 }
 
-// TestTwoDisksLostAtOnce loses the disks of two of five replicas while a third follower
+// TestTwoLostDisksAreRepaired loses the disks of two of five replicas while a third follower
 // is down. Acknowledged commands must be available once the third follower restarts.
-func TestTwoDisksLostAtOnce(t *testing.T) {
+func TestTwoLostDisksAreRepaired(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 7, "a", "b", "c", "d", "e")
 	c.awaitLeader()
@@ -170,8 +170,8 @@
 	})
 }
 
-// TestKeptOpenSchedules replays schedules that failed in the past.
-func TestKeptOpenSchedules(t *testing.T) {
+// TestOpenSchedulesThatFailedBefore replays schedules that failed in the past.
+func TestOpenSchedulesThatFailedBefore(t *testing.T) {
 	for _, tt := range []struct {
 		seed  uint64
 		steps int
@@ -208,10 +208,10 @@
 	c.checkConverged()
 }
 
-// TestRepairerIsLost stops the leader right after it has begun to repair a replica that
+// TestRepairSurvivesLossOfLeader stops the leader right after it has begun to repair a replica that
 // lost its disk. The next leader has no record of that replica, so the replica must
 // find the group again by itself.
-func TestRepairerIsLost(t *testing.T) {
+func TestRepairSurvivesLossOfLeader(t *testing.T) {
 	is := is.New(t)
 	c := openCluster(t, 11, "a", "b", "c", "d", "e")
 	old := c.awaitLeader()
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func TestWhatWasAcknowledgedSurvivesACrash(t *testing.T) {
+func TestAcknowledgedCommandsSurviveCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
@@ -103,9 +103,9 @@
 	})
 }
 
-// TestProposalInTheLogIsUndecidedWhenTheDiskFails checks the error of an appended proposal when the
+// TestAppendedProposalIsUndecidedAfterFailedSync checks the error of an appended proposal when the
 // sync fails: the entry may be durable on this replica or on others, so its outcome is unknown.
-func TestProposalInTheLogIsUndecidedWhenTheDiskFails(t *testing.T) {
+func TestAppendedProposalIsUndecidedAfterFailedSync(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := fakedisk.New(1)
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -23,7 +23,7 @@
 	return Server{Name: name, Pool: "llm", Address: address, Kind: Engine, Mark: Serving, Slots: 4, Models: []string{"m"}}
 }
 
-func TestRefusalsNameEveryMistake(t *testing.T) {
+func TestInvalidChangeListsEveryMistake(t *testing.T) {
 	key := HashKey("k")
 	service := Server{Name: "s", Pool: "llm", Address: "10.0.0.9:1", Kind: Service, Mark: Serving, Slots: 1}
 	e1, same := engineServer("e1", "10.0.0.1:1"), engineServer("e2", "10.0.0.1:1")
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestRacesAndResends(t *testing.T) {
+func TestConflictsAndResends(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	revision, err := s.Apply(Change{ID: "ada", Base: 0, Ops: []Op{putAccount("a", 1)}})
@@ -135,10 +135,10 @@
 	is.True(recreated.ID != first.ID)
 }
 
-// TestDeltasNeverGoBack applies random deltas of one history, delayed, duplicated and
+// TestDeltasNeverDecreaseRevision applies random deltas of one history, delayed, duplicated and
 // out of order. The revision must never decrease, and every resulting configuration
 // must be part of the history.
-func TestDeltasNeverGoBack(t *testing.T) {
+func TestDeltasNeverDecreaseRevision(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var s Store
 		history := []Config{{}}
--- a/state/document/condemned_test.go
+++ b/state/document/condemned_test.go
@@ -14,7 +14,7 @@
 	return s.ChangeCondemned(CondemnedChange{Condemn: &Condemned{Key: fmt.Appendf(nil, "%s %d", account, n), Account: account}})
 }
 
-func TestCondemnedOnceAndReleased(t *testing.T) {
+func TestCondemnAndRelease(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	is.True(condemn(&s, "a", 1))
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -112,7 +112,7 @@
 	is.Equal(len(ids), 0)
 }
 
-func TestJoinedBackends(t *testing.T) {
+func TestJoinReplacesServerAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"})
@@ -126,9 +126,9 @@
 	is.Equal(s.Joined()[0].ID, "c")
 }
 
-// TestFullStoreTakesNewsOfWhatItHolds checks that a full store rejects only new servers: it still
+// TestFullStoreAcceptsUpdatesOfKnownServers checks that a full store rejects only new servers: it still
 // updates known servers and accepts servers at the address of a known one.
-func TestFullStoreTakesNewsOfWhatItHolds(t *testing.T) {
+func TestFullStoreAcceptsUpdatesOfKnownServers(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	for i := range MaxServers {
@@ -151,7 +151,7 @@
 	is.Equal(len(s.idByAddress), len(s.joined))
 }
 
-func TestImageHoldsEverything(t *testing.T) {
+func TestStoreRoundTrip(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	s.Put(StoredDocument{Document: validDocument(), Source: []byte("as it was sent")})
--- a/state/document/rollout_test.go
+++ b/state/document/rollout_test.go
@@ -116,9 +116,9 @@
 	is.Equal(r.Replaced[:2], []string{"", "w000"})
 }
 
-// TestUnnamedVersionIsReplaced checks that a rollout can replace the empty version: the servers
+// TestEmptyVersionIsReplaced checks that a rollout can replace the empty version: the servers
 // before a pool's first rollout may report none.
-func TestUnnamedVersionIsReplaced(t *testing.T) {
+func TestEmptyVersionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	is.True(s.ChangeRollout(beginChange("v2", 0)))
@@ -134,10 +134,10 @@
 	is.Equal(restored.Rollouts(), s.Rollouts())
 }
 
-// TestAnyChangesKeepRolloutsTrue applies random changes, including duplicates, as a log may hold them
+// TestRandomRolloutChangesKeepInvariants applies random changes, including duplicates, as a log may hold them
 // after several changes of leader. Counters only increase, a target that may receive requests is
 // neither barred nor replaced, and a snapshot restores the same rollouts.
-func TestAnyChangesKeepRolloutsTrue(t *testing.T) {
+func TestRandomRolloutChangesKeepInvariants(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var s Store
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -49,7 +49,7 @@
 	return d, ends
 }
 
-func TestDamage(t *testing.T) {
+func TestTornTailIsDroppedAndDamageRefused(t *testing.T) {
 	tests := []struct {
 		name    string
 		damage  func(d *fakedisk.Disk, ends []int)
@@ -124,7 +124,7 @@
 	is.Equal(texts[:3], []string{"one", "two", "three"})
 }
 
-func TestFullDiskLosesNothing(t *testing.T) {
+func TestFullDiskLosesNoAcknowledgedRecord(t *testing.T) {
 	is := is.New(t)
 	d, _ := written(t)
 	l, _, _ := open(t, d)
@@ -137,9 +137,9 @@
 	is.Equal(rec.DroppedBytes, 7)
 }
 
-// TestCrashes appends, rotates and crashes in random order. Acknowledged records must
+// TestAcknowledgedRecordsSurviveCrashes appends, rotates and crashes in random order. Acknowledged records must
 // survive in order, and an unacknowledged append must survive as a whole or not at all.
-func TestCrashes(t *testing.T) {
+func TestAcknowledgedRecordsSurviveCrashes(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		d := fakedisk.New(rapid.Uint64().Draw(t, "seed"))
 		l, _, _ := open(t, d)
