--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -19,8 +19,8 @@
 	testHeartbeat = 20 * time.Millisecond
 )
 
-// failer is the part of *testing.T and *rapid.T that the cluster uses.
-type failer interface {
+// testingT is the part of *testing.T and *rapid.T that the cluster uses.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -64,7 +64,7 @@
 
 // cluster is a group of replicas and the network between them.
 type cluster struct {
-	t        failer
+	t        testingT
 	rng      *rand.Rand
 	now      time.Duration
 	names    []string
@@ -72,11 +72,11 @@
 	inFlight []protocol.Consensus
 	isolated map[string]bool // partitioned: messages are dropped silently
 	// History that must never change.
-	leaders   map[uint64]protocol.Peer // by term
-	committed map[uint64]string        // by index
-	acked     []string                 // commands acknowledged to their proposer
-	proposed  map[string]logPosition
-	next      int
+	leaders     map[uint64]protocol.Peer // by term
+	committed   map[uint64]string        // by index
+	acked       []string                 // commands acknowledged to their proposer
+	proposed    map[string]logPosition
+	nextCommand int
 	// For an open group: the number of voters (zero for a closed group), the seeds,
 	// and whether this is the first start.
 	voterCount int
@@ -86,7 +86,7 @@
 
 type logPosition struct{ index, term uint64 }
 
-func newCluster(t failer, seed uint64, names ...string) *cluster {
+func newCluster(t testingT, seed uint64, names ...string) *cluster {
 	c := emptyCluster(t, seed)
 	c.seeds = names
 	for _, n := range names {
@@ -95,7 +95,7 @@
 	return c
 }
 
-func emptyCluster(t failer, seed uint64) *cluster {
+func emptyCluster(t testingT, seed uint64) *cluster {
 	return &cluster{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), members: map[string]*member{},
 		isolated: map[string]bool{}, leaders: map[uint64]protocol.Peer{}, committed: map[uint64]string{},
@@ -107,12 +107,12 @@
 func (c *cluster) add(name string) {
 	c.names = append(c.names, name)
 	c.members[name] = &member{name: name}
-	c.blank(name)
+	c.replaceDisk(name)
 	c.start(name)
 }
 
-// blank replaces a replica's disk with an empty one.
-func (c *cluster) blank(name string) {
+// replaceDisk replaces a replica's disk with an empty one.
+func (c *cluster) replaceDisk(name string) {
 	c.members[name].disk = disk{incarnation: c.rng.Uint64() | 1}
 }
 
@@ -174,13 +174,13 @@
 				return
 			}
 			if s, ok := m.formation.Tick(c.now); ok {
-				m.foundGroup(c, s)
+				m.joinFormedGroup(c, s)
 			}
 		})
 	}
 }
 
-func (m *member) foundGroup(c *cluster, s protocol.Snapshot) {
+func (m *member) joinFormedGroup(c *cluster, s protocol.Snapshot) {
 	c.inFlight = append(c.inFlight, m.formation.Messages()...)
 	m.disk.durable = DurableState{Hard: protocol.HardState{Term: s.Term}, Snapshot: s}
 	m.startReplica(c, m.disk.durable)
@@ -209,7 +209,7 @@
 		return
 	}
 	if s, ok := m.formation.Step(msg); ok {
-		m.foundGroup(c, s)
+		m.joinFormedGroup(c, s)
 	}
 }
 
@@ -282,14 +282,14 @@
 func (c *cluster) propose(name string) bool {
 	ok := false
 	c.step(name, func(m *member) {
-		if m.r == nil || c.next > 250 {
+		if m.r == nil || c.nextCommand > 250 {
 			return
 		}
-		data := fmt.Sprint(c.next)
+		data := fmt.Sprint(c.nextCommand)
 		index, term, err := m.r.Propose([]byte(data))
 		if err == nil {
 			c.proposed[data] = logPosition{index, term}
-			c.next++
+			c.nextCommand++
 			ok = true
 		}
 	})
--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -77,18 +77,18 @@
 		c.propose(l)
 	}
 	c.run(100 * time.Millisecond)
-	lost := others(c, l)[0]
+	lost := otherNames(c, l)[0]
 	c.kill(lost)
-	c.blank(lost)
+	c.replaceDisk(lost)
 	c.start(lost)
 	c.run(time.Second)
 	members := c.members[c.leader()].r.log.members()
 	is.Equal(len(members.Voters), 3)
 	is.True(slices.Contains(members.Voters, c.members[lost].self()))
 	// Losing a second disk right after the repair loses no acknowledged command.
-	second := others(c, lost)[0]
+	second := otherNames(c, lost)[0]
 	c.kill(second)
-	c.blank(second)
+	c.replaceDisk(second)
 	c.start(second)
 	c.run(2 * time.Second)
 	is.Equal(len(c.acked), 5)
@@ -107,7 +107,7 @@
 	for _, n := range c.names {
 		if n != l {
 			c.kill(n)
-			c.blank(n)
+			c.replaceDisk(n)
 			c.start(n)
 		}
 	}
@@ -123,7 +123,7 @@
 	is := is.New(t)
 	c := newCluster(t, 6, "a", "b", "c")
 	l := c.awaitLeader()
-	away := others(c, l)[0]
+	away := otherNames(c, l)[0]
 	c.kill(away)
 	for range 200 {
 		c.propose(l)
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	c := newCluster(t, 7, "a", "b", "c")
 	l := c.awaitLeader()
-	target := others(c, l)[1]
+	target := otherNames(c, l)[1]
 	c.step(l, func(m *member) { is.True(m.r.Transfer(target)) })
 	c.drain()
 	is.True(!c.members[l].r.Leads(c.now)) // its lease is void at once
@@ -154,7 +154,7 @@
 	is := is.New(t)
 	c := newCluster(t, 8, "a", "b", "c")
 	l := c.awaitLeader()
-	partitioned, restarted := others(c, l)[0], others(c, l)[1]
+	partitioned, restarted := otherNames(c, l)[0], otherNames(c, l)[1]
 	c.isolated[partitioned] = true
 	c.run(400 * time.Millisecond) // partitioned campaigns by then
 	c.kill(restarted)
@@ -208,11 +208,11 @@
 	m := c.members[l].r
 	two := protocol.Membership{Voters: m.log.members().Voters[:1]}
 	err := m.ChangeMembership(two) // removes two voters at once
-	is.Equal(err, ChangePending{Index: m.log.lastChange()})
+	is.Equal(err, ChangePending{Index: m.log.lastChangeIndex()})
 	one := protocol.Membership{Voters: m.log.members().Voters[:2]}
 	is.NoErr(m.ChangeMembership(one))
 	err = m.ChangeMembership(one) // the first change is not committed yet
-	is.Equal(err, ChangePending{Index: m.log.lastChange()})
+	is.Equal(err, ChangePending{Index: m.log.lastChangeIndex()})
 }
 
 // TestRandomSchedules injects faults in random order: lost, delayed, duplicated and
@@ -291,7 +291,7 @@
 		return
 	}
 	c.kill(name)
-	c.blank(name)
+	c.replaceDisk(name)
 	c.start(name)
 }
 
@@ -312,7 +312,7 @@
 	return len(voters) == present && !c.members[l].r.changePending()
 }
 
-func others(c *cluster, name string) []string {
+func otherNames(c *cluster, name string) []string {
 	var out []string
 	for _, n := range c.names {
 		if n != name {
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -72,7 +72,7 @@
 		}
 		r.send(protocol.Consensus{
 			Kind: kind, To: p, Term: term, Force: force,
-			Index: r.log.last(), LogTerm: r.log.lastTerm(),
+			Index: r.log.lastIndex(), LogTerm: r.log.lastTerm(),
 		})
 	}
 }
@@ -138,7 +138,7 @@
 func (r *Replica) replyToOldTerm(m protocol.Consensus) {
 	switch m.Kind {
 	case protocol.MsgAppend, protocol.MsgSnapshot:
-		r.send(protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Reject: true, Hint: r.log.last()})
+		r.send(protocol.Consensus{Kind: protocol.MsgAppendReply, To: m.From, Reject: true, Hint: r.log.lastIndex()})
 	case protocol.MsgPreVote:
 		r.send(protocol.Consensus{Kind: protocol.MsgPreVoteReply, To: m.From, Reject: true})
 	}
@@ -148,7 +148,7 @@
 // up to date as its own, and a pre-vote to every such candidate.
 func (r *Replica) stepVote(m protocol.Consensus) {
 	upToDate := m.LogTerm > r.log.lastTerm() ||
-		(m.LogTerm == r.log.lastTerm() && m.Index >= r.log.last())
+		(m.LogTerm == r.log.lastTerm() && m.Index >= r.log.lastIndex())
 	if m.Kind == protocol.MsgPreVote {
 		reply := protocol.Consensus{Kind: protocol.MsgPreVoteReply, To: m.From, Term: m.Term}
 		if !upToDate || m.Term <= r.hard.Term {
@@ -175,7 +175,7 @@
 // become candidates in the same term, more often the longer messages take. The votes then split,
 // and the next attempt begins an election timeout later.
 func (r *Replica) yieldsTo(m protocol.Consensus) bool {
-	newer := m.LogTerm > r.log.lastTerm() || m.Index > r.log.last()
+	newer := m.LogTerm > r.log.lastTerm() || m.Index > r.log.lastIndex()
 	return newer || m.From.Name < r.cfg.Self.Name
 }
 
--- a/coordination/consensus/latency_test.go
+++ b/coordination/consensus/latency_test.go
@@ -16,8 +16,8 @@
 // One-way latencies between replicas. They have the same ratio to testElection as 30 ms between
 // regions and 2 ms within a region have to an election timeout of 400 ms.
 const (
-	farLatency  = 7500 * time.Microsecond
-	nearLatency = 500 * time.Microsecond
+	interRegionLatency = 7500 * time.Microsecond
+	intraRegionLatency = 500 * time.Microsecond
 )
 
 // delayedMessage is a message with its time of arrival.
@@ -42,9 +42,9 @@
 		}
 		inTransit = later
 		for _, m := range c.inFlight {
-			latency := farLatency
+			latency := interRegionLatency
 			if m.From.Name[0] == m.To.Name[0] {
-				latency = nearLatency
+				latency = intraRegionLatency
 			}
 			inTransit = append(inTransit, delayedMessage{m: m, at: c.now + latency})
 		}
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -43,7 +43,7 @@
 		return TransferPending{To: r.transferTo}
 	}
 	if r.changePending() || voterDifference(r.log.members(), m) > 1 {
-		return ChangePending{Index: r.log.lastChange()}
+		return ChangePending{Index: r.log.lastChangeIndex()}
 	}
 	r.appendOwn(protocol.EntryMembership, encodeMembership(m))
 	return nil
@@ -52,7 +52,7 @@
 // changePending reports whether a membership change must wait, because another one
 // is uncommitted or this leader has not committed an entry of its own term yet.
 func (r *Replica) changePending() bool {
-	return r.log.lastChange() > r.commit || r.commit < r.noopIndex
+	return r.log.lastChangeIndex() > r.commit || r.commit < r.noopIndex
 }
 
 // voterDifference counts the voters that are in exactly one of two memberships.
@@ -166,7 +166,7 @@
 // stepDownIfRemoved ends the leadership of a replica that is no longer a voter, once
 // the membership change is committed.
 func (r *Replica) stepDownIfRemoved() {
-	if !r.isVoter(r.cfg.Self) && r.commit >= r.log.lastChange() {
+	if !r.isVoter(r.cfg.Self) && r.commit >= r.log.lastChangeIndex() {
 		r.recordEnd(EndedByRemoval)
 		r.becomeFollower(r.hard.Term, protocol.Peer{})
 	}
--- a/coordination/consensus/membership_test.go
+++ b/coordination/consensus/membership_test.go
@@ -35,7 +35,7 @@
 	}
 	tick := func(d time.Duration) {
 		now += d
-		reply(b, protocol.Consensus{Kind: protocol.MsgAppendReply, Index: r.log.last()})
+		reply(b, protocol.Consensus{Kind: protocol.MsgAppendReply, Index: r.log.lastIndex()})
 		r.Tick(now)
 	}
 	r.Tick(now)
--- a/coordination/consensus/memlog.go
+++ b/coordination/consensus/memlog.go
@@ -35,9 +35,9 @@
 	return l
 }
 
-func (l *memLog) last() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
+func (l *memLog) lastIndex() uint64 { return l.snapshot.Index + uint64(len(l.entries)) }
 
-func (l *memLog) lastTerm() uint64 { t, _ := l.term(l.last()); return t }
+func (l *memLog) lastTerm() uint64 { t, _ := l.term(l.lastIndex()); return t }
 
 // term returns the term of the entry at index, or false when the log does not
 // hold it.
@@ -45,7 +45,7 @@
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
 	}
-	if index < l.snapshot.Index || index > l.last() {
+	if index < l.snapshot.Index || index > l.lastIndex() {
 		return 0, false
 	}
 	return l.entries[index-l.snapshot.Index-1].Term, true
@@ -62,7 +62,7 @@
 
 // truncate removes the entries from index on.
 func (l *memLog) truncate(index uint64) {
-	if index > l.last() {
+	if index > l.lastIndex() {
 		return
 	}
 	keep := index - l.snapshot.Index - 1
@@ -75,7 +75,7 @@
 // entriesFrom returns the entries from index on: at least one, and up to maxBytes of
 // data. Zero means no limit.
 func (l *memLog) entriesFrom(index uint64, maxBytes int) []protocol.Entry {
-	if index <= l.snapshot.Index || index > l.last() {
+	if index <= l.snapshot.Index || index > l.lastIndex() {
 		return nil
 	}
 	all := l.entries[index-l.snapshot.Index-1:]
@@ -119,8 +119,8 @@
 	return m
 }
 
-// lastChange returns the index of the membership in effect.
-func (l *memLog) lastChange() uint64 {
+// lastChangeIndex returns the index of the membership in effect.
+func (l *memLog) lastChangeIndex() uint64 {
 	if n := len(l.changes); n > 0 {
 		return l.changes[n-1].index
 	}
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -18,7 +18,7 @@
 const openVoters = 5
 
 // openCluster starts an open group whose first three names are its seeds.
-func openCluster(t failer, seed uint64, names ...string) *cluster {
+func openCluster(t testingT, seed uint64, names ...string) *cluster {
 	c := emptyCluster(t, seed)
 	c.voterCount, c.seeds, c.bootstrap = openVoters, names[:3], true
 	for _, n := range names {
@@ -62,7 +62,7 @@
 	c := openCluster(t, 3, "a", "b", "c", "d", "e")
 	c.awaitLeader()
 	c.run(time.Second)
-	gone := others(c, c.leader())[0]
+	gone := otherNames(c, c.leader())[0]
 	c.kill(gone)
 	c.bootstrap = false
 	c.add("n")
@@ -80,7 +80,7 @@
 	c := openCluster(t, 4, "a", "b", "c", "d", "e")
 	c.awaitLeader()
 	c.run(time.Second)
-	rest := others(c, c.leader())
+	rest := otherNames(c, c.leader())
 	c.kill(rest[0])
 	c.kill(rest[1])
 	c.run(5 * time.Second)
@@ -96,7 +96,7 @@
 	c.bootstrap = false
 	for _, n := range c.names {
 		c.kill(n)
-		c.blank(n)
+		c.replaceDisk(n)
 		c.start(n)
 	}
 	c.run(5 * time.Second)
@@ -116,7 +116,7 @@
 	c.seeds = []string{"a"}
 	for _, n := range c.names {
 		c.kill(n)
-		c.blank(n)
+		c.replaceDisk(n)
 	}
 	c.start("a")
 	c.run(time.Second)
@@ -131,7 +131,7 @@
 	c.awaitLeader()
 	c.run(time.Second)
 	c.bootstrap = false
-	c.seeds = others(c, c.leader())[:1]
+	c.seeds = otherNames(c, c.leader())[:1]
 	c.add("n")
 	c.run(2 * time.Second)
 	is.True(c.voters()["n"])
@@ -147,11 +147,11 @@
 	l := c.leader()
 	is.True(c.propose(l))
 	c.run(200 * time.Millisecond)
-	rest := others(c, l)
+	rest := otherNames(c, l)
 	c.bootstrap = false
 	for _, n := range rest[:2] {
 		c.kill(n)
-		c.blank(n)
+		c.replaceDisk(n)
 		c.start(n)
 	}
 	c.kill(rest[2])
@@ -182,7 +182,7 @@
 	}
 }
 
-func randomOpenSchedule(t failer, seed uint64, steps int) {
+func randomOpenSchedule(t testingT, seed uint64, steps int) {
 	c := openCluster(t, seed, "a", "b", "c", "d", "e")
 	c.awaitLeader()
 	c.run(time.Second)
@@ -219,9 +219,9 @@
 	c.bootstrap = false
 	c.propose(old)
 	c.run(100 * time.Millisecond)
-	lost := others(c, old)[0]
+	lost := otherNames(c, old)[0]
 	c.kill(lost)
-	c.blank(lost)
+	c.replaceDisk(lost)
 	c.start(lost)
 	leader := c.members[old].r
 	for len(leader.log.members().Voters) == 5 || leader.changePending() {
@@ -253,7 +253,7 @@
 	if l == "" || !c.isHealthy(l) {
 		return false
 	}
-	gone := others(c, l)[c.rng.IntN(len(c.names)-1)]
+	gone := otherNames(c, l)[c.rng.IntN(len(c.names)-1)]
 	if c.members[gone].removed {
 		return false
 	}
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -136,7 +136,7 @@
 		commit:            d.Snapshot.Index,
 		applied:           d.Snapshot.Index,
 	}
-	r.firstUnwritten = r.log.last() + 1
+	r.firstUnwritten = r.log.lastIndex() + 1
 	if r.log.lastTerm() > r.hard.Term {
 		r.setHard(r.log.lastTerm(), protocol.Peer{}) // no vote has been cast in the term of a group's first snapshot
 	}
@@ -231,8 +231,8 @@
 		r.hardChanged = false
 	}
 	ready.Entries = r.log.entriesFrom(r.firstUnwritten, 0)
-	r.firstUnwritten = r.log.last() + 1
-	ready.Committed = r.log.entriesBetween(r.applied+1, min(r.commit, r.log.last()))
+	r.firstUnwritten = r.log.lastIndex() + 1
+	ready.Committed = r.log.entriesBetween(r.applied+1, min(r.commit, r.log.lastIndex()))
 	r.applied += uint64(len(ready.Committed))
 	return ready
 }
@@ -282,7 +282,7 @@
 func (r *Replica) Status() Status {
 	return Status{
 		Group: r.log.snapshot.Group, Role: r.role, Term: r.hard.Term,
-		Leader: r.leader, Commit: r.commit, Applied: r.applied, LastIndex: r.log.last(),
+		Leader: r.leader, Commit: r.commit, Applied: r.applied, LastIndex: r.log.lastIndex(),
 		SnapshotIndex: r.log.snapshot.Index, Members: r.log.members(), LeaseEnd: r.leaseEnd(), LeadershipEnd: r.leadershipEnd(),
 	}
 }
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -29,7 +29,7 @@
 
 // appendOwn appends an entry of this leader's term.
 func (r *Replica) appendOwn(kind protocol.EntryKind, data []byte) protocol.Entry {
-	e := protocol.Entry{Term: r.hard.Term, Index: r.log.last() + 1, Kind: kind, Data: data}
+	e := protocol.Entry{Term: r.hard.Term, Index: r.log.lastIndex() + 1, Kind: kind, Data: data}
 	r.log.append(e)
 	if kind == protocol.EntryMembership {
 		r.syncPeers()
@@ -43,7 +43,7 @@
 	all := slices.Concat(m.Voters, m.Learners)
 	for _, p := range all {
 		if r.peers[p] == nil {
-			r.peers[p] = &progress{next: r.log.last() + 1, probing: true, acked: r.now}
+			r.peers[p] = &progress{next: r.log.lastIndex() + 1, probing: true, acked: r.now}
 		}
 	}
 	maps.DeleteFunc(r.peers, func(p protocol.Peer, _ *progress) bool { return !slices.Contains(all, p) })
@@ -61,7 +61,7 @@
 		return
 	}
 	if !r.transferTo.IsZero() && r.now >= r.transferDeadline {
-		r.endTransfer()
+		r.abortTransfer()
 		return
 	}
 	if r.now >= r.nextHeartbeat {
@@ -90,7 +90,7 @@
 			r.sendChunk(p, pr)
 			return
 		}
-		pr.next = max(min(pr.next, r.log.last()+1), pr.match+1)
+		pr.next = max(min(pr.next, r.log.lastIndex()+1), pr.match+1)
 	}
 	if pr.outgoing == nil {
 		r.sendAppend(p, pr)
@@ -108,7 +108,7 @@
 }
 
 func (r *Replica) canSend(pr *progress) bool {
-	if pr.outgoing != nil || pr.next > r.log.last() {
+	if pr.outgoing != nil || pr.next > r.log.lastIndex() {
 		return false
 	}
 	if pr.probing {
@@ -203,7 +203,7 @@
 // conflictHint returns the highest index at which this log may match a log that
 // has the given term at index.
 func (r *Replica) conflictHint(index, term uint64) uint64 {
-	hint := min(index-1, r.log.last())
+	hint := min(index-1, r.log.lastIndex())
 	for hint > r.commit {
 		t, ok := r.log.term(hint)
 		if !ok || t <= term {
@@ -241,7 +241,7 @@
 		r.advanceCommit()
 	}
 	if m.From == r.transferTo {
-		r.tryHandover()
+		r.trySendCampaignNow()
 	}
 }
 
@@ -253,7 +253,7 @@
 	if r.role != Leader || pr == nil {
 		return false, 0
 	}
-	return pr.match >= r.log.last() && r.now-pr.acked <= r.cfg.ElectionTimeout/2, pr.syncTime
+	return pr.match >= r.log.lastIndex() && r.now-pr.acked <= r.cfg.ElectionTimeout/2, pr.syncTime
 }
 
 // backtrack moves next back to where the follower's log may match.
@@ -262,7 +262,7 @@
 	if m.Hint < pr.match && m.Index <= pr.match {
 		return // a delayed reply: durable entries are never lost
 	}
-	pr.next = max(min(m.Hint+1, r.log.last()+1), pr.match+1)
+	pr.next = max(min(m.Hint+1, r.log.lastIndex()+1), pr.match+1)
 }
 
 // advanceCommit commits the entries that a majority of the voters holds on disk.
@@ -291,7 +291,7 @@
 	return values[len(values)-r.quorum()]
 }
 
-func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.last())) }
+func (r *Replica) commitTo(index uint64) { r.commit = max(r.commit, min(index, r.log.lastIndex())) }
 
 // lastQuorumContact returns the newest time for which a majority, including this
 // leader, has confirmed the leadership.
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -59,7 +59,7 @@
 		return
 	}
 	if r.addChunk(m) {
-		r.install(protocol.Snapshot{
+		r.installSnapshot(protocol.Snapshot{
 			Group: s.Group, Index: s.Index, Term: s.Term, Members: s.Members, Data: r.incoming.data,
 		})
 		reply.Kind = protocol.MsgAppendReply
@@ -83,8 +83,8 @@
 	return uint64(len(in.data)) >= m.Total
 }
 
-// install replaces the whole log with a snapshot.
-func (r *Replica) install(s protocol.Snapshot) {
+// installSnapshot replaces the whole log with a snapshot.
+func (r *Replica) installSnapshot(s protocol.Snapshot) {
 	r.log = newMemLog(s, nil)
 	r.commit, r.applied = s.Index, s.Index
 	r.firstUnwritten = s.Index + 1
@@ -124,7 +124,7 @@
 	}
 	r.transferTo = best
 	r.transferDeadline = r.now + r.cfg.ElectionTimeout
-	r.tryHandover()
+	r.trySendCampaignNow()
 	return true
 }
 
@@ -138,21 +138,21 @@
 	return a.match > b.match
 }
 
-// tryHandover sends the successor a request to campaign, once the successor holds the
+// trySendCampaignNow sends the successor a request to campaign, once the successor holds the
 // whole log. The request voids this leader's lease.
-func (r *Replica) tryHandover() {
+func (r *Replica) trySendCampaignNow() {
 	pr := r.peers[r.transferTo]
-	if pr == nil || pr.match < r.log.last() {
+	if pr == nil || pr.match < r.log.lastIndex() {
 		return
 	}
 	r.leaseVoid = true
 	r.send(protocol.Consensus{Kind: protocol.MsgCampaignNow, To: r.transferTo})
 }
 
-// endTransfer cancels a transfer whose successor did not campaign in time. If the
+// abortTransfer cancels a transfer whose successor did not campaign in time. If the
 // request to campaign was sent, the campaign may still follow. The leader then cannot
 // regain its lease within the term, so it steps down.
-func (r *Replica) endTransfer() {
+func (r *Replica) abortTransfer() {
 	r.transferTo = protocol.Peer{}
 	if r.leaseVoid {
 		r.recordEnd(EndedByHandover)
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -102,15 +102,15 @@
 		var first input
 		select {
 		case <-ctx.Done():
-			r.loop.failAll(Stopped{})
+			r.loop.failAllProposals(Stopped{})
 			return
 		case first = <-r.inputs:
 		case <-tick.C:
 		}
-		if err := r.loop.round(r.batch(first)); err != nil {
+		if err := r.loop.runRound(r.batch(first)); err != nil {
 			r.err = err
 			r.cfg.Log.Error("replica stopped", "group", r.cfg.Group, "error", err)
-			r.loop.failAll(Stopped{Err: err})
+			r.loop.failAllProposals(Stopped{Err: err})
 			return
 		}
 	}
@@ -130,9 +130,9 @@
 	return in
 }
 
-// round processes one batch and makes its effects durable. An error comes from the
+// runRound processes one batch and makes its effects durable. An error comes from the
 // disk or the state machine and is final.
-func (l *loop) round(in []input) error {
+func (l *loop) runRound(in []input) error {
 	now := l.r.Now()
 	l.roundInterval, l.roundStart = now-l.roundStart, now
 	for _, i := range in {
@@ -189,7 +189,7 @@
 		return nil
 	}
 	if s, ok := l.formation.Step(m); ok {
-		return l.foundGroup(now, s)
+		return l.joinFormedGroup(now, s)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 	s, ok := l.formation.Tick(now)
 	messages := l.formation.Messages()
 	if ok {
-		if err := l.foundGroup(now, s); err != nil {
+		if err := l.joinFormedGroup(now, s); err != nil {
 			return err
 		}
 	}
@@ -208,8 +208,8 @@
 	return nil
 }
 
-// foundGroup makes the group's first snapshot durable and runs the replica as a member.
-func (l *loop) foundGroup(now time.Duration, s protocol.Snapshot) error {
+// joinFormedGroup makes the group's first snapshot durable and runs the replica as a member.
+func (l *loop) joinFormedGroup(now time.Duration, s protocol.Snapshot) error {
 	if err := l.journal.Rotate(s, protocol.HardState{Term: s.Term}, nil); err != nil {
 		return err
 	}
@@ -242,7 +242,7 @@
 		if err := l.restore(ready.Restore.Data); err != nil {
 			return err
 		}
-		l.failUpTo(ready.Restore.Index)
+		l.failProposalsUpTo(ready.Restore.Index)
 	}
 	for _, e := range ready.Committed {
 		l.apply(e)
@@ -304,7 +304,7 @@
 func (l *loop) reportStatus(now time.Duration) {
 	s := l.member.Status()
 	if s.Role != consensus.Leader && len(l.proposals) > 0 {
-		l.failAll(nil)
+		l.failAllProposals(nil)
 	}
 	leads := l.member.Leads(now)
 	if leads != l.leads {
@@ -352,7 +352,7 @@
 	return l.journal.Rotate(s, hard, entries)
 }
 
-func (l *loop) failUpTo(index uint64) {
+func (l *loop) failProposalsUpTo(index uint64) {
 	for i, w := range l.proposals {
 		if i <= index {
 			w.answer <- outcome{err: Undecided{}}
@@ -361,9 +361,9 @@
 	}
 }
 
-// failAll fails the appended proposals as undecided: they may still be committed,
+// failAllProposals fails the appended proposals as undecided: they may still be committed,
 // whatever the cause.
-func (l *loop) failAll(cause error) {
+func (l *loop) failAllProposals(cause error) {
 	for i, w := range l.proposals {
 		w.answer <- outcome{err: Undecided{Err: cause}}
 		delete(l.proposals, i)
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -98,8 +98,8 @@
 	return slices.Insert(list, i, x)
 }
 
-// drop removes the element with the given name from an ordered list.
-func drop[T namedObject](list []T, name string) []T {
+// remove removes the element with the given name from an ordered list.
+func remove[T namedObject](list []T, name string) []T {
 	if i, ok := find(list, name); ok {
 		return slices.Delete(list, i, i+1)
 	}
@@ -109,7 +109,7 @@
 // Apply returns the configuration after ops, at the next revision. Either all
 // operations are applied or none is. The error is [Invalid] with all mistakes found.
 func (c Config) Apply(ops []Op) (Config, error) {
-	n, found := c.afterOps(ops)
+	n, found := c.applyOps(ops)
 	n.checkAcrossObjects(&found)
 	if len(found) > 0 {
 		return c, Invalid{Mistakes: found}
@@ -117,9 +117,9 @@
 	return n, nil
 }
 
-// afterOps returns the configuration after ops, and the mistakes in each operation
+// applyOps returns the configuration after ops, and the mistakes in each operation
 // by itself.
-func (c Config) afterOps(ops []Op) (Config, mistakes) {
+func (c Config) applyOps(ops []Op) (Config, mistakes) {
 	n := Config{
 		revision: c.revision + 1,
 		nextID:   c.nextID,
@@ -149,7 +149,7 @@
 		if _, ok := c.Account(op.RemoveAccount); !ok {
 			found.add(op.Subject(), "name", "does not exist")
 		}
-		c.accounts = drop(c.accounts, op.RemoveAccount)
+		c.accounts = remove(c.accounts, op.RemoveAccount)
 	case op.PutServer != nil:
 		op.PutServer.check(found)
 		s := *op.PutServer
@@ -164,7 +164,7 @@
 		if ok && s.Mark == Serving {
 			found.add(op.Subject(), "mark", "is serving; mark it leaving first")
 		}
-		c.servers = drop(c.servers, op.RemoveServer)
+		c.servers = remove(c.servers, op.RemoveServer)
 	default:
 		found.add("change", "ops", "an operation sets no field")
 	}
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -73,7 +73,7 @@
 		var found mistakes
 		// Changes in a delta have passed the checks across objects, which are the
 		// most expensive part and are not repeated.
-		if next, found = next.afterOps(ops); len(found) > 0 {
+		if next, found = next.applyOps(ops); len(found) > 0 {
 			return c, Invalid{Mistakes: found}
 		}
 	}
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -15,7 +15,7 @@
 	"github.com/badgerspoke/badgerspoke/state/wal"
 )
 
-func open(t interface {
+func mustOpen(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, d wal.Dir) (*wal.Log, []string, wal.Recovered) {
@@ -33,12 +33,12 @@
 
 const firstLog = "0000000000000000.log"
 
-// written returns a disk with three frames of one record each, and the offset
+// diskWithThreeFrames returns a disk with three frames of one record each, and the offset
 // of each frame's end.
-func written(t *testing.T) (*fakedisk.Disk, []int) {
+func diskWithThreeFrames(t *testing.T) (*fakedisk.Disk, []int) {
 	t.Helper()
 	d := fakedisk.New(1)
-	l, _, _ := open(t, d)
+	l, _, _ := mustOpen(t, d)
 	var ends []int
 	for _, s := range []string{"one", "two", "three"} {
 		if err := l.Append([]byte(s)); err != nil {
@@ -68,7 +68,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			d, ends := written(t)
+			d, ends := diskWithThreeFrames(t)
 			tt.damage(d, ends)
 			l, rec, err := wal.Open(d)
 			var damaged wal.Damaged
@@ -79,7 +79,7 @@
 			is.NoErr(err)
 			is.Equal(len(rec.Records), tt.kept)
 			is.NoErr(l.Append([]byte("after"))) // the dropped frame does not reappear
-			_, texts, _ := open(t, d)
+			_, texts, _ := mustOpen(t, d)
 			is.Equal(len(texts), tt.kept+1)
 			is.Equal(texts[tt.kept], "after")
 		})
@@ -88,8 +88,8 @@
 
 func TestDamagedSnapshotIsRefused(t *testing.T) {
 	is := is.New(t)
-	d, _ := written(t)
-	l, _, _ := open(t, d)
+	d, _ := diskWithThreeFrames(t)
+	l, _, _ := mustOpen(t, d)
 	is.NoErr(l.Rotate([]byte("image"), []byte("tail")))
 	d.Flip("0000000000000001.snapshot", 20)
 	_, _, err := wal.Open(d)
@@ -100,8 +100,8 @@
 
 func TestMissingLogIsRefused(t *testing.T) {
 	is := is.New(t)
-	d, _ := written(t)
-	l, _, _ := open(t, d)
+	d, _ := diskWithThreeFrames(t)
+	l, _, _ := mustOpen(t, d)
 	is.NoErr(l.Rotate([]byte("image")))
 	is.NoErr(d.Remove("0000000000000001.log"))
 	_, _, err := wal.Open(d)
@@ -111,8 +111,8 @@
 
 func TestFailedSyncIsFinal(t *testing.T) {
 	is := is.New(t)
-	d, _ := written(t)
-	l, _, _ := open(t, d)
+	d, _ := diskWithThreeFrames(t)
+	l, _, _ := mustOpen(t, d)
 	d.FailSync()
 	err := l.Append([]byte("four"))
 	var failed wal.Failed
@@ -120,19 +120,19 @@
 	is.True(errors.Is(err, fakedisk.ErrSync))
 	d.Crash() // syncs work again, but the failure is final for this log
 	is.True(errors.As(l.Append([]byte("five")), &failed))
-	_, texts, _ := open(t, d)
+	_, texts, _ := mustOpen(t, d)
 	is.Equal(texts[:3], []string{"one", "two", "three"})
 }
 
 func TestFullDiskLosesNoAcknowledgedRecord(t *testing.T) {
 	is := is.New(t)
-	d, _ := written(t)
-	l, _, _ := open(t, d)
+	d, _ := diskWithThreeFrames(t)
+	l, _, _ := mustOpen(t, d)
 	d.SetFreeSpace(7)
 	err := l.Append([]byte("does not fit"))
 	is.True(errors.Is(err, fakedisk.ErrFull))
 	d.SetFreeSpace(-1)
-	_, texts, rec := open(t, d)
+	_, texts, rec := mustOpen(t, d)
 	is.Equal(texts, []string{"one", "two", "three"})
 	is.Equal(rec.DroppedBytes, 7)
 }
@@ -142,7 +142,7 @@
 func TestAcknowledgedRecordsSurviveCrashes(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		d := fakedisk.New(rapid.Uint64().Draw(t, "seed"))
-		l, _, _ := open(t, d)
+		l, _, _ := mustOpen(t, d)
 		var base, acked []string // records in the snapshot, and after it
 		n := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -177,7 +177,7 @@
 				d.Crash()
 				var rec wal.Recovered
 				var texts []string
-				l, texts, rec = open(t, d)
+				l, texts, rec = mustOpen(t, d)
 				if len(base) > 0 && string(rec.Snapshot) != fmt.Sprint(len(base)) {
 					t.Fatalf("snapshot is %q, want %d", rec.Snapshot, len(base))
 				}
