--- a/coordination/consensus/cluster_test.go
+++ b/coordination/consensus/cluster_test.go
@@ -71,7 +71,7 @@
 	members  map[string]*member
 	inFlight []protocol.Consensus
 	isolated map[string]bool // partitioned: messages are dropped silently
-	// History that must never change.
+	// What the replicas reported so far; no later report may contradict it.
 	leaders     map[uint64]protocol.Peer // by term
 	committed   map[uint64]string        // by index
 	acked       []string                 // commands acknowledged to their proposer
--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -116,7 +116,7 @@
 	is.Equal(c.leader(), "")
 	c.start(l)
 	c.run(2 * time.Second)
-	is.Equal(c.leader(), "") // one of three voters is no majority
+	is.Equal(c.leader(), "") // one of three voters is not a majority
 }
 
 func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
@@ -322,15 +322,15 @@
 	return out
 }
 
-// TestRollingRestartElectsLeaderSoon stops a group and restarts its replicas one after the other.
+// TestStaggeredRestartElectsLeaderSoon stops a group and restarts a majority of its replicas one after the other.
 // Replicas that have just started ignore vote requests for an election timeout, so the first
-// requests of the earlier replicas fail. They must repeat them soon instead of waiting for
-// another election timeout.
-func TestRollingRestartElectsLeaderSoon(t *testing.T) {
+// requests of the earlier replicas are ignored. They must repeat them soon instead of waiting
+// for another election timeout.
+func TestStaggeredRestartElectsLeaderSoon(t *testing.T) {
 	is := is.New(t)
 	const groups = 200
 	names := []string{"a", "b", "c", "d", "e"}
-	pauses := []time.Duration{0, 0, testElection * 9 / 10} // before each of a majority
+	pauses := []time.Duration{0, 0, testElection * 9 / 10} // before the start of each of the first three replicas
 	var total, longest time.Duration
 	for seed := range uint64(groups) {
 		c := newCluster(t, seed, names...)
--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -27,7 +27,7 @@
 //     behaves as if it had just received a leader's message, because it may have
 //     received one before the crash (TestRestartedReplicaRespectsLease). A
 //     pre-candidate therefore repeats its request after a quarter to a half of an
-//     election timeout (TestRollingRestartElectsLeaderSoon).
+//     election timeout (TestStaggeredRestartElectsLeaderSoon).
 //   - The leader's lease relies on that rule. The leader stamps its messages with
 //     its own clock, replies echo the stamp, and the lease runs from the stamp, not
 //     from the arrival of the reply. Only times of one clock are compared;
--- a/coordination/consensus/election.go
+++ b/coordination/consensus/election.go
@@ -34,8 +34,8 @@
 }
 
 // preVotesPerElection is the highest number of times that a pre-candidate sends its requests in an
-// election timeout. Frequent requests shorten the election after a rolling restart
-// (TestRollingRestartElectsLeaderSoon).
+// election timeout. Frequent requests shorten the election after all replicas restarted
+// one after the other (TestStaggeredRestartElectsLeaderSoon).
 const preVotesPerElection = 4
 
 // resetPreVoteTimer sets the next time to request pre-votes at random. The interval is
--- a/coordination/consensus/errors.go
+++ b/coordination/consensus/errors.go
@@ -22,11 +22,13 @@
 	return "not the leader; the leader is " + e.Leader.Name
 }
 
-// TransferPending rejects a proposal during a leadership transfer.
+// TransferPending rejects a proposal or a membership change during a leadership transfer.
 type TransferPending struct{ To protocol.Peer }
 
 // Error names the successor.
-func (e TransferPending) Error() string { return "leadership is being handed to " + e.To.Name }
+func (e TransferPending) Error() string {
+	return "leadership transfer to " + e.To.Name + " is in progress"
+}
 
 // ChangePending rejects a membership change while another one is uncommitted.
 type ChangePending struct{ Index uint64 }
--- a/coordination/consensus/formation.go
+++ b/coordination/consensus/formation.go
@@ -20,7 +20,7 @@
 // does not leave two groups.
 //
 // A closed group does not use a "first start" flag: an operator would leave the flag in
-// the settings, and the first lost disk would then found a second group.
+// the settings, and the first replica to lose its disk would then found a second group.
 //
 // The settings of an open group do not name the members, only the present or past
 // addresses of some of them (seeds). The seeds found the group at its first start, and
@@ -182,8 +182,8 @@
 	members := protocol.Snapshot{Members: r.log.members()}
 	r.send(protocol.Consensus{Kind: protocol.MsgBlankReply, To: m.From, Snapshot: &members})
 	if s := r.log.snapshot; s.Index == 1 && slices.Contains(s.Members.Voters, m.From) {
-		// The foundation message was lost. It names the same incarnation, which
-		// has not replied since, so it may be sent again.
+		// This voter is still blank, so the foundation message to it was lost. The
+		// message names the voter's current incarnation, so it may be sent again.
 		r.send(protocol.Consensus{Kind: protocol.MsgFound, To: m.From, Snapshot: &s})
 	}
 	r.stepJoin(m)
--- a/coordination/consensus/latency_test.go
+++ b/coordination/consensus/latency_test.go
@@ -11,7 +11,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests elections between replicas in distant regions.
+// This file tests elections between replicas in different regions.
 
 // One-way latencies between replicas. They have the same ratio to testElection as 30 ms between
 // regions and 2 ms within a region have to an election timeout of 400 ms.
@@ -27,7 +27,7 @@
 }
 
 // runWithLatency runs the cluster for d with network latency: replicas whose names begin with the
-// same letter are near. It takes and returns the messages in flight.
+// same letter are in the same region. It takes and returns the messages in flight.
 func (c *cluster) runWithLatency(inTransit []delayedMessage, d time.Duration) []delayedMessage {
 	for end := c.now + d; c.now < end; {
 		c.tick(500 * time.Microsecond)
--- a/coordination/consensus/leadership_end.go
+++ b/coordination/consensus/leadership_end.go
@@ -24,9 +24,9 @@
 const (
 	EndedByLease       = "lease over"  // the lease expired; EndedWithoutQuorum follows unless a majority replies
 	EndedWithoutQuorum = "no quorum"   // no majority replied within an election timeout
-	EndedByTerm        = "higher term" // another replica had begun an election
-	EndedByRemoval     = "removed"     // it is no longer a voter
-	EndedByHandover    = "handed over" // it had offered leadership to another replica
+	EndedByTerm        = "higher term" // another replica began an election
+	EndedByRemoval     = "removed"     // the leader is no longer a voter
+	EndedByHandover    = "handed over" // the leader offered leadership to another replica
 )
 
 // newLeadershipEnd describes a leadership that ends now.
@@ -35,7 +35,8 @@
 	return LeadershipEnd{Cause: cause, SinceQuorum: r.now - r.lastQuorumContact(), RoundTrip: quorumValue(r, roundTrip)}
 }
 
-// leadershipEnd describes why this replica does not act as leader.
+// leadershipEnd describes why this replica no longer acts as the leader. A replica that still has
+// the role of leader does not act as one without a lease.
 func (r *Replica) leadershipEnd() LeadershipEnd {
 	if r.role == Leader {
 		return r.newLeadershipEnd(EndedByLease)
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -14,12 +14,12 @@
 //
 // A repair consists of three changes: remove the lost incarnation from the voters,
 // add the new one as a learner, and promote it once it holds all committed entries.
-// A single change that replaces one by the other would be unsafe: a majority before
+// A single change that replaces one with the other would be unsafe: a majority before
 // the change could include the vote that the lost disk recorded, and need not overlap
 // with a majority after it. Removing the lost incarnation first does not reduce
 // availability, because it could not reply anyway.
 
-// Limits on the silence of replicas and leaders.
+// Limits on the time without a message from a replica or a leader.
 const (
 	// voterSilenceTimeouts is the number of election timeouts that a voter of an open
 	// group may be silent before a learner replaces it.
--- a/coordination/consensus/memlog.go
+++ b/coordination/consensus/memlog.go
@@ -127,7 +127,7 @@
 	return l.snapshot.Index
 }
 
-// compact replaces the entries up to index by a snapshot.
+// compact replaces the entries up to index with a snapshot.
 func (l *memLog) compact(index uint64, data []byte) {
 	term, _ := l.term(index)
 	next := protocol.Snapshot{
@@ -139,13 +139,13 @@
 func encodeMembership(m protocol.Membership) []byte {
 	b, err := cbor.Marshal(m)
 	if err != nil {
-		panic("consensus: membership does not encode: " + err.Error()) // cannot happen: all fields are encodable
+		panic("consensus: encode membership: " + err.Error()) // cannot happen: all fields are encodable
 	}
 	return b
 }
 
-// decodeMembership returns the zero membership for malformed data. No replica is a
-// voter in it, so no quorum can form on a guess.
+// decodeMembership returns the zero membership for malformed data. It has no voters,
+// so no replica can be elected or commit entries on its basis.
 func decodeMembership(b []byte) protocol.Membership {
 	var m protocol.Membership
 	if err := cbor.Unmarshal(b, &m); err != nil {
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -40,7 +40,7 @@
 	defaultMaxInflight = 32        // appends
 )
 
-// withDefaults replaces zero limits by their defaults.
+// withDefaults replaces zero limits with their defaults.
 func (c Config) withDefaults() Config {
 	c.MaxAppend = cmp.Or(c.MaxAppend, defaultMaxAppend)
 	c.MaxChunk = cmp.Or(c.MaxChunk, defaultMaxChunk)
@@ -138,11 +138,13 @@
 	}
 	r.firstUnwritten = r.log.lastIndex() + 1
 	if r.log.lastTerm() > r.hard.Term {
-		r.setHard(r.log.lastTerm(), protocol.Peer{}) // no vote has been cast in the term of a group's first snapshot
+		// The log is newer than the hard state only right after the group was formed, and
+		// no replica voted in the term of the first snapshot.
+		r.setHard(r.log.lastTerm(), protocol.Peer{})
 	}
 	r.resetElectionTimer()
 	if v := r.log.members().Voters; len(v) == 1 && v[0] == cfg.Self {
-		r.campaignAt = now // the only voter: no other replica can lead or hold its vote
+		r.campaignAt = now // the only voter: no other replica can be the leader or need its vote
 	}
 	return r
 }
@@ -249,7 +251,7 @@
 	r.advanceCommit()
 }
 
-// Compact replaces the applied part of the log by a snapshot and returns it.
+// Compact replaces the applied part of the log with a snapshot and returns it.
 // data is the image of the state machine. The caller writes the snapshot together
 // with the result of [Replica.Tail].
 func (r *Replica) Compact(data []byte) protocol.Snapshot {
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -17,7 +17,7 @@
 type progress struct {
 	match         uint64        // highest index that the replica reported as durable
 	next          uint64        // next index to send
-	probing       bool          // next is a guess: at most one message is in flight
+	probing       bool          // next is an estimate: at most one message is in flight
 	probeInFlight bool          // a probe awaits its reply
 	inflight      int           // appends without a reply
 	acked         time.Duration // send time, on the leader's clock, of the newest message with a reply
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -138,7 +138,7 @@
 	return a.match > b.match
 }
 
-// trySendCampaignNow sends the successor a request to campaign, once the successor holds the
+// trySendCampaignNow sends the successor a request to campaign if the successor holds the
 // whole log. The request voids this leader's lease.
 func (r *Replica) trySendCampaignNow() {
 	pr := r.peers[r.transferTo]
--- a/replica/errors.go
+++ b/replica/errors.go
@@ -9,9 +9,9 @@
 // The caller must propose the same change again with the same identifier.
 type Undecided struct{ Err error }
 
-// Error returns the advice for the caller and the cause.
+// Error tells the caller what to do and names the cause.
 func (e Undecided) Error() string {
-	text := "undecided; ask again with the same identifier"
+	text := "outcome unknown; retry with the same identifier"
 	if e.Err != nil {
 		text += ": " + e.Err.Error()
 	}
--- a/replica/loop.go
+++ b/replica/loop.go
@@ -75,8 +75,8 @@
 	return consensus.NewFormation(cfg.Group, l.self, cfg.Names, cfg.Random(), cfg.HeartbeatInterval)
 }
 
-// startMember runs the replica as a member with the state from its disk, or without a log if
-// a leader repairs it.
+// startMember runs the replica as a member, with the state from its disk or, if a leader
+// repairs it, without a log.
 func (l *loop) startMember(now time.Duration, d consensus.DurableState) {
 	settings := l.r.cfg
 	l.formation = nil
@@ -145,7 +145,7 @@
 	}
 	l.member.Tick(now)
 	if l.member.RepairStopped() {
-		l.r.cfg.Log.Info("repair stopped, looking for the group again", "group", l.r.cfg.Group)
+		l.r.cfg.Log.Info("repair stopped; searching for the group again", "group", l.r.cfg.Group)
 		l.member, l.formation = nil, l.newFormation().JoinOnly()
 		return nil
 	}
@@ -260,8 +260,8 @@
 	return l.rotate(*ready.Snapshot)
 }
 
-// syncTimeWindow is the inverse of a new sample's weight in the moving average of sync times. After
-// eight syncs the new samples outweigh the earlier ones.
+// syncTimeWindow is the inverse of a new sample's weight in the exponential moving average of sync
+// times. After eight syncs the new samples outweigh the earlier ones.
 const syncTimeWindow = 8
 
 // recordSyncTime adds a sync that began at the given time to the moving average.
@@ -287,16 +287,16 @@
 	if e.Kind == protocol.EntryCommand && len(e.Data) > 0 {
 		result = l.r.cfg.StateMachine.Apply(e.Data)
 	}
-	w, ok := l.proposals[e.Index]
+	p, ok := l.proposals[e.Index]
 	if !ok {
 		return
 	}
 	delete(l.proposals, e.Index)
-	if w.term != e.Term {
-		w.answer <- outcome{err: consensus.NotLeader{Leader: l.member.Status().Leader}}
+	if p.term != e.Term {
+		p.answer <- outcome{err: consensus.NotLeader{Leader: l.member.Status().Leader}}
 		return
 	}
-	w.answer <- outcome{result: result}
+	p.answer <- outcome{result: result}
 }
 
 // reportStatus reports the group's state to the owner and fails the proposals that this
@@ -353,9 +353,9 @@
 }
 
 func (l *loop) failProposalsUpTo(index uint64) {
-	for i, w := range l.proposals {
+	for i, p := range l.proposals {
 		if i <= index {
-			w.answer <- outcome{err: Undecided{}}
+			p.answer <- outcome{err: Undecided{}}
 			delete(l.proposals, i)
 		}
 	}
@@ -364,8 +364,8 @@
 // failAllProposals fails the appended proposals as undecided: they may still be committed,
 // whatever the cause.
 func (l *loop) failAllProposals(cause error) {
-	for i, w := range l.proposals {
-		w.answer <- outcome{err: Undecided{Err: cause}}
+	for i, p := range l.proposals {
+		p.answer <- outcome{err: Undecided{Err: cause}}
 		delete(l.proposals, i)
 	}
 }
--- a/replica/replica.go
+++ b/replica/replica.go
@@ -63,7 +63,7 @@
 	Tuning
 	Random func() uint64
 	// Clock is a monotonic clock that keeps running while the box is suspended, so that a leader's
-	// lease expires during a suspension. Nil means Go's monotonic clock, which stops meanwhile.
+	// lease expires during a suspension. Nil means Go's monotonic clock, which stops during it.
 	Clock func() time.Duration
 	Log   *slog.Logger
 	// Observe, if set, is called from the replica's goroutine after every
@@ -80,7 +80,7 @@
 	Voters int
 }
 
-// Tuning holds the times and sizes for which a role may use the defaults.
+// Tuning holds the times and sizes that have defaults.
 type Tuning struct {
 	ElectionTimeout   time.Duration // shortest silence of the leader before a replica campaigns
 	HeartbeatInterval time.Duration // interval between messages of an idle leader
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	if contents.DroppedBytes > 0 {
-		cfg.Log.Warn("dropped a torn last write", "group", cfg.Group, "bytes", contents.DroppedBytes)
+		cfg.Log.Warn("dropped a torn write at the end of the journal", "group", cfg.Group, "bytes", contents.DroppedBytes)
 	}
 	go r.run(ctx)
 	return r, nil
--- a/replica/replica_test.go
+++ b/replica/replica_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// mustPropose proposes a command, and repeats this until there is a leader.
+// mustPropose proposes a command, and retries until there is a leader.
 func mustPropose(t testing.TB, r *Replica) any {
 	t.Helper()
 	for range 500 {
@@ -168,8 +168,8 @@
 // BenchmarkPropose reports commits per second and syncs per commit on the local disk,
 // by the number of proposers.
 func BenchmarkPropose(b *testing.B) {
-	for _, each := range []int{1, 4, 32} {
-		b.Run(fmt.Sprintf("proposers=%d", each*runtime.GOMAXPROCS(0)), func(b *testing.B) {
+	for _, perProcessor := range []int{1, 4, 32} {
+		b.Run(fmt.Sprintf("proposers=%d", perProcessor*runtime.GOMAXPROCS(0)), func(b *testing.B) {
 			folder, err := wal.MakeDir(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
@@ -183,7 +183,7 @@
 			}
 			mustPropose(b, r)
 			before := dir.syncs.Load()
-			b.SetParallelism(each)
+			b.SetParallelism(perProcessor)
 			b.ResetTimer()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -109,18 +109,18 @@
 // Apply returns the configuration after ops, at the next revision. Either all
 // operations are applied or none is. The error is [Invalid] with all mistakes found.
 func (c Config) Apply(ops []Op) (Config, error) {
-	n, found := c.applyOps(ops)
-	n.checkAcrossObjects(&found)
+	next, found := c.applyOps(ops)
+	next.checkAcrossObjects(&found)
 	if len(found) > 0 {
 		return c, Invalid{Mistakes: found}
 	}
-	return n, nil
+	return next, nil
 }
 
-// applyOps returns the configuration after ops, and the mistakes in each operation
-// by itself.
+// applyOps returns the configuration after ops, and the mistakes that a check of each
+// operation by itself finds.
 func (c Config) applyOps(ops []Op) (Config, mistakes) {
-	n := Config{
+	next := Config{
 		revision: c.revision + 1,
 		nextID:   c.nextID,
 		accounts: slices.Clone(c.accounts),
@@ -131,9 +131,9 @@
 		found.add("change", "ops", "holds no operation")
 	}
 	for _, op := range ops {
-		n.applyOp(op, &found)
+		next.applyOp(op, &found)
 	}
-	return n, found
+	return next, found
 }
 
 // applyOp applies one operation to a configuration that is still being built.
--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -62,7 +62,7 @@
 
 // Error names both revisions.
 func (e DeltaGap) Error() string {
-	return fmt.Sprintf("delta starts at revision %d, held is %d", e.From, e.Held)
+	return fmt.Sprintf("delta starts at revision %d, the current one is %d", e.From, e.Held)
 }
 
 // mistakes collects the results of validation.
--- a/state/document/condemned.go
+++ b/state/document/condemned.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// This file defines Condemned, a request that crashed several backend servers and is sent to none
-// any more.
+// This file defines Condemned, a request that crashed several backend servers and is no longer
+// sent to any.
 //
 // Condemned requests do not expire: each retry of an expired one would crash another server.
 
--- a/state/document/document.go
+++ b/state/document/document.go
@@ -156,10 +156,10 @@
 			found.add(where, "has no name")
 		}
 		if pools[p.Name] {
-			found.add(where, "is there twice")
+			found.add(where, "is defined twice")
 		}
 		if p.ColdRate < 0 {
-			found.add(where, "bears %v requests a second while cold", p.ColdRate)
+			found.add(where, "has the negative cold rate %v", p.ColdRate)
 		}
 		pools[p.Name] = true
 	}
@@ -171,7 +171,7 @@
 	for _, r := range d.Routes {
 		where := fmt.Sprintf("route %q", r.Name)
 		if r.Timeout <= 0 {
-			found.add(where, "has no time-out")
+			found.add(where, "has no timeout")
 		}
 		if !strings.HasPrefix(r.Prefix, "/") {
 			found.add(where, "prefix %q does not begin with a slash", r.Prefix)
@@ -212,13 +212,14 @@
 
 func (d Document) checkAccounts(found *mistakes) {
 	owners := map[string]string{}
-	for _, t := range d.Accounts {
-		checkHomes(found, fmt.Sprintf("tenant %q", t.Name), t.Homes)
-		for _, key := range t.Keys {
-			if other, taken := owners[key]; taken && other != t.Name {
-				found.add(fmt.Sprintf("tenant %q", t.Name), "shares a key with tenant %q", other)
+	for _, a := range d.Accounts {
+		where := fmt.Sprintf("tenant %q", a.Name) // the name of an account in operators' configurations
+		checkHomes(found, where, a.Homes)
+		for _, key := range a.Keys {
+			if other, taken := owners[key]; taken && other != a.Name {
+				found.add(where, "shares a key with tenant %q", other)
 			}
-			owners[key] = t.Name
+			owners[key] = a.Name
 		}
 	}
 }
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -34,7 +34,7 @@
 		want   string // part of the mistake; empty is valid
 	}{
 		{"valid", func(*Document) {}, ""},
-		{"no time-out", func(d *Document) { d.Routes[0].Timeout = 0 }, `route "a": has no time-out`},
+		{"no timeout", func(d *Document) { d.Routes[0].Timeout = 0 }, `route "a": has no timeout`},
 		{"unknown pool", func(d *Document) { d.Routes[1].Targets[0].Pool = "x" }, `names the unknown pool "x"`},
 		{"same host and prefix", func(d *Document) { d.Routes[1].Prefix = "/a/" }, `shares host and prefix with route "a"`},
 		{"same prefix on another host", func(d *Document) { d.Routes[1].Prefix, d.Routes[1].Host = "/a/", "i" }, ""},
@@ -43,7 +43,7 @@
 		{"no target", func(d *Document) { d.Routes[1].Targets = nil }, "weights add up to 0"},
 		{"shared key", func(d *Document) { d.Accounts[1].Keys = []string{"k2"} }, `shares a key with tenant "t"`},
 		{"key twice at one tenant", func(d *Document) { d.Accounts[0].Keys = []string{"k1", "k1"} }, ""},
-		{"pool twice", func(d *Document) { d.Pools[1].Name = "p" }, `pool "p": is there twice`},
+		{"pool twice", func(d *Document) { d.Pools[1].Name = "p" }, `pool "p": is defined twice`},
 		{"home without a name", func(d *Document) { d.Routes[0].Homes = []string{"north", ""} }, `route "a": has a home without a name`},
 		{"account's home without a name", func(d *Document) { d.Accounts[1].Homes = []string{""} }, `tenant "u": has a home without a name`},
 		{"unknown home", func(d *Document) { d.Routes[0].Homes = []string{"moon"} }, ""},
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -147,11 +147,11 @@
 
 // image is the serialized form of a Store.
 type image struct {
-	Held    *StoredDocument         `cbor:"1,keyasint,omitempty"`
-	Departs []string                `cbor:"2,keyasint,omitempty"`
-	Total   uint64                  `cbor:"3,keyasint,omitempty"`
-	Joined  []protocol.Registration `cbor:"4,keyasint,omitempty"`
-	Halls   []HallState             `cbor:"5,keyasint,omitempty"`
+	Document       *StoredDocument         `cbor:"1,keyasint,omitempty"`
+	Departures     []string                `cbor:"2,keyasint,omitempty"`
+	DepartureCount uint64                  `cbor:"3,keyasint,omitempty"`
+	Joined         []protocol.Registration `cbor:"4,keyasint,omitempty"`
+	Halls          []HallState             `cbor:"5,keyasint,omitempty"`
 	// Rollouts is ordered by pool.
 	Rollouts []Rollout `cbor:"6,keyasint,omitempty"`
 	// Condemned is ordered by age, oldest first.
@@ -163,7 +163,7 @@
 // MarshalBinary implements [encoding.BinaryMarshaler].
 func (s *Store) MarshalBinary() ([]byte, error) {
 	return cbor.Marshal(image{
-		Held: s.current, Departs: s.departureOrder, Total: s.departureCount, Joined: sentForms(s.Joined()), Halls: s.Halls(), Rollouts: s.Rollouts(),
+		Document: s.current, Departures: s.departureOrder, DepartureCount: s.departureCount, Joined: sentForms(s.Joined()), Halls: s.Halls(), Rollouts: s.Rollouts(),
 		Condemned: s.condemned, Spread: s.spread,
 	})
 }
@@ -183,11 +183,11 @@
 	if err := cbor.Unmarshal(b, &im); err != nil {
 		return err
 	}
-	*s = Store{current: im.Held, condemned: im.Condemned, spread: im.Spread}
-	for _, id := range im.Departs {
+	*s = Store{current: im.Document, condemned: im.Condemned, spread: im.Spread}
+	for _, id := range im.Departures {
 		s.Depart(id)
 	}
-	s.departureCount = max(s.departureCount, im.Total)
+	s.departureCount = max(s.departureCount, im.DepartureCount)
 	for _, r := range im.Joined {
 		s.Join(r.Received())
 	}
--- a/state/wal/contract_test.go
+++ b/state/wal/dir_test.go
@@ -17,14 +17,14 @@
 // of the operating system, and the in-memory disk that replaces them in tests.
 func TestDirContract(t *testing.T) {
 	dirs := map[string]func(t *testing.T) wal.Dir{
-		"machine": func(t *testing.T) wal.Dir {
+		"OSDir": func(t *testing.T) wal.Dir {
 			d, err := wal.MakeDir(t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
 			return d
 		},
-		"fake": func(*testing.T) wal.Dir { return fakedisk.New(1) },
+		"fakedisk": func(*testing.T) wal.Dir { return fakedisk.New(1) },
 	}
 	for name, open := range dirs {
 		t.Run(name, func(t *testing.T) {
--- a/state/wal/errors.go
+++ b/state/wal/errors.go
@@ -16,7 +16,7 @@
 
 // Error names the file, the offset and the kind of damage.
 func (e Damaged) Error() string {
-	return fmt.Sprintf("wal: %s damaged at byte %d: %s; replace this replica as one that lost its disk",
+	return fmt.Sprintf("wal: %s damaged at byte %d: %s; treat this replica as one that lost its disk",
 		e.File, e.Offset, e.Reason)
 }
 
--- a/state/wal/frame.go
+++ b/state/wal/frame.go
@@ -49,14 +49,14 @@
 type frameStatus uint8
 
 const (
-	frameValid     frameStatus = iota // the frame is valid
-	frameTruncated                    // the bytes end inside the frame
-	frameDamaged                      // a checksum fails
+	frameValid     frameStatus = iota
+	frameTruncated             // the bytes end inside the frame
+	frameDamaged               // the magic number, the length, a checksum or the payload is invalid
 )
 
 // decodeFrame decodes the frame at the start of b. The records alias b. size is the size
 // of the frame in bytes, or zero if its header is invalid or its end is missing.
-func decodeFrame(b []byte) (records [][]byte, size int, v frameStatus) {
+func decodeFrame(b []byte) (records [][]byte, size int, status frameStatus) {
 	if len(b) < headerSize {
 		return nil, 0, frameTruncated
 	}
@@ -107,8 +107,8 @@
 	if hasLaterFrame(tail) {
 		return false
 	}
-	_, _, v := decodeFrame(tail)
-	return v == frameTruncated || hasUnwrittenSector(b, offset)
+	_, _, status := decodeFrame(tail)
+	return status == frameTruncated || hasUnwrittenSector(b, offset)
 }
 
 // hasLaterFrame reports whether b holds a valid frame after the frame at its start. Such
@@ -122,7 +122,7 @@
 			return false
 		}
 		at += i
-		if _, _, v := decodeFrame(b[at:]); v == frameValid {
+		if _, _, status := decodeFrame(b[at:]); status == frameValid {
 			return true
 		}
 	}
--- a/state/wal/log.go
+++ b/state/wal/log.go
@@ -154,7 +154,7 @@
 	b, err := l.dir.ReadFile(name)
 	if errors.Is(err, fs.ErrNotExist) {
 		if l.generation > 0 {
-			return Damaged{File: name, Reason: "is missing beside its snapshot"}
+			return Damaged{File: name, Reason: "file is missing although its snapshot exists"}
 		}
 		return nil
 	}
@@ -163,14 +163,14 @@
 	}
 	at := 0
 	for at < len(b) {
-		records, size, v := decodeFrame(b[at:])
-		if v == frameValid {
+		records, size, status := decodeFrame(b[at:])
+		if status == frameValid {
 			rec.Records = append(rec.Records, records...)
 			at += size
 			continue
 		}
 		if !isTornTail(b, at) {
-			return Damaged{File: name, Offset: int64(at), Reason: "frame checksum fails"}
+			return Damaged{File: name, Offset: int64(at), Reason: "frame checksum mismatch"}
 		}
 		rec.DroppedBytes = len(b) - at
 		break
@@ -185,9 +185,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "wal: read snapshot")
 	}
-	records, size, v := decodeFrame(b)
-	if v != frameValid || size != len(b) || len(records) != 1 {
-		return nil, Damaged{File: name, Reason: "snapshot checksum fails"}
+	records, size, status := decodeFrame(b)
+	if status != frameValid || size != len(b) || len(records) != 1 {
+		return nil, Damaged{File: name, Reason: "snapshot checksum mismatch"}
 	}
 	return records[0], nil
 }
@@ -223,7 +223,7 @@
 	return newest
 }
 
-// isLogFile reports whether name has the form of a log's files.
+// isLogFile reports whether name is that of a log or snapshot file, final or temporary.
 func isLogFile(name string) bool {
 	suffixes := []string{".log", ".snapshot", ".log" + tmpSuffix, ".snapshot" + tmpSuffix}
 	return len(name) > generationDigits && slices.Contains(suffixes, name[generationDigits:])
