--- a/coordination/consensus/consensus_test.go
+++ b/coordination/consensus/consensus_test.go
@@ -26,6 +26,8 @@
 	}
 }
 
+// TestGroupFormsAfterLostFoundationMessages loses the messages with which the founder announces
+// the group. The other replicas must join when they next query the founder.
 func TestGroupFormsAfterLostFoundationMessages(t *testing.T) {
 	c := newCluster(t, 2, "a", "b", "c")
 	for c.members["a"].r == nil { // a founds the group
@@ -45,6 +47,9 @@
 	}
 }
 
+// TestReturningLeaderDoesNotDeposeSuccessor partitions the leader for many election timeouts.
+// Another replica must be elected, and the old leader must follow it when the partition ends
+// instead of raising the term.
 func TestReturningLeaderDoesNotDeposeSuccessor(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 3, "a", "b", "c")
@@ -69,6 +74,7 @@
 	c.checkConverged()
 }
 
+// TestLostDiskIsRepaired loses the disk of one replica and, right after its repair, that of another.
 func TestLostDiskIsRepaired(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 4, "a", "b", "c")
@@ -119,25 +125,29 @@
 	is.Equal(c.leader(), "") // one of three voters is not a majority
 }
 
+// TestLaggingReplicaReceivesSnapshot stops a replica until the leader has compacted the entries
+// that it lacks.
 func TestLaggingReplicaReceivesSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 6, "a", "b", "c")
 	l := c.awaitLeader()
-	away := otherNames(c, l)[0]
-	c.kill(away)
+	stopped := otherNames(c, l)[0]
+	c.kill(stopped)
 	for range 200 {
 		c.propose(l)
 		c.drain()
 	}
 	c.run(100 * time.Millisecond)
 	c.compact(l)
-	c.start(away)
+	c.start(stopped)
 	c.run(time.Second)
-	is.Equal(len(c.members[away].applied), 200)
-	is.True(c.members[away].r.log.snapshot.Index > 200) // received as a snapshot
+	is.Equal(len(c.members[stopped].applied), 200)
+	is.True(c.members[stopped].r.log.snapshot.Index > 200) // received as a snapshot
 	c.checkConverged()
 }
 
+// TestLeadershipTransfer checks that a transfer ends the old lease at once and elects the target
+// without waiting for an election timeout.
 func TestLeadershipTransfer(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 7, "a", "b", "c")
@@ -150,6 +160,9 @@
 	is.Equal(c.leader(), target)
 }
 
+// TestRestartedReplicaRespectsLease restarts a follower while another one requests votes. The
+// restarted replica may have received a message from the leader before, so it must not vote before
+// the leader's lease has expired.
 func TestRestartedReplicaRespectsLease(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 8, "a", "b", "c")
@@ -206,12 +219,12 @@
 	c := newCluster(t, 9, "a", "b", "c")
 	l := c.awaitLeader()
 	m := c.members[l].r
-	two := protocol.Membership{Voters: m.log.members().Voters[:1]}
-	err := m.ChangeMembership(two) // removes two voters at once
+	withoutTwo := protocol.Membership{Voters: m.log.members().Voters[:1]}
+	err := m.ChangeMembership(withoutTwo) // removes two voters at once
 	is.Equal(err, ChangePending{Index: m.log.lastChangeIndex()})
-	one := protocol.Membership{Voters: m.log.members().Voters[:2]}
-	is.NoErr(m.ChangeMembership(one))
-	err = m.ChangeMembership(one) // the first change is not committed yet
+	withoutOne := protocol.Membership{Voters: m.log.members().Voters[:2]}
+	is.NoErr(m.ChangeMembership(withoutOne))
+	err = m.ChangeMembership(withoutOne) // the first change is not committed yet
 	is.Equal(err, ChangePending{Index: m.log.lastChangeIndex()})
 }
 
--- a/coordination/consensus/example_test.go
+++ b/coordination/consensus/example_test.go
@@ -21,7 +21,7 @@
 		Name: "config", Self: self, ElectionTimeout: time.Second, HeartbeatInterval: 200 * time.Millisecond,
 		Rand: func(int64) int64 { return 0 },
 	}, 0, consensus.DurableState{Hard: protocol.HardState{Term: 1}, Snapshot: group})
-	carryOut := func() {
+	processReady := func() {
 		for ready := r.Ready(); !ready.Empty(); ready = r.Ready() {
 			for _, e := range ready.Committed {
 				fmt.Printf("term %d, index %d: %q\n", e.Term, e.Index, e.Data)
@@ -30,11 +30,11 @@
 		}
 	}
 	r.Tick(0)
-	carryOut()
+	processReady()
 	if _, _, err := r.Propose([]byte("x=1")); err != nil {
 		fmt.Println(err)
 	}
-	carryOut()
+	processReady()
 	// Output:
 	// term 2, index 2: ""
 	// term 2, index 3: "x=1"
--- a/coordination/consensus/leadership_end_test.go
+++ b/coordination/consensus/leadership_end_test.go
@@ -19,14 +19,14 @@
 	for c.members[old].r.Leads(c.now) {
 		c.run(testHeartbeat / 4)
 	}
-	ending := c.members[old].r.Status().LeadershipEnd
-	is.Equal(ending.Cause, EndedByLease)
-	is.True(ending.SinceQuorum >= testElection*9/10)
-	is.True(ending.RoundTrip < testHeartbeat)
+	end := c.members[old].r.Status().LeadershipEnd
+	is.Equal(end.Cause, EndedByLease)
+	is.True(end.SinceQuorum >= testElection*9/10)
+	is.True(end.RoundTrip < testHeartbeat)
 	for c.members[old].r.role == Leader {
 		c.run(testHeartbeat / 4)
 	}
-	ending = c.members[old].r.Status().LeadershipEnd
-	is.Equal(ending.Cause, EndedWithoutQuorum)
-	is.True(ending.SinceQuorum >= testElection)
+	end = c.members[old].r.Status().LeadershipEnd
+	is.Equal(end.Cause, EndedWithoutQuorum)
+	is.True(end.SinceQuorum >= testElection)
 }
--- a/coordination/consensus/open_test.go
+++ b/coordination/consensus/open_test.go
@@ -62,15 +62,15 @@
 	c := openCluster(t, 3, "a", "b", "c", "d", "e")
 	c.awaitLeader()
 	c.run(time.Second)
-	gone := otherNames(c, c.leader())[0]
-	c.kill(gone)
+	stopped := otherNames(c, c.leader())[0]
+	c.kill(stopped)
 	c.bootstrap = false
 	c.add("n")
 	c.run(2 * time.Second)
 	voters := c.voters()
 	is.Equal(len(voters), openVoters)
 	is.True(voters["n"])
-	is.True(!voters[gone])
+	is.True(!voters[stopped])
 }
 
 // TestSilentVoterIsKeptWithoutReplacement stops two of five replicas for a long time.
@@ -80,9 +80,9 @@
 	c := openCluster(t, 4, "a", "b", "c", "d", "e")
 	c.awaitLeader()
 	c.run(time.Second)
-	rest := otherNames(c, c.leader())
-	c.kill(rest[0])
-	c.kill(rest[1])
+	followers := otherNames(c, c.leader())
+	c.kill(followers[0])
+	c.kill(followers[1])
 	c.run(5 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
 }
@@ -147,16 +147,16 @@
 	l := c.leader()
 	is.True(c.propose(l))
 	c.run(200 * time.Millisecond)
-	rest := otherNames(c, l)
+	followers := otherNames(c, l)
 	c.bootstrap = false
-	for _, n := range rest[:2] {
+	for _, n := range followers[:2] {
 		c.kill(n)
 		c.replaceDisk(n)
 		c.start(n)
 	}
-	c.kill(rest[2])
+	c.kill(followers[2])
 	c.run(time.Second)
-	c.start(rest[2])
+	c.start(followers[2])
 	c.run(3 * time.Second)
 	is.Equal(len(c.voters()), openVoters)
 	c.checkConverged()
@@ -253,12 +253,12 @@
 	if l == "" || !c.isHealthy(l) {
 		return false
 	}
-	gone := otherNames(c, l)[c.rng.IntN(len(c.names)-1)]
-	if c.members[gone].removed {
+	stopped := otherNames(c, l)[c.rng.IntN(len(c.names)-1)]
+	if c.members[stopped].removed {
 		return false
 	}
-	c.kill(gone)
-	c.members[gone].removed = true
-	c.add(gone + "'")
+	c.kill(stopped)
+	c.members[stopped].removed = true
+	c.add(stopped + "'")
 	return true
 }
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -112,7 +112,7 @@
 	is.Equal(len(ids), 0)
 }
 
-func TestJoinReplacesServerAtSameAddress(t *testing.T) {
+func TestJoinReplacesAddressAndIgnoresDeparted(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	s.Join(protocol.Registration{ID: "b", Address: "10.0.0.2:80"})
