--- a/state/config/errors.go
+++ b/state/config/errors.go
@@ -58,11 +58,11 @@
 }
 
 // DeltaGap rejects a delta that starts after the current revision.
-type DeltaGap struct{ Held, From uint64 }
+type DeltaGap struct{ Current, From uint64 }
 
 // Error names both revisions.
 func (e DeltaGap) Error() string {
-	return fmt.Sprintf("delta starts at revision %d, the current one is %d", e.From, e.Held)
+	return fmt.Sprintf("delta starts at revision %d, the current one is %d", e.From, e.Current)
 }
 
 // mistakes collects the results of validation.
--- a/state/config/store.go
+++ b/state/config/store.go
@@ -62,7 +62,7 @@
 // no change is skipped.
 func (c Config) ApplyDelta(d Delta) (Config, error) {
 	if d.From > c.revision {
-		return c, DeltaGap{Held: c.revision, From: d.From}
+		return c, DeltaGap{Current: c.revision, From: d.From}
 	}
 	skip := c.revision - d.From
 	if skip >= uint64(len(d.Steps)) {
