--- a/coordination/consensus/doc.go
+++ b/coordination/consensus/doc.go
@@ -23,9 +23,9 @@
 //   - A replica ignores vote requests for an election timeout after a leader's
 //     message. It drops the request instead of rejecting it, so that it does not
 //     adopt the candidate's term: a replica that was partitioned does not depose the
-//     leader when it returns (TestReturningLeaderDoesNotDeposeSuccessor). A replica that starts
-//     behaves as if it had just received a leader's message, because it may have
-//     received one before the crash (TestRestartedReplicaRespectsLease). A
+//     leader when it returns (TestReturningLeaderDoesNotDeposeSuccessor). A replica
+//     that starts behaves as if it had just received a leader's message, because it
+//     may have received one before the crash (TestRestartedReplicaRespectsLease). A
 //     pre-candidate therefore repeats its request after a quarter to a half of an
 //     election timeout (TestStaggeredRestartElectsLeaderSoon).
 //   - The leader's lease relies on that rule. The leader stamps its messages with
--- a/coordination/consensus/membership.go
+++ b/coordination/consensus/membership.go
@@ -149,14 +149,14 @@
 // an election timeout.
 func (r *Replica) promotable(p protocol.Peer) bool {
 	pr := r.peers[p]
-	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.acked <= r.cfg.ElectionTimeout
+	return pr.outgoing == nil && pr.match >= r.commit && r.now-pr.ackedSendTime <= r.cfg.ElectionTimeout
 }
 
 // firstSilent returns the first peer without a reply for longer than limit, or the
 // zero peer.
 func (r *Replica) firstSilent(peers []protocol.Peer, limit time.Duration) protocol.Peer {
 	for _, p := range peers {
-		if p != r.cfg.Self && r.now-r.peers[p].acked > limit {
+		if p != r.cfg.Self && r.now-r.peers[p].ackedSendTime > limit {
 			return p
 		}
 	}
--- a/coordination/consensus/replica.go
+++ b/coordination/consensus/replica.go
@@ -246,7 +246,7 @@
 	}
 	if self := r.peers[r.cfg.Self]; self != nil {
 		self.match = r.firstUnwritten - 1
-		self.acked = r.now
+		self.ackedSendTime = r.now
 	}
 	r.advanceCommit()
 }
--- a/coordination/consensus/replicate.go
+++ b/coordination/consensus/replicate.go
@@ -20,7 +20,7 @@
 	probing       bool          // next is an estimate: at most one message is in flight
 	probeInFlight bool          // a probe awaits its reply
 	inflight      int           // appends without a reply
-	acked         time.Duration // send time, on the leader's clock, of the newest message with a reply
+	ackedSendTime time.Duration // send time, on the leader's clock, of the newest message with a reply
 	sentAt        time.Duration // time of the last message
 	roundTrip     time.Duration // round-trip time of the newest reply
 	syncTime      time.Duration // time to make entries durable, as last reported
@@ -43,7 +43,7 @@
 	all := slices.Concat(m.Voters, m.Learners)
 	for _, p := range all {
 		if r.peers[p] == nil {
-			r.peers[p] = &progress{next: r.log.lastIndex() + 1, probing: true, acked: r.now}
+			r.peers[p] = &progress{next: r.log.lastIndex() + 1, probing: true, ackedSendTime: r.now}
 		}
 	}
 	maps.DeleteFunc(r.peers, func(p protocol.Peer, _ *progress) bool { return !slices.Contains(all, p) })
@@ -219,7 +219,7 @@
 	if r.role != Leader || pr == nil {
 		return
 	}
-	pr.acked = max(pr.acked, time.Duration(m.Sent))
+	pr.ackedSendTime = max(pr.ackedSendTime, time.Duration(m.Sent))
 	pr.roundTrip = r.now - time.Duration(m.Sent)
 	pr.syncTime = time.Duration(m.Sync)
 	if m.Reject {
@@ -253,7 +253,7 @@
 	if r.role != Leader || pr == nil {
 		return false, 0
 	}
-	return pr.match >= r.log.lastIndex() && r.now-pr.acked <= r.cfg.ElectionTimeout/2, pr.syncTime
+	return pr.match >= r.log.lastIndex() && r.now-pr.ackedSendTime <= r.cfg.ElectionTimeout/2, pr.syncTime
 }
 
 // backtrack moves next back to where the follower's log may match.
@@ -300,7 +300,7 @@
 		if p == r.cfg.Self {
 			return r.now
 		}
-		return r.peers[p].acked
+		return r.peers[p].ackedSendTime
 	})
 }
 
--- a/coordination/consensus/transfer.go
+++ b/coordination/consensus/transfer.go
@@ -98,7 +98,7 @@
 	if r.role != Leader || pr == nil || pr.outgoing == nil || pr.outgoing.snapshot.Index != m.Index {
 		return
 	}
-	pr.acked = max(pr.acked, time.Duration(m.Sent))
+	pr.ackedSendTime = max(pr.ackedSendTime, time.Duration(m.Sent))
 	pr.outgoing.offset = min(m.Offset, uint64(len(pr.outgoing.snapshot.Data)))
 	r.sendChunk(m.From, pr)
 }
@@ -132,8 +132,8 @@
 // messages of the same time, holds more of the log.
 func (r *Replica) isBetterSuccessor(p, q protocol.Peer) bool {
 	a, b := r.peers[p], r.peers[q]
-	if a.acked != b.acked {
-		return a.acked > b.acked
+	if a.ackedSendTime != b.ackedSendTime {
+		return a.ackedSendTime > b.ackedSendTime
 	}
 	return a.match > b.match
 }
--- a/state/document/document_test.go
+++ b/state/document/document_test.go
@@ -76,7 +76,7 @@
 	is.Equal(len(invalid.Mistakes), 3)
 }
 
-func TestHighestNumberWins(t *testing.T) {
+func TestDocumentWithHighestNumberIsInForce(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	_, ok := s.Current()
--- a/state/document/hall_test.go
+++ b/state/document/hall_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-func TestChangeHall(t *testing.T) {
+func TestChangeHallIgnoresStaleChanges(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	is.True(!s.ChangeHall(HallChange{Hall: "a"})) // already in service
--- a/state/document/rollout_test.go
+++ b/state/document/rollout_test.go
@@ -25,7 +25,7 @@
 	return RolloutChange{Pool: "p", Target: target, State: state, After: after, Elapsed: elapsed}
 }
 
-func TestChangeRollout(t *testing.T) {
+func TestChangeRolloutIgnoresStaleAndInvalidChanges(t *testing.T) {
 	is := is.New(t)
 	var s Store
 	_, known := s.Rollout("p")
