--- a/directory/crashes_fixture_test.go
+++ b/directory/crashes_fixture_test.go
@@ -177,7 +177,7 @@
 }
 
 // Send implements gateway.Transport.
-func (m *crashingServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (m *crashingServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	if !sleep.For(ctx, networkLatency) {
 		return nil, forward.NotRun{Server: at, Err: ctx.Err()}
 	}
@@ -200,7 +200,7 @@
 			return nil, forward.Unknown{Server: at, Err: err}
 		}
 	}
-	return &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: -1, Body: body}, nil
+	return &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: -1, Body: body}, nil
 }
 
 // crashingBody is an answer's body, which can be read when the run is over.
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -63,8 +63,8 @@
 
 func (scriptedServer) Refuses(context.Context, string) bool { return false }
 
-func (scriptedServer) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
-	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
+func (scriptedServer) Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error) {
+	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	switch call.Header.Get("Id") {
 	case "hangs":
 		<-ctx.Done()
--- a/directory/rollout_cold_test.go
+++ b/directory/rollout_cold_test.go
@@ -37,7 +37,7 @@
 	return max(coldTime-time.Since(c.orderedAt), 0)
 }
 
-func (c *coldServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (c *coldServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	cold := false
 	for n := 4; n <= 9; n++ {
 		cold = cold || at == serverAddress(fmt.Sprint("b", n)) && c.coldLeft(n) > 0
--- a/directory/rollout_fixture_test.go
+++ b/directory/rollout_fixture_test.go
@@ -115,7 +115,7 @@
 	return countedServers{versionedServers: v, arrivalLog: &arrivals{at: map[string][]time.Time{}}}
 }
 
-func (c countedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (c countedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	c.arrivalLog.record(at)
 	return c.versionedServers.Send(ctx, at, call)
 }
--- a/directory/rollout_flood_test.go
+++ b/directory/rollout_flood_test.go
@@ -64,7 +64,7 @@
 	served    map[string]int       // of those, answered in time
 }
 
-func (e *enginePool) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (e *enginePool) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	fails := e.recordArrival(at)
 	e.mu.Lock()
 	now := time.Now()
@@ -78,7 +78,7 @@
 	if !sleep.For(ctx, until.Sub(now)) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
-	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
+	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
 		answer.Status = 500
 	}
--- a/directory/rollout_homes_test.go
+++ b/directory/rollout_homes_test.go
@@ -28,7 +28,7 @@
 	failed map[string]int // by route; guarded by mu of versionedServers
 }
 
-func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (h routeServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	h.arrivalLog.record(call.Header.Get("Id") + at)
 	return h.regionView.Send(ctx, at, call)
 }
--- a/directory/rollout_regions_test.go
+++ b/directory/rollout_regions_test.go
@@ -37,7 +37,7 @@
 	region string
 }
 
-func (f regionView) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (f regionView) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	f.arrivalLog.record(f.region + at)
 	for n, hall := range f.halls {
 		if f.cut.Load() && at == serverAddress(fmt.Sprint("b", n)) && hall != f.region {
--- a/directory/versioned_fixture_test.go
+++ b/directory/versioned_fixture_test.go
@@ -79,7 +79,7 @@
 
 var firstTargetAddress = serverAddress("b4")
 
-func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Answer, error) {
+func (v *versionedServers) Send(ctx context.Context, at string, call forward.Call) (*forward.Response, error) {
 	fails := v.recordArrival(at)
 	if v.isUnreachable(at) {
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
@@ -87,7 +87,7 @@
 	if !sleep.For(ctx, 20*time.Millisecond) {
 		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
 	}
-	answer := &forward.Answer{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
+	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
 		answer.Status = 500
 		v.recordBadAnswer()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -95,7 +95,7 @@
 
 // checkAndRelay relays an answer after checking that it belongs to this request and, if it is a
 // success, that it carries the server's signature.
-func (c *call) checkAndRelay(ctx context.Context, a *assignment, answer *forward.Answer, head AnswerHead) outcome {
+func (c *call) checkAndRelay(ctx context.Context, a *assignment, answer *forward.Response, head AnswerHead) outcome {
 	if head.ID != c.head.ID {
 		return outcome{execution: retry.MayHaveRun, cause: "crossed answer", verdict: outlier.Faulty, err: errCrossed}
 	}
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -22,7 +22,7 @@
 
 // refusesWithBackoff refuses every call, asks for backoff, and counts the calls.
 func refusesWithBackoff(backoff time.Duration, calls *atomic.Int64) behaviour {
-	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		calls.Add(1)
 		h := http.Header{"Id": call.Header["Id"], "Backoff": {backoff.String()}}
 		return nil, forward.NotRun{Refused: true, Status: http.StatusServiceUnavailable, Header: h, Err: io.EOF}
@@ -108,7 +108,7 @@
 		is := is.New(x.t)
 		var calls atomic.Int64
 		refusal := refusesWithBackoff(3*time.Second, &calls)
-		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			time.Sleep(100 * time.Millisecond)
 			return refusal(ctx, call)
 		})
@@ -155,7 +155,7 @@
 		is := is.New(x.t)
 		var calls, sent atomic.Int64
 		refusal := refusesWithBackoff(3*time.Second, &calls)
-		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			if sent.Add(1) == 1 {
 				return refusal(ctx, call)
 			}
@@ -230,11 +230,11 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var calls atomic.Int64
-		x.announceServers("plain", func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announceServers("plain", func(_ context.Context, call forward.Call) (*forward.Response, error) {
 			calls.Add(1)
 			h := answerHeader(call)
 			h.Set("Backoff", "3s")
-			return &forward.Answer{Status: 503, Header: h, Length: 0, Body: http.NoBody}, nil
+			return &forward.Response{Status: 503, Header: h, Length: 0, Body: http.NoBody}, nil
 		}, answers(200, "ok", time.Millisecond))
 		for range 40 {
 			x.request("/again/1", "Patience", "2000")
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -73,7 +73,7 @@
 func (testHeaders) AnswerHeader(from http.Header) http.Header { return from.Clone() }
 
 // behaviour is a backend server's handling of a call.
-type behaviour func(ctx context.Context, call forward.Call) (*forward.Answer, error)
+type behaviour func(ctx context.Context, call forward.Call) (*forward.Response, error)
 
 // fakeServers implements [Transport] with behaviours and records the calls.
 type fakeServers struct {
@@ -83,7 +83,7 @@
 	dropped    []string // addresses whose idle connections were closed
 }
 
-func (f *fakeServers) Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error) {
+func (f *fakeServers) Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error) {
 	f.mu.Lock()
 	f.arrivals = append(f.arrivals, call)
 	does := f.behaviours[address]
@@ -122,11 +122,11 @@
 
 // answers returns an answer with a body after a delay.
 func answers(status int, body string, after time.Duration) behaviour {
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		if !sleep.For(ctx, after) {
 			return nil, forward.Unknown{Err: ctx.Err()}
 		}
-		return &forward.Answer{
+		return &forward.Response{
 			Status: status, Header: answerHeader(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
 		}, nil
 	}
@@ -134,18 +134,18 @@
 
 // fails fails every call with the same error.
 func fails(err error) behaviour {
-	return func(context.Context, forward.Call) (*forward.Answer, error) { return nil, err }
+	return func(context.Context, forward.Call) (*forward.Response, error) { return nil, err }
 }
 
 // hangs accepts the call and never answers.
-func hangs(ctx context.Context, _ forward.Call) (*forward.Answer, error) {
+func hangs(ctx context.Context, _ forward.Call) (*forward.Response, error) {
 	<-ctx.Done()
 	return nil, forward.Unknown{Err: ctx.Err()}
 }
 
 // refuses refuses every call as not run.
 func refuses(status int) behaviour {
-	return func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		h := http.Header{"Id": call.Header["Id"], "Not-Run": {"1"}}
 		return nil, forward.NotRun{Refused: true, Status: status, Header: h, Err: io.EOF}
 	}
@@ -160,8 +160,8 @@
 
 // streams answers with a stream of pieces.
 func streams(pieces ...piece) behaviour {
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
-		return &forward.Answer{
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
+		return &forward.Response{
 			Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: &pieceReader{ctx: ctx, pieces: pieces},
 		}, nil
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,7 +28,7 @@
 
 // Transport sends calls to backend servers. [forward.Client] implements it.
 type Transport interface {
-	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
+	Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error)
 	// DropIdle closes the idle connections to an address.
 	DropIdle(address string)
 	// DropAllIdle closes the idle connections to all addresses.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -30,19 +30,19 @@
 	unreachable := fails(forward.NotRun{Err: errReset})
 	lostAnswer := fails(forward.Unknown{Err: errReset})
 	ok := answers(200, "fine", 0)
-	crossed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+	crossed := func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		h := answerHeader(call)
 		h.Set("Id", "another")
-		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
+		return &forward.Response{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
-	unsealed := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+	unsealed := func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		h := answerHeader(call)
 		h.Del("Sealed")
-		return &forward.Answer{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
+		return &forward.Response{Status: 200, Header: h, Length: 4, Body: io.NopCloser(strings.NewReader("evil"))}, nil
 	}
-	cutOff := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+	cutOff := func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		body := &pieceReader{ctx: context.Background(), pieces: []piece{{text: "fi", err: io.ErrUnexpectedEOF}}}
-		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: 4, Body: body}, nil
+		return &forward.Response{Status: 200, Header: answerHeader(call), Length: 4, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		name       string
@@ -96,7 +96,7 @@
 func (x *fixture) announceInOrder(behaviours []behaviour) {
 	var mu sync.Mutex
 	next := 0
-	each := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	each := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		mu.Lock()
 		d := behaviours[min(next, len(behaviours)-1)]
 		next++
@@ -225,7 +225,7 @@
 		ctx, cancel := context.WithTimeout(x.t.Context(), 300*time.Millisecond)
 		defer cancel()
 		var stoppedAt time.Time
-		x.servers.behaviours["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.servers.behaviours["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			defer func() { stoppedAt = time.Now() }()
 			return hangs(ctx, call)
 		}
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -144,7 +144,7 @@
 		is.Equal([]int{running.status, waiting.status}, []int{200, 200})
 		is.Equal(x.arrivalsIn("s1"), 1)
 
-		x.announce("plain", 1, func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(_ context.Context, call forward.Call) (*forward.Response, error) {
 			x.g.apply(homesDocument(x.g.DocumentNumber()+1, []string{"north"}, nil))
 			return nil, forward.NotRun{Err: io.EOF}
 		}, "s1")
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -23,7 +23,7 @@
 // leaving wraps a behaviour, announces in each answer that the server is leaving, and counts the
 // calls.
 func leaving(inner behaviour, calls *atomic.Int64) behaviour {
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		calls.Add(1)
 		answer, err := inner(ctx, call)
 		if answer != nil {
@@ -214,7 +214,7 @@
 // leavingFirst is like leaving, but only the first of the counted calls announces it.
 func leavingFirst(inner behaviour, calls *atomic.Int64) behaviour {
 	leaves := leaving(inner, calls)
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		if calls.Load() == 0 {
 			return leaves(ctx, call)
 		}
--- a/gateway/queue_test.go
+++ b/gateway/queue_test.go
@@ -29,7 +29,7 @@
 		x.g.apply(d)
 		var mu sync.Mutex
 		var order []string
-		x.servers.behaviours["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.servers.behaviours["10.0.5.0:80"] = func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			mu.Lock()
 			order = append(order, call.Header.Get("Id"))
 			mu.Unlock()
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -75,7 +75,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		ago, late := time.Minute, time.Duration(0)
-		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			time.Sleep(10 * time.Millisecond)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			a.Opened = time.Now().Add(-ago)
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -333,7 +333,7 @@
 		is := is.New(x.t)
 		x.joinNorthRegion()
 		opening := 40 * time.Millisecond
-		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			time.Sleep(opening)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			if a != nil {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -50,7 +50,7 @@
 
 // relayPlain handles a plain answer. A success is written to the caller once it is whole; a failure
 // is held in case another backend server succeeds.
-func (r *relay) relayPlain(a *assignment, answer *forward.Answer) outcome {
+func (r *relay) relayPlain(a *assignment, answer *forward.Response) outcome {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxHeldAnswer))
 	if err != nil {
 		return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
@@ -69,7 +69,7 @@
 }
 
 // relayLarge passes on an answer that is too large to be held.
-func (r *relay) relayLarge(answer *forward.Answer, head *heldAnswer) outcome {
+func (r *relay) relayLarge(answer *forward.Response, head *heldAnswer) outcome {
 	r.writeHead(head.status, head.header, answer.Length)
 	_, err := io.Copy(callerWriter{r.c.w}, io.MultiReader(bytes.NewReader(head.body), answer.Body))
 	switch {
@@ -135,7 +135,7 @@
 }
 
 // relayStream passes on the events of a stream, each as soon as it is whole.
-func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Answer) outcome {
+func (r *relay) relayStream(ctx context.Context, a *assignment, answer *forward.Response) outcome {
 	r.partial = r.partial[:0]
 	buffer := make([]byte, readSize)
 	flusher := http.NewResponseController(r.c.w)
@@ -165,7 +165,7 @@
 
 // relayChunk handles the bytes of one read. The first ones of an attempt count as the first part of
 // its answer; the first ones of the call are preceded by the response head.
-func (r *relay) relayChunk(a *assignment, answer *forward.Answer, chunk []byte, flusher *http.ResponseController) error {
+func (r *relay) relayChunk(a *assignment, answer *forward.Response, chunk []byte, flusher *http.ResponseController) error {
 	r.c.stall.progressed()
 	if !a.answering {
 		r.c.g.recordFirstPart(a, r.c.pool.Engine)
@@ -178,7 +178,7 @@
 }
 
 // finishStream handles the end of a stream's body.
-func (r *relay) finishStream(answer *forward.Answer, flusher *http.ResponseController) outcome {
+func (r *relay) finishStream(answer *forward.Response, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
 			return callerGone(err)
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -87,7 +87,7 @@
 
 // cutOff returns a behaviour that answers like another one, except that the body breaks at its end.
 func cutOff(behave behaviour) behaviour {
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		a, err := behave(ctx, call)
 		if err == nil {
 			a.Body = io.NopCloser(io.MultiReader(a.Body, iotest.ErrReader(errReset)))
@@ -97,7 +97,7 @@
 }
 
 // endlessEvent streams an event that is larger than the limit and never ends.
-func endlessEvent(_ context.Context, call forward.Call) (*forward.Answer, error) {
+func endlessEvent(_ context.Context, call forward.Call) (*forward.Response, error) {
 	body := io.NopCloser(strings.NewReader(strings.Repeat("x", 2*maxEvent)))
-	return &forward.Answer{Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: body}, nil
+	return &forward.Response{Status: http.StatusOK, Header: answerHeader(call), Length: -1, Body: body}, nil
 }
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -287,7 +287,7 @@
 // TestAttemptsAtOnlyServerAreLimited checks that the attempts at a single dead address are limited,
 // however long the caller waits.
 func TestAttemptsAtOnlyServerAreLimited(t *testing.T) {
-	refusing := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	refusing := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		time.Sleep(time.Millisecond)
 		return nil, forward.NotRun{Err: errReset}
 	}
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -27,7 +27,7 @@
 // resuming returns a behaviour that streams events up to last, starting after the one that the call
 // names. If breakAfter is not 0, the stream breaks in the middle of the event after that one.
 func resuming(last, breakAfter int, brokenAnswer error) behaviour {
-	return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		from, _ := strconv.Atoi(call.Header.Get("After"))
 		var pieces []piece
 		for id := from + 1; id <= last; id++ {
@@ -139,7 +139,7 @@
 // TestStalledStreamIsResumedElsewhere checks that a stream is resumed elsewhere if its backend
 // server stalls without closing the connection.
 func TestStalledStreamIsResumedElsewhere(t *testing.T) {
-	silent := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	silent := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		return streams(piece{text: event(1)}, piece{text: event(2), after: time.Hour})(ctx, call)
 	}
 	withGateway(t, func(x *fixture) {
@@ -161,7 +161,7 @@
 		is.Equal(got.body, wholeStream(2))
 		is.True(!got.cut)
 	}, pausing)
-	resumed := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	resumed := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		return streams(piece{text: event(2)}, piece{text: event(3), after: 1500 * time.Millisecond})(ctx, call)
 	}
 	withGateway(t, func(x *fixture) {
@@ -175,7 +175,7 @@
 
 // TestRouteTimeoutCutsOffStream checks that a stream that exceeds its route's timeout is cut off.
 func TestRouteTimeoutCutsOffStream(t *testing.T) {
-	endless := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	endless := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		return resuming(1000, 0, nil)(ctx, call)
 	}
 	withGateway(t, func(x *fixture) {
@@ -256,12 +256,12 @@
 // another one, but not by a gateway that is delayed itself and may not have read what has arrived.
 func TestDelayedGatewayDoesNotAbandonSlowServer(t *testing.T) {
 	const begins = 1500 * time.Millisecond // longer than the stall timeout
-	slow := func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+	slow := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		if !sleep.For(ctx, begins) {
 			return nil, forward.Unknown{Err: ctx.Err()}
 		}
 		body := &timedBody{startedAt: time.Now(), interval: 10 * time.Millisecond, last: 20}
-		return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
+		return &forward.Response{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 	}
 	for _, tt := range []struct {
 		level    time.Duration
@@ -285,9 +285,9 @@
 func TestOverloadedGatewayCoalescesEvents(t *testing.T) {
 	for _, pressed := range []bool{false, true} {
 		var body *timedBody
-		behave := func(_ context.Context, call forward.Call) (*forward.Answer, error) {
+		behave := func(_ context.Context, call forward.Call) (*forward.Response, error) {
 			body = &timedBody{startedAt: time.Now(), interval: 10 * time.Millisecond, last: 40}
-			return &forward.Answer{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
+			return &forward.Response{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
 		}
 		withGateway(t, func(x *fixture) {
 			is := is.New(x.t)
@@ -344,7 +344,7 @@
 	var x *fixture
 	openedAt, silent := time.Time{}, false
 	onKeptConn := func(behave behaviour) behaviour {
-		return func(ctx context.Context, call forward.Call) (*forward.Answer, error) {
+		return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			if silent {
 				<-ctx.Done()
 				return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
@@ -395,7 +395,7 @@
 		is.Equal(got.status, 504)
 		is.Equal(x.servers.dropped, []string{"10.0.5.0:80"})
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
-	}, func(ctx context.Context, _ forward.Call) (*forward.Answer, error) {
+	}, func(ctx context.Context, _ forward.Call) (*forward.Response, error) {
 		<-ctx.Done()
 		return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
 	})
--- a/router/relay.go
+++ b/router/relay.go
@@ -37,7 +37,7 @@
 	server    string // address
 	call      *call
 	pool      *lockedPool
-	answer    *forward.Answer
+	answer    *forward.Response
 	startedAt time.Duration
 
 	scan             *streamScan // scanner of an event stream; nil for any other answer
--- a/router/router.go
+++ b/router/router.go
@@ -27,7 +27,7 @@
 
 // Transport sends calls to backend servers. [forward.Client] implements it.
 type Transport interface {
-	Send(ctx context.Context, address string, call forward.Call) (*forward.Answer, error)
+	Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error)
 }
 
 var _ Transport = (*forward.Client)(nil)
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -207,7 +207,7 @@
 	}
 	for _, tt := range tests {
 		is := is.New(t)
-		a := forward.Answer{Header: http.Header{forward.LoadHeader: {tt.header}}}
+		a := forward.Response{Header: http.Header{forward.LoadHeader: {tt.header}}}
 		running, waiting, ok := a.Load()
 		is.Equal(ok, tt.ok)
 		if ok {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -13,7 +13,7 @@
 //
 // The package owns the pool of idle connections. After the dial, only the
 // caller's context and [Settings.HeaderTimeout] limit how long a call takes. The
-// caller must close [Answer.Body]. A Client has one lock, a leaf, that guards its
+// caller must close [Response.Body]. A Client has one lock, a leaf, that guards its
 // list of open connections.
 //
 // The standard library's transport retries a request by itself when a reused
@@ -68,7 +68,7 @@
 
 // Load returns the two numbers in LoadHeader, and false if the header is missing or
 // malformed.
-func (a *Answer) Load() (running, waiting int, ok bool) {
+func (a *Response) Load() (running, waiting int, ok bool) {
 	r, w, found := strings.Cut(a.Header.Get(LoadHeader), "/")
 	if !found {
 		return 0, 0, false
@@ -95,8 +95,8 @@
 	return longest, malformed
 }
 
-// Answer is a server's response. The caller must close Body.
-type Answer struct {
+// Response is a server's response. The caller must close Body.
+type Response struct {
 	Status int
 	Header http.Header
 	Length int64 // of the body in bytes, -1 if unknown
@@ -230,7 +230,7 @@
 // Send sends a call to the server at address and returns once the response header
 // has arrived. Cancelling ctx aborts the call, including the reading of its body. The
 // error is a [NotRun] or an [Unknown].
-func (c *Client) Send(ctx context.Context, address string, call Call) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, address string, call Call) (*Response, error) {
 	trace := callTrace{unwanted: call.Unwanted}
 	req, err := newRequest(trace.attach(ctx), address, call)
 	if err != nil {
@@ -252,7 +252,7 @@
 			Err: errors.Errorf("status %d", resp.StatusCode),
 		}
 	}
-	return &Answer{
+	return &Response{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body, Opened: trace.connOpenedAt(),
 	}, nil
 }
