--- a/directory/crashes_fixture_test.go
+++ b/directory/crashes_fixture_test.go
@@ -189,7 +189,7 @@
 	if strings.HasPrefix(string(call.Body), "deadly") {
 		m.recordStart(string(call.Body))
 		if m.resets {
-			return nil, forward.Unknown{Server: at, Err: syscall.ECONNRESET}
+			return nil, forward.MayHaveRun{Server: at, Err: syscall.ECONNRESET}
 		}
 		run = time.Hour
 		time.AfterFunc(crashDelay, func() { m.crash(at) })
@@ -197,7 +197,7 @@
 	body := &crashingBody{ctx: ctx, done: time.After(run), ended: p.ended}
 	if !m.streams {
 		if err := body.wait(); err != nil {
-			return nil, forward.Unknown{Server: at, Err: err}
+			return nil, forward.MayHaveRun{Server: at, Err: err}
 		}
 	}
 	return &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: -1, Body: body}, nil
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -68,9 +68,9 @@
 	switch call.Header.Get("Id") {
 	case "hangs":
 		<-ctx.Done()
-		return nil, forward.Unknown{Server: address, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Server: address, Err: ctx.Err()}
 	case "lost":
-		return nil, forward.Unknown{Server: address, Err: io.ErrUnexpectedEOF}
+		return nil, forward.MayHaveRun{Server: address, Err: io.ErrUnexpectedEOF}
 	case "refused":
 		return nil, forward.NotRun{Server: address, Refused: true, Status: 503, Header: answer.Header, Err: io.EOF}
 	case "unreachable":
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -44,7 +44,7 @@
 func (a *arrivals) Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error) {
 	a.record(address)
 	if !sleep.For(ctx, 20*time.Millisecond) {
-		return nil, forward.Unknown{Server: address, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Server: address, Err: ctx.Err()}
 	}
 	return &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}, nil
 }
--- a/directory/rollout_cold_test.go
+++ b/directory/rollout_cold_test.go
@@ -48,7 +48,7 @@
 	c.arrivalLog.record(at)
 	_, lately := c.arrivalLog.countSince(at, time.Now().Add(-time.Second))
 	if !sleep.For(ctx, 80*time.Millisecond) {
-		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Server: at, Err: ctx.Err()}
 	}
 	answer, err := c.versionedServers.Send(ctx, at, call)
 	if lately > coldRate && err == nil {
--- a/directory/rollout_flood_test.go
+++ b/directory/rollout_flood_test.go
@@ -76,7 +76,7 @@
 	e.busyUntil[at] = until
 	e.mu.Unlock()
 	if !sleep.For(ctx, until.Sub(now)) {
-		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Server: at, Err: ctx.Err()}
 	}
 	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
--- a/directory/versioned_fixture_test.go
+++ b/directory/versioned_fixture_test.go
@@ -85,7 +85,7 @@
 		return nil, forward.NotRun{Server: at, Err: io.ErrClosedPipe}
 	}
 	if !sleep.For(ctx, 20*time.Millisecond) {
-		return nil, forward.Unknown{Server: at, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Server: at, Err: ctx.Err()}
 	}
 	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
 	if fails {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -121,7 +121,7 @@
 
 // handleSendError returns the outcome of an attempt for which Send returned an error.
 func (c *call) handleSendError(a *assignment, err error) outcome {
-	var unknown forward.Unknown
+	var unknown forward.MayHaveRun
 	if errors.As(err, &unknown) {
 		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
 	}
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -45,7 +45,7 @@
 		{"first attempts of streams on engines", "engines", "/engine/1", whole},
 		{"retry after a failure", "plain", "/again/1", answers(500, "broken", time.Millisecond)},
 		{"retry after a refusal", "plain", "/once/1", refuses(503)},
-		{"retry after a lost answer", "engines", "/engine/1", fails(forward.Unknown{Err: errReset})},
+		{"retry after a lost answer", "engines", "/engine/1", fails(forward.MayHaveRun{Err: errReset})},
 		{"resumed stream", "plain", "/resume/1", streams(piece{event(1), 0, errReset})},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 			withGateway(t, func(x *fixture) {
 				is := is.New(x.t)
 				var calls atomic.Int64
-				x.announceServers("plain", fails(forward.Unknown{Err: errReset}), refusesWithBackoff(backoff, &calls))
+				x.announceServers("plain", fails(forward.MayHaveRun{Err: errReset}), refusesWithBackoff(backoff, &calls))
 				for calls.Load() == 0 {
 					x.request("/once/1", "Patience", "2000")
 				}
--- a/gateway/enddetector_test.go
+++ b/gateway/enddetector_test.go
@@ -15,7 +15,7 @@
 // This file tests how the gateway distinguishes the end of a server from a broken connection.
 
 // breaksConnection is a server that breaks each connection after the request has been sent.
-var breaksConnection = fails(forward.Unknown{Err: io.EOF})
+var breaksConnection = fails(forward.MayHaveRun{Err: io.EOF})
 
 // TestServerEndIsDetected checks that a server counts as ended if it breaks a connection and then
 // refuses new ones, but not if it accepts new ones.
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -124,7 +124,7 @@
 func answers(status int, body string, after time.Duration) behaviour {
 	return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		if !sleep.For(ctx, after) {
-			return nil, forward.Unknown{Err: ctx.Err()}
+			return nil, forward.MayHaveRun{Err: ctx.Err()}
 		}
 		return &forward.Response{
 			Status: status, Header: answerHeader(call), Length: int64(len(body)), Body: io.NopCloser(strings.NewReader(body)),
@@ -140,7 +140,7 @@
 // hangs accepts the call and never answers.
 func hangs(ctx context.Context, _ forward.Call) (*forward.Response, error) {
 	<-ctx.Done()
-	return nil, forward.Unknown{Err: ctx.Err()}
+	return nil, forward.MayHaveRun{Err: ctx.Err()}
 }
 
 // refuses refuses every call as not run.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -28,7 +28,7 @@
 // times the request arrived at a backend server.
 func TestResponsesToServerFailures(t *testing.T) {
 	unreachable := fails(forward.NotRun{Err: errReset})
-	lostAnswer := fails(forward.Unknown{Err: errReset})
+	lostAnswer := fails(forward.MayHaveRun{Err: errReset})
 	ok := answers(200, "fine", 0)
 	crossed := func(_ context.Context, call forward.Call) (*forward.Response, error) {
 		h := answerHeader(call)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -58,7 +58,7 @@
 		{"with a stream that breaks", "plain", "/resume/1", streams(piece{event(1), 0, errReset}), whole, true},
 		{"while the others fail", "plain", "/again/1", ok, answers(500, "broken", 0), true},
 		{"while streams of the others break", "plain", "/resume/1", whole, streams(piece{event(1), 0, errReset}), true},
-		{"while answers of the others are lost", "engines", "/engine/1", whole, fails(forward.Unknown{Err: errReset}), true},
+		{"while answers of the others are lost", "engines", "/engine/1", whole, fails(forward.MayHaveRun{Err: errReset}), true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			withGateway(t, func(x *fixture) {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -258,7 +258,7 @@
 	const begins = 1500 * time.Millisecond // longer than the stall timeout
 	slow := func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 		if !sleep.For(ctx, begins) {
-			return nil, forward.Unknown{Err: ctx.Err()}
+			return nil, forward.MayHaveRun{Err: ctx.Err()}
 		}
 		body := &timedBody{startedAt: time.Now(), interval: 10 * time.Millisecond, last: 20}
 		return &forward.Response{Status: 200, Header: answerHeader(call), Length: -1, Body: body}, nil
@@ -347,7 +347,7 @@
 		return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			if silent {
 				<-ctx.Done()
-				return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
+				return nil, forward.MayHaveRun{Opened: openedAt, Err: ctx.Err()}
 			}
 			return behave(ctx, call)
 		}
@@ -397,6 +397,6 @@
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	}, func(ctx context.Context, _ forward.Call) (*forward.Response, error) {
 		<-ctx.Done()
-		return nil, forward.Unknown{Opened: openedAt, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{Opened: openedAt, Err: ctx.Err()}
 	})
 }
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -72,7 +72,7 @@
 				a, err := c.Send(t.Context(), address, tt.call)
 				is.Equal(s.Runs("sheets"), tt.wantRuns)
 				is.Equal(errors.As(err, new(forward.NotRun)), tt.wantError == "not-run")
-				is.Equal(errors.As(err, new(forward.Unknown)), tt.wantError == "unknown")
+				is.Equal(errors.As(err, new(forward.MayHaveRun)), tt.wantError == "unknown")
 				if err != nil {
 					return
 				}
@@ -154,7 +154,7 @@
 				is.True(requests.Load() >= 1)
 				is.True(requests.Load() <= tt.maxRequests)
 				if tt.maxRequests == 1 {
-					is.True(errors.As(err, new(forward.Unknown))) // it may have run, and did
+					is.True(errors.As(err, new(forward.MayHaveRun))) // it may have run, and did
 				}
 			})
 		})
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -5,7 +5,7 @@
 // once and classifies a failure by whether the call may have run.
 //
 // [Client.Send] returns when the response header has arrived, with the body
-// still to be read, or fails with [NotRun] or [Unknown]. NotRun means that the
+// still to be read, or fails with [NotRun] or [MayHaveRun]. NotRun means that the
 // call never left this process (no connection could be opened, or no byte was
 // written to it) or that the server refused it before starting
 // ([Settings.Refused]). Every other failure is Unknown, even if it is unlikely
@@ -124,20 +124,20 @@
 // Unwrap returns the cause.
 func (e NotRun) Unwrap() error { return e.Err }
 
-// Unknown is the error of a call that may have run.
-type Unknown struct {
+// MayHaveRun is the error of a call that may have run.
+type MayHaveRun struct {
 	Server string    // address
 	Opened time.Time // when the connection was opened
 	Err    error
 }
 
 // Error names the server and the cause.
-func (e Unknown) Error() string {
+func (e MayHaveRun) Error() string {
 	return "connection to backend " + e.Server + " broke, the call may have run: " + e.Err.Error()
 }
 
 // Unwrap returns the cause.
-func (e Unknown) Unwrap() error { return e.Err }
+func (e MayHaveRun) Unwrap() error { return e.Err }
 
 // Silent reports whether an error of a call, or of reading its response body, means that
 // the connection timed out because the peer stopped acknowledging data.
@@ -229,7 +229,7 @@
 
 // Send sends a call to the server at address and returns once the response header
 // has arrived. Cancelling ctx aborts the call, including the reading of its body. The
-// error is a [NotRun] or an [Unknown].
+// error is a [NotRun] or an [MayHaveRun].
 func (c *Client) Send(ctx context.Context, address string, call Call) (*Response, error) {
 	trace := callTrace{unwanted: call.Unwanted}
 	req, err := newRequest(trace.attach(ctx), address, call)
@@ -239,7 +239,7 @@
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
 		if trace.mayHaveSent() {
-			return nil, Unknown{Server: address, Opened: trace.connOpenedAt(), Err: err}
+			return nil, MayHaveRun{Server: address, Opened: trace.connOpenedAt(), Err: err}
 		}
 		return nil, NotRun{Server: address, Err: err}
 	}
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -105,7 +105,7 @@
 				a.Body.Close()
 				time.Sleep(time.Second)
 				_, err = c.Send(t.Context(), address, call)
-				is.True(errors.As(err, new(forward.Unknown))) // it may have run
+				is.True(errors.As(err, new(forward.MayHaveRun))) // it may have run
 				time.Sleep(time.Second)
 				is.Equal(*requests, 2)
 			})
@@ -219,7 +219,7 @@
 		before := time.Now()
 		time.Sleep(time.Second)
 		n.Silence()
-		var unknown forward.Unknown
+		var unknown forward.MayHaveRun
 		is.True(errors.As(call(time.Second), &unknown)) // it may have run
 		is.True(unknown.Opened.Before(before))
 		go func() { is.NoErr(call(time.Second)) }()
