--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -161,7 +161,7 @@
 			}
 			time.Sleep(50 * time.Millisecond) // time to open a connection
 			if call.Unwanted() {
-				return nil, forward.NotRun{Err: errors.WithStack(forward.ErrUnwanted)}
+				return nil, forward.NotRun{Err: errors.WithStack(forward.ErrAbandoned)}
 			}
 			calls.Add(1)
 			return refusal(ctx, call)
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -28,18 +28,18 @@
 	unwanted atomic.Pointer[func() bool]
 }
 
-// ErrUnwanted is the error of a call that was abandoned before it was sent.
-var ErrUnwanted = errors.New("call abandoned before it was sent")
+// ErrAbandoned is the error of a call that was abandoned before it was sent.
+var ErrAbandoned = errors.New("call abandoned before it was sent")
 
 // Unwanted reports whether a call failed because it was abandoned before it was sent.
-func Unwanted(err error) bool { return errors.Is(err, ErrUnwanted) }
+func Unwanted(err error) bool { return errors.Is(err, ErrAbandoned) }
 
 // Write implements [net.Conn]. The first write of an unwanted call fails. An earlier check
 // is not enough: the call then passes through further goroutines, and on a gateway that is
 // short of processor time it would be sent up to half a second after its caller had left.
 func (c *countingConn) Write(b []byte) (int, error) {
 	if unwanted := c.unwanted.Swap(nil); unwanted != nil && (*unwanted)() {
-		return 0, ErrUnwanted
+		return 0, ErrAbandoned
 	}
 	n, err := c.Conn.Write(b)
 	c.bytesWritten.Add(int64(n))
