--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -129,7 +129,7 @@
 	if !errors.As(err, &notRun) {
 		return outcome{execution: retry.MayHaveRun, cause: "lost", verdict: outlier.Lost, err: err}
 	}
-	if forward.Unwanted(notRun.Err) {
+	if forward.IsAbandoned(notRun.Err) {
 		return outcome{execution: retry.NotSent, cause: c.unwantedCause(), verdict: outlier.NoVerdict, err: err}
 	}
 	if !notRun.Refused {
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -31,8 +31,8 @@
 // ErrAbandoned is the error of a call that was abandoned before it was sent.
 var ErrAbandoned = errors.New("call abandoned before it was sent")
 
-// Unwanted reports whether a call failed because it was abandoned before it was sent.
-func Unwanted(err error) bool { return errors.Is(err, ErrAbandoned) }
+// IsAbandoned reports whether a call failed because it was abandoned before it was sent.
+func IsAbandoned(err error) bool { return errors.Is(err, ErrAbandoned) }
 
 // Write implements [net.Conn]. The first write of an unwanted call fails. An earlier check
 // is not enough: the call then passes through further goroutines, and on a gateway that is
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -255,7 +255,7 @@
 		for range 2 { // a new connection, then a reused one
 			var notRun forward.NotRun
 			err := send(true)
-			is.True(errors.As(err, &notRun) && !notRun.Refused && forward.Unwanted(err))
+			is.True(errors.As(err, &notRun) && !notRun.Refused && forward.IsAbandoned(err))
 			is.NoErr(send(false))
 		}
 		is.Equal(*requests, 2)
