--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -115,7 +115,7 @@
 	return forward.Call{
 		Method: c.r.Method, Path: c.r.RequestURI, Host: c.r.Host,
 		Header: c.g.cfg.Headers.ForwardHeader(c.r.Header, f), Body: c.body,
-		Unwanted: func() bool { return callerHasLeft(c.r.Context()) || !c.g.table.admits(a.serverID) },
+		Abandoned: func() bool { return callerHasLeft(c.r.Context()) || !c.g.table.admits(a.serverID) },
 	}
 }
 
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -160,7 +160,7 @@
 				return refusal(ctx, call)
 			}
 			time.Sleep(50 * time.Millisecond) // time to open a connection
-			if call.Unwanted() {
+			if call.Abandoned() {
 				return nil, forward.NotRun{Err: errors.WithStack(forward.ErrAbandoned)}
 			}
 			calls.Add(1)
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -52,9 +52,9 @@
 	Host   string // Host header; empty means the server's address
 	Header http.Header
 	Body   []byte
-	// Unwanted, if set, is called right before the first byte is written. If it returns
+	// Abandoned, if set, is called right before the first byte is written. If it returns
 	// true, nothing is sent and the call fails with a [NotRun] that wraps [ErrUnwanted].
-	Unwanted func() bool
+	Abandoned func() bool
 }
 
 // ResumeHeader is set by a server that can resume a response after its connection
@@ -231,7 +231,7 @@
 // has arrived. Cancelling ctx aborts the call, including the reading of its body. The
 // error is a [NotRun] or an [MayHaveRun].
 func (c *Client) Send(ctx context.Context, address string, call Call) (*Response, error) {
-	trace := callTrace{unwanted: call.Unwanted}
+	trace := callTrace{unwanted: call.Abandoned}
 	req, err := newRequest(trace.attach(ctx), address, call)
 	if err != nil {
 		return nil, NotRun{Server: address, Err: err}
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -244,7 +244,7 @@
 		requests := rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) { _, _ = io.WriteString(conn, fineAnswer) })
 		c := client(t, n)
 		send := func(unwanted bool) error {
-			a, err := c.Send(t.Context(), address, forward.Call{Method: "POST", Path: "/", Body: []byte("a body"), Unwanted: func() bool { return unwanted }})
+			a, err := c.Send(t.Context(), address, forward.Call{Method: "POST", Path: "/", Body: []byte("a body"), Abandoned: func() bool { return unwanted }})
 			if err == nil {
 				_, err = io.Copy(io.Discard, a.Body)
 				a.Body.Close()
