--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -44,7 +44,7 @@
 	c.stall = c.watchStall(cancel)
 	out := c.exchange(ctx, a)
 	answered := out.execution == retry.Answered
-	silent := c.stall.stop() || forward.Silent(out.err)
+	silent := c.stall.stop() || forward.IsConnTimeout(out.err)
 	if silent && !answered && c.r.Context().Err() == nil {
 		out.verdict, out.cause = c.g.silentVerdict(a), "silent"
 	} else if ctx.Err() != nil && !answered {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -139,9 +139,9 @@
 // Unwrap returns the cause.
 func (e MayHaveRun) Unwrap() error { return e.Err }
 
-// Silent reports whether an error of a call, or of reading its response body, means that
+// IsConnTimeout reports whether an error of a call, or of reading its response body, means that
 // the connection timed out because the peer stopped acknowledging data.
-func Silent(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
+func IsConnTimeout(err error) bool { return errors.Is(err, syscall.ETIMEDOUT) }
 
 // Dialer opens connections; *net.Dialer is one.
 type Dialer interface {
