--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -104,7 +104,7 @@
 func benchGatewayOf(b *testing.B, serverAddress string) (address string, g *Gateway) {
 	set := metrics.NewSet()
 	g = Start(b.Context(), Settings{
-		Identity: link.Identity{Name: "g"}, Headers: testHeaders{}, Transport: forward.New(forward.Settings{IdlePerServer: benchStream}),
+		Identity: link.Identity{Name: "g"}, Headers: testHeaders{}, Transport: forward.New(forward.Settings{MaxIdlePerServer: benchStream}),
 		Retries: retry.Limits{Window: time.Second}, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Metrics: set,
 		Log: decision.New(io.Discard, slog.LevelInfo, decision.DefaultBudget, set),
 	})
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -150,11 +150,11 @@
 
 // Settings configures a Client.
 type Settings struct {
-	Dialer        Dialer        // nil means a net.Dialer with defaultDialTimeout
-	HeaderTimeout time.Duration // limit on the wait for the response header; zero means none
-	IdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
-	IdleAll       int           // limit on idle connections to all servers; zero means none
-	IdleTime      time.Duration // after which an idle connection is closed; zero means defaultIdleTime
+	Dialer           Dialer        // nil means a net.Dialer with defaultDialTimeout
+	HeaderTimeout    time.Duration // limit on the wait for the response header; zero means none
+	MaxIdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
+	IdleAll          int           // limit on idle connections to all servers; zero means none
+	IdleTime         time.Duration // after which an idle connection is closed; zero means defaultIdleTime
 	// Refused reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
 	Refused func(status int, h http.Header) bool
@@ -196,7 +196,7 @@
 		DialContext:            dial,
 		ResponseHeaderTimeout:  cfg.HeaderTimeout,
 		MaxIdleConns:           cfg.IdleAll,
-		MaxIdleConnsPerHost:    max(cfg.IdlePerServer, minIdlePerServer),
+		MaxIdleConnsPerHost:    max(cfg.MaxIdlePerServer, minIdlePerServer),
 		IdleConnTimeout:        cfg.IdleTime,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHeader,
