--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -153,7 +153,7 @@
 	Dialer           Dialer        // nil means a net.Dialer with defaultDialTimeout
 	HeaderTimeout    time.Duration // limit on the wait for the response header; zero means none
 	MaxIdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
-	IdleAll          int           // limit on idle connections to all servers; zero means none
+	MaxIdle          int           // limit on idle connections to all servers; zero means none
 	IdleTime         time.Duration // after which an idle connection is closed; zero means defaultIdleTime
 	// Refused reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
@@ -195,7 +195,7 @@
 	return &Client{isRefusal: cfg.Refused, conns: conns, dial: dial, transport: &http.Transport{
 		DialContext:            dial,
 		ResponseHeaderTimeout:  cfg.HeaderTimeout,
-		MaxIdleConns:           cfg.IdleAll,
+		MaxIdleConns:           cfg.MaxIdle,
 		MaxIdleConnsPerHost:    max(cfg.MaxIdlePerServer, minIdlePerServer),
 		IdleConnTimeout:        cfg.IdleTime,
 		DisableCompression:     true,
