--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -154,7 +154,7 @@
 	HeaderTimeout    time.Duration // limit on the wait for the response header; zero means none
 	MaxIdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
 	MaxIdle          int           // limit on idle connections to all servers; zero means none
-	IdleTime         time.Duration // after which an idle connection is closed; zero means defaultIdleTime
+	IdleTimeout      time.Duration // after which an idle connection is closed; zero means defaultIdleTime
 	// Refused reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
 	Refused func(status int, h http.Header) bool
@@ -184,8 +184,8 @@
 	if cfg.Dialer == nil {
 		cfg.Dialer = &net.Dialer{Timeout: defaultDialTimeout}
 	}
-	if cfg.IdleTime == 0 {
-		cfg.IdleTime = defaultIdleTime
+	if cfg.IdleTimeout == 0 {
+		cfg.IdleTimeout = defaultIdleTime
 	}
 	if cfg.Refused == nil {
 		cfg.Refused = isDefaultRefusal
@@ -197,7 +197,7 @@
 		ResponseHeaderTimeout:  cfg.HeaderTimeout,
 		MaxIdleConns:           cfg.MaxIdle,
 		MaxIdleConnsPerHost:    max(cfg.MaxIdlePerServer, minIdlePerServer),
-		IdleConnTimeout:        cfg.IdleTime,
+		IdleConnTimeout:        cfg.IdleTimeout,
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHeader,
 	}}
