--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -155,9 +155,9 @@
 	MaxIdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
 	MaxIdle          int           // limit on idle connections to all servers; zero means none
 	IdleTimeout      time.Duration // after which an idle connection is closed; zero means defaultIdleTime
-	// Refused reports whether a response means that the server did not start
+	// IsRefusal reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
-	Refused func(status int, h http.Header) bool
+	IsRefusal func(status int, h http.Header) bool
 	// Opened, if set, is called for every new connection.
 	Opened func()
 }
@@ -187,12 +187,12 @@
 	if cfg.IdleTimeout == 0 {
 		cfg.IdleTimeout = defaultIdleTime
 	}
-	if cfg.Refused == nil {
-		cfg.Refused = isDefaultRefusal
+	if cfg.IsRefusal == nil {
+		cfg.IsRefusal = isDefaultRefusal
 	}
 	conns := &connections{open: map[string]map[*countingConn]bool{}}
 	dial := conns.countingDial(cfg)
-	return &Client{isRefusal: cfg.Refused, conns: conns, dial: dial, transport: &http.Transport{
+	return &Client{isRefusal: cfg.IsRefusal, conns: conns, dial: dial, transport: &http.Transport{
 		DialContext:            dial,
 		ResponseHeaderTimeout:  cfg.HeaderTimeout,
 		MaxIdleConns:           cfg.MaxIdle,
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -176,7 +176,7 @@
 		opened := 0
 		c := forward.New(forward.Settings{
 			Dialer: n.Box("10.0.0.2"), Opened: func() { opened++ },
-			Refused: func(_ int, h http.Header) bool { return h.Get("Declined") != "" },
+			IsRefusal: func(_ int, h http.Header) bool { return h.Get("Declined") != "" },
 		})
 		defer c.Close()
 		for range 3 {
