--- a/process/gateway.go
+++ b/process/gateway.go
@@ -59,7 +59,7 @@
 	opened := metricSet.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
 	client := forward.New(forward.Settings{
 		Dialer: socket.Dialer(serverDialTimeout), MaxIdlePerServer: maxIdlePerServer, MaxIdle: maxIdleTotal, IdleTimeout: serverIdleTimeout,
-		IsRefusal: notRun, Opened: opened.Inc,
+		IsRefusal: notRun, OnOpen: opened.Inc,
 	})
 	defer client.Close()
 	running, stop := context.WithCancel(context.Background()) // outlives ctx: requests finish within the grace period
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -106,8 +106,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if cfg.Opened != nil {
-			cfg.Opened()
+		if cfg.OnOpen != nil {
+			cfg.OnOpen()
 		}
 		return o.add(address, conn), nil
 	}
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -158,8 +158,8 @@
 	// IsRefusal reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
 	IsRefusal func(status int, h http.Header) bool
-	// Opened, if set, is called for every new connection.
-	Opened func()
+	// OnOpen, if set, is called for every new connection.
+	OnOpen func()
 }
 
 // Defaults and limits of a client.
