--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -81,7 +81,7 @@
 		return c.handleSendError(a, err)
 	}
 	defer answer.Body.Close()
-	a.connOpenedAt = c.g.monotonicTime(answer.Opened)
+	a.connOpenedAt = c.g.monotonicTime(answer.ConnOpenedAt)
 	c.g.observeRoundTrip(a)
 	if a.leaveReason != place.Stay {
 		answer.Body = countingBody{ReadCloser: answer.Body, n: &a.receivedBytes}
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -78,7 +78,7 @@
 		x.announce("plain", 1, func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			time.Sleep(10 * time.Millisecond)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
-			a.Opened = time.Now().Add(-ago)
+			a.ConnOpenedAt = time.Now().Add(-ago)
 			x.setOverload(func(d *overload.Detector) { d.Delay = late })
 			return a, err
 		}, "s1")
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -337,7 +337,7 @@
 			time.Sleep(opening)
 			a, err := answers(200, "ok", time.Millisecond)(ctx, call)
 			if a != nil {
-				a.Opened = time.Now().Add(-time.Millisecond)
+				a.ConnOpenedAt = time.Now().Add(-time.Millisecond)
 			}
 			return a, err
 		}, "s1")
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -97,11 +97,11 @@
 
 // Response is a server's response. The caller must close Body.
 type Response struct {
-	Status int
-	Header http.Header
-	Length int64 // of the body in bytes, -1 if unknown
-	Body   io.ReadCloser
-	Opened time.Time // when the connection was opened
+	Status       int
+	Header       http.Header
+	Length       int64 // of the body in bytes, -1 if unknown
+	Body         io.ReadCloser
+	ConnOpenedAt time.Time // when the connection was opened
 }
 
 // NotRun is the error of a call that certainly did not run.
@@ -253,7 +253,7 @@
 		}
 	}
 	return &Response{
-		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body, Opened: trace.connOpenedAt(),
+		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Body: resp.Body, ConnOpenedAt: trace.connOpenedAt(),
 	}, nil
 }
 
