--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -123,7 +123,7 @@
 func (c *call) handleSendError(a *assignment, err error) outcome {
 	var unknown forward.MayHaveRun
 	if errors.As(err, &unknown) {
-		a.connOpenedAt = c.g.monotonicTime(unknown.Opened)
+		a.connOpenedAt = c.g.monotonicTime(unknown.ConnOpenedAt)
 	}
 	var notRun forward.NotRun
 	if !errors.As(err, &notRun) {
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -347,7 +347,7 @@
 		return func(ctx context.Context, call forward.Call) (*forward.Response, error) {
 			if silent {
 				<-ctx.Done()
-				return nil, forward.MayHaveRun{Opened: openedAt, Err: ctx.Err()}
+				return nil, forward.MayHaveRun{ConnOpenedAt: openedAt, Err: ctx.Err()}
 			}
 			return behave(ctx, call)
 		}
@@ -397,6 +397,6 @@
 		is.Equal(x.g.table.servers["p0"].health.State(x.g.now()), outlier.InUse)
 	}, func(ctx context.Context, _ forward.Call) (*forward.Response, error) {
 		<-ctx.Done()
-		return nil, forward.MayHaveRun{Opened: openedAt, Err: ctx.Err()}
+		return nil, forward.MayHaveRun{ConnOpenedAt: openedAt, Err: ctx.Err()}
 	})
 }
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -126,9 +126,9 @@
 
 // MayHaveRun is the error of a call that may have run.
 type MayHaveRun struct {
-	Server string    // address
-	Opened time.Time // when the connection was opened
-	Err    error
+	Server       string    // address
+	ConnOpenedAt time.Time // when the connection was opened
+	Err          error
 }
 
 // Error names the server and the cause.
@@ -239,7 +239,7 @@
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
 		if trace.mayHaveSent() {
-			return nil, MayHaveRun{Server: address, Opened: trace.connOpenedAt(), Err: err}
+			return nil, MayHaveRun{Server: address, ConnOpenedAt: trace.connOpenedAt(), Err: err}
 		}
 		return nil, NotRun{Server: address, Err: err}
 	}
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -221,7 +221,7 @@
 		n.Silence()
 		var unknown forward.MayHaveRun
 		is.True(errors.As(call(time.Second), &unknown)) // it may have run
-		is.True(unknown.Opened.Before(before))
+		is.True(unknown.ConnOpenedAt.Before(before))
 		go func() { is.NoErr(call(time.Second)) }()
 		time.Sleep(50 * time.Millisecond)
 		c.DropIdle(address) // while a call is using the connection
