--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	for {
-		answer, err := l.ReceiveWithin(ctx, announceTimeout)
+		answer, err := l.ReceiveWithIdleTimeout(ctx, announceTimeout)
 		if err != nil {
 			return err
 		}
@@ -217,7 +217,7 @@
 		if err != nil || l.Send(ctx, protocol.Announced{Seq: m.Seq}) != nil {
 			return
 		}
-		next, err := l.ReceiveWithin(ctx, announceIdleTimeout)
+		next, err := l.ReceiveWithIdleTimeout(ctx, announceIdleTimeout)
 		if err != nil {
 			return
 		}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -73,7 +73,7 @@
 	defer out.Close()
 	defer h.post(func() { r.disconnectLeader(out) })
 	for {
-		m, err := l.ReceiveWithin(ctx, registry.LeaderTimeout)
+		m, err := l.ReceiveWithIdleTimeout(ctx, registry.LeaderTimeout)
 		if err != nil {
 			return
 		}
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -36,15 +36,15 @@
 		is.NoErr(err)
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, KnowsVersions: true, Region: south}))
-		m, err := session.ReceiveWithin(x.t.Context(), time.Second)
+		m, err := session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		list, ok := m.(protocol.Rollouts)
 		is.True(ok) // otherwise it was redirected, or received the servers first
 		is.Equal(list.List, []protocol.Rollout{{Pool: "p", Attempt: 1, Barred: []string{"v2"}}})
-		m, err = session.ReceiveWithin(x.t.Context(), time.Second)
+		m, err = session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		is.Equal(m, protocol.Message(protocol.Quarantine{Whole: true})) // also before the servers
-		m, err = session.ReceiveWithin(x.t.Context(), time.Second)
+		m, err = session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		servers, ok := m.(protocol.Servers)
 		is.True(ok)
--- a/directory/relaysession.go
+++ b/directory/relaysession.go
@@ -51,7 +51,7 @@
 	}
 	var preceding []protocol.Message // messages that precede the list: rollouts, if there are any, and the quarantine list
 	for {
-		m, err := l.ReceiveWithin(ctx, registry.LeaderTimeout)
+		m, err := l.ReceiveWithIdleTimeout(ctx, registry.LeaderTimeout)
 		if err != nil {
 			return
 		}
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -71,7 +71,7 @@
 	first := true
 	defer func() { r.mu.Lock(); r.servedBy = ""; r.mu.Unlock() }()
 	for {
-		m, err := l.ReceiveWithin(ctx, registry.LeaderTimeout)
+		m, err := l.ReceiveWithIdleTimeout(ctx, registry.LeaderTimeout)
 		if err != nil {
 			return
 		}
--- a/directory/rolloutcompletion_test.go
+++ b/directory/rolloutcompletion_test.go
@@ -57,7 +57,7 @@
 	var u protocol.Usage
 	var final time.Time
 	for {
-		m, err := l.ReceiveWithin(ctx, time.Second)
+		m, err := l.ReceiveWithIdleTimeout(ctx, time.Second)
 		if err != nil {
 			return 0
 		}
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -308,7 +308,7 @@
 	is.NoErr(err)
 	defer l.Close()
 	is.NoErr(l.Send(x.t.Context(), o))
-	m, err := l.ReceiveWithin(x.t.Context(), 3*time.Second)
+	m, err := l.ReceiveWithIdleTimeout(x.t.Context(), 3*time.Second)
 	is.NoErr(err)
 	answer, ok := m.(protocol.RolloutAnswer)
 	is.True(ok)
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -219,7 +219,7 @@
 		is.NoErr(err)
 		defer session.Close()
 		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
-		m, err := session.ReceiveWithin(x.t.Context(), time.Second)
+		m, err := session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		list, ok := m.(protocol.Rollouts)
 		is.True(ok)
@@ -261,7 +261,7 @@
 	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
 	var u protocol.Usage
 	for ctx.Err() == nil {
-		m, err := l.ReceiveWithin(ctx, time.Second)
+		m, err := l.ReceiveWithIdleTimeout(ctx, time.Second)
 		if err != nil {
 			return
 		}
--- a/directory/serverrestart_test.go
+++ b/directory/serverrestart_test.go
@@ -167,7 +167,7 @@
 		listed := map[string]string{}
 		receiveChanges := func() {
 			for until := time.Now().Add(300 * time.Millisecond); time.Now().Before(until); {
-				m, err := session.ReceiveWithin(x.t.Context(), 300*time.Millisecond)
+				m, err := session.ReceiveWithIdleTimeout(x.t.Context(), 300*time.Millisecond)
 				is.NoErr(err)
 				servers, ok := m.(protocol.Servers)
 				if !ok {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -124,7 +124,7 @@
 		silence = registry.RelayTimeout
 	}
 	for {
-		m, err := l.ReceiveWithin(ctx, silence)
+		m, err := l.ReceiveWithIdleTimeout(ctx, silence)
 		if err != nil {
 			return
 		}
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -104,7 +104,7 @@
 	}
 	served := false
 	for {
-		m, err := l.ReceiveWithin(ctx, registry.LeaderTimeout)
+		m, err := l.ReceiveWithIdleTimeout(ctx, registry.LeaderTimeout)
 		if err != nil {
 			w.addAvoided(address)
 			w.endSession(address, err)
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -21,7 +21,7 @@
 // writes, and the counters of bytes and messages ([Meter]). It relies on
 // package protocol for the encoding and its size limit. A read has no deadline
 // of its own. A caller that expects messages at some rate passes a context with a
-// deadline to [Link.Receive] or calls [Link.ReceiveWithin]. A caller that only sends
+// deadline to [Link.Receive] or calls [Link.ReceiveWithIdleTimeout]. A caller that only sends
 // runs [Link.CloseWhenSilent], because a connection may stop delivering data without
 // an error while new connections work. There are no locks; an [Outbox] has one goroutine.
 package link
@@ -163,10 +163,10 @@
 	})
 }
 
-// ReceiveWithin is like Receive, but fails if the peer sends no data for longer than silence.
+// ReceiveWithIdleTimeout is like Receive, but fails if the peer sends no data for longer than silence.
 // Any part of a message resets that limit, because a large message may take longer than the
 // limit on a shared network path.
-func (l *Link) ReceiveWithin(ctx context.Context, silence time.Duration) (protocol.Message, error) {
+func (l *Link) ReceiveWithIdleTimeout(ctx context.Context, silence time.Duration) (protocol.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(silence, cancel)
