--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -61,7 +61,7 @@
 
 // serveQuarantineOrder answers an operator's order that arrived as the first message of a link.
 func (d *Directory) serveQuarantineOrder(ctx context.Context, l *link.Link, o protocol.QuarantineOrder) {
-	ctx, waits := l.PeerWaits(ctx)
+	ctx, waits := l.PeerIsReceiving(ctx)
 	if !waits {
 		return // the sender repeats the order
 	}
--- a/directory/rolloutanswers.go
+++ b/directory/rolloutanswers.go
@@ -24,7 +24,7 @@
 // operator that gets no answer repeats the order. If the sender no longer waits, the order was delayed
 // on the way and is dropped.
 func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
-	ctx, waits := l.PeerWaits(ctx)
+	ctx, waits := l.PeerIsReceiving(ctx)
 	if !waits {
 		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -233,10 +233,10 @@
 	}
 }
 
-// PeerWaits reports whether the peer still waits for a message in Receive, by whether it
+// PeerIsReceiving reports whether the peer still waits for a message in Receive, by whether it
 // answers a ping within pingTimeout. It requires that the peer sends no more messages and that
 // this side no longer calls Receive. The returned context ends with the link.
-func (l *Link) PeerWaits(ctx context.Context) (context.Context, bool) {
+func (l *Link) PeerIsReceiving(ctx context.Context) (context.Context, bool) {
 	linkCtx := l.conn.CloseRead(ctx)
 	pingCtx, cancel := context.WithTimeout(linkCtx, pingTimeout)
 	defer cancel()
