--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -22,7 +22,7 @@
 // package protocol for the encoding and its size limit. A read has no deadline
 // of its own. A caller that expects messages at some rate passes a context with a
 // deadline to [Link.Receive] or calls [Link.ReceiveWithIdleTimeout]. A caller that only sends
-// runs [Link.CloseWhenSilent], because a connection may stop delivering data without
+// runs [Link.CloseOnPingTimeout], because a connection may stop delivering data without
 // an error while new connections work. There are no locks; an [Outbox] has one goroutine.
 package link
 
@@ -218,10 +218,10 @@
 	}
 }
 
-// CloseWhenSilent pings the peer until ctx or the link ends, and closes the link if a pong
+// CloseOnPingTimeout pings the peer until ctx or the link ends, and closes the link if a pong
 // does not arrive within pingTimeout. Pongs are sent and received only while both the peer
 // and this side call Receive, so this side must call it in another goroutine.
-func (l *Link) CloseWhenSilent(ctx context.Context) {
+func (l *Link) CloseOnPingTimeout(ctx context.Context) {
 	for range sleep.Every(ctx, pingPeriod) {
 		pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 		err := l.conn.Ping(pingCtx)
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -191,7 +191,7 @@
 		_, _ = l.Receive(ctx)
 		cancel()
 	}()
-	go l.CloseWhenSilent(ctx)
+	go l.CloseOnPingTimeout(ctx)
 	idleTimer := time.NewTimer(idleTimeout)
 	defer idleTimer.Stop()
 	for {
