--- a/transport/link/meter.go
+++ b/transport/link/meter.go
@@ -29,8 +29,8 @@
 	return &Meter{set: m.set, regionOf: regionOf}
 }
 
-// Refused counts a link that could not be accepted.
-func (m *Meter) Refused() {
+// CountRefused counts a link that could not be accepted.
+func (m *Meter) CountRefused() {
 	m.set.GetOrCreateCounter("badgerspoke_links_refused_total").Inc()
 }
 
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -117,7 +117,7 @@
 	handleSession func(ctx context.Context, l *link.Link, first protocol.Message)) {
 	l, err := link.Accept(w, r, m.identity, m.meter)
 	if err != nil {
-		m.meter.Refused()
+		m.meter.CountRefused()
 		return
 	}
 	defer l.Close()
