--- a/directory/hub.go
+++ b/directory/hub.go
@@ -120,7 +120,7 @@
 	}
 	h.leadership.Store(next)
 	if !slices.Equal(old.voters, next.voters) {
-		h.d.mesh.Keep(next.voters)
+		h.d.mesh.KeepOpen(next.voters)
 	}
 	if old.leads != leads || old.term != s.Term || old.leader != next.leader {
 		h.stateChanged()
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -6,7 +6,7 @@
 // Each replica sends on the links that it opened and receives on those that it
 // accepted, so two replicas never have to agree on which link to keep. A message that
 // cannot be sent at once is dropped, as consensus allows: a newer one replaces it. A
-// link without messages for [idleTimeout] is closed, unless [Mesh.Keep] keeps it open.
+// link without messages for [idleTimeout] is closed, unless [Mesh.KeepOpen] keeps it open.
 // A link whose peer does not answer a ping is closed too: nothing else is received on
 // a link that this side opened, so nothing else would reveal a silent peer.
 //
@@ -90,10 +90,10 @@
 	return queue
 }
 
-// Keep opens links to these replicas and keeps them open even while there is nothing to send.
+// KeepOpen opens links to these replicas and keeps them open even while there is nothing to send.
 // It replaces the set of an earlier call. Followers have nothing to send each other until the
 // leader fails, and a dial over a long distance would then take half as long as an election.
-func (m *Mesh) Keep(replicas []string) {
+func (m *Mesh) KeepOpen(replicas []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.keptOpen = slices.Clone(replicas)
