--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -213,7 +213,7 @@
 		ErrorLog: slog.NewLogLogger(b.cfg.Log.Handler(), slog.LevelDebug),
 	}
 	b.servers = append(b.servers, s)
-	limited := socket.Limit(l, maxConnections)
+	limited := socket.LimitListener(l, maxConnections)
 	// Serve returns when the listener is closed, which only Stop does. Its error carries no
 	// information.
 	if cfg == nil {
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -132,7 +132,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer l.Close()
-	listener := &callerListener{Listener: socket.Limit(l, 10), limits: func() document.Limits { return document.Limits{} }}
+	listener := &callerListener{Listener: socket.LimitListener(l, 10), limits: func() document.Limits { return document.Limits{} }}
 	accept := func() (caller net.Conn, conn *callerConn) {
 		caller, err := net.Dial("tcp", l.Addr().String())
 		is.NoErr(err)
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -106,7 +106,7 @@
 	limit := b.cfg.maxConnections()
 	idle := newIdleConnections(limit)
 	paced := newPacedListener(l, p, ctx.Done(), b.log)
-	limited := socket.Limit(paced, limit)
+	limited := socket.LimitListener(paced, limit)
 	b.serve(&callerListener{Listener: limited, limits: limits}, &http.Server{Handler: h, ConnContext: callerContext, ConnState: func(conn net.Conn, state http.ConnState) {
 		conn.(*callerConn).serving.Store(state == http.StateActive)
 		idle.track(conn, state)
--- a/process/gateway_test.go
+++ b/process/gateway_test.go
@@ -23,7 +23,7 @@
 	n := fakenet.New(0)
 	l, err := n.Listen("10.0.0.1:80")
 	is.NoErr(err)
-	callers := socket.Limit(l, 2)
+	callers := socket.LimitListener(l, 2)
 	defer callers.Close()
 	status := func() int {
 		w := httptest.NewRecorder()
--- a/transport/socket/limit.go
+++ b/transport/socket/limit.go
@@ -11,9 +11,9 @@
 
 // This file defines a listener that limits the number of open connections.
 
-// Limit returns a listener with at most n open connections; further ones wait in the
+// LimitListener returns a listener with at most n open connections; further ones wait in the
 // kernel's backlog. It has no lock: a channel counts the connections.
-func Limit(l net.Listener, n int) *Limited {
+func LimitListener(l net.Listener, n int) *Limited {
 	return &Limited{Listener: l, connSlots: make(chan struct{}, n), closed: make(chan struct{})}
 }
 
