--- a/process/gateway.go
+++ b/process/gateway.go
@@ -89,7 +89,7 @@
 }
 
 // listenToCallers opens the callers' address and serves it.
-func (b *base) listenToCallers(ctx context.Context, g *gateway.Gateway) (*socket.Limited, error) {
+func (b *base) listenToCallers(ctx context.Context, g *gateway.Gateway) (*socket.LimitedListener, error) {
 	// Keep-alive probes are off: the idle and write timeouts already end the connections of
 	// callers that have disappeared, and probes would cost system calls for each caller.
 	listening := net.ListenConfig{KeepAlive: -1}
@@ -102,7 +102,7 @@
 
 // serveCallers serves callers with a bound on their connections and the limits of the document
 // in force.
-func (b *base) serveCallers(ctx context.Context, l net.Listener, h http.Handler, limits func() document.Limits, p pacer) *socket.Limited {
+func (b *base) serveCallers(ctx context.Context, l net.Listener, h http.Handler, limits func() document.Limits, p pacer) *socket.LimitedListener {
 	limit := b.cfg.maxConnections()
 	idle := newIdleConnections(limit)
 	paced := newPacedListener(l, p, ctx.Done(), b.log)
@@ -131,7 +131,7 @@
 type readinessReporter interface{ Ready() bool }
 
 // readiness answers 503 while the gateway is not ready or its connection limit is reached.
-func readiness(g readinessReporter, callers *socket.Limited) http.Handler {
+func readiness(g readinessReporter, callers *socket.LimitedListener) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready() || callers.Full() {
 			w.WriteHeader(http.StatusServiceUnavailable)
--- a/transport/socket/limit.go
+++ b/transport/socket/limit.go
@@ -13,12 +13,12 @@
 
 // LimitListener returns a listener with at most n open connections; further ones wait in the
 // kernel's backlog. It has no lock: a channel counts the connections.
-func LimitListener(l net.Listener, n int) *Limited {
-	return &Limited{Listener: l, connSlots: make(chan struct{}, n), closed: make(chan struct{})}
+func LimitListener(l net.Listener, n int) *LimitedListener {
+	return &LimitedListener{Listener: l, connSlots: make(chan struct{}, n), closed: make(chan struct{})}
 }
 
-// Limited is a listener with a limit on its open connections.
-type Limited struct {
+// LimitedListener is a listener with a limit on its open connections.
+type LimitedListener struct {
 	net.Listener
 	connSlots chan struct{}
 	closed    chan struct{}
@@ -26,10 +26,10 @@
 }
 
 // Full reports whether no connection can be accepted until another one ends.
-func (l *Limited) Full() bool { return len(l.connSlots) == cap(l.connSlots) }
+func (l *LimitedListener) Full() bool { return len(l.connSlots) == cap(l.connSlots) }
 
 // Accept implements [net.Listener]. It waits while the listener is full.
-func (l *Limited) Accept() (net.Conn, error) {
+func (l *LimitedListener) Accept() (net.Conn, error) {
 	select {
 	case l.connSlots <- struct{}{}:
 	case <-l.closed:
@@ -44,7 +44,7 @@
 }
 
 // Close implements [net.Listener].
-func (l *Limited) Close() error {
+func (l *LimitedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
