--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -4,7 +4,7 @@
 //
 // A box that loses power or is cut off from the network does not close its
 // connections. A connection opened or accepted here fails once sent data has been
-// unacknowledged for [Silence], or, while idle, once keep-alive probes are not answered.
+// unacknowledged for [AckTimeout], or, while idle, once keep-alive probes are not answered.
 package socket
 
 import (
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// Silence is how long sent bytes may stay unacknowledged. It is far above the network delay
+// AckTimeout is how long sent bytes may stay unacknowledged. It is far above the network delay
 // between data halls.
-const Silence = 2 * time.Second
+const AckTimeout = 2 * time.Second
 
 // DialTimeout bounds the opening of a connection.
 const DialTimeout = time.Second
@@ -55,6 +55,6 @@
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		// The error is ignored, see above.
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(Silence.Milliseconds()))
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(AckTimeout.Milliseconds()))
 	})
 }
