--- a/router/call.go
+++ b/router/call.go
@@ -192,11 +192,11 @@
 // sendFailed handles an attempt that got no answer: it releases the slot, and settles the claim if
 // the call ends here.
 func (r *Router) sendFailed(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
-	f, claim, last := failBroken.With(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
+	f, claim, last := failBroken.WithMessage(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
 	var notRun forward.NotRun
 	if errors.As(err, &notRun) {
 		r.applyBackoff(c, server, notRun)
-		f, claim, last = failUnreachable.With(err.Error()), protocol.ClaimReleased, retry.Refused
+		f, claim, last = failUnreachable.WithMessage(err.Error()), protocol.ClaimReleased, retry.Refused
 	}
 	result, gone := pool.Failed, ctx.Err() != nil
 	if gone {
--- a/router/callers.go
+++ b/router/callers.go
@@ -96,7 +96,7 @@
 
 func (r *Router) admit(w http.ResponseWriter, req *http.Request, method string, h handler) *Failure {
 	if method != "" && req.Method != method {
-		return failMethod.With("use " + method)
+		return failMethod.WithMessage("use " + method)
 	}
 	if r.refusing.Load() {
 		return failStopping
@@ -128,7 +128,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(list); err != nil {
-		return failMalformed.With(err.Error())
+		return failMalformed.WithMessage(err.Error())
 	}
 	return nil
 }
@@ -148,14 +148,14 @@
 	defer r.releaseBody(c)
 	var er engineRequest
 	if err := json.Unmarshal(c.body, &er); err != nil {
-		return failMalformed.With("the body is no valid JSON: " + err.Error())
+		return failMalformed.WithMessage("the body is no valid JSON: " + err.Error())
 	}
 	if er.Model == "" {
-		return failMalformed.With("the field model is missing")
+		return failMalformed.WithMessage("the field model is missing")
 	}
 	pool, ok := r.routes.Load().models[er.Model]
 	if !ok {
-		return failModel.With("no pool serves model " + strconv.Quote(er.Model))
+		return failModel.WithMessage("no pool serves model " + strconv.Quote(er.Model))
 	}
 	c.pool, c.engine = pool, true
 	c.blocks = place.Blocks(c.body)
@@ -172,7 +172,7 @@
 	name, path, _ := strings.Cut(rest, "/")
 	t := r.routes.Load()
 	if !t.services[name] {
-		return failService.With("no service " + strconv.Quote(name))
+		return failService.WithMessage("no service " + strconv.Quote(name))
 	}
 	c, f := r.newCall(w, req, a)
 	if f != nil {
@@ -187,7 +187,7 @@
 	copyServiceHeader(c.forwardCall.Header, req.Header)
 	plain, err := url.PathUnescape("/" + path)
 	if err != nil {
-		return failMalformed.With("the path is no valid URL path")
+		return failMalformed.WithMessage("the path is no valid URL path")
 	}
 	safe := req.Method == http.MethodGet || req.Method == http.MethodHead || req.Header.Get(repeatHeader) == "safe"
 	c.repeatable = c.repeatable && safe && !t.neverRepeats(name, req.Method, plain)
@@ -213,21 +213,21 @@
 func (r *Router) newCall(w http.ResponseWriter, req *http.Request, a config.Account) (*call, *Failure) {
 	c := &call{account: a, class: defaultClass, flow: req.Header.Get(userHeader)}
 	if len(c.flow) > maxUser {
-		return nil, failHeader.With(userHeader + " is longer than 128 bytes")
+		return nil, failHeader.WithMessage(userHeader + " is longer than 128 bytes")
 	}
 	if given := req.Header.Get(classHeader); given != "" {
 		if _, ok := classes[given]; !ok {
-			return nil, failHeader.With(classHeader + " must be interactive or batch")
+			return nil, failHeader.WithMessage(classHeader + " must be interactive or batch")
 		}
 		c.class = given
 	}
 	repeat := req.Header.Get(repeatHeader)
 	if repeat != "" && repeat != "safe" && repeat != "never" {
-		return nil, failHeader.With(repeatHeader + " must be safe or never")
+		return nil, failHeader.WithMessage(repeatHeader + " must be safe or never")
 	}
 	key := req.Header.Get(keyHeader)
 	if len(key) > claim.MaxKeyBytes {
-		return nil, failHeader.With(keyHeader + " is longer than 255 bytes")
+		return nil, failHeader.WithMessage(keyHeader + " is longer than 255 bytes")
 	}
 	if key != "" {
 		c.claim = &protocol.Claim{Account: a.Name, Key: key, Attempt: r.cfg.Random()}
@@ -257,7 +257,7 @@
 	}
 	if r.bodyBytes.Add(reserved) > limits.Bodies {
 		r.bodyBytes.Add(-reserved)
-		return nil, failFull.With("the bodies of all requests together are at their limit")
+		return nil, failFull.WithMessage("the bodies of all requests together are at their limit")
 	}
 	c.reservedBytes = reserved
 	rc := http.NewResponseController(w)
@@ -285,7 +285,7 @@
 	if errors.As(err, &tooLarge) {
 		return failTooLarge
 	}
-	return failMalformed.With("the body could not be read: " + err.Error())
+	return failMalformed.WithMessage("the body could not be read: " + err.Error())
 }
 
 // copyServiceHeader copies the headers that a plain service may receive: all but API keys, cookies,
--- a/router/errors.go
+++ b/router/errors.go
@@ -38,8 +38,8 @@
 	RetryAfter time.Duration // 0 if a retry does not help, or may follow at once
 }
 
-// With returns the failure with another message.
-func (f Failure) With(message string) *Failure { f.Message = message; return &f }
+// WithMessage returns the failure with another message.
+func (f Failure) WithMessage(message string) *Failure { f.Message = message; return &f }
 
 // WithOutcome returns the failure with another outcome.
 func (f Failure) WithOutcome(o Outcome) *Failure { f.Outcome = o; return &f }
--- a/router/pool.go
+++ b/router/pool.go
@@ -103,7 +103,7 @@
 		if errors.As(err, new(share.UnknownAccountError)) {
 			return nil, failKey
 		}
-		return nil, failFull.With(err.Error())
+		return nil, failFull.WithMessage(err.Error())
 	}
 	p.dispatch()
 	return w, nil
