--- a/router/callers.go
+++ b/router/callers.go
@@ -248,12 +248,12 @@
 // charged with the largest size until it is released by releaseBody.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, *Failure) {
 	limits := r.cfg.Limits
-	if req.ContentLength > limits.Body {
+	if req.ContentLength > limits.BodyBytes {
 		return nil, failTooLarge
 	}
 	reserved := req.ContentLength
 	if reserved < 0 {
-		reserved = limits.Body
+		reserved = limits.BodyBytes
 	}
 	if r.bodyBytes.Add(reserved) > limits.Bodies {
 		r.bodyBytes.Add(-reserved)
@@ -262,7 +262,7 @@
 	c.reservedBytes = reserved
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, and then the read fails as well
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.Body))
+	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.BodyBytes))
 	if err != nil {
 		// The deadline is kept: without it, the server would wait for the rest of
 		// the body before it closes the connection.
