--- a/router/callers.go
+++ b/router/callers.go
@@ -255,7 +255,7 @@
 	if reserved < 0 {
 		reserved = limits.BodyBytes
 	}
-	if r.bodyBytes.Add(reserved) > limits.Bodies {
+	if r.bodyBytes.Add(reserved) > limits.TotalBodyBytes {
 		r.bodyBytes.Add(-reserved)
 		return nil, failFull.WithMessage("the bodies of all requests together are at their limit")
 	}
