--- a/router/callers.go
+++ b/router/callers.go
@@ -261,7 +261,7 @@
 	}
 	c.reservedBytes = reserved
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(limits.Read)) // fails only on a closed connection, and then the read fails as well
+	_ = rc.SetReadDeadline(time.Now().Add(limits.ReadTimeout)) // fails only on a closed connection, and then the read fails as well
 	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, limits.BodyBytes))
 	if err != nil {
 		// The deadline is kept: without it, the server would wait for the rest of
