--- a/router/relay.go
+++ b/router/relay.go
@@ -121,7 +121,7 @@
 	r.observe(b)
 	rc := http.NewResponseController(w)
 	// This fails only on a closed connection, and then the write fails as well.
-	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.Write))
+	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.WriteTimeout))
 	_, err := w.Write(b)
 	return err == nil && rc.Flush() == nil
 }
--- a/router/router.go
+++ b/router/router.go
@@ -56,7 +56,7 @@
 	BodyBytes      int64         // bytes of one request's body
 	TotalBodyBytes int64         // bytes of all request bodies together, read or being read
 	ReadTimeout    time.Duration // longest time for a caller to send a body
-	Write          time.Duration // longest time for a caller to accept one chunk of an answer
+	WriteTimeout   time.Duration // longest time for a caller to accept one chunk of an answer
 	Waiting        int           // requests in one pool's queue
 	WaitingBytes   int64         // bytes of the bodies in one pool's queue
 	AccountWaiting int           // queued requests of one account in a pool, unless its configuration sets another limit
@@ -68,7 +68,7 @@
 // DefaultLimits suit a box with 256 MB of memory: bodies take at most half of it, and each queued
 // request about 53 KB more.
 var DefaultLimits = Limits{
-	BodyBytes: 8 << 20, TotalBodyBytes: 128 << 20, ReadTimeout: 30 * time.Second, Write: 30 * time.Second,
+	BodyBytes: 8 << 20, TotalBodyBytes: 128 << 20, ReadTimeout: 30 * time.Second, WriteTimeout: 30 * time.Second,
 	Waiting: 4096, WaitingBytes: 64 << 20, AccountWaiting: 1024, AccountBytes: 32 << 20,
 	Wait: 60 * time.Second, Linger: 50 * time.Millisecond,
 }
