--- a/bench_test.go
+++ b/bench_test.go
@@ -43,7 +43,7 @@
 	go func() { _ = es.Serve(el) }()
 	cl, ol, fl := listen(), listen(), listen()
 	limits := router.DefaultLimits
-	limits.Waiting, limits.AccountWaiting, limits.Wait = 100_000, 100_000, time.Hour
+	limits.Waiting, limits.AccountWaiting, limits.QueueTimeout = 100_000, 100_000, time.Hour
 	box, err := badgerspoke.Start(context.Background(), badgerspoke.Settings{
 		Name: "one", FleetKey: []byte("a key that all boxes share"), Replicas: map[string]string{"one": fl.Addr().String()},
 		Router: true, Callers: cl, Control: true, Operators: ol, Fleet: fl, DataDir: b.TempDir(), OperatorToken: token, Limits: limits,
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -101,7 +101,7 @@
 
 func start(ctx context.Context, d settings.Daemon, log *slog.Logger) (*badgerspoke.Box, error) {
 	limits := router.DefaultLimits
-	limits.Wait = d.Wait
+	limits.QueueTimeout = d.Wait
 	pace := slots.DefaultPace
 	pace.Budget, pace.Burst = d.ControlBudget, 2*d.ControlBudget
 	cfg := badgerspoke.Settings{
--- a/router/pool.go
+++ b/router/pool.go
@@ -92,7 +92,7 @@
 	w := &waiter{turn: make(chan turn, 1)}
 	w.work = &pool.Work{
 		Account: c.account.ID, Class: c.class, Flow: c.flow, Bytes: int64(len(c.body)), Blocks: c.blocks,
-		Deadline: p.router.now() + p.router.cfg.Limits.Wait, Value: w,
+		Deadline: p.router.now() + p.router.cfg.Limits.QueueTimeout, Value: w,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/router/router.go
+++ b/router/router.go
@@ -61,7 +61,7 @@
 	WaitingBytes   int64         // bytes of the bodies in one pool's queue
 	AccountWaiting int           // queued requests of one account in a pool, unless its configuration sets another limit
 	AccountBytes   int64         // bytes of the bodies of those requests, likewise
-	Wait           time.Duration // longest time in the queue
+	QueueTimeout   time.Duration // longest time in the queue
 	Linger         time.Duration // how long an unused slot is kept
 }
 
@@ -70,7 +70,7 @@
 var DefaultLimits = Limits{
 	BodyBytes: 8 << 20, TotalBodyBytes: 128 << 20, ReadTimeout: 30 * time.Second, WriteTimeout: 30 * time.Second,
 	Waiting: 4096, WaitingBytes: 64 << 20, AccountWaiting: 1024, AccountBytes: 32 << 20,
-	Wait: 60 * time.Second, Linger: 50 * time.Millisecond,
+	QueueTimeout: 60 * time.Second, Linger: 50 * time.Millisecond,
 }
 
 // Settings that are the same for every pool.
