--- a/control/control.go
+++ b/control/control.go
@@ -67,7 +67,7 @@
 	cfg        Settings
 	ctx        context.Context
 	stop       context.CancelFunc
-	state      *Replicated
+	state      *ReplicatedState
 	config     *replica.Replica
 	claims     *replica.Replica
 	register   *claim.Register
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -40,9 +40,9 @@
 	err      error
 }
 
-// Replicated is the applied state of the configuration group. It is safe for
+// ReplicatedState is the applied state of the configuration group. It is safe for
 // concurrent use.
-type Replicated struct {
+type ReplicatedState struct {
 	mu        sync.Mutex // a leaf; guards store, routers and adverts
 	store     config.Store
 	routers   map[claim.Holder]bool
@@ -50,34 +50,34 @@
 	onApplied func()            // must not block
 }
 
-var _ replica.StateMachine = (*Replicated)(nil)
+var _ replica.StateMachine = (*ReplicatedState)(nil)
 
-func newReplicated(onApplied func()) *Replicated {
-	return &Replicated{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, onApplied: onApplied}
+func newReplicated(onApplied func()) *ReplicatedState {
+	return &ReplicatedState{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, onApplied: onApplied}
 }
 
 // Config returns the configuration that is applied on this replica.
-func (r *Replicated) Config() config.Config {
+func (r *ReplicatedState) Config() config.Config {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Current()
 }
 
 // Routers returns the router processes that may hold slots, sorted by name and boot number.
-func (r *Replicated) Routers() []claim.Holder {
+func (r *ReplicatedState) Routers() []claim.Holder {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sortedRouters()
 }
 
-func (r *Replicated) sortedRouters() []claim.Holder {
+func (r *ReplicatedState) sortedRouters() []claim.Holder {
 	return slices.SortedFunc(maps.Keys(r.routers), func(a, b claim.Holder) int {
 		return cmp.Or(cmp.Compare(a.Router, b.Router), cmp.Compare(a.Boot, b.Boot))
 	})
 }
 
 // Find returns an accepted change and its revision by the change's identifier.
-func (r *Replicated) Find(id string) (config.Change, uint64, bool) {
+func (r *ReplicatedState) Find(id string) (config.Change, uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Find(id)
@@ -85,14 +85,14 @@
 
 // DeltaFrom returns the delta from a revision to the current one, if the changes
 // in between are still stored.
-func (r *Replicated) DeltaFrom(revision uint64) (config.Delta, bool) {
+func (r *ReplicatedState) DeltaFrom(revision uint64) (config.Delta, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.DeltaFrom(revision)
 }
 
 // Apply implements [replica.StateMachine].
-func (r *Replicated) Apply(data []byte) any {
+func (r *ReplicatedState) Apply(data []byte) any {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
 		return changeResult{err: protocol.Malformed{Err: err}}
@@ -106,7 +106,7 @@
 	return result
 }
 
-func (r *Replicated) apply(c command) changeResult {
+func (r *ReplicatedState) apply(c command) changeResult {
 	switch {
 	case c.Change != nil:
 		revision, err := r.store.Apply(*c.Change)
@@ -129,7 +129,7 @@
 }
 
 // Snapshot implements [replica.StateMachine].
-func (r *Replicated) Snapshot() ([]byte, error) {
+func (r *ReplicatedState) Snapshot() ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	store, err := r.store.MarshalBinary()
@@ -144,7 +144,7 @@
 }
 
 // Restore implements [replica.StateMachine].
-func (r *Replicated) Restore(image []byte) error {
+func (r *ReplicatedState) Restore(image []byte) error {
 	var im replicatedImage
 	if err := cbor.Unmarshal(image, &im); err != nil {
 		return protocol.Malformed{Err: err}
@@ -166,7 +166,7 @@
 
 // OperatorsAt returns the address at which operators reach a replica, or "" for a replica
 // that has not led yet.
-func (r *Replicated) OperatorsAt(name string) string {
+func (r *ReplicatedState) OperatorsAt(name string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.adverts[name]
