--- a/control/operators.go
+++ b/control/operators.go
@@ -96,7 +96,7 @@
 	if err := o.c.mustLead(); err != nil {
 		return 0, err
 	}
-	if accepted, revision, ok := o.c.state.Find(ch.GetId()); ok {
+	if accepted, revision, ok := o.c.state.FindChange(ch.GetId()); ok {
 		if accepted.RequestDigest != digest {
 			return 0, config.ReusedID{ID: ch.GetId()}
 		}
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -76,8 +76,8 @@
 	})
 }
 
-// Find returns an accepted change and its revision by the change's identifier.
-func (r *ReplicatedState) Find(id string) (config.Change, uint64, bool) {
+// FindChange returns an accepted change and its revision by the change's identifier.
+func (r *ReplicatedState) FindChange(id string) (config.Change, uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Find(id)
