--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -52,7 +52,7 @@
 	got := newReplicated(func() {})
 	is.NoErr(got.Restore(golden.Bytes(t, "snapshot", b)))
 	is.Equal(got.Routers(), []claim.Holder{{Router: "router-1", Boot: 11}, {Router: "router-2", Boot: 1<<64 - 2}})
-	is.Equal(got.OperatorsAt("control-2"), "10.0.0.2:9000")
+	is.Equal(got.OperatorsAddress("control-2"), "10.0.0.2:9000")
 	is.True(reflect.DeepEqual(got.adverts, m.adverts))
 	is.True(reflect.DeepEqual(got.store, m.store))
 }
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -164,9 +164,9 @@
 	return err
 }
 
-// OperatorsAt returns the address at which operators reach a replica, or "" for a replica
+// OperatorsAddress returns the address at which operators reach a replica, or "" for a replica
 // that has not led yet.
-func (r *ReplicatedState) OperatorsAt(name string) string {
+func (r *ReplicatedState) OperatorsAddress(name string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.adverts[name]
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -86,7 +86,7 @@
 
 // leaderDetail returns a leader's name and the addresses at which boxes and operators reach it.
 func (c *Control) leaderDetail(leader string) proto.Message {
-	return &operatorv1.NotLeader{Leader: leader, LeaderAddress: c.cfg.Replicas[leader], OperatorsAddress: c.state.OperatorsAt(leader)}
+	return &operatorv1.NotLeader{Leader: leader, LeaderAddress: c.cfg.Replicas[leader], OperatorsAddress: c.state.OperatorsAddress(leader)}
 }
 
 func withDetail(code connect.Code, err error, detail proto.Message) error {
