--- a/control/control.go
+++ b/control/control.go
@@ -40,8 +40,8 @@
 	// Replicas holds the fleet addresses (IP:PORT) of all control replicas by
 	// name, including this one.
 	Replicas map[string]string
-	// Operators is the address at which operators reach this replica.
-	Operators string
+	// OperatorsAddress is the address at which operators reach this replica.
+	OperatorsAddress string
 	// Dir opens the folder of one group under the data folder.
 	Dir   func(group string) (wal.Dir, error)
 	Lease slots.Lease
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -184,7 +184,7 @@
 	}
 	d.alloc = slots.NewAllocator(term, d.now(), d.c.cfg.Lease, d.c.cfg.Pace, expected)
 	d.pushConfig()
-	if operatorsAddr := d.c.cfg.Operators; operatorsAddr != "" && d.c.state.OperatorsAddress(d.c.cfg.Identity.Name) != operatorsAddr {
+	if operatorsAddr := d.c.cfg.OperatorsAddress; operatorsAddr != "" && d.c.state.OperatorsAddress(d.c.cfg.Identity.Name) != operatorsAddr {
 		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: operatorsAddr}}
 		// After an error, the other replicas cannot direct operators to this one until it leads again.
 		go func() { _, _ = propose(d.c.ctx, d.c.config, cmd) }()
