--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -152,7 +152,7 @@
 func (b *Box) startControl(ctx context.Context) error {
 	c, err := control.Start(ctx, control.Settings{
 		Identity: b.identity(), Replicas: b.cfg.Replicas,
-		OperatorsAddress: addressOf(b.cfg.Operators), Dir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
+		OperatorsAddress: addressOf(b.cfg.Operators), OpenDir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
 		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{ElectionTimeout: b.cfg.Election, HeartbeatInterval: b.cfg.Heartbeat},
 		Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
--- a/control/control.go
+++ b/control/control.go
@@ -42,9 +42,9 @@
 	Replicas map[string]string
 	// OperatorsAddress is the address at which operators reach this replica.
 	OperatorsAddress string
-	// Dir opens the folder of one group under the data folder.
-	Dir   func(group string) (wal.Dir, error)
-	Lease slots.Lease
+	// OpenDir opens the folder of one group under the data folder.
+	OpenDir func(group string) (wal.Dir, error)
+	Lease   slots.Lease
 	// Overcommit is the share of an engine's slots that is granted in addition to them.
 	Overcommit float64
 	Pace       slots.Pace // limit on the rate of views sent to one router
@@ -109,7 +109,7 @@
 
 func (c *Control) startGroup(name string, m replica.StateMachine,
 	observe func(consensus.Status, bool)) (*replica.Replica, error) {
-	dir, err := c.cfg.Dir(name)
+	dir, err := c.cfg.OpenDir(name)
 	if err != nil {
 		return nil, err
 	}
