--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -111,7 +111,7 @@
 			}
 			for _, other := range c.ips {
 				if other != ip {
-					c.net.Part(ip, other)
+					c.net.Partition(ip, other)
 				}
 			}
 			number++
@@ -140,7 +140,7 @@
 				for _, name := range names {
 					cutOff = append(cutOff, strings.TrimSuffix(name, ":7400"))
 				}
-				c.net.Part(ip, cutOff...)
+				c.net.Partition(ip, cutOff...)
 				break
 			}
 		}
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Part drops the traffic between a box and the given others, but not between it and the rest.
-func (n *Network) Part(ip string, from ...string) {
+// Partition drops the traffic between a box and the given others, but not between it and the rest.
+func (n *Network) Partition(ip string, from ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, other := range from {
