--- a/directory/regions_fixture_test.go
+++ b/directory/regions_fixture_test.go
@@ -40,7 +40,7 @@
 
 func (x *fleet) place(ip, region string) {
 	x.regions[ip] = region
-	x.net.Place(ip, region)
+	x.net.SetRegion(ip, region)
 }
 
 // topology returns the fleet's topology: each region has one data hall of the same name.
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -63,8 +63,8 @@
 	n.regionLinks.latency, n.regionLinks.rate = latency, bytesPerSecond
 }
 
-// Place assigns a box to a region.
-func (n *Network) Place(ip, region string) {
+// SetRegion assigns a box to a region.
+func (n *Network) SetRegion(ip, region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.regionLinks.regions[ip] = region
