--- a/chaos_test.go
+++ b/chaos_test.go
@@ -151,7 +151,7 @@
 	case p < 38:
 		f.net.Cut(b.ip)
 	case p < 80:
-		f.net.Join(b.ip)
+		f.net.Restore(b.ip)
 	case p < 88:
 		f.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
 	case p < 96:
@@ -179,7 +179,7 @@
 	f.net.Reunite()
 	for _, name := range slices.Sorted(maps.Keys(f.boxes)) {
 		b := f.boxes[name]
-		f.net.Join(b.ip)
+		f.net.Restore(b.ip)
 		if b.box == nil {
 			f.start(name)
 		}
--- a/directory/announcer_test.go
+++ b/directory/announcer_test.go
@@ -57,7 +57,7 @@
 			began := time.Now()
 			is.True(announceAt(n, id) != nil)
 			is.True(time.Since(began) <= 900*time.Millisecond)
-			x.net.Join(ip)
+			x.net.Restore(ip)
 			time.Sleep(3 * time.Second)
 			is.NoErr(announceAt(n, id))
 			break
--- a/directory/crashingrequest_faults_test.go
+++ b/directory/crashingrequest_faults_test.go
@@ -93,7 +93,7 @@
 				}
 				time.AfterFunc(12*time.Second, func() {
 					for _, ip := range x.ips {
-						x.net.Join(ip)
+						x.net.Restore(ip)
 					}
 				})
 			},
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -92,7 +92,7 @@
 			}
 		}
 		is.True(acknowledged)
-		x.net.Join(old.ip)
+		x.net.Restore(old.ip)
 		time.Sleep(2 * time.Second)
 		h, err := x.awaitLeader().d.Read(x.t.Context())
 		is.NoErr(err)
@@ -172,7 +172,7 @@
 			x.losePower()
 			x.gateways["10.0.2.1"].kill()
 			for _, ip := range followers[2:] {
-				x.net.Join(ip)
+				x.net.Restore(ip)
 			}
 			for _, ip := range x.ips {
 				if slices.Contains(lost, ip) {
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -188,7 +188,7 @@
 // the background.
 func (x *fleet) close() {
 	for _, ip := range x.ips {
-		x.net.Join(ip)
+		x.net.Restore(ip)
 	}
 	for _, region := range x.regions {
 		x.net.JoinRegion(region)
--- a/directory/hall_loss_test.go
+++ b/directory/hall_loss_test.go
@@ -97,7 +97,7 @@
 func (x *fleet) returnHall(hall []string, how string) {
 	for _, ip := range hall {
 		if how == "cut" {
-			x.net.Join(ip)
+			x.net.Restore(ip)
 		} else {
 			x.startReplica(ip, false)
 		}
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -101,7 +101,7 @@
 				took := x.awaitDocument(2, append(near, far...)...)
 				x.t.Logf("in force after %v", took)
 				is.True(took < 2500*time.Millisecond)
-				x.net.Join(gone.ip)
+				x.net.Restore(gone.ip)
 				time.Sleep(6 * time.Second)
 				is.True(x.awaitDocument(3, append(near, far...)...) < 300*time.Millisecond)
 			})
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -295,7 +295,7 @@
 			is.Equal(r.servingReplica(), b)
 		}
 		time.Sleep(2 * time.Second)
-		x.net.Join(relays[0].ip)
+		x.net.Restore(relays[0].ip)
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
 			for _, r := range all {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -293,7 +293,7 @@
 			}
 		}
 		refused()
-		x.net.Join(old.ip)
+		x.net.Restore(old.ip)
 		time.Sleep(2 * time.Second)
 		is.Equal(x.newestRollout().State, document.RolloutRolledBack)
 		is.Equal(x.newestRollout().Changes, uint64(2))
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -33,12 +33,12 @@
 		l := x.awaitLeader().ip
 		x.net.Cut(l)
 		time.Sleep(3 * time.Second)
-		x.net.Join(l)
+		x.net.Restore(l)
 	}},
 	{"gateway cut off", func(x *fleet, _ *versionedServers) {
 		x.net.Cut(rolloutGatewayIP(0))
 		time.Sleep(3 * time.Second)
-		x.net.Join(rolloutGatewayIP(0))
+		x.net.Restore(rolloutGatewayIP(0))
 	}},
 	{"gateway started again", func(x *fleet, v *versionedServers) {
 		x.gateways[rolloutGatewayIP(0)].kill()
--- a/directory/suspended_test.go
+++ b/directory/suspended_test.go
@@ -83,7 +83,7 @@
 				}
 				time.Sleep(suspendTime - time.Since(began))
 				clocks[old.ip].resume()
-				x.net.Join(old.ip)
+				x.net.Restore(old.ip)
 				read, err := old.d.Read(x.t.Context())
 				stale := err == nil && read.Document.Number < 2
 				t.Logf("read %d, %v", read.Document.Number, err)
--- a/faults_test.go
+++ b/faults_test.go
@@ -49,7 +49,7 @@
 		is.True(newLeader != oldLeader)
 		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200)
 		revision := f.status(newLeader).GetRevision()
-		f.net.Join(f.boxes[oldLeader].ip)
+		f.net.Restore(f.boxes[oldLeader].ip)
 		_, err := f.operators(oldLeader).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
 			Change: &operatorv1.Change{Id: "stale", BaseRevision: revision}, Name: "e1", Mark: operatorv1.Mark_MARK_LEAVING,
 		}))
@@ -110,7 +110,7 @@
 		is.Equal(a.outcome, "not-run")
 		checkComplete(is, inFlight(), 1) // requests in flight complete
 		for name := range f.replicas {
-			f.net.Join(f.boxes[name].ip)
+			f.net.Restore(f.boxes[name].ip)
 		}
 		f.settle()
 		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200)
--- a/golden_test.go
+++ b/golden_test.go
@@ -221,7 +221,7 @@
 		s.account("late", 1)
 		s.align()
 		s.operator("account create late  ←  accepted by another leader")
-		s.net.Join(s.boxes[old].ip)
+		s.net.Restore(s.boxes[old].ip)
 		time.Sleep(5 * time.Second)
 		back := s.leader() == old
 		s.settle()
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -11,8 +11,8 @@
 	n.cut[ip] = true
 }
 
-// Join reverts Cut.
-func (n *Network) Join(ip string) {
+// Restore reverts Cut.
+func (n *Network) Restore(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, ip)
--- a/operators_test.go
+++ b/operators_test.go
@@ -218,7 +218,7 @@
 		is.True(resp.Msg.GetInForce())
 		is.Equal(resp.Msg.GetConfirmed(), []string{"r1"})
 		is.True(time.Since(began) < 5*time.Second) // a lease, its margin, and some slack
-		f.net.Join(f.boxes["r2"].ip)
+		f.net.Restore(f.boxes["r2"].ip)
 	})
 }
 
@@ -235,7 +235,7 @@
 		f.net.Cut(f.boxes["r2"].ip) // r2 receives no message about it, but can't reach the servers either
 		time.Sleep(3 * time.Second)
 		before := f.engines["e1"].Runs()
-		f.net.Join(f.boxes["r2"].ip)
+		f.net.Restore(f.boxes["r2"].ip)
 		time.Sleep(4 * time.Second)
 		is.Equal(f.engines["e1"].Runs(), before) // no new requests after 3 s, from any router
 		for _, a := range append(stop1(), stop2()...) {
