--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -191,7 +191,7 @@
 		x.net.Restore(ip)
 	}
 	for _, region := range x.regions {
-		x.net.JoinRegion(region)
+		x.net.RestoreRegion(region)
 	}
 	time.Sleep(time.Second)
 	for _, g := range x.gateways {
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -201,7 +201,7 @@
 			is.Equal(g.DocumentNumber(), uint64(1))
 			is.Equal(len(g.Servers()), 20)
 		}
-		x.net.JoinRegion(south)
+		x.net.RestoreRegion(south)
 		began := time.Now()
 		for _, g := range far {
 			for g.DocumentNumber() < 2 {
--- a/directory/rollout_regions_test.go
+++ b/directory/rollout_regions_test.go
@@ -150,7 +150,7 @@
 	r.cut.Store(true)
 	x.net.CutRegion(south)
 	time.AfterFunc(4*time.Second, func() {
-		x.net.JoinRegion(south)
+		x.net.RestoreRegion(south)
 		r.cut.Store(false)
 	})
 	time.Sleep(time.Second)
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -77,8 +77,8 @@
 	n.regionLinks.cut[region] = true
 }
 
-// JoinRegion reverts CutRegion.
-func (n *Network) JoinRegion(region string) {
+// RestoreRegion reverts CutRegion.
+func (n *Network) RestoreRegion(region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.regionLinks.cut, region)
