--- a/chaos_test.go
+++ b/chaos_test.go
@@ -155,7 +155,7 @@
 	case p < 88:
 		f.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
 	case p < 96:
-		f.net.Reunite()
+		f.net.HealPartitions()
 	default:
 		f.loseDiskOfCompleteGroup(b)
 	}
@@ -176,7 +176,7 @@
 
 // repairAll reconnects all boxes and restarts those that are down.
 func (f *testFleet) repairAll() {
-	f.net.Reunite()
+	f.net.HealPartitions()
 	for _, name := range slices.Sorted(maps.Keys(f.boxes)) {
 		b := f.boxes[name]
 		f.net.Restore(b.ip)
--- a/directory/leaderplacement_test.go
+++ b/directory/leaderplacement_test.go
@@ -140,7 +140,7 @@
 		leader, other := x.awaitLeader(), x.relays(south)[0]
 		x.nodes[x.ips[1]].kill()
 		x.nodes[x.ips[2]].kill()
-		defer x.net.Reunite() // also when the test fails; otherwise dials would block forever
+		defer x.net.HealPartitions() // also when the test fails; otherwise dials would block forever
 		x.net.Isolate(x.ips[0], other.ip)
 		time.Sleep(5 * time.Second)
 		const sample, again = 20 * time.Millisecond, 10 * time.Second
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -147,13 +147,13 @@
 				apart = append(apart, ip)
 			}
 		}
-		defer x.net.Reunite() // also if the test fails, as dials would block forever
+		defer x.net.HealPartitions() // also if the test fails, as dials would block forever
 		x.net.Isolate(apart...)
 		time.Sleep(4 * time.Second)
 		took := x.awaitDocument(2, far...)
 		x.t.Logf("in force after %v", took)
 		is.True(took < 2*time.Second)
-		x.net.Reunite()
+		x.net.HealPartitions()
 		time.Sleep(20 * time.Second)
 		leader := x.awaitLeader()
 		before := leader.messagesSent("fleet")
--- a/directory/spreadhalls_test.go
+++ b/directory/spreadhalls_test.go
@@ -119,7 +119,7 @@
 			took := c.awaitDocument(number, 10*time.Second)
 			c.t.Logf("in force after %v; leader cut off: %v", took, leads)
 			is.True(took <= 3500*time.Millisecond)
-			c.net.Reunite()
+			c.net.HealPartitions()
 			time.Sleep(5 * time.Second)
 		}
 	})
--- a/faults_test.go
+++ b/faults_test.go
@@ -70,7 +70,7 @@
 		f.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
 		time.Sleep(12 * time.Second) // four lease periods
 		is.True(f.boxes["r1"].box.Ready())
-		f.net.Reunite()
+		f.net.HealPartitions()
 		time.Sleep(5 * time.Second)
 		checkComplete(is, stop(), 100)
 	})
--- a/golden_test.go
+++ b/golden_test.go
@@ -170,7 +170,7 @@
 		s.record("network", "r1 and the control boxes are cut off from each other")
 		time.Sleep(4 * time.Second)
 		s.call(completion("r1", "hotel", 2, true))
-		s.net.Reunite()
+		s.net.HealPartitions()
 		s.record("network", "whole again")
 		s.settle()
 		s.align()
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Reunite reverts all calls of Isolate and Part.
-func (n *Network) Reunite() {
+// HealPartitions reverts all calls of Isolate and Part.
+func (n *Network) HealPartitions() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.isolated)
