--- a/directory/regions_test.go
+++ b/directory/regions_test.go
@@ -30,9 +30,9 @@
 			x.announceMany(servers)
 			all := append(x.startGatewaysIn(north, gateways), x.startGatewaysIn(south, gateways)...)
 			time.Sleep(10 * time.Second)
-			before := x.net.Crossed(north, south) + x.net.Crossed(south, north)
+			before := x.net.BytesBetweenRegions(north, south) + x.net.BytesBetweenRegions(south, north)
 			time.Sleep(measured)
-			crossed[gateways] = x.net.Crossed(north, south) + x.net.Crossed(south, north) - before
+			crossed[gateways] = x.net.BytesBetweenRegions(north, south) + x.net.BytesBetweenRegions(south, north) - before
 			x.putDocument(1)
 			began := time.Now()
 			for _, g := range all {
@@ -63,9 +63,9 @@
 			defer r.stop()
 		}
 		time.Sleep(10 * time.Second)
-		before := x.net.Crossed(north, south) + x.net.Crossed(south, north)
+		before := x.net.BytesBetweenRegions(north, south) + x.net.BytesBetweenRegions(south, north)
 		time.Sleep(measured * time.Second)
-		rate := (x.net.Crossed(north, south) + x.net.Crossed(south, north) - before) / measured
+		rate := (x.net.BytesBetweenRegions(north, south) + x.net.BytesBetweenRegions(south, north) - before) / measured
 		x.t.Logf("%d bytes a second between regions", rate)
 		is.True(rate < 50_000)
 	})
@@ -95,9 +95,9 @@
 			})
 		}
 		time.Sleep(5 * time.Second)
-		before := x.net.Crossed(south, north)
+		before := x.net.BytesBetweenRegions(south, north)
 		time.Sleep(10 * time.Second)
-		perServer := (x.net.Crossed(south, north) - before) / 10 / servers
+		perServer := (x.net.BytesBetweenRegions(south, north) - before) / 10 / servers
 		least := servers
 		for ctx.Err() == nil {
 			time.Sleep(50 * time.Millisecond)
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -85,8 +85,8 @@
 	n.wakeWaiters()
 }
 
-// Crossed returns the number of bytes written from one region to another.
-func (n *Network) Crossed(from, to string) uint64 {
+// BytesBetweenRegions returns the number of bytes written from one region to another.
+func (n *Network) BytesBetweenRegions(from, to string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.regionLinks.written[direction{from, to}]
