--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -35,8 +35,8 @@
 	n.regionLinks.links[ip] = &boxLink{rate: bytesPerSecond}
 }
 
-// Sent returns the number of bytes that a box with a limited uplink has sent.
-func (n *Network) Sent(ip string) uint64 {
+// BytesSent returns the number of bytes that a box with a limited uplink has sent.
+func (n *Network) BytesSent(ip string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.regionLinks.links[ip]; l != nil {
