--- a/directory/crashingrequest_faults_test.go
+++ b/directory/crashingrequest_faults_test.go
@@ -83,7 +83,7 @@
 		},
 		{
 			name: "connections between nodes are silent", delay: 200 * time.Millisecond, maxStarts: 8,
-			inject: func(x *fleet, _ *crashingServers, _ *callers) { x.net.Silence() },
+			inject: func(x *fleet, _ *crashingServers, _ *callers) { x.net.SilenceConnections() },
 		},
 		{
 			name: "no gateway reaches the directory", maxStarts: 16, // three crashes for each of four gateways, and the second attempts
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -94,7 +94,7 @@
 				case "killed":
 					gone.kill()
 				case "silent":
-					x.net.Silence()
+					x.net.SilenceConnections()
 				case "cut":
 					x.net.Cut(gone.ip)
 				}
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -50,7 +50,7 @@
 			x.startReplica(ip, false)
 		}
 	}},
-	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.Silence() }},
+	{"connections silent", func(x *fleet, _ *versionedServers) { x.net.SilenceConnections() }},
 }
 
 // faultTimes are the times from the order to the fault: in the trial, around the switch, and before
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -28,7 +28,7 @@
 		x.putDocument(1)
 		time.Sleep(time.Second)
 		for n := range uint64(3) {
-			x.net.Silence()
+			x.net.SilenceConnections()
 			began := time.Now()
 			x.putDocument(n + 2)
 			for _, g := range gateways {
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -46,9 +46,9 @@
 	n.wakeWaiters()
 }
 
-// Silence makes every open connection silent permanently: both sides may continue to write, but
+// SilenceConnections makes every open connection silent permanently: both sides may continue to write, but
 // neither data nor the close arrives. Connections opened later work.
-func (n *Network) Silence() {
+func (n *Network) SilenceConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -218,7 +218,7 @@
 		is.NoErr(call(time.Second))
 		before := time.Now()
 		time.Sleep(time.Second)
-		n.Silence()
+		n.SilenceConnections()
 		var unknown forward.MayHaveRun
 		is.True(errors.As(call(time.Second), &unknown)) // it may have run
 		is.True(unknown.ConnOpenedAt.Before(before))
@@ -227,7 +227,7 @@
 		c.DropIdle(address) // while a call is using the connection
 		time.Sleep(time.Second)
 		is.Equal(opened, 2)
-		n.Silence()
+		n.SilenceConnections()
 		c.DropIdle(address)
 		synctest.Wait() // the transport notices that they are closed
 		is.NoErr(call(time.Second))
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -167,7 +167,7 @@
 		is.Equal(m, large)
 		is.True(time.Since(began) > 3*time.Second)
 		is.NoErr(a.Send(t.Context(), large))
-		time.AfterFunc(2*time.Second, n.Silence)
+		time.AfterFunc(2*time.Second, n.SilenceConnections)
 		_, err = d.ReceiveWithIdleTimeout(t.Context(), time.Second)
 		is.True(errors.As(err, new(link.Broken)))
 		n.Kill("10.0.0.1")
