--- a/callers_test.go
+++ b/callers_test.go
@@ -292,7 +292,7 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
-		c, err := f.net.Box(clientIP).DialContext(t.Context(), "tcp", "10.0.2.1:8080")
+		c, err := f.net.DialerFrom(clientIP).DialContext(t.Context(), "tcp", "10.0.2.1:8080")
 		is.NoErr(err)
 		defer c.Close()
 		_, err = c.Write([]byte("POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer hotel\r\nContent-Length: 100\r\n\r\n{"))
--- a/directory/fixture_test.go
+++ b/directory/fixture_test.go
@@ -142,7 +142,7 @@
 	set := metrics.NewSet()
 	log := x.log(set)
 	d, err := directory.Start(ctx, directory.Settings{
-		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
+		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.DialerFrom(ip).DialContext},
 		Seeds:    x.seeds, Bootstrap: first, Voters: x.voterCount, Dir: n.disk, AnnounceInterval: announceInterval, Rollouts: rolloutBounds,
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(), Tuning: x.tuning, LinkRate: x.linkRate,
 		Random: x.random, Clock: n.clock, Log: log, Metrics: set,
@@ -297,7 +297,7 @@
 type noHeaders struct{ gateway.HeaderCodec }
 
 func (x *fleet) startGateway(ip string) *gateway.Gateway {
-	return x.startGatewayWithDial(ip, x.net.Box(ip).DialContext)
+	return x.startGatewayWithDial(ip, x.net.DialerFrom(ip).DialContext)
 }
 
 // startGatewayWithDial starts a gateway that opens its links with dial.
@@ -307,7 +307,7 @@
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
 		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: dial},
-		Seeds:    x.seeds, Headers: noHeaders{}, Transport: forward.New(forward.Settings{Dialer: x.net.Box(ip)}),
+		Seeds:    x.seeds, Headers: noHeaders{}, Transport: forward.New(forward.Settings{Dialer: x.net.DialerFrom(ip)}),
 		Hall: x.halls[ip], Region: x.regions[ip], Topology: x.topology(),
 		Retries: retry.Limits{Window: time.Second}, Random: x.random, Log: log, Metrics: set,
 	})
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -97,7 +97,7 @@
 		directoryLog, directorySet, directoryText := start()
 		disk := fakedisk.New(1)
 		d, err := directory.Start(ctx, directory.Settings{
-			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.Box("10.0.1.1").DialContext},
+			Identity: link.Identity{Name: seeds[0], Key: fleetKey, Dial: x.net.DialerFrom("10.0.1.1").DialContext},
 			Seeds:    seeds, Bootstrap: true, Voters: 1, Dir: disk, AnnounceInterval: announceInterval, Random: x.random, Log: directoryLog, Metrics: directorySet,
 		})
 		is.New(t).NoErr(err)
@@ -107,7 +107,7 @@
 		gatewayLog, gatewaySet, gatewayText := start()
 		running, end := context.WithCancel(context.Background())
 		g := gateway.Start(running, gateway.Settings{
-			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext},
+			Identity: link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.1").DialContext},
 			Seeds:    seeds, Headers: testHeaders{}, Transport: scriptedServer{}, Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 			Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: func() uint64 { return 1 }, Log: gatewayLog, Metrics: gatewaySet,
 		})
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -92,7 +92,7 @@
 	set := metrics.NewSet()
 	log := x.log(set)
 	g := gateway.Start(ctx, gateway.Settings{
-		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.Box(ip).DialContext},
+		Identity: link.Identity{Name: ip + ":7400", Key: fleetKey, Dial: x.net.DialerFrom(ip).DialContext},
 		Seeds:    x.seeds, Headers: headers, Transport: a, Region: x.regions[ip], Topology: x.topology(), Retries: retry.Limits{Ratio: 0.2, Extra: 1000, Window: time.Second},
 		Grace: time.Second, MaxTotalBodyBytes: 1 << 20, Random: x.random, Log: log, Metrics: set,
 	})
--- a/directory/relayrefusal_internal_test.go
+++ b/directory/relayrefusal_internal_test.go
@@ -44,7 +44,7 @@
 		go func() { _ = server.Serve(listener) }()
 		defer func() { stop(); server.Close(); synctest.Wait() }()
 		d := &Directory{ctx: ctx, cfg: Settings{
-			Identity: link.Identity{Name: "10.0.1.2:7400", Key: key, Dial: net.Box("10.0.1.2").DialContext},
+			Identity: link.Identity{Name: "10.0.1.2:7400", Key: key, Dial: net.DialerFrom("10.0.1.2").DialContext},
 			Random:   func() uint64 { return 1 }, Region: "south",
 		}}
 		d.hub = newHub(d)
--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -31,7 +31,7 @@
 		time.Sleep(3 * time.Second)
 
 		x.place("10.0.2.1", south)
-		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
+		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), relay.ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
@@ -61,7 +61,7 @@
 		x.putDocument(1)
 		time.Sleep(2 * time.Second) // until the relays have their sessions
 		x.place("10.0.2.1", south)
-		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
+		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), x.relays(south)[0].ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -55,7 +55,7 @@
 
 // session runs one session, and one with the replica that it is redirected to.
 func (r *reportingGateway) session(ctx context.Context, address string) {
-	id := link.Identity{Name: r.ip + ":7400", Key: fleetKey, Dial: r.x.net.Box(r.ip).DialContext}
+	id := link.Identity{Name: r.ip + ":7400", Key: fleetKey, Dial: r.x.net.DialerFrom(r.ip).DialContext}
 	dialing, cancel := context.WithTimeout(ctx, 700*time.Millisecond)
 	l, err := link.Dial(dialing, address, id, nil)
 	cancel()
--- a/directory/rolloutcompletion_test.go
+++ b/directory/rolloutcompletion_test.go
@@ -49,7 +49,7 @@
 // It returns the time from the final list to the next one.
 func (x *fleet) runGatewayUntilComplete(ctx context.Context, obeysFinal bool) time.Duration {
 	is := is.New(x.t)
-	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
+	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -303,7 +303,7 @@
 // sendOrder sends an order on a fleet link, as an operator's command does.
 func (x *fleet) sendOrder(n *directoryNode, o protocol.RolloutOrder) protocol.RolloutAnswer {
 	is := is.New(x.t)
-	id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(n.ip).DialContext}
+	id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.DialerFrom(n.ip).DialContext}
 	l, err := link.Dial(x.t.Context(), n.ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
@@ -362,7 +362,7 @@
 		is := is.New(x.t)
 		l := x.awaitLeader()
 		x.putDocument(1)
-		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.Box(l.ip).DialContext}
+		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.DialerFrom(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
 		is.NoErr(gone.Send(x.t.Context(), protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}))
@@ -380,7 +380,7 @@
 		l := x.awaitLeader()
 		for i, knows := range []bool{true, false} {
 			name := []string{"10.0.2.1:7400", "10.0.2.2:7400"}[i]
-			id := link.Identity{Name: name, Key: fleetKey, Dial: x.net.Box(name[:8]).DialContext}
+			id := link.Identity{Name: name, Key: fleetKey, Dial: x.net.DialerFrom(name[:8]).DialContext}
 			session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 			is.NoErr(err)
 			defer session.Close()
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -214,7 +214,7 @@
 		is.NoErr(x.orderRollout(orderTo("v2")))
 		l := x.awaitLeader()
 		is.NoErr(l.d.AbortRollout(x.t.Context(), "p", 1))
-		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.1").DialContext}
+		id := link.Identity{Name: "10.0.2.1:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.1").DialContext}
 		session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
@@ -254,7 +254,7 @@
 // runGatewayAtOldServer runs a gateway that, if it applies lists, always runs a request at server b1.
 func (x *fleet) runGatewayAtOldServer(ctx context.Context, obeys bool) {
 	is := is.New(x.t)
-	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
+	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
--- a/directory/serverrestart_test.go
+++ b/directory/serverrestart_test.go
@@ -159,7 +159,7 @@
 		is := is.New(t)
 		x.putDocument(1)
 		l := &life{x: x, born: 1_790_000_000_000, address: "10.0.3.1:80"}
-		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.Box("10.0.2.9").DialContext}
+		id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.9").DialContext}
 		session, err := link.Dial(x.t.Context(), x.awaitLeader().ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
--- a/directory/sessions_test.go
+++ b/directory/sessions_test.go
@@ -92,7 +92,7 @@
 		time.Sleep(time.Second)
 		for i := range gateways {
 			ip := fmt.Sprintf("10.0.2.%d", i+1)
-			x.startGatewayWithDial(ip, x.net.Box(ip).Slow(25_000).DialContext) // the list takes about 3 s
+			x.startGatewayWithDial(ip, x.net.DialerFrom(ip).Slow(25_000).DialContext) // the list takes about 3 s
 		}
 		time.Sleep(8 * time.Second)
 		for _, n := range x.gateways {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -74,7 +74,7 @@
 		t: t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, 2)), replicas: map[string]string{},
 		boxes: map[string]*testBox{}, engines: map[string]*standin.Engine{}, services: map[string]*standin.Service{},
 	}
-	transport := &http.Transport{DialContext: f.net.Box(clientIP).DialContext}
+	transport := &http.Transport{DialContext: f.net.DialerFrom(clientIP).DialContext}
 	f.client = &http.Client{Transport: transport}
 	if certify != nil {
 		f.scheme, transport.TLSClientConfig = "https://", certify(clientIP).Dial
@@ -124,7 +124,7 @@
 	b.kill = cancel
 	cfg := badgerspoke.Settings{
 		Name: name, FleetKey: []byte("a key that all boxes share"), Replicas: f.replicas, OperatorToken: token,
-		Dialer: f.net.Box(b.ip), Random: f.random, Grace: 100 * time.Millisecond,
+		Dialer: f.net.DialerFrom(b.ip), Random: f.random, Grace: 100 * time.Millisecond,
 		Router: !b.control, Control: b.control,
 		Dir: func(group string) (wal.Dir, error) {
 			if b.disks[group] == nil {
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -69,8 +69,8 @@
 	return l, nil
 }
 
-// Box returns a dialer for connections from one box.
-func (n *Network) Box(ip string) Dialer { return Dialer{n: n, ip: ip} }
+// DialerFrom returns a dialer for connections from one box.
+func (n *Network) DialerFrom(ip string) Dialer { return Dialer{n: n, ip: ip} }
 
 // Dialer opens connections from one box.
 type Dialer struct {
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -53,7 +53,7 @@
 			synctest.Wait()
 		}()
 		connect := func() net.Conn {
-			conn, err := network.Box("10.0.0.2").DialContext(ctx, "tcp", callersAddress)
+			conn, err := network.DialerFrom("10.0.0.2").DialContext(ctx, "tcp", callersAddress)
 			is.NoErr(err)
 			return conn
 		}
--- a/process/gateway_test.go
+++ b/process/gateway_test.go
@@ -32,7 +32,7 @@
 	}
 	for range 2 {
 		is.Equal(status(), 200)
-		_, err := n.Box("10.0.0.2").DialContext(t.Context(), "tcp", "10.0.0.1:80")
+		_, err := n.DialerFrom("10.0.0.2").DialContext(t.Context(), "tcp", "10.0.0.1:80")
 		is.NoErr(err)
 		conn, err := callers.Accept()
 		is.NoErr(err)
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -47,7 +47,7 @@
 			}
 		}()
 		for range 5 {
-			conn, err := network.Box("10.0.0.2").DialContext(t.Context(), "tcp", callersAddress)
+			conn, err := network.DialerFrom("10.0.0.2").DialContext(t.Context(), "tcp", callersAddress)
 			is.NoErr(err)
 			defer conn.Close()
 		}
--- a/process/unread_test.go
+++ b/process/unread_test.go
@@ -43,7 +43,7 @@
 			}
 		}()
 		dial := func() net.Conn {
-			conn, err := network.Box("10.0.0.2").DialContext(t.Context(), "tcp", callersAddress)
+			conn, err := network.DialerFrom("10.0.0.2").DialContext(t.Context(), "tcp", callersAddress)
 			is.NoErr(err)
 			_, err = conn.Write([]byte("GET"))
 			is.NoErr(err)
--- a/tls_test.go
+++ b/tls_test.go
@@ -79,13 +79,13 @@
 		is.NoErr(a.err)
 		is.True(strings.HasSuffix(a.body, "data: [DONE]\n\n"))
 		// An unencrypted request is refused.
-		plain := &http.Client{Transport: &http.Transport{DialContext: f.net.Box(clientIP).DialContext, DisableKeepAlives: true}}
+		plain := &http.Client{Transport: &http.Transport{DialContext: f.net.DialerFrom(clientIP).DialContext, DisableKeepAlives: true}}
 		resp, err := plain.Get("http://10.0.2.1:8080/readyz")
 		is.NoErr(err) // net/http responds in plain text
 		resp.Body.Close()
 		is.Equal(resp.StatusCode, http.StatusBadRequest)
 		// A box with the fleet key but without a certificate is refused.
-		stranger := link.Identity{Name: "r9", Key: []byte("a key that all boxes share"), Dial: f.net.Box("10.0.2.9").DialContext,
+		stranger := link.Identity{Name: "r9", Key: []byte("a key that all boxes share"), Dial: f.net.DialerFrom("10.0.2.9").DialContext,
 			TLS: &tls.Config{RootCAs: ca.pool, MinVersion: tls.VersionTLS13}}
 		_, err = link.Dial(t.Context(), "10.0.1.1:8082", stranger, nil)
 		is.True(err != nil)
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -37,7 +37,7 @@
 }
 
 func client(t *testing.T, n *fakenet.Network) *forward.Client {
-	c := forward.New(forward.Settings{Dialer: n.Box("10.0.0.2"), HeaderTimeout: 10 * time.Second})
+	c := forward.New(forward.Settings{Dialer: n.DialerFrom("10.0.0.2"), HeaderTimeout: 10 * time.Second})
 	t.Cleanup(c.Close)
 	return c
 }
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -32,7 +32,7 @@
 			defer s.Close()
 		}
 		opened := 0
-		c := forward.New(forward.Settings{Dialer: n.Box("10.0.0.2"), MaxIdle: kept, OnOpen: func() { opened++ }})
+		c := forward.New(forward.Settings{Dialer: n.DialerFrom("10.0.0.2"), MaxIdle: kept, OnOpen: func() { opened++ }})
 		defer c.Close()
 		call := func(i int) {
 			a, err := c.Send(t.Context(), at(i), forward.Call{Method: "GET", Path: "/x"})
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -175,7 +175,7 @@
 		}))
 		opened := 0
 		c := forward.New(forward.Settings{
-			Dialer: n.Box("10.0.0.2"), OnOpen: func() { opened++ },
+			Dialer: n.DialerFrom("10.0.0.2"), OnOpen: func() { opened++ },
 			IsRefusal: func(_ int, h http.Header) bool { return h.Get("Declined") != "" },
 		})
 		defer c.Close()
@@ -202,7 +202,7 @@
 			_, _ = io.WriteString(conn, fineAnswer)
 		})
 		opened := 0
-		c := forward.New(forward.Settings{Dialer: n.Box("10.0.0.2"), OnOpen: func() { opened++ }})
+		c := forward.New(forward.Settings{Dialer: n.DialerFrom("10.0.0.2"), OnOpen: func() { opened++ }})
 		defer n.Kill("10.0.0.1") // silent connections do not end by themselves
 		defer c.Close()
 		call := func(limit time.Duration) error {
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -45,7 +45,7 @@
 }
 
 func identity(n *fakenet.Network, key string) link.Identity {
-	return link.Identity{Name: "dialer", Key: []byte(key), Dial: n.Box("10.0.0.2").DialContext}
+	return link.Identity{Name: "dialer", Key: []byte(key), Dial: n.DialerFrom("10.0.0.2").DialContext}
 }
 
 // openPair opens a link with the right key and returns both ends.
@@ -92,7 +92,7 @@
 		is.True(errors.As(err, new(link.WrongKey))) // the dialer refuses the acceptor
 		<-refused                                   // the acceptor refuses the dialer
 		// Messages of a peer that skips the handshake are not read.
-		client := &http.Client{Transport: &http.Transport{DialContext: n.Box("10.0.0.3").DialContext}}
+		client := &http.Client{Transport: &http.Transport{DialContext: n.DialerFrom("10.0.0.3").DialContext}}
 		c, _, err := websocket.Dial(t.Context(), "ws://"+address+link.Path, &websocket.DialOptions{HTTPClient: client})
 		is.NoErr(err)
 		b, _ := protocol.Encode(protocol.Hello{Router: "forged", Boot: 1})
@@ -155,7 +155,7 @@
 		n := fakenet.New(time.Millisecond)
 		accepted, _ := acceptLinks(t, n, "key")
 		id := identity(n, "key")
-		id.Dial = n.Box("10.0.0.2").Slow(50_000).DialContext
+		id.Dial = n.DialerFrom("10.0.0.2").Slow(50_000).DialContext
 		d, err := link.Dial(t.Context(), address, id, nil)
 		is.NoErr(err)
 		a := <-accepted
--- a/transport/mesh/mesh_test.go
+++ b/transport/mesh/mesh_test.go
@@ -27,7 +27,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		net, key := fakenet.New(time.Millisecond), []byte("a key that all nodes share")
 		identity := func(ip string) link.Identity {
-			return link.Identity{Name: ip + ":7400", Key: key, Dial: net.Box(ip).DialContext}
+			return link.Identity{Name: ip + ":7400", Key: key, Dial: net.DialerFrom(ip).DialContext}
 		}
 		one, two := identity("10.0.1.1"), identity("10.0.1.2")
 		address := func(name string) string { return name }
