--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -104,8 +104,8 @@
 // SetFreeSpace sets the number of bytes that can still be written; -1 means unlimited.
 func (d *Disk) SetFreeSpace(bytes int) { d.mu.Lock(); d.freeSpace = bytes; d.mu.Unlock() }
 
-// Flip inverts one bit of the byte at an offset of a file, durably.
-func (d *Disk) Flip(name string, at int) {
+// FlipBit inverts one bit of the byte at an offset of a file, durably.
+func (d *Disk) FlipBit(name string, at int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f := d.files[name]
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -59,11 +59,11 @@
 		{"none", func(*fakedisk.Disk, []int) {}, 3, false},
 		{"truncated inside the last payload", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[2]-1) }, 2, false},
 		{"truncated inside the last header", func(d *fakedisk.Disk, e []int) { d.Truncate(firstLog, e[1]+5) }, 2, false},
-		{"bit flipped in the first payload", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[0]-1) }, 0, true},
-		{"bit flipped in the first header", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, 5) }, 0, true},
-		{"bit flipped in the middle", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[1]-2) }, 0, true},
-		{"bit flipped in the last payload", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[2]-1) }, 0, true},
-		{"bit flipped in the last header", func(d *fakedisk.Disk, e []int) { d.Flip(firstLog, e[1]+1) }, 0, true},
+		{"bit flipped in the first payload", func(d *fakedisk.Disk, e []int) { d.FlipBit(firstLog, e[0]-1) }, 0, true},
+		{"bit flipped in the first header", func(d *fakedisk.Disk, e []int) { d.FlipBit(firstLog, 5) }, 0, true},
+		{"bit flipped in the middle", func(d *fakedisk.Disk, e []int) { d.FlipBit(firstLog, e[1]-2) }, 0, true},
+		{"bit flipped in the last payload", func(d *fakedisk.Disk, e []int) { d.FlipBit(firstLog, e[2]-1) }, 0, true},
+		{"bit flipped in the last header", func(d *fakedisk.Disk, e []int) { d.FlipBit(firstLog, e[1]+1) }, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 	d, _ := diskWithThreeFrames(t)
 	l, _, _ := mustOpen(t, d)
 	is.NoErr(l.Rotate([]byte("image"), []byte("tail")))
-	d.Flip("0000000000000001.snapshot", 20)
+	d.FlipBit("0000000000000001.snapshot", 20)
 	_, _, err := wal.Open(d)
 	var damaged wal.Damaged
 	is.True(errors.As(err, &damaged))
