--- a/coordination/share/flow.go
+++ b/coordination/share/flow.go
@@ -46,7 +46,7 @@
 		if a.busy.Len() > 0 {
 			f.cost = max(f.cost, a.busy.Min().cost)
 		}
-		a.busy.Set(f)
+		a.busy.PushOrFix(f)
 	}
 	a.waiting++
 	a.bytes += t.Bytes
@@ -66,7 +66,7 @@
 	q.bytes -= t.Bytes
 	q.deadlines.Remove(t)
 	if f.tickets.Len() > 0 {
-		a.busy.Set(f)
+		a.busy.PushOrFix(f)
 		return
 	}
 	a.busy.Remove(f)
--- a/coordination/share/queue.go
+++ b/coordination/share/queue.go
@@ -154,7 +154,7 @@
 	t := &Ticket{Request: r, account: a, deadlineIndex: pq.Absent, seq: q.ticketCount}
 	q.enqueue(t)
 	if r.Deadline > 0 {
-		q.deadlines.Set(t)
+		q.deadlines.PushOrFix(t)
 	}
 	q.markChanged(a)
 	return t, nil
@@ -249,7 +249,7 @@
 // reorder updates the account's place among those that may be served next.
 func (q *Queue) reorder(a *account) {
 	if a.waiting > 0 && (a.limits.Running == 0 || a.running < a.limits.Running) {
-		q.ready.Set(a)
+		q.ready.PushOrFix(a)
 	} else {
 		q.ready.Remove(a)
 	}
--- a/coordination/slots/account.go
+++ b/coordination/slots/account.go
@@ -86,7 +86,7 @@
 	if !p.backlogged.Has(acc) && acc.grantsInFlight == 0 {
 		acc.virtualTime += max(p.lift-acc.settledTime(), 0)
 	}
-	p.backlogged.Set(acc)
+	p.backlogged.PushOrFix(acc)
 }
 
 // updateFloor sets the floor to the lowest virtual time among backlogged accounts and raises
--- a/coordination/slots/grant.go
+++ b/coordination/slots/grant.go
@@ -53,7 +53,7 @@
 		unreachable = append(unreachable, acc)
 	}
 	for _, acc := range unreachable {
-		p.backlogged.Set(acc)
+		p.backlogged.PushOrFix(acc)
 	}
 	p.updateFloor()
 	short := p.backlogged.Len() > 0 && p.recall(now)
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -31,8 +31,8 @@
 // Has reports whether x is in the queue.
 func (q *Queue[T]) Has(x T) bool { return *q.h.place(x) != Absent }
 
-// Set adds x, or restores its position after its order has changed.
-func (q *Queue[T]) Set(x T) {
+// PushOrFix adds x, or restores its position after its order has changed.
+func (q *Queue[T]) PushOrFix(x T) {
 	if q.Has(x) {
 		heap.Fix(&q.h, *q.h.place(x))
 		return
--- a/internal/pq/pq_test.go
+++ b/internal/pq/pq_test.go
@@ -24,7 +24,7 @@
 			step := rapid.IntRange(0, 3).Draw(t, "step")
 			if len(list) == 0 || step == 0 {
 				x := &item{value: rapid.IntRange(0, 9).Draw(t, "value"), id: id, place: Absent}
-				q.Set(x)
+				q.PushOrFix(x)
 				list = append(list, x)
 				continue
 			}
@@ -32,7 +32,7 @@
 			switch step {
 			case 1:
 				x.value = rapid.IntRange(0, 9).Draw(t, "value")
-				q.Set(x)
+				q.PushOrFix(x)
 			case 2:
 				q.Remove(x)
 				q.Remove(x) // a second call has no effect
