--- a/callers_test.go
+++ b/callers_test.go
@@ -124,9 +124,9 @@
 	}{
 		{"refused, then taken", plain, standin.Refuse, 200, "", 1},
 		{"refused though it may not be repeated", never, standin.Refuse, 200, "", 1},
-		{"dies early, safe to repeat", plain, standin.DieEarly, 200, "", 2},
-		{"dies early, may not be repeated", never, standin.DieEarly, 502, "unknown", 1},
-		{"service dies early", post, standin.DieEarly, 502, "unknown", 1},
+		{"dies early, safe to repeat", plain, standin.AbortBeforeResponse, 200, "", 2},
+		{"dies early, may not be repeated", never, standin.AbortBeforeResponse, 502, "unknown", 1},
+		{"service dies early", post, standin.AbortBeforeResponse, 502, "unknown", 1},
 		{"service refuses", post, standin.Refuse, 200, "", 1},
 		{"stream dies in the middle", engine, standin.DieMid, 200, "unknown", 1},
 		{"stream ends without its end mark", engine, standin.Truncate, 200, "unknown", 1},
@@ -198,7 +198,7 @@
 		for range 12 { // earn budget for one retry
 			f.do(request{router: "r1", method: "GET", path: "/services/stock/warm", key: "hotel"})
 		}
-		f.engines["e1"].FailNext(standin.DieEarly)
+		f.engines["e1"].FailNext(standin.AbortBeforeResponse)
 		f.engines["e1"].FailNext(standin.Refuse) // no retry budget is left
 		a := f.do(completion("r1", "hotel", 4, false))
 		is.Equal(f.engines["e1"].Runs(), 1)
@@ -257,7 +257,7 @@
 		f := smallFleet(t)
 		failed := 0
 		for range 100 {
-			f.engines["e1"].FailNext(standin.DieEarly)
+			f.engines["e1"].FailNext(standin.AbortBeforeResponse)
 			if a := f.do(completion("r1", "hotel", 1, false)); a.status != 200 {
 				failed++
 			}
--- a/golden_test.go
+++ b/golden_test.go
@@ -252,7 +252,7 @@
 		s.record("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
 		s.call(rs[1])
 		s.call(order("r1", "hotel", "6 robes", "k2"))
-		s.services["s1"].FailNext(standin.DieEarly)
+		s.services["s1"].FailNext(standin.AbortBeforeResponse)
 		s.call(order("r1", "hotel", "7 robes", "k3"))
 		s.call(order("r2", "hotel", "7 robes", "k3"))
 		s.record("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -150,7 +150,7 @@
 }
 
 func (c *completion) serve() {
-	if c.failure == DieEarly {
+	if c.failure == AbortBeforeResponse {
 		panic(http.ErrAbortHandler)
 	}
 	if !sleep.For(c.ctx, c.cfg.PromptTime) {
--- a/standin/service.go
+++ b/standin/service.go
@@ -52,7 +52,7 @@
 	case Hang:
 		<-r.Context().Done()
 		return
-	case DieEarly:
+	case AbortBeforeResponse:
 		panic(http.ErrAbortHandler)
 	case DieMid:
 		w.Header().Set("Content-Length", "1000")
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -54,7 +54,7 @@
 	}{
 		{"answers", "", post, "", 1, true},
 		{"refuses before it starts", standin.Refuse, post, "not-run", 0, false},
-		{"dies before the response", standin.DieEarly, post, "unknown", 1, false},
+		{"dies before the response", standin.AbortBeforeResponse, post, "unknown", 1, false},
 		{"never responds", standin.Hang, post, "unknown", 1, false},
 		{"dies in the middle of the response", standin.DieMid, post, "", 1, false},
 	}
