--- a/callers_test.go
+++ b/callers_test.go
@@ -128,7 +128,7 @@
 		{"dies early, may not be repeated", never, standin.AbortBeforeResponse, 502, "unknown", 1},
 		{"service dies early", post, standin.AbortBeforeResponse, 502, "unknown", 1},
 		{"service refuses", post, standin.Refuse, 200, "", 1},
-		{"stream dies in the middle", engine, standin.DieMid, 200, "unknown", 1},
+		{"stream dies in the middle", engine, standin.AbortMidResponse, 200, "unknown", 1},
 		{"stream ends without its end mark", engine, standin.Truncate, 200, "unknown", 1},
 	}
 	for _, tt := range tests {
@@ -213,10 +213,10 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
-		f.services["s1"].FailNext(standin.DieMid)
+		f.services["s1"].FailNext(standin.AbortMidResponse)
 		a := f.do(order("r1", "hotel", "sheets", ""))
 		is.True(a.err != nil) // the connection breaks before the declared length
-		f.engines["e1"].FailNext(standin.DieMid)
+		f.engines["e1"].FailNext(standin.AbortMidResponse)
 		a = f.do(completion("r1", "hotel", 4, false))
 		is.True(a.err != nil)
 	})
@@ -230,7 +230,7 @@
 		e := f.engineWith("e1", 1, standin.EngineSettings{Slots: 1, Resumable: true})
 		f.settle()
 		want := f.do(completion("r1", "hotel", 10, true)).body
-		e.FailNext(standin.DieMid)
+		e.FailNext(standin.AbortMidResponse)
 		r := completion("r1", "hotel", 10, true)
 		r.header = map[string]string{"Badgerspoke-Repeat": "never"}
 		a := f.do(r)
--- a/golden_test.go
+++ b/golden_test.go
@@ -121,8 +121,8 @@
 			completion("r1", "notary", 20, true), completion("r2", "hotel", 10, true))
 	}},
 	{"engine-dies-mid-stream", 1, func(s *transcript) {
-		s.engines["e1"].FailNext(standin.DieMid)
-		s.engines["e2"].FailNext(standin.DieMid)
+		s.engines["e1"].FailNext(standin.AbortMidResponse)
+		s.engines["e2"].FailNext(standin.AbortMidResponse)
 		s.call(completion("r1", "hotel", 8, true))
 		s.call(completion("r1", "hotel", 8, true))
 		s.call(completion("r1", "hotel", 8, true))
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -166,7 +166,7 @@
 func (c *completion) stream() {
 	c.w.Header().Set("Content-Type", "text/event-stream")
 	for i := range c.req.MaxTokens {
-		if c.failure == DieMid && i == c.req.MaxTokens/2 {
+		if c.failure == AbortMidResponse && i == c.req.MaxTokens/2 {
 			panic(http.ErrAbortHandler)
 		}
 		if c.failure == Truncate && i == c.req.MaxTokens/2 {
@@ -205,7 +205,7 @@
 		c.req.Model, text, c.usage())
 	c.w.Header().Set("Content-Type", "application/json")
 	c.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if c.failure == DieMid {
+	if c.failure == AbortMidResponse {
 		fmt.Fprint(c.w, body[:len(body)/2])
 		_ = http.NewResponseController(c.w).Flush()
 		panic(http.ErrAbortHandler)
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -18,7 +18,7 @@
 const (
 	Refuse              Failure = "refuse"   // respond that the request was not started
 	AbortBeforeResponse Failure = "die"      // run the request, then close the connection without an answer
-	DieMid              Failure = "die-mid"  // close the connection in the middle of the answer
+	AbortMidResponse    Failure = "die-mid"  // close the connection in the middle of the answer
 	Truncate            Failure = "truncate" // engines only: end a stream cleanly but without its end mark
 	Hang                Failure = "hang"     // services only: never answer
 )
--- a/standin/service.go
+++ b/standin/service.go
@@ -54,7 +54,7 @@
 		return
 	case AbortBeforeResponse:
 		panic(http.ErrAbortHandler)
-	case DieMid:
+	case AbortMidResponse:
 		w.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(w, "half")
 		_ = http.NewResponseController(w).Flush()
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -104,7 +104,7 @@
 			}
 			sent = len(data)
 		}
-		if failure == DieMid && sent > 0 && strings.Count(string(data), "data: ") >= 2 {
+		if failure == AbortMidResponse && sent > 0 && strings.Count(string(data), "data: ") >= 2 {
 			panic(http.ErrAbortHandler)
 		}
 		if complete {
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -56,7 +56,7 @@
 		{"refuses before it starts", standin.Refuse, post, "not-run", 0, false},
 		{"dies before the response", standin.AbortBeforeResponse, post, "unknown", 1, false},
 		{"never responds", standin.Hang, post, "unknown", 1, false},
-		{"dies in the middle of the response", standin.DieMid, post, "", 1, false},
+		{"dies in the middle of the response", standin.AbortMidResponse, post, "", 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
