--- a/cmd/badgerspoke-standin/main.go
+++ b/cmd/badgerspoke-standin/main.go
@@ -27,7 +27,7 @@
 
 	var h http.Handler = standin.NewEngine(standin.EngineSettings{Slots: *slots, TokenTime: *tokenTime, PromptTime: *promptTime})
 	if *kind == "service" {
-		h = &standin.Service{Time: *promptTime}
+		h = &standin.Service{ResponseTime: *promptTime}
 	}
 	srv := &http.Server{Addr: *listen, Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 	log.Fatal(srv.ListenAndServe())
--- a/standin/service.go
+++ b/standin/service.go
@@ -19,7 +19,7 @@
 // same body.
 type Service struct {
 	failures
-	Time time.Duration // time before an answer
+	ResponseTime time.Duration // time before an answer
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -45,7 +45,7 @@
 		return
 	}
 	runs := s.run(string(body))
-	if !sleep.For(r.Context(), s.Time) {
+	if !sleep.For(r.Context(), s.ResponseTime) {
 		return
 	}
 	switch failure {
