--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -66,11 +66,11 @@
 
 	TLS *settings.TLS // nil means unencrypted connections
 	// Zero values of the next five fields select the defaults of their packages.
-	Lease           slots.Lease
-	Pace            slots.Pace
-	ElectionTimeout time.Duration // time without a message from the leader until a control replica starts an election
-	Heartbeat       time.Duration // interval between messages of the leading control replica
-	Limits          router.Limits
+	Lease             slots.Lease
+	Pace              slots.Pace
+	ElectionTimeout   time.Duration // time without a message from the leader until a control replica starts an election
+	HeartbeatInterval time.Duration // interval between messages of the leading control replica
+	Limits            router.Limits
 	// StopWithoutLeader makes a router without a leader stop serving, even if a majority
 	// of the control replicas reports that there is no leader.
 	StopWithoutLeader bool
@@ -153,7 +153,7 @@
 	c, err := control.Start(ctx, control.Settings{
 		Identity: b.identity(), Replicas: b.cfg.Replicas,
 		OperatorsAddress: addressOf(b.cfg.Operators), OpenDir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
-		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{ElectionTimeout: b.cfg.ElectionTimeout, HeartbeatInterval: b.cfg.Heartbeat},
+		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{ElectionTimeout: b.cfg.ElectionTimeout, HeartbeatInterval: b.cfg.HeartbeatInterval},
 		Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
 	if err != nil {
