--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -297,8 +297,8 @@
 // registry does not: these may still announce themselves.
 func (r *Registry) Diff(now time.Duration, c *Copy) (set []protocol.Server, missing []string) {
 	for _, s := range r.List(now) {
-		e, listed := c.servers[s.Sent().ID]
-		if !listed || e.Registration != s.Sent() || s.Cold != nil || now < e.coldUntil {
+		e, listed := c.servers[s.ToWire().ID]
+		if !listed || e.Registration != s.ToWire() || s.Cold != nil || now < e.coldUntil {
 			set = append(set, s)
 		}
 	}
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -69,7 +69,7 @@
 // [NotLeader] if the leader cannot be reached from here, or [Unavailable].
 func (n *announcer) announce(ctx context.Context, a registry.Announcement) error {
 	waiting := pendingAnnouncement{
-		Announcement: protocol.Announcement{Registration: a.Registration.Sent(), Seq: a.Seq, ColdLeft: a.ColdLeft},
+		Announcement: protocol.Announcement{Registration: a.Registration.ToWire(), Seq: a.Seq, ColdLeft: a.ColdLeft},
 		result:       make(chan error, 1),
 	}
 	select {
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -284,7 +284,7 @@
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("backend announced", slog.String("backend", s.ID), slog.String("pool", s.Pool),
 			slog.String("address", s.Address), slog.Any("replaces", change.Gone))
-		h.unloggedJoins = append(h.unloggedJoins, s.Registration.Sent())
+		h.unloggedJoins = append(h.unloggedJoins, s.Registration.ToWire())
 	}
 	h.pendingChange = h.pendingChange.Merge(change)
 	return nil
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -41,13 +41,13 @@
 	return name, born
 }
 
-// Sent converts a registration to its form in messages and the log.
-func (r Registration) Sent() Registration {
+// ToWire converts a registration to its form in messages and the log.
+func (r Registration) ToWire() Registration {
 	r.ID, r.Born = SplitLife(r.ID)
 	return r
 }
 
-// Received converts a registration from the form of [Registration.Sent] to the process's own.
+// Received converts a registration from the form of [Registration.ToWire] to the process's own.
 func (r Registration) Received() Registration {
 	r.ID, r.Born = LifeID(r.ID, r.Born), 0
 	return r
@@ -70,7 +70,7 @@
 // the server's name if no life of that name is listed: relays and versions without lives
 // recognize only the name.
 func (m Servers) Sent(listed func(name string) bool) Servers {
-	m = m.mapRegistrations(Registration.Sent)
+	m = m.mapRegistrations(Registration.ToWire)
 	for _, id := range m.Gone {
 		if name, born := SplitLife(id); born != 0 && !listed(name) {
 			m.Gone = append(m.Gone[:len(m.Gone):len(m.Gone)], name)
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -172,7 +172,7 @@
 func sentForms(all []protocol.Registration) []protocol.Registration {
 	out := make([]protocol.Registration, 0, len(all))
 	for _, r := range all {
-		out = append(out, r.Sent())
+		out = append(out, r.ToWire())
 	}
 	return out
 }
