--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -125,7 +125,7 @@
 }
 
 // lifeOf returns the identifier of the life to which a registration as sent belongs.
-func lifeOf(r protocol.Registration) string { return r.Received().ID }
+func lifeOf(r protocol.Registration) string { return r.FromWire().ID }
 
 func (c *Copy) drop(id string) {
 	if e, ok := c.servers[id]; ok {
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -236,7 +236,7 @@
 		return Unavailable{}
 	}
 	for _, a := range m.List {
-		announcement := registry.Announcement{Registration: a.Registration.Received(), Seq: a.Seq, ColdLeft: a.ColdLeft}
+		announcement := registry.Announcement{Registration: a.Registration.FromWire(), Seq: a.Seq, ColdLeft: a.ColdLeft}
 		if announcement.Check() != nil {
 			continue
 		}
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -123,7 +123,7 @@
 	is.True(ok)
 	is.True(reflect.DeepEqual(held, *goldenCommands[0].Put))
 	is.True(r.Departed("engine-1#a"))
-	is.Equal(r.Joined(), slices.Concat(goldenCommands[2].Join, goldenCommands[6].Join, []protocol.Registration{goldenCommands[12].Join[0].Received()}))
+	is.Equal(r.Joined(), slices.Concat(goldenCommands[2].Join, goldenCommands[6].Join, []protocol.Registration{goldenCommands[12].Join[0].FromWire()}))
 	is.Equal(r.Condemned(), []document.Condemned{*goldenCommands[13].Condemned.Condemn})
 	is.True(r.Spread())
 	out, changes := r.HallsOut()
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -200,7 +200,7 @@
 		return r.store.ChangeSpread(*c.Spread)
 	}
 	for _, s := range c.Join {
-		r.store.Join(s.Received())
+		r.store.Join(s.FromWire())
 	}
 	return false
 }
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -47,8 +47,8 @@
 	return r
 }
 
-// Received converts a registration from the form of [Registration.ToWire] to the process's own.
-func (r Registration) Received() Registration {
+// FromWire converts a registration from the form of [Registration.ToWire] to the process's own.
+func (r Registration) FromWire() Registration {
 	r.ID, r.Born = LifeID(r.ID, r.Born), 0
 	return r
 }
@@ -80,4 +80,4 @@
 }
 
 // Received converts a message from the form of [Servers.Sent] to the process's own.
-func (m Servers) Received() Servers { return m.mapRegistrations(Registration.Received) }
+func (m Servers) Received() Servers { return m.mapRegistrations(Registration.FromWire) }
--- a/state/document/store.go
+++ b/state/document/store.go
@@ -189,7 +189,7 @@
 	}
 	s.departureCount = max(s.departureCount, im.DepartureCount)
 	for _, r := range im.Joined {
-		s.Join(r.Received())
+		s.Join(r.FromWire())
 	}
 	for _, h := range im.Halls {
 		if s.halls == nil {
