--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -56,7 +56,7 @@
 // CopyOf returns a copy of a registry's list when its leader's term ends.
 func CopyOf(now time.Duration, r *Registry, term uint64, hallsOut []string, hallChanges uint64) Copy {
 	c := NewCopy(r.handles)
-	list := protocol.Servers{Set: r.List(now)}.Sent(r.IsListed).Set
+	list := protocol.Servers{Set: r.List(now)}.ToWire(r.IsListed).Set
 	c.Apply(now, protocol.Servers{Term: term, Whole: true, Set: list, HallsOut: hallsOut, HallChanges: hallChanges})
 	return c
 }
--- a/directory/sessioncarryover.go
+++ b/directory/sessioncarryover.go
@@ -61,7 +61,7 @@
 		h.sendRollouts(s)
 		h.sendQuarantine(s)
 	}
-	h.sendServerChanges(m.Sent(h.registry.IsListed))
+	h.sendServerChanges(m.ToWire(h.registry.IsListed))
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateway sessions kept", slog.Int("gateways", len(h.sessions)), slog.Int("changed", len(set)),
 		slog.Int("missing", len(missingLives)))
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -79,7 +79,7 @@
 		m.Unlisted, h.missingLives = h.registry.ReleaseUnlisted(h.missingLives), nil
 	}
 	h.pendingChange, h.list = registry.Change{}, nil
-	h.sendServerChanges(m.Sent(h.registry.IsListed))
+	h.sendServerChanges(m.ToWire(h.registry.IsListed))
 }
 
 // broadcast sends a message to every session.
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -40,7 +40,7 @@
 		Term: h.term, Space: h.handles.Space(), Whole: true, Complete: h.complete,
 		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.hasMultipleRegions() || h.isSpread(),
-	}.Sent(h.registry.IsListed)
+	}.ToWire(h.registry.IsListed)
 	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // the registry orders by name without the life
 	return m
 }
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -66,10 +66,10 @@
 	return m
 }
 
-// Sent converts the message to the form that is sent. For a life that has gone, Gone also gets
+// ToWire converts the message to the form that is sent. For a life that has gone, Gone also gets
 // the server's name if no life of that name is listed: relays and versions without lives
 // recognize only the name.
-func (m Servers) Sent(listed func(name string) bool) Servers {
+func (m Servers) ToWire(listed func(name string) bool) Servers {
 	m = m.mapRegistrations(Registration.ToWire)
 	for _, id := range m.Gone {
 		if name, born := SplitLife(id); born != 0 && !listed(name) {
@@ -79,5 +79,5 @@
 	return m
 }
 
-// Received converts a message from the form of [Servers.Sent] to the process's own.
+// Received converts a message from the form of [Servers.ToWire] to the process's own.
 func (m Servers) Received() Servers { return m.mapRegistrations(Registration.FromWire) }
