--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -184,7 +184,7 @@
 		}
 		w.g.apply(d)
 	case protocol.Servers:
-		w.applyServers(m.Received())
+		w.applyServers(m.FromWire())
 	case protocol.Rollouts:
 		for _, r := range w.g.table.updateRollouts(m) {
 			w.g.cfg.Log.StateChange("rollout share", slog.String("pool", r.Pool), slog.String("target", r.Target),
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -79,5 +79,5 @@
 	return m
 }
 
-// Received converts a message from the form of [Servers.ToWire] to the process's own.
-func (m Servers) Received() Servers { return m.mapRegistrations(Registration.FromWire) }
+// FromWire converts a message from the form of [Servers.ToWire] to the process's own.
+func (m Servers) FromWire() Servers { return m.mapRegistrations(Registration.FromWire) }
