--- a/cli/fleetlink.go
+++ b/cli/fleetlink.go
@@ -68,11 +68,11 @@
 		replica = f.fleet
 		if err == nil {
 			result, leader := outcome(answer)
-			if result != protocol.OrderElsewhere && result != protocol.OrderUnclear {
+			if result != protocol.OrderNotLeader && result != protocol.OrderUnclear {
 				return answer, nil
 			}
 			last, answered = answer, true
-			if result == protocol.OrderElsewhere && leader != "" {
+			if result == protocol.OrderNotLeader && leader != "" {
 				replica = leader
 			}
 		}
@@ -114,7 +114,7 @@
 	switch o {
 	case protocol.OrderConflict:
 		return ExitConflict
-	case protocol.OrderElsewhere, protocol.OrderUnclear:
+	case protocol.OrderNotLeader, protocol.OrderUnclear:
 		return ExitUnavailable
 	}
 	return ExitRefused
--- a/cli/quarantine_test.go
+++ b/cli/quarantine_test.go
@@ -54,7 +54,7 @@
 func TestQuarantineIsLedOn(t *testing.T) {
 	is := is.New(t)
 	leader := newReplica(t, condemned)
-	other := newReplica(t, protocol.QuarantineAnswer{Outcome: protocol.OrderElsewhere, Leader: leader.address})
+	other := newReplica(t, protocol.QuarantineAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
 	code, stdout, _ := runCommand(t, other, fleetKey, "quarantine", "list")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "hotel"))
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -173,7 +173,7 @@
 func TestRolloutGoesToTheLeader(t *testing.T) {
 	is := is.New(t)
 	leader := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"}, underWay)
-	follower := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderElsewhere, Leader: leader.address})
+	follower := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
 	code, _, _ := runOn(t, follower, fleetKey, "start", "llm", "v8")
 	is.Equal(code, ExitOK)
 	is.Equal(len(follower.orders), 2)
@@ -221,7 +221,7 @@
 	answer, err := sendRolloutOrder(ctx, in)
 	is.NoErr(err)
 	is.Equal(orderExit(answer.Outcome), ExitUnavailable)
-	is.Equal(orderExit(protocol.OrderElsewhere), ExitUnavailable)
+	is.Equal(orderExit(protocol.OrderNotLeader), ExitUnavailable)
 	is.True(rolloutTimeout <= rollout.MinWindow) // later repeats would count as new orders
 }
 
--- a/directory/rolloutanswers.go
+++ b/directory/rolloutanswers.go
@@ -68,7 +68,7 @@
 	answer := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: err.Error()}
 	switch {
 	case errors.As(err, &notLeader):
-		answer.Outcome, answer.Leader = protocol.OrderElsewhere, notLeader.Leader
+		answer.Outcome, answer.Leader = protocol.OrderNotLeader, notLeader.Leader
 	case errors.As(err, new(RolloutConflict)):
 		answer.Outcome = protocol.OrderConflict
 	case errors.As(err, new(Unavailable)):
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -340,7 +340,7 @@
 		for _, n := range x.nodes {
 			if n != l {
 				answer := x.sendOrder(n, start)
-				is.Equal(answer.Outcome, protocol.OrderElsewhere)
+				is.Equal(answer.Outcome, protocol.OrderNotLeader)
 				is.Equal(answer.Leader, l.ip+":7400")
 			}
 		}
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -125,7 +125,7 @@
 	}},
 	RolloutOrder{Act: OrderStart, Pool: "llm", Target: "v7", Duration: 10 * time.Minute, Attempt: 110},
 	RolloutAnswer{
-		Outcome: OrderElsewhere, Reason: "another leads", Leader: "10.0.0.1:7000",
+		Outcome: OrderNotLeader, Reason: "another leads", Leader: "10.0.0.1:7000",
 		Newest: &RolloutStatus{
 			Target: "v7", State: 1, Attempt: 110, Duration: 10 * time.Minute, Elapsed: 3 * time.Second,
 			Barred: []string{"v5", "v4"}, Replaced: []string{"v3"},
@@ -138,7 +138,7 @@
 	},
 	QuarantineOrder{Release: []byte("0123456789abcdef")},
 	QuarantineAnswer{
-		Outcome: OrderElsewhere, Reason: "another leads", Leader: "10.0.0.1:7000",
+		Outcome: OrderNotLeader, Reason: "another leads", Leader: "10.0.0.1:7000",
 		Condemned: []CondemnedRequest{{Key: []byte("0123456789abcdef"), Account: "t1", Pool: "llm", Servers: []string{"engine-1#a", "engine-2#b"}}},
 	},
 	Places{List: []Place{{Address: "10.0.0.1:7000", Hall: "hall-1"}, {Address: "10.0.0.2:7000"}}},
@@ -265,7 +265,7 @@
 	for i, a := range []OrderAct{OrderStart, OrderStatus, OrderAbort} {
 		is.Equal(int(a), i+1)
 	}
-	for i, o := range []OrderOutcome{OrderDone, OrderRefused, OrderConflict, OrderElsewhere, OrderUnclear} {
+	for i, o := range []OrderOutcome{OrderDone, OrderRefused, OrderConflict, OrderNotLeader, OrderUnclear} {
 		is.Equal(int(o), i+1)
 	}
 	is.Equal(int(EntryCommand), 0)
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -36,7 +36,7 @@
 	OrderDone      OrderOutcome = iota + 1 // durable on a majority, a copy of an earlier order, or read
 	OrderRefused                           // invalid, or refers to something that does not exist
 	OrderConflict                          // a rollout to another version is in progress
-	OrderElsewhere                         // another replica leads
+	OrderNotLeader                         // another replica leads
 	OrderUnclear                           // the result is unknown: send it again
 )
 
