--- a/cli/fleetlink.go
+++ b/cli/fleetlink.go
@@ -68,7 +68,7 @@
 		replica = f.fleet
 		if err == nil {
 			result, leader := outcome(answer)
-			if result != protocol.OrderNotLeader && result != protocol.OrderUnclear {
+			if result != protocol.OrderNotLeader && result != protocol.OrderUnknown {
 				return answer, nil
 			}
 			last, answered = answer, true
@@ -114,7 +114,7 @@
 	switch o {
 	case protocol.OrderConflict:
 		return ExitConflict
-	case protocol.OrderNotLeader, protocol.OrderUnclear:
+	case protocol.OrderNotLeader, protocol.OrderUnknown:
 		return ExitUnavailable
 	}
 	return ExitRefused
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -149,7 +149,7 @@
 // every abort order, including repeats.
 func TestAbortNamesAnAttempt(t *testing.T) {
 	is := is.New(t)
-	unclear := protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"}
+	unclear := protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}
 	rolledBack := protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{Target: "v8", State: 3, Attempt: 3}}
 	f := newReplica(t, underWay, unclear, rolledBack)
 	code, stdout, _ := runOn(t, f, fleetKey, "abort", "llm")
@@ -172,7 +172,7 @@
 // names, and that the same order is sent again while there is no leader.
 func TestRolloutGoesToTheLeader(t *testing.T) {
 	is := is.New(t)
-	leader := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"}, underWay)
+	leader := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}, underWay)
 	follower := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
 	code, _, _ := runOn(t, follower, fleetKey, "start", "llm", "v8")
 	is.Equal(code, ExitOK)
@@ -208,7 +208,7 @@
 // trying again.
 func TestNobodyKnows(t *testing.T) {
 	is := is.New(t)
-	f := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnclear, Reason: "no leader"})
+	f := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"})
 	in := &rolloutInput{fleetFlags: fleetFlags{fleet: f.address, key: []byte(fleetKey)}, order: protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
--- a/directory/rolloutanswers.go
+++ b/directory/rolloutanswers.go
@@ -72,7 +72,7 @@
 	case errors.As(err, new(RolloutConflict)):
 		answer.Outcome = protocol.OrderConflict
 	case errors.As(err, new(Unavailable)):
-		answer.Outcome = protocol.OrderUnclear
+		answer.Outcome = protocol.OrderUnknown
 	}
 	return answer
 }
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -349,9 +349,9 @@
 				x.net.Cut(ip)
 			}
 		}
-		is.Equal(x.sendOrder(l, other).Outcome, protocol.OrderUnclear) // still leads, but waits for the others
+		is.Equal(x.sendOrder(l, other).Outcome, protocol.OrderUnknown) // still leads, but waits for the others
 		time.Sleep(3 * time.Second)
-		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderUnclear)
+		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderUnknown)
 	})
 }
 
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -265,7 +265,7 @@
 	for i, a := range []OrderAct{OrderStart, OrderStatus, OrderAbort} {
 		is.Equal(int(a), i+1)
 	}
-	for i, o := range []OrderOutcome{OrderDone, OrderRefused, OrderConflict, OrderNotLeader, OrderUnclear} {
+	for i, o := range []OrderOutcome{OrderDone, OrderRefused, OrderConflict, OrderNotLeader, OrderUnknown} {
 		is.Equal(int(o), i+1)
 	}
 	is.Equal(int(EntryCommand), 0)
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -37,7 +37,7 @@
 	OrderRefused                           // invalid, or refers to something that does not exist
 	OrderConflict                          // a rollout to another version is in progress
 	OrderNotLeader                         // another replica leads
-	OrderUnclear                           // the result is unknown: send it again
+	OrderUnknown                           // the result is unknown: send it again
 )
 
 // RolloutAnswer is the answer to a [RolloutOrder], on the same link.
