--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -33,7 +33,7 @@
 
 // rolloutCommand is one of the rollout commands.
 type rolloutCommand struct {
-	act     protocol.OrderAct
+	act     protocol.OrderAction
 	args    []string
 	summary string
 	example string
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -262,7 +262,7 @@
 	} {
 		is.Equal(int(k), i+1)
 	}
-	for i, a := range []OrderAct{OrderStart, OrderStatus, OrderAbort} {
+	for i, a := range []OrderAction{OrderStart, OrderStatus, OrderAbort} {
 		is.Equal(int(a), i+1)
 	}
 	for i, o := range []OrderOutcome{OrderDone, OrderRefused, OrderConflict, OrderNotLeader, OrderUnknown} {
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -7,20 +7,20 @@
 // This file defines the order about a rollout that an operator's command sends to a directory
 // replica, and the answer.
 
-// OrderAct is the action that a [RolloutOrder] requests. Its numbers are on the wire.
-type OrderAct uint8
+// OrderAction is the action that a [RolloutOrder] requests. Its numbers are on the wire.
+type OrderAction uint8
 
 // The actions of an order.
 const (
-	OrderStart  OrderAct = iota + 1 // begin a rollout
-	OrderStatus                     // read the status of the newest rollout
-	OrderAbort                      // roll back the current rollout
+	OrderStart  OrderAction = iota + 1 // begin a rollout
+	OrderStatus                        // read the status of the newest rollout
+	OrderAbort                         // roll back the current rollout
 )
 
 // RolloutOrder is sent by an operator's command to any directory replica, as the first message
 // of a link. Resending it is safe.
 type RolloutOrder struct {
-	Act      OrderAct      `cbor:"1,keyasint"`
+	Act      OrderAction   `cbor:"1,keyasint"`
 	Pool     string        `cbor:"2,keyasint"`
 	Target   string        `cbor:"3,keyasint,omitempty"` // version to roll out, for OrderStart
 	Duration time.Duration `cbor:"4,keyasint,omitempty"` // time limit, for OrderStart
