--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -99,7 +99,7 @@
 
 // parseRollout parses the positional arguments, which come first, and the flags.
 func parseRollout(cmd rolloutCommand, name string, args []string, getenv func(string) string, stderr io.Writer) (*rolloutInput, error) {
-	in := &rolloutInput{order: protocol.RolloutOrder{Act: cmd.act}}
+	in := &rolloutInput{order: protocol.RolloutOrder{Action: cmd.act}}
 	fs := flag.NewFlagSet("badgerspoke rollout "+name, flag.ContinueOnError)
 	fs.SetOutput(stderr)
 	in.define(fs, getenv)
@@ -134,11 +134,11 @@
 // attempt that is the newest now, so that a delayed copy of the order cannot abort a later
 // attempt.
 func executeRolloutOrder(ctx context.Context, in *rolloutInput) (protocol.RolloutAnswer, error) {
-	if in.order.Act != protocol.OrderAbort {
+	if in.order.Action != protocol.OrderAbort {
 		return sendRolloutOrder(ctx, in)
 	}
 	status, abort := *in, *in
-	status.order = protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: in.order.Pool}
+	status.order = protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: in.order.Pool}
 	answer, err := sendRolloutOrder(ctx, &status)
 	if err != nil || answer.Outcome != protocol.OrderDone {
 		return answer, err
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -102,7 +102,7 @@
 
 func TestRolloutCommands(t *testing.T) {
 	refused := protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: "no pool is called llm"}
-	ordered := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "llm", Target: "v8", Duration: defaultWithin}
+	ordered := protocol.RolloutOrder{Action: protocol.OrderStart, Pool: "llm", Target: "v8", Duration: defaultWithin}
 	conflict := protocol.RolloutAnswer{Outcome: protocol.OrderConflict, Reason: "v7 is under way"}
 	for _, tt := range []struct {
 		name   string
@@ -114,15 +114,15 @@
 	}{
 		{
 			"start", []string{"start", "llm", "v8", "-within", "20m"}, underWay, ExitOK, "under way",
-			protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "llm", Target: "v8", Duration: 20 * time.Minute},
+			protocol.RolloutOrder{Action: protocol.OrderStart, Pool: "llm", Target: "v8", Duration: 20 * time.Minute},
 		},
 		{
 			"start without a time", []string{"start", "llm", "v8"}, underWay, ExitOK, "under way", ordered,
 		},
-		{"status", []string{"status", "llm"}, underWay, ExitOK, "under way", protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}},
-		{"status as JSON", []string{"status", "llm", "-json"}, underWay, ExitOK, `"elapsedSeconds": 90`, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}},
+		{"status", []string{"status", "llm"}, underWay, ExitOK, "under way", protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
+		{"status as JSON", []string{"status", "llm", "-json"}, underWay, ExitOK, `"elapsedSeconds": 90`, protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
 		{"not read", []string{"start", "llm", "v8"}, protocol.RolloutAnswer{Outcome: protocol.OrderDone}, ExitOK, "done", ordered},
-		{"refused", []string{"status", "llm"}, refused, ExitRefused, "no pool is called llm", protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}},
+		{"refused", []string{"status", "llm"}, refused, ExitRefused, "no pool is called llm", protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
 		{"conflict", []string{"start", "llm", "v8"}, conflict, ExitConflict, "v7 is under way", ordered},
 		{"too few arguments", []string{"start", "llm"}, nil, ExitUsage, "wants POOL VERSION", protocol.RolloutOrder{}},
 		{"flag first", []string{"status", "-json", "llm"}, nil, ExitUsage, "unexpected argument", protocol.RolloutOrder{}},
@@ -155,8 +155,8 @@
 	code, stdout, _ := runOn(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "rolled back"))
-	abort := protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "llm", Attempt: 3}
-	is.Equal(f.orders, []protocol.RolloutOrder{{Act: protocol.OrderStatus, Pool: "llm"}, abort, abort})
+	abort := protocol.RolloutOrder{Action: protocol.OrderAbort, Pool: "llm", Attempt: 3}
+	is.Equal(f.orders, []protocol.RolloutOrder{{Action: protocol.OrderStatus, Pool: "llm"}, abort, abort})
 
 	f = newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: "no rollout of llm"})
 	code, _, _ = runOn(t, f, fleetKey, "abort", "llm")
@@ -209,7 +209,7 @@
 func TestNobodyKnows(t *testing.T) {
 	is := is.New(t)
 	f := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"})
-	in := &rolloutInput{fleetFlags: fleetFlags{fleet: f.address, key: []byte(fleetKey)}, order: protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "llm"}}
+	in := &rolloutInput{fleetFlags: fleetFlags{fleet: f.address, key: []byte(fleetKey)}, order: protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	go func() { // ends the command once an answer has arrived, regardless of how long that takes
--- a/directory/rolloutanswers.go
+++ b/directory/rolloutanswers.go
@@ -43,7 +43,7 @@
 	switch {
 	case err == nil:
 		return protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: rolloutStatus(newest)}
-	case o.Act == protocol.OrderStatus:
+	case o.Action == protocol.OrderStatus:
 		return errorAnswer(err)
 	}
 	return protocol.RolloutAnswer{Outcome: protocol.OrderDone} // the order was executed; only reading the rollout failed
@@ -51,7 +51,7 @@
 
 // applyRolloutOrder makes the change that an operator's order requests, if any.
 func (d *Directory) applyRolloutOrder(ctx context.Context, o protocol.RolloutOrder) error {
-	switch o.Act {
+	switch o.Action {
 	case protocol.OrderStart:
 		return d.StartRollout(ctx, rollout.Order{Pool: o.Pool, Target: o.Target, Duration: o.Duration})
 	case protocol.OrderStatus:
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -320,11 +320,11 @@
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(x.t)
 		l := x.awaitLeader()
-		start := protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
+		start := protocol.RolloutOrder{Action: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}
 		is.Equal(x.sendOrder(l, start).Outcome, protocol.OrderRefused) // no such pool
 		x.putDocument(1)
-		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
-		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "p"}).Outcome, protocol.OrderRefused)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Action: 9, Pool: "p"}).Outcome, protocol.OrderRefused)
 		answer := x.sendOrder(l, start)
 		is.Equal(answer, protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{
 			Target: "v2", State: uint8(document.RolloutUnderWay), Attempt: 1, Duration: time.Hour,
@@ -332,9 +332,9 @@
 		other := start
 		other.Target = "v3"
 		is.Equal(x.sendOrder(l, other).Outcome, protocol.OrderConflict)
-		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 2}).Outcome, protocol.OrderRefused)
-		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderAbort, Pool: "p", Attempt: 1}).Newest.State, uint8(document.RolloutRolledBack))
-		status := x.sendOrder(l, protocol.RolloutOrder{Act: protocol.OrderStatus, Pool: "p"})
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Action: protocol.OrderAbort, Pool: "p", Attempt: 2}).Outcome, protocol.OrderRefused)
+		is.Equal(x.sendOrder(l, protocol.RolloutOrder{Action: protocol.OrderAbort, Pool: "p", Attempt: 1}).Newest.State, uint8(document.RolloutRolledBack))
+		status := x.sendOrder(l, protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "p"})
 		is.Equal(status.Outcome, protocol.OrderDone)
 		is.Equal(status.Newest.Barred, []string{"v2"})
 		for _, n := range x.nodes {
@@ -365,7 +365,7 @@
 		id := link.Identity{Name: "operator", Key: fleetKey, Dial: x.net.DialerFrom(l.ip).DialContext}
 		gone, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
-		is.NoErr(gone.Send(x.t.Context(), protocol.RolloutOrder{Act: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}))
+		is.NoErr(gone.Send(x.t.Context(), protocol.RolloutOrder{Action: protocol.OrderStart, Pool: "p", Target: "v2", Duration: time.Hour}))
 		gone.Close()
 		time.Sleep(5 * time.Second)
 		is.Equal(x.newestRollout(), document.Rollout{})
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -123,7 +123,7 @@
 			Routes: []RouteShare{{Route: "chat", Share: 0.5}}, Final: true},
 		{Pool: "web", Attempt: 109, Barred: []string{"v8"}},
 	}},
-	RolloutOrder{Act: OrderStart, Pool: "llm", Target: "v7", Duration: 10 * time.Minute, Attempt: 110},
+	RolloutOrder{Action: OrderStart, Pool: "llm", Target: "v7", Duration: 10 * time.Minute, Attempt: 110},
 	RolloutAnswer{
 		Outcome: OrderNotLeader, Reason: "another leads", Leader: "10.0.0.1:7000",
 		Newest: &RolloutStatus{
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -20,7 +20,7 @@
 // RolloutOrder is sent by an operator's command to any directory replica, as the first message
 // of a link. Resending it is safe.
 type RolloutOrder struct {
-	Act      OrderAction   `cbor:"1,keyasint"`
+	Action   OrderAction   `cbor:"1,keyasint"`
 	Pool     string        `cbor:"2,keyasint"`
 	Target   string        `cbor:"3,keyasint,omitempty"` // version to roll out, for OrderStart
 	Duration time.Duration `cbor:"4,keyasint,omitempty"` // time limit, for OrderStart
