--- a/coordination/registry/registry.go
+++ b/coordination/registry/registry.go
@@ -210,7 +210,7 @@
 
 // FullAnnouncement returns the announcement for which m stands: that of a listed backend server
 // that has not changed and is not cold. ok is false if no server has the handle.
-func (r *Registry) FullAnnouncement(m protocol.AnnouncedAgain) (a Announcement, ok bool) {
+func (r *Registry) FullAnnouncement(m protocol.UnchangedAnnouncement) (a Announcement, ok bool) {
 	id, ok := r.byHandle[m.Handle]
 	if !ok {
 		return Announcement{}, false
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -194,7 +194,7 @@
 	for _, a := range batch {
 		if r := h.relay; r != nil && r.out != nil && a.ColdLeft == 0 {
 			if handle, ok := r.list.LeaderHandle(now, a.Registration); ok {
-				m.Again, m.Term = append(m.Again, protocol.AnnouncedAgain{Handle: handle, Seq: a.Seq}), r.list.Term()
+				m.Again, m.Term = append(m.Again, protocol.UnchangedAnnouncement{Handle: handle, Seq: a.Seq}), r.list.Term()
 				continue
 			}
 		}
--- a/protocol/announce.go
+++ b/protocol/announce.go
@@ -21,12 +21,12 @@
 	List []Announcement `cbor:"2,keyasint"`
 	// Again are announcements that differ only in their sequence numbers from what the leader
 	// of Term last sent about these servers. A leader of another term closes the link.
-	Again []AnnouncedAgain `cbor:"3,keyasint,omitempty"`
-	Term  uint64           `cbor:"4,keyasint,omitempty"`
+	Again []UnchangedAnnouncement `cbor:"3,keyasint,omitempty"`
+	Term  uint64                  `cbor:"4,keyasint,omitempty"`
 }
 
-// AnnouncedAgain is one announcement of an unchanged backend server that is not cold.
-type AnnouncedAgain struct {
+// UnchangedAnnouncement is one announcement of an unchanged backend server that is not cold.
+type UnchangedAnnouncement struct {
 	_      struct{} `cbor:",toarray"`
 	Handle uint32
 	Seq    uint64
