--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -194,7 +194,7 @@
 	for _, a := range batch {
 		if r := h.relay; r != nil && r.out != nil && a.ColdLeft == 0 {
 			if handle, ok := r.list.LeaderHandle(now, a.Registration); ok {
-				m.Again, m.Term = append(m.Again, protocol.UnchangedAnnouncement{Handle: handle, Seq: a.Seq}), r.list.Term()
+				m.Unchanged, m.Term = append(m.Unchanged, protocol.UnchangedAnnouncement{Handle: handle, Seq: a.Seq}), r.list.Term()
 				continue
 			}
 		}
@@ -232,7 +232,7 @@
 // repeats for servers that are no longer listed: their sender then finds the handle missing and
 // sends the full registration next time. The error is [Unavailable].
 func (h *hub) applyAnnouncements(m protocol.Announce) error {
-	if h.term == 0 || (len(m.Again) > 0 && m.Term != h.term) {
+	if h.term == 0 || (len(m.Unchanged) > 0 && m.Term != h.term) {
 		return Unavailable{}
 	}
 	for _, a := range m.List {
@@ -244,7 +244,7 @@
 			return err
 		}
 	}
-	for _, a := range m.Again {
+	for _, a := range m.Unchanged {
 		if announcement, ok := h.registry.FullAnnouncement(a); ok {
 			if err := h.applyAnnouncement(announcement); err != nil {
 				return err
--- a/protocol/announce.go
+++ b/protocol/announce.go
@@ -19,10 +19,10 @@
 type Announce struct {
 	Seq  uint64         `cbor:"1,keyasint"` // counted from 1 on each link
 	List []Announcement `cbor:"2,keyasint"`
-	// Again are announcements that differ only in their sequence numbers from what the leader
+	// Unchanged are announcements that differ only in their sequence numbers from what the leader
 	// of Term last sent about these servers. A leader of another term closes the link.
-	Again []UnchangedAnnouncement `cbor:"3,keyasint,omitempty"`
-	Term  uint64                  `cbor:"4,keyasint,omitempty"`
+	Unchanged []UnchangedAnnouncement `cbor:"3,keyasint,omitempty"`
+	Term      uint64                  `cbor:"4,keyasint,omitempty"`
 }
 
 // UnchangedAnnouncement is one announcement of an unchanged backend server that is not cold.
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -116,7 +116,7 @@
 	Announce{Seq: 94, List: []Announcement{
 		{Registration: Registration{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Hall: "hall-a", Slots: 16, Version: "v7", Born: 1<<41 + 118}, Seq: 95, ColdLeft: 3 * time.Second},
 		{Registration: Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, Seq: 96},
-	}, Again: []UnchangedAnnouncement{{Handle: 110, Seq: 111}, {Handle: 112, Seq: 113}}, Term: 114},
+	}, Unchanged: []UnchangedAnnouncement{{Handle: 110, Seq: 111}, {Handle: 112, Seq: 113}}, Term: 114},
 	Announced{Seq: 97},
 	Rollouts{Term: 106, Seq: 107, List: []Rollout{
 		{Pool: "llm", Attempt: 108, Target: "v7", Share: 0.25, Barred: []string{"v5", "v4"}, Replaced: []string{"v3"},
@@ -216,7 +216,7 @@
 		for i := range m.List {
 			m.List[i].Version, m.List[i].Born = "", 0
 		}
-		m.Again, m.Term = nil, 0
+		m.Unchanged, m.Term = nil, 0
 		return m
 	}
 	return m
