--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -55,7 +55,7 @@
 
 	// Set on relays' sessions only.
 	relay           bool
-	relayedGateways []protocol.BehindGateway
+	relayedGateways []protocol.RelayGateway
 	loads           map[uint32]protocol.ServerLoad // by handle, from the last report
 }
 
@@ -231,8 +231,8 @@
 
 // gateways returns all gateways of the fleet that have a session here or behind a relay, by name: a
 // gateway that is being moved may have two sessions.
-func (h *hub) gateways() map[string]protocol.BehindGateway {
-	all := map[string]protocol.BehindGateway{}
+func (h *hub) gateways() map[string]protocol.RelayGateway {
+	all := map[string]protocol.RelayGateway{}
 	for s := range h.sessions {
 		for _, g := range s.gateways() {
 			all[g.Gateway] = g
@@ -242,9 +242,9 @@
 }
 
 // gateways returns the gateways behind a session.
-func (s *session) gateways() []protocol.BehindGateway {
+func (s *session) gateways() []protocol.RelayGateway {
 	if s.relay {
 		return s.relayedGateways
 	}
-	return []protocol.BehindGateway{{Gateway: s.gateway, KnowsHalls: s.supportsHalls, KnowsVersions: s.supportsRollouts}}
+	return []protocol.RelayGateway{{Gateway: s.gateway, KnowsHalls: s.supportsHalls, KnowsVersions: s.supportsRollouts}}
 }
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -8,11 +8,11 @@
 // Behind is sent by a relay to the leader when the set of gateways that it serves has changed.
 // It lists all of them.
 type Behind struct {
-	Gateways []BehindGateway `cbor:"1,keyasint,omitempty"`
+	Gateways []RelayGateway `cbor:"1,keyasint,omitempty"`
 }
 
-// BehindGateway is one gateway, as its [Watch] describes it.
-type BehindGateway struct {
+// RelayGateway is one gateway, as its [Watch] describes it.
+type RelayGateway struct {
 	Gateway       string `cbor:"1,keyasint"`
 	KnowsHalls    bool   `cbor:"2,keyasint,omitempty"`
 	KnowsVersions bool   `cbor:"3,keyasint,omitempty"`
