--- a/directory/relay.go
+++ b/directory/relay.go
@@ -250,7 +250,7 @@
 	r.pushFleet()
 	if r.gatewaysChanged {
 		r.gatewaysChanged = false
-		var m protocol.Behind
+		var m protocol.RelayGateways
 		for s := range r.h.sessions {
 			m.Gateways = append(m.Gateways, s.gateways()...)
 		}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -147,7 +147,7 @@
 		h.usage.addReport(s, m)
 		h.addOutcomes(s, m)
 		h.addLosses(m)
-	case protocol.Behind:
+	case protocol.RelayGateways:
 		s.relayedGateways = m.Gateways
 	}
 }
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -97,7 +97,7 @@
 	KindRollouts:      {"rollouts", decodeAs[Rollouts]},
 	KindRolloutOrder:  {"rollout-order", decodeAs[RolloutOrder]},
 	KindRolloutAnswer: {"rollout-answer", decodeAs[RolloutAnswer]},
-	KindBehind:        {"behind", decodeAs[Behind]},
+	KindBehind:        {"behind", decodeAs[RelayGateways]},
 	KindQuarantine:    {"quarantine", decodeAs[Quarantine]},
 	KindPlaces:        {"places", decodeAs[Places]},
 
@@ -150,7 +150,7 @@
 func (Quarantine) kind() Kind       { return KindQuarantine }
 func (QuarantineOrder) kind() Kind  { return KindQuarantineOrder }
 func (QuarantineAnswer) kind() Kind { return KindQuarantineAnswer }
-func (Behind) kind() Kind           { return KindBehind }
+func (RelayGateways) kind() Kind    { return KindBehind }
 func (Places) kind() Kind           { return KindPlaces }
 func (e Encoded) kind() Kind        { return e.messageKind }
 
