--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -64,8 +64,8 @@
 	KindRolloutAnswer Kind = 24 // replica: the result of the order
 
 	// Between the replicas of the directory, continued.
-	KindBehind Kind = 30 // relay: the gateways that it serves
-	KindPlaces Kind = 34 // leader: the replicas that serve gateways
+	KindRelayGateways Kind = 30 // relay: the gateways that it serves
+	KindPlaces        Kind = 34 // leader: the replicas that serve gateways
 )
 
 // kinds maps each kind to its name, as used in metric labels, and its decoder.
@@ -97,7 +97,7 @@
 	KindRollouts:      {"rollouts", decodeAs[Rollouts]},
 	KindRolloutOrder:  {"rollout-order", decodeAs[RolloutOrder]},
 	KindRolloutAnswer: {"rollout-answer", decodeAs[RolloutAnswer]},
-	KindBehind:        {"behind", decodeAs[RelayGateways]},
+	KindRelayGateways: {"behind", decodeAs[RelayGateways]},
 	KindQuarantine:    {"quarantine", decodeAs[Quarantine]},
 	KindPlaces:        {"places", decodeAs[Places]},
 
@@ -150,7 +150,7 @@
 func (Quarantine) kind() Kind       { return KindQuarantine }
 func (QuarantineOrder) kind() Kind  { return KindQuarantineOrder }
 func (QuarantineAnswer) kind() Kind { return KindQuarantineAnswer }
-func (RelayGateways) kind() Kind    { return KindBehind }
+func (RelayGateways) kind() Kind    { return KindRelayGateways }
 func (Places) kind() Kind           { return KindPlaces }
 func (e Encoded) kind() Kind        { return e.messageKind }
 
