--- a/directory/hub.go
+++ b/directory/hub.go
@@ -77,10 +77,10 @@
 
 	handles       *registry.Handles // handles of the servers that this replica lists to gateways
 	spread        registry.Spread
-	loggingSpread bool             // whether a spread decision is being logged
-	spreadSince   time.Duration    // when this leader first observed that sessions are spread
-	sentPlaces    []protocol.Place // places last sent to the relays
-	missingLives  []string         // lives that gateways have from the previous leader and this one lacks
+	loggingSpread bool                      // whether a spread decision is being logged
+	spreadSince   time.Duration             // when this leader first observed that sessions are spread
+	sentPlaces    []protocol.ServingReplica // places last sent to the relays
+	missingLives  []string                  // lives that gateways have from the previous leader and this one lacks
 
 	listPace         registry.ListPace
 	joinPace         registry.ListPace // pace of logging registrations
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -151,7 +151,7 @@
 // moveMisplacedSessions redirects gateways that another available replica is to serve.
 func (h *hub) moveMisplacedSessions() {
 	moved := 0
-	places := map[string][]protocol.Place{}
+	places := map[string][]protocol.ServingReplica{}
 	for s := range h.sessions {
 		if s.relay {
 			continue
@@ -172,7 +172,7 @@
 // here because it reached no relay stays for directServeTime. So does one that was redirected here,
 // unless a replica in its own data hall can serve it. A leader that has just begun to spread sessions
 // waits for the relays of the gateway's hall.
-func (h *hub) canMove(s *session, places []protocol.Place) bool {
+func (h *hub) canMove(s *session, places []protocol.ServingReplica) bool {
 	now := h.d.replica.Now()
 	hall := h.preferredHall(s.hall)
 	inOtherHall := hall != "" && hall != h.d.cfg.Hall
@@ -188,7 +188,7 @@
 }
 
 // knownPlaces returns the replicas that may serve the gateways of a region, or nil if they are not known.
-func (h *hub) knownPlaces(region string) []protocol.Place {
+func (h *hub) knownPlaces(region string) []protocol.ServingReplica {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
 		return h.relay.places
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -55,7 +55,7 @@
 	nextFleetAt time.Duration
 	rollouts    *protocol.Rollouts
 
-	places []protocol.Place // replicas that serve the region's gateways; set at relays in the leader's region
+	places []protocol.ServingReplica // replicas that serve the region's gateways; set at relays in the leader's region
 
 	quarantine quarantine.List
 	losses     []bufferedLoss // not yet reported to the leader
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -54,14 +54,14 @@
 
 // leaderPlaces returns the replicas that serve gateways of a region: the leader's relays there that have
 // the list or will have it soon, and, where sessions are spread, the leader itself.
-func (h *hub) leaderPlaces(region string) (all []protocol.Place) {
+func (h *hub) leaderPlaces(region string) (all []protocol.ServingReplica) {
 	for s := range h.sessions {
 		if s.relay && s.region == region && h.willHaveListSoon(s) {
-			all = append(all, protocol.Place{Address: s.gateway, Hall: s.hall})
+			all = append(all, protocol.ServingReplica{Address: s.gateway, Hall: s.hall})
 		}
 	}
 	if h.isSpread() && !h.isOtherRegion(region) {
-		all = append(all, protocol.Place{Address: h.d.Address(), Hall: h.d.cfg.Hall})
+		all = append(all, protocol.ServingReplica{Address: h.d.Address(), Hall: h.d.cfg.Hall})
 	}
 	return all
 }
@@ -89,7 +89,7 @@
 // can then redirect a gateway to the right replica without asking the leader.
 func (h *hub) pushPlaces() {
 	places := h.leaderPlaces(h.d.cfg.Region)
-	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(places, func(a, b protocol.ServingReplica) int { return cmp.Compare(a.Address, b.Address) })
 	if !h.isSpread() || slices.Equal(places, h.sentPlaces) {
 		return
 	}
--- a/protocol/places.go
+++ b/protocol/places.go
@@ -5,8 +5,8 @@
 // This file defines the message by which the leading directory replica informs the others which
 // replicas serve gateways.
 
-// Place is a replica that serves gateways.
-type Place struct {
+// ServingReplica is a replica that serves gateways.
+type ServingReplica struct {
 	_       struct{} `cbor:",toarray"`
 	Address string   // fleet address
 	Hall    string   // data hall; empty if not configured
@@ -15,5 +15,5 @@
 // Places is sent by the leader to its relays on each change. It lists the replicas that serve
 // the gateways of its region, ordered by address.
 type Places struct {
-	List []Place `cbor:"1,keyasint,omitempty"`
+	List []ServingReplica `cbor:"1,keyasint,omitempty"`
 }
