--- a/directory/lists.go
+++ b/directory/lists.go
@@ -58,7 +58,7 @@
 	s.lastListed = ""
 	h.sendSums(s)
 	if s.relay && len(h.sentPlaces) > 0 { // a relay ignores places sent before its list
-		s.out.Send(protocol.Places{List: h.sentPlaces})
+		s.out.Send(protocol.ServingReplicas{List: h.sentPlaces})
 	}
 	return true, true
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -204,7 +204,7 @@
 		r.h.broadcast(m)
 	case protocol.Quarantine:
 		r.applyQuarantine(m)
-	case protocol.Places:
+	case protocol.ServingReplicas:
 		r.places = m.List
 	case protocol.Counted:
 		r.sums.RecordCounted(m.Seq)
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -96,7 +96,7 @@
 	h.sentPlaces = places
 	for s := range h.sessions {
 		if s.relay && s.region == h.d.cfg.Region {
-			s.out.Send(protocol.Places{List: places})
+			s.out.Send(protocol.ServingReplicas{List: places})
 		}
 	}
 }
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -99,7 +99,7 @@
 	KindRolloutAnswer: {"rollout-answer", decodeAs[RolloutAnswer]},
 	KindRelayGateways: {"behind", decodeAs[RelayGateways]},
 	KindQuarantine:    {"quarantine", decodeAs[Quarantine]},
-	KindPlaces:        {"places", decodeAs[Places]},
+	KindPlaces:        {"places", decodeAs[ServingReplicas]},
 
 	KindQuarantineOrder:  {"quarantine-order", decodeAs[QuarantineOrder]},
 	KindQuarantineAnswer: {"quarantine-answer", decodeAs[QuarantineAnswer]},
@@ -151,7 +151,7 @@
 func (QuarantineOrder) kind() Kind  { return KindQuarantineOrder }
 func (QuarantineAnswer) kind() Kind { return KindQuarantineAnswer }
 func (RelayGateways) kind() Kind    { return KindRelayGateways }
-func (Places) kind() Kind           { return KindPlaces }
+func (ServingReplicas) kind() Kind  { return KindPlaces }
 func (e Encoded) kind() Kind        { return e.messageKind }
 
 // KindOf returns the kind of m.
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -141,7 +141,7 @@
 		Outcome: OrderNotLeader, Reason: "another leads", Leader: "10.0.0.1:7000",
 		Condemned: []CondemnedRequest{{Key: []byte("0123456789abcdef"), Account: "t1", Pool: "llm", Servers: []string{"engine-1#a", "engine-2#b"}}},
 	},
-	Places{List: []ServingReplica{{Address: "10.0.0.1:7000", Hall: "hall-1"}, {Address: "10.0.0.2:7000"}}},
+	ServingReplicas{List: []ServingReplica{{Address: "10.0.0.1:7000", Hall: "hall-1"}, {Address: "10.0.0.2:7000"}}},
 }
 
 var goldenPools = []PoolView{
