--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -64,8 +64,8 @@
 	KindRolloutAnswer Kind = 24 // replica: the result of the order
 
 	// Between the replicas of the directory, continued.
-	KindRelayGateways Kind = 30 // relay: the gateways that it serves
-	KindPlaces        Kind = 34 // leader: the replicas that serve gateways
+	KindRelayGateways   Kind = 30 // relay: the gateways that it serves
+	KindServingReplicas Kind = 34 // leader: the replicas that serve gateways
 )
 
 // kinds maps each kind to its name, as used in metric labels, and its decoder.
@@ -73,33 +73,33 @@
 	name   string
 	decode func(Envelope) (Message, error)
 }{
-	KindHello:         {"hello", decodeAs[Hello]},
-	KindWelcome:       {"welcome", decodeAs[Welcome]},
-	KindRedirect:      {"redirect", decodeAs[Redirect]},
-	KindRenew:         {"renew", decodeAs[Renew]},
-	KindRenewed:       {"renewed", decodeAs[Renewed]},
-	KindReport:        {"report", decodeAs[Report]},
-	KindView:          {"view", decodeAs[View]},
-	KindConfigure:     {"configure", decodeAs[Configure]},
-	KindClaim:         {"claim", decodeAs[Claim]},
-	KindSettle:        {"settle", decodeAs[Settle]},
-	KindClaimed:       {"claimed", decodeAs[Claimed]},
-	KindConsensus:     {"consensus", decodeAs[Consensus]},
-	KindWatch:         {"watch", decodeAs[Watch]},
-	KindWatchRedirect: {"elsewhere", decodeAs[WatchRedirect]},
-	KindDocument:      {"document", decodeAs[Document]},
-	KindServers:       {"backends", decodeAs[Servers]},
-	KindUsage:         {"usage", decodeAs[Usage]},
-	KindFleet:         {"fleet", decodeAs[Fleet]},
-	KindCounted:       {"counted", decodeAs[Counted]},
-	KindAnnounce:      {"announce", decodeAs[Announce]},
-	KindAnnounced:     {"announced", decodeAs[Announced]},
-	KindRollouts:      {"rollouts", decodeAs[Rollouts]},
-	KindRolloutOrder:  {"rollout-order", decodeAs[RolloutOrder]},
-	KindRolloutAnswer: {"rollout-answer", decodeAs[RolloutAnswer]},
-	KindRelayGateways: {"behind", decodeAs[RelayGateways]},
-	KindQuarantine:    {"quarantine", decodeAs[Quarantine]},
-	KindPlaces:        {"places", decodeAs[ServingReplicas]},
+	KindHello:           {"hello", decodeAs[Hello]},
+	KindWelcome:         {"welcome", decodeAs[Welcome]},
+	KindRedirect:        {"redirect", decodeAs[Redirect]},
+	KindRenew:           {"renew", decodeAs[Renew]},
+	KindRenewed:         {"renewed", decodeAs[Renewed]},
+	KindReport:          {"report", decodeAs[Report]},
+	KindView:            {"view", decodeAs[View]},
+	KindConfigure:       {"configure", decodeAs[Configure]},
+	KindClaim:           {"claim", decodeAs[Claim]},
+	KindSettle:          {"settle", decodeAs[Settle]},
+	KindClaimed:         {"claimed", decodeAs[Claimed]},
+	KindConsensus:       {"consensus", decodeAs[Consensus]},
+	KindWatch:           {"watch", decodeAs[Watch]},
+	KindWatchRedirect:   {"elsewhere", decodeAs[WatchRedirect]},
+	KindDocument:        {"document", decodeAs[Document]},
+	KindServers:         {"backends", decodeAs[Servers]},
+	KindUsage:           {"usage", decodeAs[Usage]},
+	KindFleet:           {"fleet", decodeAs[Fleet]},
+	KindCounted:         {"counted", decodeAs[Counted]},
+	KindAnnounce:        {"announce", decodeAs[Announce]},
+	KindAnnounced:       {"announced", decodeAs[Announced]},
+	KindRollouts:        {"rollouts", decodeAs[Rollouts]},
+	KindRolloutOrder:    {"rollout-order", decodeAs[RolloutOrder]},
+	KindRolloutAnswer:   {"rollout-answer", decodeAs[RolloutAnswer]},
+	KindRelayGateways:   {"behind", decodeAs[RelayGateways]},
+	KindQuarantine:      {"quarantine", decodeAs[Quarantine]},
+	KindServingReplicas: {"places", decodeAs[ServingReplicas]},
 
 	KindQuarantineOrder:  {"quarantine-order", decodeAs[QuarantineOrder]},
 	KindQuarantineAnswer: {"quarantine-answer", decodeAs[QuarantineAnswer]},
@@ -151,7 +151,7 @@
 func (QuarantineOrder) kind() Kind  { return KindQuarantineOrder }
 func (QuarantineAnswer) kind() Kind { return KindQuarantineAnswer }
 func (RelayGateways) kind() Kind    { return KindRelayGateways }
-func (ServingReplicas) kind() Kind  { return KindPlaces }
+func (ServingReplicas) kind() Kind  { return KindServingReplicas }
 func (e Encoded) kind() Kind        { return e.messageKind }
 
 // KindOf returns the kind of m.
