--- a/coordination/pool/example_test.go
+++ b/coordination/pool/example_test.go
@@ -25,8 +25,8 @@
 		fmt.Println(err)
 	}
 	fmt.Println("without a slot:", len(p.Dispatch(0, true)))
-	p.Grant(0, protocol.Held{Server: "s1", Slots: 1})
-	p.Grant(0, protocol.Held{Server: "s2", Slots: 1})
+	p.Grant(0, protocol.ServerSlots{Server: "s1", Slots: 1})
+	p.Grant(0, protocol.ServerSlots{Server: "s2", Slots: 1})
 	for _, s := range p.Dispatch(0, true) {
 		fmt.Println("starts on", s.Server)
 		p.Finish(0, s.Work, s.Server, 80, pool.Served)
--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -60,7 +60,9 @@
 }
 
 // Grant adds granted slots on one of the pool's servers.
-func (p *Pool) Grant(now time.Duration, h protocol.Held) { p.holder.Grant(now, h.Server, h.Slots) }
+func (p *Pool) Grant(now time.Duration, h protocol.ServerSlots) {
+	p.holder.Grant(now, h.Server, h.Slots)
+}
 
 // ReturnIdleAfterLinger returns the free slots to the allocator if no request is waiting and none was used for
 // Settings.ReturnIdleAfterLinger.
@@ -78,7 +80,7 @@
 
 // Hello returns the slots held by the pool and its virtual times, for a new session. It discards the view of
 // the previous allocator.
-func (p *Pool) Hello(leased bool) ([]protocol.Held, protocol.PoolView) {
+func (p *Pool) Hello(leased bool) ([]protocol.ServerSlots, protocol.PoolView) {
 	if !leased {
 		p.holder.Expire()
 	}
--- a/coordination/slots/fixture_allocator_test.go
+++ b/coordination/slots/fixture_allocator_test.go
@@ -91,7 +91,7 @@
 		if r.pools[p].Waiting() == 0 {
 			continue
 		}
-		r.pools[p].Grant(f.now, protocol.Held{Server: srv.name, Slots: 1})
+		r.pools[p].Grant(f.now, protocol.ServerSlots{Server: srv.name, Slots: 1})
 		for _, s := range r.pools[p].Dispatch(f.now, true) {
 			r.pools[p].ReturnIdle()
 			return s.Work.Value.(*request)
--- a/coordination/slots/holder.go
+++ b/coordination/slots/holder.go
@@ -155,7 +155,7 @@
 }
 
 // TakeReturned returns the slots that were returned, sorted by server name, and clears them.
-func (h *Holder) TakeReturned() []protocol.Held {
+func (h *Holder) TakeReturned() []protocol.ServerSlots {
 	out := heldList(h.returned)
 	clear(h.returned)
 	return out
@@ -177,7 +177,7 @@
 
 // Held returns the slots to declare in a new session's Hello, sorted by server name.
 // It clears unreported returns and pending recalls, since the declared count supersedes them.
-func (h *Holder) Held() []protocol.Held {
+func (h *Holder) Held() []protocol.ServerSlots {
 	clear(h.returned)
 	h.pendingRecalls = 0
 	counts := map[string]int{}
@@ -204,11 +204,11 @@
 }
 
 // heldList returns the positive counts, sorted by server name.
-func heldList(m map[string]int) []protocol.Held {
-	var out []protocol.Held
+func heldList(m map[string]int) []protocol.ServerSlots {
+	var out []protocol.ServerSlots
 	for _, name := range slices.Sorted(maps.Keys(m)) {
 		if m[name] > 0 {
-			out = append(out, protocol.Held{Server: name, Slots: m[name]})
+			out = append(out, protocol.ServerSlots{Server: name, Slots: m[name]})
 		}
 	}
 	return out
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -58,12 +58,12 @@
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var servers []Server
 	var accounts []Account
-	var held []protocol.Held
+	var held []protocol.ServerSlots
 	var waiting []protocol.AccountReport
 	for _, n := range names {
 		servers = append(servers, Server{Name: n, Pool: "p", Slots: 1, Serving: true})
 		accounts = append(accounts, Account{Name: n, Share: 1})
-		held = append(held, protocol.Held{Server: n, Slots: 1})
+		held = append(held, protocol.ServerSlots{Server: n, Slots: 1})
 		waiting = append(waiting, protocol.AccountReport{Account: n, Waiting: 1})
 	}
 	report := protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: waiting}}}
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -119,7 +119,7 @@
 			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9})
 		}, 0, 2},
 		{"the router reported that it holds one", func(a *slots.Allocator) {
-			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 		}, 0, 1},
 		{"another process of the same router reported", func(a *slots.Allocator) {
 			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 10})
@@ -158,7 +158,7 @@
 	a.Report(0, "r1", waitingReport("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
 	a.Disconnect("r1", 1)
-	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	is.True(known)
 	is.Equal(reports, uint64(1))
 	a.Report(1, "r1", waitingReport("a", 5))
@@ -170,9 +170,9 @@
 func TestInvalidMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
+	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
 	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
-	a.Report(0, "r2", protocol.Report{Returned: []protocol.Held{{Server: "s", Slots: 100}, {Server: "s", Slots: -4}}})
+	a.Report(0, "r2", protocol.Report{Returned: []protocol.ServerSlots{{Server: "s", Slots: 100}, {Server: "s", Slots: -4}}})
 	a.Report(0, "r2", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: -3, Accounts: []protocol.AccountReport{
 		{Account: "a", Waiting: -1}, {Account: "b", Waiting: 1, Service: math.NaN()}, {Account: "?", Waiting: 9},
 	}}, {Pool: "none"}}})
@@ -180,7 +180,7 @@
 	is.Equal(len(granted(a, 0)), 0)
 	is.Equal(a.Occupancies()[0].Granted, 2) // not the 1<<30 that the router claims
 	a.Report(0, "r2", waitingReport("b", 1))
-	a.Report(0, "r1", protocol.Report{Returned: []protocol.Held{{Server: "s", Slots: 1 << 30}}})
+	a.Report(0, "r1", protocol.Report{Returned: []protocol.ServerSlots{{Server: "s", Slots: 1 << 30}}})
 	is.Equal(granted(a, 0), map[string]int{"r2": 1})
 }
 
@@ -215,7 +215,7 @@
 func TestFreeSlotIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}})
+	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}})
 	a.Report(0, "holding", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
 	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
 	a.Report(0, "empty", waitingReport("a", 1))
@@ -226,9 +226,9 @@
 func TestFreeSlotIsRecalledForARouterWithSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	a.Report(0, "idle", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 1}}})
-	a.OpenSession(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.Held{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	a.Report(0, "busy", waitingReport("a", 3))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // free at one router and needed at the other
@@ -237,7 +237,7 @@
 func TestSlotInUseIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.Held{{Server: "s", Slots: 2}}}) // both in use
+	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}}) // both in use
 	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
 	a.Report(0, "empty", waitingReport("a", 3))
 	a.Allocate(0)
@@ -286,9 +286,9 @@
 	h.Start("s")
 	h.Start("s")
 	h.Recall(2) // one slot is free now, the other later
-	is.Equal(h.TakeReturned(), []protocol.Held{{Server: "s", Slots: 1}})
+	is.Equal(h.TakeReturned(), []protocol.ServerSlots{{Server: "s", Slots: 1}})
 	h.Done(0, "s")
-	is.Equal(h.TakeReturned(), []protocol.Held{{Server: "s", Slots: 1}})
+	is.Equal(h.TakeReturned(), []protocol.ServerSlots{{Server: "s", Slots: 1}})
 	h.Done(0, "s")
 	is.Equal(len(h.TakeReturned()), 0)
 	is.Equal(h.Idle(), 1)
@@ -301,7 +301,7 @@
 	h.Start("s")
 	h.Expire()
 	is.Equal(h.Idle(), 0)
-	is.Equal(h.Held(), []protocol.Held{{Server: "s", Slots: 1}}) // running requests are reported even without a lease
+	is.Equal(h.Held(), []protocol.ServerSlots{{Server: "s", Slots: 1}}) // running requests are reported even without a lease
 	h.Done(0, "s")
 	is.Equal(h.Idle(), 1)
 }
--- a/protocol/bench_test.go
+++ b/protocol/bench_test.go
@@ -11,8 +11,8 @@
 // with n accounts.
 func BenchmarkControl(b *testing.B) {
 	for _, n := range []int{1, 10, 50} {
-		report := Report{ViewSeq: 1000, Returned: []Held{{Server: "a1", Slots: 1}}}
-		view := View{Seq: 1000, ReportSeq: 1000, Granted: []Held{{Server: "a1", Slots: 1}}}
+		report := Report{ViewSeq: 1000, Returned: []ServerSlots{{Server: "a1", Slots: 1}}}
+		view := View{Seq: 1000, ReportSeq: 1000, Granted: []ServerSlots{{Server: "a1", Slots: 1}}}
 		pr, pv := PoolReport{Pool: "llm", Idle: 1}, PoolView{Pool: "llm", Short: true, Floor: 123456.7, Lift: 123400.2, Slack: 100, Rate: 600}
 		for i := range n {
 			pr.Accounts = append(pr.Accounts, AccountReport{Account: fmt.Sprintf("%x", 400+i), Waiting: 3, Running: 4, Started: 2, Service: 123.625})
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -28,7 +28,7 @@
 var goldenMessages = []Message{
 	Hello{
 		Router: "router-1", Hall: "hall-a", Boot: bigNumber, Revision: 300, Epoch: 70000,
-		Held: []Held{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
+		Held: []ServerSlots{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
 	},
 	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", Known: true, Reports: 99, Void: true},
 	Redirect{Leader: "control-2", Follows: true, Group: bigNumber, Revision: 301, Pending: true},
@@ -43,9 +43,9 @@
 			}},
 			{Pool: "web"},
 		},
-		Returned: []Held{{Server: "a1", Slots: 1}, {Server: "a3", Slots: 2}}, Suspects: []string{"a4", "a5"}, Goodbye: true,
+		Returned: []ServerSlots{{Server: "a1", Slots: 1}, {Server: "a3", Slots: 2}}, Suspects: []string{"a4", "a5"}, Goodbye: true,
 	},
-	View{Seq: 22, Granted: []Held{{Server: "a1", Slots: 7}, {Server: "a2", Slots: 8}}, Pools: goldenPools, ReportSeq: 23},
+	View{Seq: 22, Granted: []ServerSlots{{Server: "a1", Slots: 7}, {Server: "a2", Slots: 8}}, Pools: goldenPools, ReportSeq: 23},
 	Configure{Delta: []byte{1, 2, 3}, Snapshot: []byte{4, 5, 6, 7}},
 	Claim{Call: 31, Account: "hotel-a", Key: "booking-1", Digest: bigNumber, Attempt: bigNumber - 1, Wait: true},
 	Settle{
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -15,12 +15,12 @@
 // Hello is the first message of a router to a control replica and opens a session. The router
 // has closed its previous session before.
 type Hello struct {
-	Router   string `cbor:"1,keyasint"`
-	Hall     string `cbor:"2,keyasint,omitempty"`
-	Boot     uint64 `cbor:"3,keyasint"` // random, drawn at each start of the process
-	Revision uint64 `cbor:"4,keyasint"` // revision of the configuration held
-	Epoch    uint64 `cbor:"5,keyasint"` // highest epoch seen; an older leader must refuse
-	Held     []Held `cbor:"6,keyasint,omitempty"`
+	Router   string        `cbor:"1,keyasint"`
+	Hall     string        `cbor:"2,keyasint,omitempty"`
+	Boot     uint64        `cbor:"3,keyasint"` // random, drawn at each start of the process
+	Revision uint64        `cbor:"4,keyasint"` // revision of the configuration held
+	Epoch    uint64        `cbor:"5,keyasint"` // highest epoch seen; an older leader must refuse
+	Held     []ServerSlots `cbor:"6,keyasint,omitempty"`
 	// Pools are the fleet-wide virtual times as the router has them, without what it has not
 	// reported yet. A new leader's allocator rebuilds its counters from them.
 	Pools []PoolView `cbor:"7,keyasint,omitempty"`
@@ -67,8 +67,8 @@
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// Held is a number of slots held on one backend server.
-type Held struct {
+// ServerSlots is a number of slots held on one backend server.
+type ServerSlots struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
 	Slots  int
@@ -77,11 +77,11 @@
 // Report is sent by a router to the leader when its load has changed. It covers the time since
 // the previous report.
 type Report struct {
-	ViewSeq  uint64       `cbor:"1,keyasint"` // newest View taken into account
-	Pools    []PoolReport `cbor:"2,keyasint,omitempty"`
-	Returned []Held       `cbor:"3,keyasint,omitempty"` // slots returned
-	Suspects []string     `cbor:"4,keyasint,omitempty"` // backend servers that fail this router's calls
-	Goodbye  bool         `cbor:"5,keyasint,omitempty"` // planned stop: the router holds no slots any more
+	ViewSeq  uint64        `cbor:"1,keyasint"` // newest View taken into account
+	Pools    []PoolReport  `cbor:"2,keyasint,omitempty"`
+	Returned []ServerSlots `cbor:"3,keyasint,omitempty"` // slots returned
+	Suspects []string      `cbor:"4,keyasint,omitempty"` // backend servers that fail this router's calls
+	Goodbye  bool          `cbor:"5,keyasint,omitempty"` // planned stop: the router holds no slots any more
 }
 
 // PoolReport is the part of a report about one pool.
@@ -104,9 +104,9 @@
 // View is sent by the leader to one router when its allocator grants slots to the router or the
 // state of the fleet has changed.
 type View struct {
-	Seq     uint64     `cbor:"1,keyasint"`
-	Granted []Held     `cbor:"2,keyasint,omitempty"`
-	Pools   []PoolView `cbor:"3,keyasint,omitempty"`
+	Seq     uint64        `cbor:"1,keyasint"`
+	Granted []ServerSlots `cbor:"2,keyasint,omitempty"`
+	Pools   []PoolView    `cbor:"3,keyasint,omitempty"`
 	// ReportSeq is the number of the router's newest report, counted from 1 in each session,
 	// that the view takes into account.
 	ReportSeq uint64 `cbor:"4,keyasint"`
