--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -93,7 +93,7 @@
 // longer counts for this router.
 func (p *Pool) BeginSession(w protocol.Welcome) {
 	p.idle = 0
-	if w.Void {
+	if w.LeaseExpired {
 		p.holder.ReturnIdle()
 	}
 	p.queue.ResetReports(w.Known, w.Reports)
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -36,9 +36,9 @@
 	// to and including its first Reports reports.
 	Known   bool   `cbor:"4,keyasint,omitempty"`
 	Reports uint64 `cbor:"5,keyasint,omitempty"`
-	// Void is set if the router's lease had expired at the allocator: slots that the router
+	// LeaseExpired is set if the router's lease had expired at the allocator: slots that the router
 	// holds and does not use must be returned unused.
-	Void bool `cbor:"6,keyasint,omitempty"`
+	LeaseExpired bool `cbor:"6,keyasint,omitempty"`
 }
 
 // Redirect is the answer of a control replica that does not lead to a Hello; the replica then
