--- a/control/session.go
+++ b/control/session.go
@@ -105,7 +105,7 @@
 	d.sessions[h.Router] = s
 	s.out.Send(protocol.Welcome{
 		Epoch: d.alloc.Epoch(), LeaseMillis: uint32(d.c.cfg.Lease.Length.Milliseconds()),
-		Leader: d.c.cfg.Identity.Name, Known: known, Reports: reports, LeaseExpired: void,
+		Leader: d.c.cfg.Identity.Name, StateKept: known, Reports: reports, LeaseExpired: void,
 	})
 	d.pushConfigTo(s, d.c.state.Config())
 	return true
--- a/coordination/pool/exchange.go
+++ b/coordination/pool/exchange.go
@@ -96,7 +96,7 @@
 	if w.LeaseExpired {
 		p.holder.ReturnIdle()
 	}
-	p.queue.ResetReports(w.Known, w.Reports)
+	p.queue.ResetReports(w.StateKept, w.Reports)
 }
 
 // Disconnected discards the allocator's view, so that slots are used rather than returned while there is no
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -190,7 +190,7 @@
 		}
 		void := !f.alloc.TakingOver(f.now) && !f.alloc.HasSession(r.name, r.boot)
 		reports, known := f.alloc.OpenSession(f.now, hello)
-		w := protocol.Welcome{Epoch: f.alloc.Epoch(), Known: known, Reports: reports, LeaseExpired: void}
+		w := protocol.Welcome{Epoch: f.alloc.Epoch(), StateKept: known, Reports: reports, LeaseExpired: void}
 		f.wakeAllocator()
 		r.count(w)
 		f.after(f.config.latency, func() {
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -30,7 +30,7 @@
 		Router: "router-1", Hall: "hall-a", Boot: bigNumber, Revision: 300, Epoch: 70000,
 		Held: []ServerSlots{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
 	},
-	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", Known: true, Reports: 99, LeaseExpired: true},
+	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", StateKept: true, Reports: 99, LeaseExpired: true},
 	Redirect{Leader: "control-2", Follows: true, Group: bigNumber, Revision: 301, Pending: true},
 	Renew{Seq: 17, Revision: 302},
 	Renewed{Seq: 18},
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -32,10 +32,10 @@
 	Epoch       uint64 `cbor:"1,keyasint"` // term of the allocating leader
 	LeaseMillis uint32 `cbor:"2,keyasint"`
 	Leader      string `cbor:"3,keyasint"`
-	// Known is set if the allocator still has the state of the router's previous session, up
+	// StateKept is set if the allocator still has the state of the router's previous session, up
 	// to and including its first Reports reports.
-	Known   bool   `cbor:"4,keyasint,omitempty"`
-	Reports uint64 `cbor:"5,keyasint,omitempty"`
+	StateKept bool   `cbor:"4,keyasint,omitempty"`
+	Reports   uint64 `cbor:"5,keyasint,omitempty"`
 	// LeaseExpired is set if the router's lease had expired at the allocator: slots that the router
 	// holds and does not use must be returned unused.
 	LeaseExpired bool `cbor:"6,keyasint,omitempty"`
