--- a/directory/regions.go
+++ b/directory/regions.go
@@ -98,7 +98,7 @@
 	}
 	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
 	ownHallServes := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
-	if place != "" && place != h.d.Address() && (!w.Named || ownHallServes) {
+	if place != "" && place != h.d.Address() && (!w.Redirected || ownHallServes) {
 		return servedElsewhere{by: place}
 	}
 	return nil
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -38,8 +38,8 @@
 	KeepsHandles bool `cbor:"11,keyasint,omitempty"`
 	// Hall is the sender's data hall; empty if not configured.
 	Hall string `cbor:"12,keyasint,omitempty"`
-	// Named is set if another replica redirected the gateway to the receiver.
-	Named bool `cbor:"13,keyasint,omitempty"`
+	// Redirected is set if another replica redirected the gateway to the receiver.
+	Redirected bool `cbor:"13,keyasint,omitempty"`
 }
 
 // WatchRedirect is the answer of a directory replica that does not lead to a Watch; the replica
