--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -18,8 +18,8 @@
 	Boot    uint64 `cbor:"2,keyasint"`           // random, drawn at each start of the process
 	Number  uint64 `cbor:"3,keyasint,omitempty"` // number of the document held
 	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest term seen; an older leader must refuse
-	// KnowsHalls is set by gateways that support HallsOut. Earlier versions do not send it.
-	KnowsHalls bool `cbor:"5,keyasint,omitempty"`
+	// SupportsHalls is set by gateways that support HallsOut. Earlier versions do not send it.
+	SupportsHalls bool `cbor:"5,keyasint,omitempty"`
 	// KnowsVersions is set by gateways that support Rollouts. Earlier versions do not send it.
 	KnowsVersions bool `cbor:"6,keyasint,omitempty"`
 	// Region is the sender's region; empty if not configured.
