--- a/directory/relayrollouts_test.go
+++ b/directory/relayrollouts_test.go
@@ -35,7 +35,7 @@
 		session, err := link.Dial(x.t.Context(), relay.ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
-		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, KnowsVersions: true, Region: south}))
+		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, SupportsRollouts: true, Region: south}))
 		m, err := session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		list, ok := m.(protocol.Rollouts)
--- a/directory/rolloutcompletion_test.go
+++ b/directory/rolloutcompletion_test.go
@@ -53,7 +53,7 @@
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
-	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
+	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, SupportsRollouts: true}))
 	var u protocol.Usage
 	var final time.Time
 	for {
--- a/directory/rolloutorders_test.go
+++ b/directory/rolloutorders_test.go
@@ -384,7 +384,7 @@
 			session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 			is.NoErr(err)
 			defer session.Close()
-			is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: name, KnowsVersions: knows}))
+			is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: name, SupportsRollouts: knows}))
 		}
 		time.Sleep(100 * time.Millisecond)
 		names, err := l.d.GatewaysWithoutRollouts(x.t.Context())
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -218,7 +218,7 @@
 		session, err := link.Dial(x.t.Context(), l.ip+":7400", id, nil)
 		is.NoErr(err)
 		defer session.Close()
-		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
+		is.NoErr(session.Send(x.t.Context(), protocol.Watch{Gateway: id.Name, SupportsRollouts: true}))
 		m, err := session.ReceiveWithIdleTimeout(x.t.Context(), time.Second)
 		is.NoErr(err)
 		list, ok := m.(protocol.Rollouts)
@@ -258,7 +258,7 @@
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
 	is.NoErr(err)
 	defer l.Close()
-	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, KnowsVersions: true}))
+	is.NoErr(l.Send(ctx, protocol.Watch{Gateway: id.Name, SupportsRollouts: true}))
 	var u protocol.Usage
 	for ctx.Err() == nil {
 		m, err := l.ReceiveWithIdleTimeout(ctx, time.Second)
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -128,7 +128,7 @@
 func (w *watcher) hello() protocol.Watch {
 	return protocol.Watch{
 		Gateway: w.g.cfg.Identity.Name, Boot: w.startID, Number: w.g.DocumentNumber(), Term: w.term, SupportsHalls: true,
-		KnowsVersions: true, Region: w.g.cfg.Region, Avoid: w.avoided,
+		SupportsRollouts: true, Region: w.g.cfg.Region, Avoid: w.avoided,
 		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Redirected: w.viaRedirect,
 	}
 }
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -20,8 +20,8 @@
 	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest term seen; an older leader must refuse
 	// SupportsHalls is set by gateways that support HallsOut. Earlier versions do not send it.
 	SupportsHalls bool `cbor:"5,keyasint,omitempty"`
-	// KnowsVersions is set by gateways that support Rollouts. Earlier versions do not send it.
-	KnowsVersions bool `cbor:"6,keyasint,omitempty"`
+	// SupportsRollouts is set by gateways that support Rollouts. Earlier versions do not send it.
+	SupportsRollouts bool `cbor:"6,keyasint,omitempty"`
 	// Region is the sender's region; empty if not configured.
 	Region string `cbor:"7,keyasint,omitempty"`
 	// Relay is set by a directory replica that opens a session on behalf of its region's
