--- a/directory/halls.go
+++ b/directory/halls.go
@@ -140,7 +140,7 @@
 func (h *hub) gatewaysWithoutHalls() []string {
 	var names []string
 	for name, g := range h.gateways() {
-		if !g.KnowsHalls {
+		if !g.SupportsHalls {
 			names = append(names, name)
 		}
 	}
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -14,6 +14,6 @@
 // RelayGateway is one gateway, as its [Watch] describes it.
 type RelayGateway struct {
 	Gateway       string `cbor:"1,keyasint"`
-	KnowsHalls    bool   `cbor:"2,keyasint,omitempty"`
+	SupportsHalls bool   `cbor:"2,keyasint,omitempty"`
 	KnowsVersions bool   `cbor:"3,keyasint,omitempty"`
 }
