--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -158,7 +158,7 @@
 func (h *hub) gatewaysWithoutRollouts() []string {
 	var names []string
 	for name, g := range h.gateways() {
-		if !g.KnowsVersions {
+		if !g.SupportsRollouts {
 			names = append(names, name)
 		}
 	}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -246,5 +246,5 @@
 	if s.relay {
 		return s.relayedGateways
 	}
-	return []protocol.RelayGateway{{Gateway: s.gateway, SupportsHalls: s.supportsHalls, KnowsVersions: s.supportsRollouts}}
+	return []protocol.RelayGateway{{Gateway: s.gateway, SupportsHalls: s.supportsHalls, SupportsRollouts: s.supportsRollouts}}
 }
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -13,7 +13,7 @@
 
 // RelayGateway is one gateway, as its [Watch] describes it.
 type RelayGateway struct {
-	Gateway       string `cbor:"1,keyasint"`
-	SupportsHalls bool   `cbor:"2,keyasint,omitempty"`
-	KnowsVersions bool   `cbor:"3,keyasint,omitempty"`
+	Gateway          string `cbor:"1,keyasint"`
+	SupportsHalls    bool   `cbor:"2,keyasint,omitempty"`
+	SupportsRollouts bool   `cbor:"3,keyasint,omitempty"`
 }
