--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -157,7 +157,7 @@
 // Header returns a list without servers, which contains the space of the handles and the halls out
 // of service.
 func (c *Copy) Header() protocol.Servers {
-	return protocol.Servers{Term: c.term, Space: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
+	return protocol.Servers{Term: c.term, HandleSpace: c.handles.Space(), HallsOut: c.hallsOut, HallChanges: c.hallChanges}
 }
 
 // WholeList returns the first message of a gateway's session. It costs O(n log n).
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -23,7 +23,7 @@
 
 // listOf returns a complete list of random servers with a leader's handles.
 func listOf(rng *rand.Rand, servers int) *changingList {
-	l := &changingList{rng: rng, list: protocol.Servers{Term: 2, Space: 7, Whole: true, Complete: true}}
+	l := &changingList{rng: rng, list: protocol.Servers{Term: 2, HandleSpace: 7, Whole: true, Complete: true}}
 	for range servers {
 		l.add()
 	}
@@ -45,7 +45,7 @@
 // part.
 func (l *changingList) change() protocol.Servers {
 	gone := l.rng.IntN(len(l.list.Set))
-	m := protocol.Servers{Term: l.list.Term, Space: l.list.Space, Gone: []string{l.list.Set[gone].ID}}
+	m := protocol.Servers{Term: l.list.Term, HandleSpace: l.list.HandleSpace, Gone: []string{l.list.Set[gone].ID}}
 	l.list.Set = slices.Delete(slices.Clone(l.list.Set), gone, gone+1)
 	changed := &l.list.Set[l.rng.IntN(len(l.list.Set))]
 	changed.Slots++
--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -142,7 +142,7 @@
 	is.Equal(c.Term(), uint64(3))
 	is.True(c.AnyCold(time.Second))
 	is.Equal(c.WholeList(time.Second), protocol.Servers{
-		Term: 3, Space: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
+		Term: 3, HandleSpace: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
 	_, ok := c.LeaderHandle(time.Second, server("b", "2", 2, 0).Registration)
@@ -156,7 +156,7 @@
 	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
 	is.Equal(c.WholeList(5*time.Second), protocol.Servers{
-		Term: 3, Space: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // c took the address of a
+		Term: 3, HandleSpace: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // c took the address of a
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
 }
@@ -185,7 +185,7 @@
 		server("a", "1", 43), server("b", "5", 42), server("e", "6", 41),
 	}})
 	is.Equal(next.Term, uint64(4))
-	is.Equal(next.Space, first.Space)
+	is.Equal(next.HandleSpace, first.HandleSpace)
 	is.Equal(next.Gone, []string{"d"})
 	is.True(!next.Whole && !next.Complete)
 	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // changed and new servers
--- a/directory/sessioncarryover.go
+++ b/directory/sessioncarryover.go
@@ -74,5 +74,5 @@
 		return h.relay.list.Header()
 	}
 	out, changes := h.d.state.HallsOut()
-	return protocol.Servers{Term: h.term, Space: h.handles.Space(), HallsOut: out, HallChanges: changes}
+	return protocol.Servers{Term: h.term, HandleSpace: h.handles.Space(), HallsOut: out, HallChanges: changes}
 }
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -37,7 +37,7 @@
 func (h *hub) leaderList() protocol.Servers {
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
-		Term: h.term, Space: h.handles.Space(), Whole: true, Complete: h.complete,
+		Term: h.term, HandleSpace: h.handles.Space(), Whole: true, Complete: h.complete,
 		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.hasMultipleRegions() || h.isSpread(),
 	}.ToWire(h.registry.IsListed)
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -158,7 +158,7 @@
 	if m.Term != t.term {
 		t.startTerm(m.Term)
 	}
-	if space := cmp.Or(m.Space, m.Term); space != t.handleSpace {
+	if space := cmp.Or(m.HandleSpace, m.Term); space != t.handleSpace {
 		t.handleSpace = space
 		clear(t.byHandle)
 		for _, k := range t.servers {
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -89,7 +89,7 @@
 			{Registration: Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, Handle: 2},
 		},
 		Gone: []string{"engine-3#c", "engine-4#d"}, HallsOut: []string{"hall-a", "hall-b"}, HallChanges: 93, Relays: true,
-		Space: bigNumber, Unlisted: []string{"engine-5#e"}, Part: true,
+		HandleSpace: bigNumber, Unlisted: []string{"engine-5#e"}, Part: true,
 	},
 	Usage{
 		Loads:   []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
@@ -205,7 +205,7 @@
 		for i := range m.Set {
 			m.Set[i].Version, m.Set[i].Born = "", 0
 		}
-		m.Relays, m.Space, m.Unlisted, m.Part = false, 0, nil, false
+		m.Relays, m.HandleSpace, m.Unlisted, m.Part = false, 0, nil, false
 		return m
 	case Usage:
 		m.Outcomes, m.Obeyed, m.Changes, m.Barred = nil, 0, false, nil
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -116,9 +116,9 @@
 	// Relays is set in the whole list of a leader that supports relays. Earlier versions do
 	// not send it, and treat a relay as a gateway.
 	Relays bool `cbor:"8,keyasint,omitempty"`
-	// Space identifies the leader that assigned the handles in the message. Earlier versions
+	// HandleSpace identifies the leader that assigned the handles in the message. Earlier versions
 	// send 0: the handles are those of the term's leader.
-	Space uint64 `cbor:"9,keyasint,omitempty"`
+	HandleSpace uint64 `cbor:"9,keyasint,omitempty"`
 	// Unlisted are servers that gateways hold from an earlier leader and that do not announce
 	// themselves to the current one. They are used only as long as they answer.
 	Unlisted []string `cbor:"10,keyasint,omitempty"`
