--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -26,29 +26,29 @@
 	s.Restart(1)
 	s.Open("g1", true)
 	s.Open("g2", true)
-	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 1000, Obeyed: 4, Demands: []protocol.Demand{{Account: "a", Tokens: 1000}}})
+	s.Add("g1", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 1000, AppliedRollouts: 4, Demands: []protocol.Demand{{Account: "a", Tokens: 1000}}})
 	m := s.Next()
 	is.Equal(m.Loads, []protocol.ServerLoad{loadOf(7, 2)})
 	is.Equal(m.Started, uint64(0)) // the first report covers an unknown time
 	is.Equal(len(m.Demands), 0)
 
 	s.Add("g1", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 5, Missed: 6, Number: 3, Obeyed: 4,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 5, Missed: 6, Number: 3, AppliedRollouts: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 7}}, Served: []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}}, Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 1), loadOf(8, 1)}, Number: 2, Obeyed: 5})
+	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 1), loadOf(8, 1)}, Number: 2, AppliedRollouts: 5})
 	s.Add("g2", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 1)}, Started: 10, Number: 2, Obeyed: 5,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 1)}, Started: 10, Number: 2, AppliedRollouts: 5,
 		Demands: []protocol.Demand{{Account: "b", Tokens: 1}, {Account: "a", Tokens: 100}},
 	})
 	m = s.Next()
 	is.Equal(m, protocol.Usage{
-		Seq: 2, Changes: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, Obeyed: 4,
+		Seq: 2, Changes: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, AppliedRollouts: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 107}, {Account: "b", Tokens: 1}},
 		Served:  []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}},
 		Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, Obeyed: 4}) // reported once
+	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, AppliedRollouts: 4}) // reported once
 
 	s.RecordCounted(1)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
@@ -84,19 +84,19 @@
 	var s ReportAggregator
 	s.Restart(1)
 	s.ApplyRollouts(protocol.Rollouts{Seq: 3})
-	is.Equal(s.Next().Obeyed, uint64(3))
+	is.Equal(s.Next().AppliedRollouts, uint64(3))
 	s.Open("earlier version", false)
-	is.Equal(s.Next().Obeyed, uint64(3))
+	is.Equal(s.Next().AppliedRollouts, uint64(3))
 	s.Open("g", true)
-	is.Equal(s.Next().Obeyed, uint64(0))
-	s.Add("g", protocol.Usage{Seq: 1, Obeyed: 3})
-	is.Equal(s.Next().Obeyed, uint64(0)) // the loads may be older
-	is.Equal(s.Next().Obeyed, uint64(0))
-	s.Add("g", protocol.Usage{Seq: 2, Obeyed: 4})
-	is.Equal(s.Next().Obeyed, uint64(3))
+	is.Equal(s.Next().AppliedRollouts, uint64(0))
+	s.Add("g", protocol.Usage{Seq: 1, AppliedRollouts: 3})
+	is.Equal(s.Next().AppliedRollouts, uint64(0)) // the loads may be older
+	is.Equal(s.Next().AppliedRollouts, uint64(0))
+	s.Add("g", protocol.Usage{Seq: 2, AppliedRollouts: 4})
+	is.Equal(s.Next().AppliedRollouts, uint64(3))
 	s.Close("g")
 	s.Restart(1)
-	is.Equal(s.Next().Obeyed, uint64(0)) // the numbers belong to the earlier leader
+	is.Equal(s.Next().AppliedRollouts, uint64(0)) // the numbers belong to the earlier leader
 }
 
 // TestOutcomeTotals: a relay sends the totals over its gateways when they change.
--- a/coordination/registry/reportaggregator.go
+++ b/coordination/registry/reportaggregator.go
@@ -136,9 +136,9 @@
 	}
 	g.reported, g.seq, g.loads, g.documentNumber, g.barred = true, m.Seq, m.Loads, m.Number, m.Barred
 	if m.Term != 0 && m.Term != s.term {
-		m.Obeyed = 0
+		m.AppliedRollouts = 0
 	}
-	g.previousApplied, g.lastApplied = g.lastApplied, m.Obeyed
+	g.previousApplied, g.lastApplied = g.lastApplied, m.AppliedRollouts
 	if len(m.Outcomes) > 0 {
 		g.outcomes = maps.Clone(g.outcomes)
 		if g.outcomes == nil {
@@ -190,7 +190,7 @@
 			AddLoads(loads, g.loads)
 		}
 	}
-	m.Number, m.Obeyed = s.minApplied()
+	m.Number, m.AppliedRollouts = s.minApplied()
 	m.Barred = s.mergedBarred()
 	m.Loads = s.feed.Next(SortedLoads(loads), MaxRelayReportLoads)
 	m.Outcomes = s.changedOutcomes()
--- a/directory/activerollout_test.go
+++ b/directory/activerollout_test.go
@@ -180,6 +180,6 @@
 	r.fullShareSeq = 2
 	for _, want := range []bool{false, false, true} {
 		is.Equal(h.oldVersionsIdle(r), want)
-		h.addOutcomes(s, protocol.Usage{Obeyed: 2})
+		h.addOutcomes(s, protocol.Usage{AppliedRollouts: 2})
 	}
 }
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -35,9 +35,9 @@
 // addOutcomes applies a gateway's report.
 func (h *hub) addOutcomes(s *session, u protocol.Usage) {
 	if u.Term != 0 && u.Term != h.term {
-		u.Obeyed = 0 // the number is that of another leader's list
+		u.AppliedRollouts = 0 // the number is that of another leader's list
 	}
-	h.rollouts.applied[s] = appliedLists{newest: u.Obeyed, previous: h.rollouts.applied[s].newest}
+	h.rollouts.applied[s] = appliedLists{newest: u.AppliedRollouts, previous: h.rollouts.applied[s].newest}
 	for _, o := range u.Outcomes {
 		if r := h.rollouts.underWay[o.Pool]; r != nil && r.Attempt == o.Attempt {
 			r.addOutcomes(s.reporter(), o)
--- a/directory/rolloutcompletion_test.go
+++ b/directory/rolloutcompletion_test.go
@@ -71,7 +71,7 @@
 				return time.Since(final)
 			}
 			if !isFinal || obeysFinal {
-				u.Obeyed = m.Seq
+				u.AppliedRollouts = m.Seq
 			}
 		case protocol.Fleet:
 			u.Seq++
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -274,7 +274,7 @@
 			}
 		case protocol.Rollouts:
 			if obeys {
-				u.Obeyed = m.Seq
+				u.AppliedRollouts = m.Seq
 			}
 		case protocol.Fleet:
 			u.Seq++
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -161,9 +161,9 @@
 	// Outcomes are those that have changed since the last report, for pools with a rollout in
 	// progress. The first report of a session has all of them.
 	Outcomes []Outcomes `cbor:"9,keyasint,omitempty"`
-	// Obeyed is the Seq of the newest [Rollouts] in force at the gateway, of the session's
+	// AppliedRollouts is the Seq of the newest [Rollouts] in force at the gateway, of the session's
 	// term.
-	Obeyed uint64 `cbor:"10,keyasint,omitempty"`
+	AppliedRollouts uint64 `cbor:"10,keyasint,omitempty"`
 	// Changes is set in a relay's reports: Loads are the sums that have changed since its
 	// previous report, and zeros for servers that run nothing any more.
 	Changes bool `cbor:"11,keyasint,omitempty"`
