--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -43,12 +43,12 @@
 	})
 	m = s.Next()
 	is.Equal(m, protocol.Usage{
-		Seq: 2, Changes: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, AppliedRollouts: 4,
+		Seq: 2, Incremental: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, AppliedRollouts: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 107}, {Account: "b", Tokens: 1}},
 		Served:  []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}},
 		Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	is.Equal(s.Next(), protocol.Usage{Seq: 3, Changes: true, Number: 2, AppliedRollouts: 4}) // reported once
+	is.Equal(s.Next(), protocol.Usage{Seq: 3, Incremental: true, Number: 2, AppliedRollouts: 4}) // reported once
 
 	s.RecordCounted(1)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
--- a/coordination/registry/reportaggregator.go
+++ b/coordination/registry/reportaggregator.go
@@ -183,7 +183,7 @@
 	s.seq++
 	sent := sentReport{seq: s.seq, gateways: make(map[string]uint64, len(s.gateways))}
 	loads := map[uint32]protocol.ServerLoad{}
-	m := protocol.Usage{Seq: s.seq, Changes: true}
+	m := protocol.Usage{Seq: s.seq, Incremental: true}
 	for name, g := range s.gateways {
 		if g.reported {
 			sent.gateways[name] = g.seq
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -151,7 +151,7 @@
 			l.usage.addReport(s, protocol.Usage{Loads: l.loads(3, i+tick), Demands: l.accounts[:3], Served: l.accounts[:3], Started: 6000})
 		}
 		for i, s := range l.relays {
-			l.usage.addReport(s, protocol.Usage{Changes: true, Loads: l.loads(registry.MaxRelayReportLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
+			l.usage.addReport(s, protocol.Usage{Incremental: true, Loads: l.loads(registry.MaxRelayReportLoads/2, i+tick), Demands: l.accounts[:50], Served: l.accounts[:50], Started: 100_000})
 		}
 		l.usage.sumLoads()
 		l.usage.demand.SetBusyFraction(l.registry.MaxBusyShare(l.usage.total, func(pool, _ string) string { return pool }))
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -25,7 +25,7 @@
 // period, for example the time without a leader, so it counts for the loads but not for the demand.
 func (u *usage) addReport(s *session, m protocol.Usage) {
 	_, known := u.loads[s]
-	if m.Changes {
+	if m.Incremental {
 		registry.ApplyLoads(s.loads, m.Loads)
 		m.Loads = registry.SortedLoads(s.loads)
 	}
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -164,9 +164,9 @@
 	// AppliedRollouts is the Seq of the newest [Rollouts] in force at the gateway, of the session's
 	// term.
 	AppliedRollouts uint64 `cbor:"10,keyasint,omitempty"`
-	// Changes is set in a relay's reports: Loads are the sums that have changed since its
+	// Incremental is set in a relay's reports: Loads are the sums that have changed since its
 	// previous report, and zeros for servers that run nothing any more.
-	Changes bool `cbor:"11,keyasint,omitempty"`
+	Incremental bool `cbor:"11,keyasint,omitempty"`
 	// Barred are targets that a leader has barred at this gateway and that the newest
 	// [Rollouts] does not bar: the log may lack the decision.
 	Barred []Barred `cbor:"12,keyasint,omitempty"`
