--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -201,7 +201,7 @@
 		w.replicas = m.Members
 		if !m.Unknown {
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
-			w.g.accounts.setMaxRate(m.Most)
+			w.g.accounts.setMaxRate(m.MaxRate)
 		}
 		w.g.table.updateLoads(w.g.now(), w.countedReport, m.Loads)
 		w.g.grantAll()
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -45,7 +45,7 @@
 			e, _ := x.g.accounts.entitlement("t")
 			return e.Part
 		}
-		w.handle(protocol.Fleet{Gateways: 2, Entitlements: []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}, Most: 1000})
+		w.handle(protocol.Fleet{Gateways: 2, Entitlements: []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}, MaxRate: 1000})
 		is.Equal(part(), float32(0.5))
 		time.Sleep(100 * time.Millisecond)
 		w.handle(protocol.Fleet{Gateways: 3, Unknown: true})
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -212,9 +212,9 @@
 	// Unknown is set while the leader is new and its sums are too incomplete to decide by.
 	// Entitlements, Short and Most are then meaningless.
 	Unknown bool `cbor:"6,keyasint,omitempty"`
-	// Most bounds the rate that one account may be given, in tokens per second; 0 means no
+	// MaxRate bounds the rate that one account may be given, in tokens per second; 0 means no
 	// bound.
-	Most float64 `cbor:"7,keyasint,omitempty"`
+	MaxRate float64 `cbor:"7,keyasint,omitempty"`
 	// Late has, for accounts in Entitlements, the fractions of the late retries that are
 	// covered: what remains of the share after requests that can still be in time. An account
 	// without an entry has none covered.
