--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -199,7 +199,7 @@
 	case protocol.Fleet:
 		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
-		if !m.Unknown {
+		if !m.Incomplete {
 			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
 			w.g.accounts.setMaxRate(m.MaxRate)
 		}
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -48,7 +48,7 @@
 		w.handle(protocol.Fleet{Gateways: 2, Entitlements: []protocol.Entitlement{{Account: "t", Part: 0.5, Extra: 0.5}}, MaxRate: 1000})
 		is.Equal(part(), float32(0.5))
 		time.Sleep(100 * time.Millisecond)
-		w.handle(protocol.Fleet{Gateways: 3, Unknown: true})
+		w.handle(protocol.Fleet{Gateways: 3, Incomplete: true})
 		is.Equal(part(), float32(0.5))
 		is.Equal(x.g.gatewayCount.Load(), int64(3)) // the rest of the message is applied
 		w.handle(protocol.Fleet{Gateways: 3})
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -209,9 +209,9 @@
 	// servers, or several accounts demand more than their shares. No account may then exceed
 	// its share.
 	Short bool `cbor:"5,keyasint,omitempty"`
-	// Unknown is set while the leader is new and its sums are too incomplete to decide by.
+	// Incomplete is set while the leader is new and its sums are too incomplete to decide by.
 	// Entitlements, Short and Most are then meaningless.
-	Unknown bool `cbor:"6,keyasint,omitempty"`
+	Incomplete bool `cbor:"6,keyasint,omitempty"`
 	// MaxRate bounds the rate that one account may be given, in tokens per second; 0 means no
 	// bound.
 	MaxRate float64 `cbor:"7,keyasint,omitempty"`
