--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -107,7 +107,7 @@
 	s.Open("g1", true)
 	s.Open("g2", true)
 	count := func(sent, failed uint64, paces ...uint32) protocol.Outcomes {
-		return protocol.Outcomes{Pool: "p", Attempt: 2, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces}
+		return protocol.Outcomes{Pool: "p", Attempt: 2, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, PaceCounts: paces}
 	}
 	s.Add("g1", protocol.Usage{Seq: 1, Outcomes: []protocol.Outcomes{count(5, 1, 1, 2)}})
 	s.Add("g2", protocol.Usage{Seq: 1, Outcomes: []protocol.Outcomes{count(7, 0, 3)}})
--- a/coordination/registry/reportaggregator.go
+++ b/coordination/registry/reportaggregator.go
@@ -264,21 +264,21 @@
 // addOutcomes returns the sum of two counts under the second one's key.
 func addOutcomes(a, b protocol.Outcomes) protocol.Outcomes {
 	b.Sent, b.Answered, b.Failed = a.Sent+b.Sent, a.Answered+b.Answered, a.Failed+b.Failed
-	paces := make([]uint32, max(len(a.Paces), len(b.Paces)))
-	for i := range a.Paces {
-		paces[i] += a.Paces[i]
+	paces := make([]uint32, max(len(a.PaceCounts), len(b.PaceCounts)))
+	for i := range a.PaceCounts {
+		paces[i] += a.PaceCounts[i]
 	}
-	for i := range b.Paces {
-		paces[i] += b.Paces[i]
+	for i := range b.PaceCounts {
+		paces[i] += b.PaceCounts[i]
 	}
 	if len(paces) > 0 {
-		b.Paces = paces
+		b.PaceCounts = paces
 	}
 	return b
 }
 
 func equalOutcomes(a, b protocol.Outcomes) bool {
-	return a.Sent == b.Sent && a.Answered == b.Answered && a.Failed == b.Failed && slices.Equal(a.Paces, b.Paces)
+	return a.Sent == b.Sent && a.Answered == b.Answered && a.Failed == b.Failed && slices.Equal(a.PaceCounts, b.PaceCounts)
 }
 
 // ApplyRollouts records the leader's list of rollouts, and drops the outcomes of others.
--- a/directory/activerollout_test.go
+++ b/directory/activerollout_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Target: "v2"})
 	report := func(boot, sent, failed uint64, version string, paces ...uint32) {
-		r.addOutcomes(reporter{gateway: "g", bootID: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces})
+		r.addOutcomes(reporter{gateway: "g", bootID: boot}, protocol.Outcomes{Version: version, Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, PaceCounts: paces})
 	}
 	report(1, 3, 1, "v2", 0, 2)
 	report(1, 10, 4, "v2", 0, 2, 7)
@@ -50,7 +50,7 @@
 	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
 		h.addOutcomes(s, protocol.Usage{Outcomes: []protocol.Outcomes{
-			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, Paces: paces},
+			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, PaceCounts: paces},
 		}})
 	}
 	total := func() []uint64 {
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -88,8 +88,8 @@
 }
 
 func paceCount(o protocol.Outcomes, bucket int) uint64 {
-	if bucket < len(o.Paces) {
-		return uint64(o.Paces[bucket])
+	if bucket < len(o.PaceCounts) {
+		return uint64(o.PaceCounts[bucket])
 	}
 	return 0
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -133,7 +133,7 @@
 	}
 	return protocol.Outcomes{
 		Pool: pool, Attempt: attempt, Version: key.version, Route: key.route,
-		Sent: t.sent, Answered: t.answered, Failed: t.failed, Paces: slices.Clone(paces),
+		Sent: t.sent, Answered: t.answered, Failed: t.failed, PaceCounts: slices.Clone(paces),
 	}
 }
 
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -333,8 +333,8 @@
 		outcomes, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(outcomes[1].Version, "v2")
 		is.Equal(outcomes[1].Answered, uint64(2))
-		is.Equal(len(outcomes[1].Paces), 0)
-		is.Equal(len(outcomes[0].Paces) > 0, true)
+		is.Equal(len(outcomes[1].PaceCounts), 0)
+		is.Equal(len(outcomes[0].PaceCounts) > 0, true)
 	}, oldAndNew...)
 }
 
@@ -362,6 +362,6 @@
 		slow, _ := x.g.table.takeOutcomes(x.g.now())
 		is.Equal(slow[0].Sent, uint64(3))
 		is.Equal(slow[0].Failed, uint64(0))
-		is.Equal(slow[0].Paces[rollout.PaceBucket(16)], uint32(1)) // 800 ms instead of the expected 50 ms
+		is.Equal(slow[0].PaceCounts[rollout.PaceBucket(16)], uint32(1)) // 800 ms instead of the expected 50 ms
 	}, oldAndNew...)
 }
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -96,7 +96,7 @@
 		Demands: []Demand{{Account: "t1", Tokens: bigNumber}, {Account: "t2", Tokens: 12}},
 		Number:  86, Started: 87, Missed: 88, Served: []Demand{{Account: "t2", Tokens: 89}}, Seq: 90, Late: []Demand{{Account: "t1", Tokens: 92}}, Unread: []Demand{{Account: "t2", Tokens: 93}},
 		Outcomes: []Outcomes{
-			{Pool: "web", Attempt: 98, Version: "v7", Route: "pay", Sent: 99, Answered: 100, Failed: 101, Paces: []uint32{102, 0, 103}},
+			{Pool: "web", Attempt: 98, Version: "v7", Route: "pay", Sent: 99, Answered: 100, Failed: 101, PaceCounts: []uint32{102, 0, 103}},
 			{Pool: "web", Attempt: 104, Version: "v6"},
 		},
 		AppliedRollouts: 105, Incremental: true, Barred: []Barred{{Pool: "web", Attempt: 106}},
--- a/protocol/rollout.go
+++ b/protocol/rollout.go
@@ -57,13 +57,13 @@
 // since the gateway received the first list with this attempt. Counts are cumulative and each
 // report replaces the previous one, so that lost or duplicate reports have no effect.
 type Outcomes struct {
-	_        struct{} `cbor:",toarray"`
-	Pool     string
-	Attempt  uint64 // of the pool's rollouts
-	Version  string
-	Route    string
-	Sent     uint64   // attempts begun
-	Answered uint64   // completely, without a failure
-	Failed   uint64   // failed by the server
-	Paces    []uint32 // answers by the ratio of the actual to the expected time to their start (rollout.PaceBucket)
+	_          struct{} `cbor:",toarray"`
+	Pool       string
+	Attempt    uint64 // of the pool's rollouts
+	Version    string
+	Route      string
+	Sent       uint64   // attempts begun
+	Answered   uint64   // completely, without a failure
+	Failed     uint64   // failed by the server
+	PaceCounts []uint32 // answers by the ratio of the actual to the expected time to their start (rollout.PaceBucket)
 }
