--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -71,13 +71,13 @@
 	if m.HallChanges > c.hallChanges {
 		c.hallsOut, c.hallChanges = m.HallsOut, m.HallChanges
 	}
-	for _, id := range m.Gone {
+	for _, id := range m.Removed {
 		c.drop(id)
 	}
-	c.gone = append(c.gone, m.Gone...)
+	c.gone = append(c.gone, m.Removed...)
 	c.gone = c.gone[max(len(c.gone)-maxDepartures, 0):]
 	passed := c.Header()
-	passed.Gone, passed.Complete = m.Gone, m.Complete
+	passed.Removed, passed.Complete = m.Removed, m.Complete
 	for _, s := range m.Set {
 		if own, changed := c.setServer(now, s); changed || !m.Whole && !m.Part {
 			passed.Set = append(passed.Set, own)
@@ -163,7 +163,7 @@
 // WholeList returns the first message of a gateway's session. It costs O(n log n).
 func (c *Copy) WholeList(now time.Duration) protocol.Servers {
 	m := c.Header()
-	m.Whole, m.Complete, m.Gone = true, c.complete, slices.Clone(c.gone)
+	m.Whole, m.Complete, m.Removed = true, c.complete, slices.Clone(c.gone)
 	m.Set = make([]protocol.Server, 0, len(c.servers))
 	for _, id := range slices.Sorted(maps.Keys(c.servers)) {
 		m.Set = append(m.Set, c.servers[id].toServer(now))
--- a/coordination/registry/listpart.go
+++ b/coordination/registry/listpart.go
@@ -26,7 +26,7 @@
 		if found {
 			start++
 		}
-		part.Set, part.Gone = list.Set[start:], nil
+		part.Set, part.Removed = list.Set[start:], nil
 		part.Whole, part.Part = false, true
 	}
 	if last = len(part.Set) <= limit; !last {
--- a/coordination/registry/listpart_test.go
+++ b/coordination/registry/listpart_test.go
@@ -45,7 +45,7 @@
 // part.
 func (l *changingList) change() protocol.Servers {
 	gone := l.rng.IntN(len(l.list.Set))
-	m := protocol.Servers{Term: l.list.Term, HandleSpace: l.list.HandleSpace, Gone: []string{l.list.Set[gone].ID}}
+	m := protocol.Servers{Term: l.list.Term, HandleSpace: l.list.HandleSpace, Removed: []string{l.list.Set[gone].ID}}
 	l.list.Set = slices.Delete(slices.Clone(l.list.Set), gone, gone+1)
 	changed := &l.list.Set[l.rng.IntN(len(l.list.Set))]
 	changed.Slots++
--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -138,11 +138,11 @@
 	}
 	handles := NewHandles(7)
 	c, space := NewCopy(handles), handles.Space()
-	c.Apply(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Gone: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
+	c.Apply(0, protocol.Servers{Term: 3, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 4*time.Second)}, Removed: []string{"x"}, HallsOut: []string{"h"}, HallChanges: 2})
 	is.Equal(c.Term(), uint64(3))
 	is.True(c.AnyCold(time.Second))
 	is.Equal(c.WholeList(time.Second), protocol.Servers{
-		Term: 3, HandleSpace: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Gone: []string{"x"},
+		Term: 3, HandleSpace: space, Whole: true, Set: []protocol.Server{server("a", "1", 1, 0), server("b", "2", 2, 3*time.Second)}, Removed: []string{"x"},
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
 	_, ok := c.LeaderHandle(time.Second, server("b", "2", 2, 0).Registration)
@@ -153,10 +153,10 @@
 	_, ok = c.LeaderHandle(0, protocol.Registration{ID: "a", Pool: "q", Address: "1"})
 	is.True(!ok) // it has changed
 
-	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"b"}, HallChanges: 1})
+	c.Apply(5*time.Second, protocol.Servers{Term: 3, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Removed: []string{"b"}, HallChanges: 1})
 	is.True(!c.AnyCold(5 * time.Second))
 	is.Equal(c.WholeList(5*time.Second), protocol.Servers{
-		Term: 3, HandleSpace: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Gone: []string{"x", "b"}, // c took the address of a
+		Term: 3, HandleSpace: space, Whole: true, Complete: true, Set: []protocol.Server{server("c", "1", 3, 0)}, Removed: []string{"x", "b"}, // c took the address of a
 		HallsOut: []string{"h"}, HallChanges: 2,
 	})
 }
@@ -181,12 +181,12 @@
 	}
 	is.Equal(c.WithLeaderHandles([]protocol.ServerLoad{{Handle: own["b"], Requests: 1}, {Handle: 99, Requests: 1}}), []protocol.ServerLoad{{Handle: 32, Requests: 1}})
 
-	next := c.Apply(time.Second, protocol.Servers{Term: 4, Whole: true, Gone: []string{"d"}, Set: []protocol.Server{
+	next := c.Apply(time.Second, protocol.Servers{Term: 4, Whole: true, Removed: []string{"d"}, Set: []protocol.Server{
 		server("a", "1", 43), server("b", "5", 42), server("e", "6", 41),
 	}})
 	is.Equal(next.Term, uint64(4))
 	is.Equal(next.HandleSpace, first.HandleSpace)
-	is.Equal(next.Gone, []string{"d"})
+	is.Equal(next.Removed, []string{"d"})
 	is.True(!next.Whole && !next.Complete)
 	is.Equal(next.Set, []protocol.Server{server("b", "5", own["b"]), server("e", "6", 5)}) // changed and new servers
 	is.Equal(c.WithOwnHandles([]protocol.ServerLoad{{Handle: 43, Requests: 2}}), []protocol.ServerLoad{{Handle: own["a"], Requests: 2}})
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -16,9 +16,9 @@
 // servers that exceed the link's capacity, which are held back.
 func (h *hub) sendServerChanges(m protocol.Servers) {
 	h.sendListChange(m, true)
-	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Gone})
+	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Removed})
 	h.heldServers.Gone, m.Set = nil, nil
-	hasOtherChanges := len(m.Gone) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.listedHallChanges || m.Term != h.listedTerm
+	hasOtherChanges := len(m.Removed) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.listedHallChanges || m.Term != h.listedTerm
 	h.listedHallChanges, h.listedTerm = m.HallChanges, m.Term
 	if m.Set = h.takeSendable(); hasOtherChanges || len(m.Set) > 0 {
 		h.sendListChange(m, false)
--- a/directory/serverrestart_test.go
+++ b/directory/serverrestart_test.go
@@ -173,7 +173,7 @@
 				if !ok {
 					continue
 				}
-				for _, id := range servers.Gone {
+				for _, id := range servers.Removed {
 					delete(listed, id)
 				}
 				for _, b := range servers.Set {
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -72,7 +72,7 @@
 func (h *hub) sendChanges() {
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
-		Term: h.term, HandleSpace: h.handles.Space(), Set: h.pendingChange.Set, Gone: h.pendingChange.Gone, Complete: h.complete,
+		Term: h.term, HandleSpace: h.handles.Space(), Set: h.pendingChange.Set, Removed: h.pendingChange.Gone, Complete: h.complete,
 		HallsOut: out, HallChanges: changes,
 	}
 	if h.complete && len(h.missingLives) > 0 {
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -38,7 +38,7 @@
 	out, changes := h.d.state.HallsOut()
 	m := protocol.Servers{
 		Term: h.term, HandleSpace: h.handles.Space(), Whole: true, Complete: h.complete,
-		Set: h.registry.List(h.d.replica.Now()), Gone: h.recentDepartures(), HallsOut: out, HallChanges: changes,
+		Set: h.registry.List(h.d.replica.Now()), Removed: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.hasMultipleRegions() || h.isSpread(),
 	}.ToWire(h.registry.IsListed)
 	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // the registry orders by name without the life
--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -190,7 +190,7 @@
 		}
 		is.Equal(request(), int64(1))
 		listed := x.g.table.servers["p0"].Server
-		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
+		x.g.table.update(protocol.Servers{Term: 1, Removed: []string{"p0"}})
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{listed}})
 		is.Equal(request(), int64(1))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true, Complete: true, Set: []protocol.Server{listed}})
@@ -200,7 +200,7 @@
 		is.Equal(request(), int64(2))
 		time.Sleep(4 * time.Second)
 		is.Equal(request(), int64(3))
-		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-again"}})
+		x.g.table.update(protocol.Servers{Term: 2, Removed: []string{"p0-again"}})
 		is.Equal(len(x.g.table.unlistedNotices), 1) // the expired notice is dropped
 	})
 }
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -47,7 +47,7 @@
 	req.avoid = nil
 	table.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
 	is.True(choose(7).Hall != k.Hall)
-	table.update(protocol.Servers{Term: 1, HallChanges: 2, Gone: []string{k.ID}})
+	table.update(protocol.Servers{Term: 1, HallChanges: 2, Removed: []string{k.ID}})
 	is.True(choose(7) != k)
 	req.prompt = place.Prompt{Own: 900}
 	a, _ := table.acquire(table.now(), req)
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -117,7 +117,7 @@
 		listed := x.g.table.servers["p0"].Server
 		for _, m := range []protocol.Servers{
 			{Term: 1, Set: []protocol.Server{listed}},
-			{Term: 1, Gone: []string{"p0"}},
+			{Term: 1, Removed: []string{"p0"}},
 			{Term: 1, Set: []protocol.Server{listed}},
 			{Term: 2, Whole: true, Complete: true, Set: []protocol.Server{listed}},
 		} {
@@ -128,13 +128,13 @@
 		listed.ID = "p0-again"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
 		is.Equal(request(), int64(2))
-		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-again"}})
+		x.g.table.update(protocol.Servers{Term: 2, Removed: []string{"p0-again"}})
 		is.Equal(len(x.g.table.unlistedNotices), 2)
 		time.Sleep(backpressure.MaxBackoff + time.Minute)
 		listed.ID = "p0-more"
 		x.g.table.update(protocol.Servers{Term: 2, Set: []protocol.Server{listed}})
 		is.Equal(request(), int64(3))
-		x.g.table.update(protocol.Servers{Term: 2, Gone: []string{"p0-more"}})
+		x.g.table.update(protocol.Servers{Term: 2, Removed: []string{"p0-more"}})
 		is.Equal(len(x.g.table.unlistedNotices), 1) // expired notices are dropped
 	})
 }
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -68,7 +68,7 @@
 	m := protocol.Servers{Term: 1}
 	for _, hall := range halls {
 		for i := range each {
-			m.Gone = append(m.Gone, listedServer(pool, hall, i).ID)
+			m.Removed = append(m.Removed, listedServer(pool, hall, i).ID)
 		}
 	}
 	x.g.table.update(m)
@@ -365,7 +365,7 @@
 		s.Hall = halls[rng.IntN(3)]
 		m := protocol.Servers{Term: 1, Set: []protocol.Server{s}}
 		if rng.IntN(3) == 0 {
-			m = protocol.Servers{Term: 1, Gone: []string{s.ID}}
+			m = protocol.Servers{Term: 1, Removed: []string{s.ID}}
 		}
 		table.update(m)
 		p, n := table.pool("p"), 0
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -168,7 +168,7 @@
 	if m.Whole {
 		t.beginSession()
 	}
-	for _, id := range m.Gone {
+	for _, id := range m.Removed {
 		if t.remove(id) {
 			left = append(left, id)
 		}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -89,7 +89,7 @@
 		x.renewShares()
 		x.g.table.update(protocol.Servers{Term: 1, Whole: true}) // a new session has begun
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
-		x.g.table.update(protocol.Servers{Term: 1, Gone: []string{"p0"}})
+		x.g.table.update(protocol.Servers{Term: 1, Removed: []string{"p0"}})
 		is.Equal(x.countAnswers("/once/1", 10), map[string]int{"new": 10})
 	}, oldAndNew...)
 }
@@ -129,7 +129,7 @@
 		is.Equal(asked(), all)
 		x.sendRollout(3, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}}) // the verdict is in the log
 		is.Equal(asked(), all)
-		x.g.table.update(protocol.Servers{Term: 3, Gone: []string{"p0"}})
+		x.g.table.update(protocol.Servers{Term: 3, Removed: []string{"p0"}})
 		is.Equal(x.request("/once/1", "Patience", "300").status, 503) // even if there is no other version
 		x.sendRollout(3, 3, protocol.Rollout{Attempt: 2, Target: "v2", Share: 1})
 		is.Equal(asked(), map[string]int{"new": 10})
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -88,7 +88,7 @@
 			},
 			{Registration: Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, Handle: 2},
 		},
-		Gone: []string{"engine-3#c", "engine-4#d"}, HallsOut: []string{"hall-a", "hall-b"}, HallChanges: 93, Relays: true,
+		Removed: []string{"engine-3#c", "engine-4#d"}, HallsOut: []string{"hall-a", "hall-b"}, HallChanges: 93, Relays: true,
 		HandleSpace: bigNumber, Unlisted: []string{"engine-5#e"}, Part: true,
 	},
 	Usage{
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -71,9 +71,9 @@
 // recognize only the name.
 func (m Servers) ToWire(listed func(name string) bool) Servers {
 	m = m.mapRegistrations(Registration.ToWire)
-	for _, id := range m.Gone {
+	for _, id := range m.Removed {
 		if name, born := SplitLife(id); born != 0 && !listed(name) {
-			m.Gone = append(m.Gone[:len(m.Gone):len(m.Gone)], name)
+			m.Removed = append(m.Removed[:len(m.Removed):len(m.Removed)], name)
 		}
 	}
 	return m
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -107,7 +107,7 @@
 	// Set is then not announcing itself.
 	Complete bool     `cbor:"3,keyasint,omitempty"`
 	Set      []Server `cbor:"4,keyasint,omitempty"`
-	Gone     []string `cbor:"5,keyasint,omitempty"` // identifiers of servers that are leaving, withdrawn or replaced
+	Removed  []string `cbor:"5,keyasint,omitempty"` // identifiers of servers that are leaving, withdrawn or replaced
 	// HallsOut are the data halls whose backend servers receive no requests, as of
 	// HallChanges, which increases with each change. If HallChanges is 0, the message says
 	// nothing about halls.
