--- a/coordination/quarantine/list.go
+++ b/coordination/quarantine/list.go
@@ -66,7 +66,7 @@
 			set = append(set, Entry{Key: k, Hint: Hint(q.Hint), Failures: int(q.Ends), Condemned: q.Condemned})
 		}
 	}
-	for _, b := range m.Gone {
+	for _, b := range m.Removed {
 		if k, ok := KeyFrom(b); ok {
 			gone = append(gone, k)
 		}
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -183,7 +183,7 @@
 		})
 	}
 	for _, k := range gone {
-		m.Gone = append(m.Gone, k[:])
+		m.Removed = append(m.Removed, k[:])
 	}
 	return m
 }
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -111,7 +111,7 @@
 	s.followsLeader.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, b := range m.Gone {
+	for _, b := range m.Removed {
 		if k, ok := quarantine.KeyFrom(b); ok {
 			s.evidence.Clear(k)
 		}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -55,7 +55,7 @@
 		is.Equal(x.request("/again/other").status, 200)
 		is.Equal(x.requestWith(x.t.Context(), "POST", "/again/deadly", "a Body").status, 200) // another body of the same length
 		k := requestKey("/again/deadly")
-		x.g.suspicions.applyList(protocol.Quarantine{Gone: [][]byte{k[:]}})
+		x.g.suspicions.applyList(protocol.Quarantine{Removed: [][]byte{k[:]}})
 		is.Equal(x.request("/again/deadly").status, 200)
 	}, answers(200, "done", time.Millisecond))
 }
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -134,7 +134,7 @@
 	RelayGateways{Gateways: []RelayGateway{{Gateway: "gateway-1", SupportsHalls: true, SupportsRollouts: true}, {Gateway: "gateway-2"}}},
 	Quarantine{
 		Whole: true, Set: []Quarantined{{Key: []byte("0123456789abcdef"), Hint: 117, Ends: 3, Condemned: true}, {Key: []byte("fedcba9876543210"), Ends: 1}},
-		Gone: [][]byte{[]byte("abcdefghijklmnop")},
+		Removed: [][]byte{[]byte("abcdefghijklmnop")},
 	},
 	QuarantineOrder{Release: []byte("0123456789abcdef")},
 	QuarantineAnswer{
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -35,9 +35,9 @@
 // before the list of backend servers, and then the changes. Earlier versions ignore it.
 type Quarantine struct {
 	// Whole is set if Set is the whole list, which replaces the previous one.
-	Whole bool          `cbor:"1,keyasint,omitempty"`
-	Set   []Quarantined `cbor:"2,keyasint,omitempty"`
-	Gone  [][]byte      `cbor:"3,keyasint,omitempty"` // keys
+	Whole   bool          `cbor:"1,keyasint,omitempty"`
+	Set     []Quarantined `cbor:"2,keyasint,omitempty"`
+	Removed [][]byte      `cbor:"3,keyasint,omitempty"` // keys
 }
 
 // QuarantineOrder is sent by an operator's command to any directory replica, as the first
--- a/protocol/size_test.go
+++ b/protocol/size_test.go
@@ -26,7 +26,7 @@
 			Ran: 300, Age: 20, Serving: true,
 		})
 		set.Set = append(set.Set, Quarantined{Key: key, Hint: 1 << 30, Ends: 1})
-		changed.Gone = append(changed.Gone, key)
+		changed.Removed = append(changed.Removed, key)
 	}
 	loss := (size(u) - size(Usage{})) / 64
 	suspect, cleared := (size(set)-size(Quarantine{}))/64, (size(changed)-size(Quarantine{}))/64
