--- a/process/directory.go
+++ b/process/directory.go
@@ -85,7 +85,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(link.Path, &p.links)
-	if err := p.listen(cfg.Fleet, mux); err != nil {
+	if err := p.listen(cfg.FleetAddress, mux); err != nil {
 		return err
 	}
 	if err := p.listenToAPI(ctx); err != nil {
--- a/process/process.go
+++ b/process/process.go
@@ -45,11 +45,11 @@
 	// if unknown.
 	LinkRate float64
 	// BoxLink is the capacity of this box's own link, in bytes per second; 0 if unknown.
-	BoxLink  float64
-	FleetKey []byte
-	Fleet    string   // fleet address of this box, which also identifies a directory replica
-	Seeds    []string // fleet addresses of directory replicas
-	Metrics  string
+	BoxLink      float64
+	FleetKey     []byte
+	FleetAddress string   // fleet address of this box, which also identifies a directory replica
+	Seeds        []string // fleet addresses of directory replicas
+	Metrics      string
 
 	// Settings of a gateway.
 	Callers string
@@ -140,5 +140,5 @@
 }
 
 func (b *base) identity() link.Identity {
-	return link.Identity{Name: b.cfg.Fleet, Key: b.cfg.FleetKey, Dial: socket.Dial}
+	return link.Identity{Name: b.cfg.FleetAddress, Key: b.cfg.FleetKey, Dial: socket.Dial}
 }
