--- a/process/process.go
+++ b/process/process.go
@@ -45,11 +45,11 @@
 	// if unknown.
 	LinkRate float64
 	// BoxLink is the capacity of this box's own link, in bytes per second; 0 if unknown.
-	BoxLink      float64
-	FleetKey     []byte
-	FleetAddress string   // fleet address of this box, which also identifies a directory replica
-	Seeds        []string // fleet addresses of directory replicas
-	Metrics      string
+	BoxLink        float64
+	FleetKey       []byte
+	FleetAddress   string   // fleet address of this box, which also identifies a directory replica
+	Seeds          []string // fleet addresses of directory replicas
+	MetricsAddress string
 
 	// Settings of a gateway.
 	Callers string
@@ -99,7 +99,7 @@
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Memory)))
 	}
 	b := &base{cfg: cfg, log: log, metrics: metricSet}
-	if cfg.Metrics == "" {
+	if cfg.MetricsAddress == "" {
 		return b, nil
 	}
 	mux := http.NewServeMux()
@@ -107,7 +107,7 @@
 		metricSet.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	return b, b.listen(cfg.Metrics, mux)
+	return b, b.listen(cfg.MetricsAddress, mux)
 }
 
 // listen serves h on one address.
