--- a/process/gateway.go
+++ b/process/gateway.go
@@ -93,9 +93,9 @@
 	// Keep-alive probes are off: the idle and write timeouts already end the connections of
 	// callers that have disappeared, and probes would cost system calls for each caller.
 	listening := net.ListenConfig{KeepAlive: -1}
-	l, err := listening.Listen(ctx, "tcp", b.cfg.Callers)
+	l, err := listening.Listen(ctx, "tcp", b.cfg.CallersAddress)
 	if err != nil {
-		return nil, errors.Wrapf(err, "listen on %s", b.cfg.Callers)
+		return nil, errors.Wrapf(err, "listen on %s", b.cfg.CallersAddress)
 	}
 	return b.serveCallers(ctx, l, g, g.Limits, g), nil
 }
--- a/process/process.go
+++ b/process/process.go
@@ -52,9 +52,9 @@
 	MetricsAddress string
 
 	// Settings of a gateway.
-	Callers string
-	Ready   string
-	Retries retry.Limits
+	CallersAddress string
+	Ready          string
+	Retries        retry.Limits
 
 	// Settings of a directory replica.
 	API       string // for operators and backend servers
