--- a/process/gateway.go
+++ b/process/gateway.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	if err := b.listen(cfg.Ready, readiness(g, callers)); err != nil {
+	if err := b.listen(cfg.ReadyAddress, readiness(g, callers)); err != nil {
 		return err
 	}
 	for {
--- a/process/process.go
+++ b/process/process.go
@@ -53,7 +53,7 @@
 
 	// Settings of a gateway.
 	CallersAddress string
-	Ready          string
+	ReadyAddress   string
 	Retries        retry.Limits
 
 	// Settings of a directory replica.
