--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -66,7 +66,7 @@
 	go process.Reload(ctx, load, reloads, log)
 	context.AfterFunc(ctx, func() { log.StateChange("stopping") })
 	if role == platform.DirectoryRole {
-		return process.Directory(ctx, cfg, reloads, platform.NewAPI(cfg.API), log, metricSet)
+		return process.Directory(ctx, cfg, reloads, platform.NewAPI(cfg.APIAddress), log, metricSet)
 	}
 	return process.Gateway(ctx, cfg, reloads, platform.HeaderCodec{Log: log}, platform.IsRefusal, log, metricSet)
 }
--- a/process/directory.go
+++ b/process/directory.go
@@ -111,9 +111,9 @@
 // listenToAPI serves the API with a bound on its connections. Near the bound, the connections
 // that have been idle longest are closed.
 func (p *directoryProcess) listenToAPI(ctx context.Context) error {
-	l, err := socket.Listen(p.cfg.API)
+	l, err := socket.Listen(p.cfg.APIAddress)
 	if err != nil {
-		return errors.Wrapf(err, "listen on %s", p.cfg.API)
+		return errors.Wrapf(err, "listen on %s", p.cfg.APIAddress)
 	}
 	limit := max(int(apiDescriptorShare*float64(p.cfg.Descriptors)), minAPIConnections)
 	idle := newIdleConnections(limit)
