--- a/process/directory.go
+++ b/process/directory.go
@@ -28,9 +28,9 @@
 // good, because it cannot determine which writes are durable. The process keeps running and
 // opens the folder again, as a new process would.
 
-// API returns the handler for operators and backend servers, in the form that a deployment
+// NewAPIFunc returns the handler for operators and backend servers, in the form that a deployment
 // uses.
-type API func(d *directory.Directory, log *decision.Log) http.Handler
+type NewAPIFunc func(d *directory.Directory, log *decision.Log) http.Handler
 
 // reopenInterval is the time between two attempts to open the data folder.
 const reopenInterval = 500 * time.Millisecond
@@ -49,7 +49,7 @@
 // directoryProcess runs a directory replica behind listeners that outlive it.
 type directoryProcess struct {
 	*base
-	newAPI  API
+	newAPI  NewAPIFunc
 	links   swapHandler
 	api     swapHandler
 	running *directory.Directory // nil while the folder cannot be opened
@@ -72,7 +72,7 @@
 // Directory runs a directory replica until ctx ends. Of reloaded settings it applies the seeds,
 // unless the replica has already joined its group. It returns an error if a listener cannot be
 // opened.
-func Directory(ctx context.Context, cfg Settings, reloads <-chan Settings, newAPI API,
+func Directory(ctx context.Context, cfg Settings, reloads <-chan Settings, newAPI NewAPIFunc,
 	log *decision.Log, metricSet *metrics.Set) error {
 	base, err := start(cfg, log, metricSet)
 	if err != nil {
--- a/process/process.go
+++ b/process/process.go
@@ -9,7 +9,7 @@
 // [gateway] and [directory].
 //
 // Deployment-specific names are passed in: a gateway gets a [gateway.HeaderCodec], a directory
-// replica an [API]. The package itself is independent of any deployment.
+// replica an [NewAPIFunc]. The package itself is independent of any deployment.
 //
 // Lock: idleConnections.mu, a leaf lock. Other state belongs to one goroutine or is fixed at
 // the start.
