--- a/process/directory.go
+++ b/process/directory.go
@@ -118,7 +118,7 @@
 	limit := max(int(apiDescriptorShare*float64(p.cfg.Descriptors)), minAPIConnections)
 	idle := newIdleConnections(limit)
 	p.serve(socket.LimitListener(l, limit), &http.Server{Handler: &p.api, ConnContext: withConnection, ConnState: idle.track})
-	go idle.sweep(ctx, func() time.Duration { return apiIdleIntervals * p.cfg.Interval })
+	go idle.sweep(ctx, func() time.Duration { return apiIdleIntervals * p.cfg.AnnounceInterval })
 	return nil
 }
 
@@ -156,7 +156,7 @@
 	}
 	d, err := directory.Start(context.Background(), directory.Settings{
 		Identity: p.identity(), Seeds: p.cfg.Seeds, Bootstrap: p.cfg.Bootstrap, Voters: p.cfg.Voters, Dir: dir,
-		AnnounceInterval: p.cfg.Interval, Halls: p.cfg.Halls, HallOrderWindow: p.cfg.OrderWindow,
+		AnnounceInterval: p.cfg.AnnounceInterval, Halls: p.cfg.Halls, HallOrderWindow: p.cfg.OrderWindow,
 		Hall: p.cfg.Hall, Region: p.cfg.Region, Topology: p.cfg.Topology, LinkRate: p.cfg.BoxLink, Rollouts: p.cfg.Rollouts, Tuning: replica.Tuning{ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval},
 		Random: rand.Uint64, Clock: boottime.Clock(), Log: p.log, Metrics: p.metrics,
 	})
--- a/process/process.go
+++ b/process/process.go
@@ -57,12 +57,12 @@
 	Retries        retry.Limits
 
 	// Settings of a directory replica.
-	APIAddress string // for operators and backend servers
-	DataDir    string
-	Bootstrap  bool          // first start of the whole system
-	Voters     int           // target number of voters in the directory's group
-	Interval   time.Duration // interval between a backend server's announcements
-	Halls      []string      // all data halls
+	APIAddress       string // for operators and backend servers
+	DataDir          string
+	Bootstrap        bool          // first start of the whole system
+	Voters           int           // target number of voters in the directory's group
+	AnnounceInterval time.Duration // interval between a backend server's announcements
+	Halls            []string      // all data halls
 	// OrderWindow is how long an operator repeats an order about a hall; 0 if unknown.
 	OrderWindow time.Duration
 	// Rollouts bounds the damage of a bad version of a pool's backend servers.
