--- a/process/process.go
+++ b/process/process.go
@@ -63,8 +63,8 @@
 	Voters           int           // target number of voters in the directory's group
 	AnnounceInterval time.Duration // interval between a backend server's announcements
 	Halls            []string      // all data halls
-	// OrderWindow is how long an operator repeats an order about a hall; 0 if unknown.
-	OrderWindow time.Duration
+	// HallOrderWindow is how long an operator repeats an order about a hall; 0 if unknown.
+	HallOrderWindow time.Duration
 	// Rollouts bounds the damage of a bad version of a pool's backend servers.
 	Rollouts rollout.Bounds
 
