--- a/process/directory.go
+++ b/process/directory.go
@@ -157,7 +157,7 @@
 	d, err := directory.Start(context.Background(), directory.Settings{
 		Identity: p.identity(), Seeds: p.cfg.Seeds, Bootstrap: p.cfg.Bootstrap, Voters: p.cfg.Voters, Dir: dir,
 		AnnounceInterval: p.cfg.AnnounceInterval, Halls: p.cfg.Halls, HallOrderWindow: p.cfg.HallOrderWindow,
-		Hall: p.cfg.Hall, Region: p.cfg.Region, Topology: p.cfg.Topology, LinkRate: p.cfg.BoxLink, Rollouts: p.cfg.Rollouts, Tuning: replica.Tuning{ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval},
+		Hall: p.cfg.Hall, Region: p.cfg.Region, Topology: p.cfg.Topology, LinkRate: p.cfg.BoxLinkRate, Rollouts: p.cfg.Rollouts, Tuning: replica.Tuning{ElectionTimeout: electionTimeout, HeartbeatInterval: heartbeatInterval},
 		Random: rand.Uint64, Clock: boottime.Clock(), Log: p.log, Metrics: p.metrics,
 	})
 	if err != nil {
--- a/process/process.go
+++ b/process/process.go
@@ -44,8 +44,8 @@
 	// LinkRate is the one-way capacity of the link between two regions, in bytes per second; 0
 	// if unknown.
 	LinkRate float64
-	// BoxLink is the capacity of this box's own link, in bytes per second; 0 if unknown.
-	BoxLink        float64
+	// BoxLinkRate is the capacity of this box's own link, in bytes per second; 0 if unknown.
+	BoxLinkRate    float64
 	FleetKey       []byte
 	FleetAddress   string   // fleet address of this box, which also identifies a directory replica
 	Seeds          []string // fleet addresses of directory replicas
