--- a/settings/settings.go
+++ b/settings/settings.go
@@ -44,13 +44,13 @@
 	FleetKey          []byte
 	TLS               *TLS // nil without certificates
 	OperatorToken     string
-	Lease             time.Duration // of a router, from the time it sends a renewal
+	Lease             time.Duration // duration of a router's lease, from the time it sends a renewal
 	Wait              time.Duration // longest wait of a request in the queue
 	Grace             time.Duration // time for which a stopping router accepts new requests
 	StopTimeout       time.Duration // time limit for running requests to end after a stop
 	ControlBudget     float64       // bytes per second on one link in one direction
 	Overcommit        float64       // fraction of an engine's slots granted beyond its capacity
-	StopWithoutLeader bool          // a router without a leader stops, whatever a majority of replicas reports
+	StopWithoutLeader bool          // a router without a leader stops, even if a majority of replicas reports that there is none
 	LogLevel          string
 	LogFormat         string
 	Dev               bool
@@ -70,7 +70,7 @@
 // Bounds of settings.
 const (
 	MinFleetKey      = 16                     // bytes of the fleet key
-	minLease         = 500 * time.Millisecond // of a router, which renews six times per lease
+	minLease         = 500 * time.Millisecond // a router renews its lease six times in this time
 	maxLease         = 8 * time.Second        // with the margin, below the 9 s of docs/CAPACITY.md
 	minControlBudget = 500                    // bytes per second
 )
@@ -139,25 +139,26 @@
 	fs.StringVar(&d.DataDir, "data-dir", "", "data folder (role control)")
 	fs.StringVar(&r.fleetKeyFile, "fleet-key-file", "", "file with the key that all boxes share")
 	fs.StringVar(&r.operatorTokenFile, "operator-token-file", "", "file with the operators' token (role control)")
-	fs.StringVar(&r.tlsCert, "tls-cert-file", "", "this box's certificate, PEM; callers, operators and boxes then speak TLS only")
-	fs.StringVar(&r.tlsKey, "tls-key-file", "", "its private key, PEM")
-	fs.StringVar(&r.tlsCA, "tls-ca-file", "", "the authority that signs all boxes' certificates, PEM")
-	fs.DurationVar(&d.Lease, "lease", 3*time.Second, "how long a router may act without hearing from control; equal on all boxes")
-	fs.DurationVar(&d.Wait, "wait", time.Minute, "longest wait of a request for its turn")
-	fs.DurationVar(&d.Grace, "grace", 2*time.Second, "how long a stopping router still takes requests")
+	fs.StringVar(&r.tlsCert, "tls-cert-file", "", "this box's certificate, PEM; callers, operators and boxes then connect over TLS only")
+	fs.StringVar(&r.tlsKey, "tls-key-file", "", "private key of this box's certificate, PEM")
+	fs.StringVar(&r.tlsCA, "tls-ca-file", "", "certificate of the authority that signs all boxes' certificates, PEM")
+	fs.DurationVar(&d.Lease, "lease", 3*time.Second, "how long a router may act without renewing its lease; the same on all boxes")
+	fs.DurationVar(&d.Wait, "wait", time.Minute, "longest time that a request waits in the queue")
+	fs.DurationVar(&d.Grace, "grace", 2*time.Second, "how long a stopping router still accepts requests")
 	fs.DurationVar(&d.StopTimeout, "stop-timeout", 10*time.Minute, "longest time for running requests to end after a stop")
-	fs.Float64Var(&d.ControlBudget, "control-budget", 2000, "bytes a second of control traffic on one link in one direction")
-	fs.Float64Var(&d.Overcommit, "overcommit", 0.125, "part of an engine's slots that is granted beyond them, to wait in its own queue (role control)")
-	fs.StringVar(&r.withoutLeader, "without-leader", "continue", "continue or stop: what a router does when a majority of control replicas has no leader")
+	fs.Float64Var(&d.ControlBudget, "control-budget", 2000, "bytes per second of control traffic on one link in one direction")
+	fs.Float64Var(&d.Overcommit, "overcommit", 0.125, "fraction of an engine's slots granted beyond its capacity; such requests wait in the engine's own queue (role control)")
+	fs.StringVar(&r.withoutLeader, "without-leader", "continue", "continue or stop: what a router does when a majority of control replicas reports no leader")
 	fs.StringVar(&d.LogLevel, "log-level", "info", "debug, info, warn or error")
 	fs.StringVar(&d.LogFormat, "log-format", "text", "text or json")
-	fs.BoolVar(&d.Dev, "dev", false, "a whole fleet in one process, with stand-in backend servers and the key \"dev\"")
+	fs.BoolVar(&d.Dev, "dev", false, "run a whole fleet in one process, with stand-in backend servers and the key \"dev\"")
 	fs.BoolVar(&d.Version, "version", false, "print the version and exit")
 	fs.BoolVar(&d.Check, "check", false, "check the settings and exit")
 	return fs
 }
 
-// check derives settings from the raw values and returns every mistake.
+// check validates the raw values, derives the remaining settings from them and returns every
+// mistake.
 func (r *rawSettings) check() []string {
 	var c checks
 	d := &r.d
@@ -176,7 +177,7 @@
 	c.require(d.Wait > 0, "-wait: must be positive")
 	c.require(d.Grace >= 0, "-grace: must not be negative")
 	c.require(d.StopTimeout > 0, "-stop-timeout: must be positive")
-	c.require(d.ControlBudget >= minControlBudget, "-control-budget: must be at least 500 bytes a second")
+	c.require(d.ControlBudget >= minControlBudget, "-control-budget: must be at least 500 bytes per second")
 	c.require(d.Overcommit >= 0 && d.Overcommit <= 1, "-overcommit: must be between 0 and 1")
 	c.oneOf("-log-level", d.LogLevel, "debug", "info", "warn", "error")
 	c.oneOf("-log-format", d.LogFormat, "text", "json")
@@ -185,7 +186,7 @@
 	d.TLS = c.tls(r.tlsCert, r.tlsKey, r.tlsCA)
 	if d.Dev {
 		c.require(r.operatorTokenFile == "" && r.fleetKeyFile == "",
-			"-dev: has its own token and key; -operator-token-file and -fleet-key-file can't be used with it")
+			"-dev: uses its own token and key and cannot be combined with -operator-token-file or -fleet-key-file")
 		return c.mistakes
 	}
 	r.checkFleet(&c)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -41,7 +41,7 @@
 		"-fleet-key-file: the key is shorter than 16 bytes", "-log-format: must be one of text, json", "-lease: must be between",
 		"-overcommit: must be between", "give all three or none",
 	} {
-		is.True(strings.Contains(err.Error(), want)) // each mistake
+		is.True(strings.Contains(err.Error(), want)) // the error lists this mistake
 	}
 }
 
--- a/settings/tls.go
+++ b/settings/tls.go
@@ -12,8 +12,8 @@
 
 // TLS holds the three TLS configurations of a box.
 type TLS struct {
-	Clients *tls.Config // for callers' and operators' listeners, which require no client certificate
-	Fleet   *tls.Config // for the listener for boxes, which requires a client certificate
+	Clients *tls.Config // for the callers' and operators' listeners, which require no client certificate
+	Fleet   *tls.Config // for the boxes' listener, which requires a client certificate
 	Dial    *tls.Config // for links to other boxes
 }
 
@@ -28,7 +28,8 @@
 	return &TLS{Clients: base, Fleet: fleet, Dial: dial}
 }
 
-// tls reads the certificate files. Either all three are given or none.
+// tls reads the certificate files, of which either all three or none are set. It returns nil if
+// none is set.
 func (c *checks) tls(certFile, keyFile, caFile string) *TLS {
 	if certFile == "" && keyFile == "" && caFile == "" {
 		return nil
@@ -42,6 +43,6 @@
 	pem, err := os.ReadFile(caFile)
 	c.require(err == nil, "-tls-ca-file: %v", err)
 	authority := x509.NewCertPool()
-	c.require(err != nil || authority.AppendCertsFromPEM(pem), "-tls-ca-file: holds no certificate")
+	c.require(err != nil || authority.AppendCertsFromPEM(pem), "-tls-ca-file: contains no certificate")
 	return NewTLS(cert, authority)
 }
