--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is the operators' command line. It parses one command, calls the operators'
-// interface and prints the answer as a table or as JSON.
+// Package cli implements the operators' command line. It parses one command, calls the
+// operators' interface and prints the answer as a table or as JSON.
 //
 // A command is a row of a table ([commands]) with its arguments, its flags and the function
-// that calls the fleet. Each change carries a random identifier and is resent under it until
-// the fleet answers, so that a lost answer neither loses nor duplicates a change. A replica
-// that does not lead names the leader, and the call is repeated there.
+// that calls the fleet. Each change has a random identifier, under which it is resent until the
+// fleet answers, so that a lost answer neither loses nor duplicates a change. A replica that
+// does not lead names the leader, and the call is repeated there.
 //
 // The package holds no state beyond one call and has no locks and no goroutines. It depends on
 // the operators' schema (protocol/operator/v1), on package decision for explain, and on fleet
@@ -60,7 +60,7 @@
 
 // command is an entry of the command table.
 type command struct {
-	name    string   // "account create"
+	name    string   // one or two words, such as "account create"
 	args    []string // positional arguments, as printed in usage
 	example string
 	summary string // for usage
@@ -153,7 +153,7 @@
 	fs.SetOutput(stderr)
 	fs.StringVar(&in.server, "server", cmp.Or(getenv(settings.EnvPrefix+"SERVER"), defaultServer), "operators' address of any control box")
 	fs.StringVar(&in.token, "token", getenv(settings.EnvPrefix+"TOKEN"), "operators' token, or @FILE")
-	fs.StringVar(&in.caFile, "tls-ca-file", getenv(settings.EnvName("tls-ca-file")), "authority of the boxes' certificates; the call is then encrypted")
+	fs.StringVar(&in.caFile, "tls-ca-file", getenv(settings.EnvName("tls-ca-file")), "certificate of the authority that signs the boxes' certificates, PEM; calls then use TLS")
 	fs.BoolVar(&in.json, "json", false, "print the answer as JSON")
 	fs.Usage = func() {
 		fmt.Fprintf(stderr, "%s\n\n  badgerspoke %s %s\n\nExample:\n  %s\n\nFlags:\n", cmd.summary, cmd.name, strings.Join(cmd.args, " "), cmd.example)
@@ -168,14 +168,14 @@
 		return nil, flag.ErrHelp
 	}
 	if len(args) < len(cmd.args) {
-		return nil, fmt.Errorf("wants %s; -h shows an example", strings.Join(cmd.args, " "))
+		return nil, fmt.Errorf("requires %s; run with -h for an example", strings.Join(cmd.args, " "))
 	}
 	in.args = args[:len(cmd.args)]
 	if err := fs.Parse(args[len(cmd.args):]); err != nil {
 		return nil, err
 	}
 	if fs.NArg() > 0 {
-		return nil, fmt.Errorf("unexpected argument %q; flags come behind %s", fs.Arg(0), strings.Join(cmd.args, " "))
+		return nil, fmt.Errorf("unexpected argument %q; flags must follow %s", fs.Arg(0), strings.Join(cmd.args, " "))
 	}
 	fs.Visit(func(f *flag.Flag) { in.set[f.Name] = true })
 	if err := in.readAuthority(); err != nil {
@@ -195,7 +195,7 @@
 	}
 	in.authority = x509.NewCertPool()
 	if !in.authority.AppendCertsFromPEM(b) {
-		return fmt.Errorf("%s holds no certificate", in.caFile)
+		return fmt.Errorf("%s contains no certificate", in.caFile)
 	}
 	return nil
 }
@@ -276,16 +276,16 @@
 		return strings.Join(lines, "\n")
 	}
 	if c, ok := errorDetail[*operatorv1.Conflict](err); ok {
-		return fmt.Sprintf("change %q took revision %d (it touched %s); the current one is %d",
+		return fmt.Sprintf("conflict: change %q created revision %d (it changed %s); the current revision is %d",
 			c.GetWinnerId(), c.GetBaseRevision()+1, strings.Join(c.GetWinnerSubjects(), ", "), c.GetCurrentRevision())
 	}
 	if u, ok := errorDetail[*operatorv1.Undecided](err); ok {
-		return fmt.Sprintf("the fleet could not tell in time; run it again with -change-id %q", u.GetChangeId())
+		return fmt.Sprintf("the outcome is unknown; run the command again with -change-id %q", u.GetChangeId())
 	}
 	return err.Error()
 }
 
-// errorDetail returns the detail of type T that an error carries, if any.
+// errorDetail returns the detail of type T in an error, if there is one.
 func errorDetail[T proto.Message](err error) (T, bool) {
 	var ce *connect.Error
 	if errors.As(err, &ce) {
@@ -302,7 +302,7 @@
 }
 
 func usage(w io.Writer) {
-	fmt.Fprintln(w, "badgerspoke drives a router fleet.")
+	fmt.Fprintln(w, "badgerspoke manages a router fleet.")
 	fmt.Fprintln(w)
 	for _, c := range commands {
 		fmt.Fprintf(w, "  badgerspoke %-40s %s\n", strings.TrimSpace(c.name+" "+strings.Join(c.args, " ")), c.summary)
@@ -314,10 +314,10 @@
 	for _, c := range quarantineCommands {
 		fmt.Fprintf(w, "  badgerspoke %-40s %s\n", strings.TrimSpace("quarantine "+c.name+" "+c.args), c.summary)
 	}
-	fmt.Fprintf(w, "  badgerspoke %-40s %s\n", "explain ID [FILE ...]", "print the life of a request from logs")
+	fmt.Fprintf(w, "  badgerspoke %-40s %s\n", "explain ID [FILE ...]", "print the history of a request from logs")
 	fmt.Fprintln(w)
 	fmt.Fprintln(w, "Every command but explain, rollout and quarantine takes -h, -json, -server IP:PORT and -token TOKEN or @FILE; the")
 	fmt.Fprintf(w, "last two may come from %sSERVER and %sTOKEN. rollout and quarantine take -h, -json, -fleet IP:PORT and\n", settings.EnvPrefix, settings.EnvPrefix)
 	fmt.Fprintf(w, "-fleet-key-file FILE, or %s and %s. Exit codes: 0 done, 1 refused, 2 wrong\n", settings.EnvName("fleet"), settings.EnvName("fleet-key-file"))
-	fmt.Fprintln(w, "usage, 3 nobody leads or answers, 4 another change won.")
+	fmt.Fprintln(w, "usage, 3 no leader or no answer, 4 conflict with another change.")
 }
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -80,11 +80,11 @@
 	}{
 		{"done", []string{"server", "mark", "e1", "leaving"}, nil, ExitOK, "revision 8"},
 		{"json", []string{"server", "mark", "e1", "leaving", "-json"}, nil, ExitOK, `"revision":`},
-		{"lost the race", []string{"server", "mark", "e1", "leaving", "-base", "6"}, conflict, ExitConflict, `change "ada" took revision 7 (it touched server e1); the current one is 9`},
+		{"conflict", []string{"server", "mark", "e1", "leaving", "-base", "6"}, conflict, ExitConflict, `conflict: change "ada" created revision 7 (it changed server e1); the current revision is 9`},
 		{"refused", []string{"server", "mark", "e1", "up"}, invalid, ExitRefused, "server e1: mark must be better"},
-		{"too few arguments", []string{"server", "mark", "e1"}, nil, ExitUsage, "wants NAME joining|serving|leaving"},
+		{"too few arguments", []string{"server", "mark", "e1"}, nil, ExitUsage, "requires NAME joining|serving|leaving"},
 		{"flag first", []string{"server", "mark", "-json", "e1", "leaving"}, nil, ExitUsage, "unexpected argument"},
-		{"unknown command", []string{"server", "explode"}, nil, ExitUsage, "badgerspoke drives a router fleet"},
+		{"unknown command", []string{"server", "explode"}, nil, ExitUsage, "badgerspoke manages a router fleet"},
 		{"help", []string{"server", "mark", "-h"}, nil, ExitOK, "badgerspoke server mark engine-7 leaving"},
 		{"overall help", []string{"help"}, nil, ExitOK, "Exit codes"},
 	}
@@ -104,9 +104,9 @@
 
 func TestLostAnswerIsResentUnderOneIdentifier(t *testing.T) {
 	is := is.New(t)
-	tries := 0
+	attempts := 0
 	f := &fakeService{mark: func(*operatorv1.MarkServerRequest) error {
-		if tries++; tries < 3 {
+		if attempts++; attempts < 3 {
 			return connect.NewError(connect.CodeUnavailable, errors.New("no leader"))
 		}
 		return nil
@@ -146,7 +146,7 @@
 	is.True(strings.Contains(text, "stopping: the gateway was being stopped"))
 	code, text = run("r2", path)
 	is.Equal(code, ExitRefused)
-	is.True(strings.Contains(text, `no line about "r2"`))
+	is.True(strings.Contains(text, `no log lines for request "r2"`))
 	code, _ = run("r1", path+".missing")
 	is.Equal(code, ExitRefused)
 	code, _ = run()
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -58,7 +58,7 @@
 		},
 	},
 	{
-		name: "account revoke-key", args: []string{"NAME", "HASH"}, summary: "revoke one key, by its hash as the list shows it",
+		name: "account revoke-key", args: []string{"NAME", "HASH"}, summary: "revoke one key, given its hash as printed by account list",
 		example: "badgerspoke account revoke-key hotel-adria 2bb80d537b1d", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return responseMessage(c.RevokeKey(ctx, connect.NewRequest(&operatorv1.RevokeKeyRequest{
@@ -67,7 +67,7 @@
 		},
 	},
 	{
-		name: "account remove", args: []string{"NAME"}, summary: "remove an account; what waits is told so",
+		name: "account remove", args: []string{"NAME"}, summary: "remove an account; its waiting requests are refused",
 		example: "badgerspoke account remove hotel-adria", flags: changeFlags,
 		run: func(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
 			return responseMessage(c.RemoveAccount(ctx, connect.NewRequest(&operatorv1.RemoveAccountRequest{Change: in.change, Name: in.args[0]})))
@@ -101,7 +101,7 @@
 		},
 	},
 	{
-		name: "status", summary: "show how the fleet stands", example: "badgerspoke status",
+		name: "status", summary: "show the status of the fleet", example: "badgerspoke status",
 		run: func(ctx context.Context, c fleetClient, _ *input) (proto.Message, error) {
 			return responseMessage(c.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{})))
 		},
@@ -124,37 +124,37 @@
 }
 
 func changeFlags(fs *flag.FlagSet, in *input) {
-	fs.StringVar(&in.change.Id, "change-id", in.change.Id, "identifier of the change; give the same one to send it again")
-	fs.Uint64Var(&in.change.BaseRevision, "base", 0, "revision that the change builds on; 0 is whatever is current")
+	fs.StringVar(&in.change.Id, "change-id", in.change.Id, "identifier of the change; use the same one to resend a change")
+	fs.Uint64Var(&in.change.BaseRevision, "base", 0, "revision on which the change is based; 0 means the current one")
 }
 
 func accountFlags(fs *flag.FlagSet, in *input) {
 	changeFlags(fs, in)
-	fs.Float64Var(&in.share, "share", 1, "weight against other accounts")
-	number := func(name, what string, to func(uint64)) {
-		fs.Func(name, what, func(v string) error {
+	fs.Float64Var(&in.share, "share", 1, "weight relative to other accounts")
+	uintFlag := func(name, usage string, set func(uint64)) {
+		fs.Func(name, usage, func(v string) error {
 			n, err := strconv.ParseUint(v, 10, 32)
-			to(n)
+			set(n)
 			return err
 		})
 	}
-	number("max-waiting", "waiting requests on one router", func(n uint64) { in.limits.Waiting = uint32(n) })
-	number("max-waiting-bytes", "bytes of waiting requests on one router", func(n uint64) { in.limits.WaitingBytes = n })
-	number("max-running", "running requests on one router", func(n uint64) { in.limits.Running = uint32(n) })
+	uintFlag("max-waiting", "waiting requests on one router", func(n uint64) { in.limits.Waiting = uint32(n) })
+	uintFlag("max-waiting-bytes", "bytes of waiting requests on one router", func(n uint64) { in.limits.WaitingBytes = n })
+	uintFlag("max-running", "running requests on one router", func(n uint64) { in.limits.Running = uint32(n) })
 }
 
 func serverFlags(fs *flag.FlagSet, in *input) {
 	changeFlags(fs, in)
 	fs.StringVar(&in.address, "address", "", "IP:PORT")
 	fs.StringVar(&in.pool, "pool", "", "pool; for a plain service, its name in the path")
-	fs.UintVar(&in.slots, "slots", 1, "requests that it runs at once")
+	fs.UintVar(&in.slots, "slots", 1, "number of requests that it runs concurrently")
 	fs.StringVar(&in.kind, "kind", "engine", "engine or service")
 	fs.StringVar(&in.mark, "mark", "joining", "joining or serving")
 	fs.StringVar(&in.models, "models", "", "models, separated by commas")
 	fs.StringVar(&in.adapters, "adapters", "", "adapters, separated by commas")
 	fs.StringVar(&in.version, "version", "", "version")
-	fs.BoolVar(&in.checksFence, "checks-fence", false, "it refuses orders of an older epoch")
-	fs.StringVar(&in.neverRepeat, "never-repeat", "", "calls that may not be repeated: \"METHOD /path\", separated by commas")
+	fs.BoolVar(&in.checksFence, "checks-fence", false, "the server refuses requests of an older epoch")
+	fs.StringVar(&in.neverRepeat, "never-repeat", "", "calls that must not be repeated: \"METHOD /path\", separated by commas")
 }
 
 func setAccount(ctx context.Context, c fleetClient, in *input) (proto.Message, error) {
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -12,12 +12,12 @@
 
 // This file defines the command explain, the only one that contacts no fleet.
 
-const explainUsage = `print the life of a request from the logs of the processes that it met
+const explainUsage = `print the history of a request from the logs of the processes that handled it
 
   badgerspoke explain ID [FILE ...]
 
-Without a file the logs are read from standard input. Lines may have the name
-of their process before them. Example:
+Without a file the logs are read from standard input. Lines may be prefixed with
+the name of their process. Example:
   badgerspoke explain 9c41d07be2a35f68 gateway-*.log
 `
 
@@ -32,8 +32,8 @@
 		return ExitRefused
 	}
 	if !decision.Explain(stdout, lines, args[0]) {
-		fmt.Fprintf(stderr, "badgerspoke explain: no line about %q: its lines may have been thinned "+
-			"(see 'log lines dropped'), or it met other processes\n", args[0])
+		fmt.Fprintf(stderr, "badgerspoke explain: no log lines for request %q: they may have been dropped "+
+			"(see 'log lines dropped'), or other processes handled the request\n", args[0])
 		return ExitRefused
 	}
 	return ExitOK
--- a/cli/fleetlink.go
+++ b/cli/fleetlink.go
@@ -17,8 +17,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines how commands reach a directory replica: over a fleet link with the fleet
-// key, instead of a call with a token to a control replica.
+// This file defines the commands' connection to a directory replica: a fleet link with the
+// fleet key, instead of a call with a token to a control replica.
 
 // operatorName identifies the operator's side of a fleet link.
 const operatorName = "operator"
@@ -45,7 +45,7 @@
 // readKey reads the fleet key from its file.
 func (f *fleetFlags) readKey() error {
 	if f.fleet == "" || f.keyFile == "" {
-		return errors.New("wants -fleet IP:PORT and -fleet-key-file FILE")
+		return errors.New("requires -fleet IP:PORT and -fleet-key-file FILE")
 	}
 	b, err := os.ReadFile(f.keyFile)
 	f.key = bytes.TrimSpace(b)
@@ -104,7 +104,7 @@
 	}
 	answer, ok := m.(A)
 	if !ok {
-		return answer, fmt.Errorf("%s answers with another message", replica)
+		return answer, fmt.Errorf("unexpected kind of answer from %s", replica)
 	}
 	return answer, nil
 }
--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -43,8 +43,8 @@
 	golden.Text(t, "flags.txt", got.String())
 }
 
-// flagsOf returns the names, types and defaults of the flags in a help text. The descriptions
-// are not pinned.
+// flagsOf returns the names, types and defaults of the flags in a help text, without their
+// descriptions, which may change.
 func flagsOf(help string) string {
 	var got strings.Builder
 	for line := range strings.Lines(changeID.ReplaceAllString(help, "cli-ID")) {
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -29,8 +29,8 @@
 type quarantineCommand struct{ name, args, summary, example string }
 
 var quarantineCommands = []quarantineCommand{
-	{"list", "", "list the requests that are sent to no backend server", "badgerspoke quarantine list -fleet 10.0.0.3:7400 -fleet-key-file fleet.key"},
-	{"release", "KEY", "let a condemned request be sent again", "badgerspoke quarantine release 5f0c41d07be2a35f9c41d07be2a35f68 -fleet 10.0.0.3:7400 -fleet-key-file fleet.key"},
+	{"list", "", "list the condemned requests, which are sent to no backend server", "badgerspoke quarantine list -fleet 10.0.0.3:7400 -fleet-key-file fleet.key"},
+	{"release", "KEY", "allow a condemned request to be sent again", "badgerspoke quarantine release 5f0c41d07be2a35f9c41d07be2a35f68 -fleet 10.0.0.3:7400 -fleet-key-file fleet.key"},
 }
 
 // runQuarantine runs a command about condemned requests and returns the exit code.
@@ -83,10 +83,10 @@
 	}
 	if cmd.args != "" && (len(args) == 0 || !strings.HasPrefix(args[0], "-")) {
 		if len(args) == 0 {
-			return order, fmt.Errorf("wants %s; -h shows an example", cmd.args)
+			return order, fmt.Errorf("requires %s; run with -h for an example", cmd.args)
 		}
 		if order.Release, err = hex.DecodeString(args[0]); err != nil || len(order.Release) == 0 {
-			return order, fmt.Errorf("%q is no key: logs and quarantine list have it in hex", args[0])
+			return order, fmt.Errorf("%q is not a key: keys are hexadecimal, as in logs and in quarantine list", args[0])
 		}
 		args = args[1:]
 	}
@@ -97,7 +97,7 @@
 		return order, fmt.Errorf("unexpected argument %q", fs.Arg(0))
 	}
 	if cmd.args != "" && order.Release == nil {
-		return order, fmt.Errorf("wants %s before the flags", cmd.args)
+		return order, fmt.Errorf("requires %s before the flags", cmd.args)
 	}
 	return order, f.readKey()
 }
--- a/cli/quarantine_test.go
+++ b/cli/quarantine_test.go
@@ -29,16 +29,16 @@
 		text   string
 	}{
 		{"list", []string{"list"}, condemned, ExitOK, key + "  hotel    llm   e1 e2 e3"},
-		{"none", []string{"list"}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "KEY"},
-		{"none as JSON", []string{"list", "-json"}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "[]"},
+		{"empty list", []string{"list"}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "KEY"},
+		{"empty list as JSON", []string{"list", "-json"}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "[]"},
 		{"release", []string{"release", key}, protocol.QuarantineAnswer{Outcome: protocol.OrderDone}, ExitOK, "KEY"},
 		{"refused", []string{"release", key}, protocol.QuarantineAnswer{Outcome: protocol.OrderRefused, Reason: "is not condemned"}, ExitRefused, "is not condemned"},
-		{"no key", []string{"release"}, nil, ExitUsage, "wants KEY"},
-		{"flag in its place", []string{"release", "-json"}, nil, ExitUsage, "wants KEY before"},
-		{"not a key", []string{"release", "llm"}, nil, ExitUsage, "is no key"},
-		{"one too many", []string{"list", "llm"}, nil, ExitUsage, "unexpected argument"},
-		{"no such command", []string{"explode"}, nil, ExitUsage, "badgerspoke drives a router fleet"},
-		{"help", []string{"release", "-h"}, nil, ExitOK, "let a condemned request be sent again"},
+		{"no key", []string{"release"}, nil, ExitUsage, "requires KEY"},
+		{"flag instead of the key", []string{"release", "-json"}, nil, ExitUsage, "requires KEY before"},
+		{"not a key", []string{"release", "llm"}, nil, ExitUsage, "is not a key"},
+		{"unexpected argument", []string{"list", "llm"}, nil, ExitUsage, "unexpected argument"},
+		{"no such command", []string{"explode"}, nil, ExitUsage, "badgerspoke manages a router fleet"},
+		{"help", []string{"release", "-h"}, nil, ExitOK, "allow a condemned request to be sent again"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -49,7 +49,7 @@
 		"badgerspoke rollout status llm -fleet 10.0.0.3:7400 -fleet-key-file fleet.key",
 	},
 	"abort": {
-		protocol.OrderAbort, []string{"POOL"}, "end the rollout under way as rolled back",
+		protocol.OrderAbort, []string{"POOL"}, "roll back the rollout under way",
 		"badgerspoke rollout abort llm -fleet 10.0.0.3:7400 -fleet-key-file fleet.key",
 	},
 }
@@ -104,7 +104,7 @@
 	fs.SetOutput(stderr)
 	in.define(fs, getenv)
 	if cmd.act == protocol.OrderStart {
-		fs.DurationVar(&in.order.Duration, "within", defaultWithin, "from the order until the version is to have all requests")
+		fs.DurationVar(&in.order.Duration, "within", defaultWithin, "time limit, from the order, for moving all requests to the version")
 	}
 	fs.Usage = func() {
 		fmt.Fprintf(stderr, "%s\n\n  badgerspoke rollout %s %s\n\nExample:\n  %s\n\nFlags:\n", cmd.summary, name, strings.Join(cmd.args, " "), cmd.example)
@@ -115,13 +115,13 @@
 		return nil, flag.ErrHelp
 	}
 	if len(args) < len(cmd.args) {
-		return nil, fmt.Errorf("wants %s; -h shows an example", strings.Join(cmd.args, " "))
+		return nil, fmt.Errorf("requires %s; run with -h for an example", strings.Join(cmd.args, " "))
 	}
 	if err := fs.Parse(args[len(cmd.args):]); err != nil {
 		return nil, err
 	}
 	if fs.NArg() > 0 {
-		return nil, fmt.Errorf("unexpected argument %q; flags come behind %s", fs.Arg(0), strings.Join(cmd.args, " "))
+		return nil, fmt.Errorf("unexpected argument %q; flags must follow %s", fs.Arg(0), strings.Join(cmd.args, " "))
 	}
 	in.order.Pool = args[0]
 	if len(cmd.args) > 1 {
@@ -144,7 +144,7 @@
 		return answer, err
 	}
 	if answer.Newest == nil {
-		return answer, errors.New("the answer does not say which attempt is the newest")
+		return answer, errors.New("the answer lacks the newest attempt")
 	}
 	abort.order.Attempt = answer.Newest.Attempt
 	return sendRolloutOrder(ctx, &abort)
@@ -175,7 +175,7 @@
 // printRollout prints the newest rollout of a pool after a successful order.
 func printRollout(w io.Writer, in *rolloutInput, r *protocol.RolloutStatus) {
 	if r == nil {
-		fmt.Fprintln(w, "done; what became of it can't be read now")
+		fmt.Fprintln(w, "done; the state of the rollout is not available")
 		return
 	}
 	state := rolloutStateNames[document.RolloutState(r.State)]
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -121,13 +121,13 @@
 		},
 		{"status", []string{"status", "llm"}, underWay, ExitOK, "under way", protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
 		{"status as JSON", []string{"status", "llm", "-json"}, underWay, ExitOK, `"elapsedSeconds": 90`, protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
-		{"not read", []string{"start", "llm", "v8"}, protocol.RolloutAnswer{Outcome: protocol.OrderDone}, ExitOK, "done", ordered},
+		{"start without a status in the answer", []string{"start", "llm", "v8"}, protocol.RolloutAnswer{Outcome: protocol.OrderDone}, ExitOK, "done", ordered},
 		{"refused", []string{"status", "llm"}, refused, ExitRefused, "no pool is called llm", protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}},
 		{"conflict", []string{"start", "llm", "v8"}, conflict, ExitConflict, "v7 is under way", ordered},
-		{"too few arguments", []string{"start", "llm"}, nil, ExitUsage, "wants POOL VERSION", protocol.RolloutOrder{}},
+		{"too few arguments", []string{"start", "llm"}, nil, ExitUsage, "requires POOL VERSION", protocol.RolloutOrder{}},
 		{"flag first", []string{"status", "-json", "llm"}, nil, ExitUsage, "unexpected argument", protocol.RolloutOrder{}},
-		{"no such command", []string{"explode"}, nil, ExitUsage, "badgerspoke drives a router fleet", protocol.RolloutOrder{}},
-		{"none", nil, nil, ExitUsage, "badgerspoke drives a router fleet", protocol.RolloutOrder{}},
+		{"no such command", []string{"explode"}, nil, ExitUsage, "badgerspoke manages a router fleet", protocol.RolloutOrder{}},
+		{"no command", nil, nil, ExitUsage, "badgerspoke manages a router fleet", protocol.RolloutOrder{}},
 		{"help", []string{"start", "-h"}, nil, ExitOK, "badgerspoke rollout start llm v8", protocol.RolloutOrder{}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
