--- a/process/caller.go
+++ b/process/caller.go
@@ -12,9 +12,9 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines callerConn, a caller's connection with the header timeout of the document
-// in force, and the detection of callers that have disconnected. The timeout of net/http is
-// fixed for the life of a server.
+// This file defines callerConn, which applies the header timeout of the document in force to a
+// caller's connection, because net/http cannot change the timeout of a running server. It also
+// defines how callers that have disconnected are detected.
 
 // callerListener wraps accepted connections in callerConn.
 type callerListener struct {
@@ -35,7 +35,7 @@
 type callerConn struct {
 	net.Conn
 	limits  func() document.Limits
-	serving atomic.Bool // the header of a request was read, and the request is not answered yet
+	serving atomic.Bool // whether the header of a request was read and the request is not answered yet
 }
 
 // SetReadDeadline implements [net.Conn]. net/http sets a deadline within readHeaderTimeout when
@@ -56,7 +56,7 @@
 // a backend server. A close that has not reached the kernel is not detected.
 func (c *callerConn) hasLeft() bool { return closedByPeer(c.Conn) }
 
-// closedByPeer reports whether the other side has closed a connection, or this side has.
+// closedByPeer reports whether the peer or this process has closed a connection.
 func closedByPeer(c net.Conn) bool {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -74,7 +74,7 @@
 }
 
 // TestHeadMustComeInTime checks that the header timeout applies to open connections when the
-// document changes, apart from the idle timeout, and to new ones.
+// document changes, independently of the idle timeout, and to new ones.
 func TestHeadMustComeInTime(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
@@ -82,7 +82,7 @@
 		send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\n")
 		time.Sleep(2 * time.Second)
 		answer, ended := send(t, conn, "Content-Length: 2\r\n\r\nok")
-		is.True(strings.HasSuffix(answer, "ok") && !ended) // after 3 s of 5 s
+		is.True(strings.HasSuffix(answer, "ok") && !ended) // within the 5 s of readHeaderTimeout
 
 		limits.Store(&document.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTimeout: 15 * time.Second})
 		time.Sleep(10 * time.Second) // the idle timeout is separate
@@ -113,7 +113,8 @@
 	})
 }
 
-// TestHeadTimeHasABound checks that a document cannot exceed the listener's own header timeout.
+// TestHeadTimeHasABound checks that a document cannot raise the header timeout above the
+// listener's own.
 func TestHeadTimeHasABound(t *testing.T) {
 	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
@@ -140,16 +141,16 @@
 		is.NoErr(err)
 		return caller, accepted.(*callerConn)
 	}
-	stays, open := accept()
-	defer stays.Close()
-	goes, closed := accept()
-	_, err = io.WriteString(goes, "GET /")
+	openCaller, open := accept()
+	defer openCaller.Close()
+	closingCaller, closed := accept()
+	_, err = io.WriteString(closingCaller, "GET /")
 	is.NoErr(err)
 	read := make([]byte, 5)
 	_, err = io.ReadFull(closed, read)
 	is.NoErr(err)
 	is.True(!closed.hasLeft())
-	is.NoErr(goes.Close())
+	is.NoErr(closingCaller.Close())
 	_, err = closed.Read(read) // returns when the close has arrived
 	is.Equal(err, io.EOF)
 	is.True(closed.hasLeft())
@@ -165,12 +166,12 @@
 		is := is.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
-		read, goOn, left := make(chan struct{}), make(chan struct{}), make(chan bool)
+		read, resume, left := make(chan struct{}), make(chan struct{}), make(chan bool)
 		s := &http.Server{ConnContext: withConnection, Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.ReadAll(r.Body) // the whole body arrived
 			read <- struct{}{}
 			left <- CallerHasLeft(r.Context())
-			<-goOn
+			<-resume
 			left <- CallerHasLeft(r.Context())
 		})}
 		go func() { _ = s.Serve(l) }() // runs until s is closed
@@ -181,7 +182,7 @@
 		<-read
 		is.True(!<-left)
 		is.NoErr(conn.Close())
-		goOn <- struct{}{}
+		resume <- struct{}{}
 		is.True(<-left)
 		is.NoErr(s.Close())
 	}
--- a/process/connections.go
+++ b/process/connections.go
@@ -58,8 +58,8 @@
 
 // expire closes one idle connection by letting the server's read of the next request time out.
 // Closing the socket could cut off a request that has just been read; an expired deadline only
-// leaves the server with no request or an incomplete one. An error means that the connection is
-// already closed.
+// leaves the server with no request or an incomplete one. SetReadDeadline fails only if the
+// connection is already closed.
 func expire(conn net.Conn) { _ = conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // expireOldest closes up to n of the connections that have been idle longest. The caller holds
--- a/process/connections_test.go
+++ b/process/connections_test.go
@@ -13,7 +13,7 @@
 	"github.com/matryer/is"
 )
 
-// countedConn counts the read deadlines set on it, by which idle connections are closed.
+// countedConn counts the read deadlines set on it: idle connections are closed by an expired one.
 type countedConn struct {
 	net.Conn
 	ended *atomic.Int64
--- a/process/directory.go
+++ b/process/directory.go
@@ -24,9 +24,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/socket"
 )
 
-// This file defines the process of a directory replica. A replica whose disk fails stops for
-// good, because it cannot determine which writes are durable. The process keeps running and
-// opens the folder again, as a new process would.
+// This file defines the process of a directory replica. A replica whose disk fails stops
+// permanently, because it cannot determine which writes are durable. The process keeps running
+// and starts a new replica from the folder.
 
 // NewAPIFunc returns the handler for operators and backend servers, in the form that a deployment
 // uses.
@@ -101,10 +101,10 @@
 	// apiDescriptorShare is the fraction of the descriptors available to API connections. The
 	// rest is for files and for links of gateways, of which the leader has as many.
 	apiDescriptorShare = 0.45
-	// apiIdleIntervals is how long a connection may be idle, in announcement intervals. After
-	// that its caller has moved to another replica.
+	// apiIdleIntervals is how long a connection may be idle, in announcement intervals. A
+	// server that is silent for longer announces itself to another replica.
 	apiIdleIntervals = 4
-	// minAPIConnections is allowed however few descriptors there are.
+	// minAPIConnections is the lower bound, even if the descriptor limit is smaller.
 	minAPIConnections = 64
 )
 
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// run supervises the replica: it stops the replica when its disk fails and retries opening the
-// folder while none runs.
+// run stops the replica when its disk fails, and tries to open the folder again while no replica
+// runs. It returns when ctx ends.
 func (p *directoryProcess) run(ctx context.Context, reloads <-chan Settings) {
 	for {
 		var failed <-chan struct{}
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -27,17 +27,17 @@
 const (
 	serverDialTimeout = 350 * time.Millisecond // short: another backend server can be tried
 	serverIdleTimeout = 4 * time.Second        // short, so that a backend server rarely closes first
-	maxIdlePerServer  = 64                     // idle connections
+	maxIdlePerServer  = 64                     // idle connections to one backend server
 	// maxIdleTotal bounds the idle connections to all backend servers: half of the descriptors
-	// that are not callers'. In a pool of thousands each request opens a connection: 150 a
-	// second, idle for serverIdleTimeout, make 600.
+	// that are not callers'. In a pool of thousands of servers each request opens a
+	// connection: 150 per second, idle for serverIdleTimeout, add up to 600.
 	maxIdleTotal    = reservedDescriptors / 2
 	bodyMemoryShare = 0.12 // fraction of the memory for the bodies of all requests
 )
 
-// Limits on callers' connections, by memory and by descriptors; the lower one applies. A
-// connectionMemoryShare of 0.4 takes 113 MB of a gateway's 112 MB in a flood, and 0.3 takes
-// 108 MB.
+// Limits on callers' connections, by memory and by descriptors; the lower one applies. In a
+// flood, a gateway of 112 MB uses 113 MB with a connectionMemoryShare of 0.4, and 108 MB with
+// 0.3.
 const (
 	connectionMemoryShare = 0.25     // fraction of the memory
 	memoryPerConnection   = 24 << 10 // bytes
@@ -62,15 +62,15 @@
 		IsRefusal: notRun, OnOpen: opened.Inc,
 	})
 	defer client.Close()
-	running, stop := context.WithCancel(context.Background()) // outlives ctx: requests finish within the grace period
+	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx: requests finish within the grace period
 	defer stop()
-	g := gateway.Start(running, gateway.Settings{
+	g := gateway.Start(runCtx, gateway.Settings{
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodyMemoryShare * float64(cfg.Memory)),
 		Random: rand.Uint64, ProcessorWait: newSchedulingDelay().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
-	callers, err := b.listenToCallers(running, g)
+	callers, err := b.listenToCallers(runCtx, g)
 	if err != nil {
 		return err
 	}
@@ -80,7 +80,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			g.Stop(running)
+			g.Stop(runCtx)
 			return nil
 		case next := <-reloads:
 			g.SetSeeds(next.Seeds)
@@ -88,12 +88,12 @@
 	}
 }
 
-// listenToCallers opens the callers' address and serves it.
+// listenToCallers opens a listener on the callers' address and serves it.
 func (b *base) listenToCallers(ctx context.Context, g *gateway.Gateway) (*socket.LimitedListener, error) {
 	// Keep-alive probes are off: the idle and write timeouts already end the connections of
 	// callers that have disappeared, and probes would cost system calls for each caller.
-	listening := net.ListenConfig{KeepAlive: -1}
-	l, err := listening.Listen(ctx, "tcp", b.cfg.CallersAddress)
+	listenConfig := net.ListenConfig{KeepAlive: -1}
+	l, err := listenConfig.Listen(ctx, "tcp", b.cfg.CallersAddress)
 	if err != nil {
 		return nil, errors.Wrapf(err, "listen on %s", b.cfg.CallersAddress)
 	}
@@ -115,7 +115,7 @@
 	return limited
 }
 
-// callerContext adds to ctx the check whether the caller has disconnected.
+// callerContext adds to ctx a function that reports whether the caller has disconnected.
 func callerContext(ctx context.Context, conn net.Conn) context.Context {
 	return gateway.WithCallerLeft(ctx, conn.(*callerConn).hasLeft)
 }
--- a/process/pace.go
+++ b/process/pace.go
@@ -19,14 +19,14 @@
 // Lengths of the kernel's queue of connections that are not accepted yet.
 //
 // Unpaced, the queue must hold the arrivals while the accepting goroutine waits for a
-// processor; 128 overflowed with 150 simultaneous callers. When pacing begins, its content is
-// accepted at the minimum pace, and callers disconnect after a second. A queue of 1,024 takes
-// 3.4 s to drain: a request in it reaches a server 2.3 s after it was sent, shortly before its
-// caller's deadline.
+// processor; 128 overflowed with 150 simultaneous callers. When pacing begins, the queued
+// connections are accepted at the minimum pace, and callers disconnect after a second. A queue
+// of 1,024 takes 3.4 s to drain: a request in it reaches a server 2.3 s after it was sent,
+// shortly before its caller's deadline.
 //
 // Paced, the queue is short. Connections in it are not answered, and their unread bytes are
 // memory of this process: 4.6 MB with bodies of 72 KB. An accepted connection must still be
-// able to meet its objective at the minimum pace (overload.MinPace). With 200, a wait
+// able to meet its objective at the minimum pace (overload.MinAcceptRate). With 200, a wait
 // of 0.67 s, a flooded gateway spends its processor on requests that are already late.
 const (
 	longBacklog  = 256 // 0.85 s at the minimum pace
@@ -55,8 +55,8 @@
 	pacer          pacer
 	closed         <-chan struct{}
 	log            *decision.Log
-	isBacklogShort bool // the kernel's queue has shortBacklog
-	isQueueHidden  bool // the kernel does not report the length of its queue
+	isBacklogShort bool // whether the backlog is shortBacklog
+	isQueueHidden  bool // whether the kernel does not report the length of its queue
 	unread         unreadConns
 }
 
@@ -122,7 +122,7 @@
 	return int(info.Unacked), int(info.Sacked), nil
 }
 
-// adjustBacklog changes the length of the kernel's queue when pacing begins or ends.
+// adjustBacklog sets the short backlog when pacing begins and the long one when it ends.
 func (l *pacedListener) adjustBacklog() {
 	paced := l.pacer.ConnectionsPaced()
 	if paced == l.isBacklogShort {
@@ -136,8 +136,8 @@
 	}
 }
 
-// setBacklog sets the length of the kernel's queue. A failure is logged only: the listener
-// works with the previous length.
+// setBacklog sets the length of the kernel's queue. A failure is only logged, because the
+// listener still works with the previous length.
 func (l *pacedListener) setBacklog(n int) {
 	tcp, ok := l.Listener.(*net.TCPListener)
 	if !ok {
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -63,13 +63,13 @@
 }
 
 // TestQueueOfAPacedGateway checks that a connection at the end of the queue can still meet its
-// objective at the minimum pace. Objectives range from 150 to 800 ms on the deployments seen,
-// most are 300 ms or more.
+// objective at the minimum pace. Objectives range from 150 to 800 ms in known
+// deployments, and most are at least 300 ms.
 func TestQueueOfAPacedGateway(t *testing.T) {
 	is := is.New(t)
 	is.True(float64(shortBacklog)/overload.MinAcceptRate < 0.25) // seconds
-	// Connections queued before pacing began are accepted before their callers disconnect, who
-	// wait up to a second until a request is read.
+	// Connections queued before pacing began are accepted before their callers disconnect:
+	// callers wait up to a second for a request to be read.
 	is.True(float64(longBacklog)/overload.MinAcceptRate < 1)
 }
 
@@ -106,7 +106,8 @@
 // fakeListener is not a kernel socket.
 type fakeListener struct{ net.Listener }
 
-// queueReports is a pacer that allows no connection and forwards the reported queue lengths.
+// queueReports is a pacer that allows no connection and sends the reported queue lengths to the
+// test.
 type queueReports chan int
 
 func (w queueReports) TakeConnection() bool   { return false }
--- a/process/process.go
+++ b/process/process.go
@@ -11,8 +11,8 @@
 // Deployment-specific names are passed in: a gateway gets a [gateway.HeaderCodec], a directory
 // replica an [NewAPIFunc]. The package itself is independent of any deployment.
 //
-// Lock: idleConnections.mu, a leaf lock. Other state belongs to one goroutine or is fixed at
-// the start.
+// Lock: idleConnections.mu, a leaf lock. Other state is owned by one goroutine or does not
+// change after the start.
 package process
 
 import (
@@ -35,12 +35,12 @@
 
 // This file defines Settings and base, which both kinds of process share.
 
-// Settings configures a process. Addresses are IP:PORT; nothing listens on an empty one.
+// Settings configures a process. Addresses are IP:PORT; an empty one opens no listener.
 type Settings struct {
 	Name     string
 	Hall     string
 	Region   string            // region of Hall; empty if not configured
-	Topology topology.Topology // of the fleet
+	Topology topology.Topology // halls and regions of the fleet
 	// LinkRate is the one-way capacity of the link between two regions, in bytes per second; 0
 	// if unknown.
 	LinkRate float64
@@ -86,7 +86,7 @@
 	maxHeaderBytes    = 64 << 10        // per request
 )
 
-// base holds the metrics, log and listeners of either kind of process.
+// base holds the settings, log, metrics and listeners that both kinds of process have.
 type base struct {
 	cfg     Settings
 	log     *decision.Log
@@ -110,7 +110,7 @@
 	return b, b.listen(cfg.MetricsAddress, mux)
 }
 
-// listen serves h on one address.
+// listen opens a listener on an address and serves h there until close.
 func (b *base) listen(address string, h http.Handler) error {
 	l, err := socket.Listen(address)
 	if err != nil {
@@ -121,7 +121,7 @@
 }
 
 // serve serves a listener until close. The log of net/http, one line for each broken
-// connection, is discarded: it does not fit in the log's line budget.
+// connection, is discarded, because it exceeds the log's line budget.
 func (b *base) serve(l net.Listener, s *http.Server) {
 	s.ReadHeaderTimeout, s.IdleTimeout, s.MaxHeaderBytes = readHeaderTimeout, idleTimeout, maxHeaderBytes
 	s.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)
--- a/process/reload.go
+++ b/process/reload.go
@@ -14,9 +14,9 @@
 	"github.com/badgerspoke/badgerspoke/decision"
 )
 
-// This file defines Reload, which picks up changed settings.
+// This file defines Reload, which applies changed settings while the process runs.
 
-// reloadPeriod is the interval between two reads of the settings without a signal. The settings
+// reloadPeriod is the interval at which the settings are read even without a SIGHUP, because they
 // can change without one.
 const reloadPeriod = 2 * time.Second
 
--- a/process/schedule.go
+++ b/process/schedule.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// This file defines schedulingDelay, which measures how long runnable goroutines of this
-// process wait for a processor.
+// This file defines schedulingDelay, which measures how long the runnable goroutines of this
+// process wait before they run.
 
 // latencyMetric is the runtime's histogram of the time that goroutines spend runnable before
 // they run.
@@ -27,7 +27,7 @@
 	return s
 }
 
-// Wait returns the mean time that goroutines were runnable before they ran, over those that ran
+// Wait returns the mean time between becoming runnable and running, over the goroutines that ran
 // since the last call, or 0 if none did. It is not safe for concurrent use. A call takes about
 // 0.35 us.
 func (s *schedulingDelay) Wait() time.Duration {
--- a/process/unread.go
+++ b/process/unread.go
@@ -15,17 +15,17 @@
 //
 // Accepting a connection costs a tenth of the processor time of its first request, and the
 // accepting goroutine continues as long as connections arrive. Without a bound, a whole burst
-// is accepted before any of it is read, and all other work of the gateway queues behind it:
-// callers disconnect meanwhile, and their requests are still forwarded. With the bound,
-// accepted connections are read first and the rest waits in the kernel's queue, which is short.
+// is accepted before any of it is read, and all other work of the gateway is delayed: callers
+// disconnect in the meantime, and their requests are still forwarded. With the bound, accepted
+// connections are read first, and the others wait in the kernel's queue, which is short.
 
 const (
 	// maxUnread bounds the connections accepted but not read. A gateway with a fifth of a core
 	// needs 250 us of processor time for each connection and its refusal, so 32 of them take
 	// 40 ms.
 	maxUnread = 32
-	// unreadTimeout is how long a connection that sends nothing counts as unread. Callers that
-	// open connections ahead of time must not block others.
+	// unreadTimeout is how long a connection that sends nothing counts as unread. Callers
+	// that open connections before they need them must not block others.
 	unreadTimeout = 100 * time.Millisecond
 )
 
