--- a/protocol/announce.go
+++ b/protocol/announce.go
@@ -14,8 +14,8 @@
 	ColdLeft time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-// Announce is sent by a replica to the leader and batches the announcements of a few
-// milliseconds.
+// Announce is sent by a replica to the leader. It contains the announcements received within a
+// few milliseconds.
 type Announce struct {
 	Seq  uint64         `cbor:"1,keyasint"` // counted from 1 on each link
 	List []Announcement `cbor:"2,keyasint"`
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -11,11 +11,11 @@
 // The states of a claim. The numbers are on the wire and in the log of claims.
 const (
 	ClaimGranted  ClaimState = 1 // the claiming router may run the request
-	ClaimRunning  ClaimState = 2 // another router or arrival holds the claim; wait, or claim again
+	ClaimRunning  ClaimState = 2 // another router or another arrival of the request holds the claim; wait, or claim again
 	ClaimRan      ClaimState = 3 // the request ran; Answer is set if it was small enough
 	ClaimUnknown  ClaimState = 4 // the claiming router was lost; the request may have run
 	ClaimMismatch ClaimState = 5 // the key was used with different content
-	ClaimRetry    ClaimState = 6 // undecided at this replica; send it again to the leader
+	ClaimRetry    ClaimState = 6 // the replica could not decide the claim; resend it to the leader
 	ClaimReleased ClaimState = 7 // the request has not run
 )
 
@@ -48,7 +48,7 @@
 	Answer *Answer    `cbor:"3,keyasint,omitempty"`
 }
 
-// Answer is a stored answer of a backend server, small enough to be kept.
+// Answer is a backend server's answer that is small enough to be stored with the claim.
 type Answer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint,omitempty"`
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -55,11 +55,11 @@
 	KindRollouts   Kind = 22 // leader: the versions of pools that receive requests
 	KindQuarantine Kind = 31 // leader: requests whose backend servers ended while running them
 
-	// Between an operator's command and a directory replica, continued.
+	// Between an operator's command and a directory replica.
 	KindQuarantineOrder  Kind = 32 // command: list condemned requests, or release one
 	KindQuarantineAnswer Kind = 33 // replica: the result of the order
 
-	// Between an operator's command and a directory replica.
+	// Between an operator's command and a directory replica, continued.
 	KindRolloutOrder  Kind = 23 // command: begin, read or end a rollout
 	KindRolloutAnswer Kind = 24 // replica: the result of the order
 
@@ -157,8 +157,8 @@
 // KindOf returns the kind of m.
 func KindOf(m Message) Kind { return m.kind() }
 
-// The decoder's limits bound the memory that a malformed message can take. They exceed what a
-// fleet sends at the sizes of docs/CAPACITY.md.
+// The decoder's limits bound the memory that decoding a malformed message can take. Messages of a
+// fleet at the sizes of docs/CAPACITY.md stay below them.
 var (
 	encMode = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16, Sort: cbor.SortNone}.EncMode())
 	decMode = must(cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode())
--- a/protocol/consensus.go
+++ b/protocol/consensus.go
@@ -95,7 +95,7 @@
 	Reject   bool          `cbor:"11,keyasint,omitempty"`
 	Hint     uint64        `cbor:"12,keyasint,omitempty"` // index to try next after a rejection
 	Sent     int64         `cbor:"13,keyasint,omitempty"` // the leader's clock, echoed by replies
-	Force    bool          `cbor:"14,keyasint,omitempty"` // the leader itself requested the election
+	Force    bool          `cbor:"14,keyasint,omitempty"` // the election is part of a leadership transfer by the leader
 	Snapshot *Snapshot     `cbor:"15,keyasint,omitempty"` // Data holds one chunk
 	Offset   uint64        `cbor:"16,keyasint,omitempty"`
 	Total    uint64        `cbor:"17,keyasint,omitempty"`
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -8,10 +8,10 @@
 // communicate. A malformed message is reported as a typed error and closes the link. Sizes are
 // checked before decoding.
 //
-// Three conversations use it: between the replicas of one consensus group, of control or of a
+// The messages are exchanged between the replicas of one consensus group, of control or of a
 // directory (consensus.go); between a router and the leading control replica (session.go,
 // claim.go); and between a gateway and the leading directory replica (watch.go). The first
-// message on a link identifies the conversation. Operators and backend servers do not use this
+// message on a link determines which of these the link carries. Operators and backend servers do not use this
 // package: they use the protobuf schema in protocol/operator, or a platform's own HTTP
 // interface.
 //
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -17,8 +17,8 @@
 	"github.com/badgerspoke/badgerspoke/internal/golden"
 )
 
-// This file pins the bytes of every message in testdata/golden, because boxes of neighbouring
-// versions share links. Run with -update to rewrite the files, which only a deliberate change
+// This file compares the encoding of every message with testdata/golden, because boxes of
+// consecutive versions exchange messages. Run with -update to rewrite the files, which only a deliberate change
 // of the wire format justifies.
 
 const bigNumber = 1<<64 - 2 // a number that needs all 64 bits
--- a/protocol/life.go
+++ b/protocol/life.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// This file defines the identifiers of a backend server's lives. A server that restarts under
-// the same name begins a new life.
+// This file defines the identifiers of a backend server's lives. A life is the time from a start
+// of the server to its end: a server that restarts under the same name begins a new life.
 //
 // Inside a process each life has its own identifier, made of name and start time, so that all
-// state kept under an identifier belongs to one life. In messages and in the log a
-// [Registration] holds the name and the start time separately: versions that do not support
-// lives use the name as the identifier.
+// state stored under an identifier belongs to one life. In messages and in the log a
+// [Registration] holds the name and the start time separately, because versions that do not
+// support lives use the name as the identifier.
 
 // lifeSeparator separates a server's name from its start time. Names that contain it are
 // refused on input.
@@ -60,15 +60,15 @@
 		s.Registration = f(s.Registration)
 		set[i] = s
 	}
-	if len(set) > 0 { // otherwise keep nil, as it was sent
+	if len(set) > 0 { // otherwise Set stays nil
 		m.Set = set
 	}
 	return m
 }
 
-// ToWire converts the message to the form that is sent. For a life that has gone, Gone also gets
-// the server's name if no life of that name is listed: relays and versions without lives
-// recognize only the name.
+// ToWire converts the message to the form that is sent. For each removed life, Removed also gets
+// the server's name if no life of that name is listed, because relays and versions without
+// lives recognize only the name.
 func (m Servers) ToWire(listed func(name string) bool) Servers {
 	m = m.mapRegistrations(Registration.ToWire)
 	for _, id := range m.Removed {
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -33,18 +33,18 @@
 
 // The outcomes of an order.
 const (
-	OrderDone      OrderOutcome = iota + 1 // durable on a majority, a copy of an earlier order, or read
+	OrderDone      OrderOutcome = iota + 1 // the change is durable on a majority, the order is a copy of an earlier one, or the status was read
 	OrderRefused                           // invalid, or refers to something that does not exist
 	OrderConflict                          // a rollout to another version is in progress
 	OrderNotLeader                         // another replica leads
-	OrderUnknown                           // the result is unknown: send it again
+	OrderUnknown                           // the result is unknown: resend the order
 )
 
 // RolloutAnswer is the answer to a [RolloutOrder], on the same link.
 type RolloutAnswer struct {
 	Outcome OrderOutcome `cbor:"1,keyasint"`
 	Reason  string       `cbor:"2,keyasint,omitempty"` // unless OrderDone
-	Leader  string       `cbor:"3,keyasint,omitempty"` // fleet address, if OrderElsewhere
+	Leader  string       `cbor:"3,keyasint,omitempty"` // fleet address, if OrderNotLeader
 	// Newest is the pool's newest rollout after the order, if OrderDone; nil if it is not
 	// available.
 	Newest *RolloutStatus `cbor:"4,keyasint,omitempty"`
--- a/protocol/places.go
+++ b/protocol/places.go
@@ -12,8 +12,8 @@
 	Hall    string   // data hall; empty if not configured
 }
 
-// ServingReplicas is sent by the leader to its relays on each change. It lists the replicas that serve
-// the gateways of its region, ordered by address.
+// ServingReplicas is sent by the leader to its relays on each change. It lists the replicas that
+// serve the gateways of its region, ordered by address.
 type ServingReplicas struct {
 	List []ServingReplica `cbor:"1,keyasint,omitempty"`
 }
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -50,7 +50,7 @@
 type QuarantineAnswer struct {
 	Outcome   OrderOutcome       `cbor:"1,keyasint"`
 	Reason    string             `cbor:"2,keyasint,omitempty"` // unless OrderDone
-	Leader    string             `cbor:"3,keyasint,omitempty"` // fleet address, if OrderElsewhere
+	Leader    string             `cbor:"3,keyasint,omitempty"` // fleet address, if OrderNotLeader
 	Condemned []CondemnedRequest `cbor:"4,keyasint,omitempty"` // after the order, oldest first, if OrderDone
 }
 
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -5,8 +5,8 @@
 // This file defines the additional message of a relay, a directory replica that serves the
 // gateways of its region. A relay's session with the leader is otherwise like a gateway's.
 
-// RelayGateways is sent by a relay to the leader when the set of gateways that it serves has changed.
-// It lists all of them.
+// RelayGateways is sent by a relay to the leader when the set of gateways that it serves has
+// changed. It lists all of them.
 type RelayGateways struct {
 	Gateways []RelayGateway `cbor:"1,keyasint,omitempty"`
 }
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -9,8 +9,8 @@
 // starts from [Hello.Held], the slots that the router actually holds.
 //
 // Accounts and backend servers are named by the short identifiers that the configuration
-// assigns. The three types that make up most of the traffic are encoded as arrays: they cannot
-// gain a field, so an addition needs a new message.
+// assigns. The three types that make up most of the traffic are encoded as arrays. No field can
+// be added to these, so an addition needs a new message.
 
 // Hello is the first message of a router to a control replica and opens a session. The router
 // has closed its previous session before.
@@ -21,8 +21,8 @@
 	Revision uint64        `cbor:"4,keyasint"` // revision of the configuration held
 	Epoch    uint64        `cbor:"5,keyasint"` // highest epoch seen; an older leader must refuse
 	Held     []ServerSlots `cbor:"6,keyasint,omitempty"`
-	// Pools are the fleet-wide virtual times as the router has them, without what it has not
-	// reported yet. A new leader's allocator rebuilds its counters from them.
+	// Pools are the fleet-wide virtual times known to the router, without the service that it has
+	// not reported yet. A new leader's allocator rebuilds its counters from them.
 	Pools []PoolView `cbor:"7,keyasint,omitempty"`
 }
 
@@ -36,8 +36,8 @@
 	// to and including its first Reports reports.
 	StateKept bool   `cbor:"4,keyasint,omitempty"`
 	Reports   uint64 `cbor:"5,keyasint,omitempty"`
-	// LeaseExpired is set if the router's lease had expired at the allocator: slots that the router
-	// holds and does not use must be returned unused.
+	// LeaseExpired is set if the router's lease had expired at the allocator. The router must
+	// return the slots that it holds and does not use, without using them again.
 	LeaseExpired bool `cbor:"6,keyasint,omitempty"`
 }
 
@@ -67,7 +67,7 @@
 	Seq uint64 `cbor:"1,keyasint"`
 }
 
-// ServerSlots is a number of slots held on one backend server.
+// ServerSlots is a number of slots on one backend server.
 type ServerSlots struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
--- a/protocol/size_test.go
+++ b/protocol/size_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestBytesOfEnds measures the bytes on a link when a server with all slots in use ends, and
-// the bytes that the start time adds to a server's entry in a list.
+// TestBytesOfEnds checks the bytes that each running request takes on a link when a server
+// with all slots in use ends, and the bytes that the start time adds to a server's list entry.
 func TestBytesOfEnds(t *testing.T) {
 	size := func(m Message) int {
 		b, err := Encode(m)
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -33,7 +33,7 @@
 	Avoid []string `cbor:"9,keyasint,omitempty"`
 	// Known is the number of backend servers that the gateway holds from earlier sessions.
 	Known int `cbor:"10,keyasint,omitempty"`
-	// KeepsHandles is set by gateways that distinguish handles by [Servers.Space]. Their
+	// KeepsHandles is set by gateways that distinguish handles by [Servers.HandleSpace]. Their
 	// sessions outlive the leader. Earlier versions do not send it.
 	KeepsHandles bool `cbor:"11,keyasint,omitempty"`
 	// Hall is the sender's data hall; empty if not configured.
@@ -66,8 +66,8 @@
 	Hall    string `cbor:"4,keyasint,omitempty"`
 	Slots   int    `cbor:"5,keyasint,omitempty"` // number of requests that it runs concurrently
 	// Version is the version of the software that the server runs; empty if not reported.
-	// Numbers 6 and 7 belong to the fields beside a registration in [Server] and
-	// [Announcement].
+	// Numbers 6 and 7 are used by the other fields of [Server] and [Announcement], which embed
+	// this type.
 	Version string `cbor:"8,keyasint,omitempty"`
 	// Born is the start of this life of the server, in Unix milliseconds; 0 if not reported.
 	// It is set only in messages and the log, see [Registration.Sent].
@@ -77,7 +77,7 @@
 // Server is one announced backend server.
 type Server struct {
 	Registration
-	// Handle identifies the backend server in Usage and Fleet, within one [Servers.Space].
+	// Handle identifies the backend server in Usage and Fleet, within one [Servers.HandleSpace].
 	Handle uint32 `cbor:"6,keyasint"`
 	// Cold is set while the backend server is cold, after a start or later.
 	Cold *Cold `cbor:"7,keyasint,omitempty"`
@@ -116,8 +116,8 @@
 	// Relays is set in the whole list of a leader that supports relays. Earlier versions do
 	// not send it, and treat a relay as a gateway.
 	Relays bool `cbor:"8,keyasint,omitempty"`
-	// HandleSpace identifies the leader that assigned the handles in the message. Earlier versions
-	// send 0: the handles are those of the term's leader.
+	// HandleSpace identifies the leader that assigned the handles in the message. Earlier
+	// versions send 0: the handles are those of the term's leader.
 	HandleSpace uint64 `cbor:"9,keyasint,omitempty"`
 	// Unlisted are servers that gateways hold from an earlier leader and that do not announce
 	// themselves to the current one. They are used only as long as they answer.
@@ -161,14 +161,14 @@
 	// Outcomes are those that have changed since the last report, for pools with a rollout in
 	// progress. The first report of a session has all of them.
 	Outcomes []Outcomes `cbor:"9,keyasint,omitempty"`
-	// AppliedRollouts is the Seq of the newest [Rollouts] in force at the gateway, of the session's
-	// term.
+	// AppliedRollouts is the Seq of the newest [Rollouts] of the session's term that the gateway
+	// has applied.
 	AppliedRollouts uint64 `cbor:"10,keyasint,omitempty"`
 	// Incremental is set in a relay's reports: Loads are the sums that have changed since its
 	// previous report, and zeros for servers that run nothing any more.
 	Incremental bool `cbor:"11,keyasint,omitempty"`
 	// Barred are targets that a leader has barred at this gateway and that the newest
-	// [Rollouts] does not bar: the log may lack the decision.
+	// [Rollouts] does not bar, because the log may lack the decision.
 	Barred []Barred `cbor:"12,keyasint,omitempty"`
 	// Losses are requests that ran on servers that have ended since the last report. The first
 	// report of a session has all that no complete answer has cleared.
@@ -178,9 +178,9 @@
 	// Unread estimates, by account, the demand on connections that the gateway has not
 	// accepted. It is not included in Demands.
 	Unread []Demand `cbor:"16,keyasint,omitempty"`
-	// Term is the term of the leader from which the sender last received a message; Obeyed
-	// refers to that leader's lists. Earlier versions, whose sessions end with the term, send
-	// 0.
+	// Term is the term of the leader from which the sender last received a message;
+	// AppliedRollouts refers to that leader's lists. Earlier versions, whose sessions end with
+	// the term, send 0.
 	Term uint64 `cbor:"15,keyasint,omitempty"`
 }
 
@@ -201,7 +201,7 @@
 type Fleet struct {
 	Gateways int `cbor:"1,keyasint,omitempty"`
 	// Loads are the sums over all gateways that differ from those sent before, as far as the
-	// budget of a link allows (registry.Feed). Number 2 was an earlier form of it.
+	// budget of a link allows (registry.LoadFeed). Number 2 was used for an earlier encoding.
 	Loads        []ServerLoad  `cbor:"8,keyasint,omitempty"`
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
@@ -210,7 +210,7 @@
 	// its share.
 	Short bool `cbor:"5,keyasint,omitempty"`
 	// Incomplete is set while the leader is new and its sums are too incomplete to decide by.
-	// Entitlements, Short and Most are then meaningless.
+	// Entitlements, Short and MaxRate are then meaningless.
 	Incomplete bool `cbor:"6,keyasint,omitempty"`
 	// MaxRate bounds the rate that one account may be given, in tokens per second; 0 means no
 	// bound.
