--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Command badgerspoke-node is one process of a fleet on the users' platform. Its settings file
+// Command badgerspoke-node runs one process of a fleet on the users' platform. Its settings file
 // selects the role: gateway or directory replica.
 package main
 
--- a/cmd/badgerspoke-standin/main.go
+++ b/cmd/badgerspoke-standin/main.go
@@ -19,9 +19,9 @@
 func main() {
 	listen := flag.String("listen", "127.0.0.1:9001", "address to serve on")
 	kind := flag.String("kind", "engine", "engine or service")
-	flag.String("models", "badger-small", "ignored: an engine answers for any model")
-	slots := flag.Int("slots", 8, "requests that an engine runs at once")
-	tokenTime := flag.Duration("token-time", 20*time.Millisecond, "time of one token")
+	flag.String("models", "badger-small", "ignored: an engine answers requests for any model")
+	slots := flag.Int("slots", 8, "number of requests that an engine runs concurrently")
+	tokenTime := flag.Duration("token-time", 20*time.Millisecond, "time to generate one token")
 	promptTime := flag.Duration("prompt-time", 50*time.Millisecond, "time before the first token, or of a service's call")
 	flag.Parse()
 
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -56,7 +56,7 @@
 	return exitOK
 }
 
-// serve runs the box until it fails or a signal arrives. A second signal ends the graceful stop.
+// serve runs the box until it fails or a signal arrives. A second signal cuts the graceful stop short.
 func serve(d settings.Daemon, log *slog.Logger) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
@@ -129,7 +129,7 @@
 	return badgerspoke.Start(ctx, cfg)
 }
 
-// devDefaults sets the settings of a fleet of one process. If no data folder is set, it creates a
+// devDefaults fills in the settings of a development fleet. If no data folder is set, it creates a
 // temporary one, which removeData removes.
 func devDefaults(d *settings.Daemon) (removeData func(), err error) {
 	d.Roles = []string{settings.Router, settings.Control}
@@ -146,8 +146,8 @@
 	return func() { os.RemoveAll(d.DataDir) }, err
 }
 
-// devTimeout limits the initial configuration of a development fleet, which waits until the group has
-// a leader.
+// devTimeout is the time limit for configuring a development fleet, which includes waiting until the
+// group has a leader.
 const devTimeout = 20 * time.Second
 
 // startDevServers starts the backend servers of a development fleet and adds them to its
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package dev sets up a one-box development fleet that answers requests at once: two stand-in model
-// engines, one stand-in plain service, and a client account whose key is "dev".
+// Package dev provides the backend servers and the configuration of a one-box development fleet:
+// two simulated model engines, one simulated plain service, and a client account whose key is "dev".
 package dev
 
 import (
@@ -32,7 +32,7 @@
 	Model    = "badger-small"                       // model that the engines serve
 )
 
-// Settings of the stand-ins. The times are long enough to watch tokens arrive one by one.
+// Settings of the simulated servers. The times are long enough to watch tokens arrive one by one.
 const (
 	engineSlots  = 4                     // concurrent requests per engine
 	serviceSlots = 8                     // concurrent requests of the service
@@ -40,13 +40,13 @@
 	promptTime   = 80 * time.Millisecond // time before the first token
 )
 
-// Servers holds the running stand-ins.
+// Servers holds the running simulated servers.
 type Servers struct {
-	addresses map[string]string
+	addresses map[string]string // by server name
 	servers   []*http.Server
 }
 
-// StartServers starts the stand-ins on free ports of 127.0.0.1.
+// StartServers starts the simulated servers on free ports of 127.0.0.1.
 func StartServers() (*Servers, error) {
 	s := &Servers{addresses: map[string]string{}}
 	for _, name := range []string{"engine-1", "engine-2"} {
@@ -61,7 +61,7 @@
 func (s *Servers) start(name string, h http.Handler) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return errors.Wrap(err, "start stand-in "+name)
+		return errors.Wrap(err, "start simulated server "+name)
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	s.servers = append(s.servers, srv)
@@ -70,15 +70,16 @@
 	return nil
 }
 
-// Close stops the stand-ins.
+// Close stops the simulated servers.
 func (s *Servers) Close() {
 	for _, srv := range s.servers {
 		srv.Close()
 	}
 }
 
-// Configure waits until the fleet has a leader, then adds the stand-ins and the account through the
-// operators' API. It replaces stand-ins of an earlier run that the data folder still holds.
+// Configure waits until the fleet has a leader, then adds the simulated servers and the account
+// through the operators' API. It replaces the servers of an earlier run that the data folder still
+// holds.
 func (s *Servers) Configure(ctx context.Context, operators string) error {
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+operators,
 		connect.WithInterceptors(cli.Authorize(Token)))
@@ -159,7 +160,7 @@
 	}
 }
 
-// newChange returns a change without a base revision, whose ID differs in each run.
+// newChange returns a change without a base revision. Its ID differs in each run.
 func newChange(label string) *operatorv1.Change {
 	return &operatorv1.Change{Id: label + " " + time.Now().Format(time.RFC3339Nano)}
 }
