--- a/control/session.go
+++ b/control/session.go
@@ -19,10 +19,10 @@
 
 // serveRouter serves the session of one router until its link ends.
 func (c *Control) serveRouter(ctx context.Context, l *link.Link, h protocol.Hello) {
-	if h.Router != l.Peer() || h.Boot == 0 {
+	if h.Router != l.Peer() || h.BootID == 0 {
 		return
 	}
-	holder := claim.Holder{Router: h.Router, Boot: h.Boot}
+	holder := claim.Holder{Router: h.Router, Boot: h.BootID}
 	r, admitted := c.admit(h, holder)
 	if !admitted {
 		_ = l.Send(ctx, r) // the link is closed in any case, and the router dials another replica
@@ -99,7 +99,7 @@
 		old.out.Close()
 	}
 	now := d.now()
-	void := !d.alloc.TakingOver(now) && !d.alloc.HasSession(h.Router, h.Boot)
+	void := !d.alloc.TakingOver(now) && !d.alloc.HasSession(h.Router, h.BootID)
 	reports, known := d.alloc.OpenSession(now, h)
 	s.confirmedRevision = h.Revision
 	d.sessions[h.Router] = s
--- a/coordination/slots/example_test.go
+++ b/coordination/slots/example_test.go
@@ -18,7 +18,7 @@
 		[]slots.Server{{Name: "s1", Pool: "llm", Slots: 2, Serving: true}},
 		[]slots.Account{{Name: "hotel", Share: 1}},
 	)
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 7})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 7})
 	a.Report(0, "r1", protocol.Report{Pools: []protocol.PoolReport{{
 		Pool: "llm", Accounts: []protocol.AccountReport{{Account: "hotel", Waiting: 1}},
 	}}})
--- a/coordination/slots/fixture_router_test.go
+++ b/coordination/slots/fixture_router_test.go
@@ -171,7 +171,7 @@
 	}
 	r.link++
 	link := r.link
-	hello := protocol.Hello{Router: r.name, Boot: r.boot}
+	hello := protocol.Hello{Router: r.name, BootID: r.boot}
 	for _, p := range r.pools {
 		held, view := p.Hello(f.now < r.lease)
 		hello.Held = append(hello.Held, held...)
--- a/coordination/slots/ledger_test.go
+++ b/coordination/slots/ledger_test.go
@@ -16,8 +16,8 @@
 	ends := map[string]func(a *Allocator){
 		"link breaks":         func(a *Allocator) { a.Disconnect("r", 1) },
 		"lease expires":       func(a *Allocator) { a.EndSession("r") },
-		"session is replaced": func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1}) },
-		"process restarts":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", Boot: 2}) },
+		"session is replaced": func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", BootID: 1}) },
+		"process restarts":    func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r", BootID: 2}) },
 		"goodbye with work":   func(a *Allocator) { a.Report(0, "r", protocol.Report{Goodbye: true}) },
 		"account is removed":  func(a *Allocator) { a.configureAccounts(nil) },
 	}
@@ -27,7 +27,7 @@
 				is := is.New(t)
 				a := NewAllocator(1, 0, DefaultLease, Pace{}, nil)
 				a.Configure([]Server{{Name: "s", Pool: "p", Slots: 2, Serving: true}}, []Account{{Name: "a", Share: 1}})
-				a.OpenSession(0, protocol.Hello{Router: "r", Boot: 1})
+				a.OpenSession(0, protocol.Hello{Router: "r", BootID: 1})
 				a.Report(0, "r", protocol.Report{Pools: []protocol.PoolReport{{
 					Pool: "p", Accounts: []protocol.AccountReport{{Account: "a", Waiting: 5, Running: 1}},
 				}}})
@@ -71,7 +71,7 @@
 		"lease expires":        func(a *Allocator) { a.EndSession("r1") },
 		"link breaks, unsent":  func(a *Allocator) { a.Disconnect("r1", 1) },
 		"servers are removed":  func(a *Allocator) { a.EndSession("r1"); a.Configure(servers[3:], accounts) },
-		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1}) },
+		"session is replaced":  func(a *Allocator) { a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1}) },
 		"accounts are removed": func(a *Allocator) { a.EndSession("r1"); a.Configure(servers, accounts[3:]) },
 	}
 	run := func(end func(a *Allocator), hello protocol.Hello) (free []string) {
@@ -87,7 +87,7 @@
 		return free
 	}
 	for name, end := range ends {
-		for _, h := range []protocol.Hello{{Router: "r1", Boot: 1, Held: held}, {Router: "r1", Boot: 1}} {
+		for _, h := range []protocol.Hello{{Router: "r1", BootID: 1, Held: held}, {Router: "r1", BootID: 1}} {
 			t.Run(name, func(t *testing.T) {
 				is := is.New(t)
 				first := run(end, h)
--- a/coordination/slots/session.go
+++ b/coordination/slots/session.go
@@ -65,7 +65,7 @@
 // whether the allocator had that session.
 func (a *Allocator) OpenSession(now time.Duration, h protocol.Hello) (reports uint64, known bool) {
 	if old := a.sessions[h.Router]; old != nil {
-		if old.boot == h.Boot {
+		if old.boot == h.BootID {
 			reports, known = old.reportsReceived, true
 			a.releaseAll(old)
 		} else {
@@ -73,7 +73,7 @@
 		}
 	}
 	s := &session{
-		key: h.Router, routerName: h.Router, boot: h.Boot, renewedAt: now, linked: true,
+		key: h.Router, routerName: h.Router, boot: h.BootID, renewedAt: now, linked: true,
 		held: map[string]int{}, suspectUntil: map[string]time.Duration{},
 		pools: map[string]*routerPool{}, unsentGrants: map[string]int{},
 		backlogs: map[backlogKey]*routerBacklog{}, pacer: Pacer{Pace: a.pace},
@@ -83,7 +83,7 @@
 	}
 	a.sessions[h.Router] = s
 	a.sortSessions()
-	delete(a.unreported, Process{Router: h.Router, Boot: h.Boot})
+	delete(a.unreported, Process{Router: h.Router, Boot: h.BootID})
 	if !known {
 		a.restoreVirtualTimes(h.Pools)
 	}
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -89,8 +89,8 @@
 func TestSlotsAreGrantedToEachBackloggedAccount(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
-	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r2", BootID: 2})
 	a.Report(0, "r1", waitingReport("a", 5))
 	a.Report(0, "r2", waitingReport("b", 1))
 	is.Equal(granted(a, 0), map[string]int{"r1": 1, "r2": 1}) // one each, not two for the longer queue
@@ -100,7 +100,7 @@
 func TestLeavingServerIsNotGranted(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 	configure(a, false)
 	a.Report(0, "r1", waitingReport("a", 5))
 	is.Equal(len(granted(a, 0)), 0)
@@ -116,20 +116,20 @@
 		{"no router has reported", func(*slots.Allocator) {}, lease.Length, 0},
 		{"the lease and its margin have passed", func(*slots.Allocator) {}, lease.Length + lease.Margin, 2},
 		{"the router reported that it holds none", func(a *slots.Allocator) {
-			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9})
+			a.OpenSession(0, protocol.Hello{Router: "old", BootID: 9})
 		}, 0, 2},
 		{"the router reported that it holds one", func(a *slots.Allocator) {
-			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 9, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
+			a.OpenSession(0, protocol.Hello{Router: "old", BootID: 9, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 		}, 0, 1},
 		{"another process of the same router reported", func(a *slots.Allocator) {
-			a.OpenSession(0, protocol.Hello{Router: "old", Boot: 10})
+			a.OpenSession(0, protocol.Hello{Router: "old", BootID: 10})
 		}, 0, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			a := newTestAllocator(slots.Process{Router: "old", Boot: 9})
-			a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+			a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 			a.Report(0, "r1", waitingReport("a", 5))
 			tt.do(a)
 			a.Renew(tt.at, "r1")
@@ -141,10 +141,10 @@
 func TestSlotsOfARestartedRouterStayHeldUntilItsLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 	a.Report(0, "r1", waitingReport("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
-	a.OpenSession(time.Second, protocol.Hello{Router: "r1", Boot: 2}) // does not prove that boot 1 has stopped
+	a.OpenSession(time.Second, protocol.Hello{Router: "r1", BootID: 2}) // does not prove that boot 1 has stopped
 	a.Report(time.Second, "r1", waitingReport("a", 2))
 	is.Equal(len(granted(a, time.Second)), 0)
 	is.Equal(len(a.ExpireSessions(lease.Length+lease.Margin)), 1)
@@ -154,11 +154,11 @@
 func TestSlotsOfAReconnectedRouterAreNotCountedTwice(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 	a.Report(0, "r1", waitingReport("a", 2))
 	is.Equal(granted(a, 0)["r1"], 2)
 	a.Disconnect("r1", 1)
-	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
+	reports, known := a.OpenSession(1, protocol.Hello{Router: "r1", BootID: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	is.True(known)
 	is.Equal(reports, uint64(1))
 	a.Report(1, "r1", waitingReport("a", 5))
@@ -170,8 +170,8 @@
 func TestInvalidMessagesAreBounded(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
-	a.OpenSession(0, protocol.Hello{Router: "r2", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1 << 30}, {Server: "none", Slots: 3}}})
+	a.OpenSession(0, protocol.Hello{Router: "r2", BootID: 2})
 	a.Report(0, "r2", protocol.Report{Returned: []protocol.ServerSlots{{Server: "s", Slots: 100}, {Server: "s", Slots: -4}}})
 	a.Report(0, "r2", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: -3, Accounts: []protocol.AccountReport{
 		{Account: "a", Waiting: -1}, {Account: "b", Waiting: 1, Service: math.NaN()}, {Account: "?", Waiting: 9},
@@ -187,7 +187,7 @@
 func TestIdleTimeEarnsNoCreditAndPaysNoDebt(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 	serve := func(account string, waiting int, service float64) {
 		a.Report(0, "r1", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Accounts: []protocol.AccountReport{
 			{Account: account, Waiting: waiting, Service: service},
@@ -215,9 +215,9 @@
 func TestFreeSlotIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}})
+	a.OpenSession(0, protocol.Hello{Router: "holding", BootID: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}})
 	a.Report(0, "holding", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 2}}})
-	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "empty", BootID: 2})
 	a.Report(0, "empty", waitingReport("a", 1))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["holding"].Recall, 1) // one request waits, so one slot is recalled, not both
@@ -226,9 +226,9 @@
 func TestFreeSlotIsRecalledForARouterWithSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "idle", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "idle", BootID: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	a.Report(0, "idle", protocol.Report{Pools: []protocol.PoolReport{{Pool: "p", Idle: 1}}})
-	a.OpenSession(0, protocol.Hello{Router: "busy", Boot: 2, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
+	a.OpenSession(0, protocol.Hello{Router: "busy", BootID: 2, Held: []protocol.ServerSlots{{Server: "s", Slots: 1}}})
 	a.Report(0, "busy", waitingReport("a", 3))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["idle"].Recall, 1) // free at one router and needed at the other
@@ -237,8 +237,8 @@
 func TestSlotInUseIsRecalledForARouterWithoutSlots(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "holding", Boot: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}}) // both in use
-	a.OpenSession(0, protocol.Hello{Router: "empty", Boot: 2})
+	a.OpenSession(0, protocol.Hello{Router: "holding", BootID: 1, Held: []protocol.ServerSlots{{Server: "s", Slots: 2}}}) // both in use
+	a.OpenSession(0, protocol.Hello{Router: "empty", BootID: 2})
 	a.Report(0, "empty", waitingReport("a", 3))
 	a.Allocate(0)
 	is.Equal(viewsOf(a, 0)["holding"].Recall, 1) // one slot for a router that has none, not three
@@ -249,7 +249,7 @@
 func TestShortageIsSent(t *testing.T) {
 	is := is.New(t)
 	a := newTestAllocator()
-	a.OpenSession(0, protocol.Hello{Router: "r1", Boot: 1})
+	a.OpenSession(0, protocol.Hello{Router: "r1", BootID: 1})
 	a.Report(0, "r1", waitingReport("a", 2))
 	a.Allocate(0)
 	is.True(!viewsOf(a, 0)["r1"].Short) // two requests wait for two slots
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -27,7 +27,7 @@
 // fields set.
 var goldenMessages = []Message{
 	Hello{
-		Router: "router-1", Hall: "hall-a", Boot: bigNumber, Revision: 300, Epoch: 70000,
+		Router: "router-1", Hall: "hall-a", BootID: bigNumber, Revision: 300, Epoch: 70000,
 		Held: []ServerSlots{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
 	},
 	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", StateKept: true, Reports: 99, LeaseExpired: true},
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -17,7 +17,7 @@
 type Hello struct {
 	Router   string        `cbor:"1,keyasint"`
 	Hall     string        `cbor:"2,keyasint,omitempty"`
-	Boot     uint64        `cbor:"3,keyasint"` // random, drawn at each start of the process
+	BootID   uint64        `cbor:"3,keyasint"` // random, drawn at each start of the process
 	Revision uint64        `cbor:"4,keyasint"` // revision of the configuration held
 	Epoch    uint64        `cbor:"5,keyasint"` // highest epoch seen; an older leader must refuse
 	Held     []ServerSlots `cbor:"6,keyasint,omitempty"`
--- a/router/leader.go
+++ b/router/leader.go
@@ -172,7 +172,7 @@
 
 func (l *leaderClient) newHello() protocol.Hello {
 	h := protocol.Hello{
-		Router: l.r.cfg.Identity.Name, Hall: l.r.cfg.Hall, Boot: l.r.boot,
+		Router: l.r.cfg.Identity.Name, Hall: l.r.cfg.Hall, BootID: l.r.boot,
 		Revision: l.r.Revision(), Epoch: l.epoch,
 	}
 	leased := l.r.lease.valid(l.r.now())
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -95,7 +95,7 @@
 		client := &http.Client{Transport: &http.Transport{DialContext: n.DialerFrom("10.0.0.3").DialContext}}
 		c, _, err := websocket.Dial(t.Context(), "ws://"+address+link.Path, &websocket.DialOptions{HTTPClient: client})
 		is.NoErr(err)
-		b, _ := protocol.Encode(protocol.Hello{Router: "forged", Boot: 1})
+		b, _ := protocol.Encode(protocol.Hello{Router: "forged", BootID: 1})
 		is.NoErr(c.Write(t.Context(), websocket.MessageBinary, b))
 		is.True(<-refused != nil)
 		c.CloseNow()
