--- a/directory/relaysession.go
+++ b/directory/relaysession.go
@@ -79,7 +79,7 @@
 // relayHello returns the message that opens a relay session with the leader of a term.
 func (h *hub) relayHello(term uint64) protocol.Watch {
 	return protocol.Watch{
-		Gateway: h.d.Address(), Boot: h.d.cfg.Random(), Term: term, SupportsHalls: true, SupportsRollouts: true,
+		Gateway: h.d.Address(), BootID: h.d.cfg.Random(), Term: term, SupportsHalls: true, SupportsRollouts: true,
 		Region: h.d.cfg.Region, Hall: h.d.cfg.Hall, Relay: true,
 	}
 }
