--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -181,7 +181,7 @@
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), documentNumber: w.Number, supportsHalls: w.SupportsHalls,
 		supportsRollouts: w.SupportsRollouts, bootID: w.BootID, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
-		hasServers: w.Known > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Redirected, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
+		hasServers: w.KnownServers > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Redirected, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -129,7 +129,7 @@
 	return protocol.Watch{
 		Gateway: w.g.cfg.Identity.Name, BootID: w.startID, Number: w.g.DocumentNumber(), Term: w.term, SupportsHalls: true,
 		SupportsRollouts: true, Region: w.g.cfg.Region, Avoid: w.avoided,
-		Known: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Redirected: w.viaRedirect,
+		KnownServers: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Redirected: w.viaRedirect,
 	}
 }
 
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -75,7 +75,7 @@
 	},
 	Watch{
 		Gateway: "gateway-1", BootID: bigNumber, Number: 82, Term: 83, SupportsHalls: true, SupportsRollouts: true, Region: "north", Relay: true, Avoid: []string{"10.0.0.1:7000", "10.0.0.2:7000"},
-		Known: 191, KeepsHandles: true, Hall: "hall-2", Redirected: true,
+		KnownServers: 191, KeepsHandles: true, Hall: "hall-2", Redirected: true,
 	},
 	WatchRedirect{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
 	Document{Number: 84, Data: []byte{0xa1, 1, 2}},
@@ -198,7 +198,7 @@
 		return m
 	case Watch:
 		m.SupportsRollouts, m.Region, m.Relay, m.Avoid = false, "", false, nil
-		m.Known, m.KeepsHandles, m.Hall, m.Redirected = 0, false, "", false
+		m.KnownServers, m.KeepsHandles, m.Hall, m.Redirected = 0, false, "", false
 		return m
 	case Servers:
 		m.Set = slices.Clone(m.Set)
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -31,8 +31,8 @@
 	// without reaching them, since its last session. The leader names another relay or serves
 	// the gateway itself.
 	Avoid []string `cbor:"9,keyasint,omitempty"`
-	// Known is the number of backend servers that the gateway holds from earlier sessions.
-	Known int `cbor:"10,keyasint,omitempty"`
+	// KnownServers is the number of backend servers that the gateway holds from earlier sessions.
+	KnownServers int `cbor:"10,keyasint,omitempty"`
 	// KeepsHandles is set by gateways that distinguish handles by [Servers.HandleSpace]. Their
 	// sessions outlive the leader. Earlier versions do not send it.
 	KeepsHandles bool `cbor:"11,keyasint,omitempty"`
