--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -65,7 +65,7 @@
 	defer l.Close()
 	ctx, cancel = context.WithCancel(ctx)
 	defer cancel()
-	if l.Send(ctx, protocol.Watch{Gateway: id.Name, Number: 1000, Term: r.term, SupportsHalls: true, Region: r.x.regions[r.ip]}) != nil {
+	if l.Send(ctx, protocol.Watch{Gateway: id.Name, DocumentNumber: 1000, Term: r.term, SupportsHalls: true, Region: r.x.regions[r.ip]}) != nil {
 		return
 	}
 	first := true
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -179,7 +179,7 @@
 	}
 	h.closeEarlierSessions(w.Gateway)
 	s := &session{
-		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), documentNumber: w.Number, supportsHalls: w.SupportsHalls,
+		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), documentNumber: w.DocumentNumber, supportsHalls: w.SupportsHalls,
 		supportsRollouts: w.SupportsRollouts, bootID: w.BootID, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
 		hasServers: w.KnownServers > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Redirected, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
@@ -199,7 +199,7 @@
 		h.pushPlaces()
 	}
 	h.pushDocument()
-	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.Number),
+	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.DocumentNumber),
 		slog.String("region", w.Region), slog.Bool("relay", w.Relay))
 	return s, nil
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -127,7 +127,7 @@
 // hello returns the message that opens a session.
 func (w *watcher) hello() protocol.Watch {
 	return protocol.Watch{
-		Gateway: w.g.cfg.Identity.Name, BootID: w.startID, Number: w.g.DocumentNumber(), Term: w.term, SupportsHalls: true,
+		Gateway: w.g.cfg.Identity.Name, BootID: w.startID, DocumentNumber: w.g.DocumentNumber(), Term: w.term, SupportsHalls: true,
 		SupportsRollouts: true, Region: w.g.cfg.Region, Avoid: w.avoided,
 		KnownServers: w.g.table.size(), KeepsHandles: true, Hall: w.g.cfg.Hall, Redirected: w.viaRedirect,
 	}
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -74,7 +74,7 @@
 		Offset: 71, Total: 72, Sync: 115,
 	},
 	Watch{
-		Gateway: "gateway-1", BootID: bigNumber, Number: 82, Term: 83, SupportsHalls: true, SupportsRollouts: true, Region: "north", Relay: true, Avoid: []string{"10.0.0.1:7000", "10.0.0.2:7000"},
+		Gateway: "gateway-1", BootID: bigNumber, DocumentNumber: 82, Term: 83, SupportsHalls: true, SupportsRollouts: true, Region: "north", Relay: true, Avoid: []string{"10.0.0.1:7000", "10.0.0.2:7000"},
 		KnownServers: 191, KeepsHandles: true, Hall: "hall-2", Redirected: true,
 	},
 	WatchRedirect{Leader: "10.0.0.1:7000", Members: []string{"10.0.0.1:7000", "10.0.0.2:7000"}},
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -14,10 +14,10 @@
 
 // Watch is the first message of a gateway to a directory replica and opens a session.
 type Watch struct {
-	Gateway string `cbor:"1,keyasint"`
-	BootID  uint64 `cbor:"2,keyasint"`           // random, drawn at each start of the process
-	Number  uint64 `cbor:"3,keyasint,omitempty"` // number of the document held
-	Term    uint64 `cbor:"4,keyasint,omitempty"` // highest term seen; an older leader must refuse
+	Gateway        string `cbor:"1,keyasint"`
+	BootID         uint64 `cbor:"2,keyasint"`           // random, drawn at each start of the process
+	DocumentNumber uint64 `cbor:"3,keyasint,omitempty"` // number of the document held
+	Term           uint64 `cbor:"4,keyasint,omitempty"` // highest term seen; an older leader must refuse
 	// SupportsHalls is set by gateways that support HallsOut. Earlier versions do not send it.
 	SupportsHalls bool `cbor:"5,keyasint,omitempty"`
 	// SupportsRollouts is set by gateways that support Rollouts. Earlier versions do not send it.
