--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -33,22 +33,22 @@
 	is.Equal(len(m.Demands), 0)
 
 	s.Add("g1", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 5, Missed: 6, Number: 3, AppliedRollouts: 4,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 2)}, Started: 5, Missed: 6, DocumentNumber: 3, AppliedRollouts: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 7}}, Served: []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}}, Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 1), loadOf(8, 1)}, Number: 2, AppliedRollouts: 5})
+	s.Add("g2", protocol.Usage{Seq: 1, Loads: []protocol.ServerLoad{loadOf(7, 1), loadOf(8, 1)}, DocumentNumber: 2, AppliedRollouts: 5})
 	s.Add("g2", protocol.Usage{
-		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 1)}, Started: 10, Number: 2, AppliedRollouts: 5,
+		Seq: 2, Loads: []protocol.ServerLoad{loadOf(7, 1)}, Started: 10, DocumentNumber: 2, AppliedRollouts: 5,
 		Demands: []protocol.Demand{{Account: "b", Tokens: 1}, {Account: "a", Tokens: 100}},
 	})
 	m = s.Next()
 	is.Equal(m, protocol.Usage{
-		Seq: 2, Incremental: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, Number: 2, AppliedRollouts: 4,
+		Seq: 2, Incremental: true, Loads: []protocol.ServerLoad{loadOf(7, 3)}, Started: 15, Missed: 6, DocumentNumber: 2, AppliedRollouts: 4,
 		Demands: []protocol.Demand{{Account: "a", Tokens: 107}, {Account: "b", Tokens: 1}},
 		Served:  []protocol.Demand{{Account: "a", Tokens: 8}}, Late: []protocol.Demand{{Account: "a", Tokens: 9}},
 		Unread: []protocol.Demand{{Account: "a", Tokens: 10}},
 	})
-	is.Equal(s.Next(), protocol.Usage{Seq: 3, Incremental: true, Number: 2, AppliedRollouts: 4}) // reported once
+	is.Equal(s.Next(), protocol.Usage{Seq: 3, Incremental: true, DocumentNumber: 2, AppliedRollouts: 4}) // reported once
 
 	s.RecordCounted(1)
 	is.Equal([]uint64{s.CountedReport("g1"), s.CountedReport("g2")}, []uint64{1, 0})
--- a/coordination/registry/reportaggregator.go
+++ b/coordination/registry/reportaggregator.go
@@ -134,7 +134,7 @@
 	if g.reported {
 		s.pendingCounts.add(m)
 	}
-	g.reported, g.seq, g.loads, g.documentNumber, g.barred = true, m.Seq, m.Loads, m.Number, m.Barred
+	g.reported, g.seq, g.loads, g.documentNumber, g.barred = true, m.Seq, m.Loads, m.DocumentNumber, m.Barred
 	if m.Term != 0 && m.Term != s.term {
 		m.AppliedRollouts = 0
 	}
@@ -190,7 +190,7 @@
 			AddLoads(loads, g.loads)
 		}
 	}
-	m.Number, m.AppliedRollouts = s.minApplied()
+	m.DocumentNumber, m.AppliedRollouts = s.minApplied()
 	m.Barred = s.mergedBarred()
 	m.Loads = s.feed.Next(SortedLoads(loads), MaxRelayReportLoads)
 	m.Outcomes = s.changedOutcomes()
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -92,9 +92,9 @@
 		HandleSpace: bigNumber, Unlisted: []string{"engine-5#e"}, Part: true,
 	},
 	Usage{
-		Loads:   []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
-		Demands: []Demand{{Account: "t1", Tokens: bigNumber}, {Account: "t2", Tokens: 12}},
-		Number:  86, Started: 87, Missed: 88, Served: []Demand{{Account: "t2", Tokens: 89}}, Seq: 90, Late: []Demand{{Account: "t1", Tokens: 92}}, Unread: []Demand{{Account: "t2", Tokens: 93}},
+		Loads:          []ServerLoad{{Handle: 7, Requests: 2, Tokens: 90000}, {Handle: 8, Requests: 300, Tokens: 1}},
+		Demands:        []Demand{{Account: "t1", Tokens: bigNumber}, {Account: "t2", Tokens: 12}},
+		DocumentNumber: 86, Started: 87, Missed: 88, Served: []Demand{{Account: "t2", Tokens: 89}}, Seq: 90, Late: []Demand{{Account: "t1", Tokens: 92}}, Unread: []Demand{{Account: "t2", Tokens: 93}},
 		Outcomes: []Outcomes{
 			{Pool: "web", Attempt: 98, Version: "v7", Route: "pay", Sent: 99, Answered: 100, Failed: 101, PaceCounts: []uint32{102, 0, 103}},
 			{Pool: "web", Attempt: 104, Version: "v6"},
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -144,9 +144,9 @@
 
 // Usage is a gateway's report to the leader, sent ten times a second.
 type Usage struct {
-	Loads   []ServerLoad `cbor:"1,keyasint,omitempty"`
-	Demands []Demand     `cbor:"2,keyasint,omitempty"`
-	Number  uint64       `cbor:"3,keyasint,omitempty"` // number of the document in force at the gateway
+	Loads          []ServerLoad `cbor:"1,keyasint,omitempty"`
+	Demands        []Demand     `cbor:"2,keyasint,omitempty"`
+	DocumentNumber uint64       `cbor:"3,keyasint,omitempty"` // number of the document in force at the gateway
 	// Started counts the tokens of requests dispatched to engines since the previous report.
 	// Missed counts those of requests within a share that found no free capacity.
 	Started uint64 `cbor:"4,keyasint,omitempty"`
