--- a/control/session.go
+++ b/control/session.go
@@ -50,7 +50,7 @@
 	d := c.dispatcher
 	d.call(func() {
 		r = protocol.Redirect{
-			Leader: d.group.Leader.Name, Follows: !d.group.Leader.IsZero(), Group: d.group.Group,
+			Leader: d.group.Leader.Name, FollowsLeader: !d.group.Leader.IsZero(), Group: d.group.Group,
 			Revision: d.c.state.Config().Revision(), Pending: d.group.LastIndex > d.group.Applied,
 		}
 		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.recordingEnd[holder]
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -31,7 +31,7 @@
 		Held: []ServerSlots{{Server: "a1", Slots: 4}, {Server: "a2", Slots: 500}}, Pools: goldenPools,
 	},
 	Welcome{Epoch: 41, LeaseMillis: 3000, Leader: "control-2", StateKept: true, Reports: 99, LeaseExpired: true},
-	Redirect{Leader: "control-2", Follows: true, Group: bigNumber, Revision: 301, Pending: true},
+	Redirect{Leader: "control-2", FollowsLeader: true, Group: bigNumber, Revision: 301, Pending: true},
 	Renew{Seq: 17, Revision: 302},
 	Renewed{Seq: 18},
 	Report{
--- a/protocol/session.go
+++ b/protocol/session.go
@@ -46,9 +46,9 @@
 // replicas in their settings. It reports the state of the replica's log: a router extends its
 // own lease if a majority answers that there is no leader and no newer configuration.
 type Redirect struct {
-	Leader  string `cbor:"1,keyasint,omitempty"` // empty if there is no leader
-	Follows bool   `cbor:"2,keyasint,omitempty"` // the replica currently follows a leader
-	Group   uint64 `cbor:"3,keyasint,omitempty"` // identity of the configuration group
+	Leader        string `cbor:"1,keyasint,omitempty"` // empty if there is no leader
+	FollowsLeader bool   `cbor:"2,keyasint,omitempty"` // the replica currently follows a leader
+	Group         uint64 `cbor:"3,keyasint,omitempty"` // identity of the configuration group
 	// Revision is the newest configuration that the replica has applied. Pending is set if its
 	// log holds entries that it has not applied.
 	Revision uint64 `cbor:"4,keyasint,omitempty"`
--- a/router/leader.go
+++ b/router/leader.go
@@ -134,7 +134,7 @@
 // provesNoNewerRevision reports whether a replica that answered with r has no leader and nothing
 // newer than revision. The zero Redirect proves nothing.
 func provesNoNewerRevision(r protocol.Redirect, revision uint64) bool {
-	return r.Group != 0 && !r.Follows && !r.Pending && r.Revision <= revision
+	return r.Group != 0 && !r.FollowsLeader && !r.Pending && r.Revision <= revision
 }
 
 // extendWithoutLeader extends a lease that is still valid. An expired lease needs an allocator,
