--- a/coordination/registry/cold.go
+++ b/coordination/registry/cold.go
@@ -64,7 +64,7 @@
 	if now >= c.until {
 		return nil
 	}
-	return &protocol.Cold{Left: c.until - now, Shares: c.shares}
+	return &protocol.Cold{Remaining: c.until - now, Shares: c.shares}
 }
 
 // PresumeCold marks the backend servers of halls that are back in service as cold for
--- a/coordination/registry/copy.go
+++ b/coordination/registry/copy.go
@@ -117,7 +117,7 @@
 	}
 	e := copiedServer{Server: s, session: c.session}
 	if s.Cold != nil {
-		e.coldUntil = now + s.Cold.Left
+		e.coldUntil = now + s.Cold.Remaining
 		c.coldUntil = max(c.coldUntil, e.coldUntil)
 	}
 	c.servers[s.ID], c.byAddress[s.Address] = e, s.ID
@@ -175,7 +175,7 @@
 func (e copiedServer) toServer(now time.Duration) protocol.Server {
 	s := e.Server
 	if s.Cold != nil {
-		s.Cold = &protocol.Cold{Left: e.coldUntil - now, Shares: s.Cold.Shares}
+		s.Cold = &protocol.Cold{Remaining: e.coldUntil - now, Shares: s.Cold.Shares}
 	}
 	if now >= e.coldUntil {
 		s.Cold = nil
--- a/coordination/registry/relay_test.go
+++ b/coordination/registry/relay_test.go
@@ -132,7 +132,7 @@
 	server := func(id, address string, handle uint32, cold time.Duration) protocol.Server {
 		s := protocol.Server{Registration: protocol.Registration{ID: id, Pool: "p", Address: address}, Handle: handle}
 		if cold > 0 {
-			s.Cold = &protocol.Cold{Left: cold, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 1}}}
+			s.Cold = &protocol.Cold{Remaining: cold, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 1}}}
 		}
 		return s
 	}
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -211,7 +211,7 @@
 	change := h.registry.DivideColdRates(now, names, h.d.state.coldRates())
 	for _, s := range change.Set {
 		h.d.cfg.Log.StateChange("cold backend rate divided", slog.String("backend", s.ID),
-			slog.Int64("left_ms", s.Cold.Left.Milliseconds()), slog.Any("shares", s.Cold.Shares))
+			slog.Int64("left_ms", s.Cold.Remaining.Milliseconds()), slog.Any("shares", s.Cold.Shares))
 	}
 	h.pendingChange = h.pendingChange.Merge(change)
 }
--- a/gateway/halls_test.go
+++ b/gateway/halls_test.go
@@ -44,7 +44,7 @@
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		s := x.g.table.servers["p0"].Server
-		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
+		s.Cold = &protocol.Cold{Remaining: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 		ask := func() int { return x.request("/once/1", "Patience", "300").status }
 		is.Equal(ask(), 503) // no report has been counted
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -276,7 +276,7 @@
 // rather than when an entry lacks it, because a new leader may not hold it yet.
 func (t *table) setCold(k *knownServer) {
 	if k.Cold != nil {
-		k.cold = k.cold.WithCold(t.now(), k.Cold.Left, k.ID, t.gateway, k.Cold.Shares)
+		k.cold = k.cold.WithCold(t.now(), k.Cold.Remaining, k.ID, t.gateway, k.Cold.Shares)
 	}
 }
 
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -325,7 +325,7 @@
 		is := is.New(x.t)
 		x.setVersions("v1", "v2")
 		s := x.g.table.servers["p1"].Server
-		s.Cold = &protocol.Cold{Left: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
+		s.Cold = &protocol.Cold{Remaining: 10 * time.Second, Shares: []protocol.ColdShare{{Gateway: "g", PerSecond: 2}}}
 		x.g.table.update(protocol.Servers{Term: 1, Set: []protocol.Server{s}})
 		x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 0.9}) // draws are always within the share
 		x.renewShares()
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -84,7 +84,7 @@
 		Set: []Server{
 			{
 				Registration: Registration{ID: "engine-1#a", Pool: "llm", Address: "10.0.0.3:80", Hall: "hall-a", Slots: 16, Version: "v7", Born: 1<<41 + 118}, Handle: 1<<32 - 1,
-				Cold: &Cold{Left: 3 * time.Second, Shares: []ColdShare{{Gateway: "gateway-1", PerSecond: 5}, {Gateway: "gateway-2", PerSecond: 4}}},
+				Cold: &Cold{Remaining: 3 * time.Second, Shares: []ColdShare{{Gateway: "gateway-1", PerSecond: 5}, {Gateway: "gateway-2", PerSecond: 4}}},
 			},
 			{Registration: Registration{ID: "engine-2#b", Pool: "llm", Address: "10.0.0.4:80"}, Handle: 2},
 		},
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -85,8 +85,8 @@
 
 // Cold describes the limits of a backend server that can serve only few requests for a while.
 type Cold struct {
-	Left   time.Duration `cbor:"1,keyasint"`           // remaining time, as of sending
-	Shares []ColdShare   `cbor:"2,keyasint,omitempty"` // shares of the gateways that may send to it
+	Remaining time.Duration `cbor:"1,keyasint"`           // remaining time, as of sending
+	Shares    []ColdShare   `cbor:"2,keyasint,omitempty"` // shares of the gateways that may send to it
 }
 
 // ColdShare is the rate at which one gateway may send to a cold backend server.
