--- a/coordination/registry/reportaggregator.go
+++ b/coordination/registry/reportaggregator.go
@@ -68,7 +68,7 @@
 	documentNumber  uint64 // number of the document in force there
 	lastApplied     uint64 // Seq of the newest list of rollouts applied, by the latest report
 	previousApplied uint64 // the same by the report before: the requests of a report may have begun under an older list
-	barred          []protocol.Barred
+	barred          []protocol.BarredTarget
 }
 
 // pendingCounts holds the counts since the last report to the leader.
@@ -204,12 +204,12 @@
 }
 
 // mergedBarred returns the versions barred at any gateway, without duplicates.
-func (s *ReportAggregator) mergedBarred() []protocol.Barred {
-	var all []protocol.Barred
+func (s *ReportAggregator) mergedBarred() []protocol.BarredTarget {
+	var all []protocol.BarredTarget
 	for _, g := range s.gateways {
 		all = append(all, g.barred...)
 	}
-	slices.SortFunc(all, func(a, b protocol.Barred) int {
+	slices.SortFunc(all, func(a, b protocol.BarredTarget) int {
 		return cmp.Or(cmp.Compare(a.Pool, b.Pool), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	return slices.Compact(all)
--- a/directory/activerollout_test.go
+++ b/directory/activerollout_test.go
@@ -83,12 +83,12 @@
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
 	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
-	report := func(list ...protocol.Barred) {
+	report := func(list ...protocol.BarredTarget) {
 		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
-	report(protocol.Barred{Pool: "p", Attempt: 1}, protocol.Barred{Pool: "q", Attempt: 2})
+	report(protocol.BarredTarget{Pool: "p", Attempt: 1}, protocol.BarredTarget{Pool: "q", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.Continue)
-	report(protocol.Barred{Pool: "p", Attempt: 2})
+	report(protocol.BarredTarget{Pool: "p", Attempt: 2})
 	is.Equal(r.decision.Action, rollout.RollBack)
 	is.Equal(r.listEntry(protocol.Rollout{}), protocol.Rollout{Target: "v2", Barred: []string{"v2"}})
 }
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -51,7 +51,7 @@
 const reasonBarredByPreviousLeader = "barred by the previous leader"
 
 // applyBarred rolls back targets that a gateway has barred by a verdict that the log may lack.
-func (h *hub) applyBarred(list []protocol.Barred) {
+func (h *hub) applyBarred(list []protocol.BarredTarget) {
 	for _, b := range list {
 		if r := h.rollouts.underWay[b.Pool]; r != nil && r.Attempt == b.Attempt && r.decision.Action != rollout.RollBack {
 			r.decision.Action, r.decision.Reason = rollout.RollBack, reasonBarredByPreviousLeader
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -96,16 +96,16 @@
 }
 
 // locallyBarred returns the targets that an earlier leader has barred and the newest list has not.
-func (t *table) locallyBarred() []protocol.Barred {
+func (t *table) locallyBarred() []protocol.BarredTarget {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var barred []protocol.Barred
+	var barred []protocol.BarredTarget
 	for name, p := range t.pools {
 		if r := p.rollout; r != nil && r.barredLocally {
-			barred = append(barred, protocol.Barred{Pool: name, Attempt: r.Attempt})
+			barred = append(barred, protocol.BarredTarget{Pool: name, Attempt: r.Attempt})
 		}
 	}
-	slices.SortFunc(barred, func(a, b protocol.Barred) int { return strings.Compare(a.Pool, b.Pool) })
+	slices.SortFunc(barred, func(a, b protocol.BarredTarget) int { return strings.Compare(a.Pool, b.Pool) })
 	return barred
 }
 
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -193,7 +193,7 @@
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
 		is.Equal(obeyed(), uint64(0)) // the previous leader has barred the target
-		is.Equal(x.g.table.locallyBarred(), []protocol.Barred{{Pool: "plain", Attempt: 1}})
+		is.Equal(x.g.table.locallyBarred(), []protocol.BarredTarget{{Pool: "plain", Attempt: 1}})
 		x.sendRollout(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
 		is.Equal(obeyed(), uint64(2))
 		is.Equal(len(x.g.table.locallyBarred()), 0)
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -99,7 +99,7 @@
 			{Pool: "web", Attempt: 98, Version: "v7", Route: "pay", Sent: 99, Answered: 100, Failed: 101, PaceCounts: []uint32{102, 0, 103}},
 			{Pool: "web", Attempt: 104, Version: "v6"},
 		},
-		AppliedRollouts: 105, Incremental: true, Barred: []Barred{{Pool: "web", Attempt: 106}},
+		AppliedRollouts: 105, Incremental: true, Barred: []BarredTarget{{Pool: "web", Attempt: 106}},
 		Losses: []Loss{
 			{Key: []byte("0123456789abcdef"), Hint: 1<<32 - 1, Account: "t1", Pool: "llm", Server: "engine-1#a", Address: "10.0.0.3:80", Ran: 115, Age: 116, Again: true, Serving: true},
 			{Key: []byte("fedcba9876543210"), Pool: "llm", Server: "engine-1#a"},
--- a/protocol/rollout.go
+++ b/protocol/rollout.go
@@ -46,8 +46,8 @@
 	List []Rollout `cbor:"3,keyasint,omitempty"`
 }
 
-// Barred identifies the rollout whose target receives no requests.
-type Barred struct {
+// BarredTarget identifies the rollout whose target receives no requests.
+type BarredTarget struct {
 	_       struct{} `cbor:",toarray"`
 	Pool    string
 	Attempt uint64 // of the pool's rollouts
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -169,7 +169,7 @@
 	Incremental bool `cbor:"11,keyasint,omitempty"`
 	// Barred are targets that a leader has barred at this gateway and that the newest
 	// [Rollouts] does not bar, because the log may lack the decision.
-	Barred []Barred `cbor:"12,keyasint,omitempty"`
+	Barred []BarredTarget `cbor:"12,keyasint,omitempty"`
 	// Losses are requests that ran on servers that have ended since the last report. The first
 	// report of a session has all that no complete answer has cleared.
 	Losses []Loss `cbor:"13,keyasint,omitempty"`
