--- a/cmd/badgerspoke-node/main.go
+++ b/cmd/badgerspoke-node/main.go
@@ -45,7 +45,7 @@
 	log := decision.New(os.Stdout, cfg.LogLevel, decision.DefaultBudget, metricSet)
 	defer log.Close()
 	log.StateChange("started", slog.String("node", cfg.Name), slog.String("role", string(role)), slog.Any("seeds", cfg.Seeds),
-		slog.Bool("first", cfg.Bootstrap), slog.Int64("memory", cfg.Memory))
+		slog.Bool("first", cfg.Bootstrap), slog.Int64("memory", cfg.MemoryLimit))
 	if err := serve(cfg, role, log, metricSet); err != nil {
 		log.StateChange("stopped", slog.String("error", err.Error()))
 		return exitFailed
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -67,7 +67,7 @@
 	g := gateway.Start(runCtx, gateway.Settings{
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
-		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodyMemoryShare * float64(cfg.Memory)),
+		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodyMemoryShare * float64(cfg.MemoryLimit)),
 		Random: rand.Uint64, ProcessorWait: newSchedulingDelay().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
 	callers, err := b.listenToCallers(runCtx, g)
@@ -123,7 +123,7 @@
 // maxConnections returns the limit of callers' connections.
 func (cfg Settings) maxConnections() int {
 	byDescriptors := cfg.Descriptors - reservedDescriptors
-	byMemory := int(connectionMemoryShare * float64(cfg.Memory) / memoryPerConnection)
+	byMemory := int(connectionMemoryShare * float64(cfg.MemoryLimit) / memoryPerConnection)
 	return max(min(byDescriptors, byMemory), minConnections)
 }
 
--- a/process/process.go
+++ b/process/process.go
@@ -69,7 +69,7 @@
 	Rollouts rollout.Bounds
 
 	Grace       time.Duration // time from the stop signal until the process is killed
-	Memory      int64         // memory limit in bytes; 0 means unlimited
+	MemoryLimit int64         // memory limit in bytes; 0 means unlimited
 	Descriptors int           // limit of open file descriptors
 	LogLevel    slog.Level
 }
@@ -95,8 +95,8 @@
 }
 
 func start(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
-	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(cfg.Memory)))
+	if cfg.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryLimit)))
 	}
 	b := &base{cfg: cfg, log: log, metrics: metricSet}
 	if cfg.MetricsAddress == "" {
