--- a/process/directory.go
+++ b/process/directory.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "listen on %s", p.cfg.APIAddress)
 	}
-	limit := max(int(apiDescriptorShare*float64(p.cfg.Descriptors)), minAPIConnections)
+	limit := max(int(apiDescriptorShare*float64(p.cfg.DescriptorLimit)), minAPIConnections)
 	idle := newIdleConnections(limit)
 	p.serve(socket.LimitListener(l, limit), &http.Server{Handler: &p.api, ConnContext: withConnection, ConnState: idle.track})
 	go idle.sweep(ctx, func() time.Duration { return apiIdleIntervals * p.cfg.AnnounceInterval })
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -122,7 +122,7 @@
 
 // maxConnections returns the limit of callers' connections.
 func (cfg Settings) maxConnections() int {
-	byDescriptors := cfg.Descriptors - reservedDescriptors
+	byDescriptors := cfg.DescriptorLimit - reservedDescriptors
 	byMemory := int(connectionMemoryShare * float64(cfg.MemoryLimit) / memoryPerConnection)
 	return max(min(byDescriptors, byMemory), minConnections)
 }
--- a/process/process.go
+++ b/process/process.go
@@ -68,10 +68,10 @@
 	// Rollouts bounds the damage of a bad version of a pool's backend servers.
 	Rollouts rollout.Bounds
 
-	Grace       time.Duration // time from the stop signal until the process is killed
-	MemoryLimit int64         // memory limit in bytes; 0 means unlimited
-	Descriptors int           // limit of open file descriptors
-	LogLevel    slog.Level
+	Grace           time.Duration // time from the stop signal until the process is killed
+	MemoryLimit     int64         // memory limit in bytes; 0 means unlimited
+	DescriptorLimit int           // limit of open file descriptors
+	LogLevel        slog.Level
 }
 
 // heapShare is the fraction of the memory used as the Go runtime's soft limit. The rest covers
