--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -20,12 +20,12 @@
 type countingConn struct {
 	net.Conn
 	openedAt     time.Time
-	forget       func() // removes the connection from the client's list
+	deregister   func() // removes the connection from the client's list
 	bytesWritten atomic.Int64
 	callsStarted atomic.Int64 // calls that were given the connection
-	lastKeptCall atomic.Int64 // number of the last call that left the connection idle
-	// unwanted is called before the first byte of the current call, and is nil afterwards.
-	unwanted atomic.Pointer[func() bool]
+	lastIdleCall atomic.Int64 // number of the last call that left the connection idle
+	// abandoned is called before the first byte of the current call, and is nil afterwards.
+	abandoned atomic.Pointer[func() bool]
 }
 
 // ErrAbandoned is the error of a call that was abandoned before it was sent.
@@ -38,7 +38,7 @@
 // is not enough: the call then passes through further goroutines, and on a gateway that is
 // short of processor time it would be sent up to half a second after its caller had left.
 func (c *countingConn) Write(b []byte) (int, error) {
-	if unwanted := c.unwanted.Swap(nil); unwanted != nil && (*unwanted)() {
+	if unwanted := c.abandoned.Swap(nil); unwanted != nil && (*unwanted)() {
 		return 0, ErrAbandoned
 	}
 	n, err := c.Conn.Write(b)
@@ -48,14 +48,14 @@
 
 // Close implements [net.Conn].
 func (c *countingConn) Close() error {
-	c.forget()
+	c.deregister()
 	return c.Conn.Close()
 }
 
 // idle reports whether no call is using the connection. A call may be given it right
 // afterwards; if it is then closed, that call fails as if the server had closed it.
 func (c *countingConn) idle() bool {
-	return c.lastKeptCall.Load() == c.callsStarted.Load() && c.callsStarted.Load() > 0
+	return c.lastIdleCall.Load() == c.callsStarted.Load() && c.callsStarted.Load() > 0
 }
 
 // connections holds the open connections of a client by server address.
@@ -67,7 +67,7 @@
 // add registers a new connection and returns it wrapped in a countingConn.
 func (o *connections) add(address string, conn net.Conn) *countingConn {
 	c := &countingConn{Conn: conn, openedAt: time.Now()}
-	c.forget = func() { o.remove(address, c) }
+	c.deregister = func() { o.remove(address, c) }
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.open[address] == nil {
@@ -118,8 +118,8 @@
 	conn          atomic.Pointer[countingConn]
 	callNumber    int64 // of the call on the connection
 	writtenBefore int64 // bytes written on the connection before the call
-	// unwanted is the call's Unwanted function, or nil.
-	unwanted func() bool
+	// abandoned is the call's Unwanted function, or nil.
+	abandoned func() bool
 }
 
 // attach returns a context that makes net/http report the call's progress to s.
@@ -134,8 +134,8 @@
 		return
 	}
 	s.callNumber, s.writtenBefore = c.callsStarted.Add(1), c.bytesWritten.Load()
-	if s.unwanted != nil {
-		c.unwanted.Store(&s.unwanted)
+	if s.abandoned != nil {
+		c.abandoned.Store(&s.abandoned)
 	}
 	s.conn.Store(c)
 }
@@ -143,7 +143,7 @@
 // putIdleConn is called by net/http when it returns the connection to the idle pool.
 func (s *callTrace) putIdleConn(err error) {
 	if c := s.conn.Load(); c != nil && err == nil {
-		c.lastKeptCall.Store(s.callNumber)
+		c.lastIdleCall.Store(s.callNumber)
 	}
 }
 
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -167,7 +167,7 @@
 	defaultDialTimeout = 2 * time.Second
 	defaultIdleTime    = 30 * time.Second
 	minIdlePerServer   = 16       // connections to one server
-	maxAnswerHeader    = 64 << 10 // bytes; the limit that our own listeners have for requests
+	maxResponseHeader  = 64 << 10 // bytes; the limit that our own listeners have for requests
 	maxRefusal         = 4 << 10  // bytes of a refusal's body that are read so that its connection can be reused
 )
 
@@ -199,7 +199,7 @@
 		MaxIdleConnsPerHost:    max(cfg.MaxIdlePerServer, minIdlePerServer),
 		IdleConnTimeout:        cfg.IdleTimeout,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxAnswerHeader,
+		MaxResponseHeaderBytes: maxResponseHeader,
 	}}
 }
 
@@ -231,7 +231,7 @@
 // has arrived. Cancelling ctx aborts the call, including the reading of its body. The
 // error is a [NotRun] or an [MayHaveRun].
 func (c *Client) Send(ctx context.Context, address string, call Call) (*Response, error) {
-	trace := callTrace{unwanted: call.Abandoned}
+	trace := callTrace{abandoned: call.Abandoned}
 	req, err := newRequest(trace.attach(ctx), address, call)
 	if err != nil {
 		return nil, NotRun{Server: address, Err: err}
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -55,7 +55,7 @@
 	return requests
 }
 
-const fineAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
 // TestCallsGoOutAsTheyAre checks that request targets which an HTTP library might normalise
 // are sent unchanged.
@@ -96,7 +96,7 @@
 						conn.Close()
 						return
 					}
-					_, _ = io.WriteString(conn, fineAnswer)
+					_, _ = io.WriteString(conn, okResponse)
 				})
 				c := client(t, n)
 				a, err := c.Send(t.Context(), address, call)
@@ -120,7 +120,7 @@
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
 		requests := rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) {
-			_, _ = io.WriteString(conn, fineAnswer)
+			_, _ = io.WriteString(conn, okResponse)
 			time.AfterFunc(time.Second, func() { conn.Close() })
 		})
 		c := client(t, n)
@@ -146,9 +146,9 @@
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
 		rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, request int) {
-			_, _ = io.WriteString(conn, fineAnswer)
+			_, _ = io.WriteString(conn, okResponse)
 			if request == 1 {
-				_, _ = io.WriteString(conn, strings.Replace(fineAnswer, "fine", "evil", 1))
+				_, _ = io.WriteString(conn, strings.Replace(okResponse, "fine", "evil", 1))
 			}
 		})
 		c := client(t, n)
@@ -199,7 +199,7 @@
 		n := fakenet.New(time.Millisecond)
 		rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) {
 			time.Sleep(100 * time.Millisecond)
-			_, _ = io.WriteString(conn, fineAnswer)
+			_, _ = io.WriteString(conn, okResponse)
 		})
 		opened := 0
 		c := forward.New(forward.Settings{Dialer: n.DialerFrom("10.0.0.2"), OnOpen: func() { opened++ }})
@@ -241,7 +241,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
-		requests := rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) { _, _ = io.WriteString(conn, fineAnswer) })
+		requests := rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) { _, _ = io.WriteString(conn, okResponse) })
 		c := client(t, n)
 		send := func(unwanted bool) error {
 			a, err := c.Send(t.Context(), address, forward.Call{Method: "POST", Path: "/", Body: []byte("a body"), Abandoned: func() bool { return unwanted }})
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -23,15 +23,15 @@
 
 // Keep-alive probes of an idle connection. They detect a silent peer after five seconds.
 const (
-	probeAfter      = 2 * time.Second // idle time before the first probe
-	probeEvery      = time.Second     // interval between probes
+	probeIdleTime   = 2 * time.Second // idle time before the first probe
+	probeInterval   = time.Second     // interval between probes
 	maxFailedProbes = 3               // unanswered probes after which the connection fails
 )
 
 // tcpUserTimeout is TCP_USER_TIMEOUT from linux/tcp.h, which package syscall does not define.
 const tcpUserTimeout = 0x12
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: maxFailedProbes}
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeIdleTime, Interval: probeInterval, Count: maxFailedProbes}
 
 // Dial opens a connection within DialTimeout. Its signature is that of net.Dialer.DialContext.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
