--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -42,7 +42,7 @@
 	return c
 }
 
-func TestContract(t *testing.T) {
+func TestSendClassifiesBackendFailures(t *testing.T) {
 	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets")}
 	tests := []struct {
 		name         string
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestRefuses checks that Refuses reports true only for a box that refuses the connection, and
+// TestRefusesOnlyIfNothingListens checks that Refuses reports true only for a box that refuses the connection, and
 // false for one that is listening or cut off from the network.
-func TestRefuses(t *testing.T) {
+func TestRefusesOnlyIfNothingListens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestUnreachableHasNotRun(t *testing.T) {
+func TestUnreachableServerGivesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -118,11 +118,11 @@
 	})
 }
 
-// TestLibraryDoesNotRepeat closes a reused connection just as a second call is
+// TestTransportDoesNotRetryByItself closes a reused connection just as a second call is
 // sent on it. Go's transport retries such a call by itself when it looks
 // idempotent: a GET, or any request with an Idempotency-Key. A call that must not
 // be retried has to reach the server exactly once.
-func TestLibraryDoesNotRepeat(t *testing.T) {
+func TestTransportDoesNotRetryByItself(t *testing.T) {
 	tests := []struct {
 		name        string
 		call        forward.Call
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestLoad(t *testing.T) {
+func TestLoadHeader(t *testing.T) {
 	tests := []struct {
 		header           string
 		running, waiting int
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -16,9 +16,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// TestIdleToAllIsBounded checks that IdleAll limits the idle connections to all servers together
+// TestMaxIdleBoundsConnectionsToAllServers checks that IdleAll limits the idle connections to all servers together
 // and that the most recently used ones are kept.
-func TestIdleToAllIsBounded(t *testing.T) {
+func TestMaxIdleBoundsConnectionsToAllServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -57,9 +57,9 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
-// TestCallsGoOutAsTheyAre checks that request targets which an HTTP library might normalise
+// TestRequestTargetIsSentUnchanged checks that request targets which an HTTP library might normalise
 // are sent unchanged.
-func TestCallsGoOutAsTheyAre(t *testing.T) {
+func TestRequestTargetIsSentUnchanged(t *testing.T) {
 	for _, target := range []string{"/a%2Fb/../c?q=%20&r", "/a//b/", "//double/x?y", "/plain"} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestNothingArrivesTwice closes a reused connection after the server has read the
+// TestCallIsNotResentAfterBrokenConnection closes a reused connection after the server has read the
 // second request. The client must not send that request again, whatever its method
 // and headers.
-func TestNothingArrivesTwice(t *testing.T) {
+func TestCallIsNotResentAfterBrokenConnection(t *testing.T) {
 	for name, call := range map[string]forward.Call{
 		"GET":             {Method: "GET", Path: "/x"},
 		"POST":            {Method: "POST", Path: "/x", Body: []byte("b")},
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestClosedKeptConnectionHasNotRun lets the server close idle connections. The next
+// TestCallOnClosedIdleConnectionHasNotRun lets the server close idle connections. The next
 // call must be sent on another connection or fail with NotRun.
-func TestClosedKeptConnectionHasNotRun(t *testing.T) {
+func TestCallOnClosedIdleConnectionHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -139,9 +139,9 @@
 	})
 }
 
-// TestSurplusAnswerBelongsToNobody sends extra bytes after a complete response. The
+// TestSurplusResponseIsDiscarded sends extra bytes after a complete response. The
 // client must close that connection, so that the next call gets its own response.
-func TestSurplusAnswerBelongsToNobody(t *testing.T) {
+func TestSurplusResponseIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestRefusedBySettings checks that Settings.Refused decides which responses are refusals.
-func TestRefusedBySettings(t *testing.T) {
+// TestIsRefusalDecidesRefusals checks that Settings.Refused decides which responses are refusals.
+func TestIsRefusalDecidesRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -191,9 +191,9 @@
 	})
 }
 
-// TestDropIdle drops idle connections whose peer has stopped responding: later calls must
+// TestDropIdleSparesConnectionsInUse drops idle connections whose peer has stopped responding: later calls must
 // open new ones, and a connection that a call is using must stay open.
-func TestDropIdle(t *testing.T) {
+func TestDropIdleSparesConnectionsInUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -235,9 +235,9 @@
 	})
 }
 
-// TestUnwantedCallIsNotSent abandons a call just before its header is written, on a new and on
+// TestAbandonedCallIsNotSent abandons a call just before its header is written, on a new and on
 // a reused connection. The server must not receive it, and must receive the call after it.
-func TestUnwantedCallIsNotSent(t *testing.T) {
+func TestAbandonedCallIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestHandshakeRefuses(t *testing.T) {
+func TestHandshakeRefusesUnprovenPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
@@ -109,7 +109,7 @@
 	})
 }
 
-func TestSlowPeerLosesItsLink(t *testing.T) {
+func TestOutboxOverflowClosesLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d, a := openPair(t, nil)
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestDrainSendsEverything(t *testing.T) {
+func TestDrainSendsQueuedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d, a := openPair(t, nil)
@@ -147,9 +147,9 @@
 	})
 }
 
-// TestLargeMessageOnASlowLink sends a message that takes longer than the limit of silence. It
+// TestIdleTimeoutAllowsSlowLargeMessage sends a message that takes longer than the limit of silence. It
 // must arrive, while a peer that stops in the middle of a message must break the link.
-func TestLargeMessageOnASlowLink(t *testing.T) {
+func TestIdleTimeoutAllowsSlowLargeMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
--- a/transport/mesh/mesh_test.go
+++ b/transport/mesh/mesh_test.go
@@ -19,9 +19,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/mesh"
 )
 
-// TestKeep checks that a link passed to Keep stays open without messages, even if its queue was
+// TestKeepOpenPreventsIdleClose checks that a link passed to Keep stays open without messages, even if its queue was
 // about to be removed as idle, and that a link which is no longer kept ends.
-func TestKeep(t *testing.T) {
+func TestKeepOpenPreventsIdleClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
