--- a/control/claims.go
+++ b/control/claims.go
@@ -87,11 +87,11 @@
 	s.out.Send(answer)
 }
 
-// followLeader keeps the leaders of the two groups on one replica, because a router
+// colocateLeaders keeps the leaders of the two groups on one replica, because a router
 // has a single session, with the leader of the configuration group. A replica that
 // leads only the claims group transfers its leadership to that leader. Until the
 // transfer is done, claims are answered with ClaimRetry.
-func (c *Control) followLeader() {
+func (c *Control) colocateLeaders() {
 	for sleep.For(c.ctx, c.cfg.HeartbeatInterval) {
 		var leader string
 		c.dispatcher.call(func() { leader = c.dispatcher.group.Leader.Name })
@@ -116,7 +116,7 @@
 type claimKey struct{ account, key string }
 
 type claimWatcher struct {
-	name    claimKey
+	key     claimKey
 	settled chan struct{} // buffered, so that settling never blocks
 }
 
@@ -125,22 +125,22 @@
 }
 
 func (c *claimWatchers) add(account, key string) *claimWatcher {
-	w := &claimWatcher{name: claimKey{account, key}, settled: make(chan struct{}, 1)}
+	w := &claimWatcher{key: claimKey{account, key}, settled: make(chan struct{}, 1)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.waiting[w.name] == nil {
-		c.waiting[w.name] = map[*claimWatcher]bool{}
+	if c.waiting[w.key] == nil {
+		c.waiting[w.key] = map[*claimWatcher]bool{}
 	}
-	c.waiting[w.name][w] = true
+	c.waiting[w.key][w] = true
 	return w
 }
 
 func (c *claimWatchers) remove(w *claimWatcher) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting[w.name], w)
-	if len(c.waiting[w.name]) == 0 {
-		delete(c.waiting, w.name)
+	delete(c.waiting[w.key], w)
+	if len(c.waiting[w.key]) == 0 {
+		delete(c.waiting, w.key)
 	}
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -84,7 +84,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	c := &Control{cfg: cfg, ctx: ctx, stop: stop, watchers: newClaimWatchers()}
 	c.dispatcher = newDispatcher(c)
-	c.state = newReplicated(c.dispatcher.configChanged)
+	c.state = newReplicatedState(c.dispatcher.configChanged)
 	c.register = claim.New()
 	c.register.OnSettled = c.watchers.notifySettled
 	addressOf := func(name string) string { return cfg.Replicas[name] }
@@ -94,13 +94,13 @@
 		return nil, err
 	}
 	c.goroutines.Go(c.dispatcher.run)
-	c.goroutines.Go(c.followLeader)
+	c.goroutines.Go(c.colocateLeaders)
 	return c, nil
 }
 
 func (c *Control) startGroups() error {
 	var err error
-	if c.config, err = c.startGroup(configGroup, c.state, c.dispatcher.observe); err != nil {
+	if c.config, err = c.startGroup(configGroup, c.state, c.dispatcher.publishStatus); err != nil {
 		return err
 	}
 	c.claims, err = c.startGroup(claimGroup, claimMachine{c.register}, nil)
@@ -164,16 +164,16 @@
 // Err returns why the replica stopped. It may be called once Done is closed.
 func (c *Control) Err() error { return c.config.Err() }
 
-// handoverElections limits how long Stop waits for a successor, in election timeouts. If no other
+// handoverElectionTimeouts limits how long Stop waits for a successor, in election timeouts. If no other
 // replica is running, there will be none.
-const handoverElections = 5
+const handoverElectionTimeouts = 5
 
-// handOver transfers the leadership of both groups to another replica.
-func (c *Control) handOver(ctx context.Context) {
+// transferLeadership transfers the leadership of both groups to another replica.
+func (c *Control) transferLeadership(ctx context.Context) {
 	if len(c.cfg.Replicas) == 1 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, handoverElections*c.cfg.ElectionTimeout)
+	ctx, cancel := context.WithTimeout(ctx, handoverElectionTimeouts*c.cfg.ElectionTimeout)
 	defer cancel()
 	// If a transfer fails, the other replicas elect a leader after an election timeout.
 	_ = c.claims.Transfer(ctx)
@@ -183,7 +183,7 @@
 // Stop transfers leadership, if another replica can take it before ctx ends, and
 // stops the replica.
 func (c *Control) Stop(ctx context.Context) {
-	c.handOver(ctx)
+	c.transferLeadership(ctx)
 	c.stop()
 	<-c.config.Done()
 	<-c.claims.Done()
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -34,10 +34,10 @@
 
 // dispatcher owns the allocator and the sessions. Other goroutines send it events.
 type dispatcher struct {
-	c        *Control
-	events   chan func()
-	applied  chan struct{}    // signals that a configuration was applied
-	observed chan groupStatus // holds only the newest status
+	c             *Control
+	events        chan func()
+	configApplied chan struct{}    // signals that a configuration was applied
+	statusUpdates chan groupStatus // holds only the newest status
 
 	// The fields below are owned by run.
 	group           groupStatus
@@ -72,8 +72,8 @@
 
 func newDispatcher(c *Control) *dispatcher {
 	return &dispatcher{
-		c: c, events: make(chan func(), eventQueueDepth), applied: make(chan struct{}, 1),
-		observed: make(chan groupStatus, 1), sessions: map[string]*session{}, recordingEnd: map[claim.Holder]bool{},
+		c: c, events: make(chan func(), eventQueueDepth), configApplied: make(chan struct{}, 1),
+		statusUpdates: make(chan groupStatus, 1), sessions: map[string]*session{}, recordingEnd: map[claim.Holder]bool{},
 		openingSessions: map[claim.Holder]int{},
 	}
 }
@@ -81,19 +81,19 @@
 // configChanged signals that a configuration was applied. The replica's goroutine calls it.
 func (d *dispatcher) configChanged() {
 	select {
-	case d.applied <- struct{}{}:
+	case d.configApplied <- struct{}{}:
 	default:
 	}
 }
 
-// observe publishes the status of the configuration group. The replica's goroutine calls it
+// publishStatus publishes the status of the configuration group. The replica's goroutine calls it
 // after every batch.
-func (d *dispatcher) observe(s consensus.Status, leads bool) {
+func (d *dispatcher) publishStatus(s consensus.Status, leads bool) {
 	select {
-	case <-d.observed: // an older status that run has not received yet
+	case <-d.statusUpdates: // an older status that run has not received yet
 	default:
 	}
-	d.observed <- groupStatus{Status: s, leads: leads}
+	d.statusUpdates <- groupStatus{Status: s, leads: leads}
 }
 
 // call runs f in the dispatcher's goroutine, waits for it and reports whether it ran.
@@ -131,9 +131,9 @@
 		select {
 		case <-d.c.ctx.Done():
 			return
-		case s := <-d.observed:
+		case s := <-d.statusUpdates:
 			d.setGroup(s)
-		case <-d.applied:
+		case <-d.configApplied:
 			d.pushConfig()
 		case f := <-d.events:
 			f()
@@ -185,7 +185,7 @@
 	d.alloc = slots.NewAllocator(term, d.now(), d.c.cfg.Lease, d.c.cfg.Pace, expected)
 	d.pushConfig()
 	if operatorsAddr := d.c.cfg.OperatorsAddress; operatorsAddr != "" && d.c.state.OperatorsAddress(d.c.cfg.Identity.Name) != operatorsAddr {
-		cmd := command{Advert: &advert{Replica: d.c.cfg.Identity.Name, Address: operatorsAddr}}
+		cmd := command{Advert: &advertisedAddress{Replica: d.c.cfg.Identity.Name, Address: operatorsAddr}}
 		// After an error, the other replicas cannot direct operators to this one until it leads again.
 		go func() { _, _ = propose(d.c.ctx, d.c.config, cmd) }()
 	}
--- a/control/spread_bench_test.go
+++ b/control/distribution_bench_test.go
@@ -13,10 +13,10 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// BenchmarkSpread measures the cost of sending one accepted change to n routers: the
+// BenchmarkConfigDistribution measures the cost of sending one accepted change to n routers: the
 // bytes for each router and the leader's time to encode them all.
-func BenchmarkSpread(b *testing.B) {
-	m := newReplicated(func() {})
+func BenchmarkConfigDistribution(b *testing.B) {
+	m := newReplicatedState(func() {})
 	var ops []config.Op
 	for i := range 5800 {
 		a := config.Account{Name: fmt.Sprintf("account-%05d", i), Share: 1}.WithKey(config.HashKey(fmt.Sprint(i)))
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -24,8 +24,8 @@
 	{Open: &claim.Holder{Router: "router-2", Boot: 1<<64 - 2}},
 	{Open: &claim.Holder{Router: "router-1", Boot: 12}},
 	{Open: &claim.Holder{Router: "router-1", Boot: 11}},
-	{Advert: &advert{Replica: "control-2", Address: "10.0.0.2:9000"}},
-	{Advert: &advert{Replica: "control-1", Address: "10.0.0.1:9000"}},
+	{Advert: &advertisedAddress{Replica: "control-2", Address: "10.0.0.2:9000"}},
+	{Advert: &advertisedAddress{Replica: "control-1", Address: "10.0.0.1:9000"}},
 	{End: &claim.Holder{Router: "router-1", Boot: 12}},
 }
 
@@ -41,7 +41,7 @@
 
 func TestGoldenSnapshot(t *testing.T) {
 	is := is.New(t)
-	m := newReplicated(func() {})
+	m := newReplicatedState(func() {})
 	for _, c := range goldenCommands {
 		b, err := cbor.Marshal(c)
 		is.NoErr(err)
@@ -49,10 +49,10 @@
 	}
 	b, err := m.Snapshot()
 	is.NoErr(err)
-	got := newReplicated(func() {})
+	got := newReplicatedState(func() {})
 	is.NoErr(got.Restore(golden.Bytes(t, "snapshot", b)))
 	is.Equal(got.Routers(), []claim.Holder{{Router: "router-1", Boot: 11}, {Router: "router-2", Boot: 1<<64 - 2}})
 	is.Equal(got.OperatorsAddress("control-2"), "10.0.0.2:9000")
-	is.True(reflect.DeepEqual(got.adverts, m.adverts))
+	is.True(reflect.DeepEqual(got.advertised, m.advertised))
 	is.True(reflect.DeepEqual(got.store, m.store))
 }
--- a/control/operators.go
+++ b/control/operators.go
@@ -30,9 +30,9 @@
 	maxOperatorMessage = 1 << 20
 	// keyBytes is the number of random bytes in a generated key: 192 bits.
 	keyBytes = 24
-	// maxUnbasedTries is the number of attempts at a change without a base revision when
+	// maxAttemptsWithoutBase is the number of attempts at a change without a base revision when
 	// concurrent changes are accepted before it.
-	maxUnbasedTries = 8
+	maxAttemptsWithoutBase = 8
 )
 
 // OperatorHandler returns the operators' API. It serves only callers that present
@@ -80,7 +80,7 @@
 	digest := requestDigest(req)
 	var revision uint64
 	var err error
-	for range maxUnbasedTries {
+	for range maxAttemptsWithoutBase {
 		if revision, err = o.proposeChange(ctx, ch, digest, derive); err == nil {
 			return revision, nil
 		}
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -21,15 +21,15 @@
 
 // command is a command of the configuration group. Exactly one field is set.
 type command struct {
-	Change *config.Change `cbor:"1,keyasint,omitempty"`
-	Open   *claim.Holder  `cbor:"2,keyasint,omitempty"` // the router may hold slots from now on
-	End    *claim.Holder  `cbor:"3,keyasint,omitempty"` // the router holds no slots any more
-	Advert *advert        `cbor:"4,keyasint,omitempty"`
+	Change *config.Change     `cbor:"1,keyasint,omitempty"`
+	Open   *claim.Holder      `cbor:"2,keyasint,omitempty"` // the router may hold slots from now on
+	End    *claim.Holder      `cbor:"3,keyasint,omitempty"` // the router holds no slots any more
+	Advert *advertisedAddress `cbor:"4,keyasint,omitempty"`
 }
 
-// advert is the address at which operators reach a replica. A leader appends its own to
+// advertisedAddress is the address at which operators reach a replica. A leader appends its own to
 // the log, so that the other replicas can direct operators to it.
-type advert struct {
+type advertisedAddress struct {
 	Replica string `cbor:"1,keyasint"`
 	Address string `cbor:"2,keyasint"`
 }
@@ -43,17 +43,17 @@
 // ReplicatedState is the applied state of the configuration group. It is safe for
 // concurrent use.
 type ReplicatedState struct {
-	mu        sync.Mutex // a leaf; guards store, routers and adverts
-	store     config.Store
-	routers   map[claim.Holder]bool
-	adverts   map[string]string // operators' addresses by replica
-	onApplied func()            // must not block
+	mu         sync.Mutex // a leaf; guards store, routers and adverts
+	store      config.Store
+	routers    map[claim.Holder]bool
+	advertised map[string]string // operators' addresses by replica
+	onApplied  func()            // must not block
 }
 
 var _ replica.StateMachine = (*ReplicatedState)(nil)
 
-func newReplicated(onApplied func()) *ReplicatedState {
-	return &ReplicatedState{routers: map[claim.Holder]bool{}, adverts: map[string]string{}, onApplied: onApplied}
+func newReplicatedState(onApplied func()) *ReplicatedState {
+	return &ReplicatedState{routers: map[claim.Holder]bool{}, advertised: map[string]string{}, onApplied: onApplied}
 }
 
 // Config returns the configuration that is applied on this replica.
@@ -116,16 +116,16 @@
 	case c.End != nil:
 		delete(r.routers, *c.End)
 	case c.Advert != nil:
-		r.adverts[c.Advert.Replica] = c.Advert.Address
+		r.advertised[c.Advert.Replica] = c.Advert.Address
 	}
 	return changeResult{}
 }
 
-// replicatedImage is the serialized form of a Replicated, stored in snapshots.
-type replicatedImage struct {
-	Store   []byte         `cbor:"1,keyasint"`
-	Routers []claim.Holder `cbor:"2,keyasint"`
-	Adverts []advert       `cbor:"3,keyasint,omitempty"`
+// stateImage is the serialized form of a Replicated, stored in snapshots.
+type stateImage struct {
+	Store   []byte              `cbor:"1,keyasint"`
+	Routers []claim.Holder      `cbor:"2,keyasint"`
+	Adverts []advertisedAddress `cbor:"3,keyasint,omitempty"`
 }
 
 // Snapshot implements [replica.StateMachine].
@@ -136,16 +136,16 @@
 	if err != nil {
 		return nil, err
 	}
-	im := replicatedImage{Store: store, Routers: r.sortedRouters()}
-	for _, name := range slices.Sorted(maps.Keys(r.adverts)) {
-		im.Adverts = append(im.Adverts, advert{Replica: name, Address: r.adverts[name]})
+	im := stateImage{Store: store, Routers: r.sortedRouters()}
+	for _, name := range slices.Sorted(maps.Keys(r.advertised)) {
+		im.Adverts = append(im.Adverts, advertisedAddress{Replica: name, Address: r.advertised[name]})
 	}
 	return cbor.Marshal(im)
 }
 
 // Restore implements [replica.StateMachine].
 func (r *ReplicatedState) Restore(image []byte) error {
-	var im replicatedImage
+	var im stateImage
 	if err := cbor.Unmarshal(image, &im); err != nil {
 		return protocol.Malformed{Err: err}
 	}
@@ -155,9 +155,9 @@
 	for _, h := range im.Routers {
 		r.routers[h] = true
 	}
-	r.adverts = map[string]string{}
+	r.advertised = map[string]string{}
 	for _, a := range im.Adverts {
-		r.adverts[a.Replica] = a.Address
+		r.advertised[a.Replica] = a.Address
 	}
 	r.mu.Unlock()
 	r.onApplied()
@@ -169,5 +169,5 @@
 func (r *ReplicatedState) OperatorsAddress(name string) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.adverts[name]
+	return r.advertised[name]
 }
--- a/control/status.go
+++ b/control/status.go
@@ -49,17 +49,17 @@
 	return connect.NewResponse(out), nil
 }
 
-// awaitInterval is the interval between checks in AwaitRevision. Its load is calculated in
+// awaitPollInterval is the interval between checks in AwaitRevision. Its load is calculated in
 // docs/CAPACITY.md, "Operators' front".
-const awaitInterval = 50 * time.Millisecond
+const awaitPollInterval = 50 * time.Millisecond
 
 func (o *operators) AwaitRevision(ctx context.Context, req *connect.Request[operatorv1.AwaitRevisionRequest]) (*connect.Response[operatorv1.AwaitRevisionResponse], error) {
 	for {
 		var out *operatorv1.AwaitRevisionResponse
-		if err := o.c.asLeader(func(d *dispatcher) { out = d.revisionSpread(req.Msg.GetRevision()) }); err != nil {
+		if err := o.c.asLeader(func(d *dispatcher) { out = d.revisionConfirmations(req.Msg.GetRevision()) }); err != nil {
 			return nil, o.c.rpcError("", err)
 		}
-		if out.InForce || !sleep.For(ctx, awaitInterval) {
+		if out.InForce || !sleep.For(ctx, awaitPollInterval) {
 			return connect.NewResponse(out), nil
 		}
 	}
@@ -127,10 +127,10 @@
 	return servers, accounts
 }
 
-// revisionSpread returns which routers have confirmed a revision and whether it is in force. A
+// revisionConfirmations returns which routers have confirmed a revision and whether it is in force. A
 // router's lease is not renewed before the newest configuration was sent to it, so once every
 // process that may hold a lease has confirmed the revision, no router uses an older one.
-func (d *dispatcher) revisionSpread(revision uint64) *operatorv1.AwaitRevisionResponse {
+func (d *dispatcher) revisionConfirmations(revision uint64) *operatorv1.AwaitRevisionResponse {
 	out := &operatorv1.AwaitRevisionResponse{}
 	listed := map[string]bool{}
 	for _, r := range d.alloc.Routers() {
--- a/protocol/codec.go
+++ b/protocol/codec.go
@@ -12,7 +12,7 @@
 // links use.
 
 // MaxMessage is the maximum size of a message, in bytes. The largest message, a configuration
-// snapshot at the sizes of docs/CAPACITY.md, takes 932 KB (BenchmarkSpread of package control).
+// snapshot at the sizes of docs/CAPACITY.md, takes 932 KB (BenchmarkConfigDistribution of package control).
 const MaxMessage = 16 << 20
 
 // Kind identifies the type of a message on a link. The numbers are on the wire and are never
