--- a/router/call.go
+++ b/router/call.go
@@ -56,8 +56,8 @@
 	switch {
 	case !c.repeated || f.Outcome != NotRun:
 		return f
-	case f.Code == failGone.Code:
-		return failGone
+	case f.Code == failCallerGone.Code:
+		return failCallerGone
 	}
 	return failBroken
 }
@@ -89,7 +89,7 @@
 // awaitTurn queues the call and waits for a slot. It returns the server to use.
 func (r *Router) awaitTurn(ctx context.Context, c *call) (config.Server, *Failure) {
 	if !r.lease.valid(r.now()) {
-		return config.Server{}, failLease
+		return config.Server{}, failNoLease
 	}
 	p := r.pool(c.pool)
 	if p == nil {
@@ -110,7 +110,7 @@
 	if got, started := p.cancel(w); started {
 		p.finish(c.work, got.server.ID, 0, pool.Abandoned)
 	}
-	return config.Server{}, failGone.WithOutcome(NotRun)
+	return config.Server{}, failCallerGone.WithOutcome(NotRun)
 }
 
 // claimKey claims the idempotency key of a call that has a slot. If the claim is not granted at
@@ -125,10 +125,10 @@
 		return false, nil
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, pool.Abandoned)
-	f = failClaims
+	f = failClaimsUnavailable
 	if ok && got.State == protocol.ClaimRunning {
 		got, ok = r.claims.claim(ctx, *c.claim, true)
-		f = failGone.WithOutcome(NotRun)
+		f = failCallerGone.WithOutcome(NotRun)
 	}
 	if !ok {
 		r.claims.settle(*c.claim, protocol.ClaimReleased, nil) // the claim may have been granted
@@ -148,7 +148,7 @@
 		return false, failOtherBody
 	case protocol.ClaimRan:
 		if got.Answer == nil {
-			return false, failRan
+			return false, failAlreadyRan
 		}
 		replay(w, *got.Answer)
 		return true, nil
@@ -200,7 +200,7 @@
 	}
 	result, gone := pool.Failed, ctx.Err() != nil
 	if gone {
-		f, result = failGone.WithOutcome(f.Outcome), pool.Abandoned
+		f, result = failCallerGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
 	if !gone && last.MayGoElsewhere(c.repeatable) && r.allowRetry() {
--- a/router/callers.go
+++ b/router/callers.go
@@ -107,9 +107,9 @@
 	case ok:
 		return h(w, req, a)
 	case r.Revision() == 0 && !r.lease.valid(r.now()):
-		return failLease // without a configuration, every key would be refused as invalid
+		return failNoLease // without a configuration, every key would be refused as invalid
 	}
-	return failKey
+	return failAPIKey
 }
 
 func (r *Router) serveModels(w http.ResponseWriter, _ *http.Request, _ config.Account) *Failure {
--- a/router/errors.go
+++ b/router/errors.go
@@ -65,7 +65,7 @@
 // The request is invalid. It did not run and would fail again, so there is no Retry-After.
 var (
 	// Also if the account is removed before the request is queued or while it is queued.
-	failKey       = &Failure{http.StatusUnauthorized, typeAuthentication, "invalid_api_key", "no account has this key", NotRun, 0}
+	failAPIKey    = &Failure{http.StatusUnauthorized, typeAuthentication, "invalid_api_key", "no account has this key", NotRun, 0}
 	failMalformed = &Failure{http.StatusBadRequest, typeInvalidRequest, "malformed_request", "the request is malformed", NotRun, 0}
 	failHeader    = &Failure{http.StatusBadRequest, typeInvalidRequest, "invalid_header", "a header has no valid value", NotRun, 0}
 	failModel     = &Failure{http.StatusNotFound, typeInvalidRequest, "model_not_found", "no pool serves this model", NotRun, 0}
@@ -82,29 +82,29 @@
 	// A limit on queued requests or on all bodies together is reached.
 	failFull = &Failure{http.StatusTooManyRequests, typeRateLimit, "queue_full", "too much work waits already", NotRun, retrySoon}
 	// The router also reports not ready, so the load balancer sends requests elsewhere.
-	failLease = &Failure{http.StatusServiceUnavailable, typeServer, "no_lease", "this router is cut off from the fleet", NotRun, retrySoon}
+	failNoLease = &Failure{http.StatusServiceUnavailable, typeServer, "no_lease", "this router is cut off from the fleet", NotRun, retrySoon}
 	// After the grace period of a stop.
 	failStopping = &Failure{http.StatusServiceUnavailable, typeServer, "stopping", "this router is stopping", NotRun, retrySoon}
 	// The configuration has no server for the pool, or all of them are leaving.
 	failNoServer = &Failure{http.StatusServiceUnavailable, typeServer, "no_server", "no backend server serves this pool", NotRun, retrySoon}
 	// Limits.Wait has passed.
-	failWaited = &Failure{http.StatusServiceUnavailable, typeServer, "waited_too_long", "the request waited too long for its turn", NotRun, retryLater}
+	failWaitedTooLong = &Failure{http.StatusServiceUnavailable, typeServer, "waited_too_long", "the request waited too long for its turn", NotRun, retryLater}
 	// The call was not sent or was refused, and the retry budget is empty.
 	failUnreachable = &Failure{http.StatusBadGateway, typeServer, "backend_unreachable", "no backend server took the request", NotRun, retrySoon}
 	// The claim was not answered within claimTimeout.
-	failClaims = &Failure{http.StatusServiceUnavailable, typeServer, "claims_unavailable", "the idempotency key could not be claimed", NotRun, retrySoon}
+	failClaimsUnavailable = &Failure{http.StatusServiceUnavailable, typeServer, "claims_unavailable", "the idempotency key could not be claimed", NotRun, retrySoon}
 )
 
 // The request ran or may have run. The caller has to decide whether to send it again, so there is no
 // Retry-After.
 var (
 	// The call must not be repeated, or the retry budget is empty.
-	failBroken = &Failure{http.StatusBadGateway, typeServer, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
-	failRan    = &Failure{http.StatusConflict, typeInvalidRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
+	failBroken     = &Failure{http.StatusBadGateway, typeServer, "backend_broken", "the backend server failed; the request may have run", UnknownRun, 0}
+	failAlreadyRan = &Failure{http.StatusConflict, typeInvalidRequest, "already_ran", "a request with this idempotency key ran; its answer is not kept", Ran, 0}
 	// The lease of the router that ran it expired, or the answer of its server broke off.
 	failUnknownRun = &Failure{http.StatusConflict, typeInvalidRequest, "outcome_unknown", "a request with this idempotency key may have run", UnknownRun, 0}
 	// Only counted. The outcome is NotRun if the request was still queued or the server refused it.
-	failGone = &Failure{statusGone, typeInvalidRequest, "caller_gone", "the caller went away", UnknownRun, 0}
+	failCallerGone = &Failure{statusGone, typeInvalidRequest, "caller_gone", "the caller went away", UnknownRun, 0}
 )
 
 // errorBody is the protocol's usual JSON error.
--- a/router/pool.go
+++ b/router/pool.go
@@ -66,7 +66,7 @@
 			serving = append(serving, pool.Server{Name: s.ID, Slots: s.Slots})
 		}
 	}
-	failAll(p.pool.Configure(accounts, serving), failKey)
+	failAll(p.pool.Configure(accounts, serving), failAPIKey)
 	if !p.accepting {
 		failAll(p.pool.Drop(), failNoServer)
 	}
@@ -101,7 +101,7 @@
 	}
 	if err := p.pool.Push(w.work); err != nil {
 		if errors.As(err, new(share.UnknownAccountError)) {
-			return nil, failKey
+			return nil, failAPIKey
 		}
 		return nil, failFull.WithMessage(err.Error())
 	}
@@ -138,10 +138,10 @@
 	now := p.router.now()
 	expired := p.pool.Expire(now)
 	p.router.stats.waitedOut.Add(len(expired))
-	failAll(expired, failWaited)
+	failAll(expired, failWaitedTooLong)
 	if !leased {
 		p.pool.LeaseLost()
-		failAll(p.pool.Drop(), failLease)
+		failAll(p.pool.Drop(), failNoLease)
 		return
 	}
 	p.pool.ReturnIdleAfterLinger(now)
--- a/router/relay.go
+++ b/router/relay.go
@@ -71,7 +71,7 @@
 	switch {
 	case callerLeft:
 		r.endAtServer()
-		end.failure, end.result = failGone, pool.Abandoned
+		end.failure, end.result = failCallerGone, pool.Abandoned
 	case err != nil || r.isCutShort():
 		end.failure, end.result = failBroken, pool.Failed
 		r.breakOff(w, failBroken)
