--- a/router/leader.go
+++ b/router/leader.go
@@ -22,11 +22,11 @@
 // is still valid searches more often: with pauses of a second the lease can expire during an
 // election.
 const (
-	shortestRetry = 20 * time.Millisecond  // first pause, doubled after every failure
-	leasedRetry   = 250 * time.Millisecond // longest pause while the lease is valid
-	longestRetry  = time.Second            // longest pause without a lease
-	helloTimeout  = 2 * time.Second        // for a replica's answer, including the dial
-	defaultLease  = 3 * time.Second        // slots.DefaultLease, until a leader has announced its own
+	minSearchDelay       = 20 * time.Millisecond  // first pause, doubled after every failure
+	maxLeasedSearchDelay = 250 * time.Millisecond // longest pause while the lease is valid
+	maxSearchDelay       = time.Second            // longest pause without a lease
+	helloTimeout         = 2 * time.Second        // for a replica's answer, including the dial
+	defaultLease         = 3 * time.Second        // slots.DefaultLease, until a leader has announced its own
 )
 
 // leaderClient keeps a session with the leading control replica.
@@ -49,27 +49,27 @@
 
 // run keeps a session until the router stops.
 func (l *leaderClient) run() {
-	wait := shortestRetry
+	wait := minSearchDelay
 	for l.r.ctx.Err() == nil {
 		began := l.r.now()
-		found := l.find()
+		found := l.findLeader()
 		if found.link != nil {
 			l.follow(found)
-			wait = shortestRetry
+			wait = minSearchDelay
 		}
 		if l.r.now()-began < wait || found.link == nil {
 			sleep.For(l.r.ctx, wait/2+l.r.jitter(wait)) // jitter keeps many routers from dialling at the same time
-			wait = min(2*wait, l.longestPause())
+			wait = min(2*wait, l.searchDelayLimit())
 		}
 	}
 }
 
-// longestPause returns the longest pause between two attempts.
-func (l *leaderClient) longestPause() time.Duration {
+// searchDelayLimit returns the longest pause between two attempts.
+func (l *leaderClient) searchDelayLimit() time.Duration {
 	if l.r.lease.valid(l.r.now()) {
-		return leasedRetry
+		return maxLeasedSearchDelay
 	}
-	return longestRetry
+	return maxSearchDelay
 }
 
 // helloReply is a replica's answer to a hello. It is the zero value if the replica did not answer.
@@ -80,9 +80,9 @@
 	sent     time.Duration     // when the hello was sent
 }
 
-// find opens a link to the leader. It tries the last known leader, then the one that this replica
+// findLeader opens a link to the leader. It tries the last known leader, then the one that this replica
 // names, then sends a hello to every replica. The link is nil if no replica leads.
-func (l *leaderClient) find() helloReply {
+func (l *leaderClient) findLeader() helloReply {
 	name := l.leader
 	for range 2 {
 		address, ok := l.r.cfg.Replicas[name]
@@ -98,14 +98,14 @@
 		}
 		name = got.redirect.Leader
 	}
-	return l.survey()
+	return l.pollReplicas()
 }
 
-// survey sends a hello to every replica concurrently. If a majority answers that it has no leader,
+// pollReplicas sends a hello to every replica concurrently. If a majority answers that it has no leader,
 // no newer configuration than this router, and no log entries to be applied, then no newer
 // configuration can have been accepted before the hello was sent, and every later leader waits for
 // this router's lease. The lease is then extended as by a renewal.
-func (l *leaderClient) survey() helloReply {
+func (l *leaderClient) pollReplicas() helloReply {
 	names := slices.Sorted(maps.Keys(l.r.cfg.Replicas))
 	replies := make(chan helloReply, len(names))
 	sent := l.r.now()
--- a/router/report.go
+++ b/router/report.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// reporting sends reports until the session ends. The first one is sent at once.
-func (l *leaderClient) reporting(ctx context.Context, s *session) {
+// sendReports sends reports until the session ends. The first one is sent at once.
+func (l *leaderClient) sendReports(ctx context.Context, s *session) {
 	pacer := slots.Pacer{Pace: l.r.cfg.Pace}
 	l.sendReport(s, &pacer)
 	for {
--- a/router/router.go
+++ b/router/router.go
@@ -153,7 +153,7 @@
 	r.refusing.Store(true)
 	awaitZero(ctx, &r.inFlight)
 	r.claims.flush(ctx)
-	r.leader.goodbye(ctx)
+	r.leader.returnSlots(ctx)
 	r.stop()
 }
 
--- a/router/session.go
+++ b/router/session.go
@@ -23,8 +23,8 @@
 // Parts of a lease (docs/design/lease.md). They leave a router enough of its lease to find the next
 // leader, see the times of the search in leader.go.
 const (
-	renewalsPerLease = 6 // renewals sent per lease
-	silenceDivisor   = 2 // a link without a message for lease/silenceDivisor is dead
+	renewalsPerLease   = 6 // renewals sent per lease
+	linkTimeoutDivisor = 2 // a link without a message for lease/silenceDivisor is dead
 )
 
 // outboxDepth is the number of messages that may be queued on a session; one more ends it.
@@ -56,19 +56,19 @@
 	}
 	l.epoch, l.leader, l.leaseDuration = w.Epoch, w.Leader, s.leaseDuration
 	l.r.lease.extend(hello.sent, s.leaseDuration)
-	l.begin(s, w)
+	l.beginSession(s, w)
 	l.r.cfg.Log.Info("following", "leader", w.Leader, "epoch", w.Epoch)
-	go l.renewals(ctx, s)
-	go l.reporting(ctx, s)
+	go l.sendRenewals(ctx, s)
+	go l.sendReports(ctx, s)
 	err := l.receive(ctx, hello.link, s)
-	l.end()
+	l.endSession()
 	if l.r.ctx.Err() == nil {
 		l.r.cfg.Log.Info("session ended", "leader", w.Leader, "error", err)
 	}
 }
 
-// begin makes the session known to the pools and the claim client.
-func (l *leaderClient) begin(s *session, w protocol.Welcome) {
+// beginSession makes the session known to the pools and the claim client.
+func (l *leaderClient) beginSession(s *session, w protocol.Welcome) {
 	l.session.Store(s)
 	for _, p := range l.r.poolList() {
 		p.update(func(_ time.Duration, pl *pool.Pool) { pl.BeginSession(w) })
@@ -76,8 +76,8 @@
 	l.r.claims.setSession(s)
 }
 
-// end detaches the pools and the claim client from the session.
-func (l *leaderClient) end() {
+// endSession detaches the pools and the claim client from the session.
+func (l *leaderClient) endSession() {
 	l.session.Store(nil)
 	l.r.claims.setSession(nil)
 	for _, p := range l.r.poolList() {
@@ -85,8 +85,8 @@
 	}
 }
 
-// renewals sends renewalsPerLease renewals per lease until ctx ends.
-func (l *leaderClient) renewals(ctx context.Context, s *session) {
+// sendRenewals sends renewalsPerLease sendRenewals per lease until ctx ends.
+func (l *leaderClient) sendRenewals(ctx context.Context, s *session) {
 	t := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer t.Stop()
 	for seq := uint64(1); ; seq++ {
@@ -106,7 +106,7 @@
 // lease. Renewals are answered, so a silent link is dead.
 func (l *leaderClient) receive(ctx context.Context, lk *link.Link, s *session) error {
 	for {
-		rctx, cancel := context.WithTimeout(ctx, s.leaseDuration/silenceDivisor)
+		rctx, cancel := context.WithTimeout(ctx, s.leaseDuration/linkTimeoutDivisor)
 		m, err := lk.Receive(rctx)
 		cancel()
 		if err == nil {
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// goodbye hands back all slots and waits until that has been sent.
-func (l *leaderClient) goodbye(ctx context.Context) {
+// returnSlots hands back all slots and waits until that has been sent.
+func (l *leaderClient) returnSlots(ctx context.Context) {
 	s := l.session.Load()
 	if s == nil {
 		return
