--- a/router/call.go
+++ b/router/call.go
@@ -65,7 +65,7 @@
 // run returns a failure if nothing has been written to the caller yet.
 func (r *Router) run(w http.ResponseWriter, ctx context.Context, c *call) *Failure {
 	for {
-		server, f := r.awaitTurn(ctx, c)
+		server, f := r.awaitServer(ctx, c)
 		if f != nil {
 			r.settle(c, protocol.ClaimReleased, nil)
 			return f
@@ -86,8 +86,8 @@
 	}
 }
 
-// awaitTurn queues the call and waits for a slot. It returns the server to use.
-func (r *Router) awaitTurn(ctx context.Context, c *call) (config.Server, *Failure) {
+// awaitServer queues the call and waits for a slot. It returns the server to use.
+func (r *Router) awaitServer(ctx context.Context, c *call) (config.Server, *Failure) {
 	if !r.lease.valid(r.now()) {
 		return config.Server{}, failNoLease
 	}
@@ -102,7 +102,7 @@
 	c.work = w.work
 	began := r.now()
 	select {
-	case got := <-w.turn:
+	case got := <-w.result:
 		r.stats.seriesOf(c).wait.Update((r.now() - began).Seconds())
 		return got.server, got.fail
 	case <-ctx.Done():
@@ -163,7 +163,7 @@
 	began := r.now()
 	a, err := r.cfg.Transport.Send(ctx, server.Address, c.forwardCall)
 	if err != nil {
-		return r.sendFailed(ctx, c, server, err)
+		return r.handleSendError(ctx, c, server, err)
 	}
 	defer func() { a.Body.Close() }() // the relay may have replaced the body
 	if running, waiting, ok := a.Load(); ok {
@@ -189,9 +189,9 @@
 	return false, nil
 }
 
-// sendFailed handles an attempt that got no answer: it releases the slot, and settles the claim if
+// handleSendError handles an attempt that got no answer: it releases the slot, and settles the claim if
 // the call ends here.
-func (r *Router) sendFailed(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
+func (r *Router) handleSendError(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
 	f, claim, last := failBroken.WithMessage(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
 	var notRun forward.NotRun
 	if errors.As(err, &notRun) {
--- a/router/pool.go
+++ b/router/pool.go
@@ -31,12 +31,12 @@
 
 // waiter is a request in a pool's queue. turn receives the server to use, or a failure.
 type waiter struct {
-	work *pool.Work
-	turn chan turn // buffered
+	work   *pool.Work
+	result chan waitResult // buffered
 }
 
-// turn is the result of a wait.
-type turn struct {
+// waitResult is the result of a wait.
+type waitResult struct {
 	server config.Server
 	fail   *Failure
 }
@@ -89,7 +89,7 @@
 
 // enqueue adds a request to the queue.
 func (p *lockedPool) enqueue(c *call) (*waiter, *Failure) {
-	w := &waiter{turn: make(chan turn, 1)}
+	w := &waiter{result: make(chan waitResult, 1)}
 	w.work = &pool.Work{
 		Account: c.account.ID, Class: c.class, Flow: c.flow, Bytes: int64(len(c.body)), Blocks: c.blocks,
 		Deadline: p.router.now() + p.router.cfg.Limits.QueueTimeout, Value: w,
@@ -111,14 +111,14 @@
 
 // cancel removes a request from the queue. If its wait has ended in the meantime, cancel returns
 // the result, and if that is a server, the caller must finish the turn.
-func (p *lockedPool) cancel(w *waiter) (turn, bool) {
+func (p *lockedPool) cancel(w *waiter) (waitResult, bool) {
 	p.mu.Lock()
 	waiting := p.pool.Cancel(w.work)
 	p.mu.Unlock()
 	if waiting {
-		return turn{}, false
+		return waitResult{}, false
 	}
-	got := <-w.turn
+	got := <-w.result
 	return got, got.fail == nil
 }
 
@@ -137,7 +137,7 @@
 	defer p.mu.Unlock()
 	now := p.router.now()
 	expired := p.pool.Expire(now)
-	p.router.stats.waitedOut.Add(len(expired))
+	p.router.stats.waitedTooLong.Add(len(expired))
 	failAll(expired, failWaitedTooLong)
 	if !leased {
 		p.pool.LeaseLost()
@@ -153,7 +153,7 @@
 func (p *lockedPool) dispatch() {
 	now := p.router.now()
 	for _, s := range p.pool.Dispatch(now, p.router.lease.valid(now)) {
-		s.Work.Value.(*waiter).turn <- turn{server: p.servers[s.Server]}
+		s.Work.Value.(*waiter).result <- waitResult{server: p.servers[s.Server]}
 	}
 	if u := p.pool.Urgency(); u != pool.NothingNew {
 		p.router.leader.requestReport(u == pool.Urgent)
@@ -178,6 +178,6 @@
 // failAll ends the wait of queued requests with a failure.
 func failAll(works []*pool.Work, f *Failure) {
 	for _, w := range works {
-		w.Value.(*waiter).turn <- turn{fail: f}
+		w.Value.(*waiter).result <- waitResult{fail: f}
 	}
 }
--- a/router/pool_test.go
+++ b/router/pool_test.go
@@ -34,7 +34,7 @@
 		without, err := with.Apply([]config.Op{{RemoveAccount: account.Name}})
 		is.NoErr(err)
 		r.apply(without)
-		is.Equal((<-waiter.turn).fail, failAPIKey)
+		is.Equal((<-waiter.result).fail, failAPIKey)
 		_, fail = p.enqueue(c)
 		is.Equal(fail, failAPIKey)
 		r.stop()
--- a/router/relay.go
+++ b/router/relay.go
@@ -24,8 +24,8 @@
 	// relayBuffer is the largest chunk of an answer, in bytes. Allocating 32 KB for each relay cut
 	// the throughput by more than a third.
 	relayBuffer = 16 << 10
-	// chargeEvery is the number of streamed events between two charges.
-	chargeEvery = 16
+	// eventsPerCharge is the number of streamed events between two charges.
+	eventsPerCharge = 16
 	// maxUsageParse bounds the bytes of an answer that are retained to read its usage.
 	maxUsageParse = 1 << 20
 )
@@ -70,11 +70,11 @@
 	end := relayResult{cost: r.cost(), result: pool.Served}
 	switch {
 	case callerLeft:
-		r.endAtServer()
+		r.discardAtServer()
 		end.failure, end.result = failCallerGone, pool.Abandoned
-	case err != nil || r.isCutShort():
+	case err != nil || r.isTruncated():
 		end.failure, end.result = failBroken, pool.Failed
-		r.breakOff(w, failBroken)
+		r.signalBrokenAnswer(w, failBroken)
 	case !r.tooLargeToRetain:
 		end.whole = r.retained
 	}
@@ -102,7 +102,7 @@
 		}
 		switch {
 		case err == nil:
-		case err == io.EOF && !r.isCutShort():
+		case err == io.EOF && !r.isTruncated():
 			return false, nil
 		case r.ctx.Err() != nil:
 			return true, nil
@@ -155,17 +155,17 @@
 	return true
 }
 
-// endTimeout bounds the call that ends an answer at its server.
-const endTimeout = 2 * time.Second
+// discardTimeout bounds the call that ends an answer at its server.
+const discardTimeout = 2 * time.Second
 
-// endAtServer ends an answer whose caller has left, so that its server does not keep it for a
+// discardAtServer ends an answer whose caller has left, so that its server does not keep it for a
 // resumption. Failures are ignored, since no one waits for the answer.
-func (r *relay) endAtServer() {
+func (r *relay) discardAtServer() {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.router.ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(r.router.ctx, discardTimeout)
 	defer cancel()
 	a, err := r.router.cfg.Transport.Send(ctx, r.server, forward.Call{Method: http.MethodDelete, Path: path})
 	if err == nil {
@@ -190,7 +190,7 @@
 	}
 	before := r.scan.chunks
 	r.scan.write(b)
-	if r.scan.chunks/chargeEvery != before/chargeEvery {
+	if r.scan.chunks/eventsPerCharge != before/eventsPerCharge {
 		cost := r.cost()
 		r.pool.withLock(func(pl *pool.Pool) { pl.Progress(r.call.work, cost) })
 	}
@@ -225,15 +225,15 @@
 // bytesPerToken is the approximate length of a token in English text.
 const bytesPerToken = 4
 
-// isCutShort reports whether an answer that ended without an error is incomplete: an engine's
+// isTruncated reports whether an answer that ended without an error is incomplete: an engine's
 // stream without its end mark.
-func (r *relay) isCutShort() bool {
+func (r *relay) isTruncated() bool {
 	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
 
-// breakOff makes a broken answer visible to the caller: a stream gets an error event, and any other
+// signalBrokenAnswer makes a broken answer visible to the caller: a stream gets an error event, and any other
 // answer loses its connection before its declared end.
-func (r *relay) breakOff(w http.ResponseWriter, f *Failure) {
+func (r *relay) signalBrokenAnswer(w http.ResponseWriter, f *Failure) {
 	if r.scan != nil {
 		// Both fail only if the caller has left, and then no event is needed.
 		_, _ = w.Write(append(r.scan.lineTerminator(), f.event()...))
--- a/router/stats.go
+++ b/router/stats.go
@@ -14,27 +14,27 @@
 
 // stats holds the metrics of one router.
 type stats struct {
-	set          *metrics.Set
-	handles      sync.Map // seriesKey → *series
-	waitedOut    *metrics.Counter
-	ejected      *metrics.Counter
-	backoffs     *metrics.Counter
-	retried      *metrics.Counter
-	resumed      *metrics.Counter // resumptions of broken answers
-	budgetEmpty  *metrics.Counter // retries that the retry budget did not allow
-	leaseExpired *metrics.Counter
+	set           *metrics.Set
+	seriesByKey   sync.Map // seriesKey → *series
+	waitedTooLong *metrics.Counter
+	ejected       *metrics.Counter
+	backoffs      *metrics.Counter
+	retried       *metrics.Counter
+	resumed       *metrics.Counter // resumptions of broken answers
+	budgetEmpty   *metrics.Counter // retries that the retry budget did not allow
+	leaseExpired  *metrics.Counter
 }
 
 func newStats(set *metrics.Set) *stats {
 	return &stats{
-		set:          set,
-		waitedOut:    set.GetOrCreateCounter("badgerspoke_waited_too_long_total"),
-		ejected:      set.GetOrCreateCounter("badgerspoke_ejections_total"),
-		backoffs:     set.GetOrCreateCounter("badgerspoke_backoffs_total"),
-		retried:      set.GetOrCreateCounter("badgerspoke_retries_total"),
-		resumed:      set.GetOrCreateCounter("badgerspoke_resumed_total"),
-		budgetEmpty:  set.GetOrCreateCounter("badgerspoke_retries_refused_total"),
-		leaseExpired: set.GetOrCreateCounter("badgerspoke_lease_expired_total"),
+		set:           set,
+		waitedTooLong: set.GetOrCreateCounter("badgerspoke_waited_too_long_total"),
+		ejected:       set.GetOrCreateCounter("badgerspoke_ejections_total"),
+		backoffs:      set.GetOrCreateCounter("badgerspoke_backoffs_total"),
+		retried:       set.GetOrCreateCounter("badgerspoke_retries_total"),
+		resumed:       set.GetOrCreateCounter("badgerspoke_resumed_total"),
+		budgetEmpty:   set.GetOrCreateCounter("badgerspoke_retries_refused_total"),
+		leaseExpired:  set.GetOrCreateCounter("badgerspoke_lease_expired_total"),
 	}
 }
 
@@ -60,11 +60,11 @@
 // formatting the names for each request was more than a tenth of its allocations.
 func (s *stats) seriesOf(c *call) *series {
 	k := seriesKey{c.account.Name, c.class, c.pool}
-	if got, ok := s.handles.Load(k); ok {
+	if got, ok := s.seriesByKey.Load(k); ok {
 		return got.(*series)
 	}
 	labels := fmt.Sprintf(`account=%q,class=%q,pool=%q`, k.account, k.class, k.pool)
-	got, _ := s.handles.LoadOrStore(k, &series{
+	got, _ := s.seriesByKey.LoadOrStore(k, &series{
 		wait:     s.set.GetOrCreateHistogram("badgerspoke_wait_seconds{" + labels + "}"),
 		first:    s.set.GetOrCreateHistogram("badgerspoke_first_seconds{" + labels + "}"),
 		whole:    s.set.GetOrCreateHistogram("badgerspoke_whole_seconds{" + labels + "}"),
