--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -16,9 +16,9 @@
 
 // This file tests the expiry of a lease at a router that reaches no replica.
 
-// TestLeaseThatRunsOutIsCountedOnce checks that each expiry of a lease is counted once, and
+// TestLeaseExpiryIsCountedOnce checks that each expiry of a lease is counted once, and
 // renewals are not.
-func TestLeaseThatRunsOutIsCountedOnce(t *testing.T) {
+func TestLeaseExpiryIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
@@ -41,9 +41,9 @@
 	})
 }
 
-// TestSuspendedRouter checks that a router has no lease when it resumes after a suspension past the
+// TestLeaseExpiresDuringSuspension checks that a router has no lease when it resumes after a suspension past the
 // lease's end.
-func TestSuspendedRouter(t *testing.T) {
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
--- a/router/parse_test.go
+++ b/router/parse_test.go
@@ -17,8 +17,8 @@
 const stream = "data: {\"choices\":[1]}\n\n: comment\n\ndata: {\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":4," +
 	"\"prompt_tokens_details\":{\"cached_tokens\":5}}}\r\n\r\ndata: [DONE]\n\n"
 
-// TestScanDoesNotDependOnPieces checks that the scan is the same however the stream is split.
-func TestScanDoesNotDependOnPieces(t *testing.T) {
+// TestStreamScanIsIndependentOfChunking checks that the scan is the same however the stream is split.
+func TestStreamScanIsIndependentOfChunking(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= len(stream); size++ {
 		var s streamScan
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestLongLinesTakeBoundedMemory checks that a line that never ends takes bounded memory, and that
+// TestStreamScanBoundsMemoryOfLongLines checks that a line that never ends takes bounded memory, and that
 // later lines are scanned.
-func TestLongLinesTakeBoundedMemory(t *testing.T) {
+func TestStreamScanBoundsMemoryOfLongLines(t *testing.T) {
 	is := is.New(t)
 	var s streamScan
 	for range 1000 {
@@ -46,8 +46,8 @@
 	is.True(s.done) // the next line is scanned again
 }
 
-// TestUsageOfNonsense checks that invalid usage from an engine is corrected or ignored.
-func TestUsageOfNonsense(t *testing.T) {
+// TestInvalidUsageIsCorrectedOrIgnored checks that invalid usage from an engine is corrected or ignored.
+func TestInvalidUsageIsCorrectedOrIgnored(t *testing.T) {
 	is := is.New(t)
 	is.Equal(usage{PromptTokens: -5, CompletionTokens: -1}.normalized(), share.Usage{})
 	var u usage
@@ -90,8 +90,8 @@
 	})
 }
 
-// TestHeadersThatStayHere checks which headers are not forwarded to a plain service.
-func TestHeadersThatStayHere(t *testing.T) {
+// TestServiceHeadersAreFiltered checks which headers are not forwarded to a plain service.
+func TestServiceHeadersAreFiltered(t *testing.T) {
 	is := is.New(t)
 	from := map[string][]string{
 		"Authorization": {"Bearer secret"}, "Cookie": {"c"}, "X-Api-Key": {"k"}, "Badgerspoke-Class": {"batch"},
