--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -42,6 +42,8 @@
 	return c
 }
 
+// TestSendClassifiesBackendFailures checks the error of a call, and how often the server ran it, for
+// every failure of the server.
 func TestSendClassifiesBackendFailures(t *testing.T) {
 	post := forward.Call{Method: "POST", Path: "/orders", Body: []byte("sheets")}
 	tests := []struct {
@@ -102,6 +104,8 @@
 	})
 }
 
+// TestUnreachableServerGivesNotRun calls an address where nothing listens and one that is cut off
+// from the network.
 func TestUnreachableServerGivesNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,15 +158,15 @@
 				is.True(requests.Load() >= 1)
 				is.True(requests.Load() <= tt.maxRequests)
 				if tt.maxRequests == 1 {
-					is.True(errors.As(err, new(forward.MayHaveRun))) // it may have run, and did
+					is.True(errors.As(err, new(forward.MayHaveRun))) // the call reached the server
 				}
 			})
 		})
 	}
 }
 
-// serveAndClose serves /warm. It counts any other request and closes the connection
-// without a response.
+// serveAndClose responds to requests for /warm. It counts any other request and closes its
+// connection without a response.
 func serveAndClose(t *testing.T, n *fakenet.Network, requests *atomic.Int32) {
 	l, err := n.Listen(address)
 	if err != nil {
--- a/transport/forward/counting.go
+++ b/transport/forward/counting.go
@@ -23,7 +23,7 @@
 	deregister   func() // removes the connection from the client's list
 	bytesWritten atomic.Int64
 	callsStarted atomic.Int64 // calls that were given the connection
-	lastIdleCall atomic.Int64 // number of the last call that left the connection idle
+	lastIdleCall atomic.Int64 // number of the last call after which the connection became idle
 	// abandoned is called before the first byte of the current call, and is nil afterwards.
 	abandoned atomic.Pointer[func() bool]
 }
@@ -34,11 +34,11 @@
 // IsAbandoned reports whether a call failed because it was abandoned before it was sent.
 func IsAbandoned(err error) bool { return errors.Is(err, ErrAbandoned) }
 
-// Write implements [net.Conn]. The first write of an unwanted call fails. An earlier check
-// is not enough: the call then passes through further goroutines, and on a gateway that is
+// Write implements [net.Conn]. The first write of an abandoned call fails. An earlier check
+// is not enough: afterwards the call passes through further goroutines, and on a gateway that is
 // short of processor time it would be sent up to half a second after its caller had left.
 func (c *countingConn) Write(b []byte) (int, error) {
-	if unwanted := c.abandoned.Swap(nil); unwanted != nil && (*unwanted)() {
+	if abandoned := c.abandoned.Swap(nil); abandoned != nil && (*abandoned)() {
 		return 0, ErrAbandoned
 	}
 	n, err := c.Conn.Write(b)
@@ -60,7 +60,7 @@
 
 // connections holds the open connections of a client by server address.
 type connections struct {
-	mu   sync.Mutex // a leaf; guards open
+	mu   sync.Mutex // leaf lock; guards open
 	open map[string]map[*countingConn]bool
 }
 
@@ -118,7 +118,7 @@
 	conn          atomic.Pointer[countingConn]
 	callNumber    int64 // of the call on the connection
 	writtenBefore int64 // bytes written on the connection before the call
-	// abandoned is the call's Unwanted function, or nil.
+	// abandoned is the call's Abandoned function, or nil.
 	abandoned func() bool
 }
 
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -53,7 +53,7 @@
 	Header http.Header
 	Body   []byte
 	// Abandoned, if set, is called right before the first byte is written. If it returns
-	// true, nothing is sent and the call fails with a [NotRun] that wraps [ErrUnwanted].
+	// true, nothing is sent and the call fails with a [NotRun] that wraps [ErrAbandoned].
 	Abandoned func() bool
 }
 
@@ -79,7 +79,7 @@
 }
 
 // RetryAfter returns the longest delay in the Retry-After headers of a response and the
-// header values that are malformed. A value is a number of seconds, possibly fractional; an
+// header values that are malformed. A valid value is a number of seconds, possibly fractional; an
 // HTTP date counts as malformed, since clocks differ.
 func RetryAfter(h http.Header) (longest time.Duration, malformed []string) {
 	for _, value := range h["Retry-After"] {
@@ -167,8 +167,8 @@
 	defaultDialTimeout = 2 * time.Second
 	defaultIdleTime    = 30 * time.Second
 	minIdlePerServer   = 16       // connections to one server
-	maxResponseHeader  = 64 << 10 // bytes; the limit that our own listeners have for requests
-	maxRefusal         = 4 << 10  // bytes of a refusal's body that are read so that its connection can be reused
+	maxResponseHeader  = 64 << 10 // bytes; the same limit as for requests to the fleet's listeners
+	maxRefusal         = 4 << 10  // bytes of a refusal's body that are read, so that its connection can be reused
 )
 
 // Client sends calls to backend servers. It is safe for concurrent use.
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -16,8 +16,8 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// TestMaxIdleBoundsConnectionsToAllServers checks that IdleAll limits the idle connections to all servers together
-// and that the most recently used ones are kept.
+// TestMaxIdleBoundsConnectionsToAllServers checks that MaxIdle limits the idle connections to all
+// servers together and that the most recently used ones are kept.
 func TestMaxIdleBoundsConnectionsToAllServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestCallIsNotResentAfterBrokenConnection closes a reused connection after the server has read the
-// second request. The client must not send that request again, whatever its method
-// and headers.
+// TestCallIsNotResentAfterBrokenConnection closes a reused connection after the server has read
+// the second request. The client must not send that request again, whatever its method and
+// headers.
 func TestCallIsNotResentAfterBrokenConnection(t *testing.T) {
 	for name, call := range map[string]forward.Call{
 		"GET":             {Method: "GET", Path: "/x"},
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestCallOnClosedIdleConnectionHasNotRun lets the server close idle connections. The next
-// call must be sent on another connection or fail with NotRun.
+// TestCallOnClosedIdleConnectionHasNotRun lets the server close idle connections. The next call must
+// be sent on another connection or fail with NotRun.
 func TestCallOnClosedIdleConnectionHasNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -139,8 +139,8 @@
 	})
 }
 
-// TestSurplusResponseIsDiscarded sends extra bytes after a complete response. The
-// client must close that connection, so that the next call gets its own response.
+// TestSurplusResponseIsDiscarded sends extra bytes after a complete response. The client must close
+// that connection, so that the next call gets its own response.
 func TestSurplusResponseIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -203,7 +203,7 @@
 		})
 		opened := 0
 		c := forward.New(forward.Settings{Dialer: n.DialerFrom("10.0.0.2"), OnOpen: func() { opened++ }})
-		defer n.Kill("10.0.0.1") // silent connections do not end by themselves
+		defer n.Kill("10.0.0.1") // connections on a silenced network do not end by themselves
 		defer c.Close()
 		call := func(limit time.Duration) error {
 			ctx, cancel := context.WithTimeout(t.Context(), limit)
@@ -243,8 +243,8 @@
 		n := fakenet.New(time.Millisecond)
 		requests := rawServer(t, n, func(conn net.Conn, _ *bufio.Reader, _ int) { _, _ = io.WriteString(conn, okResponse) })
 		c := client(t, n)
-		send := func(unwanted bool) error {
-			a, err := c.Send(t.Context(), address, forward.Call{Method: "POST", Path: "/", Body: []byte("a body"), Abandoned: func() bool { return unwanted }})
+		send := func(abandoned bool) error {
+			a, err := c.Send(t.Context(), address, forward.Call{Method: "POST", Path: "/", Body: []byte("a body"), Abandoned: func() bool { return abandoned }})
 			if err == nil {
 				_, err = io.Copy(io.Discard, a.Body)
 				a.Body.Close()
--- a/transport/link/errors.go
+++ b/transport/link/errors.go
@@ -26,7 +26,9 @@
 }
 
 // Error names the peer.
-func (e Broken) Error() string { return fmt.Sprintf("link: to %q broken: %v", e.Peer, e.Err) }
+func (e Broken) Error() string {
+	return fmt.Sprintf("link: connection to %q failed: %v", e.Peer, e.Err)
+}
 
 // Unwrap returns the cause.
 func (e Broken) Unwrap() error { return e.Err }
@@ -36,5 +38,5 @@
 
 // Error names the peer by the name that it claimed, which is unproven.
 func (e WrongKey) Error() string {
-	return fmt.Sprintf("link: %q does not know the fleet key", e.Peer)
+	return fmt.Sprintf("link: %q did not prove that it has the fleet key", e.Peer)
 }
--- a/transport/link/handshake.go
+++ b/transport/link/handshake.go
@@ -21,7 +21,8 @@
 	maxHandshakeFrame = 512
 )
 
-// hello is the first frame of each side. The dialer's has no proof.
+// hello is a frame of the handshake. The dialer's first frame has no proof, its second has
+// only the proof, and the acceptor's has all fields.
 type hello struct {
 	Nonce []byte `cbor:"1,keyasint"`
 	Name  string `cbor:"2,keyasint"`
@@ -75,8 +76,9 @@
 	return hello{Nonce: nonce, Name: id.Name}
 }
 
-// proof binds both nonces and both names to the key. Each part is hashed after its
-// length, so that no two pairs of names give the same input.
+// proof returns the HMAC with which a side proves that it has the key. It covers the side's
+// label, both nonces and both names. The length of each part is hashed before the part, so
+// that no two pairs of names give the same input.
 func proof(key []byte, side string, dialer, acceptor hello) []byte {
 	h := hmac.New(sha256.New, key)
 	parts := [][]byte{[]byte(side), dialer.Nonce, acceptor.Nonce, []byte(dialer.Name), []byte(acceptor.Name)}
--- a/transport/link/link.go
+++ b/transport/link/link.go
@@ -56,7 +56,7 @@
 )
 
 // Pings of a link on which the peer sends no messages. A timeout of one second tolerates two
-// lost packets and equals the time that a gateway waits for a leader (registry.SilenceLimit).
+// lost packets and equals the time that a gateway waits for a leader (registry.LeaderTimeout).
 const (
 	pingPeriod  = 250 * time.Millisecond // between a pong and the next ping
 	pingTimeout = time.Second            // for the pong to any ping
@@ -163,21 +163,21 @@
 	})
 }
 
-// ReceiveWithIdleTimeout is like Receive, but fails if the peer sends no data for longer than silence.
-// Any part of a message resets that limit, because a large message may take longer than the
-// limit on a shared network path.
-func (l *Link) ReceiveWithIdleTimeout(ctx context.Context, silence time.Duration) (protocol.Message, error) {
+// ReceiveWithIdleTimeout is like Receive, but fails if the peer sends no data for idleTimeout.
+// Any part of a message restarts the timeout, because a large message may take longer than
+// that on a shared network path.
+func (l *Link) ReceiveWithIdleTimeout(ctx context.Context, idleTimeout time.Duration) (protocol.Message, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(silence, cancel)
+	timer := time.AfterFunc(idleTimeout, cancel)
 	defer timer.Stop()
-	return l.receive(func() ([]byte, error) { return l.readChunks(ctx, func() { timer.Reset(silence) }) })
+	return l.receive(func() ([]byte, error) { return l.readChunks(ctx, func() { timer.Reset(idleTimeout) }) })
 }
 
 // readChunkSize is the largest part of a message that is read at once, in bytes.
 const readChunkSize = 16 << 10
 
-// readChunks reads the bytes of one message and calls onChunk as its parts arrive.
+// readChunks reads the bytes of one message and calls onChunk whenever a part of it arrives.
 func (l *Link) readChunks(ctx context.Context, onChunk func()) ([]byte, error) {
 	_, r, err := l.conn.Reader(ctx)
 	if err != nil {
@@ -233,9 +233,10 @@
 	}
 }
 
-// PeerIsReceiving reports whether the peer still waits for a message in Receive, by whether it
-// answers a ping within pingTimeout. It requires that the peer sends no more messages and that
-// this side no longer calls Receive. The returned context ends with the link.
+// PeerIsReceiving pings the peer and reports whether a pong arrives within pingTimeout, which
+// means that the peer is waiting for a message in Receive. It requires that the peer sends no
+// more messages and that this side no longer calls Receive. The returned context ends with the
+// link.
 func (l *Link) PeerIsReceiving(ctx context.Context) (context.Context, bool) {
 	linkCtx := l.conn.CloseRead(ctx)
 	pingCtx, cancel := context.WithTimeout(linkCtx, pingTimeout)
--- a/transport/link/link_test.go
+++ b/transport/link/link_test.go
@@ -21,7 +21,8 @@
 
 const address = "10.0.0.1:8082"
 
-// acceptLinks serves links at address and sends each one, or the error, on a channel.
+// acceptLinks accepts links at address. It sends each open link on accepted, and the error of
+// each failed handshake on refused.
 func acceptLinks(t *testing.T, n *fakenet.Network, key string) (accepted chan *link.Link, refused chan error) {
 	l, err := n.Listen(address)
 	if err != nil {
@@ -83,6 +84,8 @@
 	})
 }
 
+// TestHandshakeRefusesUnprovenPeers tries a wrong key, a message without a handshake, and a
+// connection on which nothing is sent.
 func TestHandshakeRefusesUnprovenPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -109,6 +112,8 @@
 	})
 }
 
+// TestOutboxOverflowClosesLink queues messages faster than they can be sent. The link must end,
+// since a dropped message could carry an increment that would be lost.
 func TestOutboxOverflowClosesLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,6 +133,8 @@
 	})
 }
 
+// TestDrainSendsQueuedMessages checks that Drain closes the link only after the queued
+// messages are sent.
 func TestDrainSendsQueuedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,8 +154,8 @@
 	})
 }
 
-// TestIdleTimeoutAllowsSlowLargeMessage sends a message that takes longer than the limit of silence. It
-// must arrive, while a peer that stops in the middle of a message must break the link.
+// TestIdleTimeoutAllowsSlowLargeMessage sends a message that takes longer than the idle timeout. The
+// message must arrive, but the link must fail if the peer stops in the middle of a message.
 func TestIdleTimeoutAllowsSlowLargeMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/transport/mesh/mesh.go
+++ b/transport/mesh/mesh.go
@@ -8,7 +8,7 @@
 // cannot be sent at once is dropped, as consensus allows: a newer one replaces it. A
 // link without messages for [idleTimeout] is closed, unless [Mesh.KeepOpen] keeps it open.
 // A link whose peer does not answer a ping is closed too: nothing else is received on
-// a link that this side opened, so nothing else would reveal a silent peer.
+// a link that this side opened, so nothing else would reveal an unresponsive peer.
 //
 // The package owns the queues, the links that it opens and, while it serves them,
 // those that it accepts. The caller provides the replicas' addresses and handles the
@@ -46,7 +46,7 @@
 	addressOf func(replica string) string
 	meter     *link.Meter
 
-	mu       sync.Mutex // a leaf; guards queues and keptOpen
+	mu       sync.Mutex // leaf lock; guards queues and keptOpen
 	queues   map[string]chan protocol.Consensus
 	keptOpen []string // replicas to which a link is kept open without messages
 }
@@ -164,7 +164,7 @@
 	select {
 	case msg := <-queue:
 		select {
-		case queue <- msg: // it was the oldest; the order is not guaranteed
+		case queue <- msg: // queued again behind newer messages, which consensus allows
 		default:
 		}
 		return false
--- a/transport/mesh/mesh_test.go
+++ b/transport/mesh/mesh_test.go
@@ -19,8 +19,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/mesh"
 )
 
-// TestKeepOpenPreventsIdleClose checks that a link passed to Keep stays open without messages, even if its queue was
-// about to be removed as idle, and that a link which is no longer kept ends.
+// TestKeepOpenPreventsIdleClose checks that a link to a replica passed to KeepOpen stays open without
+// messages, even if the idle queue was about to be removed, and that the link closes after a call to
+// KeepOpen without that replica.
 func TestKeepOpenPreventsIdleClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/transport/socket/socket.go
+++ b/transport/socket/socket.go
@@ -21,7 +21,7 @@
 // DialTimeout bounds the opening of a connection.
 const DialTimeout = time.Second
 
-// Keep-alive probes of an idle connection. They detect a silent peer after five seconds.
+// Keep-alive probes of an idle connection. They detect an unresponsive peer after five seconds.
 const (
 	probeIdleTime   = 2 * time.Second // idle time before the first probe
 	probeInterval   = time.Second     // interval between probes
@@ -51,10 +51,10 @@
 
 // setUserTimeout limits how long sent bytes may stay unacknowledged. Accepted
 // connections inherit the option from their listener. On a kernel without the option,
-// the limit on retransmissions ends the connection, only later.
+// the connection fails later, after the maximum number of retransmissions.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
-		// The error is ignored, see above.
+		// The error is ignored: without the option the connection still fails, see above.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(AckTimeout.Milliseconds()))
 	})
 }
