--- a/control/claims.go
+++ b/control/claims.go
@@ -88,9 +88,9 @@
 }
 
 // colocateLeaders keeps the leaders of the two groups on one replica, because a router
-// has a single session, with the leader of the configuration group. A replica that
-// leads only the claims group transfers its leadership to that leader. Until the
-// transfer is done, claims are answered with ClaimRetry.
+// has a single session, with the leader of the configuration group. If this replica leads
+// only the claims group, it transfers that leadership to the leader of the other group. Until
+// the transfer is done, claims are answered with ClaimRetry.
 func (c *Control) colocateLeaders() {
 	for sleep.For(c.ctx, c.cfg.HeartbeatInterval) {
 		var leader string
--- a/control/control.go
+++ b/control/control.go
@@ -164,8 +164,8 @@
 // Err returns why the replica stopped. It may be called once Done is closed.
 func (c *Control) Err() error { return c.config.Err() }
 
-// handoverElectionTimeouts limits how long Stop waits for a successor, in election timeouts. If no other
-// replica is running, there will be none.
+// handoverElectionTimeouts limits how long Stop waits for another replica to take over the
+// leadership, in election timeouts. If no other replica is running, none will.
 const handoverElectionTimeouts = 5
 
 // transferLeadership transfers the leadership of both groups to another replica.
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -27,8 +27,8 @@
 	// maxEventBatch is the number of further queued events that run after an event, before
 	// slots are allocated.
 	maxEventBatch = 1024
-	// tickInterval is the interval between checks of the leases, and so the longest
-	// delay with which the end of a lease is detected.
+	// tickInterval is the interval between checks of the leases, and so the maximum delay
+	// before an expired lease is detected.
 	tickInterval = 20 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 	c             *Control
 	events        chan func()
 	configApplied chan struct{}    // signals that a configuration was applied
-	statusUpdates chan groupStatus // holds only the newest status
+	statusUpdates chan groupStatus // holds at most one status, the newest
 
 	// The fields below are owned by run.
 	group           groupStatus
@@ -45,7 +45,7 @@
 	sessions        map[string]*session
 	snapshots       snapshotCache
 	lastAllocation  time.Duration         // when slots were last allocated
-	recordingEnd    map[claim.Holder]bool // router processes whose end is being recorded
+	recordingEnd    map[claim.Holder]bool // router processes whose end is being recorded in the logs
 	openingSessions map[claim.Holder]int  // number of sessions being opened, by router process
 }
 
@@ -55,7 +55,7 @@
 	leads bool // this replica may act as the leader
 }
 
-// session is one router's link.
+// session is the control side of one router's link.
 type session struct {
 	holder            claim.Holder
 	out               *link.Outbox
@@ -86,8 +86,8 @@
 	}
 }
 
-// publishStatus publishes the status of the configuration group. The replica's goroutine calls it
-// after every batch.
+// publishStatus passes the status of the configuration group to run, in place of any status that
+// run has not received yet. The replica's goroutine calls it after every batch.
 func (d *dispatcher) publishStatus(s consensus.Status, leads bool) {
 	select {
 	case <-d.statusUpdates: // an older status that run has not received yet
@@ -214,7 +214,7 @@
 		return
 	}
 	for _, name := range d.alloc.ExpireSessions(d.now()) {
-		d.c.cfg.Log.Info("lease of router expired", "router", name)
+		d.c.cfg.Log.Info("router lease expired", "router", name)
 	}
 	d.endExpired()
 }
--- a/control/distribution_bench_test.go
+++ b/control/distribution_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// BenchmarkConfigDistribution measures the cost of sending one accepted change to n routers: the
-// bytes for each router and the leader's time to encode them all.
+// BenchmarkConfigDistribution measures the cost of sending one accepted change to n routers:
+// the bytes for each router and the leader's time to encode all messages.
 func BenchmarkConfigDistribution(b *testing.B) {
 	m := newReplicatedState(func() {})
 	var ops []config.Op
--- a/control/doc.go
+++ b/control/doc.go
@@ -23,6 +23,6 @@
 // each link and its outbox, for each open claim or settlement, and one that keeps
 // the leaders of both groups on the same replica (claims.go).
 //
-// Locks: Replicated.mu (the applied configuration) and claimWatchers.mu are
-// leaves. Neither is held while the other is taken, or while waiting.
+// Locks: ReplicatedState.mu (the applied configuration) and claimWatchers.mu are
+// leaf locks. Neither is held while the other is taken, or while waiting.
 package control
--- a/control/operators.go
+++ b/control/operators.go
@@ -30,8 +30,8 @@
 	maxOperatorMessage = 1 << 20
 	// keyBytes is the number of random bytes in a generated key: 192 bits.
 	keyBytes = 24
-	// maxAttemptsWithoutBase is the number of attempts at a change without a base revision when
-	// concurrent changes are accepted before it.
+	// maxAttemptsWithoutBase is the number of times that a change without a base revision is
+	// proposed, if each time a concurrent change is accepted first.
 	maxAttemptsWithoutBase = 8
 )
 
--- a/control/replicated.go
+++ b/control/replicated.go
@@ -16,14 +16,14 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines Replicated, the state machine of the configuration group. The state
+// This file defines ReplicatedState, the state machine of the configuration group. The state
 // machine of the claims group is in claims.go.
 
 // command is a command of the configuration group. Exactly one field is set.
 type command struct {
 	Change *config.Change     `cbor:"1,keyasint,omitempty"`
-	Open   *claim.Holder      `cbor:"2,keyasint,omitempty"` // the router may hold slots from now on
-	End    *claim.Holder      `cbor:"3,keyasint,omitempty"` // the router holds no slots any more
+	Open   *claim.Holder      `cbor:"2,keyasint,omitempty"` // adds a router process that may hold slots
+	End    *claim.Holder      `cbor:"3,keyasint,omitempty"` // removes a router process that holds no slots
 	Advert *advertisedAddress `cbor:"4,keyasint,omitempty"`
 }
 
@@ -43,7 +43,7 @@
 // ReplicatedState is the applied state of the configuration group. It is safe for
 // concurrent use.
 type ReplicatedState struct {
-	mu         sync.Mutex // a leaf; guards store, routers and adverts
+	mu         sync.Mutex // leaf lock; guards store, routers and advertised
 	store      config.Store
 	routers    map[claim.Holder]bool
 	advertised map[string]string // operators' addresses by replica
@@ -121,7 +121,7 @@
 	return changeResult{}
 }
 
-// stateImage is the serialized form of a Replicated, stored in snapshots.
+// stateImage is the serialized form of a ReplicatedState, stored in snapshots.
 type stateImage struct {
 	Store   []byte              `cbor:"1,keyasint"`
 	Routers []claim.Holder      `cbor:"2,keyasint"`
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/state/config"
 )
 
-// This file defines which replica may answer operators, and the conversion of errors to
-// responses with a code and a typed detail of the schema.
+// This file defines the check that this replica may answer operators, and the conversion of
+// errors to responses with a code and a typed detail of the schema.
 
 // BadToken is the error of a call without the operators' token.
 type BadToken struct{}
@@ -62,7 +62,7 @@
 		reused     config.ReusedID
 		notLeader  consensus.NotLeader
 		notLeading NotLeading
-		handover   consensus.TransferPending
+		pending    consensus.TransferPending
 		undecided  replica.Undecided
 	)
 	switch {
@@ -78,8 +78,8 @@
 		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(notLeading.Leader))
 	case errors.As(err, &notLeader):
 		return withDetail(connect.CodeUnavailable, err, c.leaderDetail(notLeader.Leader.Name))
-	case errors.As(err, &handover):
-		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: handover.To.Name})
+	case errors.As(err, &pending):
+		return withDetail(connect.CodeUnavailable, err, &operatorv1.NotLeader{Leader: pending.To.Name})
 	}
 	return connect.NewError(connect.CodeInternal, err)
 }
--- a/control/session.go
+++ b/control/session.go
@@ -25,13 +25,14 @@
 	holder := claim.Holder{Router: h.Router, Boot: h.BootID}
 	r, admitted := c.admit(h, holder)
 	if !admitted {
-		_ = l.Send(ctx, r) // the link is closed in any case, and the router dials another replica
+		// An error does not matter: the link is closed anyway, and the router dials another replica.
+		_ = l.Send(ctx, r)
 		return
 	}
 	defer c.dispatcher.post(func() { c.dispatcher.endOpening(holder) })
 	// The router must be listed in the log before it can hold a slot.
 	if _, err := propose(c.ctx, c.config, command{Open: &holder}); err != nil {
-		_ = l.Send(ctx, protocol.Redirect{}) // the link is closed in any case, as above
+		_ = l.Send(ctx, protocol.Redirect{}) // as above
 		return
 	}
 	s := &session{holder: holder, out: link.NewOutbox(l, routerQueueDepth), sentRevision: h.Revision}
@@ -89,8 +90,9 @@
 	}
 }
 
-// openSession replaces any earlier session of the router and welcomes it. It reports false
-// if this replica may not act as the allocator.
+// openSession registers a session in place of any earlier one of the router, and sends the
+// router a Welcome and the configuration. It reports false if this replica may not act as the
+// allocator.
 func (d *dispatcher) openSession(s *session, h protocol.Hello) bool {
 	if !d.acting() {
 		return false
--- a/control/status.go
+++ b/control/status.go
@@ -127,8 +127,8 @@
 	return servers, accounts
 }
 
-// revisionConfirmations returns which routers have confirmed a revision and whether it is in force. A
-// router's lease is not renewed before the newest configuration was sent to it, so once every
+// revisionConfirmations returns which routers have confirmed a revision, and whether the revision is in
+// force. A router's lease is not renewed before the newest configuration was sent to it, so once every
 // process that may hold a lease has confirmed the revision, no router uses an older one.
 func (d *dispatcher) revisionConfirmations(revision uint64) *operatorv1.AwaitRevisionResponse {
 	out := &operatorv1.AwaitRevisionResponse{}
