--- a/router/call.go
+++ b/router/call.go
@@ -62,7 +62,8 @@
 	return failBroken
 }
 
-// run returns a failure if nothing has been written to the caller yet.
+// run queues the call, claims its key and sends it to a server, and repeats this until the call is
+// answered or fails. It returns a failure only if nothing has been written to the caller yet.
 func (r *Router) run(w http.ResponseWriter, ctx context.Context, c *call) *Failure {
 	for {
 		server, f := r.awaitServer(ctx, c)
@@ -137,8 +138,8 @@
 	return r.answerClaimed(w, c, got)
 }
 
-// answerClaimed answers the caller with the recorded outcome of the request with this key, unless
-// this router has to run it now.
+// answerClaimed answers the caller with the recorded outcome of the request with this key. It
+// answers nothing if the claim was granted, since this router then runs the request.
 func (r *Router) answerClaimed(w http.ResponseWriter, c *call, got protocol.Claimed) (answered bool, f *Failure) {
 	switch got.State {
 	case protocol.ClaimGranted:
--- a/router/callers.go
+++ b/router/callers.go
@@ -244,8 +244,8 @@
 	return c, nil
 }
 
-// readBody reads a body within the limit on all bodies together. A body of unknown length is
-// charged with the largest size until it is released by releaseBody.
+// readBody reads a body within the limit on all bodies together. A body of unknown length
+// counts with the largest allowed size until releaseBody.
 func (r *Router) readBody(w http.ResponseWriter, req *http.Request, c *call) ([]byte, *Failure) {
 	limits := r.cfg.Limits
 	if req.ContentLength > limits.BodyBytes {
--- a/router/doc.go
+++ b/router/doc.go
@@ -19,11 +19,11 @@
 // When the lease has expired, nothing more is dispatched: running answers are
 // finished, queued requests fail as not run, and the router reports not ready.
 // While no control replica leads, a majority of the replicas can extend the
-// lease (see survey in leader.go).
+// lease (see pollReplicas in leader.go).
 //
 // Goroutines: net/http's own, one per request; run of the leaderClient, with two
-// more per session (renewals, reporting) and one per replica during a survey;
-// tick; one per settlement that has not been answered.
+// more per session (sendRenewals, sendReports) and one per replica during
+// pollReplicas; tick; one per settlement that has not been answered.
 //
 // Lock order: Router.mu (the table of pools), then lockedPool.mu.
 // Router.budgetMu and the locks of a session and of the claimClient are leaf
--- a/router/errors.go
+++ b/router/errors.go
@@ -87,7 +87,7 @@
 	failStopping = &Failure{http.StatusServiceUnavailable, typeServer, "stopping", "this router is stopping", NotRun, retrySoon}
 	// The configuration has no server for the pool, or all of them are leaving.
 	failNoServer = &Failure{http.StatusServiceUnavailable, typeServer, "no_server", "no backend server serves this pool", NotRun, retrySoon}
-	// Limits.Wait has passed.
+	// Limits.QueueTimeout has passed.
 	failWaitedTooLong = &Failure{http.StatusServiceUnavailable, typeServer, "waited_too_long", "the request waited too long for its turn", NotRun, retryLater}
 	// The call was not sent or was refused, and the retry budget is empty.
 	failUnreachable = &Failure{http.StatusBadGateway, typeServer, "backend_unreachable", "no backend server took the request", NotRun, retrySoon}
--- a/router/leader.go
+++ b/router/leader.go
@@ -19,12 +19,12 @@
 // while a majority of the replicas has no leader. The session with a leader is in session.go.
 
 // Times of the search for a leader. An election takes about half a lease, so a router whose lease
-// is still valid searches more often: with pauses of a second the lease can expire during an
+// is still valid searches more often: with delays of a second, the lease can expire during an
 // election.
 const (
-	minSearchDelay       = 20 * time.Millisecond  // first pause, doubled after every failure
-	maxLeasedSearchDelay = 250 * time.Millisecond // longest pause while the lease is valid
-	maxSearchDelay       = time.Second            // longest pause without a lease
+	minSearchDelay       = 20 * time.Millisecond  // initial delay, doubled after every failure
+	maxLeasedSearchDelay = 250 * time.Millisecond // maximum delay while the lease is valid
+	maxSearchDelay       = time.Second            // maximum delay without a lease
 	helloTimeout         = 2 * time.Second        // for a replica's answer, including the dial
 	defaultLease         = 3 * time.Second        // slots.DefaultLease, until a leader has announced its own
 )
@@ -36,8 +36,8 @@
 	urgentReport  chan struct{}           // signals changes that a slot or a request waits for
 	session       atomic.Pointer[session] // nil while there is none
 
-	// The fields below are written only by the goroutine of run. The goroutines of survey read them
-	// while run waits.
+	// The fields below are written only by the goroutine of run. The goroutines of pollReplicas
+	// read them while run waits.
 	leader        string        // name of the replica that led the last session
 	epoch         uint64        // highest epoch of all sessions
 	leaseDuration time.Duration // as announced by the last leader
@@ -64,7 +64,7 @@
 	}
 }
 
-// searchDelayLimit returns the longest pause between two attempts.
+// searchDelayLimit returns the maximum delay between two searches.
 func (l *leaderClient) searchDelayLimit() time.Duration {
 	if l.r.lease.valid(l.r.now()) {
 		return maxLeasedSearchDelay
@@ -81,7 +81,7 @@
 }
 
 // findLeader opens a link to the leader. It tries the last known leader, then the one that this replica
-// names, then sends a hello to every replica. The link is nil if no replica leads.
+// names, then all replicas. The link is nil if no replica leads.
 func (l *leaderClient) findLeader() helloReply {
 	name := l.leader
 	for range 2 {
--- a/router/lease_test.go
+++ b/router/lease_test.go
@@ -16,8 +16,8 @@
 
 // This file tests the expiry of a lease at a router that reaches no replica.
 
-// TestLeaseExpiryIsCountedOnce checks that each expiry of a lease is counted once, and
-// renewals are not.
+// TestLeaseExpiryIsCountedOnce checks that each expiry of a lease is counted once and that renewals are
+// not counted.
 func TestLeaseExpiryIsCountedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestLeaseExpiresDuringSuspension checks that a router has no lease when it resumes after a suspension past the
-// lease's end.
+// TestLeaseExpiresDuringSuspension checks that a router whose box is suspended until after the end of its
+// lease has no lease when it resumes.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/router/parse_test.go
+++ b/router/parse_test.go
@@ -17,7 +17,8 @@
 const stream = "data: {\"choices\":[1]}\n\n: comment\n\ndata: {\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":4," +
 	"\"prompt_tokens_details\":{\"cached_tokens\":5}}}\r\n\r\ndata: [DONE]\n\n"
 
-// TestStreamScanIsIndependentOfChunking checks that the scan is the same however the stream is split.
+// TestStreamScanIsIndependentOfChunking checks that the result is the same however the stream is
+// split into writes.
 func TestStreamScanIsIndependentOfChunking(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= len(stream); size++ {
@@ -43,7 +44,7 @@
 	}
 	is.True(len(s.partialLine) <= maxLine)
 	s.write([]byte("\ndata: [DONE]\n"))
-	is.True(s.done) // the next line is scanned again
+	is.True(s.done) // the next line is scanned
 }
 
 // TestInvalidUsageIsCorrectedOrIgnored checks that invalid usage from an engine is corrected or ignored.
@@ -70,10 +71,10 @@
 			rest = rest[n:]
 		}
 		if whole.chunks != pieces.chunks || whole.done != pieces.done {
-			t.Fatalf("%d/%t whole, %d/%t in pieces of %d", whole.chunks, whole.done, pieces.chunks, pieces.done, size)
+			t.Fatalf("%d chunks, done %t in one write; %d chunks, done %t in writes of %d bytes", whole.chunks, whole.done, pieces.chunks, pieces.done, size)
 		}
 		if whole.chunks > bytes.Count(b, []byte("data:")) {
-			t.Fatalf("%d chunks", whole.chunks)
+			t.Fatalf("%d chunks, more than data: fields in the input", whole.chunks)
 		}
 	})
 }
@@ -84,7 +85,7 @@
 		if u := parseUsage(b); u != nil {
 			s := u.normalized()
 			if s.Input < 0 || s.Cached < 0 || s.Output < 0 {
-				t.Fatalf("%+v", s)
+				t.Fatalf("negative usage: %+v", s)
 			}
 		}
 	})
--- a/router/pool.go
+++ b/router/pool.go
@@ -29,13 +29,13 @@
 	accepting bool                     // some server is serving or joining
 }
 
-// waiter is a request in a pool's queue. turn receives the server to use, or a failure.
+// waiter is a request in a pool's queue. result receives the end of its wait.
 type waiter struct {
 	work   *pool.Work
 	result chan waitResult // buffered
 }
 
-// waitResult is the result of a wait.
+// waitResult is the end of a request's wait: the server to use, or a failure.
 type waitResult struct {
 	server config.Server
 	fail   *Failure
@@ -110,7 +110,7 @@
 }
 
 // cancel removes a request from the queue. If its wait has ended in the meantime, cancel returns
-// the result, and if that is a server, the caller must finish the turn.
+// the result, and if that is a server, the caller must release the slot with finish.
 func (p *lockedPool) cancel(w *waiter) (waitResult, bool) {
 	p.mu.Lock()
 	waiting := p.pool.Cancel(w.work)
--- a/router/relay.go
+++ b/router/relay.go
@@ -45,7 +45,7 @@
 	retained         []byte      // body for the register, up to claim.MaxAnswerBytes
 	tooLargeToRetain bool        // the body exceeds claim.MaxAnswerBytes
 	relayedBytes     int64       // bytes of the body received so far
-	resumptions      int         // resumptions so far
+	resumptions      int
 }
 
 // relayBuffers reuses buffers between relays. A buffer for each relay was most of what a request
@@ -130,8 +130,8 @@
 const maxResumes = 3
 
 // resume requests the rest of a broken answer from its server, from the first byte that the caller
-// lacks, and reports whether it got it. This does not repeat the request: the server sends the rest
-// of the same run.
+// has not received, and reports whether it got it. This does not repeat the request: the server sends
+// the rest of the same run.
 func (r *relay) resume() bool {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" || r.resumptions >= maxResumes {
@@ -155,11 +155,11 @@
 	return true
 }
 
-// discardTimeout bounds the call that ends an answer at its server.
+// discardTimeout bounds the call of discardAtServer.
 const discardTimeout = 2 * time.Second
 
-// discardAtServer ends an answer whose caller has left, so that its server does not keep it for a
-// resumption. Failures are ignored, since no one waits for the answer.
+// discardAtServer tells the server to discard an answer whose caller has left, so that the server does
+// not keep it for a resumption. Failures are ignored, since no one waits for the answer.
 func (r *relay) discardAtServer() {
 	path := r.answer.Header.Get(forward.ResumeHeader)
 	if path == "" {
@@ -225,8 +225,8 @@
 // bytesPerToken is the approximate length of a token in English text.
 const bytesPerToken = 4
 
-// isTruncated reports whether an answer that ended without an error is incomplete: an engine's
-// stream without its end mark.
+// isTruncated reports whether an answer that ended without an error is incomplete, which is the case
+// for an engine's stream without its end mark.
 func (r *relay) isTruncated() bool {
 	return r.scan != nil && r.call.engine && r.answer.Status == http.StatusOK && !r.scan.done
 }
@@ -247,7 +247,7 @@
 	return strings.HasPrefix(h.Get("Content-Type"), "text/event-stream")
 }
 
-// hopByHop are the headers that concern a single connection (RFC 9110).
+// hopByHop holds the headers that apply to a single connection only (RFC 9110).
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true,
 	"Proxy-Connection": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
--- a/router/report.go
+++ b/router/report.go
@@ -14,7 +14,7 @@
 // This file defines the reports of the pools to the allocator. Changes are collected; urgent ones
 // are sent soon and others less often, within the byte budget.
 
-// requestReport signals to reporting that there is something to report.
+// requestReport signals to sendReports that there is something to report.
 func (l *leaderClient) requestReport(urgent bool) {
 	ch := l.routineReport
 	if urgent {
--- a/router/router.go
+++ b/router/router.go
@@ -75,7 +75,7 @@
 
 // Settings that are the same for every pool.
 const (
-	firstEstimate  = 256                   // cost, in units of share.Weights, of a request whose account and class have no finished request yet
+	firstEstimate  = 256                   // assumed cost, in units of share.Weights, of a request whose account and class have no finished request yet
 	prefixBlocks   = 8192                  // prompt blocks remembered per pool
 	poolTickPeriod = 50 * time.Millisecond // period of the checks for expired requests, unused slots and an expired lease
 )
@@ -93,8 +93,8 @@
 	lease     lease
 	leader    *leaderClient
 	claims    *claimClient
-	serving   atomic.Bool  // false once a stop has begun: the router then reports not ready
-	refusing  atomic.Bool  // true later in the stop: new requests are refused
+	serving   atomic.Bool  // false once a stop has begun, so that the router reports not ready
+	refusing  atomic.Bool  // true after the grace period of a stop: new requests are refused
 	inFlight  atomic.Int64 // requests being served
 	bodyBytes atomic.Int64 // bytes reserved for the bodies of requests in flight
 
--- a/router/session.go
+++ b/router/session.go
@@ -20,11 +20,11 @@
 // This file defines session, one link to a leader: receiving its messages and renewing the lease.
 // The reports are in report.go.
 
-// Parts of a lease (docs/design/lease.md). They leave a router enough of its lease to find the next
-// leader, see the times of the search in leader.go.
+// Divisors of the lease duration (docs/design/lease.md). They leave a router enough of its lease to
+// find the next leader; leader.go has the timing of that search.
 const (
-	renewalsPerLease   = 6 // renewals sent per lease
-	linkTimeoutDivisor = 2 // a link without a message for lease/silenceDivisor is dead
+	renewalsPerLease   = 6 // renewals sent during one lease duration
+	linkTimeoutDivisor = 2 // a link without a message for leaseDuration/linkTimeoutDivisor is closed
 )
 
 // outboxDepth is the number of messages that may be queued on a session; one more ends it.
@@ -33,7 +33,7 @@
 // session is one link to a leader.
 type session struct {
 	out           *link.Outbox
-	leaseDuration time.Duration // of the lease
+	leaseDuration time.Duration
 	viewSeq       atomic.Uint64 // number of the last view
 
 	mu              sync.Mutex               // guards the fields below
@@ -85,7 +85,7 @@
 	}
 }
 
-// sendRenewals sends renewalsPerLease sendRenewals per lease until ctx ends.
+// sendRenewals sends renewalsPerLease renewals per lease duration until ctx ends.
 func (l *leaderClient) sendRenewals(ctx context.Context, s *session) {
 	t := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer t.Stop()
@@ -102,8 +102,8 @@
 	}
 }
 
-// receive handles the leader's messages until the link ends or has been silent for a part of the
-// lease. Renewals are answered, so a silent link is dead.
+// receive handles the leader's messages until the link fails or no message arrives for
+// leaseDuration/linkTimeoutDivisor. A leader answers renewals, so a link without messages has failed.
 func (l *leaderClient) receive(ctx context.Context, lk *link.Link, s *session) error {
 	for {
 		rctx, cancel := context.WithTimeout(ctx, s.leaseDuration/linkTimeoutDivisor)
@@ -177,7 +177,8 @@
 	return nil
 }
 
-// returnSlots hands back all slots and waits until that has been sent.
+// returnSlots returns all slots to the allocator for a planned stop, and waits until the report has
+// been sent.
 func (l *leaderClient) returnSlots(ctx context.Context) {
 	s := l.session.Load()
 	if s == nil {
