--- a/control/claims.go
+++ b/control/claims.go
@@ -19,13 +19,13 @@
 // This file defines the state machine of the claims group, the handling of routers'
 // claims, and the notification of routers that wait for the outcome of another router.
 
-// claimMachine is the state machine of the claims group.
-type claimMachine struct{ register *claim.Register }
+// claimStateMachine is the state machine of the claims group.
+type claimStateMachine struct{ register *claim.Register }
 
-var _ replica.StateMachine = claimMachine{}
+var _ replica.StateMachine = claimStateMachine{}
 
 // Apply implements [replica.StateMachine].
-func (c claimMachine) Apply(data []byte) any {
+func (c claimStateMachine) Apply(data []byte) any {
 	var cmd claim.Command
 	if err := cbor.Unmarshal(data, &cmd); err != nil {
 		return protocol.Claimed{State: protocol.ClaimRetry}
@@ -34,10 +34,10 @@
 }
 
 // Snapshot implements [replica.StateMachine].
-func (c claimMachine) Snapshot() ([]byte, error) { return c.register.MarshalBinary() }
+func (c claimStateMachine) Snapshot() ([]byte, error) { return c.register.MarshalBinary() }
 
 // Restore implements [replica.StateMachine].
-func (c claimMachine) Restore(image []byte) error { return c.register.UnmarshalBinary(image) }
+func (c claimStateMachine) Restore(image []byte) error { return c.register.UnmarshalBinary(image) }
 
 // proposeClaim proposes a command to the claims group, stamped with this box's wall
 // clock.
--- a/control/control.go
+++ b/control/control.go
@@ -103,7 +103,7 @@
 	if c.config, err = c.startGroup(configGroup, c.state, c.dispatcher.publishStatus); err != nil {
 		return err
 	}
-	c.claims, err = c.startGroup(claimGroup, claimMachine{c.register}, nil)
+	c.claims, err = c.startGroup(claimGroup, claimStateMachine{c.register}, nil)
 	return err
 }
 
--- a/control/dispatcher.go
+++ b/control/dispatcher.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// acting reports whether this replica may currently act as the allocator.
-func (d *dispatcher) acting() bool {
+// isAllocator reports whether this replica may currently act as the allocator.
+func (d *dispatcher) isAllocator() bool {
 	return d.alloc != nil && d.now() < d.group.LeaseEnd
 }
 
@@ -209,19 +209,19 @@
 	if d.alloc == nil {
 		return
 	}
-	if !d.group.leads && !d.acting() {
+	if !d.group.leads && !d.isAllocator() {
 		d.endEpoch()
 		return
 	}
 	for _, name := range d.alloc.ExpireSessions(d.now()) {
 		d.c.cfg.Log.Info("router lease expired", "router", name)
 	}
-	d.endExpired()
+	d.recordExpired()
 }
 
-// endExpired records the end of listed router processes whose lease has expired.
-func (d *dispatcher) endExpired() {
-	if !d.acting() || d.alloc.TakingOver(d.now()) {
+// recordExpired records the end of listed router processes whose lease has expired.
+func (d *dispatcher) recordExpired() {
+	if !d.isAllocator() || d.alloc.TakingOver(d.now()) {
 		return
 	}
 	leased := map[claim.Holder]bool{}
@@ -313,7 +313,7 @@
 // allocate grants free slots, sends the views that are due, and returns a channel that
 // fires when allocate should run again, or nil if there is no such time.
 func (d *dispatcher) allocate() <-chan time.Time {
-	if !d.acting() {
+	if !d.isAllocator() {
 		return nil
 	}
 	now := d.now()
--- a/control/metrics.go
+++ b/control/metrics.go
@@ -37,7 +37,7 @@
 
 // snapshot collects the state for a scrape. It runs in the dispatcher's goroutine.
 func (d *dispatcher) snapshot() fleetSnapshot {
-	s := fleetSnapshot{cfg: d.c.state.Config(), leads: d.acting()}
+	s := fleetSnapshot{cfg: d.c.state.Config(), leads: d.isAllocator()}
 	if s.leads {
 		s.epoch = d.alloc.Epoch()
 		s.routers = len(d.sessions)
--- a/control/operators.go
+++ b/control/operators.go
@@ -93,7 +93,7 @@
 
 // proposeChange makes one attempt to propose the change of a request, if this replica leads.
 func (o *operators) proposeChange(ctx context.Context, ch *operatorv1.Change, digest uint64, derive deriveFunc) (uint64, error) {
-	if err := o.c.mustLead(); err != nil {
+	if err := o.c.requireLeader(); err != nil {
 		return 0, err
 	}
 	if accepted, revision, ok := o.c.state.FindChange(ch.GetId()); ok {
--- a/control/rpcerror.go
+++ b/control/rpcerror.go
@@ -39,7 +39,7 @@
 	var leader string
 	acting, d := false, c.dispatcher
 	d.call(func() {
-		if acting = d.acting(); acting {
+		if acting = d.isAllocator(); acting {
 			f(d)
 		} else if d.group.Leader.Name != c.cfg.Identity.Name { // if equal, this replica leads but has no lease yet
 			leader = d.group.Leader.Name
@@ -51,8 +51,8 @@
 	return NotLeading{Leader: leader}
 }
 
-// mustLead returns nil if this replica may act as the allocator, and [NotLeading] otherwise.
-func (c *Control) mustLead() error { return c.asLeader(func(*dispatcher) {}) }
+// requireLeader returns nil if this replica may act as the allocator, and [NotLeading] otherwise.
+func (c *Control) requireLeader() error { return c.asLeader(func(*dispatcher) {}) }
 
 // rpcError converts err to a connect error with the matching code and detail.
 func (c *Control) rpcError(changeID string, err error) error {
--- a/control/session.go
+++ b/control/session.go
@@ -41,7 +41,7 @@
 	if !c.dispatcher.call(func() { opened = c.dispatcher.openSession(s, h) }) || !opened {
 		return
 	}
-	defer c.dispatcher.post(func() { c.dispatcher.unlinkSession(s) })
+	defer c.dispatcher.post(func() { c.dispatcher.removeSession(s) })
 	c.receive(ctx, l, s)
 }
 
@@ -54,7 +54,7 @@
 			Leader: d.group.Leader.Name, FollowsLeader: !d.group.Leader.IsZero(), Group: d.group.Group,
 			Revision: d.c.state.Config().Revision(), Pending: d.group.LastIndex > d.group.Applied,
 		}
-		admitted = d.acting() && h.Epoch <= d.alloc.Epoch() && !d.recordingEnd[holder]
+		admitted = d.isAllocator() && h.Epoch <= d.alloc.Epoch() && !d.recordingEnd[holder]
 		if admitted {
 			d.openingSessions[holder]++
 		}
@@ -94,7 +94,7 @@
 // router a Welcome and the configuration. It reports false if this replica may not act as the
 // allocator.
 func (d *dispatcher) openSession(s *session, h protocol.Hello) bool {
-	if !d.acting() {
+	if !d.isAllocator() {
 		return false
 	}
 	if old := d.sessions[h.Router]; old != nil {
@@ -115,7 +115,7 @@
 
 // renew extends the lease of a router and records the revision that it confirmed.
 func (d *dispatcher) renew(s *session, m protocol.Renew) {
-	if d.sessions[s.holder.Router] != s || !d.acting() {
+	if d.sessions[s.holder.Router] != s || !d.isAllocator() {
 		return
 	}
 	s.confirmedRevision = m.Revision
@@ -130,8 +130,8 @@
 	d.alloc.Report(d.now(), s.holder.Router, m)
 }
 
-// unlinkSession removes a session whose link has ended, unless a newer one replaced it.
-func (d *dispatcher) unlinkSession(s *session) {
+// removeSession removes a session whose link has ended, unless a newer one replaced it.
+func (d *dispatcher) removeSession(s *session) {
 	if d.sessions[s.holder.Router] != s {
 		return
 	}
--- a/control/status.go
+++ b/control/status.go
@@ -18,7 +18,7 @@
 // their results in the dispatcher.
 
 func (o *operators) ListAccounts(_ context.Context, _ *connect.Request[operatorv1.ListAccountsRequest]) (*connect.Response[operatorv1.ListAccountsResponse], error) {
-	if err := o.c.mustLead(); err != nil {
+	if err := o.c.requireLeader(); err != nil {
 		return nil, o.c.rpcError("", err)
 	}
 	cfg := o.c.state.Config()
@@ -30,7 +30,7 @@
 }
 
 func (o *operators) ListServers(_ context.Context, _ *connect.Request[operatorv1.ListServersRequest]) (*connect.Response[operatorv1.ListServersResponse], error) {
-	if err := o.c.mustLead(); err != nil {
+	if err := o.c.requireLeader(); err != nil {
 		return nil, o.c.rpcError("", err)
 	}
 	cfg := o.c.state.Config()
