--- a/router/call.go
+++ b/router/call.go
@@ -47,7 +47,7 @@
 	if f := r.run(w, req.Context(), c); f != nil {
 		r.refuse(w, c.withOverallOutcome(f))
 	}
-	r.stats.seriesOf(c).whole.Update((r.now() - c.arrivedAt).Seconds())
+	r.stats.seriesOf(c).total.Update((r.now() - c.arrivedAt).Seconds())
 }
 
 // withOverallOutcome returns a failure with the outcome of all attempts together. If an earlier
@@ -179,12 +179,12 @@
 	r.stats.seriesOf(c).service.Add(end.cost)
 	if end.failure != nil {
 		r.settle(c, protocol.ClaimUnknown, nil)
-		r.stats.failure(end.failure)
+		r.stats.countFailure(end.failure)
 		return false, nil
 	}
 	var recorded *protocol.Answer
-	if end.whole != nil {
-		recorded = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.whole}
+	if end.wholeBody != nil {
+		recorded = &protocol.Answer{Status: a.Status, ContentType: a.Header.Get("Content-Type"), Body: end.wholeBody}
 	}
 	r.settle(c, protocol.ClaimRan, recorded)
 	return false, nil
--- a/router/callers.go
+++ b/router/callers.go
@@ -70,7 +70,7 @@
 }
 
 func (r *Router) refuse(w http.ResponseWriter, f *Failure) {
-	r.stats.failure(f)
+	r.stats.countFailure(f)
 	f.write(w)
 }
 
--- a/router/leader.go
+++ b/router/leader.go
@@ -54,7 +54,7 @@
 		began := l.r.now()
 		found := l.findLeader()
 		if found.link != nil {
-			l.follow(found)
+			l.runSession(found)
 			wait = minSearchDelay
 		}
 		if l.r.now()-began < wait || found.link == nil {
@@ -89,7 +89,7 @@
 		if !ok {
 			break
 		}
-		got := l.hello(address)
+		got := l.sendHello(address)
 		if got.link != nil {
 			return got
 		}
@@ -110,7 +110,7 @@
 	replies := make(chan helloReply, len(names))
 	sent := l.r.now()
 	for _, name := range names {
-		go func() { replies <- l.hello(l.r.cfg.Replicas[name]) }()
+		go func() { replies <- l.sendHello(l.r.cfg.Replicas[name]) }()
 	}
 	leaderless := 0
 	var best helloReply
@@ -145,9 +145,9 @@
 	}
 }
 
-// hello opens a link to one replica and sends a hello. Errors are not logged: during an election
+// sendHello opens a link to one replica and sends a sendHello. Errors are not logged: during an election
 // every replica fails several times per second, and the end of the last session has been logged.
-func (l *leaderClient) hello(address string) helloReply {
+func (l *leaderClient) sendHello(address string) helloReply {
 	ctx, cancel := context.WithTimeout(l.r.ctx, helloTimeout)
 	defer cancel()
 	lk, err := link.Dial(ctx, address, l.r.cfg.Identity, l.r.meter)
--- a/router/relay.go
+++ b/router/relay.go
@@ -54,10 +54,10 @@
 
 // relayResult is the result of a relay.
 type relayResult struct {
-	cost    float64
-	result  pool.Result
-	failure *Failure
-	whole   []byte // whole body, if it is small enough to be retained
+	cost      float64
+	result    pool.Result
+	failure   *Failure
+	wholeBody []byte // whole body, if it is small enough to be retained
 }
 
 // run relays the answer to its end.
@@ -66,7 +66,7 @@
 	if isEventStream(r.answer.Header) {
 		r.scan = &streamScan{}
 	}
-	callerLeft, err := r.copy(w)
+	callerLeft, err := r.copyBody(w)
 	end := relayResult{cost: r.cost(), result: pool.Served}
 	switch {
 	case callerLeft:
@@ -76,7 +76,7 @@
 		end.failure, end.result = failBroken, pool.Failed
 		r.signalBrokenAnswer(w, failBroken)
 	case !r.tooLargeToRetain:
-		end.whole = r.retained
+		end.wholeBody = r.retained
 	}
 	return end
 }
@@ -91,8 +91,8 @@
 	w.WriteHeader(r.answer.Status)
 }
 
-// copy copies the body to its end and resumes it after a break where possible.
-func (r *relay) copy(w http.ResponseWriter) (callerLeft bool, err error) {
+// copyBody copies the body to its end and resumes it after a break where possible.
+func (r *relay) copyBody(w http.ResponseWriter) (callerLeft bool, err error) {
 	buf := relayBuffers.Get().(*[]byte)
 	defer relayBuffers.Put(buf)
 	for {
@@ -118,7 +118,7 @@
 	if r.relayedBytes == 0 {
 		r.router.stats.seriesOf(r.call).first.Update((r.router.now() - r.call.arrivedAt).Seconds())
 	}
-	r.observe(b)
+	r.recordChunk(b)
 	rc := http.NewResponseController(w)
 	// This fails only on a closed connection, and then the write fails as well.
 	_ = rc.SetWriteDeadline(time.Now().Add(r.router.cfg.Limits.WriteTimeout))
@@ -173,8 +173,8 @@
 	}
 }
 
-// observe records a chunk of the body for its cost and for the register.
-func (r *relay) observe(b []byte) {
+// recordChunk records a chunk of the body for its cost and for the register.
+func (r *relay) recordChunk(b []byte) {
 	r.relayedBytes += int64(len(b))
 	if r.call.claim != nil && !r.tooLargeToRetain {
 		r.retained = append(r.retained, b...)
--- a/router/session.go
+++ b/router/session.go
@@ -41,8 +41,8 @@
 	lastReport      uint64                   // number of the last report
 }
 
-// follow runs one session to its end.
-func (l *leaderClient) follow(hello helloReply) {
+// runSession runs one session to its end.
+func (l *leaderClient) runSession(hello helloReply) {
 	ctx, cancel := context.WithCancel(l.r.ctx)
 	defer cancel()
 	w := hello.welcome
@@ -110,7 +110,7 @@
 		m, err := lk.Receive(rctx)
 		cancel()
 		if err == nil {
-			err = l.handle(s, m)
+			err = l.handleMessage(s, m)
 		}
 		if err != nil {
 			return err
@@ -118,8 +118,8 @@
 	}
 }
 
-// handle applies a message of the leader. An error ends the session.
-func (l *leaderClient) handle(s *session, m protocol.Message) error {
+// handleMessage applies a message of the leader. An error ends the session.
+func (l *leaderClient) handleMessage(s *session, m protocol.Message) error {
 	switch m := m.(type) {
 	case protocol.Renewed:
 		s.mu.Lock()
--- a/router/stats.go
+++ b/router/stats.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// failure counts a failure by code and outcome.
-func (s *stats) failure(f *Failure) {
+// countFailure counts a countFailure by code and outcome.
+func (s *stats) countFailure(f *Failure) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_failures_total{code=%q,outcome=%q}`, f.Code, f.Outcome)).Inc()
 }
 
@@ -51,7 +51,7 @@
 type series struct {
 	wait     *metrics.Histogram // time in the queue
 	first    *metrics.Histogram // time to the first byte of the answer
-	whole    *metrics.Histogram // time to the end
+	total    *metrics.Histogram // time to the end
 	requests *metrics.Counter
 	service  *metrics.FloatCounter
 }
@@ -67,7 +67,7 @@
 	got, _ := s.seriesByKey.LoadOrStore(k, &series{
 		wait:     s.set.GetOrCreateHistogram("badgerspoke_wait_seconds{" + labels + "}"),
 		first:    s.set.GetOrCreateHistogram("badgerspoke_first_seconds{" + labels + "}"),
-		whole:    s.set.GetOrCreateHistogram("badgerspoke_whole_seconds{" + labels + "}"),
+		total:    s.set.GetOrCreateHistogram("badgerspoke_whole_seconds{" + labels + "}"),
 		requests: s.set.GetOrCreateCounter("badgerspoke_requests_total{" + labels + "}"),
 		service:  s.set.GetOrCreateFloatCounter("badgerspoke_service_total{" + labels + "}"),
 	})
