--- a/router/call.go
+++ b/router/call.go
@@ -193,22 +193,22 @@
 // handleSendError handles an attempt that got no answer: it releases the slot, and settles the claim if
 // the call ends here.
 func (r *Router) handleSendError(ctx context.Context, c *call, server config.Server, err error) (again bool, f *Failure) {
-	f, claim, last := failBroken.WithMessage(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
+	f, claimState, execution := failBroken.WithMessage(err.Error()), protocol.ClaimUnknown, retry.MayHaveRun
 	var notRun forward.NotRun
 	if errors.As(err, &notRun) {
 		r.applyBackoff(c, server, notRun)
-		f, claim, last = failUnreachable.WithMessage(err.Error()), protocol.ClaimReleased, retry.Refused
+		f, claimState, execution = failUnreachable.WithMessage(err.Error()), protocol.ClaimReleased, retry.Refused
 	}
 	result, gone := pool.Failed, ctx.Err() != nil
 	if gone {
 		f, result = failCallerGone.WithOutcome(f.Outcome), pool.Abandoned
 	}
 	r.pool(c.pool).finish(c.work, server.ID, 0, result)
-	if !gone && last.MayGoElsewhere(c.repeatable) && r.allowRetry() {
-		c.repeated = c.repeated || last == retry.MayHaveRun
+	if !gone && execution.MayGoElsewhere(c.repeatable) && r.allowRetry() {
+		c.repeated = c.repeated || execution == retry.MayHaveRun
 		return true, nil
 	}
-	r.settle(c, claim, nil)
+	r.settle(c, claimState, nil)
 	return false, f
 }
 
--- a/router/leader.go
+++ b/router/leader.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// sendHello opens a link to one replica and sends a sendHello. Errors are not logged: during an election
+// sendHello opens a link to one replica and sends a hello. Errors are not logged: during an election
 // every replica fails several times per second, and the end of the last session has been logged.
 func (l *leaderClient) sendHello(address string) helloReply {
 	ctx, cancel := context.WithTimeout(l.r.ctx, helloTimeout)
--- a/router/stats.go
+++ b/router/stats.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// countFailure counts a countFailure by code and outcome.
+// countFailure counts a failure by code and outcome.
 func (s *stats) countFailure(f *Failure) {
 	s.set.GetOrCreateCounter(fmt.Sprintf(`badgerspoke_failures_total{code=%q,outcome=%q}`, f.Code, f.Outcome)).Inc()
 }
