--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -165,7 +165,7 @@
 // Defaults and limits of a client.
 const (
 	defaultDialTimeout = 2 * time.Second
-	defaultIdleTime    = 30 * time.Second
+	defaultIdleTimeout = 30 * time.Second
 	minIdlePerServer   = 16       // connections to one server
 	maxResponseHeader  = 64 << 10 // bytes; the same limit as for requests to the fleet's listeners
 	maxRefusal         = 4 << 10  // bytes of a refusal's body that are read, so that its connection can be reused
@@ -185,7 +185,7 @@
 		cfg.Dialer = &net.Dialer{Timeout: defaultDialTimeout}
 	}
 	if cfg.IdleTimeout == 0 {
-		cfg.IdleTimeout = defaultIdleTime
+		cfg.IdleTimeout = defaultIdleTimeout
 	}
 	if cfg.IsRefusal == nil {
 		cfg.IsRefusal = isDefaultRefusal
