--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -54,11 +54,11 @@
 		wantRuns     int
 		wantComplete bool
 	}{
-		{"answers", "", post, "", 1, true},
-		{"refuses before it starts", standin.Refuse, post, "not-run", 0, false},
-		{"dies before the response", standin.AbortBeforeResponse, post, "unknown", 1, false},
+		{"responds", "", post, "", 1, true},
+		{"refuses before starting the call", standin.Refuse, post, "not-run", 0, false},
+		{"crashes before the response", standin.AbortBeforeResponse, post, "unknown", 1, false},
 		{"never responds", standin.Hang, post, "unknown", 1, false},
-		{"dies in the middle of the response", standin.AbortMidResponse, post, "", 1, false},
+		{"crashes in the middle of the response", standin.AbortMidResponse, post, "", 1, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -154,7 +154,7 @@
 	HeaderTimeout    time.Duration // limit on the wait for the response header; zero means none
 	MaxIdlePerServer int           // limit on idle connections to one server, at least minIdlePerServer
 	MaxIdle          int           // limit on idle connections to all servers; zero means none
-	IdleTimeout      time.Duration // after which an idle connection is closed; zero means defaultIdleTime
+	IdleTimeout      time.Duration // after which an idle connection is closed; zero means defaultIdleTimeout
 	// IsRefusal reports whether a response means that the server did not start
 	// the call. Nil means a 429 or 503 with RefusedHeader.
 	IsRefusal func(status int, h http.Header) bool
