--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -9,7 +9,7 @@
 // store the configuration and grant slots to the routers. Boxes find each
 // other by the addresses in [Settings.Replicas] and authenticate each other
 // with a shared fleet key. A Box has no lock: its fields don't change after
-// [Start]. It stops in the order of dependence: router, control role,
+// [Start]. Stop ends its parts in order of dependence: router, control role,
 // connections to backend servers, listeners. The roles are separate packages
 // that can be embedded without this one:
 // [github.com/badgerspoke/badgerspoke/router] and
@@ -48,7 +48,7 @@
 // in use before it starts.
 type Settings struct {
 	Name     string // unique in the fleet
-	Hall     string // the data hall
+	Hall     string // data hall of the box
 	FleetKey []byte // equal on all boxes; badgerspoked requires at least settings.MinFleetKey bytes
 	// Replicas are the fleet addresses (IP:PORT) of all control replicas, by
 	// name.
@@ -79,7 +79,7 @@
 	Grace time.Duration
 	Log   *slog.Logger // nil disables logging
 
-	// Replacements of network, disk and random numbers for tests. Nil means those of the machine.
+	// Tests replace the network, the disk and the random numbers. Nil selects those of the machine.
 	Dialer forward.Dialer
 	Dir    func(group string) (wal.Dir, error) // data folder of one consensus group of the control role
 	Random func() uint64
@@ -90,12 +90,12 @@
 
 // Box is a running box.
 type Box struct {
-	cfg     Settings
-	metrics *metrics.Set
-	router  *router.Router
-	control *control.Control
-	server  *forward.Client
-	servers []*http.Server
+	cfg           Settings
+	metrics       *metrics.Set
+	router        *router.Router
+	control       *control.Control
+	backendClient *forward.Client
+	httpServers   []*http.Server
 }
 
 // Limits of every listener.
@@ -152,7 +152,7 @@
 func (b *Box) startControl(ctx context.Context) error {
 	c, err := control.Start(ctx, control.Settings{
 		Identity: b.identity(), Replicas: b.cfg.Replicas,
-		OperatorsAddress: addressOf(b.cfg.Operators), OpenDir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
+		OperatorsAddress: listenAddress(b.cfg.Operators), OpenDir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
 		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{ElectionTimeout: b.cfg.ElectionTimeout, HeartbeatInterval: b.cfg.HeartbeatInterval},
 		Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func addressOf(l net.Listener) string {
+func listenAddress(l net.Listener) string {
 	if l == nil {
 		return ""
 	}
@@ -178,10 +178,10 @@
 	if dialer == nil {
 		dialer = socket.Dialer(socket.DialTimeout)
 	}
-	b.server = forward.New(forward.Settings{Dialer: dialer})
+	b.backendClient = forward.New(forward.Settings{Dialer: dialer})
 	b.router = router.Start(ctx, router.Settings{
 		Identity: b.identity(), Hall: b.cfg.Hall, Replicas: b.cfg.Replicas,
-		Transport: b.server, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
+		Transport: b.backendClient, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
 		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
 	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Clients)
@@ -212,7 +212,7 @@
 		MaxHeaderBytes: maxHeaderBytes, Protocols: &protocols,
 		ErrorLog: slog.NewLogLogger(b.cfg.Log.Handler(), slog.LevelDebug),
 	}
-	b.servers = append(b.servers, s)
+	b.httpServers = append(b.httpServers, s)
 	limited := socket.LimitListener(l, maxConnections)
 	// Serve returns when the listener is closed, which only Stop does. Its error carries no
 	// information.
@@ -257,10 +257,10 @@
 	if b.control != nil {
 		b.control.Stop(ctx)
 	}
-	if b.server != nil {
-		b.server.Close()
+	if b.backendClient != nil {
+		b.backendClient.Close()
 	}
-	for _, s := range b.servers {
+	for _, s := range b.httpServers {
 		if s.Shutdown(ctx) != nil {
 			s.Close()
 		}
--- a/bench_test.go
+++ b/bench_test.go
@@ -109,8 +109,8 @@
 
 var benchClient = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 
-// post sends a streamed completion and checks that the stream is complete.
-func post(address string, tokens int) error {
+// sendCompletion sends a streamed completion and checks that the stream is complete.
+func sendCompletion(address string, tokens int) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/completions",
 		strings.NewReader(fmt.Sprintf(`{"model":"m","max_tokens":%d,"stream":true}`, tokens)))
 	if err != nil {
@@ -136,7 +136,7 @@
 	var directTimes, routedTimes []time.Duration
 	timed := func(address string) time.Duration {
 		began := time.Now()
-		if err := post(address, 4); err != nil {
+		if err := sendCompletion(address, 4); err != nil {
 			b.Fatal(err)
 		}
 		return time.Since(began)
@@ -203,7 +203,7 @@
 			b.SetParallelism(4)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					if err := post(address, 4); err != nil {
+					if err := sendCompletion(address, 4); err != nil {
 						b.Error(err)
 						return
 					}
@@ -225,7 +225,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				callers, _ := startBox(b, standin.EngineSettings{Slots: c.slots, TokenTime: time.Hour})
-				before := heap()
+				before := heapAndStackBytes()
 				ctx, cancel := context.WithCancel(context.Background())
 				for range n {
 					go func() {
@@ -238,15 +238,15 @@
 					}()
 				}
 				time.Sleep(2 * time.Second)
-				b.ReportMetric(float64(heap()-before)/n, "B/request")
+				b.ReportMetric(float64(heapAndStackBytes()-before)/n, "B/request")
 				cancel()
 			}
 		})
 	}
 }
 
-// heap returns the bytes of live heap objects and stacks.
-func heap() int64 {
+// heapAndStackBytes returns the bytes of live heapAndStackBytes objects and stacks.
+func heapAndStackBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/callers_test.go
+++ b/callers_test.go
@@ -29,7 +29,7 @@
 	return f
 }
 
-func TestAnswersAreRelayedWhole(t *testing.T) {
+func TestResponsesAreRelayedCompletely(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestPlainServiceSeesNoKeys(t *testing.T) {
+func TestPlainServiceReceivesAccountButNoAPIKey(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -69,7 +69,7 @@
 	})
 }
 
-func TestRefusedRequests(t *testing.T) {
+func TestRefusalsReportStatusCodeAndOutcome(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := smallFleet(t)
 		tests := []struct {
@@ -108,12 +108,12 @@
 	})
 }
 
-func TestBackendFailures(t *testing.T) {
-	engine := completion("r1", "hotel", 4, true)
-	plain := completion("r1", "hotel", 4, false)
-	never := plain
-	never.header = map[string]string{"Badgerspoke-Repeat": "never"}
-	post := order("r1", "hotel", "sheets", "")
+func TestBackendFailuresReportTrueOutcome(t *testing.T) {
+	streamed := completion("r1", "hotel", 4, true)
+	unstreamed := completion("r1", "hotel", 4, false)
+	notRepeatable := unstreamed
+	notRepeatable.header = map[string]string{"Badgerspoke-Repeat": "never"}
+	serviceOrder := order("r1", "hotel", "sheets", "")
 	tests := []struct {
 		name    string
 		r       request
@@ -122,14 +122,14 @@
 		outcome string // outcome of the failure; "" means a complete response
 		runs    int    // number of executions
 	}{
-		{"refused, then taken", plain, standin.Refuse, 200, "", 1},
-		{"refused though it may not be repeated", never, standin.Refuse, 200, "", 1},
-		{"dies early, safe to repeat", plain, standin.AbortBeforeResponse, 200, "", 2},
-		{"dies early, may not be repeated", never, standin.AbortBeforeResponse, 502, "unknown", 1},
-		{"service dies early", post, standin.AbortBeforeResponse, 502, "unknown", 1},
-		{"service refuses", post, standin.Refuse, 200, "", 1},
-		{"stream dies in the middle", engine, standin.AbortMidResponse, 200, "unknown", 1},
-		{"stream ends without its end mark", engine, standin.Truncate, 200, "unknown", 1},
+		{"refused, then accepted", unstreamed, standin.Refuse, 200, "", 1},
+		{"refused, may not be repeated", notRepeatable, standin.Refuse, 200, "", 1},
+		{"no response, safe to repeat", unstreamed, standin.AbortBeforeResponse, 200, "", 2},
+		{"no response, may not be repeated", notRepeatable, standin.AbortBeforeResponse, 502, "unknown", 1},
+		{"no response from a service", serviceOrder, standin.AbortBeforeResponse, 502, "unknown", 1},
+		{"service refuses", serviceOrder, standin.Refuse, 200, "", 1},
+		{"stream breaks in the middle", streamed, standin.AbortMidResponse, 200, "unknown", 1},
+		{"stream ends without its end mark", streamed, standin.Truncate, 200, "unknown", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -161,10 +161,10 @@
 	}
 }
 
-// TestRouterLeavesABackedOffServerAlone checks that a server that refuses a request and requests
+// TestRouterObservesServerBackoff checks that a server that refuses a request and requests
 // backoff receives nothing from the router during the backoff, even if the router would have
 // suspected it for a shorter time.
-func TestRouterLeavesABackedOffServerAlone(t *testing.T) {
+func TestRouterObservesServerBackoff(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
@@ -188,10 +188,10 @@
 	})
 }
 
-// TestRepeatedCallMayHaveRun checks that the outcome of a call that was lost and
+// TestRetriedRequestHasUnknownOutcome checks that the outcome of a call that was lost and
 // sent again is unknown, since the first attempt may have run, even if the retry
 // is refused.
-func TestRepeatedCallMayHaveRun(t *testing.T) {
+func TestRetriedRequestHasUnknownOutcome(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestBrokenPlainAnswerNeverLooksWhole(t *testing.T) {
+func TestBrokenUnstreamedResponseIsAnError(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -222,7 +222,7 @@
 	})
 }
 
-func TestBrokenStreamIsTakenUpAgain(t *testing.T) {
+func TestBrokenStreamIsResumed(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 1)
@@ -251,7 +251,7 @@
 	})
 }
 
-func TestRetriesStayInsideTheBudget(t *testing.T) {
+func TestRetriesStayWithinBudget(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -267,7 +267,7 @@
 	})
 }
 
-func TestCallerGoesAway(t *testing.T) {
+func TestCallerDisconnectCancelsExecution(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -286,9 +286,9 @@
 	})
 }
 
-// TestSlowCallersHoldNothing checks that a caller that doesn't send its body is
+// TestSlowRequestBodyTimesOut checks that a caller that doesn't send its body is
 // cut off after the time limit for bodies.
-func TestSlowCallersHoldNothing(t *testing.T) {
+func TestSlowRequestBodyTimesOut(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -304,7 +304,7 @@
 	})
 }
 
-func TestBodiesTogetherAreBounded(t *testing.T) {
+func TestTotalBodySizeIsBounded(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
@@ -326,12 +326,12 @@
 	})
 }
 
-func TestQueueFull(t *testing.T) {
+func TestFullQueueRefusesRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := smallFleet(t)
 		var rs []request
-		for range 1024 + 12 { // the limit, and two that may run before the last arrives
+		for range 1024 + 12 { // 12 more than may wait
 			rs = append(rs, completion("r1", "hotel", 1, false))
 		}
 		full := 0
--- a/chaos_test.go
+++ b/chaos_test.go
@@ -37,7 +37,7 @@
 func chaos(t *testing.T, seed uint64) {
 	is := is.New(t)
 	f := standardFleet(t, 3)
-	c := &calls{f: f, keys: map[string]bool{}}
+	c := &workload{f: f, keys: map[string]bool{}}
 	stop := make(chan struct{})
 	var running sync.WaitGroup
 	for caller := range 6 {
@@ -63,8 +63,8 @@
 	f.account("after", 1) // and changes are accepted
 }
 
-// calls are the callers of a fleet and the results that they recorded.
-type calls struct {
+// workload holds the callers of a fleet and the results of their requests.
+type workload struct {
 	f  *testFleet
 	mu sync.Mutex
 
@@ -74,7 +74,7 @@
 
 // run sends requests one by one until stop is closed: streams, and keyed
 // orders, each of which is sent again to another router.
-func (c *calls) run(caller int, stop chan struct{}) {
+func (c *workload) run(caller int, stop chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -96,14 +96,14 @@
 // callerTimeout is the time limit of a caller for a response.
 const callerTimeout = 5 * time.Second
 
-func (c *calls) do(r request) answer {
+func (c *workload) do(r request) response {
 	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	r.ctx = ctx
 	return c.f.do(r)
 }
 
-func (c *calls) order(router, body string) {
+func (c *workload) order(router, body string) {
 	a := c.do(order(router, "hotel", body, body))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-func (c *calls) stream(router string) {
+func (c *workload) stream(router string) {
 	a := c.do(completion(router, "notary", 5, true))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/faults_test.go
+++ b/faults_test.go
@@ -17,7 +17,7 @@
 // This file tests the guarantees of the service under failures, one test per
 // failure, on a fleet of three control boxes and one or two routers.
 
-func TestLeaderIsKilledUnderLoad(t *testing.T) {
+func TestLeaderCrashFailsNoRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -36,7 +36,7 @@
 	})
 }
 
-func TestLeaderIsCutOffInSilence(t *testing.T) {
+func TestPartitionedLeaderIsReplaced(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestControlBoxLosesItsDisk(t *testing.T) {
+func TestStateSurvivesDiskLossOfEachControlBox(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
@@ -94,7 +94,7 @@
 	})
 }
 
-func TestRouterIsPartitionedAndRejoins(t *testing.T) {
+func TestPartitionedRouterStopsServingUntilItRejoins(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -117,7 +117,7 @@
 	})
 }
 
-func TestRouterRestartsWithNoMemory(t *testing.T) {
+func TestRestartedRouterReplacesOldProcess(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -236,8 +236,8 @@
 }
 
 // service starts a plain service and adds it to pool "stock".
-func (f *testFleet) service(name string, i int, slots uint32, takes time.Duration) *standin.Service {
-	s := &standin.Service{ResponseTime: takes}
+func (f *testFleet) service(name string, i int, slots uint32, responseTime time.Duration) *standin.Service {
+	s := &standin.Service{ResponseTime: responseTime}
 	address := fmt.Sprintf("10.0.4.%d:9000", i)
 	f.serveStandIn(address, s)
 	f.services[name] = s
--- a/golden_test.go
+++ b/golden_test.go
@@ -38,36 +38,37 @@
 	s.lines = append(s.lines, fmt.Sprintf("%5.1fs  %-18s %s", at, who, fmt.Sprintf(format, args...)))
 }
 
-// align waits until the next multiple of ten seconds. It follows steps whose
-// duration depends on an election or on the order of simultaneous events.
+// align waits until the next multiple of ten seconds. It is called after steps whose
+// duration depends on an election or on the order of simultaneous events, so that later
+// lines have the same times in every run.
 func (s *transcript) align() {
 	const step = 10 * time.Second
 	time.Sleep(step - time.Since(s.began)%step)
 }
 
-// call sends a request and records the response.
-func (s *transcript) call(r request) answer {
+// doAndRecord sends a request and records the response.
+func (s *transcript) doAndRecord(r request) response {
 	a := s.do(r)
-	s.record(r.key+" → "+r.router, "%s%s  ←  %s", requestText(r), keyOf(r), describe(a))
+	s.record(r.key+" → "+r.router, "%s%s  ←  %s", describeRequest(r), describeKey(r), describeResponse(a))
 	return a
 }
 
-func requestText(r request) string {
+func describeRequest(r request) string {
 	if strings.HasPrefix(r.path, "/v1/") {
 		return "completion " + r.body
 	}
 	return r.path + " " + r.body
 }
 
-func keyOf(r request) string {
+func describeKey(r request) string {
 	if k := r.header["Idempotency-Key"]; k != "" {
 		return " (key " + k + ")"
 	}
 	return ""
 }
 
-// describe summarizes a response without the parts that differ between runs.
-func describe(a answer) string {
+// describeResponse summarizes a response without the parts that differ between runs.
+func describeResponse(a response) string {
 	if a.err != nil {
 		return "connection broken"
 	}
@@ -93,15 +94,17 @@
 	return text
 }
 
-// callConcurrently sends requests concurrently and records their responses in the order
+// doConcurrentlyAndRecord sends requests concurrently and records their responses in the order
 // of the requests.
-func (s *transcript) callConcurrently(rs ...request) {
+func (s *transcript) doConcurrentlyAndRecord(rs ...request) {
 	for i, a := range s.startAll(rs...)() {
-		s.record(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", requestText(rs[i]), keyOf(rs[i]), describe(a))
+		s.record(rs[i].key+" → "+rs[i].router, "at once: %s%s  ←  %s", describeRequest(rs[i]), describeKey(rs[i]), describeResponse(a))
 	}
 }
 
-func (s *transcript) operator(format string, args ...any) { s.record("operator", format, args...) }
+func (s *transcript) recordOperator(format string, args ...any) {
+	s.record("operator", format, args...)
+}
 
 var sessions = []struct {
 	name    string
@@ -109,23 +112,23 @@
 	play    func(s *transcript)
 }{
 	{"plain-and-streamed", 1, func(s *transcript) {
-		s.call(completion("r1", "hotel", 3, false))
-		s.call(completion("r1", "hotel", 3, true))
-		s.call(request{router: "r1", method: "GET", path: "/v1/models", key: "hotel"})
-		s.call(order("r1", "hotel", "30 sheets", ""))
-		s.call(order("r1", "stranger", "30 sheets", ""))
+		s.doAndRecord(completion("r1", "hotel", 3, false))
+		s.doAndRecord(completion("r1", "hotel", 3, true))
+		s.doAndRecord(request{router: "r1", method: "GET", path: "/v1/models", key: "hotel"})
+		s.doAndRecord(order("r1", "hotel", "30 sheets", ""))
+		s.doAndRecord(order("r1", "stranger", "30 sheets", ""))
 	}},
 	{"late-and-crossed", 2, func(s *transcript) {
 		// Four responses that end in the reverse order of their requests.
-		s.callConcurrently(completion("r1", "hotel", 40, true), completion("r2", "notary", 30, true),
+		s.doConcurrentlyAndRecord(completion("r1", "hotel", 40, true), completion("r2", "notary", 30, true),
 			completion("r1", "notary", 20, true), completion("r2", "hotel", 10, true))
 	}},
 	{"engine-dies-mid-stream", 1, func(s *transcript) {
 		s.engines["e1"].FailNext(standin.AbortMidResponse)
 		s.engines["e2"].FailNext(standin.AbortMidResponse)
-		s.call(completion("r1", "hotel", 8, true))
-		s.call(completion("r1", "hotel", 8, true))
-		s.call(completion("r1", "hotel", 8, true))
+		s.doAndRecord(completion("r1", "hotel", 8, true))
+		s.doAndRecord(completion("r1", "hotel", 8, true))
+		s.doAndRecord(completion("r1", "hotel", 8, true))
 	}},
 	{"flood", 2, func(s *transcript) {
 		var flood []request
@@ -136,7 +139,7 @@
 		time.Sleep(2 * time.Second)
 		s.record("hotel → r1", "300 completions at once, 2 s ago")
 		a := s.do(completion("r2", "notary", 20, true))
-		s.record("notary → r2", "one completion  ←  %s, in under 2 s: %t", describe(a), a.took < 2*time.Second)
+		s.record("notary → r2", "one completion  ←  %s, in under 2 s: %t", describeResponse(a), a.took < 2*time.Second)
 		whole := 0
 		for _, a := range wait() {
 			if strings.HasSuffix(a.body, "[DONE]\n\n") {
@@ -151,15 +154,15 @@
 			completion("r2", "notary", 250, true), completion("r2", "notary", 250, true))
 		time.Sleep(time.Second)
 		s.mark("e1", operatorv1.Mark_MARK_LEAVING)
-		s.operator("server mark e1 leaving")
+		s.recordOperator("server mark e1 leaving")
 		time.Sleep(3 * time.Second)
 		before := s.engines["e1"].Runs()
 		for range 6 {
-			s.call(completion("r1", "hotel", 2, true))
+			s.doAndRecord(completion("r1", "hotel", 2, true))
 		}
 		s.record("e1", "%d new requests since 3 s after it was marked", s.engines["e1"].Runs()-before)
 		for _, a := range wait() {
-			s.record("long streams", "%s", describe(a))
+			s.record("long streams", "%s", describeResponse(a))
 		}
 	}},
 	{"router-partitioned-and-rejoined", 2, func(s *transcript) {
@@ -169,25 +172,25 @@
 		s.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
 		s.record("network", "r1 and the control boxes are cut off from each other")
 		time.Sleep(4 * time.Second)
-		s.call(completion("r1", "hotel", 2, true))
+		s.doAndRecord(completion("r1", "hotel", 2, true))
 		s.net.HealPartitions()
 		s.record("network", "whole again")
 		s.settle()
 		s.align()
-		s.call(completion("r1", "hotel", 2, true))
-		s.call(completion("r2", "notary", 2, true))
+		s.doAndRecord(completion("r1", "hotel", 2, true))
+		s.doAndRecord(completion("r2", "notary", 2, true))
 	}},
 	{"router-restarted", 2, func(s *transcript) {
 		wait := s.startAll(completion("r1", "hotel", 100, true))
 		time.Sleep(time.Second)
 		s.crash("r1")
 		s.record("r1", "killed while it streams")
-		s.record("hotel → r1", "completion  ←  %s", describe(wait()[0]))
+		s.record("hotel → r1", "completion  ←  %s", describeResponse(wait()[0]))
 		s.start("r1")
 		s.settle()
 		s.align()
 		s.record("r1", "ready again, with no memory")
-		s.call(completion("r1", "hotel", 2, true))
+		s.doAndRecord(completion("r1", "hotel", 2, true))
 	}},
 	{"operators-racing", 1, func(s *transcript) {
 		leader := s.leader()
@@ -199,7 +202,7 @@
 				answer = strings.ReplaceAll(err.Error(), fmt.Sprint(base+1), "base+1")
 				answer = strings.ReplaceAll(answer, fmt.Sprint(base), "base")
 			}
-			s.operator("change %s: mark e1 %s on base  ←  %s", id, mark, answer)
+			s.recordOperator("change %s: mark e1 %s on base  ←  %s", id, mark, answer)
 		}
 		try("ada-1", operatorv1.Mark_MARK_LEAVING)
 		try("bob-1", operatorv1.Mark_MARK_JOINING)
@@ -217,20 +220,20 @@
 		s.net.Cut(s.boxes[old].ip)
 		s.record(leaderName, "cut off in silence")
 		time.Sleep(10 * time.Second)
-		s.call(completion("r1", "hotel", 2, true))
+		s.doAndRecord(completion("r1", "hotel", 2, true))
 		s.account("late", 1)
 		s.align()
-		s.operator("account create late  ←  accepted by another leader")
+		s.recordOperator("account create late  ←  accepted by another leader")
 		s.net.Restore(s.boxes[old].ip)
 		time.Sleep(5 * time.Second)
 		back := s.leader() == old
 		s.settle()
 		s.align()
 		s.record("the old leader", "is back; leads: %t", back)
-		s.call(completion("r2", "late", 2, true))
+		s.doAndRecord(completion("r2", "late", 2, true))
 	}},
 	{"second-box-lost-after-a-repair", 1, func(s *transcript) {
-		s.call(order("r1", "hotel", "12 towels", "k1"))
+		s.doAndRecord(order("r1", "hotel", "12 towels", "k1"))
 		for _, lost := range []string{"c1", "c2"} {
 			s.loseDisk(lost)
 			time.Sleep(2 * time.Second)
@@ -239,7 +242,7 @@
 		}
 		s.settle()
 		s.align()
-		s.call(order("r1", "hotel", "12 towels", "k1"))
+		s.doAndRecord(order("r1", "hotel", "12 towels", "k1"))
 		s.record("s1", "ran it %d time", s.services["s1"].Runs("12 towels"))
 	}},
 	{"keyed-request-at-two-routers", 2, func(s *transcript) {
@@ -250,19 +253,19 @@
 		}
 		s.record("hotel → r1 and r2", "at once: /services/stock/orders 5 robes (key k2)  ←  both 200, %d answer", len(bodies))
 		s.record("s1", "ran it %d time", s.services["s1"].Runs("5 robes"))
-		s.call(rs[1])
-		s.call(order("r1", "hotel", "6 robes", "k2"))
+		s.doAndRecord(rs[1])
+		s.doAndRecord(order("r1", "hotel", "6 robes", "k2"))
 		s.services["s1"].FailNext(standin.AbortBeforeResponse)
-		s.call(order("r1", "hotel", "7 robes", "k3"))
-		s.call(order("r2", "hotel", "7 robes", "k3"))
+		s.doAndRecord(order("r1", "hotel", "7 robes", "k3"))
+		s.doAndRecord(order("r2", "hotel", "7 robes", "k3"))
 		s.record("s1", "ran it %d time", s.services["s1"].Runs("7 robes"))
 	}},
 }
 
 const leaderName = "the leader"
 
-// TestSessions compares the transcript of each session with its golden file.
-func TestSessions(t *testing.T) {
+// TestSessionTranscripts compares the transcript of each session with its golden file.
+func TestSessionTranscripts(t *testing.T) {
 	for _, session := range sessions {
 		t.Run(session.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -20,11 +20,12 @@
 	return now
 }
 
-// now reads the clock, which takes about 0.13 us (BenchmarkClock).
+// now reads the clock, which takes about 0.13 us (BenchmarkClock). It returns 0 if the kernel lacks
+// the clock.
 func now() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0 // kernels before 2.6.39 lack it, and then every call fails
+		return 0 // kernels before 2.6.39 lack the clock, so that every call fails
 	}
 	return time.Duration(t.Nano())
 }
--- a/internal/fakedisk/fakedisk.go
+++ b/internal/fakedisk/fakedisk.go
@@ -42,7 +42,7 @@
 	failSync  bool
 	syncTime  time.Duration
 	syncs     int
-	epoch     int // number of crashes; handles of an earlier epoch are stale
+	epoch     int // number of crashes; a handle is valid in the epoch in which it was opened
 }
 
 // file is the content of a file, current and as of its last sync.
@@ -60,7 +60,8 @@
 	}
 }
 
-// Crash discards unsynced data except for random sectors. Files opened before are stale afterwards.
+// Crash discards unsynced data except for random sectors. Writes and syncs of files that were opened
+// before it fail.
 func (d *Disk) Crash() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,8 +69,8 @@
 	d.failSync = false
 	d.files = map[string]*file{}
 	for _, name := range slices.Sorted(maps.Keys(d.durable)) { // sorted, so that a seed determines the outcome
-		left := d.contentAfterCrash(d.durable[name])
-		nf := &file{content: left, synced: slices.Clone(left)}
+		content := d.contentAfterCrash(d.durable[name])
+		nf := &file{content: content, synced: slices.Clone(content)}
 		d.files[name] = nf
 		d.durable[name] = nf
 	}
@@ -78,21 +79,21 @@
 // contentAfterCrash returns the content of a file after a crash: the synced part, followed by a
 // random number of unsynced bytes in which each sector is randomly kept or zeroed.
 func (d *Disk) contentAfterCrash(f *file) []byte {
-	left := slices.Clone(f.synced)
-	if len(f.content) <= len(left) {
-		return left
+	content := slices.Clone(f.synced)
+	if len(f.content) <= len(content) {
+		return content
 	}
-	length := len(left) + d.rng.IntN(len(f.content)-len(left)+1)
-	for at := len(left); at < length; {
+	length := len(content) + d.rng.IntN(len(f.content)-len(content)+1)
+	for at := len(content); at < length; {
 		end := min((at/sector+1)*sector, length)
 		if d.rng.IntN(2) == 0 {
-			left = append(left, f.content[at:end]...)
+			content = append(content, f.content[at:end]...)
 		} else {
-			left = append(left, make([]byte, end-at)...)
+			content = append(content, make([]byte, end-at)...)
 		}
 		at = end
 	}
-	return left
+	return content
 }
 
 // FailSync makes every sync fail until the next crash.
@@ -201,7 +202,7 @@
 	return nil
 }
 
-// handle is an open file. It becomes stale at the next crash.
+// handle is an open file. After a crash, its writes and syncs fail.
 type handle struct {
 	d     *Disk
 	f     *file
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -4,9 +4,9 @@
 //
 // Addresses are IP:PORT strings, which exist while a listener is open. A connection delivers bytes in
 // order after a latency, through an unbounded buffer. A box can be cut off as if its cable were
-// unplugged: its connections stay open, but nothing arrives in either direction until the box is
-// joined again. The connections of a killed box break at once. All open connections can become
-// silent permanently while new ones work, as when a middlebox loses its state. Boxes can be placed
+// unplugged: its connections stay open, but nothing arrives in either direction until it is
+// restored. The connections of a killed box break at once. All open connections can become silent
+// permanently while new ones work, as when a middlebox loses its state. Boxes can be placed
 // in regions with a higher latency and a limited rate between them.
 package fakenet
 
@@ -44,7 +44,7 @@
 	// backlog is the maximum number of connections waiting to be accepted. It exceeds the number
 	// that any test dials at the same time.
 	backlog = 4096
-	// firstPort is one less than the first port of a dialing side. Listeners of tests must not
+	// firstPort is one less than the lowest port of a dialing side. Listeners of tests must not
 	// use the ports above it.
 	firstPort = 40000
 )
@@ -106,7 +106,7 @@
 	return client, nil
 }
 
-// awaitDelivery waits for the latency and then until no fault separates the two boxes.
+// awaitDelivery waits for the latency and then until no fault drops traffic between the two boxes.
 func (n *Network) awaitDelivery(ctx context.Context, from, to string) error {
 	if !sleep.For(ctx, time.Until(n.arrival(from, to, 0))) {
 		return ctx.Err()
@@ -126,7 +126,7 @@
 	}
 }
 
-// wakeWaiters makes all waiting dials and reads check again whether traffic passes. The caller
+// wakeWaiters makes all waiting dials and reads check again whether a fault drops their traffic. The caller
 // holds mu.
 func (n *Network) wakeWaiters() {
 	close(n.reverted)
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/far.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// This file defines regions, whose boxes share a link to each other region, and boxes with a limited
-// uplink rate.
+// This file defines regions, each pair of which is connected by a link that all their boxes share, and
+// boxes with a limited uplink rate.
 
 // direction is an ordered pair of regions.
 type direction struct{ from, to string }
@@ -70,7 +70,7 @@
 	n.regionLinks.regions[ip] = region
 }
 
-// CutRegion drops all traffic between a region and the others, until JoinRegion.
+// CutRegion drops all traffic between a region and the others, until RestoreRegion.
 func (n *Network) CutRegion(region string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,14 +102,14 @@
 	return d, d.from != d.to
 }
 
-// severed reports whether a cut-off region separates two boxes.
+// severed reports whether the boxes are in different regions, one of which is cut off.
 func (r regionLinks) severed(from, to string) bool {
 	d, differ := r.between(from, to)
 	return differ && (r.cut[d.from] || r.cut[d.to])
 }
 
 // arrival returns the time at which bytes written now arrive. It counts them against the rates of
-// the links on the way.
+// the sender's uplink and of the link between the regions.
 func (n *Network) arrival(from, to string, bytes int) time.Time {
 	now := time.Now()
 	n.mu.Lock()
--- a/internal/fakenet/faults.go
+++ b/internal/fakenet/faults.go
@@ -4,7 +4,7 @@
 
 // This file defines network faults: partitions between boxes and silent connections.
 
-// Cut drops all traffic from and to a box, without an error on either side.
+// Cut drops all traffic from and to a box, without an error on either side, until Restore.
 func (n *Network) Cut(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// HealPartitions reverts all calls of Isolate and Part.
+// HealPartitions reverts all calls of Isolate and Partition.
 func (n *Network) HealPartitions() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -23,7 +23,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// This file defines the comparisons, and the check that a pinned value sets every field.
+// This file defines the comparisons, and the check that a value written to a golden file has no unset
+// field.
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
@@ -38,8 +39,8 @@
 	}
 }
 
-// Bytes compares bytes with a golden file that holds them in hexadecimal. It returns the pinned bytes
-// for decoding.
+// Bytes compares bytes with a golden file that holds them in hexadecimal. It returns the bytes of the
+// golden file, so that the test can decode them.
 func Bytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	text := file(t, name+".hex", []byte(hex.EncodeToString(got)+"\n"))
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -9,14 +9,14 @@
 // Absent is the position of an item that is in no queue.
 const Absent = -1
 
-// Queue orders items by less, lowest first. It stores the position of an item in the variable that
-// place returns, which must be [Absent] before the item is added for the first time.
+// Queue orders items by less, lowest first. It stores the position of an item in the variable to
+// which index returns a pointer, which must be [Absent] before the item is added for the first time.
 type Queue[T any] struct{ h positionHeap[T] }
 
 // New returns an empty queue. less must be a total order; otherwise the order of equal items would
 // depend on earlier operations.
-func New[T any](less func(a, b T) bool, place func(T) *int) *Queue[T] {
-	return &Queue[T]{positionHeap[T]{less: less, place: place}}
+func New[T any](less func(a, b T) bool, index func(T) *int) *Queue[T] {
+	return &Queue[T]{positionHeap[T]{less: less, place: index}}
 }
 
 // Len returns the number of items.
@@ -31,7 +31,7 @@
 // Has reports whether x is in the queue.
 func (q *Queue[T]) Has(x T) bool { return *q.h.place(x) != Absent }
 
-// PushOrFix adds x, or restores its position after its order has changed.
+// PushOrFix adds x, or moves it to its new position if it is in the queue and its order has changed.
 func (q *Queue[T]) PushOrFix(x T) {
 	if q.Has(x) {
 		heap.Fix(&q.h, *q.h.place(x))
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -8,8 +8,8 @@
 // is added with one schedule and is never removed.
 //
 // If -rapid.seed or -rapid.checks is on the command line, the schedules are generated from these
-// flags and the file is not read. This is how new failing seeds are found (tools/draw.sh). In both
-// cases rapid's failure files are neither written nor read. A test that runs out of time fails at the
+// flags and the file is not read. tools/draw.sh uses this to find new failing seeds. In both cases
+// rapid's failure files are neither written nor read. A test that runs out of time fails at the
 // time limit of go test; it does not pass with fewer schedules.
 //
 // Only tests import this package.
--- a/keyed_test.go
+++ b/keyed_test.go
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestKeyedRequestWhoseRouterDies(t *testing.T) {
+func TestKeyedRequestHasUnknownOutcomeAfterRouterCrash(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -88,7 +88,7 @@
 	})
 }
 
-func TestKeyedRequestsWhileLeadersDie(t *testing.T) {
+func TestKeyedRequestsRunAtMostOnceWhileLeadersCrash(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
--- a/operators_test.go
+++ b/operators_test.go
@@ -154,8 +154,8 @@
 	return string(b)
 }
 
-// detail returns the error detail of type T.
-func detail[T any](t *testing.T, err error) T {
+// errorDetail returns the error errorDetail of type T.
+func errorDetail[T any](t *testing.T, err error) T {
 	t.Helper()
 	var ce *connect.Error
 	if c, ok := err.(*connect.Error); ok {
@@ -173,7 +173,7 @@
 	return zero
 }
 
-func TestOperatorsRace(t *testing.T) {
+func TestConflictingOperatorChangesAreRejected(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
@@ -187,7 +187,7 @@
 		is.Equal(revision, base+1)
 		_, err = mark(leader, "bob", operatorv1.Mark_MARK_JOINING) // same base revision, different content
 		is.Equal(connect.CodeOf(err), connect.CodeAborted)
-		conflict := detail[*operatorv1.Conflict](t, err)
+		conflict := errorDetail[*operatorv1.Conflict](t, err)
 		is.Equal(conflict.GetWinnerId(), "ada")
 		is.Equal(conflict.GetWinnerSubjects(), []string{"server e1"})
 		f.crash(leader)
@@ -203,7 +203,7 @@
 	})
 }
 
-func TestRevisionInForceEverywhere(t *testing.T) {
+func TestAwaitRevisionWithUnreachableRouter(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -222,7 +222,7 @@
 	})
 }
 
-func TestLeavingServerGetsNoNewWork(t *testing.T) {
+func TestLeavingServerReceivesNoNewRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -251,14 +251,14 @@
 	})
 }
 
-// TestPoolWhoseOnlyServerLeavesAnswersAtOnce checks that when the only server of a
+// TestRequestsAreRefusedWhenOnlyServerLeaves checks that when the only server of a
 // pool leaves, requests in flight complete, and queued and new requests are refused
 // at once. They would otherwise wait for a server that accepts no new requests.
-func TestPoolWhoseOnlyServerLeavesAnswersAtOnce(t *testing.T) {
+func TestRequestsAreRefusedWhenOnlyServerLeaves(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
-		refused := func(a answer) bool {
+		refused := func(a response) bool {
 			return a.status == 503 && a.outcome == "not-run" && a.header.Get("Retry-After") == "1" &&
 				strings.Contains(a.body, `"no_server"`) && a.took < time.Second
 		}
@@ -284,9 +284,9 @@
 	})
 }
 
-// TestPoolWhoseServerJoinsKeepsCallsWaiting checks that requests wait for a joining
+// TestRequestsWaitForJoiningServer checks that requests wait for a joining
 // server, which will accept them, even if another server of the pool is leaving.
-func TestPoolWhoseServerJoinsKeepsCallsWaiting(t *testing.T) {
+func TestRequestsWaitForJoiningServer(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
@@ -303,7 +303,7 @@
 	})
 }
 
-func TestPlannedStopsCutOffNothing(t *testing.T) {
+func TestPlannedStopsInterruptNoRequests(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -331,7 +331,7 @@
 	})
 }
 
-func TestSlotsOfAStoppedRouterAreFreeAtOnce(t *testing.T) {
+func TestStoppedRouterReleasesSlotsImmediately(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
@@ -348,7 +348,7 @@
 	})
 }
 
-func TestMetricsOfTheFleet(t *testing.T) {
+func TestFleetMetrics(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
--- a/pages_test.go
+++ b/pages_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestStaleNamesAreFound checks that stale reports names that don't exist, and neither existing names
-// nor text that isn't a path in the repository.
+// TestStaleNamesAreFound checks that staleNames reports names that don't exist, but not existing names
+// and not text that isn't a path in the repository.
 func TestStaleNamesAreFound(t *testing.T) {
 	_, functions, top := readRepository(t)
 	for line, want := range map[string]string{
--- a/requests_test.go
+++ b/requests_test.go
@@ -18,6 +18,7 @@
 // This file defines the requests of callers to a testFleet, sent one by one,
 // concurrently or as a load, and the checks of their responses.
 
+// request is a caller's request to one router.
 type request struct {
 	router string
 	method string
@@ -45,8 +46,8 @@
 	return r
 }
 
-// answer is a response as received by a caller.
-type answer struct {
+// response is what a caller received: a response, or the error of the request.
+type response struct {
 	status  int
 	outcome string
 	body    string
@@ -56,7 +57,7 @@
 }
 
 // do sends a request and reads its response.
-func (f *testFleet) do(r request) answer {
+func (f *testFleet) do(r request) response {
 	began := time.Now()
 	if r.method == "" {
 		r.method = http.MethodPost
@@ -67,7 +68,7 @@
 	req, err := http.NewRequestWithContext(r.ctx, r.method, f.scheme+f.boxes[r.router].ip+":8080"+r.path, bytes.NewReader([]byte(r.body)))
 	if err != nil {
 		f.t.Error(err)
-		return answer{err: err}
+		return response{err: err}
 	}
 	if r.key != "" {
 		req.Header.Set("Authorization", "Bearer "+r.key)
@@ -77,11 +78,11 @@
 	}
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return answer{err: err, took: time.Since(began)}
+		return response{err: err, took: time.Since(began)}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{
+	return response{
 		status: resp.StatusCode, outcome: resp.Header.Get("Badgerspoke-Outcome"), body: string(body),
 		header: resp.Header, err: err, took: time.Since(began),
 	}
@@ -89,37 +90,37 @@
 
 // startAll sends requests concurrently and returns a function that waits for
 // their responses.
-func (f *testFleet) startAll(rs ...request) func() []answer {
-	out := make([]answer, len(rs))
+func (f *testFleet) startAll(rs ...request) func() []response {
+	out := make([]response, len(rs))
 	var wg sync.WaitGroup
 	for i, r := range rs {
 		wg.Go(func() { out[i] = f.do(r) })
 	}
-	return func() []answer { wg.Wait(); return out }
+	return func() []response { wg.Wait(); return out }
 }
 
 // load sends the same request from n concurrent callers, each in a loop, until
 // stop is called. stop returns all responses.
-func (f *testFleet) load(n int, r request) (stop func() []answer) {
+func (f *testFleet) load(n int, r request) (stop func() []response) {
 	done := make(chan struct{})
-	out := make(chan []answer, n)
+	out := make(chan []response, n)
 	for range n {
 		go func() {
-			var answers []answer
+			var responses []response
 			for {
 				select {
 				case <-done:
-					out <- answers
+					out <- responses
 					return
 				default:
-					answers = append(answers, f.do(r))
+					responses = append(responses, f.do(r))
 				}
 			}
 		}()
 	}
-	return func() []answer {
+	return func() []response {
 		close(done)
-		var all []answer
+		var all []response
 		for range n {
 			all = append(all, <-out...)
 		}
@@ -128,7 +129,7 @@
 }
 
 // checkComplete checks that every response is a complete stream, and that there are at least atLeast.
-func checkComplete(is *is.I, all []answer, atLeast int) {
+func checkComplete(is *is.I, all []response, atLeast int) {
 	is.Helper()
 	is.True(len(all) >= atLeast)
 	for _, a := range all {
--- a/standin/batch.go
+++ b/standin/batch.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 )
 
-// This file defines batch, which limits concurrent requests and queues the others.
+// This file defines batch, which limits the number of concurrent requests and queues the others.
 
-// batch is the set of slots of an engine with a queue in front.
+// batch holds the slots of an engine and the queue of requests that wait for one.
 type batch struct {
 	slots   chan struct{} // one element per running request
 	entered atomic.Int64  // number of running and waiting requests
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -5,6 +5,6 @@
 //
 // Stand-ins are deliberately simple. An engine spends a fixed time per token, runs as many requests
 // as it has slots, and fails the next request in the way that a test selects ([Failure]). Their
-// speed says nothing about real servers. Whole deployments with faulty servers are simulated by the
-// users' bench and not by this package.
+// speed says nothing about real servers. This package does not simulate whole deployments with faulty
+// servers; the users' test bench does.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -25,8 +25,8 @@
 	Resumable  bool          // streams can be resumed after a broken connection
 }
 
-// Engine answers completion requests for any model. An answer has max_tokens tokens, or
-// defaultTokens if the request has no limit, each of which is "tok" followed by its index.
+// Engine responds to completion requests for any model. A response has max_tokens tokens, or
+// defaultTokens if the request has no limit. Each token is "tok" followed by its index.
 type Engine struct {
 	failures
 	cfg     EngineSettings
@@ -35,7 +35,7 @@
 
 	mu       sync.Mutex
 	runs     int
-	load     string // load reported in answers, up to loadLag old
+	load     string // load reported in responses, up to loadLag old
 	loadTime time.Time
 }
 
@@ -76,7 +76,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
-// defaultTokens is the number of tokens of an answer to a request without max_tokens.
+// defaultTokens is the number of tokens of a response to a request without max_tokens.
 const defaultTokens = 16
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -114,8 +114,8 @@
 	loadLag = time.Second
 )
 
-// laggingLoad returns the running and waiting requests as they were up to loadLag ago. The caller
-// holds mu.
+// laggingLoad returns the numbers of running and waiting requests, which may be up to loadLag old.
+// The caller holds mu.
 func (e *Engine) laggingLoad() string {
 	if now := time.Now(); e.load == "" || now.Sub(e.loadTime) >= loadLag {
 		e.load, e.loadTime = fmt.Sprintf("%d/%d", e.batch.running(), e.batch.waiting()), now
@@ -123,7 +123,7 @@
 	return e.load
 }
 
-// serveResumable generates the answer independently of the connection. The slot is released when the
+// serveResumable generates the response independently of the connection. The slot is released when the
 // generation ends, not when the connection closes.
 func (e *Engine) serveResumable(run *completion) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -217,7 +217,7 @@
 	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.prompt, c.req.MaxTokens)
 }
 
-// writeRefusal responds that a request was not started.
+// writeRefusal writes a response that says that the request was not started.
 func writeRefusal(w http.ResponseWriter) {
 	w.Header().Set("Badgerspoke-Refused", "true")
 	http.Error(w, `{"error":{"message":"refused"}}`, http.StatusServiceUnavailable)
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -17,24 +17,24 @@
 // Failures of a request.
 const (
 	Refuse              Failure = "refuse"   // respond that the request was not started
-	AbortBeforeResponse Failure = "die"      // run the request, then close the connection without an answer
-	AbortMidResponse    Failure = "die-mid"  // close the connection in the middle of the answer
+	AbortBeforeResponse Failure = "die"      // run the request, then close the connection without a response
+	AbortMidResponse    Failure = "die-mid"  // close the connection in the middle of the response
 	Truncate            Failure = "truncate" // engines only: end a stream cleanly but without its end mark
-	Hang                Failure = "hang"     // services only: never answer
+	Hang                Failure = "hang"     // services only: never respond
 )
 
-// failures holds the failures injected into the next requests.
+// failures holds the failures injected into the next requests and the current backoff.
 type failures struct {
 	mu   sync.Mutex
 	next []Failure
 
 	backoff    time.Duration
-	backoffEnd time.Time // end of the backoff
-	refused    int       // requests refused during the backoff
+	backoffEnd time.Time
+	refused    int // requests refused during the backoff
 }
 
-// AskForBackoff makes the stand-in refuse all requests for the given time, with that time in whole
-// seconds in the Retry-After header.
+// AskForBackoff makes the stand-in refuse all requests for the given time, with a Retry-After header
+// of that time in whole seconds.
 func (f *failures) AskForBackoff(backoff time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 	return false
 }
 
-// FailNext appends a failure to the queue, from which each request takes the first one.
+// FailNext queues a failure. Each request takes the first failure in the queue.
 func (f *failures) FailNext(failure Failure) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,11 +15,11 @@
 
 // This file defines Service, the stand-in for a plain service.
 
-// Service answers every request with a description of it and the number of requests so far with the
-// same body.
+// Service responds to every request with a description of it and the number of requests so far with
+// the same body.
 type Service struct {
 	failures
-	ResponseTime time.Duration // time before an answer
+	ResponseTime time.Duration // time before a response
 
 	mu   sync.Mutex
 	runs map[string]int
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -23,14 +23,14 @@
 
 const streamsPath = "/standin/streams/"
 
-// streams holds the streams of an engine, both live and complete.
+// streams holds the streams of an engine by path, complete or still being generated.
 type streams struct {
 	mu   sync.Mutex
 	next int
 	live map[string]*liveStream
 }
 
-// liveStream is the answer to one request, complete or still being generated.
+// liveStream is the response to one request, complete or still being generated.
 type liveStream struct {
 	cancel context.CancelFunc
 
--- a/tls_test.go
+++ b/tls_test.go
@@ -67,7 +67,7 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-func TestEncryptedFleet(t *testing.T) {
+func TestTLSFleetRefusesUncertifiedPeers(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		ca := newAuthority(t)
