--- a/bench_test.go
+++ b/bench_test.go
@@ -245,7 +245,7 @@
 	}
 }
 
-// heapAndStackBytes returns the bytes of live heapAndStackBytes objects and stacks.
+// heapAndStackBytes returns the bytes of live heap objects and stacks.
 func heapAndStackBytes() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/callers_test.go
+++ b/callers_test.go
@@ -188,7 +188,7 @@
 	})
 }
 
-// TestRetriedRequestHasUnknownOutcome checks that the outcome of a call that was lost and
+// TestRetriedRequestHasUnknownOutcome checks that the outcome of a request that was lost and
 // sent again is unknown, since the first attempt may have run, even if the retry
 // is refused.
 func TestRetriedRequestHasUnknownOutcome(t *testing.T) {
@@ -331,7 +331,7 @@
 		is := is.New(t)
 		f := smallFleet(t)
 		var rs []request
-		for range 1024 + 12 { // 12 more than may wait
+		for range 1024 + 12 { // 12 more than an account may queue
 			rs = append(rs, completion("r1", "hotel", 1, false))
 		}
 		full := 0
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -9,8 +9,9 @@
 	"github.com/matryer/is"
 )
 
-// TestClock checks that the clock advances like Go's monotonic clock while the box is running.
-func TestClock(t *testing.T) {
+// TestClockAdvancesLikeMonotonicClock checks that the clock advances like Go's monotonic clock while
+// the box is running.
+func TestClockAdvancesLikeMonotonicClock(t *testing.T) {
 	is := is.New(t)
 	clock := Clock()
 	start, goStart := clock(), time.Now()
--- a/internal/fakedisk/fakedisk_test.go
+++ b/internal/fakedisk/fakedisk_test.go
@@ -13,9 +13,9 @@
 
 // This file tests the state of a fake disk after a crash.
 
-// TestOneSeedIsOneCrash checks that the seed alone determines which parts of several files survive a
-// crash.
-func TestOneSeedIsOneCrash(t *testing.T) {
+// TestCrashOutcomeDependsOnSeedOnly checks that the seed alone determines which parts of several files
+// survive a crash.
+func TestCrashOutcomeDependsOnSeedOnly(t *testing.T) {
 	is := is.New(t)
 	sizesAfterCrash := func() (sizes []int) {
 		d := fakedisk.New(1)
--- a/internal/fakenet/fakenet.go
+++ b/internal/fakenet/fakenet.go
@@ -44,16 +44,16 @@
 	// backlog is the maximum number of connections waiting to be accepted. It exceeds the number
 	// that any test dials at the same time.
 	backlog = 4096
-	// firstPort is one less than the lowest port of a dialing side. Listeners of tests must not
+	// dialPortBase is one less than the lowest port of a dialing side. Listeners of tests must not
 	// use the ports above it.
-	firstPort = 40000
+	dialPortBase = 40000
 )
 
 // New returns a network without boxes and with the given latency between boxes of one region.
 func New(latency time.Duration) *Network {
 	return &Network{
 		latency: latency, listeners: map[string]*listener{}, cut: map[string]bool{}, isolated: map[string]bool{}, partitioned: map[[2]string]bool{},
-		conns: map[*conn]bool{}, reverted: make(chan struct{}), port: firstPort, regionLinks: newRegionLinks(),
+		conns: map[*conn]bool{}, reverted: make(chan struct{}), port: dialPortBase, regionLinks: newRegionLinks(),
 	}
 }
 
--- a/internal/fakenet/far.go
+++ b/internal/fakenet/regions.go
@@ -18,11 +18,11 @@
 	idleAt  map[direction]time.Time // time at which all bytes written so far have been transmitted
 	written map[direction]uint64    // bytes written in a direction
 	cut     map[string]bool         // regions that are cut off
-	links   map[string]*boxLink     // limited uplinks by box
+	uplinks map[string]*uplink      // limited uplinks by box
 }
 
-// boxLink is the uplink of a box. It transmits bytes in the order in which they were written.
-type boxLink struct {
+// uplink is the rate-limited link from a box to the network. It transmits bytes in the order in which they were written.
+type uplink struct {
 	rate   int       // bytes per second
 	idleAt time.Time // time at which all bytes written so far have been transmitted
 	sent   uint64    // bytes written
@@ -32,21 +32,21 @@
 func (n *Network) SetUplinkRate(ip string, bytesPerSecond int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.regionLinks.links[ip] = &boxLink{rate: bytesPerSecond}
+	n.regionLinks.uplinks[ip] = &uplink{rate: bytesPerSecond}
 }
 
 // BytesSent returns the number of bytes that a box with a limited uplink has sent.
 func (n *Network) BytesSent(ip string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l := n.regionLinks.links[ip]; l != nil {
+	if l := n.regionLinks.uplinks[ip]; l != nil {
 		return l.sent
 	}
 	return 0
 }
 
 // transmit queues more bytes and returns the time at which they will have been transmitted.
-func (l *boxLink) transmit(now time.Time, bytes int) time.Time {
+func (l *uplink) transmit(now time.Time, bytes int) time.Time {
 	if l.idleAt.Before(now) {
 		l.idleAt = now
 	}
@@ -93,18 +93,18 @@
 }
 
 func newRegionLinks() regionLinks {
-	return regionLinks{regions: map[string]string{}, idleAt: map[direction]time.Time{}, written: map[direction]uint64{}, cut: map[string]bool{}, links: map[string]*boxLink{}}
+	return regionLinks{regions: map[string]string{}, idleAt: map[direction]time.Time{}, written: map[direction]uint64{}, cut: map[string]bool{}, uplinks: map[string]*uplink{}}
 }
 
-// between returns the direction from one box to another and whether their regions differ.
-func (r regionLinks) between(from, to string) (direction, bool) {
+// directionBetween returns the direction from one box to another and whether their regions differ.
+func (r regionLinks) directionBetween(from, to string) (direction, bool) {
 	d := direction{r.regions[from], r.regions[to]}
 	return d, d.from != d.to
 }
 
 // severed reports whether the boxes are in different regions, one of which is cut off.
 func (r regionLinks) severed(from, to string) bool {
-	d, differ := r.between(from, to)
+	d, differ := r.directionBetween(from, to)
 	return differ && (r.cut[d.from] || r.cut[d.to])
 }
 
@@ -114,10 +114,10 @@
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if l := n.regionLinks.links[from]; l != nil && from != to {
+	if l := n.regionLinks.uplinks[from]; l != nil && from != to {
 		now = l.transmit(now, bytes)
 	}
-	d, differ := n.regionLinks.between(from, to)
+	d, differ := n.regionLinks.directionBetween(from, to)
 	if !differ {
 		return now.Add(n.latency)
 	}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -34,7 +34,7 @@
 // Text compares a text with a golden file.
 func Text(t *testing.T, name, got string) {
 	t.Helper()
-	if want := string(file(t, name, []byte(got))); got != want {
+	if want := string(readGolden(t, name, []byte(got))); got != want {
 		t.Errorf("%s differs from the pinned text\n got:\n%s\nwant:\n%s", name, got, want)
 	}
 }
@@ -43,14 +43,14 @@
 // golden file, so that the test can decode them.
 func Bytes(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
-	text := file(t, name+".hex", []byte(hex.EncodeToString(got)+"\n"))
+	text := readGolden(t, name+".hex", []byte(hex.EncodeToString(got)+"\n"))
 	want, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
 		t.Errorf("%s: bytes differ from the pinned ones\n got %x\nwant %x\n got %s\nwant %s",
-			name, got, want, diagnose(got), diagnose(want))
+			name, got, want, diagnosticNotation(got), diagnosticNotation(want))
 	}
 	return want
 }
@@ -62,26 +62,26 @@
 	t.Helper()
 	fresh, pinned := t.TempDir(), t.TempDir()
 	write(t, fresh)
-	written := list(t, fresh)
+	written := listFiles(t, fresh)
 	for _, e := range written {
 		got, err := os.ReadFile(filepath.Join(fresh, e.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := file(t, filepath.Join(name, e.Name()), got); !bytes.Equal(got, want) {
+		if want := readGolden(t, filepath.Join(name, e.Name()), got); !bytes.Equal(got, want) {
 			t.Errorf("%s/%s: bytes differ from the pinned ones\n got %x\nwant %x", name, e.Name(), got, want)
 		}
 	}
 	if err := os.CopyFS(pinned, os.DirFS(filepath.Join("testdata", "golden", name))); err != nil {
 		t.Fatal(err)
 	}
-	if pinnedFiles := list(t, pinned); len(pinnedFiles) != len(written) {
+	if pinnedFiles := listFiles(t, pinned); len(pinnedFiles) != len(written) {
 		t.Errorf("%s: %d files are written, %d are pinned", name, len(written), len(pinnedFiles))
 	}
 	return pinned
 }
 
-func list(t *testing.T, folder string) []os.DirEntry {
+func listFiles(t *testing.T, folder string) []os.DirEntry {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -90,8 +90,8 @@
 	return entries
 }
 
-// file returns the content of a golden file. With -update it first writes got to the file.
-func file(t *testing.T, name string, got []byte) []byte {
+// readGolden returns the content of a golden file. With -update it first writes got to the file.
+func readGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *update {
@@ -109,8 +109,8 @@
 	return want
 }
 
-// diagnose returns CBOR in diagnostic notation.
-func diagnose(b []byte) string {
+// diagnosticNotation returns CBOR in diagnostic notation.
+func diagnosticNotation(b []byte) string {
 	s, err := cbor.Diagnose(b)
 	if err != nil {
 		return err.Error()
--- a/internal/mix/mix_test.go
+++ b/internal/mix/mix_test.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/internal/mix"
 )
 
-// TestBits pins one value, on which all nodes must agree, and checks that flipping one input bit
-// changes about half of the output bits.
-func TestBits(t *testing.T) {
+// TestBitsIsStableAndMixesAllBits pins one value, on which all nodes must agree, and checks that
+// flipping one input bit changes about half of the output bits.
+func TestBitsIsStableAndMixesAllBits(t *testing.T) {
 	is := is.New(t)
 	is.Equal(mix.Bits(1), uint64(0xb456bcfc34c2cb2c))
 	for x := range uint64(1000) {
--- a/internal/pq/pq.go
+++ b/internal/pq/pq.go
@@ -16,7 +16,7 @@
 // New returns an empty queue. less must be a total order; otherwise the order of equal items would
 // depend on earlier operations.
 func New[T any](less func(a, b T) bool, index func(T) *int) *Queue[T] {
-	return &Queue[T]{positionHeap[T]{less: less, place: index}}
+	return &Queue[T]{positionHeap[T]{less: less, index: index}}
 }
 
 // Len returns the number of items.
@@ -29,12 +29,12 @@
 func (q *Queue[T]) All() []T { return q.h.items }
 
 // Has reports whether x is in the queue.
-func (q *Queue[T]) Has(x T) bool { return *q.h.place(x) != Absent }
+func (q *Queue[T]) Has(x T) bool { return *q.h.index(x) != Absent }
 
 // PushOrFix adds x, or moves it to its new position if it is in the queue and its order has changed.
 func (q *Queue[T]) PushOrFix(x T) {
 	if q.Has(x) {
-		heap.Fix(&q.h, *q.h.place(x))
+		heap.Fix(&q.h, *q.h.index(x))
 		return
 	}
 	heap.Push(&q.h, x)
@@ -43,7 +43,7 @@
 // Remove removes x if it is in the queue.
 func (q *Queue[T]) Remove(x T) {
 	if q.Has(x) {
-		heap.Remove(&q.h, *q.h.place(x))
+		heap.Remove(&q.h, *q.h.index(x))
 	}
 }
 
@@ -54,7 +54,7 @@
 type positionHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	place func(T) *int
+	index func(T) *int
 }
 
 var _ heap.Interface = (*positionHeap[int])(nil)
@@ -64,11 +64,11 @@
 
 func (h *positionHeap[T]) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	*h.place(h.items[i]), *h.place(h.items[j]) = i, j
+	*h.index(h.items[i]), *h.index(h.items[j]) = i, j
 }
 
 func (h *positionHeap[T]) Push(x any) {
-	*h.place(x.(T)) = len(h.items)
+	*h.index(x.(T)) = len(h.items)
 	h.items = append(h.items, x.(T))
 }
 
@@ -78,6 +78,6 @@
 	var zero T
 	h.items[last] = zero // allows garbage collection of the item
 	h.items = h.items[:last]
-	*h.place(x) = Absent
+	*h.index(x) = Absent
 	return x
 }
--- a/internal/pq/pq_test.go
+++ b/internal/pq/pq_test.go
@@ -11,19 +11,19 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-type item struct{ value, id, place int }
+type item struct{ value, id, index int }
 
-// TestAgainstASortedList adds, reorders, removes and pops random items and compares the queue with a
-// list.
-func TestAgainstASortedList(t *testing.T) {
+// TestQueueMatchesListModel adds, reorders, removes and pops random items and compares the queue with
+// a list that is searched for its minimum.
+func TestQueueMatchesListModel(t *testing.T) {
 	less := func(a, b *item) bool { return a.value < b.value || (a.value == b.value && a.id < b.id) }
 	seeds.Check(t, func(t *rapid.T) {
-		q := New(less, func(x *item) *int { return &x.place })
+		q := New(less, func(x *item) *int { return &x.index })
 		var list []*item
 		for id := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			step := rapid.IntRange(0, 3).Draw(t, "step")
 			if len(list) == 0 || step == 0 {
-				x := &item{value: rapid.IntRange(0, 9).Draw(t, "value"), id: id, place: Absent}
+				x := &item{value: rapid.IntRange(0, 9).Draw(t, "value"), id: id, index: Absent}
 				q.PushOrFix(x)
 				list = append(list, x)
 				continue
--- a/internal/seeds/seeds.go
+++ b/internal/seeds/seeds.go
@@ -49,7 +49,7 @@
 // of schedules.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
-	if drawnByFlags() {
+	if scheduledByFlags() {
 		setFlag(t, "rapid.nofailfile", "true")
 		run(t, t.Name()+"/by hand", property)
 		return
@@ -86,10 +86,10 @@
 // Name returns the name that rapid reports and uses to find failure files.
 func (n namedTest) Name() string { return n.name }
 
-// drawnByFlags reports whether the command line sets the seed or the number of schedules. The result
+// scheduledByFlags reports whether the command line sets the seed or the number of schedules. The result
 // is computed once, before the first call of setFlag, because flag.Visit does not distinguish flags
 // changed by setFlag.
-var drawnByFlags = sync.OnceValue(func() bool {
+var scheduledByFlags = sync.OnceValue(func() bool {
 	isSet := false
 	flag.Visit(func(f *flag.Flag) {
 		isSet = isSet || f.Name == "rapid.seed" || f.Name == "rapid.checks"
--- a/names_test.go
+++ b/names_test.go
@@ -27,8 +27,8 @@
 // exit codes of the commands. A change of one of these names affects users. Run
 // with -update to rewrite the files.
 
-// eachSource calls f for every Go file under a folder, except tests.
-func eachSource(t *testing.T, root string, f func(set *gotoken.FileSet, path string, file *ast.File)) {
+// forEachSourceFile calls f for every Go file under a folder, except test files.
+func forEachSourceFile(t *testing.T, root string, f func(set *gotoken.FileSet, path string, file *ast.File)) {
 	t.Helper()
 	is.New(t).NoErr(filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -43,11 +43,11 @@
 	}))
 }
 
-// literals returns the sorted string literals that match a pattern.
-func literals(t *testing.T, pattern string) string {
+// stringLiterals returns the string literals that match a pattern, sorted, one per line.
+func stringLiterals(t *testing.T, pattern string) string {
 	t.Helper()
 	want, found := regexp.MustCompile(pattern), map[string]bool{}
-	eachSource(t, ".", func(_ *gotoken.FileSet, _ string, file *ast.File) {
+	forEachSourceFile(t, ".", func(_ *gotoken.FileSet, _ string, file *ast.File) {
 		ast.Inspect(file, func(n ast.Node) bool {
 			if l, ok := n.(*ast.BasicLit); ok && l.Kind == gotoken.STRING {
 				if text, err := strconv.Unquote(l.Value); err == nil && want.MatchString(text) {
@@ -61,18 +61,18 @@
 }
 
 func TestGoldenMetricNames(t *testing.T) {
-	golden.Text(t, "metric-names.txt", literals(t, `^badgerspoke_`))
+	golden.Text(t, "metric-names.txt", stringLiterals(t, `^badgerspoke_`))
 }
 
 func TestGoldenEnvironment(t *testing.T) {
-	golden.Text(t, "environment.txt", literals(t, `^BADGERSPOKE_`))
+	golden.Text(t, "environment.txt", stringLiterals(t, `^BADGERSPOKE_`))
 }
 
 // TestGoldenFlags compares the flags that the commands define with package flag,
 // and their exit codes. Packages that define a flag set have their own test.
 func TestGoldenFlags(t *testing.T) {
 	var lines []string
-	eachSource(t, "cmd", func(set *gotoken.FileSet, path string, file *ast.File) {
+	forEachSourceFile(t, "cmd", func(set *gotoken.FileSet, path string, file *ast.File) {
 		text := func(n ast.Node) string {
 			var b bytes.Buffer
 			is.New(t).NoErr(printer.Fprint(&b, set, n))
--- a/operators_test.go
+++ b/operators_test.go
@@ -154,7 +154,7 @@
 	return string(b)
 }
 
-// errorDetail returns the error errorDetail of type T.
+// errorDetail returns the detail of type T of an error, and fails the test if there is none.
 func errorDetail[T any](t *testing.T, err error) T {
 	t.Helper()
 	var ce *connect.Error
@@ -263,7 +263,7 @@
 				strings.Contains(a.body, `"no_server"`) && a.took < time.Second
 		}
 		var rs []request
-		for i := range 20 { // 8 slots; the rest waits
+		for i := range 20 { // 8 slots; the other 12 requests wait
 			rs = append(rs, order("r1", "hotel", fmt.Sprint(i), ""))
 		}
 		wait := f.startAll(rs...)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -60,7 +60,7 @@
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/v1/chat/completions", "/v1/completions":
-		e.complete(w, r)
+		e.serveCompletion(w, r)
 	default:
 		if strings.HasPrefix(r.URL.Path, streamsPath) {
 			e.streams.serve(w, r)
@@ -79,7 +79,7 @@
 // defaultTokens is the number of tokens of a response to a request without max_tokens.
 const defaultTokens = 16
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var req completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
 		http.Error(w, `{"error":{"message":"bad body"}}`, http.StatusBadRequest)
@@ -88,23 +88,23 @@
 	if req.MaxTokens == 0 {
 		req.MaxTokens = defaultTokens
 	}
-	failure := e.takeNext()
+	failure := e.takeFailure()
 	if e.refuseIfDue(w, failure) {
 		return
 	}
-	if e.batch.enter(r.Context()) != nil {
+	if e.batch.acquire(r.Context()) != nil {
 		return
 	}
 	e.mu.Lock()
 	e.runs++
-	w.Header().Set(loadHeader, e.laggingLoad())
+	w.Header().Set(loadHeader, e.reportedLoad())
 	e.mu.Unlock()
-	run := &completion{w: w, ctx: r.Context(), req: req, cfg: e.cfg, failure: failure, prompt: int(r.ContentLength) / 4}
+	run := &completion{w: w, ctx: r.Context(), req: req, cfg: e.cfg, failure: failure, promptTokens: int(r.ContentLength) / 4}
 	if e.cfg.Resumable && req.Stream {
 		e.serveResumable(run)
 		return
 	}
-	defer e.batch.leave()
+	defer e.batch.release()
 	run.serve()
 }
 
@@ -114,9 +114,9 @@
 	loadLag = time.Second
 )
 
-// laggingLoad returns the numbers of running and waiting requests, which may be up to loadLag old.
+// reportedLoad returns the numbers of running and waiting requests, which may be up to loadLag old.
 // The caller holds mu.
-func (e *Engine) laggingLoad() string {
+func (e *Engine) reportedLoad() string {
 	if now := time.Now(); e.load == "" || now.Sub(e.loadTime) >= loadLag {
 		e.load, e.loadTime = fmt.Sprintf("%d/%d", e.batch.running(), e.batch.waiting()), now
 	}
@@ -127,11 +127,11 @@
 // generation ends, not when the connection closes.
 func (e *Engine) serveResumable(run *completion) {
 	ctx, cancel := context.WithCancel(context.Background())
-	l := &liveStream{cancel: cancel, changed: make(chan struct{})}
-	path := e.streams.register(l)
+	l := &resumableStream{cancel: cancel, changed: make(chan struct{})}
+	path := e.streams.add(l)
 	go func() {
 		l.generate(ctx, *run)
-		e.batch.leave()
+		e.batch.release()
 		cancel()
 	}()
 	run.w.Header().Set("Content-Type", "text/event-stream")
@@ -141,12 +141,12 @@
 
 // completion is one running request.
 type completion struct {
-	w       http.ResponseWriter
-	ctx     context.Context
-	req     completionRequest
-	cfg     EngineSettings
-	failure Failure
-	prompt  int
+	w            http.ResponseWriter
+	ctx          context.Context
+	req          completionRequest
+	cfg          EngineSettings
+	failure      Failure
+	promptTokens int
 }
 
 func (c *completion) serve() {
@@ -214,7 +214,7 @@
 }
 
 func (c *completion) usage() string {
-	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.prompt, c.req.MaxTokens)
+	return fmt.Sprintf(`{"prompt_tokens":%d,"completion_tokens":%d}`, c.promptTokens, c.req.MaxTokens)
 }
 
 // writeRefusal writes a response that says that the request was not started.
--- a/standin/failure.go
+++ b/standin/failure.go
@@ -72,8 +72,8 @@
 	f.next = append(f.next, failure)
 }
 
-// takeNext removes and returns the failure for the next request, or "" for none.
-func (f *failures) takeNext() Failure {
+// takeFailure removes and returns the failure for the next request, or "" for none.
+func (f *failures) takeFailure() Failure {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.next) == 0 {
--- a/standin/service.go
+++ b/standin/service.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return
 	}
-	failure := s.takeNext()
+	failure := s.takeFailure()
 	if s.refuseIfDue(w, failure) {
 		return
 	}
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -25,13 +25,13 @@
 
 // streams holds the streams of an engine by path, complete or still being generated.
 type streams struct {
-	mu   sync.Mutex
-	next int
-	live map[string]*liveStream
+	mu     sync.Mutex
+	next   int
+	byPath map[string]*resumableStream
 }
 
-// liveStream is the response to one request, complete or still being generated.
-type liveStream struct {
+// resumableStream is the response to one request, complete or still being generated.
+type resumableStream struct {
 	cancel context.CancelFunc
 
 	mu       sync.Mutex
@@ -40,23 +40,23 @@
 	changed  chan struct{} // closed and replaced on every change
 }
 
-// register adds a stream and returns its path.
-func (s *streams) register(l *liveStream) string {
+// add adds a stream and returns its path.
+func (s *streams) add(l *resumableStream) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.live == nil {
-		s.live = map[string]*liveStream{}
+	if s.byPath == nil {
+		s.byPath = map[string]*resumableStream{}
 	}
 	s.next++
 	path := streamsPath + strconv.Itoa(s.next)
-	s.live[path] = l
+	s.byPath[path] = l
 	return path
 }
 
-func (s *streams) find(path string) *liveStream {
+func (s *streams) find(path string) *resumableStream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.live[path]
+	return s.byPath[path]
 }
 
 // serve resumes or cancels a stream.
@@ -83,7 +83,7 @@
 }
 
 // update applies f under the lock and wakes all readers.
-func (l *liveStream) update(f func()) {
+func (l *resumableStream) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
@@ -93,7 +93,7 @@
 
 // copy sends the stream from a byte offset until it is complete. With DieMid it closes the connection
 // after two events.
-func (l *liveStream) copy(ctx context.Context, w http.ResponseWriter, from int, failure Failure) {
+func (l *resumableStream) copy(ctx context.Context, w http.ResponseWriter, from int, failure Failure) {
 	for sent := from; ; {
 		l.mu.Lock()
 		data, complete, changed := l.data, l.complete, l.changed
@@ -119,7 +119,7 @@
 }
 
 // generate appends the events of a completion until it is complete or cancelled.
-func (l *liveStream) generate(ctx context.Context, c completion) {
+func (l *resumableStream) generate(ctx context.Context, c completion) {
 	for i := range c.req.MaxTokens {
 		if !sleep.For(ctx, c.cfg.TokenTime) {
 			return
