--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -80,9 +80,9 @@
 	Log   *slog.Logger // nil disables logging
 
 	// Tests replace the network, the disk and the random numbers. Nil selects those of the machine.
-	Dialer forward.Dialer
-	Dir    func(group string) (wal.Dir, error) // data folder of one consensus group of the control role
-	Random func() uint64
+	Dialer  forward.Dialer
+	OpenDir func(group string) (wal.Dir, error) // data folder of one consensus group of the control role
+	Random  func() uint64
 	// Clock is a monotonic clock that advances while the box is suspended. Nil means Go's monotonic
 	// clock, which doesn't.
 	Clock func() time.Duration
@@ -117,8 +117,8 @@
 	if cfg.Log == nil {
 		cfg.Log = slog.New(slog.DiscardHandler)
 	}
-	if cfg.Dir == nil {
-		cfg.Dir = func(group string) (wal.Dir, error) { return wal.MakeDir(filepath.Join(cfg.DataDir, group)) }
+	if cfg.OpenDir == nil {
+		cfg.OpenDir = func(group string) (wal.Dir, error) { return wal.MakeDir(filepath.Join(cfg.DataDir, group)) }
 	}
 	if cfg.Random == nil {
 		cfg.Random = rand.Uint64
@@ -152,7 +152,7 @@
 func (b *Box) startControl(ctx context.Context) error {
 	c, err := control.Start(ctx, control.Settings{
 		Identity: b.identity(), Replicas: b.cfg.Replicas,
-		OperatorsAddress: listenAddress(b.cfg.Operators), OpenDir: b.cfg.Dir, Overcommit: b.cfg.Overcommit,
+		OperatorsAddress: listenAddress(b.cfg.Operators), OpenDir: b.cfg.OpenDir, Overcommit: b.cfg.Overcommit,
 		Lease: b.cfg.Lease, Pace: b.cfg.Pace, Tuning: replica.Tuning{ElectionTimeout: b.cfg.ElectionTimeout, HeartbeatInterval: b.cfg.HeartbeatInterval},
 		Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -126,7 +126,7 @@
 		Name: name, FleetKey: []byte("a key that all boxes share"), Replicas: f.replicas, OperatorToken: token,
 		Dialer: f.net.DialerFrom(b.ip), Random: f.random, Grace: 100 * time.Millisecond,
 		Router: !b.control, Control: b.control,
-		Dir: func(group string) (wal.Dir, error) {
+		OpenDir: func(group string) (wal.Dir, error) {
 			if b.disks[group] == nil {
 				b.disks[group] = fakedisk.New(f.random())
 			}
