--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -111,7 +111,7 @@
 )
 
 // Start assembles and starts a box, which runs until Stop. If ctx ends, its roles end
-// at once. The only errors are those of the data folder (DataDir or Dir). After an
+// at once. The only errors are those of the data folder (DataDir or OpenDir). After an
 // error the listeners remain open.
 func Start(ctx context.Context, cfg Settings) (*Box, error) {
 	if cfg.Log == nil {
