--- a/bench_test.go
+++ b/bench_test.go
@@ -46,7 +46,7 @@
 	limits.Waiting, limits.AccountWaiting, limits.QueueTimeout = 100_000, 100_000, time.Hour
 	box, err := badgerspoke.Start(context.Background(), badgerspoke.Settings{
 		Name: "one", FleetKey: []byte("a key that all boxes share"), Replicas: map[string]string{"one": fl.Addr().String()},
-		Router: true, Callers: cl, Control: true, Operators: ol, Fleet: fl, DataDir: b.TempDir(), OperatorToken: token, Limits: limits,
+		Router: true, Callers: cl, Control: true, Operators: ol, Fleet: fl, DataDir: b.TempDir(), OperatorToken: operatorToken, Limits: limits,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -58,7 +58,7 @@
 		box.Stop(ctx)
 	})
 	c := operatorv1connect.NewOperatorServiceClient(http.DefaultClient, "http://"+ol.Addr().String(),
-		connect.WithInterceptors(cli.Authorize(token)))
+		connect.WithInterceptors(cli.Authorize(operatorToken)))
 	h := config.HashKey("hotel")
 	retry(b, func(ctx context.Context) error {
 		_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
--- a/callers_test.go
+++ b/callers_test.go
@@ -22,9 +22,9 @@
 // plain service.
 func smallFleet(t *testing.T) *testFleet {
 	f := newFleet(t, 1, 1)
-	f.account("hotel", 1)
-	f.engine("e1", 1, 2)
-	f.service("s1", 1, 4, 0)
+	f.createAccount("hotel", 1)
+	f.addEngine("e1", 1, 2)
+	f.addService("s1", 1, 4, 0)
 	f.settle()
 	return f
 }
@@ -226,8 +226,8 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 1, 1)
-		f.account("hotel", 1)
-		e := f.engineWith("e1", 1, standin.EngineSettings{Slots: 1, Resumable: true})
+		f.createAccount("hotel", 1)
+		e := f.addEngineWith("e1", 1, standin.EngineSettings{Slots: 1, Resumable: true})
 		f.settle()
 		want := f.do(completion("r1", "hotel", 10, true)).body
 		e.FailNext(standin.AbortMidResponse)
--- a/chaos_test.go
+++ b/chaos_test.go
@@ -20,8 +20,8 @@
 // fleets under load, and checks the invariants of the service.
 
 const (
-	chaosTime  = 60 * time.Second
-	chaosPause = 1500 * time.Millisecond // maximum time between two faults
+	chaosDuration    = 60 * time.Second
+	maxFaultInterval = 1500 * time.Millisecond
 )
 
 // TestChaos runs a fleet with random faults for each seed.
@@ -33,7 +33,7 @@
 	}
 }
 
-// chaos runs one fleet with random faults for chaosTime, and checks that it recovers.
+// chaos runs one fleet with random faults for chaosDuration, and checks that it recovers.
 func chaos(t *testing.T, seed uint64) {
 	is := is.New(t)
 	f := standardFleet(t, 3)
@@ -44,9 +44,9 @@
 		running.Go(func() { c.run(caller, stop) })
 	}
 	rng := rand.New(rand.NewPCG(seed, 9))
-	for began := time.Now(); time.Since(began) < chaosTime; {
+	for began := time.Now(); time.Since(began) < chaosDuration; {
 		f.randomFault(rng)
-		time.Sleep(time.Duration(rng.Int64N(int64(chaosPause))))
+		time.Sleep(time.Duration(rng.Int64N(int64(maxFaultInterval))))
 	}
 	f.repairAll()
 	close(stop)
@@ -60,7 +60,7 @@
 		is.Equal(f.do(completion(router, "hotel", 2, true)).status, 200)
 		is.Equal(f.do(order(router, "hotel", "after "+router, "after "+router)).status, 200)
 	}
-	f.account("after", 1) // and changes are accepted
+	f.createAccount("after", 1) // and changes are accepted
 }
 
 // workload holds the callers of a fleet and the results of their requests.
--- a/faults_test.go
+++ b/faults_test.go
@@ -21,14 +21,14 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 2)
-		stop1 := f.load(6, completion("r1", "hotel", 20, true))
-		stop2 := f.load(2, completion("r2", "notary", 20, true))
+		stop1 := f.startLoad(6, completion("r1", "hotel", 20, true))
+		stop2 := f.startLoad(2, completion("r2", "notary", 20, true))
 		time.Sleep(2 * time.Second)
 		oldLeader := f.leader()
 		f.crash(oldLeader)
 		time.Sleep(6 * time.Second)
 		is.True(f.leader() != oldLeader)
-		f.account("late", 1) // changes are accepted again
+		f.createAccount("late", 1) // changes are accepted again
 		f.start(oldLeader)
 		time.Sleep(4 * time.Second)
 		checkComplete(is, append(stop1(), stop2()...), 150) // no request failed
@@ -50,7 +50,7 @@
 		is.Equal(f.do(completion("r1", "hotel", 1, true)).status, 200)
 		revision := f.status(newLeader).GetRevision()
 		f.net.Restore(f.boxes[oldLeader].ip)
-		_, err := f.operators(oldLeader).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
+		_, err := f.operatorClient(oldLeader).MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{
 			Change: &operatorv1.Change{Id: "stale", BaseRevision: revision}, Name: "e1", Mark: operatorv1.Mark_MARK_LEAVING,
 		}))
 		is.Equal(connect.CodeOf(err), connect.CodeUnavailable) // the old leader accepts no changes
@@ -64,7 +64,7 @@
 		is := is.New(t)
 		f := standardFleet(t, 1)
 		f.do(completion("r1", "hotel", 1, true)) // the router holds a slot
-		stop := f.load(2, completion("r1", "hotel", 10, true))
+		stop := f.startLoad(2, completion("r1", "hotel", 10, true))
 		time.Sleep(time.Second)
 		// Control boxes can reach the router, but not each other, so there is no leader.
 		f.net.Isolate("10.0.1.1", "10.0.1.2", "10.0.1.3")
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -28,10 +28,10 @@
 // operators_test.go.
 
 const (
-	latency   = 1500 * time.Microsecond
-	token     = "operators"
-	clientIP  = "10.0.9.1"
-	tokenTime = 20 * time.Millisecond
+	networkLatency = 1500 * time.Microsecond
+	operatorToken  = "operators"
+	clientIP       = "10.0.9.1"
+	tokenTime      = 20 * time.Millisecond
 
 	callTimeout = 500 * time.Millisecond // of an operator's call to a box that may be unreachable
 )
@@ -71,7 +71,7 @@
 func newFleetWith(t *testing.T, controls, routers int, certify func(ip string) *settings.TLS) *testFleet {
 	f := &testFleet{
 		certify: certify, scheme: "http://",
-		t: t, net: fakenet.New(latency), rng: rand.New(rand.NewPCG(1, 2)), replicas: map[string]string{},
+		t: t, net: fakenet.New(networkLatency), rng: rand.New(rand.NewPCG(1, 2)), replicas: map[string]string{},
 		boxes: map[string]*testBox{}, engines: map[string]*standin.Engine{}, services: map[string]*standin.Service{},
 	}
 	transport := &http.Transport{DialContext: f.net.DialerFrom(clientIP).DialContext}
@@ -83,10 +83,10 @@
 		f.replicas[fmt.Sprintf("c%d", i+1)] = fmt.Sprintf("10.0.1.%d:8082", i+1)
 	}
 	for i := range controls {
-		f.add(fmt.Sprintf("c%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), true)
+		f.addBox(fmt.Sprintf("c%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), true)
 	}
 	for i := range routers {
-		f.add(fmt.Sprintf("r%d", i+1), fmt.Sprintf("10.0.2.%d", i+1), false)
+		f.addBox(fmt.Sprintf("r%d", i+1), fmt.Sprintf("10.0.2.%d", i+1), false)
 	}
 	t.Cleanup(f.close)
 	return f
@@ -96,16 +96,16 @@
 // plain service, with two accounts, and waits until the routers are ready.
 func standardFleet(t *testing.T, routers int) *testFleet {
 	f := newFleet(t, 3, routers)
-	f.account("hotel", 1)
-	f.account("notary", 1)
-	f.engine("e1", 1, 4)
-	f.engine("e2", 2, 4)
-	f.service("s1", 1, 8, 200*time.Millisecond)
+	f.createAccount("hotel", 1)
+	f.createAccount("notary", 1)
+	f.addEngine("e1", 1, 4)
+	f.addEngine("e2", 2, 4)
+	f.addService("s1", 1, 8, 200*time.Millisecond)
 	f.settle()
 	return f
 }
 
-func (f *testFleet) add(name, ip string, control bool) {
+func (f *testFleet) addBox(name, ip string, control bool) {
 	b := &testBox{name: name, ip: ip, control: control, disks: map[string]*fakedisk.Disk{}}
 	f.boxes[name] = b
 	f.start(name)
@@ -123,7 +123,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b.kill = cancel
 	cfg := badgerspoke.Settings{
-		Name: name, FleetKey: []byte("a key that all boxes share"), Replicas: f.replicas, OperatorToken: token,
+		Name: name, FleetKey: []byte("a key that all boxes share"), Replicas: f.replicas, OperatorToken: operatorToken,
 		Dialer: f.net.DialerFrom(b.ip), Random: f.random, Grace: 100 * time.Millisecond,
 		Router: !b.control, Control: b.control,
 		OpenDir: func(group string) (wal.Dir, error) {
@@ -217,12 +217,12 @@
 	go func() { _ = s.Serve(l) }()
 }
 
-// engine starts an engine and adds it to pool "llm" with model "m".
-func (f *testFleet) engine(name string, i, slots int) *standin.Engine {
-	return f.engineWith(name, i, standin.EngineSettings{Slots: slots})
+// addEngine starts an engine and adds it to pool "llm" with model "m".
+func (f *testFleet) addEngine(name string, i, slots int) *standin.Engine {
+	return f.addEngineWith(name, i, standin.EngineSettings{Slots: slots})
 }
 
-func (f *testFleet) engineWith(name string, i int, set standin.EngineSettings) *standin.Engine {
+func (f *testFleet) addEngineWith(name string, i int, set standin.EngineSettings) *standin.Engine {
 	set.TokenTime = tokenTime
 	e := standin.NewEngine(set)
 	address := fmt.Sprintf("10.0.3.%d:9000", i)
@@ -235,8 +235,8 @@
 	return e
 }
 
-// service starts a plain service and adds it to pool "stock".
-func (f *testFleet) service(name string, i int, slots uint32, responseTime time.Duration) *standin.Service {
+// addService starts a plain service and adds it to pool "stock".
+func (f *testFleet) addService(name string, i int, slots uint32, responseTime time.Duration) *standin.Service {
 	s := &standin.Service{ResponseTime: responseTime}
 	address := fmt.Sprintf("10.0.4.%d:9000", i)
 	f.serveStandIn(address, s)
--- a/operators_test.go
+++ b/operators_test.go
@@ -26,10 +26,10 @@
 // for operators: changes, revisions in force, leaving servers, planned stops and
 // metrics.
 
-// operators returns a client of one control box.
-func (f *testFleet) operators(name string) operatorv1connect.OperatorServiceClient {
+// operatorClient returns a client of one control box.
+func (f *testFleet) operatorClient(name string) operatorv1connect.OperatorServiceClient {
 	return operatorv1connect.NewOperatorServiceClient(f.client, f.scheme+f.boxes[name].ip+":8081",
-		connect.WithInterceptors(cli.Authorize(token)))
+		connect.WithInterceptors(cli.Authorize(operatorToken)))
 }
 
 // leader returns the name of the control box that leads.
@@ -52,7 +52,7 @@
 				continue
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
-			last = call(ctx, f.operators(name))
+			last = call(ctx, f.operatorClient(name))
 			cancel()
 			if last == nil {
 				return name
@@ -73,8 +73,8 @@
 	f.atLeader(func(ctx context.Context, c operatorv1connect.OperatorServiceClient) error { return do(ctx, c, ch) })
 }
 
-// account creates an account whose key is its name.
-func (f *testFleet) account(name string, share float64) {
+// createAccount creates an account whose key is its name.
+func (f *testFleet) createAccount(name string, share float64) {
 	h := config.HashKey(name)
 	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
 		_, err := c.CreateAccount(ctx, connect.NewRequest(&operatorv1.CreateAccountRequest{
@@ -91,16 +91,16 @@
 	})
 }
 
-func (f *testFleet) mark(name string, m operatorv1.Mark) {
+func (f *testFleet) markServer(name string, m operatorv1.Mark) {
 	f.mustChange(func(ctx context.Context, c operatorv1connect.OperatorServiceClient, ch *operatorv1.Change) error {
 		_, err := c.MarkServer(ctx, connect.NewRequest(&operatorv1.MarkServerRequest{Change: ch, Name: name, Mark: m}))
 		return err
 	})
 }
 
-// markAt marks server e1 through one control box, with a base revision.
-func (f *testFleet) markAt(control, id string, base uint64, m operatorv1.Mark) (uint64, error) {
-	resp, err := f.operators(control).MarkServer(context.Background(), connect.NewRequest(&operatorv1.MarkServerRequest{
+// markE1At marks server e1 through one control box, with a base revision.
+func (f *testFleet) markE1At(control, id string, base uint64, m operatorv1.Mark) (uint64, error) {
+	resp, err := f.operatorClient(control).MarkServer(context.Background(), connect.NewRequest(&operatorv1.MarkServerRequest{
 		Change: &operatorv1.Change{Id: id, BaseRevision: base}, Name: "e1", Mark: m,
 	}))
 	if err != nil {
@@ -110,7 +110,7 @@
 }
 
 func (f *testFleet) status(control string) *operatorv1.GetStatusResponse {
-	resp, err := f.operators(control).GetStatus(context.Background(), connect.NewRequest(&operatorv1.GetStatusRequest{}))
+	resp, err := f.operatorClient(control).GetStatus(context.Background(), connect.NewRequest(&operatorv1.GetStatusRequest{}))
 	if err != nil {
 		f.t.Fatalf("status of %s: %v", control, err)
 	}
@@ -180,7 +180,7 @@
 		leader := f.leader()
 		base := f.status(leader).GetRevision()
 		mark := func(control, id string, m operatorv1.Mark) (uint64, error) {
-			return f.markAt(control, id, base, m)
+			return f.markE1At(control, id, base, m)
 		}
 		revision, err := mark(leader, "ada", operatorv1.Mark_MARK_LEAVING)
 		is.NoErr(err)
@@ -208,12 +208,12 @@
 		is := is.New(t)
 		f := standardFleet(t, 2)
 		f.net.Cut(f.boxes["r2"].ip)
-		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
+		f.markServer("e1", operatorv1.Mark_MARK_LEAVING)
 		leader := f.leader()
 		ctx, cancel := context.WithTimeout(context.Background(), 9*time.Second)
 		defer cancel()
 		began := time.Now()
-		resp, err := f.operators(leader).AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: uint64(f.changes)}))
+		resp, err := f.operatorClient(leader).AwaitRevision(ctx, connect.NewRequest(&operatorv1.AwaitRevisionRequest{Revision: uint64(f.changes)}))
 		is.NoErr(err)
 		is.True(resp.Msg.GetInForce())
 		is.Equal(resp.Msg.GetConfirmed(), []string{"r1"})
@@ -228,10 +228,10 @@
 		f := standardFleet(t, 2)
 		inFlight := f.startAll(completion("r1", "hotel", 500, true), completion("r1", "hotel", 500, true),
 			completion("r2", "hotel", 500, true), completion("r2", "hotel", 500, true)) // 10 s
-		stop1 := f.load(2, completion("r1", "hotel", 5, true))
-		stop2 := f.load(2, completion("r2", "notary", 5, true))
+		stop1 := f.startLoad(2, completion("r1", "hotel", 5, true))
+		stop2 := f.startLoad(2, completion("r2", "notary", 5, true))
 		time.Sleep(time.Second)
-		f.mark("e1", operatorv1.Mark_MARK_LEAVING)
+		f.markServer("e1", operatorv1.Mark_MARK_LEAVING)
 		f.net.Cut(f.boxes["r2"].ip) // r2 receives no message about it, but can't reach the servers either
 		time.Sleep(3 * time.Second)
 		before := f.engines["e1"].Runs()
@@ -268,7 +268,7 @@
 		}
 		wait := f.startAll(rs...)
 		time.Sleep(50 * time.Millisecond)
-		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
+		f.markServer("s1", operatorv1.Mark_MARK_LEAVING)
 		completed, notRun := 0, 0
 		for _, a := range wait() {
 			switch {
@@ -290,13 +290,13 @@
 	inBubble(t, func(t *testing.T) {
 		is := is.New(t)
 		f := standardFleet(t, 1)
-		f.service("s2", 2, 8, 200*time.Millisecond)
-		f.mark("s2", operatorv1.Mark_MARK_JOINING)
-		f.mark("s1", operatorv1.Mark_MARK_LEAVING)
+		f.addService("s2", 2, 8, 200*time.Millisecond)
+		f.markServer("s2", operatorv1.Mark_MARK_JOINING)
+		f.markServer("s1", operatorv1.Mark_MARK_LEAVING)
 		f.settle()
 		wait := f.startAll(order("r1", "hotel", "an order", ""))
 		time.Sleep(2 * time.Second)
-		f.mark("s2", operatorv1.Mark_MARK_SERVING)
+		f.markServer("s2", operatorv1.Mark_MARK_SERVING)
 		got := wait()[0]
 		is.Equal(got.status, 200)
 		is.True(got.took > 2*time.Second)
@@ -308,7 +308,7 @@
 		is := is.New(t)
 		f := standardFleet(t, 2)
 		inFlight := f.startAll(completion("r1", "hotel", 200, true), completion("r1", "notary", 200, true)) // 4 s
-		stop2 := f.load(4, completion("r2", "hotel", 10, true))
+		stop2 := f.startLoad(4, completion("r2", "hotel", 10, true))
 		time.Sleep(time.Second)
 		stopped := make(chan struct{})
 		go func() { f.stop("r1"); close(stopped) }()
--- a/requests_test.go
+++ b/requests_test.go
@@ -99,9 +99,9 @@
 	return func() []response { wg.Wait(); return out }
 }
 
-// load sends the same request from n concurrent callers, each in a loop, until
+// startLoad sends the same request from n concurrent callers, each in a loop, until
 // stop is called. stop returns all responses.
-func (f *testFleet) load(n int, r request) (stop func() []response) {
+func (f *testFleet) startLoad(n int, r request) (stop func() []response) {
 	done := make(chan struct{})
 	out := make(chan []response, n)
 	for range n {
--- a/sessions_test.go
+++ b/sessions_test.go
@@ -109,7 +109,7 @@
 var sessions = []struct {
 	name    string
 	routers int
-	play    func(s *transcript)
+	run     func(s *transcript)
 }{
 	{"plain-and-streamed", 1, func(s *transcript) {
 		s.doAndRecord(completion("r1", "hotel", 3, false))
@@ -153,7 +153,7 @@
 		wait := s.startAll(completion("r1", "hotel", 250, true), completion("r1", "hotel", 250, true),
 			completion("r2", "notary", 250, true), completion("r2", "notary", 250, true))
 		time.Sleep(time.Second)
-		s.mark("e1", operatorv1.Mark_MARK_LEAVING)
+		s.markServer("e1", operatorv1.Mark_MARK_LEAVING)
 		s.recordOperator("server mark e1 leaving")
 		time.Sleep(3 * time.Second)
 		before := s.engines["e1"].Runs()
@@ -196,7 +196,7 @@
 		leader := s.leader()
 		base := s.status(leader).GetRevision()
 		try := func(id string, mark operatorv1.Mark) {
-			revision, err := s.markAt(leader, id, base, mark)
+			revision, err := s.markE1At(leader, id, base, mark)
 			answer := fmt.Sprintf("revision base+%d", revision-base)
 			if err != nil {
 				answer = strings.ReplaceAll(err.Error(), fmt.Sprint(base+1), "base+1")
@@ -221,7 +221,7 @@
 		s.record(leaderName, "cut off in silence")
 		time.Sleep(10 * time.Second)
 		s.doAndRecord(completion("r1", "hotel", 2, true))
-		s.account("late", 1)
+		s.createAccount("late", 1)
 		s.align()
 		s.recordOperator("account create late  ←  accepted by another leader")
 		s.net.Restore(s.boxes[old].ip)
@@ -272,7 +272,7 @@
 				f := standardFleet(t, session.routers)
 				time.Sleep(10 * time.Second) // the leaders of both groups are on the same box by now
 				s := &transcript{testFleet: f, began: time.Now()}
-				session.play(s)
+				session.run(s)
 				s.compare(session.name)
 			})
 		})
--- a/standin/stream.go
+++ b/standin/stream.go
@@ -26,7 +26,7 @@
 // streams holds the streams of an engine by path, complete or still being generated.
 type streams struct {
 	mu     sync.Mutex
-	next   int
+	lastID int
 	byPath map[string]*resumableStream
 }
 
@@ -47,8 +47,8 @@
 	if s.byPath == nil {
 		s.byPath = map[string]*resumableStream{}
 	}
-	s.next++
-	path := streamsPath + strconv.Itoa(s.next)
+	s.lastID++
+	path := streamsPath + strconv.Itoa(s.lastID)
 	s.byPath[path] = l
 	return path
 }
