--- a/process/caller.go
+++ b/process/caller.go
@@ -54,10 +54,10 @@
 // hasLeft reports whether the caller has closed the connection. net/http detects that too, but
 // in its own goroutine, which on an overloaded gateway runs only after the request was sent to
 // a backend server. A close that has not reached the kernel is not detected.
-func (c *callerConn) hasLeft() bool { return closedByPeer(c.Conn) }
+func (c *callerConn) hasLeft() bool { return isClosed(c.Conn) }
 
-// closedByPeer reports whether the peer or this process has closed a connection.
-func closedByPeer(c net.Conn) bool {
+// isClosed reports whether the peer or this process has closed a connection.
+func isClosed(c net.Conn) bool {
 	conn, ok := c.(syscall.Conn)
 	if !ok {
 		return false // not a kernel socket
@@ -88,5 +88,5 @@
 // false if it holds no connection.
 func CallerHasLeft(ctx context.Context) bool {
 	conn, ok := ctx.Value(connectionKey{}).(net.Conn)
-	return ok && closedByPeer(conn)
+	return ok && isClosed(conn)
 }
--- a/process/directory.go
+++ b/process/directory.go
@@ -74,7 +74,7 @@
 // opened.
 func Directory(ctx context.Context, cfg Settings, reloads <-chan Settings, newAPI NewAPIFunc,
 	log *decision.Log, metricSet *metrics.Set) error {
-	base, err := start(cfg, log, metricSet)
+	base, err := newBase(cfg, log, metricSet)
 	if err != nil {
 		return err
 	}
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -51,7 +51,7 @@
 // not executed. Gateway returns an error if a listener cannot be opened.
 func Gateway(ctx context.Context, cfg Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
 	notRun func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
-	b, err := start(cfg, log, metricSet)
+	b, err := newBase(cfg, log, metricSet)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 		Identity: b.identity(), Hall: cfg.Hall, Region: cfg.Region, Topology: cfg.Topology, LinkRate: cfg.LinkRate,
 		Seeds: cfg.Seeds, Headers: headers, Transport: client,
 		Retries: cfg.Retries, Grace: cfg.Grace, MaxTotalBodyBytes: int64(bodyMemoryShare * float64(cfg.MemoryLimit)),
-		Random: rand.Uint64, ProcessorWait: newSchedulingDelay().Wait, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
+		Random: rand.Uint64, ProcessorWait: newSchedulingDelay().Mean, Clock: boottime.Clock(), Log: log, Metrics: metricSet,
 	})
 	callers, err := b.listenToCallers(runCtx, g)
 	if err != nil {
--- a/process/pace.go
+++ b/process/pace.go
@@ -52,12 +52,12 @@
 // call Accept.
 type pacedListener struct {
 	net.Listener
-	pacer          pacer
-	closed         <-chan struct{}
-	log            *decision.Log
-	isBacklogShort bool // whether the backlog is shortBacklog
-	isQueueHidden  bool // whether the kernel does not report the length of its queue
-	unread         unreadConns
+	pacer             pacer
+	closed            <-chan struct{}
+	log               *decision.Log
+	isBacklogShort    bool // whether the backlog is shortBacklog
+	isQueueUnreported bool // whether the kernel does not report the length of its queue
+	unread            unreadConns
 }
 
 // newPacedListener returns a listener with a backlog of longBacklog.
@@ -88,12 +88,12 @@
 
 // reportQueue reports the length of the kernel's queue to the pacer, if it is available.
 func (l *pacedListener) reportQueue() {
-	if !l.isBacklogShort || l.isQueueHidden {
+	if !l.isBacklogShort || l.isQueueUnreported {
 		return
 	}
 	waiting, capacity, err := acceptQueue(l.Listener)
 	if err != nil || capacity == 0 {
-		l.isQueueHidden = true
+		l.isQueueUnreported = true
 		return
 	}
 	l.pacer.ObserveQueue(waiting, capacity)
--- a/process/process.go
+++ b/process/process.go
@@ -94,7 +94,7 @@
 	servers []*http.Server
 }
 
-func start(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
+func newBase(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
 	if cfg.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryLimit)))
 	}
--- a/process/schedule.go
+++ b/process/schedule.go
@@ -23,14 +23,14 @@
 
 func newSchedulingDelay() *schedulingDelay {
 	s := &schedulingDelay{sample: []metrics.Sample{{Name: latencyMetric}}}
-	s.Wait()
+	s.Mean()
 	return s
 }
 
-// Wait returns the mean time between becoming runnable and running, over the goroutines that ran
+// Mean returns the mean time between becoming runnable and running, over the goroutines that ran
 // since the last call, or 0 if none did. It is not safe for concurrent use. A call takes about
 // 0.35 us.
-func (s *schedulingDelay) Wait() time.Duration {
+func (s *schedulingDelay) Mean() time.Duration {
 	metrics.Read(s.sample)
 	if s.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
 		return 0 // the metric is missing in this runtime
--- a/process/schedule_test.go
+++ b/process/schedule_test.go
@@ -27,11 +27,11 @@
 	for range 200 {
 		<-done
 	}
-	is.True(s.Wait() > 10*time.Millisecond)
+	is.True(s.Mean() > 10*time.Millisecond)
 	quiet := false
 	for range 20 { // the machine may be briefly busy with other work
 		time.Sleep(50 * time.Millisecond)
-		quiet = quiet || s.Wait() < 5*time.Millisecond
+		quiet = quiet || s.Mean() < 5*time.Millisecond
 	}
 	is.True(quiet)
 }
@@ -39,6 +39,6 @@
 func BenchmarkWait(b *testing.B) {
 	s := newSchedulingDelay()
 	for b.Loop() {
-		s.Wait()
+		s.Mean()
 	}
 }
