--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -33,9 +33,9 @@
 func (unpaced) ConnectionsPaced() bool { return false }
 func (unpaced) ObserveQueue(_, _ int)  {}
 
-// callers starts a server of callers and runs f with a function that connects to it and the
+// runCallerServer starts a server of runCallerServer and runs f with a function that connects to it and the
 // limits in force there.
-func callers(t *testing.T, f func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits])) {
+func runCallerServer(t *testing.T, f func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits])) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := fakenet.New(time.Millisecond)
@@ -61,9 +61,9 @@
 	})
 }
 
-// send writes text and returns the bytes read within a second, and whether the connection
+// exchange writes text and returns the bytes read within a second, and whether the connection
 // ended.
-func send(t *testing.T, conn net.Conn, text string) (answer string, ended bool) {
+func exchange(t *testing.T, conn net.Conn, text string) (answer string, ended bool) {
 	t.Helper()
 	is := is.New(t)
 	_, err := io.WriteString(conn, text)
@@ -73,62 +73,62 @@
 	return string(b), err == nil
 }
 
-// TestHeadMustComeInTime checks that the header timeout applies to open connections when the
+// TestHeaderTimeout checks that the header timeout applies to open connections when the
 // document changes, independently of the idle timeout, and to new ones.
-func TestHeadMustComeInTime(t *testing.T) {
-	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+func TestHeaderTimeout(t *testing.T) {
+	runCallerServer(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
 		conn := connect()
-		send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\n")
+		exchange(t, conn, "POST / HTTP/1.1\r\nHost: h\r\n")
 		time.Sleep(2 * time.Second)
-		answer, ended := send(t, conn, "Content-Length: 2\r\n\r\nok")
+		answer, ended := exchange(t, conn, "Content-Length: 2\r\n\r\nok")
 		is.True(strings.HasSuffix(answer, "ok") && !ended) // within the 5 s of readHeaderTimeout
 
 		limits.Store(&document.Limits{HeaderTimeout: 1500 * time.Millisecond, IdleTimeout: 15 * time.Second})
 		time.Sleep(10 * time.Second) // the idle timeout is separate
-		_, ended = send(t, conn, "POST / HTTP/1.1\r\n")
+		_, ended = exchange(t, conn, "POST / HTTP/1.1\r\n")
 		is.True(!ended) // after 1 s
-		_, ended = send(t, conn, "Host: h\r\n")
+		_, ended = exchange(t, conn, "Host: h\r\n")
 		is.True(ended) // after 1.5 s
 
 		fresh := connect()
 		time.Sleep(time.Second)
-		_, ended = send(t, fresh, "POST / HTTP/1.1\r\n")
+		_, ended = exchange(t, fresh, "POST / HTTP/1.1\r\n")
 		is.True(ended)
 	})
 }
 
-// TestBodyMayTakeLonger checks that the header timeout does not apply to a body.
-func TestBodyMayTakeLonger(t *testing.T) {
-	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+// TestHeaderTimeoutExcludesBody checks that the header timeout does not apply to a body.
+func TestHeaderTimeoutExcludesBody(t *testing.T) {
+	runCallerServer(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
 		limits.Store(&document.Limits{HeaderTimeout: 500 * time.Millisecond})
 		conn := connect()
 		for range 2 { // a new connection, then a kept-alive one
-			_, ended := send(t, conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\no")
+			_, ended := exchange(t, conn, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\no")
 			is.True(!ended)
-			answer, ended := send(t, conn, "k")
+			answer, ended := exchange(t, conn, "k")
 			is.True(strings.HasSuffix(answer, "ok") && !ended)
 		}
 	})
 }
 
-// TestHeadTimeHasABound checks that a document cannot raise the header timeout above the
+// TestHeaderTimeoutIsBounded checks that a document cannot raise the header timeout above the
 // listener's own.
-func TestHeadTimeHasABound(t *testing.T) {
-	callers(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
+func TestHeaderTimeoutIsBounded(t *testing.T) {
+	runCallerServer(t, func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits]) {
 		is := is.New(t)
 		limits.Store(&document.Limits{HeaderTimeout: time.Minute})
 		conn := connect()
 		time.Sleep(readHeaderTimeout - 500*time.Millisecond)
-		_, ended := send(t, conn, "POST / HTTP/1.1\r\n")
+		_, ended := exchange(t, conn, "POST / HTTP/1.1\r\n")
 		is.True(ended)
 	})
 }
 
-// TestCallerThatLeftIsSeen checks on kernel sockets that a connection closed by its caller is
+// TestClosedConnectionIsDetected checks on kernel sockets that a connection closed by its caller is
 // detected, even with unread bytes, and that an open one is not reported as closed.
-func TestCallerThatLeftIsSeen(t *testing.T) {
+func TestClosedConnectionIsDetected(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/process/connections_test.go
+++ b/process/connections_test.go
@@ -21,9 +21,9 @@
 
 func (c *countedConn) SetReadDeadline(time.Time) error { c.ended.Add(1); return nil }
 
-// TestIdleConnectionsEndInTime checks that an idle connection is closed after the timeout and
+// TestIdleConnectionsAreClosed checks that an idle connection is closed after the timeout and
 // one in use is not.
-func TestIdleConnectionsEndInTime(t *testing.T) {
+func TestIdleConnectionsAreClosed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var ended atomic.Int64
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestManyConnectionsEndTheIdle checks that above the eviction threshold the connections idle
+// TestLongestIdleAreClosedNearLimit checks that above the eviction threshold the connections idle
 // longest are closed, and those in use never.
-func TestManyConnectionsEndTheIdle(t *testing.T) {
+func TestLongestIdleAreClosedNearLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var busy, old, young atomic.Int64
--- a/process/gateway_test.go
+++ b/process/gateway_test.go
@@ -16,9 +16,9 @@
 
 func (alwaysReady) Ready() bool { return true }
 
-// TestReadyMeansAccepting checks that a gateway at its connection limit is not reported as
+// TestNotReadyAtConnectionLimit checks that a gateway at its connection limit is not reported as
 // ready.
-func TestReadyMeansAccepting(t *testing.T) {
+func TestNotReadyAtConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	n := fakenet.New(0)
 	l, err := n.Listen("10.0.0.1:80")
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -62,10 +62,10 @@
 	})
 }
 
-// TestQueueOfAPacedGateway checks that a connection at the end of the queue can still meet its
+// TestBacklogsDrainInTime checks that a connection at the end of the queue can still meet its
 // objective at the minimum pace. Objectives range from 150 to 800 ms in known
 // deployments, and most are at least 300 ms.
-func TestQueueOfAPacedGateway(t *testing.T) {
+func TestBacklogsDrainInTime(t *testing.T) {
 	is := is.New(t)
 	is.True(float64(shortBacklog)/overload.MinAcceptRate < 0.25) // seconds
 	// Connections queued before pacing began are accepted before their callers disconnect:
@@ -73,9 +73,9 @@
 	is.True(float64(longBacklog)/overload.MinAcceptRate < 1)
 }
 
-// TestQueueThatTheKernelShows checks that the reported queue length is the number of
+// TestAcceptQueueLength checks that the reported queue length is the number of
 // connections waiting.
-func TestQueueThatTheKernelShows(t *testing.T) {
+func TestAcceptQueueLength(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -119,9 +119,9 @@
 	}
 }
 
-// TestQueueIsWatchedWhileConnectionsWait checks that a listener that accepts nothing reports
+// TestQueueLengthIsReported checks that a listener that accepts nothing reports
 // how many connections wait.
-func TestQueueIsWatchedWhileConnectionsWait(t *testing.T) {
+func TestQueueLengthIsReported(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/process/schedule_test.go
+++ b/process/schedule_test.go
@@ -10,9 +10,9 @@
 	"github.com/matryer/is"
 )
 
-// TestWaitShowsAQueue checks that goroutines waiting for one busy processor raise the measured
+// TestSchedulingDelay checks that goroutines waiting for one busy processor raise the measured
 // delay, and that an idle process shows none.
-func TestWaitShowsAQueue(t *testing.T) {
+func TestSchedulingDelay(t *testing.T) {
 	is := is.New(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	s := newSchedulingDelay()
@@ -36,7 +36,7 @@
 	is.True(quiet)
 }
 
-func BenchmarkWait(b *testing.B) {
+func BenchmarkSchedulingDelay(b *testing.B) {
 	s := newSchedulingDelay()
 	for b.Loop() {
 		s.Mean()
