--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -37,7 +37,7 @@
 	is.Equal(len(seen), len(kinds)) // a message of every kind
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeMalformedAndUnknown(t *testing.T) {
 	is := is.New(t)
 	_, err := Decode([]byte{0x01})
 	is.True(errors.As(err, new(Malformed)))
--- a/protocol/size_test.go
+++ b/protocol/size_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestBytesOfEnds checks the bytes that each running request takes on a link when a server
+// TestLossMessageSizes checks the bytes that each running request takes on a link when a server
 // with all slots in use ends, and the bytes that the start time adds to a server's list entry.
-func TestBytesOfEnds(t *testing.T) {
+func TestLossMessageSizes(t *testing.T) {
 	size := func(m Message) int {
 		b, err := Encode(m)
 		if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestFlagGoesBeforeEnvironment(t *testing.T) {
+func TestFlagOverridesEnvironment(t *testing.T) {
 	is := is.New(t)
 	env := map[string]string{
 		"BADGERSPOKE_ROLE": "router", "BADGERSPOKE_NAME": "from-env", "BADGERSPOKE_CONTROL": "c1=10.0.0.1:8082",
@@ -59,7 +59,7 @@
 	is.True(d.Has(Router) && !d.Has(Control))
 }
 
-func TestControlNeedsMore(t *testing.T) {
+func TestControlRoleRequirements(t *testing.T) {
 	is := is.New(t)
 	key := secret(t, "a key of enough bytes")
 	_, err := parse(nil, "-role", "control", "-name", "c9", "-control", "c1=10.0.0.1:8082", "-fleet-key-file", key)
@@ -71,7 +71,7 @@
 	is.NoErr(err)
 }
 
-func TestDevNeedsNothing(t *testing.T) {
+func TestDevRequiresNoSettings(t *testing.T) {
 	is := is.New(t)
 	_, err := parse(nil, "-dev")
 	is.NoErr(err)
@@ -79,8 +79,8 @@
 	is.True(errors.Is(err, flag.ErrHelp))
 }
 
-// TestDevRefusesWhatItIgnores checks that -dev refuses settings that it would otherwise ignore.
-func TestDevRefusesWhatItIgnores(t *testing.T) {
+// TestDevRefusesUnusedSettings checks that -dev refuses settings that it would otherwise ignore.
+func TestDevRefusesUnusedSettings(t *testing.T) {
 	is := is.New(t)
 	for _, name := range []string{"-operator-token-file", "-fleet-key-file"} {
 		_, err := parse(nil, "-dev", name, secret(t, "a key of enough bytes\n"))
