--- a/cli/cli.go
+++ b/cli/cli.go
@@ -125,7 +125,7 @@
 	defer cancel()
 	answer, err := callLeader(ctx, cmd, in)
 	if err != nil {
-		fmt.Fprintf(stderr, "badgerspoke %s: %s\n", cmd.name, explainError(err))
+		fmt.Fprintf(stderr, "badgerspoke %s: %s\n", cmd.name, formatError(err))
 		return exitCode(err)
 	}
 	if in.json {
@@ -266,8 +266,8 @@
 	return ExitRefused
 }
 
-// explainError formats an error with the details that an operator needs to act on it.
-func explainError(err error) string {
+// formatError formats an error with the details that an operator needs to act on it.
+func formatError(err error) string {
 	if bad, ok := errorDetail[*operatorv1.Invalid](err); ok {
 		lines := []string{"refused:"}
 		for _, m := range bad.GetMistakes() {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestLostAnswerIsResentUnderOneIdentifier(t *testing.T) {
+func TestRetriesReuseChangeID(t *testing.T) {
 	is := is.New(t)
 	attempts := 0
 	f := &fakeService{mark: func(*operatorv1.MarkServerRequest) error {
--- a/cli/fleetlink.go
+++ b/cli/fleetlink.go
@@ -109,8 +109,8 @@
 	return answer, nil
 }
 
-// orderExit returns the exit code for an order that was not carried out.
-func orderExit(o protocol.OrderOutcome) int {
+// orderExitCode returns the exit code for an order that was not carried out.
+func orderExitCode(o protocol.OrderOutcome) int {
 	switch o {
 	case protocol.OrderConflict:
 		return ExitConflict
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -66,7 +66,7 @@
 		return ExitUnavailable
 	case answer.Outcome != protocol.OrderDone:
 		fmt.Fprintf(stderr, "badgerspoke quarantine %s: %s\n", cmd.name, answer.Reason)
-		return orderExit(answer.Outcome)
+		return orderExitCode(answer.Outcome)
 	}
 	printCondemned(stdout, f.json, answer.Condemned)
 	return ExitOK
--- a/cli/quarantine_test.go
+++ b/cli/quarantine_test.go
@@ -42,7 +42,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newReplica(t, tt.answer)
+			f := newFakeReplica(t, tt.answer)
 			code, stdout, stderr := runCommand(t, f, fleetKey, append([]string{"quarantine"}, tt.args...)...)
 			is.Equal(code, tt.code)
 			is.True(strings.Contains(stdout+stderr, tt.text))
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestQuarantineIsLedOn checks that a command is redirected to the leader that a replica names.
-func TestQuarantineIsLedOn(t *testing.T) {
+// TestQuarantineOrderIsRedirected checks that a command is redirected to the leader that a replica names.
+func TestQuarantineOrderIsRedirected(t *testing.T) {
 	is := is.New(t)
-	leader := newReplica(t, condemned)
-	other := newReplica(t, protocol.QuarantineAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
+	leader := newFakeReplica(t, condemned)
+	other := newFakeReplica(t, protocol.QuarantineAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
 	code, stdout, _ := runCommand(t, other, fleetKey, "quarantine", "list")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "hotel"))
--- a/cli/rollout.go
+++ b/cli/rollout.go
@@ -91,7 +91,7 @@
 	}
 	if answer.Outcome != protocol.OrderDone {
 		fmt.Fprintf(stderr, "badgerspoke rollout %s: %s\n", args[0], answer.Reason)
-		return orderExit(answer.Outcome)
+		return orderExitCode(answer.Outcome)
 	}
 	printRollout(stdout, in, answer.Newest)
 	return ExitOK
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -35,8 +35,8 @@
 	links   int // number of links that were attempted
 }
 
-// newReplica starts a replica that gives these answers.
-func newReplica(t *testing.T, answers ...protocol.Message) *fakeReplica {
+// newFakeReplica starts a replica that gives these answers.
+func newFakeReplica(t *testing.T, answers ...protocol.Message) *fakeReplica {
 	t.Helper()
 	f := &fakeReplica{answers: answers}
 	mux := http.NewServeMux()
@@ -79,8 +79,8 @@
 	return len(f.orders)
 }
 
-// runOn runs a rollout command against a replica, with a fleet key.
-func runOn(t *testing.T, f *fakeReplica, key string, args ...string) (code int, stdout, stderr string) {
+// runRolloutCommand runs a rollout command against a replica, with a fleet key.
+func runRolloutCommand(t *testing.T, f *fakeReplica, key string, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	return runCommand(t, f, key, append([]string{"rollout"}, args...)...)
 }
@@ -132,8 +132,8 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			f := newReplica(t, tt.answer)
-			code, stdout, stderr := runOn(t, f, fleetKey, tt.args...)
+			f := newFakeReplica(t, tt.answer)
+			code, stdout, stderr := runRolloutCommand(t, f, fleetKey, tt.args...)
 			is.Equal(code, tt.code)
 			is.True(strings.Contains(stdout+stderr, tt.text))
 			if tt.answer == nil {
@@ -145,43 +145,43 @@
 	}
 }
 
-// TestAbortNamesAnAttempt checks that abort reads which attempt is the newest and names it in
+// TestAbortNamesNewestAttempt checks that abort reads which attempt is the newest and names it in
 // every abort order, including repeats.
-func TestAbortNamesAnAttempt(t *testing.T) {
+func TestAbortNamesNewestAttempt(t *testing.T) {
 	is := is.New(t)
 	unclear := protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}
 	rolledBack := protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{Target: "v8", State: 3, Attempt: 3}}
-	f := newReplica(t, underWay, unclear, rolledBack)
-	code, stdout, _ := runOn(t, f, fleetKey, "abort", "llm")
+	f := newFakeReplica(t, underWay, unclear, rolledBack)
+	code, stdout, _ := runRolloutCommand(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "rolled back"))
 	abort := protocol.RolloutOrder{Action: protocol.OrderAbort, Pool: "llm", Attempt: 3}
 	is.Equal(f.orders, []protocol.RolloutOrder{{Action: protocol.OrderStatus, Pool: "llm"}, abort, abort})
 
-	f = newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: "no rollout of llm"})
-	code, _, _ = runOn(t, f, fleetKey, "abort", "llm")
+	f = newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderRefused, Reason: "no rollout of llm"})
+	code, _, _ = runRolloutCommand(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitRefused)
 	is.Equal(len(f.orders), 1)
-	f = newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderDone}) // does not contain the newest rollout
-	code, _, _ = runOn(t, f, fleetKey, "abort", "llm")
+	f = newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderDone}) // does not contain the newest rollout
+	code, _, _ = runRolloutCommand(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitUnavailable)
 	is.Equal(len(f.orders), 1)
 }
 
-// TestRolloutGoesToTheLeader checks that an order is redirected to the leader that a replica
+// TestRolloutOrderIsRedirected checks that an order is redirected to the leader that a replica
 // names, and that the same order is sent again while there is no leader.
-func TestRolloutGoesToTheLeader(t *testing.T) {
+func TestRolloutOrderIsRedirected(t *testing.T) {
 	is := is.New(t)
-	leader := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}, underWay)
-	follower := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
-	code, _, _ := runOn(t, follower, fleetKey, "start", "llm", "v8")
+	leader := newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}, underWay)
+	follower := newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderNotLeader, Leader: leader.address})
+	code, _, _ := runRolloutCommand(t, follower, fleetKey, "start", "llm", "v8")
 	is.Equal(code, ExitOK)
 	is.Equal(len(follower.orders), 2)
 	is.Equal(len(leader.orders), 2)
 	is.Equal(leader.orders[0], leader.orders[1])
 }
 
-func TestRolloutNeedsAReplicaAndAKey(t *testing.T) {
+func TestRolloutRequiresAddressAndKey(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	emptyEnv := func(string) string { return "" }
@@ -194,8 +194,8 @@
 // TestWrongFleetKey checks that a wrong key fails at once: a retry cannot succeed.
 func TestWrongFleetKey(t *testing.T) {
 	is := is.New(t)
-	f := newReplica(t, underWay)
-	code, _, stderr := runOn(t, f, "a key of another fleet", "status", "llm")
+	f := newFakeReplica(t, underWay)
+	code, _, stderr := runRolloutCommand(t, f, "a key of another fleet", "status", "llm")
 	is.Equal(code, ExitRefused)
 	is.True(strings.Contains(stderr, "key"))
 	is.Equal(len(f.orders), 0)
@@ -204,11 +204,11 @@
 	is.Equal(f.links, 1)
 }
 
-// TestNobodyKnows checks that an order without a clear answer in time exits with the code for
+// TestUnknownOutcomeExitCode checks that an order without a clear answer in time exits with the code for
 // trying again.
-func TestNobodyKnows(t *testing.T) {
+func TestUnknownOutcomeExitCode(t *testing.T) {
 	is := is.New(t)
-	f := newReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"})
+	f := newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"})
 	in := &rolloutInput{fleetFlags: fleetFlags{fleet: f.address, key: []byte(fleetKey)}, order: protocol.RolloutOrder{Action: protocol.OrderStatus, Pool: "llm"}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -220,8 +220,8 @@
 	}()
 	answer, err := sendRolloutOrder(ctx, in)
 	is.NoErr(err)
-	is.Equal(orderExit(answer.Outcome), ExitUnavailable)
-	is.Equal(orderExit(protocol.OrderNotLeader), ExitUnavailable)
+	is.Equal(orderExitCode(answer.Outcome), ExitUnavailable)
+	is.Equal(orderExitCode(protocol.OrderNotLeader), ExitUnavailable)
 	is.True(rolloutTimeout <= rollout.MinWindow) // later repeats would count as new orders
 }
 
--- a/cmd/badgerspoked/main.go
+++ b/cmd/badgerspoked/main.go
@@ -146,9 +146,9 @@
 	return func() { os.RemoveAll(d.DataDir) }, err
 }
 
-// devTimeout is the time limit for configuring a development fleet, which includes waiting until the
+// devSetupTimeout is the time limit for configuring a development fleet, which includes waiting until the
 // group has a leader.
-const devTimeout = 20 * time.Second
+const devSetupTimeout = 20 * time.Second
 
 // startDevServers starts the backend servers of a development fleet and adds them to its
 // configuration.
@@ -157,7 +157,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, devTimeout)
+	ctx, cancel := context.WithTimeout(ctx, devSetupTimeout)
 	defer cancel()
 	if err := servers.Configure(ctx, d.ListenOperators); err != nil {
 		servers.Close()
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// leaderPoll is the interval between two status requests.
-const leaderPoll = 50 * time.Millisecond
+// leaderPollInterval is the interval between two status requests.
+const leaderPollInterval = 50 * time.Millisecond
 
 // awaitLeader polls the status until the fleet has a leader.
 func awaitLeader(ctx context.Context, c operatorv1connect.OperatorServiceClient) error {
@@ -154,7 +154,7 @@
 		if err == nil {
 			return nil
 		}
-		if !sleep.For(ctx, leaderPoll) {
+		if !sleep.For(ctx, leaderPollInterval) {
 			return errors.Wrap(err, "wait for a leader")
 		}
 	}
