--- a/cli/quarantine_test.go
+++ b/cli/quarantine_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestQuarantineOrderIsRedirected checks that a command is redirected to the leader that a replica names.
+// TestQuarantineOrderIsRedirected checks that a command is sent to the leader that a replica
+// names.
 func TestQuarantineOrderIsRedirected(t *testing.T) {
 	is := is.New(t)
 	leader := newFakeReplica(t, condemned)
--- a/cli/rollout_test.go
+++ b/cli/rollout_test.go
@@ -145,13 +145,13 @@
 	}
 }
 
-// TestAbortNamesNewestAttempt checks that abort reads which attempt is the newest and names it in
-// every abort order, including repeats.
+// TestAbortNamesNewestAttempt checks that abort reads which attempt is the newest and names it
+// in every abort order, including repeats.
 func TestAbortNamesNewestAttempt(t *testing.T) {
 	is := is.New(t)
-	unclear := protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}
+	unknown := protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"}
 	rolledBack := protocol.RolloutAnswer{Outcome: protocol.OrderDone, Newest: &protocol.RolloutStatus{Target: "v8", State: 3, Attempt: 3}}
-	f := newFakeReplica(t, underWay, unclear, rolledBack)
+	f := newFakeReplica(t, underWay, unknown, rolledBack)
 	code, stdout, _ := runRolloutCommand(t, f, fleetKey, "abort", "llm")
 	is.Equal(code, ExitOK)
 	is.True(strings.Contains(stdout, "rolled back"))
@@ -204,8 +204,8 @@
 	is.Equal(f.links, 1)
 }
 
-// TestUnknownOutcomeExitCode checks that an order without a clear answer in time exits with the code for
-// trying again.
+// TestUnknownOutcomeExitCode checks that an order whose outcome is still unknown at the timeout
+// exits with the code for trying again.
 func TestUnknownOutcomeExitCode(t *testing.T) {
 	is := is.New(t)
 	f := newFakeReplica(t, protocol.RolloutAnswer{Outcome: protocol.OrderUnknown, Reason: "no leader"})
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -26,15 +26,15 @@
 
 const callersAddress = "10.0.0.1:80"
 
-// unpaced accepts every connection.
+// unpaced is a pacer that accepts every connection.
 type unpaced struct{}
 
 func (unpaced) TakeConnection() bool   { return true }
 func (unpaced) ConnectionsPaced() bool { return false }
 func (unpaced) ObserveQueue(_, _ int)  {}
 
-// runCallerServer starts a server of runCallerServer and runs f with a function that connects to it and the
-// limits in force there.
+// runCallerServer starts a server for callers and runs f with a function that connects to it and
+// the limits in force there.
 func runCallerServer(t *testing.T, f func(t *testing.T, connect func() net.Conn, limits *atomic.Pointer[document.Limits])) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -126,8 +126,8 @@
 	})
 }
 
-// TestClosedConnectionIsDetected checks on kernel sockets that a connection closed by its caller is
-// detected, even with unread bytes, and that an open one is not reported as closed.
+// TestClosedConnectionIsDetected checks on kernel sockets that a connection closed by its caller
+// is detected, and that an open one is not reported as closed.
 func TestClosedConnectionIsDetected(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -63,8 +63,8 @@
 }
 
 // TestBacklogsDrainInTime checks that a connection at the end of the queue can still meet its
-// objective at the minimum pace. Objectives range from 150 to 800 ms in known
-// deployments, and most are at least 300 ms.
+// objective at the minimum pace. Objectives range from 150 to 800 ms in known deployments, and
+// most are at least 300 ms.
 func TestBacklogsDrainInTime(t *testing.T) {
 	is := is.New(t)
 	is.True(float64(shortBacklog)/overload.MinAcceptRate < 0.25) // seconds
@@ -73,8 +73,8 @@
 	is.True(float64(longBacklog)/overload.MinAcceptRate < 1)
 }
 
-// TestAcceptQueueLength checks that the reported queue length is the number of
-// connections waiting.
+// TestAcceptQueueLength checks that the reported queue length is the number of waiting
+// connections.
 func TestAcceptQueueLength(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestQueueLengthIsReported checks that a listener that accepts nothing reports
-// how many connections wait.
+// TestQueueLengthIsReported checks that a listener that accepts nothing reports how many
+// connections wait.
 func TestQueueLengthIsReported(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/process/schedule.go
+++ b/process/schedule.go
@@ -33,7 +33,7 @@
 func (s *schedulingDelay) Mean() time.Duration {
 	metrics.Read(s.sample)
 	if s.sample[0].Value.Kind() != metrics.KindFloat64Histogram {
-		return 0 // the metric is missing in this runtime
+		return 0 // this runtime does not have the metric
 	}
 	h := s.sample[0].Value.Float64Histogram()
 	if len(s.previous) != len(h.Counts) {
--- a/process/schedule_test.go
+++ b/process/schedule_test.go
@@ -10,8 +10,8 @@
 	"github.com/matryer/is"
 )
 
-// TestSchedulingDelay checks that goroutines waiting for one busy processor raise the measured
-// delay, and that an idle process shows none.
+// TestSchedulingDelay checks that goroutines that wait for one busy processor raise the measured
+// delay, and that the delay of an idle process is low.
 func TestSchedulingDelay(t *testing.T) {
 	is := is.New(t)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -18,8 +18,8 @@
 )
 
 // This file compares the encoding of every message with testdata/golden, because boxes of
-// consecutive versions exchange messages. Run with -update to rewrite the files, which only a deliberate change
-// of the wire format justifies.
+// consecutive versions exchange messages. Run with -update to rewrite the files, which only a
+// deliberate change of the wire format justifies.
 
 const bigNumber = 1<<64 - 2 // a number that needs all 64 bits
 
