--- a/standin/stream.go
+++ b/standin/stream.go
@@ -91,8 +91,8 @@
 	l.changed = make(chan struct{})
 }
 
-// copy sends the stream from a byte offset until it is complete. With DieMid it closes the connection
-// after two events.
+// copy sends the stream from a byte offset until it is complete. With AbortMidResponse it closes the
+// connection after two events.
 func (l *resumableStream) copy(ctx context.Context, w http.ResponseWriter, from int, failure Failure) {
 	for sent := from; ; {
 		l.mu.Lock()
