--- a/internal/fakenet/regions.go
+++ b/internal/fakenet/regions.go
@@ -21,7 +21,8 @@
 	uplinks map[string]*uplink      // limited uplinks by box
 }
 
-// uplink is the rate-limited link from a box to the network. It transmits bytes in the order in which they were written.
+// uplink is the rate-limited link from a box to the network. It transmits bytes in the order in which
+// they were written.
 type uplink struct {
 	rate   int       // bytes per second
 	idleAt time.Time // time at which all bytes written so far have been transmitted
