--- a/directory/relaysums_test.go
+++ b/directory/relaysums_test.go
@@ -107,7 +107,7 @@
 		r.countedSeq = m.Seq
 	case protocol.Fleet:
 		registry.ApplyLoads(r.sums, m.Loads)
-		r.gateways, r.short = m.Gateways, m.Short
+		r.gateways, r.short = m.Gateways, m.Contended
 	}
 }
 
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -67,7 +67,7 @@
 	demand := h.usage.demand
 	return protocol.Fleet{
 		Gateways: len(h.gateways()), Loads: loads, Entitlements: demand.Entitlements(), Late: demand.LateEntitlements(),
-		Members: h.leadership.Load().voters, Short: demand.Contended(), Incomplete: !demand.Ready(), MaxRate: demand.MaxAccountRate(),
+		Members: h.leadership.Load().voters, Contended: demand.Contended(), Incomplete: !demand.Ready(), MaxRate: demand.MaxAccountRate(),
 	}
 }
 
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -200,7 +200,7 @@
 		w.g.gatewayCount.Store(int64(max(m.Gateways, 1)))
 		w.replicas = m.Members
 		if !m.Incomplete {
-			w.g.accounts.update(m.Entitlements, m.Late, m.Short)
+			w.g.accounts.update(m.Entitlements, m.Late, m.Contended)
 			w.g.accounts.setMaxRate(m.MaxRate)
 		}
 		w.g.table.updateLoads(w.g.now(), w.countedReport, m.Loads)
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -109,7 +109,7 @@
 	Fleet{
 		Gateways: 3, Loads: []ServerLoad{{Handle: 9, Requests: 10, Tokens: 11}, {Handle: 12, Requests: 13, Tokens: 14}},
 		Entitlements: []Entitlement{{Account: "t1", Part: 0.25, Extra: 0.7}, {Account: "t2", Part: 0.1, Extra: 1}},
-		Members:      []string{"10.0.0.1:7000", "10.0.0.2:7000"}, Short: true, Incomplete: true, MaxRate: 1.5,
+		Members:      []string{"10.0.0.1:7000", "10.0.0.2:7000"}, Contended: true, Incomplete: true, MaxRate: 1.5,
 		Late: []Entitlement{{Account: "t2", Part: 0.05, Extra: 0.5}},
 	},
 	Counted{Seq: 91},
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -205,10 +205,10 @@
 	Loads        []ServerLoad  `cbor:"8,keyasint,omitempty"`
 	Entitlements []Entitlement `cbor:"3,keyasint,omitempty"`
 	Members      []string      `cbor:"4,keyasint,omitempty"` // fleet addresses of the directory
-	// Short is set if requests within their accounts' shares find no free capacity on some
+	// Contended is set if requests within their accounts' shares find no free capacity on some
 	// servers, or several accounts demand more than their shares. No account may then exceed
 	// its share.
-	Short bool `cbor:"5,keyasint,omitempty"`
+	Contended bool `cbor:"5,keyasint,omitempty"`
 	// Incomplete is set while the leader is new and its sums are too incomplete to decide by.
 	// Entitlements, Short and MaxRate are then meaningless.
 	Incomplete bool `cbor:"6,keyasint,omitempty"`
