--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -9,17 +9,17 @@
 // Loss is a request that was running on a backend server when the server ended, as reported by
 // a gateway.
 type Loss struct {
-	_       struct{} `cbor:",toarray"`
-	Key     []byte
-	Hint    uint32 // hash of the request with only the length of its body
-	Account string
-	Pool    string
-	Server  string // the server's identifier
-	Address string
-	Ran     uint32 // milliseconds from sending the request to the end of the server
-	Age     uint32 // milliseconds since the end of the server, as of sending
-	Again   bool   // another attempt of the same arrival was lost before this one began
-	Serving bool   // other servers of the pool gave complete answers recently
+	_         struct{} `cbor:",toarray"`
+	Key       []byte
+	Hint      uint32 // hash of the request with only the length of its body
+	Account   string
+	Pool      string
+	Server    string // the server's identifier
+	Address   string
+	RanMillis uint32 // milliseconds from sending the request to the end of the server
+	Age       uint32 // milliseconds since the end of the server, as of sending
+	Again     bool   // another attempt of the same arrival was lost before this one began
+	Serving   bool   // other servers of the pool gave complete answers recently
 }
 
 // Quarantined is a request whose backend servers ended while running it.
