--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -69,7 +69,7 @@
 // timedLoss converts a reported loss. It returns false if the loss has no key.
 func timedLoss(now time.Duration, l protocol.Loss) (quarantine.TimedLoss, bool) {
 	k, ok := quarantine.KeyFrom(l.Key)
-	return quarantine.TimedLoss{At: now - time.Duration(l.Age)*time.Millisecond, Loss: quarantine.Loss{
+	return quarantine.TimedLoss{At: now - time.Duration(l.AgeMillis)*time.Millisecond, Loss: quarantine.Loss{
 		Key: k, Hint: quarantine.Hint(l.Hint), Account: l.Account, Pool: l.Pool, Server: l.Server, Address: l.Address,
 		RunTime: time.Duration(l.RanMillis) * time.Millisecond, Retry: l.Again, PoolAnswering: l.Serving,
 	}}, ok
@@ -227,7 +227,7 @@
 func (r *relay) appendLosses(u protocol.Usage) protocol.Usage {
 	now := r.h.d.replica.Now()
 	for _, l := range r.losses {
-		l.Age += uint32((now - l.receivedAt).Milliseconds())
+		l.AgeMillis += uint32((now - l.receivedAt).Milliseconds())
 		u.Losses = append(u.Losses, l.Loss)
 	}
 	u.Cleared = r.cleared
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -17,7 +17,7 @@
 	Server    string // the server's identifier
 	Address   string
 	RanMillis uint32 // milliseconds from sending the request to the end of the server
-	Age       uint32 // milliseconds since the end of the server, as of sending
+	AgeMillis uint32 // milliseconds since the end of the server, as of sending
 	Again     bool   // another attempt of the same arrival was lost before this one began
 	Serving   bool   // other servers of the pool gave complete answers recently
 }
--- a/protocol/size_test.go
+++ b/protocol/size_test.go
@@ -23,7 +23,7 @@
 		key := fmt.Appendf(nil, "key of 16 bytes%c", 'a'+i)[:16]
 		u.Losses = append(u.Losses, Loss{
 			Key: key, Hint: 1 << 30, Account: "account-12", Pool: "lm-pool", Server: "i-7f3a91c2e0~1790000000123", Address: "10.3.64.24:8143",
-			RanMillis: 300, Age: 20, Serving: true,
+			RanMillis: 300, AgeMillis: 20, Serving: true,
 		})
 		set.Set = append(set.Set, Quarantined{Key: key, Hint: 1 << 30, Ends: 1})
 		changed.Removed = append(changed.Removed, key)
