--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -71,7 +71,7 @@
 	k, ok := quarantine.KeyFrom(l.Key)
 	return quarantine.TimedLoss{At: now - time.Duration(l.AgeMillis)*time.Millisecond, Loss: quarantine.Loss{
 		Key: k, Hint: quarantine.Hint(l.Hint), Account: l.Account, Pool: l.Pool, Server: l.Server, Address: l.Address,
-		RunTime: time.Duration(l.RanMillis) * time.Millisecond, Retry: l.Again, PoolAnswering: l.Serving,
+		RunTime: time.Duration(l.RanMillis) * time.Millisecond, Retry: l.AfterLoss, PoolAnswering: l.Serving,
 	}}, ok
 }
 
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -133,7 +133,7 @@
 	for _, loss := range s.losses[:n] {
 		u.Losses = append(u.Losses, protocol.Loss{
 			Key: loss.Key[:], Hint: uint32(loss.Hint), Account: loss.Account, Pool: loss.Pool, Server: loss.Server, Address: loss.Address,
-			RanMillis: uint32(loss.RunTime.Milliseconds()), AgeMillis: uint32((now - loss.At).Milliseconds()), Again: loss.Retry,
+			RanMillis: uint32(loss.RunTime.Milliseconds()), AgeMillis: uint32((now - loss.At).Milliseconds()), AfterLoss: loss.Retry,
 			Serving: loss.PoolAnswering,
 		})
 	}
--- a/protocol/golden_test.go
+++ b/protocol/golden_test.go
@@ -101,7 +101,7 @@
 		},
 		AppliedRollouts: 105, Incremental: true, Barred: []BarredTarget{{Pool: "web", Attempt: 106}},
 		Losses: []Loss{
-			{Key: []byte("0123456789abcdef"), Hint: 1<<32 - 1, Account: "t1", Pool: "llm", Server: "engine-1#a", Address: "10.0.0.3:80", RanMillis: 115, AgeMillis: 116, Again: true, Serving: true},
+			{Key: []byte("0123456789abcdef"), Hint: 1<<32 - 1, Account: "t1", Pool: "llm", Server: "engine-1#a", Address: "10.0.0.3:80", RanMillis: 115, AgeMillis: 116, AfterLoss: true, Serving: true},
 			{Key: []byte("fedcba9876543210"), Pool: "llm", Server: "engine-1#a"},
 		},
 		Cleared: [][]byte{[]byte("0123456789abcdef")}, Term: 96,
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -18,7 +18,7 @@
 	Address   string
 	RanMillis uint32 // milliseconds from sending the request to the end of the server
 	AgeMillis uint32 // milliseconds since the end of the server, as of sending
-	Again     bool   // another attempt of the same arrival was lost before this one began
+	AfterLoss bool   // another attempt of the same arrival was lost before this one began
 	Serving   bool   // other servers of the pool gave complete answers recently
 }
 
