--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -16,8 +16,8 @@
 	Pool      string
 	Server    string // the server's identifier
 	Address   string
-	RanMillis uint32 // milliseconds from sending the request to the end of the server
-	AgeMillis uint32 // milliseconds since the end of the server, as of sending
+	RanMillis uint32 // from sending the request to the end of the server
+	AgeMillis uint32 // since the end of the server, as of sending
 	AfterLoss bool   // another attempt of the same arrival was lost before this one began
 	Serving   bool   // other servers of the pool gave complete answers recently
 }
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -210,7 +210,7 @@
 	// its share.
 	Contended bool `cbor:"5,keyasint,omitempty"`
 	// Incomplete is set while the leader is new and its sums are too incomplete to decide by.
-	// Entitlements, Short and MaxRate are then meaningless.
+	// Entitlements, Contended and MaxRate are then meaningless.
 	Incomplete bool `cbor:"6,keyasint,omitempty"`
 	// MaxRate bounds the rate that one account may be given, in tokens per second; 0 means no
 	// bound.
