--- a/process/directory.go
+++ b/process/directory.go
@@ -28,8 +28,7 @@
 // permanently, because it cannot determine which writes are durable. The process keeps running
 // and starts a new replica from the folder.
 
-// NewAPIFunc returns the handler for operators and backend servers, in the form that a deployment
-// uses.
+// NewAPIFunc returns the handler of a deployment's interface for operators and backend servers.
 type NewAPIFunc func(d *directory.Directory, log *decision.Log) http.Handler
 
 // reopenInterval is the time between two attempts to open the data folder.
--- a/process/gateway.go
+++ b/process/gateway.go
@@ -46,11 +46,11 @@
 )
 
 // Gateway runs a gateway until ctx ends, and then stops it without cutting off requests that
-// end within the grace period. Of reloaded settings it applies the seeds. notRun reports
-// whether a backend server's answer, by its status and header, guarantees that the request was
-// not executed. Gateway returns an error if a listener cannot be opened.
+// end within the grace period. Of reloaded settings it applies the seeds. isRefusal
+// reports whether a backend server's answer, by its status and header, guarantees that the request
+// was not executed. Gateway returns an error if a listener cannot be opened.
 func Gateway(ctx context.Context, cfg Settings, reloads <-chan Settings, headers gateway.HeaderCodec,
-	notRun func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
+	isRefusal func(int, http.Header) bool, log *decision.Log, metricSet *metrics.Set) error {
 	b, err := newBase(cfg, log, metricSet)
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	opened := metricSet.GetOrCreateCounter("badgerspoke_gateway_backend_connections_total")
 	client := forward.New(forward.Settings{
 		Dialer: socket.Dialer(serverDialTimeout), MaxIdlePerServer: maxIdlePerServer, MaxIdle: maxIdleTotal, IdleTimeout: serverIdleTimeout,
-		IsRefusal: notRun, OnOpen: opened.Inc,
+		IsRefusal: isRefusal, OnOpen: opened.Inc,
 	})
 	defer client.Close()
 	runCtx, stop := context.WithCancel(context.Background()) // outlives ctx: requests finish within the grace period
--- a/process/process.go
+++ b/process/process.go
@@ -9,7 +9,7 @@
 // [gateway] and [directory].
 //
 // Deployment-specific names are passed in: a gateway gets a [gateway.HeaderCodec], a directory
-// replica an [NewAPIFunc]. The package itself is independent of any deployment.
+// replica a [NewAPIFunc]. The package itself is independent of any deployment.
 //
 // Lock: idleConnections.mu, a leaf lock. Other state is owned by one goroutine or does not
 // change after the start.
@@ -69,8 +69,8 @@
 	Rollouts rollout.Bounds
 
 	Grace           time.Duration // time from the stop signal until the process is killed
-	MemoryLimit     int64         // memory limit in bytes; 0 means unlimited
-	DescriptorLimit int           // limit of open file descriptors
+	MemoryLimit     int64         // in bytes; 0 means unlimited
+	DescriptorLimit int           // maximum number of open file descriptors
 	LogLevel        slog.Level
 }
 
@@ -94,6 +94,7 @@
 	servers []*http.Server
 }
 
+// newBase applies the memory limit and starts to serve the metrics.
 func newBase(cfg Settings, log *decision.Log, metricSet *metrics.Set) (*base, error) {
 	if cfg.MemoryLimit > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(cfg.MemoryLimit)))
