--- a/directory/crashes_fixture_test.go
+++ b/directory/crashes_fixture_test.go
@@ -165,8 +165,8 @@
 func (m *crashingServers) DropIdle(string) {}
 func (m *crashingServers) DropAllIdle()    {}
 
-// Refuses implements gateway.Transport.
-func (m *crashingServers) Refuses(ctx context.Context, at string) bool {
+// RefusesConnections implements gateway.Transport.
+func (m *crashingServers) RefusesConnections(ctx context.Context, at string) bool {
 	return sleep.For(ctx, networkLatency) && !m.processAt(at).up
 }
 
--- a/directory/golden_run_test.go
+++ b/directory/golden_run_test.go
@@ -61,7 +61,7 @@
 
 func (scriptedServer) DropAllIdle() {}
 
-func (scriptedServer) Refuses(context.Context, string) bool { return false }
+func (scriptedServer) RefusesConnections(context.Context, string) bool { return false }
 
 func (scriptedServer) Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error) {
 	answer := &forward.Response{Status: 200, Header: http.Header{"Id": call.Header["Id"]}, Length: 4, Body: io.NopCloser(strings.NewReader("done"))}
--- a/directory/halls_test.go
+++ b/directory/halls_test.go
@@ -39,7 +39,7 @@
 func (a *arrivals) DropIdle(string) {}
 func (a *arrivals) DropAllIdle()    {}
 
-func (*arrivals) Refuses(context.Context, string) bool { return false }
+func (*arrivals) RefusesConnections(context.Context, string) bool { return false }
 
 func (a *arrivals) Send(ctx context.Context, address string, call forward.Call) (*forward.Response, error) {
 	a.record(address)
--- a/directory/versioned_fixture_test.go
+++ b/directory/versioned_fixture_test.go
@@ -54,7 +54,7 @@
 func (v *versionedServers) DropIdle(string) {}
 func (v *versionedServers) DropAllIdle()    {}
 
-func (*versionedServers) Refuses(context.Context, string) bool { return false }
+func (*versionedServers) RefusesConnections(context.Context, string) bool { return false }
 
 // recordArrival records a request and reports whether it fails.
 func (v *versionedServers) recordArrival(address string) (fails bool) {
--- a/gateway/enddetector.go
+++ b/gateway/enddetector.go
@@ -72,7 +72,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.g.ctx, endProbeTimeout)
 	defer cancel()
-	refuses := e.g.cfg.Transport.Refuses(ctx, address)
+	refuses := e.g.cfg.Transport.RefusesConnections(ctx, address)
 	e.mu.Lock()
 	lost := e.pendingLosses[server]
 	delete(e.pendingLosses, server)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -102,8 +102,8 @@
 
 func (f *fakeServers) DropAllIdle() { f.DropIdle("all") }
 
-// Refuses implements [Transport]. Addresses without a behaviour refuse connections.
-func (f *fakeServers) Refuses(_ context.Context, address string) bool {
+// RefusesConnections implements [Transport]. Addresses without a behaviour refuse connections.
+func (f *fakeServers) RefusesConnections(_ context.Context, address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.behaviours[address] == nil
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,9 +33,9 @@
 	DropIdle(address string)
 	// DropAllIdle closes the idle connections to all addresses.
 	DropAllIdle()
-	// Refuses reports whether an address refuses connections, which means that the server's
+	// RefusesConnections reports whether an address refuses connections, which means that the server's
 	// process has ended.
-	Refuses(ctx context.Context, address string) bool
+	RefusesConnections(ctx context.Context, address string) bool
 }
 
 var _ Transport = (*forward.Client)(nil)
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -87,20 +87,20 @@
 	}
 }
 
-// TestRefusesOnlyIfNothingListens checks that Refuses reports true only for a box that refuses the connection, and
+// TestRefusesOnlyIfNothingListens checks that RefusesConnections reports true only for a box that refuses the connection, and
 // false for one that is listening or cut off from the network.
 func TestRefusesOnlyIfNothingListens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
 		c := client(t, n)
-		is.True(c.Refuses(t.Context(), address))
+		is.True(c.RefusesConnections(t.Context(), address))
 		serve(t, n, &standin.Service{})
-		is.True(!c.Refuses(t.Context(), address))
+		is.True(!c.RefusesConnections(t.Context(), address))
 		n.Cut("10.0.0.1")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		is.True(!c.Refuses(ctx, address))
+		is.True(!c.RefusesConnections(ctx, address))
 	})
 }
 
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -216,9 +216,9 @@
 // DropAllIdle closes the idle connections to all addresses.
 func (c *Client) DropAllIdle() { c.transport.CloseIdleConnections() }
 
-// Refuses reports whether the box at address refuses connections, which means that the process
+// RefusesConnections reports whether the box at address refuses connections, which means that the process
 // that listened there has ended. It dials the address and closes the connection if one opens.
-func (c *Client) Refuses(ctx context.Context, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, address string) bool {
 	conn, err := c.dial(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
