--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -151,9 +151,9 @@
 		!g.paced.Load()
 }
 
-// TakeConnection reports whether one more caller's connection may be accepted now, and counts
+// AdmitConnection reports whether one more caller's connection may be accepted now, and counts
 // it if so.
-func (g *Gateway) TakeConnection() bool {
+func (g *Gateway) AdmitConnection() bool {
 	if g.connectionAllowance.Add(-1) < 0 {
 		return false
 	}
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -29,7 +29,7 @@
 // unpaced is a pacer that accepts every connection.
 type unpaced struct{}
 
-func (unpaced) TakeConnection() bool   { return true }
+func (unpaced) AdmitConnection() bool  { return true }
 func (unpaced) ConnectionsPaced() bool { return false }
 func (unpaced) ObserveQueue(_, _ int)  {}
 
--- a/process/pace.go
+++ b/process/pace.go
@@ -39,9 +39,9 @@
 
 // pacer limits the rate of accepted connections.
 type pacer interface {
-	// TakeConnection reports whether another connection may be accepted now, and counts it if
+	// AdmitConnection reports whether another connection may be accepted now, and counts it if
 	// so.
-	TakeConnection() bool
+	AdmitConnection() bool
 	// ConnectionsPaced reports whether connections are being held back.
 	ConnectionsPaced() bool
 	// ObserveQueue records the length and the capacity of the kernel's queue.
@@ -69,7 +69,7 @@
 
 // Accept implements [net.Listener].
 func (l *pacedListener) Accept() (net.Conn, error) {
-	for l.unread.full() || !l.pacer.TakeConnection() {
+	for l.unread.full() || !l.pacer.AdmitConnection() {
 		l.adjustBacklog()
 		l.reportQueue()
 		select {
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -18,7 +18,7 @@
 // allowance is a pacer that allows a number of connections.
 type allowance struct{ atomic.Int64 }
 
-func (a *allowance) TakeConnection() bool   { return a.Add(-1) >= 0 }
+func (a *allowance) AdmitConnection() bool  { return a.Add(-1) >= 0 }
 func (a *allowance) ConnectionsPaced() bool { return true }
 func (a *allowance) ObserveQueue(_, _ int)  {}
 
@@ -110,7 +110,7 @@
 // test.
 type queueReports chan int
 
-func (w queueReports) TakeConnection() bool   { return false }
+func (w queueReports) AdmitConnection() bool  { return false }
 func (w queueReports) ConnectionsPaced() bool { return true }
 func (w queueReports) ObserveQueue(waiting, _ int) {
 	select {
--- a/process/unread_test.go
+++ b/process/unread_test.go
@@ -16,7 +16,7 @@
 // acceptAll is a pacer that accepts every connection.
 type acceptAll struct{}
 
-func (acceptAll) TakeConnection() bool   { return true }
+func (acceptAll) AdmitConnection() bool  { return true }
 func (acceptAll) ConnectionsPaced() bool { return false }
 func (acceptAll) ObserveQueue(_, _ int)  {}
 
