--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -164,8 +164,8 @@
 	return true
 }
 
-// ObserveQueue records the length of the listener's accept queue and its capacity.
-func (g *Gateway) ObserveQueue(waiting, capacity int) {
+// ObserveAcceptQueue records the length of the listener's accept queue and its capacity.
+func (g *Gateway) ObserveAcceptQueue(waiting, capacity int) {
 	g.acceptBacklog.observe(g.now(), waiting, capacity)
 }
 
--- a/process/caller_test.go
+++ b/process/caller_test.go
@@ -29,9 +29,9 @@
 // unpaced is a pacer that accepts every connection.
 type unpaced struct{}
 
-func (unpaced) AdmitConnection() bool  { return true }
-func (unpaced) ConnectionsPaced() bool { return false }
-func (unpaced) ObserveQueue(_, _ int)  {}
+func (unpaced) AdmitConnection() bool       { return true }
+func (unpaced) ConnectionsPaced() bool      { return false }
+func (unpaced) ObserveAcceptQueue(_, _ int) {}
 
 // runCallerServer starts a server for callers and runs f with a function that connects to it and
 // the limits in force there.
--- a/process/pace.go
+++ b/process/pace.go
@@ -44,8 +44,8 @@
 	AdmitConnection() bool
 	// ConnectionsPaced reports whether connections are being held back.
 	ConnectionsPaced() bool
-	// ObserveQueue records the length and the capacity of the kernel's queue.
-	ObserveQueue(waiting, capacity int)
+	// ObserveAcceptQueue records the length and the capacity of the kernel's queue.
+	ObserveAcceptQueue(waiting, capacity int)
 }
 
 // pacedListener delays Accept until its pacer allows another connection. Only one goroutine may
@@ -96,7 +96,7 @@
 		l.isQueueUnreported = true
 		return
 	}
-	l.pacer.ObserveQueue(waiting, capacity)
+	l.pacer.ObserveAcceptQueue(waiting, capacity)
 }
 
 // acceptQueue returns the length and the capacity of a listener's queue, or zeros if the kernel
--- a/process/pace_test.go
+++ b/process/pace_test.go
@@ -18,9 +18,9 @@
 // allowance is a pacer that allows a number of connections.
 type allowance struct{ atomic.Int64 }
 
-func (a *allowance) AdmitConnection() bool  { return a.Add(-1) >= 0 }
-func (a *allowance) ConnectionsPaced() bool { return true }
-func (a *allowance) ObserveQueue(_, _ int)  {}
+func (a *allowance) AdmitConnection() bool       { return a.Add(-1) >= 0 }
+func (a *allowance) ConnectionsPaced() bool      { return true }
+func (a *allowance) ObserveAcceptQueue(_, _ int) {}
 
 // TestConnectionsArePaced checks that no connection is accepted without an allowance, that
 // waiting ones are accepted once allowed, and that closing the listener ends a wait.
@@ -112,7 +112,7 @@
 
 func (w queueReports) AdmitConnection() bool  { return false }
 func (w queueReports) ConnectionsPaced() bool { return true }
-func (w queueReports) ObserveQueue(waiting, _ int) {
+func (w queueReports) ObserveAcceptQueue(waiting, _ int) {
 	select {
 	case w <- waiting:
 	default:
--- a/process/unread_test.go
+++ b/process/unread_test.go
@@ -16,9 +16,9 @@
 // acceptAll is a pacer that accepts every connection.
 type acceptAll struct{}
 
-func (acceptAll) AdmitConnection() bool  { return true }
-func (acceptAll) ConnectionsPaced() bool { return false }
-func (acceptAll) ObserveQueue(_, _ int)  {}
+func (acceptAll) AdmitConnection() bool       { return true }
+func (acceptAll) ConnectionsPaced() bool      { return false }
+func (acceptAll) ObserveAcceptQueue(_, _ int) {}
 
 // TestUnreadConnectionsAreBounded checks that beyond maxUnread, connections are accepted only
 // as others are read, closed, or silent for unreadTimeout.
