--- a/coordination/place/regionmodel_test.go
+++ b/coordination/place/regionmodel_test.go
@@ -346,7 +346,7 @@
 	}
 }
 
-// regionStrategies are the strategies compared by TestTwoRegions.
+// regionStrategies are the strategies compared by TestRegionStrategies.
 var regionStrategies = map[string]regionStrategy{
 	"own region only": ownRegionOnly, "one order": oneOrder, "sooner": whenSooner, "full": whenFull,
 	"waits 0 ms": afterWait(0), "waits 120 ms": afterWait(2 * AssumedRoundTrip), "waits a round trip": afterWait(AssumedRoundTrip),
--- a/coordination/place/regionstrategies_test.go
+++ b/coordination/place/regionstrategies_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// This file defines the strategies for leaving a region that TestTwoRegions compares.
+// This file defines the strategies for leaving a region that TestRegionStrategies compares.
 
 // regionView is the input of a strategy: the engines of a gateway's own region and of the other one.
 type regionView struct {
--- a/directory/rolloutanswers.go
+++ b/directory/rolloutanswers.go
@@ -26,7 +26,7 @@
 func (d *Directory) serveRolloutOrder(ctx context.Context, l *link.Link, o protocol.RolloutOrder) {
 	ctx, waits := l.PeerIsReceiving(ctx)
 	if !waits {
-		d.cfg.Log.Failure("rollout order too late", slog.String("pool", o.Pool), slog.String("target", o.Target))
+		d.cfg.Log.Failure("rollout order ignored: caller closed the connection", slog.String("pool", o.Pool), slog.String("target", o.Target))
 		return
 	}
 	_ = l.Send(ctx, d.executeRolloutOrder(ctx, o)) // not bounded by orderTimeout, which may have expired
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -33,8 +33,8 @@
 	DropIdle(address string)
 	// DropAllIdle closes the idle connections to all addresses.
 	DropAllIdle()
-	// RefusesConnections reports whether an address refuses connections, which means that the server's
-	// process has ended.
+	// RefusesConnections reports whether an address refuses connections, which means that the
+	// server's process has ended.
 	RefusesConnections(ctx context.Context, address string) bool
 }
 
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -237,7 +237,7 @@
 		w.g.stats.connectionsUnaccepted.Add(unaccepted)
 		u.Unread = estimateUnread(u.Demands, unaccepted, int(w.g.requestsSinceReport.Swap(0)))
 		u.Seq, u.Loads, u.DocumentNumber = seq, w.g.table.takeReport(seq), w.g.DocumentNumber()
-		u.Term = w.g.table.leaderTerm() // read before Obeyed, which may already belong to the next leader's term
+		u.Term = w.g.table.leaderTerm() // read before AppliedRollouts, which may already belong to the next leader's term
 		u.Outcomes, u.AppliedRollouts = w.g.table.takeOutcomes(w.g.now())
 		u.Barred = w.g.table.locallyBarred()
 		w.g.suspicions.addToReport(w.g.now(), &u)
--- a/transport/forward/backend_test.go
+++ b/transport/forward/backend_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestRefusesOnlyIfNothingListens checks that RefusesConnections reports true only for a box that refuses the connection, and
-// false for one that is listening or cut off from the network.
+// TestRefusesOnlyIfNothingListens checks that RefusesConnections reports true only for a box that
+// refuses the connection, and false for one that is listening or cut off from the network.
 func TestRefusesOnlyIfNothingListens(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/transport/forward/sent_test.go
+++ b/transport/forward/sent_test.go
@@ -235,9 +235,9 @@
 	})
 }
 
-// TestUnwantedCallIsNotSent abandons a call just before its header is written, on a new and on
+// TestAbandonedCallIsNotSent abandons a call just before its header is written, on a new and on
 // a reused connection. The server must not receive it, and must receive the call after it.
-func TestUnwantedCallIsNotSent(t *testing.T) {
+func TestAbandonedCallIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		n := fakenet.New(time.Millisecond)
