--- a/directory/directory.go
+++ b/directory/directory.go
@@ -149,7 +149,7 @@
 func (d *Directory) Read(ctx context.Context) (document.StoredDocument, error) {
 	var held document.StoredDocument
 	var exists bool
-	err := d.inspectAsLeader(ctx, func() { held, exists = d.state.Held() })
+	err := d.inspectAsLeader(ctx, func() { held, exists = d.state.CurrentDocument() })
 	switch {
 	case err != nil:
 		return held, err
@@ -187,7 +187,7 @@
 // pool is accepted. No gateway uses a server of an unknown pool, but its registration could
 // displace a server in use at the same address.
 func (d *Directory) acceptsPool(pool string) bool {
-	held, known := d.state.Held()
+	held, known := d.state.CurrentDocument()
 	return !known || slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool })
 }
 
--- a/directory/golden_test.go
+++ b/directory/golden_test.go
@@ -119,7 +119,7 @@
 		is.Equal(r.Apply(b), results[i])
 	}
 	is.Equal(notifications, len(goldenCommands))
-	held, ok := r.Held()
+	held, ok := r.CurrentDocument()
 	is.True(ok)
 	is.True(reflect.DeepEqual(held, *goldenCommands[0].Put))
 	is.True(r.Departed("engine-1#a"))
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -232,7 +232,7 @@
 
 // pushDocument sends the newest document to every session that lacks it.
 func (h *hub) pushDocument() {
-	held, ok := h.d.state.Held()
+	held, ok := h.d.state.CurrentDocument()
 	if !ok {
 		return
 	}
--- a/directory/replicated.go
+++ b/directory/replicated.go
@@ -59,8 +59,8 @@
 
 var _ replica.StateMachine = (*Replicated)(nil)
 
-// Held returns the document applied at this replica.
-func (r *Replicated) Held() (document.StoredDocument, bool) {
+// CurrentDocument returns the document applied at this replica.
+func (r *Replicated) CurrentDocument() (document.StoredDocument, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.store.Current()
@@ -152,7 +152,7 @@
 // coldRates returns the rate limit of a cold backend server by pool, in requests per second, from
 // the document in force. Pools without a limit are omitted.
 func (r *Replicated) coldRates() map[string]float64 {
-	held, _ := r.Held()
+	held, _ := r.CurrentDocument()
 	rates := map[string]float64{}
 	for _, p := range held.Document.Pools {
 		if p.ColdRate > 0 {
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -138,7 +138,7 @@
 
 // isPoolKnown reports whether the document in force or a backend server names a pool.
 func (d *Directory) isPoolKnown(pool string) bool {
-	held, _ := d.state.Held()
+	held, _ := d.state.CurrentDocument()
 	return slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool }) ||
 		slices.ContainsFunc(d.state.Joined(), func(s protocol.Registration) bool { return s.Pool == pool })
 }
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -275,7 +275,7 @@
 // routesWithoutTarget returns the routes with home regions that contain none of these halls, which are
 // those of the target's servers.
 func (h *hub) routesWithoutTarget(halls []string) map[string]bool {
-	held, _ := h.d.state.Held()
+	held, _ := h.d.state.CurrentDocument()
 	without := map[string]bool{}
 	for _, route := range held.Document.Routes {
 		if len(route.Homes) > 0 && !slices.ContainsFunc(halls, func(hall string) bool {
--- a/directory/sums.go
+++ b/directory/sums.go
@@ -16,7 +16,7 @@
 
 // pushFleet sends every gateway the sums over all gateways, as often as the link budget allows.
 func (h *hub) pushFleet() {
-	held, _ := h.d.state.Held()
+	held, _ := h.d.state.CurrentDocument()
 	now := h.d.replica.Now()
 	h.usage.sumLoads()
 	h.usage.demand.SetBusyFraction(h.registry.MaxBusyShare(h.usage.total, h.engineGroup(held.Document)))
