--- a/coordination/place/example_test.go
+++ b/coordination/place/example_test.go
@@ -17,11 +17,11 @@
 	x := place.NewIndex(1000)
 	prompt := place.Blocks(bytes.Repeat([]byte("x"), 2*place.BlockBytes))
 	x.Apply("s1", place.CacheEvent{Seq: 1, Stored: prompt})
-	fmt.Println("after storing:", x.Benefit("s1", prompt))
+	fmt.Println("after storing:", x.ExpectedCachedBlocks("s1", prompt))
 	x.Apply("s1", place.CacheEvent{Seq: 3}) // event 2 was lost
-	fmt.Println("after a gap:", x.Benefit("s1", prompt))
+	fmt.Println("after a gap:", x.ExpectedCachedBlocks("s1", prompt))
 	x.Apply("s1", place.CacheEvent{Seq: 4, Cleared: true})
-	fmt.Println("after clearing:", x.Benefit("s1", prompt))
+	fmt.Println("after clearing:", x.ExpectedCachedBlocks("s1", prompt))
 	// Output:
 	// after storing: 2
 	// after a gap: 1
--- a/coordination/place/index.go
+++ b/coordination/place/index.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// Benefit returns the number of leading blocks of a prompt that the server is expected to have
+// ExpectedCachedBlocks returns the number of leading blocks of a prompt that the server is expected to have
 // cached, discounted if its events had a gap.
-func (x *Index) Benefit(server string, prompt []Block) float64 {
+func (x *Index) ExpectedCachedBlocks(server string, prompt []Block) float64 {
 	n := 0
 	for _, b := range prompt {
 		el := x.byBlock[b]
--- a/coordination/place/slotplacer.go
+++ b/coordination/place/slotplacer.go
@@ -111,7 +111,7 @@
 }
 
 func (p *SlotPlacer) price(now time.Duration, c FreeServer, prompt []Block) float64 {
-	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.Benefit(c.Server, prompt)
+	return queuePrice*p.load(now, c) + float64(len(prompt)) - p.Index.ExpectedCachedBlocks(c.Server, prompt)
 }
 
 // load returns the expected number of requests per slot ahead of a new one.
--- a/coordination/place/slotplacer_test.go
+++ b/coordination/place/slotplacer_test.go
@@ -104,15 +104,15 @@
 	x := NewIndex(100)
 	p := prompt(4, "map sheet 12")
 	x.Apply("s", CacheEvent{Seq: 5, Stored: p})
-	is.Equal(x.Benefit("s", p), 4.0)
+	is.Equal(x.ExpectedCachedBlocks("s", p), 4.0)
 	x.Apply("s", CacheEvent{Seq: 5, Evicted: p}) // duplicate
-	is.Equal(x.Benefit("s", p), 4.0)
+	is.Equal(x.ExpectedCachedBlocks("s", p), 4.0)
 	x.Apply("s", CacheEvent{Seq: 6, Evicted: p[2:]})
-	is.Equal(x.Benefit("s", p), 2.0)
+	is.Equal(x.ExpectedCachedBlocks("s", p), 2.0)
 	x.Apply("s", CacheEvent{Seq: 9}) // gap in the sequence
-	is.Equal(x.Benefit("s", p), 1.0)
+	is.Equal(x.ExpectedCachedBlocks("s", p), 1.0)
 	x.Apply("s", CacheEvent{Seq: 10, Cleared: true, Stored: p[:1]})
-	is.Equal(x.Benefit("s", p), 1.0) // certain again
+	is.Equal(x.ExpectedCachedBlocks("s", p), 1.0) // certain again
 }
 
 // TestIndexIsBounded applies random operations. The index must never exceed its bound or hold a block
