--- a/control/metrics.go
+++ b/control/metrics.go
@@ -32,7 +32,7 @@
 	cfg         config.Config
 	routers     int
 	occupancies []slots.Occupancy
-	standings   []slots.Standing
+	standings   []slots.AccountStatus
 }
 
 // snapshot collects the state for a scrape. It runs in the dispatcher's goroutine.
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -10,8 +10,8 @@
 
 // This file exposes the allocator's state for status and metrics.
 
-// Standing is the state of one account in one pool.
-type Standing struct {
+// AccountStatus is the state of one account in one pool.
+type AccountStatus struct {
 	Pool        string
 	Account     string
 	Share       float64
@@ -20,13 +20,13 @@
 }
 
 // Standings returns every account of every pool, sorted by pool and account name.
-func (a *Allocator) Standings() []Standing {
-	var out []Standing
+func (a *Allocator) Standings() []AccountStatus {
+	var out []AccountStatus
 	for _, pn := range slices.Sorted(maps.Keys(a.pools)) {
 		p := a.pools[pn]
 		for _, an := range slices.Sorted(maps.Keys(p.accounts)) {
 			acc := p.accounts[an]
-			st := Standing{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.virtualTime}
+			st := AccountStatus{Pool: pn, Account: an, Share: acc.share, VirtualTime: acc.virtualTime}
 			for _, b := range acc.backlogs {
 				st.Waiting += b.waiting
 			}
