--- a/control/metrics.go
+++ b/control/metrics.go
@@ -42,7 +42,7 @@
 		s.epoch = d.alloc.Epoch()
 		s.routers = len(d.sessions)
 		s.occupancies = d.alloc.Occupancies()
-		s.standings = d.alloc.Standings()
+		s.standings = d.alloc.AccountStatuses()
 	}
 	return s
 }
--- a/control/status.go
+++ b/control/status.go
@@ -88,7 +88,7 @@
 			Granted: uint32(max(oc.Granted, 0)), Empty: oc.Granted <= 0 && !out.TakingOver,
 		})
 	}
-	for _, st := range d.alloc.Standings() {
+	for _, st := range d.alloc.AccountStatuses() {
 		if st.VirtualTime == 0 && st.Waiting == 0 {
 			continue
 		}
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -195,7 +195,7 @@
 		a.Allocate(0)
 	}
 	virtualTime := func(account string) float64 {
-		for _, s := range a.Standings() {
+		for _, s := range a.AccountStatuses() {
 			if s.Account == account {
 				return s.VirtualTime
 			}
--- a/coordination/slots/status.go
+++ b/coordination/slots/status.go
@@ -19,8 +19,8 @@
 	Waiting     int     // requests waiting on all routers
 }
 
-// Standings returns every account of every pool, sorted by pool and account name.
-func (a *Allocator) Standings() []AccountStatus {
+// AccountStatuses returns every account of every pool, sorted by pool and account name.
+func (a *Allocator) AccountStatuses() []AccountStatus {
 	var out []AccountStatus
 	for _, pn := range slices.Sorted(maps.Keys(a.pools)) {
 		p := a.pools[pn]
