--- a/coordination/place/capacity.go
+++ b/coordination/place/capacity.go
@@ -41,7 +41,7 @@
 const (
 	initialReadRate = 100.0 // initial read rate in tokens a millisecond
 	readRateWeight  = 0.01  // weight of one answer in the estimated rate
-	readRateSpread  = 10    // the estimate stays within initialReadRate divided and multiplied by this
+	readRateRange   = 10    // the estimate stays within initialReadRate divided and multiplied by this
 	minRateSample   = 4000  // tokens; shorter prompts give unreliable samples of the rate
 	engineOverhead  = 25.0  // ms before an idle engine begins to read
 	plainLatency    = 50.0  // expected latency of a plain service in ms
@@ -176,7 +176,7 @@
 	expected := engineOverhead + float64(tokens)/p.readRate()
 	if tokens >= minRateSample && ms > engineOverhead {
 		p.learnedRate = p.readRate() + readRateWeight*(float64(tokens)/(ms-engineOverhead)-p.readRate())
-		p.learnedRate = min(max(p.learnedRate, initialReadRate/readRateSpread), initialReadRate*readRateSpread)
+		p.learnedRate = min(max(p.learnedRate, initialReadRate/readRateRange), initialReadRate*readRateRange)
 	}
 	return ms / expected
 }
--- a/coordination/place/capacityplacer.go
+++ b/coordination/place/capacityplacer.go
@@ -93,7 +93,7 @@
 // choose is like Choose for a list of candidates.
 func (p *CapacityPlacer) choose(r Request, cands []candidate) Choice {
 	if !r.Engine {
-		return p.spread(r, cands)
+		return p.weightedChoice(r, cands)
 	}
 	best, read, ok := bestCandidate(r, cands)
 	if !ok {
@@ -124,7 +124,7 @@
 // chooseWithCapacity is like ChooseWithCapacity for a list of candidates, which it overwrites.
 func (p *CapacityPlacer) chooseWithCapacity(r Request, cands []candidate) Choice {
 	if !r.Engine {
-		if c := p.spread(r, cands); c.Bound == Free {
+		if c := p.weightedChoice(r, cands); c.Bound == Free {
 			return c
 		}
 		return Choice{Index: -1}
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -143,7 +143,7 @@
 	if len(usable) == 0 {
 		return Choice{Index: -1}, false
 	}
-	best, rest := cheaperOfTwo(usable[:p.width(r, usable)], r.Random)
+	best, rest := cheaperOfTwo(usable[:p.consideredServers(r, usable)], r.Random)
 	if p.bound(r, best.candidate) != Free {
 		best, _ = cheaperOfTwo(usable, rest)
 	}
@@ -175,12 +175,12 @@
 	return usable
 }
 
-// width returns over how many of the usable servers of its order a prompt is spread. It is 1 unless
+// consideredServers returns over how many of the usable servers of its order a prompt is spread. It is 1 unless
 // the first server or at least two of the leading ones are busy; then it grows to serversPerBusy for
-// each busy one. Servers beyond the width do not count: the order is long enough for a prompt with
+// each busy one. Servers beyond the consideredServers do not count: the order is long enough for a prompt with
 // many requests, and in a large pool some of its servers are nearly always busy with other prompts,
 // occasionally even one of the leading ones.
-func (p *CapacityPlacer) width(r Request, usable []pricedCandidate) int {
+func (p *CapacityPlacer) consideredServers(r Request, usable []pricedCandidate) int {
 	width, busy := 1, 0
 	if !p.busy(r, usable[0].candidate) {
 		busy = -1
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -195,9 +195,9 @@
 // and examining all servers is cheap.
 const minSpreadServers = 256
 
-// chooseSpread selects among the first servers of the request's ranking. ok is false if all servers
+// chooseFromRanks selects among the first servers of the request's ranking. ok is false if all servers
 // have to be examined. The caller holds mu.
-func (t *table) chooseSpread(p *pool, now time.Duration, req *requirements) (c place.Choice, ok bool) {
+func (t *table) chooseFromRanks(p *pool, now time.Duration, req *requirements) (c place.Choice, ok bool) {
 	if !req.pool.Engine || len(p.servers) < minSpreadServers || len(req.prompt.Shared) == 0 {
 		return c, false
 	}
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -109,7 +109,7 @@
 func (t *table) choose(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.regions) == 0 {
-		if c, ok := t.chooseSpread(p, now, req); ok {
+		if c, ok := t.chooseFromRanks(p, now, req); ok {
 			return c, regionDecision{}
 		}
 		return p.placer.Choose(req.placeRequest(), t.candidates(p, p.servers, now, req)), regionDecision{}
