--- a/coordination/entitlement/balance.go
+++ b/coordination/entitlement/balance.go
@@ -11,7 +11,6 @@
 // arrive may lack the processor time or memory to serve it, and an estimate that was wrong
 // for a second has already taken effect. Only this comparison detects either.
 
-// Constants of a balance.
 const (
 	balanceTimeConstant = time.Second // time constant of the averages
 	balanceGain         = 3.0         // share correction per unit of (due - served) / level
--- a/coordination/entitlement/class.go
+++ b/coordination/entitlement/class.go
@@ -14,7 +14,7 @@
 // Class relates a request to its account's fair share. Lower classes are served first.
 type Class uint8
 
-// The classes.
+// Classes, in the order in which they are served.
 const (
 	Covered  Class = iota // the account demands no more than its share, so none of its requests need wait
 	Entitled              // within the account's share of the rate that the operator configured
--- a/coordination/entitlement/levelcap.go
+++ b/coordination/entitlement/levelcap.go
@@ -23,7 +23,6 @@
 // here. It does not enter the shares, because no gateway has read these requests, nor the
 // target output, because the engines do not cause this shortage.
 
-// Constants of a levelCap.
 const (
 	minServedFraction = 0.8 // fraction of its due below which an account caps the others
 	// minServedFractionUnread applies where unread demand counts as due. That demand is an
--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -60,9 +60,9 @@
 
 // Components of a server's price, in tokens.
 const (
-	rereadPrice    = 30     // for each shared token, on any server but the first of the order
+	rereadPrice    = 30     // for each shared token, on any server but the first of the rendezvous order
 	maxRereadPrice = 40_000 // upper bound on the sum of these
-	rankSurcharge  = 0.1    // relative surcharge for each further place in the order
+	rankSurcharge  = 0.1    // relative surcharge for each further rank in the rendezvous order
 	batchPrice     = 60     // for each request that shares the server's batch
 	overSlotPrice  = 4000   // for each request beyond the server's slots
 	otherHallPrice = 40     // for a server in another data hall
@@ -85,7 +85,7 @@
 	return best, read, !math.IsInf(bestPrice, 1)
 }
 
-// priceAt returns the price of a candidate at a given rank of the prompt's order, and the number of
+// priceAt returns the price of a candidate at a given rank of the prompt's rendezvous order, and the number of
 // tokens it has to read.
 func priceAt(p Prompt, c candidate, rank int) (read int, price float64) {
 	read = p.Own
--- a/coordination/place/capacity.go
+++ b/coordination/place/capacity.go
@@ -25,8 +25,8 @@
 	plainPerSlot     = 2.0  // on a plain service, where requests are short
 	enginePerSlot    = 1.25 // on an engine that queues requests beyond its slots
 	minEnginePerSlot = 0.7  // on an engine that refuses them
-	// extraPerSlot applies to requests beyond the named shares. A stream occupies its slot for
-	// seconds, and requests within a share need a free one in the meantime.
+	// extraPerSlot applies to requests of class Extra or Beyond on an engine. A stream occupies its slot for
+	// seconds, and requests of class Covered or Entitled need a free one in the meantime.
 	extraPerSlot = 0.75
 )
 
@@ -101,8 +101,9 @@
 }
 
 // admissionTokens returns the tokens that decide whether an engine has capacity: those ahead of the
-// request and, if it is beyond the named shares, its own as well. Engines read in order of arrival,
-// so a long prompt beyond the shares would delay later requests within a share.
+// request and, for class Extra, its own as well. Engines read in order of arrival, so a long prompt of
+// class Extra would delay later requests of class Covered or Entitled. A request of class Beyond is
+// admitted only if nothing is waiting to be read.
 func admissionTokens(r Request, c candidate) int {
 	if r.Class == entitlement.Extra {
 		return c.load.Tokens + r.Prompt.Own
--- a/coordination/place/capacityplacer.go
+++ b/coordination/place/capacityplacer.go
@@ -103,8 +103,8 @@
 }
 
 // bestCandidate returns the best candidate for the request and the number of tokens that it has to
-// read. Requests beyond the named shares stay at the engine that caches their shared parts: reading
-// these again elsewhere would take capacity from requests within a share.
+// read. Requests of class Extra or Beyond stay at the engine that caches their shared parts: reading
+// these again elsewhere would take capacity from requests of class Covered or Entitled.
 func bestCandidate(r Request, cands []candidate) (best candidate, read int, ok bool) {
 	if r.Class < entitlement.Extra || len(r.Prompt.Shared) == 0 || len(cands) == 0 {
 		return cheapest(r.Prompt, cands)
--- a/coordination/place/doc.go
+++ b/coordination/place/doc.go
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package place chooses the backend server for a request.
+// Package place chooses the backend server for a request. A server of a pool is either an engine, which
+// reads a prompt before it answers and caches the parts that it has read, or belongs to a plain service,
+// whose requests are short.
 //
 // Both placers assign a price to every candidate and take the lowest. The price is the work to
 // be done before the first token: the queue ahead of the request on that server, plus the part
--- a/coordination/place/link.go
+++ b/coordination/place/link.go
@@ -30,9 +30,9 @@
 // each region may use half of the remainder.
 const (
 	fleetMessagesFraction = 0.3  // fraction of the capacity, for the fleet's own messages
-	regionFraction        = 0.5  // fraction of the rest, for the requests of one region
-	optionalFraction      = 0.7  // fraction of that, for requests that could be served in their own region
-	entitledReserve       = 0.5  // fraction of a full bucket that requests beyond their account's share must leave
+	regionFraction        = 0.5  // fraction of the capacity left by the fleet's messages, for the requests of one region
+	optionalFraction      = 0.7  // fraction of a gateway's bucket, for requests that could be served in their own region
+	entitledReserve       = 0.5  // fraction of the optional part that must be available before a transfer of class Extra or Beyond
 	burstSeconds          = 1.0  // seconds at the gateway's rate that a bucket holds
 	minBurst              = 32e3 // minimum capacity of a bucket in bytes, enough for a few requests
 )
--- a/coordination/place/link_test.go
+++ b/coordination/place/link_test.go
@@ -39,7 +39,7 @@
 	}{
 		{"required", Transfer{Bytes: 10_000, Required: true}, 0.75, 0.65, 20 * time.Second},
 		{"optional", Transfer{Bytes: 10_000}, 0.55, 0.45, 20 * time.Second},
-		{"beyond the share", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
+		{"class Extra", Transfer{Bytes: 10_000, Class: entitlement.Extra}, 0.55, 0.45, 20 * time.Second},
 		{"larger than a bucket", Transfer{Bytes: 4e6, Required: true}, 0.75, 0.65, 2000 * time.Second}, // each gateway sends one at first, then as the debt is repaid
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestLinkBudgetPriorities uses up the bucket step by step. Requests beyond their account's share are
-// refused first, then other optional transfers, and required transfers last.
+// TestLinkBudgetPriorities uses up the bucket step by step. Optional transfers of class Extra are refused
+// first, then other optional transfers, and required transfers last.
 func TestLinkBudgetPriorities(t *testing.T) {
 	is := is.New(t)
 	share := LinkShare{Rate: 6e6, Gateways: 44}
--- a/coordination/place/ranks.go
+++ b/coordination/place/ranks.go
@@ -12,8 +12,8 @@
 	"github.com/badgerspoke/badgerspoke/internal/mix"
 )
 
-// This file defines Ranks, the first servers of each prompt's rendezvous order in a large pool, and
-// ChooseFromOrder, the choice among these alone.
+// This file defines Ranks, which holds the servers of a large pool in hash groups and returns the first
+// servers of a prompt's rendezvous order, and ChooseFromOrder, the choice among these alone.
 //
 // Pricing every server takes 0.7 to 1.2 ms among 10,000, which limits a gateway with a fifth of a
 // core to 200 requests a second from one busy caller (BenchmarkChoose of package gateway). A prompt
@@ -21,18 +21,19 @@
 //
 // The servers are hashed into groups, and both the groups and the servers in each are put in
 // rendezvous order. Caching the full order of each prompt would not help: there are as many prompts
-// as servers, so few orders would still be cached when their prompt returns. On a hash ring the arcs
+// as servers, so few orders would still be cached when their prompt is sent again. On a hash ring the arcs
 // differ in length, so some servers would come first for many times as many prompts as others.
 
-// Dimensions of the order.
+// Parameters of the rendezvous order.
 const (
 	groupCount = 128 // groups of servers of roughly equal size, 78 servers each in a pool of 10,000
 	rankDepth  = 64  // servers considered for each prompt, enough for one with many requests
 )
 
-// Ranks orders the servers of one pool for each prompt, identically on all gateways without any
-// message: groups by a hash of prompt and group, servers within a group by a hash of prompt and
-// server. Adding or removing a server does not move any other. The zero value has no servers.
+// Ranks holds the servers of one pool in hash groups. They determine a rendezvous order for each prompt,
+// which is the same on all gateways without any message: the groups are ordered by a hash of prompt and
+// group, the servers within a group by a hash of prompt and server. Adding or removing a server does not
+// move any other. The zero value has no servers.
 type Ranks struct {
 	groups [groupCount][]string // server IDs
 }
@@ -57,7 +58,7 @@
 	r.groups[g] = slices.DeleteFunc(r.groups[g], func(other string) bool { return other == id })
 }
 
-// First returns the IDs of the first servers in a prompt's order. It costs O(groups) plus
+// First returns the IDs of the first servers in a prompt's rendezvous order. It costs O(groups) plus
 // O(servers of a group) for each group it visits.
 func (r *Ranks) First(p Prompt) []string {
 	key := p.key()
@@ -128,11 +129,11 @@
 	return k.work
 }
 
-// ChooseFromOrder chooses an engine among the first servers of the request's order, for pools too large
-// to price every server. Load determines how many of these are considered ([CapacityPlacer.width]). It
-// takes the cheaper of two drawn at random; if that has no capacity, the cheaper of two drawn from
-// the whole order; if that has none either, the cheapest of the order. ok is false if no server of
-// the order is usable.
+// ChooseFromOrder chooses an engine among the first servers of the request's rendezvous order, for
+// pools too large to price every server. Load determines how many of these are considered
+// ([CapacityPlacer.consideredServers]). It takes the cheaper of two drawn from these at random; if that
+// has no capacity, the cheaper of two drawn from all servers of order; if that has none either, the
+// cheapest of order. ok is false if no server of order is usable.
 //
 // The load reported by other gateways is as old as the latest report, and until the next one all
 // gateways regard the same server as the cheapest. That is harmless at low request rates. At 150
@@ -160,7 +161,8 @@
 	read  int
 }
 
-// usableServers returns the usable servers of an order, each priced as if it cached the shared parts.
+// usableServers returns the usable servers of a rendezvous order, each priced as if it cached the shared
+// parts.
 func usableServers(r Request, order []Server, typical float64) []pricedCandidate {
 	usable := make([]pricedCandidate, 0, len(order))
 	for i := range order {
@@ -175,25 +177,25 @@
 	return usable
 }
 
-// consideredServers returns over how many of the usable servers of its order a prompt is spread. It is 1 unless
-// the first server or at least two of the leading ones are busy; then it grows to serversPerBusy for
-// each busy one. Servers beyond the consideredServers do not count: the order is long enough for a prompt with
-// many requests, and in a large pool some of its servers are nearly always busy with other prompts,
-// occasionally even one of the leading ones.
+// consideredServers returns how many of the first usable servers of a prompt's rendezvous order are
+// considered for it. It is 1 unless the first server or at least two of the leading ones are busy; then
+// it grows to serversPerBusy for each busy one. Servers behind the considered ones do not count: the
+// order is long enough for a prompt with many requests, and in a large pool some of its servers are
+// nearly always busy with other prompts, occasionally even one of the leading ones.
 func (p *CapacityPlacer) consideredServers(r Request, usable []pricedCandidate) int {
-	width, busy := 1, 0
+	considered, busy := 1, 0
 	if !p.busy(r, usable[0].candidate) {
-		busy = -1
+		busy = -1 // one busy server behind an idle first one is not counted: it may be busy with other prompts
 	}
 	for i, c := range usable {
 		if p.busy(r, c.candidate) {
 			busy++
 		}
 		if serversPerBusy*busy > i {
-			width = i + 1
+			considered = i + 1
 		}
 	}
-	return width
+	return considered
 }
 
 // busy reports whether a request would have to wait at a server, now or at its recent peak, for longer
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -15,7 +15,7 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRanksAreDeterministicAndBalanced checks that a prompt's order does not depend on the order in
+// TestRanksAreDeterministicAndBalanced checks that a prompt's rendezvous order does not depend on the order in
 // which servers were added, that each server is first for a similar number of prompts, and that
 // removing a server moves only the prompts for which it was first.
 func TestRanksAreDeterministicAndBalanced(t *testing.T) {
@@ -49,7 +49,7 @@
 	is.Equal(moved, first["e00007"])
 }
 
-// TestFirstServerIsUsedUnlessBusy checks that the first server of the order is used while it is
+// TestFirstServerIsUsedUnlessBusy checks that the first server of the rendezvous order is used while it is
 // not busy, and skipped while it is busy, ejected or closed.
 func TestFirstServerIsUsedUnlessBusy(t *testing.T) {
 	is := is.New(t)
@@ -180,7 +180,7 @@
 
 // promptOutcome is the result of a run: the longest wait for prompts ahead, in ms, and the fraction of
 // requests that waited more than 250 ms, both after the first two seconds; the fraction of requests that
-// did not use the first engine of their prompt's order; and the number of engines used.
+// did not use the first engine of their prompt's rendezvous order; and the number of engines used.
 type promptOutcome struct {
 	worst, late, moved float64
 	engines            int
--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -47,8 +47,8 @@
 }
 
 // MayLeave reports whether a request of the given class may leave its region for lack of capacity.
-// Requests beyond their account's share only use capacity that is idle where they are, and are not
-// moved for it.
+// Requests of class Beyond only use capacity that is idle in their own region and are not moved to
+// another one for it.
 func MayLeave(c entitlement.Class) bool { return c != entitlement.Beyond }
 
 // ChooseInRegion is like Choose for the servers of one region, and also returns the reason for the
--- a/coordination/place/spread.go
+++ b/coordination/place/spread.go
@@ -13,8 +13,8 @@
 // less loaded of two random servers. A random choice in proportion to capacity spreads the load
 // without depending on reports.
 
-// weightedChoice chooses a random server among those with capacity, or among all if there are none. Servers
-// are weighted by their slots divided by their slowness, and less if requests were lost there.
+// weightedChoice chooses a random server among those with capacity, or among all if there are none.
+// Servers are weighted by their slots divided by their slowness, and less if requests were lost there.
 func (p *CapacityPlacer) weightedChoice(r Request, cands []candidate) Choice {
 	withCapacity := slices.DeleteFunc(slices.Clone(cands), func(c candidate) bool { return p.bound(r, c) != Free })
 	if len(withCapacity) == 0 {
--- a/coordination/retry/patience.go
+++ b/coordination/retry/patience.go
@@ -6,17 +6,17 @@
 
 // This file defines Patience, which estimates how long ago a caller first sent a request.
 //
-// A caller that returns after a refusal uses a new identifier and only states how long it will still
-// wait. Callers differ in their total wait, so the remaining wait is evidence of a return only if no
+// A caller that retries after a refusal uses a new request ID and only states how long it will still
+// wait. Callers differ in their total wait, so the remaining wait is evidence of a retry only if no
 // first request states a similar one. The distribution for first requests is learned from accounts
-// that demand no more than their shares, since their callers are rarely told to come back. A request
-// with a remaining wait in a gap of that distribution counts as a return. Its age is at least the
-// distance to the next longer wait of a first request.
+// that demand no more than their shares, since their callers are rarely told to retry. A request with
+// a remaining wait in a gap of that distribution is taken for a retry. The time since the caller's
+// first request is then at least the distance to the next longer wait of a first request.
 //
-// Comparing with the longest wait instead would count more than 80% of a flooding account's first
-// requests as late returns. With a margin of a sixth it would still be half of them if callers' waits
+// Comparing with the longest wait instead would take more than 80% of a flooding account's first
+// requests for late retries. With a margin of a sixth it would still be half of them if callers' waits
 // differ by half or form two groups. Using the gaps avoids that, at the price of recognizing only some
-// of the returns.
+// of the retries.
 
 const (
 	// patienceBins is the number of bins for waits. It resolves 1/128 to 1/64 of the longest wait,
@@ -31,15 +31,16 @@
 	minFirstSamples = 6
 	// unseenFactor scales the uncertainty about the range of waits: n samples leave 1/(n+1) of it unseen
 	// on average. With a factor of 1.5 and eight samples of waits that differ by half, 4% of first
-	// requests would count as returns, with 2.5 less than 2%.
+	// requests would be taken for retries, with 2.5 less than 2%.
 	unseenFactor = 2.5
 	// nearFraction is the relative distance within which waits count as similar, since few samples leave
-	// gaps. It is less than the distance of returns, which come after a quarter of the wait or more.
+	// gaps. It is less than the difference between a first request and its retry, which comes after a
+	// quarter of the wait or more.
 	nearFraction = 0.05
 	// minNearFraction is the fraction of first requests that must state a similar wait for that wait to be
-	// one of a first request, because some callers within their shares return as well. If one in twenty
-	// does, 0.03 would miss a large part of a flooding account's returns. If waits differ by more than
-	// half, fewer are similar to each, and no request counts as a return.
+	// one of a first request, because some callers of accounts within their shares retry as well. If one
+	// in twenty does, 0.03 would miss a large part of a flooding account's retries. If waits differ by
+	// more than half, fewer are similar to each, and no request is taken for a retry.
 	minNearFraction = 0.08
 )
 
--- a/coordination/retry/patience_test.go
+++ b/coordination/retry/patience_test.go
@@ -38,8 +38,8 @@
 	is.True(p.Spent(4*time.Second) > 700*time.Millisecond)
 }
 
-// longestWait is an alternative estimate that Patience is compared with: a remaining wait counts as a return if
-// it is shorter than the longest one seen by more than the allowed part.
+// longestWait is an alternative estimate that Patience is compared with: a request is taken for a retry if its
+// remaining wait is shorter than the longest one seen by more than the allowed part.
 type longestWait struct {
 	longest time.Duration
 	allowed float64
@@ -82,9 +82,9 @@
 }
 
 // TestPatienceOfMixedCallers runs one gateway for 30 s. It receives 30 requests a second from accounts
-// within their shares, one in twenty of them a return, and 30 or 300 from a flooding account, of which
-// most return once. It compares estimates by how many first requests and how many returns of the flooding
-// account they count as late.
+// within their shares, one in twenty of them a retry, and 30 or 300 from a flooding account, of which
+// most are retried once. It compares estimates by how many first requests and how many retries of the
+// flooding account they count as late.
 func TestPatienceOfMixedCallers(t *testing.T) {
 	const objective = 250 * time.Millisecond
 	for _, tt := range []struct {
@@ -92,7 +92,7 @@
 		callers      waitDistribution
 		flood        int
 		mostFirst    float64 // maximum fraction of first requests counted as late
-		fewestReturn float64 // minimum fraction of returns counted as late
+		fewestReturn float64 // minimum fraction of retries counted as late
 	}{
 		{"a sixth", uniform(0.15), 30, 0.01, 0.95},
 		{"a sixth, nearly all come back", uniform(0.15), 300, 0.01, 0.95},
@@ -106,7 +106,7 @@
 			var p Patience
 			longest, sixth := longestWait{}, longestWait{allowed: 1.0 / 6}
 			var firsts, returns float64
-			var late [3][2]float64 // by estimate, for first requests and for returns
+			var late [3][2]float64 // by estimate, for first requests and for retries
 			observe := func(now, left time.Duration, kind int) {
 				for estimate, spent := range []time.Duration{longest.spent(left), sixth.spent(left), p.Spent(left)} {
 					if spent >= objective {
@@ -118,7 +118,7 @@
 				now := time.Duration(second) * time.Second
 				for range 30 {
 					wait := tt.callers(rng, second)
-					if rng.IntN(20) == 0 { // some of them are returns
+					if rng.IntN(20) == 0 { // some of them are retries
 						wait -= UncoveredRequest{Left: wait}.After(rng.Float64())
 					}
 					p.ObserveFirst(now, wait)
--- a/coordination/retry/policy.go
+++ b/coordination/retry/policy.go
@@ -59,7 +59,7 @@
 	EndNoBudget                  // refused by a server, and the retry budget was exhausted
 	EndRefused                   // refused by a server, and no other may be tried
 	EndNoServer                  // every server was tried
-	EndBeyondShare               // no capacity for a request beyond its account's share
+	EndBeyondShare               // no capacity for a request of class Extra or Beyond
 	EndOverloaded                // no capacity
 )
 
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -13,7 +13,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests when refused requests beyond their account's share return. It models callers, one
+// This file tests when refused requests of class Extra or Beyond are retried. It models callers, one
 // gateway and engines in virtual time; the shares are computed by package entitlement.
 
 // Parameters of the model.
@@ -39,12 +39,12 @@
 	report          protocol.Usage
 	returns         map[time.Duration][]returningRequest
 	backlog         float64 // tokens that the engines still have to read
-	withinObjective bool    // whether requests return within the objective, rather than always after a part of their remaining time
+	withinObjective bool    // whether requests are retried within the objective, rather than always after a part of their remaining time
 
 	submitted, inTime, served int // requests
 }
 
-// returningRequest is a request that was refused and will return.
+// returningRequest is a request that was refused and will be retried.
 type returningRequest struct {
 	account string
 	since   time.Duration // when it was first sent
@@ -74,8 +74,8 @@
 	}
 }
 
-// submit serves or refuses a request. Returns are not recognized as such, as on a new gateway or with
-// callers of differing patience.
+// submit serves or refuses a request. Retries are not recognized as such, as on a new gateway or with
+// callers whose total waits differ.
 func (m *sharedAccounts) submit(r returningRequest, back bool) {
 	counts := m.now >= shareWarm
 	if counts && !back {
@@ -111,9 +111,9 @@
 	m.returns[when] = append(m.returns[when], r)
 }
 
-// TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests return
-// within the objective, as many must be served as if they return after a third of their remaining time,
-// and far more of them in time.
+// TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests
+// are retried within the objective, as many must be served as if they are retried after a third of their
+// remaining time, and far more of them in time.
 func TestReturnsAreInTime(t *testing.T) {
 	is := is.New(t)
 	play := func(times float64, withinObjective bool) (inTime, served float64) {
@@ -130,7 +130,7 @@
 		t.Logf("demand of %.1f times the share: in time %.2f of %.2f served; %.2f of %.2f if returning after a third of the remaining time", times, inTime, served, late, servedLate)
 		is.True(inTime >= 0.9/times)       // requests covered by the share are in time
 		is.True(served <= 1.1/times)       // no more is served than the share covers
-		is.True(served >= 0.95*servedLate) // no fewer than if requests return later
-		is.True(inTime >= late+0.1/times)  // more in time than if requests return later
+		is.True(served >= 0.95*servedLate) // no fewer than if requests are retried later
+		is.True(inTime >= late+0.1/times)  // more in time than if requests are retried later
 	}
 }
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -14,7 +14,7 @@
 
 // Limits on the wait for a server, counted from the request's arrival.
 const (
-	// beyondWaitFraction is the fraction of the objective that a request beyond its account's share waits.
+	// beyondWaitFraction is the fraction of the objective that a request of class Extra or Beyond waits.
 	// It gets capacity either at once or only after others have ended.
 	beyondWaitFraction = 0.1
 	// reservedFraction is the fraction of the objective kept for delays after the wait: the server's own queue and
@@ -71,18 +71,18 @@
 	delayFraction = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
 	// beyondDelayFraction replaces delayFraction for requests of an account whose share covers few of them. The
-	// excess demand lasts, so a caller that returned soon would be refused again. It waits for up to a
+	// excess demand lasts, so a caller that retried soon would be refused again. It waits for up to a
 	// third of its remaining time.
 	beyondDelayFraction = 0.33
-	jitter              = 0.25 // maximum relative reduction, so that callers do not return at the same time
+	jitter              = 0.25 // maximum relative reduction, so that callers do not retry at the same time
 )
 
-// If a share covers some of an account's requests, one that was refused returns within its objective: its
-// next try is as likely to be covered and can still be in time.
+// If a share covers some of an account's requests, a refused one is retried within its objective: the
+// retry is as likely to be covered and can still be in time.
 const (
 	minCoveredFraction = 0.1 // minimum fraction of the account's requests that the share covers
-	// Random return time, as fractions of the objective: late enough for updated shares, early enough for
-	// the answer.
+	// Bounds of the random delay before the retry, as fractions of the objective: late enough for updated
+	// shares, early enough for the answer.
 	minReturnFraction = 0.2  // earliest
 	maxReturnFraction = 0.45 // latest
 )
@@ -92,7 +92,8 @@
 	return min(max(scale(left, delayFraction), ShortDelay), LongDelay)
 }
 
-// UncoveredRequest is a request refused because its account's share does not cover it.
+// UncoveredRequest is a request that was refused because its account's share does not cover it (class Extra
+// or Beyond), or because the gateway is overloaded.
 type UncoveredRequest struct {
 	CoveredFraction float64       // fraction of the account's requests that the share covers
 	Objective       time.Duration // of its route; zero means none
@@ -100,7 +101,7 @@
 	Left            time.Duration // until its deadline
 }
 
-// After returns when the request should return. random is between 0 and 1.
+// After returns when the caller should try again. random is between 0 and 1.
 func (r UncoveredRequest) After(random float64) time.Duration {
 	delay := max(scale(r.Objective, minReturnFraction+(maxReturnFraction-minReturnFraction)*random), ShortDelay)
 	if r.CoveredFraction >= minCoveredFraction && r.Spent+delay < r.Objective {
@@ -110,7 +111,8 @@
 }
 
 // AfterOverload returns when a caller refused because the gateway's processor is overloaded should try
-// again. Requests within their account's share may return soon, since most other gateways have capacity.
+// again. Requests of class Covered or Entitled may be retried soon, since most other gateways have
+// capacity; the others wait as if their share did not cover them.
 func AfterOverload(class entitlement.Class, left time.Duration, random float64) time.Duration {
 	if class <= entitlement.Entitled {
 		return ShortDelay
@@ -119,7 +121,7 @@
 }
 
 // AfterBackoff returns when a caller should try again if all its servers have asked for a backoff. random
-// is between 0 and 1 and keeps callers from returning at the same time.
+// is between 0 and 1 and keeps callers from retrying at the same time.
 func AfterBackoff(backoff, left time.Duration, random float64) time.Duration {
 	return max(backoff+scale(max(left, 0), delayFraction*random), ShortDelay)
 }
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -59,7 +59,7 @@
 	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(1), 2475*ms)
 }
 
-// TestPartlyCoveredRequestsReturnWithinTheObjective checks that a request returns within its objective if the
+// TestPartlyCoveredRequestsReturnWithinTheObjective checks that a request is retried within its objective if the
 // share covers some of its account's requests and it can still be in time.
 func TestPartlyCoveredRequestsReturnWithinTheObjective(t *testing.T) {
 	is := is.New(t)
@@ -112,7 +112,7 @@
 	is.True(CanAnswerInTime(w))
 }
 
-// TestRetryDelayAfterBackoff checks that callers return after the backoff, at different times.
+// TestRetryDelayAfterBackoff checks that callers retry after the backoff, at different times.
 func TestRetryDelayAfterBackoff(t *testing.T) {
 	is := is.New(t)
 	is.Equal(AfterBackoff(2*time.Second, 10*time.Second, 0), 2*time.Second)
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -9,7 +9,7 @@
 // Limits is the retry allowance of a fleet.
 type Limits struct {
 	Ratio  float64       // retries allowed per request
-	Extra  float64       // further retries allowed to the whole fleet
+	Extra  float64       // number of further retries allowed to the whole fleet; unrelated to entitlement.Extra
 	Window time.Duration // period over which both apply
 }
 
--- a/coordination/share/doc.go
+++ b/coordination/share/doc.go
@@ -11,8 +11,10 @@
 //
 // Invariants:
 //
-//   - An account that becomes backlogged is raised to the lift, the lowest settled virtual time
-//     among the fleet's backlogged accounts ([Queue.SetLift]), so idle time earns no credit.
+//   - An account that becomes backlogged is raised to the lift ([Queue.SetLift]), so idle time
+//     earns no credit. The lift is the lowest settled virtual time among the fleet's backlogged
+//     accounts and never decreases. An account's settled virtual time leaves out the charges for
+//     requests that still run.
 //   - An account that is ahead stays ahead when it becomes idle, so idling pays no debt.
 //   - A change of an account's share affects later charges only.
 //
--- a/coordination/slots/account.go
+++ b/coordination/slots/account.go
@@ -37,7 +37,8 @@
 	return a.virtualTime + float64(a.grantsInFlight)*a.cost.mean()/a.share
 }
 
-// settledTime returns the virtual time without the charges for requests that still run.
+// settledTime returns the settled virtual time, without the charges for requests that still run
+// (see package share).
 func (a *account) settledTime() float64 {
 	return a.virtualTime - float64(a.running)*a.cost.mean()/a.share
 }
--- a/coordination/slots/decide.go
+++ b/coordination/slots/decide.go
@@ -13,7 +13,6 @@
 // Action is the decision on a free slot.
 type Action uint8
 
-// The actions.
 const (
 	Keep   Action = iota // nothing to run here, and the pool is not short of slots
 	Use                  // start the next account's request
--- a/coordination/slots/fleetpool.go
+++ b/coordination/slots/fleetpool.go
@@ -21,7 +21,7 @@
 	accounts     map[string]*account
 	backlogged   *pq.Queue[*account] // accounts with requests that no grant in flight covers
 	floor        float64             // lowest virtual time among backlogged accounts
-	lift         float64             // minimum virtual time of accounts that become backlogged; never decreases
+	lift         float64             // virtual time to which accounts that become backlogged are raised; never decreases
 	short        bool                // more requests wait than slots are free
 	// recallsOutstanding is the number of slots that were recalled and not returned yet.
 	recallsOutstanding int
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -12,11 +12,12 @@
 	"github.com/badgerspoke/badgerspoke/internal/seeds"
 )
 
-// This file checks the guarantees of the package comment over random fleets, loads and
-// faults: the gap stays within the bound, no slot is granted twice, no slot stays free for
-// long while requests wait, and every account is served.
+// This file checks four properties over random fleets, loads and faults: the gap between
+// accounts stays within the bound of the package comment, no slot is granted twice, no slot
+// stays free for long while requests wait (without faults only), and every account is served.
 
-// TestGuaranteesOverRandomSchedules runs random fleets and checks all four guarantees.
+// TestGuaranteesOverRandomSchedules runs random fleets and checks the gap, double grants, idle
+// slots and that every account is served.
 func TestGuaranteesOverRandomSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		s, faulty, partitioned := randomConfig(t)
