--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -19,11 +19,11 @@
 			Class: c.class, Priority: entitlement.Priority(c.account.Priority, c.route.Priority), Account: c.account.Name,
 		},
 		pool: c.pool, route: c.route, prompt: c.head.Prompt,
-		repeatable: c.route.MayRepeat(), avoid: c.avoid, gateways: int(c.g.gatewayCount.Load()), random: c.g.randomFraction(),
+		repeatable: c.route.MayRepeat(), triedServers: c.triedServers, gateways: int(c.g.gatewayCount.Load()), random: c.g.randomFraction(),
 		accountHomes: c.account.Homes, requestBytes: len(c.body) + headerBytes(c.r), waitingSince: c.g.now(),
 	}
 	if c.route.Objective > 0 {
-		req.objectiveDeadline = c.arrived + c.route.Objective - c.spent
+		req.objectiveDeadline = c.arrived + c.route.Objective - c.spentBeforeArrival
 	}
 	waiting := c.queuedRequest()
 	switch {
@@ -67,14 +67,14 @@
 			return Refusal{Cause: BackingOff, RetryAfter: retry.AfterBackoff(c.shortage.backoff, c.timeLeft(), c.g.randomFraction())}
 		}
 	}
-	allTried := c.g.table.countInHomes(req) <= len(c.avoid)
+	allTried := c.g.table.countInHomes(req) <= len(c.triedServers)
 	return c.refusal(policy.EndingWithoutServer(c.class, allTried))
 }
 
 // queuedRequest returns the inputs for the queue timeout.
 func (c *call) queuedRequest() retry.QueuedRequest {
 	return retry.QueuedRequest{
-		Route: c.route, Class: c.class, Runs: c.counts.Runs, Spent: c.spent, Waited: c.g.now() - c.arrived, Left: c.timeLeft(),
+		Route: c.route, Class: c.class, Runs: c.counts.Runs, Spent: c.spentBeforeArrival, Waited: c.g.now() - c.arrived, Left: c.timeLeft(),
 		Expected: c.g.table.expectedFirst(c.pool, c.head.Prompt),
 	}
 }
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -54,21 +54,21 @@
 	if !g.overload.Load().Late(g.now()) {
 		ratio := p.placer.ObserveTimeToFirst(engine, a.tokensToRead+a.tokensAhead, max(a.timeToFirst-a.roundTrip, 0))
 		a.entry.latencyRatio.Observe(ratio)
-		p.markMeasured(a.entry)
+		p.markReliableRatio(a.entry)
 		a.countPace(g.now(), ratio)
 	}
 }
 
-// markMeasured records that a server has a reliable latency ratio, unless it has left the pool. The
+// markReliableRatio records that a server has a reliable latency ratio, unless it has left the pool. The
 // caller holds mu.
-func (p *pool) markMeasured(k *knownServer) {
+func (p *pool) markReliableRatio(k *knownServer) {
 	if !k.latencyRatio.Reliable() || k.removed {
 		return
 	}
-	if p.measured == nil {
-		p.measured = map[*knownServer]bool{}
+	if p.withReliableRatio == nil {
+		p.withReliableRatio = map[*knownServer]bool{}
 	}
-	p.measured[k] = true
+	p.withReliableRatio[k] = true
 }
 
 // silentVerdict returns the verdict for an attempt that ended because its backend server sent
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -180,7 +180,7 @@
 	if c.r.Context().Err() != nil {
 		return false, callerLeft{}
 	}
-	c.avoid[a.serverID] = true
+	c.triedServers[a.serverID] = true
 	policy := c.policy(ctx)
 	allowed, fromBudget := policy.MayRetry(out.execution)
 	// A request during which three servers ended might crash another one.
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -28,30 +28,30 @@
 	deadline time.Duration // end of the caller's or the route's timeout, whichever is earlier
 
 	// Properties of the request.
-	head    RequestHead
-	routes  *routes
-	route   document.Route
-	account document.Account
-	pool    document.Pool
-	body    []byte
-	cost    float64           // tokens
-	spent   time.Duration     // since the caller's first try, before this request arrived
-	class   entitlement.Class // set for requests to engines
+	head               RequestHead
+	routes             *routes
+	route              document.Route
+	account            document.Account
+	pool               document.Pool
+	body               []byte
+	cost               float64           // tokens
+	spentBeforeArrival time.Duration     // since the caller's first try, before this request arrived
+	class              entitlement.Class // set for requests to engines
 
 	// Progress of the request.
-	counts   retry.Counts
-	started  bool            // it has been assigned a backend server
-	avoid    map[string]bool // IDs of servers that have already been tried
-	assigned *assignment     // last attempt
-	shortage shortage        // why no backend server was available in the end
-	relay    *relay          // nil until the request is admitted
-	stall    *stallTimer     // current attempt
+	counts       retry.Counts
+	wasAssigned  bool            // it has been assigned a backend server
+	triedServers map[string]bool // IDs of servers that have already been tried
+	assigned     *assignment     // last attempt
+	shortage     shortage        // why no backend server was available in the end
+	relay        *relay          // nil until the request is admitted
+	stall        *stallTimer     // current attempt
 
 	// Evidence that servers crashed while running this request.
-	suspicion quarantine.Entry
-	listed    bool            // suspicion holds an entry
-	losses    int             // attempts whose connection broke
-	cachedKey *quarantine.Key // nil until call.key is first called
+	suspicion    quarantine.Entry
+	hasSuspicion bool            // suspicion holds an entry
+	losses       int             // attempts whose connection broke
+	cachedKey    *quarantine.Key // nil until call.key is first called
 }
 
 // defaultMaxBodyBytes applies if the document sets no limit.
@@ -86,7 +86,7 @@
 		patience = min(patience, c.head.Timeout)
 	}
 	c.deadline = c.arrived + patience
-	c.spent = c.routes.spent(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.withinShare(c.account.Name))
+	c.spentBeforeArrival = c.routes.spentBeforeArrival(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.withinShare(c.account.Name))
 	if err := c.classify(); err != nil {
 		return err
 	}
@@ -156,23 +156,25 @@
 
 // isPastObjective reports whether the caller retries after the objective has passed, so that no
 // answer can be in time.
-func (c *call) isPastObjective() bool { return c.route.Objective > 0 && c.spent >= c.route.Objective }
+func (c *call) isPastObjective() bool {
+	return c.route.Objective > 0 && c.spentBeforeArrival >= c.route.Objective
+}
 
 // retryAfterBeyondShare returns the Retry-After time for a request that exceeds its account's
 // share.
 func (c *call) retryAfterBeyondShare() time.Duration {
 	e, _ := c.g.accounts.entitlement(c.account.Name)
-	uncovered := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spent, Left: c.timeLeft()}
+	uncovered := retry.UncoveredRequest{CoveredFraction: float64(e.Extra), Objective: c.route.Objective, Spent: c.spentBeforeArrival, Left: c.timeLeft()}
 	return uncovered.After(c.g.randomFraction())
 }
 
 // countStarted counts the request when it gets its first backend server. Another attempt after an
 // unreachable server does not count as another start.
 func (c *call) countStarted() {
-	if c.started {
+	if c.wasAssigned {
 		return
 	}
-	c.started = true
+	c.wasAssigned = true
 	c.g.accounts.countStarted(c.account.Name, c.cost)
 	c.countTokens(tokensBegun)
 }
@@ -242,7 +244,7 @@
 func (c *call) serve() error {
 	ctx, cancel := context.WithTimeout(c.r.Context(), c.timeLeft())
 	defer cancel()
-	c.avoid = map[string]bool{}
+	c.triedServers = map[string]bool{}
 	c.relay = &relay{c: c}
 	for {
 		a, err := c.acquireServer(ctx)
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -19,13 +19,13 @@
 // requirements holds the inputs for selecting a backend server for a request.
 type requirements struct {
 	entitlement.WaitingRequest
-	pool       document.Pool
-	route      document.Route
-	prompt     place.Prompt
-	repeatable bool            // may run more than once
-	avoid      map[string]bool // IDs of servers that have already been tried
-	gateways   int
-	random     float64 // in [0, 1)
+	pool         document.Pool
+	route        document.Route
+	prompt       place.Prompt
+	repeatable   bool            // may run more than once
+	triedServers map[string]bool // IDs of servers that have already been tried
+	gateways     int
+	random       float64 // in [0, 1)
 	// maxBackoff is how long the request waits if all servers are in backoff. It is zero for a
 	// request that has not run, which is refused at once because another gateway's servers may
 	// accept it.
@@ -149,44 +149,44 @@
 // candidates returns the state of some servers of the pool for one selection. The result is valid
 // until the next call. The caller holds mu.
 func (t *table) candidates(p *pool, servers []*knownServer, now time.Duration, req *requirements) []place.Server {
-	leased := now < t.coldSharesUntil
+	coldSharesInForce := now < t.coldSharesUntil
 	// A pool's only server may be retried. The only server of a region may not, if the pool has
 	// servers elsewhere.
-	alone := len(servers) == 1 && len(p.servers) > 1 && !req.homes.restricted
-	among := t.candidateVersions(p, req)
+	onlyInRegion := len(servers) == 1 && len(p.servers) > 1 && !req.homes.restricted
+	versions := t.candidateVersions(p, req)
 	p.candidateBuf = p.candidateBuf[:0]
 	for _, k := range servers {
-		p.candidateBuf = append(p.candidateBuf, t.candidate(k, now, req, candidateContext{leased: leased, among: among, alone: alone}))
+		p.candidateBuf = append(p.candidateBuf, t.candidate(k, now, req, candidateContext{coldSharesInForce: coldSharesInForce, versions: versions, onlyInRegion: onlyInRegion}))
 	}
 	return p.candidateBuf
 }
 
 // candidateContext holds the values that are the same for all candidates of a selection.
 type candidateContext struct {
-	leased bool       // shares of cold servers are in force
-	among  versionSet // versions that the selection is limited to
-	alone  bool       // the only server of its region, in a pool that has others
+	coldSharesInForce bool       // shares of cold servers are in force
+	versions          versionSet // versions that the selection is limited to
+	onlyInRegion      bool       // the only server of its region, in a pool that has others
 }
 
 // candidate returns the state of one server for a selection. The caller holds mu.
 func (t *table) candidate(k *knownServer, now time.Duration, req *requirements, v candidateContext) place.Server {
 	return place.Server{
 		ID: k.ID, Slots: k.Slots, SameHall: k.Hall == t.hall, Own: k.ownLoad, Others: k.othersLoad, OthersAge: now - t.othersUpdatedAt,
-		RecentPeak: k.peakLoad.At(now), LatencyRatio: k.latencyRatio, Health: k.health.State(now), Avoid: req.avoid[k.ID],
-		LostInARow: k.health.LostInARow(), Closed: t.closed(k, now, req, v),
+		RecentPeak: k.peakLoad.At(now), LatencyRatio: k.latencyRatio, Health: k.health.State(now), Avoid: req.triedServers[k.ID],
+		LostInARow: k.health.LostInARow(), Closed: t.isExcluded(k, now, req, v),
 	}
 }
 
-// closed reports whether the request may not go to a server even if no other is available. The
+// isExcluded reports whether the request may not go to a server even if no other is available. The
 // caller holds mu.
-func (t *table) closed(k *knownServer, now time.Duration, req *requirements, v candidateContext) bool {
+func (t *table) isExcluded(k *knownServer, now time.Duration, req *requirements, v candidateContext) bool {
 	switch {
-	case v.alone && req.avoid[k.ID]:
+	case v.onlyInRegion && req.triedServers[k.ID]:
 		return true
-	case t.hallsOut[k.Hall], v.among&k.versionSet == 0, !t.homesAllow(req, k):
+	case t.hallsOut[k.Hall], v.versions&k.versionSet == 0, !t.homesAllow(req, k):
 		return true
 	}
-	return !k.cold.Admits(now, v.leased) || !k.notice.Admits(now)
+	return !k.cold.Admits(now, v.coldSharesInForce) || !k.notice.Admits(now)
 }
 
 // minSpreadServers is the pool size from which requests with a shared prompt are spread at random
@@ -211,7 +211,7 @@
 
 // candidatesByID is candidates for the servers with the given IDs. The caller holds mu.
 func (t *table) candidatesByID(p *pool, ids []string, now time.Duration, req *requirements) []place.Server {
-	v := candidateContext{leased: now < t.coldSharesUntil, among: t.candidateVersions(p, req)}
+	v := candidateContext{coldSharesInForce: now < t.coldSharesUntil, versions: t.candidateVersions(p, req)}
 	p.candidateBuf = p.candidateBuf[:0]
 	for _, id := range ids {
 		p.candidateBuf = append(p.candidateBuf, t.candidate(t.servers[id], now, req, v))
@@ -222,8 +222,8 @@
 // typicalLatencyRatio returns the median latency ratio of the pool's servers, in O(n) of those that
 // have answered.
 func (p *pool) typicalLatencyRatio() float64 {
-	ratios := make([]place.LatencyRatio, 0, len(p.measured))
-	for k := range p.measured {
+	ratios := make([]place.LatencyRatio, 0, len(p.withReliableRatio))
+	for k := range p.withReliableRatio {
 		ratios = append(ratios, k.latencyRatio)
 	}
 	return place.TypicalLatencyRatio(ratios)
--- a/gateway/choose_test.go
+++ b/gateway/choose_test.go
@@ -42,9 +42,9 @@
 	}
 	is.True(len(used) > 130) // 157 of 400 are expected from random choice
 	k := choose(7)
-	req.avoid = map[string]bool{k.ID: true}
+	req.triedServers = map[string]bool{k.ID: true}
 	is.True(choose(7) != k)
-	req.avoid = nil
+	req.triedServers = nil
 	table.update(protocol.Servers{Term: 1, HallsOut: []string{k.Hall}, HallChanges: 1})
 	is.True(choose(7).Hall != k.Hall)
 	table.update(protocol.Servers{Term: 1, HallChanges: 2, Removed: []string{k.ID}})
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -46,7 +46,7 @@
 // finish writes the gateway's own error response if there is one, and updates counters and the log.
 func (c *call) finish(err error) {
 	took := c.g.now() - c.arrived
-	if c.started && !c.relay.headWritten {
+	if c.wasAssigned && !c.relay.headWritten {
 		c.g.accounts.countNotServed(c.account.Name, c.cost)
 	}
 	var refusal Refusal
@@ -83,11 +83,11 @@
 		slog.Uint64("document", c.g.DocumentNumber()), slog.String("standing", c.class.String()),
 		slog.Int("attempts", c.counts.Runs), slog.Int("sends", c.counts.Arrived), milliseconds("took_ms", took),
 	}
-	if c.listed {
+	if c.hasSuspicion {
 		attrs = append(attrs, slog.String("key", c.suspicion.Key.String()), slog.Int("ends", c.suspicion.Failures))
 	}
-	if c.spent > 0 {
-		attrs = append(attrs, milliseconds("spent_ms", c.spent))
+	if c.spentBeforeArrival > 0 {
+		attrs = append(attrs, milliseconds("spent_ms", c.spentBeforeArrival))
 	}
 	if c.class > entitlement.Entitled {
 		e, age := c.g.accounts.entitlement(c.account.Name)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,7 +95,7 @@
 	// Pacing of callers' connections, see [overload.Pace].
 	paced               atomic.Bool
 	connectionAllowance atomic.Int64 // connections that may be accepted until the next tick
-	connectionsTaken    atomic.Int64 // connections accepted since the last tick
+	connectionsAdmitted atomic.Int64 // connections accepted since the last tick
 	acceptBacklog       acceptBacklog
 
 	retriesMu    sync.Mutex               // leaf lock; guards retryWindows
@@ -157,7 +157,7 @@
 	if g.connectionAllowance.Add(-1) < 0 {
 		return false
 	}
-	g.connectionsTaken.Add(1)
+	g.connectionsAdmitted.Add(1)
 	if g.paced.Load() {
 		g.acceptBacklog.addAccepted()
 	}
@@ -208,7 +208,7 @@
 		previous := g.overload.Load()
 		d := previous.Tick(g.now(), g.cfg.ProcessorWait())
 		g.overload.Store(&d)
-		limit = g.setAcceptLimit(limit, limit.Next(g.now(), d.Delay, int(g.connectionsTaken.Swap(0))), d.Delay)
+		limit = g.setAcceptLimit(limit, limit.Next(g.now(), d.Delay, int(g.connectionsAdmitted.Swap(0))), d.Delay)
 		if d.High != previous.High {
 			g.cfg.Log.StateChange("processor pressure", slog.Bool("high", d.High),
 				milliseconds("delay_ms", d.Delay.Round(time.Millisecond)), slog.Int64("requests", g.inFlight.Load()))
--- a/gateway/homes_test.go
+++ b/gateway/homes_test.go
@@ -194,11 +194,11 @@
 		spend := func(seconds float64) { // in seconds of the budget's rate
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.link = place.LinkBudget{}
-			t.link.Spend(x.g.now(), t.site.linkShare(1), seconds*place.DefaultLinkRate*0.35)
+			t.linkBudget = place.LinkBudget{}
+			t.linkBudget.Spend(x.g.now(), t.site.linkShare(1), seconds*place.DefaultLinkRate*0.35)
 		}
 		spend(0.9) // nothing is left for optional crossings
-		is.True(!t.link.Admits(x.g.now(), t.site.linkShare(1), place.Transfer{Bytes: 1000}))
+		is.True(!t.linkBudget.Admits(x.g.now(), t.site.linkShare(1), place.Transfer{Bytes: 1000}))
 		is.Equal(x.request("/again/x").status, 200)
 		spend(10)
 		r := x.request("/again/x", "Patience", "1000")
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -21,9 +21,9 @@
 
 // loadReport is the load reported by this gateway under a sequence number.
 type loadReport struct {
-	seq   uint64
-	at    time.Duration
-	loads []protocol.ServerLoad
+	seq    uint64
+	sentAt time.Duration
+	loads  []protocol.ServerLoad
 }
 
 // updateLoads applies the changed totals over all gateways. They include this gateway's report
@@ -47,8 +47,8 @@
 	for _, r := range t.reports {
 		if r.seq == counted {
 			t.subtractOwn(r.loads)
-			t.coldSharesUntil = max(t.coldSharesUntil, r.at+coldstart.LeaseDuration)
-			t.sharesUntil = max(t.sharesUntil, r.at+sharesLease)
+			t.coldSharesUntil = max(t.coldSharesUntil, r.sentAt+coldstart.LeaseDuration)
+			t.sharesUntil = max(t.sharesUntil, r.sentAt+sharesLease)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	loads := t.ownLoads()
-	t.reports = append(t.reports, loadReport{seq: seq, at: t.now(), loads: loads})
+	t.reports = append(t.reports, loadReport{seq: seq, sentAt: t.now(), loads: loads})
 	t.reports = t.reports[max(len(t.reports)-maxReports, 0):]
 	return loads
 }
--- a/gateway/notices.go
+++ b/gateway/notices.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		left := k.notice.BackoffLeft(now)
-		if left <= req.maxBackoff && !req.avoid[k.ID] {
+		if left <= req.maxBackoff && !req.triedServers[k.ID] {
 			return 0, false
 		}
 		soonest = min(soonest, left)
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -74,8 +74,8 @@
 }
 
 // takeOutcomes returns the rollout fields of a report: the outcomes changed since the last one, and
-// the number of the newest list that this gateway obeys.
-func (t *table) takeOutcomes(now time.Duration) (out []protocol.Outcomes, obeyed uint64) {
+// the number of the newest list that this gateway applies in full.
+func (t *table) takeOutcomes(now time.Duration) (out []protocol.Outcomes, appliedList uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, p := range t.pools {
@@ -92,7 +92,7 @@
 	slices.SortFunc(out, func(a, b protocol.Outcomes) int {
 		return cmp.Or(strings.Compare(a.Pool, b.Pool), strings.Compare(a.Version, b.Version), strings.Compare(a.Route, b.Route))
 	})
-	return out, t.obeyedList(now)
+	return out, t.appliedListNumber(now)
 }
 
 // locallyBarred returns the targets that an earlier leader has barred and the newest list has not.
@@ -109,11 +109,11 @@
 	return barred
 }
 
-// obeyedList returns the number of the newest list that this gateway obeys. It returns zero while
-// shares are not in force, while the list comes from an earlier leader, and while this gateway
-// sends less to a target than the list allots to it, because then the old servers are still needed.
-// The caller holds mu.
-func (t *table) obeyedList(now time.Duration) uint64 {
+// appliedListNumber returns the number of the newest list that this gateway applies in full. It
+// returns zero while shares are not in force, while the list comes from an earlier leader, and while
+// this gateway sends less to a target than the list allots to it, because then the old servers are
+// still needed. The caller holds mu.
+func (t *table) appliedListNumber(now time.Duration) uint64 {
 	if now >= t.sharesUntil || t.rollouts.term != t.term {
 		return 0
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -174,7 +174,7 @@
 		return nil
 	}
 	hint := c.hint()
-	c.suspicion, c.listed = c.g.suspicions.find(hint, c.key)
+	c.suspicion, c.hasSuspicion = c.g.suspicions.find(hint, c.key)
 	if c.suspicion.Undecided() && !c.awaitDecision(hint) {
 		return callerLeft{}
 	}
@@ -191,7 +191,7 @@
 		if !sleep.For(c.r.Context(), decisionPollInterval) {
 			return false
 		}
-		c.suspicion, c.listed = c.g.suspicions.find(hint, c.key)
+		c.suspicion, c.hasSuspicion = c.g.suspicions.find(hint, c.key)
 	}
 	return true
 }
@@ -213,7 +213,7 @@
 
 // clearSuspicion reports a whole answer to a request that is listed or was lost before.
 func (c *call) clearSuspicion() {
-	if !c.listed && c.losses == 0 {
+	if !c.hasSuspicion && c.losses == 0 {
 		return
 	}
 	c.g.endDetector.forget(c.key())
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -135,7 +135,7 @@
 	best, bestReason, stay := place.Choice{Index: -1}, place.NoServer, stayedForRoom
 	required := reason == place.NoServer
 	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: required}
-	admitted := t.link.Admits(now, t.site.linkShare(req.gateways), transfer)
+	admitted := t.linkBudget.Admits(now, t.site.linkShare(req.gateways), transfer)
 	switch {
 	case !required && !place.MayLeave(req.Class):
 		return best, stayedForClass
@@ -178,7 +178,7 @@
 		if (a.region == "") != (b.region == "") {
 			return cmp.Compare(b.region, a.region)
 		}
-		return cmp.Or(cmp.Compare(t.link.RoundTrip(a.region), t.link.RoundTrip(b.region)), cmp.Compare(a.region, b.region))
+		return cmp.Or(cmp.Compare(t.linkBudget.RoundTrip(a.region), t.linkBudget.RoundTrip(b.region)), cmp.Compare(a.region, b.region))
 	})
 	return remote
 }
@@ -187,7 +187,7 @@
 // now: it has waited as long as its reason requires, and an idle server there would still meet its
 // objective after the round trip.
 func (t *table) mayCrossNow(p *pool, now time.Duration, req *requirements, reason place.LeaveReason, region string) bool {
-	roundTrip := t.link.RoundTrip(region)
+	roundTrip := t.linkBudget.RoundTrip(region)
 	inTime := req.objectiveDeadline == 0 || now+roundTrip+p.placer.ExpectedTimeToFirst(req.pool.Engine, req.prompt.Tokens()) <= req.objectiveDeadline
 	return inTime && reason.Due(now-req.waitingSince, roundTrip)
 }
@@ -230,7 +230,7 @@
 // region has no ejected one either. The caller holds mu.
 func (t *table) chooseRemoteWithCapacity(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
 	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
-	if !t.link.Admits(now, t.site.linkShare(req.gateways), transfer) {
+	if !t.linkBudget.Admits(now, t.site.linkShare(req.gateways), transfer) {
 		return place.Choice{Index: -1}
 	}
 	for _, remote := range t.remoteRegions(p) {
@@ -266,9 +266,9 @@
 	if decision.reason == place.Stay {
 		return a
 	}
-	a.roundTrip = t.link.RoundTrip(a.region)
+	a.roundTrip = t.linkBudget.RoundTrip(a.region)
 	a.chargedBytes = float64(req.requestBytes) + t.pool(a.entry.Pool).expectedAnswerBytes()
-	t.link.Spend(now, t.site.linkShare(req.gateways), a.chargedBytes)
+	t.linkBudget.Spend(now, t.site.linkShare(req.gateways), a.chargedBytes)
 	return a
 }
 
@@ -284,7 +284,7 @@
 		p := t.pool(a.entry.Pool)
 		p.answerBytes = p.expectedAnswerBytes() + answerBytesWeight*(float64(a.receivedBytes)-p.expectedAnswerBytes())
 	}
-	t.link.Spend(g.now(), t.site.linkShare(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
+	t.linkBudget.Spend(g.now(), t.site.linkShare(int(g.gatewayCount.Load())), float64(sent+a.receivedBytes)-a.chargedBytes)
 	t.mu.Unlock()
 	from, to := t.site.region, a.region
 	count := func(name, labels string, n int) {
@@ -304,7 +304,7 @@
 	}
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
-	g.table.link.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
+	g.table.linkBudget.ObserveRoundTrip(g.now(), a.region, a.connOpenedAt-a.startedAt)
 }
 
 // countingBody counts the bytes of an answer that are read from the link.
--- a/gateway/regions_attempts_test.go
+++ b/gateway/regions_attempts_test.go
@@ -43,7 +43,7 @@
 			is.True(x.arrivalsIn("s1") > 0)
 			admits := func(bytes float64) bool {
 				share := x.g.table.site.linkShare(1)
-				return x.g.table.link.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Required: true})
+				return x.g.table.linkBudget.Admits(x.g.now(), share, place.Transfer{Bytes: bytes, Required: true})
 			}
 			is.True(admits(tt.left))
 			is.True(tt.notLeft == 0 || !admits(tt.notLeft))
@@ -61,7 +61,7 @@
 		x.announce("plain", 1, fails(forward.NotRun{Err: io.EOF}), "n1")
 		x.announce("plain", 1, answers(200, "ok", time.Millisecond), "s1")
 		x.g.table.mu.Lock()
-		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
+		x.g.table.linkBudget.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
 		is.Equal(x.request("/again/x", "Patience", "1000").status, 503)
 		is.Equal(x.servers.count(), 1)
@@ -84,10 +84,10 @@
 		}, "s1")
 		time.Sleep(2 * time.Minute)
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedRoundTrip)
+		is.Equal(x.g.table.linkBudget.RoundTrip("south"), place.AssumedRoundTrip)
 		ago, late = time.Millisecond, time.Second
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), place.AssumedRoundTrip)
+		is.Equal(x.g.table.linkBudget.RoundTrip("south"), place.AssumedRoundTrip)
 	})
 }
 
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -231,7 +231,7 @@
 		setLink := func(link place.LinkBudget) {
 			x.g.table.mu.Lock()
 			defer x.g.table.mu.Unlock()
-			x.g.table.link = link
+			x.g.table.linkBudget = link
 		}
 		slow := place.LinkBudget{}
 		slow.ObserveRoundTrip(x.g.now(), "south", 390*time.Millisecond) // the objective is 400 ms
@@ -342,11 +342,11 @@
 			return a, err
 		}, "s1")
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), opening)
+		is.Equal(x.g.table.linkBudget.RoundTrip("south"), opening)
 		opening = 300 * time.Millisecond
 		is.Equal(x.request("/again/x").status, 200)
-		is.Equal(x.g.table.link.RoundTrip("south"), 40*time.Millisecond)
-		is.True(!x.g.table.link.Admits(x.g.now(), place.LinkShare{}, place.Transfer{Bytes: 1}))
+		is.Equal(x.g.table.linkBudget.RoundTrip("south"), 40*time.Millisecond)
+		is.True(!x.g.table.linkBudget.Admits(x.g.now(), place.LinkShare{}, place.Transfer{Bytes: 1}))
 	})
 }
 
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -91,7 +91,7 @@
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/x", 10), map[string]int{"new": 10})
 		x.g.table.mu.Lock()
-		x.g.table.link.Spend(x.g.now(), place.LinkShare{}, 1e9)
+		x.g.table.linkBudget.Spend(x.g.now(), place.LinkShare{}, 1e9)
 		x.g.table.mu.Unlock()
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/x", 10), map[string]int{"old": 10})
--- a/gateway/routes.go
+++ b/gateway/routes.go
@@ -69,10 +69,11 @@
 	}
 }
 
-// spent returns a lower bound of the time since the caller's first try, derived from left, the time
-// for which it still waits. isFirst says that requests of its account are within its share and thus
-// not refused: this request is a first try, and left is an observation of the callers' patience.
-func (rs *routes) spent(route string, now, left time.Duration, isFirst bool) time.Duration {
+// spentBeforeArrival returns a lower bound of the time since the caller's first try, derived from
+// left, the time for which it still waits. isFirst says that requests of its account are within its
+// share and thus not refused: this request is a first try, and left is an observation of the
+// callers' patience.
+func (rs *routes) spentBeforeArrival(route string, now, left time.Duration, isFirst bool) time.Duration {
 	rs.callers.mu.Lock()
 	defer rs.callers.mu.Unlock()
 	p := rs.callers.patience[route]
--- a/gateway/stall.go
+++ b/gateway/stall.go
@@ -16,7 +16,7 @@
 // stallTimer watches one attempt. The zero value watches nothing.
 type stallTimer struct {
 	timer   *time.Timer   // nil if the attempt is not watched
-	gap     time.Duration // longest time between two parts of the answer
+	maxGap  time.Duration // longest time between two parts of the answer
 	expired atomic.Bool   // the attempt was ended because it stalled
 }
 
@@ -32,7 +32,7 @@
 	if !watched {
 		return s
 	}
-	s.gap = gap
+	s.maxGap = gap
 	s.timer = time.AfterFunc(initialTimeout, func() {
 		if c.g.overload.Load().Late(c.g.now()) {
 			s.timer.Reset(retry.MinStall)
@@ -48,7 +48,7 @@
 // progressed restarts the wait because a part of the answer has arrived.
 func (s *stallTimer) progressed() {
 	if s.timer != nil && s.timer.Stop() {
-		s.timer.Reset(s.gap)
+		s.timer.Reset(s.maxGap)
 	}
 }
 
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -69,22 +69,22 @@
 
 	rollouts    rolloutListID    // newest list received
 	sharesUntil time.Duration    // expiry of the rollout shares
-	link        place.LinkBudget // between this gateway's region and the others
+	linkBudget  place.LinkBudget // between this gateway's region and the others
 	homes       homesIndex       // of the document in force
 }
 
 // pool holds the backend servers of a pool and the requests waiting for them.
 type pool struct {
-	servers      []*knownServer  // ordered by ID
-	regions      []regionServers // servers by region, the gateway's own first; empty without remote regions
-	waiting      []*waiter
-	placer       place.CapacityPlacer
-	failures     outlier.PoolRate
-	candidateBuf []place.Server // reused by every selection
-	ranks        place.Ranks
-	measured     map[*knownServer]bool // servers with a reliable latency ratio
-	busy         map[*knownServer]bool // servers with requests from this gateway, and some that had
-	rollout      *poolRollout          // nil if the pool never had one
+	servers           []*knownServer  // ordered by ID
+	regions           []regionServers // servers by region, the gateway's own first; empty without remote regions
+	waiting           []*waiter
+	placer            place.CapacityPlacer
+	failures          outlier.PoolRate
+	candidateBuf      []place.Server // reused by every selection
+	ranks             place.Ranks
+	withReliableRatio map[*knownServer]bool // servers with a reliable latency ratio
+	busy              map[*knownServer]bool // servers with requests from this gateway, and some that had
+	rollout           *poolRollout          // nil if the pool never had one
 
 	answerBytes float64 // average size of an answer from another region; zero if unknown
 
@@ -293,7 +293,7 @@
 	p := t.pool(k.Pool)
 	p.servers = slices.DeleteFunc(p.servers, func(o *knownServer) bool { return o == k })
 	p.ranks.Remove(k.ID)
-	delete(p.measured, k)
+	delete(p.withReliableRatio, k)
 	delete(p.busy, k)
 	k.removed = true
 	p.removeFromRegion(k)
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -238,7 +238,7 @@
 		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
 	case now >= t.sharesUntil:
 		o := versionOrder{first: oldVersion, firstReason: reasonNoLease}
-		if r.switched && len(req.avoid) > 0 { // the old servers may have stopped
+		if r.switched && len(req.triedServers) > 0 { // the old servers may have stopped
 			o.second, o.secondReason = targetVersion, reasonRetry
 		}
 		return o
@@ -248,7 +248,7 @@
 		return versionOrder{first: oldVersion, firstReason: reasonRest}
 	case r.switched:
 		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
-	case len(req.avoid) > 0:
+	case len(req.triedServers) > 0:
 		return versionOrder{first: oldVersion, firstReason: reasonRetry}
 	case versionDraw(req.random) < r.routeShare(req.route.Name):
 		return versionOrder{first: trialVersion, firstReason: reasonShare, second: oldVersion, secondReason: reasonNoRoom}
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -164,38 +164,38 @@
 	}, oldAndNew...)
 }
 
-// TestObeyedListNumber checks that a list is reported as obeyed only while its shares are in force
+// TestAppliedListNumber checks that a list is reported as applied only while its shares are in force
 // and nothing keeps requests from the target. Otherwise the old servers are still needed.
-func TestObeyedListNumber(t *testing.T) {
+func TestAppliedListNumber(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
-		obeyed := func() uint64 {
+		appliedList := func() uint64 {
 			_, seq := x.g.table.takeOutcomes(x.g.now())
 			return seq
 		}
 		x.setVersions("v1", "v2")
 		x.sendRollout(1, 7, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
-		is.Equal(obeyed(), uint64(0)) // no report has been counted
+		is.Equal(appliedList(), uint64(0)) // no report has been counted
 		x.renewShares()
-		is.Equal(obeyed(), uint64(7))
+		is.Equal(appliedList(), uint64(7))
 		time.Sleep(sharesLease)
-		is.Equal(obeyed(), uint64(0))
+		is.Equal(appliedList(), uint64(0))
 		x.renewShares()
 		x.countAnswers("/once/1", breakerThreshold)
-		is.Equal(obeyed(), uint64(0)) // the breaker is open after bad answers
+		is.Equal(appliedList(), uint64(0)) // the breaker is open after bad answers
 		time.Sleep(breakerOpenTime)
 		x.renewShares()
-		is.Equal(obeyed(), uint64(7))
+		is.Equal(appliedList(), uint64(7))
 		x.sendRollout(1, 8, protocol.Rollout{Attempt: 1, Target: "v2", Barred: []string{"v2"}})
-		is.Equal(obeyed(), uint64(8))
+		is.Equal(appliedList(), uint64(8))
 		x.g.table.update(protocol.Servers{Term: 2, Whole: true})
-		is.Equal(obeyed(), uint64(0)) // the list is from another term
+		is.Equal(appliedList(), uint64(0)) // the list is from another term
 		x.sendRollout(2, 1, protocol.Rollout{Attempt: 1, Target: "v2", Share: 1})
 		x.renewShares()
-		is.Equal(obeyed(), uint64(0)) // the previous leader has barred the target
+		is.Equal(appliedList(), uint64(0)) // the previous leader has barred the target
 		is.Equal(x.g.table.locallyBarred(), []protocol.BarredTarget{{Pool: "plain", Attempt: 1}})
 		x.sendRollout(2, 2, protocol.Rollout{Attempt: 1, Barred: []string{"v2"}})
-		is.Equal(obeyed(), uint64(2))
+		is.Equal(appliedList(), uint64(2))
 		is.Equal(len(x.g.table.locallyBarred()), 0)
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
 }
@@ -210,8 +210,8 @@
 		x.renewShares()
 		is.Equal(x.countAnswers("/again/1", 3), map[string]int{"old": 3})
 		var sent, failed uint64
-		outcomes, obeyed := x.g.table.takeOutcomes(x.g.now())
-		is.Equal(obeyed, uint64(1))
+		outcomes, appliedList := x.g.table.takeOutcomes(x.g.now())
+		is.Equal(appliedList, uint64(1))
 		for _, o := range outcomes {
 			if o.Version == "v2" {
 				sent, failed = sent+o.Sent, failed+o.Failed
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -44,7 +44,7 @@
 func (w *watcher) run() {
 	failures := 0
 	for w.g.ctx.Err() == nil {
-		if w.session(w.next()) {
+		if w.session(w.nextAddress()) {
 			failures = 0
 			continue
 		}
@@ -53,9 +53,9 @@
 	}
 }
 
-// next returns the address to try: the one from a redirect if there is one, otherwise the
+// nextAddress returns the address to try: the one from a redirect if there is one, otherwise the
 // candidates in turn.
-func (w *watcher) next() string {
+func (w *watcher) nextAddress() string {
 	w.viaRedirect = w.redirectTarget != ""
 	if target := w.redirectTarget; target != "" {
 		w.redirectTarget = ""
--- a/gateway/watch_test.go
+++ b/gateway/watch_test.go
@@ -28,11 +28,11 @@
 	w.g.SetSeeds(seeds)
 	var tried []string
 	for range 4 {
-		tried = append(tried, w.next())
+		tried = append(tried, w.nextAddress())
 	}
 	is.Equal(tried, []string{"s", "t", "a", "s"}) // in turn, from a start that depends on startID
 	w.redirectTarget = "l"
-	is.Equal([]string{w.next(), w.next()}, []string{"l", "t"}) // a redirect is tried first, and once
+	is.Equal([]string{w.nextAddress(), w.nextAddress()}, []string{"l", "t"}) // a redirect is tried first, and once
 }
 
 // TestIncompleteEntitlementsAreIgnored checks that a leader that does not have enough reports yet
