--- a/coordination/place/affinity.go
+++ b/coordination/place/affinity.go
@@ -85,8 +85,8 @@
 	return best, read, !math.IsInf(bestPrice, 1)
 }
 
-// priceAt returns the price of a candidate at a given rank of the prompt's rendezvous order, and the number of
-// tokens it has to read.
+// priceAt returns the price of a candidate at a given rank of the prompt's rendezvous order, and the
+// number of tokens it has to read.
 func priceAt(p Prompt, c candidate, rank int) (read int, price float64) {
 	read = p.Own
 	if rank > 0 {
--- a/coordination/place/excess_test.go
+++ b/coordination/place/excess_test.go
@@ -13,25 +13,25 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file tests how requests beyond their account's share affect those within it. It runs
+// This file tests how requests of class Extra affect those of class Entitled. It runs
 // CapacityPlacer on a model of engines that read prompts in order of arrival.
 
 // Parameters of the model.
 const (
-	orderEngines   = 18
-	engineReadRate = 60.0 // tokens a millisecond
-	engineSlots    = 48
-	streamDuration = 2500 * time.Millisecond
-	reportInterval = 100 * time.Millisecond // interval between reports of the others' load, all that gateways know of it
-	modelStep      = time.Millisecond
-	modelEnd       = 30 * time.Second
-	modelObjective = 400 * time.Millisecond
-	withinInterval = 9 * time.Millisecond // between two requests within their shares
-	beyondInterval = 4 * time.Millisecond // between two requests beyond them, a tenth of which are long
-	shortPrompt    = 700                  // own tokens
-	longPrompt     = 40_000
-	sharedTokens   = 200
-	sharedPrompts  = 400
+	orderEngines     = 18
+	engineReadRate   = 60.0 // tokens a millisecond
+	engineSlots      = 48
+	streamDuration   = 2500 * time.Millisecond
+	reportInterval   = 100 * time.Millisecond // interval between reports of the others' load, all that gateways know of it
+	modelStep        = time.Millisecond
+	modelEnd         = 30 * time.Second
+	modelObjective   = 400 * time.Millisecond
+	entitledInterval = 9 * time.Millisecond // between two requests of class Entitled
+	extraInterval    = 4 * time.Millisecond // between two requests of class Extra, a tenth of which are long
+	shortPrompt      = 700                  // own tokens
+	longPrompt       = 40_000
+	sharedTokens     = 200
+	sharedPrompts    = 400
 )
 
 // engineState is the state of one engine: prompts still to be read, and the end times of its streams.
@@ -75,8 +75,7 @@
 }
 
 // TestExcessRequestsDoNotDelayEntitledOnes offers engines several times the load they can read, most of it
-// beyond the shares and some of that with long prompts. Requests within the shares must still begin
-// in time.
+// of class Extra and some of that with long prompts. Requests of class Entitled must still begin in time.
 func TestExcessRequestsDoNotDelayEntitledOnes(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -102,7 +101,7 @@
 				servers[i].Others = work
 			}
 		}
-		if now%withinInterval == 0 {
+		if now%entitledInterval == 0 {
 			within++
 			if began, waits := ask(now, entitlement.Entitled, shortPrompt); !began || waits > modelObjective/2 {
 				late++
@@ -112,7 +111,7 @@
 		if rng.IntN(10) == 0 {
 			own = longPrompt
 		}
-		if now%beyondInterval == 0 {
+		if now%extraInterval == 0 {
 			if began, _ := ask(now, entitlement.Extra, own); began {
 				beyond++
 			}
@@ -124,7 +123,7 @@
 }
 
 // TestExcessRequestsStayAtCachingEngine checks that, while the engine that caches a prompt's shared parts is
-// full, requests within their share use another one and requests beyond it wait.
+// full, requests of class Entitled use another one and requests of class Extra wait.
 func TestExcessRequestsStayAtCachingEngine(t *testing.T) {
 	is := is.New(t)
 	servers := []Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -15,8 +15,8 @@
 	"github.com/badgerspoke/badgerspoke/coordination/outlier"
 )
 
-// TestRanksAreDeterministicAndBalanced checks that a prompt's rendezvous order does not depend on the order in
-// which servers were added, that each server is first for a similar number of prompts, and that
+// TestRanksAreDeterministicAndBalanced checks that a prompt's rendezvous order does not depend on the
+// order in which servers were added, that each server is first for a similar number of prompts, and that
 // removing a server moves only the prompts for which it was first.
 func TestRanksAreDeterministicAndBalanced(t *testing.T) {
 	is := is.New(t)
@@ -74,9 +74,9 @@
 	is.True(!ok)
 }
 
-// TestWidthIgnoresServersBeyondIt checks that a prompt's requests stay on its first server while servers
-// beyond its width are busy with other prompts, and that its width grows once its own servers are busy.
-func TestWidthIgnoresServersBeyondIt(t *testing.T) {
+// TestServersBehindTheConsideredOnesAreIgnored checks that a prompt's requests stay on its first server while servers
+// behind the considered ones are busy with other prompts, and that more are considered once these are busy.
+func TestServersBehindTheConsideredOnesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
 	busy := Work{Requests: 13, Tokens: 9_000}
@@ -132,7 +132,7 @@
 	})
 	t.Logf("the cheapest of all: worst wait %.0f ms, %.3f over 250 ms", all.worst, all.late)
 	is.True(all.late > 0.3) // the load is high enough to show the failure
-	spread := one.play(chooseSpread)
+	spread := one.play(chooseFromOrder)
 	t.Logf("spread: worst wait %.0f ms, %.3f over 250 ms, %d engines", spread.worst, spread.late, spread.engines)
 	is.True(spread.late < 0.02)
 	is.True(spread.engines <= rankDepth)
@@ -142,7 +142,7 @@
 // in a hundred busy. Nearly all requests must find their shared parts cached by the previous one.
 func TestRarePromptsStayOnFirstEngine(t *testing.T) {
 	is := is.New(t)
-	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
+	rare := promptLoad{engines: 900, prompts: 270, rate: 46, own: 6600, shared: 5400, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseFromOrder)
 	t.Logf("worst wait %.0f ms, %.3f over 250 ms, %.3f of the requests not at their prompt's first engine", rare.worst, rare.late, rare.moved)
 	is.True(rare.moved < 0.05)
 	is.True(rare.late < 0.02)
@@ -152,18 +152,18 @@
 // since each of them reads the shared part again; a high rate must use as many as it needs.
 func TestEnginesUsedGrowWithRate(t *testing.T) {
 	is := is.New(t)
-	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseSpread)
+	few := promptLoad{engines: 300, prompts: 1, rate: 3, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04, sigma: 1.4}.play(chooseFromOrder)
 	t.Logf("3 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", few.worst, few.late, few.engines)
 	is.True(few.engines <= 4)
 	is.True(few.late < 0.02)
-	many := promptLoad{engines: 300, prompts: 1, rate: 60, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04}.play(chooseSpread)
+	many := promptLoad{engines: 300, prompts: 1, rate: 60, own: 6600, shared: 15_000, assumedRate: 40, firstEventDelay: 0.04}.play(chooseFromOrder)
 	t.Logf("60 a second: worst wait %.0f ms, %.3f over 250 ms, %d engines", many.worst, many.late, many.engines)
 	is.True(many.engines > 8) // at least four would be busy all the time
 	is.True(many.late < 0.02)
 }
 
-// chooseSpread chooses as gateways do for a large pool.
-func chooseSpread(p *CapacityPlacer, r Request, _, order []Server, at []int) int {
+// chooseFromOrder chooses as gateways do for a large pool.
+func chooseFromOrder(p *CapacityPlacer, r Request, _, order []Server, at []int) int {
 	c, _ := p.ChooseFromOrder(r, order, 0) // ok, since all servers are usable
 	return at[c.Index]
 }
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -13,8 +13,8 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file tests when refused requests of class Extra or Beyond are retried. It models callers, one
-// gateway and engines in virtual time; the shares are computed by package entitlement.
+// This file tests when refused requests of accounts that demand more than their shares are retried. It
+// models callers, one gateway and engines in virtual time; the shares are computed by package entitlement.
 
 // Parameters of the model.
 const (
@@ -37,15 +37,15 @@
 	leader          *entitlement.DemandEstimator
 	classifier      *entitlement.Classifier
 	report          protocol.Usage
-	returns         map[time.Duration][]returningRequest
+	retries         map[time.Duration][]refusedRequest
 	backlog         float64 // tokens that the engines still have to read
 	withinObjective bool    // whether requests are retried within the objective, rather than always after a part of their remaining time
 
 	submitted, inTime, served int // requests
 }
 
-// returningRequest is a request that was refused and will be retried.
-type returningRequest struct {
+// refusedRequest is a request that was refused and will be retried.
+type refusedRequest struct {
 	account string
 	since   time.Duration // when it was first sent
 }
@@ -55,13 +55,13 @@
 	due := 0.0
 	for m.now = shareTick; m.now < shareEnd; m.now += shareTick {
 		m.backlog = max(m.backlog-shareEngineRate*shareTick.Seconds(), 0)
-		for _, r := range m.returns[m.now] {
+		for _, r := range m.retries[m.now] {
 			m.submit(r, true)
 		}
-		delete(m.returns, m.now)
+		delete(m.retries, m.now)
 		for due += times * shareRate / 2 * shareTick.Seconds() / shareCost; due >= 1; due-- {
-			m.submit(returningRequest{"a", m.now}, false)
-			m.submit(returningRequest{"b", m.now}, false)
+			m.submit(refusedRequest{"a", m.now}, false)
+			m.submit(refusedRequest{"b", m.now}, false)
 		}
 		if m.now%shareSettle == 0 {
 			m.leader.Add(m.report)
@@ -76,7 +76,7 @@
 
 // submit serves or refuses a request. Retries are not recognized as such, as on a new gateway or with
 // callers whose total waits differ.
-func (m *sharedAccounts) submit(r returningRequest, back bool) {
+func (m *sharedAccounts) submit(r refusedRequest, back bool) {
 	counts := m.now >= shareWarm
 	if counts && !back {
 		m.submitted++
@@ -108,18 +108,18 @@
 		share.Objective = shareObjective
 	}
 	when := (m.now + share.After(m.rng.Float64())).Truncate(shareTick)
-	m.returns[when] = append(m.returns[when], r)
+	m.retries[when] = append(m.retries[when], r)
 }
 
-// TestReturnsAreInTime checks accounts that demand more than their shares. If refused requests
+// TestRetriesAreInTime checks accounts that demand more than their shares. If refused requests
 // are retried within the objective, as many must be served as if they are retried after a third of their
 // remaining time, and far more of them in time.
-func TestReturnsAreInTime(t *testing.T) {
+func TestRetriesAreInTime(t *testing.T) {
 	is := is.New(t)
 	play := func(times float64, withinObjective bool) (inTime, served float64) {
 		m := &sharedAccounts{
 			rng: rand.New(rand.NewPCG(1, 2)), leader: entitlement.NewDemandEstimator(), classifier: entitlement.NewClassifier(),
-			returns: map[time.Duration][]returningRequest{}, withinObjective: withinObjective,
+			retries: map[time.Duration][]refusedRequest{}, withinObjective: withinObjective,
 		}
 		m.play(times)
 		return float64(m.inTime) / float64(m.submitted), float64(m.served) / float64(m.submitted)
--- a/coordination/retry/timeout.go
+++ b/coordination/retry/timeout.go
@@ -14,9 +14,9 @@
 
 // Limits on the wait for a server, counted from the request's arrival.
 const (
-	// beyondWaitFraction is the fraction of the objective that a request of class Extra or Beyond waits.
+	// uncoveredWaitFraction is the fraction of the objective that a request of class Extra or Beyond waits.
 	// It gets capacity either at once or only after others have ended.
-	beyondWaitFraction = 0.1
+	uncoveredWaitFraction = 0.1
 	// reservedFraction is the fraction of the objective kept for delays after the wait: the server's own queue and
 	// the network.
 	reservedFraction = 0.3
@@ -45,7 +45,7 @@
 	case w.Runs > 0, objective == 0:
 		limit = maxLateWait
 	case w.Class >= entitlement.Extra:
-		limit = scale(objective, beyondWaitFraction)
+		limit = scale(objective, uncoveredWaitFraction)
 	case limit <= 0:
 		limit = maxLateWait
 	}
@@ -70,11 +70,11 @@
 
 	delayFraction = 0.1 // fraction of the caller's remaining time, which leaves room for several tries
 
-	// beyondDelayFraction replaces delayFraction for requests of an account whose share covers few of them. The
-	// excess demand lasts, so a caller that retried soon would be refused again. It waits for up to a
-	// third of its remaining time.
-	beyondDelayFraction = 0.33
-	jitter              = 0.25 // maximum relative reduction, so that callers do not retry at the same time
+	// uncoveredDelayFraction replaces delayFraction for requests of an account whose share covers few of
+	// them. The excess demand lasts, so a caller that retried soon would be refused again. It waits for up
+	// to a third of its remaining time.
+	uncoveredDelayFraction = 0.33
+	jitter                 = 0.25 // maximum relative reduction, so that callers do not retry at the same time
 )
 
 // If a share covers some of an account's requests, a refused one is retried within its objective: the
@@ -83,8 +83,8 @@
 	minCoveredFraction = 0.1 // minimum fraction of the account's requests that the share covers
 	// Bounds of the random delay before the retry, as fractions of the objective: late enough for updated
 	// shares, early enough for the answer.
-	minReturnFraction = 0.2  // earliest
-	maxReturnFraction = 0.45 // latest
+	minRetryDelayFraction = 0.2  // earliest
+	maxRetryDelayFraction = 0.45 // latest
 )
 
 // After returns when a refused caller with the given remaining time should try again.
@@ -103,11 +103,11 @@
 
 // After returns when the caller should try again. random is between 0 and 1.
 func (r UncoveredRequest) After(random float64) time.Duration {
-	delay := max(scale(r.Objective, minReturnFraction+(maxReturnFraction-minReturnFraction)*random), ShortDelay)
+	delay := max(scale(r.Objective, minRetryDelayFraction+(maxRetryDelayFraction-minRetryDelayFraction)*random), ShortDelay)
 	if r.CoveredFraction >= minCoveredFraction && r.Spent+delay < r.Objective {
 		return delay
 	}
-	return max(scale(r.Left, beyondDelayFraction*(1-jitter*random)), ShortDelay)
+	return max(scale(r.Left, uncoveredDelayFraction*(1-jitter*random)), ShortDelay)
 }
 
 // AfterOverload returns when a caller refused because the gateway's processor is overloaded should try
--- a/coordination/retry/timeout_test.go
+++ b/coordination/retry/timeout_test.go
@@ -59,9 +59,9 @@
 	is.Equal(UncoveredRequest{Left: 10 * time.Second}.After(1), 2475*ms)
 }
 
-// TestPartlyCoveredRequestsReturnWithinTheObjective checks that a request is retried within its objective if the
+// TestPartlyCoveredRequestsAreRetriedWithinTheObjective checks that a request is retried within its objective if the
 // share covers some of its account's requests and it can still be in time.
-func TestPartlyCoveredRequestsReturnWithinTheObjective(t *testing.T) {
+func TestPartlyCoveredRequestsAreRetriedWithinTheObjective(t *testing.T) {
 	is := is.New(t)
 	some := UncoveredRequest{CoveredFraction: 0.1, Objective: 400 * ms, Left: 12 * time.Second}
 	is.Equal(some.After(0), 80*ms)
