--- a/coordination/place/ranks_test.go
+++ b/coordination/place/ranks_test.go
@@ -74,8 +74,9 @@
 	is.True(!ok)
 }
 
-// TestServersBehindTheConsideredOnesAreIgnored checks that a prompt's requests stay on its first server while servers
-// behind the considered ones are busy with other prompts, and that more are considered once these are busy.
+// TestServersBehindTheConsideredOnesAreIgnored checks that a prompt's requests stay on its first server
+// while servers behind it are busy with other prompts, and that more servers are considered once the first
+// one is busy.
 func TestServersBehindTheConsideredOnesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	order := randomPool(rand.New(rand.NewPCG(1, 1)), 64)
--- a/coordination/slots/property_test.go
+++ b/coordination/slots/property_test.go
@@ -16,9 +16,8 @@
 // accounts stays within the bound of the package comment, no slot is granted twice, no slot
 // stays free for long while requests wait (without faults only), and every account is served.
 
-// TestGuaranteesOverRandomSchedules runs random fleets and checks the gap, double grants, idle
-// slots and that every account is served.
-func TestGuaranteesOverRandomSchedules(t *testing.T) {
+// TestFairnessAndSlotUseOverRandomSchedules runs random fleets and checks all four properties.
+func TestFairnessAndSlotUseOverRandomSchedules(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		s, faulty, partitioned := randomConfig(t)
 		f := newFleet(s, fleetFair, rapid.Uint64().Draw(t, "seed"))
