--- a/gateway/accounts.go
+++ b/gateway/accounts.go
@@ -80,10 +80,10 @@
 	a.startedTokens[account] -= int64(cost)
 }
 
-// countMissed counts a request that got no backend server, because engines had no room or, if
-// gatewayLacks is true, because the gateway lacked processor time, memory or time before its stop.
-func (a *accounts) countMissed(c entitlement.Class, cost float64, gatewayLacks bool) {
-	if !entitlement.CountsAsMissed(c, gatewayLacks) {
+// countMissed counts a request that got no backend server, because engines had no capacity or, if
+// gatewayShort is true, because the gateway lacked processor time, memory or time before its stop.
+func (a *accounts) countMissed(c entitlement.Class, cost float64, gatewayShort bool) {
+	if !entitlement.CountsAsMissed(c, gatewayShort) {
 		return
 	}
 	a.mu.Lock()
@@ -99,11 +99,11 @@
 }
 
 // update applies the fleet's list of accounts that demand more than their share, and their parts of
-// late requests.
-func (a *accounts) update(list, late []protocol.Entitlement, short bool) {
+// late requests. contended is passed on to [entitlement.Classifier.Update].
+func (a *accounts) update(list, late []protocol.Entitlement, contended bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.classifier.Update(a.now(), list, late, short)
+	a.classifier.Update(a.now(), list, late, contended)
 }
 
 // setMaxRate limits the rate at which this gateway serves one account, in tokens per second.
--- a/gateway/acquire.go
+++ b/gateway/acquire.go
@@ -32,12 +32,12 @@
 	case !retry.CanAnswerInTime(waiting):
 		return nil, Refusal{Cause: TooLate}
 	}
-	patience := retry.QueueTimeout(waiting)
+	queueTimeout := retry.QueueTimeout(waiting)
 	if c.counts.Runs > 0 {
-		req.maxBackoff = patience
+		req.maxBackoff = queueTimeout
 	}
 	var a *assignment
-	if a, c.shortage = c.g.awaitServer(ctx, req, patience); a != nil {
+	if a, c.shortage = c.g.awaitServer(ctx, req, queueTimeout); a != nil {
 		c.countStarted()
 		return a, nil
 	}
--- a/gateway/assignment.go
+++ b/gateway/assignment.go
@@ -55,7 +55,7 @@
 		ratio := p.placer.ObserveTimeToFirst(engine, a.tokensToRead+a.tokensAhead, max(a.timeToFirst-a.roundTrip, 0))
 		a.entry.latencyRatio.Observe(ratio)
 		p.markReliableRatio(a.entry)
-		a.countPace(g.now(), ratio)
+		a.countLatencyRatio(g.now(), ratio)
 	}
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -102,7 +102,7 @@
 	success := answer.Status >= http.StatusOK && answer.Status < http.StatusMultipleChoices
 	switch {
 	case success && !head.Signed:
-		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsealed}
+		return outcome{execution: retry.MayHaveRun, cause: "unsealed answer", verdict: outlier.Faulty, err: errUnsigned}
 	case success && c.route.Kind == document.Stream:
 		return c.relay.relayStream(ctx, a, answer)
 	}
@@ -183,7 +183,7 @@
 	c.triedServers[a.serverID] = true
 	policy := c.policy(ctx)
 	allowed, fromBudget := policy.MayRetry(out.execution)
-	// A request during which three servers ended might crash another one.
+	// A request during which three servers crashed might crash another one.
 	allowed = allowed && c.suspicion.MayRetry(c.losses)
 	again = allowed && (!fromBudget || c.g.allowRetry(c.pool.Name))
 	c.g.cfg.Log.FailureFunc("attempt failed", func() []slog.Attr { return c.failureAttrs(a, out, again) })
@@ -202,7 +202,8 @@
 }
 
 // failureAttrs returns the attributes of a failed attempt's log line. The key identifies the
-// request when a caller sends it again under another ID.
+// request when a caller sends it again under another ID. "attempt" counts only the attempts that
+// reached a server ([retry.Counts].Arrived), as "sends" does in the request's final line.
 func (c *call) failureAttrs(a *assignment, out outcome, again bool) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("backend", a.serverID),
@@ -238,7 +239,7 @@
 // Answers that count as faults of the backend server.
 var (
 	errCrossed  = faultyAnswer("the answer belongs to another request")
-	errUnsealed = faultyAnswer("the answer is not sealed")
+	errUnsigned = faultyAnswer("the answer is not signed")
 	errShort    = faultyAnswer("the stream ended inside an event")
 	errTooLarge = faultyAnswer(fmt.Sprintf("an event exceeds %d bytes", maxEvent))
 )
--- a/gateway/bench_test.go
+++ b/gateway/bench_test.go
@@ -241,7 +241,7 @@
 				t.updateRollouts(protocol.Rollouts{Term: 1, Seq: 1, List: []protocol.Rollout{
 					{Pool: "engines", Attempt: 1, Target: "v2", Share: share},
 				}})
-				t.sharesUntil = time.Hour
+				t.rolloutSharesUntil = time.Hour
 				req := requirements{pool: document.Pool{Name: "engines", Engine: true}, route: document.Route{Name: "r", Objective: 400 * time.Millisecond}}
 				req.prompt = place.Prompt{Own: 600, Shared: []place.Part{{Name: "a", Tokens: 500}, {Name: "b", Tokens: 4000}}}
 				drawn := 0
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -81,16 +81,16 @@
 	if err := c.match(); err != nil {
 		return err
 	}
-	patience := c.route.Timeout
+	requestTimeout := c.route.Timeout
 	if c.head.Timeout > 0 {
-		patience = min(patience, c.head.Timeout)
+		requestTimeout = min(requestTimeout, c.head.Timeout)
 	}
-	c.deadline = c.arrived + patience
+	c.deadline = c.arrived + requestTimeout
 	c.spentBeforeArrival = c.routes.spentBeforeArrival(c.route.Name, c.arrived, c.head.Timeout, c.g.accounts.withinShare(c.account.Name))
 	if err := c.classify(); err != nil {
 		return err
 	}
-	if !drain.Grace(c.g.cfg.Grace).Admits(c.g.stopping(), patience) {
+	if !drain.Grace(c.g.cfg.Grace).Admits(c.g.stopping(), requestTimeout) {
 		c.countMissed(true)
 		return Refusal{Cause: Stopping, RetryAfter: retry.ShortDelay}
 	}
@@ -180,10 +180,10 @@
 }
 
 // countMissed counts a request to an engine that is refused before it was assigned one.
-// gatewayLacks is true if this gateway, not the engines, was short of capacity.
-func (c *call) countMissed(gatewayLacks bool) {
+// gatewayShort is true if this gateway, not the engines, was short of capacity.
+func (c *call) countMissed(gatewayShort bool) {
 	if c.pool.Engine {
-		c.g.accounts.countMissed(c.class, c.cost, gatewayLacks)
+		c.g.accounts.countMissed(c.class, c.cost, gatewayShort)
 	}
 }
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -68,26 +68,26 @@
 // final reports whether waiting cannot help.
 func (s *shortage) final() bool { return len(s.hallsOut) > 0 || s.homesCause != "" || s.backingOff }
 
-// acquire assigns the most suitable backend server if it has room, and otherwise returns nil and
-// the reason. The caller holds mu.
+// acquire assigns the most suitable backend server if it has capacity, and otherwise returns nil
+// and the reason. The caller holds mu.
 func (t *table) acquire(now time.Duration, req requirements) (*assignment, shortage) {
 	p := t.pool(req.pool.Name)
 	order := t.versionOrder(p, now, &req)
-	a, shortfall, found := t.acquireAmong(p, now, req, order.first, order.firstReason)
-	usable := found && shortfall.bound != place.RegionLink || shortfall.backingOff // a backoff does not re-enable the old version
+	a, short, found := t.acquireAmong(p, now, req, order.first, order.firstReason)
+	usable := found && short.bound != place.RegionLink || short.backingOff // a backoff does not re-enable the old version
 	if a != nil || order.second == 0 || (order.onlyIfNone && usable) {
-		return a, shortfall
+		return a, short
 	}
 	a, other, foundOther := t.acquireAmong(p, now, req, order.second, order.secondReason)
 	if a == nil && found && !foundOther {
-		return nil, shortfall
+		return nil, short
 	}
 	return a, other
 }
 
 // acquireAmong is acquire limited to some versions. It also reports whether there was a candidate.
 // The log gives reason as the cause of the choice of version. The caller holds mu.
-func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versionSet, reason string) (a *assignment, shortfall shortage, found bool) {
+func (t *table) acquireAmong(p *pool, now time.Duration, req requirements, among versionSet, reason string) (a *assignment, short shortage, found bool) {
 	req.versionSet = among
 	choice, leave := t.choose(p, now, &req)
 	switch {
@@ -122,8 +122,8 @@
 	return slices.Sorted(maps.Keys(t.hallsOut))
 }
 
-// acquireWithCapacity assigns the most suitable of the backend servers that have room, or returns
-// nil. The caller holds mu.
+// acquireWithCapacity assigns the most suitable of the backend servers that have capacity, or
+// returns nil. The caller holds mu.
 func (t *table) acquireWithCapacity(now time.Duration, req requirements) *assignment {
 	p := t.pool(req.pool.Name)
 	order := t.versionOrder(p, now, &req)
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -27,8 +27,8 @@
 	BodyBroken        Cause = "body-broken"        // the body could not be read completely
 	Stopping          Cause = "stopping"           // the request might not end within the grace period - retry.ShortDelay
 	ProcessorOverload Cause = "processor-pressure" // the gateway's scheduling delay is too high - retry.AfterOverload
-	Overloaded        Cause = "overloaded"         // no room on servers - retry.After; or none for the body - retry.ShortDelay
-	BeyondShare       Cause = "beyond-share"       // no room for requests beyond the account's share - retry.After
+	Overloaded        Cause = "overloaded"         // no capacity on servers - retry.After; or no memory for the body - retry.ShortDelay
+	BeyondShare       Cause = "beyond-share"       // beyond the account's share, and no capacity is left for it - retry.UncoveredRequest.After
 	NoServer          Cause = "no-backend"         // no server is listed or reachable - retry.After
 	NoRetryBudget     Cause = "no-retry-budget"    // refused by a server, and the retry budget is used up - retry.After
 	RefusedByServers  Cause = "refused-by-backend" // refused by every server that may be tried - retry.After
--- a/gateway/finish.go
+++ b/gateway/finish.go
@@ -76,7 +76,8 @@
 }
 
 // logAttrs returns the attributes of the request's final log line: the request, its share, the
-// shortage it waited for, its last backend server, and its stream, as far as they apply.
+// shortage it waited for, its last backend server, and its stream, as far as they apply. "attempts"
+// counts the attempts that ran or may have run, and "sends" those that reached a server.
 func (c *call) logAttrs(took time.Duration) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String("request", c.head.ID), slog.String("route", c.route.Name), slog.String("tenant", c.account.Name),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -80,7 +80,7 @@
 	accounts            *accounts
 	tokenCounters       *tokenCounters
 	stats               *stats
-	endDetector         *endDetector
+	crashDetector       *crashDetector
 	suspicions          *suspicions
 	meter               *link.Meter
 	seq                 atomic.Uint64
@@ -92,8 +92,8 @@
 
 	overload atomic.Pointer[overload.Detector] // replaced by tick
 
-	// Pacing of callers' connections, see [overload.Pace].
-	paced               atomic.Bool
+	// Limit on accepting callers' connections, see [overload.AcceptLimit].
+	acceptLimited       atomic.Bool
 	connectionAllowance atomic.Int64 // connections that may be accepted until the next tick
 	connectionsAdmitted atomic.Int64 // connections accepted since the last tick
 	acceptBacklog       acceptBacklog
@@ -119,7 +119,7 @@
 	g.table = newTable(cfg.Identity.Name, cfg.Hall, g.now)
 	g.table.setSite(cfg.Region, cfg.Topology, cfg.LinkRate)
 	g.accounts = newAccounts(g.now)
-	g.endDetector, g.suspicions = newEndDetector(g), newSuspicions()
+	g.crashDetector, g.suspicions = newCrashDetector(g), newSuspicions()
 	g.SetSeeds(cfg.Seeds)
 	g.gatewayCount.Store(retry.AssumedGateways)
 	detector := overload.New(g.now())
@@ -148,7 +148,7 @@
 // Ready reports whether load balancers should send new callers to this gateway.
 func (g *Gateway) Ready() bool {
 	return g.stopBeganAt.Load() == 0 && g.routes.Load() != nil && g.table.size() > 0 && !g.overload.Load().Unready(g.now()) &&
-		!g.paced.Load()
+		!g.acceptLimited.Load()
 }
 
 // AdmitConnection reports whether one more caller's connection may be accepted now, and counts
@@ -158,7 +158,7 @@
 		return false
 	}
 	g.connectionsAdmitted.Add(1)
-	if g.paced.Load() {
+	if g.acceptLimited.Load() {
 		g.acceptBacklog.addAccepted()
 	}
 	return true
@@ -170,7 +170,7 @@
 }
 
 // ConnectionsPaced reports whether the accept rate of callers' connections is limited now.
-func (g *Gateway) ConnectionsPaced() bool { return g.paced.Load() }
+func (g *Gateway) ConnectionsPaced() bool { return g.acceptLimited.Load() }
 
 // Limits returns the size and time limits for callers' requests from the document in force;
 // before the first document, there are none.
@@ -201,7 +201,7 @@
 
 // tick runs until the gateway stops. In each period it measures how late its timer fires, updates
 // the overload detector and the accept limit, and grants servers to queued requests whose
-// candidates have room again because other gateways' load has dropped.
+// candidates have capacity again because other gateways' load has dropped.
 func (g *Gateway) tick() {
 	var limit overload.AcceptLimit
 	for range sleep.Every(g.ctx, overload.TickPeriod) {
@@ -222,7 +222,7 @@
 func (g *Gateway) setAcceptLimit(old, limit overload.AcceptLimit, delay time.Duration) overload.AcceptLimit {
 	n, bounded := limit.Allowance(), limit.Bounded()
 	g.connectionAllowance.Store(int64(n))
-	g.paced.Store(bounded)
+	g.acceptLimited.Store(bounded)
 	if bounded != old.Bounded() {
 		g.acceptBacklog.reset()
 		g.cfg.Log.StateChange("connections paced", slog.Bool("bounded", bounded), slog.Int("in_20_ms", n),
--- a/gateway/loads.go
+++ b/gateway/loads.go
@@ -48,7 +48,7 @@
 		if r.seq == counted {
 			t.subtractOwn(r.loads)
 			t.coldSharesUntil = max(t.coldSharesUntil, r.sentAt+coldstart.LeaseDuration)
-			t.sharesUntil = max(t.sharesUntil, r.sentAt+sharesLease)
+			t.rolloutSharesUntil = max(t.rolloutSharesUntil, r.sentAt+rolloutSharesLease)
 		}
 	}
 }
--- a/gateway/outcomes.go
+++ b/gateway/outcomes.go
@@ -20,7 +20,7 @@
 // tally counts the results of attempts at one version on one route.
 type tally struct {
 	sent, answered, failed uint64
-	paces                  [rollout.PaceBuckets]uint32
+	latencyRatioCounts     [rollout.PaceBuckets]uint32
 	changed                bool // since the last report
 }
 
@@ -55,7 +55,7 @@
 // reportAllOutcomes marks all tallies as changed, so that the first report of a session includes
 // them. Shares apply again once the leader has counted a report. The caller holds mu.
 func (t *table) reportAllOutcomes() {
-	t.sharesUntil = 0
+	t.rolloutSharesUntil = 0
 	for _, p := range t.pools {
 		if p.rollout == nil {
 			continue
@@ -70,11 +70,11 @@
 func (t *table) endShares() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sharesUntil = 0
+	t.rolloutSharesUntil = 0
 }
 
 // takeOutcomes returns the rollout fields of a report: the outcomes changed since the last one, and
-// the number of the newest list that this gateway applies in full.
+// the number of the newest list of rollouts that this gateway applies in full.
 func (t *table) takeOutcomes(now time.Duration) (out []protocol.Outcomes, appliedList uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,12 +109,12 @@
 	return barred
 }
 
-// appliedListNumber returns the number of the newest list that this gateway applies in full. It
-// returns zero while shares are not in force, while the list comes from an earlier leader, and while
-// this gateway sends less to a target than the list allots to it, because then the old servers are
-// still needed. The caller holds mu.
+// appliedListNumber returns the number of the newest list of rollouts that this gateway applies in
+// full. It returns zero while shares are not in force, while the list comes from an earlier leader,
+// and while this gateway sends less to a target than the list allots to it, because then the old
+// servers are still needed. The caller holds mu.
 func (t *table) appliedListNumber(now time.Duration) uint64 {
-	if now >= t.sharesUntil || t.rollouts.term != t.term {
+	if now >= t.rolloutSharesUntil || t.rollouts.term != t.term {
 		return 0
 	}
 	for _, p := range t.pools {
@@ -127,27 +127,28 @@
 
 // report converts the tally for a report.
 func (t *tally) report(pool string, attempt uint64, key tallyKey) protocol.Outcomes {
-	paces := t.paces[:]
-	for len(paces) > 0 && paces[len(paces)-1] == 0 {
-		paces = paces[:len(paces)-1]
+	counts := t.latencyRatioCounts[:]
+	for len(counts) > 0 && counts[len(counts)-1] == 0 {
+		counts = counts[:len(counts)-1]
 	}
 	return protocol.Outcomes{
 		Pool: pool, Attempt: attempt, Version: key.version, Route: key.route,
-		Sent: t.sent, Answered: t.answered, Failed: t.failed, PaceCounts: slices.Clone(paces),
+		Sent: t.sent, Answered: t.answered, Failed: t.failed, PaceCounts: slices.Clone(counts),
 	}
 }
 
-// countPace counts the time until an answer began, relative to its expectation. Answers of cold
-// servers are not counted, because they are slow whatever their version. The caller holds mu.
-func (a *assignment) countPace(now time.Duration, ratio float64) {
+// countLatencyRatio counts the ratio of the time until an answer began to the expected time.
+// Answers of cold servers are not counted, because they are slow whatever their version. The caller
+// holds mu.
+func (a *assignment) countLatencyRatio(now time.Duration, ratio float64) {
 	if c := a.versionAttempt.tally; c != nil && !a.entry.cold.Cold(now) {
-		c.paces[rollout.PaceBucket(ratio)]++
+		c.latencyRatioCounts[rollout.PaceBucket(ratio)]++
 		c.changed = true
 	}
 }
 
 // countOutcome counts how an attempt ended. An attempt that timed out before its first part counts
-// with the elapsed time as its pace. The caller holds mu.
+// with the latency ratio that the elapsed time gives. The caller holds mu.
 func (g *Gateway) countOutcome(p *pool, a *assignment, v outlier.Verdict) {
 	c := a.versionAttempt.tally
 	if c == nil || g.recordUnreached(p, a, v) {
@@ -161,14 +162,14 @@
 	case outlier.NoVerdict:
 		took := g.now() - a.startedAt
 		if !a.answering && took > a.versionAttempt.expectedFirst && !g.overload.Load().Late(g.now()) {
-			a.countPace(g.now(), float64(took)/float64(a.versionAttempt.expectedFirst))
+			a.countLatencyRatio(g.now(), float64(took)/float64(a.versionAttempt.expectedFirst))
 		}
 		return
 	default:
 		return
 	}
 	c.changed = true
-	if r := p.rollout; r.Attempt == a.versionAttempt.attempt {
+	if r := p.rollout; r.Attempt == a.versionAttempt.rolloutAttempt {
 		r.breaker = r.breaker.withAnswer(g.now(), a.versionAttempt.isTarget, v != outlier.Answered)
 	}
 }
@@ -177,7 +178,7 @@
 // reports whether the attempt is not to be counted as failed. The caller holds mu.
 func (g *Gateway) recordUnreached(p *pool, a *assignment, v outlier.Verdict) bool {
 	r := p.rollout
-	if !a.versionAttempt.isTarget || r.Attempt != a.versionAttempt.attempt {
+	if !a.versionAttempt.isTarget || r.Attempt != a.versionAttempt.rolloutAttempt {
 		return false
 	}
 	switch {
--- a/gateway/overload_test.go
+++ b/gateway/overload_test.go
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestDelayedGatewayDoesNotLearnPace checks that a gateway with a high scheduling delay does not
-// learn the engines' pace. Otherwise it would attribute its own delay to them, treat idle engines
-// as full, and refuse its callers.
-func TestDelayedGatewayDoesNotLearnPace(t *testing.T) {
+// TestDelayedGatewayDoesNotLearnReadRate checks that a gateway with a high scheduling delay does
+// not learn the engines' read rate. Otherwise it would attribute its own delay to them, treat idle
+// engines as full, and refuse its callers.
+func TestDelayedGatewayDoesNotLearnReadRate(t *testing.T) {
 	for _, tt := range []struct {
 		level  time.Duration
 		learns bool
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -14,13 +14,13 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines suspicions: the requests during which backend servers ended, as listed by the
+// This file defines suspicions: the requests during which backend servers crashed, as listed by the
 // directory's leader and as observed by this gateway.
 
 const (
 	// maxUnreported bounds the losses that wait to be reported, and likewise the cleared keys. If
-	// many servers end at once, excess losses are not reported, and excess keys are cleared by the
-	// next answer to their request.
+	// many servers crash at once, excess losses are not reported, and excess keys are cleared by
+	// the next answer to their request.
 	maxUnreported = 1024
 	// maxLossesPerReport bounds the losses in one report, at about 100 bytes each. It is the number
 	// of slots of a large engine.
@@ -48,7 +48,7 @@
 	return s
 }
 
-// add records requests that were running at a server that has ended.
+// add records requests that were running at a server that has crashed.
 func (s *suspicions) add(now time.Duration, lost []quarantine.TimedLoss) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +168,7 @@
 const decisionPollInterval = 20 * time.Millisecond
 
 // checkQuarantine refuses the request if it is condemned. A request that is about to be condemned
-// waits for the decision, because sending it now could end one more server.
+// waits for the decision, because sending it now could crash one more server.
 func (c *call) checkQuarantine() error {
 	if c.g.suspicions.isEmpty() {
 		return nil
@@ -204,7 +204,7 @@
 // recordLoss records an attempt whose connection broke while the request was running.
 func (c *call) recordLoss(a *assignment) {
 	now := c.g.now()
-	c.g.endDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
+	c.g.crashDetector.add(quarantine.TimedLoss{At: now, Loss: quarantine.Loss{
 		Key: c.key(), Hint: c.hint(), Account: c.account.Name, Pool: c.pool.Name, Server: a.serverID, Address: a.address, RunTime: now - a.startedAt, Retry: c.losses > 0,
 		PoolAnswering: c.g.table.othersAnswering(c.pool.Name, a.serverID),
 	}})
@@ -216,6 +216,6 @@
 	if !c.hasSuspicion && c.losses == 0 {
 		return
 	}
-	c.g.endDetector.forget(c.key())
+	c.g.crashDetector.forget(c.key())
 	c.g.suspicions.clear(c.key())
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -16,7 +16,7 @@
 )
 
 // This file tests how a gateway applies the directory's list of requests during which servers
-// ended.
+// crashed.
 
 // requestKey returns the key of the request that [fixture.request] sends to a path.
 func requestKey(path string) quarantine.Key {
@@ -24,12 +24,12 @@
 }
 
 // listSuspects applies a leader's whole list with entries for the given paths.
-func (x *fixture) listSuspects(ends int, condemned bool, paths ...string) {
+func (x *fixture) listSuspects(crashes int, condemned bool, paths ...string) {
 	m := protocol.Quarantine{Whole: true}
 	for _, path := range paths {
 		k := requestKey(path)
 		m.Set = append(m.Set, protocol.Quarantined{
-			Key: k[:], Hint: uint32(quarantine.HintOf("t", "POST", "host", path, len("a body"))), Ends: uint8(ends), Condemned: condemned,
+			Key: k[:], Hint: uint32(quarantine.HintOf("t", "POST", "host", path, len("a body"))), Ends: uint8(crashes), Condemned: condemned,
 		})
 	}
 	x.g.suspicions.applyList(m)
@@ -86,21 +86,21 @@
 	}
 }
 
-// TestNoAttemptAfterThreeServerEnds checks that no attempt is made after servers ended under three
-// attempts, no matter how many of the ends are known from the list.
-func TestNoAttemptAfterThreeServerEnds(t *testing.T) {
-	for listedEnds, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two attempts
+// TestNoAttemptAfterThreeServerCrashes checks that no attempt is made after servers crashed under
+// three attempts, no matter how many of the crashes are known from the list.
+func TestNoAttemptAfterThreeServerCrashes(t *testing.T) {
+	for listedCrashes, sent := range map[int]int{0: 2, 1: 2, 2: 1, 5: 1} { // the route allows two attempts
 		withGateway(t, func(x *fixture) {
 			is := is.New(t)
-			x.listSuspects(listedEnds, false, "/again/deadly")
+			x.listSuspects(listedCrashes, false, "/again/deadly")
 			is.Equal(x.request("/again/deadly").status, 502)
 			is.Equal(x.servers.count(), sent)
 		}, breaksConnection, breaksConnection, breaksConnection)
 	}
 }
 
-// TestUndecidedRequestWaitsForDecision checks that a request with three ends waits for the leader's
-// decision and is sent if there is none in time.
+// TestUndecidedRequestWaitsForDecision checks that a request with three crashes waits for the
+// leader's decision and is sent if there is none in time.
 func TestUndecidedRequestWaitsForDecision(t *testing.T) {
 	for _, condemned := range []bool{false, true} {
 		withGateway(t, func(x *fixture) {
@@ -118,7 +118,7 @@
 }
 
 // TestAnsweredRequestIsNotSuspectedLater checks that a request is not suspected if its second
-// attempt is answered before the first attempt's server is found to have ended.
+// attempt is answered before the first attempt's server is found to have crashed.
 func TestAnsweredRequestIsNotSuspectedLater(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
@@ -131,7 +131,7 @@
 }
 
 // TestGatewayWithoutLeaderCondemnsByItsOwnEvidence checks that a gateway without a leader refuses a
-// request that it has seen at three ends, and reports all its evidence to the next leader.
+// request that it has seen at three crashes, and reports all its evidence to the next leader.
 func TestGatewayWithoutLeaderCondemnsByItsOwnEvidence(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(t)
@@ -139,7 +139,7 @@
 		time.Sleep(time.Second)                        // long enough to find that the servers are still running
 		for i := range 3 {
 			at := fmt.Sprintf("10.0.5.%d:80", i)
-			x.g.endDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
+			x.g.crashDetector.add(quarantine.TimedLoss{At: x.g.now(), Loss: quarantine.Loss{
 				Key: requestKey("/again/deadly"), Pool: "plain", Server: fmt.Sprint("p", i), Address: at, RunTime: 50 * time.Millisecond, PoolAnswering: true,
 			}})
 			x.servers.stop(at)
--- a/gateway/queue.go
+++ b/gateway/queue.go
@@ -11,9 +11,9 @@
 	"github.com/badgerspoke/badgerspoke/coordination/entitlement"
 )
 
-// This file defines the queue of requests that wait for room on backend servers.
+// This file defines the queue of requests that wait for capacity on backend servers.
 
-// waiter is a request that waits for room.
+// waiter is a request that waits for capacity.
 type waiter struct {
 	requirements
 	seq      uint64
@@ -29,25 +29,25 @@
 	return a, shortage{}
 }
 
-// awaitServer returns a backend server for the request. It waits for room until ctx ends or
-// patience is over, and then returns nil and the reason. It locks table.mu.
-func (g *Gateway) awaitServer(ctx context.Context, req requirements, patience time.Duration) (*assignment, shortage) {
+// awaitServer returns a backend server for the request. It waits for capacity until ctx ends or
+// queueTimeout has passed, and then returns nil and the reason. It locks table.mu.
+func (g *Gateway) awaitServer(ctx context.Context, req requirements, queueTimeout time.Duration) (*assignment, shortage) {
 	t := g.table
 	t.mu.Lock()
 	p := t.pool(req.pool.Name)
 	var a *assignment
-	var shortfall shortage
-	if shortfall.homesCause = t.homesRefusal(p, &req); !shortfall.final() && !g.outranked(p, req) {
-		a, shortfall = t.acquire(g.now(), req)
+	var short shortage
+	if short.homesCause = t.homesRefusal(p, &req); !short.final() && !g.outranked(p, req) {
+		a, short = t.acquire(g.now(), req)
 	}
-	if a != nil || patience <= 0 || shortfall.final() {
+	if a != nil || queueTimeout <= 0 || short.final() {
 		t.mu.Unlock()
-		return a, shortfall
+		return a, short
 	}
-	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: shortfall}
+	waiting := &waiter{requirements: req, seq: g.seq.Add(1), granted: make(chan *assignment, 1), shortage: short}
 	p.waiting = append(p.waiting, waiting)
 	t.mu.Unlock()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(queueTimeout)
 	defer timer.Stop()
 	select {
 	case a := <-waiting.granted:
@@ -59,7 +59,8 @@
 }
 
 // stopWaiting removes a request from the queue; a backend server may have been granted just before.
-// A request that its account's share covers takes any server with room rather than being refused.
+// A request that its account's share covers takes any server with capacity rather than being
+// refused.
 func (g *Gateway) stopWaiting(ctx context.Context, p *pool, wt *waiter) (*assignment, shortage) {
 	g.table.mu.Lock()
 	defer g.table.mu.Unlock()
@@ -85,8 +86,8 @@
 	})
 }
 
-// grantWaiting assigns backend servers to waiting requests, in order, as far as there is room. The
-// caller holds table.mu.
+// grantWaiting assigns backend servers to waiting requests, in order, as far as there is capacity.
+// The caller holds table.mu.
 func (g *Gateway) grantWaiting(p *pool) {
 	if len(p.waiting) == 0 {
 		return
@@ -96,11 +97,11 @@
 	})
 	now := g.now()
 	p.waiting = slices.DeleteFunc(p.waiting, func(wt *waiter) bool {
-		a, shortfall := g.table.acquire(now, wt.requirements)
+		a, short := g.table.acquire(now, wt.requirements)
 		if a == nil {
-			wt.shortage = shortfall
+			wt.shortage = short
 		}
-		if a == nil && !shortfall.backingOff {
+		if a == nil && !short.backingOff {
 			return false
 		}
 		wt.granted <- a
--- a/gateway/regions_versions_test.go
+++ b/gateway/regions_versions_test.go
@@ -69,8 +69,8 @@
 			x.announceVersion("old", 2, map[string]string{"north": "s1", "south": "n1"}[home], "nowhere")
 			x.announceVersion("new", 2, home[:1]+"2")
 			x.sendRollout(1, 1, protocol.Rollout{Attempt: 1, Target: "new", Share: 0.1})
-			for _, leased := range []bool{false, true} {
-				if leased {
+			for _, sharesInForce := range []bool{false, true} {
+				if sharesInForce {
 					x.renewShares()
 				}
 				is.Equal(x.countAnswers("/once/x", 10), map[string]int{"new": 10})
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -76,13 +76,14 @@
 	case err == nil:
 		return outcome{execution: retry.Answered}
 	case errors.As(err, new(writeFailed)):
-		return callerGone(err)
+		return callerLeftOutcome(err)
 	}
 	return outcome{execution: retry.MayHaveRun, cause: "cut off", verdict: outlier.Lost, err: err}
 }
 
-// callerGone returns the outcome of an attempt whose answer could not be written to the caller.
-func callerGone(err error) outcome {
+// callerLeftOutcome returns the outcome of an attempt whose answer could not be written to the
+// caller.
+func callerLeftOutcome(err error) outcome {
 	return outcome{execution: retry.MayHaveRun, cause: "caller gone", verdict: outlier.NoVerdict, err: err}
 }
 
@@ -147,7 +148,7 @@
 			case writeErr == errTooLarge:
 				return outcome{execution: retry.MayHaveRun, cause: "stream broken", verdict: outlier.Faulty, err: writeErr}
 			case writeErr != nil:
-				return callerGone(writeErr)
+				return callerLeftOutcome(writeErr)
 			}
 		}
 		if err == io.EOF {
@@ -181,7 +182,7 @@
 func (r *relay) finishStream(answer *forward.Response, flusher *http.ResponseController) outcome {
 	if len(r.partial) > 0 && !r.c.route.Resumable {
 		if _, err := r.c.w.Write(r.partial); err != nil {
-			return callerGone(err)
+			return callerLeftOutcome(err)
 		}
 		r.partial = r.partial[:0]
 	}
--- a/gateway/table.go
+++ b/gateway/table.go
@@ -32,8 +32,8 @@
 	notice       backpressure.Notice // last notice of backoff or leaving
 	region       string              // region of its hall; empty if no setting assigns one
 	versionSet   versionSet          // kinds of its version in the pool's rollout
-	lastList     uint64              // number of the last complete list that held it, itself or by a later change
-	unlisted     bool                // missing from a complete list of the directory
+	lastList     uint64              // number (table.listCount) of the last whole list that named it, itself or by a later change
+	unlisted     bool                // not announcing itself to the leader, see [table.markUnlisted]
 	removed      bool                // no longer in the pool
 }
 
@@ -67,10 +67,10 @@
 	hallChanges     uint64          // version of hallsOut
 	coldSharesUntil time.Duration   // expiry of this gateway's shares of cold servers
 
-	rollouts    rolloutListID    // newest list received
-	sharesUntil time.Duration    // expiry of the rollout shares
-	linkBudget  place.LinkBudget // between this gateway's region and the others
-	homes       homesIndex       // of the document in force
+	rollouts           rolloutListID    // newest list received
+	rolloutSharesUntil time.Duration    // expiry of the rollout shares
+	linkBudget         place.LinkBudget // between this gateway's region and the others
+	homes              homesIndex       // of the document in force
 }
 
 // pool holds the backend servers of a pool and the requests waiting for them.
@@ -309,8 +309,11 @@
 }
 
 // markUnlisted marks backend servers that are neither in the last whole list nor in a later change.
-// They are used only as long as they answer. Marking once per list is enough: servers added later
-// are listed, and Unlisted names the others. The caller holds mu.
+// A whole list ([protocol.Servers].Whole) is not a delta, but a new leader may send it before every
+// server has announced itself; servers are marked only once the leader sets Complete, which says
+// that all had time to do so. Marked servers are used only as long as they answer. Marking once per
+// list is enough: servers added later are listed, and Unlisted names the others. The caller holds
+// mu.
 func (t *table) markUnlisted() {
 	t.markedList = t.listCount
 	for _, k := range t.servers {
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -19,10 +19,10 @@
 // This file defines which versions of a pool's backend servers a request may go to while the
 // pool has a rollout. The outcomes of the attempts are counted in outcomes.go.
 
-// sharesLease is how long rollout shares stay in force after the gateway sent the last report that
-// the leader has counted. It is twice the longest interval between two of the leader's load totals,
-// plus a few report periods.
-const sharesLease = 2 * time.Second
+// rolloutSharesLease is how long rollout shares stay in force after the gateway sent the last
+// report that the leader has counted. It is twice the longest interval between two of the leader's
+// load totals, plus a few report periods.
+const rolloutSharesLease = 2 * time.Second
 
 // switchDuration is how long a gateway takes after the switch to move all requests to engines of
 // the target. It covers the longest interval between two of the leader's load totals. If requests
@@ -201,7 +201,7 @@
 // versionOrder is the order in which versions are tried for a request.
 type versionOrder struct {
 	first, second             versionSet // second may be empty
-	onlyIfNone                bool       // second is tried only if first has no usable candidate, not if it lacks room
+	onlyIfNone                bool       // second is tried only if first has no usable candidate, not if it lacks capacity
 	firstReason, secondReason string     // why the request goes to first or second, for the log
 }
 
@@ -211,7 +211,7 @@
 	reasonShare      = "share"       // random draw within the target's share
 	reasonRest       = "rest"        // random draw outside the target's share
 	reasonRetry      = "retry"       // an earlier attempt failed
-	reasonNoRoom     = "no room"     // the trial servers have no room
+	reasonNoRoom     = "no room"     // the trial servers have no capacity
 	reasonNoLease    = "no lease"    // the lease of the leader's shares has expired
 	reasonBadAnswers = "bad answers" // too many bad answers at this gateway ([breaker])
 	reasonSwitched   = "switched"    // the target gets all requests
@@ -236,7 +236,7 @@
 		return versionOrder{first: anyVersion, firstReason: reasonOldGone}
 	case r.Final:
 		return versionOrder{first: targetVersion, firstReason: reasonSwitched, second: oldVersion, onlyIfNone: true, secondReason: reasonNoneUsable}
-	case now >= t.sharesUntil:
+	case now >= t.rolloutSharesUntil:
 		o := versionOrder{first: oldVersion, firstReason: reasonNoLease}
 		if r.switched && len(req.triedServers) > 0 { // the old servers may have stopped
 			o.second, o.secondReason = targetVersion, reasonRetry
@@ -289,12 +289,12 @@
 // server may still be full or in backoff. The caller holds mu.
 func (t *table) inService(k *knownServer) bool { return !t.hallsOut[k.Hall] && !k.notice.Leaving() }
 
-// anyUsable reports whether a server of the given versions may take the request now, if it has room.
-// The caller holds mu.
+// anyUsable reports whether a server of the given versions may take the request now, if it has
+// capacity. The caller holds mu.
 func (t *table) anyUsable(p *pool, now time.Duration, req *requirements, among versionSet) bool {
-	leased := now < t.coldSharesUntil
+	coldSharesInForce := now < t.coldSharesUntil
 	return slices.ContainsFunc(p.servers, func(k *knownServer) bool {
-		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, leased) && t.homesAllow(req, k)
+		return k.versionSet&among != 0 && t.inService(k) && k.cold.Admits(now, coldSharesInForce) && t.homesAllow(req, k)
 	})
 }
 
@@ -315,12 +315,12 @@
 
 // versionAttempt says what an attempt is counted as while its pool has a rollout.
 type versionAttempt struct {
-	tally         *tally // nil if the attempt is not counted
-	attempt       uint64 // number of the pool's rollout attempt
-	version       string
-	isTarget      bool
-	reason        string        // why the request went to this version, for the log
-	expectedFirst time.Duration // expected time to the first part of the answer
+	tally          *tally // nil if the attempt is not counted
+	rolloutAttempt uint64 // number of the pool's rollout attempt
+	version        string
+	isTarget       bool
+	reason         string        // why the request went to this version, for the log
+	expectedFirst  time.Duration // expected time to the first part of the answer
 }
 
 // beginAttempt counts the start of an attempt at a server.
@@ -329,7 +329,7 @@
 	if r == nil {
 		return versionAttempt{}
 	}
-	t := versionAttempt{version: k.Version, reason: reason, attempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
+	t := versionAttempt{version: k.Version, reason: reason, rolloutAttempt: r.Attempt, isTarget: r.Target != "" && k.Version == r.Target}
 	if r.underWay() {
 		t.tally = r.outcomes.tallyFor(k.Version, req.route.Name)
 		t.tally.sent++
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -78,7 +78,7 @@
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100}) // no report has been counted
 		x.renewShares()
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 70, "new": 30})
-		time.Sleep(sharesLease)
+		time.Sleep(rolloutSharesLease)
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
 		x.g.table.updateLoads(x.g.now(), 1, nil) // a late message, as after the gateway was frozen
 		is.Equal(x.countAnswers("/once/1", 100), map[string]int{"old": 100})
@@ -164,8 +164,8 @@
 	}, oldAndNew...)
 }
 
-// TestAppliedListNumber checks that a list is reported as applied only while its shares are in force
-// and nothing keeps requests from the target. Otherwise the old servers are still needed.
+// TestAppliedListNumber checks that a list is reported as applied only while its shares are in
+// force and nothing keeps requests from the target. Otherwise the old servers are still needed.
 func TestAppliedListNumber(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -178,7 +178,7 @@
 		is.Equal(appliedList(), uint64(0)) // no report has been counted
 		x.renewShares()
 		is.Equal(appliedList(), uint64(7))
-		time.Sleep(sharesLease)
+		time.Sleep(rolloutSharesLease)
 		is.Equal(appliedList(), uint64(0))
 		x.renewShares()
 		x.countAnswers("/once/1", breakerThreshold)
@@ -318,8 +318,8 @@
 }
 
 // TestColdTargetServerKeepsToItsColdShare checks that a cold server of the target gets no more than
-// its share as a cold server, that the remaining requests go to the old version, and that no pace
-// is counted for it.
+// its share as a cold server, that the remaining requests go to the old version, and that no
+// latency ratio is counted for it.
 func TestColdTargetServerKeepsToItsColdShare(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
@@ -339,8 +339,8 @@
 }
 
 // TestReportedOutcomesAreCumulative checks that each report has the outcomes that have changed, and
-// the first one of a session all. An answer that had not begun at its timeout counts with that time
-// as its pace.
+// the first one of a session all. An answer that had not begun at its timeout counts with the
+// latency ratio that this time gives.
 func TestReportedOutcomesAreCumulative(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/protocol/watch.go
+++ b/protocol/watch.go
@@ -103,8 +103,9 @@
 	// Whole is set if Set is the leader's whole list, or the first part of it.
 	Whole bool `cbor:"2,keyasint,omitempty"`
 	// Complete is set at least once if the leader has led for longer than backend servers take
-	// to announce themselves. A server that is neither in the last whole list nor in a later
-	// Set is then not announcing itself.
+	// to announce themselves. It says nothing about whether this message is a whole list or a
+	// change. A server that is neither in the last whole list nor in a later Set is then not
+	// announcing itself.
 	Complete bool     `cbor:"3,keyasint,omitempty"`
 	Set      []Server `cbor:"4,keyasint,omitempty"`
 	Removed  []string `cbor:"5,keyasint,omitempty"` // identifiers of servers that are leaving, withdrawn or replaced
