--- a/gateway/backoff_test.go
+++ b/gateway/backoff_test.go
@@ -244,8 +244,8 @@
 	})
 }
 
-// TestWaitingRequestsAvoidServerInBackoff checks that requests waiting for room are not assigned
-// to a server in backoff when the other servers fill up.
+// TestWaitingRequestsAvoidServerInBackoff checks that requests waiting for capacity are not
+// assigned to a server in backoff when the other servers fill up.
 func TestWaitingRequestsAvoidServerInBackoff(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -20,8 +20,8 @@
 //     (routes.go), classifies it by the account's share (accounts.go), checks the processor's
 //     scheduling delay, and only then reads the body. call.serve acquires servers and makes
 //     attempts until one answers.
-//   - acquire.go, queue.go: the call gets a server at once if the most suitable one has room
-//     (choose.go), and waits in fair order otherwise. The candidates depend on the regions
+//   - acquire.go, queue.go: the call gets a server at once if the most suitable one has
+//     capacity (choose.go), and waits in fair order otherwise. The candidates depend on the regions
 //     (regions.go), on the homes of its route and account (homes.go) and, during a rollout of the
 //     pool, on their versions (versions.go).
 //   - attempt.go: one attempt sends the request and reports whether it ran;
@@ -32,6 +32,16 @@
 //   - finish.go: the gateway's own error response if there is one (errors.go), the counters
 //     (stats.go; tokens.go per account) and the log line.
 //
+// # Terms
+//
+//   - An engine is a backend server that runs a model; its work is counted in tokens. The servers of
+//     all other pools form plain services, whose work is counted in requests.
+//   - A cold server has just started, or become cold again, and can handle only the request rate that
+//     its pool states. The leader divides this rate among the gateways (coordination/coldstart).
+//   - The homes of a route or an account are the regions in which its requests may be served.
+//   - A handle is the number that the leader assigns to a backend server, which identifies it in load
+//     reports and totals.
+//
 // # Goroutines
 //
 // There is one goroutine per request (from net/http); one for the watcher (watch.go) and one for
--- a/gateway/leaving_test.go
+++ b/gateway/leaving_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestWaitingRequestsAvoidLeavingServer checks that requests waiting for room are not assigned to
-// a server that is leaving, even while streams on it continue.
+// TestWaitingRequestsAvoidLeavingServer checks that requests waiting for capacity are not assigned
+// to a server that is leaving, even while streams on it continue.
 func TestWaitingRequestsAvoidLeavingServer(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
--- a/gateway/regions.go
+++ b/gateway/regions.go
@@ -97,10 +97,10 @@
 
 // Values of stayReason. They are values of log attributes and of a metric's label.
 const (
-	stayedForClass stayReason = "class" // the request is beyond its account's share
-	stayedForTime  stayReason = "time"  // the round trip would miss its objective, or it has not waited long enough
-	stayedForLink  stayReason = "link"  // the link budget lacks the bytes, or the link looks congested
-	stayedForRoom  stayReason = "room"  // no other region has room either
+	stayedForClass    stayReason = "class" // the request is beyond its account's share
+	stayedForTime     stayReason = "time"  // the round trip would miss its objective, or it has not waited long enough
+	stayedForLink     stayReason = "link"  // the link budget lacks the bytes, or the link looks congested
+	stayedForCapacity stayReason = "room"  // no other region has capacity either
 )
 
 // choose returns the best backend server for the request, as an index into the pool's servers. It
@@ -121,7 +121,7 @@
 		return local, regionDecision{}
 	}
 	remote, stay := t.chooseRemote(p, now, req, reason, local.Index >= 0)
-	if stay == "" || local.Index < 0 || (reason == place.NoServer && remote.Index >= 0 && stay == stayedForRoom) {
+	if stay == "" || local.Index < 0 || (reason == place.NoServer && remote.Index >= 0 && stay == stayedForCapacity) {
 		return remote, regionDecision{reason: reason, stayReason: stay}
 	}
 	return local, regionDecision{stayReason: stay}
@@ -132,7 +132,7 @@
 // Ejected servers of other regions are considered only if the own region has no ejected one
 // either. The caller holds mu.
 func (t *table) chooseRemote(p *pool, now time.Duration, req *requirements, reason place.LeaveReason, ownEjected bool) (place.Choice, stayReason) {
-	best, bestReason, stay := place.Choice{Index: -1}, place.NoServer, stayedForRoom
+	best, bestReason, stay := place.Choice{Index: -1}, place.NoServer, stayedForCapacity
 	required := reason == place.NoServer
 	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: required}
 	admitted := t.linkBudget.Admits(now, t.site.linkShare(req.gateways), transfer)
@@ -201,7 +201,7 @@
 	return c
 }
 
-// chooseWithCapacity is choose restricted to servers that have room. The caller holds mu.
+// chooseWithCapacity is choose restricted to servers that have capacity. The caller holds mu.
 func (t *table) chooseWithCapacity(p *pool, now time.Duration, req *requirements) (place.Choice, regionDecision) {
 	req.homes = t.homes.forRequest(req)
 	if !t.site.hasRemoteRegions() || len(p.regions) == 0 {
@@ -225,8 +225,8 @@
 	return remote, regionDecision{reason: reason}
 }
 
-// chooseRemoteWithCapacity returns a server with room in the nearest other region, for a request that
-// its own region cannot serve. Ejected servers of other regions are considered only if the own
+// chooseRemoteWithCapacity returns a server with capacity in the nearest other region, for a request
+// that its own region cannot serve. Ejected servers of other regions are considered only if the own
 // region has no ejected one either. The caller holds mu.
 func (t *table) chooseRemoteWithCapacity(p *pool, now time.Duration, req *requirements, ownEjected bool) place.Choice {
 	transfer := place.Transfer{Bytes: float64(req.requestBytes) + p.expectedAnswerBytes(), Class: req.Class, Required: true}
--- a/gateway/regions_test.go
+++ b/gateway/regions_test.go
@@ -198,10 +198,10 @@
 	})
 }
 
-// TestRequestCrossesIfRegionHasNoRoom checks a request whose own region has no room: it crosses if
-// another region has room, the round trip fits its objective, and it is within its account's share.
-// Otherwise it waits, and crosses once there is room.
-func TestRequestCrossesIfRegionHasNoRoom(t *testing.T) {
+// TestRequestCrossesIfRegionHasNoCapacity checks a request whose own region has no capacity: it
+// crosses if another region has capacity, the round trip fits its objective, and it is within its
+// account's share. Otherwise it waits, and crosses once there is capacity.
+func TestRequestCrossesIfRegionHasNoCapacity(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.joinNorthRegion()
--- a/gateway/shares_test.go
+++ b/gateway/shares_test.go
@@ -20,11 +20,12 @@
 	"github.com/badgerspoke/badgerspoke/transport/forward"
 )
 
-// This file tests how room on backend servers is divided, and which requests wait or are refused.
+// This file tests how the capacity of backend servers is divided, and which requests wait or are
+// refused.
 
-// TestRequestWaitsForRoom occupies every slot. One more request waits for its part of the objective
-// and is refused; a later one that finds room in time is served.
-func TestRequestWaitsForRoom(t *testing.T) {
+// TestRequestWaitsForCapacity occupies every slot. One more request waits for its part of the
+// objective and is refused; a later one that finds capacity in time is served.
+func TestRequestWaitsForCapacity(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		var group sync.WaitGroup
@@ -43,9 +44,9 @@
 	}, answers(200, "fine", 500*time.Millisecond))
 }
 
-// TestLoadFromOtherGatewaysReducesRoom checks that load from other gateways reduces the room on a
-// server.
-func TestLoadFromOtherGatewaysReducesRoom(t *testing.T) {
+// TestLoadFromOtherGatewaysReducesCapacity checks that load from other gateways reduces the capacity
+// that a server has left.
+func TestLoadFromOtherGatewaysReducesCapacity(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.g.table.updateLoads(x.g.now(), 0, []protocol.ServerLoad{{Handle: 50, Requests: 8}})
@@ -226,7 +227,7 @@
 		is.True(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").cut)
 		is.Equal(x.servers.count(), 0)
 		is.Equal(x.g.accounts.takeReport().Started, uint64(0))
-		is.Equal(len(x.g.table.ownLoads()), 0) // and it takes no room
+		is.Equal(len(x.g.table.ownLoads()), 0) // and it takes no capacity
 		ctx = WithCallerLeft(x.t.Context(), func() bool { return false })
 		is.Equal(x.requestWith(ctx, http.MethodPost, "/engine/x", "a body", "Tokens", "700").status, 200)
 	})
@@ -268,9 +269,9 @@
 	})
 }
 
-// TestRequestBeyondShareWithoutRoomIsNotMissed checks that a request beyond the named shares does
-// not count as missed if no engine has room, but does if this gateway lacks memory.
-func TestRequestBeyondShareWithoutRoomIsNotMissed(t *testing.T) {
+// TestRequestBeyondShareWithoutCapacityIsNotMissed checks that a request beyond the named shares does
+// not count as missed if no engine has capacity, but does if this gateway lacks memory.
+func TestRequestBeyondShareWithoutCapacityIsNotMissed(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
 		x.announceServers("engines", streams(piece{text: event(1)}))
--- a/gateway/versions.go
+++ b/gateway/versions.go
@@ -211,7 +211,7 @@
 	reasonShare      = "share"       // random draw within the target's share
 	reasonRest       = "rest"        // random draw outside the target's share
 	reasonRetry      = "retry"       // an earlier attempt failed
-	reasonNoRoom     = "no room"     // the trial servers have no capacity
+	reasonNoCapacity = "no room"     // the trial servers have no capacity
 	reasonNoLease    = "no lease"    // the lease of the leader's shares has expired
 	reasonBadAnswers = "bad answers" // too many bad answers at this gateway ([breaker])
 	reasonSwitched   = "switched"    // the target gets all requests
@@ -251,7 +251,7 @@
 	case len(req.triedServers) > 0:
 		return versionOrder{first: oldVersion, firstReason: reasonRetry}
 	case versionDraw(req.random) < r.routeShare(req.route.Name):
-		return versionOrder{first: trialVersion, firstReason: reasonShare, second: oldVersion, secondReason: reasonNoRoom}
+		return versionOrder{first: trialVersion, firstReason: reasonShare, second: oldVersion, secondReason: reasonNoCapacity}
 	}
 	return versionOrder{first: oldVersion, firstReason: reasonRest}
 }
--- a/gateway/versions_test.go
+++ b/gateway/versions_test.go
@@ -200,8 +200,8 @@
 	}, answers(200, "old", time.Millisecond), answers(500, "bad", time.Millisecond))
 }
 
-// TestRetryGoesToTheOldVersion checks that requests that failed at the target, or found no room
-// there, go to the old version.
+// TestRetryGoesToTheOldVersion checks that requests that failed at the target, or found no
+// capacity there, go to the old version.
 func TestRetryGoesToTheOldVersion(t *testing.T) {
 	withGateway(t, func(x *fixture) {
 		is := is.New(x.t)
