--- a/directory/activerollout_test.go
+++ b/directory/activerollout_test.go
@@ -47,7 +47,7 @@
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 1})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, appliedLists: map[*session]appliedLists{}}
 	report := func(s *session, sent, failed uint64, paces ...uint32) {
 		h.addOutcomes(s, protocol.Usage{Outcomes: []protocol.Outcomes{
 			{Pool: "p", Attempt: 1, Version: "v2", Route: "r", Sent: sent, Answered: sent - failed, Failed: failed, PaceCounts: paces},
@@ -57,19 +57,19 @@
 		t := r.totals["r"].Target
 		return []uint64{t.Sent, t.Answered, t.Failed, t.Paces[1]}
 	}
-	north := &session{gateway: "relay", bootID: 1, relay: true}
+	north := &session{gateway: "relay", bootID: 1, isRelay: true}
 	report(north, 30, 4, 0, 9)
 	report(&session{gateway: "g", bootID: 1}, 10, 1, 0, 3)
 	is.Equal(total(), []uint64{40, 35, 5, 12})
 	h.removeOutcomes(north)
 	is.Equal(total(), []uint64{10, 9, 1, 3})
-	again := &session{gateway: "relay", bootID: 1, relay: true} // the same run, or another
-	report(again, 20, 3, 0, 6)                                  // one of its gateways has not reconnected yet
-	h.removeOutcomes(north)                                     // the end of its link is detected last
+	again := &session{gateway: "relay", bootID: 1, isRelay: true} // the same run, or another
+	report(again, 20, 3, 0, 6)                                    // one of its gateways has not reconnected yet
+	h.removeOutcomes(north)                                       // the end of its link is detected last
 	report(again, 31, 4, 0, 9)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	report(again, 21, 1, 0, 3) // one gateway moves to another relay
-	report(&session{gateway: "other relay", bootID: 1, relay: true}, 10, 3, 0, 6)
+	report(&session{gateway: "other relay", bootID: 1, isRelay: true}, 10, 3, 0, 6)
 	is.Equal(total(), []uint64{41, 36, 5, 12})
 	gone := &session{gateway: "g", bootID: 1}
 	h.removeOutcomes(gone) // a gateway's own totals are kept
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2", Attempt: 2})
 	h := &hub{}
-	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, applied: map[*session]appliedLists{}}
+	h.rollouts = rollouts{underWay: map[string]*activeRollout{"p": r}, appliedLists: map[*session]appliedLists{}}
 	report := func(list ...protocol.BarredTarget) {
 		h.addOutcomes(&session{gateway: "g", bootID: 1}, protocol.Usage{Barred: list})
 	}
@@ -172,10 +172,10 @@
 // reported twice: before the relay has named its gateways, their load is not in the sums either.
 func TestNewRelaySessionDelaysCompletion(t *testing.T) {
 	is := is.New(t)
-	s := &session{gateway: "relay", relay: true, supportsRollouts: true}
+	s := &session{gateway: "relay", isRelay: true, supportsRollouts: true}
 	earlier := &session{gateway: "g"} // its version does not support rollouts
 	h := &hub{registry: registry.New(0, time.Second, registry.NewHandles(1)), usage: newUsage(), sessions: map[*session]bool{s: true, earlier: true}}
-	h.rollouts = rollouts{applied: map[*session]appliedLists{}}
+	h.rollouts = rollouts{appliedLists: map[*session]appliedLists{}}
 	r := newTestRollout(document.Rollout{Pool: "p", Target: "v2"})
 	r.fullShareSeq = 2
 	for _, want := range []bool{false, false, true} {
--- a/directory/announcer.go
+++ b/directory/announcer.go
@@ -193,8 +193,8 @@
 	now := h.d.replica.Now()
 	for _, a := range batch {
 		if r := h.relay; r != nil && r.out != nil && a.ColdLeft == 0 {
-			if handle, ok := r.list.LeaderHandle(now, a.Registration); ok {
-				m.Unchanged, m.Term = append(m.Unchanged, protocol.UnchangedAnnouncement{Handle: handle, Seq: a.Seq}), r.list.Term()
+			if handle, ok := r.serverList.LeaderHandle(now, a.Registration); ok {
+				m.Unchanged, m.Term = append(m.Unchanged, protocol.UnchangedAnnouncement{Handle: handle, Seq: a.Seq}), r.serverList.Term()
 				continue
 			}
 		}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -122,7 +122,7 @@
 		l.gateways = append(l.gateways, &session{gateway: fmt.Sprint("g", i)})
 	}
 	for i := range relays {
-		l.relays = append(l.relays, &session{gateway: fmt.Sprint("r", i), relay: true, loads: map[uint32]protocol.ServerLoad{}})
+		l.relays = append(l.relays, &session{gateway: fmt.Sprint("r", i), isRelay: true, loads: map[uint32]protocol.ServerLoad{}})
 	}
 	for i := range accounts {
 		l.accounts = append(l.accounts, protocol.Demand{Account: fmt.Sprint("tenant", i), Tokens: 2000})
--- a/directory/export_test.go
+++ b/directory/export_test.go
@@ -31,7 +31,7 @@
 func (d *Directory) ServedGateways(ctx context.Context) (names []string, err error) {
 	err = d.hub.do(ctx, func() error {
 		for s := range d.hub.sessions {
-			if !s.relay {
+			if !s.isRelay {
 				names = append(names, s.gateway)
 			}
 		}
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -59,7 +59,7 @@
 	sessions          map[*session]bool
 	pendingChange     registry.Change // not yet sent to the sessions
 	sentHallChanges   uint64          // number of hall changes as of the last hall state sent
-	list              *wholeList      // for new sessions; nil means that it must be rebuilt
+	cachedList        *wholeList      // for new sessions; nil means that it must be rebuilt
 	usage             *usage
 	feed              registry.LoadFeed
 	nextFleetAt       time.Duration     // earliest time of the next Fleet message
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -53,10 +53,10 @@
 func (h *hub) sendListChange(m protocol.Servers, relays bool) {
 	h.sendToSessions(m, func(s *session) bool {
 		// A waiting relay gets the change with its list.
-		return s.relay == relays && s.lastListed == "" && !(relays && slices.Contains(h.awaitingList, s))
+		return s.isRelay == relays && s.lastListed == "" && !(relays && slices.Contains(h.awaitingList, s))
 	})
 	m.Complete = false
-	h.sendToSessions(m, func(s *session) bool { return s.relay == relays && s.lastListed != "" })
+	h.sendToSessions(m, func(s *session) bool { return s.isRelay == relays && s.lastListed != "" })
 }
 
 // sendToSessions sends a list change to the selected sessions, and counts its bytes.
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -26,7 +26,7 @@
 // false if the list cannot be encoded.
 func (h *hub) sendOrQueueList(s *session) bool {
 	if len(h.awaitingList) > 0 || h.listPace.Wait(h.d.replica.Now()) > 0 {
-		if !s.relay { // a relay takes its first list for the whole one
+		if !s.isRelay { // a relay takes its first list for the whole one
 			s.out.Send(h.listHeader())
 		}
 		h.awaitingList = append(h.awaitingList, s)
@@ -57,7 +57,7 @@
 	}
 	s.lastListed = ""
 	h.sendSums(s)
-	if s.relay && len(h.sentPlaces) > 0 { // a relay ignores places sent before its list
+	if s.isRelay && len(h.sentPlaces) > 0 { // a relay ignores places sent before its list
 		s.out.Send(protocol.ServingReplicas{List: h.sentPlaces})
 	}
 	return true, true
@@ -79,7 +79,7 @@
 func (h *hub) sendDocuments() {
 	h.documentsPending = false
 	for s := range h.sessions {
-		if s.relay || s.documentNumber >= h.encodedDocument.Number {
+		if s.isRelay || s.documentNumber >= h.encodedDocument.Number {
 			continue
 		}
 		if h.listPace.Wait(h.d.replica.Now()) > 0 {
@@ -114,7 +114,7 @@
 }
 
 // isRelaySession reports whether a session is that of a relay.
-func isRelaySession(s *session) bool { return s.relay }
+func isRelaySession(s *session) bool { return s.isRelay }
 
 // relayAwaitsList reports whether a relay is waiting for the list. Until it has the list, the
 // leader also serves its gateways.
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -24,7 +24,7 @@
 }
 
 func (s *session) reporter() reporter {
-	if s.relay {
+	if s.isRelay {
 		return reporter{relaySession: s}
 	}
 	return reporter{gateway: s.gateway, bootID: s.bootID}
@@ -37,7 +37,7 @@
 	if u.Term != 0 && u.Term != h.term {
 		u.AppliedRollouts = 0 // the number is that of another leader's list
 	}
-	h.rollouts.applied[s] = appliedLists{newest: u.AppliedRollouts, previous: h.rollouts.applied[s].newest}
+	h.rollouts.appliedLists[s] = appliedLists{newest: u.AppliedRollouts, previous: h.rollouts.appliedLists[s].newest}
 	for _, o := range u.Outcomes {
 		if r := h.rollouts.underWay[o.Pool]; r != nil && r.Attempt == o.Attempt {
 			r.addOutcomes(s.reporter(), o)
@@ -97,8 +97,8 @@
 // removeOutcomes drops the state of a session that has ended. A gateway's totals are kept, since the
 // target has received those requests.
 func (h *hub) removeOutcomes(s *session) {
-	delete(h.rollouts.applied, s)
-	if !s.relay {
+	delete(h.rollouts.appliedLists, s)
+	if !s.isRelay {
 		return
 	}
 	for _, r := range h.rollouts.underWay {
--- a/directory/quarantine.go
+++ b/directory/quarantine.go
@@ -27,11 +27,11 @@
 
 // evidence is the leader's state about server losses during one term.
 type evidence struct {
-	tracker   *quarantine.Evidence
-	list      quarantine.List                       // as last sent to the gateways
-	revision  uint64                                // of the log's condemned requests that the list includes
-	unlogged  map[quarantine.Key]document.Condemned // condemned, not yet in the log
-	proposing bool                                  // whether a change is being proposed
+	tracker           *quarantine.Evidence
+	sentList          quarantine.List                       // as last sent to the gateways
+	condemnedRevision uint64                                // of the log's condemned requests that the list includes
+	unlogged          map[quarantine.Key]document.Condemned // condemned, not yet in the log
+	proposing         bool                                  // whether a change is being proposed
 }
 
 // beginEvidence resets the evidence for a new term. The list starts with the log's condemned requests.
@@ -45,7 +45,7 @@
 	for _, e := range condemned {
 		h.evidence.tracker.AddCondemned(e)
 	}
-	h.evidence.list, h.evidence.revision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
+	h.evidence.sentList, h.evidence.condemnedRevision = quarantine.List{}.WithChanges(condemned, nil), h.d.state.condemnedRevision()
 }
 
 // addLosses adds the losses in a report of a gateway or a relay to the evidence.
@@ -80,7 +80,7 @@
 func (h *hub) clearAnswered(k quarantine.Key) {
 	h.evidence.tracker.Clear(k)
 	delete(h.evidence.unlogged, k)
-	if e, listed := h.evidence.list.Find(k); listed && e.Condemned {
+	if e, listed := h.evidence.sentList.Find(k); listed && e.Condemned {
 		h.d.cfg.Log.StateChange("request released", slog.String("key", k.String()), slog.String("why", "answered"))
 		h.proposeCondemned(document.CondemnedChange{Release: k[:]})
 	}
@@ -99,8 +99,8 @@
 		}
 	}
 	h.proposeUnlogged()
-	if revision := h.d.state.condemnedRevision(); revision != e.revision || e.tracker.TakeChanged() {
-		e.revision = revision
+	if revision := h.d.state.condemnedRevision(); revision != e.condemnedRevision || e.tracker.TakeChanged() {
+		e.condemnedRevision = revision
 		h.pushQuarantine()
 	}
 }
@@ -156,11 +156,11 @@
 	var set []quarantine.Entry
 	var gone []quarantine.Key
 	for k, e := range current {
-		if previous, listed := h.evidence.list.Find(k); !listed || previous != e {
+		if previous, listed := h.evidence.sentList.Find(k); !listed || previous != e {
 			set = append(set, e)
 		}
 	}
-	for k := range h.evidence.list.Entries() {
+	for k := range h.evidence.sentList.Entries() {
 		if _, remains := current[k]; !remains {
 			gone = append(gone, k)
 		}
@@ -168,7 +168,7 @@
 	if len(set)+len(gone) == 0 {
 		return
 	}
-	h.evidence.list = h.evidence.list.WithChanges(set, gone)
+	h.evidence.sentList = h.evidence.sentList.WithChanges(set, gone)
 	h.broadcast(quarantineMessage(set, gone))
 }
 
@@ -201,7 +201,7 @@
 
 // sendQuarantine sends the whole list to a gateway or a relay that opens a session.
 func (h *hub) sendQuarantine(s *session) {
-	l := h.evidence.list
+	l := h.evidence.sentList
 	if h.relay != nil {
 		l = h.relay.quarantine
 	}
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -78,7 +78,7 @@
 		return Unavailable{}
 	}
 	switch r := h.relay; {
-	case r != nil && r.out != nil && w.Term <= r.list.Term():
+	case r != nil && r.out != nil && w.Term <= r.serverList.Term():
 		return h.checkRelayServes(r, w, mayWait)
 	case mayWait && !h.isRelayRefused():
 		return notYetServing{}
@@ -153,7 +153,7 @@
 	moved := 0
 	places := map[string][]protocol.ServingReplica{}
 	for s := range h.sessions {
-		if s.relay {
+		if s.isRelay {
 			continue
 		}
 		if _, known := places[s.region]; !known {
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -43,8 +43,8 @@
 	h               *hub
 	out             *link.Outbox // to the leader; nil without a session
 	lostAt          time.Duration
-	list            registry.Copy
-	sums            registry.ReportAggregator
+	serverList      registry.Copy
+	aggregator      registry.ReportAggregator
 	gatewaysChanged bool // since the leader was last sent the gateways
 	nextReportAt    time.Duration
 
@@ -95,16 +95,16 @@
 	if known := h.leadership.Load(); known.leads || first.Term < known.term {
 		return nil, Unavailable{}
 	}
-	if h.relay != nil && h.relay.list.Term() != first.Term {
+	if h.relay != nil && h.relay.serverList.Term() != first.Term {
 		h.carryOverSessions()
 	}
 	if h.relay == nil {
-		h.relay, h.list = &relay{h: h, list: registry.NewCopy(h.handles)}, nil
+		h.relay, h.cachedList = &relay{h: h, serverList: registry.NewCopy(h.handles)}, nil
 	}
 	r := h.relay
 	r.out, r.gatewaysChanged, r.nextReportAt = link.NewOutbox(l, sessionQueueSize), true, 0
 	r.loads, r.fleet, r.fleetUnsent = map[uint32]protocol.ServerLoad{}, nil, false
-	r.sums.Restart(first.Term)
+	r.aggregator.Restart(first.Term)
 	for _, m := range preceding {
 		r.receive(m)
 	}
@@ -132,7 +132,7 @@
 	}
 	r.out.Close()
 	r.out, r.lostAt = nil, r.h.d.replica.Now()
-	r.h.d.cfg.Log.StateChange("leader lost", slog.Uint64("term", r.list.Term()), slog.Int("gateways", len(r.h.sessions)))
+	r.h.d.cfg.Log.StateChange("leader lost", slog.Uint64("term", r.serverList.Term()), slog.Int("gateways", len(r.h.sessions)))
 }
 
 // syncRelay ends a session with a leader of an older term, and a relay that has been without the leader
@@ -141,7 +141,7 @@
 	r := h.relay
 	switch {
 	case r == nil:
-	case r.out != nil && l.term > r.list.Term():
+	case r.out != nil && l.term > r.serverList.Term():
 		r.disconnectLeader(r.out)
 	case r.out == nil && h.d.replica.Now()-r.lostAt > h.gracePeriod():
 		h.endRelay(h.redirectTarget())
@@ -171,14 +171,14 @@
 	if h.relay == nil {
 		return
 	}
-	h.d.cfg.Log.StateChange("stopped relaying", slog.Uint64("term", h.relay.list.Term()), slog.Int("gateways", len(h.sessions)))
+	h.d.cfg.Log.StateChange("stopped relaying", slog.Uint64("term", h.relay.serverList.Term()), slog.Int("gateways", len(h.sessions)))
 	for s := range h.sessions {
 		h.redirectSession(s, to)
 	}
 	if h.relay.out != nil {
 		h.relay.out.Close()
 	}
-	h.relay, h.list, h.heldServers = nil, nil, registry.Change{}
+	h.relay, h.cachedList, h.heldServers = nil, nil, registry.Change{}
 }
 
 // redirectSession ends a gateway's session and names the replica to connect to.
@@ -196,20 +196,20 @@
 func (r *relay) receive(m protocol.Message) {
 	switch m := m.(type) {
 	case protocol.Servers:
-		r.h.list = nil
-		r.h.sendServerChanges(r.list.Apply(r.h.d.replica.Now(), m))
+		r.h.cachedList = nil
+		r.h.sendServerChanges(r.serverList.Apply(r.h.d.replica.Now(), m))
 	case protocol.Rollouts:
 		r.rollouts = &m
-		r.sums.ApplyRollouts(m)
+		r.aggregator.ApplyRollouts(m)
 		r.h.broadcast(m)
 	case protocol.Quarantine:
 		r.applyQuarantine(m)
 	case protocol.ServingReplicas:
 		r.places = m.List
 	case protocol.Counted:
-		r.sums.RecordCounted(m.Seq)
+		r.aggregator.RecordCounted(m.Seq)
 	case protocol.Fleet:
-		registry.ApplyLoads(r.loads, r.list.WithOwnHandles(m.Loads))
+		registry.ApplyLoads(r.loads, r.serverList.WithOwnHandles(m.Loads))
 		m.Loads = nil
 		r.fleet, r.fleetUnsent = &m, true
 		r.pushFleet()
@@ -218,7 +218,7 @@
 
 // addGateway adds a gateway whose session opens.
 func (r *relay) addGateway(s *session) {
-	r.sums.Open(s.gateway, s.supportsRollouts)
+	r.aggregator.Open(s.gateway, s.supportsRollouts)
 	r.gatewaysChanged = true
 }
 
@@ -227,7 +227,7 @@
 	if sent := r.feed.Sent(); r.fleet != nil && len(sent) > 0 {
 		m := *r.fleet
 		m.Loads = sent
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.aggregator.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
@@ -243,7 +243,7 @@
 func (r *relay) tick() {
 	if r.out == nil {
 		for s := range r.h.sessions { // keeps the sessions open: gateways leave a silent relay
-			s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
+			s.out.Send(protocol.Counted{Seq: r.aggregator.CountedReport(s.gateway)})
 		}
 		return
 	}
@@ -260,8 +260,8 @@
 	if now < r.nextReportAt {
 		return
 	}
-	report := r.appendLosses(r.sums.Next())
-	report.Loads = r.list.WithLeaderHandles(report.Loads)
+	report := r.appendLosses(r.aggregator.Next())
+	report.Loads = r.serverList.WithLeaderHandles(report.Loads)
 	if m, ok := r.h.encode(report); ok {
 		r.nextReportAt = now + registry.RelayReportPause(m.Size())
 		r.out.Send(m)
@@ -283,7 +283,7 @@
 	}
 	r.fleetUnsent, r.nextFleetAt = false, now+budget.Pause(m.Size(), links)
 	for s := range r.h.sessions {
-		s.out.Send(protocol.Counted{Seq: r.sums.CountedReport(s.gateway)})
+		s.out.Send(protocol.Counted{Seq: r.aggregator.CountedReport(s.gateway)})
 		s.out.Send(m)
 	}
 }
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -36,12 +36,12 @@
 
 // rollouts is the state of all rollouts during one term.
 type rollouts struct {
-	startedAt time.Duration             // start of the term
-	underWay  map[string]*activeRollout // by pool
-	applied   map[*session]appliedLists // list numbers that the gateways confirmed
-	list      []protocol.Rollout        // as last sent to the gateways
-	seq       uint64                    // number of the list
-	encoded   protocol.Encoded
+	startedAt    time.Duration             // start of the term
+	underWay     map[string]*activeRollout // by pool
+	appliedLists map[*session]appliedLists // list numbers that the gateways confirmed
+	sentList     []protocol.Rollout        // as last sent to the gateways
+	listSeq      uint64                    // number of the list
+	encoded      protocol.Encoded
 }
 
 // activeRollout is the leader's state of a rollout under way.
@@ -67,7 +67,7 @@
 // have already passed.
 func (h *hub) beginRollouts() {
 	h.rollouts = rollouts{
-		seq: h.rollouts.seq, startedAt: h.d.replica.Now(), underWay: map[string]*activeRollout{}, applied: map[*session]appliedLists{},
+		listSeq: h.rollouts.listSeq, startedAt: h.d.replica.Now(), underWay: map[string]*activeRollout{}, appliedLists: map[*session]appliedLists{},
 	}
 }
 
@@ -231,7 +231,7 @@
 		return false
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.applied[s].previous < r.fullShareSeq {
+		if s.supportsRollouts && h.rollouts.appliedLists[s].previous < r.fullShareSeq {
 			return false
 		}
 	}
@@ -259,7 +259,7 @@
 		return true
 	}
 	for s := range h.sessions {
-		if s.supportsRollouts && h.rollouts.applied[s].newest < r.finalSeq {
+		if s.supportsRollouts && h.rollouts.appliedLists[s].newest < r.finalSeq {
 			return false
 		}
 	}
@@ -291,24 +291,24 @@
 // pushRollouts sends the list to all sessions if it has changed.
 func (h *hub) pushRollouts(state []document.Rollout) {
 	list := make([]protocol.Rollout, 0, len(state))
-	changed := len(state) != len(h.rollouts.list)
+	changed := len(state) != len(h.rollouts.sentList)
 	for i, d := range state {
 		e := protocol.Rollout{Pool: d.Pool, Attempt: d.Attempt, Barred: d.Barred, Replaced: d.Replaced}
 		if r := h.rollouts.underWay[d.Pool]; r != nil {
 			e = r.listEntry(e)
 		}
 		list = append(list, e)
-		changed = changed || !equalEntries(h.rollouts.list[i], e)
+		changed = changed || !equalEntries(h.rollouts.sentList[i], e)
 	}
 	if !changed {
 		return
 	}
-	m := protocol.Rollouts{Term: h.term, Seq: h.rollouts.seq + 1, List: list}
+	m := protocol.Rollouts{Term: h.term, Seq: h.rollouts.listSeq + 1, List: list}
 	encoded, ok := h.encode(m)
 	if !ok {
 		return
 	}
-	h.rollouts.list, h.rollouts.seq, h.rollouts.encoded = list, m.Seq, encoded
+	h.rollouts.sentList, h.rollouts.listSeq, h.rollouts.encoded = list, m.Seq, encoded
 	for _, e := range list {
 		if r := h.rollouts.underWay[e.Pool]; r != nil {
 			r.recordSent(h.d.replica.Now(), m.Seq, e)
--- a/directory/sessioncarryover.go
+++ b/directory/sessioncarryover.go
@@ -23,7 +23,7 @@
 func (h *hub) endTermBoundSessions(to string) {
 	for s := range h.sessions {
 		switch {
-		case s.relay:
+		case s.isRelay:
 			s.out.Close()
 			delete(h.sessions, s)
 		case !s.keepsHandles:
@@ -36,14 +36,14 @@
 func (h *hub) becomeRelay() {
 	out, changes := h.d.state.HallsOut()
 	r := &relay{
-		h: h, list: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
+		h: h, serverList: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
 		lostAt: h.d.replica.Now(), places: h.sentPlaces,
 	}
-	r.quarantine = h.evidence.list
+	r.quarantine = h.evidence.sentList
 	h.endTermBoundSessions("")
-	h.relay, h.list = r, nil
+	h.relay, h.cachedList = r, nil
 	for s := range h.sessions {
-		r.sums.Open(s.gateway, s.supportsRollouts)
+		r.aggregator.Open(s.gateway, s.supportsRollouts)
 	}
 }
 
@@ -52,7 +52,7 @@
 func (h *hub) adoptGateways(r *relay) {
 	now := h.d.replica.Now()
 	h.feed = r.feed
-	set, missingLives := h.registry.Diff(now, &r.list)
+	set, missingLives := h.registry.Diff(now, &r.serverList)
 	h.missingLives = missingLives
 	m := h.listHeader()
 	m.Set = set
@@ -71,7 +71,7 @@
 // are out of service.
 func (h *hub) listHeader() protocol.Servers {
 	if h.relay != nil {
-		return h.relay.list.Header()
+		return h.relay.serverList.Header()
 	}
 	out, changes := h.d.state.HallsOut()
 	return protocol.Servers{Term: h.term, HandleSpace: h.handles.Space(), HallsOut: out, HallChanges: changes}
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -54,7 +54,7 @@
 	avoidsRelays     bool   // opened here because the gateway could reach no relay of its region
 
 	// Set on relays' sessions only.
-	relay           bool
+	isRelay         bool
 	relayedGateways []protocol.RelayGateway
 	loads           map[uint32]protocol.ServerLoad // by handle, from the last report
 }
@@ -78,7 +78,7 @@
 	if h.complete && len(h.missingLives) > 0 {
 		m.Unlisted, h.missingLives = h.registry.ReleaseUnlisted(h.missingLives), nil
 	}
-	h.pendingChange, h.list = registry.Change{}, nil
+	h.pendingChange, h.cachedList = registry.Change{}, nil
 	h.sendServerChanges(m.ToWire(h.registry.IsListed))
 }
 
@@ -120,7 +120,7 @@
 	defer s.out.Close()
 	defer h.post(func() { h.closeSession(s) })
 	silence := registry.ReportTimeout
-	if s.relay {
+	if s.isRelay {
 		silence = registry.RelayTimeout
 	}
 	for {
@@ -140,7 +140,7 @@
 	switch m := m.(type) {
 	case protocol.Usage:
 		if h.relay != nil {
-			h.relay.sums.Add(s.gateway, m)
+			h.relay.aggregator.Add(s.gateway, m)
 			h.relay.bufferLosses(m)
 			return
 		}
@@ -181,7 +181,7 @@
 	s := &session{
 		gateway: w.Gateway, out: link.NewOutbox(l, sessionQueueSize), documentNumber: w.DocumentNumber, supportsHalls: w.SupportsHalls,
 		supportsRollouts: w.SupportsRollouts, bootID: w.BootID, region: w.Region, opened: h.d.replica.Now(), avoidsRelays: h.avoidsPreferred(w),
-		hasServers: w.KnownServers > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Redirected, relay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
+		hasServers: w.KnownServers > 0, keepsHandles: w.KeepsHandles, hall: w.Hall, redirectedHere: w.Redirected, isRelay: w.Relay, loads: map[uint32]protocol.ServerLoad{},
 	}
 	h.sessions[s] = true
 	if h.relay != nil {
@@ -194,7 +194,7 @@
 		s.out.Close()
 		return nil, Unavailable{}
 	}
-	if s.relay {
+	if s.isRelay {
 		h.sentPlaces = nil // the new relay has none
 		h.pushPlaces()
 	}
@@ -221,7 +221,7 @@
 	delete(h.sessions, s)
 	h.d.cfg.Log.StateChange("gateway lost", slog.String("gateway", s.gateway))
 	if h.relay != nil {
-		h.relay.sums.Close(s.gateway)
+		h.relay.aggregator.Close(s.gateway)
 		h.relay.gatewaysChanged = true
 		return
 	}
@@ -243,7 +243,7 @@
 
 // gateways returns the gateways behind a session.
 func (s *session) gateways() []protocol.RelayGateway {
-	if s.relay {
+	if s.isRelay {
 		return s.relayedGateways
 	}
 	return []protocol.RelayGateway{{Gateway: s.gateway, SupportsHalls: s.supportsHalls, SupportsRollouts: s.supportsRollouts}}
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -48,7 +48,7 @@
 		ctx, cancel := context.WithTimeout(h.d.ctx, spreadTimeout)
 		defer cancel()
 		_ = h.d.propose(ctx, command{Spread: &wanted}) // a later tick retries
-		h.post(func() { h.loggingSpread, h.list = false, nil })
+		h.post(func() { h.loggingSpread, h.cachedList = false, nil })
 	}()
 }
 
@@ -56,7 +56,7 @@
 // the list or will have it soon, and, where sessions are spread, the leader itself.
 func (h *hub) leaderPlaces(region string) (all []protocol.ServingReplica) {
 	for s := range h.sessions {
-		if s.relay && s.region == region && h.willHaveListSoon(s) {
+		if s.isRelay && s.region == region && h.willHaveListSoon(s) {
 			all = append(all, protocol.ServingReplica{Address: s.gateway, Hall: s.hall})
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	relays := 0
 	for _, waiting := range h.awaitingList[:ahead+1] {
-		if waiting.relay {
+		if waiting.isRelay {
 			relays++
 		}
 	}
@@ -95,7 +95,7 @@
 	}
 	h.sentPlaces = places
 	for s := range h.sessions {
-		if s.relay && s.region == h.d.cfg.Region {
+		if s.isRelay && s.region == h.d.cfg.Region {
 			s.out.Send(protocol.ServingReplicas{List: places})
 		}
 	}
@@ -111,7 +111,7 @@
 // listSize returns the number of servers that this replica lists.
 func (h *hub) listSize() int {
 	if h.relay != nil {
-		return h.relay.list.Len()
+		return h.relay.serverList.Len()
 	}
 	return h.registry.Len()
 }
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -62,7 +62,7 @@
 		h.registry.Restore(h.d.replica.Now(), s)
 	}
 	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.LoadFeed{}, 0
-	h.pendingChange, h.list, h.sentHallChanges = registry.Change{}, nil, 0
+	h.pendingChange, h.cachedList, h.sentHallChanges = registry.Change{}, nil, 0
 	h.missingLives, h.sentPlaces, h.spreadSince = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -25,12 +25,12 @@
 func (h *hub) wholeList() *wholeList {
 	now := h.d.replica.Now()
 	switch {
-	case h.relay != nil && (h.list == nil || h.relay.list.AnyCold(now)):
-		h.list = &wholeList{servers: h.relay.list.WholeList(now)}
-	case h.relay == nil && (h.list == nil || h.registry.AnyCold(now)):
-		h.list = &wholeList{servers: h.leaderList()}
+	case h.relay != nil && (h.cachedList == nil || h.relay.serverList.AnyCold(now)):
+		h.cachedList = &wholeList{servers: h.relay.serverList.WholeList(now)}
+	case h.relay == nil && (h.cachedList == nil || h.registry.AnyCold(now)):
+		h.cachedList = &wholeList{servers: h.leaderList()}
 	}
-	return h.list
+	return h.cachedList
 }
 
 // leaderList returns the leader's whole list.
@@ -47,16 +47,16 @@
 
 // encodeList encodes a part of the list. The encoding of the whole list is cached.
 func (h *hub) encodeList(m protocol.Servers) (e protocol.Encoded, ok bool) {
-	if !m.Whole || len(m.Set) < len(h.list.servers.Set) {
+	if !m.Whole || len(m.Set) < len(h.cachedList.servers.Set) {
 		return h.encode(m)
 	}
-	if h.list.encoded == nil {
+	if h.cachedList.encoded == nil {
 		if e, ok = h.encode(m); !ok {
 			return e, false
 		}
-		h.list.encoded = &e
+		h.cachedList.encoded = &e
 	}
-	return *h.list.encoded, true
+	return *h.cachedList.encoded, true
 }
 
 // recentDepartures returns the departures to send with a whole list: an incomplete list does not
