--- a/directory/directory.go
+++ b/directory/directory.go
@@ -191,9 +191,10 @@
 	return !known || slices.ContainsFunc(held.Document.Pools, func(p document.Pool) bool { return p.Name == pool })
 }
 
-// Withdraw removes a backend server permanently. A name without a life removes the listed life of
-// that server. When it returns nil, the departure is on the disks of a majority. The error is
-// [NotLeader] or [Unavailable].
+// Withdraw removes a life of a backend server permanently. The identifier names the life
+// ([protocol.LifeID]); a server's name alone removes the life that is listed under it. When Withdraw
+// returns nil, the departure is on the disks of a majority. The error is [NotLeader] or
+// [Unavailable].
 func (d *Directory) Withdraw(ctx context.Context, id string) error {
 	if err := d.checkLeading(); err != nil {
 		return err
--- a/directory/halls.go
+++ b/directory/halls.go
@@ -19,14 +19,14 @@
 // maxHallName bounds the length of a hall's name, in bytes.
 const maxHallName = 255
 
-// UnknownHall refuses an order for a data hall that neither the settings nor a backend server names.
+// UnknownHall is the error of an order for a data hall that neither the settings nor a backend server names.
 // Nothing was changed.
 type UnknownHall struct{ Hall string }
 
 // Error names the hall.
 func (e UnknownHall) Error() string { return "no data hall is called " + e.Hall }
 
-// AmbiguousOrder refuses an order that may be a delayed copy of an earlier one. Nothing was changed; the
+// AmbiguousOrder is the error of an order that may be a delayed copy of an earlier one. Nothing was changed; the
 // order may be repeated.
 type AmbiguousOrder struct{ Hall string }
 
--- a/directory/hub.go
+++ b/directory/hub.go
@@ -52,18 +52,20 @@
 	// The remaining fields are owned by run.
 	term              uint64 // 0 unless this replica leads
 	registry          *registry.Registry
-	appliedDepartures uint64                  // number of departures applied to the registry
-	complete          bool                    // whether the registry is complete and every session was sent the complete list
-	unloggedJoins     []protocol.Registration // announced, not yet submitted to the log
-	loggingJoins      bool                    // whether a batch of them is being logged
-	sessions          map[*session]bool
-	pendingChange     registry.Change // not yet sent to the sessions
-	sentHallChanges   uint64          // number of hall changes as of the last hall state sent
-	cachedList        *wholeList      // for new sessions; nil means that it must be rebuilt
-	usage             *usage
-	feed              registry.LoadFeed
-	nextFleetAt       time.Duration     // earliest time of the next Fleet message
-	encodedDocument   protocol.Document // newest document, encoded once
+	appliedDepartures uint64 // number of departures applied to the registry
+	// complete is whether every backend server has had time to announce itself to this leader. The
+	// sessions are then told so ([protocol.Servers.Complete]).
+	complete        bool
+	unloggedJoins   []protocol.Registration // announced, not yet submitted to the log
+	loggingJoins    bool                    // whether a batch of them is being logged
+	sessions        map[*session]bool
+	pendingChange   registry.Change // not yet sent to the sessions
+	sentHallChanges uint64          // number of hall changes as of the last hall state sent
+	cachedList      *wholeList      // for new sessions; nil means that it must be rebuilt
+	usage           *usage
+	feed            registry.LoadFeed
+	nextFleetAt     time.Duration     // earliest time of the next Fleet message
+	encodedDocument protocol.Document // newest document, encoded once
 
 	rollouts       rollouts
 	evidence       evidence
@@ -75,19 +77,19 @@
 	relay           *relay        // nil unless this replica is a relay
 	lastRefusal     atomic.Pointer[relayRefusal]
 
-	handles       *registry.Handles // handles of the servers that this replica lists to gateways
-	spread        registry.Spread
-	loggingSpread bool                      // whether a spread decision is being logged
-	spreadSince   time.Duration             // when this leader first observed that sessions are spread
-	sentPlaces    []protocol.ServingReplica // places last sent to the relays
-	missingLives  []string                  // lives that gateways have from the previous leader and this one lacks
+	handles             *registry.Handles // handles of the servers that this replica lists to gateways
+	spread              registry.Spread
+	loggingSpread       bool                      // whether a spread decision is being logged
+	lastNotSpread       time.Duration             // last time in this term at which sessions were not spread; 0 if they were throughout
+	sentServingReplicas []protocol.ServingReplica // last sent to the relays
+	missingLives        []string                  // identifiers of lives that gateways list from the previous leader and this one lacks
 
-	listPace         registry.ListPace
-	joinPace         registry.ListPace // pace of logging registrations
+	listPace         registry.ListPace // limits the rate of whole lists, their changes and documents
+	joinPace         registry.ListPace // limits the rate of logging registrations
 	awaitingList     []*session        // sessions waiting for the whole list, oldest first
 	documentsPending bool              // whether a session lacks the newest document
-	heldServers      registry.Change   // servers not yet sent to gateways, in wire form
-	sendTimer        *time.Timer       // fires at the next paced send
+	deferredServers  registry.Change   // servers that wait until the link may carry them to gateways, in wire form
+	sendTimer        *time.Timer       // fires when the next waiting document or list may be sent
 	// listedHallChanges and listedTerm are those of the last list change sent.
 	listedHallChanges, listedTerm uint64
 }
@@ -176,7 +178,7 @@
 
 func (h *hub) tick() {
 	h.syncLeadership()
-	h.sendHeldServers()
+	h.sendDeferredServers()
 	if h.relay != nil {
 		h.relay.tick()
 		h.moveMisplacedSessions()
@@ -197,7 +199,7 @@
 	h.logJoins()
 	h.pushFleet()
 	h.decideSpread(now)
-	h.pushPlaces()
+	h.pushServingReplicas()
 	h.moveMisplacedSessions()
 	h.checkPlacement(now)
 }
@@ -254,8 +256,8 @@
 	return h.do(ctx, func() error { return h.applyAnnouncement(a) })
 }
 
-// listedLife returns the identifier of the listed life of a server that is given by name alone, or
-// the name if none is listed. The error is [Unavailable].
+// listedLife returns the identifier of the life that is listed for a server's name, or the name
+// itself if none is listed. The error is [Unavailable].
 func (h *hub) listedLife(ctx context.Context, name string) (id string, err error) {
 	id = name
 	err = h.do(ctx, func() error {
--- a/directory/joins.go
+++ b/directory/joins.go
@@ -15,8 +15,8 @@
 // When all servers of a new fleet announce themselves, logging them sends each replica as many
 // bytes as the whole list. In a single log entry these bytes delay the heartbeats: 1,500 servers to
 // four replicas take 2.3 s of a link of 1.6 Mbit/s, so that the leader was deposed before the entry
-// was committed, and the next leader had none of the servers. Registrations are therefore logged at
-// a pace of their own, separate from that of lists: no caller waits for them, and lists must not
+// was committed, and the next leader had none of the servers. Registrations are therefore logged
+// under a rate limit of their own, separate from that of lists: no caller waits for them, and lists must not
 // wait for them.
 
 // joinLinkShare is the fraction of the box's link for logging registrations. Lists use half of the
--- a/directory/listchanges.go
+++ b/directory/listchanges.go
@@ -9,15 +9,15 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines how list changes are sent: to relays at once, to gateways at the pace of the
-// box's link ([registry.ListPace]).
+// This file defines how list changes are sent: to relays at once, to gateways at the rate that the
+// box's link allows ([registry.ListPace]).
 
 // sendServerChanges sends a list change: all of it to relays, and to gateways everything except the
-// servers that exceed the link's capacity, which are held back.
+// servers that exceed the link's capacity, which are deferred.
 func (h *hub) sendServerChanges(m protocol.Servers) {
 	h.sendListChange(m, true)
-	h.heldServers = h.heldServers.Merge(registry.Change{Set: m.Set, Gone: m.Removed})
-	h.heldServers.Gone, m.Set = nil, nil
+	h.deferredServers = h.deferredServers.Merge(registry.Change{Set: m.Set, Gone: m.Removed})
+	h.deferredServers.Gone, m.Set = nil, nil
 	hasOtherChanges := len(m.Removed) > 0 || len(m.Unlisted) > 0 || m.Complete || m.HallChanges != h.listedHallChanges || m.Term != h.listedTerm
 	h.listedHallChanges, h.listedTerm = m.HallChanges, m.Term
 	if m.Set = h.takeSendable(); hasOtherChanges || len(m.Set) > 0 {
@@ -26,20 +26,20 @@
 	h.scheduleSend()
 }
 
-// takeSendable removes from the held servers as many as may be sent to all gateways now.
+// takeSendable removes from the deferred servers as many as may be sent to all gateways now.
 func (h *hub) takeSendable() (set []protocol.Server) {
-	n := len(h.heldServers.Set)
+	n := len(h.deferredServers.Set)
 	if h.relayAwaitsList() {
 		n = 0
 	}
 	n = min(n, h.listPace.EntryAllowance(h.d.replica.Now(), len(h.sessions)))
-	set, h.heldServers.Set = h.heldServers.Set[:n:n], h.heldServers.Set[n:]
+	set, h.deferredServers.Set = h.deferredServers.Set[:n:n], h.deferredServers.Set[n:]
 	return set
 }
 
-// sendHeldServers sends gateways as many held servers as the pace allows. It is called once per
+// sendDeferredServers sends gateways as many deferred servers as the link's capacity allows. It is called once per
 // tick.
-func (h *hub) sendHeldServers() {
+func (h *hub) sendDeferredServers() {
 	if set := h.takeSendable(); len(set) > 0 && len(h.sessions) > 0 {
 		m := h.listHeader()
 		m.Set = set
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -15,7 +15,7 @@
 // and its gateway keeps using the list that it has. Relays go first. Departures are never delayed,
 // because gateways must stop sending to those servers.
 //
-// Without the pacing, a fleet of 985 gateways and 9,998 servers never had a leader for longer than
+// Without this rate limit, a fleet of 985 gateways and 9,998 servers never had a leader for longer than
 // 1.4 s: the lists delayed its heartbeats (TestAllGatewaysConnectAtOnce).
 
 // listLinkShare is the fraction of the box's link that whole lists and their changes may use. The
@@ -41,7 +41,7 @@
 	return ok
 }
 
-// sendList sends a session the whole list, or the next part of it that the pace allows. done
+// sendList sends a session the whole list, or the next part of it that the link allows. done
 // reports whether the session has the whole list.
 func (h *hub) sendList(s *session) (done, ok bool) {
 	m, last := registry.ListPart(h.wholeList().servers, s.lastListed, h.listPace.PartSize())
@@ -56,17 +56,17 @@
 		return false, true
 	}
 	s.lastListed = ""
-	h.sendSums(s)
-	if s.isRelay && len(h.sentPlaces) > 0 { // a relay ignores places sent before its list
-		s.out.Send(protocol.ServingReplicas{List: h.sentPlaces})
+	h.sendLoadTotals(s)
+	if s.isRelay && len(h.sentServingReplicas) > 0 { // a relay ignores serving replicas sent before its list
+		s.out.Send(protocol.ServingReplicas{List: h.sentServingReplicas})
 	}
 	return true, true
 }
 
-// sendSums sends a session the sums that the other sessions were last sent. It follows the list.
-func (h *hub) sendSums(s *session) {
+// sendLoadTotals sends a session the load totals that the other sessions were last sent. It follows the list.
+func (h *hub) sendLoadTotals(s *session) {
 	if h.relay != nil {
-		h.relay.sendSums(s)
+		h.relay.sendLoadTotals(s)
 	} else if sent := h.feed.Sent(); len(sent) > 0 {
 		s.out.Send(protocol.Counted{Seq: s.countedSeq})
 		s.out.Send(h.fleetMessage(sent))
@@ -131,7 +131,7 @@
 	return max(slices.IndexFunc(h.awaitingList, func(s *session) bool { return !s.hasServers }), 0)
 }
 
-// scheduleSend sets the timer for the next paced send.
+// scheduleSend sets the timer for the next document or list that waits for the link.
 func (h *hub) scheduleSend() {
 	now := h.d.replica.Now()
 	if h.documentsPending || len(h.awaitingList) > 0 {
@@ -139,6 +139,6 @@
 	}
 }
 
-// minSendDelay limits how often the timer fires. It is half of the time that lists may run ahead of
-// their pace.
+// minSendDelay limits how often the timer fires. It is half of the time by which lists may run ahead
+// of their rate limit.
 const minSendDelay = 10 * time.Millisecond
--- a/directory/sums.go
+++ b/directory/loadtotals.go
@@ -11,10 +11,10 @@
 	"github.com/badgerspoke/badgerspoke/state/document"
 )
 
-// This file defines the fleet-wide data sent to gateways: the sums of the running requests, and the
-// accounts' shares.
+// This file defines the fleet-wide data sent to gateways: the load totals, which sum up the running
+// requests of all gateways by backend server, and the accounts' shares.
 
-// pushFleet sends every gateway the sums over all gateways, as often as the link budget allows.
+// pushFleet sends every gateway the load totals of all gateways, as often as the link budget allows.
 func (h *hub) pushFleet() {
 	held, _ := h.d.state.CurrentDocument()
 	now := h.d.replica.Now()
--- a/directory/outcomes.go
+++ b/directory/outcomes.go
@@ -10,7 +10,7 @@
 // This file aggregates the gateways' rollout reports at the leader. Everything runs in the hub's
 // goroutine.
 
-// appliedLists holds the numbers of the lists that a session's last two reports confirmed. A report's
+// appliedLists holds the numbers of the lists that a session had applied as of its last two reports. A report's
 // loads are sampled before its list takes effect, so only the next report shows the load under it.
 type appliedLists struct{ newest, previous uint64 }
 
@@ -87,6 +87,8 @@
 	}
 }
 
+// paceCount returns the number of answers in a bucket of the latency ratio, which the protocol calls
+// pace, or 0 if the report ends before that bucket.
 func paceCount(o protocol.Outcomes, bucket int) uint64 {
 	if bucket < len(o.PaceCounts) {
 		return uint64(o.PaceCounts[bucket])
--- a/directory/quarantineorders.go
+++ b/directory/quarantineorders.go
@@ -14,7 +14,7 @@
 
 // This file implements operators' orders about condemned requests.
 
-// NotCondemned refuses the release of a request that is not condemned. Nothing was changed.
+// NotCondemned is the error of the release of a request that is not condemned. Nothing was changed.
 type NotCondemned struct{ Key string }
 
 // Error names the key.
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -27,14 +27,14 @@
 	minMovesPerTick = 8
 )
 
-// servedElsewhere refuses a gateway that another replica is to serve.
+// servedElsewhere is the error for a gateway that another replica is to serve.
 type servedElsewhere struct{ by string } // fleet address
 
 // Error names the replica.
 func (e servedElsewhere) Error() string { return "the gateway is assigned to " + e.by }
 
-// notYetServing refuses a gateway that this replica, or a relay that connects meanwhile, may serve
-// shortly.
+// notYetServing is the error for a gateway that this replica, or a relay that connects meanwhile, may
+// serve shortly.
 type notYetServing struct{}
 
 // Error implements error.
@@ -93,13 +93,13 @@
 	if !h.isSpread() {
 		return nil
 	}
-	if r.places == nil && mayWait {
+	if r.servingReplicas == nil && mayWait {
 		return notYetServing{}
 	}
-	place := registry.SelectReplica(r.places, w.Hall, w.Gateway, w.Avoid)
-	ownHallServes := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.places, w.Hall)
-	if place != "" && place != h.d.Address() && (!w.Redirected || ownHallServes) {
-		return servedElsewhere{by: place}
+	assigned := registry.SelectReplica(r.servingReplicas, w.Hall, w.Gateway, w.Avoid)
+	ownHallServes := w.Hall != h.d.cfg.Hall && registry.AnyInHall(r.servingReplicas, w.Hall)
+	if assigned != "" && assigned != h.d.Address() && (!w.Redirected || ownHallServes) {
+		return servedElsewhere{by: assigned}
 	}
 	return nil
 }
@@ -118,13 +118,13 @@
 	if !h.isRelayServed(w.Region) {
 		return nil
 	}
-	places := h.leaderPlaces(w.Region)
-	if place := registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid); place != "" && place != h.d.Address() {
-		if mayWait && h.isTermNew() && h.preferredHall(w.Hall) != "" && !registry.AnyInHall(places, w.Hall) {
+	replicas := h.servingReplicas(w.Region)
+	if assigned := registry.SelectReplica(replicas, h.preferredHall(w.Hall), w.Gateway, w.Avoid); assigned != "" && assigned != h.d.Address() {
+		if mayWait && h.isTermNew() && h.preferredHall(w.Hall) != "" && !registry.AnyInHall(replicas, w.Hall) {
 			return notYetServing{} // its hall's relay may be about to connect
 		}
-		return servedElsewhere{by: place}
-	} else if place != "" {
+		return servedElsewhere{by: assigned}
+	} else if assigned != "" {
 		return nil
 	}
 	if mayWait && h.isTermNew() && !h.avoidsPreferred(w) {
@@ -144,25 +144,25 @@
 	if !h.isRelayServed(w.Region) || len(w.Avoid) == 0 {
 		return false
 	}
-	places := h.knownPlaces(w.Region)
-	return registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, nil) != registry.SelectReplica(places, h.preferredHall(w.Hall), w.Gateway, w.Avoid)
+	replicas := h.knownServingReplicas(w.Region)
+	return registry.SelectReplica(replicas, h.preferredHall(w.Hall), w.Gateway, nil) != registry.SelectReplica(replicas, h.preferredHall(w.Hall), w.Gateway, w.Avoid)
 }
 
 // moveMisplacedSessions redirects gateways that another available replica is to serve.
 func (h *hub) moveMisplacedSessions() {
 	moved := 0
-	places := map[string][]protocol.ServingReplica{}
+	replicasByRegion := map[string][]protocol.ServingReplica{}
 	for s := range h.sessions {
 		if s.isRelay {
 			continue
 		}
-		if _, known := places[s.region]; !known {
-			places[s.region] = h.knownPlaces(s.region)
+		if _, known := replicasByRegion[s.region]; !known {
+			replicasByRegion[s.region] = h.knownServingReplicas(s.region)
 		}
-		candidates := places[s.region]
-		place := registry.SelectReplica(candidates, h.preferredHall(s.hall), s.gateway, nil)
-		if place != "" && place != h.d.Address() && h.canMove(s, candidates) && moved < h.maxMoves(len(candidates)) {
-			h.redirectSession(s, place)
+		candidates := replicasByRegion[s.region]
+		assigned := registry.SelectReplica(candidates, h.preferredHall(s.hall), s.gateway, nil)
+		if assigned != "" && assigned != h.d.Address() && h.canMove(s, candidates) && moved < h.maxMoves(len(candidates)) {
+			h.redirectSession(s, assigned)
 			moved++
 		}
 	}
@@ -170,9 +170,9 @@
 
 // canMove reports whether a gateway that belongs elsewhere may be redirected now. A gateway that came
 // here because it reached no relay stays for directServeTime. So does one that was redirected here,
-// unless a replica in its own data hall can serve it. A leader that has just begun to spread sessions
-// waits for the relays of the gateway's hall.
-func (h *hub) canMove(s *session, places []protocol.ServingReplica) bool {
+// unless a replica in its own data hall can serve it. A leader in whose term
+// sessions have just been spread waits for the relays of the gateway's hall.
+func (h *hub) canMove(s *session, replicas []protocol.ServingReplica) bool {
 	now := h.d.replica.Now()
 	hall := h.preferredHall(s.hall)
 	inOtherHall := hall != "" && hall != h.d.cfg.Hall
@@ -180,20 +180,20 @@
 	case s.avoidsRelays:
 		return now-s.opened >= directServeTime
 	case h.relay != nil && s.redirectedHere:
-		return now-s.opened >= directServeTime || (inOtherHall && registry.AnyInHall(places, hall))
-	case h.relay == nil && hall != "" && !registry.AnyInHall(places, hall):
-		return now-h.spreadSince >= relayWait
+		return now-s.opened >= directServeTime || (inOtherHall && registry.AnyInHall(replicas, hall))
+	case h.relay == nil && hall != "" && !registry.AnyInHall(replicas, hall):
+		return now-h.lastNotSpread >= relayWait
 	}
 	return true
 }
 
-// knownPlaces returns the replicas that may serve the gateways of a region, or nil if they are not known.
-func (h *hub) knownPlaces(region string) []protocol.ServingReplica {
+// knownServingReplicas returns the replicas that may serve the gateways of a region, or nil if they are not known.
+func (h *hub) knownServingReplicas(region string) []protocol.ServingReplica {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
-		return h.relay.places
+		return h.relay.servingReplicas
 	case h.relay == nil && h.isRelayServed(region):
-		return h.leaderPlaces(region)
+		return h.servingReplicas(region)
 	}
 	return nil
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -13,8 +13,9 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file defines relay, the state of a replica that serves the gateways of a region other than the
-// leader's: it forwards the leader's messages to them, and combines their reports into one.
+// This file defines relay, the state of a follower that serves gateways on the leader's behalf: those of
+// a region other than the leader's, or, where sessions are spread, a part of those in the leader's own
+// region. It forwards the leader's messages to them, and combines their reports into one.
 //
 // A relay has one session with the leader, as a gateway has. It reads documents from the replicated log,
 // which it has anyway. In another region than the leader's, its gateways keep their sessions until the
@@ -48,14 +49,14 @@
 	gatewaysChanged bool // since the leader was last sent the gateways
 	nextReportAt    time.Duration
 
-	loads       map[uint32]protocol.ServerLoad // the leader's sums, by handle
-	feed        registry.LoadFeed              // sums that the gateways were sent
+	loads       map[uint32]protocol.ServerLoad // the leader's load totals, by handle
+	feed        registry.LoadFeed              // load totals that the gateways were sent
 	fleet       *protocol.Fleet                // newest message without its loads; nil before the first
 	fleetUnsent bool                           // fleet was not forwarded yet
 	nextFleetAt time.Duration
 	rollouts    *protocol.Rollouts
 
-	places []protocol.ServingReplica // replicas that serve the region's gateways; set at relays in the leader's region
+	servingReplicas []protocol.ServingReplica // those that serve the region's gateways; set at relays in the leader's region
 
 	quarantine quarantine.List
 	losses     []bufferedLoss // not yet reported to the leader
@@ -178,7 +179,7 @@
 	if h.relay.out != nil {
 		h.relay.out.Close()
 	}
-	h.relay, h.cachedList, h.heldServers = nil, nil, registry.Change{}
+	h.relay, h.cachedList, h.deferredServers = nil, nil, registry.Change{}
 }
 
 // redirectSession ends a gateway's session and names the replica to connect to.
@@ -205,7 +206,7 @@
 	case protocol.Quarantine:
 		r.applyQuarantine(m)
 	case protocol.ServingReplicas:
-		r.places = m.List
+		r.servingReplicas = m.List
 	case protocol.Counted:
 		r.aggregator.RecordCounted(m.Seq)
 	case protocol.Fleet:
@@ -222,8 +223,8 @@
 	r.gatewaysChanged = true
 }
 
-// sendSums sends a gateway, after its list, the sums that the others were sent.
-func (r *relay) sendSums(s *session) {
+// sendLoadTotals sends a gateway, after its list, the load totals that the others were sent.
+func (r *relay) sendLoadTotals(s *session) {
 	if sent := r.feed.Sent(); r.fleet != nil && len(sent) > 0 {
 		m := *r.fleet
 		m.Loads = sent
@@ -268,7 +269,7 @@
 	}
 }
 
-// pushFleet sends the gateways the sums over the fleet, as often as a link's budget allows.
+// pushFleet sends the gateways the load totals of the fleet, as often as a link's budget allows.
 func (r *relay) pushFleet() {
 	now := r.h.d.replica.Now()
 	if !r.fleetUnsent || now < r.nextFleetAt || len(r.h.sessions) == 0 {
--- a/directory/rolloutorders.go
+++ b/directory/rolloutorders.go
@@ -16,15 +16,15 @@
 
 // This file implements operators' rollout orders: start, abort and status.
 
-// UnknownPool refuses an announcement for a pool that the document in force does not name, and an
-// order for a pool that neither the document nor a backend server names. Nothing was changed.
+// UnknownPool is the error of an announcement for a pool that the document in force does not name, and
+// of an order for a pool that neither the document nor a backend server names. Nothing was changed.
 type UnknownPool struct{ Pool string }
 
 // Error names the pool.
 func (e UnknownPool) Error() string { return "no pool is called " + e.Pool }
 
-// RolloutConflict refuses an order while another version of the pool is being rolled out. Nothing was
-// changed.
+// RolloutConflict is the error of an order that is given while another version of the pool is being
+// rolled out. Nothing was changed.
 type RolloutConflict struct {
 	Pool   string
 	Target string // version that is under way
--- a/directory/rollouts.go
+++ b/directory/rollouts.go
@@ -38,7 +38,7 @@
 type rollouts struct {
 	startedAt    time.Duration             // start of the term
 	underWay     map[string]*activeRollout // by pool
-	appliedLists map[*session]appliedLists // list numbers that the gateways confirmed
+	appliedLists map[*session]appliedLists // numbers of the lists that the gateways have applied
 	sentList     []protocol.Rollout        // as last sent to the gateways
 	listSeq      uint64                    // number of the list
 	encoded      protocol.Encoded
--- a/directory/sessioncarryover.go
+++ b/directory/sessioncarryover.go
@@ -37,7 +37,7 @@
 	out, changes := h.d.state.HallsOut()
 	r := &relay{
 		h: h, serverList: registry.CopyOf(h.d.replica.Now(), h.registry, h.term, out, changes), feed: h.feed,
-		lostAt: h.d.replica.Now(), places: h.sentPlaces,
+		lostAt: h.d.replica.Now(), servingReplicas: h.sentServingReplicas,
 	}
 	r.quarantine = h.evidence.sentList
 	h.endTermBoundSessions("")
--- a/directory/sessions.go
+++ b/directory/sessions.go
@@ -24,14 +24,14 @@
 // therefore encoded once, and registry changes are batched until the next tick. Sent one by one,
 // the announcements of 3,000 starting backend servers overflowed the queues of 300 sessions, and
 // each reconnected for the whole list (TestManyServersAnnounceAtOnce). Lists and their changes do grow
-// with the fleet; they are paced to the link's capacity (lists.go).
+// with the fleet; their rate is limited to the link's capacity (lists.go).
 
 // sessionQueueSize is the number of messages that may be queued for one gateway's link. At most ten
 // Fleet messages per second are queued.
 const sessionQueueSize = 256
 
 // maxListedDepartures is the number of newest departures sent with a whole list. Earlier ones take
-// effect with the first complete list.
+// effect with the first list that is marked Complete.
 const maxListedDepartures = 256
 
 // session is the link of one gateway, or at the leader that of one relay.
@@ -39,7 +39,7 @@
 	gateway        string // fleet address of the gateway or relay
 	out            *link.Outbox
 	documentNumber uint64 // newest document that the gateway has or was sent
-	countedSeq     uint64 // Seq of the last report included in the sums
+	countedSeq     uint64 // Seq of the last report included in the load totals
 	// supportsHalls is whether the gateway's version handles halls that are out of service.
 	supportsHalls    bool
 	supportsRollouts bool          // whether the gateway's version handles rollouts
@@ -60,7 +60,7 @@
 }
 
 // pushChanges sends the pending registry changes to every session, if there are any. completed is
-// whether the list has just become complete.
+// whether the registry has just become complete.
 func (h *hub) pushChanges(completed bool) {
 	if h.pendingChange.Empty() && !completed {
 		return
@@ -195,8 +195,8 @@
 		return nil, Unavailable{}
 	}
 	if s.isRelay {
-		h.sentPlaces = nil // the new relay has none
-		h.pushPlaces()
+		h.sentServingReplicas = nil // the new relay has none
+		h.pushServingReplicas()
 	}
 	h.pushDocument()
 	h.d.cfg.Log.StateChange("gateway watches", slog.String("gateway", w.Gateway), slog.Uint64("document", w.DocumentNumber),
--- a/directory/spread.go
+++ b/directory/spread.go
@@ -15,7 +15,7 @@
 
 // This file defines how the gateways' sessions are spread over the replicas of the leader's region
 // once one replica cannot serve them all ([registry.Spread]). Every other replica there is then a
-// relay, and the leader serves its part of the gateways in the same way.
+// relay for a part of the gateways, and the leader serves a part itself.
 //
 // The log records whether sessions are spread, so that every replica has this state as soon as it
 // has started. The replica for a gateway follows from the gateway's name and the replicas of its
@@ -35,7 +35,7 @@
 func (h *hub) decideSpread(now time.Duration) {
 	spread := h.isSpread()
 	if !spread {
-		h.spreadSince = now
+		h.lastNotSpread = now
 	}
 	wanted := h.spread.Decide(now, spread, len(h.gateways()), h.registry.Len(), h.d.cfg.LinkRate)
 	if wanted == spread || h.loggingSpread || h.d.hasMultipleRegions() {
@@ -52,9 +52,9 @@
 	}()
 }
 
-// leaderPlaces returns the replicas that serve gateways of a region: the leader's relays there that have
-// the list or will have it soon, and, where sessions are spread, the leader itself.
-func (h *hub) leaderPlaces(region string) (all []protocol.ServingReplica) {
+// servingReplicas returns the replicas that serve gateways of a region: the leader's relays there
+// that have the list or will have it soon, and, where sessions are spread, the leader itself.
+func (h *hub) servingReplicas(region string) (all []protocol.ServingReplica) {
 	for s := range h.sessions {
 		if s.isRelay && s.region == region && h.willHaveListSoon(s) {
 			all = append(all, protocol.ServingReplica{Address: s.gateway, Hall: s.hall})
@@ -85,18 +85,18 @@
 	return h.listPace.TimeToSend(h.d.replica.Now(), relays, h.listSize()) < relayWait/2
 }
 
-// pushPlaces sends the relays the replicas that serve gateways, if they have changed. Each relay
-// can then redirect a gateway to the right replica without asking the leader.
-func (h *hub) pushPlaces() {
-	places := h.leaderPlaces(h.d.cfg.Region)
-	slices.SortFunc(places, func(a, b protocol.ServingReplica) int { return cmp.Compare(a.Address, b.Address) })
-	if !h.isSpread() || slices.Equal(places, h.sentPlaces) {
+// pushServingReplicas sends the relays the list of replicas that serve gateways, if it has changed.
+// Each relay can then redirect a gateway to the right replica without asking the leader.
+func (h *hub) pushServingReplicas() {
+	replicas := h.servingReplicas(h.d.cfg.Region)
+	slices.SortFunc(replicas, func(a, b protocol.ServingReplica) int { return cmp.Compare(a.Address, b.Address) })
+	if !h.isSpread() || slices.Equal(replicas, h.sentServingReplicas) {
 		return
 	}
-	h.sentPlaces = places
+	h.sentServingReplicas = replicas
 	for s := range h.sessions {
 		if s.isRelay && s.region == h.d.cfg.Region {
-			s.out.Send(protocol.ServingReplicas{List: places})
+			s.out.Send(protocol.ServingReplicas{List: replicas})
 		}
 	}
 }
--- a/directory/terms.go
+++ b/directory/terms.go
@@ -63,7 +63,7 @@
 	}
 	h.usage, h.feed, h.nextFleetAt = newUsage(), registry.LoadFeed{}, 0
 	h.pendingChange, h.cachedList, h.sentHallChanges = registry.Change{}, nil, 0
-	h.missingLives, h.sentPlaces, h.spreadSince = nil, nil, 0
+	h.missingLives, h.sentServingReplicas, h.lastNotSpread = nil, nil, 0
 	h.beginRollouts()
 	h.beginEvidence()
 	h.d.cfg.Metrics.GetOrCreateCounter("badgerspoke_directory_terms_led_total").Inc()
@@ -83,7 +83,7 @@
 	if h.relay != nil {
 		return
 	}
-	h.heldServers = registry.Change{}
+	h.deferredServers = registry.Change{}
 	for s := range h.sessions {
 		s.out.Close()
 		delete(h.sessions, s)
--- a/directory/usage.go
+++ b/directory/usage.go
@@ -8,7 +8,7 @@
 	"github.com/badgerspoke/badgerspoke/protocol"
 )
 
-// This file defines usage, which sums up the gateways' reports: the load of each backend server,
+// This file defines usage, which adds up the gateways' reports: the load of each backend server,
 // and the demand of each account.
 
 type usage struct {
@@ -38,7 +38,7 @@
 
 func (u *usage) forget(s *session) { delete(u.loads, s) }
 
-// sumLoads sums up the loads of all sessions by handle.
+// sumLoads adds up the loads of all sessions by handle.
 func (u *usage) sumLoads() {
 	sums := map[uint32]protocol.ServerLoad{}
 	for _, loads := range u.loads {
--- a/directory/wholelist.go
+++ b/directory/wholelist.go
@@ -41,7 +41,7 @@
 		Set: h.registry.List(h.d.replica.Now()), Removed: h.recentDepartures(), HallsOut: out, HallChanges: changes,
 		Relays: h.d.hasMultipleRegions() || h.isSpread(),
 	}.ToWire(h.registry.IsListed)
-	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // the registry orders by name without the life
+	slices.SortFunc(m.Set, func(a, b protocol.Server) int { return strings.Compare(a.ID, b.ID) }) // the registry orders by the name without the start time
 	return m
 }
 
