--- a/directory/activerollout_test.go
+++ b/directory/activerollout_test.go
@@ -169,7 +169,7 @@
 }
 
 // TestNewRelaySessionDelaysCompletion checks that a new relay session delays completion until it has
-// reported twice: before the relay has named its gateways, their load is not in the sums either.
+// reported twice: before the relay has named its gateways, their load is not in the load totals either.
 func TestNewRelaySessionDelaysCompletion(t *testing.T) {
 	is := is.New(t)
 	s := &session{gateway: "relay", isRelay: true, supportsRollouts: true}
--- a/directory/bench_test.go
+++ b/directory/bench_test.go
@@ -14,7 +14,7 @@
 // This file measures the leader's cost of gateways and backend servers.
 
 // BenchmarkFleet reports the size of one Fleet message, and the time to build and encode it for all
-// gateways. Every backend server is in use, all sums change between messages, and a tenth of the
+// gateways. Every backend server is in use, all load totals change between messages, and a tenth of the
 // accounts exceed their share.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ gateways, servers, accounts int }{
@@ -25,17 +25,17 @@
 			for i := range size.accounts / 10 {
 				entitlements = append(entitlements, protocol.Entitlement{Account: fmt.Sprintf("tenant%d", i), Part: 0.3, Extra: 0.4})
 			}
-			sums := make([]protocol.ServerLoad, size.servers)
+			loadTotals := make([]protocol.ServerLoad, size.servers)
 			var feed registry.LoadFeed
 			bytes := 0
 			n := uint32(0)
 			for b.Loop() {
 				n++
-				for i := range sums {
-					sums[i] = protocol.ServerLoad{Handle: uint32(i + 1), Requests: 30 + n%9, Tokens: 20_000 + n%999}
+				for i := range loadTotals {
+					loadTotals[i] = protocol.ServerLoad{Handle: uint32(i + 1), Requests: 30 + n%9, Tokens: 20_000 + n%999}
 				}
 				m, err := protocol.Encode(protocol.Fleet{
-					Gateways: size.gateways, Loads: feed.Next(sums, registry.NewFleetBudget(false, 0).Loads(size.gateways)), Entitlements: entitlements,
+					Gateways: size.gateways, Loads: feed.Next(loadTotals, registry.NewFleetBudget(false, 0).Loads(size.gateways)), Entitlements: entitlements,
 				})
 				if err != nil {
 					b.Fatal(err)
@@ -91,7 +91,7 @@
 
 // BenchmarkLeaderSecond reports the CPU time of the leader's goroutine per second where sessions
 // are spread: reports of its part of the gateways and of the relays, announcements every three
-// seconds, sums, shares and Fleet messages. Messages are encoded once for all sessions; sending
+// seconds, load totals, shares and Fleet messages. Messages are encoded once for all sessions; sending
 // them is not included.
 func BenchmarkLeaderSecond(b *testing.B) {
 	for _, size := range []struct{ gateways, servers, replicas, accounts int }{{985, 9998, 10, 333}, {1970, 20_000, 20, 333}} {
--- a/directory/lists.go
+++ b/directory/lists.go
@@ -63,7 +63,8 @@
 	return true, true
 }
 
-// sendLoadTotals sends a session the load totals that the other sessions were last sent. It follows the list.
+// sendLoadTotals sends a session the load totals that the other sessions were last sent. They follow
+// the list.
 func (h *hub) sendLoadTotals(s *session) {
 	if h.relay != nil {
 		h.relay.sendLoadTotals(s)
--- a/directory/regions.go
+++ b/directory/regions.go
@@ -170,8 +170,8 @@
 
 // canMove reports whether a gateway that belongs elsewhere may be redirected now. A gateway that came
 // here because it reached no relay stays for directServeTime. So does one that was redirected here,
-// unless a replica in its own data hall can serve it. A leader in whose term
-// sessions have just been spread waits for the relays of the gateway's hall.
+// unless a replica in its own data hall can serve it. A leader in whose term sessions have just been
+// spread waits for the relays of the gateway's hall.
 func (h *hub) canMove(s *session, replicas []protocol.ServingReplica) bool {
 	now := h.d.replica.Now()
 	hall := h.preferredHall(s.hall)
@@ -187,7 +187,8 @@
 	return true
 }
 
-// knownServingReplicas returns the replicas that may serve the gateways of a region, or nil if they are not known.
+// knownServingReplicas returns the replicas that may serve the gateways of a region, or nil if they are
+// not known.
 func (h *hub) knownServingReplicas(region string) []protocol.ServingReplica {
 	switch {
 	case h.relay != nil && h.relay.out != nil && h.isSpread():
--- a/directory/relaysums_test.go
+++ b/directory/relayloadtotals_test.go
@@ -17,7 +17,7 @@
 	"github.com/badgerspoke/badgerspoke/transport/link"
 )
 
-// This file tests the sums of running requests and of demand across relays.
+// This file tests the load totals and the demand across relays.
 
 // reportingGateway is a gateway's side of a session: it reports the same work repeatedly and applies
 // received messages as a gateway does.
@@ -30,7 +30,7 @@
 	mu         sync.Mutex
 	term       uint64
 	handles    map[string]uint32
-	sums       map[uint32]protocol.ServerLoad
+	loadTotals map[uint32]protocol.ServerLoad
 	countedSeq uint64
 	seq        uint64
 	gateways   int
@@ -98,7 +98,7 @@
 	case protocol.Servers:
 		r.term, r.servedBy = m.Term, address
 		if m.Whole {
-			r.handles, r.sums, r.seq, r.countedSeq = map[string]uint32{}, map[uint32]protocol.ServerLoad{}, 0, 0
+			r.handles, r.loadTotals, r.seq, r.countedSeq = map[string]uint32{}, map[uint32]protocol.ServerLoad{}, 0, 0
 		}
 		for _, s := range m.Set {
 			r.handles[s.ID] = s.Handle
@@ -106,7 +106,7 @@
 	case protocol.Counted:
 		r.countedSeq = m.Seq
 	case protocol.Fleet:
-		registry.ApplyLoads(r.sums, m.Loads)
+		registry.ApplyLoads(r.loadTotals, m.Loads)
 		r.gateways, r.short = m.Gateways, m.Contended
 	}
 }
@@ -138,12 +138,12 @@
 	return uint32(r.seq+uint64(handle)) % 3
 }
 
-// sum returns the number of requests on a server according to the sums, and whether these include this
+// sum returns the number of requests on a server according to the load totals, and whether these include this
 // gateway's own reports.
 func (r *reportingGateway) sum(id string) (requests uint32, own bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sums[r.handles[id]].Requests, r.countedSeq > 0
+	return r.loadTotals[r.handles[id]].Requests, r.countedSeq > 0
 }
 
 // listTerm returns the term of the list and b1's handle in it.
@@ -154,12 +154,12 @@
 }
 
 // countOtherLoadedServers returns how many servers other than b1 have running requests according
-// to the sums.
+// to the load totals.
 func (r *reportingGateway) countOtherLoadedServers() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for handle := range r.sums {
+	for handle := range r.loadTotals {
 		if handle != r.handles["b1"] {
 			n++
 		}
@@ -173,7 +173,7 @@
 	return r.servedBy
 }
 
-// awaitSum waits until all gateways have this sum for server b1, their own reports included, and returns
+// awaitSum waits until all gateways have this load total for server b1, their own reports included, and returns
 // how long that took.
 func awaitSum(x *fleet, want uint32, all ...*reportingGateway) time.Duration {
 	began := time.Now()
@@ -188,11 +188,11 @@
 	return time.Since(began)
 }
 
-// TestSumsAcrossRelays checks that the sums at all gateways, behind two relays and at the leader, equal
-// the total number of running requests after a gateway moves between relays, a gateway stops, a relay is
+// TestLoadTotalsAcrossRelays checks that the load totals at all gateways, behind two relays and at the leader,
+// equal the number of running requests after a gateway moves between relays, a gateway stops, a relay is
 // killed, and the leader is killed. While a gateway moves, its requests may count twice, but nothing
 // else may.
-func TestSumsAcrossRelays(t *testing.T) {
+func TestLoadTotalsAcrossRelays(t *testing.T) {
 	t.Parallel()
 	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
@@ -209,7 +209,7 @@
 				r.stop()
 			}
 		}()
-		x.t.Logf("sums after %v", awaitSum(x, 1111, all...))
+		x.t.Logf("load totals after %v", awaitSum(x, 1111, all...))
 		is.Equal(all[1].servingReplica(), a)
 		is.Equal(all[2].servingReplica(), b)
 
@@ -221,14 +221,14 @@
 			got, _ := all[0].sum("b1")
 			largest = max(largest, got)
 		}
-		x.t.Logf("sum of at most %d while a gateway moves", largest)
+		x.t.Logf("load total of at most %d while a gateway moves", largest)
 		is.True(largest <= 1111+1000)
-		x.t.Logf("sums after %v", awaitSum(x, 1111, all...))
+		x.t.Logf("load totals after %v", awaitSum(x, 1111, all...))
 		is.Equal(all[3].servingReplica(), b)
 
 		relays[1].kill()
 		time.Sleep(100 * time.Millisecond)
-		x.t.Logf("sums after the end of a relay after %v", awaitSum(x, 1111, all...))
+		x.t.Logf("load totals after the end of a relay after %v", awaitSum(x, 1111, all...))
 		is.Equal(all[3].servingReplica(), a)
 		x.startReplica(relays[1].ip, false)
 		time.Sleep(3 * time.Second)
@@ -251,20 +251,20 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		awaitSum(x, 1111, all...)
-		x.t.Logf("sums after the end of the leader after %v", time.Since(began))
+		x.t.Logf("load totals after the end of the leader after %v", time.Since(began))
 		is.True(time.Since(began) < 3*time.Second)
 
 		all[2].stop()
 		time.Sleep(600 * time.Millisecond)
-		x.t.Logf("sums after the end of a gateway after %v", awaitSum(x, 1011, all[0], all[1], all[3]))
+		x.t.Logf("load totals after the end of a gateway after %v", awaitSum(x, 1011, all[0], all[1], all[3]))
 		is.Equal(all[0].gateways, 3)
 	})
 }
 
-// TestSumsExcludeFrozenRelay freezes a relay: its links carry nothing in either direction for a while,
+// TestLoadTotalsExcludeFrozenRelay freezes a relay: its links carry nothing in either direction for a while,
 // and then all that was written meanwhile. Before that its gateways must be served elsewhere, and its
 // old reports must no longer count.
-func TestSumsExcludeFrozenRelay(t *testing.T) {
+func TestLoadTotalsExcludeFrozenRelay(t *testing.T) {
 	t.Parallel()
 	withTwoRegions(t, 1_000_000, func(x *fleet) {
 		is := is.New(x.t)
@@ -285,7 +285,7 @@
 		is.Equal([]string{all[0].servingReplica(), all[1].servingReplica(), all[2].servingReplica()}, []string{a, b, a})
 		x.net.Cut(relays[0].ip)
 		time.Sleep(1200 * time.Millisecond)
-		x.t.Logf("sums after %v", 1200*time.Millisecond+awaitSum(x, 1110, all...))
+		x.t.Logf("load totals after %v", 1200*time.Millisecond+awaitSum(x, 1110, all...))
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
 			got, _ := all[1].sum("b1")
--- a/directory/rolloutcompletion_test.go
+++ b/directory/rolloutcompletion_test.go
@@ -22,8 +22,8 @@
 // TestCompletionWaitsForFinalList checks that completion waits until all gateways apply the list that
 // announces it, but only briefly for a gateway that does not.
 func TestCompletionWaitsForFinalList(t *testing.T) {
-	for _, obeys := range []bool{false, true} {
-		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
+	for _, applies := range []bool{false, true} {
+		t.Run(fmt.Sprint("applies ", applies), func(t *testing.T) {
 			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
@@ -31,23 +31,23 @@
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
 					var waited time.Duration
-					session.Go(func() { waited = x.runGatewayUntilComplete(ctx, obeys) })
+					session.Go(func() { waited = x.runGatewayUntilComplete(ctx, applies) })
 					state, after := x.awaitRolloutEnd(v)
 					session.Wait()
 					cancel()
 					is.Equal(state, document.RolloutComplete)
 					is.True(after < rolloutTime)
 					is.True(waited > 0)
-					is.Equal(waited < 500*time.Millisecond, obeys)
+					is.Equal(waited < 500*time.Millisecond, applies)
 				})
 			})
 		})
 	}
 }
 
-// runGatewayUntilComplete runs a gateway that applies every list, but the final one only if obeysFinal.
+// runGatewayUntilComplete runs a gateway that applies every list, but the final one only if appliesFinal.
 // It returns the time from the final list to the next one.
-func (x *fleet) runGatewayUntilComplete(ctx context.Context, obeysFinal bool) time.Duration {
+func (x *fleet) runGatewayUntilComplete(ctx context.Context, appliesFinal bool) time.Duration {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
@@ -70,7 +70,7 @@
 			case !isFinal && !final.IsZero():
 				return time.Since(final)
 			}
-			if !isFinal || obeysFinal {
+			if !isFinal || appliesFinal {
 				u.AppliedRollouts = m.Seq
 			}
 		case protocol.Fleet:
--- a/directory/rollouts_test.go
+++ b/directory/rollouts_test.go
@@ -230,15 +230,15 @@
 // TestCompletionWaitsForOldServers checks that completion waits, until the time is nearly over, for a
 // gateway that does not apply the switch, and for one that still runs a request at an old server.
 func TestCompletionWaitsForOldServers(t *testing.T) {
-	for _, obeys := range []bool{false, true} {
-		t.Run(fmt.Sprint("obeys ", obeys), func(t *testing.T) {
+	for _, applies := range []bool{false, true} {
+		t.Run(fmt.Sprint("applies ", applies), func(t *testing.T) {
 			withFleet(t, 3, func(x *fleet) {
 				is := is.New(x.t)
 				v := &versionedServers{}
 				x.withRollout(v, func() {
 					ctx, cancel := context.WithCancel(x.t.Context())
 					var session sync.WaitGroup
-					session.Go(func() { x.runGatewayAtOldServer(ctx, obeys) })
+					session.Go(func() { x.runGatewayAtOldServer(ctx, applies) })
 					state, after := x.awaitRolloutEnd(v)
 					cancel()
 					session.Wait()
@@ -252,7 +252,7 @@
 }
 
 // runGatewayAtOldServer runs a gateway that, if it applies lists, always runs a request at server b1.
-func (x *fleet) runGatewayAtOldServer(ctx context.Context, obeys bool) {
+func (x *fleet) runGatewayAtOldServer(ctx context.Context, applies bool) {
 	is := is.New(x.t)
 	id := link.Identity{Name: "10.0.2.9:7400", Key: fleetKey, Dial: x.net.DialerFrom("10.0.2.9").DialContext}
 	l, err := link.Dial(ctx, x.awaitLeader().ip+":7400", id, nil)
@@ -268,12 +268,12 @@
 		switch m := m.(type) {
 		case protocol.Servers:
 			for _, s := range m.Set {
-				if s.ID == "b1" && obeys {
+				if s.ID == "b1" && applies {
 					u.Loads = []protocol.ServerLoad{{Handle: s.Handle, Requests: 1}}
 				}
 			}
 		case protocol.Rollouts:
-			if obeys {
+			if applies {
 				u.AppliedRollouts = m.Seq
 			}
 		case protocol.Fleet:
--- a/directory/serverrestart_test.go
+++ b/directory/serverrestart_test.go
@@ -20,7 +20,7 @@
 
 // This file tests backend servers that restart under the same name.
 
-// life is one life of server "b1", from one start to the next.
+// life is one run of the process of server "b1", from its start to its end.
 type life struct {
 	x       *fleet
 	born    uint64
@@ -55,8 +55,8 @@
 }
 
 // TestServerRestart: a server that restarts under its name must get requests within two seconds,
-// also at another address, however its previous life ended, and despite late messages of that life.
-// After that time nothing may be sent to the address of the previous life.
+// also at another address, however the previous run of its process (its life) ended, and despite late
+// messages of that life. After that time nothing may be sent to the address of the previous life.
 func TestServerRestart(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
@@ -152,8 +152,9 @@
 	})
 }
 
-// TestGatewayWithoutSupportForLives: a gateway of an earlier version takes the name for the identifier. It
-// must list the server's current life under that name, and nothing once the server has departed.
+// TestGatewayWithoutSupportForLives: a gateway of an earlier version knows servers by name
+// alone, without the start time that tells lives apart. It must list the address of the server's
+// current life under that name, and nothing once the server has departed.
 func TestGatewayWithoutSupportForLives(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
--- a/directory/usage_test.go
+++ b/directory/usage_test.go
@@ -35,9 +35,9 @@
 	is.Equal(len(u.demand.Entitlements()), 0)
 }
 
-// TestSumsOverGateways checks that the last report of each session counts, and that its number is
-// recorded.
-func TestSumsOverGateways(t *testing.T) {
+// TestUsageTotalsLastReportOfEachSession checks that the totals consist of the last report of
+// each session, and that its number is recorded.
+func TestUsageTotalsLastReportOfEachSession(t *testing.T) {
 	is := is.New(t)
 	u := newUsage()
 	a, b := &session{}, &session{}
