--- a/badgerspoke.go
+++ b/badgerspoke.go
@@ -90,12 +90,12 @@
 
 // Box is a running box.
 type Box struct {
-	cfg           Settings
-	metrics       *metrics.Set
-	router        *router.Router
-	control       *control.Control
-	backendClient *forward.Client
-	httpServers   []*http.Server
+	cfg          Settings
+	metrics      *metrics.Set
+	router       *router.Router
+	control      *control.Control
+	serverClient *forward.Client
+	httpServers  []*http.Server
 }
 
 // Limits of every listener.
@@ -178,10 +178,10 @@
 	if dialer == nil {
 		dialer = socket.Dialer(socket.DialTimeout)
 	}
-	b.backendClient = forward.New(forward.Settings{Dialer: dialer})
+	b.serverClient = forward.New(forward.Settings{Dialer: dialer})
 	b.router = router.Start(ctx, router.Settings{
 		Identity: b.identity(), Hall: b.cfg.Hall, Replicas: b.cfg.Replicas,
-		Transport: b.backendClient, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
+		Transport: b.serverClient, Limits: b.cfg.Limits, Pace: b.cfg.Pace,
 		StopWithoutLeader: b.cfg.StopWithoutLeader, Random: b.cfg.Random, Clock: b.cfg.Clock, Log: b.cfg.Log, Metrics: b.metrics,
 	})
 	b.serve(b.cfg.Callers, b.router, b.cfg.TLS.Clients)
@@ -257,8 +257,8 @@
 	if b.control != nil {
 		b.control.Stop(ctx)
 	}
-	if b.backendClient != nil {
-		b.backendClient.Close()
+	if b.serverClient != nil {
+		b.serverClient.Close()
 	}
 	for _, s := range b.httpServers {
 		if s.Shutdown(ctx) != nil {
