--- a/directory/serverrestart_test.go
+++ b/directory/serverrestart_test.go
@@ -227,9 +227,9 @@
 	})
 }
 
-// TestServerRestartWithTargetVersion: a server of the old version that restarts with the target version
+// TestServerRestartsWithVersionOfTheTarget: a server of the old version that restarts with the target version
 // of a rollout must count as a server of the target from then on.
-func TestServerRestartWithTargetVersion(t *testing.T) {
+func TestServerRestartsWithVersionOfTheTarget(t *testing.T) {
 	withFleet(t, 3, func(x *fleet) {
 		is := is.New(t)
 		x.putDocument(1)
